--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -31,7 +31,7 @@
 	Keeper   *session.Keeper
 	Tools    *toolcall.Client
 	Workers  *worker.Client
-	Book     *worker.Book
+	Book     *worker.UsageReports
 	Picker   *worker.Picker
 	Backends base.Backends
 	Access   *access.Guard
@@ -161,7 +161,7 @@
 		}
 	}
 	switch {
-	case !worker.KnownUrgency(urgency):
+	case !worker.ValidUrgency(urgency):
 		return nil, base.DeclineField("urgency", `must be "low", "normal" or "urgent"`)
 	case parent != "" && (tokens != 0 || deadline != 0 || group != "" || site != ""):
 		return nil, base.DeclineField("parent", "a helper has its parent's place, budget and deadline and names none")
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -79,7 +79,7 @@
 	case workers == nil:
 		return nil, base.DeclineField("workers", "must be given")
 	}
-	if err := worker.CheckList("workers", workers); err != nil {
+	if err := worker.ValidateWorkers("workers", workers); err != nil {
 		return nil, err
 	}
 	return f.changeList(func(ctx *base.Ctx) (*worker.List, error) {
@@ -110,7 +110,7 @@
 	if stamp == 0 {
 		return nil, base.DeclineField("stamp", "must be given")
 	}
-	if err := worker.CheckList("put", put); err != nil {
+	if err := worker.ValidateWorkers("put", put); err != nil {
 		return nil, err
 	}
 	return f.changeList(func(ctx *base.Ctx) (*worker.List, error) {
@@ -143,16 +143,16 @@
 	}
 	usage.Number, usage.Load = uint64(count), int64(load)
 	return &plan{func(ctx *base.Ctx) (*Response, error) {
-		if !f.Book.Tell(usage) {
+		if !f.Book.Record(usage) {
 			f.Counters.Add("usage_stale", 1)
 			return answer(200, map[string]any{"taken": false}), nil
 		}
 		notice, marked := f.Picker.Roster().Leaving[id]
 		if !usage.Leaving {
-			f.Picker.Back(id)
+			f.Picker.ClearLeaving(id)
 		}
 		if usage.Leaving != marked || (marked && notice.Incarnation != usage.Incarnation) {
-			err := f.Workers.Notice(ctx.Within(f.Bounds.Load().Recover), worker.Notice{Worker: id, Incarnation: usage.Incarnation,
+			err := f.Workers.SubmitNotice(ctx.Within(f.Bounds.Load().Recover), worker.Notice{Worker: id, Incarnation: usage.Incarnation,
 				Leaving: usage.Leaving, Source: "report", Number: usage.Number})
 			if err != nil {
 				return nil, err
--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -137,8 +137,8 @@
 // send tries workers until one was reached; from then on there is no other.
 func (t *toolVisit) send(tried map[string]bool) (*toolcall.Answer, error) {
 	f := t.front
-	need := &worker.Need{Pool: t.route.Pool, Affinity: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
-		Waiting: t.route.Waiting, Tried: tried, Policy: t.route.Policy}
+	need := &worker.Requirements{Pool: t.route.Pool, AffinityKey: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
+		MaxQueue: t.route.Waiting, Tried: tried, Policy: t.route.Policy}
 	for {
 		given, err, another := t.sendOnce(need)
 		if !another || t.ctx.Over() {
@@ -148,11 +148,11 @@
 	}
 }
 
-func (t *toolVisit) sendOnce(need *worker.Need) (given *toolcall.Answer, failed error, another bool) {
+func (t *toolVisit) sendOnce(need *worker.Requirements) (given *toolcall.Answer, failed error, another bool) {
 	f := t.front
 	var cleanup base.Cleanup
 	defer cleanup.Run()
-	chosenWorker, err := f.Picker.Hold(t.ctx, need)
+	chosenWorker, err := f.Picker.Acquire(t.ctx, need)
 	if err != nil {
 		return nil, err, false
 	}
@@ -161,7 +161,7 @@
 	if err := f.Follower.Permit(t.ctx); err != nil {
 		return nil, err, false
 	}
-	if !f.Picker.Stays(chosenWorker, need) {
+	if !f.Picker.StillEligible(chosenWorker, need) {
 		f.Counters.Add("legs_turned_back", 1)
 		return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 	}
@@ -180,7 +180,7 @@
 	reply, err := f.Backends.Call(t.ctx, chosenWorker.Addr, &base.BackRequest{Method: "POST", Path: path, Header: header, Body: t.request.Body})
 	need.Tried[chosenWorker.ID] = true
 	if err != nil {
-		f.Picker.Shun(chosenWorker.ID)
+		f.Picker.Avoid(chosenWorker.ID)
 		if base.WasNotSent(err) {
 			return nil, base.Busy(503, "worker_unreachable", 1, "no worker could be reached"), true
 		}
@@ -194,7 +194,7 @@
 		}
 		return nil, base.Unsure(502, "worker_leaving", "the worker refused the call as it leaves, but bytes had gone out"), false
 	}
-	if f.Picker.Answered(chosenWorker, reply.Closes()) {
+	if f.Picker.ObserveResponse(chosenWorker, reply.Closes()) {
 		f.Keeper.WorkerLeaves(chosenWorker)
 	}
 	body, err := reply.Body(t.ctx.Left(), toolBodyLimit)
--- a/internal/line/carry.go
+++ b/internal/line/carry.go
@@ -15,9 +15,9 @@
 
 func packCall(call *relay.Call, ctx *base.Ctx) *Call {
 	packed := &Call{Id: call.ID, Host: call.Host, Method: call.Method, Target: call.Target, Body: call.Body, DeadlineMs: ctx.Left().Milliseconds(),
-		Model: call.Model, Prompt: int64(call.Prompt), Most: int64(call.Most), Program: call.Program, Session: call.Session,
-		FinishMs: call.Finish.Milliseconds(), Budget: call.Budget, HasBudget: call.HasBudget, Previous: call.Previous, Headers: packHeaders(call.Headers)}
-	for _, part := range call.Parts {
+		Model: call.Model, Prompt: int64(call.PromptTokens), Most: int64(call.MaxOutputTokens), Program: call.Program, Session: call.Session,
+		FinishMs: call.Finish.Milliseconds(), Budget: call.TokenBudget, HasBudget: call.HasTokenBudget, Previous: call.PreviousTurn, Headers: packHeaders(call.Headers)}
+	for _, part := range call.PromptParts {
 		packed.Parts = append(packed.Parts, &Part{Id: part.ID, Tokens: int64(part.Tokens)})
 	}
 	return packed
@@ -28,10 +28,10 @@
 		return &relay.Call{}
 	}
 	call := &relay.Call{ID: packed.Id, Host: packed.Host, Method: packed.Method, Target: packed.Target, Body: packed.Body, Deadline: time.Duration(packed.DeadlineMs) * time.Millisecond,
-		Model: packed.Model, Prompt: int(packed.Prompt), Most: int(packed.Most), Program: packed.Program, Session: packed.Session,
-		Finish: time.Duration(packed.FinishMs) * time.Millisecond, Budget: packed.Budget, HasBudget: packed.HasBudget, Previous: packed.Previous, Headers: unpackHeaders(packed.Headers)}
+		Model: packed.Model, PromptTokens: int(packed.Prompt), MaxOutputTokens: int(packed.Most), Program: packed.Program, Session: packed.Session,
+		Finish: time.Duration(packed.FinishMs) * time.Millisecond, TokenBudget: packed.Budget, HasTokenBudget: packed.HasBudget, PreviousTurn: packed.Previous, Headers: unpackHeaders(packed.Headers)}
 	for _, part := range packed.Parts {
-		call.Parts = append(call.Parts, relay.Part{ID: part.Id, Tokens: int(part.Tokens)})
+		call.PromptParts = append(call.PromptParts, relay.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
 	}
 	return call
 }
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -208,7 +208,7 @@
 }
 
 func (w *world) call(session, turn, previous string) *relay.Call {
-	return &relay.Call{ID: turn, Host: "h", Method: "POST", Target: "/t", Body: []byte("in-" + turn), Program: "p", Session: session, Previous: previous, Most: 10, Deadline: 10 * time.Second}
+	return &relay.Call{ID: turn, Host: "h", Method: "POST", Target: "/t", Body: []byte("in-" + turn), Program: "p", Session: session, PreviousTurn: previous, MaxOutputTokens: 10, Deadline: 10 * time.Second}
 }
 
 func (w *world) take(k *Keeper, call *relay.Call) (string, error) {
@@ -309,7 +309,7 @@
 	streams := []*Stream{}
 	for n := range queueMost {
 		call := w.call("s1", fmt.Sprint("q", n), fmt.Sprint("p", n)) // each from another place
-		w.book.kept[call.Previous] = Kept{Turn: call.Previous}
+		w.book.kept[call.PreviousTurn] = Kept{Turn: call.PreviousTurn}
 		stream, err := k.Turn(ctx, call)
 		w.is.NoErr(err)
 		streams = append(streams, stream)
@@ -347,7 +347,7 @@
 // loose is a call on a route that keeps no turns.
 func (w *world) loose(session, turn, previous string) *relay.Call {
 	call := w.call(session, turn, previous)
-	call.Target, call.Budget, call.HasBudget = "/loose/t", 100, true
+	call.Target, call.TokenBudget, call.HasTokenBudget = "/loose/t", 100, true
 	return call
 }
 
--- a/internal/line/serve.go
+++ b/internal/line/serve.go
@@ -31,14 +31,14 @@
 	chained := k.Clock.NewSignal()
 	var chain []byte
 	var lost error
-	if call.Previous == "" || !matched.Retained {
+	if call.PreviousTurn == "" || !matched.Retained {
 		chained.Fire()
-	} else if body, ok := k.history.chain(call.Previous); ok {
+	} else if body, ok := k.history.chain(call.PreviousTurn); ok {
 		chain = body
 		chained.Fire()
 	} else {
 		k.Clock.Go(func() {
-			chain, lost = k.recall(ctx, call.Program, call.Previous, matched.Retain)
+			chain, lost = k.recall(ctx, call.Program, call.PreviousTurn, matched.Retain)
 			chained.Fire()
 		})
 	}
@@ -82,7 +82,7 @@
 	assignment, confirmed := h.assignment, h.confirmed
 	h.mu.Unlock()
 	call := op.call
-	asked := &Claim{Program: call.Program, Session: call.Session, Turn: call.ID, Most: int64(call.Most), Budget: call.Budget, HasBudget: call.HasBudget, Owner: k.me(), Previous: call.Previous, Keep: op.keep, After: after}
+	asked := &Claim{Program: call.Program, Session: call.Session, Turn: call.ID, Most: int64(call.MaxOutputTokens), Budget: call.TokenBudget, HasBudget: call.HasTokenBudget, Owner: k.me(), Previous: call.PreviousTurn, Keep: op.keep, After: after}
 	if assignment != nil {
 		asked.Run, asked.Epoch, asked.Confirmed, asked.After = assignment.Run, assignment.Epoch, confirmed, nil
 	} else {
@@ -144,7 +144,7 @@
 	h.mu.Lock()
 	assignment := h.assignment
 	h.mu.Unlock()
-	if !op.call.HasBudget || assignment == nil {
+	if !op.call.HasTokenBudget || assignment == nil {
 		return
 	}
 	settled := &Settled{Program: op.call.Program, Run: assignment.Run, Turn: op.call.ID, Tokens: tokens, Keep: op.keep}
@@ -286,8 +286,8 @@
 	h.mu.Lock()
 	assignment := h.assignment
 	h.mu.Unlock()
-	kept := Kept{Turn: call.ID, Previous: call.Previous, Input: call.Body, Output: output}
-	ending := &Ending{Program: call.Program, Session: call.Session, Run: assignment.Run, Owner: assignment.Owner, Epoch: assignment.Epoch, Kept: kept, Budgeted: call.HasBudget, Tokens: tokens, Retain: matched.Retain}
+	kept := Kept{Turn: call.ID, Previous: call.PreviousTurn, Input: call.Body, Output: output}
+	ending := &Ending{Program: call.Program, Session: call.Session, Run: assignment.Run, Owner: assignment.Owner, Epoch: assignment.Epoch, Kept: kept, Budgeted: call.HasTokenBudget, Tokens: tokens, Retain: matched.Retain}
 	ctx := base.NewCtx(k.Clock, k.keepLimit(op.ctx.Left()))
 	if err := k.Ledger.Finish(ctx, ending); err != nil {
 		k.Counters.Add("turns_not_kept", 1)
--- a/internal/node/daemon.go
+++ b/internal/node/daemon.go
@@ -115,7 +115,7 @@
 }
 
 // Open builds a place's process; Start begins it, Close ends it.
-func Open(place *Place, names *relay.Names) (*Running, error) {
+func Open(place *Place, names *relay.WireNames) (*Running, error) {
 	r := &Running{}
 	counters := base.NewCounters()
 	wire, err := conn.NewWire(func() { counters.Add("messages_sent", 1) })
@@ -159,7 +159,7 @@
 		return errors.Annotate(err, "public address")
 	}
 	defer public.Close()
-	opened, err := Open(place, &relay.Names{})
+	opened, err := Open(place, &relay.WireNames{})
 	if err != nil {
 		return err
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,7 +37,7 @@
 	Backends base.Backends
 	Counters *base.Counters
 	// Names are what clients and workers of an operator's routes call things.
-	Names *relay.Names
+	Names *relay.WireNames
 }
 
 // Place is where a process stands in the fleet.
@@ -154,20 +154,20 @@
 	disks  base.Table[register.DiskSet]
 	routed *base.Bell
 	// roster and written are what the feed told last; only learn has them.
-	roster  relay.Roster
+	roster  relay.RosterDecoder
 	written []byte
 }
 
 func NewGateway(env Env, place Place) *Gateway {
 	place.Role = membership.RoleEdge
 	bounds, tree := newBounds(place), &base.Table[settings.Tree]{}
-	book := worker.NewBook(env.Clock, bounds)
+	book := worker.NewUsageReports(env.Clock, bounds)
 	picker := worker.NewPicker(env.Clock, bounds, env.Counters, book, place.Zone)
 	c := newCommon(env, place, book, bounds)
 	g := &Gateway{common: c, Access: access.NewGuard(env.Clock, bounds, env.Counters)}
 	env.Counters.Also(g.Access.Counts)
 	client, follower := c.follow(tree, g.Access, func(frame *feed.Frame) {
-		picker.Swap(worker.RosterOf(frame.Values))
+		picker.SetRoster(worker.DecodeRoster(frame.Values))
 		g.Keeper.Ended(endedIn(frame.Values))
 		g.learn(frame)
 	})
@@ -180,7 +180,7 @@
 		Workers: &worker.Client{Register: client}, Book: book, Picker: picker, Backends: env.Backends, Access: g.Access}
 	c.mount(session.NewOwnerServer(g.Keeper))
 	g.Routes, g.routed = &base.Table[route.Table]{}, base.NewBell(env.Clock)
-	g.Relay = relay.New(relay.Parts{Clock: env.Clock, Backends: env.Backends, Bounds: bounds, Counters: env.Counters, Names: env.Names, Zone: place.Zone, ConnShare: g.connShare, AnswerLimit: answerLimit})
+	g.Relay = relay.New(relay.Config{Clock: env.Clock, Backends: env.Backends, Bounds: bounds, Counters: env.Counters, Names: env.Names, Zone: place.Zone, MaxConnsPerWorker: g.connShare, MaxResponseBytes: answerLimit})
 	kept := ledger.NewClient(env.Clock, env.Wire, g.disks.Load, place.Zone, place.Tolerate, bounds, env.Counters, nil)
 	g.Lines = line.NewKeeper(line.Parts{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
 		Routes: g.Routes, Ledger: keeping{kept}, Workers: offering{g}})
@@ -314,8 +314,8 @@
 	c.env.Clock.Go(c.Follower.Run)
 	c.env.Clock.Go(c.settles.Run)
 	if c.Lister != nil {
-		duty := &relay.Duty{Clock: c.env.Clock, Bounds: c.bounds, Counters: c.env.Counters, Register: c.Register, Follower: c.Follower, Lister: c.Lister,
-			Holds: c.Owner.ServesFeed, Needed: func() bool { return len(c.Follower.Frame().Values[route.DocumentKey]) > 0 }}
+		duty := &relay.RosterSyncer{Clock: c.env.Clock, Bounds: c.bounds, Counters: c.env.Counters, Register: c.Register, Follower: c.Follower, Lister: c.Lister,
+			OwnsFeed: c.Owner.ServesFeed, Needed: func() bool { return len(c.Follower.Frame().Values[route.DocumentKey]) > 0 }}
 		c.env.Clock.Go(duty.Run)
 	}
 }
--- a/internal/node/tier.go
+++ b/internal/node/tier.go
@@ -44,8 +44,8 @@
 			}
 		}
 	}
-	if workers, changed := g.roster.Read(frame.Values); changed {
-		g.Relay.Swap(workers)
+	if workers, changed := g.roster.Decode(frame.Values); changed {
+		g.Relay.SetWorkers(workers)
 	}
 }
 
@@ -135,7 +135,7 @@
 	case matched.Kind == route.Stream:
 		return passOn(g.Lines.Pass(ctx, matched, call), ctx)
 	}
-	reply, err := g.Relay.Offer(ctx, matched, table.Services[matched.Pick(clock.Int64N)], call, call.Body)
+	reply, err := g.Relay.Dispatch(ctx, matched, table.Services[matched.Pick(clock.Int64N)], call, call.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -184,14 +184,14 @@
 type offered struct{ *relay.Reply }
 
 func (o offered) Status() int   { return o.Reply.Status }
-func (o offered) Streams() bool { return !o.Whole() }
+func (o offered) Streams() bool { return !o.Buffered() }
 
 func (o offering) Offer(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (line.Reply, error) {
 	known := o.gateway.Routes.Load().Services[service]
 	if known == nil {
 		return nil, base.Busy(503, "no_service", 1, "the service is not configured any more")
 	}
-	reply, err := o.gateway.Relay.Offer(ctx, matched, known, call, body)
+	reply, err := o.gateway.Relay.Dispatch(ctx, matched, known, call, body)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -30,14 +30,14 @@
 				r.Backends = instant{}
 				c := call()
 				for place := range 8 {
-					c.Parts = append(c.Parts, relay.Part{ID: fmt.Sprint("p", place), Tokens: 400})
+					c.PromptParts = append(c.PromptParts, relay.PromptPart{ID: fmt.Sprint("p", place), Tokens: 400})
 				}
-				c.Prompt = 3200
+				c.PromptTokens = 3200
 				rt := plain(route.Once, 1)
 				ctx := base.NewCtx(f.clock, time.Hour)
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, err := r.Offer(ctx, rt, row.service, c, nil); err != nil {
+					if _, err := r.Dispatch(ctx, rt, row.service, c, nil); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -51,7 +51,7 @@
 	values := map[string][]byte{}
 	for place := range workers {
 		one := relay.Worker{Service: fmt.Sprintf("service-%d", place%4), Addr: fmt.Sprintf("10.1.%d.%d:8080", place/250, place%250), Zone: fmt.Sprintf("zone-%d", place%6), Capacity: 96}
-		values[fmt.Sprintf("%sinstance-%05d", relay.RosterPrefix, place)] = base.Encode(one)
+		values[fmt.Sprintf("%sinstance-%05d", relay.RosterKeyPrefix, place)] = base.Encode(one)
 	}
 	return values
 }
@@ -63,8 +63,8 @@
 			f := &fleet{workers: map[string]*fakeWorker{}, clock: base.NewRealClock()}
 			r := f.relay("z1")
 			values := rosterValues(workers)
-			var roster relay.Roster
-			key := relay.RosterPrefix + "instance-00007"
+			var roster relay.RosterDecoder
+			key := relay.RosterKeyPrefix + "instance-00007"
 			draining := map[string][]byte{}
 			for _, drains := range []bool{false, true} {
 				draining[fmt.Sprint(drains)] = base.Encode(relay.Worker{Service: "service-3", Addr: "10.1.0.7:8080", Zone: "zone-1", Capacity: 96, Draining: drains})
@@ -79,8 +79,8 @@
 				turn++
 				values = maps.Clone(values)
 				values[key] = draining[fmt.Sprint(turn%2 == 0)]
-				if list, changed := roster.Read(values); changed {
-					r.Swap(list)
+				if list, changed := roster.Decode(values); changed {
+					r.SetWorkers(list)
 				}
 			}
 			b.ReportMetric(float64(size), "frame-bytes")
@@ -95,12 +95,12 @@
 			f := &fleet{workers: map[string]*fakeWorker{}, clock: base.NewRealClock()}
 			r := f.relay("z1")
 			values := rosterValues(workers)
-			var roster relay.Roster
+			var roster relay.RosterDecoder
 			b.ReportAllocs()
 			for b.Loop() {
 				values = maps.Clone(values)
-				if list, changed := roster.Read(values); changed {
-					r.Swap(list)
+				if list, changed := roster.Decode(values); changed {
+					r.SetWorkers(list)
 				}
 			}
 		})
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -1,19 +1,19 @@
 // Package relay carries a request to a worker of a route's service and its
-// answer back. A call here is in the product's own terms; Names says what its
+// answer back. A call here is in the product's own terms; WireNames says what its
 // parts are called on the wire, so that this package knows no one's words.
 package relay
 
 import "time"
 
-// Names are the header names that clients and workers use.
-type Names struct {
-	ID, Deadline, Model, Tokens, Prompt, Seal, ExpectWorker, NotRun, Load, Worker, Urgency string
-	Program, Session, Finish, Budget, Previous, LastEvent, Weights, ExpectWeights          string
-	ReportPath                                                                             string
+// WireNames are the header names that clients and workers use.
+type WireNames struct {
+	ID, Deadline, Model, TokenCounts, PromptParts, Seal, ExpectWorker, NotRun, Load, Worker, Urgency string
+	Program, Session, Finish, TokenBudget, PreviousTurn, LastEventID, WeightVersions, ExpectVersion  string
+	ReportPath                                                                                       string
 }
 
-// Part is a stretch of a prompt that others may share.
-type Part struct {
+// PromptPart is a stretch of a prompt that others may share.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
@@ -23,24 +23,24 @@
 
 // Call is one request of a client: one try with its own id.
 type Call struct {
-	ID       string
-	Host     string
-	Method   string
-	Target   string // path and query, byte for byte
-	Headers  []Header
-	Body     []byte
-	Deadline time.Duration // how long the client will wait, 0 when it did not say
-	Model    string
-	Prompt   int // tokens of the prompt
-	Most     int // most tokens out
-	Parts    []Part
+	ID              string
+	Host            string
+	Method          string
+	Target          string // path and query, byte for byte
+	Headers         []Header
+	Body            []byte
+	Deadline        time.Duration // how long the client will wait, 0 when it did not say
+	Model           string
+	PromptTokens    int // tokens of the prompt
+	MaxOutputTokens int // most tokens out
+	PromptParts     []PromptPart
 
-	Program   string
-	Session   string
-	Finish    time.Duration
-	Budget    int64
-	HasBudget bool
-	Previous  string
-	// Former is the worker that ran the session's last turn, if that is known.
-	Former string
+	Program        string
+	Session        string
+	Finish         time.Duration
+	TokenBudget    int64
+	HasTokenBudget bool
+	PreviousTurn   string
+	// LastWorker is the worker that ran the session's last turn, if that is known.
+	LastWorker string
 }
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -104,5 +104,5 @@
 	if room <= 0 {
 		room = math.MaxInt
 	}
-	o.changes = s.held.use(o.call.Model, o.call.Parts, room)
+	o.changes = s.held.use(o.call.Model, o.call.PromptParts, room)
 }
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -146,12 +146,12 @@
 	return served, refused
 }
 
-func model(prompt int, parts ...relay.Part) *relay.Call {
+func model(prompt int, parts ...relay.PromptPart) *relay.Call {
 	c := call()
-	c.Parts, c.Most = parts, 34
+	c.PromptParts, c.MaxOutputTokens = parts, 34
 	value := ""
 	for place, part := range parts {
-		c.Prompt += part.Tokens
+		c.PromptTokens += part.Tokens
 		if place > 0 {
 			value += ","
 		}
@@ -164,13 +164,13 @@
 var engine = &route.Service{Name: "s", Engine: &route.Engine{Slots: 96, CacheTokens: 250000, Stride: 2}}
 
 func (f *fleet) turn(r *relay.Relay, c *relay.Call) string {
-	reply, err := r.Offer(base.NewCtx(f.clock, time.Minute), plain(route.Stream, 2), engine, c, []byte("ask"))
+	reply, err := r.Dispatch(base.NewCtx(f.clock, time.Minute), plain(route.Stream, 2), engine, c, []byte("ask"))
 	f.NoErr(err)
 	defer reply.Close()
 	for err == nil {
 		_, err = reply.Event(time.Second)
 	}
-	return reply.Worker
+	return reply.WorkerID
 }
 
 // A session's next turn goes where its chain is kept; a new session goes where
@@ -184,13 +184,13 @@
 	}
 	r := f.relay("z1")
 	f.run(func() {
-		shared := relay.Part{ID: "system", Tokens: 2560}
+		shared := relay.PromptPart{ID: "system", Tokens: 2560}
 		homes := map[string]int{}
 		for session := range 12 {
-			chain := []relay.Part{shared}
+			chain := []relay.PromptPart{shared}
 			home := ""
 			for turn := range 4 {
-				chain = append(chain, relay.Part{ID: fmt.Sprintf("s%d-%d", session, turn), Tokens: 500})
+				chain = append(chain, relay.PromptPart{ID: fmt.Sprintf("s%d-%d", session, turn), Tokens: 500})
 				on := f.turn(r, model(0, chain...))
 				if home == "" {
 					home = on
@@ -208,15 +208,15 @@
 		// Another node, which knows only where the last turn ran.
 		other := f.relay("z3")
 		former := f.order[5]
-		c := model(0, shared, relay.Part{ID: "x-0", Tokens: 3000}, relay.Part{ID: "x-1", Tokens: 200})
-		c.Former = former.ID
+		c := model(0, shared, relay.PromptPart{ID: "x-0", Tokens: 3000}, relay.PromptPart{ID: "x-1", Tokens: 200})
+		c.LastWorker = former.ID
 		f.Equal(f.turn(other, c), former.ID)
 		// Many sessions at once share one part: they spread.
 		on := map[string]int{}
 		left := 60
 		for session := range left {
 			f.clock.Go(func() {
-				on[f.turn(r, model(0, shared, relay.Part{ID: fmt.Sprintf("many%d", session), Tokens: 1000}))]++
+				on[f.turn(r, model(0, shared, relay.PromptPart{ID: fmt.Sprintf("many%d", session), Tokens: 1000}))]++
 				left--
 			})
 		}
@@ -238,13 +238,13 @@
 	}
 	r := f.relay("z1")
 	f.run(func() {
-		shared := relay.Part{ID: "system", Tokens: 2000}
-		home := f.turn(r, model(0, shared, relay.Part{ID: "own", Tokens: 500}))
-		f.Equal(f.turn(r, model(0, shared, relay.Part{ID: "own", Tokens: 900})), home)
+		shared := relay.PromptPart{ID: "system", Tokens: 2000}
+		home := f.turn(r, model(0, shared, relay.PromptPart{ID: "own", Tokens: 500}))
+		f.Equal(f.turn(r, model(0, shared, relay.PromptPart{ID: "own", Tokens: 900})), home)
 		f.Equal(f.workers["addr-"+home].read, 2900)
-		f.Equal(r.Unread(home, model(0, shared, relay.Part{ID: "own", Tokens: 1300})), 400-2) // one event of two tokens
-		f.Equal(r.Unread(home, model(0, shared, relay.Part{ID: "own", Tokens: 600})), 0)
-		f.Equal(r.Unread(home, model(0, shared, relay.Part{ID: "other", Tokens: 600}, relay.Part{ID: "own", Tokens: 600})), 1200)
+		f.Equal(r.Unread(home, model(0, shared, relay.PromptPart{ID: "own", Tokens: 1300})), 400-2) // one event of two tokens
+		f.Equal(r.Unread(home, model(0, shared, relay.PromptPart{ID: "own", Tokens: 600})), 0)
+		f.Equal(r.Unread(home, model(0, shared, relay.PromptPart{ID: "other", Tokens: 600}, relay.PromptPart{ID: "own", Tokens: 600})), 1200)
 	})
 }
 
@@ -258,7 +258,7 @@
 	}
 	r := f.relay("z1")
 	f.run(func() {
-		prompt := []relay.Part{{ID: "system", Tokens: 2560}, {ID: "own", Tokens: 1000}}
+		prompt := []relay.PromptPart{{ID: "system", Tokens: 2560}, {ID: "own", Tokens: 1000}}
 		turned := ""
 		f.before = func(w *fakeWorker) {
 			f.before = nil
@@ -288,14 +288,14 @@
 			r.Backends = instant{}
 			c := call()
 			for place := range 8 {
-				c.Parts = append(c.Parts, relay.Part{ID: fmt.Sprint("p", place), Tokens: 400})
+				c.PromptParts = append(c.PromptParts, relay.PromptPart{ID: fmt.Sprint("p", place), Tokens: 400})
 			}
-			c.Prompt = 3200
+			c.PromptTokens = 3200
 			rt := plain(route.Once, 1)
 			ctx := base.NewCtx(f.clock, time.Hour)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := r.Offer(ctx, rt, row.service, c, nil); err != nil {
+				if _, err := r.Dispatch(ctx, rt, row.service, c, nil); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/relay/cost.go
+++ b/internal/relay/cost.go
@@ -47,15 +47,15 @@
 	load := s.load(p, now)
 	cost := max(0, s.read-now) + time.Duration(unread)*perToken + s.waits(p, now)
 	cost += time.Duration(float64(s.late) * fresh(now-s.lateAt, 4*o.route.Target))
-	cost += time.Duration(float64(o.call.Most) * load * float64(publishedCrowd))
+	cost += time.Duration(float64(o.call.MaxOutputTokens) * load * float64(publishedCrowd))
 	engine := o.service.Engine
 	if engine.CacheTokens > 0 { // what does not fit puts others back
-		mine := float64(o.call.Prompt + o.call.Most)
+		mine := float64(o.call.PromptTokens + o.call.MaxOutputTokens)
 		if over := (load+1)*mine - float64(engine.CacheTokens); over > 0 {
 			cost += time.Duration(over) * perToken
 		}
 	}
-	if len(o.call.Parts) > 0 {
+	if len(o.call.PromptParts) > 0 {
 		// Where nobody holds the first part yet, all nodes think of the same few.
 		spread := (o.shared ^ s.mark) * 0x9e3779b97f4a7c15 >> 54
 		cost += o.route.Target / 32 * time.Duration(spread) / 1024
@@ -66,9 +66,9 @@
 // unreadAt is how many tokens of the prompt the worker would have to read.
 func (o *offer) unreadAt(s *state) int {
 	call := o.call
-	unread := call.Prompt - s.held.kept(call.Model, call.Parts)
-	if call.Former == s.ID && len(call.Parts) > 0 {
-		unread = min(unread, call.Parts[len(call.Parts)-1].Tokens)
+	unread := call.PromptTokens - s.held.kept(call.Model, call.PromptParts)
+	if call.LastWorker == s.ID && len(call.PromptParts) > 0 {
+		unread = min(unread, call.PromptParts[len(call.PromptParts)-1].Tokens)
 	}
 	return max(0, unread)
 }
--- a/internal/relay/duty.go
+++ b/internal/relay/duty.go
@@ -23,29 +23,29 @@
 // Lister asks for the whole list of workers.
 type Lister func(limit time.Duration) ([]Worker, error)
 
-// Duty keeps the roster.
-type Duty struct {
+// RosterSyncer keeps the roster.
+type RosterSyncer struct {
 	Clock    base.Clock
 	Bounds   *base.Table[base.Bounds]
 	Counters *base.Counters
 	Register *register.Client
 	Follower *feed.Follower
 	Lister   Lister
-	// Holds tells whether this node has the duty now.
-	Holds func() bool
+	// OwnsFeed tells whether this node has the duty now.
+	OwnsFeed func() bool
 	// Needed tells whether anyone uses the roster yet.
 	Needed func() bool
 
-	roster Roster
+	roster RosterDecoder
 }
 
 // Run asks at a third of the leave bound while the duty is held.
-func (d *Duty) Run() {
+func (d *RosterSyncer) Run() {
 	failing := false
 	for !d.Follower.Closed() {
 		period := d.Bounds.Load().Leave / 3
 		asked := d.Clock.Now()
-		if d.Holds() && d.Needed() {
+		if d.OwnsFeed() && d.Needed() {
 			list, err := d.Lister(period)
 			if err != nil {
 				d.Counters.Add("roster_asks_failed", 1)
@@ -65,10 +65,10 @@
 // tell puts what the list changes into the roster, part by part, so that another
 // change of the same slot goes between two parts. What a part that failed would
 // have changed is found again with the next list.
-func (d *Duty) tell(list []Worker) {
-	now, _ := d.roster.Read(d.Follower.Frame().Values)
+func (d *RosterSyncer) tell(list []Worker) {
+	now, _ := d.roster.Decode(d.Follower.Frame().Values)
 	for _, change := range changesTo(now, list) {
-		if err := Amend(base.NewCtx(d.Clock, d.Bounds.Load().Call()), d.Register, change); err != nil {
+		if err := ApplyRosterChange(base.NewCtx(d.Clock, d.Bounds.Load().Call()), d.Register, change); err != nil {
 			d.Counters.Add("roster_changes_failed", 1)
 			return
 		}
@@ -117,7 +117,7 @@
 	}
 	part := &(*p)[last]
 	if worker == nil {
-		part.Gone = append(part.Gone, id)
+		part.Remove = append(part.Remove, id)
 	} else {
 		part.Put[id] = *worker
 	}
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -20,7 +20,7 @@
 	"github.com/matryer/is"
 )
 
-var names = &relay.Names{ID: "Call-Id", Deadline: "Time-Left", Seal: "Seal", ExpectWorker: "Only-Worker", NotRun: "Refused", Load: "Load", Urgency: "Rank"}
+var names = &relay.WireNames{ID: "Call-Id", Deadline: "Time-Left", Seal: "Seal", ExpectWorker: "Only-Worker", NotRun: "Refused", Load: "Load", Urgency: "Rank"}
 
 // fault is what a worker does with a request instead of answering.
 type fault int
@@ -90,8 +90,8 @@
 func (f *fleet) relay(zone string) *relay.Relay {
 	bounds := &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
-	r := relay.New(relay.Parts{Clock: f.clock, Backends: f, Bounds: bounds, Names: names, Zone: zone, AnswerLimit: 1 << 20, Counters: base.NewCounters()})
-	r.Swap(f.list())
+	r := relay.New(relay.Config{Clock: f.clock, Backends: f, Bounds: bounds, Names: names, Zone: zone, MaxResponseBytes: 1 << 20, Counters: base.NewCounters()})
+	r.SetWorkers(f.list())
 	return r
 }
 
@@ -267,7 +267,7 @@
 }
 
 func (f *fleet) offer(r *relay.Relay, rt *route.Route, c *relay.Call) (*relay.Reply, *base.Verdict) {
-	reply, err := r.Offer(base.NewCtx(f.clock, time.Minute), rt, service, c, []byte("ask"))
+	reply, err := r.Dispatch(base.NewCtx(f.clock, time.Minute), rt, service, c, []byte("ask"))
 	if err != nil {
 		return nil, base.FromWire(err)
 	}
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -35,7 +35,7 @@
 
 // readEvents reads a stream to its end.
 func readEvents(raw []byte, end error) ([]*Event, error) {
-	relay := New(Parts{Clock: base.NewRealClock(), Names: &Names{}, Bounds: &base.Table[base.Bounds]{}, Counters: base.NewCounters()})
+	relay := New(Config{Clock: base.NewRealClock(), Names: &WireNames{}, Bounds: &base.Table[base.Bounds]{}, Counters: base.NewCounters()})
 	relay.Bounds.Swap(base.DefaultBounds())
 	begun := &attempt{relay: relay, under: &linesReply{rest: bytes.Clone(raw), end: end}, worker: &state{held: newPrefixes()}, offer: fuzzOffer()}
 	reply := &Reply{Status: 200, relay: relay, first: begun, current: begun, offer: begun.offer}
--- a/internal/relay/learn.go
+++ b/internal/relay/learn.go
@@ -60,7 +60,7 @@
 		r.mu.Lock()
 		p := r.pool(s.Service)
 		if engine := o.service.Engine; engine != nil {
-			s.held.grow(o.call.Model, o.call.Parts, a.events*max(1, engine.Stride))
+			s.held.grow(o.call.Model, o.call.PromptParts, a.events*max(1, engine.Stride))
 		}
 		took := r.Clock.Now() - a.sentAt
 		if !s.told || s.load(p, r.Clock.Now()) <= s.slots() {
--- a/internal/relay/prefix.go
+++ b/internal/relay/prefix.go
@@ -32,7 +32,7 @@
 }
 
 // kept is how many tokens of the parts need not be read.
-func (p *prefixes) kept(model string, parts []Part) int {
+func (p *prefixes) kept(model string, parts []PromptPart) int {
 	tokens := 0
 	for _, part := range parts {
 		held := p.parts[partKey{model, part.ID}]
@@ -50,7 +50,7 @@
 
 // use notes that the parts are being read or used there, and gives what
 // changed. The first part is the most recent, so that the last give way first.
-func (p *prefixes) use(model string, parts []Part, most int) []change {
+func (p *prefixes) use(model string, parts []PromptPart, most int) []change {
 	var changes []change
 	for place := len(parts) - 1; place >= 0; place-- {
 		key := partKey{model, parts[place].ID}
@@ -88,7 +88,7 @@
 }
 
 // grow adds what was put out after a prompt to its last part.
-func (p *prefixes) grow(model string, parts []Part, tokens int) {
+func (p *prefixes) grow(model string, parts []PromptPart, tokens int) {
 	if len(parts) == 0 {
 		return
 	}
--- a/internal/relay/rates.go
+++ b/internal/relay/rates.go
@@ -57,24 +57,24 @@
 	publishedCrowd    = publishedStep / 300 // more of a step for each request running
 )
 
-// Rates is what a node has learned of a service.
-type Rates struct {
-	Service  string
-	Request  time.Duration // of a request that did not wait
-	First    time.Duration // to the first event, less reading
-	PerToken time.Duration // of prompt
-	Workers  int
+// ServiceRates is what a node has learned of a service.
+type ServiceRates struct {
+	Service        string
+	RequestTime    time.Duration // of a request that did not wait
+	FirstEventTime time.Duration // to the first event, less reading
+	TimePerToken   time.Duration // of prompt
+	Workers        int
 }
 
-// Learned gives the rates of each service, for operators.
-func (r *Relay) Learned() []Rates {
+// ServiceRates gives the rates of each service, for operators.
+func (r *Relay) ServiceRates() []ServiceRates {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var all []Rates
+	var all []ServiceRates
 	for _, name := range sortedPools(r.pools) {
 		p := r.pools[name]
 		first, perToken := p.reading.line()
-		all = append(all, Rates{name, p.request.value, first, perToken, len(p.workers)})
+		all = append(all, ServiceRates{name, p.request.value, first, perToken, len(p.workers)})
 	}
 	return all
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,19 +20,19 @@
 // Workers is the list, swapped whole.
 type Workers []Worker
 
-// Parts are what a relay is made of.
-type Parts struct {
+// Config is what a relay is made of.
+type Config struct {
 	Clock    base.Clock
 	Backends base.Backends
 	Bounds   *base.Table[base.Bounds]
 	Counters *base.Counters
-	Names    *Names
+	Names    *WireNames
 	Zone     string
-	// AnswerLimit bounds the bytes of a whole answer.
-	AnswerLimit int
-	// ConnShare is how many of a service's connections to each worker are this
+	// MaxResponseBytes bounds the bytes of a whole answer.
+	MaxResponseBytes int
+	// MaxConnsPerWorker is how many of a service's connections to each worker are this
 	// node's; nil or 0 for no bound.
-	ConnShare func(*route.Service) int
+	MaxConnsPerWorker func(*route.Service) int
 	// Rank orders requests when there is not room for all, the lowest first
 	// and before urgency; nil for no order.
 	Rank func(*Call) int
@@ -40,7 +40,7 @@
 
 // Relay offers requests to workers on one node.
 type Relay struct {
-	Parts
+	Config
 
 	// narrow, in tests, leaves only some of the workers to choose from.
 	narrow func([]*state) []*state
@@ -52,14 +52,14 @@
 }
 
 // New makes a relay that knows no workers yet.
-func New(parts Parts) *Relay {
-	return &Relay{Parts: parts, pools: map[string]*pool{}, known: map[string]*state{}}
+func New(parts Config) *Relay {
+	return &Relay{Config: parts, pools: map[string]*pool{}, known: map[string]*state{}}
 }
 
-// Swap takes a new list. Workers that have gone or are leaving get nothing
+// SetWorkers takes a new list. Workers that have gone or are leaving get nothing
 // from now on; idle connections to those that have gone are dropped. Only the
 // services that something changed for are gone through anew.
-func (r *Relay) Swap(workers Workers) {
+func (r *Relay) SetWorkers(workers Workers) {
 	r.mu.Lock()
 	r.lists++
 	touched := map[string]bool{}
@@ -135,9 +135,9 @@
 	changes []change
 }
 
-// Offer sends the request to a worker of the service and gives its answer:
+// Dispatch sends the request to a worker of the service and gives its answer:
 // whole, or a stream under way. An error is a verdict.
-func (r *Relay) Offer(ctx *base.Ctx, rt *route.Route, service *route.Service, call *Call, body []byte) (*Reply, error) {
+func (r *Relay) Dispatch(ctx *base.Ctx, rt *route.Route, service *route.Service, call *Call, body []byte) (*Reply, error) {
 	now := r.Clock.Now()
 	limit := min(ctx.Left(), rt.Timeout)
 	if call.Deadline > 0 {
@@ -148,8 +148,8 @@
 		o.rank = r.Rank(call)
 	}
 	o.lines = r.passed(call, rt)
-	if service.Engine != nil && len(call.Parts) > 0 {
-		o.shared = base.Hash64(call.Parts[0].ID)
+	if service.Engine != nil && len(call.PromptParts) > 0 {
+		o.shared = base.Hash64(call.PromptParts[0].ID)
 	}
 	for {
 		chosen, err := r.hold(o)
@@ -243,7 +243,7 @@
 	}
 	o.sent++
 	begun := &attempt{relay: r, offer: o, worker: chosen, under: under, sentAt: sentAt}
-	reply := &Reply{Status: under.Status(), Worker: chosen.ID, relay: r, offer: o, first: begun, current: begun}
+	reply := &Reply{Status: under.Status(), WorkerID: chosen.ID, relay: r, offer: o, first: begun, current: begun}
 	r.heard(chosen, under.Header(r.Names.Load))
 	proven := proofOfAnswer(reply.Status, under.Header(r.Names.NotRun))
 	switch {
@@ -259,7 +259,7 @@
 	case reply.Status/100 == 2 && o.route.Kind == route.Stream:
 		return reply, nil
 	}
-	body, err := under.Body(max(0, sentAt+limit-r.Clock.Now()), r.AnswerLimit)
+	body, err := under.Body(max(0, sentAt+limit-r.Clock.Now()), r.MaxResponseBytes)
 	if err != nil {
 		reply.end(failed)
 		if r.Clock.Now() >= o.until {
@@ -293,15 +293,15 @@
 // turnedAway is for an answer that proves that the request did not run. The few
 // bytes of its body are read, so that the connection can be kept.
 func (r *Relay) turnedAway(reply *Reply, proven proof) error {
-	_, _ = reply.first.under.Body(reply.offer.least(), r.AnswerLimit) // what fails here only costs the connection
+	_, _ = reply.first.under.Body(reply.offer.least(), r.MaxResponseBytes) // what fails here only costs the connection
 	r.count("workers_turned_away")
 	reply.end(consequences[proven].outcome)
 	return proven.verdict()
 }
 
 func (r *Relay) share(service *route.Service) int {
-	if r.ConnShare == nil {
+	if r.MaxConnsPerWorker == nil {
 		return 0
 	}
-	return r.ConnShare(service)
+	return r.MaxConnsPerWorker(service)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -198,7 +198,7 @@
 		}
 		reply, v := f.offer(r, rt, call())
 		f.True(v == nil)
-		second = f.workers["addr-"+reply.Worker].last
+		second = f.workers["addr-"+reply.WorkerID].last
 	})
 	f.Equal(valueOf(second, "Time-Left"), "2498")
 }
@@ -223,19 +223,19 @@
 	r := f.relay("z1")
 	f.run(func() {
 		a.Draining = true
-		r.Swap(f.list())
+		r.SetWorkers(f.list())
 		for range 20 {
 			_, v := f.offer(r, plain(route.Once, 1), call())
 			f.True(v == nil)
 		}
 		f.Equal(len(a.got), 0)
 		a.Draining = false
-		r.Swap(f.list())
+		r.SetWorkers(f.list())
 		// The list changes between the choice and the sending.
 		f.before = func(w *fakeWorker) {
 			f.before = nil
 			w.Draining = true
-			r.Swap(f.list())
+			r.SetWorkers(f.list())
 		}
 		_, v := f.offer(r, plain(route.Once, 1), call())
 		f.True(v == nil)
@@ -244,7 +244,7 @@
 		}
 		f.before = nil
 		f.order = []*fakeWorker{}
-		r.Swap(f.list())
+		r.SetWorkers(f.list())
 		_, v = f.offer(r, plain(route.Once, 1), call())
 		f.Equal(v.Ran, base.NotRun)
 		f.Equal(v.Status, 503)
@@ -265,13 +265,13 @@
 		served := ""
 		f.clock.Go(func() {
 			if reply, v := f.offer(r, plain(route.Once, 1), call()); v == nil {
-				served = reply.Worker
+				served = reply.WorkerID
 			}
 		})
 		f.clock.Sleep(2 * time.Millisecond)
 		f.order[0].Draining = true
 		f.add("b", "z1", 1)
-		r.Swap(f.list())
+		r.SetWorkers(f.list())
 		f.clock.Sleep(time.Second)
 		f.Equal(served, "b")
 		f.Equal(len(f.order[0].got), 1)
@@ -311,7 +311,7 @@
 	w := f.add("a", "z1", 1)
 	w.queue = 0
 	r := f.relay("z1")
-	r.ConnShare = func(*route.Service) int { return 1 }
+	r.MaxConnsPerWorker = func(*route.Service) int { return 1 }
 	r.Rank = func(c *relay.Call) int {
 		if c.Program == "runaway" {
 			return 1
@@ -446,7 +446,7 @@
 	f.run(func() {
 		reply, v := f.offer(r, plain(route.Stream, 1), c)
 		f.True(v == nil)
-		f.True(!reply.Whole())
+		f.True(!reply.Buffered())
 		event, err := reply.Event(time.Second)
 		f.NoErr(err)
 		f.Equal(string(event.Raw), "id: 1\ndata: one\ndata:two\n\n")
--- a/internal/relay/reply.go
+++ b/internal/relay/reply.go
@@ -15,8 +15,8 @@
 
 // Reply is an answer. Close must be called for a stream.
 type Reply struct {
-	Status int
-	Worker string
+	Status   int
+	WorkerID string
 
 	relay *Relay
 	offer *offer
@@ -30,8 +30,8 @@
 	closed  bool
 }
 
-// Whole tells that the body is there; otherwise the reply is a stream.
-func (p *Reply) Whole() bool { return p.whole }
+// Buffered tells that the body is there; otherwise the reply is a stream.
+func (p *Reply) Buffered() bool { return p.whole }
 
 // Header is one header of the answer.
 func (p *Reply) Header(name string) string { return p.first.under.Header(name) }
@@ -63,7 +63,7 @@
 	if p.whole {
 		return p.body, nil
 	}
-	body, err := p.first.under.Body(limit, p.relay.AnswerLimit)
+	body, err := p.first.under.Body(limit, p.relay.MaxResponseBytes)
 	if err != nil {
 		p.end(failed)
 		return nil, base.Unsure(502, "worker_cut", "the worker's answer was cut short")
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -65,7 +65,7 @@
 func (p *Reply) mayResume() bool {
 	o := p.offer
 	left := o.until - p.relay.Clock.Now()
-	return o.mayAttemptAgain(0) && p.relay.Names.LastEvent != "" && !p.place.broken && left >= o.least()
+	return o.mayAttemptAgain(0) && p.relay.Names.LastEventID != "" && !p.place.broken && left >= o.least()
 }
 
 // eventLimit is until when an event is waited for. A stream that may be resumed
@@ -99,7 +99,7 @@
 	}
 	r, o := p.relay, p.offer
 	o.began = r.Clock.Now() // it waits for a place no longer than a new request
-	o.resumeAfter(p.place.id, r.Names.LastEvent)
+	o.resumeAfter(p.place.id, r.Names.LastEventID)
 	for {
 		o.tried = append(o.tried, last.worker)
 		chosen, err := r.hold(o)
@@ -123,7 +123,7 @@
 
 // goOn reads on from another worker's answer.
 func (p *Reply) goOn(next *Reply) error {
-	if next.Whole() || next.Status != p.Status {
+	if next.Buffered() || next.Status != p.Status {
 		next.Close()
 		return errCut
 	}
--- a/internal/relay/resume_test.go
+++ b/internal/relay/resume_test.go
@@ -133,7 +133,7 @@
 	return []byte(line), nil
 }
 
-var resuming = &relay.Names{ID: "Call-Id", Deadline: "Time-Left", Seal: "Seal", ExpectWorker: "Only-Worker", NotRun: "Refused", LastEvent: "Last-Event"}
+var resuming = &relay.WireNames{ID: "Call-Id", Deadline: "Time-Left", Seal: "Seal", ExpectWorker: "Only-Worker", NotRun: "Refused", LastEventID: "Last-Event"}
 
 // streamed is what came to the client.
 type streamed struct {
@@ -152,14 +152,14 @@
 	}
 	bounds := &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
-	r := relay.New(relay.Parts{Clock: f.clock, Backends: s, Bounds: bounds, Names: resuming, Zone: "z1", AnswerLimit: 1 << 20, Counters: base.NewCounters()})
-	r.Swap(f.list())
+	r := relay.New(relay.Config{Clock: f.clock, Backends: s, Bounds: bounds, Names: resuming, Zone: "z1", MaxResponseBytes: 1 << 20, Counters: base.NewCounters()})
+	r.SetWorkers(f.list())
 	var got streamed
 	f.run(func() {
 		began := f.clock.Now()
 		defer func() { got.took = f.clock.Now() - began }()
 		ctx := base.NewCtx(f.clock, 5*time.Second)
-		reply, err := r.Offer(ctx, rt, service, call(), nil)
+		reply, err := r.Dispatch(ctx, rt, service, call(), nil)
 		if err != nil {
 			got.verdict = base.FromWire(err)
 			return
--- a/internal/relay/roster.go
+++ b/internal/relay/roster.go
@@ -13,8 +13,8 @@
 	"fordseam/internal/register"
 )
 
-// RosterPrefix is where the feed tells of workers.
-const RosterPrefix = "feed/roster/"
+// RosterKeyPrefix is where the feed tells of workers.
+const RosterKeyPrefix = "feed/roster/"
 
 // Worker is one life of a worker, as the list has it.
 type Worker struct {
@@ -26,14 +26,14 @@
 	Draining bool   `json:"d,omitempty"`
 }
 
-// RosterOf reads the feed's frame.
-func RosterOf(values map[string][]byte) Workers {
-	found, _ := (&Roster{}).Read(values)
+// DecodeRoster reads the feed's frame.
+func DecodeRoster(values map[string][]byte) Workers {
+	found, _ := (&RosterDecoder{}).Decode(values)
 	return found
 }
 
-// Roster reads one frame after another, and only what changed between them.
-type Roster struct {
+// RosterDecoder reads one frame after another, and only what changed between them.
+type RosterDecoder struct {
 	read map[string]entry
 	list Workers
 }
@@ -45,15 +45,15 @@
 	ok     bool
 }
 
-// Read gives the workers by id, and tells whether they are others than last
+// Decode gives the workers by id, and tells whether they are others than last
 // time. The list is never changed afterwards.
-func (r *Roster) Read(values map[string][]byte) (list Workers, changed bool) {
+func (r *RosterDecoder) Decode(values map[string][]byte) (list Workers, changed bool) {
 	if r.read == nil {
 		r.read, r.list = map[string]entry{}, Workers{}
 	}
 	count, touched := 0, 0
 	for key, raw := range values {
-		id, ok := strings.CutPrefix(key, RosterPrefix)
+		id, ok := strings.CutPrefix(key, RosterKeyPrefix)
 		if !ok {
 			continue
 		}
@@ -71,7 +71,7 @@
 	}
 	if count < len(r.read) {
 		for id, before := range r.read {
-			if _, stays := values[RosterPrefix+id]; !stays {
+			if _, stays := values[RosterKeyPrefix+id]; !stays {
 				delete(r.read, id)
 				if before.ok {
 					touched++
@@ -115,10 +115,10 @@
 func Serve(owner *register.Owner) {
 	owner.Handle("roster.read", func(tx *register.Tx, _ []byte) (any, error) {
 		found := map[string]Worker{}
-		tx.Walk(RosterPrefix, "", func(key string, value []byte) bool {
+		tx.Walk(RosterKeyPrefix, "", func(key string, value []byte) bool {
 			var one Worker
 			if json.Unmarshal(value, &one) == nil {
-				found[strings.TrimPrefix(key, RosterPrefix)] = one
+				found[strings.TrimPrefix(key, RosterKeyPrefix)] = one
 			}
 			return true
 		})
@@ -129,14 +129,14 @@
 		if err := json.Unmarshal(args, &change); err != nil {
 			return nil, base.DeclineField("roster", "%v", err)
 		}
-		for _, id := range change.Gone {
-			if tx.Get(RosterPrefix+id) != nil {
-				tx.Gone(RosterPrefix + id)
+		for _, id := range change.Remove {
+			if tx.Get(RosterKeyPrefix+id) != nil {
+				tx.Gone(RosterKeyPrefix + id)
 			}
 		}
 		for _, id := range base.SortedKeys(change.Put) {
-			if raw := base.Encode(change.Put[id]); string(tx.Get(RosterPrefix+id)) != string(raw) {
-				tx.Put(RosterPrefix+id, raw)
+			if raw := base.Encode(change.Put[id]); string(tx.Get(RosterKeyPrefix+id)) != string(raw) {
+				tx.Put(RosterKeyPrefix+id, raw)
 			}
 		}
 		return struct{}{}, nil
@@ -145,14 +145,14 @@
 
 // RosterChange is what becomes of some workers; the others stay as they are.
 type RosterChange struct {
-	Put  map[string]Worker `json:"put,omitempty"`
-	Gone []string          `json:"gone,omitempty"`
+	Put    map[string]Worker `json:"put,omitempty"`
+	Remove []string          `json:"gone,omitempty"`
 }
 
 // workers is how many it speaks of.
-func (c *RosterChange) workers() int { return len(c.Put) + len(c.Gone) }
+func (c *RosterChange) workers() int { return len(c.Put) + len(c.Remove) }
 
-// Amend makes one change of the roster.
-func Amend(ctx *base.Ctx, client *register.Client, change RosterChange) error {
+// ApplyRosterChange makes one change of the roster.
+func ApplyRosterChange(ctx *base.Ctx, client *register.Client, change RosterChange) error {
 	return client.Change(ctx, register.FeedGroup, "roster.amend", change, nil)
 }
--- a/internal/relay/roster_test.go
+++ b/internal/relay/roster_test.go
@@ -18,12 +18,12 @@
 	is := is.New(t)
 	world := newFleet(t, 11).world
 	values := map[string][]byte{"feed/other": []byte("x")}
-	var reader relay.Roster
+	var reader relay.RosterDecoder
 	for step := range 400 {
 		before := values
 		values = maps.Clone(values)
 		for range world.Int64N(3) {
-			key := fmt.Sprintf("%sw%d", relay.RosterPrefix, world.Int64N(30))
+			key := fmt.Sprintf("%sw%d", relay.RosterKeyPrefix, world.Int64N(30))
 			switch world.Int64N(5) {
 			case 0:
 				delete(values, key)
@@ -38,16 +38,16 @@
 				values[key] = slices.Clone(raw)
 			}
 		}
-		whole := relay.RosterOf(values)
+		whole := relay.DecodeRoster(values)
 		is.True(slices.IsSortedFunc(whole, func(a, b relay.Worker) int {
 			if a.ID < b.ID {
 				return -1
 			}
 			return 1
 		}))
-		list, changed := reader.Read(values)
+		list, changed := reader.Decode(values)
 		is.Equal(list, whole)
-		is.Equal(changed, !slices.Equal(whole, relay.RosterOf(before)))
+		is.Equal(changed, !slices.Equal(whole, relay.DecodeRoster(before)))
 	}
 }
 
@@ -72,8 +72,8 @@
 		before := slices.SortedFunc(maps.Values(held), relay.InOrder)
 		changes := relay.ChangesTo(before, list)
 		for _, change := range changes {
-			is.True(len(change.Put)+len(change.Gone) <= relay.RosterPart)
-			for _, id := range change.Gone {
+			is.True(len(change.Put)+len(change.Remove) <= relay.RosterPart)
+			for _, id := range change.Remove {
 				delete(held, id)
 			}
 			for id, one := range change.Put {
@@ -112,7 +112,7 @@
 			}
 		}
 		list := slices.DeleteFunc(f.list(), func(relay.Worker) bool { return f.world.Int64N(5) == 0 })
-		r.Swap(list)
+		r.SetWorkers(list)
 		for _, name := range []string{"s0", "s1"} {
 			var want []string
 			for _, one := range list {
@@ -130,7 +130,7 @@
 }
 
 func (f *fleet) offerTo(r *relay.Relay, to *route.Service) (*relay.Reply, *base.Verdict) {
-	reply, err := r.Offer(base.NewCtx(f.clock, base.DefaultBounds().Recover), plain(route.Once, 2), to, call(), nil)
+	reply, err := r.Dispatch(base.NewCtx(f.clock, base.DefaultBounds().Recover), plain(route.Once, 2), to, call(), nil)
 	if err != nil {
 		return nil, base.FromWire(err)
 	}
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -23,7 +23,7 @@
 	route    *settings.Route
 	chain    []json.RawMessage
 	wanted   int64
-	need     *worker.Need
+	need     *worker.Requirements
 	attempts int
 	fallback *settings.Route
 }
@@ -52,8 +52,8 @@
 	h.mu.Lock()
 	former := h.worker
 	h.mu.Unlock()
-	made.need = &worker.Need{Pool: route.Pool, Affinity: record.ID, Former: former, Program: record.Program, Site: record.Group + "/" + record.Site,
-		Urgency: record.Urgency, Waiting: route.Waiting, Tried: map[string]bool{}, Policy: route.Policy}
+	made.need = &worker.Requirements{Pool: route.Pool, AffinityKey: record.ID, LastWorker: former, Program: record.Program, Site: record.Group + "/" + record.Site,
+		Urgency: record.Urgency, MaxQueue: route.Waiting, Tried: map[string]bool{}, Policy: route.Policy}
 	return made, nil
 }
 
@@ -165,7 +165,7 @@
 func (k *Keeper) runAttempt(ctx *base.Ctx, h *held, op *operation, made *plan) attemptOutcome {
 	var cleanup base.Cleanup
 	defer cleanup.Run()
-	chosenWorker, err := k.picker.Hold(ctx, made.need)
+	chosenWorker, err := k.picker.Acquire(ctx, made.need)
 	if err != nil {
 		if made.fallback != nil && base.IsCode(err, "no_worker") {
 			made.route, made.need.Pool, made.fallback = made.fallback, made.fallback.Pool, nil
@@ -204,7 +204,7 @@
 		settle(0)
 		return attemptOutcome{base.FromWire(err), attemptFinal}
 	}
-	if !k.picker.Stays(chosenWorker, made.need) {
+	if !k.picker.StillEligible(chosenWorker, made.need) {
 		settle(0)
 		k.counters.Add("legs_turned_back", 1)
 		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is leaving"), attemptFree}
@@ -214,7 +214,7 @@
 	reply, err := k.backends.Call(ctx, chosenWorker.Addr, modelRequest(made, answer.Granted))
 	if err != nil {
 		made.need.Tried[chosenWorker.ID] = true
-		k.picker.Shun(chosenWorker.ID)
+		k.picker.Avoid(chosenWorker.ID)
 		if base.WasNotSent(err) {
 			k.counters.Add("legs_not_sent", 1)
 			settle(0)
@@ -227,7 +227,7 @@
 	if reply.Status() != 200 {
 		return k.refusedAttempt(h, made, chosenWorker, reply, settle)
 	}
-	if k.picker.Answered(chosenWorker, reply.Closes()) {
+	if k.picker.ObserveResponse(chosenWorker, reply.Closes()) {
 		k.WorkerLeaves(chosenWorker)
 	}
 	h.abortable(op, reply.Close)
@@ -279,7 +279,7 @@
 		settle(0)
 		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is leaving"), attemptFree}
 	case status == 429:
-		k.picker.Shun(chosen.ID)
+		k.picker.Avoid(chosen.ID)
 		settle(0)
 		return attemptOutcome{base.Busy(429, "worker_busy", 1, "the worker is busy"), attemptFree}
 	case status >= 400 && status < 500:
@@ -294,11 +294,11 @@
 // WorkerLeaves takes a worker's own notice: no new work here at once, and
 // everywhere once the notice is told.
 func (k *Keeper) WorkerLeaves(chosen *worker.Worker) {
-	k.picker.LeftNow(chosen)
+	k.picker.MarkLeaving(chosen)
 	k.counters.Add("workers_seen_leaving", 1)
 	incarnation := k.picker.Incarnation(chosen)
 	k.clock.Go(func() {
-		_ = k.workers.Notice(base.NewCtx(k.clock, k.bounds.Load().Leave), worker.Notice{Worker: chosen.ID, Incarnation: incarnation, Leaving: true, Source: "refusal"})
+		_ = k.workers.SubmitNotice(base.NewCtx(k.clock, k.bounds.Load().Leave), worker.Notice{Worker: chosen.ID, Incarnation: incarnation, Leaving: true, Source: "refusal"})
 	})
 }
 
--- a/internal/simulate/tier_removal_test.go
+++ b/internal/simulate/tier_removal_test.go
@@ -177,7 +177,7 @@
 		{"news of workers that leave", "release of plain workers", func(t *Tier) {
 			onFeed(func(_ *Message, reply *feed.FollowReply) {
 				reply.Puts = base.Filter(reply.Puts, func(put *register.Put) bool {
-					return !strings.HasPrefix(put.Key, relay.RosterPrefix) || len(put.Value) > 0 && !strings.Contains(string(put.Value), `"d":true`)
+					return !strings.HasPrefix(put.Key, relay.RosterKeyPrefix) || len(put.Value) > 0 && !strings.Contains(string(put.Value), `"d":true`)
 				})
 			})(t.Fleet)
 		}, "DRAIN", ""},
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	ListKey       = "feed/workers"
-	LeavingPrefix = "feed/leaving/"
+	ListKey          = "feed/workers"
+	LeavingKeyPrefix = "feed/leaving/"
 )
 
 // Worker is one back end as the platform lists it.
@@ -76,8 +76,8 @@
 	for _, was := range former.Workers {
 		place := next.find(was.ID)
 		if place < 0 || next.Workers[place].Incarnation != was.Incarnation || next.Workers[place].Addr != was.Addr {
-			if tx.Get(LeavingPrefix+was.ID) != nil {
-				tx.Gone(LeavingPrefix + was.ID)
+			if tx.Get(LeavingKeyPrefix+was.ID) != nil {
+				tx.Gone(LeavingKeyPrefix + was.ID)
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 	owner.Handle("worker.notice", func(tx *register.Tx, args []byte) (any, error) {
 		var notice, held Notice
 		_ = json.Unmarshal(args, &notice)
-		raw := tx.Get(LeavingPrefix + notice.Worker)
+		raw := tx.Get(LeavingKeyPrefix + notice.Worker)
 		if raw != nil {
 			_ = json.Unmarshal(raw, &held)
 		}
@@ -148,9 +148,9 @@
 		case now.find(notice.Worker) < 0:
 		case notice.Leaving && (raw == nil || held.Incarnation != notice.Incarnation):
 			notice.At = tx.Now
-			tx.Put(LeavingPrefix+notice.Worker, base.Encode(notice))
+			tx.Put(LeavingKeyPrefix+notice.Worker, base.Encode(notice))
 		case !notice.Leaving && raw != nil && (held.Incarnation != notice.Incarnation || held.Source != "report"):
-			tx.Gone(LeavingPrefix + notice.Worker)
+			tx.Gone(LeavingKeyPrefix + notice.Worker)
 		}
 		return notice, nil
 	})
@@ -159,9 +159,9 @@
 // sweep forgets refusals that nothing else has borne out: the worker is
 // tried again, and refuses again if it is still leaving.
 func sweep(tx *register.Tx) {
-	tx.Walk(LeavingPrefix, "", func(key string, value []byte) bool {
+	tx.Walk(LeavingKeyPrefix, "", func(key string, value []byte) bool {
 		var notice Notice
-		old := json.Unmarshal(value, &notice) == nil && tx.Now-notice.At > NoticeSpan(tx.Bounds).Milliseconds()
+		old := json.Unmarshal(value, &notice) == nil && tx.Now-notice.At > NoticeTTL(tx.Bounds).Milliseconds()
 		if old && notice.Source != "report" {
 			tx.Gone(key)
 		}
@@ -187,12 +187,12 @@
 	return &now, c.Register.Change(ctx, register.FeedGroup, "worker.list", struct{}{}, &now)
 }
 
-func (c *Client) Notice(ctx *base.Ctx, notice Notice) error {
+func (c *Client) SubmitNotice(ctx *base.Ctx, notice Notice) error {
 	return c.Register.Change(ctx, register.FeedGroup, "worker.notice", notice, nil)
 }
 
-// CheckList declines a list with faults and names the first field.
-func CheckList(field string, workers []Worker) error {
+// ValidateWorkers declines a list with faults and names the first field.
+func ValidateWorkers(field string, workers []Worker) error {
 	ids := map[string]bool{}
 	for place, one := range workers {
 		switch {
@@ -216,8 +216,8 @@
 	return field + "[" + string(base.Encode(place)) + "]." + name
 }
 
-// Book holds the newest usage report of each worker this node has heard of.
-type Book struct {
+// UsageReports holds the newest usage report of each worker this node has heard of.
+type UsageReports struct {
 	clock  base.Clock
 	bounds *base.Table[base.Bounds]
 	mu     sync.Mutex
@@ -230,12 +230,12 @@
 	given int
 }
 
-func NewBook(clock base.Clock, bounds *base.Table[base.Bounds]) *Book {
-	return &Book{clock: clock, bounds: bounds, newest: map[string]*heardUsage{}}
+func NewUsageReports(clock base.Clock, bounds *base.Table[base.Bounds]) *UsageReports {
+	return &UsageReports{clock: clock, bounds: bounds, newest: map[string]*heardUsage{}}
 }
 
 // Merge takes reports in; older ones than the one held are dropped.
-func (b *Book) Merge(usages []*membership.Usage) {
+func (b *UsageReports) Merge(usages []*membership.Usage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, usage := range usages {
@@ -245,8 +245,8 @@
 	}
 }
 
-// Tell takes one report from a worker itself, and says whether it was news.
-func (b *Book) Tell(usage *membership.Usage) bool {
+// Record takes one report from a worker itself, and says whether it was news.
+func (b *UsageReports) Record(usage *membership.Usage) bool {
 	b.mu.Lock()
 	held, ok := b.newest[usage.Worker]
 	fresh := !ok || usage.Number > held.usage.Number
@@ -255,13 +255,13 @@
 	return fresh
 }
 
-func (b *Book) fresh(held *heardUsage) bool {
+func (b *UsageReports) fresh(held *heardUsage) bool {
 	return b.clock.Now()-held.at <= 2*b.bounds.Load().Leave
 }
 
 // Sample gives fresh reports that were given fewer than times before, the least
 // given first.
-func (b *Book) Sample(limit, times int) []*membership.Usage {
+func (b *UsageReports) Sample(limit, times int) []*membership.Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, held := range b.newest {
@@ -279,10 +279,12 @@
 	})
 }
 
-func (b *Book) unsaid(held *heardUsage, times int) bool { return b.fresh(held) && held.given < times }
+func (b *UsageReports) unsaid(held *heardUsage, times int) bool {
+	return b.fresh(held) && held.given < times
+}
 
 // Unsaid tells whether Sample would give any.
-func (b *Book) Unsaid(times int) bool {
+func (b *UsageReports) Unsaid(times int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, held := range b.newest {
@@ -294,7 +296,7 @@
 }
 
 // Load gives a worker's reported load while it is fresh.
-func (b *Book) Load(id string) (load int64, incarnation string, leaving bool) {
+func (b *UsageReports) Load(id string) (load int64, incarnation string, leaving bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	held, ok := b.newest[id]
--- a/internal/worker/picker.go
+++ b/internal/worker/picker.go
@@ -28,12 +28,12 @@
 	at          time.Duration
 }
 
-// NoticeSpan is how long a worker's refusal counts as its leaving, if nothing
+// NoticeTTL is how long a worker's refusal counts as its leaving, if nothing
 // else is heard; a report of its own counts until it says otherwise.
-func NoticeSpan(bounds *base.Bounds) time.Duration { return 10 * bounds.Leave }
+func NoticeTTL(bounds *base.Bounds) time.Duration { return 10 * bounds.Leave }
 
 type waiter struct {
-	need    *Need
+	need    *Requirements
 	since   time.Duration
 	until   time.Duration
 	granted *Worker
@@ -46,7 +46,7 @@
 	clock    base.Clock
 	bounds   *base.Table[base.Bounds]
 	counters *base.Counters
-	book     *Book
+	book     *UsageReports
 	zone     string
 	roster   base.Table[Roster]
 
@@ -67,15 +67,15 @@
 	served  map[string]time.Duration
 }
 
-func NewPicker(clock base.Clock, bounds *base.Table[base.Bounds], counters *base.Counters, book *Book, zone string) *Picker {
+func NewPicker(clock base.Clock, bounds *base.Table[base.Bounds], counters *base.Counters, book *UsageReports, zone string) *Picker {
 	p := &Picker{zone: zone, clock: clock, bounds: bounds, counters: counters, book: book,
 		busy: map[string]int{}, programs: map[string]int{}, shunned: map[string]time.Duration{}, left: map[string]mark{}, kept: map[string]bool{}, sites: map[string]int{}, lasting: map[string]time.Duration{}, spacing: map[string]time.Duration{}, granted: map[string]time.Duration{}, booked: map[string]time.Duration{}, served: map[string]time.Duration{}}
 	p.roster.Swap(&Roster{Pools: map[string][]Worker{}})
 	return p
 }
 
-// Swap takes a new roster and looks at who waits.
-func (p *Picker) Swap(roster *Roster) {
+// SetRoster takes a new roster and looks at who waits.
+func (p *Picker) SetRoster(roster *Roster) {
 	p.roster.Swap(roster)
 	p.mu.Lock()
 	listed := map[string]bool{}
@@ -95,8 +95,8 @@
 
 func (p *Picker) Roster() *Roster { return p.roster.Load() }
 
-// Hold takes a worker for a leg; Release gives it back.
-func (p *Picker) Hold(ctx *base.Ctx, need *Need) (*Worker, error) {
+// Acquire takes a worker for a leg; Release gives it back.
+func (p *Picker) Acquire(ctx *base.Ctx, need *Requirements) (*Worker, error) {
 	p.mu.Lock()
 	chosen, possible := p.choose(need)
 	if chosen != nil {
@@ -115,7 +115,7 @@
 		}
 	}
 	expected := p.lasting[need.Pool] + time.Duration(line+1)*max(p.spacing[need.Pool], p.lasting[need.Pool]/time.Duration(max(1, p.size(need.Pool))))
-	if line >= need.Waiting || expected > ctx.Left() {
+	if line >= need.MaxQueue || expected > ctx.Left() {
 		after := p.comeBack(need.Pool, line)
 		p.mu.Unlock()
 		p.counters.Add("legs_declined_busy", 1)
@@ -166,7 +166,7 @@
 	return total
 }
 
-func (p *Picker) take(chosen *Worker, need *Need) {
+func (p *Picker) take(chosen *Worker, need *Requirements) {
 	p.busy[chosen.ID]++
 	p.programs[need.Program]++
 	p.sites[need.Site]++
@@ -178,7 +178,7 @@
 }
 
 // Release ends a leg's hold and learns how long such legs last.
-func (p *Picker) Release(held *Worker, need *Need, lasted time.Duration) {
+func (p *Picker) Release(held *Worker, need *Requirements, lasted time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lasting[need.Pool] += (lasted - p.lasting[need.Pool]) / 8
@@ -195,9 +195,9 @@
 	p.pump()
 }
 
-// Shun keeps off a worker for a little after it could not be reached or was
+// Avoid keeps off a worker for a little after it could not be reached or was
 // busy; whoever waits for it is looked at again then.
-func (p *Picker) Shun(id string) {
+func (p *Picker) Avoid(id string) {
 	span := p.bounds.Load().Leave / 3
 	p.mu.Lock()
 	p.shunned[id] = p.clock.Now() + span
@@ -218,17 +218,17 @@
 	return one.Incarnation
 }
 
-// LeftNow stops new work for this life of a worker at once on this node.
-func (p *Picker) LeftNow(one *Worker) {
+// MarkLeaving stops new work for this life of a worker at once on this node.
+func (p *Picker) MarkLeaving(one *Worker) {
 	p.mu.Lock()
 	p.left[one.ID] = mark{p.Incarnation(one), p.clock.Now()}
 	p.mu.Unlock()
 }
 
-// Answered looks at how a worker answered. One that used to keep connections
+// ObserveResponse looks at how a worker answered. One that used to keep connections
 // and now closes them says that it is leaving; one that never kept any says
 // nothing by it.
-func (p *Picker) Answered(one *Worker, closes bool) (leaving bool) {
+func (p *Picker) ObserveResponse(one *Worker, closes bool) (leaving bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	life := one.ID + " " + p.Incarnation(one)
@@ -238,17 +238,17 @@
 	return closes && p.kept[life]
 }
 
-// Back takes a local leaving mark away again.
-func (p *Picker) Back(id string) {
+// ClearLeaving takes a local leaving mark away again.
+func (p *Picker) ClearLeaving(id string) {
 	p.mu.Lock()
 	delete(p.left, id)
 	p.pump()
 	p.mu.Unlock()
 }
 
-// Stays is the last look at a worker before a leg goes out: whoever holds it
+// StillEligible is the last look at a worker before a leg goes out: whoever holds it
 // may have waited since, and the news come meanwhile.
-func (p *Picker) Stays(held *Worker, need *Need) bool {
+func (p *Picker) StillEligible(held *Worker, need *Requirements) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed := false
@@ -258,7 +258,7 @@
 	return listed && p.open(held, need)
 }
 
-func (p *Picker) open(one *Worker, need *Need) bool {
+func (p *Picker) open(one *Worker, need *Requirements) bool {
 	if need.Tried[one.ID] {
 		return false
 	}
@@ -266,7 +266,7 @@
 		return false
 	}
 	incarnation := p.Incarnation(one)
-	if seen, ok := p.left[one.ID]; ok && seen.incarnation == incarnation && p.clock.Now()-seen.at < NoticeSpan(p.bounds.Load()) {
+	if seen, ok := p.left[one.ID]; ok && seen.incarnation == incarnation && p.clock.Now()-seen.at < NoticeTTL(p.bounds.Load()) {
 		return false
 	}
 	// A notice stands until the control state takes it back: a node that was
@@ -282,7 +282,7 @@
 
 // choose looks for a worker with room; possible says whether any worker
 // would do once it has room. The caller holds the lock.
-func (p *Picker) choose(need *Need) (chosen *Worker, possible bool) {
+func (p *Picker) choose(need *Requirements) (chosen *Worker, possible bool) {
 	candidates := map[string]*Worker{}
 	ids, total := []string{}, 0
 	for _, one := range p.roster.Load().Pools[need.Pool] {
@@ -302,17 +302,17 @@
 	if one := p.byPolicy(need, ids, candidates); one != nil {
 		return one, true
 	}
-	if former := candidates[need.Former]; former != nil && p.usage(former) < former.Capacity {
+	if former := candidates[need.LastWorker]; former != nil && p.usage(former) < former.Capacity {
 		p.counters.Add("picked_at_prefix", 1)
 		return former, true
 	}
-	order := base.Rendezvous(need.Affinity, ids)
+	order := base.Rendezvous(need.AffinityKey, ids)
 	bound := int(math.Ceil(spillRatio * float64(total+1) / float64(len(ids))))
 	for _, allowed := range []int{bound, math.MaxInt} {
 		for place, id := range order {
 			one := candidates[id]
 			if used := p.usage(one); used < min(allowed, one.Capacity) {
-				if place == 0 && need.Former == "" {
+				if place == 0 && need.LastWorker == "" {
 					p.counters.Add("picked_first", 1)
 				} else {
 					p.counters.Add("picked_spilled", 1)
@@ -326,13 +326,13 @@
 
 // byPolicy asks the operators' policy, if there is one; it may name a worker
 // that has room, or leave the choice to the rule.
-func (p *Picker) byPolicy(need *Need, ids []string, candidates map[string]*Worker) *Worker {
+func (p *Picker) byPolicy(need *Requirements, ids []string, candidates map[string]*Worker) *Worker {
 	if need.Policy == nil {
 		return nil
 	}
 	offered := base.Map(ids, func(id string) policy.Candidate {
 		one := candidates[id]
-		return policy.Candidate{ID: id, Zone: one.Zone, Load: p.usage(one), Capacity: one.Capacity, Former: id == need.Former}
+		return policy.Candidate{ID: id, Zone: one.Zone, Load: p.usage(one), Capacity: one.Capacity, Former: id == need.LastWorker}
 	})
 	id, err := need.Policy.Pick(need.Urgency, p.zone, offered)
 	if err != nil {
--- a/internal/worker/picker_test.go
+++ b/internal/worker/picker_test.go
@@ -12,12 +12,12 @@
 	"github.com/matryer/is"
 )
 
-func bench(values map[string][]byte) (*Picker, *Book) {
+func bench(values map[string][]byte) (*Picker, *UsageReports) {
 	clock, bounds := base.NewRealClock(), &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
-	book := NewBook(clock, bounds)
+	book := NewUsageReports(clock, bounds)
 	n := NewPicker(clock, bounds, base.NewCounters(), book, "z")
-	n.Swap(RosterOf(values))
+	n.SetRoster(DecodeRoster(values))
 	return n, book
 }
 
@@ -29,25 +29,25 @@
 	rows := []struct {
 		name   string
 		values map[string][]byte
-		do     func(n *Picker, book *Book)
+		do     func(n *Picker, book *UsageReports)
 		open   bool
 	}{
-		{"nothing", map[string][]byte{ListKey: list}, func(*Picker, *Book) {}, true},
-		{"the feed's notice", map[string][]byte{ListKey: list, LeavingPrefix + "a": notice("one")}, func(*Picker, *Book) {}, false},
-		{"a notice of a life this node has not heard of", map[string][]byte{ListKey: list, LeavingPrefix + "a": notice("life-1")}, func(*Picker, *Book) {}, false},
-		{"its own report", map[string][]byte{ListKey: list}, func(_ *Picker, book *Book) {
-			book.Tell(&membership.Usage{Worker: "a", Number: 1, Leaving: true})
+		{"nothing", map[string][]byte{ListKey: list}, func(*Picker, *UsageReports) {}, true},
+		{"the feed's notice", map[string][]byte{ListKey: list, LeavingKeyPrefix + "a": notice("one")}, func(*Picker, *UsageReports) {}, false},
+		{"a notice of a life this node has not heard of", map[string][]byte{ListKey: list, LeavingKeyPrefix + "a": notice("life-1")}, func(*Picker, *UsageReports) {}, false},
+		{"its own report", map[string][]byte{ListKey: list}, func(_ *Picker, book *UsageReports) {
+			book.Record(&membership.Usage{Worker: "a", Number: 1, Leaving: true})
 		}, false},
-		{"its refusal here", map[string][]byte{ListKey: list}, func(n *Picker, _ *Book) {
-			n.LeftNow(&Worker{ID: "a", Incarnation: "one"})
+		{"its refusal here", map[string][]byte{ListKey: list}, func(n *Picker, _ *UsageReports) {
+			n.MarkLeaving(&Worker{ID: "a", Incarnation: "one"})
 		}, false},
-		{"not listed", map[string][]byte{ListKey: base.Encode(List{Stamp: 2, Workers: []Worker{{ID: "b", Pool: "p", Capacity: 1}}})}, func(*Picker, *Book) {}, false},
-		{"full by its report", map[string][]byte{ListKey: list}, func(_ *Picker, book *Book) {
-			book.Tell(&membership.Usage{Worker: "a", Incarnation: "one", Number: 2, Load: 1})
+		{"not listed", map[string][]byte{ListKey: base.Encode(List{Stamp: 2, Workers: []Worker{{ID: "b", Pool: "p", Capacity: 1}}})}, func(*Picker, *UsageReports) {}, false},
+		{"full by its report", map[string][]byte{ListKey: list}, func(_ *Picker, book *UsageReports) {
+			book.Record(&membership.Usage{Worker: "a", Incarnation: "one", Number: 2, Load: 1})
 		}, false},
-		{"an older report is dropped", map[string][]byte{ListKey: list}, func(_ *Picker, book *Book) {
-			book.Tell(&membership.Usage{Worker: "a", Incarnation: "one", Number: 2})
-			book.Tell(&membership.Usage{Worker: "a", Incarnation: "one", Number: 1, Leaving: true})
+		{"an older report is dropped", map[string][]byte{ListKey: list}, func(_ *Picker, book *UsageReports) {
+			book.Record(&membership.Usage{Worker: "a", Incarnation: "one", Number: 2})
+			book.Record(&membership.Usage{Worker: "a", Incarnation: "one", Number: 1, Leaving: true})
 		}, true},
 	}
 	for _, row := range rows {
@@ -55,15 +55,15 @@
 			is := is.New(t)
 			n, book := bench(row.values)
 			row.do(n, book)
-			need := &Need{Pool: "p", Former: "a", Affinity: "s", Tried: map[string]bool{"b": true}}
-			held, err := n.Hold(base.NewCtx(base.NewRealClock(), 0), need)
+			need := &Requirements{Pool: "p", LastWorker: "a", AffinityKey: "s", Tried: map[string]bool{"b": true}}
+			held, err := n.Acquire(base.NewCtx(base.NewRealClock(), 0), need)
 			is.Equal(err == nil, row.open)
 			if row.open {
 				is.Equal(held.ID, "a")
-				_, err = n.Hold(base.NewCtx(base.NewRealClock(), 0), need) // one more than it can take
+				_, err = n.Acquire(base.NewCtx(base.NewRealClock(), 0), need) // one more than it can take
 				is.True(err != nil)
 				n.Release(held, need, time.Second)
-				_, err = n.Hold(base.NewCtx(base.NewRealClock(), 0), need)
+				_, err = n.Acquire(base.NewCtx(base.NewRealClock(), 0), need)
 				is.NoErr(err)
 			}
 		})
@@ -75,21 +75,21 @@
 func TestTheLineIsFairBySiteThenProgram(t *testing.T) {
 	is := is.New(t)
 	n, _ := bench(map[string][]byte{ListKey: base.Encode(List{Stamp: 1, Workers: []Worker{{ID: "a", Pool: "p", Capacity: 3}}})})
-	hold := func(site, program string) *Need {
-		return &Need{Pool: "p", Site: site, Program: program, Affinity: program, Waiting: 8, Tried: map[string]bool{}}
+	hold := func(site, program string) *Requirements {
+		return &Requirements{Pool: "p", Site: site, Program: program, AffinityKey: program, MaxQueue: 8, Tried: map[string]bool{}}
 	}
 	ctx := base.NewCtx(base.NewRealClock(), time.Minute)
-	under := []*Need{hold("crowded", "one"), hold("crowded", "one"), hold("crowded", "two")}
+	under := []*Requirements{hold("crowded", "one"), hold("crowded", "one"), hold("crowded", "two")}
 	var held *Worker
 	for _, need := range under {
-		chosen, err := n.Hold(ctx, need)
+		chosen, err := n.Acquire(ctx, need)
 		is.NoErr(err)
 		held = chosen
 	}
 	granted := make(chan string)
-	for place, need := range []*Need{hold("crowded", "one"), hold("crowded", "three"), hold("quiet", "four")} {
+	for place, need := range []*Requirements{hold("crowded", "one"), hold("crowded", "three"), hold("quiet", "four")} {
 		go func() {
-			if _, err := n.Hold(ctx, need); err == nil {
+			if _, err := n.Acquire(ctx, need); err == nil {
 				granted <- need.Program
 			}
 		}()
--- a/internal/worker/roster.go
+++ b/internal/worker/roster.go
@@ -16,8 +16,8 @@
 	Leaving map[string]Notice
 }
 
-// RosterOf reads the feed's frame.
-func RosterOf(values map[string][]byte) *Roster {
+// DecodeRoster reads the feed's frame.
+func DecodeRoster(values map[string][]byte) *Roster {
 	roster := &Roster{Pools: map[string][]Worker{}, Leaving: map[string]Notice{}}
 	var list List
 	if raw, ok := values[ListKey]; ok {
@@ -28,7 +28,7 @@
 		roster.Pools[one.Pool] = append(roster.Pools[one.Pool], one)
 	}
 	for _, key := range base.SortedKeys(values) {
-		if id, ok := strings.CutPrefix(key, LeavingPrefix); ok {
+		if id, ok := strings.CutPrefix(key, LeavingKeyPrefix); ok {
 			var notice Notice
 			_ = json.Unmarshal(values[key], &notice)
 			roster.Leaving[id] = notice
