--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -25,8 +25,8 @@
 
 var ranks = map[Termination]int{"": 0, Drain: 1, Immediate: 2}
 
-// Known reports whether a word names a termination.
-func (t Termination) Known() bool { return ranks[t] > 0 }
+// Valid reports whether a word names a termination.
+func (t Termination) Valid() bool { return ranks[t] > 0 }
 
 // Escalate gives the stronger of two.
 func (t Termination) Escalate(asked Termination) Termination {
@@ -38,23 +38,23 @@
 
 // Program is what is kept of one. Root programs hold the count.
 type Program struct {
-	ID       string           `json:"id"`
-	Root     string           `json:"root"`
-	Group    string           `json:"group"`
-	Site     string           `json:"site"`
-	Secret   string           `json:"secret"`
-	Budget   int64            `json:"budget"`
-	Spent    int64            `json:"spent"`
-	Reserved map[string]int64 `json:"reserved"`
+	ID           string           `json:"id"`
+	Root         string           `json:"root"`
+	Group        string           `json:"group"`
+	Site         string           `json:"site"`
+	SecretDigest string           `json:"secret"`
+	Budget       int64            `json:"budget"`
+	Spent        int64            `json:"spent"`
+	Reserved     map[string]int64 `json:"reserved"`
 	// Deadline is in the slot's time; DeadlineMs is how long it was asked to be,
 	// and LeftMs what is left of it, in answers only.
 	Deadline    int64       `json:"deadline"`
 	DeadlineMs  int64       `json:"deadline_ms,omitempty"`
-	LeftMs      int64       `json:"left_ms,omitempty"`
+	RemainingMs int64       `json:"left_ms,omitempty"`
 	Urgency     string      `json:"urgency"`
 	Termination Termination `json:"termination"`
-	Created     int64       `json:"created"`
-	Seen        int64       `json:"seen"`
+	CreatedAt   int64       `json:"created"`
+	UpdatedAt   int64       `json:"seen"`
 }
 
 // Outstanding is what legs under way may still put out.
@@ -66,9 +66,9 @@
 	return total
 }
 
-// GroupOf is the register group of a program: its root's name, which every
+// RegisterGroup is the register group of a program: its root's name, which every
 // helper's name begins with.
-func GroupOf(program string) string {
+func RegisterGroup(program string) string {
 	root, _, _ := strings.Cut(program, ".")
 	return root
 }
@@ -89,20 +89,22 @@
 }
 
 func (p *Program) store(tx *register.Tx) {
-	p.Seen = tx.Now
+	p.UpdatedAt = tx.Now
 	tx.Put(key(p.ID), base.Encode(p))
 }
 
-// Unknown is the verdict for a program that is not there.
-func Unknown() *base.Verdict { return base.Decline(404, "unknown_program", "there is no such program") }
+// UnknownProgram is the verdict for a program that is not there.
+func UnknownProgram() *base.Verdict {
+	return base.Decline(404, "unknown_program", "there is no such program")
+}
 
-// Active declines when the program or its root takes no new work; work that
+// CheckActive declines when the program or its root takes no new work; work that
 // was accepted before may still go on while the program drains.
-func Active(tx *register.Tx, program *Program, accepted bool) error {
+func CheckActive(tx *register.Tx, program *Program, accepted bool) error {
 	root := program
 	if program.Root != program.ID {
 		if root = Load(tx, program.Root); root == nil {
-			return Unknown()
+			return UnknownProgram()
 		}
 	}
 	if stopped := program.Termination.Escalate(root.Termination); stopped == Immediate || (stopped != "" && !accepted) {
@@ -116,7 +118,7 @@
 
 // Reserve sets tokens aside for a leg and grants at most what is left.
 func Reserve(tx *register.Tx, program *Program, leg string, wanted int64) (int64, error) {
-	if err := Active(tx, program, true); err != nil {
+	if err := CheckActive(tx, program, true); err != nil {
 		return 0, err
 	}
 	root := Load(tx, program.Root)
@@ -136,8 +138,8 @@
 	return granted, nil
 }
 
-// Reserved reports whether a leg's reservation stands.
-func Reserved(tx *register.Tx, program *Program, leg string) bool {
+// IsReserved reports whether a leg's reservation stands.
+func IsReserved(tx *register.Tx, program *Program, leg string) bool {
 	root := Load(tx, program.Root)
 	if root == nil {
 		return false
@@ -146,8 +148,8 @@
 	return ok
 }
 
-// ReservedUnder reports whether any reservation under a prefix stands.
-func ReservedUnder(tx *register.Tx, program *Program, prefix string) bool {
+// HasReservations reports whether any reservation under a prefix stands.
+func HasReservations(tx *register.Tx, program *Program, prefix string) bool {
 	if root := Load(tx, program.Root); root != nil {
 		for leg := range root.Reserved {
 			if strings.HasPrefix(leg, prefix) {
@@ -199,18 +201,18 @@
 	return legs
 }
 
-// EndedPrefix is where the feed tells of programs that were told to end.
-const EndedPrefix = "feed/ended/"
+// TerminationPrefix is where the feed tells of programs that were told to end.
+const TerminationPrefix = "feed/ended/"
 
-// Ended is what the feed tells of one.
-type Ended struct {
+// TerminationNotice is what the feed tells of one.
+type TerminationNotice struct {
 	Mode Termination `json:"mode"`
 	At   int64       `json:"at"`
 }
 
-// EndedMode reads what the feed tells of one program.
-func EndedMode(raw []byte) Termination {
-	var told Ended
+// DecodeTermination reads what the feed tells of one program.
+func DecodeTermination(raw []byte) Termination {
+	var told TerminationNotice
 	_ = json.Unmarshal(raw, &told)
 	return told.Mode
 }
@@ -228,8 +230,8 @@
 	Program string `json:"program"`
 }
 
-// Serve adds the programs' ops to a core.
-func Serve(owner *register.Owner) {
+// RegisterHandlers adds the programs' ops to a core.
+func RegisterHandlers(owner *register.Owner) {
 	owner.Handle("budget.create", func(tx *register.Tx, args []byte) (any, error) {
 		var asked create
 		if err := json.Unmarshal(args, &asked); err != nil {
@@ -237,7 +239,7 @@
 		}
 		program := asked.Program
 		if held := Load(tx, program.ID); held != nil {
-			if held.Secret != program.Secret {
+			if held.SecretDigest != program.SecretDigest {
 				return nil, base.Decline(409, "program_exists", "a program of that name exists")
 			}
 			return held, nil
@@ -245,19 +247,19 @@
 		if program.Root != program.ID {
 			root := Load(tx, program.Root)
 			if root == nil {
-				return nil, Unknown()
+				return nil, UnknownProgram()
 			}
-			if err := Active(tx, root, false); err != nil {
+			if err := CheckActive(tx, root, false); err != nil {
 				return nil, err
 			}
 			program.Group, program.Site = root.Group, root.Site
 		}
-		program.Created = tx.Now
+		program.CreatedAt = tx.Now
 		if program.DeadlineMs > 0 {
 			program.Deadline = tx.Now + program.DeadlineMs
 		}
 		program.store(tx)
-		program.LeftMs = program.DeadlineMs
+		program.RemainingMs = program.DeadlineMs
 		return program, nil
 	})
 	owner.Handle("budget.get", func(tx *register.Tx, args []byte) (any, error) {
@@ -265,18 +267,18 @@
 		_ = json.Unmarshal(args, &asked)
 		if found := Load(tx, asked.Program); found != nil {
 			if found.Deadline > 0 {
-				found.LeftMs = max(0, found.Deadline-tx.Now)
+				found.RemainingMs = max(0, found.Deadline-tx.Now)
 			}
 			return found, nil
 		}
-		return nil, Unknown()
+		return nil, UnknownProgram()
 	})
 	owner.Handle("budget.terminate", func(tx *register.Tx, args []byte) (any, error) {
 		var asked terminate
 		_ = json.Unmarshal(args, &asked)
 		found := Load(tx, asked.Program)
 		if found == nil {
-			return nil, Unknown()
+			return nil, UnknownProgram()
 		}
 		if after := found.Termination.Escalate(asked.Mode); after != found.Termination {
 			found.Termination = after
@@ -287,18 +289,18 @@
 	owner.Handle("budget.ended", func(tx *register.Tx, args []byte) (any, error) {
 		var asked terminate
 		_ = json.Unmarshal(args, &asked)
-		var told Ended
-		if raw := tx.Get(EndedPrefix + asked.Program); raw != nil {
+		var told TerminationNotice
+		if raw := tx.Get(TerminationPrefix + asked.Program); raw != nil {
 			_ = json.Unmarshal(raw, &told)
 		}
 		if after := told.Mode.Escalate(asked.Mode); after != told.Mode {
-			tx.Put(EndedPrefix+asked.Program, base.Encode(Ended{after, tx.Now}))
+			tx.Put(TerminationPrefix+asked.Program, base.Encode(TerminationNotice{after, tx.Now}))
 		}
 		return struct{}{}, nil
 	})
 	owner.Sweep(func(tx *register.Tx) {
-		tx.Walk(EndedPrefix, "", func(storedKey string, value []byte) bool {
-			var told Ended
+		tx.Walk(TerminationPrefix, "", func(storedKey string, value []byte) bool {
+			var told TerminationNotice
 			if json.Unmarshal(value, &told) == nil && tx.Now-told.At > tx.Bounds.Retain.Milliseconds() {
 				tx.Gone(storedKey)
 			}
@@ -309,7 +311,7 @@
 		now := tx.Now
 		tx.Walk("program/", "", func(storedKey string, value []byte) bool {
 			var found Program
-			if json.Unmarshal(value, &found) == nil && now > max(found.Deadline, found.Seen)+4*tx.Bounds.Retain.Milliseconds() {
+			if json.Unmarshal(value, &found) == nil && now > max(found.Deadline, found.UpdatedAt)+4*tx.Bounds.Retain.Milliseconds() {
 				tx.Gone(storedKey)
 			}
 			return true
@@ -322,17 +324,17 @@
 
 func (c *Client) Create(ctx *base.Ctx, program Program) (*Program, error) {
 	var made Program
-	return &made, c.Register.Change(ctx, GroupOf(program.ID), "budget.create", create{program}, &made)
+	return &made, c.Register.Change(ctx, RegisterGroup(program.ID), "budget.create", create{program}, &made)
 }
 
 func (c *Client) Get(ctx *base.Ctx, id string) (*Program, error) {
 	var found Program
-	return &found, c.Register.Change(ctx, GroupOf(id), "budget.get", named{id}, &found)
+	return &found, c.Register.Change(ctx, RegisterGroup(id), "budget.get", named{id}, &found)
 }
 
 func (c *Client) Terminate(ctx *base.Ctx, id string, mode Termination) (*Program, error) {
 	var found Program
-	if err := c.Register.Change(ctx, GroupOf(id), "budget.terminate", terminate{id, mode}, &found); err != nil {
+	if err := c.Register.Change(ctx, RegisterGroup(id), "budget.terminate", terminate{id, mode}, &found); err != nil {
 		return nil, err
 	}
 	return &found, c.Register.Change(ctx, register.FeedGroup, "budget.ended", terminate{id, found.Termination}, nil)
--- a/internal/front/access.go
+++ b/internal/front/access.go
@@ -12,12 +12,12 @@
 // allowed refuses a turn whose model its team may not call. A turn that was
 // accepted before, and is asked for again by its own id, is no new one: it ends
 // as it was accepted.
-func (f *Front) allowed(ctx *base.Ctx, v *session.Visit, named bool) error {
-	if v.Kind != session.KindTurn || !f.Access.Rules() {
+func (f *Front) allowed(ctx *base.Ctx, v *session.Request, named bool) error {
+	if v.Kind != session.KindSubmitTurn || !f.Access.Rules() {
 		return nil
 	}
-	record, err := f.Keeper.Find(ctx.Within(f.Bounds.Load().Recover), v)
-	if err != nil || !record.Opens(v.Bearer) {
+	record, err := f.Keeper.Lookup(ctx.Within(f.Bounds.Load().Recover), v)
+	if err != nil || !record.Authorizes(v.Bearer) {
 		return err // wrong credentials are the owner's to decline
 	}
 	refusal := f.Access.Allows(ctx, &access.Question{Place: access.Place{Group: record.Group, Site: record.Site, Route: record.Route}})
@@ -25,12 +25,12 @@
 		return refusal
 	}
 	read := *v
-	read.Kind, read.ID = session.KindRead, base.NewID(f.Clock, "v")
-	found, err := f.Keeper.Visit(ctx.Within(f.Bounds.Load().Call()), &read)
+	read.Kind, read.ID = session.KindReadTurn, base.NewID(f.Clock, "v")
+	found, err := f.Keeper.Handle(ctx.Within(f.Bounds.Load().Call()), &read)
 	if err != nil {
 		return refusal
 	}
-	if state := session.StateIn(found.Body); state == session.OpQueued || state == session.OpRunning || state == session.OpSucceeded {
+	if state := session.TurnStateOf(found.Body); state == session.OpQueued || state == session.OpRunning || state == session.OpSucceeded {
 		f.Counters.Add("access_accepted_before", 1)
 		return nil
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -28,7 +28,7 @@
 	Follower *feed.Follower
 	Tree     *base.Table[settings.Tree]
 	Budget   *budget.Client
-	Keeper   *session.Keeper
+	Keeper   *session.Manager
 	Tools    *toolcall.Client
 	Workers  *worker.Client
 	Book     *worker.Book
@@ -185,7 +185,7 @@
 		if _, err := f.admit(ctx, r, parent); err != nil {
 			return nil, err
 		}
-		program.ID, program.Root = parent+"."+program.ID, budget.GroupOf(parent)
+		program.ID, program.Root = parent+"."+program.ID, budget.RegisterGroup(parent)
 	} else if _, err := f.Tree.Load().Effective(program.Group, program.Site); err != nil {
 		return nil, err
 	}
@@ -193,7 +193,7 @@
 		program.DeadlineMs = max(1, int64(deadline*1000))
 	}
 	secret, digest := f.newSecret()
-	program.Secret = digest
+	program.SecretDigest = digest
 	made, err := f.Budget.Create(ctx.Within(f.Bounds.Load().Recover), program)
 	if err != nil {
 		return nil, err
@@ -213,7 +213,7 @@
 	shown["budget_tokens"], shown["spent_tokens"], shown["reserved_tokens"] = p.Budget, p.Spent, p.Outstanding()
 	shown["left_tokens"] = p.Budget - p.Spent - p.Outstanding()
 	if p.Deadline > 0 {
-		shown["deadline_s"], shown["deadline_left_s"] = float64(p.DeadlineMs)/1000, float64(p.LeftMs)/1000
+		shown["deadline_s"], shown["deadline_left_s"] = float64(p.DeadlineMs)/1000, float64(p.RemainingMs)/1000
 	}
 	return shown
 }
@@ -234,7 +234,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if found.Secret != given {
+	if found.SecretDigest != given {
 		return nil, base.Decline(403, "forbidden", "the credentials do not open this program")
 	}
 	f.known.Store(id+" "+given, &opened{found, f.Clock.Now()})
@@ -256,7 +256,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if program.Secret != bearer(r) {
+	if program.SecretDigest != bearer(r) {
 		return nil, base.Decline(403, "forbidden", "the credentials do not open this program")
 	}
 	return answer(200, showProgram(program)), nil
@@ -267,7 +267,7 @@
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"mode": base.Text(&mode, 16)}); err != nil {
 		return "", err
 	}
-	if !budget.Termination(mode).Known() {
+	if !budget.Termination(mode).Valid() {
 		return "", base.DeclineField("mode", `must be "Drain" or "Immediate"`)
 	}
 	return budget.Termination(mode), nil
@@ -319,7 +319,7 @@
 			return nil, err
 		}
 		if matched.Policy != nil {
-			allowed, err := matched.Policy.Admit(program.Urgency, route, f.Keeper.Owned())
+			allowed, err := matched.Policy.Admit(program.Urgency, route, f.Keeper.OwnedCount())
 			if err != nil {
 				f.Counters.Add("policy_faults", 1)
 			}
@@ -328,10 +328,10 @@
 			}
 		}
 		secret, digest := f.newSecret()
-		record := &session.Record{ID: id + ":" + base.NewID(f.Clock, "s"), Program: id, ProgramSecret: program.Secret, Secret: digest,
+		record := &session.Record{ID: id + ":" + base.NewID(f.Clock, "s"), Program: id, ProgramSecretDigest: program.SecretDigest, SecretDigest: digest,
 			Group: program.Group, Site: program.Site, Route: route, Urgency: program.Urgency, LeaseMs: int64(lease * 1000)}
-		record.QueueSize, record.TimeoutMs = session.Limits(matched, int(queue), time.Duration(timeout*float64(time.Second)))
-		made, err := f.Keeper.Acquire(ctx.Within(f.Bounds.Load().Recover), record)
+		record.QueueSize, record.TimeoutMs = session.EffectiveLimits(matched, int(queue), time.Duration(timeout*float64(time.Second)))
+		made, err := f.Keeper.Create(ctx.Within(f.Bounds.Load().Recover), record)
 		if err != nil {
 			return nil, err
 		}
@@ -343,7 +343,7 @@
 }
 
 func (f *Front) planSession(r *Request, program, id string, rest []string) (*plan, error) {
-	v := &session.Visit{Program: program, Session: id, Bearer: bearer(r)}
+	v := &session.Request{Program: program, Session: id, Bearer: bearer(r)}
 	if err := checkName("session", id); err != nil {
 		return nil, err
 	}
@@ -354,13 +354,13 @@
 	case "GET turns":
 		err = readListing(r, v)
 	case "GET turns/*":
-		v.Kind, v.Turn = session.KindRead, rest[1]
+		v.Kind, v.Turn = session.KindReadTurn, rest[1]
 		err = checkName("turn", v.Turn)
 	case "POST turns/*/cancel":
-		v.Kind, v.Turn = session.KindCancel, rest[1]
+		v.Kind, v.Turn = session.KindCancelTurn, rest[1]
 		err = checkName("turn", v.Turn)
 	case "POST renew":
-		v.Kind = session.KindRenew
+		v.Kind = session.KindRenewLease
 	case "POST close":
 		v.Kind = session.KindClose
 	case "POST terminate":
@@ -381,21 +381,21 @@
 	return &plan{func(ctx *base.Ctx) (*Response, error) { return f.visit(ctx, v) }}, nil
 }
 
-func (f *Front) visit(ctx *base.Ctx, v *session.Visit) (*Response, error) {
+func (f *Front) visit(ctx *base.Ctx, v *session.Request) (*Response, error) {
 	v.ID = base.NewID(f.Clock, "v")
 	given := v.Turn != ""
-	if v.Kind == session.KindTurn && !given {
+	if v.Kind == session.KindSubmitTurn && !given {
 		v.Turn = base.NewID(f.Clock, "t")
 	}
 	if err := f.allowed(ctx, v, given); err != nil {
 		return nil, err
 	}
-	reply, err := f.Keeper.Visit(ctx.Within(2*f.Bounds.Load().Recover), v)
+	reply, err := f.Keeper.Handle(ctx.Within(2*f.Bounds.Load().Recover), v)
 	if err != nil {
 		return nil, err
 	}
 	if reply.Stream != nil {
-		if refused := reply.Stream.Refused(f.Bounds.Load().Call()); refused != nil {
+		if refused := reply.Stream.EarlyFailure(f.Bounds.Load().Call()); refused != nil {
 			return nil, refused
 		}
 		header := map[string]string{"Content-Type": "text/event-stream", "Cache-Control": "no-store", "Turn-Id": v.Turn}
@@ -407,8 +407,8 @@
 	return answer(reply.Status, reply.Body), nil
 }
 
-func readListing(r *Request, v *session.Visit) (err error) {
-	v.Kind = session.KindTurns
+func readListing(r *Request, v *session.Request) (err error) {
+	v.Kind = session.KindListTurns
 	for _, name := range base.SortedKeys(r.Query) {
 		if name != "limit" && name != "cursor" {
 			return base.DeclineField(name, "unknown query parameter")
@@ -421,8 +421,8 @@
 	return err
 }
 
-func readTurn(r *Request, v *session.Visit) error {
-	v.Kind, v.Turn, v.Previous = session.KindTurn, r.Header["turn-id"], r.Header["previous-turn"]
+func readTurn(r *Request, v *session.Request) error {
+	v.Kind, v.Turn, v.Previous = session.KindSubmitTurn, r.Header["turn-id"], r.Header["previous-turn"]
 	for name, given := range map[string]string{"Turn-Id": v.Turn, "Previous-Turn": v.Previous} {
 		if given != "" {
 			if err := checkName(name, given); err != nil {
@@ -436,7 +436,7 @@
 		if !ok || err != nil {
 			return base.DeclineField("Last-Event-ID", "not an event id of this turn")
 		}
-		v.LastLeg, v.LastPlace = leg, at
+		v.LastAttempt, v.LastPiece = leg, at
 	}
 	var most float64
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{
--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -42,12 +42,12 @@
 		if key == "" && !route.Repeatable {
 			return nil, base.DeclineField("Idempotency-Key", "route %q may not be repeated; an Idempotency-Key must be given", name)
 		}
-		if f.Keeper.ProgramEnded(budget.GroupOf(program)) != "" || f.Keeper.ProgramEnded(program) != "" {
+		if f.Keeper.ProgramTermination(budget.RegisterGroup(program)) != "" || f.Keeper.ProgramTermination(program) != "" {
 			return nil, base.Decline(503, "program_terminating", "the program is ending")
 		}
 		ctx = ctx.Within(route.ToolTimeout)
 		call := &toolVisit{front: f, ctx: ctx, request: r, route: route, urgency: opened.Urgency,
-			claim: toolcall.Claim{Program: program, Key: key, Leg: base.NewID(f.Clock, "c"), Digest: base.Digest(append([]byte(name+"\n"), r.Body...))}}
+			claim: toolcall.Claim{Program: program, Key: key, Attempt: base.NewID(f.Clock, "c"), Digest: base.Digest(append([]byte(name+"\n"), r.Body...))}}
 		if key == "" {
 			return call.plain()
 		}
@@ -65,7 +65,7 @@
 }
 
 // show passes a worker's whole answer on; its failure is a verdict of ours.
-func show(given *toolcall.Answer, replayed bool) *Response {
+func show(given *toolcall.Response, replayed bool) *Response {
 	if given.Status >= 500 {
 		return Failure(base.Unsure(502, "worker_failed", "the worker failed with status %d", given.Status))
 	}
@@ -106,11 +106,11 @@
 			}
 			return nil, err
 		}
-		if outcome.Answer != nil {
+		if outcome.Response != nil {
 			f.Counters.Add("tool_calls_replayed", 1)
-			return show(outcome.Answer, true), nil
+			return show(outcome.Response, true), nil
 		}
-		if outcome.Go {
+		if outcome.Proceed {
 			break
 		}
 		if t.ctx.Left() <= pause {
@@ -135,7 +135,7 @@
 }
 
 // send tries workers until one was reached; from then on there is no other.
-func (t *toolVisit) send(tried map[string]bool) (*toolcall.Answer, error) {
+func (t *toolVisit) send(tried map[string]bool) (*toolcall.Response, error) {
 	f := t.front
 	need := &worker.Need{Pool: t.route.Pool, Affinity: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
 		Waiting: t.route.Waiting, Tried: tried, Policy: t.route.Policy}
@@ -148,7 +148,7 @@
 	}
 }
 
-func (t *toolVisit) sendOnce(need *worker.Need) (given *toolcall.Answer, failed error, another bool) {
+func (t *toolVisit) sendOnce(need *worker.Need) (given *toolcall.Response, failed error, another bool) {
 	f := t.front
 	var cleanup base.Cleanup
 	defer cleanup.Run()
@@ -188,14 +188,14 @@
 	}
 	cleanup.Push(reply.Close)
 	if reply.Status() == 503 {
-		f.Keeper.WorkerLeaves(chosenWorker)
+		f.Keeper.MarkWorkerLeaving(chosenWorker)
 		if t.route.Repeatable {
 			return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 		}
 		return nil, base.Unsure(502, "worker_leaving", "the worker refused the call as it leaves, but bytes had gone out"), false
 	}
 	if f.Picker.Answered(chosenWorker, reply.Closes()) {
-		f.Keeper.WorkerLeaves(chosenWorker)
+		f.Keeper.MarkWorkerLeaving(chosenWorker)
 	}
 	body, err := reply.Body(t.ctx.Left(), toolBodyLimit)
 	if err != nil {
@@ -208,12 +208,12 @@
 	if contentType == "" {
 		contentType = "application/octet-stream"
 	}
-	return &toolcall.Answer{Status: reply.Status(), ContentType: contentType, Body: body}, nil, false
+	return &toolcall.Response{Status: reply.Status(), ContentType: contentType, Body: body}, nil, false
 }
 
 // showPage puts the cursor into a listing, which may come from another node.
-func showPage(v *session.Visit, body any) (any, bool) {
-	if v.Kind != session.KindTurns {
+func showPage(v *session.Request, body any) (any, bool) {
+	if v.Kind != session.KindListTurns {
 		return nil, false
 	}
 	var page session.TurnPage
--- a/internal/line/carry.go
+++ b/internal/line/carry.go
@@ -46,7 +46,7 @@
 
 // follow keeps a forwarded turn's stream where pulls find it; the caller
 // holds the lock.
-func (k *Keeper) followed(call *relay.Call, stream *Stream) {
+func (k *Manager) followed(call *relay.Call, stream *Stream) {
 	if k.streams == nil {
 		k.streams = map[string]*Stream{}
 	}
@@ -65,14 +65,14 @@
 
 // forwarded is the stream of a turn that was forwarded here before, or nil: a
 // message that comes once more runs nothing.
-func (k *Keeper) forwarded(call *relay.Call) *Stream {
+func (k *Manager) forwarded(call *relay.Call) *Stream {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.streams[streamID(call)]
 }
 
 // owing counts the forwarded turns whose end has not been pulled.
-func (k *Keeper) owing() int {
+func (k *Manager) owing() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	count := 0
@@ -85,7 +85,7 @@
 }
 
 // Pull gives a forwarded turn's answer from a place on.
-func (k *Keeper) Pull(plain context.Context, request *PullRequest) (*PullReply, error) {
+func (k *Manager) Pull(plain context.Context, request *PullRequest) (*PullReply, error) {
 	k.mu.Lock()
 	stream := k.streams[request.Program+" "+request.Session+" "+request.Turn]
 	k.mu.Unlock()
@@ -93,13 +93,13 @@
 		return nil, base.ToWire(base.Unsure(502, "owner_lost", "this node does not have the answer"))
 	}
 	if request.Leave {
-		stream.Leave()
+		stream.Abandon()
 		return &PullReply{Done: true, Cut: true}, nil
 	}
 	hold := time.Duration(request.HoldMs) * time.Millisecond
 	if request.Place > 0 {
 		// After the first event a few that come together go together.
-		stream.Until(int(request.Place)+gatherMost, min(hold, k.Bounds.Load().Recover/400), k.Clock)
+		stream.WaitUntil(int(request.Place)+gatherMost, min(hold, k.Bounds.Load().Recover/400), k.Clock)
 	}
 	return k.news(base.CtxOf(plain, k.Clock), stream, int(request.Place), hold)
 }
@@ -108,8 +108,8 @@
 const gatherMost = 16
 
 // news is what a stream has from a place on, after at most hold.
-func (k *Keeper) news(ctx *base.Ctx, stream *Stream, place int, hold time.Duration) (*PullReply, error) {
-	pieces, done, cut := stream.From(place, min(hold, ctx.Left()/2), k.Clock)
+func (k *Manager) news(ctx *base.Ctx, stream *Stream, place int, hold time.Duration) (*PullReply, error) {
+	pieces, done, cut := stream.PiecesFrom(place, min(hold, ctx.Left()/2), k.Clock)
 	stream.mu.Lock()
 	head, failed := stream.head, stream.failed
 	stream.mu.Unlock()
--- a/internal/line/forward.go
+++ b/internal/line/forward.go
@@ -12,7 +12,7 @@
 )
 
 // forward carries a turn to its owner once and follows the answer.
-func (k *Keeper) forward(ctx *base.Ctx, to *Assignment, call *relay.Call) (*Stream, error) {
+func (k *Manager) forward(ctx *base.Ctx, to *Assignment, call *relay.Call) (*Stream, error) {
 	member, alive := k.View.Find(to.Owner)
 	if member == nil || !alive {
 		return nil, base.Busy(503, "unreachable", 1, "the owner is not known to be alive")
@@ -63,7 +63,7 @@
 }
 
 // Forward is the owner's side; it never carries a turn any further.
-func (k *Keeper) Forward(plain context.Context, request *ForwardRequest) (*PullReply, error) {
+func (k *Manager) Forward(plain context.Context, request *ForwardRequest) (*PullReply, error) {
 	arrived := base.CtxOf(plain, k.Clock)
 	call := unpackCall(request.GetCall())
 	if !request.Forwarded || call.Session == "" || request.Assignment == nil {
--- a/internal/line/history.go
+++ b/internal/line/history.go
@@ -14,7 +14,7 @@
 const historyMost = 48 << 20
 
 type remembered struct {
-	Kept
+	CompletedTurn
 	until time.Duration
 }
 
@@ -29,7 +29,7 @@
 	return &history{clock: clock, turns: map[string]*remembered{}}
 }
 
-func (h *history) keep(turn Kept, retain time.Duration) {
+func (h *history) keep(turn CompletedTurn, retain time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, ok := h.turns[turn.Turn]; ok || h.size > historyMost {
@@ -66,7 +66,7 @@
 }
 
 // joined builds the body of a chain that is given oldest first.
-func joined(turns []Kept) []byte {
+func joined(turns []CompletedTurn) []byte {
 	body := []byte{}
 	for _, one := range turns {
 		body = append(append(body, one.Input...), one.Output...)
--- a/internal/line/keeper.go
+++ b/internal/line/keeper.go
@@ -24,8 +24,8 @@
 // queueMost is the paper's default: turns that may wait in one session.
 const queueMost = 32
 
-// Parts are what a keeper is built from.
-type Parts struct {
+// Dependencies are what a keeper is built from.
+type Dependencies struct {
 	Clock    base.Clock
 	Wire     base.Wire
 	View     *membership.View
@@ -36,9 +36,9 @@
 	Workers  Workers
 }
 
-// Keeper is a gateway's part in lines.
-type Keeper struct {
-	Parts
+// Manager is a gateway's part in lines.
+type Manager struct {
+	Dependencies
 	history *history
 
 	mu        sync.Mutex
@@ -50,11 +50,11 @@
 	settling atomic.Int64 // turns whose spending is on its way to the ledger
 }
 
-func NewKeeper(parts Parts) *Keeper {
-	return &Keeper{Parts: parts, history: newHistory(parts.Clock), held: map[string]*held{}, elsewhere: map[string]*Assignment{}}
+func NewManager(parts Dependencies) *Manager {
+	return &Manager{Dependencies: parts, history: newHistory(parts.Clock), held: map[string]*held{}, elsewhere: map[string]*Assignment{}}
 }
 
-func (k *Keeper) me() string { return k.View.Me() }
+func (k *Manager) me() string { return k.View.Me() }
 
 // unnamedMark begins the names that stand in for a program or a session that a
 // call does not name. No header value holds this byte, so they meet no caller's.
@@ -135,8 +135,8 @@
 	return !op.cancelled
 }
 
-// Turn takes a turn from a client, to wherever its session is owned.
-func (k *Keeper) Turn(ctx *base.Ctx, call *relay.Call) (*Stream, error) {
+// SubmitTurn takes a turn from a client, to wherever its session is owned.
+func (k *Manager) SubmitTurn(ctx *base.Ctx, call *relay.Call) (*Stream, error) {
 	k.Counters.Add("turns", 1)
 	identify(call)
 	for hops := 0; ; hops++ {
@@ -174,17 +174,17 @@
 }
 
 // soon refuses what will be possible again in a moment.
-func (k *Keeper) soon(code, format string, args ...any) *base.Verdict {
+func (k *Manager) soon(code, format string, args ...any) *base.Verdict {
 	return base.BusyFor(503, code, k.Bounds.Load().Recover/60, format, args...)
 }
 
 // elsewhereNow refuses what another node takes at once.
-func (k *Keeper) elsewhereNow(code, format string, args ...any) *base.Verdict {
+func (k *Manager) elsewhereNow(code, format string, args ...any) *base.Verdict {
 	return base.BusyFor(503, code, k.Bounds.Load().Recover/48, format, args...)
 }
 
 // forgetAssignment lets an assignment be looked up anew.
-func (k *Keeper) forgetAssignment(id string, was *Assignment) {
+func (k *Manager) forgetAssignment(id string, was *Assignment) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.elsewhere[id] == was {
@@ -194,7 +194,7 @@
 
 // accept puts a turn into its session's queue on this node. after is an
 // assignment that is to be succeeded.
-func (k *Keeper) accept(ctx *base.Ctx, call *relay.Call, found *held, after *Assignment, marked bool) (*Stream, *Assignment, error) {
+func (k *Manager) accept(ctx *base.Ctx, call *relay.Call, found *held, after *Assignment, marked bool) (*Stream, *Assignment, error) {
 	op := &operation{call: call, ctx: ctx, state: session.OpQueued, marked: marked}
 	op.stream = newStream(k.Clock, op.cancel)
 	for {
@@ -263,7 +263,7 @@
 // program asks again from the same place only once it has given up on the turn
 // that it asked for before; where turns are not kept they name no place, and only
 // one that says the same is the same turn.
-func (k *Keeper) asksAgain(former, call *relay.Call) bool {
+func (k *Manager) asksAgain(former, call *relay.Call) bool {
 	matched := k.Routes.Load().Match(call.Host, call.Target)
 	if matched != nil && matched.Retained {
 		return former.Previous == call.Previous
@@ -273,7 +273,7 @@
 
 // run takes the turns of a session one after the other. told hears, once,
 // whether the first one's claim held (nil) or whose the session is.
-func (k *Keeper) run(h *held, op *operation, after *Assignment, told func(*Assignment)) {
+func (k *Manager) run(h *held, op *operation, after *Assignment, told func(*Assignment)) {
 	for op != nil {
 		moved := k.operate(h, op, after, told)
 		after, told = nil, func(*Assignment) {}
@@ -301,7 +301,7 @@
 // keepLimit is how long the ledger may take for a turn whose answer is over, of
 // the time left: it gets a little also when that is over, but no more than what
 // a client is held past its deadline without a price.
-func (k *Keeper) keepLimit(left time.Duration) time.Duration {
+func (k *Manager) keepLimit(left time.Duration) time.Duration {
 	recover := k.Bounds.Load().Recover
 	return min(max(left, recover/60), recover/4)
 }
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -26,17 +26,17 @@
 type book struct {
 	mu       sync.Mutex
 	sessions map[string]*Assignment
-	kept     map[string]Kept
+	kept     map[string]CompletedTurn
 	settled  map[string]int64
 	claims   []Claim
 	refuse   error
 }
 
 func newBook() *book {
-	return &book{sessions: map[string]*Assignment{}, kept: map[string]Kept{}, settled: map[string]int64{}}
+	return &book{sessions: map[string]*Assignment{}, kept: map[string]CompletedTurn{}, settled: map[string]int64{}}
 }
 
-func (b *book) Begin(_ *base.Ctx, c *Claim) (*Claimed, error) {
+func (b *book) Begin(_ *base.Ctx, c *Claim) (*ClaimResult, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.refuse != nil {
@@ -46,41 +46,41 @@
 	now := b.sessions[c.Program+c.Session]
 	mine := &Assignment{Run: c.Run, Owner: c.Owner, Epoch: c.Epoch}
 	switch {
-	case now == nil, now.Run == c.Run, c.After != nil && c.After.Run == now.Run && c.Epoch > now.Epoch:
+	case now == nil, now.Run == c.Run, c.Replaces != nil && c.Replaces.Run == now.Run && c.Epoch > now.Epoch:
 		b.sessions[c.Program+c.Session] = mine
-		return &Claimed{mine, true}, nil
+		return &ClaimResult{mine, true}, nil
 	}
-	return &Claimed{now, false}, nil
+	return &ClaimResult{now, false}, nil
 }
 
-func (b *book) Finish(_ *base.Ctx, e *Ending) error {
+func (b *book) Finish(_ *base.Ctx, e *Completion) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now := b.sessions[e.Program+e.Session]; now == nil || now.Run != e.Run {
 		return base.Decline(409, "stale_assignment", "succeeded")
 	}
-	b.kept[e.Turn] = e.Kept
+	b.kept[e.Turn] = e.CompletedTurn
 	b.settled[e.Turn] = e.Tokens
 	return nil
 }
 
-func (b *book) Settle(_ *base.Ctx, settled *Settled) error {
+func (b *book) Settle(_ *base.Ctx, settled *Settlement) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.settled[settled.Turn] = settled.Tokens
 	return nil
 }
 
-func (b *book) Chain(_ *base.Ctx, _, turn string) ([]Kept, error) {
+func (b *book) Chain(_ *base.Ctx, _, turn string) ([]CompletedTurn, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	found := []Kept{}
+	found := []CompletedTurn{}
 	for turn != "" {
 		one, ok := b.kept[turn]
 		if !ok {
 			return nil, base.Decline(404, "unknown_turn", "there is no such turn")
 		}
-		found = append([]Kept{one}, found...)
+		found = append([]CompletedTurn{one}, found...)
 		turn = one.Previous
 	}
 	return found, nil
@@ -109,7 +109,7 @@
 
 func (r *benchReply) Status() int             { return 200 }
 func (r *benchReply) Headers() []relay.Header { return []relay.Header{{Name: "Seal", Value: "s"}} }
-func (r *benchReply) Streams() bool           { return true }
+func (r *benchReply) IsStream() bool          { return true }
 func (r *benchReply) Close()                  { r.once.Do(func() { close(r.closed) }) }
 func (r *benchReply) Body(time.Duration) ([]byte, error) {
 	return nil, io.ErrUnexpectedEOF
@@ -134,7 +134,7 @@
 	return &relay.Event{Raw: []byte("data: " + next + "\n\n"), Data: []byte(next)}, nil
 }
 
-func (b *bench) Offer(_ *base.Ctx, _ *route.Route, _ string, call *relay.Call, body []byte) (Reply, error) {
+func (b *bench) Send(_ *base.Ctx, _ *route.Route, _ string, call *relay.Call, body []byte) (Reply, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ran = append(b.ran, call.ID)
@@ -177,17 +177,17 @@
 	book    *book
 	bench   *bench
 	bounds  *base.Table[base.Bounds]
-	keepers map[string]*Keeper
+	keepers map[string]*Manager
 }
 
 func newWorld(t *testing.T) *world {
 	w := &world{is: is.New(t), clock: base.NewRealClock(), wire: &plainWire{nodes: map[string]http.Handler{}}, book: newBook(), bench: newBench(),
-		bounds: &base.Table[base.Bounds]{}, keepers: map[string]*Keeper{}}
+		bounds: &base.Table[base.Bounds]{}, keepers: map[string]*Manager{}}
 	w.bounds.Swap(base.DefaultBounds())
 	return w
 }
 
-func (w *world) node(name string, seeds ...string) *Keeper {
+func (w *world) node(name string, seeds ...string) *Manager {
 	counters := base.NewCounters()
 	view := membership.NewView(w.clock, w.wire, w.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleEdge, Zone: "z"}, seeds, nil)
 	table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s", Engine: &route.Engine{Stride: 2}}},
@@ -196,7 +196,7 @@
 	w.is.NoErr(table.Index())
 	routes := &base.Table[route.Table]{}
 	routes.Swap(table)
-	k := NewKeeper(Parts{Clock: w.clock, Wire: w.wire, View: view, Bounds: w.bounds, Counters: counters, Routes: routes, Ledger: w.book, Workers: w.bench})
+	k := NewManager(Dependencies{Clock: w.clock, Wire: w.wire, View: view, Bounds: w.bounds, Counters: counters, Routes: routes, Ledger: w.book, Workers: w.bench})
 	mux := http.NewServeMux()
 	member := membership.NewMembershipServer(view)
 	mux.Handle(member.PathPrefix(), member)
@@ -211,9 +211,9 @@
 	return &relay.Call{ID: turn, Host: "h", Method: "POST", Target: "/t", Body: []byte("in-" + turn), Program: "p", Session: session, Previous: previous, Most: 10, Deadline: 10 * time.Second}
 }
 
-func (w *world) take(k *Keeper, call *relay.Call) (string, error) {
+func (w *world) take(k *Manager, call *relay.Call) (string, error) {
 	ctx := base.NewCtx(w.clock, 10*time.Second)
-	stream, err := k.Turn(ctx, call)
+	stream, err := k.SubmitTurn(ctx, call)
 	if err != nil {
 		return "", err
 	}
@@ -285,7 +285,7 @@
 	k := w.node("a")
 	w.bench.gate["t1"] = make(chan struct{})
 	ctx := base.NewCtx(w.clock, 10*time.Second)
-	stream, err := k.Turn(ctx, w.call("s1", "t1", ""))
+	stream, err := k.SubmitTurn(ctx, w.call("s1", "t1", ""))
 	w.is.NoErr(err)
 	_, err = stream.Head(5*time.Second, w.clock)
 	w.is.NoErr(err)
@@ -302,19 +302,19 @@
 	k := w.node("a")
 	w.bench.gate["t0"] = make(chan struct{})
 	ctx := base.NewCtx(w.clock, 10*time.Second)
-	first, err := k.Turn(ctx, w.call("s1", "t0", ""))
+	first, err := k.SubmitTurn(ctx, w.call("s1", "t0", ""))
 	w.is.NoErr(err)
 	_, err = first.Head(5*time.Second, w.clock)
 	w.is.NoErr(err)
 	streams := []*Stream{}
 	for n := range queueMost {
 		call := w.call("s1", fmt.Sprint("q", n), fmt.Sprint("p", n)) // each from another place
-		w.book.kept[call.Previous] = Kept{Turn: call.Previous}
-		stream, err := k.Turn(ctx, call)
+		w.book.kept[call.Previous] = CompletedTurn{Turn: call.Previous}
+		stream, err := k.SubmitTurn(ctx, call)
 		w.is.NoErr(err)
 		streams = append(streams, stream)
 	}
-	_, err = k.Turn(ctx, w.call("s1", "over", "p"))
+	_, err = k.SubmitTurn(ctx, w.call("s1", "over", "p"))
 	w.is.Equal(base.FromWire(err).Code, "queue_full")
 	w.is.Equal(k.List(10)[0].Waiting, queueMost) // a read does not queue
 	w.is.Equal(len(w.bench.ran), 1)
@@ -334,7 +334,7 @@
 	k := w.node("a")
 	w.bench.gate["t1"] = make(chan struct{}) // never opened: the worker hangs
 	ctx := base.NewCtx(w.clock, 10*time.Second)
-	first, err := k.Turn(ctx, w.call("s1", "t1", ""))
+	first, err := k.SubmitTurn(ctx, w.call("s1", "t1", ""))
 	w.is.NoErr(err)
 	_, err = first.Head(5*time.Second, w.clock)
 	w.is.NoErr(err)
@@ -362,8 +362,8 @@
 	w.is.Equal(w.book.settled["t1"], int64(4))
 	_, kept := w.book.kept["t1"]
 	w.is.True(!kept)
-	w.is.Equal(w.book.claims[0].Most, int64(10))
-	w.is.Equal(w.book.claims[0].Keep, time.Minute) // the longest that a route names
+	w.is.Equal(w.book.claims[0].MaxTokens, int64(10))
+	w.is.Equal(w.book.claims[0].Retain, time.Minute) // the longest that a route names
 }
 
 func TestCallsWithoutNamesHaveLinesOfTheirOwn(t *testing.T) {
@@ -388,16 +388,16 @@
 	k := w.node("a")
 	w.bench.gate["t1"] = make(chan struct{}) // never opened: the worker hangs
 	ctx := base.NewCtx(w.clock, 10*time.Second)
-	first, err := k.Turn(ctx, w.loose("s1", "t1", ""))
+	first, err := k.SubmitTurn(ctx, w.loose("s1", "t1", ""))
 	w.is.NoErr(err)
 	_, err = first.Head(5*time.Second, w.clock)
 	w.is.NoErr(err)
-	other, err := k.Turn(ctx, w.loose("s1", "t2", "")) // another turn waits behind it
+	other, err := k.SubmitTurn(ctx, w.loose("s1", "t2", "")) // another turn waits behind it
 	w.is.NoErr(err)
 	w.is.True(!first.abandoned() && k.List(1)[0].Waiting == 1)
 	again := w.loose("s1", "t3", "")
 	again.Body = []byte("in-t1")
-	_, err = k.Turn(ctx, again)
+	_, err = k.SubmitTurn(ctx, again)
 	w.is.NoErr(err)
 	_, err = io.ReadAll(NewReader(first, w.clock, 5*time.Second))
 	w.is.Equal(err, io.ErrUnexpectedEOF)
@@ -414,7 +414,7 @@
 	w.is.NoErr(err)
 	w.bench.gate["t2"] = make(chan struct{})
 	first := w.call("s1", "t2", "t1")
-	stream, err := k.Turn(base.NewCtx(w.clock, 10*time.Second), first)
+	stream, err := k.SubmitTurn(base.NewCtx(w.clock, 10*time.Second), first)
 	w.is.NoErr(err)
 	_, err = stream.Head(5*time.Second, w.clock)
 	w.is.NoErr(err)
@@ -432,7 +432,7 @@
 	w := newWorld(t)
 	k := w.node("a")
 	w.bench.gate["t1"] = make(chan struct{})
-	stream, err := k.Turn(base.NewCtx(w.clock, 10*time.Second), w.call("s1", "t1", ""))
+	stream, err := k.SubmitTurn(base.NewCtx(w.clock, 10*time.Second), w.call("s1", "t1", ""))
 	w.is.NoErr(err)
 	_, err = stream.Head(5*time.Second, w.clock)
 	w.is.NoErr(err)
@@ -442,8 +442,8 @@
 }
 
 // meet lets two nodes know each other.
-func (w *world) meet(a, b *Keeper) {
-	for _, pair := range [][2]*Keeper{{a, b}, {b, a}} {
+func (w *world) meet(a, b *Manager) {
+	for _, pair := range [][2]*Manager{{a, b}, {b, a}} {
 		client := membership.NewMembershipProtobufClient("http://"+pair[1].View.Self().Addr, w.wire)
 		_ = client
 		w.clock.Go(pair[0].View.Run)
@@ -533,7 +533,7 @@
 	_, err = w.take(a, w.call("s2", "u1", ""))
 	w.is.NoErr(err)
 	a.Drain(time.Second)
-	_, err = a.Turn(base.NewCtx(w.clock, time.Second), w.call("s1", "t2", "t1"))
+	_, err = a.SubmitTurn(base.NewCtx(w.clock, time.Second), w.call("s1", "t2", "t1"))
 	w.is.Equal(base.FromWire(err).Ran, base.NotRun)
 	_, err = w.take(b, w.call("s1", "t3", "t1")) // a is leaving: b goes on
 	w.is.NoErr(err)
@@ -557,7 +557,7 @@
 	_, err := w.take(a, w.call("s1", "t1", ""))
 	w.is.NoErr(err)
 	w.bench.gate["t2"] = make(chan struct{})
-	stream, err := b.Turn(base.NewCtx(w.clock, 10*time.Second), w.call("s1", "t2", "t1"))
+	stream, err := b.SubmitTurn(base.NewCtx(w.clock, 10*time.Second), w.call("s1", "t2", "t1"))
 	w.is.NoErr(err)
 	_, err = stream.Head(5*time.Second, w.clock)
 	w.is.NoErr(err)
@@ -582,7 +582,7 @@
 	w := newWorld(t)
 	k := w.node("a")
 	w.bench.gate["t1"] = make(chan struct{})
-	stream, err := k.Turn(base.NewCtx(w.clock, 10*time.Second), w.call("s1", "t1", ""))
+	stream, err := k.SubmitTurn(base.NewCtx(w.clock, 10*time.Second), w.call("s1", "t1", ""))
 	w.is.NoErr(err)
 	_, err = stream.Head(5*time.Second, w.clock)
 	w.is.NoErr(err)
@@ -596,9 +596,9 @@
 func TestHistoryKeepsAncestorsAsLongAsWhatFollows(t *testing.T) {
 	is := is.New(t)
 	h := newHistory(base.NewRealClock())
-	h.keep(Kept{Turn: "a", Input: []byte("1")}, -time.Second)
-	h.keep(Kept{Turn: "b", Previous: "a", Input: []byte("2")}, time.Minute)
-	h.keep(Kept{Turn: "c", Previous: "a", Input: []byte("3")}, -time.Second)
+	h.keep(CompletedTurn{Turn: "a", Input: []byte("1")}, -time.Second)
+	h.keep(CompletedTurn{Turn: "b", Previous: "a", Input: []byte("2")}, time.Minute)
+	h.keep(CompletedTurn{Turn: "c", Previous: "a", Input: []byte("3")}, -time.Second)
 	h.sweep()
 	body, ok := h.chain("b")
 	is.True(ok)
--- a/internal/line/ports.go
+++ b/internal/line/ports.go
@@ -17,7 +17,7 @@
 	Program   string
 	Session   string
 	Turn      string
-	Most      int64
+	MaxTokens int64
 	Budget    int64
 	HasBudget bool
 	Run       string
@@ -27,54 +27,54 @@
 	// Confirmed tells that this claim held before.
 	Confirmed bool
 	// Keep is how long what is kept of the program may be needed.
-	Keep time.Duration
+	Retain time.Duration
 	// After is the assignment that is to be succeeded, if any.
-	After *Assignment
+	Replaces *Assignment
 }
 
-// Claimed tells who has the session; Mine that the claim holds and the turn's
+// ClaimResult tells who has the session; Mine that the claim holds and the turn's
 // tokens are set aside.
-type Claimed struct {
+type ClaimResult struct {
 	Assignment *Assignment
-	Mine       bool
+	Granted    bool
 }
 
-// Kept is one turn answered whole.
-type Kept struct {
+// CompletedTurn is one turn answered whole.
+type CompletedTurn struct {
 	Turn     string
 	Previous string
 	Input    []byte
 	Output   []byte
 }
 
-// Ending is a turn answered whole on its way into the ledger.
-type Ending struct {
+// Completion is a turn answered whole on its way into the ledger.
+type Completion struct {
 	Program string
 	Session string
 	Run     string
 	Owner   string
 	Epoch   uint64
-	Kept
+	CompletedTurn
 	Budgeted bool
 	Tokens   int64
 	Retain   time.Duration
 }
 
-// Settled is what a turn came to that was not answered whole.
-type Settled struct {
+// Settlement is what a turn came to that was not answered whole.
+type Settlement struct {
 	Program string
 	Run     string
 	Turn    string
 	Tokens  int64
-	Keep    time.Duration
+	Retain  time.Duration
 }
 
 // Ledger keeps assignments, reservations and turns.
 type Ledger interface {
-	Begin(ctx *base.Ctx, claim *Claim) (*Claimed, error)
-	Finish(ctx *base.Ctx, ending *Ending) error
-	Settle(ctx *base.Ctx, settled *Settled) error
-	Chain(ctx *base.Ctx, program, turn string) ([]Kept, error)
+	Begin(ctx *base.Ctx, claim *Claim) (*ClaimResult, error)
+	Finish(ctx *base.Ctx, ending *Completion) error
+	Settle(ctx *base.Ctx, settled *Settlement) error
+	Chain(ctx *base.Ctx, program, turn string) ([]CompletedTurn, error)
 }
 
 // Reply is a worker's answer under way.
@@ -85,11 +85,11 @@
 	Event(limit time.Duration) (*relay.Event, error)
 	Body(limit time.Duration) ([]byte, error)
 	// Streams tells that events are to come; otherwise the body is whole.
-	Streams() bool
+	IsStream() bool
 	Close()
 }
 
 // Workers sends a call to one worker that runs it.
 type Workers interface {
-	Offer(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (Reply, error)
+	Send(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (Reply, error)
 }
--- a/internal/line/serve.go
+++ b/internal/line/serve.go
@@ -13,7 +13,7 @@
 )
 
 // operate carries one turn out: claim, chain, worker, ledger.
-func (k *Keeper) operate(h *held, op *operation, after *Assignment, told func(*Assignment)) (moved bool) {
+func (k *Manager) operate(h *held, op *operation, after *Assignment, told func(*Assignment)) (moved bool) {
 	call, ctx := op.call, op.ctx
 	table := k.Routes.Load()
 	matched := table.Match(call.Host, call.Target)
@@ -49,7 +49,7 @@
 		op.stream.fail(base.FromWire(err))
 		return false
 	}
-	if !claimed.Mine {
+	if !claimed.Granted {
 		if op.marked {
 			told(nil)
 			op.stream.fail(base.Decline(409, "stale_assignment", "the session is assigned to another Run"))
@@ -77,14 +77,14 @@
 }
 
 // claim asks the ledger for the assignment and the turn's tokens.
-func (k *Keeper) claim(h *held, op *operation, after *Assignment) (*Claimed, error) {
+func (k *Manager) claim(h *held, op *operation, after *Assignment) (*ClaimResult, error) {
 	h.mu.Lock()
 	assignment, confirmed := h.assignment, h.confirmed
 	h.mu.Unlock()
 	call := op.call
-	asked := &Claim{Program: call.Program, Session: call.Session, Turn: call.ID, Most: int64(call.Most), Budget: call.Budget, HasBudget: call.HasBudget, Owner: k.me(), Previous: call.Previous, Keep: op.keep, After: after}
+	asked := &Claim{Program: call.Program, Session: call.Session, Turn: call.ID, MaxTokens: int64(call.Most), Budget: call.Budget, HasBudget: call.HasBudget, Owner: k.me(), Previous: call.Previous, Retain: op.keep, Replaces: after}
 	if assignment != nil {
-		asked.Run, asked.Epoch, asked.Confirmed, asked.After = assignment.Run, assignment.Epoch, confirmed, nil
+		asked.Run, asked.Epoch, asked.Confirmed, asked.Replaces = assignment.Run, assignment.Epoch, confirmed, nil
 	} else {
 		asked.Run, asked.Epoch = base.NewID(k.Clock, "run-"), 1
 		if after != nil {
@@ -93,7 +93,7 @@
 	}
 	for tries := 0; ; tries++ {
 		claimed, err := k.Ledger.Begin(op.ctx, asked)
-		if err != nil || claimed.Mine {
+		if err != nil || claimed.Granted {
 			h.mu.Lock()
 			switch {
 			case err == nil:
@@ -117,12 +117,12 @@
 			return claimed, nil
 		}
 		k.Counters.Add("runs_succeeded", 1)
-		asked.After, asked.Epoch, asked.Run, asked.Confirmed = other, other.Epoch+1, base.NewID(k.Clock, "run-"), false
+		asked.Replaces, asked.Epoch, asked.Run, asked.Confirmed = other, other.Epoch+1, base.NewID(k.Clock, "run-"), false
 	}
 }
 
 // recall brings a chain back from the ledger.
-func (k *Keeper) recall(ctx *base.Ctx, program, turn string, retain time.Duration) ([]byte, error) {
+func (k *Manager) recall(ctx *base.Ctx, program, turn string, retain time.Duration) ([]byte, error) {
 	k.Counters.Add("chains_recalled", 1)
 	turns, err := k.Ledger.Chain(ctx, program, turn)
 	if err != nil {
@@ -140,14 +140,14 @@
 
 // settle tells the ledger in its own time what a turn handed out that is not
 // kept there. Until then the turn counts at its most.
-func (k *Keeper) settle(h *held, op *operation, tokens int64) {
+func (k *Manager) settle(h *held, op *operation, tokens int64) {
 	h.mu.Lock()
 	assignment := h.assignment
 	h.mu.Unlock()
 	if !op.call.HasBudget || assignment == nil {
 		return
 	}
-	settled := &Settled{Program: op.call.Program, Run: assignment.Run, Turn: op.call.ID, Tokens: tokens, Keep: op.keep}
+	settled := &Settlement{Program: op.call.Program, Run: assignment.Run, Turn: op.call.ID, Tokens: tokens, Retain: op.keep}
 	k.settling.Add(1)
 	k.Clock.Go(func() {
 		defer k.settling.Add(-1)
@@ -162,14 +162,14 @@
 }
 
 // serve sends the turn to a worker and passes its events on.
-func (k *Keeper) serve(h *held, op *operation, matched *route.Route, chain []byte) {
+func (k *Manager) serve(h *held, op *operation, matched *route.Route, chain []byte) {
 	call, ctx := op.call, op.ctx
 	body := call.Body
 	if len(chain) > 0 {
 		body = append(append(make([]byte, 0, len(chain)+len(call.Body)), chain...), call.Body...)
 	}
 	service := matched.Pick(k.homeOf(matched, call))
-	reply, err := k.Workers.Offer(ctx, matched, service, call, body)
+	reply, err := k.Workers.Send(ctx, matched, service, call, body)
 	if err != nil {
 		v := base.FromWire(err)
 		handed := int64(0)
@@ -185,7 +185,7 @@
 		op.stream.fail(base.Unsure(502, "cancelled", "the turn was given up"))
 		return
 	}
-	if !reply.Streams() {
+	if !reply.IsStream() {
 		k.settle(h, op, 0)
 		op.state = session.OpFailed
 		k.answerPlain(op, reply)
@@ -212,7 +212,7 @@
 }
 
 // succeed ends a turn that was answered whole.
-func (k *Keeper) succeed(op *operation) {
+func (k *Manager) succeed(op *operation) {
 	op.state = session.OpSucceeded
 	k.Counters.Add("turns_whole", 1)
 	op.stream.finish()
@@ -221,7 +221,7 @@
 // keepFor is how long a program's spending is kept after a turn: the route's own
 // time, or where that is not given the longest that any route names. The ledger
 // keeps it for twice the recovery bound at least.
-func (k *Keeper) keepFor(table *route.Table, matched *route.Route) time.Duration {
+func (k *Manager) keepFor(table *route.Table, matched *route.Route) time.Duration {
 	if matched.Retain > 0 {
 		return matched.Retain
 	}
@@ -230,7 +230,7 @@
 
 // homeOf draws the service of a route's call: the same for a whole session where
 // the route asks for that or keeps its turns, else anew for each.
-func (k *Keeper) homeOf(matched *route.Route, call *relay.Call) func(n int64) int64 {
+func (k *Manager) homeOf(matched *route.Route, call *relay.Call) func(n int64) int64 {
 	if matched.Pinned || matched.Retained {
 		return func(n int64) int64 { return int64(base.Hash64(call.Session) % uint64(n)) }
 	}
@@ -238,7 +238,7 @@
 }
 
 // passOn gives each event to the reader as it comes.
-func (k *Keeper) passOn(op *operation, reply Reply) (output []byte, events int64, whole bool) {
+func (k *Manager) passOn(op *operation, reply Reply) (output []byte, events int64, whole bool) {
 	op.stream.open(&Head{Status: reply.Status(), Headers: reply.Headers()})
 	for {
 		event, err := reply.Event(op.ctx.Left())
@@ -253,12 +253,12 @@
 	}
 }
 
-// Pass takes a streamed call that belongs to no line to a worker.
-func (k *Keeper) Pass(ctx *base.Ctx, matched *route.Route, call *relay.Call) *Stream {
+// PassThrough takes a streamed call that belongs to no line to a worker.
+func (k *Manager) PassThrough(ctx *base.Ctx, matched *route.Route, call *relay.Call) *Stream {
 	op := &operation{call: call, ctx: ctx, state: session.OpRunning}
 	op.stream = newStream(k.Clock, op.cancel)
 	k.Clock.Go(func() {
-		reply, err := k.Workers.Offer(ctx, matched, matched.Pick(k.Clock.Int64N), call, call.Body)
+		reply, err := k.Workers.Send(ctx, matched, matched.Pick(k.Clock.Int64N), call, call.Body)
 		if err != nil {
 			op.stream.fail(base.FromWire(err))
 			return
@@ -267,7 +267,7 @@
 		switch {
 		case !op.attach(reply):
 			op.stream.fail(base.Unsure(502, "cancelled", "the call was given up"))
-		case !reply.Streams():
+		case !reply.IsStream():
 			k.answerPlain(op, reply)
 		default:
 			if _, _, whole := k.passOn(op, reply); !whole {
@@ -281,13 +281,13 @@
 }
 
 // keep makes the turn whole: the end of the answer waits for the ledger.
-func (k *Keeper) keep(h *held, op *operation, matched *route.Route, output []byte, tokens int64) {
+func (k *Manager) keep(h *held, op *operation, matched *route.Route, output []byte, tokens int64) {
 	call := op.call
 	h.mu.Lock()
 	assignment := h.assignment
 	h.mu.Unlock()
-	kept := Kept{Turn: call.ID, Previous: call.Previous, Input: call.Body, Output: output}
-	ending := &Ending{Program: call.Program, Session: call.Session, Run: assignment.Run, Owner: assignment.Owner, Epoch: assignment.Epoch, Kept: kept, Budgeted: call.HasBudget, Tokens: tokens, Retain: matched.Retain}
+	kept := CompletedTurn{Turn: call.ID, Previous: call.Previous, Input: call.Body, Output: output}
+	ending := &Completion{Program: call.Program, Session: call.Session, Run: assignment.Run, Owner: assignment.Owner, Epoch: assignment.Epoch, CompletedTurn: kept, Budgeted: call.HasBudget, Tokens: tokens, Retain: matched.Retain}
 	ctx := base.NewCtx(k.Clock, k.keepLimit(op.ctx.Left()))
 	if err := k.Ledger.Finish(ctx, ending); err != nil {
 		k.Counters.Add("turns_not_kept", 1)
@@ -301,7 +301,7 @@
 }
 
 // answerPlain passes an answer on that is no stream.
-func (k *Keeper) answerPlain(op *operation, reply Reply) {
+func (k *Manager) answerPlain(op *operation, reply Reply) {
 	body, err := reply.Body(op.ctx.Left())
 	if err != nil {
 		op.stream.fail(base.Unsure(502, "worker_cut", "the worker's answer was cut short"))
--- a/internal/line/stream.go
+++ b/internal/line/stream.go
@@ -58,8 +58,8 @@
 	})
 }
 
-// Leave says that nobody reads any more.
-func (s *Stream) Leave() {
+// Abandon says that nobody reads any more.
+func (s *Stream) Abandon() {
 	s.mu.Lock()
 	first := !s.left && !s.done
 	s.left = true
@@ -90,14 +90,14 @@
 			return head, nil
 		}
 		if !next.Wait(max(0, end-clock.Now())) {
-			s.Leave()
+			s.Abandon()
 			return nil, base.Unsure(504, "timed_out", "no answer came in time")
 		}
 	}
 }
 
-// From gives the pieces from a place on, waiting for news up to limit.
-func (s *Stream) From(place int, limit time.Duration, clock base.Clock) (pieces [][]byte, done, cut bool) {
+// PiecesFrom gives the pieces from a place on, waiting for news up to limit.
+func (s *Stream) PiecesFrom(place int, limit time.Duration, clock base.Clock) (pieces [][]byte, done, cut bool) {
 	end := clock.Now() + limit
 	for {
 		next := s.bell.Next()
@@ -115,8 +115,8 @@
 	}
 }
 
-// Until waits until the stream has come to a place or its end, or limit passed.
-func (s *Stream) Until(place int, limit time.Duration, clock base.Clock) {
+// WaitUntil waits until the stream has come to a place or its end, or limit passed.
+func (s *Stream) WaitUntil(place int, limit time.Duration, clock base.Clock) {
 	for end := clock.Now() + limit; ; {
 		next := s.bell.Next()
 		s.mu.Lock()
@@ -148,7 +148,7 @@
 
 func (r *Reader) Read(into []byte) (int, error) {
 	for len(r.rest) == 0 {
-		pieces, done, cut := r.stream.From(r.place, max(0, r.until-r.clock.Now()), r.clock)
+		pieces, done, cut := r.stream.PiecesFrom(r.place, max(0, r.until-r.clock.Now()), r.clock)
 		switch {
 		case len(pieces) > 0:
 			for _, piece := range pieces {
@@ -168,6 +168,6 @@
 
 // Close ends the reading; what is not over by then is given up.
 func (r *Reader) Close() error {
-	r.stream.Leave()
+	r.stream.Abandon()
 	return nil
 }
--- a/internal/line/termination.go
+++ b/internal/line/termination.go
@@ -11,13 +11,13 @@
 	"fordseam/internal/session"
 )
 
-func (k *Keeper) isDraining() bool {
+func (k *Manager) isDraining() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.draining
 }
 
-func (k *Keeper) drop(h *held) {
+func (k *Manager) drop(h *held) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.held[h.line] == h {
@@ -27,7 +27,7 @@
 
 // Run lets go of sessions that have been quiet for a while: their lease is
 // over, and a later turn gets the next Run.
-func (k *Keeper) Run() {
+func (k *Manager) Run() {
 	for !k.View.Closed() {
 		k.Clock.Sleep(k.Bounds.Load().Recover / 6)
 		quiet := k.Clock.Now() - k.Bounds.Load().Recover*2
@@ -52,7 +52,7 @@
 // Drain ends all lines here: accepted turns finish, new ones go elsewhere. It is
 // over when whoever forwarded a turn has its end too, and the ledger has heard what
 // was spent.
-func (k *Keeper) Drain(limit time.Duration) {
+func (k *Manager) Drain(limit time.Duration) {
 	k.mu.Lock()
 	k.draining = true
 	all := []*held{}
@@ -64,13 +64,13 @@
 		k.terminate(h, budget.Drain)
 	}
 	end := k.Clock.Now() + limit
-	for k.Busy()+k.owing()+int(k.settling.Load()) > 0 && k.Clock.Now() < end {
+	for k.BusySessions()+k.owing()+int(k.settling.Load()) > 0 && k.Clock.Now() < end {
 		k.Clock.Sleep(k.Bounds.Load().Recover / 120)
 	}
 }
 
-// Busy counts the sessions with a turn under way.
-func (k *Keeper) Busy() int {
+// BusySessions counts the sessions with a turn under way.
+func (k *Manager) BusySessions() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	count := 0
@@ -85,7 +85,7 @@
 }
 
 // Terminate ends a session's Run here; it only escalates.
-func (k *Keeper) Terminate(program, id string, mode budget.Termination) bool {
+func (k *Manager) Terminate(program, id string, mode budget.Termination) bool {
 	k.mu.Lock()
 	found := k.held[program+" "+id]
 	k.mu.Unlock()
@@ -96,10 +96,10 @@
 	return true
 }
 
-func (k *Keeper) terminate(h *held, mode budget.Termination) {
+func (k *Manager) terminate(h *held, mode budget.Termination) {
 	h.mu.Lock()
 	h.termination = h.termination.Escalate(mode)
-	if h.phase.May(session.Finalizing) {
+	if h.phase.CanBecome(session.Finalizing) {
 		h.phase = session.Finalizing
 	}
 	running, waiting := h.running, []*operation(nil)
@@ -131,7 +131,7 @@
 }
 
 // List shows the sessions this node owns.
-func (k *Keeper) List(limit int) []Status {
+func (k *Manager) List(limit int) []Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	found := []Status{}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -141,11 +141,11 @@
 type Gateway struct {
 	*common
 	Front    *front.Front
-	Keeper   *session.Keeper
+	Keeper   *session.Manager
 	Follower *feed.Follower
 	Routes   *base.Table[route.Table]
 	Relay    *relay.Relay
-	Lines    *line.Keeper
+	Lines    *line.Manager
 	Access   *access.Guard
 	// Table reads the operator's document; it is set before Start where this
 	// gateway serves routes.
@@ -168,12 +168,12 @@
 	env.Counters.Also(g.Access.Counts)
 	client, follower := c.follow(tree, g.Access, func(frame *feed.Frame) {
 		picker.Swap(worker.RosterOf(frame.Values))
-		g.Keeper.Ended(endedIn(frame.Values))
+		g.Keeper.SetTerminations(endedIn(frame.Values))
 		g.learn(frame)
 	})
 	g.Follower = follower
 	c.mount(feed.NewFeedServer(feed.NewService(env.Clock, nil, follower)))
-	g.Keeper = session.NewKeeper(session.Parts{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
+	g.Keeper = session.NewManager(session.Dependencies{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
 		Register: client, Follower: follower, Picker: picker, Backends: env.Backends, Tree: tree})
 	g.Front = &front.Front{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Follower: follower, Tree: tree,
 		Budget: &budget.Client{Register: client}, Keeper: g.Keeper, Tools: &toolcall.Client{Register: client},
@@ -182,7 +182,7 @@
 	g.Routes, g.routed = &base.Table[route.Table]{}, base.NewBell(env.Clock)
 	g.Relay = relay.New(relay.Parts{Clock: env.Clock, Backends: env.Backends, Bounds: bounds, Counters: env.Counters, Names: env.Names, Zone: place.Zone, ConnShare: g.connShare, AnswerLimit: answerLimit})
 	kept := ledger.NewClient(env.Clock, env.Wire, g.disks.Load, place.Zone, place.Tolerate, bounds, env.Counters, nil)
-	g.Lines = line.NewKeeper(line.Parts{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
+	g.Lines = line.NewManager(line.Dependencies{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
 		Routes: g.Routes, Ledger: keeping{kept}, Workers: offering{g}})
 	c.mount(line.NewOwnerServer(g.Lines))
 	return g
@@ -191,8 +191,8 @@
 func endedIn(values map[string][]byte) map[string]budget.Termination {
 	ended := map[string]budget.Termination{}
 	for key, raw := range values {
-		if id, ok := strings.CutPrefix(key, budget.EndedPrefix); ok {
-			ended[id] = budget.EndedMode(raw)
+		if id, ok := strings.CutPrefix(key, budget.TerminationPrefix); ok {
+			ended[id] = budget.DecodeTermination(raw)
 		}
 	}
 	return ended
@@ -276,9 +276,9 @@
 	c := newCommon(env, place, nil, bounds)
 	owner := register.NewOwner(env.Clock, env.Wire, c.view, bounds, env.Counters)
 	settings.Serve(owner)
-	budget.Serve(owner)
-	session.Serve(owner)
-	toolcall.Serve(owner)
+	budget.RegisterHandlers(owner)
+	session.RegisterHandlers(owner)
+	toolcall.RegisterHandlers(owner)
 	worker.Serve(owner)
 	route.Serve(owner)
 	relay.Serve(owner)
--- a/internal/node/tier.go
+++ b/internal/node/tier.go
@@ -127,13 +127,13 @@
 	}
 	switch {
 	case matched.Kind == route.Stream && line.IsTurn(matched, call):
-		stream, err := g.Lines.Turn(ctx, call)
+		stream, err := g.Lines.SubmitTurn(ctx, call)
 		if err != nil {
 			return nil, err
 		}
 		return passOn(stream, ctx)
 	case matched.Kind == route.Stream:
-		return passOn(g.Lines.Pass(ctx, matched, call), ctx)
+		return passOn(g.Lines.PassThrough(ctx, matched, call), ctx)
 	}
 	reply, err := g.Relay.Offer(ctx, matched, table.Services[matched.Pick(clock.Int64N)], call, call.Body)
 	if err != nil {
@@ -183,10 +183,10 @@
 
 type offered struct{ *relay.Reply }
 
-func (o offered) Status() int   { return o.Reply.Status }
-func (o offered) Streams() bool { return !o.Whole() }
+func (o offered) Status() int    { return o.Reply.Status }
+func (o offered) IsStream() bool { return !o.Whole() }
 
-func (o offering) Offer(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (line.Reply, error) {
+func (o offering) Send(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (line.Reply, error) {
 	known := o.gateway.Routes.Load().Services[service]
 	if known == nil {
 		return nil, base.Busy(503, "no_service", 1, "the service is not configured any more")
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -318,7 +318,7 @@
 	if program == "" {
 		return nil, base.DeclineField("program", "must be given")
 	}
-	if !budget.Termination(mode).Known() {
+	if !budget.Termination(mode).Valid() {
 		return nil, base.DeclineField("mode", `must be "Drain" or "Immediate"`)
 	}
 	ended, err := (&budget.Client{Register: o.Register}).Terminate(ctx, program, budget.Termination(mode))
--- a/internal/session/accept.go
+++ b/internal/session/accept.go
@@ -12,7 +12,7 @@
 )
 
 // submit accepts a turn, joins it, or replays it.
-func (k *Keeper) submit(ctx *base.Ctx, h *held, v *Visit) (*Reply, error) {
+func (k *Manager) submit(ctx *base.Ctx, h *held, v *Request) (*Reply, error) {
 	digest := base.Digest(append([]byte(v.Previous+"\n"+strconv.FormatInt(v.MaxTokens, 10)+"\n"), v.Messages...))
 	reply, err := k.accept(h, v, digest)
 	if verdict, ok := err.(*base.Verdict); ok && verdict.Code == "run_over" {
@@ -29,19 +29,19 @@
 	return reply, err
 }
 
-func (k *Keeper) reader(stream *Stream, v *Visit) (*Reply, error) {
+func (k *Manager) reader(stream *Stream, v *Request) (*Reply, error) {
 	reader := &Reader{keeper: k, turn: v.Turn, local: stream}
-	if v.LastLeg != "" {
-		if leg := stream.legID(); leg != v.LastLeg {
+	if v.LastAttempt != "" {
+		if leg := stream.legID(); leg != v.LastAttempt {
 			return nil, base.Unsure(409, "leg_changed", "the pieces seen are of another run of this turn; read it from the start")
 		}
-		reader.place = min(v.LastPlace, uint64(stream.count()))
+		reader.place = min(v.LastPiece, uint64(stream.count()))
 		reader.given = reader.place
 	}
 	return &Reply{Status: 200, Stream: reader}, nil
 }
 
-func (k *Keeper) accept(h *held, v *Visit, digest string) (*Reply, error) {
+func (k *Manager) accept(h *held, v *Request, digest string) (*Reply, error) {
 	h.mu.Lock()
 	if turn := h.whole(v.Turn); turn != nil {
 		run := h.record.Run
@@ -68,7 +68,7 @@
 		h.mu.Unlock()
 		return nil, refused.verdict
 	}
-	if v.LastLeg != "" {
+	if v.LastAttempt != "" {
 		h.mu.Unlock()
 		return nil, base.Unsure(409, "leg_changed", "the pieces seen are of a run of this turn that was lost; read it from the start")
 	}
@@ -125,7 +125,7 @@
 }
 
 // work runs the queue, one turn at a time, until it is empty.
-func (k *Keeper) work(h *held) {
+func (k *Manager) work(h *held) {
 	for {
 		h.mu.Lock()
 		if len(h.queue) == 0 || h.gone {
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -28,7 +28,7 @@
 	fallback *settings.Route
 }
 
-func (k *Keeper) planTurn(h *held, op *operation) (*plan, *base.Verdict) {
+func (k *Manager) planTurn(h *held, op *operation) (*plan, *base.Verdict) {
 	chain, verdict := h.prompt(op)
 	if verdict != nil {
 		return nil, verdict
@@ -57,7 +57,7 @@
 	return made, nil
 }
 
-func (k *Keeper) runTurn(h *held, op *operation) (OperationState, *base.Verdict) {
+func (k *Manager) runTurn(h *held, op *operation) (OperationState, *base.Verdict) {
 	if err := k.revalidate(base.NewCtx(k.clock, k.bounds.Load().Recover), h); err != nil {
 		return OpFailed, base.FromWire(err)
 	}
@@ -122,13 +122,13 @@
 
 // Repeated attempts are a bounded share of all attempts on this node, so that workers
 // in trouble are not buried under them.
-func (k *Keeper) earnRepeat() {
+func (k *Manager) earnRepeat() {
 	k.mu.Lock()
 	k.repeats = min(repeatMost, k.repeats+repeatShare)
 	k.mu.Unlock()
 }
 
-func (k *Keeper) mayRepeat() bool {
+func (k *Manager) mayRepeat() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.repeats < 1 {
@@ -138,7 +138,7 @@
 	return true
 }
 
-func (k *Keeper) stateOf(op *operation, ctx *base.Ctx) OperationState {
+func (k *Manager) stateOf(op *operation, ctx *base.Ctx) OperationState {
 	switch {
 	case op.cancelled.Fired():
 		return OpCancelled
@@ -162,7 +162,7 @@
 }
 
 // runAttempt takes one attempt from the pick of a worker to its end.
-func (k *Keeper) runAttempt(ctx *base.Ctx, h *held, op *operation, made *plan) attemptOutcome {
+func (k *Manager) runAttempt(ctx *base.Ctx, h *held, op *operation, made *plan) attemptOutcome {
 	var cleanup base.Cleanup
 	defer cleanup.Run()
 	chosenWorker, err := k.picker.Hold(ctx, made.need)
@@ -228,7 +228,7 @@
 		return k.refusedAttempt(h, made, chosenWorker, reply, settle)
 	}
 	if k.picker.Answered(chosenWorker, reply.Closes()) {
-		k.WorkerLeaves(chosenWorker)
+		k.MarkWorkerLeaving(chosenWorker)
 	}
 	h.abortable(op, reply.Close)
 	cleanup.Push(func() { h.abortable(op, nil) })
@@ -250,13 +250,13 @@
 	h.worker = chosenWorker.ID
 	h.mu.Unlock()
 	turn := &Turn{ID: op.id, Previous: op.visit.Previous, Digest: op.digest, Messages: op.visit.Messages, Pieces: got.pieces,
-		Leg: attemptID, Finish: got.finish, Tokens: got.tokens, Worker: chosenWorker.ID}
+		Attempt: attemptID, FinishReason: got.finish, OutputTokens: got.tokens, Worker: chosenWorker.ID}
 	return k.finishTurn(h, op, record, turn)
 }
 
 // stillOwns is the last look before an attempt goes out: the permit on the
 // monotonic clock, and the register's word if the permit had lapsed since.
-func (k *Keeper) stillOwns(ctx *base.Ctx, h *held, run string) error {
+func (k *Manager) stillOwns(ctx *base.Ctx, h *held, run string) error {
 	if err := k.follower.Permit(ctx); err != nil {
 		return err
 	}
@@ -271,11 +271,11 @@
 
 // refusedAttempt reads a worker's refusal. 503 is a worker's notice that it is
 // leaving; 429 and 503 say that nothing ran.
-func (k *Keeper) refusedAttempt(h *held, made *plan, chosen *worker.Worker, reply base.BackReply, settle func(int64)) attemptOutcome {
+func (k *Manager) refusedAttempt(h *held, made *plan, chosen *worker.Worker, reply base.BackReply, settle func(int64)) attemptOutcome {
 	made.need.Tried[chosen.ID] = reply.Status() != 429
 	switch status := reply.Status(); {
 	case status == 503:
-		k.WorkerLeaves(chosen)
+		k.MarkWorkerLeaving(chosen)
 		settle(0)
 		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is leaving"), attemptFree}
 	case status == 429:
@@ -291,9 +291,9 @@
 	}
 }
 
-// WorkerLeaves takes a worker's own notice: no new work here at once, and
+// MarkWorkerLeaving takes a worker's own notice: no new work here at once, and
 // everywhere once the notice is told.
-func (k *Keeper) WorkerLeaves(chosen *worker.Worker) {
+func (k *Manager) MarkWorkerLeaving(chosen *worker.Worker) {
 	k.picker.LeftNow(chosen)
 	k.counters.Add("workers_seen_leaving", 1)
 	incarnation := k.picker.Incarnation(chosen)
@@ -304,9 +304,9 @@
 
 // finishTurn makes the answer whole: the chain goes to a majority, with the
 // budget settled in the same change, and to the understudy meanwhile.
-func (k *Keeper) finishTurn(h *held, op *operation, record *Record, turn *Turn) attemptOutcome {
+func (k *Manager) finishTurn(h *held, op *operation, record *Record, turn *Turn) attemptOutcome {
 	h.mu.Lock()
-	turn.Num = uint64(len(h.turns)) + 1
+	turn.Number = uint64(len(h.turns)) + 1
 	h.mu.Unlock()
 	offered := k.clock.NewSignal()
 	k.clock.Go(func() {
@@ -314,11 +314,11 @@
 		offered.Fire()
 	})
 	answer, err := k.change(base.NewCtx(k.clock, k.bounds.Load().Recover), record.Program, "session.finish",
-		ask{Session: record.ID, Run: record.Run, Leg: turn.Leg, Tokens: turn.Tokens, Turn: turn})
+		ask{Session: record.ID, Run: record.Run, Leg: turn.Attempt, Tokens: turn.OutputTokens, Turn: turn})
 	if err != nil {
 		v := base.FromWire(err)
 		h.mu.Lock()
-		h.unsure = turn.Leg
+		h.unsure = turn.Attempt
 		h.mu.Unlock()
 		if v.Code == "stale_assignment" {
 			return attemptOutcome{v, attemptFinal}
@@ -328,37 +328,37 @@
 	offered.Wait(k.bounds.Load().Beat() * 2)
 	h.take(answer.Record)
 	h.mu.Lock()
-	turn.At = answer.Record.LastAt
+	turn.FinishedAt = answer.Record.LastTurnAt
 	if h.whole(turn.ID) == nil { // the chain may have been read anew meanwhile
 		h.turns = append(h.turns, *turn)
 	}
 	op.state, op.ended = OpSucceeded, k.clock.Now()
 	h.mu.Unlock()
 	k.counters.Add("turns_succeeded", 1)
-	op.stream.finish(&Final{Verdict: "success", Ran: base.DidRun, Turn: op.id, Run: record.Run, Finish: turn.Finish, Tokens: turn.Tokens})
+	op.stream.finish(&Final{Outcome: "success", Ran: base.DidRun, Turn: op.id, Run: record.Run, FinishReason: turn.FinishReason, OutputTokens: turn.OutputTokens})
 	return attemptOutcome{}
 }
 
 // offer sends one turn to the understudy; a gap is filled by catchUp.
-func (k *Keeper) offer(h *held, record *Record, turn *Turn) {
-	member, alive := k.view.Find(record.Understudy)
+func (k *Manager) offer(h *held, record *Record, turn *Turn) {
+	member, alive := k.view.Find(record.Standby)
 	if !alive {
 		k.counters.Add("offers_missed", 1)
 		return
 	}
 	reply, err := NewOwnerProtobufClient("http://"+member.Addr, k.wire).Offer(base.NewCtx(k.clock, k.bounds.Load().Beat()*2),
-		&OfferRequest{Session: record.ID, Assignment: record.assignment(), Turns: turn.Num, Turn: base.Encode(turn)})
+		&OfferRequest{Session: record.ID, Assignment: record.assignment(), Turns: turn.Number, Turn: base.Encode(turn)})
 	if err != nil {
 		k.counters.Add("offers_missed", 1)
 		return
 	}
 	h.mu.Lock()
-	h.offered[record.Understudy] = min(reply.Turns, turn.Num)
+	h.offered[record.Standby] = min(reply.Turns, turn.Number)
 	h.mu.Unlock()
 }
 
-// ProgramEnded says how a program was told to end, as far as the feed knows.
-func (k *Keeper) ProgramEnded(program string) budget.Termination {
+// ProgramTermination says how a program was told to end, as far as the feed knows.
+func (k *Manager) ProgramTermination(program string) budget.Termination {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ended[program]
--- a/internal/session/completion.go
+++ b/internal/session/completion.go
@@ -75,7 +75,7 @@
 // receive passes a worker's chunks on as pieces. An answer that lacks its
 // finish reason or end mark, is malformed, stalls or overruns what was
 // granted is never a success.
-func (k *Keeper) receive(ctx *base.Ctx, op *operation, reply base.BackReply, granted int64) (*received, *base.Verdict) {
+func (k *Manager) receive(ctx *base.Ctx, op *operation, reply base.BackReply, granted int64) (*received, *base.Verdict) {
 	got := &received{}
 	stall := k.bounds.Load().Recover * 5 / 2
 	for {
--- a/internal/session/ending.go
+++ b/internal/session/ending.go
@@ -11,7 +11,7 @@
 	"fordseam/internal/budget"
 )
 
-func (k *Keeper) cancel(h *held, v *Visit) (*Reply, error) {
+func (k *Manager) cancel(h *held, v *Request) (*Reply, error) {
 	h.mu.Lock()
 	op := h.ops[v.Turn]
 	h.mu.Unlock()
@@ -24,7 +24,7 @@
 
 // cancelOp answers a queued turn as not run at once; a running one is told
 // to stop and answered by its leg.
-func (k *Keeper) cancelOp(h *held, op *operation) {
+func (k *Manager) cancelOp(h *held, op *operation) {
 	op.cancelled.Fire()
 	h.mu.Lock()
 	abort := op.abort
@@ -54,7 +54,7 @@
 
 // conclude ends an operation without success. Not run is said only of a turn
 // that no earlier Run may have run, and that no later one will.
-func (k *Keeper) conclude(h *held, op *operation, state OperationState, verdict *base.Verdict) {
+func (k *Manager) conclude(h *held, op *operation, state OperationState, verdict *base.Verdict) {
 	if verdict.Ran == base.NotRun && h.mayHaveRun(op.id) {
 		verdict = afterLostAttempt(verdict)
 	}
@@ -62,7 +62,7 @@
 		verdict = k.refuseForGood(h, op.id, verdict)
 	}
 	h.mu.Lock()
-	if op.state.May(state) {
+	if op.state.CanBecome(state) {
 		op.state, op.verdict, op.ended = state, verdict, h.clock.Now()
 	}
 	h.mu.Unlock()
@@ -73,7 +73,7 @@
 // refuseForGood has the control state keep that a turn was refused, so that
 // no later owner runs it, and gives the verdict to tell. Where that cannot be
 // kept soon, the turn is not called not run; the caller may ask again by its id.
-func (k *Keeper) refuseForGood(h *held, turn string, verdict *base.Verdict) *base.Verdict {
+func (k *Manager) refuseForGood(h *held, turn string, verdict *base.Verdict) *base.Verdict {
 	record := h.snapshot()
 	answer, err := k.change(base.NewCtx(k.clock, k.bounds.Load().Beat()), record.Program, "session.refuse", ask{Session: record.ID, Run: record.Run, Refused: turn})
 	if err == nil && answer.Refused {
@@ -86,7 +86,7 @@
 }
 
 // end asks for Drain or Immediate; the request only ever escalates.
-func (k *Keeper) end(ctx *base.Ctx, h *held, mode budget.Termination) (*Reply, error) {
+func (k *Manager) end(ctx *base.Ctx, h *held, mode budget.Termination) (*Reply, error) {
 	h.mu.Lock()
 	if h.record.Phase.Terminal() {
 		h.mu.Unlock()
@@ -106,7 +106,7 @@
 	return &Reply{Status: 200, Body: h.status()}, nil
 }
 
-func (k *Keeper) cancelAll(h *held) {
+func (k *Manager) cancelAll(h *held) {
 	h.mu.Lock()
 	all := slices.Clone(h.queue)
 	if h.running != nil {
@@ -119,7 +119,7 @@
 }
 
 // moveRun puts a phase or termination in force.
-func (k *Keeper) moveRun(ctx *base.Ctx, h *held, phase Phase, mode budget.Termination, why string) error {
+func (k *Manager) moveRun(ctx *base.Ctx, h *held, phase Phase, mode budget.Termination, why string) error {
 	h.mu.Lock()
 	id, run := h.record.ID, h.record.Run
 	h.mu.Unlock()
@@ -137,7 +137,7 @@
 }
 
 // closeIfQuiet makes a finalizing Run terminal once nothing is left to do.
-func (k *Keeper) closeIfQuiet(ctx *base.Ctx, h *held) error {
+func (k *Manager) closeIfQuiet(ctx *base.Ctx, h *held) error {
 	h.mu.Lock()
 	due := h.record.Phase == Finalizing && !h.busy && len(h.queue) == 0
 	mode := h.record.Termination
@@ -152,7 +152,7 @@
 }
 
 // endBy ends a session because its program was told to.
-func (k *Keeper) endBy(h *held, mode budget.Termination) {
+func (k *Manager) endBy(h *held, mode budget.Termination) {
 	record := h.snapshot()
 	if record.Phase.Terminal() || record.Termination.Escalate(mode) == record.Termination {
 		return
@@ -163,7 +163,7 @@
 }
 
 // tend looks after one session: its lease, its understudy, old operations.
-func (k *Keeper) tend(h *held) {
+func (k *Manager) tend(h *held) {
 	now, bounds := k.clock.Now(), k.bounds.Load()
 	h.mu.Lock()
 	if h.gone || h.tending || h.record.Phase.Terminal() {
@@ -182,12 +182,12 @@
 		}
 	}
 	for id, mark := range h.refused {
-		if now-mark.at > RefusedSpan(bounds) {
+		if now-mark.at > RefusalRetention(bounds) {
 			delete(h.refused, id)
 		}
 	}
-	member, alive := k.view.Find(h.record.Understudy)
-	lacking := !alive || member.Leaving || h.offered[h.record.Understudy] < uint64(len(h.turns))
+	member, alive := k.view.Find(h.record.Standby)
+	lacking := !alive || member.Leaving || h.offered[h.record.Standby] < uint64(len(h.turns))
 	finalizing := h.record.Phase == Finalizing && !h.busy && len(h.queue) == 0
 	h.tending = expired || lacking || finalizing || idle
 	due := h.tending
--- a/internal/session/forward.go
+++ b/internal/session/forward.go
@@ -11,7 +11,7 @@
 )
 
 // forward carries the visit to the owner once.
-func (k *Keeper) forward(ctx *base.Ctx, record *Record, v *Visit) (*Reply, error) {
+func (k *Manager) forward(ctx *base.Ctx, record *Record, v *Request) (*Reply, error) {
 	member, alive := k.view.Find(record.Owner)
 	if member == nil || !alive {
 		return nil, base.Busy(503, "unreachable", 1, "the owner is not known to be alive")
@@ -35,9 +35,9 @@
 }
 
 // Forward is the owner's side: it never carries a visit any further.
-func (k *Keeper) Forward(plain context.Context, request *ForwardRequest) (*ForwardReply, error) {
+func (k *Manager) Forward(plain context.Context, request *ForwardRequest) (*ForwardReply, error) {
 	ctx := base.CtxOf(plain, k.clock)
-	var v Visit
+	var v Request
 	if err := json.Unmarshal(request.Request, &v); err != nil || !request.Forwarded {
 		return nil, base.ToWire(base.Decline(400, "bad_request", "not a forwarded visit"))
 	}
@@ -71,7 +71,7 @@
 
 // withdraw asks an owner whose reply was lost to fence the visit; only its
 // word that the visit will never run makes it not run.
-func (k *Keeper) withdraw(record *Record, v *Visit, verdict *base.Verdict) error {
+func (k *Manager) withdraw(record *Record, v *Request, verdict *base.Verdict) error {
 	unsure := base.Unsure(504, "owner_silent", "the session's owner did not answer in time")
 	member, _ := k.view.Find(record.Owner)
 	if member == nil {
@@ -87,7 +87,7 @@
 
 // Withdraw fences a visit that was not accepted: its copies are declined, and
 // so is its turn, whichever request brings it.
-func (k *Keeper) Withdraw(_ context.Context, request *WithdrawRequest) (*WithdrawReply, error) {
+func (k *Manager) Withdraw(_ context.Context, request *WithdrawRequest) (*WithdrawReply, error) {
 	k.mu.Lock()
 	h := k.held[request.Session]
 	fenced := h != nil && h.isRun(request.Run) && k.fence(h, request)
@@ -103,7 +103,7 @@
 }
 
 // fence is the owner's own part of a withdrawal; the caller holds the lock.
-func (k *Keeper) fence(h *held, request *WithdrawRequest) bool {
+func (k *Manager) fence(h *held, request *WithdrawRequest) bool {
 	withdrawn := &declinedVisit{verdict: base.Decline(503, "withdrawn", "the request was withdrawn"), at: k.clock.Now()}
 	if known := k.declined[request.Visit]; known != nil && (known.verdict == nil || known.verdict.Ran != base.NotRun) {
 		return false
@@ -119,7 +119,7 @@
 
 // admit marks a visit as seen, once. A copy of one that was declined is
 // declined with the same words.
-func (k *Keeper) admit(v *Visit) error {
+func (k *Manager) admit(v *Request) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if known := k.declined[v.ID]; known != nil && known.verdict != nil {
@@ -130,7 +130,7 @@
 }
 
 // accepted marks a visit whose turn is in the queue.
-func (k *Keeper) accepted(v *Visit) {
+func (k *Manager) accepted(v *Request) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.declined[v.ID] = &declinedVisit{at: k.clock.Now(), accepted: true}
@@ -138,7 +138,7 @@
 
 // decline keeps the words a visit was declined with, unless a copy of it was
 // accepted before.
-func (k *Keeper) decline(v *Visit, verdict *base.Verdict) error {
+func (k *Manager) decline(v *Request, verdict *base.Verdict) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if known := k.declined[v.ID]; known != nil && known.accepted {
--- a/internal/session/held.go
+++ b/internal/session/held.go
@@ -16,7 +16,7 @@
 type operation struct {
 	id        string
 	digest    string
-	visit     *Visit
+	visit     *Request
 	state     OperationState
 	stream    *Stream
 	until     time.Duration
@@ -52,7 +52,7 @@
 
 func newHeld(clock base.Clock, record *Record, turns []Turn, lapses uint64) *held {
 	return &held{program: record.Program, bell: base.NewBell(clock), handed: clock.NewSignal(), clock: clock, record: record,
-		turns: turns, ops: map[string]*operation{}, lapses: lapses, attempts: record.Legs, lastSeen: clock.Now(), offered: map[string]uint64{},
+		turns: turns, ops: map[string]*operation{}, lapses: lapses, attempts: record.HighestAttempt, lastSeen: clock.Now(), offered: map[string]uint64{},
 		refused: map[string]*declinedVisit{}}
 }
 
@@ -153,7 +153,7 @@
 }
 
 // serve answers a visit on the owner.
-func (k *Keeper) serve(ctx *base.Ctx, record *Record, v *Visit) (*Reply, error) {
+func (k *Manager) serve(ctx *base.Ctx, record *Record, v *Request) (*Reply, error) {
 	k.mu.Lock()
 	h := k.held[record.ID]
 	draining := k.draining
@@ -168,14 +168,14 @@
 	if err := k.revalidate(ctx, h); err != nil {
 		return nil, err
 	}
-	if draining && v.Kind == KindTurn {
+	if draining && v.Kind == KindSubmitTurn {
 		if !h.handed.Wait(ctx.Left()) {
 			return nil, base.Busy(503, "handing_over", 1, "the session is being handed over")
 		}
 		return nil, staleRun()
 	}
 	h.mu.Lock()
-	allowed := h.record.Opens(v.Bearer)
+	allowed := h.record.Authorizes(v.Bearer)
 	if allowed {
 		h.lastSeen = k.clock.Now()
 	}
@@ -184,19 +184,19 @@
 		return nil, base.Decline(403, "forbidden", "the credentials do not open this session")
 	}
 	switch v.Kind {
-	case KindStatus, KindRenew:
+	case KindStatus, KindRenewLease:
 		return &Reply{Status: 200, Body: h.status()}, nil
-	case KindTurns:
+	case KindListTurns:
 		return &Reply{Status: 200, Body: h.list(v)}, nil
-	case KindRead:
+	case KindReadTurn:
 		return h.read(v)
-	case KindCancel:
+	case KindCancelTurn:
 		return k.cancel(h, v)
 	case KindClose:
 		return k.end(ctx, h, budget.Drain)
 	case KindTerminate:
 		return k.end(ctx, h, budget.Immediate)
-	case KindTurn:
+	case KindSubmitTurn:
 		return k.submit(ctx, h, v)
 	}
 	return nil, base.Decline(400, "bad_request", "unknown kind of visit")
@@ -205,7 +205,7 @@
 // recall finds a Run that the register says is this node's but that is not
 // in memory: one it took without learning so, or one that ended and was
 // forgotten. Only this life of the node can be named as owner.
-func (k *Keeper) recall(ctx *base.Ctx, record *Record, v *Visit) (*held, error) {
+func (k *Manager) recall(ctx *base.Ctx, record *Record, v *Request) (*held, error) {
 	answer, err := k.change(ctx, v.Program, "session.get", ask{Session: record.ID})
 	if err != nil {
 		return nil, err
@@ -219,7 +219,7 @@
 
 // revalidate asks the register whether the Run still stands, after this
 // node went without a permit or a change of its own ended unknown.
-func (k *Keeper) revalidate(ctx *base.Ctx, h *held) error {
+func (k *Manager) revalidate(ctx *base.Ctx, h *held) error {
 	lapses := k.follower.Lapses()
 	h.mu.Lock()
 	unsureLeg := h.unsure
@@ -245,7 +245,7 @@
 		return staleRun()
 	}
 	var turns []Turn
-	if answer.Record.Turns != known {
+	if answer.Record.TurnCount != known {
 		if turns, err = k.readChain(ctx, answer.Record); err != nil {
 			return err
 		}
@@ -264,9 +264,9 @@
 
 // catchUp brings the understudy up to the chain, nominating another when it
 // is gone; a new one counts only once it has the whole chain.
-func (k *Keeper) catchUp(ctx *base.Ctx, h *held) {
+func (k *Manager) catchUp(ctx *base.Ctx, h *held) {
 	record := h.snapshot()
-	chosen := record.Understudy
+	chosen := record.Standby
 	if member, alive := k.view.Find(chosen); !alive || member.Leaving {
 		chosen = k.pickStandby(record.ID, chosen)
 	}
@@ -294,7 +294,7 @@
 		h.offered[chosen] = min(reply.Turns, have+1)
 		h.mu.Unlock()
 	}
-	if chosen != record.Understudy && !ctx.Over() {
+	if chosen != record.Standby && !ctx.Over() {
 		answer, err := k.change(ctx, record.Program, "session.move", ask{Session: record.ID, Run: record.Run, Understudy: chosen})
 		if err == nil {
 			h.take(answer.Record)
--- a/internal/session/housekeeping.go
+++ b/internal/session/housekeeping.go
@@ -10,8 +10,8 @@
 	"fordseam/internal/budget"
 )
 
-// Ended takes in from the feed which programs were told to end.
-func (k *Keeper) Ended(ended map[string]budget.Termination) {
+// SetTerminations takes in from the feed which programs were told to end.
+func (k *Manager) SetTerminations(ended map[string]budget.Termination) {
 	k.mu.Lock()
 	k.ended = ended
 	touched := []*held{}
@@ -28,7 +28,7 @@
 }
 
 // Run looks after leases, understudies and what has been kept long enough.
-func (k *Keeper) Run() {
+func (k *Manager) Run() {
 	for {
 		k.clock.Sleep(k.bounds.Load().Beat())
 		k.mu.Lock()
@@ -49,7 +49,7 @@
 }
 
 // prune forgets what no one can ask for any more; the caller holds the lock.
-func (k *Keeper) prune() {
+func (k *Manager) prune() {
 	now, bounds := k.clock.Now(), k.bounds.Load()
 	for id, mark := range k.declined {
 		if now-mark.at > 10*bounds.Recover {
@@ -74,7 +74,7 @@
 }
 
 // Close stops the keeper's own tasks.
-func (k *Keeper) Close() {
+func (k *Manager) Close() {
 	k.mu.Lock()
 	k.closed = true
 	k.mu.Unlock()
@@ -87,7 +87,7 @@
 // Drain finishes what was accepted and hands each session to its standby; new
 // turns wait for the hand-over and go on there. A turn may take longer than the
 // stop: what is still carried near its end is answered as cut.
-func (k *Keeper) Drain(limit time.Duration) {
+func (k *Manager) Drain(limit time.Duration) {
 	limit -= limit / closingShare
 	k.clock.Go(func() {
 		k.clock.Sleep(limit)
@@ -106,7 +106,7 @@
 
 // flush gives partners that carry streams to their callers a little time to
 // pull the last pieces.
-func (k *Keeper) flush() {
+func (k *Manager) flush() {
 	hold := k.bounds.Load().Pull()
 	for end := k.clock.Now() + hold; k.clock.Now() < end; k.clock.Sleep(hold / 20) {
 		owed := false
@@ -123,7 +123,7 @@
 
 // Sizes counts what this node keeps of sessions: owned, understudied, and
 // streams carried for other gateways.
-func (k *Keeper) Sizes() (owned, copies, streams int) {
+func (k *Manager) Sizes() (owned, copies, streams int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.held), len(k.copies), len(k.streams)
--- a/internal/session/keeper.go
+++ b/internal/session/keeper.go
@@ -24,14 +24,14 @@
 
 // Kinds of visits to a session.
 const (
-	KindStatus    = "status"
-	KindTurn      = "turn"
-	KindTurns     = "turns"
-	KindRead      = "read"
-	KindCancel    = "cancel"
-	KindRenew     = "renew"
-	KindClose     = "close"
-	KindTerminate = "terminate"
+	KindStatus     = "status"
+	KindSubmitTurn = "turn"
+	KindListTurns  = "turns"
+	KindReadTurn   = "read"
+	KindCancelTurn = "cancel"
+	KindRenewLease = "renew"
+	KindClose      = "close"
+	KindTerminate  = "terminate"
 )
 
 const (
@@ -39,21 +39,21 @@
 	sessionLimit = 16384
 )
 
-// Visit is one call to a session, as a caller meant it.
-type Visit struct {
-	ID        string          `json:"id"`
-	Kind      string          `json:"kind"`
-	Program   string          `json:"program"`
-	Session   string          `json:"session"`
-	Bearer    string          `json:"bearer"`
-	Turn      string          `json:"turn,omitempty"`
-	Previous  string          `json:"previous,omitempty"`
-	LastLeg   string          `json:"last_leg,omitempty"`
-	LastPlace uint64          `json:"last_place,omitempty"`
-	Limit     int             `json:"limit,omitempty"`
-	After     uint64          `json:"after,omitempty"`
-	Messages  json.RawMessage `json:"messages,omitempty"`
-	MaxTokens int64           `json:"max_tokens,omitempty"`
+// Request is one call to a session, as a caller meant it.
+type Request struct {
+	ID          string          `json:"id"`
+	Kind        string          `json:"kind"`
+	Program     string          `json:"program"`
+	Session     string          `json:"session"`
+	Bearer      string          `json:"bearer"`
+	Turn        string          `json:"turn,omitempty"`
+	Previous    string          `json:"previous,omitempty"`
+	LastAttempt string          `json:"last_leg,omitempty"`
+	LastPiece   uint64          `json:"last_place,omitempty"`
+	Limit       int             `json:"limit,omitempty"`
+	After       uint64          `json:"after,omitempty"`
+	Messages    json.RawMessage `json:"messages,omitempty"`
+	MaxTokens   int64           `json:"max_tokens,omitempty"`
 }
 
 // Reply is a plain answer, or a stream to read.
@@ -63,8 +63,8 @@
 	Stream *Reader
 }
 
-// Keeper holds what this gateway owns, understudies and remembers.
-type Keeper struct {
+// Manager holds what this gateway owns, understudies and remembers.
+type Manager struct {
 	clock    base.Clock
 	wire     base.Wire
 	view     *membership.View
@@ -99,8 +99,8 @@
 	accepted bool
 }
 
-// Parts are what a keeper is built from.
-type Parts struct {
+// Dependencies are what a keeper is built from.
+type Dependencies struct {
 	Clock    base.Clock
 	Wire     base.Wire
 	View     *membership.View
@@ -113,35 +113,35 @@
 	Tree     *base.Table[settings.Tree]
 }
 
-func NewKeeper(p Parts) *Keeper {
-	return &Keeper{clock: p.Clock, wire: p.Wire, view: p.View, bounds: p.Bounds, counters: p.Counters, register: p.Register,
+func NewManager(p Dependencies) *Manager {
+	return &Manager{clock: p.Clock, wire: p.Wire, view: p.View, bounds: p.Bounds, counters: p.Counters, register: p.Register,
 		follower: p.Follower, picker: p.Picker, workers: &worker.Client{Register: p.Register}, backends: p.Backends, tree: p.Tree,
 		held: map[string]*held{}, copies: map[string]*standbyCopy{}, cache: map[string]*Record{}, streams: map[string]*Stream{},
 		declined: map[string]*declinedVisit{}, ended: map[string]budget.Termination{}, repeats: repeatMost, stopping: p.Clock.NewSignal()}
 }
 
-func (k *Keeper) me() string { return k.view.Me() }
+func (k *Manager) me() string { return k.view.Me() }
 
-func (k *Keeper) change(ctx *base.Ctx, program, op string, asked ask) (*told, error) {
+func (k *Manager) change(ctx *base.Ctx, program, op string, asked ask) (*told, error) {
 	var answer told
-	if err := k.register.Change(ctx, budget.GroupOf(program), op, asked, &answer); err != nil {
+	if err := k.register.Change(ctx, budget.RegisterGroup(program), op, asked, &answer); err != nil {
 		return nil, err
 	}
 	return &answer, nil
 }
 
-// Acquire makes a session with this node as its owner. The Run passes
+// Create makes a session with this node as its owner. The Run passes
 // Pending, Scheduled and Running here, and is recorded as Ready.
-func (k *Keeper) Acquire(ctx *base.Ctx, record *Record) (*Record, error) {
+func (k *Manager) Create(ctx *base.Ctx, record *Record) (*Record, error) {
 	record.Run = base.NewID(k.clock, "run-")
 	record.Epoch = 1
 	record.Owner = k.me()
-	record.Understudy = k.pickStandby(record.ID, "")
+	record.Standby = k.pickStandby(record.ID, "")
 	record.Phase = Ready
 	if k.isDraining() {
 		return nil, base.Busy(503, "draining", 1, "this node is leaving")
 	}
-	if k.Owned() >= sessionLimit {
+	if k.OwnedCount() >= sessionLimit {
 		return nil, base.Busy(429, "too_many_sessions", 5, "this node owns %d sessions and takes no more", sessionLimit)
 	}
 	answer, err := k.change(ctx, record.Program, "session.acquire", ask{Session: record.ID, Record: record})
@@ -153,20 +153,20 @@
 	return answer.Record, nil
 }
 
-// Owned counts the sessions in this node's memory.
-func (k *Keeper) Owned() int {
+// OwnedCount counts the sessions in this node's memory.
+func (k *Manager) OwnedCount() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.held)
 }
 
-func (k *Keeper) isDraining() bool {
+func (k *Manager) isDraining() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.draining
 }
 
-func (k *Keeper) install(record *Record, turns []Turn) *held {
+func (k *Manager) install(record *Record, turns []Turn) *held {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	cached := *record
@@ -184,7 +184,7 @@
 	return fresh
 }
 
-func (k *Keeper) remember(record *Record) {
+func (k *Manager) remember(record *Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.cache) > cacheLimit {
@@ -197,7 +197,7 @@
 	k.cache[record.ID] = &cached
 }
 
-func (k *Keeper) resolve(ctx *base.Ctx, v *Visit, anew bool) (*Record, error) {
+func (k *Manager) resolve(ctx *base.Ctx, v *Request, anew bool) (*Record, error) {
 	k.mu.Lock()
 	found := k.cache[v.Session]
 	k.mu.Unlock()
@@ -215,8 +215,8 @@
 	return answer.Record, nil
 }
 
-// Find gives a visit's session as this node knows it, or looks it up.
-func (k *Keeper) Find(ctx *base.Ctx, v *Visit) (*Record, error) {
+// Lookup gives a visit's session as this node knows it, or looks it up.
+func (k *Manager) Lookup(ctx *base.Ctx, v *Request) (*Record, error) {
 	record, err := k.resolve(ctx, v, false)
 	if err == nil && record.Program != v.Program {
 		return nil, unknownSession()
@@ -242,7 +242,7 @@
 
 // giveUp is the visit's last word. Where a copy's reply was lost, only the
 // owner's word makes it not run.
-func (k *Keeper) giveUp(v *Visit, a *attempt, err error) error {
+func (k *Manager) giveUp(v *Request, a *attempt, err error) error {
 	verdict := base.FromWire(err)
 	switch {
 	case a.lostTo == nil || ownerWords[verdict.Code]:
@@ -253,8 +253,8 @@
 	return k.withdraw(a.lostTo, v, verdict)
 }
 
-// Visit carries one call out, wherever the owner is.
-func (k *Keeper) Visit(ctx *base.Ctx, v *Visit) (*Reply, error) {
+// Handle carries one call out, wherever the owner is.
+func (k *Manager) Handle(ctx *base.Ctx, v *Request) (*Reply, error) {
 	anew, lookedUp, tried := false, "", &attempt{}
 	for {
 		if err := k.follower.Permit(ctx); err != nil {
@@ -314,11 +314,11 @@
 }
 
 // withAgain lets a stream that gave nothing yet be found anew.
-func (k *Keeper) withAgain(reply *Reply, v *Visit) *Reply {
+func (k *Manager) withAgain(reply *Reply, v *Request) *Reply {
 	if reply.Stream != nil {
 		reply.Stream.again = func() (*Reader, error) {
 			k.counters.Add("streams_found_again", 1)
-			next, err := k.Visit(base.NewCtx(k.clock, 2*k.bounds.Load().Recover), v)
+			next, err := k.Handle(base.NewCtx(k.clock, 2*k.bounds.Load().Recover), v)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/session/operations.go
+++ b/internal/session/operations.go
@@ -38,8 +38,8 @@
 	Refused bool    `json:"refused,omitempty"`
 }
 
-// Serve adds the sessions' ops to a core.
-func Serve(owner *register.Owner) {
+// RegisterHandlers adds the sessions' ops to a core.
+func RegisterHandlers(owner *register.Owner) {
 	handle := func(name string, op func(tx *register.Tx, asked *ask, record *Record, program *budget.Program) (any, error)) {
 		owner.Handle(name, func(tx *register.Tx, args []byte) (any, error) {
 			var asked ask
@@ -56,7 +56,7 @@
 			}
 			program := budget.Load(tx, named.Program)
 			if program == nil {
-				return nil, budget.Unknown()
+				return nil, budget.UnknownProgram()
 			}
 			return op(tx, &asked, record, program)
 		})
@@ -92,11 +92,11 @@
 		}
 		return nil, base.Decline(409, "session_exists", "the session exists")
 	}
-	if err := budget.Active(tx, program, false); err != nil {
+	if err := budget.CheckActive(tx, program, false); err != nil {
 		return nil, err
 	}
 	fresh := *asked.Record
-	fresh.Created = tx.Now
+	fresh.CreatedAt = tx.Now
 	fresh.store(tx)
 	return told{Record: &fresh}, nil
 }
@@ -111,8 +111,8 @@
 	if tx.Get(refusedKey(record.ID, turnOf(asked.Leg))) != nil {
 		return nil, base.Decline(409, "turn_refused", "this Turn-Id was refused before and stays so; send a new one")
 	}
-	open := budget.Reserved(tx, program, asked.Leg)
-	if asked.LegNum < record.Legs || (asked.LegNum == record.Legs && !open) {
+	open := budget.IsReserved(tx, program, asked.Leg)
+	if asked.LegNum < record.HighestAttempt || (asked.LegNum == record.HighestAttempt && !open) {
 		return nil, base.Decline(409, "leg_over", "the leg is over; this is a late copy")
 	}
 	granted, err := budget.Reserve(tx, program, asked.Leg, asked.Tokens)
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	if !open {
-		record.Legs = asked.LegNum
+		record.HighestAttempt = asked.LegNum
 		record.store(tx)
 	}
 	return told{Record: record, Granted: granted}, nil
@@ -132,7 +132,7 @@
 	if record.Run != asked.Run {
 		return nil, staleRun()
 	}
-	if record.unsure(asked.Refused) || record.LastTurn == asked.Refused || budget.ReservedUnder(tx, program, record.Run+"/"+asked.Refused+"/") {
+	if record.unsure(asked.Refused) || record.LastTurn == asked.Refused || budget.HasReservations(tx, program, record.Run+"/"+asked.Refused+"/") {
 		return told{Record: record}, nil
 	}
 	tx.Put(refusedKey(record.ID, asked.Refused), base.Encode(tx.Now))
@@ -151,7 +151,7 @@
 }
 
 func finish(tx *register.Tx, asked *ask, record *Record, program *budget.Program) (any, error) {
-	if record.LastLeg == asked.Leg {
+	if record.LastAttempt == asked.Leg {
 		return told{Record: record}, nil
 	}
 	if record.Run != asked.Run || record.Phase.Terminal() {
@@ -161,9 +161,9 @@
 		return nil, base.Decline(409, "leg_over", "the leg was given up; this is a late copy")
 	}
 	turn := *asked.Turn
-	turn.Num, turn.At = record.Turns+1, tx.Now
-	record.Turns, record.LastTurn, record.LastLeg, record.LastAt = turn.Num, turn.ID, asked.Leg, turn.At
-	tx.Put(turnKey(record.ID, turn.Num), base.Encode(turn))
+	turn.Number, turn.FinishedAt = record.TurnCount+1, tx.Now
+	record.TurnCount, record.LastTurn, record.LastAttempt, record.LastTurnAt = turn.Number, turn.ID, asked.Leg, turn.FinishedAt
+	tx.Put(turnKey(record.ID, turn.Number), base.Encode(turn))
 	record.store(tx)
 	return told{Record: record}, nil
 }
@@ -173,8 +173,8 @@
 		return nil, staleRun()
 	}
 	changed := false
-	if asked.Phase != "" && record.Phase.May(asked.Phase) {
-		record.Phase, record.Why, changed = asked.Phase, asked.Why, true
+	if asked.Phase != "" && record.Phase.CanBecome(asked.Phase) {
+		record.Phase, record.Reason, changed = asked.Phase, asked.Why, true
 		if record.Phase.Terminal() {
 			record.EndedAt = tx.Now
 			record.forfeit(tx, program)
@@ -183,8 +183,8 @@
 	if after := record.Termination.Escalate(asked.Termination); after != record.Termination {
 		record.Termination, changed = after, true
 	}
-	if asked.Understudy != "" && asked.Understudy != record.Understudy {
-		record.Understudy, changed = asked.Understudy, true
+	if asked.Understudy != "" && asked.Understudy != record.Standby {
+		record.Standby, changed = asked.Understudy, true
 	}
 	if changed {
 		record.store(tx)
@@ -198,16 +198,16 @@
 	if record.Run != asked.Run {
 		return told{Record: record}, nil
 	}
-	if err := budget.Active(tx, program, true); err != nil {
+	if err := budget.CheckActive(tx, program, true); err != nil {
 		return nil, err
 	}
-	if record.Phase.Terminal() && tx.Now-max(record.LastAt, record.EndedAt) > tx.Bounds.Retain.Milliseconds()*5/4 {
+	if record.Phase.Terminal() && tx.Now-max(record.LastTurnAt, record.EndedAt) > tx.Bounds.Retain.Milliseconds()*5/4 {
 		return nil, base.Decline(410, "session_over", "the session ended and its history is no longer kept")
 	}
 	record.forfeit(tx, program)
-	record.Run, record.Owner, record.Understudy = asked.NewRun, asked.Owner, asked.Understudy
+	record.Run, record.Owner, record.Standby = asked.NewRun, asked.Owner, asked.Understudy
 	record.Epoch++
-	record.Phase, record.Termination, record.Why, record.EndedAt = Ready, "", asked.Why, 0
+	record.Phase, record.Termination, record.Reason, record.EndedAt = Ready, "", asked.Why, 0
 	record.store(tx)
 	return told{Record: record}, nil
 }
@@ -217,7 +217,7 @@
 func sweep(tx *register.Tx) {
 	tx.Walk("refused/", "", func(key string, value []byte) bool {
 		var at int64
-		if json.Unmarshal(value, &at) != nil || tx.Now-at > RefusedSpan(tx.Bounds).Milliseconds() {
+		if json.Unmarshal(value, &at) != nil || tx.Now-at > RefusalRetention(tx.Bounds).Milliseconds() {
 			tx.Gone(key)
 		}
 		return true
@@ -228,7 +228,7 @@
 			return true
 		}
 		kept := tx.Bounds.Retain.Milliseconds() * 5 / 4
-		over := record.Phase.Terminal() && tx.Now-max(record.LastAt, record.EndedAt) > kept
+		over := record.Phase.Terminal() && tx.Now-max(record.LastTurnAt, record.EndedAt) > kept
 		if over || budget.Load(tx, record.Program) == nil {
 			tx.Walk("turn/"+record.ID+"/", "", func(turnKey string, _ []byte) bool {
 				tx.Gone(turnKey)
--- a/internal/session/record.go
+++ b/internal/session/record.go
@@ -39,8 +39,8 @@
 // Terminal phases are never left.
 func (p Phase) Terminal() bool { return phaseRanks[p] == 5 }
 
-// May reports whether a Run may go from one phase to another: only onward.
-func (p Phase) May(next Phase) bool { return phaseRanks[next] > phaseRanks[p] }
+// CanBecome reports whether a Run may go from one phase to another: only onward.
+func (p Phase) CanBecome(next Phase) bool { return phaseRanks[next] > phaseRanks[p] }
 
 // OperationState is where a turn stands on its owner.
 type OperationState string
@@ -59,8 +59,8 @@
 	OpRunning: {OpSucceeded, OpFailed, OpCancelled, OpTimedOut},
 }
 
-// May reports whether a turn may go from one state to another.
-func (s OperationState) May(next OperationState) bool {
+// CanBecome reports whether a turn may go from one state to another.
+func (s OperationState) CanBecome(next OperationState) bool {
 	for _, allowed := range operationSteps[s] {
 		if allowed == next {
 			return true
@@ -71,40 +71,42 @@
 
 // Record is a session's durable part.
 type Record struct {
-	ID            string             `json:"id"`
-	Program       string             `json:"program"`
-	ProgramSecret string             `json:"program_secret"`
-	Secret        string             `json:"secret"`
-	Group         string             `json:"group"`
-	Site          string             `json:"site"`
-	Route         string             `json:"route"`
-	Urgency       string             `json:"urgency"`
-	Run           string             `json:"run"`
-	Epoch         uint64             `json:"epoch"`
-	Owner         string             `json:"owner"`
-	Understudy    string             `json:"understudy"`
-	Phase         Phase              `json:"phase"`
-	Termination   budget.Termination `json:"termination"`
-	Why           string             `json:"why"`
-	QueueSize     int                `json:"queue_size"`
-	TimeoutMs     int64              `json:"timeout_ms"`
-	LeaseMs       int64              `json:"lease_ms"`
-	Turns         uint64             `json:"turns"`
-	LastTurn      string             `json:"last_turn"`
-	LastLeg       string             `json:"last_leg"`
-	LastAt        int64              `json:"last_at"`
-	Created       int64              `json:"created"`
-	EndedAt       int64              `json:"ended_at"`
+	ID                  string             `json:"id"`
+	Program             string             `json:"program"`
+	ProgramSecretDigest string             `json:"program_secret"`
+	SecretDigest        string             `json:"secret"`
+	Group               string             `json:"group"`
+	Site                string             `json:"site"`
+	Route               string             `json:"route"`
+	Urgency             string             `json:"urgency"`
+	Run                 string             `json:"run"`
+	Epoch               uint64             `json:"epoch"`
+	Owner               string             `json:"owner"`
+	Standby             string             `json:"understudy"`
+	Phase               Phase              `json:"phase"`
+	Termination         budget.Termination `json:"termination"`
+	Reason              string             `json:"why"`
+	QueueSize           int                `json:"queue_size"`
+	TimeoutMs           int64              `json:"timeout_ms"`
+	LeaseMs             int64              `json:"lease_ms"`
+	TurnCount           uint64             `json:"turns"`
+	LastTurn            string             `json:"last_turn"`
+	LastAttempt         string             `json:"last_leg"`
+	LastTurnAt          int64              `json:"last_at"`
+	CreatedAt           int64              `json:"created"`
+	EndedAt             int64              `json:"ended_at"`
 	// Legs is the highest number a leg of this session was reserved under.
-	Legs uint64 `json:"legs"`
+	HighestAttempt uint64 `json:"legs"`
 	// Unsure are turns that had a leg whose end is not known.
-	Unsure []string `json:"unsure,omitempty"`
+	UncertainTurns []string `json:"unsure,omitempty"`
 	// Version rises with each change, so that answers that cross are told apart.
 	Version uint64 `json:"version"`
 }
 
-// Opens tells whether a credential's digest opens the session.
-func (r *Record) Opens(bearer string) bool { return bearer == r.Secret || bearer == r.ProgramSecret }
+// Authorizes tells whether a credential's digest opens the session.
+func (r *Record) Authorizes(bearer string) bool {
+	return bearer == r.SecretDigest || bearer == r.ProgramSecretDigest
+}
 
 func (r *Record) assignment() *Assignment {
 	return &Assignment{Run: r.Run, Owner: r.Owner, Epoch: r.Epoch}
@@ -112,17 +114,17 @@
 
 // Turn is one turn answered whole.
 type Turn struct {
-	ID       string          `json:"id"`
-	Num      uint64          `json:"num"`
-	Previous string          `json:"previous"`
-	Digest   string          `json:"digest"`
-	Messages json.RawMessage `json:"messages"`
-	Pieces   []string        `json:"pieces"`
-	Leg      string          `json:"leg"`
-	Finish   string          `json:"finish"`
-	Tokens   int64           `json:"tokens"`
-	Worker   string          `json:"worker"`
-	At       int64           `json:"at"`
+	ID           string          `json:"id"`
+	Number       uint64          `json:"num"`
+	Previous     string          `json:"previous"`
+	Digest       string          `json:"digest"`
+	Messages     json.RawMessage `json:"messages"`
+	Pieces       []string        `json:"pieces"`
+	Attempt      string          `json:"leg"`
+	FinishReason string          `json:"finish"`
+	OutputTokens int64           `json:"tokens"`
+	Worker       string          `json:"worker"`
+	FinishedAt   int64           `json:"at"`
 }
 
 func recordKey(id string) string { return "session/" + id }
@@ -149,8 +151,8 @@
 // refusedKey is where the control state keeps that a turn was refused.
 func refusedKey(session, turn string) string { return "refused/" + session + "/" + turn }
 
-// RefusedSpan is how long a refused Turn-Id stays refused.
-func RefusedSpan(bounds *base.Bounds) time.Duration { return 10 * bounds.Recover }
+// RefusalRetention is how long a refused Turn-Id stays refused.
+func RefusalRetention(bounds *base.Bounds) time.Duration { return 10 * bounds.Recover }
 
 // turnOf is the turn that a leg, RUN/TURN/NUMBER, is of.
 func turnOf(leg string) string {
@@ -170,12 +172,12 @@
 }
 
 // unsure tells of a turn that may have run by a leg whose end is not known.
-func (r *Record) unsure(turn string) bool { return slices.Contains(r.Unsure, turn) }
+func (r *Record) unsure(turn string) bool { return slices.Contains(r.UncertainTurns, turn) }
 
 func (r *Record) doubt(leg string) {
 	if turn := turnOf(leg); turn != "" && !r.unsure(turn) {
-		r.Unsure = append(r.Unsure, turn)
-		r.Unsure = r.Unsure[max(0, len(r.Unsure)-unsureLimit):]
+		r.UncertainTurns = append(r.UncertainTurns, turn)
+		r.UncertainTurns = r.UncertainTurns[max(0, len(r.UncertainTurns)-unsureLimit):]
 	}
 }
 
@@ -187,9 +189,9 @@
 	return base.Decline(409, "stale_assignment", "the session is assigned to another Run")
 }
 
-// Limits bound what a caller asked for by what the route allows, which is
+// EffectiveLimits bound what a caller asked for by what the route allows, which is
 // itself the least of route, site and the whole tree.
-func Limits(route *settings.Route, queue int, timeout time.Duration) (int, int64) {
+func EffectiveLimits(route *settings.Route, queue int, timeout time.Duration) (int, int64) {
 	size, limit := route.QueueSize, route.OperationTimeout
 	if queue > 0 {
 		size = min(size, queue)
--- a/internal/session/record_test.go
+++ b/internal/session/record_test.go
@@ -19,16 +19,16 @@
 	for from, phase := range order {
 		is.True(!phase.Terminal())
 		for to, next := range order {
-			is.Equal(phase.May(next), to > from) // only onward
+			is.Equal(phase.CanBecome(next), to > from) // only onward
 		}
 		for _, end := range ends {
-			is.True(phase.May(end)) // any active Run may end
+			is.True(phase.CanBecome(end)) // any active Run may end
 		}
 	}
 	for _, end := range ends {
 		is.True(end.Terminal())
 		for _, next := range append(order, ends...) {
-			is.True(!end.May(next)) // a terminal Run stays so
+			is.True(!end.CanBecome(next)) // a terminal Run stays so
 		}
 	}
 }
@@ -46,7 +46,7 @@
 			for _, next := range allowed[from] {
 				want = want || next == to
 			}
-			is.Equal(from.May(to), want)
+			is.Equal(from.CanBecome(to), want)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 		is.Equal(len(faults), 0)
 		route, err := tree.Match("g", "s", "r")
 		is.NoErr(err)
-		size, ms := Limits(route, row.queue, row.timeout)
+		size, ms := EffectiveLimits(route, row.queue, row.timeout)
 		is.Equal(size, row.wantSize)
 		is.Equal(ms, row.wantMs)
 	}
--- a/internal/session/status.go
+++ b/internal/session/status.go
@@ -18,7 +18,7 @@
 	Run         string             `json:"run"`
 	Epoch       uint64             `json:"epoch"`
 	Owner       string             `json:"owner"`
-	Understudy  string             `json:"understudy,omitempty"`
+	Standby     string             `json:"understudy,omitempty"`
 	Phase       Phase              `json:"phase"`
 	Termination budget.Termination `json:"termination,omitempty"`
 	Reason      string             `json:"reason,omitempty"`
@@ -27,15 +27,15 @@
 	LeaseS      float64            `json:"lease_s,omitempty"`
 	Queued      int                `json:"queued"`
 	Running     string             `json:"running_turn,omitempty"`
-	Turns       uint64             `json:"turns"`
+	TurnCount   uint64             `json:"turns"`
 	LastTurn    string             `json:"last_turn,omitempty"`
 }
 
 // StatusOf shows a record.
 func StatusOf(r *Record) Status {
-	return Status{Session: r.ID, Program: r.Program, Route: r.Route, Run: r.Run, Epoch: r.Epoch, Owner: r.Owner, Understudy: r.Understudy,
-		Phase: r.Phase, Termination: r.Termination, Reason: r.Why, QueueSize: r.QueueSize, TimeoutS: float64(r.TimeoutMs) / 1000,
-		LeaseS: float64(r.LeaseMs) / 1000, Turns: r.Turns, LastTurn: r.LastTurn}
+	return Status{Session: r.ID, Program: r.Program, Route: r.Route, Run: r.Run, Epoch: r.Epoch, Owner: r.Owner, Standby: r.Standby,
+		Phase: r.Phase, Termination: r.Termination, Reason: r.Reason, QueueSize: r.QueueSize, TimeoutS: float64(r.TimeoutMs) / 1000,
+		LeaseS: float64(r.LeaseMs) / 1000, TurnCount: r.TurnCount, LastTurn: r.LastTurn}
 }
 
 func (h *held) status() Status {
@@ -51,19 +51,19 @@
 
 // TurnView is a turn in a listing.
 type TurnView struct {
-	Turn     string         `json:"turn"`
-	Num      uint64         `json:"num,omitempty"`
-	Previous string         `json:"previous_turn,omitempty"`
-	State    OperationState `json:"state"`
-	Messages any            `json:"messages,omitempty"`
-	Answer   string         `json:"answer,omitempty"`
-	Finish   string         `json:"finish_reason,omitempty"`
-	Tokens   int64          `json:"output_tokens,omitempty"`
-	Error    *base.Verdict  `json:"error,omitempty"`
+	Turn         string         `json:"turn"`
+	Number       uint64         `json:"num,omitempty"`
+	Previous     string         `json:"previous_turn,omitempty"`
+	State        OperationState `json:"state"`
+	Messages     any            `json:"messages,omitempty"`
+	Answer       string         `json:"answer,omitempty"`
+	FinishReason string         `json:"finish_reason,omitempty"`
+	OutputTokens int64          `json:"output_tokens,omitempty"`
+	Error        *base.Verdict  `json:"error,omitempty"`
 }
 
-// StateIn is the state of the turn that a read's reply shows.
-func StateIn(body any) OperationState {
+// TurnStateOf is the state of the turn that a read's reply shows.
+func TurnStateOf(body any) OperationState {
 	switch shown := body.(type) {
 	case TurnView:
 		return shown.State
@@ -82,7 +82,7 @@
 }
 
 func viewTurn(turn *Turn, whole bool) TurnView {
-	shown := TurnView{Turn: turn.ID, Num: turn.Num, Previous: turn.Previous, State: OpSucceeded, Finish: turn.Finish, Tokens: turn.Tokens}
+	shown := TurnView{Turn: turn.ID, Number: turn.Number, Previous: turn.Previous, State: OpSucceeded, FinishReason: turn.FinishReason, OutputTokens: turn.OutputTokens}
 	if whole {
 		shown.Messages = turn.Messages
 		for _, piece := range turn.Pieces {
@@ -92,17 +92,17 @@
 	return shown
 }
 
-func (h *held) list(v *Visit) TurnPage {
+func (h *held) list(v *Request) TurnPage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	page := TurnPage{Turns: []TurnView{}}
 	for place := range h.turns {
 		turn := &h.turns[place]
-		if turn.Num <= v.After {
+		if turn.Number <= v.After {
 			continue
 		}
 		if len(page.Turns) == v.Limit {
-			page.Next = page.Turns[len(page.Turns)-1].Num
+			page.Next = page.Turns[len(page.Turns)-1].Number
 			return page
 		}
 		page.Turns = append(page.Turns, viewTurn(turn, false))
@@ -110,7 +110,7 @@
 	return page
 }
 
-func (h *held) read(v *Visit) (*Reply, error) {
+func (h *held) read(v *Request) (*Reply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if turn := h.whole(v.Turn); turn != nil {
--- a/internal/session/stream.go
+++ b/internal/session/stream.go
@@ -16,13 +16,13 @@
 
 // Final is what the last piece of every stream says.
 type Final struct {
-	Verdict string        `json:"verdict"`
-	Ran     base.Ran      `json:"request"`
-	Turn    string        `json:"turn"`
-	Run     string        `json:"run,omitempty"`
-	Finish  string        `json:"finish_reason,omitempty"`
-	Tokens  int64         `json:"output_tokens,omitempty"`
-	Error   *base.Verdict `json:"error,omitempty"`
+	Outcome      string        `json:"verdict"`
+	Ran          base.Ran      `json:"request"`
+	Turn         string        `json:"turn"`
+	Run          string        `json:"run,omitempty"`
+	FinishReason string        `json:"finish_reason,omitempty"`
+	OutputTokens int64         `json:"output_tokens,omitempty"`
+	Error        *base.Verdict `json:"error,omitempty"`
 }
 
 func finalOf(turn string, v *base.Verdict) *Final {
@@ -35,7 +35,7 @@
 	case v.Code == "cut":
 		word = "cut"
 	}
-	return &Final{Verdict: word, Ran: v.Ran, Turn: turn, Error: v}
+	return &Final{Outcome: word, Ran: v.Ran, Turn: turn, Error: v}
 }
 
 // Stream holds one turn's pieces.
@@ -147,17 +147,17 @@
 
 func replayStream(clock base.Clock, turn *Turn, run string) *Stream {
 	s := newStream(clock)
-	s.begin(turn.Leg)
+	s.begin(turn.Attempt)
 	for _, text := range turn.Pieces {
 		s.put([]byte(text), false)
 	}
-	s.finish(&Final{Verdict: "success", Ran: base.DidRun, Turn: turn.ID, Run: run, Finish: turn.Finish, Tokens: turn.Tokens})
+	s.finish(&Final{Outcome: "success", Ran: base.DidRun, Turn: turn.ID, Run: run, FinishReason: turn.FinishReason, OutputTokens: turn.OutputTokens})
 	return s
 }
 
 // Reader gives a stream's pieces in order, wherever the owner is.
 type Reader struct {
-	keeper *Keeper
+	keeper *Manager
 	turn   string
 	leg    string
 	place  uint64
@@ -184,10 +184,10 @@
 	owner  string
 }
 
-// Refused waits up to a limit for the stream's first event. A turn that ends
+// EarlyFailure waits up to a limit for the stream's first event. A turn that ends
 // without success before any piece can be answered with a plain status; what
 // was read ahead otherwise comes first out of Next.
-func (r *Reader) Refused(limit time.Duration) *base.Verdict {
+func (r *Reader) EarlyFailure(limit time.Duration) *base.Verdict {
 	end := r.keeper.clock.Now() + limit
 	for len(r.ahead) == 0 && !r.done && r.keeper.clock.Now() < end {
 		r.ahead, _, _ = r.Next()
@@ -279,7 +279,7 @@
 
 // pullRemote asks the owner for pieces; a lost reply is asked again by place
 // while the owner is not suspected.
-func (k *Keeper) pullRemote(from *remoteStream, r *Reader) ([]*Piece, error) {
+func (k *Manager) pullRemote(from *remoteStream, r *Reader) ([]*Piece, error) {
 	hold := k.bounds.Load().Pull()
 	member, alive := k.view.Find(from.owner)
 	if member == nil || !alive {
@@ -305,7 +305,7 @@
 }
 
 // Pull answers a node that carries a stream to its caller.
-func (k *Keeper) Pull(_ context.Context, request *PullRequest) (*PullReply, error) {
+func (k *Manager) Pull(_ context.Context, request *PullRequest) (*PullReply, error) {
 	k.mu.Lock()
 	found := k.streams[request.Stream]
 	k.mu.Unlock()
--- a/internal/session/succession.go
+++ b/internal/session/succession.go
@@ -19,7 +19,7 @@
 }
 
 // pickStandby prefers another zone.
-func (k *Keeper) pickStandby(session, not string) string {
+func (k *Manager) pickStandby(session, not string) string {
 	self := k.view.Self()
 	near, far := []string{}, []string{}
 	for _, member := range k.view.Alive(membership.RoleEdge) {
@@ -38,7 +38,7 @@
 }
 
 // takeOver has the next Run taken, by the understudy if it lives.
-func (k *Keeper) takeOver(ctx *base.Ctx, v *Visit, record *Record) error {
+func (k *Manager) takeOver(ctx *base.Ctx, v *Request, record *Record) error {
 	current, err := k.resolve(ctx, v, true)
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 	}
 	k.counters.Add("takeovers_asked", 1)
 	request := &SucceedRequest{Session: current.ID, Program: current.Program, Assignment: current.assignment(), Why: "owner_lost"}
-	if member, alive := k.view.Find(current.Understudy); alive && member.Id != k.me() && !member.Leaving {
+	if member, alive := k.view.Find(current.Standby); alive && member.Id != k.me() && !member.Leaving {
 		reply, err := NewOwnerProtobufClient("http://"+member.Addr, k.wire).Succeed(ctx.Within(k.bounds.Load().Call()), request)
 		if err == nil {
 			var next Record
@@ -63,7 +63,7 @@
 }
 
 // Succeed makes this node the owner of a session's next Run.
-func (k *Keeper) Succeed(plain context.Context, request *SucceedRequest) (*SucceedReply, error) {
+func (k *Manager) Succeed(plain context.Context, request *SucceedRequest) (*SucceedReply, error) {
 	record, err := k.succeedHere(base.CtxOf(plain, k.clock), request)
 	if err != nil {
 		return nil, base.ToWire(err)
@@ -71,7 +71,7 @@
 	return &SucceedReply{Record: base.Encode(record)}, nil
 }
 
-func (k *Keeper) succeedHere(ctx *base.Ctx, request *SucceedRequest) (*Record, error) {
+func (k *Manager) succeedHere(ctx *base.Ctx, request *SucceedRequest) (*Record, error) {
 	if k.isDraining() {
 		return nil, base.Busy(503, "draining", 1, "this node is leaving")
 	}
@@ -94,20 +94,20 @@
 
 // adopt brings the chain of a Run this node owns into memory, from its copy
 // as understudy when that is whole, else from the register.
-func (k *Keeper) adopt(ctx *base.Ctx, record *Record) (*held, error) {
+func (k *Manager) adopt(ctx *base.Ctx, record *Record) (*held, error) {
 	k.mu.Lock()
 	if found := k.held[record.ID]; found != nil && found.isRun(record.Run) {
 		k.mu.Unlock()
 		return found, nil
 	}
 	var turns []Turn
-	if copied := k.copies[record.ID]; copied != nil && uint64(len(copied.turns)) >= record.Turns {
-		if whole := copied.turns[:record.Turns]; record.Turns == 0 || whole[record.Turns-1].ID == record.LastTurn {
+	if copied := k.copies[record.ID]; copied != nil && uint64(len(copied.turns)) >= record.TurnCount {
+		if whole := copied.turns[:record.TurnCount]; record.TurnCount == 0 || whole[record.TurnCount-1].ID == record.LastTurn {
 			turns = slices.Clone(whole)
 		}
 	}
 	k.mu.Unlock()
-	if uint64(len(turns)) < record.Turns {
+	if uint64(len(turns)) < record.TurnCount {
 		k.counters.Add("chains_read_from_register", 1)
 		read, err := k.readChain(ctx, record)
 		if err != nil {
@@ -118,9 +118,9 @@
 	return k.install(record, turns), nil
 }
 
-func (k *Keeper) readChain(ctx *base.Ctx, record *Record) ([]Turn, error) {
+func (k *Manager) readChain(ctx *base.Ctx, record *Record) ([]Turn, error) {
 	turns := []Turn{}
-	for uint64(len(turns)) < record.Turns {
+	for uint64(len(turns)) < record.TurnCount {
 		answer, err := k.change(ctx, record.Program, "session.turns", ask{Session: record.ID, After: uint64(len(turns)), Limit: 64})
 		if err != nil {
 			return nil, err
@@ -130,11 +130,11 @@
 		}
 		turns = append(turns, answer.Turns...)
 	}
-	return turns[:record.Turns], nil
+	return turns[:record.TurnCount], nil
 }
 
 // Offer takes a turn of a chain this node understudies.
-func (k *Keeper) Offer(_ context.Context, request *OfferRequest) (*OfferReply, error) {
+func (k *Manager) Offer(_ context.Context, request *OfferRequest) (*OfferReply, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	copied := k.copies[request.Session]
@@ -152,7 +152,7 @@
 	return &OfferReply{Turns: uint64(len(copied.turns))}, nil
 }
 
-func (k *Keeper) handOver(h *held, end time.Duration) {
+func (k *Manager) handOver(h *held, end time.Duration) {
 	defer h.handed.Fire()
 	for {
 		next := h.bell.Next()
@@ -169,7 +169,7 @@
 	}
 	request := &SucceedRequest{Session: record.ID, Program: record.Program, Assignment: record.assignment(), Why: "owner_leaving"}
 	tried := map[string]bool{k.me(): true}
-	for _, id := range []string{record.Understudy, k.pickStandby(record.ID, record.Understudy)} {
+	for _, id := range []string{record.Standby, k.pickStandby(record.ID, record.Standby)} {
 		member, alive := k.view.Find(id)
 		if !alive || member.Leaving || tried[id] {
 			continue
--- a/internal/toolcall/toolcall.go
+++ b/internal/toolcall/toolcall.go
@@ -23,19 +23,19 @@
 	released state = "released"
 )
 
-// Answer is what a worker gave.
-type Answer struct {
+// Response is what a worker gave.
+type Response struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
 	Body        []byte `json:"body"`
 }
 
 type record struct {
-	State  state   `json:"state"`
-	Digest string  `json:"digest"`
-	Leg    string  `json:"leg"`
-	Answer *Answer `json:"answer,omitempty"`
-	At     int64   `json:"at"`
+	State  state     `json:"state"`
+	Digest string    `json:"digest"`
+	Leg    string    `json:"leg"`
+	Answer *Response `json:"answer,omitempty"`
+	At     int64     `json:"at"`
 }
 
 // Claim asks for the right to carry a call out once.
@@ -43,18 +43,18 @@
 	Program string `json:"program"`
 	Key     string `json:"key"`
 	Digest  string `json:"digest"`
-	Leg     string `json:"leg"`
+	Attempt string `json:"leg"`
 }
 
 // Outcome of a claim: go ahead, the recorded answer, or another leg has it.
 type Outcome struct {
-	Go     bool    `json:"go"`
-	Answer *Answer `json:"answer,omitempty"`
+	Proceed  bool      `json:"go"`
+	Response *Response `json:"answer,omitempty"`
 }
 
 type finish struct {
 	Claim
-	Answer *Answer `json:"answer,omitempty"`
+	Answer *Response `json:"answer,omitempty"`
 }
 
 func key(program, callKey string) string { return "claim/" + program + "/" + callKey }
@@ -74,14 +74,14 @@
 	tx.Put(key(c.Program, c.Key), base.Encode(r))
 }
 
-// Serve adds the claims' ops to a core.
-func Serve(owner *register.Owner) {
+// RegisterHandlers adds the claims' ops to a core.
+func RegisterHandlers(owner *register.Owner) {
 	owner.Handle("toolcall.claim", claim)
 	owner.Handle("toolcall.finish", func(tx *register.Tx, args []byte) (any, error) {
 		var asked finish
 		_ = json.Unmarshal(args, &asked)
 		found := load(tx, &asked.Claim)
-		if found == nil || found.Leg != asked.Leg || found.State != claimed {
+		if found == nil || found.Leg != asked.Attempt || found.State != claimed {
 			return struct{}{}, nil
 		}
 		found.State = released
@@ -110,24 +110,24 @@
 		return nil, base.Decline(409, "key_reused", "this Idempotency-Key was used with another call")
 	}
 	if found != nil && found.State == answered {
-		return Outcome{Answer: found.Answer}, nil
+		return Outcome{Response: found.Answer}, nil
 	}
 	if found != nil && found.State == claimed {
-		return Outcome{Go: found.Leg == asked.Leg}, nil
+		return Outcome{Proceed: found.Leg == asked.Attempt}, nil
 	}
-	if found != nil && found.Leg == asked.Leg {
+	if found != nil && found.Leg == asked.Attempt {
 		return nil, base.Decline(409, "leg_over", "this leg was given up")
 	}
 	program := budget.Load(tx, asked.Program)
 	if program == nil {
-		return nil, budget.Unknown()
+		return nil, budget.UnknownProgram()
 	}
-	if err := budget.Active(tx, program, false); err != nil {
+	if err := budget.CheckActive(tx, program, false); err != nil {
 		return nil, err
 	}
-	fresh := &record{State: claimed, Digest: asked.Digest, Leg: asked.Leg}
+	fresh := &record{State: claimed, Digest: asked.Digest, Leg: asked.Attempt}
 	fresh.store(tx, &asked)
-	return Outcome{Go: true}, nil
+	return Outcome{Proceed: true}, nil
 }
 
 // Client claims and finishes calls.
@@ -135,10 +135,10 @@
 
 func (c *Client) Claim(ctx *base.Ctx, asked Claim) (*Outcome, error) {
 	var outcome Outcome
-	return &outcome, c.Register.Change(ctx, budget.GroupOf(asked.Program), "toolcall.claim", asked, &outcome)
+	return &outcome, c.Register.Change(ctx, budget.RegisterGroup(asked.Program), "toolcall.claim", asked, &outcome)
 }
 
 // Finish records the answer, or gives the claim back when there is none.
-func (c *Client) Finish(ctx *base.Ctx, asked Claim, answer *Answer) error {
-	return c.Register.Change(ctx, budget.GroupOf(asked.Program), "toolcall.finish", finish{asked, answer}, nil)
+func (c *Client) Finish(ctx *base.Ctx, asked Claim, answer *Response) error {
+	return c.Register.Change(ctx, budget.RegisterGroup(asked.Program), "toolcall.finish", finish{asked, answer}, nil)
 }
