--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -102,7 +102,7 @@
 	server.ReadTimeout = 0
 	server.IdleTimeout = 0
 	server.HeaderReceived = func(*fasthttp.RequestHeader) fasthttp.RequestConfig {
-		return fasthttp.RequestConfig{MaxRequestBodySize: orDefault(t.limits().BodyBytes, defaultBody)}
+		return fasthttp.RequestConfig{MaxRequestBodySize: orDefault(t.limits().MaxBodyBytes, defaultBody)}
 	}
 	server.ErrorHandler = refuseUnread
 	handler := server.Handler
@@ -166,8 +166,8 @@
 // for longer than they may. It gives the time until the next sweep.
 func (t *Table) Sweep() time.Duration {
 	limits := t.limits()
-	idle := orDefault(limits.Idle, defaultIdle)
-	head := orDefault(limits.HeaderRead, defaultRead)
+	idle := orDefault(limits.IdleTimeout, defaultIdle)
+	head := orDefault(limits.HeaderReadTimeout, defaultRead)
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -98,8 +98,8 @@
 // when the limit has grown since; after the whole of it, it is closed.
 func TestARestWithinTheLimitIsServed(t *testing.T) {
 	for _, idle := range []time.Duration{5 * time.Second, 15 * time.Second, 2 * time.Minute} {
-		b := newBench(t, route.Limits{Idle: time.Second})
-		b.limits.Store(&route.Limits{Idle: idle})
+		b := newBench(t, route.Limits{IdleTimeout: time.Second})
+		b.limits.Store(&route.Limits{IdleTimeout: idle})
 		c, reader := b.dial()
 		defer c.Close()
 		b.pass(idle * 4 / 5)
@@ -116,7 +116,7 @@
 
 // A request under way is not cut, however long it takes.
 func TestARequestUnderWayIsNotCut(t *testing.T) {
-	b := newBench(t, route.Limits{Idle: time.Second, HeaderRead: time.Second})
+	b := newBench(t, route.Limits{IdleTimeout: time.Second, HeaderReadTimeout: time.Second})
 	c, reader := b.dial()
 	defer c.Close()
 	_, err := io.WriteString(c, "GET /held HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -131,7 +131,7 @@
 
 // A request that does not come whole within its time ends the connection.
 func TestASlowRequestIsBounded(t *testing.T) {
-	b := newBench(t, route.Limits{Idle: 10 * time.Second, HeaderRead: 3 * time.Second})
+	b := newBench(t, route.Limits{IdleTimeout: 10 * time.Second, HeaderReadTimeout: 3 * time.Second})
 	c, reader := b.dial()
 	defer c.Close()
 	_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHo")
@@ -149,13 +149,13 @@
 
 // The longest body is the one of the limits in force.
 func TestABodyWithinTheLimitIsTaken(t *testing.T) {
-	b := newBench(t, route.Limits{BodyBytes: 1000})
+	b := newBench(t, route.Limits{MaxBodyBytes: 1000})
 	c, reader := b.dial()
 	defer c.Close()
 	b.Equal(b.ask(c, reader, 1000), 200)
-	b.limits.Store(&route.Limits{BodyBytes: 12 << 20})
+	b.limits.Store(&route.Limits{MaxBodyBytes: 12 << 20})
 	b.Equal(b.ask(c, reader, 12<<20), 200)
-	b.limits.Store(&route.Limits{BodyBytes: 1000})
+	b.limits.Store(&route.Limits{MaxBodyBytes: 1000})
 	b.Equal(b.ask(c, reader, 1001), 413)
 }
 
--- a/internal/front/access.go
+++ b/internal/front/access.go
@@ -12,11 +12,11 @@
 // allowed refuses a turn whose model its team may not call. A turn that was
 // accepted before, and is asked for again by its own id, is no new one: it ends
 // as it was accepted.
-func (f *Front) allowed(ctx *base.Ctx, v *session.Visit, named bool) error {
+func (f *Handler) allowed(ctx *base.Ctx, v *session.Visit, named bool) error {
 	if v.Kind != session.KindTurn || !f.Access.Rules() {
 		return nil
 	}
-	record, err := f.Keeper.Find(ctx.Within(f.Bounds.Load().Recover), v)
+	record, err := f.Sessions.Find(ctx.Within(f.Bounds.Load().Recover), v)
 	if err != nil || !record.Opens(v.Bearer) {
 		return err // wrong credentials are the owner's to decline
 	}
@@ -26,7 +26,7 @@
 	}
 	read := *v
 	read.Kind, read.ID = session.KindRead, base.NewID(f.Clock, "v")
-	found, err := f.Keeper.Visit(ctx.Within(f.Bounds.Load().Call()), &read)
+	found, err := f.Sessions.Visit(ctx.Within(f.Bounds.Load().Call()), &read)
 	if err != nil {
 		return refusal
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -20,21 +20,21 @@
 	"fordseam/internal/worker"
 )
 
-// Front is what a gateway shows.
-type Front struct {
-	Clock    base.Clock
-	Bounds   *base.Table[base.Bounds]
-	Counters *base.Counters
-	Follower *feed.Follower
-	Tree     *base.Table[settings.Tree]
-	Budget   *budget.Client
-	Keeper   *session.Keeper
-	Tools    *toolcall.Client
-	Workers  *worker.Client
-	Book     *worker.Book
-	Picker   *worker.Picker
-	Backends base.Backends
-	Access   *access.Guard
+// Handler is what a gateway shows.
+type Handler struct {
+	Clock        base.Clock
+	Bounds       *base.Table[base.Bounds]
+	Counters     *base.Counters
+	Follower     *feed.Follower
+	Settings     *base.Table[settings.Tree]
+	Budget       *budget.Client
+	Sessions     *session.Keeper
+	Tools        *toolcall.Client
+	Workers      *worker.Client
+	UsageReports *worker.Book
+	Picker       *worker.Picker
+	Backends     base.Backends
+	Access       *access.Guard
 
 	known sync.Map
 	open  atomic.Int64
@@ -50,33 +50,33 @@
 }
 
 // Handle answers one request.
-func (f *Front) Handle(ctx *base.Ctx, r *Request) *Response {
+func (f *Handler) Handle(ctx *base.Ctx, r *Request) *Response {
 	f.Counters.Add("requests", 1)
 	made, err := f.plan(r)
 	if err != nil {
 		f.Counters.Add("requests_declined_bad", 1)
-		return Failure(err)
+		return ErrorResponse(err)
 	}
 	defer f.open.Add(-1)
 	if f.open.Add(1) > visitLimit {
 		f.Counters.Add("requests_declined_full", 1)
-		return Failure(base.Busy(429, "overloaded", 1, "this gateway has %d requests in hand", visitLimit))
+		return ErrorResponse(base.Busy(429, "overloaded", 1, "this gateway has %d requests in hand", visitLimit))
 	}
 	if err := f.Follower.Permit(ctx); err != nil {
-		return Failure(err)
+		return ErrorResponse(err)
 	}
-	if f.Tree.Load() == nil {
-		return Failure(base.Busy(503, "no_settings", 2, "no settings have been applied"))
+	if f.Settings.Load() == nil {
+		return ErrorResponse(base.Busy(503, "no_settings", 2, "no settings have been applied"))
 	}
 	response, err := made.act(ctx)
 	if err != nil {
-		return Failure(err)
+		return ErrorResponse(err)
 	}
 	return response
 }
 
-func (f *Front) bodyLimit() int {
-	if tree := f.Tree.Load(); tree != nil {
+func (f *Handler) bodyLimit() int {
+	if tree := f.Settings.Load(); tree != nil {
 		return tree.BodyLimit()
 	}
 	return 1 << 20
@@ -86,7 +86,7 @@
 	return base.Decline(404, "unknown_path", "there is nothing at this path with this method")
 }
 
-func (f *Front) plan(r *Request) (*plan, error) {
+func (f *Handler) plan(r *Request) (*plan, error) {
 	if limit := f.bodyLimit(); len(r.Body) > limit {
 		return nil, base.Decline(413, "body_too_large", "the body is larger than %d bytes", limit)
 	}
@@ -136,12 +136,12 @@
 }
 
 // newSecret gives a credential and the digest that is kept of it.
-func (f *Front) newSecret() (secret, digest string) {
+func (f *Handler) newSecret() (secret, digest string) {
 	secret = base.NewID(f.Clock, "") + base.NewID(f.Clock, "")
 	return secret, base.Digest([]byte(secret))
 }
 
-func (f *Front) planCreate(r *Request) (*plan, error) {
+func (f *Handler) planCreate(r *Request) (*plan, error) {
 	var name, group, site, parent, urgency string
 	var tokens, deadline float64
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
@@ -176,7 +176,7 @@
 	return &plan{func(ctx *base.Ctx) (*Response, error) { return f.create(ctx, r, program, parent, deadline) }}, nil
 }
 
-func (f *Front) create(ctx *base.Ctx, r *Request, program budget.Program, parent string, deadline float64) (*Response, error) {
+func (f *Handler) create(ctx *base.Ctx, r *Request, program budget.Program, parent string, deadline float64) (*Response, error) {
 	if program.ID == "" {
 		program.ID = base.NewID(f.Clock, "p")
 	}
@@ -186,7 +186,7 @@
 			return nil, err
 		}
 		program.ID, program.Root = parent+"."+program.ID, budget.GroupOf(parent)
-	} else if _, err := f.Tree.Load().Effective(program.Group, program.Site); err != nil {
+	} else if _, err := f.Settings.Load().Effective(program.Group, program.Site); err != nil {
 		return nil, err
 	}
 	if deadline > 0 {
@@ -225,7 +225,7 @@
 
 // admit checks a program's credentials. A right answer is kept for a while,
 // by digest, so that not every call asks the register; a wrong one is not.
-func (f *Front) admit(ctx *base.Ctx, r *Request, id string) (*budget.Program, error) {
+func (f *Handler) admit(ctx *base.Ctx, r *Request, id string) (*budget.Program, error) {
 	given := bearer(r)
 	if kept, ok := f.known.Load(id + " " + given); ok && f.Clock.Now()-kept.(*opened).at < f.Bounds.Load().Recover*5/2 {
 		return kept.(*opened).program, nil
@@ -241,8 +241,8 @@
 	return found, nil
 }
 
-// Forget drops what admit kept for too long.
-func (f *Front) Forget() {
+// EvictExpired drops what admit kept for too long.
+func (f *Handler) EvictExpired() {
 	f.known.Range(func(key, kept any) bool {
 		if f.Clock.Now()-kept.(*opened).at > f.Bounds.Load().Recover*5/2 {
 			f.known.Delete(key)
@@ -251,7 +251,7 @@
 	})
 }
 
-func (f *Front) showProgram(ctx *base.Ctx, r *Request, id string) (*Response, error) {
+func (f *Handler) showProgram(ctx *base.Ctx, r *Request, id string) (*Response, error) {
 	program, err := f.Budget.Get(ctx.Within(f.Bounds.Load().Recover), id)
 	if err != nil {
 		return nil, err
@@ -273,7 +273,7 @@
 	return budget.Termination(mode), nil
 }
 
-func (f *Front) planTerminate(r *Request, id string) (*plan, error) {
+func (f *Handler) planTerminate(r *Request, id string) (*plan, error) {
 	mode, err := readMode(r)
 	if err != nil {
 		return nil, err
@@ -290,7 +290,7 @@
 	}}, nil
 }
 
-func (f *Front) planAcquire(r *Request, id string) (*plan, error) {
+func (f *Handler) planAcquire(r *Request, id string) (*plan, error) {
 	var route string
 	var queue, timeout, lease float64
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
@@ -308,7 +308,7 @@
 		if err != nil {
 			return nil, err
 		}
-		matched, err := f.Tree.Load().Match(program.Group, program.Site, route)
+		matched, err := f.Settings.Load().Match(program.Group, program.Site, route)
 		if err != nil {
 			return nil, err
 		}
@@ -319,7 +319,7 @@
 			return nil, err
 		}
 		if matched.Policy != nil {
-			allowed, err := matched.Policy.Admit(program.Urgency, route, f.Keeper.Owned())
+			allowed, err := matched.Policy.Admit(program.Urgency, route, f.Sessions.Owned())
 			if err != nil {
 				f.Counters.Add("policy_faults", 1)
 			}
@@ -331,7 +331,7 @@
 		record := &session.Record{ID: id + ":" + base.NewID(f.Clock, "s"), Program: id, ProgramSecret: program.Secret, Secret: digest,
 			Group: program.Group, Site: program.Site, Route: route, Urgency: program.Urgency, LeaseMs: int64(lease * 1000)}
 		record.QueueSize, record.TimeoutMs = session.Limits(matched, int(queue), time.Duration(timeout*float64(time.Second)))
-		made, err := f.Keeper.Acquire(ctx.Within(f.Bounds.Load().Recover), record)
+		made, err := f.Sessions.Acquire(ctx.Within(f.Bounds.Load().Recover), record)
 		if err != nil {
 			return nil, err
 		}
@@ -342,7 +342,7 @@
 	}}, nil
 }
 
-func (f *Front) planSession(r *Request, program, id string, rest []string) (*plan, error) {
+func (f *Handler) planSession(r *Request, program, id string, rest []string) (*plan, error) {
 	v := &session.Visit{Program: program, Session: id, Bearer: bearer(r)}
 	if err := checkName("session", id); err != nil {
 		return nil, err
@@ -381,7 +381,7 @@
 	return &plan{func(ctx *base.Ctx) (*Response, error) { return f.visit(ctx, v) }}, nil
 }
 
-func (f *Front) visit(ctx *base.Ctx, v *session.Visit) (*Response, error) {
+func (f *Handler) visit(ctx *base.Ctx, v *session.Visit) (*Response, error) {
 	v.ID = base.NewID(f.Clock, "v")
 	given := v.Turn != ""
 	if v.Kind == session.KindTurn && !given {
@@ -390,7 +390,7 @@
 	if err := f.allowed(ctx, v, given); err != nil {
 		return nil, err
 	}
-	reply, err := f.Keeper.Visit(ctx.Within(2*f.Bounds.Load().Recover), v)
+	reply, err := f.Sessions.Visit(ctx.Within(2*f.Bounds.Load().Recover), v)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/jx"
 )
 
-func (f *Front) planPlatform(r *Request, parts []string) (*plan, error) {
+func (f *Handler) planPlatform(r *Request, parts []string) (*plan, error) {
 	switch r.Method + " " + shape(parts) {
 	case "GET workers":
 		return &plan{func(ctx *base.Ctx) (*Response, error) {
@@ -67,7 +67,7 @@
 	}
 }
 
-func (f *Front) planReplace(r *Request) (*plan, error) {
+func (f *Handler) planReplace(r *Request) (*plan, error) {
 	var stamp float64
 	var workers []worker.Worker
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{"stamp": base.Number(&stamp, 1, 1<<52, true), "workers": readWorkers(&workers)})
@@ -87,7 +87,7 @@
 	}), nil
 }
 
-func (f *Front) planPatch(r *Request) (*plan, error) {
+func (f *Handler) planPatch(r *Request) (*plan, error) {
 	var stamp float64
 	var put []worker.Worker
 	var remove []string
@@ -118,7 +118,7 @@
 	}), nil
 }
 
-func (f *Front) changeList(change func(ctx *base.Ctx) (*worker.List, error)) *plan {
+func (f *Handler) changeList(change func(ctx *base.Ctx) (*worker.List, error)) *plan {
 	return &plan{func(ctx *base.Ctx) (*Response, error) {
 		now, err := change(ctx.Within(f.Bounds.Load().Recover))
 		if err != nil {
@@ -128,7 +128,7 @@
 	}}
 }
 
-func (f *Front) planUsage(r *Request, id string) (*plan, error) {
+func (f *Handler) planUsage(r *Request, id string) (*plan, error) {
 	var load, count float64
 	usage := &membership.Usage{Worker: id}
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
@@ -143,7 +143,7 @@
 	}
 	usage.Number, usage.Load = uint64(count), int64(load)
 	return &plan{func(ctx *base.Ctx) (*Response, error) {
-		if !f.Book.Tell(usage) {
+		if !f.UsageReports.Tell(usage) {
 			f.Counters.Add("usage_stale", 1)
 			return answer(200, map[string]any{"taken": false}), nil
 		}
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -38,8 +38,8 @@
 	return &Response{Status: status, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.Encode(body), '\n')}
 }
 
-// Failure shows a verdict to a caller.
-func Failure(err error) *Response {
+// ErrorResponse shows a verdict to a caller.
+func ErrorResponse(err error) *Response {
 	v := base.FromWire(err)
 	status := v.Status
 	if status == 0 {
--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -17,7 +17,7 @@
 
 const toolBodyLimit = 4 << 20
 
-func (f *Front) planTool(r *Request, program, name string) (*plan, error) {
+func (f *Handler) planTool(r *Request, program, name string) (*plan, error) {
 	key := r.Header["idempotency-key"]
 	if key != "" {
 		if err := checkName("Idempotency-Key", key); err != nil {
@@ -32,7 +32,7 @@
 		if err != nil {
 			return nil, err
 		}
-		route, err := f.Tree.Load().Match(opened.Group, opened.Site, name)
+		route, err := f.Settings.Load().Match(opened.Group, opened.Site, name)
 		if err != nil {
 			return nil, err
 		}
@@ -42,7 +42,7 @@
 		if key == "" && !route.Repeatable {
 			return nil, base.DeclineField("Idempotency-Key", "route %q may not be repeated; an Idempotency-Key must be given", name)
 		}
-		if f.Keeper.ProgramEnded(budget.GroupOf(program)) != "" || f.Keeper.ProgramEnded(program) != "" {
+		if f.Sessions.ProgramEnded(budget.GroupOf(program)) != "" || f.Sessions.ProgramEnded(program) != "" {
 			return nil, base.Decline(503, "program_terminating", "the program is ending")
 		}
 		ctx = ctx.Within(route.ToolTimeout)
@@ -56,7 +56,7 @@
 }
 
 type toolVisit struct {
-	front   *Front
+	front   *Handler
 	ctx     *base.Ctx
 	request *Request
 	route   *settings.Route
@@ -67,7 +67,7 @@
 // show passes a worker's whole answer on; its failure is a verdict of ours.
 func show(given *toolcall.Answer, replayed bool) *Response {
 	if given.Status >= 500 {
-		return Failure(base.Unsure(502, "worker_failed", "the worker failed with status %d", given.Status))
+		return ErrorResponse(base.Unsure(502, "worker_failed", "the worker failed with status %d", given.Status))
 	}
 	response := &Response{Status: given.Status, Header: map[string]string{"Content-Type": given.ContentType}, Body: given.Body}
 	if replayed {
@@ -188,14 +188,14 @@
 	}
 	cleanup.Push(reply.Close)
 	if reply.Status() == 503 {
-		f.Keeper.WorkerLeaves(chosenWorker)
+		f.Sessions.WorkerLeaves(chosenWorker)
 		if t.route.Repeatable {
 			return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 		}
 		return nil, base.Unsure(502, "worker_leaving", "the worker refused the call as it leaves, but bytes had gone out"), false
 	}
 	if f.Picker.Answered(chosenWorker, reply.Closes()) {
-		f.Keeper.WorkerLeaves(chosenWorker)
+		f.Sessions.WorkerLeaves(chosenWorker)
 	}
 	body, err := reply.Body(t.ctx.Left(), toolBodyLimit)
 	if err != nil {
--- a/internal/ledger/begin.go
+++ b/internal/ledger/begin.go
@@ -8,12 +8,12 @@
 	"fordseam/internal/base"
 )
 
-// Beginning is a turn that wants to run, and the claim it runs under: for a
+// BeginParams is a turn that wants to run, and the claim it runs under: for a
 // first claim the epoch is 1, for a successor's one more than that of the Run
 // it succeeds, and once a Begin gave the session to the claim, the epoch it
 // gave, with Confirmed. A Run that had to give way needs a new id to claim
 // again.
-type Beginning struct {
+type BeginParams struct {
 	Program  string
 	Session  string
 	Turn     string
@@ -23,26 +23,26 @@
 	Epoch    uint64
 	// Confirmed tells that a quorum took this claim before.
 	Confirmed bool
-	// Budgeted turns reserve Most of the program's Budget.
-	Budgeted bool
-	Most     int64
-	Budget   int64
-	// Keep is how long the program's state may be needed after this.
-	Keep time.Duration
+	// Budgeted turns reserve MaxTokens of the program's Budget.
+	Budgeted  bool
+	MaxTokens int64
+	Budget    int64
+	// Retention is how long the program's state may be needed after this.
+	Retention time.Duration
 }
 
-// Begun is who holds the session; Mine tells that it is the claimant.
-type Begun struct {
-	Mine  bool
-	Owner string
-	Run   string
-	Epoch uint64
+// BeginResult is who holds the session; Granted tells that it is the claimant.
+type BeginResult struct {
+	Granted bool
+	Owner   string
+	Run     string
+	Epoch   uint64
 }
 
 // Begin claims the session and reserves the turn's tokens. When another holds
 // the session nothing is reserved and the holder is told. An error means that
 // the turn must not run.
-func (c *Client) Begin(ctx *base.Ctx, b *Beginning) (*Begun, error) {
+func (c *Client) Begin(ctx *base.Ctx, b *BeginParams) (*BeginResult, error) {
 	epoch := max(b.Epoch, 1)
 	came, err := c.settleClaim(ctx, b, &epoch, nil)
 	if err != nil || came.best != nil {
@@ -50,7 +50,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &Begun{Owner: came.best.Owner, Run: came.best.Run, Epoch: came.best.Epoch}, nil
+		return &BeginResult{Owner: came.best.Owner, Run: came.best.Run, Epoch: came.best.Epoch}, nil
 	}
 	if b.Budgeted && b.Turn != "" {
 		if err := c.afford(ctx, b, &epoch, came); err != nil {
@@ -58,7 +58,7 @@
 			return nil, err
 		}
 	}
-	return &Begun{Mine: true, Owner: b.Owner, Run: b.Run, Epoch: epoch}, nil
+	return &BeginResult{Granted: true, Owner: b.Owner, Run: b.Run, Epoch: epoch}, nil
 }
 
 // afford decides whether the budget holds the turn. Any two reservations meet
@@ -68,7 +68,7 @@
 // whatever was granted before it, and tells each replica what it missed. Of any
 // reservations granted so, one sees all the others; docs/duties/ledger.md says
 // why.
-func (c *Client) afford(ctx *base.Ctx, b *Beginning, epoch *uint64, came claimed) error {
+func (c *Client) afford(ctx *base.Ctx, b *BeginParams, epoch *uint64, came claimed) error {
 	for tries := 0; ; tries++ {
 		if !came.alike || tries > 0 {
 			c.counters.Add("ledger_second_rounds", 1)
@@ -94,17 +94,17 @@
 }
 
 // cancel takes back what a turn reserved that will not run.
-func (c *Client) cancel(b *Beginning) {
+func (c *Client) cancel(b *BeginParams) {
 	if !b.Budgeted || b.Turn == "" {
 		return
 	}
 	c.clock.Go(func() {
-		_ = c.Settle(base.NewCtx(c.clock, c.bounds.Load().Call()), &Settled{Program: b.Program, Run: b.Run, Turn: b.Turn, Keep: b.Keep})
+		_ = c.Settle(base.NewCtx(c.clock, c.bounds.Load().Call()), &SettleParams{Program: b.Program, Run: b.Run, Turn: b.Turn, Retention: b.Retention})
 	})
 }
 
-// Succeed takes a session over from a Run; it is told by that Run's epoch.
+// TakeOver takes a session over from a Run; it is told by that Run's epoch.
 // Whoever loses a race is told who won.
-func (c *Client) Succeed(ctx *base.Ctx, program, session, owner, run string, expected uint64, keep time.Duration) (*Begun, error) {
-	return c.Begin(ctx, &Beginning{Program: program, Session: session, Owner: owner, Run: run, Epoch: expected + 1, Keep: keep})
+func (c *Client) TakeOver(ctx *base.Ctx, program, session, owner, run string, expected uint64, keep time.Duration) (*BeginResult, error) {
+	return c.Begin(ctx, &BeginParams{Program: program, Session: session, Owner: owner, Run: run, Epoch: expected + 1, Retention: keep})
 }
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -92,8 +92,8 @@
 func (x *bench) open(files disk.Files) {
 	place := len(x.stores)
 	addr := fmt.Sprintf("127.%d.%d.%d:21840", 220+os.Getpid()%30, 1+os.Getpid()/30%250, place+1)
-	store, err := ledger.OpenStore(ledger.Parts{Clock: x.clock, Wire: x.wire.Wire, Files: files, Bounds: x.bounds, Counters: base.NewCounters(), Tolerate: 1,
-		Local: func() (string, *register.DiskSet) { return fmt.Sprintf("d%d", place), x.set.Load() }})
+	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: x.clock, Wire: x.wire.Wire, Files: files, Bounds: x.bounds, Counters: base.NewCounters(), FaultTolerance: 1,
+		LocalDisk: func() (string, *register.DiskSet) { return fmt.Sprintf("d%d", place), x.set.Load() }})
 	if err != nil {
 		x.b.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 	}
 	x.set.Store(next)
 	for _, store := range x.stores {
-		store.News()
+		store.NotifySetChange()
 	}
 }
 
@@ -134,13 +134,13 @@
 	if number > 0 {
 		previous = fmt.Sprintf("%s.%012d", program, number-1)
 	}
-	begun, err := c.Begin(ctx, &ledger.Beginning{Program: program, Session: "s" + program, Turn: id, Previous: previous, Owner: "10.0.0.1:7380/0123456789abcdef",
-		Run: "run-" + program, Epoch: 1, Confirmed: number > 0, Budgeted: true, Most: 136, Budget: 1 << 40, Keep: time.Minute})
-	if err != nil || !begun.Mine {
+	begun, err := c.Begin(ctx, &ledger.BeginParams{Program: program, Session: "s" + program, Turn: id, Previous: previous, Owner: "10.0.0.1:7380/0123456789abcdef",
+		Run: "run-" + program, Epoch: 1, Confirmed: number > 0, Budgeted: true, MaxTokens: 136, Budget: 1 << 40, Retention: time.Minute})
+	if err != nil || !begun.Granted {
 		x.b.Fatal(err, begun)
 	}
-	if err := c.Finish(ctx, &ledger.Finished{Program: program, Session: "s" + program, Turn: id, Previous: previous, Owner: "10.0.0.1:7380/0123456789abcdef",
-		Run: "run-" + program, Epoch: 1, Input: input, Output: output, Budgeted: true, Tokens: 34, Retain: time.Minute}); err != nil {
+	if err := c.Finish(ctx, &ledger.FinishParams{Program: program, Session: "s" + program, Turn: id, Previous: previous, Owner: "10.0.0.1:7380/0123456789abcdef",
+		Run: "run-" + program, Epoch: 1, Input: input, Output: output, Budgeted: true, Tokens: 34, Retention: time.Minute}); err != nil {
 		x.b.Fatal(err)
 	}
 }
@@ -207,7 +207,7 @@
 		b.StartTimer()
 		started, used := x.clock.Now(), processorTime()
 		x.members(0, 1, 2, 4)
-		for !c.Whole(base.NewCtx(x.clock, time.Second)) {
+		for !c.AllComplete(base.NewCtx(x.clock, time.Second)) {
 		}
 		b.StopTimer()
 		b.ReportMetric((processorTime()-used).Seconds()*1000, "cpu-ms-all")
@@ -223,8 +223,8 @@
 	bounds := &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
 	set := &register.DiskSet{Stamp: 1, Cluster: "c", Disks: []*register.DiskEntry{{Id: "d0"}}}
-	store, err := ledger.OpenStore(ledger.Parts{Clock: base.NewRealClock(), Files: &memory{}, Bounds: bounds, Counters: base.NewCounters(),
-		Tolerate: 1, Local: func() (string, *register.DiskSet) { return "d0", set }})
+	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: base.NewRealClock(), Files: &memory{}, Bounds: bounds, Counters: base.NewCounters(),
+		FaultTolerance: 1, LocalDisk: func() (string, *register.DiskSet) { return "d0", set }})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -295,7 +295,7 @@
 		}()
 	}
 	done.Wait()
-	for c, end := x.client(), x.clock.Now()+time.Minute; !c.Whole(base.NewCtx(x.clock, time.Second)); {
+	for c, end := x.client(), x.clock.Now()+time.Minute; !c.AllComplete(base.NewCtx(x.clock, time.Second)); {
 		if x.clock.Now() > end {
 			t.Fatal("not whole")
 		}
--- a/internal/ledger/budget_test.go
+++ b/internal/ledger/budget_test.go
@@ -46,16 +46,16 @@
 					ctx := base.NewCtx(h.Clock(), 4*time.Second)
 					turn := fmt.Sprintf("t%d", place)
 					h.Clock().Sleep(w.Between(0, longest))
-					_, err := c.Begin(ctx, &ledger.Beginning{Program: "p", Session: "s" + turn, Turn: turn, Owner: h.Name, Run: "run" + turn,
-						Budgeted: true, Most: most, Budget: budget, Keep: retain})
+					_, err := c.Begin(ctx, &ledger.BeginParams{Program: "p", Session: "s" + turn, Turn: turn, Owner: h.Name, Run: "run" + turn,
+						Budgeted: true, MaxTokens: most, Budget: budget, Retention: retain})
 					if err != nil {
 						f.is.True(base.IsCode(err, "over_budget"))
 						return
 					}
 					handed += most
 					if w.Chance(0.5) {
-						_ = c.Finish(ctx, &ledger.Finished{Program: "p", Session: "s" + turn, Turn: turn, Owner: h.Name, Run: "run" + turn, Epoch: 1,
-							Budgeted: true, Tokens: most, Retain: retain})
+						_ = c.Finish(ctx, &ledger.FinishParams{Program: "p", Session: "s" + turn, Turn: turn, Owner: h.Name, Run: "run" + turn, Epoch: 1,
+							Budgeted: true, Tokens: most, Retention: retain})
 					}
 				})
 			}
--- a/internal/ledger/chaos_test.go
+++ b/internal/ledger/chaos_test.go
@@ -90,7 +90,7 @@
 		}
 		m := chosen[names[0]]
 		f.drop(m)
-		for end := f.now() + 20*time.Second; !c.Emptied(f.ctx(), m.id); f.sleep(20 * time.Millisecond) {
+		for end := f.now() + 20*time.Second; !c.IsEmptied(f.ctx(), m.id); f.sleep(20 * time.Millisecond) {
 			if f.now() > end {
 				f.t.Fatalf("%s is not emptied", m.id)
 			}
@@ -162,8 +162,8 @@
 		l := &line{f: f, c: c, program: x.program, session: x.session, owner: h.Name, run: fmt.Sprintf("%s-run%03d", x.session, x.runs), clock: clock, most: 10, budget: 1 << 40}
 		ctx := func() *base.Ctx { return base.NewCtx(clock, 3*time.Second) }
 		if x.runs > 1 {
-			begun, err := c.Succeed(ctx(), x.program, x.session, l.owner, l.run, x.epoch, retain)
-			if err != nil || !begun.Mine {
+			begun, err := c.TakeOver(ctx(), x.program, x.session, l.owner, l.run, x.epoch, retain)
+			if err != nil || !begun.Granted {
 				if err == nil {
 					x.epoch = max(x.epoch, begun.Epoch)
 				}
@@ -178,20 +178,20 @@
 			if len(x.acked) > 0 {
 				previous = x.acked[len(x.acked)-1]
 			}
-			begun, err := c.Begin(ctx(), &ledger.Beginning{Program: x.program, Session: x.session, Turn: id, Previous: previous, Owner: l.owner, Run: l.run,
-				Epoch: l.epoch, Confirmed: l.epoch > 0, Budgeted: true, Most: 10, Budget: 1 << 40, Keep: retain})
+			begun, err := c.Begin(ctx(), &ledger.BeginParams{Program: x.program, Session: x.session, Turn: id, Previous: previous, Owner: l.owner, Run: l.run,
+				Epoch: l.epoch, Confirmed: l.epoch > 0, Budgeted: true, MaxTokens: 10, Budget: 1 << 40, Retention: retain})
 			if err != nil {
 				continue
 			}
-			if !begun.Mine {
+			if !begun.Granted {
 				x.epoch = max(x.epoch, begun.Epoch)
 				break
 			}
 			l.epoch = begun.Epoch
 			x.epoch = max(x.epoch, begun.Epoch)
 			clock.Sleep(f.world.Between(0, 60*time.Millisecond))
-			err = c.Finish(ctx(), &ledger.Finished{Program: x.program, Session: x.session, Turn: id, Previous: previous, Owner: l.owner, Run: l.run, Epoch: l.epoch,
-				Input: []byte("in " + id), Output: []byte("out " + id), Budgeted: true, Tokens: 7, Retain: retain})
+			err = c.Finish(ctx(), &ledger.FinishParams{Program: x.program, Session: x.session, Turn: id, Previous: previous, Owner: l.owner, Run: l.run, Epoch: l.epoch,
+				Input: []byte("in " + id), Output: []byte("out " + id), Budgeted: true, Tokens: 7, Retention: retain})
 			if err == nil {
 				x.acked = append(x.acked, id)
 			}
@@ -217,17 +217,17 @@
 		defer func() { over = true }()
 		x.runs++
 		run := fmt.Sprintf("%s-run%03d", x.session, x.runs)
-		begun, err := c.Succeed(base.NewCtx(h.Clock(), 3*time.Second), x.program, x.session, h.Name, run, l.epoch, retain)
-		if err != nil || !begun.Mine {
+		begun, err := c.TakeOver(base.NewCtx(h.Clock(), 3*time.Second), x.program, x.session, h.Name, run, l.epoch, retain)
+		if err != nil || !begun.Granted {
 			return
 		}
 		x.epoch = max(x.epoch, begun.Epoch)
-		if stale, err := l.c.Begin(base.NewCtx(h.Clock(), 3*time.Second), &ledger.Beginning{Program: x.program, Session: x.session, Turn: last + "-stale", Owner: l.owner,
-			Run: l.run, Epoch: l.epoch, Confirmed: true, Budgeted: true, Most: 10, Budget: 1 << 40, Keep: retain}); err == nil && stale.Mine {
+		if stale, err := l.c.Begin(base.NewCtx(h.Clock(), 3*time.Second), &ledger.BeginParams{Program: x.program, Session: x.session, Turn: last + "-stale", Owner: l.owner,
+			Run: l.run, Epoch: l.epoch, Confirmed: true, Budgeted: true, MaxTokens: 10, Budget: 1 << 40, Retention: retain}); err == nil && stale.Granted {
 			f.t.Errorf("seed %d: a stale Run of %s began a turn", f.world.Seed, x.session)
 		}
-		err = l.c.Finish(base.NewCtx(h.Clock(), 3*time.Second), &ledger.Finished{Program: x.program, Session: x.session, Turn: last + "-stale", Owner: l.owner, Run: l.run,
-			Epoch: l.epoch, Budgeted: true, Retain: retain})
+		err = l.c.Finish(base.NewCtx(h.Clock(), 3*time.Second), &ledger.FinishParams{Program: x.program, Session: x.session, Turn: last + "-stale", Owner: l.owner, Run: l.run,
+			Epoch: l.epoch, Budgeted: true, Retention: retain})
 		if err == nil {
 			f.t.Errorf("seed %d: a stale Run of %s finished a turn", f.world.Seed, x.session)
 		}
@@ -325,15 +325,15 @@
 						h.Clock().Sleep(f.world.Between(0, 120*time.Millisecond))
 						turn, run, session := fmt.Sprintf("t%d.%d", place, one), fmt.Sprintf("run%d", place), fmt.Sprintf("s%d", place)
 						ctx := func() *base.Ctx { return base.NewCtx(h.Clock(), 3*time.Second) }
-						begun, err := c.Begin(ctx(), &ledger.Beginning{Program: "p", Session: session, Turn: turn, Owner: h.Name, Run: run, Epoch: epoch,
-							Confirmed: epoch > 0, Budgeted: true, Most: p.most, Budget: p.budget, Keep: retain})
+						begun, err := c.Begin(ctx(), &ledger.BeginParams{Program: "p", Session: session, Turn: turn, Owner: h.Name, Run: run, Epoch: epoch,
+							Confirmed: epoch > 0, Budgeted: true, MaxTokens: p.most, Budget: p.budget, Retention: retain})
 						if err != nil {
 							if base.IsCode(err, "over_budget") {
 								p.refused++
 							}
 							continue
 						}
-						f.is.True(begun.Mine)
+						f.is.True(begun.Granted)
 						epoch = begun.Epoch
 						p.granted++
 						tokens := f.world.Int64N(p.most + 1)
@@ -343,12 +343,12 @@
 						case 0: // the owner is lost and never says
 							p.unknown += p.most - tokens
 						case 1:
-							if c.Settle(ctx(), &ledger.Settled{Program: "p", Run: run, Turn: turn, Tokens: tokens, Keep: retain}) != nil {
+							if c.Settle(ctx(), &ledger.SettleParams{Program: "p", Run: run, Turn: turn, Tokens: tokens, Retention: retain}) != nil {
 								p.unknown += p.most - tokens
 							}
 						default:
-							if c.Finish(ctx(), &ledger.Finished{Program: "p", Session: session, Turn: turn, Owner: h.Name, Run: run, Epoch: epoch,
-								Budgeted: true, Tokens: tokens, Retain: retain}) != nil {
+							if c.Finish(ctx(), &ledger.FinishParams{Program: "p", Session: session, Turn: turn, Owner: h.Name, Run: run, Epoch: epoch,
+								Budgeted: true, Tokens: tokens, Retention: retain}) != nil {
 								p.unknown += p.most - tokens
 							}
 						}
@@ -371,7 +371,7 @@
 			refused += p.refused
 			f.net.Faults = simulate.Faults{}
 			f.sleep(5 * time.Second)
-			_, err := c.Begin(f.ctx(), &ledger.Beginning{Program: "p", Session: "last", Turn: "last", Owner: "gw", Run: "run", Budgeted: true, Most: p.most, Budget: p.budget, Keep: retain})
+			_, err := c.Begin(f.ctx(), &ledger.BeginParams{Program: "p", Session: "last", Turn: "last", Owner: "gw", Run: "run", Budgeted: true, MaxTokens: p.most, Budget: p.budget, Retention: retain})
 			if p.handed+p.unknown+p.most <= p.budget {
 				f.is.NoErr(err)
 			}
--- a/internal/ledger/claim.go
+++ b/internal/ledger/claim.go
@@ -21,7 +21,7 @@
 	alike  bool
 }
 
-func (c *Client) claim(ctx *base.Ctx, b *Beginning, epoch uint64, known []*Spend) claimed {
+func (c *Client) claim(ctx *base.Ctx, b *BeginParams, epoch uint64, known []*Spend) claimed {
 	set, order, need := c.replicas(b.Program)
 	if set == nil {
 		return claimed{}
@@ -50,7 +50,7 @@
 	answers, moved := gather(c, ctx, round[*BeginReply]{set: set, order: order, enough: need, yes: good,
 		call: func(ctx *base.Ctx, store Ledger, target *Target) (*BeginReply, error) {
 			return store.Begin(ctx, &BeginRequest{Target: target, Program: b.Program, Claim: claim, Turn: b.Turn, Previous: b.Previous,
-				Budgeted: b.Budgeted, Most: b.Most, KeepMs: b.Keep.Milliseconds(), Known: known})
+				Budgeted: b.Budgeted, Most: b.MaxTokens, KeepMs: b.Retention.Milliseconds(), Known: known})
 		},
 		over: func(answers []answer[*BeginReply]) bool {
 			_, won := against(answers)
@@ -140,7 +140,7 @@
 // settleClaim asks until a quorum took the claim or it must give way. Where the
 // replicas' votes are split between claims at one epoch, the one whose Run is
 // first by name asks again at a higher one.
-func (c *Client) settleClaim(ctx *base.Ctx, b *Beginning, epoch *uint64, known []*Spend) (claimed, error) {
+func (c *Client) settleClaim(ctx *base.Ctx, b *BeginParams, epoch *uint64, known []*Spend) (claimed, error) {
 	try := c.confirming(ctx)
 	ctx = try.ctx
 	answered := false
--- a/internal/ledger/finish.go
+++ b/internal/ledger/finish.go
@@ -8,34 +8,34 @@
 	"fordseam/internal/base"
 )
 
-// Finished is a turn that was answered whole.
-type Finished struct {
-	Program  string
-	Session  string
-	Turn     string
-	Previous string
-	Owner    string
-	Run      string
-	Epoch    uint64
-	Input    []byte
-	Output   []byte
-	Budgeted bool
-	Tokens   int64
-	Retain   time.Duration
+// FinishParams is a turn that was answered whole.
+type FinishParams struct {
+	Program   string
+	Session   string
+	Turn      string
+	Previous  string
+	Owner     string
+	Run       string
+	Epoch     uint64
+	Input     []byte
+	Output    []byte
+	Budgeted  bool
+	Tokens    int64
+	Retention time.Duration
 }
 
-// Settled is what a turn came to that was not answered whole.
-type Settled struct {
-	Program string
-	Run     string
-	Turn    string
-	Tokens  int64
-	Keep    time.Duration
+// SettleParams is what a turn came to that was not answered whole.
+type SettleParams struct {
+	Program   string
+	Run       string
+	Turn      string
+	Tokens    int64
+	Retention time.Duration
 }
 
 // Finish keeps a turn that was answered whole. Until it returns without error
 // the end of the answer must not be let out.
-func (c *Client) Finish(ctx *base.Ctx, f *Finished) error {
+func (c *Client) Finish(ctx *base.Ctx, f *FinishParams) error {
 	claim := &Assignment{Session: f.Session, Owner: f.Owner, Run: f.Run, Epoch: f.Epoch, Confirmed: true}
 	for !ctx.Over() {
 		set, order, need := c.replicas(f.Program)
@@ -49,7 +49,7 @@
 		answers, moved := gather(c, ctx, round[*WriteReply]{set: set, order: order, enough: need, yes: wholeYes, over: stale,
 			call: func(ctx *base.Ctx, store Ledger, target *Target) (*WriteReply, error) {
 				return store.Finish(ctx, &FinishRequest{Target: target, Program: f.Program, Claim: claim, Turn: f.Turn, Previous: f.Previous,
-					Input: f.Input, Output: f.Output, Budgeted: f.Budgeted, Tokens: f.Tokens, KeepMs: f.Retain.Milliseconds()})
+					Input: f.Input, Output: f.Output, Budgeted: f.Budgeted, Tokens: f.Tokens, KeepMs: f.Retention.Milliseconds()})
 			}})
 		switch {
 		case moved:
@@ -66,7 +66,7 @@
 
 // Settle says what a turn came to that was not answered whole: nought where it
 // surely handed nothing out.
-func (c *Client) Settle(ctx *base.Ctx, t *Settled) error {
+func (c *Client) Settle(ctx *base.Ctx, t *SettleParams) error {
 	for !ctx.Over() {
 		set, order, need := c.replicas(t.Program)
 		if set == nil {
@@ -75,7 +75,7 @@
 		}
 		answers, moved := gather(c, ctx, round[*WriteReply]{set: set, order: order, enough: need, yes: wholeYes,
 			call: func(ctx *base.Ctx, store Ledger, target *Target) (*WriteReply, error) {
-				return store.Settle(ctx, &SettleRequest{Target: target, Program: t.Program, Run: t.Run, Turn: t.Turn, Tokens: t.Tokens, KeepMs: t.Keep.Milliseconds()})
+				return store.Settle(ctx, &SettleRequest{Target: target, Program: t.Program, Run: t.Run, Turn: t.Turn, Tokens: t.Tokens, KeepMs: t.Retention.Milliseconds()})
 			}})
 		if wholes(answers) >= need && !moved {
 			return nil
--- a/internal/ledger/gaps.go
+++ b/internal/ledger/gaps.go
@@ -56,14 +56,14 @@
 	return ""
 }
 
-// Whole tells whether every store of the newest set lacks nothing.
-func (c *Client) Whole(ctx *base.Ctx) bool {
+// AllComplete tells whether every store of the newest set lacks nothing.
+func (c *Client) AllComplete(ctx *base.Ctx) bool {
 	set := c.newest()
 	return set != nil && len(c.Gaps(ctx.Within(c.bounds.Load().DiskLimit()), set)) == 0
 }
 
-// Emptied tells whether a disk is out of the set and nothing rests on it.
-func (c *Client) Emptied(ctx *base.Ctx, disk string) bool {
+// IsEmptied tells whether a disk is out of the set and nothing rests on it.
+func (c *Client) IsEmptied(ctx *base.Ctx, disk string) bool {
 	set := c.newest()
-	return set != nil && entryIn(set, disk) == nil && c.Whole(ctx)
+	return set != nil && entryIn(set, disk) == nil && c.AllComplete(ctx)
 }
--- a/internal/ledger/keep_test.go
+++ b/internal/ledger/keep_test.go
@@ -154,8 +154,8 @@
 			id := fmt.Sprintf("big.%d", turn)
 			begun, err := l.begin(id)
 			f.is.NoErr(err)
-			f.is.NoErr(c.Finish(f.ctx(), &ledger.Finished{Program: l.program, Session: l.session, Turn: id, Owner: l.owner, Run: l.run,
-				Epoch: begun.Epoch, Output: body, Retain: time.Second}))
+			f.is.NoErr(c.Finish(f.ctx(), &ledger.FinishParams{Program: l.program, Session: l.session, Turn: id, Owner: l.owner, Run: l.run,
+				Epoch: begun.Epoch, Output: body, Retention: time.Second}))
 			f.sleep(120 * time.Millisecond)
 			if turn%300 == 299 {
 				for _, one := range kept {
@@ -175,7 +175,7 @@
 		}
 		begun, err := l.begin("after")
 		f.is.NoErr(err)
-		f.is.True(begun.Mine)
+		f.is.True(begun.Granted)
 	})
 }
 
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -111,8 +111,8 @@
 	m.up = true
 	m.count = base.NewCounters()
 	m.host.Go(func() {
-		store, err := ledger.OpenStore(ledger.Parts{Clock: m.host.Clock(), Wire: f.net.Wire(m.host), Files: m.files, Bounds: f.bounds,
-			Counters: m.count, Tolerate: f.tolerate, Local: func() (string, *register.DiskSet) { return m.id, m.set }})
+		store, err := ledger.OpenStore(ledger.StoreConfig{Clock: m.host.Clock(), Wire: f.net.Wire(m.host), Files: m.files, Bounds: f.bounds,
+			Counters: m.count, FaultTolerance: f.tolerate, LocalDisk: func() (string, *register.DiskSet) { return m.id, m.set }})
 		f.is.NoErr(err)
 		m.store = store
 		server := ledger.NewLedgerServer(store)
@@ -151,7 +151,7 @@
 	for _, m := range members {
 		m.set = next
 		if m.up && m.store != nil {
-			m.store.News()
+			m.store.NotifySetChange()
 		}
 	}
 }
@@ -184,7 +184,7 @@
 func (f *fleet) now() time.Duration    { return f.test.Clock().Now() }
 func (f *fleet) settled(c *ledger.Client) bool {
 	for end := f.now() + 20*time.Second; f.now() < end; f.sleep(20 * time.Millisecond) {
-		if c.Whole(f.ctx()) {
+		if c.AllComplete(f.ctx()) {
 			return true
 		}
 	}
@@ -210,14 +210,14 @@
 	return &line{f: f, c: c, program: program, session: "s-" + program, owner: "gw-1", run: "run-" + program, most: 10, budget: 1 << 40}
 }
 
-func (l *line) begin(turn string) (*ledger.Begun, error) {
+func (l *line) begin(turn string) (*ledger.BeginResult, error) {
 	previous := ""
 	if len(l.turns) > 0 {
 		previous = l.turns[len(l.turns)-1]
 	}
-	begun, err := l.c.Begin(l.f.ctx(), &ledger.Beginning{Program: l.program, Session: l.session, Turn: turn, Previous: previous, Owner: l.owner,
-		Run: l.run, Epoch: l.epoch, Confirmed: l.epoch > 0, Budgeted: true, Most: l.most, Budget: l.budget, Keep: retain})
-	if err == nil && begun.Mine {
+	begun, err := l.c.Begin(l.f.ctx(), &ledger.BeginParams{Program: l.program, Session: l.session, Turn: turn, Previous: previous, Owner: l.owner,
+		Run: l.run, Epoch: l.epoch, Confirmed: l.epoch > 0, Budgeted: true, MaxTokens: l.most, Budget: l.budget, Retention: retain})
+	if err == nil && begun.Granted {
 		l.epoch = begun.Epoch
 	}
 	return begun, err
@@ -228,8 +228,8 @@
 	if len(l.turns) > 0 {
 		previous = l.turns[len(l.turns)-1]
 	}
-	err := l.c.Finish(l.f.ctx(), &ledger.Finished{Program: l.program, Session: l.session, Turn: turn, Previous: previous, Owner: l.owner, Run: l.run,
-		Epoch: l.epoch, Input: []byte("in " + turn), Output: []byte("out " + turn), Budgeted: true, Tokens: l.most, Retain: retain})
+	err := l.c.Finish(l.f.ctx(), &ledger.FinishParams{Program: l.program, Session: l.session, Turn: turn, Previous: previous, Owner: l.owner, Run: l.run,
+		Epoch: l.epoch, Input: []byte("in " + turn), Output: []byte("out " + turn), Budgeted: true, Tokens: l.most, Retention: retain})
 	if err == nil {
 		l.turns = append(l.turns, turn)
 	}
@@ -242,7 +242,7 @@
 	id := fmt.Sprintf("%s.%d", l.program, len(l.turns))
 	begun, err := l.begin(id)
 	l.f.is.NoErr(err)
-	l.f.is.True(begun.Mine)
+	l.f.is.True(begun.Granted)
 	l.f.is.NoErr(l.finish(id))
 }
 
@@ -384,7 +384,7 @@
 	h.Go(func() {
 		for one := 0; ; one++ {
 			id := fmt.Sprintf("%s.%d", l.program, one)
-			if begun, err := l.begin(id); err != nil || !begun.Mine || l.finish(id) != nil {
+			if begun, err := l.begin(id); err != nil || !begun.Granted || l.finish(id) != nil {
 				return
 			}
 		}
@@ -396,9 +396,9 @@
 		c := f.client(1)
 		lines := f.lines(c, 40, 2)
 		retired := f.stores[2]
-		f.is.True(!c.Emptied(f.ctx(), retired.id))
+		f.is.True(!c.IsEmptied(f.ctx(), retired.id))
 		f.change(f.stores[0], f.stores[1], f.stores[3], f.stores[4])
-		for end := f.now() + 10*time.Second; !c.Emptied(f.ctx(), retired.id); f.sleep(20 * time.Millisecond) {
+		for end := f.now() + 10*time.Second; !c.IsEmptied(f.ctx(), retired.id); f.sleep(20 * time.Millisecond) {
 			f.is.True(f.now() < end)
 		}
 		f.kill(retired)
@@ -415,17 +415,17 @@
 			if seed%3 == 0 {
 				f.kill(f.stores[seed%4])
 			}
-			winners, over := map[string]*ledger.Begun{}, 0
+			winners, over := map[string]*ledger.BeginResult{}, 0
 			for place := 0; place < 3; place++ {
 				h := f.world.NewHost(fmt.Sprintf("edge-%d", place), fmt.Sprintf("zone-%d", place))
 				c := f.clientOn(h)
 				h.Go(func() {
 					defer func() { over++ }()
 					owner := fmt.Sprintf("gw-%d", place)
-					begun, err := c.Begin(base.NewCtx(h.Clock(), 4*time.Second), &ledger.Beginning{Program: "p", Session: "s", Turn: "t-" + owner, Owner: owner,
-						Run: "run-" + owner, Budgeted: true, Most: 5, Budget: 1000, Keep: retain})
+					begun, err := c.Begin(base.NewCtx(h.Clock(), 4*time.Second), &ledger.BeginParams{Program: "p", Session: "s", Turn: "t-" + owner, Owner: owner,
+						Run: "run-" + owner, Budgeted: true, MaxTokens: 5, Budget: 1000, Retention: retain})
 					f.is.NoErr(err)
-					if begun.Mine {
+					if begun.Granted {
 						winners[owner] = begun
 					}
 				})
@@ -437,8 +437,8 @@
 			finished := 0
 			for _, owner := range base.SortedKeys(winners) {
 				c := f.client(0)
-				err := c.Finish(f.ctx(), &ledger.Finished{Program: "p", Session: "s", Turn: "t-" + owner, Owner: owner, Run: "run-" + owner,
-					Epoch: winners[owner].Epoch, Budgeted: true, Tokens: 5, Retain: retain})
+				err := c.Finish(f.ctx(), &ledger.FinishParams{Program: "p", Session: "s", Turn: "t-" + owner, Owner: owner, Run: "run-" + owner,
+					Epoch: winners[owner].Epoch, Budgeted: true, Tokens: 5, Retention: retain})
 				if err == nil {
 					finished++
 				} else {
@@ -465,18 +465,18 @@
 				f.replace(gone, lost)
 			}
 			c := f.client(2)
-			begun, err := c.Succeed(f.ctx(), "p", old.session, "gw-2", "run-2", old.epoch, retain)
+			begun, err := c.TakeOver(f.ctx(), "p", old.session, "gw-2", "run-2", old.epoch, retain)
 			f.is.NoErr(err)
-			f.is.True(begun.Mine)
+			f.is.True(begun.Granted)
 			f.is.Equal(begun.Epoch, old.epoch+1)
-			again, err := f.client(3).Succeed(f.ctx(), "p", old.session, "gw-3", "run-3", old.epoch, retain)
+			again, err := f.client(3).TakeOver(f.ctx(), "p", old.session, "gw-3", "run-3", old.epoch, retain)
 			f.is.NoErr(err)
-			f.is.True(!again.Mine)
+			f.is.True(!again.Granted)
 			f.is.Equal(again.Owner, "gw-2")
 			f.is.True(base.IsCode(old.finish("late"), "stale_assignment"))
 			stale, err := old.begin("later")
 			f.is.NoErr(err)
-			f.is.True(!stale.Mine)
+			f.is.True(!stale.Granted)
 			f.is.Equal(stale.Run, "run-2")
 			next := &line{f: f, c: c, program: "p", session: old.session, owner: "gw-2", run: "run-2", epoch: begun.Epoch, turns: old.turns, most: 10, budget: 1 << 40}
 			next.turn()
--- a/internal/ledger/redundancy_time_test.go
+++ b/internal/ledger/redundancy_time_test.go
@@ -85,8 +85,8 @@
 			id := fmt.Sprintf("%s.%d", l.program, turn)
 			_, err := l.begin(id)
 			f.is.NoErr(err)
-			f.is.NoErr(c.Finish(f.ctx(), &ledger.Finished{Program: l.program, Session: l.session, Turn: id, Owner: l.owner, Run: l.run, Epoch: l.epoch,
-				Input: text, Output: text[:100], Budgeted: true, Tokens: l.most, Retain: retain}))
+			f.is.NoErr(c.Finish(f.ctx(), &ledger.FinishParams{Program: l.program, Session: l.session, Turn: id, Owner: l.owner, Run: l.run, Epoch: l.epoch,
+				Input: text, Output: text[:100], Budgeted: true, Tokens: l.most, Retention: retain}))
 		}
 	}
 }
--- a/internal/ledger/refusal_test.go
+++ b/internal/ledger/refusal_test.go
@@ -52,8 +52,8 @@
 						return err
 					},
 					"the claim": func(ctx *base.Ctx) error {
-						_, err := c.Begin(ctx, &ledger.Beginning{Program: "p", Session: l.session, Turn: "next", Previous: l.turns[0], Owner: l.owner,
-							Run: l.run, Epoch: l.epoch, Confirmed: true, Keep: retain})
+						_, err := c.Begin(ctx, &ledger.BeginParams{Program: "p", Session: l.session, Turn: "next", Previous: l.turns[0], Owner: l.owner,
+							Run: l.run, Epoch: l.epoch, Confirmed: true, Retention: retain})
 						return err
 					},
 				}
--- a/internal/ledger/shift_test.go
+++ b/internal/ledger/shift_test.go
@@ -30,9 +30,9 @@
 		f.cut(other, c.host)
 		f.cut(c.host, a.host) // a and b have what c has not
 		f.cut(c.host, b.host)
-		begun, err := f.clientOn(other).Succeed(f.ctx(), "p", old.session, "gw-2", "run-2", old.epoch, retain)
+		begun, err := f.clientOn(other).TakeOver(f.ctx(), "p", old.session, "gw-2", "run-2", old.epoch, retain)
 		f.is.NoErr(err)
-		f.is.True(begun.Mine)
+		f.is.True(begun.Granted)
 		next := &line{f: f, c: f.clientOn(other), program: "p", session: old.session, owner: "gw-2", run: "run-2", epoch: begun.Epoch, most: 10, budget: 1 << 40}
 		f.is.NoErr(next.finish("held by two"))
 		gone := b.id
@@ -55,7 +55,7 @@
 		f.is.True(f.settled(old.c))
 		stale, err := old.begin("later")
 		f.is.NoErr(err)
-		f.is.True(!stale.Mine)
+		f.is.True(!stale.Granted)
 		f.is.Equal(stale.Run, "run-2")
 		_, err = old.c.Chain(f.ctx(), "p", "held by two")
 		f.is.NoErr(err)
@@ -83,14 +83,14 @@
 			}
 			f.set = &register.DiskSet{Stamp: 2, Cluster: "c", Disks: []*register.DiskEntry{a.entry(), b.entry(), d.entry()}}
 			d.set = f.set
-			d.store.News()
+			d.store.NotifySetChange()
 			f.sleep(3 * time.Second)
 			f.is.Equal(d.state().Whole, uint64(2))
 			client := ledger.NewClient(writer.Clock(), f.net.Wire(writer), func() *register.DiskSet { return former }, writer.Zone, 1, f.bounds, base.NewCounters(), nil)
 			l := f.line(client, program)
 			begun, err := l.begin("late")
 			f.is.NoErr(err)
-			f.is.True(begun.Mine)
+			f.is.True(begun.Granted)
 			f.is.NoErr(l.finish("late"))
 			reader := f.world.NewHost("edge-present", "zone-1")
 			f.cut(reader, a.host)
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -52,16 +52,16 @@
 	due   time.Duration
 }
 
-// Parts are what a store is made of. Local tells the id and the set of the
+// StoreConfig is what a store is made of. LocalDisk tells the id and the set of the
 // disk it is on.
-type Parts struct {
-	Clock    base.Clock
-	Wire     base.Wire
-	Files    disk.Files
-	Bounds   *base.Table[base.Bounds]
-	Counters *base.Counters
-	Tolerate int
-	Local    func() (id string, set *register.DiskSet)
+type StoreConfig struct {
+	Clock          base.Clock
+	Wire           base.Wire
+	Files          disk.Files
+	Bounds         *base.Table[base.Bounds]
+	Counters       *base.Counters
+	FaultTolerance int
+	LocalDisk      func() (id string, set *register.DiskSet)
 }
 
 // Store is what one disk holds of the ledger.
@@ -107,9 +107,9 @@
 }
 
 // OpenStore reads the log and starts the committer.
-func OpenStore(parts Parts) (*Store, error) {
-	s := &Store{clock: parts.Clock, wire: parts.Wire, bounds: parts.Bounds, counters: parts.Counters, tolerate: max(1, parts.Tolerate),
-		local: parts.Local, files: parts.Files, programs: map[string]*program{}, turns: map[string]*turn{}, wanted: map[wanted]wantedSince{},
+func OpenStore(parts StoreConfig) (*Store, error) {
+	s := &Store{clock: parts.Clock, wire: parts.Wire, bounds: parts.Bounds, counters: parts.Counters, tolerate: max(1, parts.FaultTolerance),
+		local: parts.LocalDisk, files: parts.Files, programs: map[string]*program{}, turns: map[string]*turn{}, wanted: map[wanted]wantedSince{},
 		order: list.New(), opened: parts.Clock.Now(), peers: map[string]*peer{}, hearing: map[string]uint64{}, fetching: map[wanted]bool{}, index: map[uint64]*contents{},
 		unlooked: freeFloor, bell: base.NewBell(parts.Clock), news: base.NewBell(parts.Clock), ended: parts.Clock.NewSignal()}
 	s.forming = &batch{done: s.clock.NewSignal()}
@@ -474,8 +474,8 @@
 	return nil
 }
 
-// News says that the disk may have a newer set.
-func (s *Store) News() { s.news.Ring() }
+// NotifySetChange says that the disk may have a newer set.
+func (s *Store) NotifySetChange() { s.news.Ring() }
 
 // Run keeps the store whole and forgets what is over, until it is closed.
 func (s *Store) Run() {
--- a/internal/ledger/turn_bench_test.go
+++ b/internal/ledger/turn_bench_test.go
@@ -29,8 +29,8 @@
 			bounds := &base.Table[base.Bounds]{}
 			bounds.Swap(base.DefaultBounds())
 			set := &register.DiskSet{Stamp: 1, Cluster: "c", Disks: []*register.DiskEntry{{Id: "d0", Addr: "a:1"}, {Id: "d1", Addr: "b:1"}, {Id: "d2", Addr: "c:1"}}}
-			store, err := ledger.OpenStore(ledger.Parts{Clock: base.NewRealClock(), Files: files, Bounds: bounds, Counters: base.NewCounters(), Tolerate: 1,
-				Local: func() (string, *register.DiskSet) { return "d0", set }})
+			store, err := ledger.OpenStore(ledger.StoreConfig{Clock: base.NewRealClock(), Files: files, Bounds: bounds, Counters: base.NewCounters(), FaultTolerance: 1,
+				LocalDisk: func() (string, *register.DiskSet) { return "d0", set }})
 			is.NoErr(err)
 			defer store.Close()
 			ctx := context.Background()
--- a/internal/line/keeper.go
+++ b/internal/line/keeper.go
@@ -63,7 +63,7 @@
 // IsTurn tells whether a streamed call goes to a session's owner: it is kept, or
 // belongs to a program or a session, or spends a budget.
 func IsTurn(matched *route.Route, call *relay.Call) bool {
-	return matched.Retained || call.Program != "" || call.Session != "" || call.HasBudget
+	return matched.RetainTurns || call.Program != "" || call.Session != "" || call.HasBudget
 }
 
 // identify gives a turn the names that it lacks: one without a session has a
@@ -265,7 +265,7 @@
 // one that says the same is the same turn.
 func (k *Keeper) asksAgain(former, call *relay.Call) bool {
 	matched := k.Routes.Load().Match(call.Host, call.Target)
-	if matched != nil && matched.Retained {
+	if matched != nil && matched.RetainTurns {
 		return former.Previous == call.Previous
 	}
 	return former.Target == call.Target && bytes.Equal(former.Body, call.Body)
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -190,10 +190,10 @@
 func (w *world) node(name string, seeds ...string) *Keeper {
 	counters := base.NewCounters()
 	view := membership.NewView(w.clock, w.wire, w.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleEdge, Zone: "z"}, seeds, nil)
-	table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s", Engine: &route.Engine{Stride: 2}}},
-		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Kind: route.Stream, Timeout: 10 * time.Second, Retained: true, Retain: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}},
-			{Name: "loose", Host: "h", Prefix: "/loose/", Kind: route.Stream, Timeout: 10 * time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}}}}
-	w.is.NoErr(table.Index())
+	table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s", Engine: &route.Engine{TokensPerEvent: 2}}},
+		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Kind: route.KindStream, Timeout: 10 * time.Second, RetainTurns: true, Retention: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}},
+			{Name: "loose", Host: "h", Prefix: "/loose/", Kind: route.KindStream, Timeout: 10 * time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}}}}
+	w.is.NoErr(table.BuildIndex())
 	routes := &base.Table[route.Table]{}
 	routes.Swap(table)
 	k := NewKeeper(Parts{Clock: w.clock, Wire: w.wire, View: view, Bounds: w.bounds, Counters: counters, Routes: routes, Ledger: w.book, Workers: w.bench})
@@ -380,7 +380,7 @@
 	w.is.True(first.Session != second.Session && first.Program != second.Program)
 	w.is.True(strings.HasPrefix(first.Session, unnamedMark) && strings.HasPrefix(first.Program, unnamedMark))
 	w.is.True(!IsTurn(&route.Route{}, &relay.Call{ID: "t3"}))
-	w.is.True(IsTurn(&route.Route{Retained: true}, &relay.Call{ID: "t3"}))
+	w.is.True(IsTurn(&route.Route{RetainTurns: true}, &relay.Call{ID: "t3"}))
 }
 
 func TestOnlyTheSameWordsEndAFormerTryWhereNothingIsKept(t *testing.T) {
--- a/internal/line/serve.go
+++ b/internal/line/serve.go
@@ -31,14 +31,14 @@
 	chained := k.Clock.NewSignal()
 	var chain []byte
 	var lost error
-	if call.Previous == "" || !matched.Retained {
+	if call.Previous == "" || !matched.RetainTurns {
 		chained.Fire()
 	} else if body, ok := k.history.chain(call.Previous); ok {
 		chain = body
 		chained.Fire()
 	} else {
 		k.Clock.Go(func() {
-			chain, lost = k.recall(ctx, call.Program, call.Previous, matched.Retain)
+			chain, lost = k.recall(ctx, call.Program, call.Previous, matched.Retention)
 			chained.Fire()
 		})
 	}
@@ -168,7 +168,7 @@
 	if len(chain) > 0 {
 		body = append(append(make([]byte, 0, len(chain)+len(call.Body)), chain...), call.Body...)
 	}
-	service := matched.Pick(k.homeOf(matched, call))
+	service := matched.PickService(k.homeOf(matched, call))
 	reply, err := k.Workers.Offer(ctx, matched, service, call, body)
 	if err != nil {
 		v := base.FromWire(err)
@@ -193,7 +193,7 @@
 	}
 	stride := int64(1)
 	if known := k.Routes.Load().Services[service]; known != nil && known.Engine != nil {
-		stride = int64(max(1, known.Engine.Stride))
+		stride = int64(max(1, known.Engine.TokensPerEvent))
 	}
 	output, events, whole := k.passOn(op, reply)
 	if !whole {
@@ -203,7 +203,7 @@
 		op.stream.fail(base.Unsure(502, "cut", "the worker's answer was cut short"))
 		return
 	}
-	if !matched.Retained {
+	if !matched.RetainTurns {
 		k.settle(h, op, events*stride)
 		k.succeed(op)
 		return
@@ -222,16 +222,16 @@
 // time, or where that is not given the longest that any route names. The ledger
 // keeps it for twice the recovery bound at least.
 func (k *Keeper) keepFor(table *route.Table, matched *route.Route) time.Duration {
-	if matched.Retain > 0 {
-		return matched.Retain
+	if matched.Retention > 0 {
+		return matched.Retention
 	}
-	return table.LongestRetain()
+	return table.MaxRetention()
 }
 
 // homeOf draws the service of a route's call: the same for a whole session where
 // the route asks for that or keeps its turns, else anew for each.
 func (k *Keeper) homeOf(matched *route.Route, call *relay.Call) func(n int64) int64 {
-	if matched.Pinned || matched.Retained {
+	if matched.Pinned || matched.RetainTurns {
 		return func(n int64) int64 { return int64(base.Hash64(call.Session) % uint64(n)) }
 	}
 	return k.Clock.Int64N
@@ -258,7 +258,7 @@
 	op := &operation{call: call, ctx: ctx, state: session.OpRunning}
 	op.stream = newStream(k.Clock, op.cancel)
 	k.Clock.Go(func() {
-		reply, err := k.Workers.Offer(ctx, matched, matched.Pick(k.Clock.Int64N), call, call.Body)
+		reply, err := k.Workers.Offer(ctx, matched, matched.PickService(k.Clock.Int64N), call, call.Body)
 		if err != nil {
 			op.stream.fail(base.FromWire(err))
 			return
@@ -287,7 +287,7 @@
 	assignment := h.assignment
 	h.mu.Unlock()
 	kept := Kept{Turn: call.ID, Previous: call.Previous, Input: call.Body, Output: output}
-	ending := &Ending{Program: call.Program, Session: call.Session, Run: assignment.Run, Owner: assignment.Owner, Epoch: assignment.Epoch, Kept: kept, Budgeted: call.HasBudget, Tokens: tokens, Retain: matched.Retain}
+	ending := &Ending{Program: call.Program, Session: call.Session, Run: assignment.Run, Owner: assignment.Owner, Epoch: assignment.Epoch, Kept: kept, Budgeted: call.HasBudget, Tokens: tokens, Retain: matched.Retention}
 	ctx := base.NewCtx(k.Clock, k.keepLimit(op.ctx.Left()))
 	if err := k.Ledger.Finish(ctx, ending); err != nil {
 		k.Counters.Add("turns_not_kept", 1)
@@ -296,7 +296,7 @@
 		op.stream.fail(base.FromWire(err))
 		return
 	}
-	k.history.keep(kept, matched.Retain)
+	k.history.keep(kept, matched.Retention)
 	k.succeed(op)
 }
 
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -43,7 +43,7 @@
 			if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 				verdict = base.Decline(413, "body_too_large", "the body is larger than %d bytes", bodyLimit)
 			}
-			write(ctx, front.Failure(verdict))
+			write(ctx, front.ErrorResponse(verdict))
 		},
 		Handler: func(ctx *fasthttp.RequestCtx) {
 			switch path := string(ctx.Path()); path {
@@ -51,7 +51,7 @@
 				ctx.SetBodyString("ok\n")
 			case "/readyz":
 				if err := ready(); err != nil {
-					write(ctx, front.Failure(err))
+					write(ctx, front.ErrorResponse(err))
 					return
 				}
 				ctx.SetBodyString("ready\n")
@@ -131,5 +131,5 @@
 
 // NotHere answers where there is nothing to call.
 func NotHere(*base.Ctx, *front.Request) *front.Response {
-	return front.Failure(base.Decline(404, "unknown_path", "there is nothing at this path"))
+	return front.ErrorResponse(base.Decline(404, "unknown_path", "there is nothing at this path"))
 }
--- a/internal/node/keeping.go
+++ b/internal/node/keeping.go
@@ -11,21 +11,21 @@
 type keeping struct{ client *ledger.Client }
 
 func (k keeping) Begin(ctx *base.Ctx, claim *line.Claim) (*line.Claimed, error) {
-	begun, err := k.client.Begin(ctx, &ledger.Beginning{Program: claim.Program, Session: claim.Session, Turn: claim.Turn, Previous: claim.Previous,
-		Owner: claim.Owner, Run: claim.Run, Epoch: claim.Epoch, Confirmed: claim.Confirmed, Budgeted: claim.HasBudget, Most: claim.Most, Budget: claim.Budget, Keep: claim.Keep})
+	begun, err := k.client.Begin(ctx, &ledger.BeginParams{Program: claim.Program, Session: claim.Session, Turn: claim.Turn, Previous: claim.Previous,
+		Owner: claim.Owner, Run: claim.Run, Epoch: claim.Epoch, Confirmed: claim.Confirmed, Budgeted: claim.HasBudget, MaxTokens: claim.Most, Budget: claim.Budget, Retention: claim.Keep})
 	if err != nil {
 		return nil, err
 	}
-	return &line.Claimed{Assignment: &line.Assignment{Run: begun.Run, Owner: begun.Owner, Epoch: begun.Epoch}, Mine: begun.Mine}, nil
+	return &line.Claimed{Assignment: &line.Assignment{Run: begun.Run, Owner: begun.Owner, Epoch: begun.Epoch}, Mine: begun.Granted}, nil
 }
 
 func (k keeping) Finish(ctx *base.Ctx, ending *line.Ending) error {
-	return k.client.Finish(ctx, &ledger.Finished{Program: ending.Program, Session: ending.Session, Turn: ending.Turn, Previous: ending.Previous, Owner: ending.Owner,
-		Run: ending.Run, Epoch: ending.Epoch, Input: ending.Input, Output: ending.Output, Budgeted: ending.Budgeted, Tokens: ending.Tokens, Retain: ending.Retain})
+	return k.client.Finish(ctx, &ledger.FinishParams{Program: ending.Program, Session: ending.Session, Turn: ending.Turn, Previous: ending.Previous, Owner: ending.Owner,
+		Run: ending.Run, Epoch: ending.Epoch, Input: ending.Input, Output: ending.Output, Budgeted: ending.Budgeted, Tokens: ending.Tokens, Retention: ending.Retain})
 }
 
 func (k keeping) Settle(ctx *base.Ctx, settled *line.Settled) error {
-	return k.client.Settle(ctx, &ledger.Settled{Program: settled.Program, Run: settled.Run, Turn: settled.Turn, Tokens: settled.Tokens, Keep: settled.Keep})
+	return k.client.Settle(ctx, &ledger.SettleParams{Program: settled.Program, Run: settled.Run, Turn: settled.Turn, Tokens: settled.Tokens, Retention: settled.Keep})
 }
 
 func (k keeping) Chain(ctx *base.Ctx, program, turn string) ([]line.Kept, error) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -140,7 +140,7 @@
 // Gateway is the data plane's process.
 type Gateway struct {
 	*common
-	Front    *front.Front
+	Front    *front.Handler
 	Keeper   *session.Keeper
 	Follower *feed.Follower
 	Routes   *base.Table[route.Table]
@@ -175,9 +175,9 @@
 	c.mount(feed.NewFeedServer(feed.NewService(env.Clock, nil, follower)))
 	g.Keeper = session.NewKeeper(session.Parts{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
 		Register: client, Follower: follower, Picker: picker, Backends: env.Backends, Tree: tree})
-	g.Front = &front.Front{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Follower: follower, Tree: tree,
-		Budget: &budget.Client{Register: client}, Keeper: g.Keeper, Tools: &toolcall.Client{Register: client},
-		Workers: &worker.Client{Register: client}, Book: book, Picker: picker, Backends: env.Backends, Access: g.Access}
+	g.Front = &front.Handler{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Follower: follower, Settings: tree,
+		Budget: &budget.Client{Register: client}, Sessions: g.Keeper, Tools: &toolcall.Client{Register: client},
+		Workers: &worker.Client{Register: client}, UsageReports: book, Picker: picker, Backends: env.Backends, Access: g.Access}
 	c.mount(session.NewOwnerServer(g.Keeper))
 	g.Routes, g.routed = &base.Table[route.Table]{}, base.NewBell(env.Clock)
 	g.Relay = relay.New(relay.Parts{Clock: env.Clock, Backends: env.Backends, Bounds: bounds, Counters: env.Counters, Names: env.Names, Zone: place.Zone, ConnShare: g.connShare, AnswerLimit: answerLimit})
@@ -218,7 +218,7 @@
 	g.env.Clock.Go(func() {
 		for !g.Follower.Closed() {
 			g.env.Clock.Sleep(g.bounds.Load().Recover)
-			g.Front.Forget()
+			g.Front.EvictExpired()
 		}
 	})
 }
@@ -230,7 +230,7 @@
 
 // Ready says whether the platform may send callers here.
 func (g *Gateway) Ready() error {
-	if g.Front.Tree.Load() == nil {
+	if g.Front.Settings.Load() == nil {
 		return base.Busy(503, "no_settings", 1, "no settings have been applied")
 	}
 	if !g.Follower.Permitted() {
@@ -280,7 +280,7 @@
 	session.Serve(owner)
 	toolcall.Serve(owner)
 	worker.Serve(owner)
-	route.Serve(owner)
+	route.RegisterOperations(owner)
 	relay.Serve(owner)
 	guard := access.NewGuard(env.Clock, bounds, env.Counters)
 	client, follower := c.follow(tree, guard, func(*feed.Frame) {})
@@ -315,7 +315,7 @@
 	c.env.Clock.Go(c.settles.Run)
 	if c.Lister != nil {
 		duty := &relay.Duty{Clock: c.env.Clock, Bounds: c.bounds, Counters: c.env.Counters, Register: c.Register, Follower: c.Follower, Lister: c.Lister,
-			Holds: c.Owner.ServesFeed, Needed: func() bool { return len(c.Follower.Frame().Values[route.DocumentKey]) > 0 }}
+			Holds: c.Owner.ServesFeed, Needed: func() bool { return len(c.Follower.Frame().Values[route.FeedKey]) > 0 }}
 		c.env.Clock.Go(duty.Run)
 	}
 }
@@ -367,13 +367,13 @@
 	if err != nil {
 		return nil, err
 	}
-	kept, err := ledger.OpenStore(ledger.Parts{Clock: env.Clock, Wire: env.Wire, Files: env.Files, Bounds: bounds, Counters: env.Counters,
-		Tolerate: place.Tolerate, Local: store.Identity})
+	kept, err := ledger.OpenStore(ledger.StoreConfig{Clock: env.Clock, Wire: env.Wire, Files: env.Files, Bounds: bounds, Counters: env.Counters,
+		FaultTolerance: place.Tolerate, LocalDisk: store.Identity})
 	if err != nil {
 		store.Close()
 		return nil, err
 	}
-	store.Tell(kept.News)
+	store.Tell(kept.NotifySetChange)
 	service := disk.NewService(store, bounds.Load().DiskLimit())
 	service.Node = place.Node
 	c.mount(register.NewDiskServer(service))
--- a/internal/node/tier.go
+++ b/internal/node/tier.go
@@ -23,13 +23,13 @@
 	if disks := register.DisksOf(frame.Values); disks != nil {
 		g.disks.Swap(disks)
 	}
-	written := frame.Values[route.DocumentKey]
+	written := frame.Values[route.FeedKey]
 	if len(written) == len(g.written) && (len(written) == 0 || &written[0] == &g.written[0]) {
 		// the very same as in the frame before
-	} else if document := route.DocumentOf(frame.Values); document != nil && g.Table != nil {
+	} else if document := route.DocumentFromFeed(frame.Values); document != nil && g.Table != nil {
 		g.written = written
 		if now := g.Routes.Load(); now == nil || now.Version != document.Version {
-			written, err := document.Written()
+			written, err := document.Source()
 			if err == nil {
 				var table *route.Table
 				if table, err = g.Table(written); err == nil {
@@ -65,7 +65,7 @@
 // Allows says whether a client's request may call the model it names. It goes
 // before anything else is done for the request.
 func (g *Gateway) Allows(ctx *base.Ctx, matched *route.Route, call *relay.Call) error {
-	if !g.Access.Rules() || !matched.Models() {
+	if !g.Access.Rules() || !matched.CallsModel() {
 		return nil
 	}
 	host, _, _ := strings.Cut(call.Host, ":")
@@ -126,16 +126,16 @@
 		return nil, err
 	}
 	switch {
-	case matched.Kind == route.Stream && line.IsTurn(matched, call):
+	case matched.Kind == route.KindStream && line.IsTurn(matched, call):
 		stream, err := g.Lines.Turn(ctx, call)
 		if err != nil {
 			return nil, err
 		}
 		return passOn(stream, ctx)
-	case matched.Kind == route.Stream:
+	case matched.Kind == route.KindStream:
 		return passOn(g.Lines.Pass(ctx, matched, call), ctx)
 	}
-	reply, err := g.Relay.Offer(ctx, matched, table.Services[matched.Pick(clock.Int64N)], call, call.Body)
+	reply, err := g.Relay.Offer(ctx, matched, table.Services[matched.PickService(clock.Int64N)], call, call.Body)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/tier_test.go
+++ b/internal/node/tier_test.go
@@ -18,7 +18,7 @@
 	is.Equal(base.FromWire(err).Status, 503) // no configuration is in force: another node may have one
 	is.Equal(base.FromWire(err).Ran, base.NotRun)
 	table := &route.Table{Version: 1, Services: map[string]*route.Service{}}
-	is.NoErr(table.Index())
+	is.NoErr(table.BuildIndex())
 	g.Routes.Swap(table)
 	_, err = g.Handle(&relay.Call{ID: "x", Host: "a.example", Target: "/a"})
 	is.Equal(base.FromWire(err).Status, 404)
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -40,7 +40,7 @@
 func (o *Operate) Handle(ctx *base.Ctx, r *front.Request) *front.Response {
 	body, err := o.answer(ctx.Within(o.Bounds.Load().Recover), r)
 	if err != nil {
-		return front.Failure(err)
+		return front.ErrorResponse(err)
 	}
 	return &front.Response{Status: 200, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.Encode(body), '\n')}
 }
--- a/internal/operate/routes.go
+++ b/internal/operate/routes.go
@@ -15,19 +15,19 @@
 
 // RoutesView is the configuration of routes in force.
 type RoutesView struct {
-	Version  uint64          `json:"version"`
-	Document json.RawMessage `json:"document,omitempty"`
-	Taken    []route.Taken   `json:"taken"`
+	Version  uint64                  `json:"version"`
+	Document json.RawMessage         `json:"document,omitempty"`
+	Taken    []route.AcceptedVersion `json:"taken"`
 }
 
 func (o *Operate) routes(ctx *base.Ctx) (any, error) {
-	found, err := route.Read(ctx, o.Register)
+	found, err := route.ReadDocument(ctx, o.Register)
 	if err != nil {
 		return nil, err
 	}
-	shown := RoutesView{Version: found.Version, Taken: found.Taken}
+	shown := RoutesView{Version: found.Version, Taken: found.Accepted}
 	if found.Version > 0 {
-		if shown.Document, err = found.Written(); err != nil {
+		if shown.Document, err = found.Source(); err != nil {
 			return nil, err
 		}
 	}
@@ -66,11 +66,11 @@
 	if err != nil {
 		return nil, err
 	}
-	change, err := route.ChangeOf(uint64(based), table, document)
+	change, err := route.NewChange(uint64(based), table, document)
 	if err != nil {
 		return nil, err
 	}
-	if err := route.Put(ctx, o.Register, change); err != nil {
+	if err := route.SubmitChange(ctx, o.Register, change); err != nil {
 		return nil, err
 	}
 	return map[string]any{"version": table.Version}, nil
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -60,7 +60,7 @@
 		return whole // a second attempt would take a place from others, or has none
 	}
 	expected := time.Duration(float64(p.request.value)*chosen.pace()) + chosen.waits(p, r.Clock.Now())
-	silent := max(silentTimes*expected, o.route.Target)
+	silent := max(silentTimes*expected, o.route.LatencyTarget)
 	if silent > left/2 {
 		return whole // too little would be left for a second attempt
 	}
@@ -70,5 +70,5 @@
 // mayAttemptAgain tells whether, after so many more, the request may go to yet
 // another worker without proof that the last one did not run it.
 func (o *offer) mayAttemptAgain(more int) bool {
-	return o.route.Repeats() && o.sent+more < max(1, o.route.Tries)
+	return o.route.MayRepeat() && o.sent+more < max(1, o.route.MaxAttempts)
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -33,7 +33,7 @@
 					c.Parts = append(c.Parts, relay.Part{ID: fmt.Sprint("p", place), Tokens: 400})
 				}
 				c.Prompt = 3200
-				rt := plain(route.Once, 1)
+				rt := plain(route.KindNonIdempotent, 1)
 				ctx := base.NewCtx(f.clock, time.Hour)
 				b.ReportAllocs()
 				for b.Loop() {
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -65,7 +65,7 @@
 // for the most urgent to a quarter for the least, so that these leave room; and
 // never so long that its time is over before it could run.
 func (o *offer) patience(p *pool, now time.Duration) time.Duration {
-	aim := o.route.Target * time.Duration(48-5*min(9, max(0, o.route.Urgency))) / 12
+	aim := o.route.LatencyTarget * time.Duration(48-5*min(9, max(0, o.route.Urgency))) / 12
 	return min(aim, max(0, o.until-now-p.request.value)*3/4)
 }
 
@@ -76,7 +76,7 @@
 	var best *state
 	var least time.Duration
 	for _, s := range open {
-		cost := r.cost(o, p, s, now) + time.Duration(r.Clock.Int64N(int64(o.route.Target/128)+1))
+		cost := r.cost(o, p, s, now) + time.Duration(r.Clock.Int64N(int64(o.route.LatencyTarget/128)+1))
 		if best == nil || cost < least {
 			best, least = s, cost
 		}
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -41,7 +41,7 @@
 					under++
 					f.clock.Go(func() {
 						began := f.clock.Now()
-						if _, v := f.offer(r, plain(route.Once, 2), call()); v == nil {
+						if _, v := f.offer(r, plain(route.KindNonIdempotent, 2), call()); v == nil {
 							times = append(times, f.clock.Now()-began)
 						} else {
 							refused++
@@ -118,7 +118,7 @@
 	f.run(func() {
 		under := 0
 		for place := range 4000 { // 480 a second, where 240 can be served
-			rt := plain(route.Once, 1)
+			rt := plain(route.KindNonIdempotent, 1)
 			rt.Urgency = urgencies[place%2]
 			under++
 			f.clock.Go(func() {
@@ -130,7 +130,7 @@
 					slowest = max(slowest, took)
 				} else {
 					f.Equal(v.Ran, base.NotRun)
-					f.True(took <= rt.Target/4)
+					f.True(took <= rt.LatencyTarget/4)
 					refused[rt.Urgency]++
 				}
 				under--
@@ -161,10 +161,10 @@
 	return c
 }
 
-var engine = &route.Service{Name: "s", Engine: &route.Engine{Slots: 96, CacheTokens: 250000, Stride: 2}}
+var engine = &route.Service{Name: "s", Engine: &route.Engine{Slots: 96, CacheTokens: 250000, TokensPerEvent: 2}}
 
 func (f *fleet) turn(r *relay.Relay, c *relay.Call) string {
-	reply, err := r.Offer(base.NewCtx(f.clock, time.Minute), plain(route.Stream, 2), engine, c, []byte("ask"))
+	reply, err := r.Offer(base.NewCtx(f.clock, time.Minute), plain(route.KindStream, 2), engine, c, []byte("ask"))
 	f.NoErr(err)
 	defer reply.Close()
 	for err == nil {
@@ -291,7 +291,7 @@
 				c.Parts = append(c.Parts, relay.Part{ID: fmt.Sprint("p", place), Tokens: 400})
 			}
 			c.Prompt = 3200
-			rt := plain(route.Once, 1)
+			rt := plain(route.KindNonIdempotent, 1)
 			ctx := base.NewCtx(f.clock, time.Hour)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/relay/cost.go
+++ b/internal/relay/cost.go
@@ -15,7 +15,7 @@
 	if r.Zone == "" || s.Zone == r.Zone {
 		return 0
 	}
-	return o.route.Target/12 + time.Duration(float64(o.route.Target)*float64(len(o.body))/farBody)
+	return o.route.LatencyTarget/12 + time.Duration(float64(o.route.LatencyTarget)*float64(len(o.body))/farBody)
 }
 
 // joining is what a new connection costs, in time, where none is kept. A worker
@@ -27,7 +27,7 @@
 	if s.idle > 0 && now-s.idleAt < 2*r.Bounds.Load().Leave {
 		return 0
 	}
-	return o.route.Target / 48
+	return o.route.LatencyTarget / 48
 }
 
 // cost is the time that a request is expected to take there, with what speaks
@@ -46,7 +46,7 @@
 	unread := o.unreadAt(s)
 	load := s.load(p, now)
 	cost := max(0, s.read-now) + time.Duration(unread)*perToken + s.waits(p, now)
-	cost += time.Duration(float64(s.late) * fresh(now-s.lateAt, 4*o.route.Target))
+	cost += time.Duration(float64(s.late) * fresh(now-s.lateAt, 4*o.route.LatencyTarget))
 	cost += time.Duration(float64(o.call.Most) * load * float64(publishedCrowd))
 	engine := o.service.Engine
 	if engine.CacheTokens > 0 { // what does not fit puts others back
@@ -58,7 +58,7 @@
 	if len(o.call.Parts) > 0 {
 		// Where nobody holds the first part yet, all nodes think of the same few.
 		spread := (o.shared ^ s.mark) * 0x9e3779b97f4a7c15 >> 54
-		cost += o.route.Target / 32 * time.Duration(spread) / 1024
+		cost += o.route.LatencyTarget / 32 * time.Duration(spread) / 1024
 	}
 	return cost + r.far(o, s) + r.joining(o, s, now)
 }
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -256,7 +256,7 @@
 var service = &route.Service{Name: "s"}
 
 func plain(kind route.Kind, tries int) *route.Route {
-	return &route.Route{Name: "r", Kind: kind, Timeout: 6 * time.Second, Target: 400 * time.Millisecond, Urgency: 3, Tries: tries}
+	return &route.Route{Name: "r", Kind: kind, Timeout: 6 * time.Second, LatencyTarget: 400 * time.Millisecond, Urgency: 3, MaxAttempts: tries}
 }
 
 var calls int
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -104,5 +104,5 @@
 }
 
 func fuzzOffer() *offer {
-	return &offer{call: &Call{}, route: &route.Route{Target: time.Second}, service: &route.Service{}}
+	return &offer{call: &Call{}, route: &route.Route{LatencyTarget: time.Second}, service: &route.Service{}}
 }
--- a/internal/relay/learn.go
+++ b/internal/relay/learn.go
@@ -49,7 +49,7 @@
 	}
 	first, perToken := p.reading.line()
 	late := max(0, took-(o.backlog+first+time.Duration(o.unread)*perToken))
-	before := time.Duration(float64(s.late) * fresh(now-s.lateAt, 4*o.route.Target))
+	before := time.Duration(float64(s.late) * fresh(now-s.lateAt, 4*o.route.LatencyTarget))
 	s.late, s.lateAt = before+(late-before)/4, now
 }
 
@@ -60,7 +60,7 @@
 		r.mu.Lock()
 		p := r.pool(s.Service)
 		if engine := o.service.Engine; engine != nil {
-			s.held.grow(o.call.Model, o.call.Parts, a.events*max(1, engine.Stride))
+			s.held.grow(o.call.Model, o.call.Parts, a.events*max(1, engine.TokensPerEvent))
 		}
 		took := r.Clock.Now() - a.sentAt
 		if !s.told || s.load(p, r.Clock.Now()) <= s.slots() {
@@ -82,7 +82,7 @@
 	now := r.Clock.Now()
 	bounds := r.Bounds.Load()
 	p := r.pool(s.Service)
-	if how == abandoned && s.under > 0 && now-time.Duration(s.heardAt.Load()) > 4*o.route.Target {
+	if how == abandoned && s.under > 0 && now-time.Duration(s.heardAt.Load()) > 4*o.route.LatencyTarget {
 		how = failed // nobody would wait for it any longer
 	}
 	s.under--
@@ -105,7 +105,7 @@
 		if s.told && s.toldAt == now && s.total >= s.slots() {
 			s.limit = s.total
 		}
-		s.full = now + r.jitter(max(p.request.value/2, o.route.Target/16))
+		s.full = now + r.jitter(max(p.request.value/2, o.route.LatencyTarget/16))
 	case stranger:
 		s.failures += 3
 		s.avoided = now + bounds.Leave
--- a/internal/relay/line.go
+++ b/internal/relay/line.go
@@ -31,7 +31,7 @@
 }
 
 // lineEnds is when the request is refused if it still waits.
-func (o *offer) lineEnds() time.Duration { return o.began + o.route.Target/5 }
+func (o *offer) lineEnds() time.Duration { return o.began + o.route.LatencyTarget/5 }
 
 // hold finds a worker with room for the offer and books it there.
 func (r *Relay) hold(o *offer) (*state, error) {
@@ -44,7 +44,7 @@
 		return nil, base.Busy(503, "too_late", 1, "too little time is left")
 	}
 	if p.request.seen == 0 && p.request.value == 0 {
-		p.request.value = o.route.Target / 4 // until one has been measured
+		p.request.value = o.route.LatencyTarget / 4 // until one has been measured
 	}
 	if !p.ahead(o) {
 		chosen, _, _ := r.choose(o, p)
@@ -99,7 +99,7 @@
 
 func (r *Relay) wait(o *offer, p *pool, self *waiter, until time.Duration) (*state, error) {
 	// Workers come back by time alone as well; the first in the line looks.
-	look := max(o.route.Target/32, time.Millisecond)
+	look := max(o.route.LatencyTarget/32, time.Millisecond)
 	first := true
 	for {
 		pause := until - r.Clock.Now()
@@ -156,7 +156,7 @@
 		slots += s.slots()
 	}
 	p.booked = max(p.booked, now) + time.Duration(float64(p.request.value)/max(1, slots))
-	after := r.jitter(max(soonest, p.booked-now, o.route.Target/8))
+	after := r.jitter(max(soonest, p.booked-now, o.route.LatencyTarget/8))
 	after = min(after, max(o.until-now, 0)/3)
 	r.count("offers_refused")
 	return base.BusyFor(503, "workers_full", after, "no worker has room")
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -166,7 +166,7 @@
 			if !o.mayAttemptAgain(0) {
 				return nil, err
 			}
-		} else if o.sent >= max(1, rt.Tries) {
+		} else if o.sent >= max(1, rt.MaxAttempts) {
 			r.mu.Lock()
 			err = r.refuse(o)
 			r.mu.Unlock()
@@ -185,7 +185,7 @@
 }
 
 // least is the least time that makes a send an offer.
-func (o *offer) least() time.Duration { return o.route.Target / 10 }
+func (o *offer) least() time.Duration { return o.route.LatencyTarget / 10 }
 
 func (r *Relay) count(name string) {
 	if r.Counters != nil {
@@ -232,7 +232,7 @@
 	sentAt := r.Clock.Now()
 	left := o.until - sentAt
 	request := &base.BackRequest{Method: o.call.Method, Path: o.call.Target, Host: o.call.Host, Body: o.body, Worker: chosen.ID,
-		Match: base.HeaderLine{Name: r.Names.ID, Value: o.call.ID}, MostConns: r.share(o.service), Connect: o.route.Target / 3,
+		Match: base.HeaderLine{Name: r.Names.ID, Value: o.call.ID}, MostConns: r.share(o.service), Connect: o.route.LatencyTarget / 3,
 		Stays: func() bool { return chosen.serving.Load() && o.until-r.Clock.Now() >= o.least() }}
 	request.Lines = append(o.lines[:len(o.lines):len(o.lines)], base.HeaderLine{Name: r.Names.Deadline, Value: strconv.FormatInt(left.Milliseconds(), 10)},
 		base.HeaderLine{Name: r.Names.ExpectWorker, Value: chosen.ID})
@@ -256,7 +256,7 @@
 	case reply.Status/100 == 2 && (reply.Seal() == "" || under.Header("Content-Encoding") != ""):
 		reply.end(failed)
 		return nil, base.Unsure(502, "worker_garbled", "the worker's answer is not in protocol")
-	case reply.Status/100 == 2 && o.route.Kind == route.Stream:
+	case reply.Status/100 == 2 && o.route.Kind == route.KindStream:
 		return reply, nil
 	}
 	body, err := under.Body(max(0, sentAt+limit-r.Clock.Now()), r.AnswerLimit)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,28 +25,28 @@
 		ran    base.Ran
 		sent   int // workers that were sent to
 	}{
-		{"well", well, route.Once, 1, 200, "", 1},
-		{"turned away, another try", refuses, route.Once, 2, 200, "", 2},
-		{"turned away, no try left", refuses, route.Once, 1, 503, base.NotRun, 1},
-		{"turned away, tries not told", refuses, route.Once, 0, 503, base.NotRun, 1},
-		{"another worker's address", mistaken, route.Once, 2, 200, "", 2},
-		{"no connection needs no try", unreachable, route.Once, 1, 200, "", 1},
-		{"a bare 503 promises nothing", refusesBare, route.Once, 2, 502, base.MayHaveRun, 1},
-		{"lost", loses, route.Once, 2, 502, base.MayHaveRun, 1},
-		{"lost stream", loses, route.Stream, 2, 502, base.MayHaveRun, 1},
-		{"lost, may be repeated", loses, route.Repeatable, 2, 200, "", 2},
-		{"lost, may be repeated, no try left", loses, route.Repeatable, 1, 502, base.MayHaveRun, 1},
-		{"cut", cuts, route.Once, 2, 502, base.MayHaveRun, 1},
-		{"cut, may be repeated", cuts, route.Repeatable, 2, 200, "", 2},
-		{"without seal", unsealed, route.Once, 2, 502, base.MayHaveRun, 1},
-		{"without seal, a stream", unsealed, route.Stream, 2, 502, base.MayHaveRun, 1},
-		{"encoded", encoded, route.Once, 2, 502, base.MayHaveRun, 1},
-		{"the worker's own failure is the answer", breaks, route.Once, 2, 500, "", 1},
-		{"also of what may be repeated", breaks, route.Repeatable, 2, 500, "", 1},
-		{"silence", silent, route.Once, 2, 504, base.MayHaveRun, 1},
-		{"silence, may be repeated", silent, route.Repeatable, 2, 200, "", 2},
-		{"silence, may be repeated, no try left", silent, route.Repeatable, 1, 504, base.MayHaveRun, 1},
-		{"silence of a stream", silent, route.Stream, 2, 504, base.MayHaveRun, 1},
+		{"well", well, route.KindNonIdempotent, 1, 200, "", 1},
+		{"turned away, another try", refuses, route.KindNonIdempotent, 2, 200, "", 2},
+		{"turned away, no try left", refuses, route.KindNonIdempotent, 1, 503, base.NotRun, 1},
+		{"turned away, tries not told", refuses, route.KindNonIdempotent, 0, 503, base.NotRun, 1},
+		{"another worker's address", mistaken, route.KindNonIdempotent, 2, 200, "", 2},
+		{"no connection needs no try", unreachable, route.KindNonIdempotent, 1, 200, "", 1},
+		{"a bare 503 promises nothing", refusesBare, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
+		{"lost", loses, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
+		{"lost stream", loses, route.KindStream, 2, 502, base.MayHaveRun, 1},
+		{"lost, may be repeated", loses, route.KindIdempotent, 2, 200, "", 2},
+		{"lost, may be repeated, no try left", loses, route.KindIdempotent, 1, 502, base.MayHaveRun, 1},
+		{"cut", cuts, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
+		{"cut, may be repeated", cuts, route.KindIdempotent, 2, 200, "", 2},
+		{"without seal", unsealed, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
+		{"without seal, a stream", unsealed, route.KindStream, 2, 502, base.MayHaveRun, 1},
+		{"encoded", encoded, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
+		{"the worker's own failure is the answer", breaks, route.KindNonIdempotent, 2, 500, "", 1},
+		{"also of what may be repeated", breaks, route.KindIdempotent, 2, 500, "", 1},
+		{"silence", silent, route.KindNonIdempotent, 2, 504, base.MayHaveRun, 1},
+		{"silence, may be repeated", silent, route.KindIdempotent, 2, 200, "", 2},
+		{"silence, may be repeated, no try left", silent, route.KindIdempotent, 1, 504, base.MayHaveRun, 1},
+		{"silence of a stream", silent, route.KindStream, 2, 504, base.MayHaveRun, 1},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			f := newFleet(t, 1)
@@ -83,7 +83,7 @@
 					}
 				}
 			})
-			if row.kind != route.Repeatable {
+			if row.kind != route.KindIdempotent {
 				all := append(slices.Clone(a.ran), b.ran...)
 				slices.Sort(all)
 				f.Equal(len(slices.Compact(all)), len(a.ran)+len(b.ran)) // none ran twice
@@ -104,7 +104,7 @@
 		}
 	}
 	f.run(func() {
-		_, v := f.offer(r, plain(route.Repeatable, 3), call())
+		_, v := f.offer(r, plain(route.KindIdempotent, 3), call())
 		f.Equal(v.Status, 502)
 		f.Equal(v.Ran, base.MayHaveRun)
 	})
@@ -134,7 +134,7 @@
 			r := f.relay("z1")
 			f.run(func() {
 				for range 40 { // the time of a request is learned
-					_, v := f.offer(r, plain(route.Repeatable, 2), call())
+					_, v := f.offer(r, plain(route.KindIdempotent, 2), call())
 					f.True(v == nil)
 				}
 				sent := len(a.got) + len(b.got)
@@ -146,7 +146,7 @@
 				c := call()
 				c.Deadline = row.deadline
 				began := f.clock.Now()
-				_, v := f.offer(r, plain(route.Repeatable, 2), c)
+				_, v := f.offer(r, plain(route.KindIdempotent, 2), c)
 				f.Equal(v == nil, row.sent == 2)
 				f.Equal(len(a.got)+len(b.got)-sent, row.sent)
 				if row.sent == 2 {
@@ -165,7 +165,7 @@
 	c.Headers = []relay.Header{{"X-B", "2"}, {"x-a", "1"}, {"Connection", "keep-alive, X-Hop"}, {"X-Hop", "no"}, {"Transfer-Encoding", "chunked"}, {"Content-Length", "9"},
 		{"Host", "other"}, {"time-left", "9"}, {"Only-Worker", "else"}, {"Call-Id", c.ID}, {"Expect", "100-continue"}, {"X-B", "3"}}
 	f.run(func() {
-		_, v := f.offer(r, plain(route.Once, 1), c)
+		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), c)
 		f.True(v == nil)
 	})
 	f.Equal(w.last.Method+" "+w.last.Path+" "+w.last.Host+" "+string(w.last.Body)+" "+w.last.Worker, "POST /p?q=1 h ask a")
@@ -184,7 +184,7 @@
 	f.add("a", "z1", 6)
 	f.add("b", "z1", 6)
 	r := f.relay("z1")
-	rt := plain(route.Once, 2)
+	rt := plain(route.KindNonIdempotent, 2)
 	rt.Timeout = 3 * time.Second
 	var second *base.BackRequest
 	f.run(func() {
@@ -210,7 +210,7 @@
 	c := call()
 	c.Deadline = 30 * time.Millisecond // under a tenth of the aim
 	f.run(func() {
-		_, v := f.offer(r, plain(route.Once, 1), c)
+		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), c)
 		f.Equal(v.Ran, base.NotRun)
 		f.Equal(v.Status, 503)
 	})
@@ -225,7 +225,7 @@
 		a.Draining = true
 		r.Swap(f.list())
 		for range 20 {
-			_, v := f.offer(r, plain(route.Once, 1), call())
+			_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call())
 			f.True(v == nil)
 		}
 		f.Equal(len(a.got), 0)
@@ -237,7 +237,7 @@
 			w.Draining = true
 			r.Swap(f.list())
 		}
-		_, v := f.offer(r, plain(route.Once, 1), call())
+		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call())
 		f.True(v == nil)
 		for _, w := range f.order {
 			f.Equal(len(w.got) > 0, !w.Draining || w == b)
@@ -245,7 +245,7 @@
 		f.before = nil
 		f.order = []*fakeWorker{}
 		r.Swap(f.list())
-		_, v = f.offer(r, plain(route.Once, 1), call())
+		_, v = f.offer(r, plain(route.KindNonIdempotent, 1), call())
 		f.Equal(v.Ran, base.NotRun)
 		f.Equal(v.Status, 503)
 		slices.Sort(f.forgot)
@@ -260,11 +260,11 @@
 	f.add("a", "z1", 1).fault = refuses
 	r := f.relay("z1")
 	f.run(func() {
-		_, v := f.offer(r, plain(route.Once, 1), call()) // a says that it is full
+		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call()) // a says that it is full
 		f.Equal(v.Status, 503)
 		served := ""
 		f.clock.Go(func() {
-			if reply, v := f.offer(r, plain(route.Once, 1), call()); v == nil {
+			if reply, v := f.offer(r, plain(route.KindNonIdempotent, 1), call()); v == nil {
 				served = reply.Worker
 			}
 		})
@@ -286,11 +286,11 @@
 	w.queue, w.fault = 0, refuses
 	r := f.relay("z1")
 	f.run(func() {
-		_, _ = f.offer(r, plain(route.Once, 1), call())
+		_, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call())
 		for range 5 {
 			c := call()
 			began := f.clock.Now()
-			_, v := f.offer(r, plain(route.Once, 1), c)
+			_, v := f.offer(r, plain(route.KindNonIdempotent, 1), c)
 			f.True(f.clock.Now()-began <= 100*time.Millisecond)
 			f.Equal(v.Status, 503)
 			f.Equal(v.Ran, base.NotRun)
@@ -299,7 +299,7 @@
 		c := call()
 		c.Deadline = 90 * time.Millisecond
 		w.slots = 0
-		_, v := f.offer(r, plain(route.Once, 1), c)
+		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), c)
 		f.True(v.RetryAfterMs >= 1 && v.RetryAfterMs <= 30)
 	})
 }
@@ -322,7 +322,7 @@
 	var order []string
 	f.run(func() {
 		send := func(name string, urgency int) {
-			rt := plain(route.Once, 1)
+			rt := plain(route.KindNonIdempotent, 1)
 			rt.Urgency = urgency
 			c := call()
 			c.Program = name
@@ -353,7 +353,7 @@
 	r := f.relay("z1")
 	f.run(func() {
 		for range 100 {
-			_, _ = f.offer(r, plain(route.Once, 1), call())
+			_, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call())
 		}
 		f.True(len(bad.got) >= 2)
 		f.True(len(bad.got) <= 10)
@@ -361,16 +361,16 @@
 		f.clock.Sleep(5 * time.Second)
 		before := len(bad.got)
 		for range 100 {
-			_, v := f.offer(r, plain(route.Once, 1), call())
+			_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call())
 			f.True(v == nil)
 		}
 		f.True(len(bad.got)-before > 20)
 		good.fault, bad.fault = loses, loses
 		for range 10 {
-			_, _ = f.offer(r, plain(route.Once, 1), call())
+			_, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call())
 		}
 		good.fault, bad.fault = well, well
-		_, v := f.offer(r, plain(route.Once, 1), call())
+		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call())
 		f.True(v == nil)
 	})
 }
@@ -383,22 +383,22 @@
 	bad.fault, good.fault = loses, refuses
 	r := f.relay("z1")
 	f.run(func() {
-		_, _ = f.offer(r, plain(route.Once, 2), call())
+		_, _ = f.offer(r, plain(route.KindNonIdempotent, 2), call())
 		if len(bad.got) == 0 {
-			_, _ = f.offer(r, plain(route.Once, 2), call())
+			_, _ = f.offer(r, plain(route.KindNonIdempotent, 2), call())
 		}
 		f.True(len(bad.got) > 0)
 		bad.fault, good.fault = well, well
 		f.clock.Sleep(10 * time.Second)
 		before := len(bad.got)
 		for range 12 {
-			f.clock.Go(func() { _, _ = f.offer(r, plain(route.Once, 1), call()) })
+			f.clock.Go(func() { _, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call()) })
 			f.clock.Sleep(time.Millisecond)
 		}
 		f.True(len(bad.got)-before <= 1)
 		f.clock.Sleep(time.Second)
 		for range 12 {
-			f.clock.Go(func() { _, _ = f.offer(r, plain(route.Once, 1), call()) })
+			f.clock.Go(func() { _, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call()) })
 			f.clock.Sleep(time.Millisecond)
 		}
 		f.True(len(bad.got)-before > 3)
@@ -413,7 +413,7 @@
 	r := f.relay("z1")
 	f.run(func() {
 		for range 400 {
-			f.clock.Go(func() { _, _ = f.offer(r, plain(route.Once, 1), call()) })
+			f.clock.Go(func() { _, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call()) })
 			f.clock.Sleep(10 * time.Millisecond)
 		}
 		f.True(len(mute.got) > 0)
@@ -429,10 +429,10 @@
 	w.fault = refuses
 	r := f.relay("z1")
 	f.run(func() {
-		_, v := f.offer(r, plain(route.Once, 1), call())
+		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call())
 		f.Equal(v.Status, 503)
 		w.fault = well
-		_, v = f.offer(r, plain(route.Once, 1), call())
+		_, v = f.offer(r, plain(route.KindNonIdempotent, 1), call())
 		f.True(v == nil)
 	})
 }
@@ -444,7 +444,7 @@
 	c := call()
 	c.Headers = []relay.Header{{"Stream", "id: 1\ndata: one\ndata:two\n\nversions: 3\nid:2\ndata: x\n\n"}}
 	f.run(func() {
-		reply, v := f.offer(r, plain(route.Stream, 1), c)
+		reply, v := f.offer(r, plain(route.KindStream, 1), c)
 		f.True(v == nil)
 		f.True(!reply.Whole())
 		event, err := reply.Event(time.Second)
@@ -461,7 +461,7 @@
 		w.fault = cuts
 		cut := call()
 		cut.Headers = []relay.Header{{"Stream", "data: one\n\ndata: tw"}}
-		reply, v = f.offer(r, plain(route.Stream, 1), cut)
+		reply, v = f.offer(r, plain(route.KindStream, 1), cut)
 		f.True(v == nil)
 		_, err = reply.Event(time.Second)
 		f.NoErr(err)
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -71,10 +71,10 @@
 // eventLimit is until when an event is waited for. A stream that may be resumed
 // leaves a worker that is silent for several times the pause that is in time.
 func (p *Reply) eventLimit(now *attempt, until time.Duration) time.Duration {
-	if p.offer.route.Gap <= 0 || !p.mayResume() {
+	if p.offer.route.EventGapTarget <= 0 || !p.mayResume() {
 		return until
 	}
-	silent := max(silentTimes*p.offer.route.Gap, p.offer.route.Target)
+	silent := max(silentTimes*p.offer.route.EventGapTarget, p.offer.route.LatencyTarget)
 	if !now.begun {
 		silent += silentTimes * p.relay.usual(p.offer.service.Name)
 	}
--- a/internal/relay/resume_test.go
+++ b/internal/relay/resume_test.go
@@ -179,7 +179,7 @@
 }
 
 func resumable(tries int) *route.Route {
-	return &route.Route{Name: "r", Kind: route.Stream, Resumable: true, Timeout: 5 * time.Second, Target: 200 * time.Millisecond, Gap: 200 * time.Millisecond, Tries: tries}
+	return &route.Route{Name: "r", Kind: route.KindStream, Resumable: true, Timeout: 5 * time.Second, LatencyTarget: 200 * time.Millisecond, EventGapTarget: 200 * time.Millisecond, MaxAttempts: tries}
 }
 
 func TestAStreamGoesOnOnceAndWhole(t *testing.T) {
@@ -204,8 +204,8 @@
 		if got.seal != "" && !rt.Resumable && s.ran > 1 {
 			r.Fatalf("%v: a stream that may run once ran %d times", s.plan, s.ran)
 		}
-		if s.ran > max(1, rt.Tries) {
-			r.Fatalf("%v: %d workers ran it, %d may", s.plan, s.ran, rt.Tries)
+		if s.ran > max(1, rt.MaxAttempts) {
+			r.Fatalf("%v: %d workers ran it, %d may", s.plan, s.ran, rt.MaxAttempts)
 		}
 		if got.verdict != nil && got.verdict.Ran == base.NotRun && s.ran > 0 {
 			r.Fatalf("%v: it is called not run", s.plan)
--- a/internal/relay/roster_test.go
+++ b/internal/relay/roster_test.go
@@ -130,7 +130,7 @@
 }
 
 func (f *fleet) offerTo(r *relay.Relay, to *route.Service) (*relay.Reply, *base.Verdict) {
-	reply, err := r.Offer(base.NewCtx(f.clock, base.DefaultBounds().Recover), plain(route.Once, 2), to, call(), nil)
+	reply, err := r.Offer(base.NewCtx(f.clock, base.DefaultBounds().Recover), plain(route.KindNonIdempotent, 2), to, call(), nil)
 	if err != nil {
 		return nil, base.FromWire(err)
 	}
--- a/internal/relay/worker.go
+++ b/internal/relay/worker.go
@@ -94,7 +94,7 @@
 
 // spared tells that a worker gets nothing now because it failed or is full.
 func (s *state) spared(o *offer, p *pool, now time.Duration) (avoided, noRoom bool) {
-	quiet := 2*o.route.Target + 4*p.request.value + max(0, s.read-now)
+	quiet := 2*o.route.LatencyTarget + 4*p.request.value + max(0, s.read-now)
 	silent := s.under > 0 && now-time.Duration(s.heardAt.Load()) > quiet
 	return now < s.avoided || (s.failures > 0 && s.probing) || silent, now < s.full || (s.limit > 0 && s.load(p, now) >= s.limit)
 }
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -13,7 +13,7 @@
 	t := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s"}}}
 	for place := range routes {
 		t.Routes = append(t.Routes, route.Route{Name: fmt.Sprint("r", place), Host: fmt.Sprintf("host-%d.example", place%hosts), Prefix: fmt.Sprintf("/v1/part-%d/", place),
-			Timeout: time.Second, Target: time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}})
+			Timeout: time.Second, LatencyTarget: time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}})
 	}
 	return t
 }
@@ -23,7 +23,7 @@
 		for _, routes := range []int{100, 300, 1000} {
 			b.Run(fmt.Sprintf("%d routes of %d hosts", routes, hosts), func(b *testing.B) {
 				t := tableOf(routes, hosts)
-				if err := t.Index(); err != nil {
+				if err := t.BuildIndex(); err != nil {
 					b.Fatal(err)
 				}
 				b.ReportAllocs()
--- a/internal/route/canonical.go
+++ b/internal/route/canonical.go
@@ -27,14 +27,14 @@
 	pathNameLimit = 64
 )
 
-// Canonical gives the canonical form of a JSON document: no white space,
+// Canonicalize gives the canonical form of a JSON document: no white space,
 // members sorted by the bytes of their names, strings with the fewest escapes,
 // and numbers as a coefficient without trailing zeros and a power of ten. The
 // order of array elements is kept, and a member that is null differs from one
 // that is absent. A document with a repeated member name, with text that is not
 // Unicode, or nested deeper than 32 levels has no canonical form; the error is a
 // base.Verdict of status 400 that names the field by its path.
-func Canonical(document []byte) ([]byte, error) {
+func Canonicalize(document []byte) ([]byte, error) {
 	decoder := jx.DecodeBytes(document)
 	canonical, err := appendValue(make([]byte, 0, len(document)), decoder, nil)
 	if err != nil {
@@ -43,14 +43,14 @@
 		}
 		return nil, base.DeclineField("body", "cannot be read: %v", err)
 	}
-	if err := AtEnd(decoder); err != nil {
+	if err := RequireEnd(decoder); err != nil {
 		return nil, err
 	}
 	return canonical, nil
 }
 
-// AtEnd declines a document that has anything but white space after its value.
-func AtEnd(decoder *jx.Decoder) error {
+// RequireEnd declines a document that has anything but white space after its value.
+func RequireEnd(decoder *jx.Decoder) error {
 	// A value that is cut short ends the document as well, so its beginning counts.
 	begins := decoder.Next() != jx.Invalid
 	err := decoder.Skip()
--- a/internal/route/canonical_test.go
+++ b/internal/route/canonical_test.go
@@ -26,7 +26,7 @@
 		`1e24`:           {`1000000000000000000000000`, `1.0e24`, `0.0001E28`},
 	} {
 		for _, spelling := range spellings {
-			found, err := route.Canonical([]byte(spelling))
+			found, err := route.Canonicalize([]byte(spelling))
 			is.NoErr(err)
 			is.Equal(string(found), canonical)
 		}
@@ -41,7 +41,7 @@
 		`{"a":9007199254740992}`, `{"a":9007199254740993}`, `{"a":1e400}`, `{"a":1e401}`, `{"a":1e-400}`, `{"a":0}`,
 		`{"a":[1,2]}`, `{"a":[2,1]}`, `{"a":[12]}`, `{"a":"b","c":"d"}`, `{"a":"b\",\"c\":\"d"}`, `{"A":1}`, `{"a":"\u0000"}`, `{"a":""}`, `{"a":"é"}`, `{"a":"e\u0301"}`,
 	} {
-		canonical, err := route.Canonical([]byte(document))
+		canonical, err := route.Canonicalize([]byte(document))
 		is.NoErr(err)
 		is.Equal(seen[string(canonical)], "") // another document has the same form
 		seen[string(canonical)] = document
@@ -75,7 +75,7 @@
 		`{"` + strings.Repeat("k", 1<<20) + `":"\ud800"}`:       strings.Repeat("k", 64),
 		`{"a":{"b":[` + strings.Repeat(`[`, 40) + `"\ud800"]}}`: "a.b" + strings.Repeat("[0]", 31),
 	} {
-		_, err := route.Canonical([]byte(document))
+		_, err := route.Canonicalize([]byte(document))
 		verdict := base.VerdictIn(err)
 		is.True(verdict != nil)
 		is.Equal(verdict.Status, 400)
@@ -104,7 +104,7 @@
 		f.Add([]byte(document))
 	}
 	f.Fuzz(func(t *testing.T, document []byte) {
-		canonical, err := route.Canonical(document)
+		canonical, err := route.Canonicalize(document)
 		if err != nil {
 			if verdict := base.VerdictIn(err); verdict == nil || verdict.Status != 400 || verdict.Field == "" {
 				t.Fatalf("%q: declined without its field: %v", document, err)
@@ -115,7 +115,7 @@
 			t.Fatalf("%q became %q", document, canonical)
 		}
 		for _, spelled := range [][]byte{canonical, reformat(t, document), reformat(t, canonical)} {
-			again, err := route.Canonical(spelled)
+			again, err := route.Canonicalize(spelled)
 			if err != nil || !bytes.Equal(again, canonical) {
 				t.Fatalf("%q is %q, but spelled %q it is %q (%v)", document, canonical, spelled, again, err)
 			}
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -4,7 +4,7 @@
 //
 // An order, that is a request for a change, is identified by three things: the
 // version that it builds on, the version that it brings, and its document's
-// canonical form (see Canonical). An order that was taken is acknowledged again
+// canonical form (see Canonicalize). An order that was taken is acknowledged again
 // whenever it is asked for again, also when its document is spelled otherwise.
 // The same document under the same version on top of another version is another
 // order, and is decided as such.
@@ -24,8 +24,8 @@
 	"fordseam/internal/register"
 )
 
-// DocumentKey is where the feed tells of the configuration.
-const DocumentKey = "feed/routes"
+// FeedKey is where the feed tells of the configuration.
+const FeedKey = "feed/routes"
 
 const (
 	// documentFormat is the format of a Document as it is kept and told. The
@@ -53,29 +53,29 @@
 
 // Document is what the control state keeps of the configuration.
 type Document struct {
-	Format  int    `json:"format,omitempty"`
-	Version uint64 `json:"version"`
-	Packed  []byte `json:"packed"`
-	// Taken lists the newest versions that came into force in an answer to Read;
+	Format     int    `json:"format,omitempty"`
+	Version    uint64 `json:"version"`
+	Compressed []byte `json:"packed"`
+	// Accepted lists the newest versions that came into force in an answer to ReadDocument;
 	// it is kept with the document in the first format only.
-	Taken []Taken `json:"taken,omitempty"`
+	Accepted []AcceptedVersion `json:"taken,omitempty"`
 }
 
-// Taken is a version that came into force, and its document's digest.
-type Taken struct {
+// AcceptedVersion is a version that came into force, and its document's digest.
+type AcceptedVersion struct {
 	Version uint64 `json:"v"`
 	Digest  string `json:"d"`
 }
 
-// Written gives the document as its operator wrote it.
-func (d *Document) Written() ([]byte, error) {
-	return io.ReadAll(flate.NewReader(bytes.NewReader(d.Packed)))
+// Source gives the document as its operator wrote it.
+func (d *Document) Source() ([]byte, error) {
+	return io.ReadAll(flate.NewReader(bytes.NewReader(d.Compressed)))
 }
 
-// DocumentOf reads the feed's frame; nil when no configuration is in force, or
+// DocumentFromFeed reads the feed's frame; nil when no configuration is in force, or
 // it is of a format that this release does not read.
-func DocumentOf(values map[string][]byte) *Document {
-	raw, ok := values[DocumentKey]
+func DocumentFromFeed(values map[string][]byte) *Document {
+	raw, ok := values[FeedKey]
 	if !ok {
 		return nil
 	}
@@ -100,18 +100,18 @@
 	Base    uint64 `json:"base"`
 	Version uint64 `json:"version"`
 	// Digest is of the document's canonical form.
-	Digest string `json:"digest"`
-	Packed []byte `json:"packed"`
+	Digest     string `json:"digest"`
+	Compressed []byte `json:"packed"`
 }
 
-// ChangeOf packs a document whose table was checked. It fails as Canonical does.
-func ChangeOf(former uint64, table *Table, written []byte) (Change, error) {
-	canonical, err := Canonical(written)
+// NewChange packs a document whose table was checked. It fails as Canonicalize does.
+func NewChange(former uint64, table *Table, written []byte) (Change, error) {
+	canonical, err := Canonicalize(written)
 	if err != nil {
 		return Change{}, err
 	}
 	digest := digestOf(canonical)
-	return Change{Format: changeFormat, Base: former, Version: table.Version, Digest: hex.EncodeToString(digest[:]), Packed: pack(written)}, nil
+	return Change{Format: changeFormat, Base: former, Version: table.Version, Digest: hex.EncodeToString(digest[:]), Compressed: pack(written)}, nil
 }
 
 func pack(written []byte) []byte {
@@ -123,8 +123,8 @@
 	return packed.Bytes()
 }
 
-// Serve adds the configuration's operations to a core.
-func Serve(owner *register.Owner) {
+// RegisterOperations adds the configuration's operations to a core.
+func RegisterOperations(owner *register.Owner) {
 	owner.Handle(operationRead, func(tx *register.Tx, _ []byte) (any, error) { return read(tx) })
 	owner.Handle(operationChange, func(tx *register.Tx, args []byte) (any, error) {
 		asked, digest, err := decodeChange(args)
@@ -136,7 +136,7 @@
 }
 
 func load(from store) (*Document, error) {
-	raw := from.Get(DocumentKey)
+	raw := from.Get(FeedKey)
 	if raw == nil {
 		return &Document{}, nil
 	}
@@ -152,8 +152,8 @@
 	if err != nil {
 		return nil, err
 	}
-	now.Taken = slices.Concat(now.Taken, listed)
-	now.Taken = now.Taken[max(0, len(now.Taken)-shownOrders):]
+	now.Accepted = slices.Concat(now.Accepted, listed)
+	now.Accepted = now.Accepted[max(0, len(now.Accepted)-shownOrders):]
 	return now, nil
 }
 
@@ -174,7 +174,7 @@
 
 // decide takes an order, acknowledges it again, or refuses it. What it decides
 // on is not told before a majority has confirmed it.
-func decide(tx store, asked *Change, digest orderDigest) (*Taken, error) {
+func decide(tx store, asked *Change, digest orderDigest) (*AcceptedVersion, error) {
 	now, err := load(tx)
 	if err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 	if err != nil {
 		return nil, err
 	}
-	taken := &Taken{asked.Version, asked.Digest}
+	taken := &AcceptedVersion{asked.Version, asked.Digest}
 	switch {
 	case found == takenAsAsked:
 		tx.Put(repeatKey, binary.BigEndian.AppendUint64(nil, asked.Version))
@@ -204,7 +204,7 @@
 	if err := record(tx, asked.Base, order{asked.Version, digest}); err != nil {
 		return nil, err
 	}
-	tx.Put(DocumentKey, base.Encode(Document{Format: documentFormat, Version: asked.Version, Packed: asked.Packed}))
+	tx.Put(FeedKey, base.Encode(Document{Format: documentFormat, Version: asked.Version, Compressed: asked.Compressed}))
 	return taken, nil
 }
 
@@ -220,11 +220,11 @@
 	return verdict
 }
 
-// Put asks for a change. A change that is refused is refused for good: it was
+// SubmitChange asks for a change. A change that is refused is refused for good: it was
 // not taken and never will be. The error is then a base.Verdict with a status of
 // the 4xx; any other error leaves open whether the change was taken, or says
 // that it was not for now.
-func Put(ctx *base.Ctx, client *register.Client, asked Change) error {
+func SubmitChange(ctx *base.Ctx, client *register.Client, asked Change) error {
 	err := client.Change(ctx, register.FeedGroup, operationChange, asked, nil)
 	if err == nil {
 		return nil
@@ -245,8 +245,8 @@
 	return base.Busy(503, verdict.Code, askAgainAfter, "%s", verdict.Message)
 }
 
-// Read asks for what is in force; the version is 0 where nothing is.
-func Read(ctx *base.Ctx, client *register.Client) (*Document, error) {
+// ReadDocument asks for what is in force; the version is 0 where nothing is.
+func ReadDocument(ctx *base.Ctx, client *register.Client) (*Document, error) {
 	var found Document
 	err := client.Read(ctx, register.FeedGroup, operationRead, struct{}{}, &found)
 	if err != nil {
--- a/internal/route/history.go
+++ b/internal/route/history.go
@@ -191,11 +191,11 @@
 	if err != nil {
 		return forgotten, err
 	}
-	at := slices.IndexFunc(listed, func(one Taken) bool { return one.Version == asked.Version })
+	at := slices.IndexFunc(listed, func(one AcceptedVersion) bool { return one.Version == asked.Version })
 	if at < 0 {
 		return forgotten, nil
 	}
-	written, err := (&Document{Packed: asked.Packed}).Written()
+	written, err := (&Document{Compressed: asked.Compressed}).Source()
 	if err != nil {
 		return forgotten, base.DeclineField("document", "cannot be unpacked: %v", err)
 	}
@@ -207,18 +207,18 @@
 
 // legacyOrders are the orders that documents of the first format listed, the
 // one in force included if it is of that format.
-func legacyOrders(from store, now *Document) (listed []Taken, err error) {
+func legacyOrders(from store, now *Document) (listed []AcceptedVersion, err error) {
 	if raw := from.Get(legacyKey); raw != nil && json.Unmarshal(raw, &listed) != nil {
 		return nil, unreadable("the former list of versions")
 	}
-	listed = append(listed, now.Taken...)
+	listed = append(listed, now.Accepted...)
 	return listed[max(0, len(listed)-legacyLimit):], nil
 }
 
 // keepLegacy carries over what a document of the first format lists, before it
 // is replaced by one that lists nothing.
 func keepLegacy(into store, now *Document) error {
-	if len(now.Taken) == 0 {
+	if len(now.Accepted) == 0 {
 		return nil
 	}
 	listed, err := legacyOrders(into, now)
@@ -259,14 +259,14 @@
 }
 
 // recent lists the newest orders of the history, oldest first.
-func recent(from store, most int) (listed []Taken, err error) {
+func recent(from store, most int) (listed []AcceptedVersion, err error) {
 	from.Walk(historyPrefix, "", func(_ string, value []byte) bool {
 		var one *block
 		if one, err = decodeBlock(value); err != nil {
 			return false
 		}
 		for _, order := range one.orders {
-			listed = append(listed, Taken{order.version, hex.EncodeToString(order.digest[:])})
+			listed = append(listed, AcceptedVersion{order.version, hex.EncodeToString(order.digest[:])})
 		}
 		listed = listed[max(0, len(listed)-most):]
 		return true
--- a/internal/route/history_test.go
+++ b/internal/route/history_test.go
@@ -46,7 +46,7 @@
 // most of these tests' time.
 func orderFor(t *testing.T, former, version uint64, written []byte) *Change {
 	t.Helper()
-	canonical, err := Canonical(written)
+	canonical, err := Canonicalize(written)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 // packedOrderFor is the same with its document.
 func packedOrderFor(t *testing.T, former, version uint64, written []byte) *Change {
 	t.Helper()
-	made, err := ChangeOf(former, &Table{Version: version}, written)
+	made, err := NewChange(former, &Table{Version: version}, written)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +156,7 @@
 	is.True(heldOrders(held) <= blockOrders*blockLimit)
 	is.True(heldOrders(held) > blockOrders*(blockLimit-1))
 	is.True(held.historyBytes() < 450_000)
-	is.True(len(held[DocumentKey]) < 300) // what every node is told does not grow
+	is.True(len(held[FeedKey]) < 300) // what every node is told does not grow
 	first := changes - heldOrders(held) + 1
 	is.NoErr(repeat(t, held, first))
 	for _, number := range []int{1, 65, first - 1} {
@@ -169,12 +169,12 @@
 
 func TestADocumentOfTheFirstFormatIsCarriedOver(t *testing.T) {
 	is := is.New(t)
-	former := Document{Version: 64, Packed: pack(documentFor(64))}
+	former := Document{Version: 64, Compressed: pack(documentFor(64))}
 	for version := uint64(1); version <= 64; version++ {
-		former.Taken = append(former.Taken, Taken{version, base.Digest(documentFor(version))})
+		former.Accepted = append(former.Accepted, AcceptedVersion{version, base.Digest(documentFor(version))})
 	}
-	held := memory{DocumentKey: base.Encode(former)}
-	is.True(!strings.Contains(string(held[DocumentKey]), "format"))
+	held := memory{FeedKey: base.Encode(former)}
+	is.True(!strings.Contains(string(held[FeedKey]), "format"))
 	check := func() {
 		for version := uint64(1); version <= 64; version++ {
 			is.NoErr(ask(t, held, packedOrderFor(t, version-1, version, documentFor(version))))
@@ -187,17 +187,17 @@
 	now, err := load(held)
 	is.NoErr(err)
 	is.Equal(now.Format, documentFormat)
-	is.Equal(len(now.Taken), 0)
+	is.Equal(len(now.Accepted), 0)
 	check()
 	is.NoErr(ask(t, held, packedOrderFor(t, 64, 70, documentFor(70))))
 	shown, err := read(held)
 	is.NoErr(err)
-	is.Equal(shown.Taken[len(shown.Taken)-1].Version, uint64(70))
+	is.Equal(shown.Accepted[len(shown.Accepted)-1].Version, uint64(70))
 
 	// A core of the former release took two more in between.
-	now.Format, now.Version, now.Packed = 0, 75, pack(documentFor(75))
-	now.Taken = []Taken{{72, base.Digest(documentFor(72))}, {75, base.Digest(documentFor(75))}}
-	held[DocumentKey] = base.Encode(now)
+	now.Format, now.Version, now.Compressed = 0, 75, pack(documentFor(75))
+	now.Accepted = []AcceptedVersion{{72, base.Digest(documentFor(72))}, {75, base.Digest(documentFor(75))}}
+	held[FeedKey] = base.Encode(now)
 	is.NoErr(ask(t, held, packedOrderFor(t, 70, 72, documentFor(72))))
 	is.NoErr(ask(t, held, packedOrderFor(t, 75, 80, documentFor(80))))
 	for _, step := range [][2]uint64{{64, 70}, {70, 72}, {72, 75}, {75, 80}} {
@@ -209,11 +209,11 @@
 func TestAnUnknownFormatIsNeverTakenForNothing(t *testing.T) {
 	is := is.New(t)
 	for name, held := range map[string]memory{
-		"document":          {DocumentKey: []byte(`{"format":3,"version":9}`)},
-		"damaged document":  {DocumentKey: []byte(`{"version":`)},
-		"block":             {DocumentKey: base.Encode(Document{Format: 2, Version: 9}), historyPrefix + "0000000000000000": slices.Concat([]byte{9}, make([]byte, 32))},
-		"block cut short":   {DocumentKey: base.Encode(Document{Format: 2, Version: 9}), historyPrefix + "0000000000000000": slices.Concat([]byte{blockFormat}, make([]byte, 20))},
-		"list of the first": {DocumentKey: base.Encode(Document{Version: 9}), legacyKey: []byte(`{`)},
+		"document":          {FeedKey: []byte(`{"format":3,"version":9}`)},
+		"damaged document":  {FeedKey: []byte(`{"version":`)},
+		"block":             {FeedKey: base.Encode(Document{Format: 2, Version: 9}), historyPrefix + "0000000000000000": slices.Concat([]byte{9}, make([]byte, 32))},
+		"block cut short":   {FeedKey: base.Encode(Document{Format: 2, Version: 9}), historyPrefix + "0000000000000000": slices.Concat([]byte{blockFormat}, make([]byte, 20))},
+		"list of the first": {FeedKey: base.Encode(Document{Version: 9}), legacyKey: []byte(`{`)},
 	} {
 		verdict := base.FromWire(ask(t, held, orderFor(t, 0, 1, documentFor(1))))
 		if verdict == nil || verdict.Code != "unknown_format" || verdict.Status != 503 {
@@ -222,7 +222,7 @@
 	}
 	_, _, err := decodeChange(base.Encode(Change{Base: 1, Version: 2, Digest: base.Digest(nil)}))
 	is.Equal(base.FromWire(err).Code, "unknown_format") // a change from a node of the former release
-	is.Equal(DocumentOf(map[string][]byte{DocumentKey: []byte(`{"format":3,"version":9}`)}), nil)
+	is.Equal(DocumentFromFeed(map[string][]byte{FeedKey: []byte(`{"format":3,"version":9}`)}), nil)
 }
 
 func TestOnlyADecidedRefusalReachesTheOperatorAsOne(t *testing.T) {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -15,12 +15,12 @@
 type Kind int
 
 const (
-	// Repeatable requests may run more than once.
-	Repeatable Kind = iota
-	// Once requests run at most once a try.
-	Once
-	// Stream requests run at most once and answer in events.
-	Stream
+	// KindIdempotent requests may run more than once.
+	KindIdempotent Kind = iota
+	// KindNonIdempotent requests run at most once a try.
+	KindNonIdempotent
+	// KindStream requests run at most once and answer in events.
+	KindStream
 )
 
 // Share is a service's weight within a route.
@@ -31,18 +31,18 @@
 
 // Route is one rule of the table.
 type Route struct {
-	Name     string
-	Host     string
-	Prefix   string
-	Kind     Kind
-	Timeout  time.Duration
-	Target   time.Duration
-	Gap      time.Duration
-	Urgency  int
-	Tries    int
-	Retained bool
-	Retain   time.Duration
-	Pinned   bool
+	Name           string
+	Host           string
+	Prefix         string
+	Kind           Kind
+	Timeout        time.Duration
+	LatencyTarget  time.Duration
+	EventGapTarget time.Duration
+	Urgency        int
+	MaxAttempts    int
+	RetainTurns    bool
+	Retention      time.Duration
+	Pinned         bool
 	// Resumable streams may be continued at another worker after their last event.
 	Resumable bool
 	Shares    []Share
@@ -50,19 +50,19 @@
 	models bool
 }
 
-// Repeats tells whether a request of the route may run more than once.
-func (r *Route) Repeats() bool {
-	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
+// MayRepeat tells whether a request of the route may run more than once.
+func (r *Route) MayRepeat() bool {
+	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
-// Models tells whether the route's requests call a model.
-func (r *Route) Models() bool { return r.models }
+// CallsModel tells whether the route's requests call a model.
+func (r *Route) CallsModel() bool { return r.models }
 
 // Engine is what is published of a service's model workers.
 type Engine struct {
-	Slots       int
-	CacheTokens int
-	Stride      int
+	Slots          int
+	CacheTokens    int
+	TokensPerEvent int
 }
 
 // Service is a pool of workers that do the same.
@@ -75,10 +75,10 @@
 
 // Limits bound what a client may send.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int
-	HeaderRead  time.Duration
-	Idle        time.Duration
+	MaxHeaderBytes    int
+	MaxBodyBytes      int
+	HeaderReadTimeout time.Duration
+	IdleTimeout       time.Duration
 }
 
 // Table is one version of the configuration.
@@ -93,12 +93,12 @@
 	retain time.Duration
 }
 
-// LongestRetain is the longest time for which a route keeps anything.
-func (t *Table) LongestRetain() time.Duration { return t.retain }
+// MaxRetention is the longest time for which a route keeps anything.
+func (t *Table) MaxRetention() time.Duration { return t.retain }
 
-// Index prepares matching and lists the faults of a table: the first field
+// BuildIndex prepares matching and lists the faults of a table: the first field
 // at fault as an error, or nil.
-func (t *Table) Index() error {
+func (t *Table) BuildIndex() error {
 	t.hosts = map[string]map[string]*Route{}
 	seen := map[string]bool{}
 	for place := range t.Routes {
@@ -130,7 +130,7 @@
 		if sum == 0 {
 			return base.DeclineField(field+".weight", "the weights sum to 0")
 		}
-		t.retain = max(t.retain, r.Retain)
+		t.retain = max(t.retain, r.Retention)
 		host := strings.ToLower(r.Host)
 		seen[host+" "+r.Prefix] = true
 		if t.hosts[host] == nil {
@@ -157,9 +157,9 @@
 	return nil
 }
 
-// Pick chooses a service by the shares' weights; roll is a number drawn
+// PickService chooses a service by the shares' weights; roll is a number drawn
 // from 0 up to the sum of weights.
-func (r *Route) Pick(roll func(n int64) int64) string {
+func (r *Route) PickService(roll func(n int64) int64) string {
 	sum := 0
 	for _, share := range r.Shares {
 		sum += share.Weight
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -32,7 +32,7 @@
 			seen[host+prefix] = true
 			table.Routes = append(table.Routes, route.Route{Host: host, Prefix: prefix, Timeout: time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}})
 		}
-		is.NoErr(table.Index())
+		is.NoErr(table.BuildIndex())
 		for range 40 {
 			path := ""
 			for range chance.IntN(5) {
--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -104,7 +104,7 @@
 			Routes: []route.Route{{Name: "ask", Host: "pay.example", Prefix: "/ask/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}},
 				{Name: "post", Host: "pay.example", Prefix: "/post/", Timeout: time.Second, Shares: []route.Share{{Service: "app", Weight: 1}}},
 				{Name: "till", Host: "till.example", Prefix: "/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}}}}
-		is.NoErr(table.Index())
+		is.NoErr(table.BuildIndex())
 		allows := func(m *Machine, host, target, model string) *base.Verdict {
 			var err error
 			done := base.NewBell(f.Callers.Clock())
@@ -150,7 +150,7 @@
 		call.sleep(5 * time.Second)
 		table := &route.Table{Version: 1, Services: map[string]*route.Service{"llm": {Name: "llm", Engine: &route.Engine{Slots: 1}}},
 			Routes: []route.Route{{Name: "ask", Host: "pay.example", Prefix: "/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}}}}
-		is.NoErr(table.Index())
+		is.NoErr(table.BuildIndex())
 		is.NoErr(edge.gateway.Allows(base.NewCtx(edge.Host.Clock(), time.Second), &table.Routes[0], &relay.Call{Host: "pay.example", Model: "m"}))
 		f.Net.Heal()
 		call.sleep(2 * time.Second)
--- a/internal/simulate/history_test.go
+++ b/internal/simulate/history_test.go
@@ -57,14 +57,14 @@
 	program, previous := programName(place), w.last(place)
 	id := fmt.Sprintf("%s.%d", program, w.attempts)
 	run := "run-" + program
-	begun, err := w.client.Begin(w.ctx(), &ledger.Beginning{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
-		Run: run, Epoch: w.epochs[place], Confirmed: w.epochs[place] > 0, Keep: historyRetain})
-	if err != nil || !begun.Mine {
+	begun, err := w.client.Begin(w.ctx(), &ledger.BeginParams{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
+		Run: run, Epoch: w.epochs[place], Confirmed: w.epochs[place] > 0, Retention: historyRetain})
+	if err != nil || !begun.Granted {
 		return false
 	}
 	w.epochs[place] = begun.Epoch
-	err = w.client.Finish(w.ctx(), &ledger.Finished{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
-		Run: run, Epoch: begun.Epoch, Input: []byte("in " + id), Output: []byte("out " + id), Retain: historyRetain})
+	err = w.client.Finish(w.ctx(), &ledger.FinishParams{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
+		Run: run, Epoch: begun.Epoch, Input: []byte("in " + id), Output: []byte("out " + id), Retention: historyRetain})
 	if err != nil {
 		return false
 	}
--- a/internal/simulate/manychanges.go
+++ b/internal/simulate/manychanges.go
@@ -243,13 +243,13 @@
 		return false
 	}
 	document := append([]byte(fmt.Sprintf("%s%d", documentHead, r.version+1)), r.tail...)
-	change, malformed := route.ChangeOf(r.version, &route.Table{Version: r.version + 1}, document)
+	change, malformed := route.NewChange(r.version, &route.Table{Version: r.version + 1}, document)
 	if malformed != nil {
 		r.breach("change %d is malformed: %v", r.changes, malformed)
 		return false
 	}
 	err, answered := r.ask(m, func(ctx *base.Ctx, core *node.Core) error {
-		return route.Put(ctx, core.Register, change)
+		return route.SubmitChange(ctx, core.Register, change)
 	})
 	switch verdict := base.FromWire(err); {
 	case answered && err == nil:
@@ -297,7 +297,7 @@
 		}
 		var found *route.Document
 		err, answered := r.ask(m, func(ctx *base.Ctx, core *node.Core) (err error) {
-			found, err = route.Read(ctx, core.Register)
+			found, err = route.ReadDocument(ctx, core.Register)
 			return err
 		})
 		if answered && err == nil && found.Version < before {
@@ -432,7 +432,7 @@
 }
 
 func versionOf(values map[string][]byte) uint64 {
-	if found := route.DocumentOf(values); found != nil {
+	if found := route.DocumentFromFeed(values); found != nil {
 		return found.Version
 	}
 	return 0
--- a/internal/simulate/orders_test.go
+++ b/internal/simulate/orders_test.go
@@ -217,7 +217,7 @@
 	}
 	told := 0
 	for key, value := range d.Edges[0].gateway.Follower.Frame().Values {
-		if key != route.DocumentKey && strings.HasPrefix(key, "routes/") {
+		if key != route.FeedKey && strings.HasPrefix(key, "routes/") {
 			t.Errorf("a gateway was told %s", key)
 		}
 		told += len(key) + len(value)
--- a/internal/simulate/tier_removal_test.go
+++ b/internal/simulate/tier_removal_test.go
@@ -188,7 +188,7 @@
 			told := map[string]int{}
 			onFeed(func(m *Message, reply *feed.FollowReply) {
 				for _, put := range reply.Puts {
-					if put.Key != route.DocumentKey {
+					if put.Key != route.FeedKey {
 						continue
 					}
 					if older == nil {
