--- a/internal/line/keeper.go
+++ b/internal/line/keeper.go
@@ -63,7 +63,7 @@
 // IsTurn tells whether a streamed call goes to a session's owner: it is kept, or
 // belongs to a program or a session, or spends a budget.
 func IsTurn(matched *route.Route, call *relay.Call) bool {
-	return matched.Retained || call.Program != "" || call.Session != "" || call.HasTokenBudget
+	return matched.RetainTurns || call.Program != "" || call.Session != "" || call.HasTokenBudget
 }
 
 // identify gives a turn the names that it lacks: one without a session has a
@@ -265,7 +265,7 @@
 // one that says the same is the same turn.
 func (k *Manager) asksAgain(former, call *relay.Call) bool {
 	matched := k.Routes.Load().Match(call.Host, call.Target)
-	if matched != nil && matched.Retained {
+	if matched != nil && matched.RetainTurns {
 		return former.PreviousTurn == call.PreviousTurn
 	}
 	return former.Target == call.Target && bytes.Equal(former.Body, call.Body)
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -33,7 +33,7 @@
 					c.PromptParts = append(c.PromptParts, relay.PromptPart{ID: fmt.Sprint("p", place), Tokens: 400})
 				}
 				c.PromptTokens = 3200
-				rt := plain(route.Once, 1)
+				rt := plain(route.KindNonIdempotent, 1)
 				ctx := base.NewCtx(f.clock, time.Hour)
 				b.ReportAllocs()
 				for b.Loop() {
