--- a/cmd/fordseam-controller/client.go
+++ b/cmd/fordseam-controller/client.go
@@ -375,7 +375,7 @@
 
 func changeStorage(c *caller, what, field, words string) error {
 	named := c.command.Args().First()
-	var shown register.Disks
+	var shown register.DiskSetRecord
 	err := c.call("POST", "/v1/operator/storage/"+what, map[string]string{field: named}, &shown)
 	if err == nil && !c.quiet() {
 		fmt.Printf("%s %s; watch it with storage list\n", named, words)
--- a/internal/access/change.go
+++ b/internal/access/change.go
@@ -91,7 +91,7 @@
 // Serve adds the second step's op to a core. learnt tells whether every node
 // that may decide holds the settings of a stamp, as the slot's owner knows from
 // their questions; holders lists them.
-func Serve(owner *register.Owner, learnt func(epoch, stamp uint64, permit time.Duration) bool, holders func() any) {
+func Serve(owner *register.Server, learnt func(epoch, stamp uint64, permit time.Duration) bool, holders func() any) {
 	owner.Handle("access.settle", func(tx *register.Tx, args []byte) (any, error) {
 		var asked settling
 		if err := json.Unmarshal(args, &asked); err != nil {
@@ -100,7 +100,7 @@
 		now := readPending(tx.Get(Key))
 		settled := now == nil || now.Target != asked.Target
 		if !settled && (asked.Waited || learnt(tx.Epoch, asked.Target, now.permit(tx.Bounds))) {
-			tx.Gone(Key)
+			tx.Delete(Key)
 			settled = true
 		}
 		return settled, nil
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -229,7 +229,7 @@
 }
 
 // Serve adds the programs' ops to a core.
-func Serve(owner *register.Owner) {
+func Serve(owner *register.Server) {
 	owner.Handle("budget.create", func(tx *register.Tx, args []byte) (any, error) {
 		var asked create
 		if err := json.Unmarshal(args, &asked); err != nil {
@@ -296,21 +296,21 @@
 		}
 		return struct{}{}, nil
 	})
-	owner.Sweep(func(tx *register.Tx) {
+	owner.AddSweep(func(tx *register.Tx) {
 		tx.Walk(EndedPrefix, "", func(storedKey string, value []byte) bool {
 			var told Ended
 			if json.Unmarshal(value, &told) == nil && tx.Now-told.At > tx.Bounds.Retain.Milliseconds() {
-				tx.Gone(storedKey)
+				tx.Delete(storedKey)
 			}
 			return true
 		})
 	})
-	owner.Sweep(func(tx *register.Tx) {
+	owner.AddSweep(func(tx *register.Tx) {
 		now := tx.Now
 		tx.Walk("program/", "", func(storedKey string, value []byte) bool {
 			var found Program
 			if json.Unmarshal(value, &found) == nil && now > max(found.Deadline, found.Seen)+4*tx.Bounds.Retain.Milliseconds() {
-				tx.Gone(storedKey)
+				tx.Delete(storedKey)
 			}
 			return true
 		})
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -11,7 +11,7 @@
 
 func TestJudge(t *testing.T) {
 	self := consensus.Identity{ID: "a", SetVersion: 2}
-	held := consensus.Shard{Promised: 5, Leader: "one"}
+	held := consensus.ShardState{Promised: 5, Leader: "one"}
 	for _, row := range []struct {
 		name  string
 		claim consensus.Claim
@@ -23,35 +23,35 @@
 		{"another leader of the same epoch", consensus.Claim{Epoch: 5, Leader: "two", SetVersion: 2, Replica: "a"}, consensus.RejectedEpoch},
 		{"an older set", consensus.Claim{Epoch: 6, Leader: "two", SetVersion: 1, Replica: "a"}, consensus.RejectedSet},
 		{"a newer set", consensus.Claim{Epoch: 6, Leader: "two", SetVersion: 3, Replica: "a"}, consensus.RejectedSet},
-		{"another replica", consensus.Claim{Epoch: 6, Leader: "two", SetVersion: 2, Replica: "b"}, consensus.RejectedBlank},
+		{"another replica", consensus.Claim{Epoch: 6, Leader: "two", SetVersion: 2, Replica: "b"}, consensus.RejectedWrongReplica},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			is.New(t).Equal(consensus.Judge(self, held, row.claim), row.want)
+			is.New(t).Equal(consensus.CheckClaim(self, held, row.claim), row.want)
 		})
 	}
 }
 
 func TestJudgeWithoutIdentity(t *testing.T) {
-	is.New(t).Equal(consensus.Judge(consensus.Identity{}, consensus.Shard{}, consensus.Claim{}), consensus.RejectedBlank)
+	is.New(t).Equal(consensus.CheckClaim(consensus.Identity{}, consensus.ShardState{}, consensus.Claim{}), consensus.RejectedWrongReplica)
 }
 
 func TestInstallAndAppend(t *testing.T) {
 	is := is.New(t)
-	shard := consensus.Shard{}.Promise(3, "one")
+	shard := consensus.ShardState{}.Promise(3, "one")
 	_, taken := shard.Install(2, "two", 9)
 	is.True(!taken) // fenced by the promise
 	shard, taken = shard.Install(3, "one", 4)
 	is.True(taken)
 	_, taken = shard.Install(3, "one", 4)
 	is.True(!taken) // covered already
-	is.Equal(consensus.JudgeAppend(shard, 3, 6), consensus.RejectedBehind)
-	is.Equal(consensus.JudgeAppend(shard, 2, 5), consensus.RejectedBehind)
-	is.Equal(consensus.JudgeAppend(shard, 3, 5), consensus.Accepted)
+	is.Equal(consensus.CheckAppend(shard, 3, 6), consensus.RejectedBehind)
+	is.Equal(consensus.CheckAppend(shard, 2, 5), consensus.RejectedBehind)
+	is.Equal(consensus.CheckAppend(shard, 3, 5), consensus.Accepted)
 	shard, taken = shard.Append(3, 5)
 	is.True(taken)
 	_, taken = shard.Append(3, 5)
 	is.True(!taken)
-	is.Equal(shard, consensus.Shard{Promised: 3, Leader: "one", Installed: 3, Seq: 5})
+	is.Equal(shard, consensus.ShardState{Promised: 3, Leader: "one", Installed: 3, Seq: 5})
 }
 
 func TestCommitted(t *testing.T) {
@@ -91,7 +91,7 @@
 		want     consensus.MessageKind
 	}{
 		{"nothing yet", consensus.Progress{}, consensus.SendSnapshot},
-		{"it was silent", consensus.Progress{Mute: true}, consensus.SendProbe},
+		{"it was silent", consensus.Progress{Unresponsive: true}, consensus.SendProbe},
 		{"entries are at hand", consensus.Progress{Installed: true, Acked: 4, SetVersion: 1}, consensus.SendEntries},
 		{"entries are gone", consensus.Progress{Installed: true, Acked: 2, SetVersion: 1}, consensus.SendSnapshot},
 		{"all there is", consensus.Progress{Installed: true, Acked: 7, SetVersion: 1}, consensus.SendNothing},
@@ -126,14 +126,14 @@
 	}{
 		{"a learner gets a vote", settled, setOf(5, "ABCD", ""), consensus.ProposalAccepted},
 		{"a voter goes and learners change", settled, setOf(5, "AB", "EF"), consensus.ProposalAccepted},
-		{"one goes and one comes", settled, setOf(5, "ABD", ""), consensus.ProposalManyVotes},
-		{"two come", settled, setOf(5, "ABCDE", ""), consensus.ProposalManyVotes},
+		{"one goes and one comes", settled, setOf(5, "ABD", ""), consensus.ProposalTooManyVotes},
+		{"two come", settled, setOf(5, "ABCDE", ""), consensus.ProposalTooManyVotes},
 		{"a version left out", settled, setOf(6, "ABCD", ""), consensus.ProposalStale},
-		{"another is being adopted", consensus.SetRecord{Current: current, Settled: true, NextVersion: 5}, setOf(5, "ABCD", ""), consensus.ProposalUnderWay},
-		{"the last is not settled", consensus.SetRecord{Current: current}, setOf(5, "ABCD", ""), consensus.ProposalUnderWay},
+		{"another is being adopted", consensus.SetRecord{Current: current, Settled: true, NextVersion: 5}, setOf(5, "ABCD", ""), consensus.ProposalChangePending},
+		{"the last is not settled", consensus.SetRecord{Current: current}, setOf(5, "ABCD", ""), consensus.ProposalChangePending},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			is.New(t).Equal(row.record.JudgeProposal(row.next), row.want)
+			is.New(t).Equal(row.record.CheckProposal(row.next), row.want)
 		})
 	}
 }
@@ -176,7 +176,7 @@
 		{"another cluster's", &known, other, consensus.RejectedCluster},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			is.New(t).Equal(consensus.JudgeSet(row.known, row.offered), row.want)
+			is.New(t).Equal(consensus.CheckSet(row.known, row.offered), row.want)
 		})
 	}
 }
@@ -207,10 +207,10 @@
 	const lease = 1200 * time.Millisecond
 	is.Equal(consensus.LeaseEnd(time.Second, 0, lease), 2140*time.Millisecond)
 	is.Equal(consensus.LeaseEnd(time.Second, 200*time.Millisecond, lease), 1940*time.Millisecond)
-	is.Equal(consensus.Behind(time.Second, 900*time.Millisecond+1), 100*time.Millisecond) // rounded up
-	is.Equal(consensus.Behind(time.Second, 2*time.Second), time.Duration(0))              // confirmed after the question
+	is.Equal(consensus.ConfirmationAge(time.Second, 900*time.Millisecond+1), 100*time.Millisecond) // rounded up
+	is.Equal(consensus.ConfirmationAge(time.Second, 2*time.Second), time.Duration(0))              // confirmed after the question
 	is.True(consensus.MayRelay(800*time.Millisecond, 0, lease))
 	is.True(!consensus.MayRelay(801*time.Millisecond, 0, lease))
-	is.True(consensus.TakesAnswer(3, 3))
-	is.True(!consensus.TakesAnswer(2, 3))
+	is.True(consensus.AcceptsRevision(3, 3))
+	is.True(!consensus.AcceptsRevision(2, 3))
 }
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -24,7 +24,7 @@
 	// SetVersion is that of the set under which it last did.
 	SetVersion uint64
 	// Mute tells that the last message got no answer.
-	Mute bool
+	Unresponsive bool
 }
 
 // Has reports whether the replica is known to hold the shard up to seq.
@@ -58,7 +58,7 @@
 // first to tail and goes by the set of a version.
 func (p Progress) Next(first, tail, setVersion uint64) MessageKind {
 	switch {
-	case p.Mute:
+	case p.Unresponsive:
 		return SendProbe
 	case p.NeedsSnapshot(first):
 		return SendSnapshot
@@ -78,27 +78,27 @@
 func Committed(committed, setVersion uint64, voters []Progress) (seq uint64, reached bool) {
 	seq = committed
 	for _, voter := range voters {
-		if voter.Whole(seq, setVersion) && Settled(voter.Acked, setVersion, voters) {
+		if voter.AckedUnder(seq, setVersion) && MajorityAcked(voter.Acked, setVersion, voters) {
 			seq, reached = voter.Acked, true
 		}
 	}
 	return seq, reached
 }
 
-// Settled reports whether a majority of the voters acknowledged a change under
+// MajorityAcked reports whether a majority of the voters acknowledged a change under
 // the set of a version.
-func Settled(seq, setVersion uint64, voters []Progress) bool {
+func MajorityAcked(seq, setVersion uint64, voters []Progress) bool {
 	count := 0
 	for _, voter := range voters {
-		if voter.Whole(seq, setVersion) {
+		if voter.AckedUnder(seq, setVersion) {
 			count++
 		}
 	}
 	return count >= Majority(len(voters))
 }
 
-// Whole reports whether the replica acknowledged a change under the set of a
+// AckedUnder reports whether the replica acknowledged a change under the set of a
 // version.
-func (p Progress) Whole(seq, setVersion uint64) bool {
+func (p Progress) AckedUnder(seq, setVersion uint64) bool {
 	return p.Has(seq) && p.SetVersion == setVersion
 }
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// ClockRatePart is the share of a lease, one in so many, that is kept back for
+// ClockDriftDivisor is the share of a lease, one in so many, that is kept back for
 // clocks that go at another rate: a clock may be slower than true time by this
 // share.
-const ClockRatePart = 20
+const ClockDriftDivisor = 20
 
 // relayNumerator and relayDenominator are the part of a lease after which a
 // follower no longer passes on what it was told: its own followers would have
@@ -19,13 +19,13 @@
 // The lease counts from before the question was asked, and from as much
 // earlier as the answer was confirmed before the question reached a relay.
 func LeaseEnd(asked, behind, lease time.Duration) time.Duration {
-	return asked - behind + lease - lease/ClockRatePart
+	return asked - behind + lease - lease/ClockDriftDivisor
 }
 
-// Behind is how long before a question arrived at a relay, by its clock, what
+// ConfirmationAge is how long before a question arrived at a relay, by its clock, what
 // it knows was confirmed; it is rounded up to whole milliseconds, which go over
 // the wire.
-func Behind(arrived, confirmed time.Duration) time.Duration {
+func ConfirmationAge(arrived, confirmed time.Duration) time.Duration {
 	behind := max(0, arrived-confirmed)
 	return (behind + time.Millisecond - 1).Truncate(time.Millisecond)
 }
@@ -35,8 +35,8 @@
 	return now-confirmed <= lease*relayNumerator/relayDenominator
 }
 
-// TakesAnswer reports whether an answer with this revision may count for a
+// AcceptsRevision reports whether an answer with this revision may count for a
 // follower at the current one: its revision never falls, and an answer from
 // before renews nothing. A relay gives no such answer, and a follower that gets
 // one drops it.
-func TakesAnswer(revision, current uint64) bool { return revision >= current }
+func AcceptsRevision(revision, current uint64) bool { return revision >= current }
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -9,7 +9,7 @@
 	Accepted Rejection = ""
 	// RejectedBlank means that the message is meant for another replica, or
 	// that this one was never formatted.
-	RejectedBlank Rejection = "blank"
+	RejectedWrongReplica Rejection = "blank"
 	// RejectedSet means that the sender goes by another replica set.
 	RejectedSet Rejection = "set"
 	// RejectedEpoch means that a higher epoch was promised, or the same one to
@@ -38,9 +38,9 @@
 	SetVersion uint64
 }
 
-// Shard is how far a replica's copy of one shard is; its content is kept
+// ShardState is how far a replica's copy of one shard is; its content is kept
 // beside it.
-type Shard struct {
+type ShardState struct {
 	// Promised is the highest epoch that was promised, and Leader to whom.
 	Promised uint64
 	Leader   string
@@ -50,11 +50,11 @@
 	Seq       uint64
 }
 
-// Judge says whether a replica may act on a message with this claim.
-func Judge(self Identity, held Shard, claim Claim) Rejection {
+// CheckClaim says whether a replica may act on a message with this claim.
+func CheckClaim(self Identity, held ShardState, claim Claim) Rejection {
 	switch {
 	case self.ID == "" || claim.Replica != self.ID:
-		return RejectedBlank
+		return RejectedWrongReplica
 	case claim.SetVersion != self.SetVersion:
 		return RejectedSet
 	case claim.Epoch < held.Promised:
@@ -65,9 +65,9 @@
 	return Accepted
 }
 
-// JudgeAppend says whether entries that begin with number first follow what
+// CheckAppend says whether entries that begin with number first follow what
 // the replica holds. A message without entries has first 0.
-func JudgeAppend(held Shard, epoch, first uint64) Rejection {
+func CheckAppend(held ShardState, epoch, first uint64) Rejection {
 	if held.Installed != epoch || first > held.Seq+1 {
 		return RejectedBehind
 	}
@@ -75,7 +75,7 @@
 }
 
 // Promise raises the epoch below which the shard takes nothing.
-func (s Shard) Promise(epoch uint64, leader string) Shard {
+func (s ShardState) Promise(epoch uint64, leader string) ShardState {
 	if epoch >= s.Promised {
 		s.Promised, s.Leader = epoch, leader
 	}
@@ -83,22 +83,22 @@
 }
 
 // Covers tells that a snapshot holds nothing that the shard lacks.
-func (s Shard) Covers(epoch, seq uint64) bool {
+func (s ShardState) Covers(epoch, seq uint64) bool {
 	return epoch == s.Installed && seq <= s.Seq
 }
 
 // Install puts a snapshot up to seq in the place of the content, unless it is
 // fenced by a higher epoch or already covered; taken tells which.
-func (s Shard) Install(epoch uint64, leader string, seq uint64) (next Shard, taken bool) {
+func (s ShardState) Install(epoch uint64, leader string, seq uint64) (next ShardState, taken bool) {
 	if epoch < s.Promised || s.Covers(epoch, seq) {
 		return s, false
 	}
-	return Shard{Promised: epoch, Leader: leader, Installed: epoch, Seq: seq}, true
+	return ShardState{Promised: epoch, Leader: leader, Installed: epoch, Seq: seq}, true
 }
 
 // Append adds the entry with number seq, unless the content was installed under
 // another epoch or has the entry already; taken tells which.
-func (s Shard) Append(epoch, seq uint64) (next Shard, taken bool) {
+func (s ShardState) Append(epoch, seq uint64) (next ShardState, taken bool) {
 	if s.Installed != epoch || seq <= s.Seq {
 		return s, false
 	}
--- a/internal/consensus/set.go
+++ b/internal/consensus/set.go
@@ -67,9 +67,9 @@
 	return lacking
 }
 
-// JudgeSet says whether a replica or a core that goes by a set, or by none,
+// CheckSet says whether a replica or a core that goes by a set, or by none,
 // takes another in its place. One of the same version is taken again.
-func JudgeSet(known *ReplicaSet, offered ReplicaSet) Rejection {
+func CheckSet(known *ReplicaSet, offered ReplicaSet) Rejection {
 	switch {
 	case known == nil:
 		return Accepted
@@ -88,11 +88,11 @@
 	// ProposalAccepted means that there is no reason to reject.
 	ProposalAccepted ProposalRejection = iota
 	// ProposalUnderWay means that another change is not concluded and settled.
-	ProposalUnderWay
+	ProposalChangePending
 	// ProposalStale means that the proposal does not follow the current set.
 	ProposalStale
 	// ProposalManyVotes means that it changes more than one vote.
-	ProposalManyVotes
+	ProposalTooManyVotes
 )
 
 // SetRecord is where the replica set stands, as a majority holds it.
@@ -105,15 +105,15 @@
 	Settled bool
 }
 
-// JudgeProposal says whether a set may follow the current one.
-func (r SetRecord) JudgeProposal(next ReplicaSet) ProposalRejection {
+// CheckProposal says whether a set may follow the current one.
+func (r SetRecord) CheckProposal(next ReplicaSet) ProposalRejection {
 	switch {
 	case r.NextVersion != 0 || !r.Settled:
-		return ProposalUnderWay
+		return ProposalChangePending
 	case next.Version != r.Current.Version+1:
 		return ProposalStale
 	case VotesChanged(r.Current, next) > MaxVotesChanged:
-		return ProposalManyVotes
+		return ProposalTooManyVotes
 	}
 	return ProposalAccepted
 }
--- a/internal/disk/generated_test.go
+++ b/internal/disk/generated_test.go
@@ -36,7 +36,7 @@
 
 // reference is what the replica must hold.
 type reference struct {
-	shard  consensus.Shard
+	shard  consensus.ShardState
 	values map[string]string
 }
 
@@ -58,7 +58,7 @@
 func (r reference) after(sent message) (reference, consensus.Rejection) {
 	self := consensus.Identity{ID: "replica", SetVersion: 1}
 	claim := consensus.Claim{Epoch: sent.epoch, Leader: sent.leader, SetVersion: 1, Replica: "replica"}
-	if rejection := consensus.Judge(self, r.shard, claim); rejection != consensus.Accepted {
+	if rejection := consensus.CheckClaim(self, r.shard, claim); rejection != consensus.Accepted {
 		return r, rejection
 	}
 	next := r.copy()
@@ -72,7 +72,7 @@
 			next = reference{shard: shard, values: map[string]string{key: value}}
 		}
 	case kindAppend:
-		if rejection := consensus.JudgeAppend(r.shard, sent.epoch, sent.seq); rejection != consensus.Accepted {
+		if rejection := consensus.CheckAppend(r.shard, sent.epoch, sent.seq); rejection != consensus.Accepted {
 			return r, rejection
 		}
 		for seq := sent.seq; seq < sent.seq+sent.count; seq++ {
@@ -117,7 +117,7 @@
 	for key, value := range found.values {
 		values[key] = string(value)
 	}
-	return reference{shard: found.Shard, values: values}
+	return reference{shard: found.ShardState, values: values}
 }
 
 func (r reference) equals(other reference) bool {
--- a/internal/disk/install.go
+++ b/internal/disk/install.go
@@ -37,7 +37,7 @@
 // last part was read.
 func (r *replica) encode() *encoding {
 	if r.encoded == nil {
-		snapshot, data := register.Encode(r.Seq, r.puts())
+		snapshot, data := register.EncodeSnapshot(r.Seq, r.puts())
 		r.encoded = &encoding{snapshot, data}
 	}
 	return r.encoded
@@ -45,13 +45,13 @@
 
 // holds tells whether the replica's content is a snapshot's.
 func (r *replica) holds(snapshot *register.Snapshot) bool {
-	return r.Installed > 0 && r.Seq == snapshot.Seq && r.encode().snapshot.Same(snapshot)
+	return r.Installed > 0 && r.Seq == snapshot.Seq && r.encode().snapshot.Equal(snapshot)
 }
 
 // install replaces a replica's content; the caller holds the lock.
-func (s *Store) install(held *replica, next consensus.Shard, puts []*register.Put) {
+func (s *Store) install(held *replica, next consensus.ShardState, puts []*register.Put) {
 	was := replicaTime(held)
-	held.Shard, held.values = next, map[string][]byte{}
+	held.ShardState, held.values = next, map[string][]byte{}
 	held.staged, held.encoded = nil, nil
 	held.put(puts)
 	if replicaTime(held) != was {
@@ -61,7 +61,7 @@
 
 // staged is how many bytes of a snapshot are there under an epoch.
 func (r *replica) stagedOf(snapshot *register.Snapshot) uint64 {
-	if r.staged == nil || !r.staged.Snapshot.Same(snapshot) {
+	if r.staged == nil || !r.staged.Snapshot.Equal(snapshot) {
 		return 0
 	}
 	return uint64(len(r.staged.Data))
@@ -84,7 +84,7 @@
 	}
 	if len(request.Data) == 0 {
 		if held.holds(snapshot) {
-			held.Shard, held.staged, held.encoded = next, nil, nil
+			held.ShardState, held.staged, held.encoded = next, nil, nil
 		}
 		return
 	}
@@ -92,7 +92,7 @@
 	if request.Offset != there {
 		return
 	}
-	held.Shard = held.Promise(claim.Epoch, claim.Owner)
+	held.ShardState = held.Promise(claim.Epoch, claim.Owner)
 	var data []byte
 	if there > 0 {
 		data = held.staged.Data
--- a/internal/disk/install_test.go
+++ b/internal/disk/install_test.go
@@ -44,7 +44,7 @@
 }
 
 func (b *bench) sending(epoch, seq uint64, puts []*register.Put) *sending {
-	snapshot, data := register.Encode(seq, puts)
+	snapshot, data := register.EncodeSnapshot(seq, puts)
 	return &sending{bench: b, epoch: epoch, owner: "o", snapshot: snapshot, data: data}
 }
 
@@ -162,7 +162,7 @@
 	is := is.New(t)
 	b := openBench(is, newMemory())
 	is.True(b.take(1, "o").Ack.Ok)
-	snapshot, data := register.Encode(9, largeContent(1, 1))
+	snapshot, data := register.EncodeSnapshot(9, largeContent(1, 1))
 	for name, change := range map[string]func(x *register.InstallPartRequest){
 		"no snapshot":  func(x *register.InstallPartRequest) { x.Snapshot = nil },
 		"no claim":     func(x *register.InstallPartRequest) { x.Claim = nil },
--- a/internal/disk/replica.go
+++ b/internal/disk/replica.go
@@ -16,7 +16,7 @@
 
 // replica is this machine's copy of one shard.
 type replica struct {
-	consensus.Shard
+	consensus.ShardState
 	values map[string][]byte
 	// touched is when this process took in the newest of it.
 	touched time.Duration
@@ -77,7 +77,7 @@
 			return errors.Trace(err)
 		}
 		held := s.replicaOf(message.Slot)
-		held.Shard = held.Promise(message.Epoch, message.Owner)
+		held.ShardState = held.Promise(message.Epoch, message.Owner)
 	case kindInstall:
 		var message register.InstallRequest
 		if err := proto.Unmarshal(payload, &message); err != nil {
@@ -106,7 +106,7 @@
 			if !taken {
 				continue
 			}
-			held.Shard, held.encoded = next, nil
+			held.ShardState, held.encoded = next, nil
 			held.put(entry.Puts)
 			held.touched = s.clock.Now()
 		}
@@ -158,7 +158,7 @@
 	s.id, s.set = frame.Id, frame.Set
 	for _, found := range frame.Replicas {
 		held := s.replicaOf(found.Slot)
-		held.Shard = consensus.Shard{Promised: found.Promised, Leader: found.Owner, Installed: found.Installed, Seq: found.Seq}
+		held.ShardState = consensus.ShardState{Promised: found.Promised, Leader: found.Owner, Installed: found.Installed, Seq: found.Seq}
 		held.staged = found.Staged
 		held.put(found.Puts)
 	}
--- a/internal/disk/service.go
+++ b/internal/disk/service.go
@@ -99,7 +99,7 @@
 		ack.Why = "broken"
 		return ack
 	}
-	rejection := consensus.Judge(s.consensusIdentity(), held.Shard, claim.Consensus())
+	rejection := consensus.CheckClaim(s.consensusIdentity(), held.ShardState, claim.ToConsensus())
 	if rejection == consensus.RejectedSet {
 		ack.Set = s.set
 	}
@@ -128,7 +128,7 @@
 	put, why := s.enqueue(kindPromise, request.Claim, true)
 	held := s.replicaOf(request.Claim.Slot)
 	reply := &register.PromiseReply{Ack: ack, Installed: held.Installed, Seq: held.Seq, AgeMs: (s.clock.Now() - held.touched).Milliseconds()}
-	if puts := held.puts(); register.Weight(puts) <= inlineBytes {
+	if puts := held.puts(); register.ApproxSize(puts) <= inlineBytes {
 		reply.Puts = puts
 	} else {
 		reply.Apart = true
@@ -164,7 +164,7 @@
 	ack := s.judge(request.Claim)
 	held := s.replicaOf(request.Claim.Slot)
 	if ack.Ok {
-		rejection := consensus.JudgeAppend(held.Shard, request.Claim.Epoch, request.First())
+		rejection := consensus.CheckAppend(held.ShardState, request.Claim.Epoch, request.FirstSeq())
 		ack.Ok, ack.Why = rejection == consensus.Accepted, string(rejection)
 	}
 	if !ack.Ok {
@@ -201,9 +201,9 @@
 	s := v.store
 	s.mu.Lock()
 	ack := &register.Ack{Set: s.set}
-	rejection := consensus.RejectedBlank
+	rejection := consensus.RejectedWrongReplica
 	if s.id != "" {
-		rejection = consensus.JudgeSet(s.set.Consensus(), *request.Set.Consensus())
+		rejection = consensus.CheckSet(s.set.ToConsensus(), *request.Set.ToConsensus())
 	}
 	if rejection != consensus.Accepted {
 		ack.Why = string(rejection)
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -29,13 +29,13 @@
 // those that it tells at second hand.
 type Service struct {
 	clock    base.Clock
-	owner    *register.Owner
+	owner    *register.Server
 	follower *Follower
 	polls    polls
 }
 
 // NewService takes no owner on a gateway.
-func NewService(clock base.Clock, owner *register.Owner, follower *Follower) *Service {
+func NewService(clock base.Clock, owner *register.Server, follower *Follower) *Service {
 	return &Service{clock: clock, owner: owner, follower: follower, polls: polls{holders: map[string]poll{}}}
 }
 
@@ -46,12 +46,12 @@
 		return &FollowReply{Crowded: true, Relays: v.follower.asking.relays(request.From, request.Zone)}, nil
 	}
 	gateways := v.follower.below(request)
-	if v.owner == nil || request.Relayed && !v.owner.ServesFeed() {
+	if v.owner == nil || request.Relayed && !v.owner.LeadsFeed() {
 		return v.follower.Relay(ctx, request)
 	}
 	v.note(request)
 	hold := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Left()/2)
-	place, frame, puts, hint, err := v.owner.News(ctx, request.Place, request.Begun, hold)
+	place, frame, puts, hint, err := v.owner.Watch(ctx, request.Place, request.Begun, hold)
 	if err != nil {
 		return nil, base.ToWire(err)
 	}
@@ -261,7 +261,7 @@
 func (f *Follower) askOwner(request *FollowRequest) (reply *FollowReply, asked time.Duration, err error) {
 	request.Relayed = false
 	bounds := f.bounds.Load()
-	err = f.client.Reach(base.NewCtx(f.clock, bounds.Permit()), 0, bounds.Follow(), func(ctx *base.Ctx, addr string) (string, error) {
+	err = f.client.CallLeader(base.NewCtx(f.clock, bounds.Permit()), 0, bounds.Follow(), func(ctx *base.Ctx, addr string) (string, error) {
 		asked = f.clock.Now()
 		answered, err := NewFeedProtobufClient("http://"+addr, f.wire).Follow(ctx, request)
 		request.HoldMs = 0
@@ -295,7 +295,7 @@
 
 func (f *Follower) take(reply *FollowReply, asked time.Duration) {
 	current := f.Frame()
-	if !consensus.TakesAnswer(reply.Place, current.Place) {
+	if !consensus.AcceptsRevision(reply.Place, current.Place) {
 		f.counters.Add("feed_older_dropped", 1)
 		return
 	}
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -169,11 +169,11 @@
 	confirmed, frame, gateways := f.confirmed, f.Frame(), f.gateways
 	puts, ok := f.steps.since(request.Place)
 	f.mu.Unlock()
-	if !frame.Begun || !consensus.TakesAnswer(frame.Place, request.Place) || !consensus.MayRelay(f.clock.Now(), confirmed, f.bounds.Load().Permit()) {
+	if !frame.Begun || !consensus.AcceptsRevision(frame.Place, request.Place) || !consensus.MayRelay(f.clock.Now(), confirmed, f.bounds.Load().Permit()) {
 		f.counters.Add("feed_relays_declined", 1)
 		return nil, base.ToWire(base.Busy(503, "feed_stale", 1, "this node is behind the feed itself"))
 	}
-	reply := &FollowReply{Place: frame.Place, Gateways: gateways, BehindMs: consensus.Behind(arrived, confirmed).Milliseconds()}
+	reply := &FollowReply{Place: frame.Place, Gateways: gateways, BehindMs: consensus.ConfirmationAge(arrived, confirmed).Milliseconds()}
 	switch {
 	case !request.Begun || frame.Place > request.Place && !ok:
 		reply.Frame = true
--- a/internal/founding/founding.go
+++ b/internal/founding/founding.go
@@ -23,14 +23,14 @@
 // least is how few disks a cluster is formed of.
 const least = 3
 
-// Founder is a seed's part in it.
-type Founder struct {
+// Bootstrapper is a seed's part in it.
+type Bootstrapper struct {
 	clock    base.Clock
 	wire     base.Wire
 	view     *membership.View
 	bounds   *base.Table[base.Bounds]
 	counters *base.Counters
-	owner    *register.Owner
+	owner    *register.Server
 	seeds    []string
 	place    int
 	tolerate int
@@ -41,21 +41,21 @@
 
 // New makes a founder at an address; one that is no seed's neither proposes
 // nor is asked.
-func New(clock base.Clock, wire base.Wire, view *membership.View, bounds *base.Table[base.Bounds], counters *base.Counters, owner *register.Owner, addr string, seeds []string, tolerate int) *Founder {
-	return &Founder{clock: clock, wire: wire, view: view, bounds: bounds, counters: counters, owner: owner,
+func New(clock base.Clock, wire base.Wire, view *membership.View, bounds *base.Table[base.Bounds], counters *base.Counters, owner *register.Server, addr string, seeds []string, tolerate int) *Bootstrapper {
+	return &Bootstrapper{clock: clock, wire: wire, view: view, bounds: bounds, counters: counters, owner: owner,
 		seeds: seeds, place: slices.Index(seeds, addr), tolerate: tolerate}
 }
 
 // Run founds the cluster unless it is found to be formed. The first seed begins
 // once the storage machines it knows have been the same for a while; the others
 // step in later, each after the one before.
-func (f *Founder) Run() {
+func (f *Bootstrapper) Run() {
 	if f.place < 0 {
 		return
 	}
 	var list []string
 	since := f.clock.Now()
-	for !f.view.Closed() && f.owner.Known() == nil {
+	for !f.view.Closed() && f.owner.KnownDiskSet() == nil {
 		bounds := f.bounds.Load()
 		now := f.present()
 		if !slices.Equal(list, now) {
@@ -74,17 +74,17 @@
 }
 
 // present lists the storage machines by their addresses.
-func (f *Founder) present() []string {
+func (f *Bootstrapper) present() []string {
 	addrs := base.Map(f.view.Alive(membership.RoleStorage), func(m *membership.Member) string { return m.Addr })
 	slices.Sort(addrs)
 	return slices.Compact(addrs)
 }
 
 // found makes one try. Late tries go without machines that do not answer.
-func (f *Founder) found(addrs []string, late bool) bool {
+func (f *Bootstrapper) found(addrs []string, late bool) bool {
 	fresh, formed := f.gather(addrs)
 	if formed != nil {
-		f.owner.Learn(formed)
+		f.owner.LearnDiskSet(formed)
 		return true
 	}
 	if len(fresh.Disks) < max(least, 2*f.tolerate+1) || len(fresh.Disks) < len(addrs) && !late {
@@ -99,19 +99,19 @@
 		return err == nil && ack.Ok
 	})
 	if took {
-		f.owner.Learn(set) // the cores bring it to the other disks
+		f.owner.LearnDiskSet(set) // the cores bring it to the other disks
 		f.counters.Add("clusters_founded", 1)
 	}
 	return took
 }
 
-func (f *Founder) disk(addr string) register.Disk {
+func (f *Bootstrapper) disk(addr string) register.Disk {
 	return register.NewDiskProtobufClient("http://"+addr, f.wire)
 }
 
 // gather formats the disks and makes a set of them. Where one is in a set
 // already, the cluster was formed.
-func (f *Founder) gather(addrs []string) (fresh, formed *register.DiskSet) {
+func (f *Bootstrapper) gather(addrs []string) (fresh, formed *register.DiskSet) {
 	var mu sync.Mutex
 	states := map[string]*register.DiskState{}
 	base.AskAll(f.clock, addrs, f.bounds.Load().DiskLimit()/2, func(ctx *base.Ctx, addr string) {
@@ -141,7 +141,7 @@
 
 // decide has a majority of the seeds accept one set under a ballot of this
 // seed's: the newest that any of a majority had accepted, else the fresh one.
-func (f *Founder) decide(fresh *register.DiskSet) *register.DiskSet {
+func (f *Bootstrapper) decide(fresh *register.DiskSet) *register.DiskSet {
 	f.mu.Lock()
 	ballot := consensus.NextBallot(f.vote.Promised, len(f.seeds), f.place)
 	f.vote.Promised = ballot // it is used once
@@ -174,7 +174,7 @@
 	return chosen
 }
 
-func (f *Founder) ask(call func(ctx *base.Ctx, seed Founding) (*Vote, error), learn func(*Vote)) bool {
+func (f *Bootstrapper) ask(call func(ctx *base.Ctx, seed Founding) (*Vote, error), learn func(*Vote)) bool {
 	return base.Ask(f.clock, f.seeds, consensus.Majority(len(f.seeds)), f.bounds.Load().DiskLimit()/2, func(ctx *base.Ctx, addr string) bool {
 		var seed Founding = f
 		if addr != f.seeds[f.place] {
@@ -190,7 +190,7 @@
 }
 
 // Prepare promises to vote for no older ballot, and tells what was accepted.
-func (f *Founder) Prepare(_ context.Context, request *PrepareRequest) (*Vote, error) {
+func (f *Bootstrapper) Prepare(_ context.Context, request *PrepareRequest) (*Vote, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next, ok := f.vote.Prepare(request.Ballot)
@@ -199,7 +199,7 @@
 }
 
 // Accept votes for a set unless a later ballot was promised.
-func (f *Founder) Accept(_ context.Context, request *AcceptRequest) (*Vote, error) {
+func (f *Bootstrapper) Accept(_ context.Context, request *AcceptRequest) (*Vote, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next, ok := f.vote.Accept(request.Ballot, request.Set)
--- a/internal/model/lease.go
+++ b/internal/model/lease.go
@@ -46,9 +46,9 @@
 func ImplementedLeaseRules() LeaseRules {
 	return LeaseRules{
 		LeaseEnd:     consensus.LeaseEnd,
-		Behind:       consensus.Behind,
+		Behind:       consensus.ConfirmationAge,
 		MayRelay:     consensus.MayRelay,
-		TakesAnswer:  consensus.TakesAnswer,
+		TakesAnswer:  consensus.AcceptsRevision,
 		FromQuestion: true,
 	}
 }
--- a/internal/model/membership.go
+++ b/internal/model/membership.go
@@ -148,10 +148,10 @@
 func ImplementedMembershipRules() MembershipRules {
 	return MembershipRules{
 		Rules:         ImplementedRules(),
-		JudgeProposal: consensus.SetRecord.JudgeProposal,
-		JudgeSet:      consensus.JudgeSet,
+		JudgeProposal: consensus.SetRecord.CheckProposal,
+		JudgeSet:      consensus.CheckSet,
 		Adopted:       consensus.Adopted,
-		Settled:       consensus.Settled,
+		Settled:       consensus.MajorityAcked,
 		CountedBy:     func(_, known uint8) uint8 { return known },
 	}
 }
@@ -220,10 +220,10 @@
 }
 
 func (k known) progress() consensus.Progress {
-	return consensus.Progress{Installed: k.installed, Acked: uint64(k.acked), SetVersion: uint64(k.set), Mute: k.mute}
+	return consensus.Progress{Installed: k.installed, Acked: uint64(k.acked), SetVersion: uint64(k.set), Unresponsive: k.mute}
 }
 
 func (k known) withProgress(next consensus.Progress) known {
-	k.installed, k.mute, k.acked, k.set = next.Installed, next.Mute, uint8(next.Acked), uint8(next.SetVersion)
+	k.installed, k.mute, k.acked, k.set = next.Installed, next.Unresponsive, uint8(next.Acked), uint8(next.SetVersion)
 	return k
 }
--- a/internal/model/membership_change.go
+++ b/internal/model/membership_change.go
@@ -17,7 +17,7 @@
 	committed, version := uint64(owner.committed), uint64(owner.set)
 	next.settled = state.settled || w.Rules.Settled(committed, version, state.voters(leader, owner.set))
 	for place := range w.places() {
-		if state.sets[owner.set].learners.has(place) && owner.replicas[place].progress().Whole(committed, version) {
+		if state.sets[owner.set].learners.has(place) && owner.replicas[place].progress().AckedUnder(committed, version) {
 			next.filled |= 1 << place
 		}
 	}
--- a/internal/model/membership_check.go
+++ b/internal/model/membership_check.go
@@ -51,7 +51,7 @@
 	claim := consensus.Claim{Epoch: uint64(w.Epochs) + 1, SetVersion: uint64(version), Replica: replicaNames[0]}
 	for ; adopted <= newest; adopted++ {
 		self := consensus.Identity{ID: replicaNames[0], SetVersion: uint64(adopted)}
-		if w.Rules.Judge(self, consensus.Shard{}, claim) == consensus.Accepted {
+		if w.Rules.Judge(self, consensus.ShardState{}, claim) == consensus.Accepted {
 			return true
 		}
 	}
--- a/internal/model/membership_test.go
+++ b/internal/model/membership_test.go
@@ -121,12 +121,12 @@
 
 func withoutSettling(record consensus.SetRecord, next consensus.ReplicaSet) consensus.ProposalRejection {
 	record.Settled = true
-	return record.JudgeProposal(next)
+	return record.CheckProposal(next)
 }
 
 func manyVotes(record consensus.SetRecord, next consensus.ReplicaSet) consensus.ProposalRejection {
-	rejection := record.JudgeProposal(next)
-	if rejection == consensus.ProposalManyVotes {
+	rejection := record.CheckProposal(next)
+	if rejection == consensus.ProposalTooManyVotes {
 		return consensus.ProposalAccepted
 	}
 	return rejection
@@ -138,7 +138,7 @@
 	for place := range voters {
 		voters[place].SetVersion = setVersion
 	}
-	return consensus.Settled(committed, setVersion, voters)
+	return consensus.MajorityAcked(committed, setVersion, voters)
 }
 
 func committedUnderAnySet(committed, setVersion uint64, voters []consensus.Progress) (uint64, bool) {
@@ -148,7 +148,7 @@
 	return consensus.Committed(committed, setVersion, voters)
 }
 
-func withoutSets(self consensus.Identity, held consensus.Shard, claim consensus.Claim) consensus.Rejection {
+func withoutSets(self consensus.Identity, held consensus.ShardState, claim consensus.Claim) consensus.Rejection {
 	claim.SetVersion = self.SetVersion
-	return consensus.Judge(self, held, claim)
+	return consensus.CheckClaim(self, held, claim)
 }
--- a/internal/model/replication.go
+++ b/internal/model/replication.go
@@ -192,12 +192,12 @@
 	return consensus.Position{Installed: uint64(c.installed), Seq: uint64(c.seq)}
 }
 
-func (c shardCopy) shard() consensus.Shard {
-	return consensus.Shard{Promised: uint64(c.promised), Leader: leaderName(c.leader), Installed: uint64(c.installed), Seq: uint64(c.seq)}
+func (c shardCopy) shard() consensus.ShardState {
+	return consensus.ShardState{Promised: uint64(c.promised), Leader: leaderName(c.leader), Installed: uint64(c.installed), Seq: uint64(c.seq)}
 }
 
 // withShard is the copy after a decision on its shard.
-func (c shardCopy) withShard(next consensus.Shard) shardCopy {
+func (c shardCopy) withShard(next consensus.ShardState) shardCopy {
 	c.promised, c.installed, c.seq = uint8(next.Promised), uint8(next.Installed), uint8(next.Seq)
 	c.leader = 0
 	for place, name := range leaderNames {
--- a/internal/model/replication_test.go
+++ b/internal/model/replication_test.go
@@ -54,21 +54,21 @@
 }
 
 // withoutEpochs accepts a claim whatever was promised.
-func withoutEpochs(self consensus.Identity, held consensus.Shard, claim consensus.Claim) consensus.Rejection {
+func withoutEpochs(self consensus.Identity, held consensus.ShardState, claim consensus.Claim) consensus.Rejection {
 	held.Promised = 0
-	return consensus.Judge(self, held, claim)
+	return consensus.CheckClaim(self, held, claim)
 }
 
 // withoutLeaders accepts a claim of any leader under the promised epoch.
-func withoutLeaders(self consensus.Identity, held consensus.Shard, claim consensus.Claim) consensus.Rejection {
+func withoutLeaders(self consensus.Identity, held consensus.ShardState, claim consensus.Claim) consensus.Rejection {
 	held.Leader = claim.Leader
-	return consensus.Judge(self, held, claim)
+	return consensus.CheckClaim(self, held, claim)
 }
 
 // withoutIdentity accepts a claim that is meant for another replica.
-func withoutIdentity(self consensus.Identity, held consensus.Shard, claim consensus.Claim) consensus.Rejection {
+func withoutIdentity(self consensus.Identity, held consensus.ShardState, claim consensus.Claim) consensus.Rejection {
 	claim.Replica = self.ID
-	return consensus.Judge(self, held, claim)
+	return consensus.CheckClaim(self, held, claim)
 }
 
 func TestReplicationRulesRemoved(t *testing.T) {
@@ -170,13 +170,13 @@
 
 func newerByNumber(position, other consensus.Position) bool { return position.Seq > other.Seq }
 
-func installAnyway(held consensus.Shard, epoch uint64, leader string, seq uint64) (consensus.Shard, bool) {
+func installAnyway(held consensus.ShardState, epoch uint64, leader string, seq uint64) (consensus.ShardState, bool) {
 	if epoch < held.Promised {
 		return held, false
 	}
-	return consensus.Shard{Promised: epoch, Leader: leader, Installed: epoch, Seq: seq}, true
+	return consensus.ShardState{Promised: epoch, Leader: leader, Installed: epoch, Seq: seq}, true
 }
 
-func appendAnywhere(held consensus.Shard, epoch, _ uint64) consensus.Rejection {
-	return consensus.JudgeAppend(held, epoch, 0)
+func appendAnywhere(held consensus.ShardState, epoch, _ uint64) consensus.Rejection {
+	return consensus.CheckAppend(held, epoch, 0)
 }
--- a/internal/model/rules.go
+++ b/internal/model/rules.go
@@ -5,9 +5,9 @@
 // Rules are the decisions that a world calls. ImplementedRules are those that
 // run in production; a removal replaces one of them by a weaker one.
 type Rules struct {
-	Judge       func(self consensus.Identity, held consensus.Shard, claim consensus.Claim) consensus.Rejection
-	JudgeAppend func(held consensus.Shard, epoch, first uint64) consensus.Rejection
-	Install     func(held consensus.Shard, epoch uint64, leader string, seq uint64) (consensus.Shard, bool)
+	Judge       func(self consensus.Identity, held consensus.ShardState, claim consensus.Claim) consensus.Rejection
+	JudgeAppend func(held consensus.ShardState, epoch, first uint64) consensus.Rejection
+	Install     func(held consensus.ShardState, epoch uint64, leader string, seq uint64) (consensus.ShardState, bool)
 	Newer       func(position, other consensus.Position) bool
 	Committed   func(committed, setVersion uint64, voters []consensus.Progress) (uint64, bool)
 	// PromiseQuorum and ReadQuorum are how many of the voters must answer.
@@ -25,9 +25,9 @@
 // ImplementedRules are the decisions that run in production.
 func ImplementedRules() Rules {
 	return Rules{
-		Judge:                consensus.Judge,
-		JudgeAppend:          consensus.JudgeAppend,
-		Install:              consensus.Shard.Install,
+		Judge:                consensus.CheckClaim,
+		JudgeAppend:          consensus.CheckAppend,
+		Install:              consensus.ShardState.Install,
 		Newer:                consensus.Position.Newer,
 		Committed:            consensus.Committed,
 		PromiseQuorum:        consensus.Majority,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -259,7 +259,7 @@
 // Core is the control plane's process that owns keys.
 type Core struct {
 	*common
-	Owner    *register.Owner
+	Owner    *register.Server
 	Follower *feed.Follower
 	Operate  *operate.Operate
 	Register *register.Client
@@ -267,14 +267,14 @@
 	// Lister asks for the list of workers; it is set before Start where this
 	// core keeps a roster.
 	Lister  relay.Lister
-	founder *founding.Founder
+	founder *founding.Bootstrapper
 }
 
 func NewCore(env Env, place Place) *Core {
 	place.Role = membership.RoleCore
 	bounds, tree := newBounds(place), &base.Table[settings.Tree]{}
 	c := newCommon(env, place, nil, bounds)
-	owner := register.NewOwner(env.Clock, env.Wire, c.view, bounds, env.Counters)
+	owner := register.NewServer(env.Clock, env.Wire, c.view, bounds, env.Counters)
 	settings.Serve(owner)
 	budget.Serve(owner)
 	session.Serve(owner)
@@ -285,9 +285,9 @@
 	guard := access.NewGuard(env.Clock, bounds, env.Counters)
 	client, follower := c.follow(tree, guard, func(*feed.Frame) {})
 	if place.Tolerate > 0 {
-		owner.Mend(place.Tolerate)
-		kept := ledger.NewClient(env.Clock, env.Wire, func() *register.DiskSet { return register.DisksOf(follower.Frame().Values) }, place.Zone, place.Tolerate, bounds, env.Counters, nil)
-		owner.Keeps(kept)
+		owner.EnableReconcile(place.Tolerate)
+		kept := ledger.NewClient(env.Clock, env.Wire, func() *register.DiskSet { return register.DiskSetIn(follower.Frame().Values) }, place.Zone, place.Tolerate, bounds, env.Counters, nil)
+		owner.SetRedundancyChecker(kept)
 	}
 	core := &Core{common: c, Owner: owner, Follower: follower, Register: client}
 	if place.Found {
@@ -315,7 +315,7 @@
 	c.env.Clock.Go(c.settles.Run)
 	if c.Lister != nil {
 		duty := &relay.Duty{Clock: c.env.Clock, Bounds: c.bounds, Counters: c.env.Counters, Register: c.Register, Follower: c.Follower, Lister: c.Lister,
-			Holds: c.Owner.ServesFeed, Needed: func() bool { return len(c.Follower.Frame().Values[route.DocumentKey]) > 0 }}
+			Holds: c.Owner.LeadsFeed, Needed: func() bool { return len(c.Follower.Frame().Values[route.DocumentKey]) > 0 }}
 		c.env.Clock.Go(duty.Run)
 	}
 }
@@ -343,7 +343,7 @@
 // Leave tells the fleet, so that others take this core's slots.
 func (c *Core) Leave(time.Duration) {
 	c.view.Leave(c.bounds.Load().Beat() * 4)
-	c.Owner.Yield(c.bounds.Load().Call())
+	c.Owner.AwaitHandover(c.bounds.Load().Call())
 }
 
 func (c *Core) Stop() {
--- a/internal/node/tier.go
+++ b/internal/node/tier.go
@@ -20,7 +20,7 @@
 
 // learn takes what a frame of the feed says of routes, workers and disks.
 func (g *Gateway) learn(frame *feed.Frame) {
-	if disks := register.DisksOf(frame.Values); disks != nil {
+	if disks := register.DiskSetIn(frame.Values); disks != nil {
 		g.disks.Swap(disks)
 	}
 	written := frame.Values[route.DocumentKey]
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -28,7 +28,7 @@
 	View     *membership.View
 	Bounds   *base.Table[base.Bounds]
 	Register *register.Client
-	Owner    *register.Owner
+	Owner    *register.Server
 	Counters *base.Counters
 	// Frame is the newest that this core has heard of the feed.
 	Frame func() map[string][]byte
@@ -96,7 +96,7 @@
 	case "POST /v1/operator/storage/empty":
 		return o.empty(ctx, r)
 	case "GET /v1/operator/storage/empty":
-		return emptying(register.RetireState(ctx, o.Register, r.Query["node"]))
+		return emptying(register.GetRetirement(ctx, o.Register, r.Query["node"]))
 	case "POST /v1/operator/terminate":
 		return o.terminate(ctx, r)
 	}
@@ -208,7 +208,7 @@
 }
 
 func (o *Operate) status(ctx *base.Ctx) StatusView {
-	owned, set := o.Owner.Frame()
+	owned, set := o.Owner.Status()
 	shown := StatusView{Core: o.View.Me(), Slots: owned, SetStamp: set.GetStamp(), Cluster: set.GetCluster(), Counters: o.Counters.Frame()}
 	for _, role := range []string{membership.RoleEdge, membership.RoleCore, membership.RoleStorage} {
 		for _, member := range o.View.Known(role) {
@@ -216,7 +216,7 @@
 			shown.Members = append(shown.Members, MemberView{member.Id, role, member.Zone, member.Addr, member.PublicAddr, alive, member.Leaving, member.Unwell})
 		}
 	}
-	shown.Mending = append([]string{}, o.Owner.Mending()...)
+	shown.Mending = append([]string{}, o.Owner.ReconcileStatus()...)
 	if len(shown.Mending) == 0 {
 		for _, entry := range set.GetDisks() {
 			if entry.Learner {
@@ -282,8 +282,8 @@
 	case answering == need && voting > need:
 		say("%d of %d disks answer, %d must: no other may be lost", answering, voting, need)
 	}
-	if missing := register.Slots - len(owned); missing > 0 {
-		say("%d of %d slots have no owner", missing, register.Slots)
+	if missing := register.ShardCount - len(owned); missing > 0 {
+		say("%d of %d slots have no owner", missing, register.ShardCount)
 	}
 	slices.Sort(found)
 	return found
@@ -291,7 +291,7 @@
 
 // advice is what to do about a lost disk.
 func (o *Operate) advice() string {
-	if o.Owner.Mends() {
+	if o.Owner.ReconcileEnabled() {
 		return "if it is lost, start an empty storage machine; it takes its place"
 	}
 	return "if it is lost, retire it and admit another"
--- a/internal/operate/storage.go
+++ b/internal/operate/storage.go
@@ -82,13 +82,13 @@
 }
 
 // disks is the recorded set, or the one the disks themselves go by.
-func (o *Operate) disks(ctx *base.Ctx) (*register.Disks, error) {
-	var recorded *register.Disks
+func (o *Operate) disks(ctx *base.Ctx) (*register.DiskSetRecord, error) {
+	var recorded *register.DiskSetRecord
 	if err := o.Register.Change(ctx, register.FeedGroup, "disks.get", struct{}{}, &recorded); err != nil {
 		return nil, err
 	}
 	if recorded == nil {
-		recorded = &register.Disks{Current: o.Owner.Set(), Settled: true, Slots: register.Slots}
+		recorded = &register.DiskSetRecord{Current: o.Owner.LookupDiskSet(), Settled: true, SettledShards: register.ShardCount}
 	}
 	return recorded, nil
 }
@@ -120,7 +120,7 @@
 			zone = member.Zone
 		}
 	}
-	return register.Admit(ctx, o.Register, now.Current, &register.DiskEntry{Id: state.Id, Addr: addr, Zone: zone, Node: state.Node})
+	return register.AdmitDisk(ctx, o.Register, now.Current, &register.DiskEntry{Id: state.Id, Addr: addr, Zone: zone, Node: state.Node})
 }
 
 func (o *Operate) retire(ctx *base.Ctx, r *front.Request) (any, error) {
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return register.Retire(ctx, o.Register, now.Current, id)
+	return register.RetireDisk(ctx, o.Register, now.Current, id)
 }
 
 // empty retires a machine by its name.
@@ -147,7 +147,7 @@
 	return emptying(register.RetireNode(ctx, o.Register, node))
 }
 
-func emptying(found *register.Retiring, err error) (any, error) {
+func emptying(found *register.Retirement, err error) (any, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -214,7 +214,7 @@
 			shown = append(shown, DiskView{ID: state.Id, Addr: addr, Zone: zones[addr], Node: state.Node, Alive: true, Used: state.UsedBytes})
 		}
 	}
-	return StorageView{Cluster: set.Cluster, Stamp: set.Stamp, Moving: recorded.Under(), Slots: recorded.Slots, All: register.Slots, Disks: shown}, nil
+	return StorageView{Cluster: set.Cluster, Stamp: set.Stamp, Moving: recorded.ChangePending(), Slots: recorded.SettledShards, All: register.ShardCount, Disks: shown}, nil
 }
 
 // StorageView is the listing of the disks.
--- a/internal/register/census.go
+++ b/internal/register/census.go
@@ -14,7 +14,7 @@
 
 // census asks all cores how many slots are whole on a majority of the set,
 // and how many on each of its learners. It ends early once all are.
-func (o *Owner) census(set *DiskSet) (settled int, filled map[string]int) {
+func (o *Server) census(set *DiskSet) (settled int, filled map[string]int) {
 	var mu sync.Mutex
 	whole, learned := map[uint32]bool{}, map[string]map[uint32]bool{}
 	for _, entry := range set.Disks {
@@ -43,9 +43,9 @@
 				}
 			}
 		}
-		all := len(whole) == Slots
+		all := len(whole) == ShardCount
 		for _, slots := range learned {
-			all = all && len(slots) == Slots
+			all = all && len(slots) == ShardCount
 		}
 		return all
 	})
@@ -64,7 +64,7 @@
 // suspects are the cores that are not heard or gave the last census no answer.
 // The others are told, so that they look for themselves and take over their
 // slots sooner.
-func (o *Owner) suspects(present []*membership.Member) []string {
+func (o *Server) suspects(present []*membership.Member) []string {
 	o.mu.Lock()
 	found := slices.Clone(o.mute)
 	o.mu.Unlock()
@@ -78,8 +78,8 @@
 
 // Census tells which slots this core owns, which of them are whole on a
 // majority of the set, and which are whole on each of its learners.
-func (o *Owner) Census(_ context.Context, request *CensusRequest) (*CensusReply, error) {
-	o.Learn(request.Set)
+func (o *Server) Census(_ context.Context, request *CensusRequest) (*CensusReply, error) {
+	o.LearnDiskSet(request.Set)
 	for _, id := range request.Suspects {
 		if id != o.view.Me() {
 			o.view.Probe(id)
@@ -93,11 +93,11 @@
 		s.mu.Lock()
 		if s.phase == serving {
 			reply.Owned = append(reply.Owned, s.num)
-			if consensus.Settled(s.commit, set.GetStamp(), s.voters(set)) {
+			if consensus.MajorityAcked(s.commit, set.GetStamp(), s.voters(set)) {
 				reply.Settled = append(reply.Settled, s.num)
 			}
 			for place, entry := range learners {
-				if s.progressOf(entry.Id).Whole(s.commit, set.GetStamp()) {
+				if s.progressOf(entry.Id).AckedUnder(s.commit, set.GetStamp()) {
 					reply.Filled[place].Slots = append(reply.Filled[place].Slots, s.num)
 				}
 			}
--- a/internal/register/client.go
+++ b/internal/register/client.go
@@ -30,8 +30,8 @@
 	return &Client{clock: clock, wire: wire, view: view, bounds: bounds, answered: map[uint32]string{}}
 }
 
-// Nominate orders the live cores for a slot.
-func (c *Client) Nominate(slot uint32) []string { return ownersFor(c.view, slot) }
+// LeaderCandidates orders the live cores for a slot.
+func (c *Client) LeaderCandidates(slot uint32) []string { return ownersFor(c.view, slot) }
 
 // Change asks for an op in a group and reads its result into into.
 func (c *Client) Change(ctx *base.Ctx, group, op string, args, into any) error {
@@ -51,7 +51,7 @@
 func (c *Client) change(ctx *base.Ctx, group, op string, args, into any) error {
 	request := &ChangeRequest{Group: group, Op: op, Args: base.Encode(args)}
 	bounds := c.bounds.Load()
-	result, err := c.search(ctx, SlotOf(group), bounds.Call()/2, bounds.AnotherCore(), func(ctx *base.Ctx, addr string) answer {
+	result, err := c.search(ctx, ShardOf(group), bounds.Call()/2, bounds.AnotherCore(), func(ctx *base.Ctx, addr string) answer {
 		reply, err := NewRegisterProtobufClient("http://"+addr, c.wire).Change(ctx, request)
 		if err != nil {
 			return answer{err: err}
@@ -64,11 +64,11 @@
 	return json.Unmarshal(result, into)
 }
 
-// Reach calls the owner of a slot, following hints and trying again, until
+// CallLeader calls the owner of a slot, following hints and trying again, until
 // it answers for itself. One call may take up to limit and no other is made
 // meanwhile; a core that gives no answer in that time is passed over until it
 // is heard to beat again.
-func (c *Client) Reach(ctx *base.Ctx, slot uint32, limit time.Duration, call func(ctx *base.Ctx, addr string) (hint string, err error)) error {
+func (c *Client) CallLeader(ctx *base.Ctx, slot uint32, limit time.Duration, call func(ctx *base.Ctx, addr string) (hint string, err error)) error {
 	_, err := c.search(ctx, slot, limit, forEver, func(ctx *base.Ctx, addr string) answer {
 		hint, err := call(ctx, addr)
 		return answer{hint: hint, err: err}
@@ -81,7 +81,7 @@
 // The owner may be one that others cannot reach, or that cannot reach the
 // disks, and still look alive from here.
 func (c *Client) choose(slot uint32, turned map[string]int) string {
-	order := c.Nominate(slot)
+	order := c.LeaderCandidates(slot)
 	c.mu.Lock()
 	former := c.answered[slot]
 	c.mu.Unlock()
--- a/internal/register/confirm.go
+++ b/internal/register/confirm.go
@@ -11,7 +11,7 @@
 
 // confirm proves that the epoch still stood after the asker asked. All who
 // ask before a round starts share it.
-func (o *Owner) confirm(ctx *base.Ctx, s *slot, epoch uint64) error {
+func (o *Server) confirm(ctx *base.Ctx, s *slot, epoch uint64) error {
 	s.mu.Lock()
 	if s.nextRound == nil {
 		s.nextRound = &round{done: o.clock.NewSignal()}
@@ -33,7 +33,7 @@
 	return nil
 }
 
-func (o *Owner) rounds(s *slot) {
+func (o *Server) rounds(s *slot) {
 	for {
 		s.mu.Lock()
 		current := s.nextRound
@@ -73,7 +73,7 @@
 
 // timed notes whether a disk was prompt; promptFirst puts those that were not
 // last, and among the others those of this core's zone first.
-func (o *Owner) timed(entry *DiskEntry, prompt bool) {
+func (o *Server) timed(entry *DiskEntry, prompt bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if prompt {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (o *Owner) promptFirst(entries []*DiskEntry) []*DiskEntry {
+func (o *Server) promptFirst(entries []*DiskEntry) []*DiskEntry {
 	zone := o.view.Self().Zone
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/register/decide.go
+++ b/internal/register/decide.go
@@ -11,13 +11,13 @@
 )
 
 // Change answers the asker of an op, or names the core to ask instead.
-func (o *Owner) Change(plain context.Context, request *ChangeRequest) (*ChangeReply, error) {
+func (o *Server) Change(plain context.Context, request *ChangeRequest) (*ChangeReply, error) {
 	ctx := base.CtxOf(plain, o.clock)
 	op, ok := o.ops[request.Op]
 	if !ok {
 		return nil, base.ToWire(base.Decline(400, "unknown_op", "unknown op %q", request.Op))
 	}
-	s := o.slots[SlotOf(request.Group)]
+	s := o.slots[ShardOf(request.Group)]
 	hint, err := o.await(ctx, s)
 	if hint != "" || err != nil {
 		return &ChangeReply{Owner: hint}, base.ToWire(err)
@@ -30,7 +30,7 @@
 }
 
 // await gets this core to serve the slot, or names who should.
-func (o *Owner) await(ctx *base.Ctx, s *slot) (hint string, err error) {
+func (o *Server) await(ctx *base.Ctx, s *slot) (hint string, err error) {
 	for {
 		next := s.bell.Next()
 		s.mu.Lock()
@@ -55,17 +55,17 @@
 	}
 }
 
-func (o *Owner) decide(ctx *base.Ctx, s *slot, group string, decide func(tx *Tx) (any, error)) (any, error) {
+func (o *Server) decide(ctx *base.Ctx, s *slot, group string, decide func(tx *Tx) (any, error)) (any, error) {
 	return o.decideSaid(ctx, s, group, decide, true)
 }
 
 // decideUnsaid is a change of the owner's own: where nothing changes, nobody is
 // told so, and the epoch need not be confirmed.
-func (o *Owner) decideUnsaid(ctx *base.Ctx, s *slot, decide func(tx *Tx) (any, error)) (any, error) {
+func (o *Server) decideUnsaid(ctx *base.Ctx, s *slot, decide func(tx *Tx) (any, error)) (any, error) {
 	return o.decideSaid(ctx, s, "", decide, false)
 }
 
-func (o *Owner) decideSaid(ctx *base.Ctx, s *slot, group string, decide func(tx *Tx) (any, error), said bool) (any, error) {
+func (o *Server) decideSaid(ctx *base.Ctx, s *slot, group string, decide func(tx *Tx) (any, error), said bool) (any, error) {
 	s.mu.Lock()
 	if s.phase != serving {
 		s.mu.Unlock()
@@ -109,7 +109,7 @@
 }
 
 // settled waits until a majority has the slot up to target.
-func (o *Owner) settled(ctx *base.Ctx, s *slot, epoch, target uint64) error {
+func (o *Server) settled(ctx *base.Ctx, s *slot, epoch, target uint64) error {
 	began := o.clock.Now()
 	for {
 		next := s.bell.Next()
--- a/internal/register/diskset.go
+++ b/internal/register/diskset.go
@@ -9,8 +9,8 @@
 	"fordseam/internal/membership"
 )
 
-// Set is the disk set this core goes by, looked up on the disks if need be.
-func (o *Owner) Set() *DiskSet {
+// LookupDiskSet is the disk set this core goes by, looked up on the disks if need be.
+func (o *Server) LookupDiskSet() *DiskSet {
 	if known := o.knownSet(); known != nil {
 		return known
 	}
@@ -32,31 +32,31 @@
 	return o.knownSet()
 }
 
-func (o *Owner) findSet() {
+func (o *Server) findSet() {
 	base.Ask(o.clock, o.view.Known(membership.RoleStorage), 2, o.bounds.Load().DiskLimit(), func(ctx *base.Ctx, member *membership.Member) bool {
 		state, err := NewDiskProtobufClient("http://"+member.Addr, o.wire).Describe(ctx, &DescribeRequest{})
 		if err != nil || state.Set == nil || len(state.Set.Disks) == 0 {
 			return false
 		}
-		o.Learn(state.Set)
+		o.LearnDiskSet(state.Set)
 		return true
 	})
 }
 
 // Cluster is the cluster of the disk set this core goes by.
-func (o *Owner) Cluster() string { return o.knownSet().GetCluster() }
+func (o *Server) Cluster() string { return o.knownSet().GetCluster() }
 
-// Known is the disk set as this core has learnt it, without asking.
-func (o *Owner) Known() *DiskSet { return o.knownSet() }
+// KnownDiskSet is the disk set as this core has learnt it, without asking.
+func (o *Server) KnownDiskSet() *DiskSet { return o.knownSet() }
 
-func (o *Owner) knownSet() *DiskSet {
+func (o *Server) knownSet() *DiskSet {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.set
 }
 
-// Learn takes in a newer disk set of this cluster.
-func (o *Owner) Learn(set *DiskSet) {
+// LearnDiskSet takes in a newer disk set of this cluster.
+func (o *Server) LearnDiskSet(set *DiskSet) {
 	o.mu.Lock()
 	newer := set != nil && len(set.Disks) > 0 && (o.set == nil || set.Stamp > o.set.Stamp && set.Cluster == o.set.Cluster)
 	if newer {
--- a/internal/register/mend.go
+++ b/internal/register/mend.go
@@ -24,7 +24,7 @@
 	// emptied is asked before a retirement is complete.
 	emptied func(ctx *base.Ctx, disk string) (bool, error)
 	// content, where there is one, is what planned changes wait for.
-	content Content
+	content RedundancyChecker
 
 	mu   sync.Mutex
 	held hold
@@ -37,23 +37,23 @@
 	told []string
 }
 
-// Mend has this core mend the disk set, so that it goes on when so many
+// EnableReconcile has this core mend the disk set, so that it goes on when so many
 // machines are lost with their disks at once. It is called before Run.
-func (o *Owner) Mend(tolerate int) {
+func (o *Server) EnableReconcile(tolerate int) {
 	o.mending = &mending{tolerate: tolerate, seen: map[string]*sighting{}}
 }
 
-// Emptied adds a condition for a retirement to be complete: that nothing is
+// SetEmptyCheck adds a condition for a retirement to be complete: that nothing is
 // kept on the disk any more. It is called after Mend and before Run.
-func (o *Owner) Emptied(emptied func(ctx *base.Ctx, disk string) (bool, error)) {
+func (o *Server) SetEmptyCheck(emptied func(ctx *base.Ctx, disk string) (bool, error)) {
 	o.mending.emptied = emptied
 }
 
-// Mends tells whether the disk set mends itself.
-func (o *Owner) Mends() bool { return o.mending != nil }
+// ReconcileEnabled tells whether the disk set mends itself.
+func (o *Server) ReconcileEnabled() bool { return o.mending != nil }
 
-// Mending says in words what is under way; only the owner of slot 0 knows.
-func (o *Owner) Mending() []string {
+// ReconcileStatus says in words what is under way; only the owner of slot 0 knows.
+func (o *Server) ReconcileStatus() []string {
 	if o.mending == nil {
 		return nil
 	}
@@ -85,7 +85,7 @@
 }
 
 // mendSet makes the next change that the set needs, if any.
-func (o *Owner) mendSet(found *recorded, filled map[string]int) (reached string, more bool) {
+func (o *Server) mendSet(found *recorded, filled map[string]int) (reached string, more bool) {
 	now, view := found.disks, o.look(found)
 	next := o.plan(now, view, filled, repairOnly)
 	if next.set == nil && next.planned {
@@ -110,15 +110,15 @@
 		o.counters.Add("disk_sets_mended", 1)
 		o.counters.Add("disks_dropped", int64(next.dropped))
 		return fmt.Sprint("proposed ", next.set.Stamp), true
-	case next.wanted != now.Wanted:
+	case next.wanted != now.TargetVoters:
 		return fmt.Sprint("wanted ", next.wanted), o.own("disks.want", asked) == nil
 	}
-	return fmt.Sprint(told, filled), finished || view.asking || now.Under()
+	return fmt.Sprint(told, filled), finished || view.asking || now.ChangePending()
 }
 
 // plannedChange makes a planned change once the content's copies are in place,
 // and says what it waits for until then.
-func (o *Owner) plannedChange(now *Disks, view *outlook, filled map[string]int) *setPlan {
+func (o *Server) plannedChange(now *DiskSetRecord, view *outlook, filled map[string]int) *setPlan {
 	copies := o.redundancyOf(now.Current)
 	allowed := anyChange
 	switch {
--- a/internal/register/messages.go
+++ b/internal/register/messages.go
@@ -7,13 +7,13 @@
 	"fordseam/internal/consensus"
 )
 
-// Consensus is the claim as the protocol's decisions take it.
-func (c *Claim) Consensus() consensus.Claim {
+// ToConsensus is the claim as the protocol's decisions take it.
+func (c *Claim) ToConsensus() consensus.Claim {
 	return consensus.Claim{Epoch: c.GetEpoch(), Leader: c.GetOwner(), SetVersion: c.GetSetStamp(), Replica: c.GetDisk()}
 }
 
-// First is the number of the first entry, 0 where there is none.
-func (r *AppendRequest) First() uint64 {
+// FirstSeq is the number of the first entry, 0 where there is none.
+func (r *AppendRequest) FirstSeq() uint64 {
 	if len(r.GetEntries()) == 0 {
 		return 0
 	}
@@ -24,8 +24,8 @@
 	return consensus.Position{Installed: r.GetInstalled(), Seq: r.GetSeq()}
 }
 
-// Consensus is the set as the protocol's decisions take it; nil for none.
-func (s *DiskSet) Consensus() *consensus.ReplicaSet {
+// ToConsensus is the set as the protocol's decisions take it; nil for none.
+func (s *DiskSet) ToConsensus() *consensus.ReplicaSet {
 	if s == nil {
 		return nil
 	}
@@ -38,7 +38,7 @@
 	}
 }
 
-// Consensus is the record as the protocol's decisions take it.
-func (d *Disks) Consensus() consensus.SetRecord {
-	return consensus.SetRecord{Current: *d.Current.Consensus(), NextVersion: d.Next.GetStamp(), Settled: d.Settled}
+// ToConsensus is the record as the protocol's decisions take it.
+func (d *DiskSetRecord) ToConsensus() consensus.SetRecord {
+	return consensus.SetRecord{Current: *d.Current.ToConsensus(), NextVersion: d.Next.GetStamp(), Settled: d.Settled}
 }
--- a/internal/register/observe.go
+++ b/internal/register/observe.go
@@ -47,7 +47,7 @@
 // look asks the disks that are due to be asked and gathers what is known. Where
 // nothing is amiss each is asked now and then only; membership tells of lives
 // that began or went silent.
-func (o *Owner) look(found *recorded) *outlook {
+func (o *Server) look(found *recorded) *outlook {
 	m, now, beat := o.mending, o.clock.Now(), o.bounds.Load().Beat()
 	set := found.disks.Current
 	view := &outlook{conditions: map[string]condition{}, leaving: map[string]bool{}}
@@ -147,7 +147,7 @@
 }
 
 // see asks one disk how it stands and formats a blank one.
-func (o *Owner) see(seen *sighting, life, addr string, present bool, leaving map[string]bool, set *DiskSet) {
+func (o *Server) see(seen *sighting, life, addr string, present bool, leaving map[string]bool, set *DiskSet) {
 	ctx := base.NewCtx(o.clock, o.bounds.Load().DiskLimit())
 	disk := NewDiskProtobufClient("http://"+addr, o.wire)
 	state, err := disk.Describe(ctx, describeBeyond(set))
--- a/internal/register/operation.go
+++ b/internal/register/operation.go
@@ -40,7 +40,7 @@
 
 func (t *Tx) Put(key string, value []byte) { t.puts = append(t.puts, &Put{Key: key, Value: value}) }
 
-func (t *Tx) Gone(key string) { t.puts = append(t.puts, &Put{Key: key, Gone: true}) }
+func (t *Tx) Delete(key string) { t.puts = append(t.puts, &Put{Key: key, Gone: true}) }
 
 // Walk visits the keys under a prefix in order, as they were before this
 // change, from after a key on; visit returns false to stop.
@@ -63,11 +63,11 @@
 
 // Handle names an op; Sweep adds a clean-up run over every slot now and
 // then. Both are called before Run.
-func (o *Owner) Handle(name string, op Op) { o.ops[name] = op }
+func (o *Server) Handle(name string, op Op) { o.ops[name] = op }
 
-func (o *Owner) Sweep(clean func(tx *Tx)) { o.sweeps = append(o.sweeps, clean) }
+func (o *Server) AddSweep(clean func(tx *Tx)) { o.sweeps = append(o.sweeps, clean) }
 
-func (o *Owner) sweepAll() {
+func (o *Server) sweepAll() {
 	for _, s := range o.slots {
 		s.mu.Lock()
 		serves := s.phase == serving
--- a/internal/register/owner.go
+++ b/internal/register/owner.go
@@ -19,13 +19,13 @@
 
 const (
 	// Slots is how many parts the control state is cut into.
-	Slots = 32
+	ShardCount = 32
 	// FeedGroup is the group whose changes every node follows.
 	FeedGroup = "feed"
 )
 
-// Owner is a core's part in the register.
-type Owner struct {
+// Server is a core's part in the register.
+type Server struct {
 	clock    base.Clock
 	wire     base.Wire
 	view     *membership.View
@@ -33,7 +33,7 @@
 	counters *base.Counters
 	ops      map[string]Op
 	sweeps   []func(tx *Tx)
-	slots    [Slots]*slot
+	slots    [ShardCount]*slot
 
 	// mending is set by Mend, before Run.
 	mending *mending
@@ -51,8 +51,8 @@
 	closed   bool
 }
 
-func NewOwner(clock base.Clock, wire base.Wire, view *membership.View, bounds *base.Table[base.Bounds], counters *base.Counters) *Owner {
-	o := &Owner{clock: clock, wire: wire, view: view, bounds: bounds, counters: counters, ops: map[string]Op{}, slow: map[string]time.Duration{}, repairs: map[string]int{}, repaired: clock.NewSignal()}
+func NewServer(clock base.Clock, wire base.Wire, view *membership.View, bounds *base.Table[base.Bounds], counters *base.Counters) *Server {
+	o := &Server{clock: clock, wire: wire, view: view, bounds: bounds, counters: counters, ops: map[string]Op{}, slow: map[string]time.Duration{}, repairs: map[string]int{}, repaired: clock.NewSignal()}
 	o.handleDisks()
 	o.handleRetiring()
 	for num := range o.slots {
@@ -61,17 +61,17 @@
 	return o
 }
 
-func (o *Owner) disk(entry *DiskEntry) Disk {
+func (o *Server) disk(entry *DiskEntry) Disk {
 	return NewDiskProtobufClient("http://"+entry.Addr, o.wire)
 }
 
 // claim is a message's head to one disk of a set.
-func (o *Owner) claim(s *slot, epoch uint64, set *DiskSet, entry *DiskEntry) *Claim {
+func (o *Server) claim(s *slot, epoch uint64, set *DiskSet, entry *DiskEntry) *Claim {
 	return &Claim{Slot: s.num, Epoch: epoch, Owner: o.view.Me(), SetStamp: set.Stamp, Disk: entry.Id}
 }
 
 // Run takes the slots that rendezvous gives this core, and sweeps.
-func (o *Owner) Run() {
+func (o *Server) Run() {
 	swept := o.clock.Now()
 	for !o.isClosed() {
 		for _, s := range o.slots {
@@ -89,14 +89,14 @@
 	}
 }
 
-func (o *Owner) isClosed() bool {
+func (o *Server) isClosed() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.closed
 }
 
 // Close stops serving at once; another core takes the slots by epoch.
-func (o *Owner) Close() {
+func (o *Server) Close() {
 	o.mu.Lock()
 	o.closed = true
 	o.mu.Unlock()
@@ -108,9 +108,9 @@
 	}
 }
 
-// Yield waits until other cores have taken this one's slots, while it still
+// AwaitHandover waits until other cores have taken this one's slots, while it still
 // answers for those not yet taken.
-func (o *Owner) Yield(limit time.Duration) {
+func (o *Server) AwaitHandover(limit time.Duration) {
 	end := o.clock.Now() + limit
 	for _, s := range o.slots {
 		for {
@@ -125,8 +125,8 @@
 	}
 }
 
-// Frame counts what this core owns, for the status page.
-func (o *Owner) Frame() (owned []uint32, set *DiskSet) {
+// Status counts what this core owns, for the status page.
+func (o *Server) Status() (owned []uint32, set *DiskSet) {
 	for _, s := range o.slots {
 		s.mu.Lock()
 		if s.phase == serving {
@@ -134,5 +134,5 @@
 		}
 		s.mu.Unlock()
 	}
-	return owned, o.Set()
+	return owned, o.LookupDiskSet()
 }
--- a/internal/register/owner_test.go
+++ b/internal/register/owner_test.go
@@ -83,7 +83,7 @@
 		"c": {Installed: true, Acked: 1, SetVersion: 3},
 		"d": {Installed: true, SetVersion: 3},
 	}}
-	owner := &Owner{set: newest}
+	owner := &Server{set: newest}
 	owner.acknowledge(s, 1, "a", 0, former.Stamp)
 	is.Equal(s.commit, uint64(0)) // b and c are no majority of four
 	owner.acknowledge(s, 1, "a", 1, newest.Stamp)
@@ -119,7 +119,7 @@
 		"c": {Installed: true, SetVersion: 1},
 		"d": {Installed: true, SetVersion: 1},
 	}}
-	owner := &Owner{set: set}
+	owner := &Server{set: set}
 	owner.acknowledge(s, 1, "d", 1, set.Stamp)
 	is.Equal(s.commit, uint64(0)) // a has not acknowledged it under this set
 	owner.acknowledge(s, 1, "a", 1, set.Stamp)
--- a/internal/register/plan.go
+++ b/internal/register/plan.go
@@ -58,11 +58,11 @@
 
 // plan says what the next set should be, how many voters are wanted then, and
 // in words what is amiss.
-func (o *Owner) plan(now *Disks, view *outlook, filled map[string]int, allowed allowance) *setPlan {
+func (o *Server) plan(now *DiskSetRecord, view *outlook, filled map[string]int, allowed allowance) *setPlan {
 	p := &planner{setPlan: &setPlan{}, view: view, current: now.Current, filled: filled, allowed: allowed, bounds: o.bounds.Load(), need: o.mending.least()}
 	p.survey()
-	p.wanted = max(now.Wanted, p.need)
-	if now.Wanted == 0 || p.lost == 0 {
+	p.wanted = max(now.TargetVoters, p.need)
+	if now.TargetVoters == 0 || p.lost == 0 {
 		p.wanted = max(p.wanted, p.votes)
 	}
 	p.choose()
@@ -82,12 +82,12 @@
 		case stands.silent > 0:
 			p.told = append(p.told, fmt.Sprintf("disk %s at %s is silent", entry.Id, entry.Addr))
 		case entry.Learner:
-			p.told = append(p.told, fmt.Sprintf("disk %s at %s is being filled: %d of %d slots", entry.Id, entry.Addr, p.filled[entry.Id], Slots))
+			p.told = append(p.told, fmt.Sprintf("disk %s at %s is being filled: %d of %d slots", entry.Id, entry.Addr, p.filled[entry.Id], ShardCount))
 		}
 		if !entry.Learner && stands.lost() {
 			p.lost++
 		}
-		if entry.Learner && p.filled[entry.Id] == Slots && stands.well() {
+		if entry.Learner && p.filled[entry.Id] == ShardCount && stands.well() {
 			p.whole++
 		}
 	}
@@ -169,7 +169,7 @@
 	}
 	missing := p.votes-p.lost < p.wanted
 	for _, entry := range p.current.Disks {
-		ready := entry.Learner && p.filled[entry.Id] == Slots && p.view.conditions[entry.Id].well() && !p.view.leaving[entry.Node]
+		ready := entry.Learner && p.filled[entry.Id] == ShardCount && p.view.conditions[entry.Id].well() && !p.view.leaving[entry.Node]
 		if ready && !p.chosen() && (missing || p.may(growth)) {
 			p.promote = entry
 			p.wanted = max(p.wanted, p.votes+1-p.lost)
--- a/internal/register/quorum.go
+++ b/internal/register/quorum.go
@@ -28,7 +28,7 @@
 }
 
 // noteQuorum takes the end of a round that was begun at a moment.
-func (o *Owner) noteQuorum(reached bool, began time.Duration) {
+func (o *Server) noteQuorum(reached bool, began time.Duration) {
 	c := &o.contact
 	before := o.WithoutQuorum()
 	c.mu.Lock()
@@ -51,7 +51,7 @@
 // longer than a message to a disk takes in a bad case. A core that has never
 // reached one has most likely just started with the others, and is given the
 // time in which a silent node is found.
-func (o *Owner) WithoutQuorum() bool {
+func (o *Server) WithoutQuorum() bool {
 	c := &o.contact
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +66,7 @@
 // seekQuorum asks the disks themselves after a round that got no majority: it may
 // have been short of time, and while this core is without one nobody turns to it,
 // so that no other round would tell.
-func (o *Owner) seekQuorum() {
+func (o *Server) seekQuorum() {
 	c := &o.contact
 	set := o.knownSet()
 	c.mu.Lock()
--- a/internal/register/quorum_test.go
+++ b/internal/register/quorum_test.go
@@ -13,12 +13,12 @@
 	"github.com/matryer/is"
 )
 
-func testOwner() *Owner {
+func testOwner() *Server {
 	clock, bounds := base.NewRealClock(), &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
 	counters := base.NewCounters()
 	self := &membership.Member{Id: "a:1/a", Addr: "a:1", Role: membership.RoleCore}
-	return NewOwner(clock, nil, membership.NewView(clock, nil, bounds, counters, self, nil, nil), bounds, counters)
+	return NewServer(clock, nil, membership.NewView(clock, nil, bounds, counters, self, nil, nil), bounds, counters)
 }
 
 func TestQuorumIsLostAfterAWhileAndFoundAtOnce(t *testing.T) {
@@ -59,7 +59,7 @@
 	}
 	hear("b:1/b", "b:1", NoQuorum, 1)
 	hear("c:1/c", "c:1", "no_confirmed_state", 1)
-	for slot := range uint32(Slots) {
+	for slot := range uint32(ShardCount) {
 		order := ownersFor(o.view, slot)
 		is.Equal(len(order), 2) // any other word keeps nobody out
 		for _, id := range order {
--- a/internal/register/read.go
+++ b/internal/register/read.go
@@ -43,7 +43,7 @@
 }
 
 // readContent gives the content that a promise tells of.
-func (o *Owner) readContent(s *slot, epoch uint64, set *DiskSet, newest *PromiseReply, holders []*DiskEntry) ([]*Put, error) {
+func (o *Server) readContent(s *slot, epoch uint64, set *DiskSet, newest *PromiseReply, holders []*DiskEntry) ([]*Put, error) {
 	if !newest.Apart {
 		return newest.Puts, nil
 	}
@@ -53,7 +53,7 @@
 		entry := holders[place%len(holders)]
 		request := &ReadRequest{Claim: o.claim(s, epoch, set, entry), Installed: newest.Installed, Seq: newest.Seq, Offset: uint64(len(data))}
 		reply, err := o.disk(entry).Read(base.NewCtx(o.clock, o.bounds.Load().DiskLimit()), request)
-		if err != nil || !reply.Ack.Ok || len(reply.Data) == 0 || snapshot != nil && !snapshot.Same(reply.Snapshot) {
+		if err != nil || !reply.Ack.Ok || len(reply.Data) == 0 || snapshot != nil && !snapshot.Equal(reply.Snapshot) {
 			o.counters.Add("content_reads_failed", 1)
 			place, failed = place+1, failed+1
 			continue
--- a/internal/register/redundancy.go
+++ b/internal/register/redundancy.go
@@ -21,16 +21,16 @@
 	Reason string
 }
 
-// Content is what the disks of a set keep beside the register.
-type Content interface {
+// RedundancyChecker is what the disks of a set keep beside the register.
+type RedundancyChecker interface {
 	// Gaps lists the disks of a set that do not hold all that they should, or do
 	// not answer. The content has its full number of copies where there is none.
 	Gaps(ctx *base.Ctx, set *DiskSet) []DiskGap
 }
 
-// Keeps has planned changes of the disk set wait for a content's copies. It is
+// SetRedundancyChecker has planned changes of the disk set wait for a content's copies. It is
 // called after Mend and before Run.
-func (o *Owner) Keeps(content Content) { o.mending.content = content }
+func (o *Server) SetRedundancyChecker(content RedundancyChecker) { o.mending.content = content }
 
 // hold is how long a planned change of one set has waited.
 type hold struct {
@@ -55,7 +55,7 @@
 }
 
 // redundancyOf asks the disks of a set how their content stands.
-func (o *Owner) redundancyOf(set *DiskSet) redundancy {
+func (o *Server) redundancyOf(set *DiskSet) redundancy {
 	if o.mending.content == nil {
 		return redundancy{}
 	}
--- a/internal/register/replicate.go
+++ b/internal/register/replicate.go
@@ -11,7 +11,7 @@
 )
 
 // refit starts a sender to each disk of the set that has none.
-func (o *Owner) refit(s *slot) {
+func (o *Server) refit(s *slot) {
 	set := o.knownSet()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,7 +28,7 @@
 }
 
 // send keeps one disk up with one slot: its content first, then what follows.
-func (o *Owner) send(s *slot, epoch uint64, entry *DiskEntry) {
+func (o *Server) send(s *slot, epoch uint64, entry *DiskEntry) {
 	for {
 		next := s.bell.Next()
 		s.mu.Lock()
@@ -43,7 +43,7 @@
 			s.mu.Unlock()
 			return
 		}
-		repair := s.based && s.needsFrame(entry.Id) && !s.progress[entry.Id].Mute
+		repair := s.based && s.needsFrame(entry.Id) && !s.progress[entry.Id].Unresponsive
 		if repair {
 			if turn := o.beginRepair(entry.Id); turn != nil {
 				s.mu.Unlock()
@@ -74,7 +74,7 @@
 
 // carry delivers a message, notes what the disk has of it, and tells how long to
 // wait after it if it is a repair's.
-func (o *Owner) carry(s *slot, epoch uint64, entry *DiskEntry, sent *delivery, setStamp uint64) (ack *Ack, pause time.Duration, err error) {
+func (o *Server) carry(s *slot, epoch uint64, entry *DiskEntry, sent *delivery, setStamp uint64) (ack *Ack, pause time.Duration, err error) {
 	if ack, err = o.deliver(entry, sent); err != nil || !ack.Ok {
 		return ack, 0, err
 	}
@@ -96,7 +96,7 @@
 const repairsAtOnce = 2
 
 // beginRepair takes a place, or gives what to wait for until one is free.
-func (o *Owner) beginRepair(disk string) base.Signal {
+func (o *Server) beginRepair(disk string) base.Signal {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.repairs[disk] >= repairsAtOnce {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func (o *Owner) endRepair(disk string) {
+func (o *Server) endRepair(disk string) {
 	o.mu.Lock()
 	if o.repairs[disk]--; o.repairs[disk] == 0 {
 		delete(o.repairs, disk)
@@ -118,7 +118,7 @@
 	freed.Fire()
 }
 
-func (o *Owner) deliver(entry *DiskEntry, sent *delivery) (*Ack, error) {
+func (o *Server) deliver(entry *DiskEntry, sent *delivery) (*Ack, error) {
 	ctx, disk := base.NewCtx(o.clock, o.bounds.Load().DiskLimit()), o.disk(entry)
 	switch {
 	case sent.install != nil:
@@ -134,7 +134,7 @@
 
 // mend reacts to a disk that did not take what it was sent, and says whether
 // to go on sending.
-func (o *Owner) mend(s *slot, epoch uint64, entry *DiskEntry, ack *Ack) bool {
+func (o *Server) mend(s *slot, epoch uint64, entry *DiskEntry, ack *Ack) bool {
 	pause := o.bounds.Load().Beat() / 2
 	if ack != nil {
 		switch ack.Why {
@@ -148,7 +148,7 @@
 		case "behind":
 			s.mu.Lock()
 			if mark := s.progress[entry.Id]; s.epoch == epoch && mark != nil {
-				mark.Installed, mark.Mute = false, false
+				mark.Installed, mark.Unresponsive = false, false
 			}
 			s.mu.Unlock()
 			return true
@@ -156,7 +156,7 @@
 	}
 	s.mu.Lock()
 	if mark := s.progress[entry.Id]; s.epoch == epoch && mark != nil {
-		mark.Mute = ack == nil
+		mark.Unresponsive = ack == nil
 		if ack != nil && ack.Why == "damaged" {
 			delete(s.transfers, entry.Id)
 		}
--- a/internal/register/retire.go
+++ b/internal/register/retire.go
@@ -12,11 +12,11 @@
 	"fordseam/internal/base"
 )
 
-// RetiringPrefix is where the feed tells of machines being retired.
-const RetiringPrefix = FeedGroup + "/retiring/"
+// RetirementPrefix is where the feed tells of machines being retired.
+const RetirementPrefix = FeedGroup + "/retiring/"
 
-// Retiring is the record of one machine's retirement.
-type Retiring struct {
+// Retirement is the record of one machine's retirement.
+type Retirement struct {
 	Node string `json:"node"`
 	// Disk is what the machine held when it was asked for, if anything.
 	Disk     string `json:"disk,omitempty"`
@@ -24,15 +24,15 @@
 }
 
 // State is the word for how far it has come.
-func (r *Retiring) State() string {
+func (r *Retirement) State() string {
 	if r.Complete {
 		return "complete"
 	}
 	return "active"
 }
 
-func loadRetiring(raw []byte) *Retiring {
-	var found Retiring
+func loadRetiring(raw []byte) *Retirement {
+	var found Retirement
 	if raw == nil || json.Unmarshal(raw, &found) != nil {
 		return nil
 	}
@@ -40,50 +40,50 @@
 }
 
 // RetireNode has a machine emptied. It may be asked again at any time.
-func RetireNode(ctx *base.Ctx, client *Client, node string) (*Retiring, error) {
-	var found Retiring
-	return &found, client.Change(ctx, FeedGroup, "retiring.begin", Retiring{Node: node}, &found)
+func RetireNode(ctx *base.Ctx, client *Client, node string) (*Retirement, error) {
+	var found Retirement
+	return &found, client.Change(ctx, FeedGroup, "retiring.begin", Retirement{Node: node}, &found)
 }
 
-// RetireState tells how far a machine's retirement has come.
-func RetireState(ctx *base.Ctx, client *Client, node string) (*Retiring, error) {
-	var found Retiring
-	return &found, client.Read(ctx, FeedGroup, "retiring.get", Retiring{Node: node}, &found)
+// GetRetirement tells how far a machine's retirement has come.
+func GetRetirement(ctx *base.Ctx, client *Client, node string) (*Retirement, error) {
+	var found Retirement
+	return &found, client.Read(ctx, FeedGroup, "retiring.get", Retirement{Node: node}, &found)
 }
 
-func (o *Owner) handleRetiring() {
-	handle := func(name string, op func(tx *Tx, asked, now *Retiring) (any, error)) {
+func (o *Server) handleRetiring() {
+	handle := func(name string, op func(tx *Tx, asked, now *Retirement) (any, error)) {
 		o.Handle(name, func(tx *Tx, args []byte) (any, error) {
-			var asked Retiring
+			var asked Retirement
 			if json.Unmarshal(args, &asked) != nil || asked.Node == "" {
 				return nil, base.DeclineField("node", "must be a machine's name")
 			}
-			return op(tx, &asked, loadRetiring(tx.Get(RetiringPrefix+asked.Node)))
+			return op(tx, &asked, loadRetiring(tx.Get(RetirementPrefix+asked.Node)))
 		})
 	}
 	unknown := func(node string) error {
 		return base.Decline(404, "unknown_node", "no storage machine is called %q", node)
 	}
-	handle("retiring.get", func(_ *Tx, asked, now *Retiring) (any, error) {
+	handle("retiring.get", func(_ *Tx, asked, now *Retirement) (any, error) {
 		if now == nil {
 			return nil, unknown(asked.Node)
 		}
 		return now, nil
 	})
-	handle("retiring.begin", func(tx *Tx, asked, now *Retiring) (any, error) {
+	handle("retiring.begin", func(tx *Tx, asked, now *Retirement) (any, error) {
 		if now != nil {
 			return now, nil
 		}
 		if o.mending == nil {
 			return nil, base.Decline(409, "not_mending", "machines are retired by name only where the disk set mends itself; retire the disk")
 		}
-		disks := loadDisks(tx.Get(DisksKey))
+		disks := loadDisks(tx.Get(DiskSetKey))
 		if disks == nil {
 			return nil, base.Busy(503, "slot_not_ready", 1, "the disk set is not recorded yet")
 		}
 		id, known := o.mending.diskOf(asked.Node)
 		leaving := map[string]bool{asked.Node: true}
-		tx.Walk(RetiringPrefix, "", func(_ string, value []byte) bool {
+		tx.Walk(RetirementPrefix, "", func(_ string, value []byte) bool {
 			if other := loadRetiring(value); other != nil {
 				leaving[other.Node] = true
 			}
@@ -108,14 +108,14 @@
 		if need := o.mending.least(); left < need {
 			return nil, base.Decline(409, "too_few_disks", "%d disks would remain; at least %d must", left, need)
 		}
-		begun := &Retiring{Node: asked.Node, Disk: id}
-		tx.Put(RetiringPrefix+asked.Node, base.Encode(begun))
+		begun := &Retirement{Node: asked.Node, Disk: id}
+		tx.Put(RetirementPrefix+asked.Node, base.Encode(begun))
 		return begun, nil
 	})
-	handle("retiring.conclude", func(tx *Tx, _, now *Retiring) (any, error) {
+	handle("retiring.conclude", func(tx *Tx, _, now *Retirement) (any, error) {
 		if now != nil && !now.Complete {
 			now.Complete = true
-			tx.Put(RetiringPrefix+now.Node, base.Encode(now))
+			tx.Put(RetirementPrefix+now.Node, base.Encode(now))
 		}
 		return now, nil
 	})
--- a/internal/register/retirements.go
+++ b/internal/register/retirements.go
@@ -18,7 +18,7 @@
 // finishRetiring concludes retirements whose disk is out of the set, which is
 // settled, whose content has its full number of copies without it, and of which
 // nothing else is kept.
-func (o *Owner) finishRetiring(found *recorded) (result retirements) {
+func (o *Server) finishRetiring(found *recorded) (result retirements) {
 	set := found.disks.Current
 	for _, retiring := range found.retiring {
 		if retiring.Complete {
@@ -34,7 +34,7 @@
 }
 
 // retirementWaits says what keeps a machine from being given up.
-func (o *Owner) retirementWaits(set *DiskSet, retiring *Retiring) string {
+func (o *Server) retirementWaits(set *DiskSet, retiring *Retirement) string {
 	stays := slices.ContainsFunc(set.Disks, func(entry *DiskEntry) bool {
 		return entry.Node == retiring.Node || entry.Id == retiring.Disk
 	})
--- a/internal/register/search_test.go
+++ b/internal/register/search_test.go
@@ -40,7 +40,7 @@
 		is.NoErr(err)
 	}
 	client := NewClient(o.clock, nil, o.view, o.bounds)
-	order := client.Nominate(1)
+	order := client.LeaderCandidates(1)
 	cores := &ownerReadyLater{owner: order[0]}
 	limit := o.bounds.Load().Call()
 	got, err := client.search(base.NewCtx(o.clock, limit), 1, time.Second, forEver, func(_ *base.Ctx, addr string) answer {
--- a/internal/register/slot.go
+++ b/internal/register/slot.go
@@ -13,13 +13,13 @@
 	"github.com/emirpasic/gods/maps/treemap"
 )
 
-// SlotOf places a group. The feed has slot 0 to itself, so that the slot's
+// ShardOf places a group. The feed has slot 0 to itself, so that the slot's
 // numbers are the feed's places.
-func SlotOf(group string) uint32 {
+func ShardOf(group string) uint32 {
 	if group == FeedGroup {
 		return 0
 	}
-	return uint32(1 + base.Hash64("group", group)%(Slots-1))
+	return uint32(1 + base.Hash64("group", group)%(ShardCount-1))
 }
 
 // TimeKey is where a slot keeps the time of its newest change.
@@ -100,7 +100,7 @@
 // It is counted by the newest set that this core knows: the one that the
 // message was sent under may be out of force since, and its majorities need not
 // meet those of the set in force.
-func (o *Owner) acknowledge(s *slot, epoch uint64, diskID string, seq, sentStamp uint64) {
+func (o *Server) acknowledge(s *slot, epoch uint64, diskID string, seq, sentStamp uint64) {
 	s.mu.Lock()
 	if known := s.progress[diskID]; s.epoch == epoch && known != nil {
 		*known = known.Acknowledge(seq, sentStamp)
--- a/internal/register/snapshot.go
+++ b/internal/register/snapshot.go
@@ -16,12 +16,12 @@
 	// PartBytes is the most that one message carries of a snapshot.
 	PartBytes = 256 << 10
 	// SnapshotLimit is the largest snapshot that a disk takes.
-	SnapshotLimit = 1 << 30
+	MaxSnapshotBytes = 1 << 30
 )
 
-// Encode gives a slot's content, in the order of its keys, as a snapshot and
+// EncodeSnapshot gives a slot's content, in the order of its keys, as a snapshot and
 // its bytes. The same content gives the same bytes everywhere.
-func Encode(seq uint64, puts []*Put) (*Snapshot, []byte) {
+func EncodeSnapshot(seq uint64, puts []*Put) (*Snapshot, []byte) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(&SlotContent{Puts: puts})
 	if err != nil {
 		panic(err)
@@ -43,20 +43,20 @@
 	return content.Puts, true
 }
 
-// Same tells whether two snapshots have the same content and number.
-func (x *Snapshot) Same(other *Snapshot) bool {
+// Equal tells whether two snapshots have the same content and number.
+func (x *Snapshot) Equal(other *Snapshot) bool {
 	return x.GetSeq() == other.GetSeq() && x.GetSize() == other.GetSize() && bytes.Equal(x.GetDigest(), other.GetDigest())
 }
 
 // Valid tells whether a part lies within its snapshot and the limits.
 func (x *InstallPartRequest) Valid() bool {
 	end := x.Offset + uint64(len(x.Data))
-	return x.Claim != nil && x.Snapshot != nil && len(x.Snapshot.Digest) == sha256.Size && x.Snapshot.Size <= SnapshotLimit &&
+	return x.Claim != nil && x.Snapshot != nil && len(x.Snapshot.Digest) == sha256.Size && x.Snapshot.Size <= MaxSnapshotBytes &&
 		len(x.Data) <= PartBytes && x.Offset <= x.Snapshot.Size && end <= x.Snapshot.Size
 }
 
-// Weight is about how many bytes puts have when they are encoded.
-func Weight(puts []*Put) int {
+// ApproxSize is about how many bytes puts have when they are encoded.
+func ApproxSize(puts []*Put) int {
 	sum := 0
 	for _, put := range puts {
 		sum += len(put.Key) + len(put.Value) + 8
@@ -73,10 +73,10 @@
 	return puts
 }
 
-// Kept is about what this core holds in memory of the slots that it owns: their
+// MemoryBytes is about what this core holds in memory of the slots that it owns: their
 // content, the changes that a disk or a follower may still need, and snapshots
 // that are being sent.
-func (o *Owner) Kept() int {
+func (o *Server) MemoryBytes() int {
 	sum := 0
 	for _, s := range o.slots {
 		s.mu.Lock()
@@ -89,7 +89,7 @@
 func (s *slot) kept() int {
 	sum := 0
 	if s.held != nil {
-		sum += Weight(s.content())
+		sum += ApproxSize(s.content())
 	}
 	for _, entry := range s.buffer {
 		sum += entry.weight()
--- a/internal/register/takeover.go
+++ b/internal/register/takeover.go
@@ -14,7 +14,7 @@
 	"github.com/emirpasic/gods/maps/treemap"
 )
 
-func (o *Owner) preferred(s *slot) string {
+func (o *Server) preferred(s *slot) string {
 	order := ownersFor(o.view, s.num)
 	if len(order) == 0 {
 		return ""
@@ -29,7 +29,7 @@
 // ahead names the core that should take a slot before this one: the first in
 // the slot's order that answers this core, whatever others find. What a silent
 // one owns is taken from it by a higher epoch.
-func (o *Owner) ahead(s *slot) string {
+func (o *Server) ahead(s *slot) string {
 	for _, id := range ownersFor(o.view, s.num) {
 		switch {
 		case id == o.view.Me():
@@ -42,7 +42,7 @@
 }
 
 // unheard tells that a core has lately given this one no answer.
-func (o *Owner) unheard(core string) bool {
+func (o *Server) unheard(core string) bool {
 	return o.view.Unheard(core, 2*o.bounds.Load().Beat())
 }
 
@@ -50,7 +50,7 @@
 // whoever asks here may have found them silent, and what this core found of them
 // may be old. It waits until the first has answered, or has had a heartbeat
 // interval to do so.
-func (o *Owner) lookAhead(ctx *base.Ctx, s *slot) {
+func (o *Server) lookAhead(ctx *base.Ctx, s *slot) {
 	var first base.Signal
 	for place, id := range ownersFor(o.view, s.num) {
 		if id == o.view.Me() || place >= probedAhead {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (o *Owner) start(s *slot) {
+func (o *Server) start(s *slot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.phase != idle || o.isClosed() {
@@ -90,7 +90,7 @@
 
 // pauseTaking waits before a shard is taken again. Without a disk set only news
 // of storage machines can help.
-func (o *Owner) pauseTaking(failed error) {
+func (o *Server) pauseTaking(failed error) {
 	pause := o.bounds.Load().Beat() / 4
 	if base.IsCode(failed, "no_disks") {
 		o.view.Changed().Wait(pause)
@@ -99,8 +99,8 @@
 	o.clock.Sleep(pause + time.Duration(o.clock.Int64N(int64(pause))))
 }
 
-func (o *Owner) take(s *slot) error {
-	set := o.Set()
+func (o *Server) take(s *slot) error {
+	set := o.LookupDiskSet()
 	if set == nil {
 		return base.Busy(503, "no_disks", 1, "no disk set is known")
 	}
@@ -188,7 +188,7 @@
 
 // promise asks a disk again while it cannot be reached: after an outage disks
 // come back one by one, and the last that a majority needs is not to be missed.
-func (o *Owner) promise(ctx *base.Ctx, entry *DiskEntry, request *PromiseRequest) (*PromiseReply, error) {
+func (o *Server) promise(ctx *base.Ctx, entry *DiskEntry, request *PromiseRequest) (*PromiseReply, error) {
 	for {
 		reply, err := o.disk(entry).Promise(ctx, request)
 		pause := o.bounds.Load().Beat() / 12
@@ -199,7 +199,7 @@
 	}
 }
 
-func (o *Owner) stepDown(s *slot, epoch, higher uint64) {
+func (o *Server) stepDown(s *slot, epoch, higher uint64) {
 	s.mu.Lock()
 	s.highest = max(s.highest, higher)
 	if s.epoch == epoch {
--- a/internal/register/transfer.go
+++ b/internal/register/transfer.go
@@ -117,10 +117,10 @@
 		}
 	}
 	puts := s.content()
-	if Weight(puts) <= PartBytes {
+	if ApproxSize(puts) <= PartBytes {
 		return &snapshotCopy{snapshot: &Snapshot{Seq: s.tail}, puts: puts}
 	}
-	snapshot, data := Encode(s.tail, puts)
+	snapshot, data := EncodeSnapshot(s.tail, puts)
 	return &snapshotCopy{snapshot: snapshot, data: data}
 }
 
@@ -152,7 +152,7 @@
 	if sent.part == nil || ack.Staged >= sent.part.Snapshot.Size {
 		return false
 	}
-	if t := s.transfers[diskID]; t != nil && t.snapshotCopy != nil && t.snapshot.Same(sent.part.Snapshot) {
+	if t := s.transfers[diskID]; t != nil && t.snapshotCopy != nil && t.snapshot.Equal(sent.part.Snapshot) {
 		t.asked, t.offset = true, ack.Staged
 	}
 	s.partsTaken++
--- a/internal/register/transfer_test.go
+++ b/internal/register/transfer_test.go
@@ -37,7 +37,7 @@
 		d.replace(sent.install.Seq, sent.install.Puts)
 	case sent.part != nil:
 		is.True(sent.part.Valid() || sent.part.Claim == nil)
-		if !d.snapshot.Same(sent.part.Snapshot) {
+		if !d.snapshot.Equal(sent.part.Snapshot) {
 			d.snapshot, d.staged = sent.part.Snapshot, nil
 		}
 		if sent.part.Offset == uint64(len(d.staged)) {
@@ -148,7 +148,7 @@
 				heaviest = max(heaviest, tailWeight(x.slot))
 			}
 			is.True(d.installed && d.seq == x.tail)
-			is.True(heaviest <= x.tailLimitFor(Weight(x.content()))+row.change+1024)
+			is.True(heaviest <= x.tailLimitFor(ApproxSize(x.content()))+row.change+1024)
 			for x.step(is, d) {
 			}
 			for place := range row.keys {
--- a/internal/register/watch.go
+++ b/internal/register/watch.go
@@ -9,11 +9,11 @@
 	"fordseam/internal/base"
 )
 
-// News gives a follower of the feed what is committed after a place: the
+// Watch gives a follower of the feed what is committed after a place: the
 // changes if they are still at hand, else the whole frame. It waits up to
 // hold for news if the follower has begun, and confirms its epoch last, so that the answer is as fresh
 // as the moment it was asked for.
-func (o *Owner) News(ctx *base.Ctx, place uint64, begun bool, hold time.Duration) (now uint64, frame bool, puts []*Put, hint string, err error) {
+func (o *Server) Watch(ctx *base.Ctx, place uint64, begun bool, hold time.Duration) (now uint64, frame bool, puts []*Put, hint string, err error) {
 	s := o.slots[0]
 	if hint, err = o.await(ctx, s); hint != "" || err != nil {
 		return 0, false, nil, hint, err
@@ -57,7 +57,7 @@
 
 // FeedEpoch is the epoch under which this core owns the feed's slot, 0 when it
 // does not.
-func (o *Owner) FeedEpoch() uint64 {
+func (o *Server) FeedEpoch() uint64 {
 	s := o.slots[0]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,8 +67,8 @@
 	return s.epoch
 }
 
-// ServesFeed tells whether this core owns the feed's slot.
-func (o *Owner) ServesFeed() bool {
+// LeadsFeed tells whether this core owns the feed's slot.
+func (o *Server) LeadsFeed() bool {
 	s := o.slots[0]
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/roster.go
+++ b/internal/relay/roster.go
@@ -112,7 +112,7 @@
 
 // Serve adds the roster's ops to a core: to read it, and to change it, where
 // keys that stay as they were are not written again.
-func Serve(owner *register.Owner) {
+func Serve(owner *register.Server) {
 	owner.Handle("roster.read", func(tx *register.Tx, _ []byte) (any, error) {
 		found := map[string]Worker{}
 		tx.Walk(RosterPrefix, "", func(key string, value []byte) bool {
@@ -131,7 +131,7 @@
 		}
 		for _, id := range change.Gone {
 			if tx.Get(RosterPrefix+id) != nil {
-				tx.Gone(RosterPrefix + id)
+				tx.Delete(RosterPrefix + id)
 			}
 		}
 		for _, id := range base.SortedKeys(change.Put) {
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -124,7 +124,7 @@
 }
 
 // Serve adds the configuration's operations to a core.
-func Serve(owner *register.Owner) {
+func Serve(owner *register.Server) {
 	owner.Handle(operationRead, func(tx *register.Tx, _ []byte) (any, error) { return read(tx) })
 	owner.Handle(operationChange, func(tx *register.Tx, args []byte) (any, error) {
 		asked, digest, err := decodeChange(args)
--- a/internal/route/history.go
+++ b/internal/route/history.go
@@ -116,7 +116,7 @@
 type store interface {
 	Get(key string) []byte
 	Put(key string, value []byte)
-	Gone(key string)
+	Delete(key string)
 	Walk(prefix, after string, visit func(key string, value []byte) bool)
 }
 
@@ -251,8 +251,8 @@
 	newest.orders = append(newest.orders, taken)
 	into.Put(newest.key(), newest.encode())
 	for len(keys) >= blockLimit {
-		into.Gone(keys[0])
-		into.Gone(legacyKey) // older than every block
+		into.Delete(keys[0])
+		into.Delete(legacyKey) // older than every block
 		keys = keys[1:]
 	}
 	return nil
--- a/internal/route/history_test.go
+++ b/internal/route/history_test.go
@@ -19,7 +19,7 @@
 
 func (m memory) Get(key string) []byte        { return m[key] }
 func (m memory) Put(key string, value []byte) { m[key] = value }
-func (m memory) Gone(key string)              { delete(m, key) }
+func (m memory) Delete(key string)            { delete(m, key) }
 func (m memory) Walk(prefix, after string, visit func(key string, value []byte) bool) {
 	for _, key := range base.SortedKeys(m) {
 		if strings.HasPrefix(key, prefix) && key > after && !visit(key, m[key]) {
--- a/internal/session/operations.go
+++ b/internal/session/operations.go
@@ -39,7 +39,7 @@
 }
 
 // Serve adds the sessions' ops to a core.
-func Serve(owner *register.Owner) {
+func Serve(owner *register.Server) {
 	handle := func(name string, op func(tx *register.Tx, asked *ask, record *Record, program *budget.Program) (any, error)) {
 		owner.Handle(name, func(tx *register.Tx, args []byte) (any, error) {
 			var asked ask
@@ -82,7 +82,7 @@
 		})
 		return told{Record: record, Turns: found}, nil
 	})
-	owner.Sweep(sweep)
+	owner.AddSweep(sweep)
 }
 
 func acquire(tx *register.Tx, asked *ask, record *Record, program *budget.Program) (any, error) {
@@ -218,7 +218,7 @@
 	tx.Walk("refused/", "", func(key string, value []byte) bool {
 		var at int64
 		if json.Unmarshal(value, &at) != nil || tx.Now-at > RefusedSpan(tx.Bounds).Milliseconds() {
-			tx.Gone(key)
+			tx.Delete(key)
 		}
 		return true
 	})
@@ -231,10 +231,10 @@
 		over := record.Phase.Terminal() && tx.Now-max(record.LastAt, record.EndedAt) > kept
 		if over || budget.Load(tx, record.Program) == nil {
 			tx.Walk("turn/"+record.ID+"/", "", func(turnKey string, _ []byte) bool {
-				tx.Gone(turnKey)
+				tx.Delete(turnKey)
 				return true
 			})
-			tx.Gone(key)
+			tx.Delete(key)
 		}
 		return true
 	})
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -66,15 +66,15 @@
 }
 
 // Serve adds the settings' ops to a core.
-func Serve(owner *register.Owner) {
+func Serve(owner *register.Server) {
 	owner.Handle("settings.apply", apply)
 	owner.Handle("settings.outcome", outcome)
 	owner.Handle("settings.get", func(tx *register.Tx, _ []byte) (any, error) { return current(tx), nil })
-	owner.Sweep(func(tx *register.Tx) {
+	owner.AddSweep(func(tx *register.Tx) {
 		tx.Walk(logPrefix, "", func(key string, value []byte) bool {
 			var found logged
 			if json.Unmarshal(value, &found) == nil && tx.Now-found.At > 4*tx.Bounds.Retain.Milliseconds() {
-				tx.Gone(key)
+				tx.Delete(key)
 			}
 			return true
 		})
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -341,7 +341,7 @@
 // feeds is the core that owns the feed.
 func (f *Fleet) feeds() *Machine {
 	for _, m := range f.Cores {
-		if m.Host.alive && m.core != nil && m.core.Owner.ServesFeed() {
+		if m.Host.alive && m.core != nil && m.core.Owner.LeadsFeed() {
 			return m
 		}
 	}
--- a/internal/simulate/long_test.go
+++ b/internal/simulate/long_test.go
@@ -44,7 +44,7 @@
 			is.True(peak <= early*3/2)
 		}
 		call.sleep(2 * time.Minute)
-		is.True(keys() < 10+register.Slots) // settings, workers, the change log and each slot's time are left
+		is.True(keys() < 10+register.ShardCount) // settings, workers, the change log and each slot's time are left
 		for _, m := range f.Edges {
 			sessions, copies, streams := m.gateway.Keeper.Sizes()
 			is.Equal(copies, 0)
--- a/internal/simulate/manychanges.go
+++ b/internal/simulate/manychanges.go
@@ -338,7 +338,7 @@
 // feedOwner is the core that owns the feed's slot.
 func (r *changesRun) feedOwner() *Machine {
 	for _, m := range r.fleet.Cores {
-		if m.Host.alive && !m.Host.frozen && m.core != nil && m.core.Owner.ServesFeed() {
+		if m.Host.alive && !m.Host.frozen && m.core != nil && m.core.Owner.LeadsFeed() {
 			return m
 		}
 	}
@@ -443,7 +443,7 @@
 	sum := 0
 	for _, m := range r.fleet.Cores {
 		if m.Host.alive && m.core != nil {
-			sum += m.core.Owner.Kept()
+			sum += m.core.Owner.MemoryBytes()
 		}
 	}
 	r.kept = max(r.kept, sum)
--- a/internal/simulate/mending_test.go
+++ b/internal/simulate/mending_test.go
@@ -51,8 +51,8 @@
 	t.Logf("seed %d at %v: %v", f.World.Seed, f.World.Now(), f.set())
 	for _, m := range f.Cores {
 		if m.Host.alive && !m.Host.frozen && m.core != nil {
-			slots, _ := m.core.Owner.Frame()
-			t.Logf("%s owns %v, mends %q, known %d", m.Host.Name, slots, m.core.Owner.Mending(), m.core.Owner.Known().GetStamp())
+			slots, _ := m.core.Owner.Status()
+			t.Logf("%s owns %v, mends %q, known %d", m.Host.Name, slots, m.core.Owner.ReconcileStatus(), m.core.Owner.KnownDiskSet().GetStamp())
 		}
 	}
 	for _, m := range f.Storage {
@@ -144,7 +144,7 @@
 						call.sleep(way.wait)
 						if way.core {
 							for _, m := range f.Cores {
-								if slots, _ := m.core.Owner.Frame(); slices.Contains(slots, 0) && !m.Host.frozen {
+								if slots, _ := m.core.Owner.Status(); slices.Contains(slots, 0) && !m.Host.frozen {
 									f.freeze(m, 3*time.Second)
 									break
 								}
@@ -396,7 +396,7 @@
 					is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
 					held := map[string]bool{} // disks that something else keeps data on
 					for _, m := range f.Cores {
-						m.core.Owner.Emptied(func(_ *base.Ctx, disk string) (bool, error) { return !held[disk], nil })
+						m.core.Owner.SetEmptyCheck(func(_ *base.Ctx, disk string) (bool, error) { return !held[disk], nil })
 					}
 					out := f.pick(f.Storage)
 					id := out.storage.Store.ID()
@@ -415,7 +415,7 @@
 						f.Start(out)
 					case "the change's core is lost":
 						for _, m := range f.Cores {
-							if slots, _ := m.core.Owner.Frame(); slices.Contains(slots, 0) {
+							if slots, _ := m.core.Owner.Status(); slices.Contains(slots, 0) {
 								f.freeze(m, 2*time.Second)
 							}
 						}
@@ -426,7 +426,7 @@
 						is.True(entry.Id != id)
 					}
 					for _, m := range f.Cores {
-						m.core.Owner.Emptied(nil)
+						m.core.Owner.SetEmptyCheck(nil)
 					}
 					is.True(f.until(5*time.Second, func() bool { return f.retiring("GET", out.Host.Name) == "200complete" }) < 5*time.Second)
 					longest = max(longest, f.World.Now()-began)
--- a/internal/simulate/orders_faults.go
+++ b/internal/simulate/orders_faults.go
@@ -87,7 +87,7 @@
 	switch {
 	case strings.Contains(m.Path, "Disk/"):
 		var claimed register.ConfirmRequest // the claim stands first in all of them
-		if proto.Unmarshal(m.Body, &claimed) != nil || claimed.Claim == nil || claimed.Claim.Slot != register.SlotOf(register.FeedGroup) {
+		if proto.Unmarshal(m.Body, &claimed) != nil || claimed.Claim == nil || claimed.Claim.Slot != register.ShardOf(register.FeedGroup) {
 			return nil
 		}
 	case strings.HasSuffix(m.Path, "Register/Change"):
@@ -176,7 +176,7 @@
 // leader is the core that serves the configuration's shard, or any.
 func (d *OrderDay) leader() *Machine {
 	serving := base.Filter(d.Cores, func(m *Machine) bool {
-		return m.core != nil && m.Host.alive && m.core.Owner.ServesFeed()
+		return m.core != nil && m.Host.alive && m.core.Owner.LeadsFeed()
 	})
 	if len(serving) == 0 {
 		return d.pick(d.Cores)
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -244,7 +244,7 @@
 	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
 		var owner, other *Machine
 		for _, m := range f.Cores {
-			slots, _ := m.core.Owner.Frame()
+			slots, _ := m.core.Owner.Status()
 			if slices.Contains(slots, 0) {
 				owner = m
 			} else {
--- a/internal/simulate/repair_test.go
+++ b/internal/simulate/repair_test.go
@@ -101,7 +101,7 @@
 		owners := func() map[uint32]string {
 			found := map[uint32]string{}
 			for _, m := range f.Cores {
-				slots, _ := m.core.Owner.Frame()
+				slots, _ := m.core.Owner.Status()
 				for _, num := range slots {
 					found[num] = m.Host.Name
 				}
--- a/internal/toolcall/toolcall.go
+++ b/internal/toolcall/toolcall.go
@@ -75,7 +75,7 @@
 }
 
 // Serve adds the claims' ops to a core.
-func Serve(owner *register.Owner) {
+func Serve(owner *register.Server) {
 	owner.Handle("toolcall.claim", claim)
 	owner.Handle("toolcall.finish", func(tx *register.Tx, args []byte) (any, error) {
 		var asked finish
@@ -91,11 +91,11 @@
 		found.store(tx, &asked.Claim)
 		return struct{}{}, nil
 	})
-	owner.Sweep(func(tx *register.Tx) {
+	owner.AddSweep(func(tx *register.Tx) {
 		tx.Walk("claim/", "", func(storedKey string, value []byte) bool {
 			var found record
 			if json.Unmarshal(value, &found) == nil && tx.Now-found.At > tx.Bounds.Retain.Milliseconds()*5/4 {
-				tx.Gone(storedKey)
+				tx.Delete(storedKey)
 			}
 			return true
 		})
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -77,7 +77,7 @@
 		place := next.find(was.ID)
 		if place < 0 || next.Workers[place].Incarnation != was.Incarnation || next.Workers[place].Addr != was.Addr {
 			if tx.Get(LeavingPrefix+was.ID) != nil {
-				tx.Gone(LeavingPrefix + was.ID)
+				tx.Delete(LeavingPrefix + was.ID)
 			}
 		}
 	}
@@ -95,9 +95,9 @@
 }
 
 // Serve adds the workers' ops to a core.
-func Serve(owner *register.Owner) {
+func Serve(owner *register.Server) {
 	owner.Handle("worker.list", func(tx *register.Tx, _ []byte) (any, error) { return loadList(tx), nil })
-	owner.Sweep(sweep)
+	owner.AddSweep(sweep)
 	owner.Handle("worker.replace", func(tx *register.Tx, args []byte) (any, error) {
 		var next List
 		_ = json.Unmarshal(args, &next)
@@ -150,7 +150,7 @@
 			notice.At = tx.Now
 			tx.Put(LeavingPrefix+notice.Worker, base.Encode(notice))
 		case !notice.Leaving && raw != nil && (held.Incarnation != notice.Incarnation || held.Source != "report"):
-			tx.Gone(LeavingPrefix + notice.Worker)
+			tx.Delete(LeavingPrefix + notice.Worker)
 		}
 		return notice, nil
 	})
@@ -163,7 +163,7 @@
 		var notice Notice
 		old := json.Unmarshal(value, &notice) == nil && tx.Now-notice.At > NoticeSpan(tx.Bounds).Milliseconds()
 		if old && notice.Source != "report" {
-			tx.Gone(key)
+			tx.Delete(key)
 		}
 		return true
 	})
