--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -231,7 +231,7 @@
 }
 
 // RegisterHandlers adds the programs' ops to a core.
-func RegisterHandlers(owner *register.Owner) {
+func RegisterHandlers(owner *register.Server) {
 	owner.Handle("budget.create", func(tx *register.Tx, args []byte) (any, error) {
 		var asked create
 		if err := json.Unmarshal(args, &asked); err != nil {
@@ -298,21 +298,21 @@
 		}
 		return struct{}{}, nil
 	})
-	owner.Sweep(func(tx *register.Tx) {
+	owner.AddSweep(func(tx *register.Tx) {
 		tx.Walk(TerminationPrefix, "", func(storedKey string, value []byte) bool {
 			var told TerminationNotice
 			if json.Unmarshal(value, &told) == nil && tx.Now-told.At > tx.Bounds.Retain.Milliseconds() {
-				tx.Gone(storedKey)
+				tx.Delete(storedKey)
 			}
 			return true
 		})
 	})
-	owner.Sweep(func(tx *register.Tx) {
+	owner.AddSweep(func(tx *register.Tx) {
 		now := tx.Now
 		tx.Walk("program/", "", func(storedKey string, value []byte) bool {
 			var found Program
 			if json.Unmarshal(value, &found) == nil && now > max(found.Deadline, found.UpdatedAt)+4*tx.Bounds.Retain.Milliseconds() {
-				tx.Gone(storedKey)
+				tx.Delete(storedKey)
 			}
 			return true
 		})
