--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -279,9 +279,9 @@
 	budget.RegisterHandlers(owner)
 	session.RegisterHandlers(owner)
 	toolcall.RegisterHandlers(owner)
-	worker.Serve(owner)
+	worker.RegisterHandlers(owner)
 	route.RegisterOperations(owner)
-	relay.Serve(owner)
+	relay.RegisterHandlers(owner)
 	guard := access.NewGuard(env.Clock, bounds, env.Counters)
 	client, follower := c.follow(tree, guard, func(*feed.Frame) {})
 	if place.Tolerate > 0 {
--- a/internal/relay/roster.go
+++ b/internal/relay/roster.go
@@ -110,10 +110,10 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0] || string(a) == string(b))
 }
 
-// Serve adds the roster's ops to a core: to read it, and to change it, where
+// RegisterHandlers adds the roster's ops to a core: to read it, and to change it, where
 // keys that stay as they were are not written again.
-func Serve(owner *register.Server) {
-	owner.Handle("roster.read", func(tx *register.Tx, _ []byte) (any, error) {
+func RegisterHandlers(server *register.Server) {
+	server.Handle("roster.read", func(tx *register.Tx, _ []byte) (any, error) {
 		found := map[string]Worker{}
 		tx.Walk(RosterKeyPrefix, "", func(key string, value []byte) bool {
 			var one Worker
@@ -124,7 +124,7 @@
 		})
 		return found, nil
 	})
-	owner.Handle("roster.amend", func(tx *register.Tx, args []byte) (any, error) {
+	server.Handle("roster.amend", func(tx *register.Tx, args []byte) (any, error) {
 		var change RosterChange
 		if err := json.Unmarshal(args, &change); err != nil {
 			return nil, base.DeclineField("roster", "%v", err)
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -1,8 +1,11 @@
-// Package worker knows the back ends: the list the platform keeps, the
-// notices of those that are leaving, and their usage reports. The list and
-// the notices are control state and reach every node by the feed; usage is
-// soft, rides on shuffles, is believed only while fresh and is told anew by
-// the workers after a loss.
+// Package worker tracks the back-end workers: the list that the platform
+// maintains, notices of workers that are leaving, and their usage reports, and
+// it picks a worker for each request.
+//
+// The list and the notices are control state and reach every node through the
+// feed. Usage reports are soft state: they are gossiped in the membership
+// protocol's shuffle messages, are trusted only while fresh, and are sent again
+// by the workers after a loss.
 package worker
 
 import (
@@ -17,12 +20,15 @@
 	"fordseam/internal/register"
 )
 
+// Keys in the feed.
 const (
-	ListKey          = "feed/workers"
+	// ListKey holds the worker list.
+	ListKey = "feed/workers"
+	// LeavingKeyPrefix, followed by a worker's id, holds its leaving notice.
 	LeavingKeyPrefix = "feed/leaving/"
 )
 
-// Worker is one back end as the platform lists it.
+// Worker is one back end as listed by the platform.
 type Worker struct {
 	ID          string `json:"id"`
 	Addr        string `json:"addr"`
@@ -32,20 +38,22 @@
 	Incarnation string `json:"incarnation,omitempty"`
 }
 
-// List is the platform's stamped list.
+// List is the platform's worker list. Its stamp increases with every change.
 type List struct {
 	Stamp   uint64   `json:"stamp"`
 	Workers []Worker `json:"workers"`
 }
 
-// Patch changes a list: workers put in or changed, and ids taken out.
+// Patch is a change to a list: workers to add or replace, and ids to remove.
 type Patch struct {
 	Stamp  uint64   `json:"stamp"`
 	Put    []Worker `json:"put"`
 	Remove []string `json:"remove"`
 }
 
-// Notice says that one life of a worker is leaving.
+// Notice reports that one incarnation of a worker is leaving or, with Leaving
+// false, that it no longer is. Source is "report" for the worker's own report;
+// At is when the control state accepted the notice, in milliseconds.
 type Notice struct {
 	Worker      string `json:"worker"`
 	Incarnation string `json:"incarnation"`
@@ -63,21 +71,23 @@
 	return list
 }
 
-func (l *List) find(id string) int {
-	for place := range l.Workers {
-		if l.Workers[place].ID == id {
-			return place
+func (l *List) indexOf(id string) int {
+	for i := range l.Workers {
+		if l.Workers[i].ID == id {
+			return i
 		}
 	}
 	return -1
 }
 
-func storeList(tx *register.Tx, former, next List) (any, error) {
-	for _, was := range former.Workers {
-		place := next.find(was.ID)
-		if place < 0 || next.Workers[place].Incarnation != was.Incarnation || next.Workers[place].Addr != was.Addr {
-			if tx.Get(LeavingKeyPrefix+was.ID) != nil {
-				tx.Delete(LeavingKeyPrefix + was.ID)
+// storeList stores next and deletes the leaving notices of workers that next
+// removes or lists with another address or incarnation.
+func storeList(tx *register.Tx, current, next List) (any, error) {
+	for _, old := range current.Workers {
+		i := next.indexOf(old.ID)
+		if i < 0 || next.Workers[i].Incarnation != old.Incarnation || next.Workers[i].Addr != old.Addr {
+			if tx.Get(LeavingKeyPrefix+old.ID) != nil {
+				tx.Delete(LeavingKeyPrefix + old.ID)
 			}
 		}
 	}
@@ -85,223 +95,240 @@
 	return next, nil
 }
 
-func checkStamp(now List, stamp uint64) error {
-	if stamp <= now.Stamp {
-		v := base.Decline(409, "stale_stamp", "the list stands at stamp %d, this one carries %d", now.Stamp, stamp)
-		v.Stamp = now.Stamp
+// checkStamp declines a change whose stamp is not newer than the current list's.
+func checkStamp(current List, stamp uint64) error {
+	if stamp <= current.Stamp {
+		v := base.Decline(409, "stale_stamp", "the list is at stamp %d, the request carries stamp %d", current.Stamp, stamp)
+		v.Stamp = current.Stamp
 		return v
 	}
 	return nil
 }
 
-// Serve adds the workers' ops to a core.
-func Serve(owner *register.Server) {
-	owner.Handle("worker.list", func(tx *register.Tx, _ []byte) (any, error) { return loadList(tx), nil })
-	owner.AddSweep(sweep)
-	owner.Handle("worker.replace", func(tx *register.Tx, args []byte) (any, error) {
+// RegisterHandlers registers the operations on the worker list with a core's owner of
+// control state.
+func RegisterHandlers(server *register.Server) {
+	server.Handle("worker.list", func(tx *register.Tx, _ []byte) (any, error) { return loadList(tx), nil })
+	server.AddSweep(expireNotices)
+	server.Handle("worker.replace", func(tx *register.Tx, args []byte) (any, error) {
 		var next List
 		_ = json.Unmarshal(args, &next)
-		now := loadList(tx)
-		if string(base.Encode(now)) == string(base.Encode(next)) {
-			return now, nil
+		current := loadList(tx)
+		if string(base.Encode(current)) == string(base.Encode(next)) {
+			return current, nil
 		}
-		if err := checkStamp(now, next.Stamp); err != nil {
+		if err := checkStamp(current, next.Stamp); err != nil {
 			return nil, err
 		}
-		return storeList(tx, now, next)
+		return storeList(tx, current, next)
 	})
-	owner.Handle("worker.patch", func(tx *register.Tx, args []byte) (any, error) {
+	server.Handle("worker.patch", func(tx *register.Tx, args []byte) (any, error) {
 		var patch Patch
 		_ = json.Unmarshal(args, &patch)
-		now := loadList(tx)
-		if err := checkStamp(now, patch.Stamp); err != nil {
+		current := loadList(tx)
+		if err := checkStamp(current, patch.Stamp); err != nil {
 			return nil, err
 		}
 		next := List{Stamp: patch.Stamp}
-		for _, one := range now.Workers {
+		for _, listed := range current.Workers {
 			removed := false
 			for _, id := range patch.Remove {
-				removed = removed || id == one.ID
+				removed = removed || id == listed.ID
 			}
 			if !removed {
-				next.Workers = append(next.Workers, one)
+				next.Workers = append(next.Workers, listed)
 			}
 		}
-		for _, one := range patch.Put {
-			if place := next.find(one.ID); place >= 0 {
-				next.Workers[place] = one
+		for _, listed := range patch.Put {
+			if i := next.indexOf(listed.ID); i >= 0 {
+				next.Workers[i] = listed
 			} else {
-				next.Workers = append(next.Workers, one)
+				next.Workers = append(next.Workers, listed)
 			}
 		}
-		return storeList(tx, now, next)
+		return storeList(tx, current, next)
 	})
-	owner.Handle("worker.notice", func(tx *register.Tx, args []byte) (any, error) {
-		var notice, held Notice
+	server.Handle("worker.notice", func(tx *register.Tx, args []byte) (any, error) {
+		var notice, stored Notice
 		_ = json.Unmarshal(args, &notice)
 		raw := tx.Get(LeavingKeyPrefix + notice.Worker)
 		if raw != nil {
-			_ = json.Unmarshal(raw, &held)
+			_ = json.Unmarshal(raw, &stored)
 		}
-		now := loadList(tx)
+		current := loadList(tx)
 		switch {
-		case now.find(notice.Worker) < 0:
-		case notice.Leaving && (raw == nil || held.Incarnation != notice.Incarnation):
+		case current.indexOf(notice.Worker) < 0:
+		case notice.Leaving && (raw == nil || stored.Incarnation != notice.Incarnation):
 			notice.At = tx.Now
 			tx.Put(LeavingKeyPrefix+notice.Worker, base.Encode(notice))
-		case !notice.Leaving && raw != nil && (held.Incarnation != notice.Incarnation || held.Source != "report"):
+		case !notice.Leaving && raw != nil && (stored.Incarnation != notice.Incarnation || stored.Source != "report"):
 			tx.Delete(LeavingKeyPrefix + notice.Worker)
 		}
 		return notice, nil
 	})
 }
 
-// sweep forgets refusals that nothing else has borne out: the worker is
-// tried again, and refuses again if it is still leaving.
-func sweep(tx *register.Tx) {
+// expireNotices deletes notices that are older than NoticeTTL and do not come
+// from the worker's own report. Such a notice was inferred from a refusal; the
+// worker is tried again, and refuses again if it is still leaving.
+func expireNotices(tx *register.Tx) {
 	tx.Walk(LeavingKeyPrefix, "", func(key string, value []byte) bool {
 		var notice Notice
-		old := json.Unmarshal(value, &notice) == nil && tx.Now-notice.At > NoticeTTL(tx.Bounds).Milliseconds()
-		if old && notice.Source != "report" {
+		expired := json.Unmarshal(value, &notice) == nil && tx.Now-notice.At > NoticeTTL(tx.Bounds).Milliseconds()
+		if expired && notice.Source != "report" {
 			tx.Delete(key)
 		}
 		return true
 	})
 }
 
-// Client asks for changes of the list.
+// Client reads and changes the worker list in the control state.
 type Client struct{ Register *register.Client }
 
+// Replace replaces the whole list and returns the list that is then in force.
 func (c *Client) Replace(ctx *base.Ctx, list List) (*List, error) {
-	var now List
-	return &now, c.Register.Change(ctx, register.FeedGroup, "worker.replace", list, &now)
+	var current List
+	return &current, c.Register.Change(ctx, register.FeedGroup, "worker.replace", list, &current)
 }
 
+// Patch applies a change to the list and returns the result.
 func (c *Client) Patch(ctx *base.Ctx, patch Patch) (*List, error) {
-	var now List
-	return &now, c.Register.Change(ctx, register.FeedGroup, "worker.patch", patch, &now)
+	var current List
+	return &current, c.Register.Change(ctx, register.FeedGroup, "worker.patch", patch, &current)
 }
 
+// List returns the current list.
 func (c *Client) List(ctx *base.Ctx) (*List, error) {
-	var now List
-	return &now, c.Register.Change(ctx, register.FeedGroup, "worker.list", struct{}{}, &now)
+	var current List
+	return &current, c.Register.Change(ctx, register.FeedGroup, "worker.list", struct{}{}, &current)
 }
 
+// SubmitNotice stores or withdraws a leaving notice.
 func (c *Client) SubmitNotice(ctx *base.Ctx, notice Notice) error {
 	return c.Register.Change(ctx, register.FeedGroup, "worker.notice", notice, nil)
 }
 
-// ValidateWorkers declines a list with faults and names the first field.
+// ValidateWorkers checks a list of workers and returns an error that names the
+// first invalid field. field is the name of the list in the request.
 func ValidateWorkers(field string, workers []Worker) error {
-	ids := map[string]bool{}
-	for place, one := range workers {
+	seen := map[string]bool{}
+	for i, w := range workers {
 		switch {
-		case one.ID == "" || strings.ContainsAny(one.ID, "/ "):
-			return base.DeclineField(path(field, place, "id"), "must be a name without slash or space")
-		case ids[one.ID]:
-			return base.DeclineField(path(field, place, "id"), "%q is listed twice", one.ID)
-		case one.Addr == "":
-			return base.DeclineField(path(field, place, "addr"), "must be an address by number, with a port")
-		case one.Pool == "":
-			return base.DeclineField(path(field, place, "pool"), "must name a pool")
-		case one.Capacity < 1 || one.Capacity > 4096:
-			return base.DeclineField(path(field, place, "capacity"), "must be between 1 and 4096")
+		case w.ID == "" || strings.ContainsAny(w.ID, "/ "):
+			return base.DeclineField(fieldPath(field, i, "id"), "must be a name without slash or space")
+		case seen[w.ID]:
+			return base.DeclineField(fieldPath(field, i, "id"), "%q is listed twice", w.ID)
+		case w.Addr == "":
+			return base.DeclineField(fieldPath(field, i, "addr"), "must be an IP address with a port")
+		case w.Pool == "":
+			return base.DeclineField(fieldPath(field, i, "pool"), "must name a pool")
+		case w.Capacity < 1 || w.Capacity > 4096:
+			return base.DeclineField(fieldPath(field, i, "capacity"), "must be between 1 and 4096")
 		}
-		ids[one.ID] = true
+		seen[w.ID] = true
 	}
 	return nil
 }
 
-func path(field string, place int, name string) string {
-	return field + "[" + string(base.Encode(place)) + "]." + name
+// fieldPath names a field of a list element, such as "workers[2].id".
+func fieldPath(field string, index int, name string) string {
+	return field + "[" + string(base.Encode(index)) + "]." + name
 }
 
-// UsageReports holds the newest usage report of each worker this node has heard of.
+// UsageReports holds the newest usage report of each worker that this node has
+// received one for.
 type UsageReports struct {
-	clock  base.Clock
-	bounds *base.Table[base.Bounds]
-	mu     sync.Mutex
-	newest map[string]*heardUsage
+	clock   base.Clock
+	bounds  *base.Table[base.Bounds]
+	mu      sync.Mutex
+	entries map[string]*usageEntry
 }
 
-type heardUsage struct {
-	usage *membership.Usage
-	at    time.Duration
-	given int
+// usageEntry is a report, when it was received, and how often it was gossiped.
+type usageEntry struct {
+	usage      *membership.Usage
+	receivedAt time.Duration
+	timesSent  int
 }
 
+// NewUsageReports returns an empty set of reports.
 func NewUsageReports(clock base.Clock, bounds *base.Table[base.Bounds]) *UsageReports {
-	return &UsageReports{clock: clock, bounds: bounds, newest: map[string]*heardUsage{}}
+	return &UsageReports{clock: clock, bounds: bounds, entries: map[string]*usageEntry{}}
 }
 
-// Merge takes reports in; older ones than the one held are dropped.
-func (b *UsageReports) Merge(usages []*membership.Usage) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Merge stores reports received by gossip. A report that is not newer than the
+// stored one is dropped.
+func (u *UsageReports) Merge(usages []*membership.Usage) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	for _, usage := range usages {
-		if held, ok := b.newest[usage.Worker]; !ok || usage.Number > held.usage.Number {
-			b.newest[usage.Worker] = &heardUsage{usage: usage, at: b.clock.Now()}
+		if entry, ok := u.entries[usage.Worker]; !ok || usage.Number > entry.usage.Number {
+			u.entries[usage.Worker] = &usageEntry{usage: usage, receivedAt: u.clock.Now()}
 		}
 	}
 }
 
-// Record takes one report from a worker itself, and says whether it was news.
-func (b *UsageReports) Record(usage *membership.Usage) bool {
-	b.mu.Lock()
-	held, ok := b.newest[usage.Worker]
-	fresh := !ok || usage.Number > held.usage.Number
-	b.mu.Unlock()
-	b.Merge([]*membership.Usage{usage})
-	return fresh
+// Record stores a report received from the worker itself and reports whether it
+// was newer than the stored one.
+func (u *UsageReports) Record(usage *membership.Usage) bool {
+	u.mu.Lock()
+	entry, ok := u.entries[usage.Worker]
+	isNew := !ok || usage.Number > entry.usage.Number
+	u.mu.Unlock()
+	u.Merge([]*membership.Usage{usage})
+	return isNew
 }
 
-func (b *UsageReports) fresh(held *heardUsage) bool {
-	return b.clock.Now()-held.at <= 2*b.bounds.Load().Leave
+// isFresh reports whether a report is recent enough to be trusted.
+func (u *UsageReports) isFresh(entry *usageEntry) bool {
+	return u.clock.Now()-entry.receivedAt <= 2*u.bounds.Load().Leave
 }
 
-// Sample gives fresh reports that were given fewer than times before, the least
-// given first.
-func (b *UsageReports) Sample(limit, times int) []*membership.Usage {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for id, held := range b.newest {
-		if b.clock.Now()-held.at > 20*b.bounds.Load().Leave {
-			delete(b.newest, id)
+// Sample returns at most limit fresh reports that were returned fewer than
+// maxSends times before, those returned least often first. It also deletes
+// reports that have long expired.
+func (u *UsageReports) Sample(limit, maxSends int) []*membership.Usage {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for id, entry := range u.entries {
+		if u.clock.Now()-entry.receivedAt > 20*u.bounds.Load().Leave {
+			delete(u.entries, id)
 		}
 	}
-	ids := base.Filter(base.SortedKeys(b.newest), func(id string) bool { return b.unsaid(b.newest[id], times) })
-	slices.SortStableFunc(ids, func(x, y string) int { return b.newest[x].given - b.newest[y].given })
+	ids := base.Filter(base.SortedKeys(u.entries), func(id string) bool { return u.pending(u.entries[id], maxSends) })
+	slices.SortStableFunc(ids, func(x, y string) int { return u.entries[x].timesSent - u.entries[y].timesSent })
 	return base.Map(ids[:min(limit, len(ids))], func(id string) *membership.Usage {
-		held := b.newest[id]
-		held.given++
-		return &membership.Usage{Worker: id, Incarnation: held.usage.Incarnation,
-			Number: held.usage.Number, Load: held.usage.Load, Leaving: held.usage.Leaving}
+		entry := u.entries[id]
+		entry.timesSent++
+		return &membership.Usage{Worker: id, Incarnation: entry.usage.Incarnation,
+			Number: entry.usage.Number, Load: entry.usage.Load, Leaving: entry.usage.Leaving}
 	})
 }
 
-func (b *UsageReports) unsaid(held *heardUsage, times int) bool {
-	return b.fresh(held) && held.given < times
+// pending reports whether Sample may still return the report.
+func (u *UsageReports) pending(entry *usageEntry, maxSends int) bool {
+	return u.isFresh(entry) && entry.timesSent < maxSends
 }
 
-// Unsaid tells whether Sample would give any.
-func (b *UsageReports) Unsaid(times int) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, held := range b.newest {
-		if b.unsaid(held, times) {
+// Unsaid reports whether Sample would return any report.
+func (u *UsageReports) Unsaid(maxSends int) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for _, entry := range u.entries {
+		if u.pending(entry, maxSends) {
 			return true
 		}
 	}
 	return false
 }
 
-// Load gives a worker's reported load while it is fresh.
-func (b *UsageReports) Load(id string) (load int64, incarnation string, leaving bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	held, ok := b.newest[id]
-	if !ok || !b.fresh(held) {
+// Load returns a worker's last report, or zero values if there is no fresh one.
+func (u *UsageReports) Load(id string) (load int64, incarnation string, leaving bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	entry, ok := u.entries[id]
+	if !ok || !u.isFresh(entry) {
 		return 0, "", false
 	}
-	return held.usage.Load, held.usage.Incarnation, held.usage.Leaving
+	return entry.usage.Load, entry.usage.Incarnation, entry.usage.Leaving
 }
--- a/internal/worker/picker.go
+++ b/internal/worker/picker.go
@@ -1,13 +1,3 @@
-// Picking a worker keeps a chain where its prefix is cached, as long as
-// that worker has room. A chain without such a worker goes to the first in
-// the session's own order whose load is below a ratio of the mean, so that
-// sessions spread and a burst spills over. A leg that finds every worker full waits in a bounded line:
-// urgent programs first; the time since a program was last served counts as
-// urgency, so that none starves and none crowds out others by its own numbers;
-// and among equals the site, then the program, with fewest legs under way. A line that is full
-// declines at once and says when to come again, and so does one in
-// which a leg could not come to its end in time.
-
 package worker
 
 import (
@@ -20,367 +10,409 @@
 	"fordseam/internal/policy"
 )
 
-const spillRatio = 1.25
+// maxLoadRatio bounds a worker's load, as a ratio to the mean load of the
+// candidates, for the first choice by rendezvous hashing.
+const maxLoadRatio = 1.25
 
-// mark is a worker's own notice as this node saw it.
-type mark struct {
+// leavingMark records that this node saw an incarnation of a worker refuse work
+// because it is leaving.
+type leavingMark struct {
 	incarnation string
-	at          time.Duration
+	seenAt      time.Duration
 }
 
-// NoticeTTL is how long a worker's refusal counts as its leaving, if nothing
-// else is heard; a report of its own counts until it says otherwise.
+// NoticeTTL is how long a worker counts as leaving after a refusal, if nothing
+// else is known. A notice from the worker's own report has no such limit: it
+// stands until the worker reports otherwise.
 func NoticeTTL(bounds *base.Bounds) time.Duration { return 10 * bounds.Leave }
 
+// waiter is a queued request. signal fires once it has a worker or is given up.
 type waiter struct {
-	need    *Requirements
-	since   time.Duration
-	until   time.Duration
-	granted *Worker
-	signal  base.Signal
-	gone    bool
+	req        *Requirements
+	enqueuedAt time.Duration
+	deadline   time.Duration
+	assigned   *Worker
+	signal     base.Signal
+	done       bool // no longer waiting
 }
 
-// Picker hands out workers on one node.
+// Picker assigns workers to requests on one node.
+//
+// A session stays at the worker that has its prefix cached as long as that
+// worker has room. Any other request goes to the first worker in the session's
+// rendezvous order whose load is below a ratio of the mean, so that sessions
+// spread and a burst spills over to other workers.
+//
+// A request that finds every worker full waits in a bounded queue, urgent
+// requests first. The time since a program was last served raises its priority,
+// so that no program starves and none crowds out others by the number of its
+// requests. Among equals, the site and then the program with the fewest requests
+// in flight go first. When the queue is full, or the request could not finish
+// before its deadline, it is declined at once with a time to retry after.
 type Picker struct {
 	clock    base.Clock
 	bounds   *base.Table[base.Bounds]
 	counters *base.Counters
-	book     *UsageReports
+	reports  *UsageReports
 	zone     string
 	roster   base.Table[Roster]
 
-	mu       sync.Mutex
-	busy     map[string]int
-	programs map[string]int
-	shunned  map[string]time.Duration
-	left     map[string]mark
-	kept     map[string]bool
-	sites    map[string]int
-	waiting  []*waiter
-	lasting  map[string]time.Duration
-	// spacing is the time between workers given out while there is a line, and
-	// booked the moment that the last of the refused was told to come back.
-	spacing map[string]time.Duration
-	granted map[string]time.Duration
-	booked  map[string]time.Duration
-	served  map[string]time.Duration
+	// mu guards the fields below. inFlight counts this node's requests by worker.
+	mu                sync.Mutex
+	inFlight          map[string]int
+	inFlightByProgram map[string]int
+	avoidUntil        map[string]time.Duration
+	leaving           map[string]leavingMark
+	// keptAlive holds the worker incarnations that have kept a connection open,
+	// as "id incarnation".
+	keptAlive      map[string]bool
+	inFlightBySite map[string]int
+	queue          []*waiter
+	meanDuration   map[string]time.Duration
+	// By pool: grantInterval is the mean time between two assignments while
+	// requests are queued, lastGrant the time of the last assignment, and
+	// lastRetryAt the retry time given to the request that was declined last.
+	grantInterval map[string]time.Duration
+	lastGrant     map[string]time.Duration
+	lastRetryAt   map[string]time.Duration
+	// lastServed is by program.
+	lastServed map[string]time.Duration
 }
 
-func NewPicker(clock base.Clock, bounds *base.Table[base.Bounds], counters *base.Counters, book *UsageReports, zone string) *Picker {
-	p := &Picker{zone: zone, clock: clock, bounds: bounds, counters: counters, book: book,
-		busy: map[string]int{}, programs: map[string]int{}, shunned: map[string]time.Duration{}, left: map[string]mark{}, kept: map[string]bool{}, sites: map[string]int{}, lasting: map[string]time.Duration{}, spacing: map[string]time.Duration{}, granted: map[string]time.Duration{}, booked: map[string]time.Duration{}, served: map[string]time.Duration{}}
+// NewPicker returns a picker with an empty roster.
+func NewPicker(clock base.Clock, bounds *base.Table[base.Bounds], counters *base.Counters, reports *UsageReports, zone string) *Picker {
+	p := &Picker{zone: zone, clock: clock, bounds: bounds, counters: counters, reports: reports,
+		inFlight: map[string]int{}, inFlightByProgram: map[string]int{}, avoidUntil: map[string]time.Duration{}, leaving: map[string]leavingMark{}, keptAlive: map[string]bool{}, inFlightBySite: map[string]int{}, meanDuration: map[string]time.Duration{}, grantInterval: map[string]time.Duration{}, lastGrant: map[string]time.Duration{}, lastRetryAt: map[string]time.Duration{}, lastServed: map[string]time.Duration{}}
 	p.roster.Swap(&Roster{Pools: map[string][]Worker{}})
 	return p
 }
 
-// SetRoster takes a new roster and looks at who waits.
+// SetRoster replaces the roster and serves the queue from it.
 func (p *Picker) SetRoster(roster *Roster) {
 	p.roster.Swap(roster)
 	p.mu.Lock()
 	listed := map[string]bool{}
 	for _, pool := range roster.Pools {
-		for _, one := range pool {
-			listed[one.ID+" "+p.Incarnation(&one)] = true
+		for _, w := range pool {
+			listed[w.ID+" "+p.Incarnation(&w)] = true
 		}
 	}
-	for life := range p.kept {
-		if !listed[life] {
-			delete(p.kept, life)
+	for key := range p.keptAlive {
+		if !listed[key] {
+			delete(p.keptAlive, key)
 		}
 	}
-	p.pump()
+	p.serveQueue()
 	p.mu.Unlock()
 }
 
+// Roster returns the current roster.
 func (p *Picker) Roster() *Roster { return p.roster.Load() }
 
-// Acquire takes a worker for a leg; Release gives it back.
-func (p *Picker) Acquire(ctx *base.Ctx, need *Requirements) (*Worker, error) {
+// Acquire assigns a worker to a request, waiting in the queue if necessary. The
+// caller must call Release when the request has ended.
+func (p *Picker) Acquire(ctx *base.Ctx, req *Requirements) (*Worker, error) {
 	p.mu.Lock()
-	chosen, possible := p.choose(need)
+	chosen, anyEligible := p.choose(req)
 	if chosen != nil {
-		p.take(chosen, need)
+		p.assign(chosen, req)
 		p.mu.Unlock()
 		return chosen, nil
 	}
-	if !possible {
+	if !anyEligible {
 		p.mu.Unlock()
-		return nil, base.Busy(503, "no_worker", 1, "no worker of pool %q can take this now", need.Pool)
+		return nil, base.Busy(503, "no_worker", 1, "no worker of pool %q can take the request now", req.Pool)
 	}
-	line := 0
-	for _, other := range p.waiting {
-		if other.need.Pool == need.Pool {
-			line++
+	queued := 0
+	for _, other := range p.queue {
+		if other.req.Pool == req.Pool {
+			queued++
 		}
 	}
-	expected := p.lasting[need.Pool] + time.Duration(line+1)*max(p.spacing[need.Pool], p.lasting[need.Pool]/time.Duration(max(1, p.size(need.Pool))))
-	if line >= need.MaxQueue || expected > ctx.Left() {
-		after := p.comeBack(need.Pool, line)
+	expected := p.meanDuration[req.Pool] + time.Duration(queued+1)*max(p.grantInterval[req.Pool], p.meanDuration[req.Pool]/time.Duration(max(1, p.capacity(req.Pool))))
+	if queued >= req.MaxQueue || expected > ctx.Left() {
+		retryAfter := p.retryAfter(req.Pool, queued)
 		p.mu.Unlock()
 		p.counters.Add("legs_declined_busy", 1)
-		return nil, base.Busy(429, "overloaded", after, "all workers are busy and the line is too long")
+		return nil, base.Busy(429, "overloaded", retryAfter, "all workers are busy and the queue is too long")
 	}
-	w := &waiter{need: need, since: p.clock.Now(), until: ctx.Until, signal: p.clock.NewSignal()}
-	p.waiting = append(p.waiting, w)
+	w := &waiter{req: req, enqueuedAt: p.clock.Now(), deadline: ctx.Until, signal: p.clock.NewSignal()}
+	p.queue = append(p.queue, w)
 	p.mu.Unlock()
 	p.counters.Add("legs_waited", 1)
 	w.signal.Wait(ctx.Left())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w.gone = true
-	p.waiting = slices.DeleteFunc(p.waiting, func(other *waiter) bool { return other == w })
-	if w.granted == nil {
-		return nil, base.Busy(429, "overloaded", p.comeBack(need.Pool, len(p.waiting)), "no worker came free in time")
+	w.done = true
+	p.queue = slices.DeleteFunc(p.queue, func(other *waiter) bool { return other == w })
+	if w.assigned == nil {
+		return nil, base.Busy(429, "overloaded", p.retryAfter(req.Pool, len(p.queue)), "no worker became free in time")
 	}
-	return w.granted, nil
+	return w.assigned, nil
 }
 
-// comeBack says in how many seconds to come again: when the line will have
-// passed, and after those who were refused before, one by one as workers have
-// come free here. So the refused return spread out, at the pace at which they
-// can be served. The caller holds the lock.
-func (p *Picker) comeBack(pool string, line int) int {
-	now, spacing := p.clock.Now(), p.spacing[pool]
-	longest := p.bounds.Load().Recover * 5 / 2
-	next := max(p.booked[pool], now+spacing*time.Duration(line)) + spacing
-	if next > now+longest {
-		next = now + longest/2 + time.Duration(p.clock.Int64N(int64(longest/2)))
+// retryAfter returns the number of seconds after which a declined request should
+// be retried: when the queue will have drained, and one grant interval after the
+// request that was declined before it. Retries thus come spread out, at the rate
+// at which they can be served. The caller holds the lock.
+func (p *Picker) retryAfter(pool string, queued int) int {
+	now, interval := p.clock.Now(), p.grantInterval[pool]
+	maxDelay := p.bounds.Load().Recover * 5 / 2
+	retryAt := max(p.lastRetryAt[pool], now+interval*time.Duration(queued)) + interval
+	if retryAt > now+maxDelay {
+		retryAt = now + maxDelay/2 + time.Duration(p.clock.Int64N(int64(maxDelay/2)))
 	} else {
-		p.booked[pool] = next
+		p.lastRetryAt[pool] = retryAt
 	}
-	// The header takes whole seconds: the rest decides by chance.
-	wait := next - now
-	after := int(wait / time.Second)
-	if time.Duration(p.clock.Int64N(int64(time.Second))) < wait%time.Second {
-		after++
+	// The header takes whole seconds: the fraction is rounded up with a
+	// probability equal to it.
+	delay := retryAt - now
+	seconds := int(delay / time.Second)
+	if time.Duration(p.clock.Int64N(int64(time.Second))) < delay%time.Second {
+		seconds++
 	}
-	return max(1, after)
+	return max(1, seconds)
 }
 
-func (p *Picker) size(pool string) int {
+// capacity returns the total capacity of a pool.
+func (p *Picker) capacity(pool string) int {
 	total := 0
-	for _, one := range p.roster.Load().Pools[pool] {
-		total += one.Capacity
+	for _, w := range p.roster.Load().Pools[pool] {
+		total += w.Capacity
 	}
 	return total
 }
 
-func (p *Picker) take(chosen *Worker, need *Requirements) {
-	p.busy[chosen.ID]++
-	p.programs[need.Program]++
-	p.sites[need.Site]++
-	p.served[need.Program] = p.clock.Now()
-	if gap := p.clock.Now() - p.granted[need.Pool]; len(p.waiting) > 0 || p.spacing[need.Pool] == 0 {
-		p.spacing[need.Pool] += (min(gap, p.bounds.Load().Recover/12) - p.spacing[need.Pool]) / 8
+// assign counts the request as in flight at the chosen worker and updates the
+// pool's grant interval. The caller holds the lock.
+func (p *Picker) assign(chosen *Worker, req *Requirements) {
+	p.inFlight[chosen.ID]++
+	p.inFlightByProgram[req.Program]++
+	p.inFlightBySite[req.Site]++
+	p.lastServed[req.Program] = p.clock.Now()
+	if interval := p.clock.Now() - p.lastGrant[req.Pool]; len(p.queue) > 0 || p.grantInterval[req.Pool] == 0 {
+		p.grantInterval[req.Pool] += (min(interval, p.bounds.Load().Recover/12) - p.grantInterval[req.Pool]) / 8
 	}
-	p.granted[need.Pool] = p.clock.Now()
+	p.lastGrant[req.Pool] = p.clock.Now()
 }
 
-// Release ends a leg's hold and learns how long such legs last.
-func (p *Picker) Release(held *Worker, need *Requirements, lasted time.Duration) {
+// Release returns a worker after a request and updates the pool's mean request
+// duration.
+func (p *Picker) Release(w *Worker, req *Requirements, duration time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lasting[need.Pool] += (lasted - p.lasting[need.Pool]) / 8
-	if p.busy[held.ID]--; p.busy[held.ID] <= 0 {
-		delete(p.busy, held.ID)
+	p.meanDuration[req.Pool] += (duration - p.meanDuration[req.Pool]) / 8
+	if p.inFlight[w.ID]--; p.inFlight[w.ID] <= 0 {
+		delete(p.inFlight, w.ID)
 	}
-	if p.sites[need.Site]--; p.sites[need.Site] <= 0 {
-		delete(p.sites, need.Site)
+	if p.inFlightBySite[req.Site]--; p.inFlightBySite[req.Site] <= 0 {
+		delete(p.inFlightBySite, req.Site)
 	}
-	if p.programs[need.Program]--; p.programs[need.Program] <= 0 {
-		delete(p.programs, need.Program)
-		delete(p.served, need.Program)
+	if p.inFlightByProgram[req.Program]--; p.inFlightByProgram[req.Program] <= 0 {
+		delete(p.inFlightByProgram, req.Program)
+		delete(p.lastServed, req.Program)
 	}
-	p.pump()
+	p.serveQueue()
 }
 
-// Avoid keeps off a worker for a little after it could not be reached or was
-// busy; whoever waits for it is looked at again then.
+// Avoid excludes a worker for a short time after it could not be reached or was
+// busy. The queue is served again afterwards.
 func (p *Picker) Avoid(id string) {
-	span := p.bounds.Load().Leave / 3
+	period := p.bounds.Load().Leave / 3
 	p.mu.Lock()
-	p.shunned[id] = p.clock.Now() + span
+	p.avoidUntil[id] = p.clock.Now() + period
 	p.mu.Unlock()
 	p.clock.Go(func() {
-		p.clock.Sleep(span)
+		p.clock.Sleep(period)
 		p.mu.Lock()
-		p.pump()
+		p.serveQueue()
 		p.mu.Unlock()
 	})
 }
 
-// Incarnation is the life of a worker that this node knows of.
-func (p *Picker) Incarnation(one *Worker) string {
-	if _, incarnation, _ := p.book.Load(one.ID); incarnation != "" {
+// Incarnation returns the newest known incarnation of a worker: the one in its
+// usage report, or else the listed one.
+func (p *Picker) Incarnation(w *Worker) string {
+	if _, incarnation, _ := p.reports.Load(w.ID); incarnation != "" {
 		return incarnation
 	}
-	return one.Incarnation
+	return w.Incarnation
 }
 
-// MarkLeaving stops new work for this life of a worker at once on this node.
-func (p *Picker) MarkLeaving(one *Worker) {
+// MarkLeaving stops this node from sending new work to the worker's current
+// incarnation.
+func (p *Picker) MarkLeaving(w *Worker) {
 	p.mu.Lock()
-	p.left[one.ID] = mark{p.Incarnation(one), p.clock.Now()}
+	p.leaving[w.ID] = leavingMark{p.Incarnation(w), p.clock.Now()}
 	p.mu.Unlock()
 }
 
-// ObserveResponse looks at how a worker answered. One that used to keep connections
-// and now closes them says that it is leaving; one that never kept any says
-// nothing by it.
-func (p *Picker) ObserveResponse(one *Worker, closes bool) (leaving bool) {
+// ObserveResponse takes in whether a response closes its connection, and reports
+// whether the worker is leaving by that: one that used to keep connections alive
+// and now closes them is; for one that never kept any it means nothing.
+func (p *Picker) ObserveResponse(w *Worker, closes bool) (leaving bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	life := one.ID + " " + p.Incarnation(one)
+	key := w.ID + " " + p.Incarnation(w)
 	if !closes {
-		p.kept[life] = true
+		p.keptAlive[key] = true
 	}
-	return closes && p.kept[life]
+	return closes && p.keptAlive[key]
 }
 
-// ClearLeaving takes a local leaving mark away again.
+// ClearLeaving removes the mark set by MarkLeaving.
 func (p *Picker) ClearLeaving(id string) {
 	p.mu.Lock()
-	delete(p.left, id)
-	p.pump()
+	delete(p.leaving, id)
+	p.serveQueue()
 	p.mu.Unlock()
 }
 
-// StillEligible is the last look at a worker before a leg goes out: whoever holds it
-// may have waited since, and the news come meanwhile.
-func (p *Picker) StillEligible(held *Worker, need *Requirements) bool {
+// StillEligible reports whether an assigned worker may still be used. It is
+// checked just before a request is sent, because the caller may have waited since
+// the assignment while the roster or the worker's state changed.
+func (p *Picker) StillEligible(w *Worker, req *Requirements) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed := false
-	for _, one := range p.roster.Load().Pools[need.Pool] {
-		listed = listed || one.ID == held.ID && one.Addr == held.Addr
+	for _, entry := range p.roster.Load().Pools[req.Pool] {
+		listed = listed || entry.ID == w.ID && entry.Addr == w.Addr
 	}
-	return listed && p.open(held, need)
+	return listed && p.eligible(w, req)
 }
 
-func (p *Picker) open(one *Worker, need *Requirements) bool {
-	if need.Tried[one.ID] {
+// eligible reports whether a worker may get the request once it has room.
+func (p *Picker) eligible(w *Worker, req *Requirements) bool {
+	if req.Tried[w.ID] {
 		return false
 	}
-	if _, _, leaving := p.book.Load(one.ID); leaving {
+	if _, _, leaving := p.reports.Load(w.ID); leaving {
 		return false
 	}
-	incarnation := p.Incarnation(one)
-	if seen, ok := p.left[one.ID]; ok && seen.incarnation == incarnation && p.clock.Now()-seen.at < NoticeTTL(p.bounds.Load()) {
+	incarnation := p.Incarnation(w)
+	if mark, ok := p.leaving[w.ID]; ok && mark.incarnation == incarnation && p.clock.Now()-mark.seenAt < NoticeTTL(p.bounds.Load()) {
 		return false
 	}
-	// A notice stands until the control state takes it back: a node that was
-	// restarted, or has not heard the worker lately, cannot tell its lives apart.
-	_, noticed := p.roster.Load().Leaving[one.ID]
-	return !noticed
+	// A notice applies whatever its incarnation, until the control state deletes
+	// it: a node that was restarted, or has no recent report of the worker, cannot
+	// tell its incarnations apart.
+	_, hasNotice := p.roster.Load().Leaving[w.ID]
+	return !hasNotice
 }
 
-func (p *Picker) usage(one *Worker) int {
-	reported, _, _ := p.book.Load(one.ID)
-	return max(p.busy[one.ID], int(reported))
+// load returns the number of requests at a worker: those of this node or those
+// reported, whichever are more.
+func (p *Picker) load(w *Worker) int {
+	reported, _, _ := p.reports.Load(w.ID)
+	return max(p.inFlight[w.ID], int(reported))
 }
 
-// choose looks for a worker with room; possible says whether any worker
-// would do once it has room. The caller holds the lock.
-func (p *Picker) choose(need *Requirements) (chosen *Worker, possible bool) {
+// choose returns a worker with room for the request, or nil; anyEligible reports
+// whether there is a worker that could take it once it has room. The caller holds
+// the lock.
+func (p *Picker) choose(req *Requirements) (chosen *Worker, anyEligible bool) {
 	candidates := map[string]*Worker{}
 	ids, total := []string{}, 0
-	for _, one := range p.roster.Load().Pools[need.Pool] {
-		if p.open(&one, need) {
-			possible = true
-			if p.clock.Now() < p.shunned[one.ID] {
+	for _, w := range p.roster.Load().Pools[req.Pool] {
+		if p.eligible(&w, req) {
+			anyEligible = true
+			if p.clock.Now() < p.avoidUntil[w.ID] {
 				continue
 			}
-			candidates[one.ID] = &one
-			ids = append(ids, one.ID)
-			total += p.usage(&one)
+			candidates[w.ID] = &w
+			ids = append(ids, w.ID)
+			total += p.load(&w)
 		}
 	}
 	if len(ids) == 0 {
-		return nil, possible
+		return nil, anyEligible
 	}
-	if one := p.byPolicy(need, ids, candidates); one != nil {
-		return one, true
+	if w := p.chooseByPolicy(req, ids, candidates); w != nil {
+		return w, true
 	}
-	if former := candidates[need.LastWorker]; former != nil && p.usage(former) < former.Capacity {
+	if last := candidates[req.LastWorker]; last != nil && p.load(last) < last.Capacity {
 		p.counters.Add("picked_at_prefix", 1)
-		return former, true
+		return last, true
 	}
-	order := base.Rendezvous(need.AffinityKey, ids)
-	bound := int(math.Ceil(spillRatio * float64(total+1) / float64(len(ids))))
-	for _, allowed := range []int{bound, math.MaxInt} {
-		for place, id := range order {
-			one := candidates[id]
-			if used := p.usage(one); used < min(allowed, one.Capacity) {
-				if place == 0 && need.LastWorker == "" {
+	ranked := base.Rendezvous(req.AffinityKey, ids)
+	loadLimit := int(math.Ceil(maxLoadRatio * float64(total+1) / float64(len(ids))))
+	for _, limit := range []int{loadLimit, math.MaxInt} {
+		for i, id := range ranked {
+			w := candidates[id]
+			if load := p.load(w); load < min(limit, w.Capacity) {
+				if i == 0 && req.LastWorker == "" {
 					p.counters.Add("picked_first", 1)
 				} else {
 					p.counters.Add("picked_spilled", 1)
 				}
-				return one, true
+				return w, true
 			}
 		}
 	}
 	return nil, true
 }
 
-// byPolicy asks the operators' policy, if there is one; it may name a worker
-// that has room, or leave the choice to the rule.
-func (p *Picker) byPolicy(need *Requirements, ids []string, candidates map[string]*Worker) *Worker {
-	if need.Policy == nil {
+// chooseByPolicy asks the operators' policy, if there is one. It returns nil if
+// the policy fails, makes no choice or names a worker without room.
+func (p *Picker) chooseByPolicy(req *Requirements, ids []string, candidates map[string]*Worker) *Worker {
+	if req.Policy == nil {
 		return nil
 	}
-	offered := base.Map(ids, func(id string) policy.Candidate {
-		one := candidates[id]
-		return policy.Candidate{ID: id, Zone: one.Zone, Load: p.usage(one), Capacity: one.Capacity, Former: id == need.LastWorker}
+	options := base.Map(ids, func(id string) policy.Candidate {
+		w := candidates[id]
+		return policy.Candidate{ID: id, Zone: w.Zone, Load: p.load(w), Capacity: w.Capacity, Former: id == req.LastWorker}
 	})
-	id, err := need.Policy.Pick(need.Urgency, p.zone, offered)
+	id, err := req.Policy.Pick(req.Urgency, p.zone, options)
 	if err != nil {
 		p.counters.Add("policy_faults", 1)
 		return nil
 	}
-	one := candidates[id]
-	if one == nil || p.usage(one) >= one.Capacity {
+	w := candidates[id]
+	if w == nil || p.load(w) >= w.Capacity {
 		return nil
 	}
 	p.counters.Add("picked_by_policy", 1)
-	return one
+	return w
 }
 
-func (p *Picker) rank(w *waiter) float64 {
-	aged := float64(p.clock.Now()-max(w.since, p.served[w.need.Program])) / float64(p.bounds.Load().Recover/6)
-	return float64(urgencies[w.need.Urgency]) + aged
+// priority is a waiter's urgency plus the time that it has waited, or since its
+// program was last served if that is shorter.
+func (p *Picker) priority(w *waiter) float64 {
+	aged := float64(p.clock.Now()-max(w.enqueuedAt, p.lastServed[w.req.Program])) / float64(p.bounds.Load().Recover/6)
+	return float64(urgencyLevels[w.req.Urgency]) + aged
 }
 
-// pump gives free workers to those who wait; the caller holds the lock.
-func (p *Picker) pump() {
-	slices.SortStableFunc(p.waiting, func(a, b *waiter) int {
-		if first, second := math.Floor(p.rank(a)), math.Floor(p.rank(b)); first != second {
+// serveQueue assigns free workers to queued requests by priority, and gives up
+// those that can no longer finish in time. The caller holds the lock.
+func (p *Picker) serveQueue() {
+	slices.SortStableFunc(p.queue, func(a, b *waiter) int {
+		if first, second := math.Floor(p.priority(a)), math.Floor(p.priority(b)); first != second {
 			return int(second - first)
 		}
-		if first, second := p.sites[a.need.Site], p.sites[b.need.Site]; first != second {
+		if first, second := p.inFlightBySite[a.req.Site], p.inFlightBySite[b.req.Site]; first != second {
 			return first - second
 		}
-		if first, second := p.programs[a.need.Program], p.programs[b.need.Program]; first != second {
+		if first, second := p.inFlightByProgram[a.req.Program], p.inFlightByProgram[b.req.Program]; first != second {
 			return first - second
 		}
-		return int(a.since - b.since)
+		return int(a.enqueuedAt - b.enqueuedAt)
 	})
-	ahead := map[string]time.Duration{}
-	for _, w := range p.waiting {
-		if w.granted != nil || w.gone {
+	aheadInPool := map[string]time.Duration{}
+	for _, w := range p.queue {
+		if w.assigned != nil || w.done {
 			continue
 		}
-		// Those ahead may go faster than lately, but hardly at twice the pace.
-		if p.clock.Now()+ahead[w.need.Pool]*p.spacing[w.need.Pool]/2+p.lasting[w.need.Pool] > w.until {
-			w.gone = true // it could not end in time: better told now
+		// The requests ahead may be served faster than lately, but hardly at twice
+		// the rate.
+		if p.clock.Now()+aheadInPool[w.req.Pool]*p.grantInterval[w.req.Pool]/2+p.meanDuration[w.req.Pool] > w.deadline {
+			w.done = true // it cannot finish in time, so it is declined early
 			w.signal.Fire()
 			continue
 		}
-		ahead[w.need.Pool]++
-		if chosen, _ := p.choose(w.need); chosen != nil {
-			w.granted = chosen
-			p.take(chosen, w.need)
+		aheadInPool[w.req.Pool]++
+		if chosen, _ := p.choose(w.req); chosen != nil {
+			w.assigned = chosen
+			p.assign(chosen, w.req)
 			w.signal.Fire()
 		}
 	}
--- a/internal/worker/roster.go
+++ b/internal/worker/roster.go
@@ -1,5 +1,3 @@
-// The workers as the roster gives them, by pool.
-
 package worker
 
 import (
@@ -9,14 +7,15 @@
 	"fordseam/internal/base"
 )
 
-// Roster is what a node holds of the platform's list, swapped whole.
+// Roster is a node's immutable copy of the worker list: workers by pool, and
+// leaving notices by worker id. It is replaced as a whole on every change.
 type Roster struct {
 	Stamp   uint64
 	Pools   map[string][]Worker
 	Leaving map[string]Notice
 }
 
-// DecodeRoster reads the feed's frame.
+// DecodeRoster builds the roster from a feed frame's keys and values.
 func DecodeRoster(values map[string][]byte) *Roster {
 	roster := &Roster{Pools: map[string][]Worker{}, Leaving: map[string]Notice{}}
 	var list List
@@ -24,8 +23,8 @@
 		_ = json.Unmarshal(raw, &list)
 	}
 	roster.Stamp = list.Stamp
-	for _, one := range list.Workers {
-		roster.Pools[one.Pool] = append(roster.Pools[one.Pool], one)
+	for _, w := range list.Workers {
+		roster.Pools[w.Pool] = append(roster.Pools[w.Pool], w)
 	}
 	for _, key := range base.SortedKeys(values) {
 		if id, ok := strings.CutPrefix(key, LeavingKeyPrefix); ok {
--- a/internal/workerconn/client.go
+++ b/internal/workerconn/client.go
@@ -16,105 +16,108 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Client sends requests to workers. A call that names a worker's life goes by
-// the connections kept for it. Any other has a connection of its own: when it
-// cannot be made, no byte left; once it is made, any loss may have run.
+// Client sends requests to workers. A request that names a worker incarnation
+// uses the pooled connections of that incarnation. Any other request gets a
+// connection of its own: if dialing fails, no byte of the request was sent; after
+// any later failure, the worker may have run it.
 type Client struct {
-	connect time.Duration
-	pool    *pool
+	dialTimeout time.Duration
+	pool        *pool
 }
 
 var _ base.Backends = (*Client)(nil)
 
-// New makes a client that counts its connections. connect bounds the making of
-// a connection; the other times of a connection are ratios to that bound.
-func New(connect time.Duration, counters *base.Counters) *Client {
-	return &Client{connect: connect, pool: newPool(connect, counters)}
+// New returns a client that counts its connections in counters. All other
+// timeouts of a connection are derived from dialTimeout.
+func New(dialTimeout time.Duration, counters *base.Counters) *Client {
+	return &Client{dialTimeout: dialTimeout, pool: newPool(dialTimeout, counters)}
 }
 
-// Forget closes the idle connections kept for a worker's life.
+// Forget closes the idle connections of a worker incarnation.
 func (c *Client) Forget(worker string) { c.pool.forget(worker) }
 
-// singleReply is the answer under way on a connection of its own. The context's
-// end and Close both shut the connection, which ends a waiting read.
-type singleReply struct {
-	response *fasthttp.Response
-	plain    net.Conn
-	reader   *bufio.Reader
-	timer    *time.Timer
-	reading  sync.Mutex
-	closed   atomic.Bool
-	release  sync.Once
+// unpooledReply is a reply on a connection used for one request only. Both the
+// deadline of the call and Close close the connection, which unblocks a read.
+type unpooledReply struct {
+	response    *fasthttp.Response
+	conn        net.Conn
+	reader      *bufio.Reader
+	timer       *time.Timer
+	readMu      sync.Mutex
+	closed      atomic.Bool
+	releaseOnce sync.Once
 }
 
-// read runs one reading. Close may come from another task meanwhile; the
-// client's own state is let go only when nobody reads.
-func (r *singleReply) read(reading func() error) error {
-	r.reading.Lock()
-	err := reading()
-	r.reading.Unlock()
+// read runs fn, which reads from the body. Close may be called concurrently; the
+// body is then released after fn has returned.
+func (r *unpooledReply) read(fn func() error) error {
+	r.readMu.Lock()
+	err := fn()
+	r.readMu.Unlock()
 	if r.closed.Load() {
-		r.letGo()
+		r.releaseBody()
 	}
 	return err
 }
 
-func (r *singleReply) letGo() {
-	if !r.reading.TryLock() {
-		return // whoever reads lets go after
+// releaseBody closes the body stream once, unless a read is in progress, which
+// then does so itself.
+func (r *unpooledReply) releaseBody() {
+	if !r.readMu.TryLock() {
+		return // the reader releases it afterwards
 	}
-	defer r.reading.Unlock()
-	r.release.Do(func() {
+	defer r.readMu.Unlock()
+	r.releaseOnce.Do(func() {
 		if stream, ok := r.response.BodyStream().(fasthttp.ReadCloserWithError); ok {
 			_ = stream.CloseWithError(net.ErrClosed)
 		}
 	})
 }
 
-// Call sends a request and gives its answer's head. An error wraps
-// base.NotSent only when no byte of the request left.
+// Call sends a request and returns once the head of the response was read. An
+// error wraps base.NotSent only if no byte of the request was sent.
 func (c *Client) Call(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
 	if request.Worker != "" {
 		return c.pool.call(ctx, addr, request)
 	}
-	return c.callOnce(ctx, addr, request)
+	return c.callUnpooled(ctx, addr, request)
 }
 
-// callOnce uses a connection for one request only.
-func (c *Client) callOnce(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
-	left := ctx.Left()
-	plain, err := net.DialTimeout("tcp", addr, min(left, c.connect))
+// callUnpooled sends a request on a connection that is used for it only.
+func (c *Client) callUnpooled(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
+	timeout := ctx.Left()
+	netConn, err := net.DialTimeout("tcp", addr, min(timeout, c.dialTimeout))
 	if err != nil {
 		return nil, &base.NotSent{Cause: err}
 	}
-	used := false
-	client := &fasthttp.HostClient{Addr: addr, StreamResponseBody: true, MaxConns: 1, MaxIdemponentCallAttempts: 1,
+	dialed := false
+	httpClient := &fasthttp.HostClient{Addr: addr, StreamResponseBody: true, MaxConns: 1, MaxIdemponentCallAttempts: 1,
 		MaxIdleConnDuration:      50 * time.Millisecond,
 		NoDefaultUserAgentHeader: true, ReadBufferSize: 16 << 10,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		Dial: func(string) (net.Conn, error) {
-			if used {
-				return nil, errors.New("a call has one connection")
+			if dialed {
+				return nil, errors.New("an unpooled call may dial only once")
 			}
-			used = true
-			return plain, nil
+			dialed = true
+			return netConn, nil
 		}}
-	outgoing, response := fasthttp.AcquireRequest(), &fasthttp.Response{}
-	defer fasthttp.ReleaseRequest(outgoing)
-	outgoing.Header.SetMethod(request.Method)
-	outgoing.SetRequestURI("http://" + addr + request.Path)
+	httpRequest, response := fasthttp.AcquireRequest(), &fasthttp.Response{}
+	defer fasthttp.ReleaseRequest(httpRequest)
+	httpRequest.Header.SetMethod(request.Method)
+	httpRequest.SetRequestURI("http://" + addr + request.Path)
 	for _, name := range base.SortedKeys(request.Header) {
-		outgoing.Header.Set(name, request.Header[name])
+		httpRequest.Header.Set(name, request.Header[name])
 	}
-	outgoing.SetBody(request.Body)
-	timer := time.AfterFunc(left, func() { _ = plain.Close() })
+	httpRequest.SetBody(request.Body)
+	timer := time.AfterFunc(timeout, func() { _ = netConn.Close() })
 	response.StreamBody = true
-	if err := client.Do(outgoing, response); err != nil {
+	if err := httpClient.Do(httpRequest, response); err != nil {
 		timer.Stop()
-		_ = plain.Close()
+		_ = netConn.Close()
 		return nil, err
 	}
-	reply := &singleReply{response: response, plain: plain, timer: timer}
+	reply := &unpooledReply{response: response, conn: netConn, timer: timer}
 	if stream := response.BodyStream(); stream != nil {
 		reply.reader = bufio.NewReaderSize(stream, 64<<10)
 	} else {
@@ -123,27 +126,28 @@
 	return reply, nil
 }
 
-// Status is the answer's status.
-func (r *singleReply) Status() int { return r.response.StatusCode() }
+// Status returns the response's status code.
+func (r *unpooledReply) Status() int { return r.response.StatusCode() }
 
-// Header is one header of the answer.
-func (r *singleReply) Header(name string) string { return string(r.response.Header.Peek(name)) }
+// Header returns the value of a response header.
+func (r *unpooledReply) Header(name string) string { return string(r.response.Header.Peek(name)) }
 
-// EachHeader walks all header lines.
-func (r *singleReply) EachHeader(visit func(name, value []byte)) {
+// EachHeader calls visit for every header line.
+func (r *unpooledReply) EachHeader(visit func(name, value []byte)) {
 	for name, value := range r.response.Header.All() {
 		visit(name, value)
 	}
 }
 
-// Closes tells that the worker will close the connection.
-func (r *singleReply) Closes() bool { return r.response.ConnectionClose() }
+// Closes reports whether the worker will close the connection.
+func (r *unpooledReply) Closes() bool { return r.response.ConnectionClose() }
 
-// Line gives the next line of the body with its end; io.EOF at a clean end.
-func (r *singleReply) Line(limit time.Duration) ([]byte, error) {
+// Line returns the next line of the body including its line ending, and io.EOF
+// after a complete body.
+func (r *unpooledReply) Line(timeout time.Duration) ([]byte, error) {
 	var line []byte
 	err := r.read(func() (err error) {
-		_ = r.plain.SetReadDeadline(after(limit))
+		_ = r.conn.SetReadDeadline(deadlineIn(timeout))
 		line, err = r.reader.ReadBytes('\n')
 		return err
 	})
@@ -153,33 +157,33 @@
 	return line, nil
 }
 
-// Body gives the whole body.
-func (r *singleReply) Body(limit time.Duration, most int) ([]byte, error) {
+// Body returns the whole body, which may not exceed maxBytes.
+func (r *unpooledReply) Body(timeout time.Duration, maxBytes int) ([]byte, error) {
 	length := r.response.Header.ContentLength()
-	if length == lengthByClose {
-		return nil, errLength
+	if length == lengthUntilClose {
+		return nil, errNoLength
 	}
 	var body []byte
 	err := r.read(func() (err error) {
-		_ = r.plain.SetReadDeadline(after(limit))
-		body, err = io.ReadAll(io.LimitReader(r.reader, int64(most)+1))
+		_ = r.conn.SetReadDeadline(deadlineIn(timeout))
+		body, err = io.ReadAll(io.LimitReader(r.reader, int64(maxBytes)+1))
 		return err
 	})
 	switch {
 	case err != nil:
 		return nil, err
-	case len(body) > most:
-		return nil, errors.New("an answer of more than " + strconv.Itoa(most) + " bytes")
+	case len(body) > maxBytes:
+		return nil, errors.New("the response body is longer than " + strconv.Itoa(maxBytes) + " bytes")
 	case length >= 0 && len(body) != length:
 		return nil, io.ErrUnexpectedEOF
 	}
 	return body, nil
 }
 
-// Close ends the exchange; it may be called from another task.
-func (r *singleReply) Close() {
+// Close ends the exchange. It may be called from another goroutine.
+func (r *unpooledReply) Close() {
 	r.timer.Stop()
-	_ = r.plain.Close()
+	_ = r.conn.Close()
 	r.closed.Store(true)
-	r.letGo()
+	r.releaseBody()
 }
--- a/internal/workerconn/client_test.go
+++ b/internal/workerconn/client_test.go
@@ -1,5 +1,3 @@
-// Calls with a connection of their own, over real sockets: what proves that
-// nothing left, and what is cut.
 package workerconn
 
 import (
@@ -16,8 +14,9 @@
 	"github.com/matryer/is"
 )
 
-// answering listens once and writes raw bytes after the request's head.
-func answering(is *is.I, raw string, after func(net.Conn)) string {
+// serveOnce accepts one connection, reads a request, writes raw and calls after.
+// It returns the address.
+func serveOnce(is *is.I, raw string, after func(net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	go func() {
@@ -39,12 +38,13 @@
 	return listener.Addr().String()
 }
 
+// call sends an unpooled request.
 func call(addr string) (base.BackReply, error) {
 	ctx := base.NewCtx(base.NewRealClock(), 20*time.Second)
 	return New(5*time.Second, base.NewCounters()).Call(ctx, addr, &base.BackRequest{Method: "POST", Path: "/x", Body: []byte(`{"a":1}`)})
 }
 
-func TestOnlyAFailedConnectIsNotSent(t *testing.T) {
+func TestUnpooledCallNotSentOnlyIfDialFails(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -52,42 +52,42 @@
 	is.NoErr(listener.Close())
 	_, err = call(addr)
 	is.True(base.WasNotSent(err))
-	_, err = call(answering(is, "", nil)) // it took the request and hung up
+	_, err = call(serveOnce(is, "", nil)) // the worker read the request and closed the connection
 	is.True(err != nil)
 	is.True(!base.WasNotSent(err))
 }
 
-func TestCutAnswersAreNotWhole(t *testing.T) {
-	rows := []struct {
+func TestUnpooledCallDetectsTruncatedBodies(t *testing.T) {
+	tests := []struct {
 		name, raw string
-		whole     bool
+		complete  bool
 	}{
-		{"whole by length", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", true},
-		{"cut by length", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", false},
-		{"whole in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", true},
-		{"cut in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false},
+		{"complete by length", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", true},
+		{"truncated by length", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", false},
+		{"complete in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", true},
+		{"truncated in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false},
 		{"without a length", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello", false},
 	}
-	for _, row := range rows {
-		t.Run(row.name, func(t *testing.T) {
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			reply, err := call(answering(is, row.raw, nil))
+			reply, err := call(serveOnce(is, tt.raw, nil))
 			is.NoErr(err)
 			defer reply.Close()
 			body, err := reply.Body(10*time.Second, 1000)
-			is.Equal(err == nil, row.whole)
-			if row.whole {
+			is.Equal(err == nil, tt.complete)
+			if tt.complete {
 				is.Equal(string(body), "hello")
 			}
 		})
 	}
 }
 
-func TestLinesComeOneByOneAndCloseEndsTheWait(t *testing.T) {
+func TestUnpooledLineReadsAsSentAndCloseUnblocks(t *testing.T) {
 	is := is.New(t)
-	held := make(chan struct{})
-	defer close(held)
-	reply, err := call(answering(is, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\ndata: a\n\r\n", func(net.Conn) { <-held }))
+	release := make(chan struct{})
+	defer close(release)
+	reply, err := call(serveOnce(is, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\ndata: a\n\r\n", func(net.Conn) { <-release }))
 	is.NoErr(err)
 	line, err := reply.Line(10 * time.Second)
 	is.NoErr(err)
@@ -101,8 +101,8 @@
 	is.True(<-ended != nil)
 }
 
-// A call leaves nothing running behind it, however it ends.
-func TestCallsLeaveNothingBehind(t *testing.T) {
+// However an unpooled call ends, none of its goroutines stays behind.
+func TestUnpooledCallsLeakNoGoroutines(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -112,10 +112,10 @@
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
 	before := runtime.NumGoroutine()
-	for place := range 40 {
+	for i := range 40 {
 		reply, err := call(listener.Addr().String())
 		is.NoErr(err)
-		if place%2 == 0 {
+		if i%2 == 0 {
 			_, err = reply.Body(10*time.Second, 1000)
 		} else {
 			_, err = reply.Line(10 * time.Second)
@@ -123,7 +123,7 @@
 		is.NoErr(err)
 		reply.Close()
 	}
-	for end := time.Now().Add(20 * time.Second); runtime.NumGoroutine() > before+8 && time.Now().Before(end); {
+	for deadline := time.Now().Add(20 * time.Second); runtime.NumGoroutine() > before+8 && time.Now().Before(deadline); {
 		runtime.Gosched()
 	}
 	is.True(runtime.NumGoroutine() <= before+8)
--- a/internal/workerconn/conn.go
+++ b/internal/workerconn/conn.go
@@ -12,75 +12,79 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is one connection to one life of a worker. It carries one request at a
-// time; whoever holds it moves its state.
+// conn is a connection to one incarnation of a worker. It carries one request at
+// a time; only its current holder changes its state.
 type conn struct {
 	net.Conn
-	of     *workerConns
-	addr   string
-	state  state
-	reader *bufio.Reader
-	lines  *bufio.Reader
+	owner      *workerConns
+	addr       string
+	state      state
+	reader     *bufio.Reader
+	lineReader *bufio.Reader // reads the lines of a streamed body; nil until needed
 
-	since  time.Duration // when it became idle
-	until  time.Duration // when it is too old to be used again
-	rested time.Duration // how long it was idle before its request; 0 when new
+	idleSince time.Duration // when it became idle
+	expiresAt time.Duration // when it must not be used any more
+	idleFor   time.Duration // how long it was idle before the current request; 0 if it is new
 
-	raw   syscall.RawConn
-	peek  func(fd uintptr)
-	quiet bool
+	rawConn  syscall.RawConn
+	peekFunc func(fd uintptr)
+	silent   bool // set by peekFunc: nothing to read
 }
 
-func (c *conn) move(e event) { c.state = c.state.next(e) }
+// apply moves the connection's state on an event.
+func (c *conn) apply(e event) { c.state = c.state.next(e) }
 
-// newDialer makes connections whose sent bytes must be acknowledged within
-// twice the bound for making one: a worker that fell silent is found by that.
-func newDialer(connect time.Duration) *net.Dialer {
-	patience := int((2 * connect).Milliseconds())
-	return &net.Dialer{Timeout: connect, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+// newDialer returns a dialer whose connections fail if sent bytes are not
+// acknowledged within twice the dial timeout. That detects workers that have
+// become unreachable.
+func newDialer(dialTimeout time.Duration) *net.Dialer {
+	userTimeoutMs := int((2 * dialTimeout).Milliseconds())
+	return &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
+		var sockErr error
 		if err := raw.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, patience)
+			sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMs)
 		}); err != nil {
 			return err
 		}
-		return failed
+		return sockErr
 	}}
 }
 
-// dial makes a connection within the bound, or within the pool's own when that
-// is 0 or longer.
-func (p *pool) dial(ctx *base.Ctx, addr string, bound time.Duration, of *workerConns) (*conn, error) {
-	if bound <= 0 || bound > p.connect {
-		bound = p.connect
+// dial makes a connection within timeout, or within the pool's dial timeout if
+// timeout is 0 or longer than that.
+func (p *pool) dial(ctx *base.Ctx, addr string, timeout time.Duration, owner *workerConns) (*conn, error) {
+	if timeout <= 0 || timeout > p.dialTimeout {
+		timeout = p.dialTimeout
 	}
-	limit, cancel := context.WithTimeout(context.Background(), min(ctx.Left(), bound))
+	dialCtx, cancel := context.WithTimeout(context.Background(), min(ctx.Left(), timeout))
 	defer cancel()
-	plain, err := p.dialTo(limit, "tcp", addr)
+	netConn, err := p.dialContext(dialCtx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	p.counters.Add("connections_made", 1)
-	return newConn(plain, addr, of), nil
+	return newConn(netConn, addr, owner), nil
 }
 
-func newConn(plain net.Conn, addr string, of *workerConns) *conn {
-	c := &conn{Conn: plain, of: of, addr: addr, reader: bufio.NewReaderSize(plain, headLimit)}
-	if raw, ok := plain.(syscall.Conn); ok {
-		c.raw, _ = raw.SyscallConn() // nil, and so never quiet, when it fails
+// newConn wraps a new network connection.
+func newConn(netConn net.Conn, addr string, owner *workerConns) *conn {
+	c := &conn{Conn: netConn, owner: owner, addr: addr, reader: bufio.NewReaderSize(netConn, maxHeaderBytes)}
+	if sysConn, ok := netConn.(syscall.Conn); ok {
+		c.rawConn, _ = sysConn.SyscallConn() // nil if it fails; isSilent is then always false
 	}
-	var ahead [1]byte
-	c.peek = func(fd uintptr) {
-		_, _, err := unix.Recvfrom(int(fd), ahead[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		c.quiet = err == unix.EAGAIN || err == unix.EINTR
+	var buf [1]byte
+	c.peekFunc = func(fd uintptr) {
+		_, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		c.silent = err == unix.EAGAIN || err == unix.EINTR
 	}
 	return c
 }
 
-// isQuiet looks, without waiting, whether the worker has sent or ended
-// anything since the last answer.
-func (c *conn) isQuiet() bool {
-	c.quiet = false
-	// Control, since the deadline of the last request may be over.
-	return c.raw != nil && c.reader.Buffered() == 0 && c.raw.Control(c.peek) == nil && c.quiet
+// isSilent reports, without blocking, whether the worker has neither sent bytes
+// nor closed the connection since the last response.
+func (c *conn) isSilent() bool {
+	c.silent = false
+	// Control rather than Read, because the deadline of the previous request may
+	// have passed.
+	return c.rawConn != nil && c.reader.Buffered() == 0 && c.rawConn.Control(c.peekFunc) == nil && c.silent
 }
--- a/internal/workerconn/deadline.go
+++ b/internal/workerconn/deadline.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// after is a moment for a socket's deadline: sockets take the machine's time,
-// of which only the difference to now counts.
-func after(limit time.Duration) time.Time { return time.Now().Add(limit) }
+// deadlineIn returns the socket deadline that is timeout from now. Socket
+// deadlines are wall-clock times, of which only the difference to now matters.
+func deadlineIn(timeout time.Duration) time.Time { return time.Now().Add(timeout) }
--- a/internal/workerconn/fuzz_test.go
+++ b/internal/workerconn/fuzz_test.go
@@ -10,44 +10,43 @@
 	"fordseam/internal/base"
 )
 
-// bytesConn gives prepared bytes and then the end.
+// bytesConn reads from prepared bytes, then io.EOF.
 type bytesConn struct {
 	net.Conn
-	from io.Reader
+	reader io.Reader
 }
 
-func (c *bytesConn) Read(into []byte) (int, error)      { return c.from.Read(into) }
+func (c *bytesConn) Read(into []byte) (int, error)      { return c.reader.Read(into) }
 func (c *bytesConn) SetReadDeadline(at time.Time) error { return nil }
 func (c *bytesConn) Close() error                       { return nil }
 
-const fuzzAnswerLimit = 1 << 16
+const fuzzMaxBody = 1 << 16
 
-// readAnswer reads raw as the answer to a request with the id r1: its status
-// and body, how many bytes were taken from raw, and whether the connection is
-// kept.
-func readAnswer(raw []byte) (status int, body []byte, used int, kept bool, err error) {
-	from := bytes.NewReader(raw)
+// readReply reads raw as the response to a request with the id r1. used is how
+// many bytes of raw were consumed, and kept whether the connection was pooled.
+func readReply(raw []byte) (status int, body []byte, used int, kept bool, err error) {
+	reader := bytes.NewReader(raw)
 	p := newPool(time.Second, base.NewCounters())
-	held := &workerConns{open: 1}
-	one := newConn(&bytesConn{from: from}, "", held)
-	one.move(eventSend)
-	one.move(eventSent)
+	entry := &workerConns{open: 1}
+	c := newConn(&bytesConn{reader: reader}, "", entry)
+	c.apply(eventSend)
+	c.apply(eventSent)
 	request := &base.BackRequest{Method: "POST", Match: base.HeaderLine{Name: idHeader, Value: "r1"}}
-	reply, err := p.answer(one, request)
+	reply, err := p.awaitReply(c, request)
 	if err == nil {
 		status = reply.Status()
-		body, err = reply.Body(time.Second, fuzzAnswerLimit)
+		body, err = reply.Body(time.Second, fuzzMaxBody)
 		reply.Close()
 	}
-	if p.sweep != nil {
-		p.sweep.Stop()
+	if p.sweepTimer != nil {
+		p.sweepTimer.Stop()
 	}
-	return status, body, len(raw) - from.Len() - one.reader.Buffered(), len(held.idle) > 0, err
+	return status, body, len(raw) - reader.Len() - c.reader.Buffered(), len(entry.idle) > 0, err
 }
 
-// Of any bytes: an answer is whole or it is not, one that is cut anywhere is
-// not, what comes behind belongs to no request, and nothing is read past the
-// bound.
+// For any input: a response truncated at any byte is never accepted as complete,
+// a connection with bytes after the response is not reused, and no more than the
+// limit is read.
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 5\r\n\r\nhello",
@@ -62,29 +61,29 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		status, body, used, kept, err := readAnswer(raw)
+		status, body, used, kept, err := readReply(raw)
 		if err != nil {
 			if kept {
-				t.Fatalf("a connection was kept after: %v", err)
+				t.Fatalf("a connection was pooled after the error %v", err)
 			}
 			return
 		}
-		if len(body) > fuzzAnswerLimit {
-			t.Fatalf("%d bytes were read", len(body))
+		if len(body) > fuzzMaxBody {
+			t.Fatalf("%d bytes of body were read, more than the limit", len(body))
 		}
 		if kept && used != len(raw) {
-			t.Fatal("a connection was kept with bytes behind the answer")
+			t.Fatal("a connection was pooled with bytes after the response")
 		}
-		if _, _, _, kept, _ := readAnswer(append(bytes.Clone(raw[:used]), 'x')); kept {
-			t.Fatal("a connection was kept with a byte behind the answer")
+		if _, _, _, kept, _ := readReply(append(bytes.Clone(raw[:used]), 'x')); kept {
+			t.Fatal("a connection was pooled with one byte after the response")
 		}
 		for cut := used - 1; cut >= max(0, used-200); cut-- {
-			cutStatus, cutBody, _, _, err := readAnswer(raw[:cut])
+			cutStatus, cutBody, _, _, err := readReply(raw[:cut])
 			if err == nil && cutStatus == status && len(body) > 0 && bytes.Equal(cutBody, body) {
-				continue // what was cut was no part of the answer
+				continue // the bytes cut off were not part of the response
 			}
 			if err == nil {
-				t.Fatalf("cut to %d of %d bytes it still looks whole: %q", cut, used, cutBody)
+				t.Fatalf("truncated to %d of %d bytes, the response is still accepted: %q", cut, used, cutBody)
 			}
 		}
 	})
--- a/internal/workerconn/generated_test.go
+++ b/internal/workerconn/generated_test.go
@@ -19,7 +19,7 @@
 	"pgregory.net/rapid"
 )
 
-// behaviour is what the generated worker does with one request.
+// behaviour is what checkingWorker does with one request.
 type behaviour int
 
 const (
@@ -29,48 +29,48 @@
 	answersAndCloses
 	answersAndResets
 	answersWithSurplus
-	answersAnotherFirst
-	answersAnotherOnly
-	answersShort
-	answersShortInChunks
+	answersForeignFirst
+	answersForeignOnly
+	answersTruncated
+	answersTruncatedChunks
 	answersWithoutLength
 	answersGarbage
-	streamsUntilLeft
+	streamsUntilClosed
 	resetsUnread
 	readsAndResets
 	readsAndCloses
-	readsAndIsMute
-	behaviours
+	readsAndHangs
+	behaviourCount
 )
 
-// doubtful says that the connection may carry nothing after the behaviour.
-func (b behaviour) doubtful() bool { return b != answersWhole && b != answersInChunks }
+// endsConnection reports whether the connection must not be reused afterwards.
+func (b behaviour) endsConnection() bool { return b != answersWhole && b != answersInChunks }
 
-// giveUp bounds requests to a worker that is mute.
-const giveUp = 5 * time.Millisecond
+// shortTimeout is the timeout of reads that are expected to get nothing.
+const shortTimeout = 5 * time.Millisecond
 
 const (
-	behaviourHeader = "Behaviour"
-	lifeHeader      = "Life"
-	idHeader        = "Request-Id"
+	behaviourHeader   = "Behaviour"
+	incarnationHeader = "Life"
+	idHeader          = "Request-Id"
 )
 
-// strictWorker does what each request asks, and writes down every use of a
-// connection that should not have been.
-type strictWorker struct {
+// checkingWorker behaves as each request asks it to, and records every request
+// that arrives on a connection that should not have been used for it.
+type checkingWorker struct {
 	listener net.Listener
 
-	mu     sync.Mutex
-	heads  map[string]int
-	faults []string
+	mu         sync.Mutex
+	received   map[string]int
+	violations []string
 }
 
-func newStrictWorker(t testing.TB) *strictWorker {
+func newCheckingWorker(t testing.TB) *checkingWorker {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &strictWorker{listener: listener, heads: map[string]int{}}
+	w := &checkingWorker{listener: listener, received: map[string]int{}}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -84,12 +84,12 @@
 	return w
 }
 
-// serve handles the requests of one connection.
-func (w *strictWorker) serve(c *net.TCPConn) {
+// serve handles the requests of one connection, one after another.
+func (w *checkingWorker) serve(c *net.TCPConn) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
-	life := ""
-	doubtful := false
+	incarnation := ""
+	unusable := false
 	for {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
@@ -97,189 +97,193 @@
 		}
 		id := request.Header.Get(idHeader)
 		asked, _ := strconv.Atoi(request.Header.Get(behaviourHeader))
-		how := behaviour(asked)
+		does := behaviour(asked)
 		w.mu.Lock()
-		w.heads[id]++
-		switch now := request.Header.Get(lifeHeader); {
-		case doubtful:
-			w.faults = append(w.faults, id+" came on a connection in doubt")
-		case life != "" && life != now:
-			w.faults = append(w.faults, id+" came on a connection to another life")
+		w.received[id]++
+		switch got := request.Header.Get(incarnationHeader); {
+		case unusable:
+			w.violations = append(w.violations, id+" came on a connection that should have been closed")
+		case incarnation != "" && incarnation != got:
+			w.violations = append(w.violations, id+" came on a connection to another incarnation")
 		default:
-			life = now
+			incarnation = got
 		}
 		w.mu.Unlock()
-		doubtful = how.doubtful()
-		if how == resetsUnread {
+		unusable = does.endsConnection()
+		if does == resetsUnread {
 			_ = c.SetLinger(0)
 			return
 		}
-		if _, err := io.Copy(io.Discard, request.Body); err != nil || !w.answer(c, how, id) {
+		if _, err := io.Copy(io.Discard, request.Body); err != nil || !w.answer(c, does, id) {
 			return
 		}
 	}
 }
 
-// answer says whether the worker reads on.
-func (w *strictWorker) answer(c *net.TCPConn, how behaviour, id string) bool {
+// answer reports whether the worker reads another request afterwards.
+func (w *checkingWorker) answer(c *net.TCPConn, does behaviour, id string) bool {
 	head := "HTTP/1.1 200 OK\r\n" + idHeader + ": " + id + "\r\n"
 	full := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(id), id)
 	chunks := fmt.Sprintf("%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", head, len(id), id)
-	another := "HTTP/1.1 200 OK\r\n" + idHeader + ": another\r\nContent-Length: 7\r\n\r\nanother"
-	say := func(text string) bool {
+	foreign := "HTTP/1.1 200 OK\r\n" + idHeader + ": another\r\nContent-Length: 7\r\n\r\nanother"
+	write := func(text string) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
 	}
-	switch how {
+	switch does {
 	case answersWhole:
-		return say(full)
+		return write(full)
 	case answersInChunks:
-		return say(chunks + "0\r\n\r\n")
+		return write(chunks + "0\r\n\r\n")
 	case answersAndWillClose:
-		return say(head + fmt.Sprintf("Connection: close\r\nContent-Length: %d\r\n\r\n%s", len(id), id))
+		return write(head + fmt.Sprintf("Connection: close\r\nContent-Length: %d\r\n\r\n%s", len(id), id))
 	case answersAndCloses:
-		say(full)
+		write(full)
 	case answersAndResets:
-		say(full)
+		write(full)
 		_ = c.SetLinger(0)
 	case answersWithSurplus:
-		return say(full + another)
-	case answersAnotherFirst:
-		return say(another + full)
-	case answersAnotherOnly:
-		return say(another + another + another)
-	case answersShort:
-		say(full[:len(full)-1])
-	case answersShortInChunks:
-		say(chunks)
+		return write(full + foreign)
+	case answersForeignFirst:
+		return write(foreign + full)
+	case answersForeignOnly:
+		return write(foreign + foreign + foreign)
+	case answersTruncated:
+		write(full[:len(full)-1])
+	case answersTruncatedChunks:
+		write(chunks)
 	case answersWithoutLength:
-		say(head + "\r\n" + id)
+		write(head + "\r\n" + id)
 	case answersGarbage:
-		return say("\x16\x03 this is no answer\r\n\r\n")
-	case streamsUntilLeft:
-		say(chunks)
+		return write("\x16\x03 this is no answer\r\n\r\n")
+	case streamsUntilClosed:
+		write(chunks)
 		_, _ = c.Read(make([]byte, 1)) // the client's end
 	case readsAndResets:
 		_ = c.SetLinger(0)
-	case readsAndIsMute:
+	case readsAndHangs:
 		_, _ = c.Read(make([]byte, 1)) // the client's end
 	}
 	return false
 }
 
-// plan is what several tasks ask of one worker, each one after the other.
+// plan is the behaviours that concurrent lanes of requests ask for; the requests of
+// a lane follow one another.
 type plan struct {
-	lanes [][]behaviour
-	long  bool // bodies too long to leave in one write
+	lanes       [][]behaviour
+	largeBodies bool // bodies too long to be sent in one write
 }
 
-var plans = rapid.Custom(func(t *rapid.T) plan {
+var planGen = rapid.Custom(func(t *rapid.T) plan {
 	how := rapid.Custom(func(t *rapid.T) behaviour {
-		// A whole answer between others is what a kept connection needs.
+		// Connections are only reused after complete responses, so half are.
 		if rapid.Bool().Draw(t, "whole") {
 			return answersWhole
 		}
-		return behaviour(rapid.IntRange(0, int(behaviours)-1).Draw(t, "behaviour"))
+		return behaviour(rapid.IntRange(0, int(behaviourCount)-1).Draw(t, "behaviour"))
 	})
 	lanes := rapid.SliceOfN(rapid.SliceOfN(how, 2, 8), 1, 3).Draw(t, "lanes")
-	return plan{lanes: lanes, long: rapid.IntRange(0, 9).Draw(t, "long") == 0}
+	return plan{lanes: lanes, largeBodies: rapid.IntRange(0, 9).Draw(t, "long") == 0}
 })
 
-var played atomic.Int64
+var planRuns atomic.Int64
 
-// play carries a plan out, and tells the first fault that it finds.
-func play(worker *strictWorker, client *Client, p plan) string {
-	run := played.Add(1)
-	faults := make(chan string, 100)
+// runPlan carries out a plan and describes the first problem found, if any.
+func runPlan(worker *checkingWorker, client *Client, plan plan) string {
+	run := planRuns.Add(1)
+	problems := make(chan string, 100)
 	var group sync.WaitGroup
-	for lane, steps := range p.lanes {
+	for lane, steps := range plan.lanes {
 		group.Go(func() {
-			for step, how := range steps {
-				life := fmt.Sprintf("w%d", (lane+step/3)%2)
+			for step, does := range steps {
+				incarnation := fmt.Sprintf("w%d", (lane+step/3)%2)
 				if step%5 == 4 {
-					client.Forget(life)
+					client.Forget(incarnation)
 				}
 				id := fmt.Sprintf("%d-%d-%d", run, lane, step)
-				if fault := exchange(worker, client, id, life, how, p.long); fault != "" {
-					faults <- fault
+				if problem := checkedCall(worker, client, id, incarnation, does, plan.largeBodies); problem != "" {
+					problems <- problem
 				}
 			}
 		})
 	}
 	group.Wait()
-	close(faults)
+	close(problems)
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	if len(worker.faults) > 0 {
-		return worker.faults[0]
+	if len(worker.violations) > 0 {
+		return worker.violations[0]
 	}
-	return <-faults
+	return <-problems
 }
 
-// exchange asks once, and compares what is told with what the worker saw.
-func exchange(worker *strictWorker, client *Client, id, life string, how behaviour, long bool) string {
-	limit := 20 * time.Second
-	if how == readsAndIsMute {
-		limit = giveUp
+// checkedCall sends one request and compares the result with what the worker
+// received.
+func checkedCall(worker *checkingWorker, client *Client, id, incarnation string, does behaviour, largeBody bool) string {
+	timeout := 20 * time.Second
+	if does == readsAndHangs {
+		timeout = shortTimeout
 	}
-	body, err := askWorker(worker, client, id, life, how, long, limit)
+	body, err := callWorker(worker, client, id, incarnation, does, largeBody, timeout)
 	worker.mu.Lock()
-	heads := worker.heads[id]
+	received := worker.received[id]
 	worker.mu.Unlock()
 	switch {
-	case heads > 1:
-		return fmt.Sprintf("%s (%d) was sent %d times", id, how, heads)
+	case received > 1:
+		return fmt.Sprintf("%s (%d) was received %d times", id, does, received)
 	case err == nil && body != id:
-		return fmt.Sprintf("%s (%d) got %q", id, how, body)
-	case err == nil && heads == 0:
-		return fmt.Sprintf("%s (%d) was answered but not sent", id, how)
-	case base.WasNotSent(err) && heads > 0:
-		return fmt.Sprintf("%s (%d) was sent, but told not to have been", id, how)
+		return fmt.Sprintf("%s (%d) got %q", id, does, body)
+	case err == nil && received == 0:
+		return fmt.Sprintf("%s (%d) was answered but never received", id, does)
+	case base.WasNotSent(err) && received > 0:
+		return fmt.Sprintf("%s (%d) was received, but reported as not sent", id, does)
 	}
 	return ""
 }
 
-func askWorker(worker *strictWorker, client *Client, id, life string, how behaviour, long bool, limit time.Duration) (string, error) {
-	request := &base.BackRequest{Method: http.MethodPost, Path: "/x", Worker: life, Body: []byte("ask"),
-		Lines: []base.HeaderLine{{Name: idHeader, Value: id}, {Name: lifeHeader, Value: life}, {Name: behaviourHeader, Value: strconv.Itoa(int(how))}},
+// callWorker sends a request that asks for a behaviour and returns the body read.
+func callWorker(worker *checkingWorker, client *Client, id, incarnation string, does behaviour, largeBody bool, timeout time.Duration) (string, error) {
+	request := &base.BackRequest{Method: http.MethodPost, Path: "/x", Worker: incarnation, Body: []byte("ask"),
+		Lines: []base.HeaderLine{{Name: idHeader, Value: id}, {Name: incarnationHeader, Value: incarnation}, {Name: behaviourHeader, Value: strconv.Itoa(int(does))}},
 		Match: base.HeaderLine{Name: idHeader, Value: id}}
-	if long {
-		request.Body = make([]byte, 2*joinLimit)
+	if largeBody {
+		request.Body = make([]byte, 2*maxInlineBody)
 	}
-	reply, err := client.Call(base.NewCtx(base.NewRealClock(), limit), worker.listener.Addr().String(), request)
+	reply, err := client.Call(base.NewCtx(base.NewRealClock(), timeout), worker.listener.Addr().String(), request)
 	if err != nil {
 		return "", err
 	}
 	defer reply.Close()
-	if how == streamsUntilLeft {
-		_, err := reply.Line(giveUp)
+	if does == streamsUntilClosed {
+		_, err := reply.Line(shortTimeout)
 		return id, err // read no further
 	}
-	body, err := reply.Body(limit, 1000)
+	body, err := reply.Body(timeout, 1000)
 	return string(body), err
 }
 
-// Whatever a worker does, whoever gives up, and however many requests share its
-// connections: a request is sent at most once, what is told not to have been
-// sent never was, an answer is the request's own and whole, and a connection in
-// doubt, or to another life of the worker, carries nothing more.
-func TestARequestIsSentOnceAndAnswered(t *testing.T) {
-	worker := newStrictWorker(t)
+// Whatever the worker does, whichever side gives up, and however many requests
+// share its connections: a request is sent at most once, one reported as not sent
+// never was, a response is complete and belongs to its request, and a connection
+// that is unusable or belongs to another incarnation carries no further request.
+func TestRequestsAreSentAtMostOnce(t *testing.T) {
+	worker := newCheckingWorker(t)
 	client := New(5*time.Second, base.NewCounters())
 	rapid.Check(t, func(t *rapid.T) {
-		if fault := play(worker, client, plans.Draw(t, "plan")); fault != "" {
-			t.Fatal(fault)
+		if problem := runPlan(worker, client, planGen.Draw(t, "plan")); problem != "" {
+			t.Fatal(problem)
 		}
 	})
 }
 
-// lyingConn says of one write that nothing of it left.
-type lyingConn struct {
+// misreportingConn reports of its second write that nothing was sent, although it
+// was.
+type misreportingConn struct {
 	*net.TCPConn
 	writes atomic.Int32
 }
 
-func (c *lyingConn) Write(data []byte) (int, error) {
+func (c *misreportingConn) Write(data []byte) (int, error) {
 	n, err := c.TCPConn.Write(data)
 	if c.writes.Add(1) == 2 {
 		return 0, syscall.EPIPE
@@ -287,48 +291,49 @@
 	return n, err
 }
 
-// With one guard taken away, the same plans find a fault.
-func TestEachGuardIsNeeded(t *testing.T) {
-	for _, row := range []struct {
-		name   string
-		remove func(p *pool)
+// Without any one of the safeguards, the same plans find a problem. This shows that
+// they do exercise it.
+func TestEachSafeguardIsNeeded(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
+		disable func(p *pool)
 	}{
-		{"closing when in doubt", func(p *pool) { p.judge = func(answerEnd) event { return eventWhole } }},
-		{"the id of an answer", func(p *pool) { p.owns = func(*base.BackRequest, string) bool { return true } }},
-		{"sending once after a byte may have left", func(p *pool) {
-			dial := p.dialTo
-			p.dialTo = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		{"closing unusable connections", func(p *pool) { p.classifyEnd = func(replyEnd) event { return eventComplete } }},
+		{"checking the id of a response", func(p *pool) { p.matches = func(*base.BackRequest, string) bool { return true } }},
+		{"no second attempt once a byte may have been sent", func(p *pool) {
+			dial := p.dialContext
+			p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				dialed, err := dial(ctx, network, addr)
 				if err != nil {
 					return nil, err
 				}
-				return &lyingConn{TCPConn: dialed.(*net.TCPConn)}, nil
+				return &misreportingConn{TCPConn: dialed.(*net.TCPConn)}, nil
 			}
 		}},
 	} {
-		t.Run(row.name, func(t *testing.T) {
-			worker := newStrictWorker(t)
+		t.Run(tt.name, func(t *testing.T) {
+			worker := newCheckingWorker(t)
 			client := New(5*time.Second, base.NewCounters())
-			row.remove(client.pool)
+			tt.disable(client.pool)
 			for seed := range 300 {
-				if fault := play(worker, client, plans.Example(seed)); fault != "" {
-					t.Logf("plan %d: %s", seed, fault)
+				if problem := runPlan(worker, client, planGen.Example(seed)); problem != "" {
+					t.Logf("plan %d: %s", seed, problem)
 					return
 				}
 			}
-			t.Fatal("nothing was found without the guard")
+			t.Fatal("no problem was found without the safeguard")
 		})
 	}
 }
 
-// Every move that is not foreseen closes the connection.
-func TestUnforeseenMovesClose(t *testing.T) {
+// Every illegal transition closes the connection.
+func TestIllegalTransitionsClose(t *testing.T) {
 	for from := stateReady; from <= stateClosed; from++ {
-		for e := eventQuiet; e <= eventDoubt; e++ {
+		for e := eventCheckedIdle; e <= eventUnusable; e++ {
 			to := from.next(e)
-			move, known := moves[e]
-			foreseen := known && move.from == from
-			if foreseen != (to != stateClosed) {
+			transition, known := transitions[e]
+			legal := known && transition.from == from
+			if legal != (to != stateClosed) {
 				t.Errorf("%s on event %d gives %s", from, e, to)
 			}
 		}
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -1,15 +1,17 @@
-// Package workerconn carries requests to workers over HTTP/1.1 and says of each
-// failure whether a byte of the request may have been read.
+// Package workerconn sends requests to workers over HTTP/1.1. Its errors tell
+// whether the worker may have read any byte of the request.
 //
-// A connection belongs to one life of a worker, not to an address, and carries
-// one request at a time. Its states and their legal moves are in state.go: it is
-// kept only after an answer that was read whole, in protocol, with the request's
-// own id, without a word that the worker will close and with nothing behind it.
-// An idle one is looked at before it is used: one that has become readable has
-// ended or holds bytes that belong to no request, and is closed. It is closed as
-// well before the worker's own time for idle connections is over, and sooner
-// where connections to that worker were found to end sooner. No task waits on an
-// idle connection; a sweep closes those whose time is over.
+// A pooled connection belongs to one incarnation of a worker, not to an address,
+// and carries one request at a time. Its states and legal transitions are in
+// state.go. It is reused only after a response that was complete and valid,
+// carried the request's id, did not announce that the worker closes the
+// connection, and had no bytes after it.
+//
+// An idle connection is checked before it is reused: if it has become readable,
+// it was closed or holds bytes that belong to no request, and it is discarded.
+// Idle connections are closed before the worker's keep-alive timeout expires, and
+// earlier if connections to that worker were found to end earlier. They have no
+// goroutine of their own; a periodic sweep closes the expired ones.
 package workerconn
 
 import (
@@ -25,293 +27,296 @@
 
 // pool holds the connections to all workers.
 type pool struct {
-	connect  time.Duration
-	clock    base.Clock
-	counters *base.Counters
-	// dialTo makes the connection itself.
-	dialTo func(ctx context.Context, network, addr string) (net.Conn, error)
-	// judge says what the end of an answer means for its connection, and owns
-	// whether an answer is the request's own.
-	judge func(answerEnd) event
-	owns  func(request *base.BackRequest, id string) bool
+	dialTimeout time.Duration
+	clock       base.Clock
+	counters    *base.Counters
+	// dialContext makes the network connection; tests replace it.
+	dialContext func(ctx context.Context, network, addr string) (net.Conn, error)
+	// classifyEnd decides whether a connection can be reused after a response, and
+	// matches whether a response belongs to the request; tests replace them.
+	classifyEnd func(replyEnd) event
+	matches     func(request *base.BackRequest, id string) bool
 
-	mu      sync.Mutex
-	workers map[string]*workerConns
-	sweep   *time.Timer
+	mu         sync.Mutex
+	workers    map[string]*workerConns
+	sweepTimer *time.Timer
 }
 
-// workerConns is what is kept for one life of a worker: how many connections
-// are open, and the idle ones, the youngest last.
+// workerConns holds the connections to one incarnation of a worker: the number
+// of open ones and the idle ones, the most recently used last.
 type workerConns struct {
-	open int
-	idle []*conn
-	gone bool
-	// lasts, when not 0, is how long idle connections are kept because one ended
-	// sooner than the worker told.
-	lasts time.Duration
-	// survived is the longest rest after which a request was answered.
-	survived time.Duration
+	open      int
+	idle      []*conn
+	forgotten bool
+	// idleLimit, if not 0, bounds the idle time because a connection ended earlier
+	// than the worker had announced.
+	idleLimit time.Duration
+	// longestIdle is the longest idle time after which a request was answered.
+	longestIdle time.Duration
 }
 
-func newPool(connect time.Duration, counters *base.Counters) *pool {
-	dialer := newDialer(connect)
-	return &pool{connect: connect, clock: base.NewRealClock(), counters: counters, dialTo: dialer.DialContext,
-		judge: answerEnd.event, owns: carriesID, workers: map[string]*workerConns{}}
+// newPool returns an empty pool that uses the real clock.
+func newPool(dialTimeout time.Duration, counters *base.Counters) *pool {
+	dialer := newDialer(dialTimeout)
+	return &pool{dialTimeout: dialTimeout, clock: base.NewRealClock(), counters: counters, dialContext: dialer.DialContext,
+		classifyEnd: replyEnd.event, matches: matchesID, workers: map[string]*workerConns{}}
 }
 
-// carriesID says whether an answer with that id is the request's own.
-func carriesID(request *base.BackRequest, id string) bool {
+// matchesID reports whether a response with that id belongs to the request.
+func matchesID(request *base.BackRequest, id string) bool {
 	return request.Match.Name == "" || id == request.Match.Value
 }
 
-// The times of idle connections, as ratios to the bound for making one.
-
-// idleUntold is how long a connection is kept when the worker tells no time of
-// its own: such a time has no whole second, so with the usual bound of a second
-// three quarters stay below most.
-func (p *pool) idleUntold() time.Duration { return p.connect * 3 / 4 }
+// defaultIdleTime is how long an idle connection is kept if the worker announces
+// no keep-alive timeout. A timeout below one second cannot be announced, because
+// the header takes whole seconds; with the usual dial timeout of one second, three
+// quarters of it stay below most such timeouts.
+func (p *pool) defaultIdleTime() time.Duration { return p.dialTimeout * 3 / 4 }
 
-// idleMost bounds the time that a worker tells.
-func (p *pool) idleMost() time.Duration { return 30 * p.connect }
+// maxIdleTime bounds the keep-alive timeout that a worker announces.
+func (p *pool) maxIdleTime() time.Duration { return 30 * p.dialTimeout }
 
-// idleLeast is the shortest rest to which a connection's end is put down: a
-// connection that ends after less was not ended for being idle.
-func (p *pool) idleLeast() time.Duration { return p.connect / 8 }
+// minIdleTime is the shortest idle time after which the end of a connection is
+// attributed to its being idle.
+func (p *pool) minIdleTime() time.Duration { return p.dialTimeout / 8 }
 
-// forget closes the idle connections of a worker's life.
+// forget closes the idle connections of a worker incarnation. Those in use are
+// closed when their replies end.
 func (p *pool) forget(worker string) {
 	p.mu.Lock()
-	held := p.workers[worker]
-	if held == nil {
+	entry := p.workers[worker]
+	if entry == nil {
 		p.mu.Unlock()
 		return
 	}
 	delete(p.workers, worker)
-	held.gone = true
-	idle := held.idle
-	held.idle = nil
-	held.open -= len(idle)
+	entry.forgotten = true
+	idle := entry.idle
+	entry.idle = nil
+	entry.open -= len(idle)
 	p.mu.Unlock()
 	closeAll(idle)
 }
 
+// closeAll closes connections that are no longer counted in a workerConns.
 func closeAll(conns []*conn) {
-	for _, one := range conns {
-		one.move(eventDoubt)
-		_ = one.Close() // nothing is lost with it
+	for _, c := range conns {
+		c.apply(eventUnusable)
+		_ = c.Close() // an idle connection carries no data
 	}
 }
 
-// take gives an idle connection that is still quiet, or nil and the right to
-// make one.
-func (p *pool) take(worker, addr string, most int) (*conn, *workerConns, error) {
+// takeIdle returns an idle connection that can still be used. If there is none,
+// it returns nil and has reserved a slot for a new connection.
+func (p *pool) takeIdle(worker, addr string, maxConns int) (*conn, *workerConns, error) {
 	now := p.clock.Now()
 	for {
-		one, held, err := p.youngest(worker, most)
-		if one == nil {
-			return nil, held, err
+		c, entry, err := p.popIdleOrReserve(worker, maxConns)
+		if c == nil {
+			return nil, entry, err
 		}
-		one.rested = now - one.since
-		inTime := one.addr == addr && now < one.until
-		if inTime && one.isQuiet() {
-			one.move(eventQuiet)
+		c.idleFor = now - c.idleSince
+		usable := c.addr == addr && now < c.expiresAt
+		if usable && c.isSilent() {
+			c.apply(eventCheckedIdle)
 			p.counters.Add("connections_reused", 1)
-			return one, held, nil
+			return c, entry, nil
 		}
 		p.counters.Add("connections_stale", 1)
-		if inTime {
-			p.endedIdle(one)
+		if usable {
+			p.recordIdleClose(c)
 		}
-		p.drop(one)
+		p.drop(c)
 	}
 }
 
-// youngest takes the idle connection that was used last, or books a new one.
-func (p *pool) youngest(worker string, most int) (*conn, *workerConns, error) {
+// popIdleOrReserve removes the most recently used idle connection, or reserves a
+// slot for a new one.
+func (p *pool) popIdleOrReserve(worker string, maxConns int) (*conn, *workerConns, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held := p.workers[worker]
-	if held == nil {
-		held = &workerConns{}
-		p.workers[worker] = held
+	entry := p.workers[worker]
+	if entry == nil {
+		entry = &workerConns{}
+		p.workers[worker] = entry
 	}
-	last := len(held.idle) - 1
+	last := len(entry.idle) - 1
 	if last >= 0 {
-		one := held.idle[last]
-		held.idle[last] = nil
-		held.idle = held.idle[:last]
-		return one, held, nil
+		c := entry.idle[last]
+		entry.idle[last] = nil
+		entry.idle = entry.idle[:last]
+		return c, entry, nil
 	}
-	if most > 0 && held.open >= most {
+	if maxConns > 0 && entry.open >= maxConns {
 		return nil, nil, base.ErrNoConnection
 	}
-	held.open++
-	return nil, held, nil
+	entry.open++
+	return nil, entry, nil
 }
 
-// endedIdle learns from a connection that ended while it rested, or with the
-// first request after: the next ones rest less. A rest that another connection
-// survived is not blamed, so a worker that breaks off requests at any time does
-// not cost its connections.
-func (p *pool) endedIdle(one *conn) {
+// recordIdleClose is called for a connection that ended while it was idle or with
+// the first request after, and shortens the idle time of later ones. An idle time
+// that another connection survived is not taken as the cause, so that a worker
+// that resets requests at any time does not cost its idle connections.
+func (p *pool) recordIdleClose(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	held := one.of
-	if one.rested < p.idleLeast() || one.rested <= held.survived {
+	entry := c.owner
+	if c.idleFor < p.minIdleTime() || c.idleFor <= entry.longestIdle {
 		return
 	}
-	lasts := max(held.survived, one.rested/2, p.idleLeast())
-	if held.lasts == 0 || lasts < held.lasts {
-		held.lasts = lasts
+	limit := max(entry.longestIdle, c.idleFor/2, p.minIdleTime())
+	if entry.idleLimit == 0 || limit < entry.idleLimit {
+		entry.idleLimit = limit
 		p.counters.Add("connections_shortened", 1)
 	}
 }
 
-// survivedRest notes that a connection was good after its rest.
-func (p *pool) survivedRest(one *conn) {
+// recordIdleSurvival records that a request was answered after the connection's
+// idle time.
+func (p *pool) recordIdleSurvival(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one.of.survived = max(one.of.survived, one.rested)
+	c.owner.longestIdle = max(c.owner.longestIdle, c.idleFor)
 }
 
-// drop closes a connection.
-func (p *pool) drop(one *conn) {
-	one.move(eventDoubt)
-	_ = one.Close() // nothing is lost with it
-	p.released(one.of)
+// drop closes a connection and releases its slot.
+func (p *pool) drop(c *conn) {
+	c.apply(eventUnusable)
+	_ = c.Close() // the connection is given up in any case
+	p.releaseSlot(c.owner)
 }
 
-// released gives back the place of a connection that is closed or was not made.
-func (p *pool) released(held *workerConns) {
+// releaseSlot releases the slot of a connection that was closed or not made.
+func (p *pool) releaseSlot(entry *workerConns) {
 	p.mu.Lock()
-	held.open--
+	entry.open--
 	p.mu.Unlock()
 }
 
-// keep puts an idle connection back for the span that its worker will hold it.
-func (p *pool) keep(one *conn, span time.Duration) {
+// putIdle returns a connection to the pool, to be kept for idleTime at most.
+func (p *pool) putIdle(c *conn, idleTime time.Duration) {
 	p.mu.Lock()
-	if lasts := one.of.lasts; lasts > 0 {
-		span = min(span, lasts)
+	if limit := c.owner.idleLimit; limit > 0 {
+		idleTime = min(idleTime, limit)
 	}
-	if one.state != stateIdle || one.of.gone || span <= 0 {
+	if c.state != stateIdle || c.owner.forgotten || idleTime <= 0 {
 		p.mu.Unlock()
-		p.drop(one)
+		p.drop(c)
 		return
 	}
-	one.since = p.clock.Now()
-	one.until = one.since + span
-	one.of.idle = append(one.of.idle, one)
-	if p.sweep == nil {
-		p.sweep = time.AfterFunc(p.idleUntold(), p.sweepIdle)
+	c.idleSince = p.clock.Now()
+	c.expiresAt = c.idleSince + idleTime
+	c.owner.idle = append(c.owner.idle, c)
+	if p.sweepTimer == nil {
+		p.sweepTimer = time.AfterFunc(p.defaultIdleTime(), p.sweepIdle)
 	}
 	p.mu.Unlock()
 }
 
-// keepUnused puts back a connection on which nothing was sent.
-func (p *pool) keepUnused(one *conn, fresh bool) {
-	span := p.idleUntold()
+// putUnused returns a connection to the pool on which nothing was sent.
+func (p *pool) putUnused(c *conn, fresh bool) {
+	idleTime := p.defaultIdleTime()
 	if !fresh {
-		span = one.until - p.clock.Now()
+		idleTime = c.expiresAt - p.clock.Now()
 	}
-	one.move(eventUnused)
-	p.keep(one, span)
+	c.apply(eventReturned)
+	p.putIdle(c, idleTime)
 }
 
-// sweepIdle closes the connections whose time is over, and forgets workers for
-// which nothing is left.
+// sweepIdle closes expired idle connections and deletes entries of workers that
+// have no connection and no learned limit.
 func (p *pool) sweepIdle() {
 	now := p.clock.Now()
-	var over []*conn
-	left := 0
+	var expired []*conn
+	remaining := 0
 	p.mu.Lock()
-	for worker, held := range p.workers {
-		over = append(over, held.sweep(now)...)
-		left += len(held.idle)
-		if held.open == 0 && held.lasts == 0 {
+	for worker, entry := range p.workers {
+		expired = append(expired, entry.removeExpired(now)...)
+		remaining += len(entry.idle)
+		if entry.open == 0 && entry.idleLimit == 0 {
 			delete(p.workers, worker)
 		}
 	}
-	if left > 0 {
-		p.sweep.Reset(p.idleUntold())
+	if remaining > 0 {
+		p.sweepTimer.Reset(p.defaultIdleTime())
 	} else {
-		p.sweep = nil
+		p.sweepTimer = nil
 	}
 	p.mu.Unlock()
-	closeAll(over)
+	closeAll(expired)
 }
 
-// sweep takes out the idle connections whose time is over.
-func (w *workerConns) sweep(now time.Duration) (over []*conn) {
-	staying := w.idle[:0]
-	for _, one := range w.idle {
-		if now < one.until {
-			staying = append(staying, one)
+// removeExpired removes and returns the expired idle connections.
+func (w *workerConns) removeExpired(now time.Duration) (expired []*conn) {
+	remaining := w.idle[:0]
+	for _, c := range w.idle {
+		if now < c.expiresAt {
+			remaining = append(remaining, c)
 			continue
 		}
-		over = append(over, one)
+		expired = append(expired, c)
 		w.open--
 	}
-	clear(w.idle[len(staying):])
-	w.idle = staying
-	return over
+	clear(w.idle[len(remaining):])
+	w.idle = remaining
+	return expired
 }
 
-// call sends a request on a kept or new connection and gives its answer. A
-// request is sent on a second connection only when none of its bytes left on
-// the first.
+// call sends a request on a pooled or new connection and returns its reply. It
+// tries another connection only if no byte was sent on the first.
 func (p *pool) call(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
-	message := appendRequest(addr, request)
-	defer messages.Put(message)
+	buf := appendRequest(addr, request)
+	defer requestBuffers.Put(buf)
 	for {
-		one, fresh, err := p.connection(ctx, addr, request)
+		c, fresh, err := p.getConn(ctx, addr, request)
 		if err != nil {
 			return nil, &base.NotSent{Cause: err}
 		}
 		if ctx.Over() || (request.Stays != nil && !request.Stays()) {
-			p.keepUnused(one, fresh)
+			p.putUnused(c, fresh)
 			return nil, &base.NotSent{Cause: base.ErrLeaves}
 		}
-		_ = one.SetDeadline(after(ctx.Left())) // a closed connection fails below
-		sent, err := one.send(*message, request.Body)
+		_ = c.SetDeadline(deadlineIn(ctx.Left())) // a closed connection fails below
+		sent, err := c.send(*buf, request.Body)
 		if err == nil {
-			return p.answer(one, request)
+			return p.awaitReply(c, request)
 		}
-		p.drop(one)
+		p.drop(c)
 		switch {
 		case sent > 0:
 			return nil, errors.Annotate(err, "sending")
 		case fresh || ctx.Over():
 			return nil, &base.NotSent{Cause: err}
 		}
-		// The worker had closed it; nothing left this node.
+		// The worker had closed the connection and nothing was sent: try another.
 	}
 }
 
-// connection gives a quiet kept connection, or a new one.
-func (p *pool) connection(ctx *base.Ctx, addr string, request *base.BackRequest) (one *conn, fresh bool, err error) {
-	one, held, err := p.take(request.Worker, addr, request.MostConns)
-	if err != nil || one != nil {
-		return one, false, err
+// getConn returns a usable idle connection or dials a new one.
+func (p *pool) getConn(ctx *base.Ctx, addr string, request *base.BackRequest) (c *conn, fresh bool, err error) {
+	c, entry, err := p.takeIdle(request.Worker, addr, request.MostConns)
+	if err != nil || c != nil {
+		return c, false, err
 	}
-	if one, err = p.dial(ctx, addr, request.Connect, held); err != nil {
-		p.released(held)
+	if c, err = p.dial(ctx, addr, request.Connect, entry); err != nil {
+		p.releaseSlot(entry)
 		return nil, false, err
 	}
-	return one, true, nil
+	return c, true, nil
 }
 
-// answer waits for the head of the answer. Whatever fails here, the request may
-// have run.
-func (p *pool) answer(one *conn, request *base.BackRequest) (base.BackReply, error) {
-	reply, err := p.receive(one, request)
+// awaitReply waits for the head of the response. If it fails, the worker may have
+// run the request.
+func (p *pool) awaitReply(c *conn, request *base.BackRequest) (base.BackReply, error) {
+	reply, err := p.receiveHead(c, request)
 	if err == nil {
-		p.survivedRest(one)
+		p.recordIdleSurvival(c)
 		return reply, nil
 	}
 	if wasClosed(err) {
-		p.endedIdle(one)
+		p.recordIdleClose(c)
 	}
-	p.drop(one)
-	return nil, errors.Annotate(err, "awaiting the answer")
+	p.drop(c)
+	return nil, errors.Annotate(err, "awaiting the response")
 }
--- a/internal/workerconn/pool_test.go
+++ b/internal/workerconn/pool_test.go
@@ -1,6 +1,3 @@
-// Kept connections over real sockets, against a small worker that does each
-// wrong thing on demand: what may be used again, and what proves that a request
-// did not leave.
 package workerconn
 
 import (
@@ -23,13 +20,13 @@
 	"github.com/matryer/is"
 )
 
-// fakeWorker hands each request to answer, which writes what it likes and says
-// whether the connection goes on.
+// fakeWorker serves real sockets. It passes each request to answer, which writes
+// the response bytes and reports whether the connection stays open.
 type fakeWorker struct {
-	listener net.Listener
-	made     atomic.Int32
-	answer   func(c net.Conn, request *http.Request, made int) bool
-	ended    chan struct{} // one word for each connection that the worker has ended
+	listener    net.Listener
+	connections atomic.Int32
+	answer      func(c net.Conn, request *http.Request, made int) bool
+	connEnded   chan struct{} // one value for each connection that the worker has closed
 }
 
 func newFakeWorker(t testing.TB, answer func(c net.Conn, request *http.Request, made int) bool) *fakeWorker {
@@ -37,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &fakeWorker{listener: listener, answer: answer, ended: make(chan struct{}, 1000)}
+	w := &fakeWorker{listener: listener, answer: answer, connEnded: make(chan struct{}, 1000)}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -45,7 +42,7 @@
 			if err != nil {
 				return
 			}
-			go w.serve(accepted, int(w.made.Add(1)))
+			go w.serve(accepted, int(w.connections.Add(1)))
 		}
 	}()
 	return w
@@ -66,55 +63,58 @@
 		}
 	}
 	_ = c.Close()
-	w.ended <- struct{}{}
+	w.connEnded <- struct{}{}
 }
 
 func (w *fakeWorker) addr() string { return w.listener.Addr().String() }
 
-func whole(id, head, body string) string {
+// fullReply is a complete response with a length; head holds more header lines.
+func fullReply(id, head, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nContent-Length: %d\r\n%s\r\n%s", id, len(body), head, body)
 }
 
-func ordinary(c net.Conn, request *http.Request, _ int) bool {
-	_, _ = io.WriteString(c, whole(request.Header.Get("Request-Id"), "", "hello"))
+// answerHello answers correctly and keeps the connection open.
+func answerHello(c net.Conn, request *http.Request, _ int) bool {
+	_, _ = io.WriteString(c, fullReply(request.Header.Get("Request-Id"), "", "hello"))
 	return true
 }
 
-// movedClock is the machine's clock, moved on by the test.
-type movedClock struct {
+// offsetClock is the real clock plus an offset set by the test.
+type offsetClock struct {
 	base.Clock
-	ahead atomic.Int64
+	offset atomic.Int64
 }
 
-func (m *movedClock) Now() time.Duration { return m.Clock.Now() + time.Duration(m.ahead.Load()) }
+func (c *offsetClock) Now() time.Duration { return c.Clock.Now() + time.Duration(c.offset.Load()) }
 
-type bench struct {
+// poolTest is a client with a fake worker and a clock that can be advanced.
+type poolTest struct {
 	*is.I
-	worker *fakeWorker
-	client *Client
-	clock  *movedClock
-	seen   int
+	worker   *fakeWorker
+	client   *Client
+	clock    *offsetClock
+	requests int
 }
 
-func newBench(t testing.TB, answer func(c net.Conn, request *http.Request, made int) bool) *bench {
-	b := &bench{I: is.NewRelaxed(t.(*testing.T)), worker: newFakeWorker(t, answer), client: New(5*time.Second, base.NewCounters()), clock: &movedClock{Clock: base.NewRealClock()}}
+func newPoolTest(t testing.TB, answer func(c net.Conn, request *http.Request, made int) bool) *poolTest {
+	b := &poolTest{I: is.NewRelaxed(t.(*testing.T)), worker: newFakeWorker(t, answer), client: New(5*time.Second, base.NewCounters()), clock: &offsetClock{Clock: base.NewRealClock()}}
 	b.client.pool.clock = b.clock
 	return b
 }
 
-func (b *bench) request() *base.BackRequest {
-	b.seen++
-	id := fmt.Sprintf("r%d", b.seen)
+func (b *poolTest) request() *base.BackRequest {
+	b.requests++
+	id := fmt.Sprintf("r%d", b.requests)
 	return &base.BackRequest{Method: "POST", Path: "/x", Body: []byte("ask"), Worker: "w1", Lines: []base.HeaderLine{{Name: "Request-Id", Value: id}},
 		Match: base.HeaderLine{Name: "Request-Id", Value: id}}
 }
 
-func (b *bench) send(request *base.BackRequest) (base.BackReply, error) {
+func (b *poolTest) send(request *base.BackRequest) (base.BackReply, error) {
 	return b.client.Call(base.NewCtx(b.clock, 20*time.Second), b.worker.addr(), request)
 }
 
-// ask makes a request and reads its whole answer.
-func (b *bench) ask() (string, error) {
+// call sends a request and reads the whole body.
+func (b *poolTest) call() (string, error) {
 	reply, err := b.send(b.request())
 	if err != nil {
 		return "", err
@@ -124,245 +124,248 @@
 	return string(body), err
 }
 
-func (b *bench) served() {
+// mustCall expects a request to be answered correctly.
+func (b *poolTest) mustCall() {
 	b.Helper()
-	body, err := b.ask()
+	body, err := b.call()
 	b.NoErr(err)
 	b.Equal(body, "hello")
 }
 
-func (b *bench) connections() int { return int(b.worker.made.Load()) }
+// connections returns how many connections were made.
+func (b *poolTest) connections() int { return int(b.worker.connections.Load()) }
 
-// idle is how many connections are kept.
-func (b *bench) idle() (idle, open int) {
+// connCounts returns how many connections are idle, and how many are open.
+func (b *poolTest) connCounts() (idle, open int) {
 	b.client.pool.mu.Lock()
 	defer b.client.pool.mu.Unlock()
-	if held := b.client.pool.workers["w1"]; held != nil {
-		return len(held.idle), held.open
+	if entry := b.client.pool.workers["w1"]; entry != nil {
+		return len(entry.idle), entry.open
 	}
 	return 0, 0
 }
 
-func TestOneConnectionCarriesManyRequests(t *testing.T) {
-	b := newBench(t, ordinary)
+func TestConnectionIsReused(t *testing.T) {
+	b := newPoolTest(t, answerHello)
 	for range 20 {
-		b.served()
+		b.mustCall()
 	}
 	b.Equal(b.connections(), 1)
-	idle, open := b.idle()
+	idle, open := b.connCounts()
 	b.Equal(idle, 1)
 	b.Equal(open, 1)
 }
 
-// The time that one request had does not bound the next one's connection.
-func TestAConnectionOutlivesARequestsDeadline(t *testing.T) {
-	b := newBench(t, ordinary)
-	b.served()
+// The deadline of one request does not apply to the next on the same connection.
+func TestConnectionOutlivesRequestDeadline(t *testing.T) {
+	b := newPoolTest(t, answerHello)
+	b.mustCall()
 	b.NoErr(b.client.pool.workers["w1"].idle[0].SetDeadline(time.Now().Add(-time.Second)))
-	b.served()
+	b.mustCall()
 	b.Equal(b.connections(), 1)
 }
 
-func TestAConnectionBelongsToOneLifeOfAWorker(t *testing.T) {
-	b := newBench(t, ordinary)
-	b.served()
+func TestConnectionBelongsToOneIncarnation(t *testing.T) {
+	b := newPoolTest(t, answerHello)
+	b.mustCall()
 	request := b.request()
-	request.Worker = "w2" // the same address, another life
+	request.Worker = "w2" // the same address, another incarnation
 	reply, err := b.send(request)
 	b.NoErr(err)
 	_, err = reply.Body(20*time.Second, 1000)
 	b.NoErr(err)
 	b.Equal(b.connections(), 2)
 	b.client.Forget("w1")
-	<-b.worker.ended
-	b.served()
+	<-b.worker.connEnded
+	b.mustCall()
 	b.Equal(b.connections(), 3)
 }
 
-// A worker that closed an idle connection gets the next request on a new one.
-func TestAStaleConnectionIsNotUsed(t *testing.T) {
-	b := newBench(t, func(c net.Conn, request *http.Request, made int) bool {
-		ordinary(c, request, made)
+// After the worker has closed an idle connection, the next request uses a new one.
+func TestStaleConnectionIsNotReused(t *testing.T) {
+	b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
+		answerHello(c, request, made)
 		return made > 1
 	})
-	b.served()
-	<-b.worker.ended
-	b.served()
-	b.served()
+	b.mustCall()
+	<-b.worker.connEnded
+	b.mustCall()
+	b.mustCall()
 	b.Equal(b.connections(), 2)
 }
 
-// Of a connection that ends after the request was written, nobody knows.
-func TestALossAfterSendingMayHaveRun(t *testing.T) {
-	b := newBench(t, func(c net.Conn, request *http.Request, made int) bool {
+// If a connection ends after the request was written, the worker may have run it.
+func TestLossAfterSendIsNotCalledNotSent(t *testing.T) {
+	b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
 		if request.Header.Get("Request-Id") == "r2" {
 			return false
 		}
-		return ordinary(c, request, made)
+		return answerHello(c, request, made)
 	})
-	b.served()
-	_, err := b.ask()
+	b.mustCall()
+	_, err := b.call()
 	b.True(err != nil)
 	b.True(!base.WasNotSent(err))
-	idle, open := b.idle()
+	idle, open := b.connCounts()
 	b.Equal(idle, 0)
 	b.Equal(open, 0)
 }
 
-func TestWhatCannotConnectIsNotSent(t *testing.T) {
-	b := newBench(t, ordinary)
+func TestDialFailureIsNotSent(t *testing.T) {
+	b := newPoolTest(t, answerHello)
 	b.NoErr(b.worker.listener.Close())
-	_, err := b.ask()
+	_, err := b.call()
 	b.True(base.WasNotSent(err))
-	_, open := b.idle()
+	_, open := b.connCounts()
 	b.Equal(open, 0)
 }
 
-// What no connection survives, and whether the answer itself still counts.
-func TestWhatEndsAConnection(t *testing.T) {
-	for _, row := range []struct {
+// Responses after which the connection is not reused, and whether the response
+// itself is accepted.
+func TestRepliesThatEndTheConnection(t *testing.T) {
+	for _, tt := range []struct {
 		name   string
 		raw    func(id string) string
 		served bool
 	}{
-		{"the worker will close", func(id string) string { return whole(id, "Connection: close\r\n", "hello") }, true},
-		{"no time to keep it", func(id string) string { return whole(id, "Keep-Alive: timeout=0\r\n", "hello") }, true},
-		{"bytes behind the answer", func(id string) string { return whole(id, "", "hello") + whole("r0", "", "other") }, true},
-		{"another's answer first", func(id string) string { return whole("r0", "", "other") }, false},
-		{"an answer without an id", func(id string) string { return "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello" }, false},
-		{"cut by length", func(id string) string {
+		{"connection close announced", func(id string) string { return fullReply(id, "Connection: close\r\n", "hello") }, true},
+		{"keep-alive timeout of zero", func(id string) string { return fullReply(id, "Keep-Alive: timeout=0\r\n", "hello") }, true},
+		{"bytes after the response", func(id string) string { return fullReply(id, "", "hello") + fullReply("r0", "", "other") }, true},
+		{"a foreign response only", func(id string) string { return fullReply("r0", "", "other") }, false},
+		{"a response without an id", func(id string) string { return "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello" }, false},
+		{"truncated by length", func(id string) string {
 			return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nContent-Length: 9\r\n\r\nhello"
 		}, false},
-		{"cut in chunks", func(id string) string {
+		{"truncated in chunks", func(id string) string {
 			return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"
 		}, false},
 		{"without a length", func(id string) string { return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\n\r\nhello" }, false},
-		{"no answer in protocol", func(id string) string { return "\x16\x03 what is this\r\n\r\n" }, false},
-		{"a cut head", func(id string) string { return "HTTP/1.1 200 OK\r\nRequest-Id: " + id }, false},
+		{"not HTTP", func(id string) string { return "\x16\x03 what is this\r\n\r\n" }, false},
+		{"a truncated head", func(id string) string { return "HTTP/1.1 200 OK\r\nRequest-Id: " + id }, false},
 	} {
-		t.Run(row.name, func(t *testing.T) {
-			b := newBench(t, func(c net.Conn, request *http.Request, made int) bool {
+		t.Run(tt.name, func(t *testing.T) {
+			b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
 				if id := request.Header.Get("Request-Id"); made == 1 {
-					_, _ = io.WriteString(c, row.raw(id))
-					return row.served // what is cut is cut by a close
+					_, _ = io.WriteString(c, tt.raw(id))
+					return tt.served // truncated responses end with a close
 				}
-				return ordinary(c, request, made)
+				return answerHello(c, request, made)
 			})
-			body, err := b.ask()
-			b.Equal(err == nil, row.served)
-			if row.served {
+			body, err := b.call()
+			b.Equal(err == nil, tt.served)
+			if tt.served {
 				b.Equal(body, "hello")
 			} else {
 				b.True(!base.WasNotSent(err))
 			}
-			idle, open := b.idle()
+			idle, open := b.connCounts()
 			b.Equal(idle, 0)
 			b.Equal(open, 0)
-			<-b.worker.ended
-			b.served()
+			<-b.worker.connEnded
+			b.mustCall()
 			b.Equal(b.connections(), 2)
 		})
 	}
 }
 
-// Bytes that come while a connection is idle belong to no request.
-func TestALateSurplusAnswerEndsAnIdleConnection(t *testing.T) {
+// Bytes that arrive while a connection is idle belong to no request.
+func TestUnexpectedBytesCloseIdleConnection(t *testing.T) {
 	late, written := make(chan struct{}), make(chan struct{})
-	b := newBench(t, func(c net.Conn, request *http.Request, made int) bool {
-		ordinary(c, request, made)
+	b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
+		answerHello(c, request, made)
 		if made == 1 {
 			<-late
-			_, _ = io.WriteString(c, whole("r0", "", "other"))
+			_, _ = io.WriteString(c, fullReply("r0", "", "other"))
 			close(written)
 		}
 		return true
 	})
-	b.served()
-	idle, _ := b.idle()
+	b.mustCall()
+	idle, _ := b.connCounts()
 	b.Equal(idle, 1)
 	close(late)
 	<-written
-	b.served()
+	b.mustCall()
 	b.Equal(b.connections(), 2)
 }
 
-// The answer that is due may come behind another's; the id tells which is
-// which, and the connection carries nothing more.
-func TestTheOwnAnswerIsFoundBehindAnothers(t *testing.T) {
-	for _, row := range []struct {
+// The expected response may follow responses to other requests. The id identifies
+// it, and the connection is not reused.
+func TestForeignRepliesAreSkipped(t *testing.T) {
+	for _, tt := range []struct {
 		name   string
 		before string
 		served bool
 	}{
-		{"one", whole("r0", "", "other"), true},
+		{"one", fullReply("r0", "", "other"), true},
 		{"one in chunks", "HTTP/1.1 200 OK\r\nRequest-Id: r0\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n", true},
 		{"one without an id", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", true},
-		{"two", whole("r0", "", "other") + whole("r9", "", ""), true},
-		{"too many", whole("r0", "", "other") + whole("r9", "", "other") + whole("r0", "", "other"), false},
-		{"too long", whole("r0", "", strings.Repeat("x", 100<<10)), false},
-		{"one that ends at the close", "HTTP/1.1 200 OK\r\nRequest-Id: r0\r\n\r\n", false},
-		{"bytes that form no answer", "\r\nother\r\n\r\n", false},
+		{"two", fullReply("r0", "", "other") + fullReply("r9", "", ""), true},
+		{"too many", fullReply("r0", "", "other") + fullReply("r9", "", "other") + fullReply("r0", "", "other"), false},
+		{"too long", fullReply("r0", "", strings.Repeat("x", 100<<10)), false},
+		{"one that ends with a close", "HTTP/1.1 200 OK\r\nRequest-Id: r0\r\n\r\n", false},
+		{"bytes that are no response", "\r\nother\r\n\r\n", false},
 	} {
-		t.Run(row.name, func(t *testing.T) {
-			b := newBench(t, func(c net.Conn, request *http.Request, made int) bool {
+		t.Run(tt.name, func(t *testing.T) {
+			b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
 				if made == 1 {
-					_, _ = io.WriteString(c, row.before)
+					_, _ = io.WriteString(c, tt.before)
 				}
-				ordinary(c, request, made)
-				return row.served
+				answerHello(c, request, made)
+				return tt.served
 			})
-			body, err := b.ask()
-			b.Equal(err == nil, row.served)
-			if row.served {
+			body, err := b.call()
+			b.Equal(err == nil, tt.served)
+			if tt.served {
 				b.Equal(body, "hello")
 			}
-			_, open := b.idle()
+			_, open := b.connCounts()
 			b.Equal(open, 0)
-			<-b.worker.ended
-			b.served()
+			<-b.worker.connEnded
+			b.mustCall()
 			b.Equal(b.connections(), 2)
 		})
 	}
 }
 
-func TestIdleConnectionsAreDroppedInTime(t *testing.T) {
-	for _, row := range []struct {
+func TestIdleConnectionsExpire(t *testing.T) {
+	for _, tt := range []struct {
 		name, head string
 		idle       time.Duration
 		kept       bool
 	}{
-		{"before the worker's time", "Keep-Alive: timeout=10\r\n", 7 * time.Second, true},
-		{"after the worker's time, less a margin", "Keep-Alive: timeout=10\r\n", 9 * time.Second, false},
-		{"other words beside it", "Keep-Alive: max=100, timeout=10\r\n", 9 * time.Second, false},
-		{"no time told, soon", "", time.Second, true},
-		{"no time told, later", "", 5 * time.Second, false},
+		{"before the announced timeout", "Keep-Alive: timeout=10\r\n", 7 * time.Second, true},
+		{"within the margin before the announced timeout", "Keep-Alive: timeout=10\r\n", 9 * time.Second, false},
+		{"other parameters beside the timeout", "Keep-Alive: max=100, timeout=10\r\n", 9 * time.Second, false},
+		{"no timeout announced, early", "", time.Second, true},
+		{"no timeout announced, late", "", 5 * time.Second, false},
 	} {
-		t.Run(row.name, func(t *testing.T) {
-			b := newBench(t, func(c net.Conn, request *http.Request, _ int) bool {
-				_, _ = io.WriteString(c, whole(request.Header.Get("Request-Id"), row.head, "hello"))
+		t.Run(tt.name, func(t *testing.T) {
+			b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+				_, _ = io.WriteString(c, fullReply(request.Header.Get("Request-Id"), tt.head, "hello"))
 				return true
 			})
-			b.served()
-			b.clock.ahead.Add(int64(row.idle))
-			b.served()
-			b.Equal(b.connections() == 1, row.kept)
+			b.mustCall()
+			b.clock.offset.Add(int64(tt.idle))
+			b.mustCall()
+			b.Equal(b.connections() == 1, tt.kept)
 		})
 	}
 }
 
-func TestTheSweepDropsWhatIsOver(t *testing.T) {
-	b := newBench(t, ordinary)
-	b.served()
-	b.clock.ahead.Add(int64(time.Minute))
+func TestSweepClosesExpiredConnections(t *testing.T) {
+	b := newPoolTest(t, answerHello)
+	b.mustCall()
+	b.clock.offset.Add(int64(time.Minute))
 	b.client.pool.sweepIdle()
-	<-b.worker.ended
+	<-b.worker.connEnded
 	b.Equal(len(b.client.pool.workers), 0)
 }
 
-func TestARequestArrivesByteForByte(t *testing.T) {
+func TestRequestIsSentByteForByte(t *testing.T) {
 	var raw bytes.Buffer
 	got := make(chan struct{})
-	b := newBench(t, nil)
+	b := newPoolTest(t, nil)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	b.NoErr(err)
 	defer listener.Close()
@@ -375,7 +378,7 @@
 		if err == nil {
 			_, _ = io.Copy(io.Discard, request.Body)
 		}
-		_, _ = io.WriteString(c, whole("r1", "", "hello"))
+		_, _ = io.WriteString(c, fullReply("r1", "", "hello"))
 		close(got)
 	}()
 	request := b.request()
@@ -390,11 +393,11 @@
 		"Cookie: b=2; a=1", "Content-Type: text/odd", "user-agent: me", "Content-Length: 3", "", "ask"}, "\r\n"))
 }
 
-func TestALongBodyArrivesWhole(t *testing.T) {
+func TestLongBodyIsSentWhole(t *testing.T) {
 	long := bytes.Repeat([]byte("0123456789abcdef"), 1<<15)
-	b := newBench(t, func(c net.Conn, request *http.Request, _ int) bool {
+	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		body, _ := io.ReadAll(request.Body)
-		_, _ = io.WriteString(c, whole(request.Header.Get("Request-Id"), "", fmt.Sprint(bytes.Equal(body, long))))
+		_, _ = io.WriteString(c, fullReply(request.Header.Get("Request-Id"), "", fmt.Sprint(bytes.Equal(body, long))))
 		return true
 	})
 	for range 2 {
@@ -409,21 +412,21 @@
 	b.Equal(b.connections(), 1)
 }
 
-func TestAnAnswerIsBounded(t *testing.T) {
+func TestReplyBodyIsBounded(t *testing.T) {
 	for _, raw := range []string{"Content-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000), "Transfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000) + "\r\n0\r\n\r\n"} {
-		b := newBench(t, func(c net.Conn, request *http.Request, _ int) bool {
+		b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\n"+raw)
 			return true
 		})
-		_, err := b.ask()
+		_, err := b.call()
 		b.True(err != nil)
-		_, open := b.idle()
+		_, open := b.connCounts()
 		b.Equal(open, 0)
 	}
 }
 
-func TestConnectionsToAWorkerAreBounded(t *testing.T) {
-	b := newBench(t, func(c net.Conn, request *http.Request, _ int) bool {
+func TestConnectionsPerWorkerAreBounded(t *testing.T) {
+	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\nTransfer-Encoding: chunked\r\n\r\n")
 		return true
 	})
@@ -444,28 +447,28 @@
 	reply.Close()
 }
 
-func TestALeavingWorkerGetsNothing(t *testing.T) {
-	b := newBench(t, func(c net.Conn, request *http.Request, made int) bool {
+func TestNothingIsSentToLeavingWorker(t *testing.T) {
+	b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
 		if request.Header.Get("Request-Id") == "r2" {
-			t.Error("the request went out")
+			t.Error("the request was sent")
 		}
-		return ordinary(c, request, made)
+		return answerHello(c, request, made)
 	})
-	b.served()
+	b.mustCall()
 	request := b.request()
 	request.Stays = func() bool { return false }
 	_, err := b.send(request)
 	b.True(base.WasNotSent(err))
 	b.True(errors.Is(err, base.ErrLeaves))
-	b.served()
+	b.mustCall()
 	b.Equal(b.connections(), 1)
 }
 
-// A stream's lines come as they are sent; its connection is kept after the last
-// chunk and closed when the reply is closed before.
-func TestStreamsOnKeptConnections(t *testing.T) {
+// The lines of a stream are returned as they arrive. The connection is reused after
+// the last chunk, and closed if the reply is closed before.
+func TestStreamsOnPooledConnections(t *testing.T) {
 	next, seen := make(chan struct{}), make(chan error, 1)
-	b := newBench(t, func(c net.Conn, request *http.Request, _ int) bool {
+	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n")
 		<-next
 		if request.Header.Get("Request-Id") == "r3" {
@@ -512,22 +515,24 @@
 	b.True(<-seen != nil)
 }
 
-func TestACutStreamHasNoCleanEnd(t *testing.T) {
+func TestTruncatedStreamHasNoCleanEnd(t *testing.T) {
 	for _, tail := range []string{"", "9\r\ndata", "9\r\ndata: 2\n\n\r\n", "zz\r\n", "0\r\n"} {
-		b := newBench(t, func(c net.Conn, request *http.Request, _ int) bool {
+		b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n"+tail)
 			return false
 		})
-		b.cutStream()
+		b.checkTruncatedStream()
 	}
-	b := newBench(t, func(c net.Conn, request *http.Request, _ int) bool {
+	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\n\r\ndata: 1\n\n")
-		return false // an end that only the close tells
+		return false // a body that ends only with the close
 	})
-	b.cutStream()
+	b.checkTruncatedStream()
 }
 
-func (b *bench) cutStream() {
+// checkTruncatedStream reads a stream and expects it to end with an error other
+// than io.EOF.
+func (b *poolTest) checkTruncatedStream() {
 	b.Helper()
 	reply, err := b.send(b.request())
 	b.NoErr(err)
@@ -536,36 +541,36 @@
 	}
 	b.True(err != io.EOF)
 	reply.Close()
-	_, open := b.idle()
+	_, open := b.connCounts()
 	b.Equal(open, 0)
 }
 
-// A worker that is forgotten while it answers keeps no connection afterwards.
-func TestAForgottenWorkersConnectionIsNotKept(t *testing.T) {
-	b := newBench(t, ordinary)
+// The connection of a worker that is forgotten while it answers is not pooled.
+func TestConnectionOfForgottenWorkerIsClosed(t *testing.T) {
+	b := newPoolTest(t, answerHello)
 	reply, err := b.send(b.request())
 	b.NoErr(err)
-	held := b.client.pool.workers["w1"]
+	entry := b.client.pool.workers["w1"]
 	b.client.Forget("w1")
 	_, err = reply.Body(20*time.Second, 1000)
 	b.NoErr(err)
 	reply.Close()
-	b.Equal(len(held.idle), 0)
-	b.Equal(held.open, 0)
-	<-b.worker.ended
-	b.served()
+	b.Equal(len(entry.idle), 0)
+	b.Equal(entry.open, 0)
+	<-b.worker.connEnded
+	b.mustCall()
 	b.Equal(b.connections(), 2)
 }
 
-// Many callers at once; under -race this also shows that nothing is shared.
-func TestManyAtOnceOverKeptConnections(t *testing.T) {
-	b := newBench(t, func(c net.Conn, request *http.Request, _ int) bool {
-		_, _ = io.WriteString(c, whole(request.Header.Get("Request-Id"), "", request.Header.Get("Request-Id")))
+// Many concurrent calls. Run with -race, this also checks for data races.
+func TestConcurrentCallsOnPooledConnections(t *testing.T) {
+	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+		_, _ = io.WriteString(c, fullReply(request.Header.Get("Request-Id"), "", request.Header.Get("Request-Id")))
 		return true
 	})
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for task := range 8 {
-		all.Go(func() {
+		group.Go(func() {
 			for round := range 50 {
 				id := fmt.Sprintf("t%d-%d", task, round)
 				reply, err := b.send(&base.BackRequest{Method: "GET", Path: "/x", Worker: "w1", Lines: []base.HeaderLine{{Name: "Request-Id", Value: id}}, Match: base.HeaderLine{Name: "Request-Id", Value: id}})
@@ -581,12 +586,12 @@
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 	b.True(b.connections() <= 8)
 }
 
-func TestIdleConnectionsHaveNoTask(t *testing.T) {
-	b := newBench(t, func(c net.Conn, request *http.Request, _ int) bool {
+func TestIdleConnectionsHaveNoGoroutines(t *testing.T) {
+	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\nContent-Length: 5\r\n\r\n")
 		_, _ = io.WriteString(c, "hello")
 		return true
@@ -602,24 +607,24 @@
 		_, err := reply.Body(20*time.Second, 1000)
 		b.NoErr(err)
 	}
-	idle, _ := b.idle()
+	idle, _ := b.connCounts()
 	b.Equal(idle, 10)
-	b.True(runtime.NumGoroutine() <= before+10+2) // the worker's own tasks
+	b.True(runtime.NumGoroutine() <= before+10+2) // the worker's own goroutines
 }
 
-func BenchmarkExchangeOnAKeptConnection(b *testing.B) {
-	answer := []byte(whole("r1", "Server-Load: 1,0,6\r\n", strings.Repeat("x", 800)))
+func BenchmarkPooledCall(b *testing.B) {
+	answer := []byte(fullReply("r1", "Server-Load: 1,0,6\r\n", strings.Repeat("x", 800)))
 	worker := newFakeWorker(b, func(c net.Conn, _ *http.Request, _ int) bool {
 		_, _ = c.Write(answer)
 		return true
 	})
-	pool := New(5*time.Second, base.NewCounters())
+	client := New(5*time.Second, base.NewCounters())
 	clock := base.NewRealClock()
 	request := &base.BackRequest{Method: "POST", Path: "/x/y", Host: "some.host", Body: bytes.Repeat([]byte("y"), 600), Worker: "w1",
 		Lines: []base.HeaderLine{{Name: "Request-Id", Value: "r1"}, {Name: "Deadline", Value: "6000"}}, Match: base.HeaderLine{Name: "Request-Id", Value: "r1"}}
 	b.ReportAllocs()
 	for b.Loop() {
-		reply, err := pool.Call(base.NewCtx(clock, 20*time.Second), worker.addr(), request)
+		reply, err := client.Call(base.NewCtx(clock, 20*time.Second), worker.addr(), request)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -630,42 +635,42 @@
 	}
 }
 
-// A worker that ends idle connections sooner than it tells: the connections that
-// follow rest no longer than one has survived; a loss after a rest that others
-// survived changes nothing.
-func TestConnectionsThatEndIdleShortenTheNextRest(t *testing.T) {
-	for _, row := range []struct {
+// After a worker has closed an idle connection earlier than it announced, later
+// connections stay idle no longer than one has survived. A loss after an idle time
+// that others survived changes nothing.
+func TestIdleCloseShortensIdleLimit(t *testing.T) {
+	for _, tt := range []struct {
 		name      string
 		survived  time.Duration
 		ends      time.Duration
 		shortened bool
 	}{
-		{"ended after the longest rest", 2 * time.Second, 6 * time.Second, true},
-		{"ended after a rest that was survived", 6 * time.Second, 2 * time.Second, false},
+		{"ended after the longest idle time", 2 * time.Second, 6 * time.Second, true},
+		{"ended after an idle time that was survived", 6 * time.Second, 2 * time.Second, false},
 		{"ended at once", 0, 100 * time.Millisecond, false},
 	} {
-		t.Run(row.name, func(t *testing.T) {
-			b := newBench(t, func(c net.Conn, request *http.Request, _ int) bool {
+		t.Run(tt.name, func(t *testing.T) {
+			b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 				id := request.Header.Get("Request-Id")
 				if id == "r3" {
 					return false
 				}
-				_, _ = io.WriteString(c, whole(id, "Keep-Alive: timeout=10\r\n", "hello"))
+				_, _ = io.WriteString(c, fullReply(id, "Keep-Alive: timeout=10\r\n", "hello"))
 				return true
 			})
-			b.served()
-			b.clock.ahead.Add(int64(row.survived))
-			b.served()
-			b.clock.ahead.Add(int64(row.ends))
-			_, err := b.ask()
+			b.mustCall()
+			b.clock.offset.Add(int64(tt.survived))
+			b.mustCall()
+			b.clock.offset.Add(int64(tt.ends))
+			_, err := b.call()
 			b.True(err != nil)
 			b.True(!base.WasNotSent(err))
-			b.served()
-			b.clock.ahead.Add(int64(5 * time.Second))
-			b.served()
+			b.mustCall()
+			b.clock.offset.Add(int64(5 * time.Second))
+			b.mustCall()
 			made := 2
-			if row.shortened {
-				made = 3 // the last one rested too long
+			if tt.shortened {
+				made = 3 // the last one was idle too long
 			}
 			b.Equal(b.connections(), made)
 		})
--- a/internal/workerconn/reply.go
+++ b/internal/workerconn/reply.go
@@ -17,61 +17,62 @@
 )
 
 const (
-	headLimit   = 8 << 10 // of an answer's head
-	lineLimit   = 1 << 20 // of one line of a stream
-	linesFirst  = 4 << 10
-	foreignMost = 2 // answers to others that are read past
-	// lengthByClose is how fasthttp tells that only a close ends the body.
-	lengthByClose = -2
+	maxHeaderBytes    = 8 << 10 // of a response's head
+	maxLineBytes      = 1 << 20 // of one line of a stream
+	lineBufferSize    = 4 << 10 // buffer of the line reader
+	maxForeignReplies = 2       // responses to other requests that are skipped
+	// lengthUntilClose is the ContentLength that fasthttp reports for a body that
+	// ends only when the connection is closed.
+	lengthUntilClose = -2
 )
 
 var (
-	errForeign = errors.New("the answer belongs to another request")
-	errClosed  = errors.New("the reply was closed")
-	errLength  = errors.New("an answer without a length cannot be told from a cut one")
+	errForeign  = errors.New("the response belongs to another request")
+	errClosed   = errors.New("the reply is closed")
+	errNoLength = errors.New("the response has no length, so a truncated body cannot be detected")
 )
 
-// wasClosed says whether an error is the peer's close or reset, not a time that
-// is over.
+// wasClosed reports whether an error means that the peer closed or reset the
+// connection, as opposed to a timeout.
 func wasClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed)
 }
 
-// receive reads the head of the request's own answer, past answers that belong
-// to others.
-func (p *pool) receive(one *conn, request *base.BackRequest) (*keptReply, error) {
-	reply := &keptReply{pool: p, conn: one}
+// receiveHead reads the head of the response to the request, skipping responses
+// to other requests.
+func (p *pool) receiveHead(c *conn, request *base.BackRequest) (*pooledReply, error) {
+	reply := &pooledReply{pool: p, conn: c}
 	response := &reply.response
 	response.StreamBody = true
 	response.SkipBody = request.Method == fasthttp.MethodHead
 	for {
-		if err := response.ReadLimitBody(one.reader, 0); err != nil {
+		if err := response.ReadLimitBody(c.reader, 0); err != nil {
 			return nil, err
 		}
-		if p.owns(request, string(response.Header.Peek(request.Match.Name))) {
+		if p.matches(request, string(response.Header.Peek(request.Match.Name))) {
 			break
 		}
-		if err := reply.setAside(); err != nil {
+		if err := reply.skipForeign(); err != nil {
 			return nil, err
 		}
 	}
-	one.move(eventHead)
+	c.apply(eventReplyHead)
 	reply.body = response.BodyStream()
 	reply.length = response.Header.ContentLength()
 	if reply.body == nil {
-		reply.ended()
+		reply.finish()
 	}
 	return reply, nil
 }
 
-// setAside reads past an answer that belongs to an earlier request: the one
-// that is due may come behind it. The connection carries no other request.
-func (r *keptReply) setAside() error {
+// skipForeign skips a response to an earlier request; the expected one may follow
+// it. The connection is not reused afterwards.
+func (r *pooledReply) skipForeign() error {
 	body := r.response.BodyStream()
-	if r.foreign++; r.foreign > foreignMost || r.Closes() || body == nil {
+	if r.foreignReplies++; r.foreignReplies > maxForeignReplies || r.Closes() || body == nil {
 		return errForeign
 	}
-	if read, err := io.Copy(io.Discard, io.LimitReader(body, joinLimit)); err != nil || read == joinLimit {
+	if read, err := io.Copy(io.Discard, io.LimitReader(body, maxInlineBody)); err != nil || read == maxInlineBody {
 		return errForeign
 	}
 	r.response.Reset()
@@ -79,153 +80,156 @@
 	return nil
 }
 
-// keptReply is the answer under way on a kept connection.
-type keptReply struct {
-	pool     *pool
-	conn     *conn
-	response fasthttp.Response
-	body     io.Reader
-	length   int
-	lined    bool
-	foreign  int
-	over     error // set once the end was reached
-	state    atomic.Int32
+// pooledReply is a reply on a pooled connection.
+type pooledReply struct {
+	pool           *pool
+	conn           *conn
+	response       fasthttp.Response
+	body           io.Reader
+	length         int
+	lineReaderSet  bool
+	foreignReplies int
+	endErr         error // what reads return once the body's end was reached
+	state          atomic.Int32
 }
 
-// The states of a reply: who of the reader's end and Close came first.
+// The states of a reply: whether the body's end or Close came first.
 const (
 	replyOpen int32 = iota
-	replyKept
+	replyFinished
 	replyClosed
 )
 
-// Status is the answer's status.
-func (r *keptReply) Status() int { return r.response.StatusCode() }
+// Status returns the response's status code.
+func (r *pooledReply) Status() int { return r.response.StatusCode() }
 
-// Header is one header of the answer.
-func (r *keptReply) Header(name string) string { return string(r.response.Header.Peek(name)) }
+// Header returns the value of a response header.
+func (r *pooledReply) Header(name string) string { return string(r.response.Header.Peek(name)) }
 
-// Closes tells that the worker will close the connection.
-func (r *keptReply) Closes() bool { return r.response.ConnectionClose() }
+// Closes reports whether the worker will close the connection.
+func (r *pooledReply) Closes() bool { return r.response.ConnectionClose() }
 
-// EachHeader walks all header lines.
-func (r *keptReply) EachHeader(visit func(name, value []byte)) {
+// EachHeader calls visit for every header line.
+func (r *pooledReply) EachHeader(visit func(name, value []byte)) {
 	for name, value := range r.response.Header.All() {
 		visit(name, value)
 	}
 }
 
-// ended puts the connection back, or closes it when it cannot carry another
-// request.
-func (r *keptReply) ended() {
-	r.over = io.EOF
-	if r.length == lengthByClose && r.body != nil {
-		r.over = io.ErrUnexpectedEOF
+// finish is called at the body's end. It returns the connection to the pool, or
+// closes it if it cannot carry another request.
+func (r *pooledReply) finish() {
+	r.endErr = io.EOF
+	if r.length == lengthUntilClose && r.body != nil {
+		r.endErr = io.ErrUnexpectedEOF
 	}
-	if !r.state.CompareAndSwap(replyOpen, replyKept) {
+	if !r.state.CompareAndSwap(replyOpen, replyFinished) {
 		return
 	}
-	one := r.conn
-	end := answerEnd{clean: r.over == io.EOF, closes: r.Closes(), upgraded: r.Status() == fasthttp.StatusSwitchingProtocols,
-		foreign: r.foreign, behind: one.reader.Buffered()}
-	one.move(r.pool.judge(end))
-	if one.state != stateIdle {
-		r.pool.drop(one)
+	c := r.conn
+	end := replyEnd{clean: r.endErr == io.EOF, closing: r.Closes(), upgraded: r.Status() == fasthttp.StatusSwitchingProtocols,
+		foreignReplies: r.foreignReplies, trailingBytes: c.reader.Buffered()}
+	c.apply(r.pool.classifyEnd(end))
+	if c.state != stateIdle {
+		r.pool.drop(c)
 		return
 	}
-	r.pool.keep(one, r.span())
+	r.pool.putIdle(c, r.idleTime())
 }
 
-// span is how long the worker will hold the connection, less a margin.
-func (r *keptReply) span() time.Duration {
+// idleTime is how long the connection may stay idle: the worker's keep-alive
+// timeout less a fifth.
+func (r *pooledReply) idleTime() time.Duration {
 	for _, part := range strings.Split(string(r.response.Header.Peek("Keep-Alive")), ",") {
-		told, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
-		if seconds, err := strconv.Atoi(told); found && err == nil {
-			return min(time.Duration(seconds)*time.Second*4/5, r.pool.idleMost())
+		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
+		if seconds, err := strconv.Atoi(value); found && err == nil {
+			return min(time.Duration(seconds)*time.Second*4/5, r.pool.maxIdleTime())
 		}
 	}
-	return r.pool.idleUntold()
+	return r.pool.defaultIdleTime()
 }
 
-func (r *keptReply) failed(err error) error {
+// readError returns errClosed for a read error that Close has caused.
+func (r *pooledReply) readError(err error) error {
 	if r.state.Load() == replyClosed {
 		return errClosed
 	}
 	return err
 }
 
-// Line gives the next line of the body with its end; io.EOF at a clean end.
-func (r *keptReply) Line(limit time.Duration) ([]byte, error) {
-	if r.over != nil {
-		return nil, r.over
-	}
-	one := r.conn
-	if !r.lined {
-		r.lined = true
-		if one.lines == nil {
-			one.lines = bufio.NewReaderSize(r.body, linesFirst)
+// Line returns the next line of the body including its line ending, and io.EOF
+// after a complete body.
+func (r *pooledReply) Line(timeout time.Duration) ([]byte, error) {
+	if r.endErr != nil {
+		return nil, r.endErr
+	}
+	c := r.conn
+	if !r.lineReaderSet {
+		r.lineReaderSet = true
+		if c.lineReader == nil {
+			c.lineReader = bufio.NewReaderSize(r.body, lineBufferSize)
 		} else {
-			one.lines.Reset(r.body)
+			c.lineReader.Reset(r.body)
 		}
 	}
-	_ = one.SetReadDeadline(after(limit))
+	_ = c.SetReadDeadline(deadlineIn(timeout))
 	var line []byte
 	for {
-		piece, err := one.lines.ReadSlice('\n')
+		piece, err := c.lineReader.ReadSlice('\n')
 		line = append(line, piece...)
 		switch {
 		case err == nil:
 			return line, nil
 		case err == bufio.ErrBufferFull:
-			if len(line) > lineLimit {
-				return nil, errors.Errorf("a line of more than %d bytes", lineLimit)
+			if len(line) > maxLineBytes {
+				return nil, errors.Errorf("a line of the response is longer than %d bytes", maxLineBytes)
 			}
 		case err == io.EOF:
-			r.ended()
+			r.finish()
 			if len(line) > 0 {
 				return line, nil
 			}
-			return nil, r.over
+			return nil, r.endErr
 		default:
-			return nil, r.failed(err)
+			return nil, r.readError(err)
 		}
 	}
 }
 
-// Body gives the whole body.
-func (r *keptReply) Body(limit time.Duration, most int) ([]byte, error) {
+// Body returns the whole body, which may not exceed maxBytes.
+func (r *pooledReply) Body(timeout time.Duration, maxBytes int) ([]byte, error) {
 	switch {
 	case r.body == nil:
 		return nil, nil
-	case r.over != nil:
-		return nil, r.over
-	case r.length == lengthByClose:
-		return nil, errLength
-	case r.length > most:
-		return nil, errors.Errorf("an answer of more than %d bytes", most)
-	}
-	_ = r.conn.SetReadDeadline(after(limit))
+	case r.endErr != nil:
+		return nil, r.endErr
+	case r.length == lengthUntilClose:
+		return nil, errNoLength
+	case r.length > maxBytes:
+		return nil, errors.Errorf("the response body is longer than %d bytes", maxBytes)
+	}
+	_ = r.conn.SetReadDeadline(deadlineIn(timeout))
 	var body []byte
 	var err error
 	if r.length >= 0 {
 		body = make([]byte, r.length)
 		_, err = io.ReadFull(r.body, body)
 	} else {
-		body, err = io.ReadAll(io.LimitReader(r.body, int64(most)+1))
-		if err == nil && len(body) > most {
-			err = errors.Errorf("an answer of more than %d bytes", most)
+		body, err = io.ReadAll(io.LimitReader(r.body, int64(maxBytes)+1))
+		if err == nil && len(body) > maxBytes {
+			err = errors.Errorf("the response body is longer than %d bytes", maxBytes)
 		}
 	}
 	if err != nil {
-		return nil, r.failed(err)
+		return nil, r.readError(err)
 	}
-	r.ended()
+	r.finish()
 	return body, nil
 }
 
-// Close ends the exchange; before the answer's end it closes the connection,
-// which tells the worker to drop the request.
-func (r *keptReply) Close() {
+// Close ends the exchange. Before the body's end it closes the connection, which
+// tells the worker to abandon the request.
+func (r *pooledReply) Close() {
 	if r.state.CompareAndSwap(replyOpen, replyClosed) {
 		r.pool.drop(r.conn)
 	}
--- a/internal/workerconn/request.go
+++ b/internal/workerconn/request.go
@@ -11,22 +11,22 @@
 	"github.com/valyala/fasthttp"
 )
 
-// joinLimit is the longest body that is copied behind its head, to leave in one
-// write.
-const joinLimit = 64 << 10
+// maxInlineBody is the longest body that is copied into the buffer of the head, so
+// that both are sent in one write.
+const maxInlineBody = 64 << 10
 
-// errBusy says that the connection may not take a request now.
-var errBusy = errors.New("the connection may not take a request")
+// errNotReady is returned if the connection's state does not allow a request.
+var errNotReady = errors.New("the connection is not ready for a request")
 
-// messages are buffers for requests on their way out.
-var messages = sync.Pool{New: func() any { return new([]byte) }}
+// requestBuffers holds the buffers that requests are written to.
+var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// appendRequest writes the head, and the body too if it is short. The buffer
-// goes back to messages after use.
+// appendRequest writes the request's head, and its body if it is short, into a
+// buffer. The caller returns the buffer to requestBuffers.
 func appendRequest(addr string, request *base.BackRequest) *[]byte {
-	head := fasthttp.AcquireRequest()
-	defer fasthttp.ReleaseRequest(head)
-	h := &head.Header
+	httpRequest := fasthttp.AcquireRequest()
+	defer fasthttp.ReleaseRequest(httpRequest)
+	h := &httpRequest.Header
 	h.DisableNormalizing()
 	h.DisableSpecialHeader()
 	h.SetMethod(request.Method)
@@ -45,34 +45,36 @@
 	if len(request.Body) > 0 || (request.Method != fasthttp.MethodGet && request.Method != fasthttp.MethodHead) {
 		h.Add("Content-Length", strconv.Itoa(len(request.Body)))
 	}
-	message := messages.Get().(*[]byte)
-	*message = h.AppendBytes((*message)[:0])
-	if len(request.Body) <= joinLimit {
-		*message = append(*message, request.Body...)
+	buf := requestBuffers.Get().(*[]byte)
+	*buf = h.AppendBytes((*buf)[:0])
+	if len(request.Body) <= maxInlineBody {
+		*buf = append(*buf, request.Body...)
 	}
-	return message
+	return buf
 }
 
-// send writes the request, and tells how many of its bytes may have left.
-func (c *conn) send(message, body []byte) (int64, error) {
-	c.move(eventSend)
+// send writes the request and returns how many bytes may have been sent. body is
+// written separately if it is too long to be part of buf.
+func (c *conn) send(buf, body []byte) (int64, error) {
+	c.apply(eventSend)
 	if c.state != stateSending {
-		return 0, errBusy
+		return 0, errNotReady
 	}
-	sent, err := c.write(message, body)
+	sent, err := c.write(buf, body)
 	if err != nil {
-		c.move(eventDoubt)
+		c.apply(eventUnusable)
 		return sent, err
 	}
-	c.move(eventSent)
+	c.apply(eventSent)
 	return sent, nil
 }
 
-func (c *conn) write(message, body []byte) (int64, error) {
-	if len(body) <= joinLimit {
-		sent, err := c.Write(message)
+// write writes buf, and body if it is not part of buf.
+func (c *conn) write(buf, body []byte) (int64, error) {
+	if len(body) <= maxInlineBody {
+		sent, err := c.Write(buf)
 		return int64(sent), err
 	}
-	parts := net.Buffers{message, body}
+	parts := net.Buffers{buf, body}
 	return parts.WriteTo(c.Conn)
 }
--- a/internal/workerconn/state.go
+++ b/internal/workerconn/state.go
@@ -1,22 +1,23 @@
 package workerconn
 
-// state is where a connection to a worker stands. Only next moves it.
+// state is the state of a connection to a worker. It changes only by next.
 type state uint8
 
 const (
-	// stateReady carries nothing, and was new or quiet when last looked at: a
-	// request may be sent.
+	// stateReady: the connection is new, or idle and just found usable. A request
+	// may be sent.
 	stateReady state = iota
-	// stateSending is from the moment before a request's first byte: from here
-	// on the worker may have read and run it.
+	// stateSending: a request is being sent. From here on the worker may have read
+	// and run it.
 	stateSending
-	// stateAwaiting has sent a whole request and waits for its answer.
+	// stateAwaiting: the whole request was sent and the response is awaited.
 	stateAwaiting
-	// stateAnswering reads the request's own answer.
+	// stateAnswering: the response to the request is being read.
 	stateAnswering
-	// stateIdle is kept after a whole answer, and not looked at since.
+	// stateIdle: the connection is pooled after a complete response and has not
+	// been checked since.
 	stateIdle
-	// stateClosed carries nothing any more.
+	// stateClosed: the connection must not be used any more.
 	stateClosed
 )
 
@@ -28,57 +29,57 @@
 type event uint8
 
 const (
-	// eventQuiet is a look at an idle connection that found nothing amiss.
-	eventQuiet event = iota
-	// eventUnused puts a ready connection back without a request.
-	eventUnused
-	// eventSend comes before a request's first byte.
+	// eventCheckedIdle: the check of an idle connection found it usable.
+	eventCheckedIdle event = iota
+	// eventReturned: a ready connection goes back to the pool unused.
+	eventReturned
+	// eventSend precedes the first byte of a request.
 	eventSend
-	// eventSent comes after a request's last byte.
+	// eventSent follows the last byte of a request.
 	eventSent
-	// eventHead is the head of the request's own answer.
-	eventHead
-	// eventWhole is the end of an answer after which nothing is in doubt.
-	eventWhole
-	// eventDoubt is everything else: a failure, an end, bytes that belong to no
-	// request, an answer that was given up. The connection is closed.
-	eventDoubt
+	// eventReplyHead: the head of the response to the request was read.
+	eventReplyHead
+	// eventComplete: a response ended and the connection can be reused.
+	eventComplete
+	// eventUnusable is anything else: a failure, a close, bytes that belong to no
+	// request, an abandoned response. The connection is closed.
+	eventUnusable
 )
 
-// moves are the legal ones beside eventDoubt, which leads from everywhere to
-// stateClosed.
-var moves = map[event]struct{ from, to state }{
-	eventQuiet:  {stateIdle, stateReady},
-	eventUnused: {stateReady, stateIdle},
-	eventSend:   {stateReady, stateSending},
-	eventSent:   {stateSending, stateAwaiting},
-	eventHead:   {stateAwaiting, stateAnswering},
-	eventWhole:  {stateAnswering, stateIdle},
+// transitions holds the legal transitions. eventUnusable is not among them: it
+// leads from every state to stateClosed.
+var transitions = map[event]struct{ from, to state }{
+	eventCheckedIdle: {stateIdle, stateReady},
+	eventReturned:    {stateReady, stateIdle},
+	eventSend:        {stateReady, stateSending},
+	eventSent:        {stateSending, stateAwaiting},
+	eventReplyHead:   {stateAwaiting, stateAnswering},
+	eventComplete:    {stateAnswering, stateIdle},
 }
 
-// next gives the state after an event. A move that is not foreseen closes the
-// connection: its state is in doubt.
+// next returns the state after an event. An illegal transition closes the
+// connection, because its state is then unknown.
 func (s state) next(e event) state {
-	move, known := moves[e]
-	if !known || move.from != s {
+	transition, known := transitions[e]
+	if !known || transition.from != s {
 		return stateClosed
 	}
-	return move.to
+	return transition.to
 }
 
-// answerEnd is what is known when an answer has been read to its end.
-type answerEnd struct {
-	clean    bool // the end was told by the protocol, not by a close
-	closes   bool // the worker said that it will close
-	upgraded bool // the connection speaks another protocol now
-	foreign  int  // answers to other requests that were read past
-	behind   int  // bytes that came behind the answer
+// replyEnd describes a response that was read to its end.
+type replyEnd struct {
+	clean          bool // the body's end was given by the protocol, not by a close
+	closing        bool // the worker announced that it closes the connection
+	upgraded       bool // the connection was switched to another protocol
+	foreignReplies int  // responses to other requests that were skipped
+	trailingBytes  int  // bytes received after the response
 }
 
-// event says whether the connection may carry another request.
-func (a answerEnd) event() event {
-	if a.clean && !a.closes && !a.upgraded && a.foreign == 0 && a.behind == 0 {
-		return eventWhole
+// event is eventComplete if the connection may carry another request.
+func (end replyEnd) event() event {
+	if end.clean && !end.closing && !end.upgraded && end.foreignReplies == 0 && end.trailingBytes == 0 {
+		return eventComplete
 	}
-	return eventDoubt
+	return eventUnusable
 }
