--- a/cmd/fordseam-controller/access.go
+++ b/cmd/fordseam-controller/access.go
@@ -67,7 +67,7 @@
 	fmt.Printf("by settings %d\n", shown.Stamp)
 	rows := [][]string{{"PLACE", "TEAM", "", "WHY"}}
 	for _, one := range shown.Reasons {
-		rows = append(rows, []string{one.Place, one.Team, map[bool]string{true: "allowed", false: "refused"}[one.Allowed], one.Why})
+		rows = append(rows, []string{one.Path, one.Team, map[bool]string{true: "allowed", false: "refused"}[one.Allowed], one.Why})
 	}
 	table(rows)
 	return nil
@@ -79,8 +79,8 @@
 		return err
 	}
 	var shown struct {
-		Stamp   uint64          `json:"stamp"`
-		Changes []access.Change `json:"changes"`
+		Stamp   uint64              `json:"stamp"`
+		Changes []access.Difference `json:"changes"`
 	}
 	if err := c.call("POST", "/v1/operator/access/diff", content, &shown); err != nil || c.quiet() {
 		return err
@@ -88,7 +88,7 @@
 	fmt.Printf("against stamp %d: %d changes\n", shown.Stamp, len(shown.Changes))
 	rows := [][]string{}
 	for _, one := range shown.Changes {
-		rows = append(rows, []string{one.Change, one.Team, one.Model, one.Place})
+		rows = append(rows, []string{one.Effect, one.Team, one.Model, one.Path})
 	}
 	table(rows)
 	return nil
--- a/cmd/fordseam-controller/client.go
+++ b/cmd/fordseam-controller/client.go
@@ -178,8 +178,8 @@
 	if err != nil {
 		return nil, cli.Exit(err.Error(), node.ExitUsage)
 	}
-	if _, faults := settings.Read(content); len(faults) > 0 {
-		return nil, cli.Exit("refused:\n  "+strings.ReplaceAll(settings.FaultVerdict(faults).Message, "\n", "\n  "), node.ExitUsage)
+	if _, faults := settings.Parse(content); len(faults) > 0 {
+		return nil, cli.Exit("refused:\n  "+strings.ReplaceAll(settings.InvalidDocument(faults).Message, "\n", "\n  "), node.ExitUsage)
 	}
 	return content, nil
 }
@@ -214,11 +214,11 @@
 	fmt.Printf("against stamp %d: %d values differ\n", shown.Stamp, len(shown.Differences))
 	rows := [][]string{}
 	for _, one := range shown.Differences {
-		if one.Was != "" {
-			rows = append(rows, []string{"-", one.Path, one.Was})
+		if one.Old != "" {
+			rows = append(rows, []string{"-", one.Path, one.Old})
 		}
-		if one.Now != "" {
-			rows = append(rows, []string{"+", one.Path, one.Now})
+		if one.New != "" {
+			rows = append(rows, []string{"+", one.Path, one.New})
 		}
 	}
 	table(rows)
@@ -266,8 +266,8 @@
 		}
 	}
 	var shown struct {
-		Stamp  uint64            `json:"stamp"`
-		Values []settings.Origin `json:"values"`
+		Stamp  uint64                    `json:"stamp"`
+		Values []settings.EffectiveValue `json:"values"`
 	}
 	err := c.call("GET", "/v1/operator/settings/effective?"+strings.TrimPrefix(query, "&"), nil, &shown)
 	if err != nil || c.quiet() {
--- a/internal/access/duty.go
+++ b/internal/access/activator.go
@@ -14,25 +14,25 @@
 	"fordseam/internal/register"
 )
 
-// Duty is a core's part.
-type Duty struct {
-	Clock    base.Clock
-	Bounds   *base.Table[base.Bounds]
-	Counters *base.Counters
-	Register *register.Client
-	Follower *feed.Follower
-	Epoch    func() uint64 // under which this core owns the feed's slot, or 0
-	Learnt   func(epoch, stamp uint64, permit time.Duration) bool
+// Activator is a core's part.
+type Activator struct {
+	Clock        base.Clock
+	Bounds       *base.Table[base.Bounds]
+	Counters     *base.Counters
+	Register     *register.Client
+	Follower     *feed.Follower
+	Epoch        func() uint64 // under which this core owns the feed's slot, or 0
+	AllNodesHave func(epoch, stamp uint64, permit time.Duration) bool
 
 	target uint64
 	until  time.Duration
 }
 
 // Run goes on until the follower is closed.
-func (d *Duty) Run() {
+func (d *Activator) Run() {
 	for !d.Follower.Closed() {
-		next := d.Follower.News()
-		pending := PendingIn(d.Follower.Frame().Values)
+		next := d.Follower.NextConfirmation()
+		pending := PendingFromFeed(d.Follower.Snapshot().Values)
 		if pending == nil || d.Epoch() == 0 {
 			next.Wait(d.Bounds.Load().Beat())
 			if pending == nil {
@@ -45,13 +45,13 @@
 }
 
 // step brings one change nearer.
-func (d *Duty) step(pending *Pending) {
+func (d *Activator) step(pending *Pending) {
 	bounds := d.Bounds.Load()
 	if d.target != pending.Target {
 		d.target, d.until = pending.Target, d.Clock.Now()+pending.permit(bounds)
 	}
 	waited := d.Clock.Now() >= d.until
-	if !waited && !d.Learnt(d.Epoch(), pending.Target, pending.permit(bounds)) {
+	if !waited && !d.AllNodesHave(d.Epoch(), pending.Target, pending.permit(bounds)) {
 		d.Clock.Sleep(min(bounds.AccessHold()/2, max(1, d.until-d.Clock.Now())))
 		return
 	}
@@ -64,8 +64,8 @@
 	d.Counters.Add("access_changes_settled", 1)
 	// The mark is gone where all can see it; this core's follower hears soon.
 	for end := d.Clock.Now() + bounds.Beat(); d.Clock.Now() < end; {
-		next := d.Follower.News()
-		if now := PendingIn(d.Follower.Frame().Values); now == nil || now.Target != pending.Target {
+		next := d.Follower.NextConfirmation()
+		if now := PendingFromFeed(d.Follower.Snapshot().Values); now == nil || now.Target != pending.Target {
 			return
 		}
 		next.Wait(max(0, end-d.Clock.Now()))
--- a/internal/access/change.go
+++ b/internal/access/change.go
@@ -17,35 +17,35 @@
 	"fordseam/internal/register"
 )
 
-// Key is where the feed tells of a change under way.
-const Key = "feed/access"
+// PendingKey is where the feed tells of a change under way.
+const PendingKey = "feed/access"
 
 // Pending is a change under way: the rules of stamp Force decide until those
 // of stamp Target are in force.
 type Pending struct {
-	Force  uint64 `json:"force"`
-	Target uint64 `json:"target"`
-	Packed []byte `json:"packed,omitempty"`
+	InForce            uint64 `json:"force"`
+	Target             uint64 `json:"target"`
+	CompressedDocument []byte `json:"packed,omitempty"`
 	// PermitMs is the longest permit by the bounds at the change's beginning.
-	PermitMs int64 `json:"permit_ms"`
+	LeaseMs int64 `json:"permit_ms"`
 }
 
 // Document is the tree whose rules still decide; nil where there was none.
 func (p *Pending) Document() []byte {
-	if len(p.Packed) == 0 {
+	if len(p.CompressedDocument) == 0 {
 		return nil
 	}
-	written, _ := io.ReadAll(flate.NewReader(bytes.NewReader(p.Packed)))
+	written, _ := io.ReadAll(flate.NewReader(bytes.NewReader(p.CompressedDocument)))
 	return written
 }
 
 // permit is the longest that any node may hold; bounds may change with a tree.
 func (p *Pending) permit(bounds *base.Bounds) time.Duration {
-	return max(bounds.Permit(), time.Duration(p.PermitMs)*time.Millisecond)
+	return max(bounds.Permit(), time.Duration(p.LeaseMs)*time.Millisecond)
 }
 
-// PendingIn reads the feed's frame; nil when no change is under way.
-func PendingIn(values map[string][]byte) *Pending { return readPending(values[Key]) }
+// PendingFromFeed reads the feed's frame; nil when no change is under way.
+func PendingFromFeed(values map[string][]byte) *Pending { return readPending(values[PendingKey]) }
 
 func readPending(raw []byte) *Pending {
 	if raw == nil {
@@ -58,26 +58,26 @@
 	return &found
 }
 
-// Begin is the first step, made in one change with the new tree. While another
+// BeginChange is the first step, made in one change with the new tree. While another
 // change is under way the rules must stay as they are.
-func Begin(tx *register.Tx, force, target uint64, was []byte, before, after string) error {
+func BeginChange(tx *register.Tx, force, target uint64, was []byte, before, after string) error {
 	if before == after {
 		return nil
 	}
-	if now := readPending(tx.Get(Key)); now != nil {
+	if now := readPending(tx.Get(PendingKey)); now != nil {
 		v := base.Busy(409, "access_changing", 1, "settings %d change what teams may call and are not in force yet", now.Target)
 		v.Stamp = force
 		return v
 	}
-	pending := Pending{Force: force, Target: target, PermitMs: tx.Bounds.Permit().Milliseconds()}
+	pending := Pending{InForce: force, Target: target, LeaseMs: tx.Bounds.Permit().Milliseconds()}
 	if before != "" {
 		var packed bytes.Buffer
 		writer, _ := flate.NewWriter(&packed, flate.BestSpeed)
 		_, _ = writer.Write(was)
 		_ = writer.Close()
-		pending.Packed = packed.Bytes()
+		pending.CompressedDocument = packed.Bytes()
 	}
-	tx.Put(Key, base.Encode(pending))
+	tx.Put(PendingKey, base.Encode(pending))
 	return nil
 }
 
@@ -88,29 +88,29 @@
 	Waited bool   `json:"waited"`
 }
 
-// Serve adds the second step's op to a core. learnt tells whether every node
+// RegisterHandlers adds the second step's op to a core. learnt tells whether every node
 // that may decide holds the settings of a stamp, as the slot's owner knows from
 // their questions; holders lists them.
-func Serve(owner *register.Owner, learnt func(epoch, stamp uint64, permit time.Duration) bool, holders func() any) {
+func RegisterHandlers(owner *register.Owner, learnt func(epoch, stamp uint64, permit time.Duration) bool, holders func() any) {
 	owner.Handle("access.settle", func(tx *register.Tx, args []byte) (any, error) {
 		var asked settling
 		if err := json.Unmarshal(args, &asked); err != nil {
 			return nil, base.DeclineField("target", "%v", err)
 		}
-		now := readPending(tx.Get(Key))
+		now := readPending(tx.Get(PendingKey))
 		settled := now == nil || now.Target != asked.Target
 		if !settled && (asked.Waited || learnt(tx.Epoch, asked.Target, now.permit(tx.Bounds))) {
-			tx.Gone(Key)
+			tx.Gone(PendingKey)
 			settled = true
 		}
 		return settled, nil
 	})
-	owner.Handle("access.read", func(tx *register.Tx, _ []byte) (any, error) { return readPending(tx.Get(Key)), nil })
+	owner.Handle("access.read", func(tx *register.Tx, _ []byte) (any, error) { return readPending(tx.Get(PendingKey)), nil })
 	owner.Handle("access.holders", func(*register.Tx, []byte) (any, error) { return holders(), nil })
 }
 
-// Read asks for the change under way; nil when there is none.
-func Read(ctx *base.Ctx, client *register.Client) (*Pending, error) {
+// ReadPending asks for the change under way; nil when there is none.
+func ReadPending(ctx *base.Ctx, client *register.Client) (*Pending, error) {
 	var found *Pending
 	err := client.Change(ctx, register.FeedGroup, "access.read", struct{}{}, &found)
 	return found, err
--- a/internal/access/explain.go
+++ b/internal/access/explain.go
@@ -33,17 +33,17 @@
 
 // Reason is what holds for a team and a model at one place.
 type Reason struct {
-	Place   string `json:"place"`
+	Path    string `json:"place"`
 	Team    string `json:"team"`
 	Allowed bool   `json:"allowed"`
 	Why     string `json:"why"`
 }
 
-// Check tells whether a team may call a model, at its group and wherever its
+// Explain tells whether a team may call a model, at its group and wherever its
 // requests come from or a lower level says otherwise.
-func (t *Table) Check(team, model string) ([]Reason, error) {
+func (t *Table) Explain(team, model string) ([]Reason, error) {
 	if t == nil {
-		return []Reason{{Place: "$", Team: team, Allowed: true, Why: "no teams are set: everything is allowed"}}, nil
+		return []Reason{{Path: "$", Team: team, Allowed: true, Why: "no teams are set: everything is allowed"}}, nil
 	}
 	found := t.teams[team]
 	if found == nil {
@@ -70,7 +70,7 @@
 
 // reason finds the level that takes a model away, or the one that gives it.
 func (c *checker) reason(path, team string, at int, chain ...*Level) Reason {
-	said := Reason{Place: path, Team: team, Allowed: true}
+	said := Reason{Path: path, Team: team, Allowed: true}
 	for _, one := range lineage(chain[0], team) {
 		for _, level := range chain {
 			entry := level.Teams[one]
@@ -88,25 +88,25 @@
 	return said
 }
 
-// Change is what another tree gives a team, or takes from it, at a place.
-type Change struct {
-	Place  string `json:"place"`
+// Difference is what another tree gives a team, or takes from it, at a place.
+type Difference struct {
+	Path   string `json:"place"`
 	Team   string `json:"team"`
 	Model  string `json:"model"`
-	Change string `json:"change"`
+	Effect string `json:"change"`
 }
 
 // Diff tells what a table would change; no table allows everything, and stands
 // in the list as such.
-func Diff(was, now *Table) []Change {
-	changes := []Change{}
+func Diff(was, now *Table) []Difference {
+	changes := []Difference{}
 	switch {
 	case was == nil && now == nil:
 		return changes
 	case was == nil:
-		changes = append(changes, Change{"$", "", "", "only teams may call models from now on"})
+		changes = append(changes, Difference{"$", "", "", "only teams may call models from now on"})
 	case now == nil:
-		return append(changes, Change{"$", "", "", "everything is allowed from now on"})
+		return append(changes, Difference{"$", "", "", "everything is allowed from now on"})
 	}
 	former, next := was.allowed(), now.allowed()
 	keys := map[allowance]bool{}
@@ -124,9 +124,9 @@
 	for _, key := range all {
 		switch {
 		case next[key] && !former[key]:
-			changes = append(changes, Change{key[0], key[1], key[2], "allowed"})
+			changes = append(changes, Difference{key[0], key[1], key[2], "allowed"})
 		case former[key] && !next[key]:
-			changes = append(changes, Change{key[0], key[1], key[2], "refused"})
+			changes = append(changes, Difference{key[0], key[1], key[2], "refused"})
 		}
 	}
 	return changes
@@ -152,12 +152,12 @@
 	return found
 }
 
-func sortedPlaces(places map[Place]*rule) []Place {
-	sorted := make([]Place, 0, len(places))
+func sortedPlaces(places map[Scope]*rule) []Scope {
+	sorted := make([]Scope, 0, len(places))
 	for place := range places {
 		sorted = append(sorted, place)
 	}
-	slices.SortFunc(sorted, func(a, b Place) int {
+	slices.SortFunc(sorted, func(a, b Scope) int {
 		return slices.Compare([]string{a.Group, a.Site, a.Route}, []string{b.Group, b.Site, b.Route})
 	})
 	return sorted
--- a/internal/access/guard.go
+++ b/internal/access/guard.go
@@ -15,8 +15,8 @@
 	"fordseam/internal/base"
 )
 
-// Held is a table with the stamp of its settings; no table allows all.
-type Held struct {
+// StampedTable is a table with the stamp of its settings; no table allows all.
+type StampedTable struct {
 	Stamp uint64
 	Table *Table
 }
@@ -25,27 +25,27 @@
 type pair struct{ allowed, refused atomic.Int64 }
 
 type view struct {
-	now, next Held
+	now, next StampedTable
 	under     bool // a change is under way
 	pairs     []*pair
 }
 
-// Confirming tells how lately a node's state was confirmed.
-type Confirming interface {
-	Permitted() bool
-	Confirmed(within time.Duration) bool
-	News() base.Signal
+// FeedStatus tells how lately a node's state was confirmed.
+type FeedStatus interface {
+	HasLease() bool
+	ConfirmedWithin(within time.Duration) bool
+	NextConfirmation() base.Signal
 }
 
 // Guard is a gateway's part.
 type Guard struct {
 	// Told, when set, hears of each change of the rules in force.
-	Told func(stamp uint64, teams int)
+	OnChange func(stamp uint64, teams int)
 
 	clock    base.Clock
 	bounds   *base.Table[base.Bounds]
 	counters *base.Counters
-	follower Confirming
+	follower FeedStatus
 	view     base.Table[view]
 	others   pair
 }
@@ -56,13 +56,13 @@
 	return g
 }
 
-// Follow names the follower whose permits the guard decides under; it is called
+// SetFeedStatus names the follower whose permits the guard decides under; it is called
 // once, before any request.
-func (g *Guard) Follow(follower Confirming) { g.follower = follower }
+func (g *Guard) SetFeedStatus(follower FeedStatus) { g.follower = follower }
 
-// Learn takes the rules that decide and, under a change, those that come next.
+// SetRules takes the rules that decide and, under a change, those that come next.
 // It is called with each frame of the feed before its permit counts.
-func (g *Guard) Learn(now Held, next *Held) {
+func (g *Guard) SetRules(now StampedTable, next *StampedTable) {
 	former := g.view.Load()
 	made := &view{now: now, next: now, under: next != nil}
 	if next != nil {
@@ -78,12 +78,12 @@
 	g.view.Swap(made)
 	if now.Table.Digest() != former.now.Table.Digest() {
 		g.counters.Add("access_changes", 1)
-		if g.Told != nil {
+		if g.OnChange != nil {
 			teams := 0
 			if now.Table != nil {
 				teams = len(now.Table.teams)
 			}
-			g.Told(now.Stamp, teams)
+			g.OnChange(now.Stamp, teams)
 		}
 	}
 }
@@ -111,8 +111,8 @@
 	return pairs
 }
 
-// Rules tells whether any rules are in force or on their way.
-func (g *Guard) Rules() bool {
+// HasRules tells whether any rules are in force or on their way.
+func (g *Guard) HasRules() bool {
 	held := g.view.Load()
 	return held.now.Table != nil || held.next.Table != nil
 }
@@ -123,12 +123,12 @@
 	return held.now.Stamp, held.next.Stamp
 }
 
-// Changing tells whether a change is under way.
-func (g *Guard) Changing() bool { return g.view.Load().under }
+// ChangePending tells whether a change is under way.
+func (g *Guard) ChangePending() bool { return g.view.Load().under }
 
-// Allows answers at once, or after a short wait for a confirmation; its error
+// Authorize answers at once, or after a short wait for a confirmation; its error
 // is the refusal.
-func (g *Guard) Allows(ctx *base.Ctx, q *Question) error {
+func (g *Guard) Authorize(ctx *base.Ctx, q *Request) error {
 	held := g.view.Load()
 	if held.now.Table == nil && held.next.Table == nil {
 		return nil
@@ -156,7 +156,7 @@
 			end = g.clock.Now() + min(g.bounds.Load().Hold(), ctx.Left())
 			g.counters.Add("access_held", 1)
 		}
-		bell := g.follower.News()
+		bell := g.follower.NextConfirmation()
 		if !g.confirmed(fresh) && !bell.Wait(max(0, end-g.clock.Now())) && g.clock.Now() >= end {
 			g.counters.Add("access_unconfirmed", 1)
 			return base.Busy(503, "no_confirmed_settings", 1, "this node cannot confirm which models the team may call")
@@ -167,12 +167,12 @@
 
 func (g *Guard) confirmed(fresh bool) bool {
 	if fresh {
-		return g.follower.Confirmed(g.bounds.Load().AccessFresh())
+		return g.follower.ConfirmedWithin(g.bounds.Load().AccessFresh())
 	}
-	return g.follower.Permitted()
+	return g.follower.HasLease()
 }
 
-func (g *Guard) say(held *view, found *Finding) error {
+func (g *Guard) say(held *view, found *Decision) error {
 	count := &g.others
 	if found.pair >= 0 && found.pair < len(held.pairs) {
 		count = held.pairs[found.pair]
@@ -195,9 +195,9 @@
 // shownPairs bounds how many pairs of team and model are counted by name.
 const shownPairs = 256
 
-// Counts adds the audit's counts by team and model, the first by name and the
+// AddCounts adds the audit's counts by team and model, the first by name and the
 // others summed.
-func (g *Guard) Counts(into map[string]int64) {
+func (g *Guard) AddCounts(into map[string]int64) {
 	held := g.view.Load()
 	if held.now.Table == nil {
 		return
--- a/internal/access/guard_test.go
+++ b/internal/access/guard_test.go
@@ -32,9 +32,9 @@
 	until time.Duration
 }
 
-func (c *confirming) Permitted() bool                     { return c.clock.now < c.until }
-func (c *confirming) Confirmed(within time.Duration) bool { return c.clock.now < c.asked+within }
-func (c *confirming) News() base.Signal                   { return passing{c.clock} }
+func (c *confirming) HasLease() bool                            { return c.clock.now < c.until }
+func (c *confirming) ConfirmedWithin(within time.Duration) bool { return c.clock.now < c.asked+within }
+func (c *confirming) NextConfirmation() base.Signal             { return passing{c.clock} }
 
 type passing struct{ clock *hand }
 
@@ -59,12 +59,12 @@
 	table, bounds, counters := &base.Table[base.Bounds]{}, base.DefaultBounds(), base.NewCounters()
 	table.Swap(bounds)
 	guard := access.NewGuard(clock, table, counters)
-	guard.Follow(follower)
+	guard.SetFeedStatus(follower)
 	return &bench{clock, follower, guard, counters, bounds}
 }
 
-func (b *bench) ask(q *access.Question) *base.Verdict {
-	if err := b.guard.Allows(base.NewCtx(b.clock, time.Minute), q); err != nil {
+func (b *bench) ask(q *access.Request) *base.Verdict {
+	if err := b.guard.Authorize(base.NewCtx(b.clock, time.Minute), q); err != nil {
 		return base.FromWire(err)
 	}
 	return nil
@@ -95,7 +95,7 @@
 
 func tableOf(t testing.TB, document []byte) *access.Table {
 	t.Helper()
-	tree, faults := settings.Read(document)
+	tree, faults := settings.Parse(document)
 	if len(faults) > 0 {
 		t.Fatal(faults[0])
 	}
@@ -103,17 +103,17 @@
 }
 
 var (
-	first  = &access.Question{Place: access.Place{Group: "group-0", Site: "main", Route: "chat"}}
-	second = &access.Question{Place: access.Place{Group: "group-1", Site: "main", Route: "chat"}}
+	first  = &access.Request{Scope: access.Scope{Group: "group-0", Site: "main", Route: "chat"}}
+	second = &access.Request{Scope: access.Scope{Group: "group-1", Site: "main", Route: "chat"}}
 )
 
 func TestAGuardWithoutRulesAllowsEverything(t *testing.T) {
 	is := is.New(t)
 	b := newBench()
 	b.follower.until = 0 // and asks for no permit
-	is.True(!b.guard.Rules())
+	is.True(!b.guard.HasRules())
 	is.True(b.ask(first) == nil)
-	b.guard.Learn(access.Held{Stamp: 1}, nil)
+	b.guard.SetRules(access.StampedTable{Stamp: 1}, nil)
 	is.True(b.ask(first) == nil)
 	is.Equal(len(b.counters.Frame()), 0)
 }
@@ -121,7 +121,7 @@
 func TestARefusalSaysWhatDecided(t *testing.T) {
 	is := is.New(t)
 	b := newBench()
-	b.guard.Learn(access.Held{Stamp: 7, Table: tableOf(t, tenants(2, 2, "deny"))}, nil)
+	b.guard.SetRules(access.StampedTable{Stamp: 7, Table: tableOf(t, tenants(2, 2, "deny"))}, nil)
 	v := b.ask(first)
 	is.Equal(v.Status, 403)
 	is.Equal(v.Code, "model_not_allowed")
@@ -130,9 +130,9 @@
 	is.Equal(v.Model, "model-0")
 	is.Equal(v.Stamp, uint64(7))
 	is.True(b.ask(second) == nil)
-	v = b.ask(&access.Question{Host: "host-1.example", Model: "model-0"})
+	v = b.ask(&access.Request{Host: "host-1.example", Model: "model-0"})
 	is.Equal(v.Team, "team-1")
-	v = b.ask(&access.Question{Host: "elsewhere.example", Model: "model-0"})
+	v = b.ask(&access.Request{Host: "elsewhere.example", Model: "model-0"})
 	is.Equal(v.Code, "unknown_team")
 	is.Equal(v.Status, 403)
 }
@@ -141,7 +141,7 @@
 	is := is.New(t)
 	b := newBench()
 	was, next := tableOf(t, tenants(2, 2, "")), tableOf(t, tenants(2, 2, "deny"))
-	b.guard.Learn(access.Held{Stamp: 1, Table: was}, &access.Held{Stamp: 2, Table: next})
+	b.guard.SetRules(access.StampedTable{Stamp: 1, Table: was}, &access.StampedTable{Stamp: 2, Table: next})
 	is.True(b.ask(first) == nil) // freshly confirmed: the former rules decide
 	b.clock.now += b.bounds.AccessFresh()
 	is.True(b.ask(second) == nil) // both say the same: a permit is enough
@@ -153,7 +153,7 @@
 	is.Equal(b.clock.now-began, b.bounds.Hold())
 	b.follower.asked = b.clock.now
 	is.True(b.ask(first) == nil)
-	b.guard.Learn(access.Held{Stamp: 2, Table: next}, nil)
+	b.guard.SetRules(access.StampedTable{Stamp: 2, Table: next}, nil)
 	b.follower.until = b.clock.now + time.Second
 	is.Equal(b.ask(first).Stamp, uint64(2))
 	b.clock.now += 2 * time.Second // as after a freeze
@@ -164,33 +164,33 @@
 	is := is.New(t)
 	b := newBench()
 	rules := tableOf(t, tenants(2, 2, "deny"))
-	b.guard.Learn(access.Held{Stamp: 1}, &access.Held{Stamp: 2, Table: rules})
+	b.guard.SetRules(access.StampedTable{Stamp: 1}, &access.StampedTable{Stamp: 2, Table: rules})
 	is.True(b.ask(first) == nil)
-	b.guard.Learn(access.Held{Stamp: 2, Table: rules}, nil)
+	b.guard.SetRules(access.StampedTable{Stamp: 2, Table: rules}, nil)
 	is.Equal(b.ask(first).Status, 403)
-	b.guard.Learn(access.Held{Stamp: 2, Table: rules}, &access.Held{Stamp: 3})
+	b.guard.SetRules(access.StampedTable{Stamp: 2, Table: rules}, &access.StampedTable{Stamp: 3})
 	is.Equal(b.ask(first).Status, 403)
-	b.guard.Learn(access.Held{Stamp: 3}, nil)
+	b.guard.SetRules(access.StampedTable{Stamp: 3}, nil)
 	is.True(b.ask(first) == nil)
 }
 
 func TestAPlaceThatAChangeBrings(t *testing.T) {
 	is := is.New(t)
 	b := newBench()
-	b.guard.Learn(access.Held{Stamp: 1, Table: tableOf(t, tenants(1, 2, ""))}, &access.Held{Stamp: 2, Table: tableOf(t, tenants(2, 2, ""))})
+	b.guard.SetRules(access.StampedTable{Stamp: 1, Table: tableOf(t, tenants(1, 2, ""))}, &access.StampedTable{Stamp: 2, Table: tableOf(t, tenants(2, 2, ""))})
 	is.True(b.ask(second) == nil) // no former rule speaks of it
 }
 
 func TestCountsByTeamAndModelAreBounded(t *testing.T) {
 	is := is.New(t)
 	b := newBench()
-	b.guard.Learn(access.Held{Stamp: 1, Table: tableOf(t, tenants(600, 4, "deny"))}, nil)
+	b.guard.SetRules(access.StampedTable{Stamp: 1, Table: tableOf(t, tenants(600, 4, "deny"))}, nil)
 	for at := range 600 {
-		b.ask(&access.Question{Place: access.Place{Group: fmt.Sprint("group-", at), Site: "main", Route: "chat"}})
+		b.ask(&access.Request{Scope: access.Scope{Group: fmt.Sprint("group-", at), Site: "main", Route: "chat"}})
 	}
-	b.ask(&access.Question{Host: "elsewhere.example", Model: "model-0"})
+	b.ask(&access.Request{Host: "elsewhere.example", Model: "model-0"})
 	frame := map[string]int64{}
-	b.guard.Counts(frame)
+	b.guard.AddCounts(frame)
 	is.Equal(len(frame), 2*256+2)
 	is.Equal(frame["access_refused/team-0/model-0"], int64(1))
 	is.Equal(frame["access_allowed/team-1/model-1"], int64(1))
@@ -199,22 +199,22 @@
 		total += count
 	}
 	is.Equal(total, int64(601))
-	b.guard.Learn(access.Held{Stamp: 2, Table: tableOf(t, tenants(601, 4, "deny"))}, nil)
+	b.guard.SetRules(access.StampedTable{Stamp: 2, Table: tableOf(t, tenants(601, 4, "deny"))}, nil)
 	frame = map[string]int64{}
-	b.guard.Counts(frame)
+	b.guard.AddCounts(frame)
 	is.Equal(frame["access_refused/team-0/model-0"], int64(1)) // carried over a change
 }
 
 func BenchmarkAllows(b *testing.B) {
 	for _, row := range []struct {
 		name string
-		made func(at int) *access.Question
+		made func(at int) *access.Request
 	}{
-		{"own interface", func(at int) *access.Question {
-			return &access.Question{Place: access.Place{Group: fmt.Sprint("group-", at), Site: "main", Route: "chat"}}
+		{"own interface", func(at int) *access.Request {
+			return &access.Request{Scope: access.Scope{Group: fmt.Sprint("group-", at), Site: "main", Route: "chat"}}
 		}},
-		{"operator's route", func(at int) *access.Question {
-			return &access.Question{Host: fmt.Sprintf("host-%d.example", at), Place: access.Place{Route: "till-dispute"}, Model: fmt.Sprint("model-", at%4)}
+		{"operator's route", func(at int) *access.Request {
+			return &access.Request{Host: fmt.Sprintf("host-%d.example", at), Scope: access.Scope{Route: "till-dispute"}, Model: fmt.Sprint("model-", at%4)}
 		}},
 	} {
 		b.Run(row.name, func(b *testing.B) {
@@ -223,15 +223,15 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			tree, _ := settings.Read(tenants(2600, 4, ""))
-			one.guard.Learn(access.Held{Stamp: 1, Table: tree.Access()}, nil)
+			tree, _ := settings.Parse(tenants(2600, 4, ""))
+			one.guard.SetRules(access.StampedTable{Stamp: 1, Table: tree.Access()}, nil)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			treeWith := float64(after.HeapAlloc - before.HeapAlloc)
 			runtime.KeepAlive(tree)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			asked := make([]*access.Question, 2600)
+			asked := make([]*access.Request, 2600)
 			for at := range asked {
 				asked[at] = row.made(at)
 			}
@@ -240,7 +240,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for at := 0; pb.Next(); at++ {
-					if err := one.guard.Allows(ctx, asked[at%len(asked)]); err != nil {
+					if err := one.guard.Authorize(ctx, asked[at%len(asked)]); err != nil {
 						b.Error(err)
 					}
 				}
@@ -254,7 +254,7 @@
 		ctx := base.NewCtx(one.clock, time.Minute)
 		b.ReportAllocs()
 		for range b.N {
-			_ = one.guard.Allows(ctx, first)
+			_ = one.guard.Authorize(ctx, first)
 		}
 	})
 }
--- a/internal/access/rules.go
+++ b/internal/access/rules.go
@@ -13,8 +13,8 @@
 	"fordseam/internal/base"
 )
 
-// Entry is what one level says of a team; nil lists were not given.
-type Entry struct {
+// TeamRules is what one level says of a team; nil lists were not given.
+type TeamRules struct {
 	Path   string
 	Models []string
 	Deny   []string
@@ -25,7 +25,7 @@
 type Level struct {
 	Path  string
 	Team  string
-	Teams map[string]*Entry
+	Teams map[string]*TeamRules
 	Hosts []string
 	// Model, Kind and Fallback are a route's, with what it inherits.
 	Model    string
@@ -41,11 +41,11 @@
 	Groups map[string]*Level
 }
 
-// Fault is one thing wrong with the rules.
-type Fault struct{ Path, Message string }
+// Violation is one thing wrong with the rules.
+type Violation struct{ Path, Message string }
 
-// ModelsLimit bounds the models that rules may speak of.
-const ModelsLimit = 64
+// MaxModels bounds the models that rules may speak of.
+const MaxModels = 64
 
 // AnyHost stands for every host that no site names.
 const AnyHost = "*"
@@ -54,15 +54,15 @@
 	rules  *Rules
 	index  map[string]int
 	home   map[string]string // a team's group
-	faults []Fault
+	faults []Violation
 }
 
 func (c *checker) fault(path, format string, args ...any) {
-	c.faults = append(c.faults, Fault{path, fmt.Sprintf(format, args...)})
+	c.faults = append(c.faults, Violation{path, fmt.Sprintf(format, args...)})
 }
 
 // Compile judges the rules and gives their table; nil where no team is set.
-func Compile(rules *Rules) (*Table, []Fault) {
+func Compile(rules *Rules) (*Table, []Violation) {
 	c := &checker{rules: rules, index: map[string]int{}, home: map[string]string{}}
 	c.catalogue()
 	teams := false
@@ -97,8 +97,8 @@
 	if c.rules.Models != nil && len(c.rules.Models) == 0 {
 		c.fault("$.models", "must not be empty")
 	}
-	if len(c.rules.Models) > ModelsLimit {
-		c.fault("$.models", "must be at most %d", ModelsLimit)
+	if len(c.rules.Models) > MaxModels {
+		c.fault("$.models", "must be at most %d", MaxModels)
 	}
 	for place, name := range c.rules.Models {
 		if _, twice := c.index[name]; twice {
@@ -180,7 +180,7 @@
 }
 
 // names judges the lists of an entry by themselves.
-func (c *checker) names(entry *Entry) {
+func (c *checker) names(entry *TeamRules) {
 	for field, list := range map[string][]string{".models": entry.Models, ".deny": entry.Deny} {
 		if list != nil && len(list) == 0 {
 			c.fault(entry.Path+field, "must not be empty")
@@ -197,7 +197,7 @@
 }
 
 // within holds an entry's models to what stands above.
-func (c *checker) within(entry *Entry, above Set, whose string) {
+func (c *checker) within(entry *TeamRules, above ModelSet, whose string) {
 	for place, name := range entry.Models {
 		if at, known := c.index[name]; known && !above.has(at) {
 			c.fault(fmt.Sprintf("%s.models[%d]", entry.Path, place), "%q is not among the models of %s; a lower level may only narrow", name, whose)
@@ -254,7 +254,7 @@
 
 // sets gives the models listed for a team at a level, and those denied there;
 // chain leads from the group to the level.
-func (c *checker) sets(team string, chain ...*Level) (listed, denied Set) {
+func (c *checker) sets(team string, chain ...*Level) (listed, denied ModelSet) {
 	listed = full(len(c.rules.Models))
 	for _, one := range lineage(chain[0], team) {
 		for _, at := range chain {
@@ -269,7 +269,7 @@
 	return listed, denied
 }
 
-func (c *checker) set(names []string) (set Set) {
+func (c *checker) set(names []string) (set ModelSet) {
 	for _, name := range names {
 		if at, known := c.index[name]; known {
 			set |= 1 << at
@@ -293,29 +293,29 @@
 		}
 		listed, denied := c.sets(team, group, site)
 		c.left(site, team, listed)
-		table.addPlace(Place{groupName, siteName, ""}, site.Path, team, listed, denied, "")
+		table.addPlace(Scope{groupName, siteName, ""}, site.Path, team, listed, denied, "")
 		for place, host := range site.Hosts {
 			path := fmt.Sprintf("%s.hosts[%d]", site.Path, place)
 			if other, taken := hosts[host]; taken {
 				c.fault(path, "%q is a host of %s already", host, other)
 			}
 			hosts[host] = site.Path
-			table.hosts[host] = Place{groupName, siteName, ""}
+			table.hosts[host] = Scope{groupName, siteName, ""}
 		}
 		for _, routeName := range base.SortedKeys(site.Children) {
-			c.route(table, Place{groupName, siteName, routeName}, team, group, site)
+			c.route(table, Scope{groupName, siteName, routeName}, team, group, site)
 		}
 	}
 }
 
 // left faults a level at which nothing is listed for its team.
-func (c *checker) left(at *Level, team string, listed Set) {
+func (c *checker) left(at *Level, team string, listed ModelSet) {
 	if listed == 0 {
 		c.fault(at.Path+".team", "no model is left for team %q here", team)
 	}
 }
 
-func (c *checker) route(table *Table, place Place, above string, group, site *Level) {
+func (c *checker) route(table *Table, place Scope, above string, group, site *Level) {
 	route := site.Children[place.Route]
 	team := orElse(route.Team, above)
 	listed, denied := c.sets(team, group, site, route)
--- a/internal/access/table.go
+++ b/internal/access/table.go
@@ -11,20 +11,20 @@
 	"fordseam/internal/base"
 )
 
-// Set is some of the models, by their place in the catalogue.
-type Set uint64
+// ModelSet is some of the models, by their place in the catalogue.
+type ModelSet uint64
 
-func (s Set) has(at int) bool { return s&(1<<at) != 0 }
+func (s ModelSet) has(at int) bool { return s&(1<<at) != 0 }
 
-func full(count int) Set { return Set(1)<<count - 1 }
+func full(count int) ModelSet { return ModelSet(1)<<count - 1 }
 
-// Place is a site, or one of its routes.
-type Place struct{ Group, Site, Route string }
+// Scope is a site, or one of its routes.
+type Scope struct{ Group, Site, Route string }
 
 // Team is a tenant, with what its group lists and denies.
 type Team struct {
 	Name, Group, Parent string
-	Listed, Denied      Set
+	Listed, Denied      ModelSet
 
 	num int
 }
@@ -32,7 +32,7 @@
 type rule struct {
 	path           string
 	team           *Team
-	listed, denied Set
+	listed, denied ModelSet
 	model          string
 }
 
@@ -41,21 +41,21 @@
 	models []string
 	index  map[string]int
 	teams  map[string]*Team
-	places map[Place]*rule
-	hosts  map[string]Place
+	places map[Scope]*rule
+	hosts  map[string]Scope
 	digest string
 	rules  *Rules
 }
 
 func newTable(rules *Rules, index map[string]int) *Table {
-	return &Table{rules: rules, models: rules.Models, index: index, teams: map[string]*Team{}, places: map[Place]*rule{}, hosts: map[string]Place{}}
+	return &Table{rules: rules, models: rules.Models, index: index, teams: map[string]*Team{}, places: map[Scope]*rule{}, hosts: map[string]Scope{}}
 }
 
-func (t *Table) addTeam(name, group, parent string, listed, denied Set) {
+func (t *Table) addTeam(name, group, parent string, listed, denied ModelSet) {
 	t.teams[name] = &Team{Name: name, Group: group, Parent: parent, Listed: listed, Denied: denied, num: len(t.teams)}
 }
 
-func (t *Table) addPlace(at Place, path, team string, listed, denied Set, model string) {
+func (t *Table) addPlace(at Scope, path, team string, listed, denied ModelSet, model string) {
 	t.places[at] = &rule{path, t.teams[team], listed, denied, model}
 }
 
@@ -84,7 +84,7 @@
 	return t.digest
 }
 
-func (t *Table) names(set Set) []string {
+func (t *Table) names(set ModelSet) []string {
 	named := make([]string, 0, bits.OnesCount64(uint64(set)))
 	for at, name := range t.models {
 		if set.has(at) {
@@ -94,17 +94,17 @@
 	return named
 }
 
-// Question is what a request carries: its place in the tree, or the host it
+// Request is what a request carries: its place in the tree, or the host it
 // names with the operator's route that took it; and the model, which a place
 // may know by itself.
-type Question struct {
-	Place Place
+type Request struct {
+	Scope Scope
 	Host  string
 	Model string
 }
 
-// Finding is what a table says to a question.
-type Finding struct {
+// Decision is what a table says to a question.
+type Decision struct {
 	Allowed bool
 	Team    string
 	Model   string
@@ -113,35 +113,35 @@
 }
 
 // Decide answers a question.
-func (t *Table) Decide(q *Question) Finding { return t.find(q) }
+func (t *Table) Decide(q *Request) Decision { return t.find(q) }
 
 // find answers a question; a table of no rules allows everything.
-func (t *Table) find(q *Question) Finding {
+func (t *Table) find(q *Request) Decision {
 	if t == nil {
-		return Finding{Allowed: true, Model: q.Model, pair: -1}
+		return Decision{Allowed: true, Model: q.Model, pair: -1}
 	}
-	at := q.Place
+	at := q.Scope
 	if q.Host != "" {
 		site, ok := t.hosts[q.Host]
 		if !ok {
 			site, ok = t.hosts[AnyHost]
 		}
 		if !ok {
-			return Finding{Model: q.Model, pair: -1, unknown: true}
+			return Decision{Model: q.Model, pair: -1, unknown: true}
 		}
-		at = Place{site.Group, site.Site, at.Route}
+		at = Scope{site.Group, site.Site, at.Route}
 	}
 	found := t.places[at]
 	if found == nil && q.Host != "" {
-		found = t.places[Place{at.Group, at.Site, ""}]
+		found = t.places[Scope{at.Group, at.Site, ""}]
 	}
 	if found == nil {
-		return Finding{Model: q.Model, pair: -1, unknown: true}
+		return Decision{Model: q.Model, pair: -1, unknown: true}
 	}
 	model := orElse(q.Model, found.model)
 	num, known := t.index[model]
 	if !known {
-		return Finding{Team: found.team.Name, Model: model, pair: -1}
+		return Decision{Team: found.team.Name, Model: model, pair: -1}
 	}
-	return Finding{Allowed: (found.listed &^ found.denied).has(num), Team: found.team.Name, Model: model, pair: found.team.num*len(t.models) + num}
+	return Decision{Allowed: (found.listed &^ found.denied).has(num), Team: found.team.Name, Model: model, pair: found.team.num*len(t.models) + num}
 }
--- a/internal/feed/bench_test.go
+++ b/internal/feed/bench_test.go
@@ -14,7 +14,7 @@
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			bounds := &base.Table[base.Bounds]{}
 			bounds.Swap(base.DefaultBounds())
-			f := NewFollower(base.NewRealClock(), nil, nil, nil, bounds, base.NewCounters(), func(*Frame) {})
+			f := NewFollower(base.NewRealClock(), nil, nil, nil, bounds, base.NewCounters(), func(*Snapshot) {})
 			first := &FollowReply{Place: 1, Frame: true}
 			for place := range keys {
 				first.Puts = append(first.Puts, &register.Put{Key: fmt.Sprintf("feed/roster/instance-%05d", place), Value: make([]byte, 70)})
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -22,8 +22,8 @@
 	"fordseam/internal/register"
 )
 
-// Prefix marks the keys that are told to every node.
-const Prefix = "feed/"
+// KeyPrefix marks the keys that are told to every node.
+const KeyPrefix = "feed/"
 
 // Service answers followers: the owner's part on a core, and any node's towards
 // those that it tells at second hand.
@@ -47,7 +47,7 @@
 	}
 	gateways := v.follower.below(request)
 	if v.owner == nil || request.Relayed && !v.owner.ServesFeed() {
-		return v.follower.Relay(ctx, request)
+		return v.follower.AnswerFollower(ctx, request)
 	}
 	v.note(request)
 	hold := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Left()/2)
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, base.ToWire(err)
 	}
-	told := base.Filter(puts, func(put *register.Put) bool { return strings.HasPrefix(put.Key, Prefix) })
+	told := base.Filter(puts, func(put *register.Put) bool { return strings.HasPrefix(put.Key, KeyPrefix) })
 	reply := &FollowReply{Place: place, Frame: frame, Puts: told, Owner: hint}
 	if request.From != "" {
 		reply.Gateways = gateways
@@ -77,16 +77,16 @@
 	return coreFollowers
 }
 
-// Frame is what a follower knows, swapped whole at each change. Begun tells it
+// Snapshot is what a follower knows, swapped whole at each change. Begun tells it
 // from the frame of a follower that was told nothing yet.
-type Frame struct {
-	Begun  bool
-	Place  uint64
-	Values map[string][]byte
+type Snapshot struct {
+	Initialized bool
+	Revision    uint64
+	Values      map[string][]byte
 }
 
 // with gives the frame that a reply makes of this one.
-func (f *Frame) with(reply *FollowReply) *Frame {
+func (f *Snapshot) with(reply *FollowReply) *Snapshot {
 	values := map[string][]byte{}
 	if !reply.Frame {
 		values = maps.Clone(f.Values)
@@ -98,12 +98,12 @@
 			values[put.Key] = put.Value
 		}
 	}
-	return &Frame{Begun: true, Place: reply.Place, Values: values}
+	return &Snapshot{Initialized: true, Revision: reply.Place, Values: values}
 }
 
 // puts are the changes that make another frame of this one: whoever has this one
 // need not be told the whole of the other.
-func (f *Frame) puts(next *Frame) (puts []*register.Put) {
+func (f *Snapshot) puts(next *Snapshot) (puts []*register.Put) {
 	for _, key := range base.SortedKeys(f.Values) {
 		if _, stays := next.Values[key]; !stays {
 			puts = append(puts, &register.Put{Key: key, Gone: true})
@@ -125,8 +125,8 @@
 	client   *register.Client
 	bounds   *base.Table[base.Bounds]
 	counters *base.Counters
-	frame    base.Table[Frame]
-	changed  func(*Frame)
+	frame    base.Table[Snapshot]
+	changed  func(*Snapshot)
 	bell     *base.Bell
 	view     *membership.View
 	asking   followers
@@ -134,7 +134,7 @@
 	followed atomic.Pointer[string] // the same, for those who ask
 
 	// Tell, when set before Run, adds to a question what the node tells of itself.
-	Tell func(request *FollowRequest)
+	AddNodeInfo func(request *FollowRequest)
 
 	until atomic.Int64 // a permit's end, by the node's clock
 	asked atomic.Int64 // when the newest confirmation was asked for, and 1
@@ -149,28 +149,28 @@
 
 // NewFollower calls changed with each new frame, before the permit that
 // came with it counts.
-func NewFollower(clock base.Clock, wire base.Wire, view *membership.View, client *register.Client, bounds *base.Table[base.Bounds], counters *base.Counters, changed func(*Frame)) *Follower {
+func NewFollower(clock base.Clock, wire base.Wire, view *membership.View, client *register.Client, bounds *base.Table[base.Bounds], counters *base.Counters, changed func(*Snapshot)) *Follower {
 	f := &Follower{clock: clock, wire: wire, view: view, client: client, bounds: bounds, counters: counters, changed: changed, bell: base.NewBell(clock)}
-	f.frame.Swap(&Frame{Values: map[string][]byte{}})
+	f.frame.Swap(&Snapshot{Values: map[string][]byte{}})
 	return f
 }
 
-// Frame is the newest state this node has shown.
-func (f *Follower) Frame() *Frame { return f.frame.Load() }
+// Snapshot is the newest state this node has shown.
+func (f *Follower) Snapshot() *Snapshot { return f.frame.Load() }
 
 // Run follows until closed.
 func (f *Follower) Run() {
 	for !f.Closed() {
-		frame, bounds := f.Frame(), f.bounds.Load()
-		request := &FollowRequest{Begun: frame.Begun, Place: frame.Place, HoldMs: bounds.FeedHold().Milliseconds()}
-		if !frame.Begun || large(f.view) {
+		frame, bounds := f.Snapshot(), f.bounds.Load()
+		request := &FollowRequest{Begun: frame.Initialized, Place: frame.Revision, HoldMs: bounds.FeedHold().Milliseconds()}
+		if !frame.Initialized || large(f.view) {
 			self := f.view.Self()
 			request.From, request.Zone = self.Id, self.Zone
 			request.Core = self.Role == membership.RoleCore
 			request.Gateways = f.below(&FollowRequest{})
 		}
-		if f.Tell != nil {
-			f.Tell(request)
+		if f.AddNodeInfo != nil {
+			f.AddNodeInfo(request)
 		}
 		reply, asked, err := f.ask(request)
 		if err != nil {
@@ -186,12 +186,12 @@
 // included. A core that asks itself is not its own follower.
 func (f *Follower) below(request *FollowRequest) int64 {
 	from := request.From
-	if from == f.view.Me() {
+	if from == f.view.SelfID() {
 		from = ""
 	}
 	asked := heard{gateways: request.Gateways, zone: request.Zone, core: request.Core, at: f.clock.Now()}
 	sum := f.asking.note(from, asked, f.remembers())
-	if f.view.Self().Role == membership.RoleEdge {
+	if f.view.Self().Role == membership.RoleGateway {
 		sum++
 	}
 	return sum
@@ -294,21 +294,21 @@
 }
 
 func (f *Follower) take(reply *FollowReply, asked time.Duration) {
-	current := f.Frame()
-	if !consensus.TakesAnswer(reply.Place, current.Place) {
+	current := f.Snapshot()
+	if !consensus.TakesAnswer(reply.Place, current.Revision) {
 		f.counters.Add("feed_older_dropped", 1)
 		return
 	}
-	if reply.Place > current.Place || !current.Begun {
+	if reply.Place > current.Revision || !current.Initialized {
 		next := current.with(reply)
 		f.changed(next)
 		f.mu.Lock()
-		if current.Begun {
+		if current.Initialized {
 			puts := reply.Puts
 			if reply.Frame {
 				puts = current.puts(next)
 			}
-			f.steps.add(step{from: current.Place, to: next.Place, puts: puts})
+			f.steps.add(step{from: current.Revision, to: next.Revision, puts: puts})
 		}
 		f.frame.Swap(next)
 		f.mu.Unlock()
@@ -330,38 +330,38 @@
 	f.bell.Ring()
 }
 
-// News rings at the next confirmation.
-func (f *Follower) News() base.Signal { return f.bell.Next() }
+// NextConfirmation rings at the next confirmation.
+func (f *Follower) NextConfirmation() base.Signal { return f.bell.Next() }
 
-// Confirmed reports whether the newest confirmation was asked for so lately.
-func (f *Follower) Confirmed(within time.Duration) bool {
+// ConfirmedWithin reports whether the newest confirmation was asked for so lately.
+func (f *Follower) ConfirmedWithin(within time.Duration) bool {
 	asked := f.asked.Load()
 	return asked > 0 && f.clock.Now() < time.Duration(asked)+within
 }
 
-// Permitted reports whether this node may serve at this moment.
-func (f *Follower) Permitted() bool { return f.clock.Now() < time.Duration(f.until.Load()) }
+// HasLease reports whether this node may serve at this moment.
+func (f *Follower) HasLease() bool { return f.clock.Now() < time.Duration(f.until.Load()) }
 
-// Gateways is how many follow the feed in all, as last told.
-func (f *Follower) Gateways() int {
+// GatewayCount is how many follow the feed in all, as last told.
+func (f *Follower) GatewayCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return int(f.gateways)
 }
 
-// Lapses counts how often the permit ran out before it was renewed.
-func (f *Follower) Lapses() uint64 {
+// LeaseExpirations counts how often the permit ran out before it was renewed.
+func (f *Follower) LeaseExpirations() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lapses
 }
 
-// Permit waits a little for a lapsed permit, then declines.
-func (f *Follower) Permit(ctx *base.Ctx) error {
+// WaitForLease waits a little for a lapsed permit, then declines.
+func (f *Follower) WaitForLease(ctx *base.Ctx) error {
 	end := f.clock.Now() + min(f.bounds.Load().Hold(), ctx.Left())
 	for {
 		next := f.bell.Next()
-		if f.Permitted() {
+		if f.HasLease() {
 			return nil
 		}
 		if !next.Wait(max(0, end-f.clock.Now())) {
--- a/internal/feed/holders.go
+++ b/internal/feed/holders.go
@@ -45,10 +45,10 @@
 	v.polls.holders[request.Node] = poll{max(request.Stamp, v.polls.holders[request.Node].stamp), now}
 }
 
-// Learnt tells whether all nodes that may hold a permit have told that they
+// AllNodesHave tells whether all nodes that may hold a permit have told that they
 // hold the settings of a stamp. It speaks for this core's time as owner under an
 // epoch, and counts for a change that is made under the same.
-func (v *Service) Learnt(epoch, stamp uint64, permit time.Duration) bool {
+func (v *Service) AllNodesHave(epoch, stamp uint64, permit time.Duration) bool {
 	now := v.clock.Now()
 	v.polls.mu.Lock()
 	defer v.polls.mu.Unlock()
@@ -63,26 +63,26 @@
 	return true
 }
 
-// Holder is a node and the settings it told of last.
-type Holder struct {
+// NodeSettings is a node and the settings it told of last.
+type NodeSettings struct {
 	Node  string `json:"node"`
 	Stamp uint64 `json:"stamp"`
 	AgoMs int64  `json:"ago_ms"`
 }
 
-// Holders lists who asked within a while; those silent for longer are dropped.
-func (v *Service) Holders(within time.Duration) []Holder {
+// ReportedSettings lists who asked within a while; those silent for longer are dropped.
+func (v *Service) ReportedSettings(within time.Duration) []NodeSettings {
 	now := v.clock.Now()
 	v.polls.mu.Lock()
 	defer v.polls.mu.Unlock()
-	found := []Holder{}
+	found := []NodeSettings{}
 	for _, node := range base.SortedKeys(v.polls.holders) {
 		one := v.polls.holders[node]
 		if now > one.at+within {
 			delete(v.polls.holders, node)
 			continue
 		}
-		found = append(found, Holder{node, one.stamp, (now - one.at).Milliseconds()})
+		found = append(found, NodeSettings{node, one.stamp, (now - one.at).Milliseconds()})
 	}
 	return found
 }
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -41,7 +41,7 @@
 // large tells that there are too many nodes for all to ask the owner. A view that
 // leaves members out may show few gateways, or none.
 func large(view *membership.View) bool {
-	return view.Partial() || len(view.Known(membership.RoleCore))+len(view.Known(membership.RoleEdge)) > directMost
+	return view.Partial() || len(view.Known(membership.RoleCore))+len(view.Known(membership.RoleGateway)) > directMost
 }
 
 // relays lists the addresses that a node asks at second hand, in turn: the one
@@ -52,7 +52,7 @@
 	if self.Role == membership.RoleCore || !large(f.view) {
 		return nil
 	}
-	cores := slices.Clone(f.view.Alive(membership.RoleCore))
+	cores := slices.Clone(f.view.Available(membership.RoleCore))
 	slices.SortFunc(cores, func(a, b *membership.Member) int {
 		return cmp.Compare(base.Hash64(self.Id, b.Id), base.Hash64(self.Id, a.Id))
 	})
@@ -78,7 +78,7 @@
 // memberAt finds who is known to listen at an address, nobody where the view is
 // partial and leaves it out.
 func (f *Follower) memberAt(address string) *membership.Member {
-	for _, role := range []string{membership.RoleCore, membership.RoleEdge} {
+	for _, role := range []string{membership.RoleCore, membership.RoleGateway} {
 		for _, member := range f.view.Known(role) {
 			if member.Addr == address {
 				return member
@@ -91,10 +91,10 @@
 // crowded tells that a question is left to other nodes, since this one answers
 // as many followers as it takes, or is leaving, or follows the asker itself.
 func (f *Follower) crowded(request *FollowRequest, most int) bool {
-	if request.From == "" || request.From == f.view.Me() || request.Core {
+	if request.From == "" || request.From == f.view.SelfID() || request.Core {
 		return false
 	}
-	if f.view.Self().Leaving && f.view.Self().Role == membership.RoleEdge {
+	if f.view.Self().Leaving && f.view.Self().Role == membership.RoleGateway {
 		return true
 	}
 	if parent := f.followed.Load(); parent != nil && *parent == addressOf(request.From) {
@@ -145,17 +145,17 @@
 	return puts, len(s.list) > 0
 }
 
-// Relay answers another follower from this one's frame.
-func (f *Follower) Relay(ctx *base.Ctx, request *FollowRequest) (*FollowReply, error) {
+// AnswerFollower answers another follower from this one's frame.
+func (f *Follower) AnswerFollower(ctx *base.Ctx, request *FollowRequest) (*FollowReply, error) {
 	hold := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Left()/2)
 	arrived := f.clock.Now()
 	first := f.confirmedAt()
 	for {
 		next := f.bell.Next()
 		confirmed, now := f.confirmedAt(), f.clock.Now()
-		frame := f.Frame()
+		frame := f.Snapshot()
 		renewed := confirmed > first && now-arrived >= hold/2
-		if frame.Begun && (!request.Begun || frame.Place > request.Place) || renewed || now >= arrived+hold*5/4 {
+		if frame.Initialized && (!request.Begun || frame.Revision > request.Place) || renewed || now >= arrived+hold*5/4 {
 			return f.tell(request, arrived)
 		}
 		next.Wait(arrived + hold*5/4 - now)
@@ -166,21 +166,21 @@
 // thirds of a permit or than what the other has.
 func (f *Follower) tell(request *FollowRequest, arrived time.Duration) (*FollowReply, error) {
 	f.mu.Lock()
-	confirmed, frame, gateways := f.confirmed, f.Frame(), f.gateways
+	confirmed, frame, gateways := f.confirmed, f.Snapshot(), f.gateways
 	puts, ok := f.steps.since(request.Place)
 	f.mu.Unlock()
-	if !frame.Begun || !consensus.TakesAnswer(frame.Place, request.Place) || !consensus.MayRelay(f.clock.Now(), confirmed, f.bounds.Load().Permit()) {
+	if !frame.Initialized || !consensus.TakesAnswer(frame.Revision, request.Place) || !consensus.MayRelay(f.clock.Now(), confirmed, f.bounds.Load().Permit()) {
 		f.counters.Add("feed_relays_declined", 1)
 		return nil, base.ToWire(base.Busy(503, "feed_stale", 1, "this node is behind the feed itself"))
 	}
-	reply := &FollowReply{Place: frame.Place, Gateways: gateways, BehindMs: consensus.Behind(arrived, confirmed).Milliseconds()}
+	reply := &FollowReply{Place: frame.Revision, Gateways: gateways, BehindMs: consensus.Behind(arrived, confirmed).Milliseconds()}
 	switch {
-	case !request.Begun || frame.Place > request.Place && !ok:
+	case !request.Begun || frame.Revision > request.Place && !ok:
 		reply.Frame = true
 		for _, key := range base.SortedKeys(frame.Values) {
 			reply.Puts = append(reply.Puts, &register.Put{Key: key, Value: frame.Values[key]})
 		}
-	case frame.Place > request.Place:
+	case frame.Revision > request.Place:
 		reply.Puts = puts
 	}
 	return reply, nil
--- a/internal/founding/founding.go
+++ b/internal/founding/founding.go
@@ -75,7 +75,7 @@
 
 // present lists the storage machines by their addresses.
 func (f *Founder) present() []string {
-	addrs := base.Map(f.view.Alive(membership.RoleStorage), func(m *membership.Member) string { return m.Addr })
+	addrs := base.Map(f.view.Available(membership.RoleStorage), func(m *membership.Member) string { return m.Addr })
 	slices.Sort(addrs)
 	return slices.Compact(addrs)
 }
--- a/internal/front/access.go
+++ b/internal/front/access.go
@@ -13,14 +13,14 @@
 // accepted before, and is asked for again by its own id, is no new one: it ends
 // as it was accepted.
 func (f *Front) allowed(ctx *base.Ctx, v *session.Visit, named bool) error {
-	if v.Kind != session.KindTurn || !f.Access.Rules() {
+	if v.Kind != session.KindTurn || !f.Access.HasRules() {
 		return nil
 	}
 	record, err := f.Keeper.Find(ctx.Within(f.Bounds.Load().Recover), v)
 	if err != nil || !record.Opens(v.Bearer) {
 		return err // wrong credentials are the owner's to decline
 	}
-	refusal := f.Access.Allows(ctx, &access.Question{Place: access.Place{Group: record.Group, Site: record.Site, Route: record.Route}})
+	refusal := f.Access.Authorize(ctx, &access.Request{Scope: access.Scope{Group: record.Group, Site: record.Site, Route: record.Route}})
 	if refusal == nil || !named || base.FromWire(refusal).Status != 403 {
 		return refusal
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -62,7 +62,7 @@
 		f.Counters.Add("requests_declined_full", 1)
 		return Failure(base.Busy(429, "overloaded", 1, "this gateway has %d requests in hand", visitLimit))
 	}
-	if err := f.Follower.Permit(ctx); err != nil {
+	if err := f.Follower.WaitForLease(ctx); err != nil {
 		return Failure(err)
 	}
 	if f.Tree.Load() == nil {
@@ -308,14 +308,14 @@
 		if err != nil {
 			return nil, err
 		}
-		matched, err := f.Tree.Load().Match(program.Group, program.Site, route)
+		matched, err := f.Tree.Load().Route(program.Group, program.Site, route)
 		if err != nil {
 			return nil, err
 		}
 		if matched.Kind != "model" {
 			return nil, base.DeclineField("route", "route %q is not for sessions", route)
 		}
-		if err := f.Access.Allows(ctx, &access.Question{Place: access.Place{Group: program.Group, Site: program.Site, Route: route}}); err != nil {
+		if err := f.Access.Authorize(ctx, &access.Request{Scope: access.Scope{Group: program.Group, Site: program.Site, Route: route}}); err != nil {
 			return nil, err
 		}
 		if matched.Policy != nil {
--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			return nil, err
 		}
-		route, err := f.Tree.Load().Match(opened.Group, opened.Site, name)
+		route, err := f.Tree.Load().Route(opened.Group, opened.Site, name)
 		if err != nil {
 			return nil, err
 		}
@@ -158,7 +158,7 @@
 	}
 	held := f.Clock.Now()
 	cleanup.Push(func() { f.Picker.Release(chosenWorker, need, f.Clock.Now()-held) })
-	if err := f.Follower.Permit(t.ctx); err != nil {
+	if err := f.Follower.WaitForLease(t.ctx); err != nil {
 		return nil, err, false
 	}
 	if !f.Picker.Stays(chosenWorker, need) {
--- a/internal/line/keeper.go
+++ b/internal/line/keeper.go
@@ -54,7 +54,7 @@
 	return &Keeper{Parts: parts, history: newHistory(parts.Clock), held: map[string]*held{}, elsewhere: map[string]*Assignment{}}
 }
 
-func (k *Keeper) me() string { return k.View.Me() }
+func (k *Keeper) me() string { return k.View.SelfID() }
 
 // unnamedMark begins the names that stand in for a program or a session that a
 // call does not name. No header value holds this byte, so they meet no caller's.
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -189,7 +189,7 @@
 
 func (w *world) node(name string, seeds ...string) *Keeper {
 	counters := base.NewCounters()
-	view := membership.NewView(w.clock, w.wire, w.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleEdge, Zone: "z"}, seeds, nil)
+	view := membership.NewView(w.clock, w.wire, w.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleGateway, Zone: "z"}, seeds, nil)
 	table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s", Engine: &route.Engine{Stride: 2}}},
 		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Kind: route.Stream, Timeout: 10 * time.Second, Retained: true, Retain: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}},
 			{Name: "loose", Host: "h", Prefix: "/loose/", Kind: route.Stream, Timeout: 10 * time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}}}}
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -12,10 +12,10 @@
 func viewOf(nodes int) *View {
 	bounds := &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
-	v := NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "10.0.0.1:1/me", Addr: "10.0.0.1:1", Role: RoleEdge, Zone: "a"}, nil, nil)
+	v := NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "10.0.0.1:1/me", Addr: "10.0.0.1:1", Role: RoleGateway, Zone: "a"}, nil, nil)
 	message := &ShuffleMessage{}
 	for place := 1; place < nodes; place++ {
-		role := RoleEdge
+		role := RoleGateway
 		if place%20 == 0 {
 			role = RoleCore
 		}
@@ -32,7 +32,7 @@
 			v := viewOf(nodes)
 			b.ReportAllocs()
 			for b.Loop() {
-				_ = len(v.Present(RoleEdge))
+				_ = len(v.Live(RoleGateway))
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		v.Suspected("10.0.0.5:1/one")
-		_ = len(v.Present(RoleEdge))
+		_ = len(v.Live(RoleGateway))
 	}
 }
 
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -68,7 +68,7 @@
 	} else if message.Digest == 0 && v.turn%sampleEvery == 0 {
 		message.View = v.sample(sampleLimit)
 	}
-	times, uses := v.times(), held == nil || held.member.Role == RoleEdge
+	times, uses := v.times(), held == nil || held.member.Role == RoleGateway
 	v.mu.Unlock()
 	if v.usages != nil && uses {
 		message.Usages = v.usages.Sample(usageLimit, times)
@@ -82,7 +82,7 @@
 	duties, edges := []string{}, []string{}
 	for _, id := range base.SortedKeys(v.known) {
 		if held := v.known[id]; v.alive(held) && held.accused < held.member.Incarnation {
-			if held.member.Role == RoleEdge {
+			if held.member.Role == RoleGateway {
 				edges = append(edges, id)
 			} else {
 				duties = append(duties, id)
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -208,7 +208,7 @@
 		return
 	}
 	v.partial = now + long
-	edges := base.Filter(base.SortedKeys(v.known), func(id string) bool { return v.known[id].member.Role == RoleEdge })
+	edges := base.Filter(base.SortedKeys(v.known), func(id string) bool { return v.known[id].member.Role == RoleGateway })
 	v.mix(edges)
 	v.changed()
 	for _, id := range edges[:min(len(edges), len(v.known)-viewLimit)] {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -11,9 +11,9 @@
 	"fordseam/internal/base"
 )
 
-// Unheard reports whether a member gave this node's own last question no answer,
+// Unanswered reports whether a member gave this node's own last question no answer,
 // as was found within a span. It may live: others may hear it.
-func (v *View) Unheard(id string, within time.Duration) bool {
+func (v *View) Unanswered(id string, within time.Duration) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	held, ok := v.known[id]
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -71,13 +71,13 @@
 	return roleMembers{}
 }
 
-// Alive lists the members of a role that are not suspected and not leaving,
+// Available lists the members of a role that are not suspected and not leaving,
 // this node included, by id. What the lists hold is shared: readers leave it
 // as it is.
-func (v *View) Alive(role string) []*Member { return slices.Clip(v.current().role(role).staying) }
+func (v *View) Available(role string) []*Member { return slices.Clip(v.current().role(role).staying) }
 
-// Present lists all of a role that are not suspected, leaving or not.
-func (v *View) Present(role string) []*Member { return slices.Clip(v.current().role(role).present) }
+// Live lists all of a role that are not suspected, leaving or not.
+func (v *View) Live(role string) []*Member { return slices.Clip(v.current().role(role).present) }
 
 // Known lists every member of a role, suspected or not.
 func (v *View) Known(role string) []*Member { return slices.Clip(v.current().role(role).known) }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	RoleEdge    = "edge"
+	RoleGateway = "edge"
 	RoleCore    = "core"
 	RoleStorage = "storage"
 
@@ -48,14 +48,14 @@
 	bounds   *base.Table[base.Bounds]
 	counters *base.Counters
 	seeds    []string
-	usages   UsageBook
+	usages   UsageStore
 	notify   *base.Bell
 	// Cluster tells the cluster this node knows itself to be of, from its disk
 	// or the control state; "" while it does not know. It is set before Run.
-	Cluster func() string
+	KnownCluster func() string
 	// Unwell says in a word what keeps this node from serving, if anything; it
 	// is set before Run.
-	Unwell func() string
+	UnwellReason func() string
 
 	published atomic.Pointer[snapshot]
 
@@ -76,15 +76,15 @@
 	closed  bool
 }
 
-// UsageBook is the worker slice's soft state that exchanges carry. Sample gives
+// UsageStore is the worker slice's soft state that exchanges carry. Sample gives
 // reports that were given fewer than times before, the least given first.
-type UsageBook interface {
+type UsageStore interface {
 	Sample(limit, times int) []*Usage
-	Unsaid(times int) bool
+	HasUnsent(times int) bool
 	Merge([]*Usage)
 }
 
-func NewView(clock base.Clock, wire base.Wire, bounds *base.Table[base.Bounds], counters *base.Counters, self *Member, seeds []string, usages UsageBook) *View {
+func NewView(clock base.Clock, wire base.Wire, bounds *base.Table[base.Bounds], counters *base.Counters, self *Member, seeds []string, usages UsageStore) *View {
 	self.Incarnation = max(self.Incarnation, 1)
 	return &View{clock: clock, wire: wire, bounds: bounds, counters: counters, self: self, seeds: seeds, notify: base.NewBell(clock),
 		usages: usages, known: map[string]*neighbour{}, news: map[string]*update{}, passed: map[string]tombstone{}, tombstones: map[string]tombstone{}}
@@ -93,17 +93,17 @@
 // Self is this node's own entry.
 func (v *View) Self() *Member { return v.current().byID[v.self.Id] }
 
-// Me is this node's id, which never changes within a life.
-func (v *View) Me() string { return v.self.Id }
+// SelfID is this node's id, which never changes within a life.
+func (v *View) SelfID() string { return v.self.Id }
 
 // Run exchanges with neighbours until the view is closed: every two beats, and
 // faster while there is news to pass on.
 func (v *View) Run() {
 	for !v.Closed() {
-		if v.Cluster != nil {
-			v.joinCluster(v.Cluster())
+		if v.KnownCluster != nil {
+			v.joinCluster(v.KnownCluster())
 		}
-		v.Refresh()
+		v.RefreshHealth()
 		began := v.clock.Now()
 		partner, addrs, joins := v.pickPartners()
 		if partner != "" {
@@ -127,7 +127,7 @@
 	for {
 		next := v.notify.Next()
 		v.mu.Lock()
-		hurry, alone, gossip := len(v.news) > 0, v.alone(), v.usages != nil && v.usages.Unsaid(v.times())
+		hurry, alone, gossip := len(v.news) > 0, v.alone(), v.usages != nil && v.usages.HasUnsent(v.times())
 		if !alone {
 			v.lonely = 0
 		}
@@ -158,8 +158,8 @@
 	return pause/2 + time.Duration(v.clock.Int64N(int64(pause/2)+1))
 }
 
-// Changed fires when this node hears something new of the others.
-func (v *View) Changed() base.Signal { return v.notify.Next() }
+// NextChange fires when this node hears something new of the others.
+func (v *View) NextChange() base.Signal { return v.notify.Next() }
 
 // wake forgets the news of before a long sleep, which are old.
 func (v *View) wake() {
@@ -169,11 +169,11 @@
 	v.counters.Add("views_woken", 1)
 }
 
-// Refresh takes the word on what keeps this node from serving at once, and
+// RefreshHealth takes the word on what keeps this node from serving at once, and
 // tells the neighbours if it has changed.
-func (v *View) Refresh() {
-	if v.Unwell != nil {
-		v.setUnwell(v.Unwell())
+func (v *View) RefreshHealth() {
+	if v.UnwellReason != nil {
+		v.setUnwell(v.UnwellReason())
 	}
 }
 
@@ -196,15 +196,15 @@
 	}
 }
 
-// Pin names the cluster from the settings file, before Run.
-func (v *View) Pin(cluster string) { v.joinCluster(cluster) }
+// SetCluster names the cluster from the settings file, before Run.
+func (v *View) SetCluster(cluster string) { v.joinCluster(cluster) }
 
 // Partial tells that the view holds as much as it may, so that there may be
 // more gateways than it knows of.
 func (v *View) Partial() bool { return len(v.current().all) > viewLimit }
 
-// Addresses lists where live neighbours are.
-func (v *View) Addresses() []string {
+// LiveAddresses lists where live neighbours are.
+func (v *View) LiveAddresses() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	found := map[string]bool{}
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -32,8 +32,8 @@
 			is := is.New(t)
 			bounds := &base.Table[base.Bounds]{}
 			bounds.Swap(base.DefaultBounds())
-			v := NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "me", Addr: "me:1", Role: RoleEdge}, nil, nil)
-			v.Pin(row.mine)
+			v := NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "me", Addr: "me:1", Role: RoleGateway}, nil, nil)
+			v.SetCluster(row.mine)
 			message := &ShuffleMessage{Cluster: row.theirs, Members: []*Member{{Id: "other", Addr: "other:1", Role: RoleCore, Incarnation: 1}}}
 			if row.asked {
 				v.merge(message, "other:1")
@@ -55,13 +55,13 @@
 	is := is.New(t)
 	v := viewOf(40)
 	id := "10.0.0.5:1/one"
-	count := func() int { return len(v.Present(RoleEdge)) }
+	count := func() int { return len(v.Live(RoleGateway)) }
 	all := count()
 	v.doubt(id)
 	_, alive := v.Find(id)
 	is.Equal(alive, false)
 	is.Equal(count(), all-1)
-	is.Equal(len(v.Known(RoleEdge)), all)
+	is.Equal(len(v.Known(RoleGateway)), all)
 	v.trust(id)
 	is.Equal(count(), all)
 	v.mu.Lock()
@@ -73,7 +73,7 @@
 	v.mu.Lock()
 	v.endLife(id, 1)
 	v.mu.Unlock()
-	is.Equal(len(v.Known(RoleEdge)), all-1)
+	is.Equal(len(v.Known(RoleGateway)), all-1)
 	v.setUnwell("busy")
 	is.Equal(v.Self().Unwell, "busy")
 }
@@ -82,7 +82,7 @@
 	t.Helper()
 	bounds := &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
-	return NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "me:1/a", Addr: "me:1", Role: RoleEdge, Zone: zone}, nil, nil)
+	return NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "me:1/a", Addr: "me:1", Role: RoleGateway, Zone: zone}, nil, nil)
 }
 
 func said(t *testing.T, v *View, members ...*Member) *ShuffleMessage {
@@ -114,7 +114,7 @@
 
 	third := newView(t, "z")
 	said(t, third, former())
-	reply := said(t, v, &Member{Id: "third:1/a", Role: RoleEdge, Incarnation: 1})
+	reply := said(t, v, &Member{Id: "third:1/a", Role: RoleGateway, Incarnation: 1})
 	third.merge(reply, "")
 	_, alive = third.Find("other:1/a")
 	is.True(!alive)
@@ -127,7 +127,7 @@
 func TestSuspicionIsRefuted(t *testing.T) {
 	is := is.New(t)
 	v := newView(t, "z")
-	said(t, v, &Member{Id: "other:1/a", Role: RoleEdge, Incarnation: 1}, &Member{Id: "me:1/a", Incarnation: 1, State: State_SUSPECTED})
+	said(t, v, &Member{Id: "other:1/a", Role: RoleGateway, Incarnation: 1}, &Member{Id: "me:1/a", Incarnation: 1, State: State_SUSPECTED})
 	is.Equal(v.Self().Incarnation, uint64(2))
 	v.doubt("other:1/a")
 	_, alive := v.Find("other:1/a")
@@ -138,7 +138,7 @@
 	reply := said(t, v, &Member{Id: "other:1/a", Incarnation: 1})
 	is.Equal(reply.Members[1].Id, "other:1/a")
 	is.Equal(reply.Members[1].State, State_SUSPECTED)
-	said(t, v, &Member{Id: "other:1/a", Role: RoleEdge, Incarnation: 2})
+	said(t, v, &Member{Id: "other:1/a", Role: RoleGateway, Incarnation: 2})
 	_, alive = v.Find("other:1/a")
 	is.True(alive)
 }
@@ -147,7 +147,7 @@
 func TestNewsEnds(t *testing.T) {
 	is := is.New(t)
 	v := newView(t, "z")
-	said(t, v, &Member{Id: "other:1/a", Role: RoleEdge, Incarnation: 1})
+	said(t, v, &Member{Id: "other:1/a", Role: RoleGateway, Incarnation: 1})
 	told := 0
 	for range 100 {
 		for _, member := range v.message("", false, nil).Members {
@@ -168,7 +168,7 @@
 	v := newView(t, "z0")
 	for place := range 12 {
 		addr := fmt.Sprintf("other-%d:1", place)
-		said(t, v, &Member{Id: addr + "/a", Addr: addr, Role: RoleEdge, Zone: fmt.Sprint("z", place%3), Incarnation: 1})
+		said(t, v, &Member{Id: addr + "/a", Addr: addr, Role: RoleGateway, Zone: fmt.Sprint("z", place%3), Incarnation: 1})
 	}
 	near, met := 0, map[string]bool{}
 	for range 300 {
@@ -193,15 +193,15 @@
 	const id = "other:1/a"
 	_, err := v.Shuffle(context.Background(), &ShuffleMessage{Members: []*Member{{Id: id, Addr: "other:1", Role: RoleCore, Incarnation: 1}}})
 	is.NoErr(err)
-	is.True(!v.Unheard(id, time.Hour))
+	is.True(!v.Unanswered(id, time.Hour))
 	v.hear(id, false)
 	v.doubt(id)
 	v.trust(id)
 	_, alive := v.Find(id)
 	is.True(alive)
-	is.True(v.Unheard(id, time.Hour))
-	is.True(!v.Unheard(id, -1)) // found longer ago than that
+	is.True(v.Unanswered(id, time.Hour))
+	is.True(!v.Unanswered(id, -1)) // found longer ago than that
 	v.hear(id, true)
-	is.True(!v.Unheard(id, time.Hour))
-	is.True(!v.Unheard("nobody", time.Hour))
+	is.True(!v.Unanswered(id, time.Hour))
+	is.True(!v.Unanswered("nobody", time.Hour))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -71,7 +71,7 @@
 	mux    *http.ServeMux
 }
 
-func newCommon(env Env, place Place, usages membership.UsageBook, bounds *base.Table[base.Bounds]) *common {
+func newCommon(env Env, place Place, usages membership.UsageStore, bounds *base.Table[base.Bounds]) *common {
 	c := &common{env: env, place: place.Bounds, bounds: bounds, mux: http.NewServeMux()}
 	self := &membership.Member{Id: place.Addr + "/" + base.NewID(env.Clock, ""), Addr: place.Addr, PublicAddr: place.Public, Role: place.Role, Zone: place.Zone}
 	seeds := slices.Clone(place.Seeds)
@@ -79,7 +79,7 @@
 		seeds = append(seeds, disk.Neighbours(env.Files)...)
 	}
 	c.view = membership.NewView(env.Clock, env.Wire, bounds, env.Counters, self, seeds, usages)
-	c.view.Pin(place.Cluster)
+	c.view.SetCluster(place.Cluster)
 	c.mount(membership.NewMembershipServer(c.view))
 	return c
 }
@@ -109,31 +109,31 @@
 // follow makes a follower that keeps the settings, the bounds and the guard.
 // Where there are rules of access it tells the core what it holds, and asks
 // more often while they change.
-func (c *common) follow(tree *base.Table[settings.Tree], guard *access.Guard, also func(*feed.Frame)) (*register.Client, *feed.Follower) {
+func (c *common) follow(tree *base.Table[settings.Tree], guard *access.Guard, also func(*feed.Snapshot)) (*register.Client, *feed.Follower) {
 	client := register.NewClient(c.env.Clock, c.env.Wire, c.view, c.bounds)
-	known, held := &settings.Known{}, uint64(0)
-	follower := feed.NewFollower(c.env.Clock, c.env.Wire, c.view, client, c.bounds, c.env.Counters, func(frame *feed.Frame) {
-		stamp, next, fresh := known.Learn(frame.Values)
+	known, held := &settings.FeedCache{}, uint64(0)
+	follower := feed.NewFollower(c.env.Clock, c.env.Wire, c.view, client, c.bounds, c.env.Counters, func(frame *feed.Snapshot) {
+		stamp, next, fresh := known.Update(frame.Values)
 		if fresh {
-			bounds := next.BoundsOver(c.place)
+			bounds := next.BoundsWithDefaults(c.place)
 			c.bounds.Swap(&bounds)
 			tree.Swap(next)
 		}
 		if next != nil {
 			held = stamp
-			guard.Learn(known.Access())
+			guard.SetRules(known.AccessTables())
 		}
 		also(frame)
 	})
-	follower.Tell = func(request *feed.FollowRequest) {
-		if guard.Rules() {
-			request.Node, request.Stamp = c.view.Me(), held
+	follower.AddNodeInfo = func(request *feed.FollowRequest) {
+		if guard.HasRules() {
+			request.Node, request.Stamp = c.view.SelfID(), held
 		}
-		if guard.Changing() {
+		if guard.ChangePending() {
 			request.HoldMs = c.bounds.Load().AccessHold().Milliseconds()
 		}
 	}
-	guard.Follow(follower)
+	guard.SetFeedStatus(follower)
 	return client, follower
 }
 
@@ -159,14 +159,14 @@
 }
 
 func NewGateway(env Env, place Place) *Gateway {
-	place.Role = membership.RoleEdge
+	place.Role = membership.RoleGateway
 	bounds, tree := newBounds(place), &base.Table[settings.Tree]{}
 	book := worker.NewBook(env.Clock, bounds)
 	picker := worker.NewPicker(env.Clock, bounds, env.Counters, book, place.Zone)
 	c := newCommon(env, place, book, bounds)
 	g := &Gateway{common: c, Access: access.NewGuard(env.Clock, bounds, env.Counters)}
-	env.Counters.Also(g.Access.Counts)
-	client, follower := c.follow(tree, g.Access, func(frame *feed.Frame) {
+	env.Counters.Also(g.Access.AddCounts)
+	client, follower := c.follow(tree, g.Access, func(frame *feed.Snapshot) {
 		picker.Swap(worker.RosterOf(frame.Values))
 		g.Keeper.Ended(endedIn(frame.Values))
 		g.learn(frame)
@@ -210,7 +210,7 @@
 
 // Start begins the node's own tasks.
 func (g *Gateway) Start() {
-	g.view.Unwell = unwell(g.Ready)
+	g.view.UnwellReason = unwell(g.Ready)
 	g.env.Clock.Go(g.view.Run)
 	g.env.Clock.Go(g.Follower.Run)
 	g.env.Clock.Go(g.Keeper.Run)
@@ -225,7 +225,7 @@
 
 // Stamp is the settings' stamp this gateway goes by.
 func (g *Gateway) Stamp() uint64 {
-	return settings.StampIn(g.Follower.Frame().Values)
+	return settings.StampFromFeed(g.Follower.Snapshot().Values)
 }
 
 // Ready says whether the platform may send callers here.
@@ -233,7 +233,7 @@
 	if g.Front.Tree.Load() == nil {
 		return base.Busy(503, "no_settings", 1, "no settings have been applied")
 	}
-	if !g.Follower.Permitted() {
+	if !g.Follower.HasLease() {
 		return base.Busy(503, "no_confirmed_settings", 1, "settings are not confirmed")
 	}
 	if g.view.Self().Leaving {
@@ -263,7 +263,7 @@
 	Follower *feed.Follower
 	Operate  *operate.Operate
 	Register *register.Client
-	settles  *access.Duty
+	settles  *access.Activator
 	// Lister asks for the list of workers; it is set before Start where this
 	// core keeps a roster.
 	Lister  relay.Lister
@@ -275,7 +275,7 @@
 	bounds, tree := newBounds(place), &base.Table[settings.Tree]{}
 	c := newCommon(env, place, nil, bounds)
 	owner := register.NewOwner(env.Clock, env.Wire, c.view, bounds, env.Counters)
-	settings.Serve(owner)
+	settings.RegisterHandlers(owner)
 	budget.Serve(owner)
 	session.Serve(owner)
 	toolcall.Serve(owner)
@@ -283,10 +283,10 @@
 	route.Serve(owner)
 	relay.Serve(owner)
 	guard := access.NewGuard(env.Clock, bounds, env.Counters)
-	client, follower := c.follow(tree, guard, func(*feed.Frame) {})
+	client, follower := c.follow(tree, guard, func(*feed.Snapshot) {})
 	if place.Tolerate > 0 {
 		owner.Mend(place.Tolerate)
-		kept := ledger.NewClient(env.Clock, env.Wire, func() *register.DiskSet { return register.DisksOf(follower.Frame().Values) }, place.Zone, place.Tolerate, bounds, env.Counters, nil)
+		kept := ledger.NewClient(env.Clock, env.Wire, func() *register.DiskSet { return register.DisksOf(follower.Snapshot().Values) }, place.Zone, place.Tolerate, bounds, env.Counters, nil)
 		owner.Keeps(kept)
 	}
 	core := &Core{common: c, Owner: owner, Follower: follower, Register: client}
@@ -297,15 +297,15 @@
 	c.mount(register.NewRegisterServer(owner))
 	told := feed.NewService(env.Clock, owner, follower)
 	c.mount(feed.NewFeedServer(told))
-	access.Serve(owner, told.Learnt, func() any { return told.Holders(2 * bounds.Load().Recover) })
-	core.settles = &access.Duty{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Register: client, Follower: follower, Epoch: owner.FeedEpoch, Learnt: told.Learnt}
+	access.RegisterHandlers(owner, told.AllNodesHave, func() any { return told.ReportedSettings(2 * bounds.Load().Recover) })
+	core.settles = &access.Activator{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Register: client, Follower: follower, Epoch: owner.FeedEpoch, AllNodesHave: told.AllNodesHave}
 	core.Operate = &operate.Operate{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Register: client, Owner: owner, Counters: env.Counters,
-		Frame: func() map[string][]byte { return follower.Frame().Values }}
+		Frame: func() map[string][]byte { return follower.Snapshot().Values }}
 	return core
 }
 
 func (c *Core) Start() {
-	c.view.Unwell, c.view.Cluster = unwell(c.state), c.Owner.Cluster
+	c.view.UnwellReason, c.view.KnownCluster = unwell(c.state), c.Owner.Cluster
 	c.env.Clock.Go(c.view.Run)
 	c.env.Clock.Go(c.Owner.Run)
 	if c.founder != nil {
@@ -315,7 +315,7 @@
 	c.env.Clock.Go(c.settles.Run)
 	if c.Lister != nil {
 		duty := &relay.Duty{Clock: c.env.Clock, Bounds: c.bounds, Counters: c.env.Counters, Register: c.Register, Follower: c.Follower, Lister: c.Lister,
-			Holds: c.Owner.ServesFeed, Needed: func() bool { return len(c.Follower.Frame().Values[route.DocumentKey]) > 0 }}
+			Holds: c.Owner.ServesFeed, Needed: func() bool { return len(c.Follower.Snapshot().Values[route.DocumentKey]) > 0 }}
 		c.env.Clock.Go(duty.Run)
 	}
 }
@@ -325,7 +325,7 @@
 
 // Ready says whether this core can reach the control state.
 func (c *Core) Ready() error {
-	if !c.Follower.Permitted() {
+	if !c.Follower.HasLease() {
 		return base.Busy(503, "no_confirmed_state", 1, "the control state is not confirmed")
 	}
 	return nil
@@ -382,7 +382,7 @@
 }
 
 func (s *Storage) Start() {
-	s.view.Unwell, s.view.Cluster = unwell(s.Ready), s.Store.Cluster
+	s.view.UnwellReason, s.view.KnownCluster = unwell(s.Ready), s.Store.Cluster
 	s.env.Clock.Go(s.view.Run)
 	s.env.Clock.Go(s.remember)
 	s.env.Clock.Go(s.Ledger.Run)
@@ -394,7 +394,7 @@
 	kept := disk.Neighbours(s.env.Files)
 	for !s.view.Closed() {
 		s.env.Clock.Sleep(s.bounds.Load().Suspect())
-		if now := s.view.Addresses(); s.Store.Cluster() != "" && len(now) > 0 && !slices.Equal(now, kept) {
+		if now := s.view.LiveAddresses(); s.Store.Cluster() != "" && len(now) > 0 && !slices.Equal(now, kept) {
 			if disk.KeepNeighbours(s.env.Files, now) == nil {
 				kept = now
 			}
--- a/internal/node/tier.go
+++ b/internal/node/tier.go
@@ -19,7 +19,7 @@
 )
 
 // learn takes what a frame of the feed says of routes, workers and disks.
-func (g *Gateway) learn(frame *feed.Frame) {
+func (g *Gateway) learn(frame *feed.Snapshot) {
 	if disks := register.DisksOf(frame.Values); disks != nil {
 		g.disks.Swap(disks)
 	}
@@ -65,11 +65,11 @@
 // Allows says whether a client's request may call the model it names. It goes
 // before anything else is done for the request.
 func (g *Gateway) Allows(ctx *base.Ctx, matched *route.Route, call *relay.Call) error {
-	if !g.Access.Rules() || !matched.Models() {
+	if !g.Access.HasRules() || !matched.Models() {
 		return nil
 	}
 	host, _, _ := strings.Cut(call.Host, ":")
-	return g.Access.Allows(ctx, &access.Question{Host: strings.ToLower(host), Place: access.Place{Route: matched.Name}, Model: call.Model})
+	return g.Access.Authorize(ctx, &access.Request{Host: strings.ToLower(host), Scope: access.Scope{Route: matched.Name}, Model: call.Model})
 }
 
 // Serves says whether clients of the operator's routes may be sent here.
@@ -162,7 +162,7 @@
 	if service.MaxConns <= 0 {
 		return 0
 	}
-	return shareOf(service.MaxConns, max(1, g.Follower.Gateways(), len(g.view.Present(membership.RoleEdge))))
+	return shareOf(service.MaxConns, max(1, g.Follower.GatewayCount(), len(g.view.Live(membership.RoleGateway))))
 }
 
 // shareOf cuts three quarters of what a worker takes into equal parts, rounded
--- a/internal/operate/access.go
+++ b/internal/operate/access.go
@@ -15,9 +15,9 @@
 // AccessState is how far a change of the rules has come.
 type AccessState struct {
 	// Stamp is of the settings that stand; InForce of those whose rules decide.
-	Stamp   uint64        `json:"stamp"`
-	InForce uint64        `json:"in_force"`
-	Holders []feed.Holder `json:"holders"`
+	Stamp   uint64              `json:"stamp"`
+	InForce uint64              `json:"in_force"`
+	Holders []feed.NodeSettings `json:"holders"`
 }
 
 // AccessView is the whole of it.
@@ -34,24 +34,24 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	tree, _ := settings.Read(record.Document)
+	tree, _ := settings.Parse(record.Document)
 	return record, tree.Access(), nil
 }
 
-func (o *Operate) holders(ctx *base.Ctx) ([]feed.Holder, error) {
-	found := []feed.Holder{}
+func (o *Operate) holders(ctx *base.Ctx) ([]feed.NodeSettings, error) {
+	found := []feed.NodeSettings{}
 	err := o.Register.Change(ctx, register.FeedGroup, "access.holders", struct{}{}, &found)
 	return found, err
 }
 
 func (o *Operate) stateOf(ctx *base.Ctx, record *settings.Record) (AccessState, error) {
 	state := AccessState{Stamp: record.Stamp, InForce: record.Stamp}
-	pending, err := access.Read(ctx, o.Register)
+	pending, err := access.ReadPending(ctx, o.Register)
 	if err != nil {
 		return state, err
 	}
 	if pending != nil {
-		state.InForce = pending.Force
+		state.InForce = pending.InForce
 	}
 	state.Holders, err = o.holders(ctx)
 	return state, err
@@ -69,14 +69,14 @@
 // accessState is nil where there are no rules, or nobody can say.
 func (o *Operate) accessState(ctx *base.Ctx) *AccessState {
 	values := o.Frame()
-	pending := access.PendingIn(values)
-	if pending == nil && !settings.HasAccess(values) {
+	pending := access.PendingFromFeed(values)
+	if pending == nil && !settings.HasTeams(values) {
 		return nil
 	}
-	state := &AccessState{Stamp: settings.StampIn(values), Holders: []feed.Holder{}}
+	state := &AccessState{Stamp: settings.StampFromFeed(values), Holders: []feed.NodeSettings{}}
 	state.InForce = state.Stamp
 	if pending != nil {
-		state.InForce = pending.Force
+		state.InForce = pending.InForce
 	}
 	if holders, err := o.holders(ctx.Within(o.Bounds.Load().Call())); err == nil {
 		state.Holders = holders
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	reasons, err := table.Check(team, model)
+	reasons, err := table.Explain(team, model)
 	if err != nil {
 		return nil, err
 	}
@@ -104,9 +104,9 @@
 }
 
 func (o *Operate) accessDiff(ctx *base.Ctx, document []byte) (any, error) {
-	tree, faults := settings.Read(document)
+	tree, faults := settings.Parse(document)
 	if len(faults) > 0 {
-		return nil, settings.FaultVerdict(faults)
+		return nil, settings.InvalidDocument(faults)
 	}
 	record, table, err := o.held(ctx)
 	if err != nil {
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -109,8 +109,8 @@
 }
 
 func (o *Operate) check(document []byte) (any, error) {
-	if _, faults := settings.Read(document); len(faults) > 0 {
-		return nil, settings.FaultVerdict(faults)
+	if _, faults := settings.Parse(document); len(faults) > 0 {
+		return nil, settings.InvalidDocument(faults)
 	}
 	return map[string]bool{"valid": true}, nil
 }
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, err
 	}
-	tree, faults := settings.Read(record.Document)
+	tree, faults := settings.Parse(record.Document)
 	if len(faults) > 0 {
 		return nil, base.Decline(404, "no_settings", "no settings have been applied")
 	}
@@ -209,8 +209,8 @@
 
 func (o *Operate) status(ctx *base.Ctx) StatusView {
 	owned, set := o.Owner.Frame()
-	shown := StatusView{Core: o.View.Me(), Slots: owned, SetStamp: set.GetStamp(), Cluster: set.GetCluster(), Counters: o.Counters.Frame()}
-	for _, role := range []string{membership.RoleEdge, membership.RoleCore, membership.RoleStorage} {
+	shown := StatusView{Core: o.View.SelfID(), Slots: owned, SetStamp: set.GetStamp(), Cluster: set.GetCluster(), Counters: o.Counters.Frame()}
+	for _, role := range []string{membership.RoleGateway, membership.RoleCore, membership.RoleStorage} {
 		for _, member := range o.View.Known(role) {
 			_, alive := o.View.Find(member.Id)
 			shown.Members = append(shown.Members, MemberView{member.Id, role, member.Zone, member.Addr, member.PublicAddr, alive, member.Leaving, member.Unwell})
@@ -264,7 +264,7 @@
 			found = append(found, fmt.Sprintf("disk %s at %s does not answer; %s", entry.Id, entry.Addr, o.advice()))
 		}
 	})
-	base.AskAll(o.Clock, o.View.Present(membership.RoleCore), o.Bounds.Load().DiskLimit(), func(ctx *base.Ctx, member *membership.Member) {
+	base.AskAll(o.Clock, o.View.Live(membership.RoleCore), o.Bounds.Load().DiskLimit(), func(ctx *base.Ctx, member *membership.Member) {
 		reply, err := register.NewRegisterProtobufClient("http://"+member.Addr, o.Wire).Census(ctx, &register.CensusRequest{Set: set})
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -17,8 +17,8 @@
 
 // StepLimit bounds one call; SourceLimit the text.
 const (
-	StepLimit   = 20000
-	SourceLimit = 16 << 10
+	MaxSteps       = 20000
+	MaxSourceBytes = 16 << 10
 )
 
 // Policy is one compiled program; it may be called from many tasks.
@@ -33,19 +33,19 @@
 	Zone     string
 	Load     int
 	Capacity int
-	Former   bool
+	Previous bool
 }
 
 func thread() *starlark.Thread {
 	fresh := &starlark.Thread{Name: "policy", Print: func(*starlark.Thread, string) {}}
-	fresh.SetMaxExecutionSteps(StepLimit)
+	fresh.SetMaxExecutionSteps(MaxSteps)
 	return fresh
 }
 
 // Compile checks a program and tries each of its functions once.
 func Compile(source string) (*Policy, error) {
-	if len(source) > SourceLimit {
-		return nil, errors.Errorf("is longer than %d bytes", SourceLimit)
+	if len(source) > MaxSourceBytes {
+		return nil, errors.Errorf("is longer than %d bytes", MaxSourceBytes)
 	}
 	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{}, thread(), "policy", source, nil)
 	if err != nil {
@@ -67,7 +67,7 @@
 		return nil, errors.New("must define nominate(leg, workers) or admit(session)")
 	}
 	trial := []Candidate{{"worker-1", "zone-1", 1, 4, true}, {"worker-2", "zone-2", 4, 4, false}}
-	if _, err := p.Pick("normal", "zone-1", trial); err != nil {
+	if _, err := p.Nominate("normal", "zone-1", trial); err != nil {
 		return nil, errors.Annotate(err, "nominate, tried on two workers")
 	}
 	if _, err := p.Admit("normal", "route", 3); err != nil {
@@ -106,14 +106,14 @@
 	return starlark.Call(thread(), function, args, nil)
 }
 
-// Pick gives the id of the chosen worker, or nothing when the policy
+// Nominate gives the id of the chosen worker, or nothing when the policy
 // leaves the choice to the built-in rule.
-func (p *Policy) Pick(urgency, zone string, candidates []Candidate) (string, error) {
+func (p *Policy) Nominate(urgency, zone string, candidates []Candidate) (string, error) {
 	if p.nominate == nil {
 		return "", nil
 	}
 	workers := base.Map(candidates, func(one Candidate) starlark.Value {
-		return dict("id", one.ID, "zone", one.Zone, "load", one.Load, "capacity", one.Capacity, "former", one.Former)
+		return dict("id", one.ID, "zone", one.Zone, "load", one.Load, "capacity", one.Capacity, "former", one.Previous)
 	})
 	result, err := call(p.nominate, dict("urgency", urgency, "zone", zone), starlark.NewList(workers))
 	if err != nil {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -42,10 +42,10 @@
 `)
 	is.NoErr(err)
 	workers := []Candidate{{"a", "x", 0, 1, true}, {"b", "y", 0, 1, false}}
-	id, err := p.Pick("normal", "y", workers)
+	id, err := p.Nominate("normal", "y", workers)
 	is.NoErr(err)
 	is.Equal(id, "b")
-	id, err = p.Pick("normal", "z", workers)
+	id, err = p.Nominate("normal", "z", workers)
 	is.NoErr(err)
 	is.Equal(id, "") // left to the built-in rule
 	for _, row := range []struct {
--- a/internal/register/census.go
+++ b/internal/register/census.go
@@ -22,7 +22,7 @@
 			learned[entry.Id] = map[uint32]bool{}
 		}
 	}
-	present := o.view.Present(membership.RoleCore)
+	present := o.view.Live(membership.RoleCore)
 	suspects := o.suspects(present)
 	answered := map[string]bool{}
 	base.Ask(o.clock, present, 1, o.bounds.Load().DiskLimit()*6/10, func(ctx *base.Ctx, member *membership.Member) bool {
@@ -81,7 +81,7 @@
 func (o *Owner) Census(_ context.Context, request *CensusRequest) (*CensusReply, error) {
 	o.Learn(request.Set)
 	for _, id := range request.Suspects {
-		if id != o.view.Me() {
+		if id != o.view.SelfID() {
 			o.view.Probe(id)
 		}
 	}
--- a/internal/register/decide.go
+++ b/internal/register/decide.go
@@ -39,7 +39,7 @@
 		if serves {
 			return "", nil
 		}
-		if o.preferred(s) != o.view.Me() {
+		if o.preferred(s) != o.view.SelfID() {
 			o.lookAhead(ctx, s)
 			if other := o.ahead(s); other != "" {
 				return other, nil
--- a/internal/register/observe.go
+++ b/internal/register/observe.go
@@ -55,7 +55,7 @@
 		view.leaving[retiring.Node] = true
 	}
 	lives := map[string]*membership.Member{}
-	for _, member := range o.view.Present(membership.RoleStorage) {
+	for _, member := range o.view.Live(membership.RoleStorage) {
 		lives[member.Addr] = member
 	}
 	departed := departedAddresses(o.view)
@@ -138,7 +138,7 @@
 	for _, member := range view.Known(membership.RoleStorage) {
 		departed[member.Addr] = departed[member.Addr] || member.Leaving
 	}
-	for _, member := range view.Present(membership.RoleStorage) {
+	for _, member := range view.Live(membership.RoleStorage) {
 		if !member.Leaving {
 			departed[member.Addr] = false
 		}
--- a/internal/register/owner.go
+++ b/internal/register/owner.go
@@ -67,7 +67,7 @@
 
 // claim is a message's head to one disk of a set.
 func (o *Owner) claim(s *slot, epoch uint64, set *DiskSet, entry *DiskEntry) *Claim {
-	return &Claim{Slot: s.num, Epoch: epoch, Owner: o.view.Me(), SetStamp: set.Stamp, Disk: entry.Id}
+	return &Claim{Slot: s.num, Epoch: epoch, Owner: o.view.SelfID(), SetStamp: set.Stamp, Disk: entry.Id}
 }
 
 // Run takes the slots that rendezvous gives this core, and sweeps.
@@ -75,7 +75,7 @@
 	swept := o.clock.Now()
 	for !o.isClosed() {
 		for _, s := range o.slots {
-			if o.preferred(s) == o.view.Me() {
+			if o.preferred(s) == o.view.SelfID() {
 				o.start(s)
 			}
 		}
--- a/internal/register/quorum.go
+++ b/internal/register/quorum.go
@@ -40,7 +40,7 @@
 	}
 	c.mu.Unlock()
 	if o.WithoutQuorum() != before {
-		o.view.Refresh()
+		o.view.RefreshHealth()
 	}
 	if !reached {
 		o.seekQuorum()
@@ -93,7 +93,7 @@
 // ownersFor orders the live cores for a slot. Those without a majority of the
 // disks are left out unless all are.
 func ownersFor(view *membership.View, slot uint32) []string {
-	alive := view.Alive(membership.RoleCore)
+	alive := view.Available(membership.RoleCore)
 	able := base.Filter(alive, func(m *membership.Member) bool { return m.Unwell != NoQuorum })
 	if len(able) == 0 {
 		able = alive
--- a/internal/register/quorum_test.go
+++ b/internal/register/quorum_test.go
@@ -66,8 +66,8 @@
 			is.True(id != "b:1/b")
 		}
 	}
-	o.view.Unwell = func() string { return NoQuorum }
-	o.view.Refresh()
+	o.view.UnwellReason = func() string { return NoQuorum }
+	o.view.RefreshHealth()
 	hear("c:1/c", "c:1", NoQuorum, 2)
 	is.Equal(len(ownersFor(o.view, 0)), 3)
 }
--- a/internal/register/search.go
+++ b/internal/register/search.go
@@ -91,7 +91,7 @@
 // awaitCore waits until this node hears of others while it knows no core: it has
 // just started, and asks nobody meanwhile.
 func (s *search) awaitCore() {
-	changed := s.client.view.Changed()
+	changed := s.client.view.NextChange()
 	if s.client.choose(s.slot, s.turned) == "" {
 		changed.Wait(min(s.ctx.Left(), s.client.bounds.Load().Beat()/4))
 	}
--- a/internal/register/takeover.go
+++ b/internal/register/takeover.go
@@ -32,7 +32,7 @@
 func (o *Owner) ahead(s *slot) string {
 	for _, id := range ownersFor(o.view, s.num) {
 		switch {
-		case id == o.view.Me():
+		case id == o.view.SelfID():
 			return ""
 		case !o.unheard(id):
 			return id
@@ -43,7 +43,7 @@
 
 // unheard tells that a core has lately given this one no answer.
 func (o *Owner) unheard(core string) bool {
-	return o.view.Unheard(core, 2*o.bounds.Load().Beat())
+	return o.view.Unanswered(core, 2*o.bounds.Load().Beat())
 }
 
 // lookAhead probes the cores that go before this one in a slot's order, since
@@ -53,7 +53,7 @@
 func (o *Owner) lookAhead(ctx *base.Ctx, s *slot) {
 	var first base.Signal
 	for place, id := range ownersFor(o.view, s.num) {
-		if id == o.view.Me() || place >= probedAhead {
+		if id == o.view.SelfID() || place >= probedAhead {
 			break
 		}
 		if probe := o.view.Probe(id); place == 0 && !o.unheard(id) {
@@ -93,7 +93,7 @@
 func (o *Owner) pauseTaking(failed error) {
 	pause := o.bounds.Load().Beat() / 4
 	if base.IsCode(failed, "no_disks") {
-		o.view.Changed().Wait(pause)
+		o.view.NextChange().Wait(pause)
 		return
 	}
 	o.clock.Sleep(pause + time.Duration(o.clock.Int64N(int64(pause))))
--- a/internal/relay/duty.go
+++ b/internal/relay/duty.go
@@ -66,7 +66,7 @@
 // change of the same slot goes between two parts. What a part that failed would
 // have changed is found again with the next list.
 func (d *Duty) tell(list []Worker) {
-	now, _ := d.roster.Read(d.Follower.Frame().Values)
+	now, _ := d.roster.Read(d.Follower.Snapshot().Values)
 	for _, change := range changesTo(now, list) {
 		if err := Amend(base.NewCtx(d.Clock, d.Bounds.Load().Call()), d.Register, change); err != nil {
 			d.Counters.Add("roster_changes_failed", 1)
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -38,7 +38,7 @@
 		return nil, base.Busy(503, "no_settings", 1, "no settings have been applied")
 	}
 	record := h.snapshot()
-	route, err := tree.Match(record.Group, record.Site, record.Route)
+	route, err := tree.Route(record.Group, record.Site, record.Route)
 	if err != nil {
 		return nil, base.FromWire(err)
 	}
@@ -47,7 +47,7 @@
 		made.wanted = min(made.wanted, op.visit.MaxTokens)
 	}
 	if route.Fallback != "" {
-		made.fallback, _ = tree.Match(record.Group, record.Site, route.Fallback)
+		made.fallback, _ = tree.Route(record.Group, record.Site, route.Fallback)
 	}
 	h.mu.Lock()
 	former := h.worker
@@ -257,7 +257,7 @@
 // stillOwns is the last look before an attempt goes out: the permit on the
 // monotonic clock, and the register's word if the permit had lapsed since.
 func (k *Keeper) stillOwns(ctx *base.Ctx, h *held, run string) error {
-	if err := k.follower.Permit(ctx); err != nil {
+	if err := k.follower.WaitForLease(ctx); err != nil {
 		return err
 	}
 	if err := k.revalidate(ctx, h); err != nil {
--- a/internal/session/forward.go
+++ b/internal/session/forward.go
@@ -47,7 +47,7 @@
 	}
 	record := &Record{ID: v.Session, Program: v.Program, Run: request.Assignment.Run, Epoch: request.Assignment.Epoch, Owner: k.me()}
 	var reply *Reply
-	err := k.follower.Permit(ctx)
+	err := k.follower.WaitForLease(ctx)
 	if err == nil {
 		reply, err = k.serve(ctx, record, &v)
 	}
--- a/internal/session/held.go
+++ b/internal/session/held.go
@@ -220,7 +220,7 @@
 // revalidate asks the register whether the Run still stands, after this
 // node went without a permit or a change of its own ended unknown.
 func (k *Keeper) revalidate(ctx *base.Ctx, h *held) error {
-	lapses := k.follower.Lapses()
+	lapses := k.follower.LeaseExpirations()
 	h.mu.Lock()
 	unsureLeg := h.unsure
 	sure := h.lapses == lapses && unsureLeg == ""
--- a/internal/session/keeper.go
+++ b/internal/session/keeper.go
@@ -120,7 +120,7 @@
 		declined: map[string]*declinedVisit{}, ended: map[string]budget.Termination{}, repeats: repeatMost, stopping: p.Clock.NewSignal()}
 }
 
-func (k *Keeper) me() string { return k.view.Me() }
+func (k *Keeper) me() string { return k.view.SelfID() }
 
 func (k *Keeper) change(ctx *base.Ctx, program, op string, asked ask) (*told, error) {
 	var answer told
@@ -179,7 +179,7 @@
 			return found
 		}
 	}
-	fresh := newHeld(k.clock, record, turns, k.follower.Lapses())
+	fresh := newHeld(k.clock, record, turns, k.follower.LeaseExpirations())
 	k.held[record.ID] = fresh
 	return fresh
 }
@@ -257,7 +257,7 @@
 func (k *Keeper) Visit(ctx *base.Ctx, v *Visit) (*Reply, error) {
 	anew, lookedUp, tried := false, "", &attempt{}
 	for {
-		if err := k.follower.Permit(ctx); err != nil {
+		if err := k.follower.WaitForLease(ctx); err != nil {
 			return nil, k.giveUp(v, tried, err)
 		}
 		record, err := k.resolve(ctx, v, anew)
--- a/internal/session/record_test.go
+++ b/internal/session/record_test.go
@@ -79,9 +79,9 @@
 	}
 	for _, row := range rows {
 		is := is.New(t)
-		tree, faults := settings.Read([]byte(`{` + row.document + `"pools":{"m":{"kind":"model"}},"groups":{"g":{"sites":{"s":{"routes":{"r":{"kind":"model","pool":"m"}}}}}}}`))
+		tree, faults := settings.Parse([]byte(`{` + row.document + `"pools":{"m":{"kind":"model"}},"groups":{"g":{"sites":{"s":{"routes":{"r":{"kind":"model","pool":"m"}}}}}}}`))
 		is.Equal(len(faults), 0)
-		route, err := tree.Match("g", "s", "r")
+		route, err := tree.Route("g", "s", "r")
 		is.NoErr(err)
 		size, ms := Limits(route, row.queue, row.timeout)
 		is.Equal(size, row.wantSize)
--- a/internal/session/succession.go
+++ b/internal/session/succession.go
@@ -22,7 +22,7 @@
 func (k *Keeper) pickStandby(session, not string) string {
 	self := k.view.Self()
 	near, far := []string{}, []string{}
-	for _, member := range k.view.Alive(membership.RoleEdge) {
+	for _, member := range k.view.Available(membership.RoleGateway) {
 		switch {
 		case member.Id == self.Id || member.Id == not:
 		case member.Zone != self.Zone:
--- a/internal/settings/access.go
+++ b/internal/settings/access.go
@@ -40,10 +40,10 @@
 }
 
 func (r *reader) teams(decoder *jx.Decoder, at *level) error {
-	at.teams = map[string]*access.Entry{}
+	at.teams = map[string]*access.TeamRules{}
 	path := at.path + ".teams"
 	err := r.object(decoder, path, func(name string) (bool, error) {
-		entry := &access.Entry{Path: path + "." + name}
+		entry := &access.TeamRules{Path: path + "." + name}
 		at.teams[name] = entry
 		if name == "" || len(name) > nameLimit || strings.ContainsAny(name, "/. ") {
 			r.fault(path, "name %q must be 1 to %d characters without slash, dot or space", name, nameLimit)
@@ -95,7 +95,7 @@
 			rules.Groups[name].Children[siteName] = made
 			for routeName, route := range site.children {
 				below := shown(route)
-				if found, err := tree.Match(name, siteName, routeName); err == nil {
+				if found, err := tree.Route(name, siteName, routeName); err == nil {
 					below.Model, below.Kind, below.Fallback = found.Model, found.Kind, found.Fallback
 				}
 				made.Children[routeName] = below
@@ -123,9 +123,9 @@
 	return t.access
 }
 
-// BoundsOver are the tree's bounds, with those of a process's place where the
+// BoundsWithDefaults are the tree's bounds, with those of a process's place where the
 // document sets none.
-func (t *Tree) BoundsOver(place *base.Bounds) base.Bounds {
+func (t *Tree) BoundsWithDefaults(place *base.Bounds) base.Bounds {
 	if place == nil {
 		return t.bounds
 	}
--- a/internal/settings/access_test.go
+++ b/internal/settings/access_test.go
@@ -28,7 +28,7 @@
 
 func TestFaultyAccessIsRefusedByItsField(t *testing.T) {
 	is := is.New(t)
-	_, faults := Read([]byte(duka))
+	_, faults := Parse([]byte(duka))
 	is.Equal(len(faults), 0)
 	const site = "$.groups.duka.sites.westlands"
 	rows := []struct{ name, old, new, path string }{
@@ -77,7 +77,7 @@
 			is := is.New(t)
 			document := strings.Replace(duka, row.old, row.new, 1)
 			is.True(document != duka)
-			tree, faults := Read([]byte(document))
+			tree, faults := Parse([]byte(document))
 			is.True(tree == nil)
 			is.True(len(faults) > 0)
 			is.Equal(faults[0].Path, row.path)
@@ -87,29 +87,29 @@
 
 func TestATreeWithoutTeamsAllowsEverything(t *testing.T) {
 	is := is.New(t)
-	tree, faults := Read([]byte(whole))
+	tree, faults := Parse([]byte(whole))
 	is.Equal(len(faults), 0)
 	is.True(tree.Access() == nil)
 	is.Equal(tree.Access().Digest(), "")
-	_, faults = Read([]byte(`{"models":["a"],"pools":{"m":{"kind":"model"}},"groups":{"g":{"sites":{"s":{"pool":"m","routes":{"r":{"kind":"model","model":"b"}}}}}}}`))
+	_, faults = Parse([]byte(`{"models":["a"],"pools":{"m":{"kind":"model"}},"groups":{"g":{"sites":{"s":{"pool":"m","routes":{"r":{"kind":"model","model":"b"}}}}}}}`))
 	is.Equal(len(faults), 1)
 	is.Equal(faults[0].Path, "$.groups.g.sites.s.routes.r.model") // where models are named, routes may name no other
 }
 
 func TestWhatATeamMayCall(t *testing.T) {
 	is := is.New(t)
-	tree, faults := Read([]byte(duka))
+	tree, faults := Parse([]byte(duka))
 	is.Equal(len(faults), 0)
 	table := tree.Access()
-	own := func(site, route string) access.Question {
+	own := func(site, route string) access.Request {
 		group, name, _ := strings.Cut(site, "/")
-		return access.Question{Place: access.Place{Group: group, Site: name, Route: route}}
+		return access.Request{Scope: access.Scope{Group: group, Site: name, Route: route}}
 	}
-	call := func(host, route, model string) access.Question {
-		return access.Question{Host: host, Place: access.Place{Route: route}, Model: model}
+	call := func(host, route, model string) access.Request {
+		return access.Request{Host: host, Scope: access.Scope{Route: route}, Model: model}
 	}
 	rows := []struct {
-		asked   access.Question
+		asked   access.Request
 		team    string
 		allowed bool
 	}{
@@ -138,7 +138,7 @@
 			is.Equal(found.Allowed, row.allowed)
 		})
 	}
-	open, faults := Read([]byte(strings.Replace(duka, `"hosts":["pay.example"]`, `"hosts":["pay.example","*"]`, 1)))
+	open, faults := Parse([]byte(strings.Replace(duka, `"hosts":["pay.example"]`, `"hosts":["pay.example","*"]`, 1)))
 	is.Equal(len(faults), 0)
 	asked := call("other.example", "x", "payslip")
 	is.Equal(open.Access().Decide(&asked).Team, "clerks")
@@ -146,50 +146,50 @@
 
 func TestCheckSaysWhy(t *testing.T) {
 	is := is.New(t)
-	tree, _ := Read([]byte(duka))
-	reasons, err := tree.Access().Check("tills", "produce")
+	tree, _ := Parse([]byte(duka))
+	reasons, err := tree.Access().Explain("tills", "produce")
 	is.NoErr(err)
 	why := map[string]access.Reason{}
 	for _, one := range reasons {
-		why[one.Place] = one
+		why[one.Path] = one
 	}
 	is.Equal(why["$.groups.duka.teams.tills"].Allowed, true)
 	is.Equal(why["$.groups.duka.teams.tills"].Why, "listed in $.groups.duka.teams.duka-bora.models")
 	is.Equal(why["$.groups.duka.sites.westlands.routes.weigh"].Why, "denied by $.groups.duka.sites.westlands.routes.weigh.teams.tills.deny")
 	is.Equal(why["$.groups.duka.sites.westlands.routes.late"].Why, "denied by $.groups.duka.teams.night.deny")
-	reasons, err = tree.Access().Check("clerks", "checkout")
+	reasons, err = tree.Access().Explain("clerks", "checkout")
 	is.NoErr(err)
 	is.Equal(reasons[0].Why, "not listed in $.groups.plc.teams.clerks.models")
-	_, err = tree.Access().Check("nobody", "checkout")
+	_, err = tree.Access().Explain("nobody", "checkout")
 	is.True(strings.Contains(err.Error(), "nobody"))
-	_, err = tree.Access().Check("clerks", "nothing")
+	_, err = tree.Access().Explain("clerks", "nothing")
 	is.True(strings.Contains(err.Error(), "nothing"))
 }
 
 func TestDiffOfAccess(t *testing.T) {
 	is := is.New(t)
-	was, _ := Read([]byte(duka))
-	now, faults := Read([]byte(strings.Replace(duka, `"duka-bora":{"models"`, `"duka-bora":{"deny":["produce"],"models"`, 1)))
+	was, _ := Parse([]byte(duka))
+	now, faults := Parse([]byte(strings.Replace(duka, `"duka-bora":{"models"`, `"duka-bora":{"deny":["produce"],"models"`, 1)))
 	is.Equal(len(faults), 0)
 	is.True(was.Access().Digest() != now.Access().Digest())
 	changes := access.Diff(was.Access(), now.Access())
 	is.True(len(changes) > 0)
 	for _, one := range changes {
 		is.Equal(one.Model, "produce")
-		is.Equal(one.Change, "refused")
+		is.Equal(one.Effect, "refused")
 	}
 	is.Equal(len(access.Diff(was.Access(), was.Access())), 0)
-	same, _ := Read([]byte(strings.Replace(duka, `"groups"`, `"queue_size":4,"groups"`, 1)))
+	same, _ := Parse([]byte(strings.Replace(duka, `"groups"`, `"queue_size":4,"groups"`, 1)))
 	is.Equal(same.Access().Digest(), was.Access().Digest()) // other values do not change what teams may call
 }
 
 func TestAPlaceKeepsTheBoundsThatADocumentDoesNotSet(t *testing.T) {
 	is := is.New(t)
 	place := &base.Bounds{Settings: 3 * time.Second, Leave: 4 * time.Second, Recover: 20 * time.Second, Retain: time.Minute}
-	tree, faults := Read([]byte(`{"bounds":{"leave_bound_s":2}}`))
+	tree, faults := Parse([]byte(`{"bounds":{"leave_bound_s":2}}`))
 	is.Equal(len(faults), 0)
-	is.Equal(tree.BoundsOver(place), base.Bounds{Settings: 3 * time.Second, Leave: 2 * time.Second, Recover: 20 * time.Second, Retain: time.Minute})
-	is.Equal(tree.BoundsOver(nil), tree.Bounds())
+	is.Equal(tree.BoundsWithDefaults(place), base.Bounds{Settings: 3 * time.Second, Leave: 2 * time.Second, Recover: 20 * time.Second, Retain: time.Minute})
+	is.Equal(tree.BoundsWithDefaults(nil), tree.Bounds())
 }
 
 // A frame of the feed is read once for each tree, and a change under way gives
@@ -198,7 +198,7 @@
 	is := is.New(t)
 	was, next := []byte(duka), []byte(strings.Replace(duka, `"tills":{"parent":"duka-bora"}`, `"tills":{"parent":"duka-bora","deny":["checkout"]}`, 1))
 	next = []byte(strings.Replace(string(next), `"chat":{"kind":"model","model":"checkout","fallback":"help"}`, `"chat":{"kind":"model","model":"checkout"}`, 1))
-	asked := &access.Question{Place: access.Place{Group: "duka", Site: "westlands", Route: "chat"}}
+	asked := &access.Request{Scope: access.Scope{Group: "duka", Site: "westlands", Route: "chat"}}
 	key := func(stamp uint64, document []byte) []byte {
 		return base.Encode(Record{Stamp: stamp, Document: document, Access: "x"})
 	}
@@ -209,15 +209,15 @@
 		_ = writer.Close()
 		return into.Bytes()
 	}()
-	under := base.Encode(access.Pending{Force: 1, Target: 2, Packed: packed})
-	before, during, after := map[string][]byte{Key: key(1, was)}, map[string][]byte{Key: key(2, next), access.Key: under}, map[string][]byte{Key: key(2, next)}
+	under := base.Encode(access.Pending{InForce: 1, Target: 2, CompressedDocument: packed})
+	before, during, after := map[string][]byte{Key: key(1, was)}, map[string][]byte{Key: key(2, next), access.PendingKey: under}, map[string][]byte{Key: key(2, next)}
 	for _, frames := range [][]map[string][]byte{{before, during, after}, {during, after}, {before, after}} {
-		known := &Known{}
+		known := &FeedCache{}
 		for _, frame := range frames {
-			_, tree, _ := known.Learn(frame)
+			_, tree, _ := known.Update(frame)
 			is.True(tree != nil)
-			force, coming := known.Access()
-			_, changing := frame[access.Key]
+			force, coming := known.AccessTables()
+			_, changing := frame[access.PendingKey]
 			is.Equal(coming != nil, changing)
 			is.Equal(force.Stamp == 1, changing || string(frame[Key]) == string(before[Key]))
 			is.Equal(force.Table.Decide(asked).Allowed, force.Stamp == 1)
@@ -225,11 +225,11 @@
 				is.Equal(coming.Stamp, uint64(2))
 				is.True(!coming.Table.Decide(asked).Allowed)
 			}
-			_, again, fresh := known.Learn(frame)
+			_, again, fresh := known.Update(frame)
 			is.True(again == tree && !fresh)
 		}
 	}
-	known := &Known{}
-	_, tree, fresh := known.Learn(map[string][]byte{})
+	known := &FeedCache{}
+	_, tree, fresh := known.Update(map[string][]byte{})
 	is.True(tree == nil && !fresh)
 }
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -65,8 +65,8 @@
 	return &found
 }
 
-// Serve adds the settings' ops to a core.
-func Serve(owner *register.Owner) {
+// RegisterHandlers adds the settings' ops to a core.
+func RegisterHandlers(owner *register.Owner) {
 	owner.Handle("settings.apply", apply)
 	owner.Handle("settings.outcome", outcome)
 	owner.Handle("settings.get", func(tx *register.Tx, _ []byte) (any, error) { return current(tx), nil })
@@ -100,12 +100,12 @@
 		v.Stamp = now.Stamp
 		return nil, v
 	}
-	tree, faults := Read(asked.Document)
+	tree, faults := Parse(asked.Document)
 	if len(faults) > 0 {
-		return nil, FaultVerdict(faults)
+		return nil, InvalidDocument(faults)
 	}
 	next := Record{Stamp: now.Stamp + 1, Document: asked.Document, Access: tree.Access().Digest()}
-	if err := access.Begin(tx, now.Stamp, next.Stamp, now.Document, now.Access, next.Access); err != nil {
+	if err := access.BeginChange(tx, now.Stamp, next.Stamp, now.Document, now.Access, next.Access); err != nil {
 		return nil, err
 	}
 	taken := Outcome{Outcome: "taken", Stamp: next.Stamp}
@@ -127,26 +127,26 @@
 	return refused, nil
 }
 
-// FaultVerdict lists every fault of a document in one verdict.
-func FaultVerdict(faults []Fault) *base.Verdict {
-	lines := base.Map(faults, func(f Fault) string { return f.Path + ": " + f.Message })
+// InvalidDocument lists every fault of a document in one verdict.
+func InvalidDocument(faults []Violation) *base.Verdict {
+	lines := base.Map(faults, func(f Violation) string { return f.Path + ": " + f.Message })
 	return base.DeclineField(faults[0].Path, "%s", strings.Join(lines, "\n"))
 }
 
-// Known keeps what a node has read of the feed's settings, so that a document
+// FeedCache keeps what a node has read of the feed's settings, so that a document
 // is read once and not at each change of the feed. One task at a time uses it.
-type Known struct {
+type FeedCache struct {
 	raw, under []byte
 	record     Record
 	tree       *Tree
-	force      access.Held
-	next       *access.Held
+	force      access.StampedTable
+	next       *access.StampedTable
 }
 
-// Learn reads a frame; the tree is nil when none was ever applied, or cannot
+// Update reads a frame; the tree is nil when none was ever applied, or cannot
 // be read here.
-func (k *Known) Learn(values map[string][]byte) (stamp uint64, tree *Tree, fresh bool) {
-	raw, under := values[Key], values[access.Key]
+func (k *FeedCache) Update(values map[string][]byte) (stamp uint64, tree *Tree, fresh bool) {
+	raw, under := values[Key], values[access.PendingKey]
 	if k.tree != nil && bytes.Equal(raw, k.raw) && bytes.Equal(under, k.under) {
 		return k.record.Stamp, k.tree, false
 	}
@@ -155,7 +155,7 @@
 		if raw == nil || json.Unmarshal(raw, &record) != nil {
 			return 0, nil, false
 		}
-		read, _ := Read(record.Document)
+		read, _ := Parse(record.Document)
 		k.record, k.tree, fresh = record, read, read != nil
 		k.raw = raw
 	}
@@ -163,29 +163,31 @@
 		return k.record.Stamp, nil, false
 	}
 	k.under = under
-	own := access.Held{Stamp: k.record.Stamp, Table: k.tree.Access()}
-	pending := access.PendingIn(values)
+	own := access.StampedTable{Stamp: k.record.Stamp, Table: k.tree.Access()}
+	pending := access.PendingFromFeed(values)
 	switch {
 	case pending == nil && k.next != nil && k.next.Table.Digest() == own.Table.Digest():
 		own.Table = k.next.Table
 		k.force, k.next = own, nil
 	case pending == nil:
 		k.force, k.next = own, nil
-	case k.next == nil || k.force.Stamp != pending.Force:
-		former, _ := Read(pending.Document())
-		k.force, k.next = access.Held{Stamp: pending.Force, Table: former.Access()}, &own
+	case k.next == nil || k.force.Stamp != pending.InForce:
+		former, _ := Parse(pending.Document())
+		k.force, k.next = access.StampedTable{Stamp: pending.InForce, Table: former.Access()}, &own
 	default:
 		k.next = &own
 	}
 	return k.record.Stamp, k.tree, fresh
 }
 
-// Access gives the rules in force and, under a change, those that come next.
-func (k *Known) Access() (force access.Held, next *access.Held) { return k.force, k.next }
+// AccessTables gives the rules in force and, under a change, those that come next.
+func (k *FeedCache) AccessTables() (force access.StampedTable, next *access.StampedTable) {
+	return k.force, k.next
+}
 
-// FromFrame reads the settings that a feed frame carries; nil when none
+// FromFeed reads the settings that a feed frame carries; nil when none
 // were ever applied.
-func FromFrame(values map[string][]byte) (uint64, *Tree) {
+func FromFeed(values map[string][]byte) (uint64, *Tree) {
 	raw, ok := values[Key]
 	if !ok {
 		return 0, nil
@@ -194,12 +196,12 @@
 	if json.Unmarshal(raw, &record) != nil {
 		return 0, nil
 	}
-	tree, _ := Read(record.Document)
+	tree, _ := Parse(record.Document)
 	return record.Stamp, tree
 }
 
-// HasAccess tells whether the settings that a frame carries set teams.
-func HasAccess(values map[string][]byte) bool {
+// HasTeams tells whether the settings that a frame carries set teams.
+func HasTeams(values map[string][]byte) bool {
 	var record struct {
 		Access string `json:"access"`
 	}
@@ -207,8 +209,8 @@
 	return record.Access != ""
 }
 
-// StampIn is the stamp of the settings that a feed frame carries.
-func StampIn(values map[string][]byte) uint64 {
+// StampFromFeed is the stamp of the settings that a feed frame carries.
+func StampFromFeed(values map[string][]byte) uint64 {
 	var record struct {
 		Stamp uint64 `json:"stamp"`
 	}
--- a/internal/settings/diff.go
+++ b/internal/settings/diff.go
@@ -12,8 +12,8 @@
 // only in the other document.
 type Difference struct {
 	Path string `json:"path"`
-	Was  string `json:"was,omitempty"`
-	Now  string `json:"now,omitempty"`
+	Old  string `json:"was,omitempty"`
+	New  string `json:"now,omitempty"`
 }
 
 // Diff compares two documents that were checked before.
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -15,17 +15,17 @@
 )
 
 type reader struct {
-	faults []Fault
+	faults []Violation
 }
 
 func (r *reader) fault(path, format string, args ...any) {
-	r.faults = append(r.faults, Fault{Path: path, Message: fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, Violation{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
 var depths = []string{"groups", "sites", "routes", ""}
 
-// Read judges a document. The tree is nil when there are faults.
-func Read(document []byte) (*Tree, []Fault) {
+// Parse judges a document. The tree is nil when there are faults.
+func Parse(document []byte) (*Tree, []Violation) {
 	r := &reader{}
 	tree := &Tree{root: &level{path: "$", values: map[string]any{}, children: map[string]*level{}}, pools: map[string]string{}, policies: map[string]*policy.Policy{}}
 	limits := map[string]any{}
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -15,8 +15,8 @@
 	"fordseam/internal/policy"
 )
 
-// Fault is one thing wrong with a document.
-type Fault struct {
+// Violation is one thing wrong with a document.
+type Violation struct {
 	Path    string `json:"path"`
 	Message string `json:"message"`
 }
@@ -79,7 +79,7 @@
 	path     string
 	values   map[string]any
 	children map[string]*level
-	teams    map[string]*access.Entry
+	teams    map[string]*access.TeamRules
 	hosts    []string
 }
 
@@ -141,7 +141,7 @@
 
 func (r *reader) checkRoute(tree *Tree, groupName, siteName string, site *level, routeName string) {
 	path := site.children[routeName].path
-	route, err := tree.Match(groupName, siteName, routeName)
+	route, err := tree.Route(groupName, siteName, routeName)
 	if err != nil {
 		r.fault(path, "%v", err)
 		return
@@ -170,7 +170,7 @@
 			r.fault(path+".fallback", "route %q is of another kind", at.Fallback)
 			return
 		}
-		at, err = tree.Match(groupName, siteName, visited[len(visited)-1])
+		at, err = tree.Route(groupName, siteName, visited[len(visited)-1])
 		if err != nil {
 			return
 		}
@@ -196,8 +196,8 @@
 	Policy            *policy.Policy
 }
 
-// Origin is one value in force and the level it came from.
-type Origin struct {
+// EffectiveValue is one value in force and the level it came from.
+type EffectiveValue struct {
 	Key   string `json:"key"`
 	Value any    `json:"value"`
 	From  string `json:"from"`
@@ -205,7 +205,7 @@
 
 // Effective lists the values in force at a level: a group, a site or a
 // route; empty names stop higher up.
-func (t *Tree) Effective(names ...string) ([]Origin, error) {
+func (t *Tree) Effective(names ...string) ([]EffectiveValue, error) {
 	chain := []*level{t.root}
 	for depth, name := range names {
 		if name == "" {
@@ -217,12 +217,12 @@
 		}
 		chain = append(chain, child)
 	}
-	found := []Origin{}
+	found := []EffectiveValue{}
 	for _, one := range specs {
 		if one.routeOnly && len(chain) < 4 {
 			continue
 		}
-		origin := Origin{Key: one.name, Value: one.initial, From: "default"}
+		origin := EffectiveValue{Key: one.name, Value: one.initial, From: "default"}
 		for _, at := range chain {
 			if value, ok := at.values[one.name]; ok {
 				origin.Value, origin.From = value, at.path
@@ -233,8 +233,8 @@
 	return found, nil
 }
 
-// Match gives a route's settings.
-func (t *Tree) Match(group, site, name string) (*Route, error) {
+// Route gives a route's settings.
+func (t *Tree) Route(group, site, name string) (*Route, error) {
 	found, err := t.Effective(group, site, name)
 	if err != nil {
 		return nil, err
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -42,7 +42,7 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			tree, faults := Read([]byte(row.document))
+			tree, faults := Parse([]byte(row.document))
 			is.True(tree == nil)
 			is.True(len(faults) > 0)
 			is.Equal(faults[0].Path, row.path)
@@ -52,20 +52,20 @@
 
 func TestEveryFaultIsListed(t *testing.T) {
 	is := is.New(t)
-	_, faults := Read([]byte(`{"queue_size":0,"nonsense":1,"pools":{"m":{"kind":"x"}}}`))
+	_, faults := Parse([]byte(`{"queue_size":0,"nonsense":1,"pools":{"m":{"kind":"x"}}}`))
 	is.Equal(len(faults), 3)
 }
 
 func TestALevelChangesOnlyWhatDiffers(t *testing.T) {
 	is := is.New(t)
-	tree, faults := Read([]byte(whole))
+	tree, faults := Parse([]byte(whole))
 	is.Equal(len(faults), 0)
-	chat, err := tree.Match("g", "s", "chat")
+	chat, err := tree.Route("g", "s", "chat")
 	is.NoErr(err)
 	is.Equal(chat.QueueSize, 4)
 	is.Equal(chat.Pool, "m")
 	is.Equal(chat.OperationTimeout.Seconds(), 300.0)
-	pay, err := tree.Match("g", "s", "pay")
+	pay, err := tree.Route("g", "s", "pay")
 	is.NoErr(err)
 	is.Equal(pay.QueueSize, 8)
 	is.Equal(pay.Pool, "a")
@@ -79,7 +79,7 @@
 	is.Equal(from["queue_size"], "$.groups.g.sites.s.routes.chat")
 	is.Equal(from["pool"], "$.groups.g.sites.s")
 	is.Equal(from["tool_timeout_s"], "default")
-	_, err = tree.Match("g", "s", "none")
+	_, err = tree.Route("g", "s", "none")
 	is.True(strings.Contains(err.Error(), "unknown_route"))
 }
 
@@ -87,7 +87,7 @@
 	f.Add([]byte(whole))
 	f.Add([]byte(`{"groups":{"g":{"sites":{}}}}`))
 	f.Fuzz(func(t *testing.T, document []byte) {
-		tree, faults := Read(document)
+		tree, faults := Parse(document)
 		if (tree == nil) == (len(faults) == 0) {
 			t.Fatalf("a document is either a tree or has faults: %v", faults)
 		}
--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -145,7 +145,7 @@
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(2 * time.Second)
 		edge := f.Edges[0]
-		is.True(!edge.gateway.Access.Rules())
+		is.True(!edge.gateway.Access.HasRules())
 		f.Net.CutOff(map[string]bool{edge.Host.Name: true})
 		call.sleep(5 * time.Second)
 		table := &route.Table{Version: 1, Services: map[string]*route.Service{"llm": {Name: "llm", Engine: &route.Engine{Slots: 1}}},
--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -415,7 +415,7 @@
 			if response == nil || response.StatusCode != 200 || !strings.HasPrefix(m.From.Name, "edge") {
 				return response
 			}
-			reply.Puts = base.Filter(reply.Puts, func(put *register.Put) bool { return put.Key != access.Key })
+			reply.Puts = base.Filter(reply.Puts, func(put *register.Put) bool { return put.Key != access.PendingKey })
 			return replied(reply)
 		})},
 		{"the permit", "a machine cut off", onPath("Feed/Follow", func(m *Message) *http.Response {
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -212,7 +212,7 @@
 
 // Serving tells whether a gateway lives and may serve.
 func (m *Machine) Serving() bool {
-	return m.Host.alive && !m.Host.frozen && m.gateway != nil && m.gateway.Follower.Permitted()
+	return m.Host.alive && !m.Host.frozen && m.gateway != nil && m.gateway.Follower.HasLease()
 }
 
 // Kill ends a machine's process; PowerLoss ends it and drops what its disk
--- a/internal/simulate/manychanges.go
+++ b/internal/simulate/manychanges.go
@@ -406,7 +406,7 @@
 func (r *changesRun) place() (newest uint64) {
 	for _, m := range r.fleet.All() {
 		if follower := m.feedFollower(); follower != nil {
-			newest = max(newest, follower.Frame().Place)
+			newest = max(newest, follower.Snapshot().Revision)
 		}
 	}
 	return newest
@@ -417,7 +417,7 @@
 func (r *changesRun) current(m *Machine, version, place uint64) bool {
 	if m.Role != "storage" {
 		follower := m.feedFollower()
-		return follower != nil && follower.Permitted() && follower.Frame().Place >= place && versionOf(follower.Frame().Values) >= version
+		return follower != nil && follower.HasLease() && follower.Snapshot().Revision >= place && versionOf(follower.Snapshot().Values) >= version
 	}
 	if m.storage == nil || m.storage.Store.Ready() != nil || m.storage.Store.Held(0) < place {
 		return false
@@ -465,7 +465,7 @@
 	now.KeptBytes, r.kept = r.kept, 0
 	for _, m := range f.Edges {
 		if follower := m.feedFollower(); follower != nil {
-			now.Keys = max(now.Keys, len(follower.Frame().Values))
+			now.Keys = max(now.Keys, len(follower.Snapshot().Values))
 		}
 	}
 	r.report.Figures = append(r.report.Figures, now)
--- a/internal/simulate/operate_test.go
+++ b/internal/simulate/operate_test.go
@@ -64,8 +64,8 @@
 		_, answer = diff(changed)
 		var shown struct{ Differences []settings.Difference }
 		is.NoErr(json.Unmarshal([]byte(answer), &shown))
-		is.Equal(shown.Differences, []settings.Difference{{Path: "$.groups.g.operation_timeout_s", Was: "30"},
-			{Path: "$.groups.g.sites.main.routes.loyalty.tool_timeout_s", Was: "5", Now: "7"}})
+		is.Equal(shown.Differences, []settings.Difference{{Path: "$.groups.g.operation_timeout_s", Old: "30"},
+			{Path: "$.groups.g.sites.main.routes.loyalty.tool_timeout_s", Old: "5", New: "7"}})
 		status, answer = diff(`{"queue_size":0}`)
 		is.Equal(status, 400)
 		is.True(strings.Contains(answer, "$.queue_size"))
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -99,7 +99,7 @@
 		for _, m := range f.Edges {
 			if m.Serving() {
 				var record settings.Record
-				_ = json.Unmarshal(m.gateway.Follower.Frame().Values[settings.Key], &record)
+				_ = json.Unmarshal(m.gateway.Follower.Snapshot().Values[settings.Key], &record)
 				f.Tally.Showed(m.Host.Name, record.Stamp, markOf(record.Document), f.World.Now())
 			}
 		}
--- a/internal/simulate/orders_test.go
+++ b/internal/simulate/orders_test.go
@@ -216,7 +216,7 @@
 		t.Fatal("it did not end")
 	}
 	told := 0
-	for key, value := range d.Edges[0].gateway.Follower.Frame().Values {
+	for key, value := range d.Edges[0].gateway.Follower.Snapshot().Values {
 		if key != route.DocumentKey && strings.HasPrefix(key, "routes/") {
 			t.Errorf("a gateway was told %s", key)
 		}
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -259,11 +259,11 @@
 			call.sleep(100 * time.Millisecond)
 		}
 		call.sleep(2 * time.Second)
-		is.True(!f.Edges[0].gateway.Follower.Permitted())
+		is.True(!f.Edges[0].gateway.Follower.HasLease())
 		status, _ = f.Operate(owner, "GET", "/v1/operator/settings", nil)
 		is.Equal(status, 503)
 		for _, m := range f.Edges[1:] {
-			is.True(m.gateway.Follower.Permitted())
+			is.True(m.gateway.Follower.HasLease())
 			is.Equal(m.gateway.Stamp(), uint64(2))
 		}
 	})
@@ -374,7 +374,7 @@
 			call.sleep(50 * time.Millisecond)
 		}
 		read = true
-		is.True(f.Edges[0].gateway.Follower.Lapses() > 0)
+		is.True(f.Edges[0].gateway.Follower.LeaseExpirations() > 0)
 		call.sleep(200 * time.Millisecond)
 		f.Net.Meddle = nil
 		next := call.turn(0, path, key, program, "b", "a")
--- a/internal/simulate/settings_test.go
+++ b/internal/simulate/settings_test.go
@@ -87,8 +87,8 @@
 			}
 		})
 		is.True(f.World.Run(cutAt+30*time.Second, func() bool { return declinedAt > 0 }))
-		is.True(!f.Edges[0].gateway.Follower.Permitted())
+		is.True(!f.Edges[0].gateway.Follower.HasLease())
 		f.Net.Heal()
-		is.True(f.World.Run(f.World.Now()+5*time.Second, func() bool { return f.Edges[0].gateway.Follower.Permitted() }))
+		is.True(f.World.Run(f.World.Now()+5*time.Second, func() bool { return f.Edges[0].gateway.Follower.HasLease() }))
 	})
 }
--- a/internal/simulate/talk_churn.go
+++ b/internal/simulate/talk_churn.go
@@ -159,7 +159,7 @@
 
 // Busiest gives the bytes a second of the busiest machine of a role.
 func (c *Churn) Busiest(role string, span time.Duration) float64 {
-	list := map[string][]*Machine{membership.RoleEdge: c.Edges, membership.RoleCore: c.Cores, membership.RoleStorage: c.Storage}[role]
+	list := map[string][]*Machine{membership.RoleGateway: c.Edges, membership.RoleCore: c.Cores, membership.RoleStorage: c.Storage}[role]
 	return c.Net.loadOf(role, list, span).mostBytes
 }
 
--- a/internal/simulate/talk_churn_test.go
+++ b/internal/simulate/talk_churn_test.go
@@ -48,7 +48,7 @@
 	is.True(said < ownerBytes)
 	is.True(len(c.Edges) > 200)
 	for _, m := range c.Edges {
-		is.Equal(m.gateway.Follower.Gateways(), len(c.Edges))
+		is.Equal(m.gateway.Follower.GatewayCount(), len(c.Edges))
 	}
 }
 
--- a/internal/simulate/talk_test.go
+++ b/internal/simulate/talk_test.go
@@ -109,7 +109,7 @@
 	is.True(perSecond > 1)
 	is.True(perSecond < 6)
 	for _, m := range f.Edges {
-		is.True(m.gateway.Follower.Permitted())
+		is.True(m.gateway.Follower.HasLease())
 	}
 }
 
@@ -180,7 +180,7 @@
 			lost, back := []time.Duration{}, []time.Duration{}
 			for round := 0; round < 8; round++ {
 				m := f.All()[round%len(f.All())]
-				id := m.view().Me()
+				id := m.view().SelfID()
 				apart := row.lose(f, m)
 				took := f.runUntil(20*time.Second, func() bool { return f.believers(id, apart) == 0 })
 				lost = append(lost, took)
@@ -190,7 +190,7 @@
 					if m.view() == nil {
 						return false
 					}
-					return f.believers(m.view().Me(), nil) == len(f.All())
+					return f.believers(m.view().SelfID(), nil) == len(f.All())
 				})
 				back = append(back, took)
 				f.World.Run(f.World.now+5*time.Second, nil)
@@ -222,7 +222,7 @@
 	defer f.World.Close()
 	m := f.Edges[2]
 	m.Host.Lag = 250 * time.Millisecond
-	id := m.view().Me()
+	id := m.view().SelfID()
 	// What the slow machine makes of others is its own affair.
 	suspected := func() int64 { return f.Total("members_suspected") - m.Count.Frame()["members_suspected"] }
 	before := suspected()
--- a/internal/simulate/transfer_test.go
+++ b/internal/simulate/transfer_test.go
@@ -115,7 +115,7 @@
 func versionAt(f *Fleet) (newest uint64) {
 	for _, m := range f.Edges {
 		if follower := m.feedFollower(); follower != nil {
-			newest = max(newest, versionOf(follower.Frame().Values))
+			newest = max(newest, versionOf(follower.Snapshot().Values))
 		}
 	}
 	return newest
--- a/internal/simulate/tree_test.go
+++ b/internal/simulate/tree_test.go
@@ -19,9 +19,9 @@
 }
 
 func (m *Machine) follower() interface {
-	Permitted() bool
-	Lapses() uint64
-	Gateways() int
+	HasLease() bool
+	LeaseExpirations() uint64
+	GatewayCount() int
 } {
 	if m.gateway != nil {
 		return m.gateway.Follower
@@ -57,8 +57,8 @@
 // lapses counts permits that ran out, and the nodes without one.
 func (f *Fleet) lapses() (lapsed uint64, without int) {
 	for _, m := range f.following() {
-		lapsed += m.follower().Lapses()
-		if !m.follower().Permitted() {
+		lapsed += m.follower().LeaseExpirations()
+		if !m.follower().HasLease() {
 			without++
 		}
 	}
@@ -83,7 +83,7 @@
 	is.Equal(now, before)
 	is.Equal(without, 0)
 	for _, m := range f.Edges {
-		is.Equal(m.gateway.Follower.Gateways(), len(f.Edges))
+		is.Equal(m.gateway.Follower.GatewayCount(), len(f.Edges))
 	}
 	took := f.applied(1)
 	t.Logf("settings reach the last after %v", took)
--- a/internal/whatif/run.go
+++ b/internal/whatif/run.go
@@ -66,18 +66,18 @@
 
 // Answer runs a question.
 func Answer(q *Question) (*Report, error) {
-	tree, faults := settings.Read(q.Settings)
+	tree, faults := settings.Parse(q.Settings)
 	if len(faults) > 0 {
-		return nil, errors.New(settings.FaultVerdict(faults).Message)
+		return nil, errors.New(settings.InvalidDocument(faults).Message)
 	}
 	d := q.Deployment
 	for _, name := range []string{d.Route, d.ToolRoute} {
-		if _, err := tree.Match(d.Group, d.Site, name); err != nil {
+		if _, err := tree.Route(d.Group, d.Site, name); err != nil {
 			return nil, errors.Annotate(err, "the settings do not fit the deployment")
 		}
 	}
-	chat, _ := tree.Match(d.Group, d.Site, d.Route)
-	tools, _ := tree.Match(d.Group, d.Site, d.ToolRoute)
+	chat, _ := tree.Route(d.Group, d.Site, d.Route)
+	tools, _ := tree.Route(d.Group, d.Site, d.ToolRoute)
 	shape := simulate.Shape{Group: d.Group, Zones: d.Zones, Edges: d.Edges, Cores: d.Cores, Storage: d.Storage, Models: d.Models, Tools: d.Tools,
 		Capacity: d.Capacity, Pieces: d.Pieces, Gap: d.Gap, Prefill: d.Prefill, Cache: d.Cache, Settings: string(q.Settings), ModelPool: chat.Pool, ToolPool: tools.Pool}
 	f := simulate.NewFleet(q.Seed, shape)
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -281,8 +281,8 @@
 
 func (b *Book) unsaid(held *heardUsage, times int) bool { return b.fresh(held) && held.given < times }
 
-// Unsaid tells whether Sample would give any.
-func (b *Book) Unsaid(times int) bool {
+// HasUnsent tells whether Sample would give any.
+func (b *Book) HasUnsent(times int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, held := range b.newest {
--- a/internal/worker/picker.go
+++ b/internal/worker/picker.go
@@ -332,9 +332,9 @@
 	}
 	offered := base.Map(ids, func(id string) policy.Candidate {
 		one := candidates[id]
-		return policy.Candidate{ID: id, Zone: one.Zone, Load: p.usage(one), Capacity: one.Capacity, Former: id == need.Former}
+		return policy.Candidate{ID: id, Zone: one.Zone, Load: p.usage(one), Capacity: one.Capacity, Previous: id == need.Former}
 	})
-	id, err := need.Policy.Pick(need.Urgency, p.zone, offered)
+	id, err := need.Policy.Nominate(need.Urgency, p.zone, offered)
 	if err != nil {
 		p.counters.Add("policy_faults", 1)
 		return nil
