--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -189,7 +189,7 @@
 
 func (w *world) node(name string, seeds ...string) *Manager {
 	counters := base.NewCounters()
-	view := membership.NewView(w.clock, w.wire, w.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleEdge, Zone: "z"}, seeds, nil)
+	view := membership.NewView(w.clock, w.wire, w.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleGateway, Zone: "z"}, seeds, nil)
 	table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s", Engine: &route.Engine{TokensPerEvent: 2}}},
 		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Kind: route.KindStream, Timeout: 10 * time.Second, RetainTurns: true, Retention: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}},
 			{Name: "loose", Host: "h", Prefix: "/loose/", Kind: route.KindStream, Timeout: 10 * time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}}}}
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -283,8 +283,8 @@
 	return b.fresh(held) && held.given < times
 }
 
-// Unsaid tells whether Sample would give any.
-func (b *UsageReports) Unsaid(times int) bool {
+// HasUnsent tells whether Sample would give any.
+func (b *UsageReports) HasUnsent(times int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, held := range b.newest {
