--- a/internal/session/held.go
+++ b/internal/session/held.go
@@ -220,7 +220,7 @@
 // revalidate asks the register whether the Run still stands, after this
 // node went without a permit or a change of its own ended unknown.
 func (k *Manager) revalidate(ctx *base.Ctx, h *held) error {
-	lapses := k.follower.Lapses()
+	lapses := k.follower.LeaseExpirations()
 	h.mu.Lock()
 	unsureLeg := h.unsure
 	sure := h.lapses == lapses && unsureLeg == ""
--- a/internal/session/keeper.go
+++ b/internal/session/keeper.go
@@ -120,7 +120,7 @@
 		declined: map[string]*declinedVisit{}, ended: map[string]budget.Termination{}, repeats: repeatMost, stopping: p.Clock.NewSignal()}
 }
 
-func (k *Manager) me() string { return k.view.Me() }
+func (k *Manager) me() string { return k.view.SelfID() }
 
 func (k *Manager) change(ctx *base.Ctx, program, op string, asked ask) (*told, error) {
 	var answer told
@@ -179,7 +179,7 @@
 			return found
 		}
 	}
-	fresh := newHeld(k.clock, record, turns, k.follower.Lapses())
+	fresh := newHeld(k.clock, record, turns, k.follower.LeaseExpirations())
 	k.held[record.ID] = fresh
 	return fresh
 }
@@ -257,7 +257,7 @@
 func (k *Manager) Handle(ctx *base.Ctx, v *Request) (*Reply, error) {
 	anew, lookedUp, tried := false, "", &attempt{}
 	for {
-		if err := k.follower.Permit(ctx); err != nil {
+		if err := k.follower.WaitForLease(ctx); err != nil {
 			return nil, k.giveUp(v, tried, err)
 		}
 		record, err := k.resolve(ctx, v, anew)
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -310,8 +310,8 @@
 	return u.isFresh(entry) && entry.timesSent < maxSends
 }
 
-// Unsaid reports whether Sample would return any report.
-func (u *UsageReports) Unsaid(maxSends int) bool {
+// HasUnsent reports whether Sample would return any report.
+func (u *UsageReports) HasUnsent(maxSends int) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, entry := range u.entries {
--- a/internal/worker/picker.go
+++ b/internal/worker/picker.go
@@ -360,9 +360,9 @@
 	}
 	options := base.Map(ids, func(id string) policy.Candidate {
 		w := candidates[id]
-		return policy.Candidate{ID: id, Zone: w.Zone, Load: p.load(w), Capacity: w.Capacity, Former: id == req.LastWorker}
+		return policy.Candidate{ID: id, Zone: w.Zone, Load: p.load(w), Capacity: w.Capacity, Previous: id == req.LastWorker}
 	})
-	id, err := req.Policy.Pick(req.Urgency, p.zone, options)
+	id, err := req.Policy.Nominate(req.Urgency, p.zone, options)
 	if err != nil {
 		p.counters.Add("policy_faults", 1)
 		return nil
