--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -1,5 +1,3 @@
-// One attempt: a request sent to one worker, from the head of its answer on.
-
 package relay
 
 import (
@@ -10,65 +8,67 @@
 )
 
 const (
-	// silentTimes is how many times its expected duration an attempt may take
-	// before its worker counts as silent: the longest work is about four times
-	// the mean.
-	silentTimes = 4
-	// lastWordShare is the part of the time left that is added for a worker's
-	// own word that the time is over, and lastWordMost bounds it, below the
-	// quarter of a second from which holding a request counts as too long.
-	lastWordShare = 20
-	lastWordMost  = 100 * time.Millisecond
+	// silenceFactor is how many times its expected duration an attempt may take
+	// before its worker counts as silent: the longest requests take about four
+	// times the mean.
+	silenceFactor = 4
+	// The response is awaited somewhat beyond the deadline, so that a worker can
+	// still report itself that the time is over: by the time left divided by
+	// replyMarginDivisor, at most maxReplyMargin. That is below the quarter of a
+	// second beyond which a request counts as held too long.
+	replyMarginDivisor = 20
+	maxReplyMargin     = 100 * time.Millisecond
 )
 
-// attempt is a request at one worker whose answer has begun.
+// attempt is a request sent to one worker, from the head of its response on.
 type attempt struct {
-	relay  *Relay
-	offer  *offer
-	worker *state
-	under  base.BackReply
-	sentAt time.Duration
+	relay    *Relay
+	dispatch *dispatch
+	worker   *workerState
+	response base.BackReply
+	sentAt   time.Duration
 
-	begun  bool // its first event has come
-	events int
-	once   sync.Once
+	firstEventSeen bool
+	events         int // events with data
+	once           sync.Once
 }
 
-// end lets go of the answer, once.
-func (a *attempt) end(how outcome) {
+// end closes the response and records the result. Only the first call has an
+// effect.
+func (a *attempt) end(result outcome) {
 	a.once.Do(func() {
-		a.under.Close()
-		a.relay.finish(a, how)
+		a.response.Close()
+		a.relay.finishAttempt(a, result)
 	})
 }
 
-// attemptLimit is how long the answer of the chosen worker is waited for.
+// attemptTimeout returns how long to wait for the response of the chosen worker.
 //
-// A request that may be repeated does not wait for a silent worker until its
-// time is over: while there are tries and time left for a whole second attempt,
-// it goes on to another worker. Any other request waits, since a worker's
-// silence proves nothing.
-func (r *Relay) attemptLimit(o *offer, chosen *state, left time.Duration) time.Duration {
-	whole := left + min(left/lastWordShare, lastWordMost)
-	if !o.mayAttemptAgain(1) {
-		return whole
+// A repeatable request does not wait for a silent worker until its deadline: while
+// attempts and time for a whole second attempt are left, it goes on to another
+// worker. Any other request waits, because a worker's silence does not prove that
+// it did not run the request.
+func (r *Relay) attemptTimeout(d *dispatch, chosen *workerState, left time.Duration) time.Duration {
+	full := left + min(left/replyMarginDivisor, maxReplyMargin)
+	if !d.mayRetry(1) {
+		return full
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.pool(o.service.Name)
-	if len(p.waiting) > 0 || len(p.workers) < 2 {
-		return whole // a second attempt would take a place from others, or has none
+	p := r.pool(d.service.Name)
+	if len(p.queue) > 0 || len(p.workers) < 2 {
+		return full // another attempt would take a slot from queued requests, or has no other worker
 	}
-	expected := time.Duration(float64(p.request.value)*chosen.pace()) + chosen.waits(p, r.Clock.Now())
-	silent := max(silentTimes*expected, o.route.LatencyTarget)
-	if silent > left/2 {
-		return whole // too little would be left for a second attempt
+	expected := time.Duration(float64(p.requestTime.value)*chosen.durationFactor()) + chosen.expectedWait(p, r.Clock.Now())
+	silenceLimit := max(silenceFactor*expected, d.route.LatencyTarget)
+	if silenceLimit > left/2 {
+		return full // too little time would be left for a second attempt
 	}
-	return silent
+	return silenceLimit
 }
 
-// mayAttemptAgain tells whether, after so many more, the request may go to yet
-// another worker without proof that the last one did not run it.
-func (o *offer) mayAttemptAgain(more int) bool {
-	return o.route.MayRepeat() && o.sent+more < max(1, o.route.MaxAttempts)
+// mayRetry reports whether, after extra more attempts, the request may still be
+// sent to another worker without proof that the previous one did not run it.
+func (d *dispatch) mayRetry(extra int) bool {
+	return d.route.MayRepeat() && d.attempts+extra < max(1, d.route.MaxAttempts)
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -1,5 +1,3 @@
-// What a gateway spends by the number of workers: on choosing one, and on a
-// change of the roster.
 package relay_test
 
 import (
@@ -15,29 +13,30 @@
 
 var workerCounts = []int{72, 650, 2600}
 
-func BenchmarkChoosingAmong(b *testing.B) {
-	for _, row := range []struct {
+// The cost of choosing a worker by the number of workers.
+func BenchmarkChooseByWorkerCount(b *testing.B) {
+	for _, bb := range []struct {
 		name    string
 		service *route.Service
-	}{{"plain", service}, {"model", engine}} {
+	}{{"plain", plainService}, {"model", modelService}} {
 		for _, workers := range workerCounts {
-			b.Run(fmt.Sprintf("%s/%d", row.name, workers), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/%d", bb.name, workers), func(b *testing.B) {
 				f := &fleet{workers: map[string]*fakeWorker{}, clock: base.NewRealClock()}
-				for place := range workers {
-					f.add(fmt.Sprintf("w%d", place), []string{"z1", "z2", "z3"}[place%3], 96)
+				for i := range workers {
+					f.addWorker(fmt.Sprintf("w%d", i), []string{"z1", "z2", "z3"}[i%3], 96)
 				}
 				r := f.relay("z1")
-				r.Backends = instant{}
-				c := call()
-				for place := range 8 {
-					c.PromptParts = append(c.PromptParts, relay.PromptPart{ID: fmt.Sprint("p", place), Tokens: 400})
+				r.Backends = instantBackends{}
+				c := newCall()
+				for i := range 8 {
+					c.PromptParts = append(c.PromptParts, relay.PromptPart{ID: fmt.Sprint("p", i), Tokens: 400})
 				}
 				c.PromptTokens = 3200
-				rt := plain(route.KindNonIdempotent, 1)
+				rt := newRoute(route.KindNonIdempotent, 1)
 				ctx := base.NewCtx(f.clock, time.Hour)
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, err := r.Dispatch(ctx, rt, row.service, c, nil); err != nil {
+					if _, err := r.Dispatch(ctx, rt, bb.service, c, nil); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -46,17 +45,18 @@
 	}
 }
 
-// rosterValues is a frame with a roster in it.
+// rosterValues returns the keys and values of a roster in the feed.
 func rosterValues(workers int) map[string][]byte {
 	values := map[string][]byte{}
-	for place := range workers {
-		one := relay.Worker{Service: fmt.Sprintf("service-%d", place%4), Addr: fmt.Sprintf("10.1.%d.%d:8080", place/250, place%250), Zone: fmt.Sprintf("zone-%d", place%6), Capacity: 96}
-		values[fmt.Sprintf("%sinstance-%05d", relay.RosterKeyPrefix, place)] = base.Encode(one)
+	for i := range workers {
+		w := relay.Worker{Service: fmt.Sprintf("service-%d", i%4), Addr: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250), Zone: fmt.Sprintf("zone-%d", i%6), Capacity: 96}
+		values[fmt.Sprintf("%sinstance-%05d", relay.RosterKeyPrefix, i)] = base.Encode(w)
 	}
 	return values
 }
 
-// BenchmarkRosterChange is one worker that begins to drain, or is back.
+// BenchmarkRosterChange measures a change in which one worker begins or ends to
+// drain.
 func BenchmarkRosterChange(b *testing.B) {
 	for _, workers := range workerCounts {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -88,7 +88,8 @@
 	}
 }
 
-// BenchmarkRosterUnchanged is a change of the feed that is not the roster's.
+// BenchmarkRosterUnchanged measures a change of the feed that does not concern the
+// roster.
 func BenchmarkRosterUnchanged(b *testing.B) {
 	for _, workers := range workerCounts {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -1,27 +1,33 @@
-// Package relay carries a request to a worker of a route's service and its
-// answer back. A call here is in the product's own terms; WireNames says what its
-// parts are called on the wire, so that this package knows no one's words.
+// Package relay sends a client's request to one of the workers of a route's
+// service and returns the worker's response.
+//
+// It chooses the worker, queues requests while all workers are full, retries at
+// another worker where that is safe, and resumes streams. WireNames configures the
+// names of all headers, so that the package does not depend on a platform's
+// protocol.
 package relay
 
 import "time"
 
-// WireNames are the header names that clients and workers use.
+// WireNames holds the header names that clients and workers use, and the path of
+// the workers' reports.
 type WireNames struct {
 	ID, Deadline, Model, TokenCounts, PromptParts, Seal, ExpectWorker, NotRun, Load, Worker, Urgency string
 	Program, Session, Finish, TokenBudget, PreviousTurn, LastEventID, WeightVersions, ExpectVersion  string
 	ReportPath                                                                                       string
 }
 
-// PromptPart is a stretch of a prompt that others may share.
+// PromptPart is a section of a prompt. Prompts that share it give it the same id.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Header is one header line that is passed on.
+// Header is a header line.
 type Header struct{ Name, Value string }
 
-// Call is one request of a client: one try with its own id.
+// Call is one request of a client. A client's retry is another call with its own
+// id.
 type Call struct {
 	ID              string
 	Host            string
@@ -29,10 +35,10 @@
 	Target          string // path and query, byte for byte
 	Headers         []Header
 	Body            []byte
-	Deadline        time.Duration // how long the client will wait, 0 when it did not say
+	Deadline        time.Duration // how long the client waits, 0 if unknown
 	Model           string
-	PromptTokens    int // tokens of the prompt
-	MaxOutputTokens int // most tokens out
+	PromptTokens    int
+	MaxOutputTokens int
 	PromptParts     []PromptPart
 
 	Program        string
@@ -41,6 +47,6 @@
 	TokenBudget    int64
 	HasTokenBudget bool
 	PreviousTurn   string
-	// LastWorker is the worker that ran the session's last turn, if that is known.
+	// LastWorker is the worker that ran the session's previous turn, if known.
 	LastWorker string
 }
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -1,11 +1,3 @@
-// Choosing a worker. Plain workers: the least expected time, the way to another
-// zone included; what answers tell of a worker's load counts less the older it
-// is, so that many nodes with late news do not all run to the same worker. Model workers: the least of the time until the prompt's
-// unread part is read and of what the batch slows, so that a session stays
-// where its chain is kept as long as that pays. A worker that fails is avoided
-// for a while that doubles, then tried by one request at a time; when all are
-// avoided, none is.
-
 package relay
 
 import (
@@ -13,96 +5,112 @@
 	"time"
 )
 
-func (o *offer) triedAlready(s *state) bool {
-	for _, one := range o.tried {
-		if one == s {
+// hasTried reports whether the request was already sent to the worker.
+func (d *dispatch) hasTried(s *workerState) bool {
+	for _, tried := range d.tried {
+		if tried == s {
 			return true
 		}
 	}
 	return false
 }
 
-// choose gives the worker for an offer, or nil when none has room; soonest is
-// then the shortest expected wait, and possible tells that there are workers.
-func (r *Relay) choose(o *offer, p *pool) (chosen *state, soonest time.Duration, possible bool) {
+// choose returns the worker with the lowest expected cost, or nil if none has
+// room; shortestWait is then the shortest expected wait. anyCandidate reports
+// whether there is any worker that was not tried yet. The caller holds the lock.
+//
+// The cost at a plain worker is the expected time of the request, including the
+// way to another zone. The load that a worker reported counts less the older it
+// is, so that many nodes with outdated reports do not all choose the same worker.
+// The cost at a model worker is the prefill time of the tokens that are not cached
+// there plus the slowdown by its batch, so that a session stays at the worker that
+// has its prefix cached as long as that is cheaper.
+//
+// A worker that fails is avoided for a time that doubles with each failure, and
+// then probed by one request at a time. If all workers are avoided, none is.
+func (r *Relay) choose(d *dispatch, p *servicePool) (chosen *workerState, shortestWait time.Duration, anyCandidate bool) {
 	now := r.Clock.Now()
-	most := r.share(o.service)
-	allowed := o.patience(p, now)
-	soonest = -1
-	open := make([]*state, 0, len(p.workers))
-	var avoided []*state
+	maxConns := r.maxConns(d.service)
+	maxWait := d.maxWait(p, now)
+	shortestWait = -1
+	available := make([]*workerState, 0, len(p.workers))
+	var avoided []*workerState
 	for _, s := range p.workers {
-		if o.triedAlready(s) || !s.serving.Load() {
+		if d.hasTried(s) || !s.serving.Load() {
 			continue
 		}
-		possible = true
-		shunned, noRoom := s.spared(o, p, now)
-		waits := s.waits(p, now)
-		if noRoom {
-			waits = max(waits, s.full-now)
+		anyCandidate = true
+		avoid, full := s.unavailable(d, p, now)
+		wait := s.expectedWait(p, now)
+		if full {
+			wait = max(wait, s.fullUntil-now)
 		}
-		if !shunned && (soonest < 0 || waits < soonest) {
-			soonest = waits
+		if !avoid && (shortestWait < 0 || wait < shortestWait) {
+			shortestWait = wait
 		}
 		switch {
-		case noRoom || (most > 0 && s.under >= most) || waits > allowed:
-		case shunned:
+		case full || (maxConns > 0 && s.inFlight >= maxConns) || wait > maxWait:
+		case avoid:
 			avoided = append(avoided, s)
 		default:
-			open = append(open, s)
+			available = append(available, s)
 		}
 	}
-	if len(open) == 0 {
-		if soonest >= 0 { // some are well, but full
-			return nil, soonest, possible
+	if len(available) == 0 {
+		if shortestWait >= 0 { // some workers are not avoided, but full
+			return nil, shortestWait, anyCandidate
 		}
-		open = avoided
+		available = avoided
 	}
-	return r.pick(o, p, open, now), max(0, soonest), possible
+	return r.pickCheapest(d, p, available, now), max(0, shortestWait), anyCandidate
 }
 
-// patience is how long a request may wait for a slot, from four times the aim
-// for the most urgent to a quarter for the least, so that these leave room; and
-// never so long that its time is over before it could run.
-func (o *offer) patience(p *pool, now time.Duration) time.Duration {
-	aim := o.route.LatencyTarget * time.Duration(48-5*min(9, max(0, o.route.Urgency))) / 12
-	return min(aim, max(0, o.until-now-p.request.value)*3/4)
+// maxWait is how long a request may wait for a slot at a worker: from four times
+// the latency target for the most urgent requests to a quarter of it for the least
+// urgent, which thus leave room for others. It is never so long that the request
+// could not finish before its deadline.
+func (d *dispatch) maxWait(p *servicePool, now time.Duration) time.Duration {
+	limit := d.route.LatencyTarget * time.Duration(48-5*min(9, max(0, d.route.Urgency))) / 12
+	return min(limit, max(0, d.deadline-now-p.requestTime.value)*3/4)
 }
 
-func (r *Relay) pick(o *offer, p *pool, open []*state, now time.Duration) *state {
-	if r.narrow != nil {
-		open = r.narrow(open)
+// pickCheapest returns the candidate with the lowest cost, with a little random
+// noise so that equal candidates share the load.
+func (r *Relay) pickCheapest(d *dispatch, p *servicePool, candidates []*workerState, now time.Duration) *workerState {
+	if r.filterCandidates != nil {
+		candidates = r.filterCandidates(candidates)
 	}
-	var best *state
-	var least time.Duration
-	for _, s := range open {
-		cost := r.cost(o, p, s, now) + time.Duration(r.Clock.Int64N(int64(o.route.LatencyTarget/128)+1))
-		if best == nil || cost < least {
-			best, least = s, cost
+	var best *workerState
+	var lowestCost time.Duration
+	for _, s := range candidates {
+		cost := r.cost(d, p, s, now) + time.Duration(r.Clock.Int64N(int64(d.route.LatencyTarget/128)+1))
+		if best == nil || cost < lowestCost {
+			best, lowestCost = s, cost
 		}
 	}
 	return best
 }
 
-// take books the request on the worker.
-func (r *Relay) take(o *offer, p *pool, s *state) {
+// reserve counts the request at the worker and, for a model worker, adds its
+// prompt to the expected prefill time and cache content.
+func (r *Relay) reserve(d *dispatch, p *servicePool, s *workerState) {
 	now := r.Clock.Now()
-	if s.under == 0 {
-		s.heardAt.Store(int64(now))
+	if s.inFlight == 0 {
+		s.lastHeardAt.Store(int64(now))
 	}
-	s.under++
-	s.idle = max(0, s.idle-1)
+	s.inFlight++
+	s.idleConns = max(0, s.idleConns-1)
 	s.probing = s.failures > 0
-	if o.service.Engine == nil {
+	if d.service.Engine == nil {
 		return
 	}
-	_, perToken := p.reading.line()
-	o.unread = o.unreadAt(s)
-	o.backlog = max(0, s.read-now)
-	s.read = max(now, s.read) + time.Duration(o.unread)*perToken
-	room := o.service.Engine.CacheTokens
-	if room <= 0 {
-		room = math.MaxInt
+	_, perToken := p.prefill.estimate()
+	d.uncachedTokens = d.uncachedTokensAt(s)
+	d.prefillBacklog = max(0, s.prefillDoneAt-now)
+	s.prefillDoneAt = max(now, s.prefillDoneAt) + time.Duration(d.uncachedTokens)*perToken
+	capacity := d.service.Engine.CacheTokens
+	if capacity <= 0 {
+		capacity = math.MaxInt
 	}
-	o.changes = s.held.use(o.call.Model, o.call.PromptParts, room)
+	d.cacheChanges = s.cache.touch(d.call.Model, d.call.PromptParts, capacity)
 }
--- a/internal/relay/cost.go
+++ b/internal/relay/cost.go
@@ -1,74 +1,78 @@
-// What a request is expected to cost at a worker, in time.
-
 package relay
 
 import (
 	"time"
 )
 
-// farBody is the length of a body whose way to another zone weighs as much as
-// the aim.
-const farBody = 128 << 10
+// crossZoneBodyBytes is the length of a body whose transfer to another zone costs
+// as much as the latency target.
+const crossZoneBodyBytes = 128 << 10
 
-// far is what another zone costs, in time: the way, and the bytes.
-func (r *Relay) far(o *offer, s *state) time.Duration {
+// crossZoneCost is the cost of sending the request to another zone: a latency and
+// a transfer cost in proportion to the body.
+func (r *Relay) crossZoneCost(d *dispatch, s *workerState) time.Duration {
 	if r.Zone == "" || s.Zone == r.Zone {
 		return 0
 	}
-	return o.route.LatencyTarget/12 + time.Duration(float64(o.route.LatencyTarget)*float64(len(o.body))/farBody)
+	return d.route.LatencyTarget/12 + time.Duration(float64(d.route.LatencyTarget)*float64(len(d.body))/crossZoneBodyBytes)
 }
 
-// joining is what a new connection costs, in time, where none is kept. A worker
-// that failed is to be tried again all the same.
-func (r *Relay) joining(o *offer, s *state, now time.Duration) time.Duration {
+// connectCost is the cost of a new connection if none is likely to be pooled. It
+// is 0 for a worker that failed, so that it is tried again.
+func (r *Relay) connectCost(d *dispatch, s *workerState, now time.Duration) time.Duration {
 	if s.failures > 0 {
 		return 0
 	}
-	if s.idle > 0 && now-s.idleAt < 2*r.Bounds.Load().Leave {
+	if s.idleConns > 0 && now-s.idleConnAt < 2*r.Bounds.Load().Leave {
 		return 0
 	}
-	return o.route.LatencyTarget / 48
+	return d.route.LatencyTarget / 48
 }
 
-// cost is the time that a request is expected to take there, with what speaks
-// against the worker expressed in time.
-func (r *Relay) cost(o *offer, p *pool, s *state, now time.Duration) time.Duration {
-	if o.service.Engine != nil {
-		return r.modelCost(o, p, s, now)
+// cost is the expected time of the request at the worker, plus penalties expressed
+// as time.
+func (r *Relay) cost(d *dispatch, p *servicePool, s *workerState, now time.Duration) time.Duration {
+	if d.service.Engine != nil {
+		return r.modelCost(d, p, s, now)
 	}
-	busy := s.load(p, now) / s.slots()
-	taken := float64(p.request.value) * s.pace() * (1 + busy*busy/4)
-	return s.waits(p, now) + time.Duration(taken) + r.far(o, s) + r.joining(o, s, now)
+	utilization := s.load(p, now) / s.slots()
+	duration := float64(p.requestTime.value) * s.durationFactor() * (1 + utilization*utilization/4)
+	return s.expectedWait(p, now) + time.Duration(duration) + r.crossZoneCost(d, s) + r.connectCost(d, s, now)
 }
 
-func (r *Relay) modelCost(o *offer, p *pool, s *state, now time.Duration) time.Duration {
-	_, perToken := p.reading.line()
-	unread := o.unreadAt(s)
+// modelCost is the cost of a request at a model worker: prefill, waiting, the
+// recent delay of first events, the slowdown by its batch, and the recomputation
+// of cached tokens that would be evicted.
+func (r *Relay) modelCost(d *dispatch, p *servicePool, s *workerState, now time.Duration) time.Duration {
+	_, perToken := p.prefill.estimate()
+	uncached := d.uncachedTokensAt(s)
 	load := s.load(p, now)
-	cost := max(0, s.read-now) + time.Duration(unread)*perToken + s.waits(p, now)
-	cost += time.Duration(float64(s.late) * fresh(now-s.lateAt, 4*o.route.LatencyTarget))
-	cost += time.Duration(float64(o.call.MaxOutputTokens) * load * float64(publishedCrowd))
-	engine := o.service.Engine
-	if engine.CacheTokens > 0 { // what does not fit puts others back
-		mine := float64(o.call.PromptTokens + o.call.MaxOutputTokens)
-		if over := (load+1)*mine - float64(engine.CacheTokens); over > 0 {
-			cost += time.Duration(over) * perToken
+	cost := max(0, s.prefillDoneAt-now) + time.Duration(uncached)*perToken + s.expectedWait(p, now)
+	cost += time.Duration(float64(s.firstEventDelay) * decay(now-s.firstEventDelayAt, 4*d.route.LatencyTarget))
+	cost += time.Duration(float64(d.call.MaxOutputTokens) * load * float64(publishedBatchSlowdown))
+	engine := d.service.Engine
+	if engine.CacheTokens > 0 { // tokens beyond the cache's capacity evict others
+		needed := float64(d.call.PromptTokens + d.call.MaxOutputTokens)
+		if excess := (load+1)*needed - float64(engine.CacheTokens); excess > 0 {
+			cost += time.Duration(excess) * perToken
 		}
 	}
-	if len(o.call.PromptParts) > 0 {
-		// Where nobody holds the first part yet, all nodes think of the same few.
-		spread := (o.shared ^ s.mark) * 0x9e3779b97f4a7c15 >> 54
-		cost += o.route.LatencyTarget / 32 * time.Duration(spread) / 1024
+	if len(d.call.PromptParts) > 0 {
+		// While no worker has the first part cached, all nodes prefer the same few
+		// workers for it.
+		tieBreak := (d.firstPartHash ^ s.idHash) * 0x9e3779b97f4a7c15 >> 54
+		cost += d.route.LatencyTarget / 32 * time.Duration(tieBreak) / 1024
 	}
-	return cost + r.far(o, s) + r.joining(o, s, now)
+	return cost + r.crossZoneCost(d, s) + r.connectCost(d, s, now)
 }
 
-// unreadAt is how many tokens of the prompt the worker would have to read.
-func (o *offer) unreadAt(s *state) int {
-	call := o.call
-	unread := call.PromptTokens - s.held.kept(call.Model, call.PromptParts)
+// uncachedTokensAt is how many tokens of the prompt the worker would have to
+// prefill.
+func (d *dispatch) uncachedTokensAt(s *workerState) int {
+	call := d.call
+	uncached := call.PromptTokens - s.cache.cachedTokens(call.Model, call.PromptParts)
 	if call.LastWorker == s.ID && len(call.PromptParts) > 0 {
-		unread = min(unread, call.PromptParts[len(call.PromptParts)-1].Tokens)
+		uncached = min(uncached, call.PromptParts[len(call.PromptParts)-1].Tokens)
 	}
-	return max(0, unread)
+	return max(0, uncached)
 }
--- a/internal/relay/event.go
+++ b/internal/relay/event.go
@@ -1,5 +1,3 @@
-// Reading a stream of events as they come.
-
 package relay
 
 import (
@@ -10,67 +8,67 @@
 	"fordseam/internal/base"
 )
 
-// eventBytes bounds one event.
-const eventBytes = 1 << 20
+// maxEventBytes bounds the size of one event.
+const maxEventBytes = 1 << 20
 
-// Event is one event of a stream: its bytes as they came, the empty line
-// included, and the payload of its data lines; Data is nil when it has none.
+// Event is one server-sent event. Raw is its bytes as received, including the empty
+// line at its end; Data is the payload of its data lines, nil if it has none.
 type Event struct {
 	Raw  []byte
 	Data []byte
 	ID   string
 }
 
-// errEventTooLong is what an event beyond eventBytes gives.
+// errEventTooLong is returned for an event longer than maxEventBytes.
 var errEventTooLong = base.Unsure(502, "worker_garbled", "an event is too long")
 
-// readEvent puts lines together up to an empty one. io.EOF is the end of the
-// stream between two events; an event without its empty line counts there.
-func readEvent(line func() ([]byte, error)) (*Event, error) {
+// readEvent reads lines up to an empty one. It returns io.EOF at the end of the
+// stream; a last event without an empty line is returned before that.
+func readEvent(readLine func() ([]byte, error)) (*Event, error) {
 	event := &Event{}
 	for {
-		raw, err := line()
+		raw, err := readLine()
 		switch {
 		case err == io.EOF && len(event.Raw) > 0:
-			return event, nil // the next look finds the end
+			return event, nil // the next call returns io.EOF
 		case err != nil:
 			return nil, err
 		}
 		event.Raw = append(event.Raw, raw...)
-		text := bytes.TrimRight(raw, "\r\n")
-		if len(text) == 0 {
+		line := bytes.TrimRight(raw, "\r\n")
+		if len(line) == 0 {
 			return event, nil
 		}
-		event.take(text)
-		if len(event.Raw) > eventBytes {
+		event.addLine(line)
+		if len(event.Raw) > maxEventBytes {
 			return nil, errEventTooLong
 		}
 	}
 }
 
-// take adds one line of an event.
-func (e *Event) take(text []byte) {
-	if data, ok := bytes.CutPrefix(text, []byte("data:")); ok {
+// addLine parses one line of an event.
+func (e *Event) addLine(line []byte) {
+	if data, ok := bytes.CutPrefix(line, []byte("data:")); ok {
 		if e.Data == nil {
-			e.Data = []byte{} // an empty payload is one as well
+			e.Data = []byte{} // an empty payload differs from none
 		} else {
 			e.Data = append(e.Data, '\n')
 		}
 		e.Data = append(e.Data, bytes.TrimPrefix(data, []byte(" "))...)
 		return
 	}
-	if id, ok := bytes.CutPrefix(text, []byte("id:")); ok {
+	if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 		e.ID = string(bytes.TrimPrefix(id, []byte(" ")))
 	}
 }
 
-// event waits for the attempt's next event until a moment.
-func (a *attempt) event(until time.Duration) (*Event, error) {
+// nextEvent waits for the attempt's next event until the deadline.
+func (a *attempt) nextEvent(deadline time.Duration) (*Event, error) {
 	clock := a.relay.Clock
 	event, err := readEvent(func() ([]byte, error) {
-		line, err := a.under.Line(max(0, until-clock.Now()))
+		line, err := a.response.Line(max(0, deadline-clock.Now()))
 		if err == nil {
-			a.worker.heardAt.Store(int64(clock.Now()))
+			a.worker.lastHeardAt.Store(int64(clock.Now()))
 		}
 		return line, err
 	})
@@ -80,9 +78,9 @@
 	if event.Data != nil {
 		a.events++
 	}
-	if !a.begun && len(bytes.TrimRight(event.Raw, "\r\n")) > 0 {
-		a.begun = true
-		a.relay.firstEvent(a)
+	if !a.firstEventSeen && len(bytes.TrimRight(event.Raw, "\r\n")) > 0 {
+		a.firstEventSeen = true
+		a.relay.recordFirstEvent(a)
 	}
 	return event, nil
 }
--- a/internal/relay/export_test.go
+++ b/internal/relay/export_test.go
@@ -1,38 +1,36 @@
-// Another way of choosing, to compare: the best of a few that are drawn. And
-// what is believed of a worker.
 package relay
 
-// Draw lets the relay choose among so many workers drawn in the own zone, and
-// as many drawn elsewhere.
-func (r *Relay) Draw(draws int) {
-	r.narrow = func(open []*state) []*state {
-		near := 0
-		for place, s := range open {
+// DrawCandidates makes the relay choose among a number of workers drawn at random
+// in its own zone, and as many in other zones.
+func (r *Relay) DrawCandidates(draws int) {
+	r.filterCandidates = func(candidates []*workerState) []*workerState {
+		inZone := 0
+		for i, s := range candidates {
 			if s.Zone == r.Zone {
-				open[near], open[place] = open[place], open[near]
-				near++
+				candidates[inZone], candidates[i] = candidates[i], candidates[inZone]
+				inZone++
 			}
 		}
-		var drawn []*state
-		for _, group := range [][]*state{open[:near], open[near:]} {
-			for place := 0; place < draws && place < len(group); place++ {
-				other := place + int(r.Clock.Int64N(int64(len(group)-place)))
-				group[place], group[other] = group[other], group[place]
-				drawn = append(drawn, group[place])
+		var drawn []*workerState
+		for _, group := range [][]*workerState{candidates[:inZone], candidates[inZone:]} {
+			for i := 0; i < draws && i < len(group); i++ {
+				other := i + int(r.Clock.Int64N(int64(len(group)-i)))
+				group[i], group[other] = group[other], group[i]
+				drawn = append(drawn, group[i])
 			}
 		}
 		return drawn
 	}
 }
 
-// Unread is how many tokens a worker would have to read of a prompt.
-func (r *Relay) Unread(worker string, call *Call) int {
-	return (&offer{call: call}).unreadAt(r.known[worker])
+// UncachedTokens is how many tokens of a prompt a worker would have to prefill.
+func (r *Relay) UncachedTokens(worker string, call *Call) int {
+	return (&dispatch{call: call}).uncachedTokensAt(r.states[worker])
 }
 
-// Serving are the workers of a service that may be chosen, with their
+// ServingWorkers returns the workers of a service that may be chosen, with their
 // addresses, in the list's order.
-func (r *Relay) Serving(service string) []string {
+func (r *Relay) ServingWorkers(service string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all []string
@@ -44,10 +42,10 @@
 	return all
 }
 
-// The changes of the roster as the duty cuts them.
+// Exported for the tests of the roster's changes.
 var (
-	ChangesTo = changesTo
-	InOrder   = inOrder
+	RosterChanges  = rosterChanges
+	CompareWorkers = compareWorkers
 )
 
-const RosterPart = rosterPart
+const MaxChangeWorkers = maxChangeWorkers
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -1,5 +1,3 @@
-// Workers in virtual time for the relay's tests: slots, a short queue, load
-// told in answers, and faults on demand. One task runs at a time.
 package relay_test
 
 import (
@@ -20,52 +18,56 @@
 	"github.com/matryer/is"
 )
 
-var names = &relay.WireNames{ID: "Call-Id", Deadline: "Time-Left", Seal: "Seal", ExpectWorker: "Only-Worker", NotRun: "Refused", Load: "Load", Urgency: "Rank"}
+var wireNames = &relay.WireNames{ID: "Call-Id", Deadline: "Time-Left", Seal: "Seal", ExpectWorker: "Only-Worker", NotRun: "Refused", Load: "Load", Urgency: "Rank"}
 
-// fault is what a worker does with a request instead of answering.
+// fault is what a fakeWorker does with a request instead of answering it.
 type fault int
 
 const (
-	well        fault = iota
-	refuses           // 503 with the proof
-	refusesBare       // 503 without it
-	unreachable       // no connection
-	loses             // runs it and loses the answer
-	cuts              // runs it and cuts the answer's body
-	unsealed          // 200 without the seal
-	encoded           // 200 with an encoding
-	breaks            // 500 of its own
-	mistaken          // 421
-	silent            // never answers
-	neverBegins       // refuses in the moment before the first byte
+	healthy             fault = iota
+	rejects                   // 503 with the header that says it did not run
+	rejectsWithoutProof       // 503 without that header
+	unreachable               // no connection can be made
+	losesReply                // runs it, but the response is lost
+	truncatesBody             // runs it, but the response's body is truncated
+	omitsSeal                 // 200 without the seal header
+	encodesBody               // 200 with a content encoding
+	returns500                // its own status 500
+	misdirects                // 421
+	neverAnswers              // never answers
+	leavesBeforeSend          // begins to leave just before the first byte is sent
 )
 
+// fakeWorker is a worker in virtual time with slots, a short queue, load reports in
+// its responses, and a fault if one is set.
 type fakeWorker struct {
 	relay.Worker
 	slots, queue     int
-	work             func() time.Duration
+	workTime         func() time.Duration
 	fault            fault
 	running, waiting int
-	most             int
+	peakLoad         int
 	bell             *base.Bell
-	ran              []string // ids of requests it ran
-	got              []string // ids of requests it was sent
-	last             *base.BackRequest
-	kept             map[string]int // tokens of parts, for model workers
-	reading          time.Duration
-	read             int
+	ranIDs           []string // ids of the requests it ran
+	receivedIDs      []string // ids of the requests it was sent
+	lastRequest      *base.BackRequest
+	cachedTokens     map[string]int // by part, for model workers
+	prefillPerToken  time.Duration
+	prefilledTokens  int
 }
 
+// fleet is a set of fake workers that serves as the relay's backends. In virtual
+// time one task runs at a time.
 type fleet struct {
 	*is.I
-	t       *testing.T
-	world   *simulate.World
-	clock   base.Clock
-	host    *simulate.Host
-	workers map[string]*fakeWorker
-	order   []*fakeWorker
-	before  func(*fakeWorker) // just before the first byte leaves
-	forgot  []string
+	t          *testing.T
+	world      *simulate.World
+	clock      base.Clock
+	host       *simulate.Host
+	workers    map[string]*fakeWorker
+	ordered    []*fakeWorker
+	beforeSend func(*fakeWorker) // called just before the first byte is sent
+	forgotten  []string
 }
 
 func newFleet(t *testing.T, seed uint64) *fleet {
@@ -75,27 +77,27 @@
 	return &fleet{I: is.New(t), t: t, world: world, clock: host.Clock(), host: host, workers: map[string]*fakeWorker{}}
 }
 
-func (f *fleet) add(id, zone string, slots int) *fakeWorker {
+func (f *fleet) addWorker(id, zone string, slots int) *fakeWorker {
 	w := &fakeWorker{Worker: relay.Worker{ID: id, Addr: "addr-" + id, Service: "s", Zone: zone, Capacity: slots}, slots: slots, queue: 4 * slots,
-		work: func() time.Duration { return 100 * time.Millisecond }, bell: base.NewBell(f.clock), kept: map[string]int{}}
+		workTime: func() time.Duration { return 100 * time.Millisecond }, bell: base.NewBell(f.clock), cachedTokens: map[string]int{}}
 	f.workers[w.Addr] = w
-	f.order = append(f.order, w)
+	f.ordered = append(f.ordered, w)
 	return w
 }
 
 func (f *fleet) list() relay.Workers {
-	return base.Map(f.order, func(w *fakeWorker) relay.Worker { return w.Worker })
+	return base.Map(f.ordered, func(w *fakeWorker) relay.Worker { return w.Worker })
 }
 
 func (f *fleet) relay(zone string) *relay.Relay {
 	bounds := &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
-	r := relay.New(relay.Config{Clock: f.clock, Backends: f, Bounds: bounds, Names: names, Zone: zone, MaxResponseBytes: 1 << 20, Counters: base.NewCounters()})
+	r := relay.New(relay.Config{Clock: f.clock, Backends: f, Bounds: bounds, Names: wireNames, Zone: zone, MaxResponseBytes: 1 << 20, Counters: base.NewCounters()})
 	r.SetWorkers(f.list())
 	return r
 }
 
-// run lets a task go in virtual time until it has ended.
+// run runs a task in virtual time until it has ended.
 func (f *fleet) run(task func()) {
 	f.t.Helper()
 	done := false
@@ -108,7 +110,7 @@
 	}
 }
 
-func (f *fleet) Forget(worker string) { f.forgot = append(f.forgot, worker) }
+func (f *fleet) Forget(worker string) { f.forgotten = append(f.forgotten, worker) }
 
 func (f *fleet) Call(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
 	w := f.workers[addr]
@@ -116,87 +118,87 @@
 	if w.fault == unreachable {
 		return nil, &base.NotSent{Cause: errors.New("refused")}
 	}
-	if f.before != nil {
-		f.before(w)
+	if f.beforeSend != nil {
+		f.beforeSend(w)
 	}
 	if request.Stays != nil && !request.Stays() {
 		return nil, &base.NotSent{Cause: base.ErrLeaves}
 	}
 	id := valueOf(request, "Call-Id")
-	w.got, w.last = append(w.got, id), request
+	w.receivedIDs, w.lastRequest = append(w.receivedIDs, id), request
 	f.clock.Sleep(time.Millisecond)
 	reply := &fakeReply{fleet: f, worker: w, status: 200, header: map[string]string{"Call-Id": id, "Seal": "sealed-" + id}, body: []byte("answer to " + id)}
-	turn := func(status int, proof bool) (base.BackReply, error) {
+	reject := func(status int, proof bool) (base.BackReply, error) {
 		reply.status, reply.body = status, []byte("no")
 		if proof {
 			reply.header["Refused"] = "1"
 		}
-		reply.tellLoad()
+		reply.reportLoad()
 		return reply, nil
 	}
 	switch {
-	case w.fault == refuses:
-		return turn(503, true)
-	case w.fault == refusesBare:
-		return turn(503, false)
-	case w.fault == mistaken || valueOf(request, "Only-Worker") != w.ID:
-		return turn(421, false)
-	case w.fault == silent:
+	case w.fault == rejects:
+		return reject(503, true)
+	case w.fault == rejectsWithoutProof:
+		return reject(503, false)
+	case w.fault == misdirects || valueOf(request, "Only-Worker") != w.ID:
+		return reject(421, false)
+	case w.fault == neverAnswers:
 		f.clock.Sleep(ctx.Left())
 		return nil, errors.New("no answer in time")
 	case w.running >= w.slots && w.waiting >= w.queue:
-		return turn(503, true)
+		return reject(503, true)
 	}
-	w.most = max(w.most, w.running+w.waiting+1)
+	w.peakLoad = max(w.peakLoad, w.running+w.waiting+1)
 	w.waiting++
 	for w.running >= w.slots {
 		w.bell.Next().Wait(-1)
 	}
 	w.waiting--
 	w.running++
-	w.ran = append(w.ran, id)
-	if w.reading > 0 {
-		w.readPrompt(f, request)
+	w.ranIDs = append(w.ranIDs, id)
+	if w.prefillPerToken > 0 {
+		w.prefill(f, request)
 	}
-	f.clock.Sleep(w.work())
+	f.clock.Sleep(w.workTime())
 	w.running--
 	w.bell.Ring()
 	switch w.fault {
-	case loses:
+	case losesReply:
 		return nil, errors.New("reset")
-	case cuts:
+	case truncatesBody:
 		reply.cut = true
-	case unsealed:
+	case omitsSeal:
 		delete(reply.header, "Seal")
-	case encoded:
+	case encodesBody:
 		reply.header["Content-Encoding"] = "gzip"
-	case breaks:
+	case returns500:
 		reply.status = 500
 	}
 	if stream := valueOf(request, "Stream"); stream != "" {
 		reply.lines = strings.SplitAfter(stream, "\n")
 	}
-	reply.tellLoad()
+	reply.reportLoad()
 	f.clock.Sleep(time.Millisecond)
 	return reply, nil
 }
 
-// readPrompt reads the parts that are not kept, one request at a time.
-func (w *fakeWorker) readPrompt(f *fleet, request *base.BackRequest) {
-	unread, broken := 0, false
+// prefill takes the time to prefill the parts that are not cached.
+func (w *fakeWorker) prefill(f *fleet, request *base.BackRequest) {
+	uncached, broken := 0, false
 	for _, part := range strings.Split(valueOf(request, "Parts"), ",") {
 		id, tokens, _ := strings.Cut(part, ":")
 		count, _ := strconv.Atoi(tokens)
-		have := min(w.kept[id], count)
+		cached := min(w.cachedTokens[id], count)
 		if broken {
-			have = 0
+			cached = 0
 		}
-		unread += count - have
-		broken = have < count
-		w.kept[id] = max(w.kept[id], count)
+		uncached += count - cached
+		broken = cached < count
+		w.cachedTokens[id] = max(w.cachedTokens[id], count)
 	}
-	w.read += unread
-	f.clock.Sleep(time.Duration(unread) * w.reading)
+	w.prefilledTokens += uncached
+	f.clock.Sleep(time.Duration(uncached) * w.prefillPerToken)
 }
 
 func valueOf(request *base.BackRequest, name string) string {
@@ -219,7 +221,7 @@
 	closed bool
 }
 
-func (r *fakeReply) tellLoad() {
+func (r *fakeReply) reportLoad() {
 	r.header["Load"] = fmt.Sprintf("%d,%d,%d", r.worker.running, r.worker.waiting, r.worker.slots)
 }
 
@@ -253,21 +255,24 @@
 	return slices.Clone(r.body), nil
 }
 
-var service = &route.Service{Name: "s"}
+var plainService = &route.Service{Name: "s"}
 
-func plain(kind route.Kind, tries int) *route.Route {
-	return &route.Route{Name: "r", Kind: kind, Timeout: 6 * time.Second, LatencyTarget: 400 * time.Millisecond, Urgency: 3, MaxAttempts: tries}
+// newRoute returns a route with a latency target of 400 ms.
+func newRoute(kind route.Kind, maxAttempts int) *route.Route {
+	return &route.Route{Name: "r", Kind: kind, Timeout: 6 * time.Second, LatencyTarget: 400 * time.Millisecond, Urgency: 3, MaxAttempts: maxAttempts}
 }
 
-var calls int
+var callCount int
 
-func call() *relay.Call {
-	calls++
-	return &relay.Call{ID: fmt.Sprintf("id%d", calls), Host: "h", Method: "POST", Target: "/p?q=1", Deadline: 5 * time.Second}
+// newCall returns a call with a new id.
+func newCall() *relay.Call {
+	callCount++
+	return &relay.Call{ID: fmt.Sprintf("id%d", callCount), Host: "h", Method: "POST", Target: "/p?q=1", Deadline: 5 * time.Second}
 }
 
-func (f *fleet) offer(r *relay.Relay, rt *route.Route, c *relay.Call) (*relay.Reply, *base.Verdict) {
-	reply, err := r.Dispatch(base.NewCtx(f.clock, time.Minute), rt, service, c, []byte("ask"))
+// dispatch sends a call to the plain service and returns its reply or verdict.
+func (f *fleet) dispatch(r *relay.Relay, rt *route.Route, c *relay.Call) (*relay.Reply, *base.Verdict) {
+	reply, err := r.Dispatch(base.NewCtx(f.clock, time.Minute), rt, plainService, c, []byte("ask"))
 	if err != nil {
 		return nil, base.FromWire(err)
 	}
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -10,7 +10,7 @@
 	"fordseam/internal/route"
 )
 
-// linesReply gives prepared bytes line by line, and then an end.
+// linesReply returns prepared bytes line by line, and then the error end.
 type linesReply struct {
 	base.BackReply
 	rest []byte
@@ -33,12 +33,12 @@
 func (r *linesReply) Header(string) string { return "" }
 func (r *linesReply) Close()               {}
 
-// readEvents reads a stream to its end.
+// readEvents reads the events of a stream up to its end, and returns that error.
 func readEvents(raw []byte, end error) ([]*Event, error) {
 	relay := New(Config{Clock: base.NewRealClock(), Names: &WireNames{}, Bounds: &base.Table[base.Bounds]{}, Counters: base.NewCounters()})
 	relay.Bounds.Swap(base.DefaultBounds())
-	begun := &attempt{relay: relay, under: &linesReply{rest: bytes.Clone(raw), end: end}, worker: &state{held: newPrefixes()}, offer: fuzzOffer()}
-	reply := &Reply{Status: 200, relay: relay, first: begun, current: begun, offer: begun.offer}
+	first := &attempt{relay: relay, response: &linesReply{rest: bytes.Clone(raw), end: end}, worker: &workerState{cache: newPrefixCache()}, dispatch: newFuzzDispatch()}
+	reply := &Reply{Status: 200, relay: relay, firstAttempt: first, current: first, dispatch: first.dispatch}
 	var events []*Event
 	for {
 		event, err := reply.Event(time.Second)
@@ -49,8 +49,9 @@
 	}
 }
 
-// payload is what an event's data lines say, read in another way.
-func payload(raw []byte) []byte {
+// dataPayload extracts the payload of an event's data lines by another method than
+// readEvent.
+func dataPayload(raw []byte) []byte {
 	var lines [][]byte
 	for _, line := range bytes.Split(raw, []byte("\n")) {
 		line = bytes.TrimRight(line, "\r")
@@ -61,9 +62,8 @@
 	return bytes.Join(lines, []byte("\n"))
 }
 
-// Of any bytes: the events together are the very bytes that came, each one's
-// payload is that of its data lines, and the end is clean only where the
-// worker's was.
+// For any input: the events together are exactly the bytes received, the payload of
+// each is that of its data lines, and the end is clean only if the worker's was.
 func FuzzEvents(f *testing.F) {
 	for _, seed := range []string{
 		"id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
@@ -76,7 +76,7 @@
 		f.Add([]byte(seed), false)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, clean bool) {
-		if len(raw) > eventBytes/2 {
+		if len(raw) > maxEventBytes/2 {
 			return
 		}
 		end := io.ErrUnexpectedEOF
@@ -85,24 +85,24 @@
 		}
 		events, err := readEvents(raw, end)
 		if (err == io.EOF) != clean {
-			t.Fatalf("the worker's end was %v, and what is told %v", end, err)
+			t.Fatalf("the worker's stream ended with %v, the reply with %v", end, err)
 		}
 		var all []byte
 		for _, event := range events {
 			all = append(all, event.Raw...)
-			if !bytes.Equal(event.Data, payload(event.Raw)) {
-				t.Fatalf("event %q has the payload %q", event.Raw, event.Data)
+			if !bytes.Equal(event.Data, dataPayload(event.Raw)) {
+				t.Fatalf("event %q was read with the payload %q", event.Raw, event.Data)
 			}
 		}
 		if clean && !bytes.Equal(all, raw) {
-			t.Fatalf("%q came, and %q is passed on", raw, all)
+			t.Fatalf("received %q, passed on %q", raw, all)
 		}
 		if !clean && !bytes.HasPrefix(raw, all) {
-			t.Fatalf("%q came, and %q is passed on", raw, all)
+			t.Fatalf("received %q, passed on %q", raw, all)
 		}
 	})
 }
 
-func fuzzOffer() *offer {
-	return &offer{call: &Call{}, route: &route.Route{LatencyTarget: time.Second}, service: &route.Service{}}
+func newFuzzDispatch() *dispatch {
+	return &dispatch{call: &Call{}, route: &route.Route{LatencyTarget: time.Second}, service: &route.Service{}}
 }
--- a/internal/relay/proof.go
+++ b/internal/relay/proof.go
@@ -6,73 +6,75 @@
 	"github.com/juju/errors"
 )
 
-// proof is why an attempt has certainly not run. The list is complete: whatever
-// is not on it may have run, and a request that may not be repeated is then not
-// sent again.
-type proof uint8
+// notRunProof is the evidence that an attempt was not run by its worker. The list
+// is complete: in any other case the attempt may have run, and a request that must
+// not be repeated is not sent again.
+type notRunProof uint8
 
 const (
 	// proofNone: the attempt may have run.
-	proofNone proof = iota
-	// proofLeaving: not sent, the worker was found to be leaving or too little
-	// time was left in the moment before the first byte.
+	proofNone notRunProof = iota
+	// proofLeaving: not sent, because just before the first byte the worker turned
+	// out to be leaving or too little time was left.
 	proofLeaving
-	// proofNoRoom: not sent, the worker has as many connections as it may.
-	proofNoRoom
-	// proofUnreached: not sent, no connection could be made, or a kept one took
-	// no byte.
-	proofUnreached
-	// proofTurnedAway: the answer says that the request did not run.
-	proofTurnedAway
-	// proofStranger: the answer is 421, of a worker that was not meant.
-	proofStranger
+	// proofNoConnection: not sent, because the worker has its maximum of
+	// connections.
+	proofNoConnection
+	// proofUnreachable: not sent, because no connection could be made or no byte
+	// could be written to a pooled one.
+	proofUnreachable
+	// proofRejected: the response says that the request did not run.
+	proofRejected
+	// proofMisdirected: the response is 421, from a worker that was not addressed.
+	proofMisdirected
 )
 
-// consequence is what follows from a proof: how the worker's place is given
-// back, and the verdict should no other worker take the request.
+// consequence is what follows from a proof: the outcome recorded for the worker,
+// and the verdict if no other worker takes the request.
 type consequence struct {
 	outcome outcome
 	code    string
 	message string
 }
 
-var consequences = map[proof]consequence{
-	proofLeaving:    {turnedBack, "worker_leaving", "the worker is leaving"},
-	proofNoRoom:     {full, "worker_full", "the worker's connections are taken"},
-	proofUnreached:  {unreached, "worker_unreachable", "the worker could not be reached"},
-	proofTurnedAway: {full, "worker_full", "the worker took no more"},
-	proofStranger:   {stranger, "worker_full", "the worker took no more"},
+// consequences has an entry for every proof except proofNone.
+var consequences = map[notRunProof]consequence{
+	proofLeaving:      {outcomeNotSent, "worker_leaving", "the worker is leaving"},
+	proofNoConnection: {outcomeRejected, "worker_full", "all connections to the worker are in use"},
+	proofUnreachable:  {outcomeUnreachable, "worker_unreachable", "the worker could not be reached"},
+	proofRejected:     {outcomeRejected, "worker_full", "the worker has no room"},
+	proofMisdirected:  {outcomeMisdirected, "worker_full", "another worker answered at the address"},
 }
 
-// statusMisdirected is the status by which a worker says that another was meant.
+// statusMisdirected is the status of a worker that was not the one addressed.
 const statusMisdirected = 421
 
-// proofOfError is what a call without an answer proves.
-func proofOfError(err error) proof {
+// proofFromError returns the proof given by the error of a call without response.
+func proofFromError(err error) notRunProof {
 	switch {
 	case errors.Is(err, base.ErrLeaves):
 		return proofLeaving
 	case errors.Is(err, base.ErrNoConnection):
-		return proofNoRoom
+		return proofNoConnection
 	case base.WasNotSent(err):
-		return proofUnreached
+		return proofUnreachable
 	}
 	return proofNone
 }
 
-// proofOfAnswer is what the head of an answer proves.
-func proofOfAnswer(status int, notRun string) proof {
+// proofFromResponse returns the proof given by the head of a response.
+func proofFromResponse(status int, notRun string) notRunProof {
 	switch {
 	case status == statusMisdirected:
-		return proofStranger
+		return proofMisdirected
 	case notRun != "":
-		return proofTurnedAway
+		return proofRejected
 	}
 	return proofNone
 }
 
-// verdict is what the client hears when no other worker takes the request.
-func (p proof) verdict() *base.Verdict {
-	follows := consequences[p]
-	return base.Decline(503, follows.code, "%s", follows.message)
+// verdict is the error for the client if no other worker takes the request.
+func (p notRunProof) verdict() *base.Verdict {
+	c := consequences[p]
+	return base.Decline(503, c.code, "%s", c.message)
 }
--- a/internal/relay/rates.go
+++ b/internal/relay/rates.go
@@ -1,80 +1,80 @@
-// Rates of a service as this node has measured them. They start from what is
-// published of such workers and follow the measurements, older ones counting
-// less and less.
-
 package relay
 
 import "time"
 
-// mean is a running mean that forgets.
-type mean struct {
-	value time.Duration
-	seen  int
+// runningMean is a mean in which older samples count less and less.
+type runningMean struct {
+	value   time.Duration
+	samples int
 }
 
-const meanSpan = 32
+// meanWindow is the number of samples after which the weight of a new sample no
+// longer decreases.
+const meanWindow = 32
 
-func (m *mean) add(sample time.Duration) {
-	m.seen = min(m.seen+1, meanSpan)
-	m.value += (sample - m.value) / time.Duration(m.seen)
+func (m *runningMean) add(sample time.Duration) {
+	m.samples = min(m.samples+1, meanWindow)
+	m.value += (sample - m.value) / time.Duration(m.samples)
 }
 
-// fit is a line through pairs (tokens read, time to the first event), found by
-// least squares; each new pair makes the former ones count less.
-type fit struct{ n, x, y, xx, xy float64 }
+// linearFit is a least-squares line through pairs of prefilled tokens and the time
+// to the first event. Older pairs count less with each new one.
+type linearFit struct{ n, x, y, xx, xy float64 }
 
-const fitKeeps = 1 - 1.0/128
+// fitDecay is the factor by which a new pair reduces the weight of older pairs.
+const fitDecay = 1 - 1.0/128
 
-// newFit begins with a line that counts as some pairs.
-func newFit(first, perToken time.Duration) *fit {
-	f := &fit{}
+// newLinearFit returns a fit that starts with five pairs on the given line.
+func newLinearFit(firstEvent, perToken time.Duration) *linearFit {
+	f := &linearFit{}
 	for tokens := 0.0; tokens <= 4096; tokens += 1024 {
-		f.add(tokens, float64(first)+tokens*float64(perToken))
+		f.add(tokens, float64(firstEvent)+tokens*float64(perToken))
 	}
 	return f
 }
 
-func (f *fit) add(x, y float64) {
-	f.n, f.x, f.y, f.xx, f.xy = f.n*fitKeeps+1, f.x*fitKeeps+x, f.y*fitKeeps+y, f.xx*fitKeeps+x*x, f.xy*fitKeeps+x*y
+func (f *linearFit) add(x, y float64) {
+	f.n, f.x, f.y, f.xx, f.xy = f.n*fitDecay+1, f.x*fitDecay+x, f.y*fitDecay+y, f.xx*fitDecay+x*x, f.xy*fitDecay+x*y
 }
 
-// line is the time to the first event without tokens, and the time a token
-// takes to be read.
-func (f *fit) line() (first, perToken time.Duration) {
-	spread := f.n*f.xx - f.x*f.x
-	if spread <= 0 {
+// estimate returns the time to the first event without any prefill, and the prefill
+// time of a token.
+func (f *linearFit) estimate() (firstEvent, perToken time.Duration) {
+	variance := f.n*f.xx - f.x*f.x
+	if variance <= 0 {
 		return time.Duration(f.y / f.n), 0
 	}
-	slope := max(0, (f.n*f.xy-f.x*f.y)/spread)
+	slope := max(0, (f.n*f.xy-f.x*f.y)/variance)
 	return time.Duration(max(0, (f.y-slope*f.x)/f.n)), time.Duration(slope)
 }
 
-// Published figures of model workers.
+// Published figures of model workers, used until there are measurements.
 const (
-	publishedFirst    = 20 * time.Millisecond
-	publishedPerToken = time.Millisecond / 32
-	publishedStep     = 6 * time.Millisecond
-	publishedCrowd    = publishedStep / 300 // more of a step for each request running
+	publishedFirstEvent    = 20 * time.Millisecond
+	publishedPerToken      = time.Millisecond / 32
+	publishedStep          = 6 * time.Millisecond
+	publishedBatchSlowdown = publishedStep / 300 // added to a step by each running request
 )
 
-// ServiceRates is what a node has learned of a service.
+// ServiceRates holds what a node has measured of a service. The measurements start
+// from the published figures.
 type ServiceRates struct {
 	Service        string
-	RequestTime    time.Duration // of a request that did not wait
-	FirstEventTime time.Duration // to the first event, less reading
-	TimePerToken   time.Duration // of prompt
+	RequestTime    time.Duration // of a request that did not wait at the worker
+	FirstEventTime time.Duration // to the first event, without prefill
+	TimePerToken   time.Duration // prefill of a prompt token
 	Workers        int
 }
 
-// ServiceRates gives the rates of each service, for operators.
+// ServiceRates returns the rates of each service, for operators.
 func (r *Relay) ServiceRates() []ServiceRates {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var all []ServiceRates
-	for _, name := range sortedPools(r.pools) {
+	var rates []ServiceRates
+	for _, name := range sortedServiceNames(r.pools) {
 		p := r.pools[name]
-		first, perToken := p.reading.line()
-		all = append(all, ServiceRates{name, p.request.value, first, perToken, len(p.workers)})
+		firstEvent, perToken := p.prefill.estimate()
+		rates = append(rates, ServiceRates{name, p.requestTime.value, firstEvent, perToken, len(p.workers)})
 	}
-	return all
+	return rates
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,9 +1,3 @@
-// A request is offered to one worker after another of a route's service until
-// one takes it. It goes on to a second worker only when the first certainly did
-// not run it: no byte left, or the answer says so. A request that may be
-// repeated goes on after any failure. Nothing is sent to a worker that the list
-// shows leaving, nor when too little time is left for the send to count.
-
 package relay
 
 import (
@@ -17,10 +11,11 @@
 	"fordseam/internal/route"
 )
 
-// Workers is the list, swapped whole.
+// Workers is a list of workers, ordered by id where it comes from the roster. It
+// is immutable and replaced as a whole.
 type Workers []Worker
 
-// Config is what a relay is made of.
+// Config holds the dependencies and settings of a relay.
 type Config struct {
 	Clock    base.Clock
 	Backends base.Backends
@@ -28,278 +23,294 @@
 	Counters *base.Counters
 	Names    *WireNames
 	Zone     string
-	// MaxResponseBytes bounds the bytes of a whole answer.
+	// MaxResponseBytes bounds the body of a response that is not streamed.
 	MaxResponseBytes int
-	// MaxConnsPerWorker is how many of a service's connections to each worker are this
-	// node's; nil or 0 for no bound.
+	// MaxConnsPerWorker returns how many connections this node may have to each
+	// worker of a service, 0 for no bound. nil means no bound for any service.
 	MaxConnsPerWorker func(*route.Service) int
-	// Rank orders requests when there is not room for all, the lowest first
-	// and before urgency; nil for no order.
+	// Rank orders queued requests before their urgency does, the lowest first; nil
+	// ranks all requests equally.
 	Rank func(*Call) int
 }
 
-// Relay offers requests to workers on one node.
+// Relay dispatches requests to workers on one node.
+//
+// A request goes to one worker after another until one takes it. It is sent to a
+// second worker only if the first certainly did not run it, because no byte was
+// sent or the response says so; a repeatable request is sent again after any
+// failure. Nothing is sent to a worker that is leaving, or when too little time is
+// left.
 type Relay struct {
 	Config
 
-	// narrow, in tests, leaves only some of the workers to choose from.
-	narrow func([]*state) []*state
+	// filterCandidates, if not nil, reduces the workers to choose from. Tests set it.
+	filterCandidates func([]*workerState) []*workerState
 
-	mu    sync.Mutex
-	pools map[string]*pool
-	known map[string]*state
-	lists uint64
+	mu          sync.Mutex
+	pools       map[string]*servicePool
+	states      map[string]*workerState
+	listVersion uint64
 }
 
-// New makes a relay that knows no workers yet.
-func New(parts Config) *Relay {
-	return &Relay{Config: parts, pools: map[string]*pool{}, known: map[string]*state{}}
+// New returns a relay without workers.
+func New(config Config) *Relay {
+	return &Relay{Config: config, pools: map[string]*servicePool{}, states: map[string]*workerState{}}
 }
 
-// SetWorkers takes a new list. Workers that have gone or are leaving get nothing
-// from now on; idle connections to those that have gone are dropped. Only the
-// services that something changed for are gone through anew.
+// SetWorkers replaces the list of workers. Workers that were removed or are leaving
+// get no more requests, and idle connections to removed ones are closed. Only the
+// services with changes are rebuilt.
 func (r *Relay) SetWorkers(workers Workers) {
 	r.mu.Lock()
-	r.lists++
-	touched := map[string]bool{}
-	for _, one := range workers {
-		s := r.known[one.ID]
+	r.listVersion++
+	changed := map[string]bool{}
+	for _, listed := range workers {
+		s := r.states[listed.ID]
 		switch {
-		case s == nil || s.Addr != one.Addr || s.Service != one.Service:
+		case s == nil || s.Addr != listed.Addr || s.Service != listed.Service:
 			if s != nil {
 				s.serving.Store(false)
-				touched[s.Service] = true
+				changed[s.Service] = true
 			}
-			s = &state{held: newPrefixes(), mark: base.Hash64(one.ID)}
-			r.known[one.ID] = s
-		case s.listed == one:
-			s.list = r.lists
+			s = &workerState{cache: newPrefixCache(), idHash: base.Hash64(listed.ID)}
+			r.states[listed.ID] = s
+		case s.listed == listed:
+			s.listVersion = r.listVersion
 			continue
 		}
-		s.Worker, s.listed, s.list = one, one, r.lists
-		s.serving.Store(!one.Draining)
-		touched[one.Service] = true
+		s.Worker, s.listed, s.listVersion = listed, listed, r.listVersion
+		s.serving.Store(!listed.Draining)
+		changed[listed.Service] = true
 	}
-	var gone []string
-	if len(r.known) > len(workers) {
-		for _, id := range base.SortedKeys(r.known) {
-			if s := r.known[id]; s.list != r.lists {
+	var removed []string
+	if len(r.states) > len(workers) {
+		for _, id := range base.SortedKeys(r.states) {
+			if s := r.states[id]; s.listVersion != r.listVersion {
 				s.serving.Store(false)
-				touched[s.Service] = true
-				gone = append(gone, id)
-				delete(r.known, id)
+				changed[s.Service] = true
+				removed = append(removed, id)
+				delete(r.states, id)
 			}
 		}
 	}
-	for name := range touched {
+	for name := range changed {
 		r.pool(name).workers = nil
 	}
-	if len(touched) > 0 {
-		for _, one := range workers {
-			if s := r.known[one.ID]; touched[one.Service] && !one.Draining {
-				p := r.pools[one.Service]
+	if len(changed) > 0 {
+		for _, listed := range workers {
+			if s := r.states[listed.ID]; changed[listed.Service] && !listed.Draining {
+				p := r.pools[listed.Service]
 				p.workers = append(p.workers, s)
 			}
 		}
 	}
-	for _, name := range base.SortedKeys(touched) {
-		r.pump(r.pools[name])
+	for _, name := range base.SortedKeys(changed) {
+		r.serveQueue(r.pools[name])
 	}
 	r.mu.Unlock()
-	for _, id := range gone {
+	for _, id := range removed {
 		r.Backends.Forget(id)
 	}
 }
 
-// offer is one request on its way to a worker.
-type offer struct {
-	route   *route.Route
-	service *route.Service
-	call    *Call
-	body    []byte
-	ctx     *base.Ctx
-	began   time.Duration
-	until   time.Duration
-	rank    int
-	lines   []base.HeaderLine
-	tried   []*state
-	sent    int
-	maybe   bool // a worker may have run it
+// dispatch is one request on its way to a worker.
+type dispatch struct {
+	route       *route.Route
+	service     *route.Service
+	call        *Call
+	body        []byte
+	ctx         *base.Ctx
+	startedAt   time.Duration
+	deadline    time.Duration
+	rank        int
+	headerLines []base.HeaderLine
+	tried       []*workerState
+	attempts    int  // how often it was sent
+	mayHaveRun  bool // an earlier worker may have run it
 
-	// At the model worker that was chosen: tokens to read, how long it has to
-	// read before, and what that changes of the parts it holds.
-	shared  uint64 // mark of the first part
-	unread  int
-	backlog time.Duration
-	changes []change
+	// At the chosen model worker: the tokens to prefill, the prefill time of the
+	// requests before, and the changes to its estimated cache.
+	firstPartHash  uint64 // hash of the first part's id
+	uncachedTokens int
+	prefillBacklog time.Duration
+	cacheChanges   []cacheChange
 }
 
-// Dispatch sends the request to a worker of the service and gives its answer:
-// whole, or a stream under way. An error is a verdict.
+// Dispatch sends the request to a worker of the service and returns its reply, with
+// the whole body or a stream. An error is always a verdict.
 func (r *Relay) Dispatch(ctx *base.Ctx, rt *route.Route, service *route.Service, call *Call, body []byte) (*Reply, error) {
 	now := r.Clock.Now()
-	limit := min(ctx.Left(), rt.Timeout)
+	timeout := min(ctx.Left(), rt.Timeout)
 	if call.Deadline > 0 {
-		limit = min(limit, call.Deadline)
+		timeout = min(timeout, call.Deadline)
 	}
-	o := &offer{route: rt, service: service, call: call, body: body, ctx: ctx, began: now, until: now + limit}
+	d := &dispatch{route: rt, service: service, call: call, body: body, ctx: ctx, startedAt: now, deadline: now + timeout}
 	if r.Rank != nil {
-		o.rank = r.Rank(call)
+		d.rank = r.Rank(call)
 	}
-	o.lines = r.passed(call, rt)
+	d.headerLines = r.forwardedHeaders(call, rt)
 	if service.Engine != nil && len(call.PromptParts) > 0 {
-		o.shared = base.Hash64(call.PromptParts[0].ID)
+		d.firstPartHash = base.Hash64(call.PromptParts[0].ID)
 	}
 	for {
-		chosen, err := r.hold(o)
+		chosen, err := r.acquireWorker(d)
 		if err != nil {
-			return nil, o.settle(err)
+			return nil, d.finalError(err)
 		}
-		reply, err := r.send(o, chosen)
+		reply, err := r.send(d, chosen)
 		if reply != nil {
 			return reply, nil
 		}
-		o.tried = append(o.tried, chosen)
+		d.tried = append(d.tried, chosen)
 		if v := base.VerdictIn(err); v == nil || v.Ran != base.NotRun {
-			o.maybe = true
-			if !o.mayAttemptAgain(0) {
+			d.mayHaveRun = true
+			if !d.mayRetry(0) {
 				return nil, err
 			}
-		} else if o.sent >= max(1, rt.MaxAttempts) {
+		} else if d.attempts >= max(1, rt.MaxAttempts) {
 			r.mu.Lock()
-			err = r.refuse(o)
+			err = r.declineBusy(d)
 			r.mu.Unlock()
-			return nil, o.settle(err)
+			return nil, d.finalError(err)
 		}
 		r.count("offers_carried_on")
 	}
 }
 
-// settle keeps a refusal from promising what an earlier worker may have broken.
-func (o *offer) settle(err error) error {
-	if v := base.VerdictIn(err); o.maybe && v != nil && v.Ran == base.NotRun {
+// finalError turns a refusal that says "not run" into one that does not, if an
+// earlier worker may have run the request.
+func (d *dispatch) finalError(err error) error {
+	if v := base.VerdictIn(err); d.mayHaveRun && v != nil && v.Ran == base.NotRun {
 		return base.Unsure(502, "worker_lost", "a worker's answer was lost, and then: %s", v.Message)
 	}
 	return err
 }
 
-// least is the least time that makes a send an offer.
-func (o *offer) least() time.Duration { return o.route.LatencyTarget / 10 }
+// minSendTime is the shortest time before the deadline at which a request is still
+// sent.
+func (d *dispatch) minSendTime() time.Duration { return d.route.LatencyTarget / 10 }
 
+// count increments a counter.
 func (r *Relay) count(name string) {
 	if r.Counters != nil {
 		r.Counters.Add(name, 1)
 	}
 }
 
-// Headers that concern one connection only, and those that are written anew.
-var ownHeaders = []string{"connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te", "trailer",
+// unforwardedHeaders are the hop-by-hop headers and those that are generated anew.
+var unforwardedHeaders = []string{"connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te", "trailer",
 	"transfer-encoding", "upgrade", "host", "content-length", "expect"}
 
-// passed are the client's header lines that go on, and the id.
-func (r *Relay) passed(call *Call, rt *route.Route) []base.HeaderLine {
+// forwardedHeaders returns the client's header lines to forward, the request's id
+// and its urgency.
+func (r *Relay) forwardedHeaders(call *Call, rt *route.Route) []base.HeaderLine {
 	lines := make([]base.HeaderLine, 0, len(call.Headers)+4)
-	var named string
+	var connectionHeaders string
 	for _, line := range call.Headers {
 		if strings.EqualFold(line.Name, "Connection") {
-			named += "," + line.Value
+			connectionHeaders += "," + line.Value
 		}
 	}
-	n := r.Names
+	names := r.Names
 	for _, line := range call.Headers {
-		if slices.ContainsFunc(ownHeaders, func(own string) bool { return strings.EqualFold(own, line.Name) }) ||
-			(named != "" && slices.ContainsFunc(strings.Split(named, ","), func(one string) bool { return strings.EqualFold(strings.TrimSpace(one), line.Name) })) ||
-			is(line.Name, n.ID) || is(line.Name, n.Deadline) || is(line.Name, n.ExpectWorker) || is(line.Name, n.Urgency) {
+		if slices.ContainsFunc(unforwardedHeaders, func(header string) bool { return strings.EqualFold(header, line.Name) }) ||
+			(connectionHeaders != "" && slices.ContainsFunc(strings.Split(connectionHeaders, ","), func(name string) bool { return strings.EqualFold(strings.TrimSpace(name), line.Name) })) ||
+			equalsConfigured(line.Name, names.ID) || equalsConfigured(line.Name, names.Deadline) || equalsConfigured(line.Name, names.ExpectWorker) || equalsConfigured(line.Name, names.Urgency) {
 			continue
 		}
 		lines = append(lines, base.HeaderLine{Name: line.Name, Value: line.Value})
 	}
-	if n.ID != "" {
-		lines = append(lines, base.HeaderLine{Name: n.ID, Value: call.ID})
+	if names.ID != "" {
+		lines = append(lines, base.HeaderLine{Name: names.ID, Value: call.ID})
 	}
-	if n.Urgency != "" {
-		lines = append(lines, base.HeaderLine{Name: n.Urgency, Value: strconv.Itoa(min(9, max(0, rt.Urgency)))})
+	if names.Urgency != "" {
+		lines = append(lines, base.HeaderLine{Name: names.Urgency, Value: strconv.Itoa(min(9, max(0, rt.Urgency)))})
 	}
 	return lines
 }
 
-func is(name, ours string) bool { return ours != "" && strings.EqualFold(name, ours) }
+// equalsConfigured reports whether name is the configured header name, if any.
+func equalsConfigured(name, configured string) bool {
+	return configured != "" && strings.EqualFold(name, configured)
+}
 
-// send carries the request to one worker. Without a reply, the error's verdict
-// says whether the worker may have run it.
-func (r *Relay) send(o *offer, chosen *state) (*Reply, error) {
+// send sends the request to one worker. Without a reply, the error is a verdict
+// that says whether the worker may have run it.
+func (r *Relay) send(d *dispatch, chosen *workerState) (*Reply, error) {
 	sentAt := r.Clock.Now()
-	left := o.until - sentAt
-	request := &base.BackRequest{Method: o.call.Method, Path: o.call.Target, Host: o.call.Host, Body: o.body, Worker: chosen.ID,
-		Match: base.HeaderLine{Name: r.Names.ID, Value: o.call.ID}, MostConns: r.share(o.service), Connect: o.route.LatencyTarget / 3,
-		Stays: func() bool { return chosen.serving.Load() && o.until-r.Clock.Now() >= o.least() }}
-	request.Lines = append(o.lines[:len(o.lines):len(o.lines)], base.HeaderLine{Name: r.Names.Deadline, Value: strconv.FormatInt(left.Milliseconds(), 10)},
+	left := d.deadline - sentAt
+	request := &base.BackRequest{Method: d.call.Method, Path: d.call.Target, Host: d.call.Host, Body: d.body, Worker: chosen.ID,
+		Match: base.HeaderLine{Name: r.Names.ID, Value: d.call.ID}, MostConns: r.maxConns(d.service), Connect: d.route.LatencyTarget / 3,
+		Stays: func() bool { return chosen.serving.Load() && d.deadline-r.Clock.Now() >= d.minSendTime() }}
+	request.Lines = append(d.headerLines[:len(d.headerLines):len(d.headerLines)], base.HeaderLine{Name: r.Names.Deadline, Value: strconv.FormatInt(left.Milliseconds(), 10)},
 		base.HeaderLine{Name: r.Names.ExpectWorker, Value: chosen.ID})
-	limit := r.attemptLimit(o, chosen, left)
-	under, err := r.Backends.Call(o.ctx.Within(limit), chosen.Addr, request)
+	timeout := r.attemptTimeout(d, chosen, left)
+	response, err := r.Backends.Call(d.ctx.Within(timeout), chosen.Addr, request)
 	if err != nil {
-		return nil, r.unsent(o, chosen, err)
+		return nil, r.handleCallError(d, chosen, err)
 	}
-	o.sent++
-	begun := &attempt{relay: r, offer: o, worker: chosen, under: under, sentAt: sentAt}
-	reply := &Reply{Status: under.Status(), WorkerID: chosen.ID, relay: r, offer: o, first: begun, current: begun}
-	r.heard(chosen, under.Header(r.Names.Load))
-	proven := proofOfAnswer(reply.Status, under.Header(r.Names.NotRun))
+	d.attempts++
+	first := &attempt{relay: r, dispatch: d, worker: chosen, response: response, sentAt: sentAt}
+	reply := &Reply{Status: response.Status(), WorkerID: chosen.ID, relay: r, dispatch: d, firstAttempt: first, current: first}
+	r.recordLoad(chosen, response.Header(r.Names.Load))
+	proof := proofFromResponse(reply.Status, response.Header(r.Names.NotRun))
 	switch {
-	case proven != proofNone:
-		return nil, r.turnedAway(reply, proven)
+	case proof != proofNone:
+		return nil, r.handleRejection(reply, proof)
 	case reply.Status == 408 || reply.Status == 429 || reply.Status == 503:
-		// To the client these would promise what this worker has not.
-		reply.end(failed)
+		// To the client, these statuses would mean that the request was not run, but
+		// the worker's response does not say so.
+		reply.end(outcomeFailed)
 		return nil, base.Unsure(502, "worker_failed", "the worker failed with status %d", reply.Status)
-	case reply.Status/100 == 2 && (reply.Seal() == "" || under.Header("Content-Encoding") != ""):
-		reply.end(failed)
-		return nil, base.Unsure(502, "worker_garbled", "the worker's answer is not in protocol")
-	case reply.Status/100 == 2 && o.route.Kind == route.KindStream:
+	case reply.Status/100 == 2 && (reply.Seal() == "" || response.Header("Content-Encoding") != ""):
+		reply.end(outcomeFailed)
+		return nil, base.Unsure(502, "worker_garbled", "the worker's answer violates the protocol")
+	case reply.Status/100 == 2 && d.route.Kind == route.KindStream:
 		return reply, nil
 	}
-	body, err := under.Body(max(0, sentAt+limit-r.Clock.Now()), r.MaxResponseBytes)
+	body, err := response.Body(max(0, sentAt+timeout-r.Clock.Now()), r.MaxResponseBytes)
 	if err != nil {
-		reply.end(failed)
-		if r.Clock.Now() >= o.until {
+		reply.end(outcomeFailed)
+		if r.Clock.Now() >= d.deadline {
 			return nil, base.Unsure(504, "timed_out", "the worker's answer did not come in time")
 		}
 		return nil, base.Unsure(502, "worker_cut", "the worker's answer was cut short")
 	}
-	reply.body, reply.whole = body, true
-	reply.end(served)
+	reply.body, reply.buffered = body, true
+	reply.end(outcomeServed)
 	return reply, nil
 }
 
-// unsent judges a call that gave no reply.
-func (r *Relay) unsent(o *offer, chosen *state, err error) error {
-	if proven := proofOfError(err); proven != proofNone {
-		r.release(o, chosen, consequences[proven].outcome)
-		if proven == proofUnreached {
+// handleCallError releases the worker after a call without response and returns
+// the verdict.
+func (r *Relay) handleCallError(d *dispatch, chosen *workerState, err error) error {
+	if proof := proofFromError(err); proof != proofNone {
+		r.releaseWorker(d, chosen, consequences[proof].outcome)
+		if proof == proofUnreachable {
 			r.count("workers_unreached")
 		}
-		return proven.verdict()
+		return proof.verdict()
 	}
-	o.sent++
-	r.release(o, chosen, failed)
+	d.attempts++
+	r.releaseWorker(d, chosen, outcomeFailed)
 	r.count("workers_lost")
-	if r.Clock.Now() >= o.until {
+	if r.Clock.Now() >= d.deadline {
 		return base.Unsure(504, "timed_out", "the worker's answer did not come in time")
 	}
 	return base.Unsure(502, "worker_lost", "the worker's answer was lost")
 }
 
-// turnedAway is for an answer that proves that the request did not run. The few
-// bytes of its body are read, so that the connection can be kept.
-func (r *Relay) turnedAway(reply *Reply, proven proof) error {
-	_, _ = reply.first.under.Body(reply.offer.least(), r.MaxResponseBytes) // what fails here only costs the connection
+// handleRejection handles a response that proves that the request did not run. Its
+// short body is read so that the connection can be reused.
+func (r *Relay) handleRejection(reply *Reply, proof notRunProof) error {
+	_, _ = reply.firstAttempt.response.Body(reply.dispatch.minSendTime(), r.MaxResponseBytes) // an error only costs the connection
 	r.count("workers_turned_away")
-	reply.end(consequences[proven].outcome)
-	return proven.verdict()
+	reply.end(consequences[proof].outcome)
+	return proof.verdict()
 }
 
-func (r *Relay) share(service *route.Service) int {
+// maxConns is the bound on connections to each worker of a service, 0 for none.
+func (r *Relay) maxConns(service *route.Service) int {
 	if r.MaxConnsPerWorker == nil {
 		return 0
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -1,4 +1,3 @@
-// When a request goes on to another worker, and what its client is told.
 package relay_test
 
 import (
@@ -13,109 +12,109 @@
 	"fordseam/internal/route"
 )
 
-// Two workers; the first that is asked has a fault. A second is asked only
-// when the first has certainly not run the request, or when it may be repeated.
-func TestASecondWorkerNeedsAProof(t *testing.T) {
-	for _, row := range []struct {
+// Of two workers, the one that gets the request first has a fault. The second one
+// gets it only if the first has certainly not run it, or if it is repeatable.
+func TestSecondAttemptNeedsNotRunProof(t *testing.T) {
+	for _, tt := range []struct {
 		name   string
 		fault  fault
 		kind   route.Kind
 		tries  int
-		status int // the client's
+		status int // seen by the client
 		ran    base.Ran
-		sent   int // workers that were sent to
+		sent   int // number of workers it was sent to
 	}{
-		{"well", well, route.KindNonIdempotent, 1, 200, "", 1},
-		{"turned away, another try", refuses, route.KindNonIdempotent, 2, 200, "", 2},
-		{"turned away, no try left", refuses, route.KindNonIdempotent, 1, 503, base.NotRun, 1},
-		{"turned away, tries not told", refuses, route.KindNonIdempotent, 0, 503, base.NotRun, 1},
-		{"another worker's address", mistaken, route.KindNonIdempotent, 2, 200, "", 2},
-		{"no connection needs no try", unreachable, route.KindNonIdempotent, 1, 200, "", 1},
-		{"a bare 503 promises nothing", refusesBare, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
-		{"lost", loses, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
-		{"lost stream", loses, route.KindStream, 2, 502, base.MayHaveRun, 1},
-		{"lost, may be repeated", loses, route.KindIdempotent, 2, 200, "", 2},
-		{"lost, may be repeated, no try left", loses, route.KindIdempotent, 1, 502, base.MayHaveRun, 1},
-		{"cut", cuts, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
-		{"cut, may be repeated", cuts, route.KindIdempotent, 2, 200, "", 2},
-		{"without seal", unsealed, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
-		{"without seal, a stream", unsealed, route.KindStream, 2, 502, base.MayHaveRun, 1},
-		{"encoded", encoded, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
-		{"the worker's own failure is the answer", breaks, route.KindNonIdempotent, 2, 500, "", 1},
-		{"also of what may be repeated", breaks, route.KindIdempotent, 2, 500, "", 1},
-		{"silence", silent, route.KindNonIdempotent, 2, 504, base.MayHaveRun, 1},
-		{"silence, may be repeated", silent, route.KindIdempotent, 2, 200, "", 2},
-		{"silence, may be repeated, no try left", silent, route.KindIdempotent, 1, 504, base.MayHaveRun, 1},
-		{"silence of a stream", silent, route.KindStream, 2, 504, base.MayHaveRun, 1},
+		{"no fault", healthy, route.KindNonIdempotent, 1, 200, "", 1},
+		{"rejected, another attempt", rejects, route.KindNonIdempotent, 2, 200, "", 2},
+		{"rejected, no attempt left", rejects, route.KindNonIdempotent, 1, 503, base.NotRun, 1},
+		{"rejected, attempts not configured", rejects, route.KindNonIdempotent, 0, 503, base.NotRun, 1},
+		{"misdirected", misdirects, route.KindNonIdempotent, 2, 200, "", 2},
+		{"no connection does not count as an attempt", unreachable, route.KindNonIdempotent, 1, 200, "", 1},
+		{"a 503 without the header proves nothing", rejectsWithoutProof, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
+		{"response lost", losesReply, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
+		{"response lost, a stream", losesReply, route.KindStream, 2, 502, base.MayHaveRun, 1},
+		{"response lost, repeatable", losesReply, route.KindIdempotent, 2, 200, "", 2},
+		{"response lost, repeatable, no attempt left", losesReply, route.KindIdempotent, 1, 502, base.MayHaveRun, 1},
+		{"body truncated", truncatesBody, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
+		{"body truncated, repeatable", truncatesBody, route.KindIdempotent, 2, 200, "", 2},
+		{"without seal", omitsSeal, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
+		{"without seal, a stream", omitsSeal, route.KindStream, 2, 502, base.MayHaveRun, 1},
+		{"with a content encoding", encodesBody, route.KindNonIdempotent, 2, 502, base.MayHaveRun, 1},
+		{"the worker's own status 500 is passed on", returns500, route.KindNonIdempotent, 2, 500, "", 1},
+		{"also if repeatable", returns500, route.KindIdempotent, 2, 500, "", 1},
+		{"silence", neverAnswers, route.KindNonIdempotent, 2, 504, base.MayHaveRun, 1},
+		{"silence, repeatable", neverAnswers, route.KindIdempotent, 2, 200, "", 2},
+		{"silence, repeatable, no attempt left", neverAnswers, route.KindIdempotent, 1, 504, base.MayHaveRun, 1},
+		{"silence, a stream", neverAnswers, route.KindStream, 2, 504, base.MayHaveRun, 1},
 	} {
-		t.Run(row.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			f := newFleet(t, 1)
-			a, b := f.add("a", "z1", 6), f.add("b", "z1", 6)
+			a, b := f.addWorker("a", "z1", 6), f.addWorker("b", "z1", 6)
 			r := f.relay("z1")
-			f.before = func(w *fakeWorker) {
-				if len(a.got)+len(b.got) == 0 {
-					w.fault = row.fault
+			f.beforeSend = func(w *fakeWorker) {
+				if len(a.receivedIDs)+len(b.receivedIDs) == 0 {
+					w.fault = tt.fault
 				}
 			}
-			if row.fault == unreachable { // found before any byte leaves
-				f.before = nil
+			if tt.fault == unreachable { // found before any byte is sent
+				f.beforeSend = nil
 				a.fault = unreachable
 			}
 			f.run(func() {
-				for range 4 { // with a, b both likely to be the first
-					c := call()
-					sent := len(a.got) + len(b.got)
-					reply, v := f.offer(r, plain(row.kind, row.tries), c)
+				for range 4 { // so that a and b are both likely to be the first
+					c := newCall()
+					sentBefore := len(a.receivedIDs) + len(b.receivedIDs)
+					reply, v := f.dispatch(r, newRoute(tt.kind, tt.tries), c)
 					if v != nil {
-						f.Equal(v.Status, row.status)
-						f.Equal(v.Ran, row.ran)
+						f.Equal(v.Status, tt.status)
+						f.Equal(v.Ran, tt.ran)
 					} else {
-						f.Equal(reply.Status, row.status)
+						f.Equal(reply.Status, tt.status)
 						body, err := reply.Body(time.Second)
 						f.NoErr(err)
 						f.Equal(string(body), "answer to "+c.ID)
 						f.Equal(reply.Seal(), "sealed-"+c.ID)
 						reply.Close()
 					}
-					f.Equal(len(a.got)+len(b.got)-sent, row.sent)
-					if row.fault != unreachable {
+					f.Equal(len(a.receivedIDs)+len(b.receivedIDs)-sentBefore, tt.sent)
+					if tt.fault != unreachable {
 						break
 					}
 				}
 			})
-			if row.kind != route.KindIdempotent {
-				all := append(slices.Clone(a.ran), b.ran...)
+			if tt.kind != route.KindIdempotent {
+				all := append(slices.Clone(a.ranIDs), b.ranIDs...)
 				slices.Sort(all)
-				f.Equal(len(slices.Compact(all)), len(a.ran)+len(b.ran)) // none ran twice
+				f.Equal(len(slices.Compact(all)), len(a.ranIDs)+len(b.ranIDs)) // none ran twice
 			}
 		})
 	}
 }
 
-// A lost answer and then a refusal is no promise.
-func TestALossIsNeverCalledNotRunLater(t *testing.T) {
+// A refusal after a lost response must not be reported as not run.
+func TestLossIsNotReportedAsNotRun(t *testing.T) {
 	f := newFleet(t, 1)
-	a, b := f.add("a", "z1", 6), f.add("b", "z1", 6)
+	a, b := f.addWorker("a", "z1", 6), f.addWorker("b", "z1", 6)
 	r := f.relay("z1")
-	f.before = func(w *fakeWorker) {
-		w.fault = loses
-		if len(a.got)+len(b.got) == 1 {
-			w.fault = refuses
+	f.beforeSend = func(w *fakeWorker) {
+		w.fault = losesReply
+		if len(a.receivedIDs)+len(b.receivedIDs) == 1 {
+			w.fault = rejects
 		}
 	}
 	f.run(func() {
-		_, v := f.offer(r, plain(route.KindIdempotent, 3), call())
+		_, v := f.dispatch(r, newRoute(route.KindIdempotent, 3), newCall())
 		f.Equal(v.Status, 502)
 		f.Equal(v.Ran, base.MayHaveRun)
 	})
-	f.Equal(len(a.got)+len(b.got), 2)
+	f.Equal(len(a.receivedIDs)+len(b.receivedIDs), 2)
 }
 
-// A repeatable request leaves a silent worker soon enough to be served inside
-// its deadline; one whose expected work leaves no time for a second attempt
-// stays.
-func TestARepeatableRequestLeavesASilentWorker(t *testing.T) {
-	for _, row := range []struct {
+// A repeatable request leaves a silent worker early enough to be served elsewhere
+// before its deadline. It stays if its expected duration leaves no time for a
+// second attempt.
+func TestRepeatableRequestLeavesSilentWorker(t *testing.T) {
+	for _, tt := range []struct {
 		name     string
 		work     time.Duration
 		deadline time.Duration
@@ -125,190 +124,190 @@
 		{"no time for another attempt", 50 * time.Millisecond, 300 * time.Millisecond, 1},
 		{"slow work, no time for another attempt", 300 * time.Millisecond, 1500 * time.Millisecond, 1},
 	} {
-		t.Run(row.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			f := newFleet(t, 1)
-			a, b := f.add("a", "z1", 6), f.add("b", "z1", 6)
-			for _, w := range f.order {
-				w.work = func() time.Duration { return row.work }
+			a, b := f.addWorker("a", "z1", 6), f.addWorker("b", "z1", 6)
+			for _, w := range f.ordered {
+				w.workTime = func() time.Duration { return tt.work }
 			}
 			r := f.relay("z1")
 			f.run(func() {
-				for range 40 { // the time of a request is learned
-					_, v := f.offer(r, plain(route.KindIdempotent, 2), call())
+				for range 40 { // the mean time of a request is measured
+					_, v := f.dispatch(r, newRoute(route.KindIdempotent, 2), newCall())
 					f.True(v == nil)
 				}
-				sent := len(a.got) + len(b.got)
-				f.before = func(w *fakeWorker) {
-					if len(a.got)+len(b.got) == sent {
-						w.fault = silent
+				sentBefore := len(a.receivedIDs) + len(b.receivedIDs)
+				f.beforeSend = func(w *fakeWorker) {
+					if len(a.receivedIDs)+len(b.receivedIDs) == sentBefore {
+						w.fault = neverAnswers
 					}
 				}
-				c := call()
-				c.Deadline = row.deadline
-				began := f.clock.Now()
-				_, v := f.offer(r, plain(route.KindIdempotent, 2), c)
-				f.Equal(v == nil, row.sent == 2)
-				f.Equal(len(a.got)+len(b.got)-sent, row.sent)
-				if row.sent == 2 {
-					f.True(f.clock.Now()-began < row.deadline/2)
+				c := newCall()
+				c.Deadline = tt.deadline
+				start := f.clock.Now()
+				_, v := f.dispatch(r, newRoute(route.KindIdempotent, 2), c)
+				f.Equal(v == nil, tt.sent == 2)
+				f.Equal(len(a.receivedIDs)+len(b.receivedIDs)-sentBefore, tt.sent)
+				if tt.sent == 2 {
+					f.True(f.clock.Now()-start < tt.deadline/2)
 				}
 			})
 		})
 	}
 }
 
-func TestWhatAWorkerIsSent(t *testing.T) {
+func TestRequestSentToWorker(t *testing.T) {
 	f := newFleet(t, 1)
-	w := f.add("a", "z1", 6)
+	w := f.addWorker("a", "z1", 6)
 	r := f.relay("z1")
-	c := call()
+	c := newCall()
 	c.Headers = []relay.Header{{"X-B", "2"}, {"x-a", "1"}, {"Connection", "keep-alive, X-Hop"}, {"X-Hop", "no"}, {"Transfer-Encoding", "chunked"}, {"Content-Length", "9"},
 		{"Host", "other"}, {"time-left", "9"}, {"Only-Worker", "else"}, {"Call-Id", c.ID}, {"Expect", "100-continue"}, {"X-B", "3"}}
 	f.run(func() {
-		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), c)
+		_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), c)
 		f.True(v == nil)
 	})
-	f.Equal(w.last.Method+" "+w.last.Path+" "+w.last.Host+" "+string(w.last.Body)+" "+w.last.Worker, "POST /p?q=1 h ask a")
+	f.Equal(w.lastRequest.Method+" "+w.lastRequest.Path+" "+w.lastRequest.Host+" "+string(w.lastRequest.Body)+" "+w.lastRequest.Worker, "POST /p?q=1 h ask a")
 	var lines []string
-	for _, line := range w.last.Lines {
+	for _, line := range w.lastRequest.Lines {
 		lines = append(lines, line.Name+"="+line.Value)
 	}
 	f.Equal(strings.Join(lines, " "), "X-B=2 x-a=1 X-B=3 Call-Id="+c.ID+" Rank=3 Time-Left=5000 Only-Worker=a")
-	f.Equal(w.last.Match, base.HeaderLine{Name: "Call-Id", Value: c.ID})
+	f.Equal(w.lastRequest.Match, base.HeaderLine{Name: "Call-Id", Value: c.ID})
 }
 
-// The worker is given the least of the client's time, the route's and what is
-// left of both after a first worker.
-func TestAWorkerIsGivenTheTimeLeft(t *testing.T) {
+// A worker is given the least of the client's and the route's time, less the time
+// spent at a previous worker.
+func TestWorkerGetsRemainingTime(t *testing.T) {
 	f := newFleet(t, 1)
-	f.add("a", "z1", 6)
-	f.add("b", "z1", 6)
+	f.addWorker("a", "z1", 6)
+	f.addWorker("b", "z1", 6)
 	r := f.relay("z1")
-	rt := plain(route.KindNonIdempotent, 2)
+	rt := newRoute(route.KindNonIdempotent, 2)
 	rt.Timeout = 3 * time.Second
 	var second *base.BackRequest
 	f.run(func() {
-		f.before = func(w *fakeWorker) {
-			w.fault = well
+		f.beforeSend = func(w *fakeWorker) {
+			w.fault = healthy
 			if second == nil {
-				w.fault = refuses
+				w.fault = rejects
 				f.clock.Sleep(500 * time.Millisecond)
 				second = &base.BackRequest{}
 			}
 		}
-		reply, v := f.offer(r, rt, call())
+		reply, v := f.dispatch(r, rt, newCall())
 		f.True(v == nil)
-		second = f.workers["addr-"+reply.WorkerID].last
+		second = f.workers["addr-"+reply.WorkerID].lastRequest
 	})
 	f.Equal(valueOf(second, "Time-Left"), "2498")
 }
 
-func TestNoWorkerIsSentWhatCannotCount(t *testing.T) {
+func TestNothingIsSentWithTooLittleTime(t *testing.T) {
 	f := newFleet(t, 1)
-	w := f.add("a", "z1", 6)
+	w := f.addWorker("a", "z1", 6)
 	r := f.relay("z1")
-	c := call()
-	c.Deadline = 30 * time.Millisecond // under a tenth of the aim
+	c := newCall()
+	c.Deadline = 30 * time.Millisecond // less than a tenth of the latency target
 	f.run(func() {
-		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), c)
+		_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), c)
 		f.Equal(v.Ran, base.NotRun)
 		f.Equal(v.Status, 503)
 	})
-	f.Equal(len(w.got), 0)
+	f.Equal(len(w.receivedIDs), 0)
 }
 
-func TestLeavingWorkersGetNothing(t *testing.T) {
+func TestLeavingWorkersGetNoRequests(t *testing.T) {
 	f := newFleet(t, 1)
-	a, b := f.add("a", "z1", 6), f.add("b", "z1", 6)
+	a, b := f.addWorker("a", "z1", 6), f.addWorker("b", "z1", 6)
 	r := f.relay("z1")
 	f.run(func() {
 		a.Draining = true
 		r.SetWorkers(f.list())
 		for range 20 {
-			_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call())
+			_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall())
 			f.True(v == nil)
 		}
-		f.Equal(len(a.got), 0)
+		f.Equal(len(a.receivedIDs), 0)
 		a.Draining = false
 		r.SetWorkers(f.list())
 		// The list changes between the choice and the sending.
-		f.before = func(w *fakeWorker) {
-			f.before = nil
+		f.beforeSend = func(w *fakeWorker) {
+			f.beforeSend = nil
 			w.Draining = true
 			r.SetWorkers(f.list())
 		}
-		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call())
+		_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall())
 		f.True(v == nil)
-		for _, w := range f.order {
-			f.Equal(len(w.got) > 0, !w.Draining || w == b)
+		for _, w := range f.ordered {
+			f.Equal(len(w.receivedIDs) > 0, !w.Draining || w == b)
 		}
-		f.before = nil
-		f.order = []*fakeWorker{}
+		f.beforeSend = nil
+		f.ordered = []*fakeWorker{}
 		r.SetWorkers(f.list())
-		_, v = f.offer(r, plain(route.KindNonIdempotent, 1), call())
+		_, v = f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall())
 		f.Equal(v.Ran, base.NotRun)
 		f.Equal(v.Status, 503)
-		slices.Sort(f.forgot)
-		f.Equal(strings.Join(f.forgot, ""), "ab")
+		slices.Sort(f.forgotten)
+		f.Equal(strings.Join(f.forgotten, ""), "ab")
 	})
 }
 
-// A request that waits for room goes to a worker that comes, never to one that
-// began to leave meanwhile.
-func TestWhoWaitsFollowsTheList(t *testing.T) {
+// A queued request goes to a worker that is added to the list, never to one that
+// began to leave in the meantime.
+func TestQueuedRequestFollowsWorkerList(t *testing.T) {
 	f := newFleet(t, 1)
-	f.add("a", "z1", 1).fault = refuses
+	f.addWorker("a", "z1", 1).fault = rejects
 	r := f.relay("z1")
 	f.run(func() {
-		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call()) // a says that it is full
+		_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall()) // a reports that it is full
 		f.Equal(v.Status, 503)
 		served := ""
 		f.clock.Go(func() {
-			if reply, v := f.offer(r, plain(route.KindNonIdempotent, 1), call()); v == nil {
+			if reply, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall()); v == nil {
 				served = reply.WorkerID
 			}
 		})
 		f.clock.Sleep(2 * time.Millisecond)
-		f.order[0].Draining = true
-		f.add("b", "z1", 1)
+		f.ordered[0].Draining = true
+		f.addWorker("b", "z1", 1)
 		r.SetWorkers(f.list())
 		f.clock.Sleep(time.Second)
 		f.Equal(served, "b")
-		f.Equal(len(f.order[0].got), 1)
+		f.Equal(len(f.ordered[0].receivedIDs), 1)
 	})
 }
 
-// When every worker is full the refusal comes within a quarter of the aim, and
-// tells when to come back, within a third of the time left.
-func TestARefusalComesEarlyAndTellsWhen(t *testing.T) {
+// If every worker is full, a request is declined within a quarter of the latency
+// target, with a retry time of at most a third of the time left.
+func TestBusyIsEarlyWithRetryTime(t *testing.T) {
 	f := newFleet(t, 1)
-	w := f.add("a", "z1", 1)
-	w.queue, w.fault = 0, refuses
+	w := f.addWorker("a", "z1", 1)
+	w.queue, w.fault = 0, rejects
 	r := f.relay("z1")
 	f.run(func() {
-		_, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call())
+		_, _ = f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall())
 		for range 5 {
-			c := call()
-			began := f.clock.Now()
-			_, v := f.offer(r, plain(route.KindNonIdempotent, 1), c)
-			f.True(f.clock.Now()-began <= 100*time.Millisecond)
+			c := newCall()
+			start := f.clock.Now()
+			_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), c)
+			f.True(f.clock.Now()-start <= 100*time.Millisecond)
 			f.Equal(v.Status, 503)
 			f.Equal(v.Ran, base.NotRun)
 			f.True(v.RetryAfterMs >= 1 && v.RetryAfterMs <= 5000/3)
 		}
-		c := call()
+		c := newCall()
 		c.Deadline = 90 * time.Millisecond
 		w.slots = 0
-		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), c)
+		_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), c)
 		f.True(v.RetryAfterMs >= 1 && v.RetryAfterMs <= 30)
 	})
 }
 
-// In a line that is full the least urgent give way, and who is served first is
-// the most urgent.
-func TestTheLineIsByRankThenUrgency(t *testing.T) {
+// The queue is served by rank, then urgency. A request that others keep preceding
+// is declined.
+func TestQueueOrderIsRankThenUrgency(t *testing.T) {
 	f := newFleet(t, 1)
-	w := f.add("a", "z1", 1)
+	w := f.addWorker("a", "z1", 1)
 	w.queue = 0
 	r := f.relay("z1")
 	r.MaxConnsPerWorker = func(*route.Service) int { return 1 }
@@ -318,16 +317,16 @@
 		}
 		return 0
 	}
-	w.work = func() time.Duration { return 20 * time.Millisecond }
+	w.workTime = func() time.Duration { return 20 * time.Millisecond }
 	var order []string
 	f.run(func() {
 		send := func(name string, urgency int) {
-			rt := plain(route.KindNonIdempotent, 1)
+			rt := newRoute(route.KindNonIdempotent, 1)
 			rt.Urgency = urgency
-			c := call()
+			c := newCall()
 			c.Program = name
 			f.clock.Go(func() {
-				if reply, v := f.offer(r, rt, c); v == nil {
+				if reply, v := f.dispatch(r, rt, c); v == nil {
 					_ = reply
 					order = append(order, name)
 				}
@@ -344,107 +343,108 @@
 	f.Equal(strings.Join(order, " "), "first most middle least")
 }
 
-// A worker that fails is avoided for a while, not for ever, and when all fail
-// none is avoided.
-func TestAFailingWorkerIsAvoidedForAWhile(t *testing.T) {
+// A worker that fails is avoided for a limited time. If all workers fail, none is
+// avoided.
+func TestFailingWorkerIsAvoidedTemporarily(t *testing.T) {
 	f := newFleet(t, 1)
-	bad, good := f.add("bad", "z1", 6), f.add("good", "z1", 6)
-	bad.fault = loses
+	bad, good := f.addWorker("bad", "z1", 6), f.addWorker("good", "z1", 6)
+	bad.fault = losesReply
 	r := f.relay("z1")
 	f.run(func() {
 		for range 100 {
-			_, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call())
+			_, _ = f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall())
 		}
-		f.True(len(bad.got) >= 2)
-		f.True(len(bad.got) <= 10)
-		bad.fault = well
+		f.True(len(bad.receivedIDs) >= 2)
+		f.True(len(bad.receivedIDs) <= 10)
+		bad.fault = healthy
 		f.clock.Sleep(5 * time.Second)
-		before := len(bad.got)
+		before := len(bad.receivedIDs)
 		for range 100 {
-			_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call())
+			_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall())
 			f.True(v == nil)
 		}
-		f.True(len(bad.got)-before > 20)
-		good.fault, bad.fault = loses, loses
+		f.True(len(bad.receivedIDs)-before > 20)
+		good.fault, bad.fault = losesReply, losesReply
 		for range 10 {
-			_, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call())
+			_, _ = f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall())
 		}
-		good.fault, bad.fault = well, well
-		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call())
+		good.fault, bad.fault = healthy, healthy
+		_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall())
 		f.True(v == nil)
 	})
 }
 
-// After its pause one request tries the worker; others go elsewhere until that
-// one has come back.
-func TestOneRequestTriesAWorkerAgain(t *testing.T) {
+// When a failed worker is no longer avoided, a single request probes it. Others go
+// elsewhere until that one is answered.
+func TestOneProbeAfterBackoff(t *testing.T) {
 	f := newFleet(t, 1)
-	bad, good := f.add("bad", "z1", 6), f.add("good", "z1", 6)
-	bad.fault, good.fault = loses, refuses
+	bad, good := f.addWorker("bad", "z1", 6), f.addWorker("good", "z1", 6)
+	bad.fault, good.fault = losesReply, rejects
 	r := f.relay("z1")
 	f.run(func() {
-		_, _ = f.offer(r, plain(route.KindNonIdempotent, 2), call())
-		if len(bad.got) == 0 {
-			_, _ = f.offer(r, plain(route.KindNonIdempotent, 2), call())
+		_, _ = f.dispatch(r, newRoute(route.KindNonIdempotent, 2), newCall())
+		if len(bad.receivedIDs) == 0 {
+			_, _ = f.dispatch(r, newRoute(route.KindNonIdempotent, 2), newCall())
 		}
-		f.True(len(bad.got) > 0)
-		bad.fault, good.fault = well, well
+		f.True(len(bad.receivedIDs) > 0)
+		bad.fault, good.fault = healthy, healthy
 		f.clock.Sleep(10 * time.Second)
-		before := len(bad.got)
+		before := len(bad.receivedIDs)
 		for range 12 {
-			f.clock.Go(func() { _, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call()) })
+			f.clock.Go(func() { _, _ = f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall()) })
 			f.clock.Sleep(time.Millisecond)
 		}
-		f.True(len(bad.got)-before <= 1)
+		f.True(len(bad.receivedIDs)-before <= 1)
 		f.clock.Sleep(time.Second)
 		for range 12 {
-			f.clock.Go(func() { _, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call()) })
+			f.clock.Go(func() { _, _ = f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall()) })
 			f.clock.Sleep(time.Millisecond)
 		}
-		f.True(len(bad.got)-before > 3)
+		f.True(len(bad.receivedIDs)-before > 3)
 	})
 }
 
-// A worker that owes answers and says nothing gets no more for the time being.
-func TestASilentWorkerGetsNoMore(t *testing.T) {
+// A worker that has requests in flight but sends nothing gets no new ones for some
+// time.
+func TestSilentWorkerGetsNoNewRequests(t *testing.T) {
 	f := newFleet(t, 1)
-	mute, _ := f.add("mute", "z1", 6), f.add("well", "z1", 6)
-	mute.fault = silent
+	silent, _ := f.addWorker("mute", "z1", 6), f.addWorker("well", "z1", 6)
+	silent.fault = neverAnswers
 	r := f.relay("z1")
 	f.run(func() {
 		for range 400 {
-			f.clock.Go(func() { _, _ = f.offer(r, plain(route.KindNonIdempotent, 1), call()) })
+			f.clock.Go(func() { _, _ = f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall()) })
 			f.clock.Sleep(10 * time.Millisecond)
 		}
-		f.True(len(mute.got) > 0)
-		f.True(len(mute.got) < 60)
+		f.True(len(silent.receivedIDs) > 0)
+		f.True(len(silent.receivedIDs) < 60)
 	})
 }
 
-// Who waits is served when a worker that was full has room again, though
-// nothing on this node has ended meanwhile.
-func TestWhoWaitsIsServedWhenTimeAloneMakesRoom(t *testing.T) {
+// A queued request is served once a worker no longer counts as full, even though no
+// request of this node has ended in the meantime.
+func TestQueuedRequestIsServedAfterBackoffExpires(t *testing.T) {
 	f := newFleet(t, 1)
-	w := f.add("a", "z1", 6)
-	w.fault = refuses
+	w := f.addWorker("a", "z1", 6)
+	w.fault = rejects
 	r := f.relay("z1")
 	f.run(func() {
-		_, v := f.offer(r, plain(route.KindNonIdempotent, 1), call())
+		_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall())
 		f.Equal(v.Status, 503)
-		w.fault = well
-		_, v = f.offer(r, plain(route.KindNonIdempotent, 1), call())
+		w.fault = healthy
+		_, v = f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall())
 		f.True(v == nil)
 	})
 }
 
-func TestStreamsComeEventByEvent(t *testing.T) {
+func TestStreamIsReadEventByEvent(t *testing.T) {
 	f := newFleet(t, 1)
-	w := f.add("a", "z1", 6)
+	w := f.addWorker("a", "z1", 6)
 	r := f.relay("z1")
-	c := call()
+	c := newCall()
 	c.Headers = []relay.Header{{"Stream", "id: 1\ndata: one\ndata:two\n\nversions: 3\nid:2\ndata: x\n\n"}}
 	f.run(func() {
-		reply, v := f.offer(r, plain(route.KindStream, 1), c)
+		reply, v := f.dispatch(r, newRoute(route.KindStream, 1), c)
 		f.True(v == nil)
 		f.True(!reply.Buffered())
 		event, err := reply.Event(time.Second)
@@ -458,10 +458,10 @@
 		_, err = reply.Event(time.Second)
 		f.Equal(err, io.EOF)
 		reply.Close()
-		w.fault = cuts
-		cut := call()
+		w.fault = truncatesBody
+		cut := newCall()
 		cut.Headers = []relay.Header{{"Stream", "data: one\n\ndata: tw"}}
-		reply, v = f.offer(r, plain(route.KindStream, 1), cut)
+		reply, v = f.dispatch(r, newRoute(route.KindStream, 1), cut)
 		f.True(v == nil)
 		_, err = reply.Event(time.Second)
 		f.NoErr(err)
--- a/internal/relay/reply.go
+++ b/internal/relay/reply.go
@@ -1,7 +1,3 @@
-// A worker's answer: whole, or a stream read event by event. Its status, body
-// and seal are passed on unchanged. Closing a stream early closes the worker's
-// connection, which ends the worker's work.
-
 package relay
 
 import (
@@ -13,37 +9,41 @@
 	"fordseam/internal/base"
 )
 
-// Reply is an answer. Close must be called for a stream.
+// Reply is a worker's reply, with the whole body or as a stream that is read event
+// by event. Status, body and seal are passed on unchanged. Close must be called for
+// a stream; before the stream's end it closes the worker's connection, which makes
+// the worker abandon the request.
 type Reply struct {
 	Status   int
 	WorkerID string
 
-	relay *Relay
-	offer *offer
-	first *attempt // the head of the answer is its
-	body  []byte
-	whole bool
-	place place // of the last event that was passed on
+	relay        *Relay
+	dispatch     *dispatch
+	firstAttempt *attempt // the one whose head is passed on
+	body         []byte
+	buffered     bool           // body is set
+	position     streamPosition // after the last event that was passed on
 
 	mu      sync.Mutex
 	current *attempt
 	closed  bool
 }
 
-// Buffered tells that the body is there; otherwise the reply is a stream.
-func (p *Reply) Buffered() bool { return p.whole }
+// Buffered reports whether the whole body was read; otherwise the reply is a
+// stream.
+func (r *Reply) Buffered() bool { return r.buffered }
 
-// Header is one header of the answer.
-func (p *Reply) Header(name string) string { return p.first.under.Header(name) }
+// Header returns the value of a header.
+func (r *Reply) Header(name string) string { return r.firstAttempt.response.Header(name) }
 
-// Seal is the worker's seal, which a success needs.
-func (p *Reply) Seal() string { return p.Header(p.relay.Names.Seal) }
+// Seal returns the worker's seal header, which every successful response has.
+func (r *Reply) Seal() string { return r.Header(r.relay.Names.Seal) }
 
-// EachHeader walks the header lines that are passed on.
-func (p *Reply) EachHeader(visit func(name, value []byte)) {
-	p.first.under.EachHeader(func(name, value []byte) {
-		for _, own := range ownHeaders {
-			if len(own) == len(name) && bytes.EqualFold(name, []byte(own)) {
+// EachHeader calls visit for every header line to forward.
+func (r *Reply) EachHeader(visit func(name, value []byte)) {
+	r.firstAttempt.response.EachHeader(func(name, value []byte) {
+		for _, header := range unforwardedHeaders {
+			if len(header) == len(name) && bytes.EqualFold(name, []byte(header)) {
 				return
 			}
 		}
@@ -51,68 +51,69 @@
 	})
 }
 
-// Headers are the header lines that are passed on.
-func (p *Reply) Headers() []Header {
-	found := []Header{}
-	p.EachHeader(func(name, value []byte) { found = append(found, Header{Name: string(name), Value: string(value)}) })
-	return found
+// Headers returns the header lines to forward.
+func (r *Reply) Headers() []Header {
+	headers := []Header{}
+	r.EachHeader(func(name, value []byte) { headers = append(headers, Header{Name: string(name), Value: string(value)}) })
+	return headers
 }
 
-// Body is the whole body.
-func (p *Reply) Body(limit time.Duration) ([]byte, error) {
-	if p.whole {
-		return p.body, nil
+// Body returns the whole body.
+func (r *Reply) Body(timeout time.Duration) ([]byte, error) {
+	if r.buffered {
+		return r.body, nil
 	}
-	body, err := p.first.under.Body(limit, p.relay.MaxResponseBytes)
+	body, err := r.firstAttempt.response.Body(timeout, r.relay.MaxResponseBytes)
 	if err != nil {
-		p.end(failed)
+		r.end(outcomeFailed)
 		return nil, base.Unsure(502, "worker_cut", "the worker's answer was cut short")
 	}
-	p.body, p.whole = body, true
-	p.end(served)
+	r.body, r.buffered = body, true
+	r.end(outcomeServed)
 	return body, nil
 }
 
-// Event waits for the next event at most for the limit; io.EOF is the clean
-// end of the stream. Where the route allows it, a stream that breaks off goes on
-// at another worker behind the last event that was given.
-func (p *Reply) Event(limit time.Duration) (*Event, error) {
-	until := p.relay.Clock.Now() + limit
+// Event waits for the next event, at most for timeout. It returns io.EOF at the
+// clean end of the stream. If the route allows it, a stream that breaks off is
+// resumed at another worker after the last event returned.
+func (r *Reply) Event(timeout time.Duration) (*Event, error) {
+	deadline := r.relay.Clock.Now() + timeout
 	for {
-		now := p.attempt()
-		event, err := now.event(p.eventLimit(now, until))
+		current := r.currentAttempt()
+		event, err := current.nextEvent(r.eventDeadline(current, deadline))
 		if err == nil {
-			err = p.place.check(event)
+			err = r.position.check(event)
 		}
 		switch {
 		case err == nil:
-			p.place.pass(event)
+			r.position.advance(event)
 			return event, nil
 		case err == io.EOF:
-			p.end(served)
+			r.end(outcomeServed)
 			return nil, io.EOF
 		}
-		if err := p.resume(err); err != nil {
+		if err := r.resume(err); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// attempt is the one whose events are read.
-func (p *Reply) attempt() *attempt {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.current
+// currentAttempt returns the attempt that the events are read from.
+func (r *Reply) currentAttempt() *attempt {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.current
 }
 
-// Close lets go of the answer; it may be called from another task and more
-// than once.
-func (p *Reply) Close() {
-	p.mu.Lock()
-	p.closed = true
-	now := p.current
-	p.mu.Unlock()
-	now.end(abandoned)
+// Close ends the reply. It may be called from another goroutine and more than
+// once.
+func (r *Reply) Close() {
+	r.mu.Lock()
+	r.closed = true
+	current := r.current
+	r.mu.Unlock()
+	current.end(outcomeAbandoned)
 }
 
-func (p *Reply) end(how outcome) { p.attempt().end(how) }
+// end ends the current attempt.
+func (r *Reply) end(result outcome) { r.currentAttempt().end(result) }
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -1,9 +1,3 @@
-// Continuing a stream at another worker. Where a route allows it, a stream whose
-// worker breaks off or falls silent goes on behind the last event that was
-// passed on, within the same answer: the head and the seal stay those of the
-// first worker. No event comes twice and none is left out; a stream that cannot
-// be continued ends openly.
-
 package relay
 
 import (
@@ -15,150 +9,154 @@
 	"fordseam/internal/base"
 )
 
-// place is how far a stream's events have been passed on. Ids that rise evenly
-// show which one is due; any other id rises at least.
-type place struct {
-	events int
-	id     string
-	number int64
-	step   int64 // between the last two ids, 0 while it is not known
-	broken bool  // an event had no id that a worker could go on from
-	moved  bool  // the next event is the first of another worker
+// streamPosition is how far the events of a stream have been passed on. If the ids
+// increase in equal steps, the next id is known; otherwise it is only known to be
+// higher.
+type streamPosition struct {
+	events      int
+	lastID      string
+	lastNumber  int64
+	idStep      int64 // between the last two ids, 0 if unknown
+	unresumable bool  // an event had no id that another worker could resume after
+	switched    bool  // the next event is the first from another worker
 }
 
 var (
-	errNotDue = base.Unsure(502, "worker_garbled", "the worker did not go on where the stream had stopped")
-	errCut    = base.Unsure(502, "worker_cut", "the worker's stream was cut short")
+	errUnexpectedEvent = base.Unsure(502, "worker_garbled", "the worker did not resume the stream at the expected event")
+	errStreamCut       = base.Unsure(502, "worker_cut", "the worker's stream was cut short")
 )
 
-// check tells whether the event may be passed on. What one worker sends passes
-// as it comes; the first event after a move must be the one that is due.
-func (p *place) check(event *Event) error {
-	if !p.moved || event.Data == nil {
+// check returns an error if the event must not be passed on. The events of one
+// worker are passed on as received; the first event after a switch must be the
+// expected one.
+func (p *streamPosition) check(event *Event) error {
+	if !p.switched || event.Data == nil {
 		return nil
 	}
 	number, err := strconv.ParseInt(event.ID, 10, 64)
-	if err != nil || number <= p.number || p.step > 0 && number != p.number+p.step {
-		return errNotDue
+	if err != nil || number <= p.lastNumber || p.idStep > 0 && number != p.lastNumber+p.idStep {
+		return errUnexpectedEvent
 	}
 	return nil
 }
 
-// pass counts an event that goes to the client.
-func (p *place) pass(event *Event) {
+// advance moves the position behind an event that is passed on.
+func (p *streamPosition) advance(event *Event) {
 	if event.Data == nil && event.ID == "" {
 		return
 	}
 	number, err := strconv.ParseInt(event.ID, 10, 64)
-	if err != nil || p.events > 0 && number <= p.number {
-		p.broken = true
+	if err != nil || p.events > 0 && number <= p.lastNumber {
+		p.unresumable = true
 		return
 	}
 	if p.events > 0 {
-		p.step = number - p.number
+		p.idStep = number - p.lastNumber
 	}
 	p.events++
-	p.id, p.number, p.moved = event.ID, number, false
+	p.lastID, p.lastNumber, p.switched = event.ID, number, false
 }
 
-// mayResume tells whether another worker may go on with the stream.
-func (p *Reply) mayResume() bool {
-	o := p.offer
-	left := o.until - p.relay.Clock.Now()
-	return o.mayAttemptAgain(0) && p.relay.Names.LastEventID != "" && !p.place.broken && left >= o.least()
+// mayResume reports whether the stream may be resumed at another worker.
+func (r *Reply) mayResume() bool {
+	d := r.dispatch
+	left := d.deadline - r.relay.Clock.Now()
+	return d.mayRetry(0) && r.relay.Names.LastEventID != "" && !r.position.unresumable && left >= d.minSendTime()
 }
 
-// eventLimit is until when an event is waited for. A stream that may be resumed
-// leaves a worker that is silent for several times the pause that is in time.
-func (p *Reply) eventLimit(now *attempt, until time.Duration) time.Duration {
-	if p.offer.route.EventGapTarget <= 0 || !p.mayResume() {
-		return until
+// eventDeadline returns until when to wait for an event. A stream that may be
+// resumed leaves a worker that is silent for several times the target gap between
+// events.
+func (r *Reply) eventDeadline(current *attempt, deadline time.Duration) time.Duration {
+	if r.dispatch.route.EventGapTarget <= 0 || !r.mayResume() {
+		return deadline
 	}
-	silent := max(silentTimes*p.offer.route.EventGapTarget, p.offer.route.LatencyTarget)
-	if !now.begun {
-		silent += silentTimes * p.relay.usual(p.offer.service.Name)
+	silenceLimit := max(silenceFactor*r.dispatch.route.EventGapTarget, r.dispatch.route.LatencyTarget)
+	if !current.firstEventSeen {
+		silenceLimit += silenceFactor * r.relay.meanRequestTime(r.dispatch.service.Name)
 	}
-	return min(until, p.relay.Clock.Now()+silent)
+	return min(deadline, r.relay.Clock.Now()+silenceLimit)
 }
 
-// usual is how long a request of a service takes.
-func (r *Relay) usual(service string) time.Duration {
+// meanRequestTime is the mean time of a request of the service.
+func (r *Relay) meanRequestTime(service string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.pool(service).request.value
+	return r.pool(service).requestTime.value
 }
 
-// resume takes a stream that broke off to another worker; the error that it
-// gives ends the stream.
-func (p *Reply) resume(broke error) error {
-	failedWord := wordOf(broke)
-	last := p.attempt()
-	last.end(failed)
-	if broke == error(errNotDue) || !p.mayResume() {
-		return failedWord
+// resume continues a stream that broke off, or whose worker fell silent, at another
+// worker after the last event passed on. The head and the seal remain those of the
+// first worker; no event is repeated or left out. An error ends the stream.
+func (r *Reply) resume(cause error) error {
+	streamErr := streamError(cause)
+	last := r.currentAttempt()
+	last.end(outcomeFailed)
+	if cause == error(errUnexpectedEvent) || !r.mayResume() {
+		return streamErr
 	}
-	r, o := p.relay, p.offer
-	o.began = r.Clock.Now() // it waits for a place no longer than a new request
-	o.resumeAfter(p.place.id, r.Names.LastEventID)
+	relay, d := r.relay, r.dispatch
+	d.startedAt = relay.Clock.Now() // it is queued no longer than a new request
+	d.resumeAfter(r.position.lastID, relay.Names.LastEventID)
 	for {
-		o.tried = append(o.tried, last.worker)
-		chosen, err := r.hold(o)
+		d.tried = append(d.tried, last.worker)
+		chosen, err := relay.acquireWorker(d)
 		if err != nil {
-			return failedWord
+			return streamErr
 		}
-		if p.isClosed() {
-			r.release(o, chosen, turnedBack)
-			return failedWord
+		if r.isClosed() {
+			relay.releaseWorker(d, chosen, outcomeNotSent)
+			return streamErr
 		}
-		next, err := r.send(o, chosen)
+		next, err := relay.send(d, chosen)
 		if next != nil {
-			return p.goOn(next)
+			return r.switchTo(next)
 		}
 		last = &attempt{worker: chosen}
-		if v := base.VerdictIn(err); !o.mayAttemptAgain(0) || v == nil {
-			return failedWord
+		if v := base.VerdictIn(err); !d.mayRetry(0) || v == nil {
+			return streamErr
 		}
 	}
 }
 
-// goOn reads on from another worker's answer.
-func (p *Reply) goOn(next *Reply) error {
-	if next.Buffered() || next.Status != p.Status {
+// switchTo continues the stream with another worker's reply.
+func (r *Reply) switchTo(next *Reply) error {
+	if next.Buffered() || next.Status != r.Status {
 		next.Close()
-		return errCut
+		return errStreamCut
 	}
-	p.mu.Lock()
-	closed := p.closed
-	p.current, p.place.moved = next.current, p.place.events > 0
-	p.mu.Unlock()
+	r.mu.Lock()
+	closed := r.closed
+	r.current, r.position.switched = next.current, r.position.events > 0
+	r.mu.Unlock()
 	if closed {
-		p.end(abandoned)
-		return errCut
+		r.end(outcomeAbandoned)
+		return errStreamCut
 	}
-	p.relay.count("streams_resumed")
+	r.relay.count("streams_resumed")
 	return nil
 }
 
-func (p *Reply) isClosed() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.closed
+func (r *Reply) isClosed() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.closed
 }
 
-// wordOf is the verdict on a stream that broke off.
-func wordOf(broke error) error {
-	if v := base.VerdictIn(broke); v != nil {
+// streamError returns the verdict for a stream that broke off.
+func streamError(cause error) error {
+	if v := base.VerdictIn(cause); v != nil {
 		return v
 	}
-	return errCut
+	return errStreamCut
 }
 
-// resumeAfter has the next attempts ask for what follows an event; without one
-// the request goes as the client sent it.
-func (o *offer) resumeAfter(id, header string) {
+// resumeAfter makes the next attempts ask for the events after id. If id is empty,
+// the request is sent as the client sent it.
+func (d *dispatch) resumeAfter(id, header string) {
 	if id == "" {
 		return
 	}
-	others := slices.DeleteFunc(slices.Clone(o.lines), func(line base.HeaderLine) bool { return strings.EqualFold(line.Name, header) })
-	o.lines = append(others, base.HeaderLine{Name: header, Value: id})
+	others := slices.DeleteFunc(slices.Clone(d.headerLines), func(line base.HeaderLine) bool { return strings.EqualFold(line.Name, header) })
+	d.headerLines = append(others, base.HeaderLine{Name: header, Value: id})
 }
--- a/internal/relay/resume_test.go
+++ b/internal/relay/resume_test.go
@@ -1,7 +1,3 @@
-// Streams that are continued at another worker: generated plans of cuts,
-// silences, wrong places and refusals, over any number of tries. Whatever the
-// workers do, what the client gets is the beginning of one stream, and it ends
-// cleanly only where the whole stream came.
 package relay_test
 
 import (
@@ -20,87 +16,88 @@
 	"pgregory.net/rapid"
 )
 
-// move is what a worker does when it is asked to stream.
-type move string
+// behaviour is what a worker does with a request for a stream.
+type behaviour string
 
 const (
-	streamsOn   move = "streams to the end"
-	cutsOff     move = "breaks off after some events"
-	cutsInside  move = "breaks off within an event"
-	fallsSilent move = "falls silent after some events"
-	startsOver  move = "sends the stream from its beginning"
-	skipsOne    move = "leaves an event out"
-	turnsAway   move = "refuses, not run"
-	losesHead   move = "resets before the head"
+	streamsToEnd     behaviour = "streams to the end"
+	cutsOff          behaviour = "breaks off after some events"
+	cutsWithinEvent  behaviour = "breaks off within an event"
+	fallsSilent      behaviour = "falls silent after some events"
+	restarts         behaviour = "sends the stream from its beginning"
+	skipsEvent       behaviour = "leaves an event out"
+	rejectsUnrun     behaviour = "refuses, not run"
+	resetsBeforeHead behaviour = "resets before the head"
 )
 
-// streaming is one request's workers: each call takes the next step of the plan.
-type streaming struct {
-	fleet  *fleet
-	events int
-	step   int // between ids
-	first  int // id of the first event
-	plan   []planned
-	calls  []*base.BackRequest
-	ran    int
+// streamBackends serves the attempts of one request; each call takes the next step
+// of the plan.
+type streamBackends struct {
+	fleet   *fleet
+	events  int
+	idStep  int // between ids
+	firstID int // id of the first event
+	plan    []plannedCall
+	calls   []*base.BackRequest
+	runs    int
 }
 
-type planned struct {
-	move  move
-	after int // events it sends before that
+type plannedCall struct {
+	behaviour behaviour
+	after     int // number of events it sends before that
 }
 
-func (s *streaming) Forget(string) {}
+func (s *streamBackends) Forget(string) {}
 
-func (s *streaming) Call(ctx *base.Ctx, _ string, request *base.BackRequest) (base.BackReply, error) {
-	does := planned{move: streamsOn}
+func (s *streamBackends) Call(ctx *base.Ctx, _ string, request *base.BackRequest) (base.BackReply, error) {
+	does := plannedCall{behaviour: streamsToEnd}
 	if len(s.calls) < len(s.plan) {
 		does = s.plan[len(s.calls)]
 	}
 	s.calls = append(s.calls, request)
 	s.fleet.clock.Sleep(time.Millisecond)
 	reply := &streamReply{fleet: s.fleet, status: 200, seal: fmt.Sprint("seal-", len(s.calls)), end: io.EOF}
-	switch does.move {
-	case turnsAway:
-		reply.status, reply.refused = 503, true
+	switch does.behaviour {
+	case rejectsUnrun:
+		reply.status, reply.rejected = 503, true
 		return reply, nil
-	case losesHead:
-		s.ran++
+	case resetsBeforeHead:
+		s.runs++
 		return nil, errors.New("reset")
 	}
-	s.ran++
+	s.runs++
 	from := 0
-	if after, err := strconv.Atoi(valueOf(request, "Last-Event")); err == nil && does.move != startsOver {
-		from = (after-s.first)/s.step + 1
+	if after, err := strconv.Atoi(valueOf(request, "Last-Event")); err == nil && does.behaviour != restarts {
+		from = (after-s.firstID)/s.idStep + 1
 	}
 	to := s.events
-	if does.move == cutsOff || does.move == cutsInside || does.move == fallsSilent {
+	if does.behaviour == cutsOff || does.behaviour == cutsWithinEvent || does.behaviour == fallsSilent {
 		to = min(to, from+does.after)
 		reply.end = io.ErrUnexpectedEOF
-		if does.move == fallsSilent {
+		if does.behaviour == fallsSilent {
 			reply.end = nil
 		}
 	}
 	for event := from; event < to; event++ {
-		if does.move == skipsOne && event == from && from > 1 && from < to-1 {
-			continue // two events show which one is due; nothing shows which is the last
+		if does.behaviour == skipsEvent && event == from && from > 1 && from < to-1 {
+			continue // only after two events the expected id is known, and the last event is not
 		}
-		reply.lines = append(reply.lines, fmt.Sprintf("id: %d\n", s.first+event*s.step), fmt.Sprintf("data: event %d\n", event), "\n")
+		reply.lines = append(reply.lines, fmt.Sprintf("id: %d\n", s.firstID+event*s.idStep), fmt.Sprintf("data: event %d\n", event), "\n")
 	}
-	if does.move == cutsInside {
-		reply.lines = append(reply.lines, fmt.Sprintf("id: %d\n", s.first+to*s.step), "data: ev")
+	if does.behaviour == cutsWithinEvent {
+		reply.lines = append(reply.lines, fmt.Sprintf("id: %d\n", s.firstID+to*s.idStep), "data: ev")
 	}
 	return reply, nil
 }
 
 type streamReply struct {
-	fleet   *fleet
-	status  int
-	seal    string
-	refused bool
-	lines   []string
-	end     error // nil for silence
-	closed  bool
+	fleet    *fleet
+	status   int
+	seal     string
+	rejected bool
+	lines    []string
+	end      error // nil means silence
+	closed   bool
 }
 
 func (r *streamReply) Status() int  { return r.status }
@@ -110,7 +107,7 @@
 	switch {
 	case name == "Seal" && r.status == 200:
 		return r.seal
-	case name == "Refused" && r.refused:
+	case name == "Refused" && r.rejected:
 		return "1"
 	}
 	return ""
@@ -133,33 +130,34 @@
 	return []byte(line), nil
 }
 
-var resuming = &relay.WireNames{ID: "Call-Id", Deadline: "Time-Left", Seal: "Seal", ExpectWorker: "Only-Worker", NotRun: "Refused", LastEventID: "Last-Event"}
+var resumeNames = &relay.WireNames{ID: "Call-Id", Deadline: "Time-Left", Seal: "Seal", ExpectWorker: "Only-Worker", NotRun: "Refused", LastEventID: "Last-Event"}
 
-// streamed is what came to the client.
-type streamed struct {
-	events  []string
-	whole   bool
-	verdict *base.Verdict
-	seal    string
-	took    time.Duration
+// streamResult is what the client received.
+type streamResult struct {
+	events   []string
+	complete bool
+	verdict  *base.Verdict
+	seal     string
+	took     time.Duration
 }
 
-func (s *streaming) read(t *testing.T, rt *route.Route) streamed {
+// run sends a call whose attempts take the steps of the plan.
+func (s *streamBackends) run(t *testing.T, rt *route.Route) streamResult {
 	f := newFleet(t, 1)
 	s.fleet = f
 	for _, id := range []string{"a", "b", "c", "d"} {
-		f.add(id, "z1", 4)
+		f.addWorker(id, "z1", 4)
 	}
 	bounds := &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
-	r := relay.New(relay.Config{Clock: f.clock, Backends: s, Bounds: bounds, Names: resuming, Zone: "z1", MaxResponseBytes: 1 << 20, Counters: base.NewCounters()})
+	r := relay.New(relay.Config{Clock: f.clock, Backends: s, Bounds: bounds, Names: resumeNames, Zone: "z1", MaxResponseBytes: 1 << 20, Counters: base.NewCounters()})
 	r.SetWorkers(f.list())
-	var got streamed
+	var got streamResult
 	f.run(func() {
-		began := f.clock.Now()
-		defer func() { got.took = f.clock.Now() - began }()
+		start := f.clock.Now()
+		defer func() { got.took = f.clock.Now() - start }()
 		ctx := base.NewCtx(f.clock, 5*time.Second)
-		reply, err := r.Dispatch(ctx, rt, service, call(), nil)
+		reply, err := r.Dispatch(ctx, rt, plainService, newCall(), nil)
 		if err != nil {
 			got.verdict = base.FromWire(err)
 			return
@@ -169,7 +167,7 @@
 		for {
 			event, err := reply.Event(ctx.Left())
 			if err != nil {
-				got.whole, got.verdict = err == io.EOF, base.VerdictIn(err)
+				got.complete, got.verdict = err == io.EOF, base.VerdictIn(err)
 				return
 			}
 			got.events = append(got.events, strings.TrimSpace(string(event.Data)))
@@ -178,73 +176,76 @@
 	return got
 }
 
-func resumable(tries int) *route.Route {
-	return &route.Route{Name: "r", Kind: route.KindStream, Resumable: true, Timeout: 5 * time.Second, LatencyTarget: 200 * time.Millisecond, EventGapTarget: 200 * time.Millisecond, MaxAttempts: tries}
+func resumableRoute(maxAttempts int) *route.Route {
+	return &route.Route{Name: "r", Kind: route.KindStream, Resumable: true, Timeout: 5 * time.Second, LatencyTarget: 200 * time.Millisecond, EventGapTarget: 200 * time.Millisecond, MaxAttempts: maxAttempts}
 }
 
-func TestAStreamGoesOnOnceAndWhole(t *testing.T) {
-	moves := []move{streamsOn, cutsOff, cutsInside, fallsSilent, startsOver, skipsOne, turnsAway, losesHead}
+// For generated plans of truncations, silences, wrong events and refusals, with any
+// number of attempts: the client receives a prefix of one stream, and a clean end
+// only after the whole stream.
+func TestResumedStreamHasEachEventOnce(t *testing.T) {
+	behaviours := []behaviour{streamsToEnd, cutsOff, cutsWithinEvent, fallsSilent, restarts, skipsEvent, rejectsUnrun, resetsBeforeHead}
 	resumed := 0
 	rapid.Check(t, func(r *rapid.T) {
-		s := &streaming{events: rapid.IntRange(1, 12).Draw(r, "events"), step: rapid.IntRange(1, 3).Draw(r, "step"), first: rapid.IntRange(0, 5).Draw(r, "first")}
+		s := &streamBackends{events: rapid.IntRange(1, 12).Draw(r, "events"), idStep: rapid.IntRange(1, 3).Draw(r, "step"), firstID: rapid.IntRange(0, 5).Draw(r, "first")}
 		for range rapid.IntRange(0, 4).Draw(r, "steps") {
-			s.plan = append(s.plan, planned{rapid.SampledFrom(moves).Draw(r, "move"), rapid.IntRange(0, 6).Draw(r, "after")})
+			s.plan = append(s.plan, plannedCall{rapid.SampledFrom(behaviours).Draw(r, "move"), rapid.IntRange(0, 6).Draw(r, "after")})
 		}
-		rt := resumable(rapid.IntRange(1, 4).Draw(r, "tries"))
+		rt := resumableRoute(rapid.IntRange(1, 4).Draw(r, "tries"))
 		rt.Resumable = rapid.IntRange(0, 3).Draw(r, "kind") > 0
-		got := s.read(t, rt)
-		for place, event := range got.events {
-			if event != fmt.Sprint("event ", place) {
-				r.Fatalf("%v: event %d is %q", s.plan, place, event)
+		got := s.run(t, rt)
+		for i, event := range got.events {
+			if event != fmt.Sprint("event ", i) {
+				r.Fatalf("plan %v: event %d is %q", s.plan, i, event)
 			}
 		}
-		if got.whole && len(got.events) != s.events {
-			r.Fatalf("%v: complete after %d of %d events", s.plan, len(got.events), s.events)
+		if got.complete && len(got.events) != s.events {
+			r.Fatalf("plan %v: the stream ended cleanly after %d of %d events", s.plan, len(got.events), s.events)
 		}
-		if got.seal != "" && !rt.Resumable && s.ran > 1 {
-			r.Fatalf("%v: a stream that may run once ran %d times", s.plan, s.ran)
+		if got.seal != "" && !rt.Resumable && s.runs > 1 {
+			r.Fatalf("plan %v: a stream that may run only once ran %d times", s.plan, s.runs)
 		}
-		if s.ran > max(1, rt.MaxAttempts) {
-			r.Fatalf("%v: %d workers ran it, %d may", s.plan, s.ran, rt.MaxAttempts)
+		if s.runs > max(1, rt.MaxAttempts) {
+			r.Fatalf("plan %v: %d workers ran it, at most %d may", s.plan, s.runs, rt.MaxAttempts)
 		}
-		if got.verdict != nil && got.verdict.Ran == base.NotRun && s.ran > 0 {
-			r.Fatalf("%v: it is called not run", s.plan)
+		if got.verdict != nil && got.verdict.Ran == base.NotRun && s.runs > 0 {
+			r.Fatalf("plan %v: it was run, but is reported as not run", s.plan)
 		}
 		for _, asked := range s.calls {
 			if left, _ := strconv.Atoi(valueOf(asked, "Time-Left")); left > 5000 {
-				r.Fatalf("a worker was given %d ms", left)
+				r.Fatalf("a worker was given %d ms, more than the client's deadline", left)
 			}
 		}
-		if got.whole && s.ran > 1 {
+		if got.complete && s.runs > 1 {
 			resumed++
 		}
 	})
 	if resumed == 0 {
-		t.Error("no stream was continued")
+		t.Error("no stream was resumed")
 	}
 }
 
-func TestAContinuedStreamKeepsItsFirstHead(t *testing.T) {
-	s := &streaming{events: 5, step: 1, first: 1, plan: []planned{{cutsOff, 2}}}
-	got := s.read(t, resumable(2))
-	if !got.whole || len(got.events) != 5 || got.seal != "seal-1" {
-		t.Errorf("whole %v, %d events, %s", got.whole, len(got.events), got.seal)
+func TestResumedStreamKeepsFirstHead(t *testing.T) {
+	s := &streamBackends{events: 5, idStep: 1, firstID: 1, plan: []plannedCall{{cutsOff, 2}}}
+	got := s.run(t, resumableRoute(2))
+	if !got.complete || len(got.events) != 5 || got.seal != "seal-1" {
+		t.Errorf("complete %v, %d events, %s", got.complete, len(got.events), got.seal)
 	}
 	if last := valueOf(s.calls[1], "Last-Event"); last != "2" {
-		t.Errorf("continued after %q", last)
+		t.Errorf("resumed after %q", last)
 	}
 }
 
-func TestASilentStreamIsLeftWithinTheAim(t *testing.T) {
-	s := &streaming{events: 5, step: 1, first: 1, plan: []planned{{fallsSilent, 2}}}
-	got := s.read(t, resumable(2))
-	if !got.whole || got.took > 2*time.Second {
-		t.Errorf("whole %v after %v", got.whole, got.took)
+func TestSilentStreamIsResumedInTime(t *testing.T) {
+	s := &streamBackends{events: 5, idStep: 1, firstID: 1, plan: []plannedCall{{fallsSilent, 2}}}
+	got := s.run(t, resumableRoute(2))
+	if !got.complete || got.took > 2*time.Second {
+		t.Errorf("complete %v after %v", got.complete, got.took)
 	}
-	s = &streaming{events: 5, step: 1, first: 1, plan: []planned{{fallsSilent, 2}}}
-	once := resumable(2)
+	s = &streamBackends{events: 5, idStep: 1, firstID: 1, plan: []plannedCall{{fallsSilent, 2}}}
+	once := resumableRoute(2)
 	once.Resumable = false
-	if got := s.read(t, once); got.whole || s.ran != 1 {
-		t.Errorf("a stream that may run once: whole %v, ran %d times", got.whole, s.ran)
+	if got := s.run(t, once); got.complete || s.runs != 1 {
+		t.Errorf("a stream that may run only once: complete %v, ran %d times", got.complete, s.runs)
 	}
 }
--- a/internal/relay/roster.go
+++ b/internal/relay/roster.go
@@ -1,7 +1,3 @@
-// The roster is the list of workers as the platform of a deployment keeps
-// it. One duty holder asks for it; each worker is a key of the feed, so that
-// a change costs what changed, and every gateway reads the same.
-
 package relay
 
 import (
@@ -13,10 +9,12 @@
 	"fordseam/internal/register"
 )
 
-// RosterKeyPrefix is where the feed tells of workers.
+// RosterKeyPrefix is followed by a worker's id in the keys of the roster, the copy
+// in the feed of the platform's list of workers. There is one key per worker, so
+// that a change costs no more than the workers that it concerns.
 const RosterKeyPrefix = "feed/roster/"
 
-// Worker is one life of a worker, as the list has it.
+// Worker is one incarnation of a worker as listed by the platform.
 type Worker struct {
 	ID       string `json:"-"`
 	Service  string `json:"s"`
@@ -26,73 +24,75 @@
 	Draining bool   `json:"d,omitempty"`
 }
 
-// DecodeRoster reads the feed's frame.
+// DecodeRoster decodes the roster from a feed snapshot's keys and values.
 func DecodeRoster(values map[string][]byte) Workers {
-	found, _ := (&RosterDecoder{}).Decode(values)
-	return found
+	workers, _ := (&RosterDecoder{}).Decode(values)
+	return workers
 }
 
-// RosterDecoder reads one frame after another, and only what changed between them.
+// RosterDecoder decodes the rosters of successive feed snapshots. It only decodes
+// the entries that changed since the one before.
 type RosterDecoder struct {
-	read map[string]entry
-	list Workers
+	entries map[string]rosterEntry
+	list    Workers
 }
 
-// entry is a worker's key as it was last read; ok tells that it could be.
-type entry struct {
+// rosterEntry is a worker's entry as last read; valid is false if it could not be
+// decoded.
+type rosterEntry struct {
 	raw    []byte
 	worker Worker
-	ok     bool
+	valid  bool
 }
 
-// Decode gives the workers by id, and tells whether they are others than last
-// time. The list is never changed afterwards.
+// Decode returns the workers ordered by id, and reports whether they differ from
+// the previous call's. The returned list is never modified.
 func (r *RosterDecoder) Decode(values map[string][]byte) (list Workers, changed bool) {
-	if r.read == nil {
-		r.read, r.list = map[string]entry{}, Workers{}
+	if r.entries == nil {
+		r.entries, r.list = map[string]rosterEntry{}, Workers{}
 	}
-	count, touched := 0, 0
+	count, changes := 0, 0
 	for key, raw := range values {
 		id, ok := strings.CutPrefix(key, RosterKeyPrefix)
 		if !ok {
 			continue
 		}
 		count++
-		before, known := r.read[id]
-		if known && sameBytes(before.raw, raw) {
+		previous, known := r.entries[id]
+		if known && equalBytes(previous.raw, raw) {
 			continue
 		}
-		now := entry{raw: raw, worker: Worker{ID: id}}
-		now.ok = json.Unmarshal(raw, &now.worker) == nil
-		r.read[id] = now
-		if now.ok != before.ok || now.ok && now.worker != before.worker {
-			touched++
+		current := rosterEntry{raw: raw, worker: Worker{ID: id}}
+		current.valid = json.Unmarshal(raw, &current.worker) == nil
+		r.entries[id] = current
+		if current.valid != previous.valid || current.valid && current.worker != previous.worker {
+			changes++
 		}
 	}
-	if count < len(r.read) {
-		for id, before := range r.read {
-			if _, stays := values[RosterKeyPrefix+id]; !stays {
-				delete(r.read, id)
-				if before.ok {
-					touched++
+	if count < len(r.entries) {
+		for id, previous := range r.entries {
+			if _, present := values[RosterKeyPrefix+id]; !present {
+				delete(r.entries, id)
+				if previous.valid {
+					changes++
 				}
 			}
 		}
 	}
-	if touched == 0 {
+	if changes == 0 {
 		return r.list, false
 	}
-	next := make(Workers, 0, len(r.read))
-	for _, one := range r.list { // in order already
-		if now, stays := r.read[one.ID]; stays && now.ok {
-			next = append(next, now.worker)
+	next := make(Workers, 0, len(r.entries))
+	for _, w := range r.list { // already in order
+		if current, present := r.entries[w.ID]; present && current.valid {
+			next = append(next, current.worker)
 		}
 	}
 	kept := len(next)
-	if kept < len(r.read) {
-		for id, now := range r.read {
-			if _, ok := slices.BinarySearchFunc(next[:kept], id, byID); !ok && now.ok {
-				next = append(next, now.worker)
+	if kept < len(r.entries) {
+		for id, current := range r.entries {
+			if _, ok := slices.BinarySearchFunc(next[:kept], id, compareID); !ok && current.valid {
+				next = append(next, current.worker)
 			}
 		}
 		if len(next) > kept {
@@ -103,26 +103,27 @@
 	return next, true
 }
 
-func byID(one Worker, id string) int { return strings.Compare(one.ID, id) }
+// compareID compares a worker's id, for a binary search.
+func compareID(w Worker, id string) int { return strings.Compare(w.ID, id) }
 
-// sameBytes looks at the bytes only where they are not the very same.
-func sameBytes(a, b []byte) bool {
+// equalBytes compares the contents only if the slices do not share their bytes.
+func equalBytes(a, b []byte) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0] || string(a) == string(b))
 }
 
-// RegisterHandlers adds the roster's ops to a core: to read it, and to change it, where
-// keys that stay as they were are not written again.
+// RegisterHandlers registers the operations that read and change the roster. A
+// change does not write keys whose values stay the same.
 func RegisterHandlers(server *register.Server) {
 	server.Handle("roster.read", func(tx *register.Tx, _ []byte) (any, error) {
-		found := map[string]Worker{}
+		workers := map[string]Worker{}
 		tx.Walk(RosterKeyPrefix, "", func(key string, value []byte) bool {
-			var one Worker
-			if json.Unmarshal(value, &one) == nil {
-				found[strings.TrimPrefix(key, RosterKeyPrefix)] = one
+			var w Worker
+			if json.Unmarshal(value, &w) == nil {
+				workers[strings.TrimPrefix(key, RosterKeyPrefix)] = w
 			}
 			return true
 		})
-		return found, nil
+		return workers, nil
 	})
 	server.Handle("roster.amend", func(tx *register.Tx, args []byte) (any, error) {
 		var change RosterChange
@@ -143,16 +144,16 @@
 	})
 }
 
-// RosterChange is what becomes of some workers; the others stay as they are.
+// RosterChange adds, replaces and removes some workers of the roster.
 type RosterChange struct {
 	Put    map[string]Worker `json:"put,omitempty"`
 	Remove []string          `json:"gone,omitempty"`
 }
 
-// workers is how many it speaks of.
-func (c *RosterChange) workers() int { return len(c.Put) + len(c.Remove) }
+// size is the number of workers that the change concerns.
+func (c *RosterChange) size() int { return len(c.Put) + len(c.Remove) }
 
-// ApplyRosterChange makes one change of the roster.
+// ApplyRosterChange applies one change to the roster in the feed.
 func ApplyRosterChange(ctx *base.Ctx, client *register.Client, change RosterChange) error {
 	return client.Change(ctx, register.FeedGroup, "roster.amend", change, nil)
 }
--- a/internal/relay/roster_test.go
+++ b/internal/relay/roster_test.go
@@ -1,4 +1,3 @@
-// A roster that is read change by change comes to what a whole reading gives.
 package relay_test
 
 import (
@@ -14,11 +13,12 @@
 	"github.com/matryer/is"
 )
 
-func TestARosterReadByChangesIsTheWholeRoster(t *testing.T) {
+// A roster decoded change by change equals one decoded from the last snapshot only.
+func TestIncrementalDecodeEqualsFullDecode(t *testing.T) {
 	is := is.New(t)
 	world := newFleet(t, 11).world
 	values := map[string][]byte{"feed/other": []byte("x")}
-	var reader relay.RosterDecoder
+	var decoder relay.RosterDecoder
 	for step := range 400 {
 		before := values
 		values = maps.Clone(values)
@@ -33,73 +33,73 @@
 				values[key] = base.Encode(relay.Worker{Service: fmt.Sprint("s", world.Int64N(2)), Addr: fmt.Sprint("a", world.Int64N(3)), Draining: world.Int64N(3) == 0})
 			}
 		}
-		if step%50 == 0 { // as a frame brings it: equal bytes, held anew
+		if step%50 == 0 { // as in a whole new snapshot: equal values in new slices
 			for key, raw := range values {
 				values[key] = slices.Clone(raw)
 			}
 		}
-		whole := relay.DecodeRoster(values)
-		is.True(slices.IsSortedFunc(whole, func(a, b relay.Worker) int {
+		full := relay.DecodeRoster(values)
+		is.True(slices.IsSortedFunc(full, func(a, b relay.Worker) int {
 			if a.ID < b.ID {
 				return -1
 			}
 			return 1
 		}))
-		list, changed := reader.Decode(values)
-		is.Equal(list, whole)
-		is.Equal(changed, !slices.Equal(whole, relay.DecodeRoster(before)))
+		list, changed := decoder.Decode(values)
+		is.Equal(list, full)
+		is.Equal(changed, !slices.Equal(full, relay.DecodeRoster(before)))
 	}
 }
 
-// The changes from one roster to a list make that list, and none speaks of more
-// workers than a part holds.
-func TestChangesOfARosterMakeTheList(t *testing.T) {
+// The changes from a roster to a list produce that list, and none of them contains
+// more workers than allowed.
+func TestRosterChangesProduceTheList(t *testing.T) {
 	is := is.New(t)
 	world := newFleet(t, 17).world
-	held := map[string]relay.Worker{}
+	current := map[string]relay.Worker{}
 	for step := range 60 {
 		var list []relay.Worker
-		for place := range world.Int64N(1000) {
+		for i := range world.Int64N(1000) {
 			if world.Int64N(4) > 0 {
-				list = append(list, relay.Worker{ID: fmt.Sprintf("w%03d", place), Service: "s", Addr: fmt.Sprint("a", world.Int64N(3)), Draining: world.Int64N(3) == 0})
+				list = append(list, relay.Worker{ID: fmt.Sprintf("w%03d", i), Service: "s", Addr: fmt.Sprint("a", world.Int64N(3)), Draining: world.Int64N(3) == 0})
 			}
 		}
-		if step%7 == 0 && len(list) > 0 { // named twice: the last counts
+		if step%7 == 0 && len(list) > 0 { // listed twice: the last one counts
 			again := list[0]
 			again.Draining = !again.Draining
 			list = append(list, again)
 		}
-		before := slices.SortedFunc(maps.Values(held), relay.InOrder)
-		changes := relay.ChangesTo(before, list)
+		before := slices.SortedFunc(maps.Values(current), relay.CompareWorkers)
+		changes := relay.RosterChanges(before, list)
 		for _, change := range changes {
-			is.True(len(change.Put)+len(change.Remove) <= relay.RosterPart)
+			is.True(len(change.Put)+len(change.Remove) <= relay.MaxChangeWorkers)
 			for _, id := range change.Remove {
-				delete(held, id)
+				delete(current, id)
 			}
-			for id, one := range change.Put {
-				is.True(held[id] != one)
-				held[id] = one
+			for id, w := range change.Put {
+				is.True(current[id] != w)
+				current[id] = w
 			}
 		}
 		want := map[string]relay.Worker{}
-		for _, one := range list {
-			want[one.ID] = one
+		for _, w := range list {
+			want[w.ID] = w
 		}
-		is.Equal(held, want)
-		is.Equal(len(relay.ChangesTo(slices.SortedFunc(maps.Values(held), relay.InOrder), list)), 0)
+		is.Equal(current, want)
+		is.Equal(len(relay.RosterChanges(slices.SortedFunc(maps.Values(current), relay.CompareWorkers), list)), 0)
 	}
 }
 
-// A relay that was given one list after another sends to the same workers as
-// one that was given the last only.
-func TestChangesOfTheListReachTheirServicesOnly(t *testing.T) {
+// A relay that was given one list after another chooses from the same workers as
+// one that was given only the last.
+func TestIncrementalSetWorkersEqualsFull(t *testing.T) {
 	f := newFleet(t, 5)
-	for place := range 12 {
-		f.add(fmt.Sprintf("w%02d", place), "z1", 4)
+	for i := range 12 {
+		f.addWorker(fmt.Sprintf("w%02d", i), "z1", 4)
 	}
 	r := f.relay("z1")
 	for range 200 {
-		for _, w := range f.order {
+		for _, w := range f.ordered {
 			switch f.world.Int64N(6) {
 			case 0:
 				w.Draining = !w.Draining
@@ -115,22 +115,22 @@
 		r.SetWorkers(list)
 		for _, name := range []string{"s0", "s1"} {
 			var want []string
-			for _, one := range list {
-				if one.Service == name && !one.Draining {
-					want = append(want, one.ID+"@"+one.Addr)
+			for _, listed := range list {
+				if listed.Service == name && !listed.Draining {
+					want = append(want, listed.ID+"@"+listed.Addr)
 				}
 			}
-			f.Equal(r.Serving(name), want)
+			f.Equal(r.ServingWorkers(name), want)
 		}
 	}
 	f.run(func() {
-		_, v := f.offerTo(r, &route.Service{Name: "s0"})
-		f.Equal(v == nil, len(r.Serving("s0")) > 0)
+		_, v := f.dispatchTo(r, &route.Service{Name: "s0"})
+		f.Equal(v == nil, len(r.ServingWorkers("s0")) > 0)
 	})
 }
 
-func (f *fleet) offerTo(r *relay.Relay, to *route.Service) (*relay.Reply, *base.Verdict) {
-	reply, err := r.Dispatch(base.NewCtx(f.clock, base.DefaultBounds().Recover), plain(route.KindNonIdempotent, 2), to, call(), nil)
+func (f *fleet) dispatchTo(r *relay.Relay, to *route.Service) (*relay.Reply, *base.Verdict) {
+	reply, err := r.Dispatch(base.NewCtx(f.clock, base.DefaultBounds().Recover), newRoute(route.KindNonIdempotent, 2), to, newCall(), nil)
 	if err != nil {
 		return nil, base.FromWire(err)
 	}
--- a/internal/worker/picker_test.go
+++ b/internal/worker/picker_test.go
@@ -27,7 +27,7 @@
 	notice := func(incarnation string) []byte {
 		return base.Encode(Notice{Worker: "a", Incarnation: incarnation, Leaving: true})
 	}
-	rows := []struct {
+	tests := []struct {
 		name     string
 		values   map[string][]byte
 		prepare  func(picker *Picker, reports *UsageReports)
@@ -51,15 +51,15 @@
 			reports.Record(&membership.Usage{Worker: "a", Incarnation: "one", Number: 1, Leaving: true})
 		}, true},
 	}
-	for _, row := range rows {
-		t.Run(row.name, func(t *testing.T) {
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			picker, reports := newTestPicker(row.values)
-			row.prepare(picker, reports)
+			picker, reports := newTestPicker(tt.values)
+			tt.prepare(picker, reports)
 			req := &Requirements{Pool: "p", LastWorker: "a", AffinityKey: "s", Tried: map[string]bool{"b": true}}
 			chosen, err := picker.Acquire(base.NewCtx(base.NewRealClock(), 0), req)
-			is.Equal(err == nil, row.eligible)
-			if row.eligible {
+			is.Equal(err == nil, tt.eligible)
+			if tt.eligible {
 				is.Equal(chosen.ID, "a")
 				_, err = picker.Acquire(base.NewCtx(base.NewRealClock(), 0), req) // one more than it can take
 				is.True(err != nil)
@@ -81,11 +81,11 @@
 	}
 	ctx := base.NewCtx(base.NewRealClock(), time.Minute)
 	inFlight := []*Requirements{request("crowded", "one"), request("crowded", "one"), request("crowded", "two")}
-	var held *Worker
+	var last *Worker
 	for _, req := range inFlight {
 		chosen, err := picker.Acquire(ctx, req)
 		is.NoErr(err)
-		held = chosen
+		last = chosen
 	}
 	granted := make(chan string)
 	for i, req := range []*Requirements{request("crowded", "one"), request("crowded", "three"), request("quiet", "four")} {
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, want := range []string{"four", "three"} {
-		picker.Release(held, inFlight[2], 0)
+		picker.Release(last, inFlight[2], 0)
 		is.Equal(<-granted, want)
 	}
 }
--- a/internal/workerconn/generated_test.go
+++ b/internal/workerconn/generated_test.go
@@ -174,15 +174,15 @@
 	largeBodies bool // bodies too long to be sent in one write
 }
 
-var planGen = rapid.Custom(func(t *rapid.T) plan {
-	how := rapid.Custom(func(t *rapid.T) behaviour {
+var genPlan = rapid.Custom(func(t *rapid.T) plan {
+	behaviourGen := rapid.Custom(func(t *rapid.T) behaviour {
 		// Connections are only reused after complete responses, so half are.
 		if rapid.Bool().Draw(t, "whole") {
 			return answersWhole
 		}
 		return behaviour(rapid.IntRange(0, int(behaviourCount)-1).Draw(t, "behaviour"))
 	})
-	lanes := rapid.SliceOfN(rapid.SliceOfN(how, 2, 8), 1, 3).Draw(t, "lanes")
+	lanes := rapid.SliceOfN(rapid.SliceOfN(behaviourGen, 2, 8), 1, 3).Draw(t, "lanes")
 	return plan{lanes: lanes, largeBodies: rapid.IntRange(0, 9).Draw(t, "long") == 0}
 })
 
@@ -270,7 +270,7 @@
 	worker := newCheckingWorker(t)
 	client := New(5*time.Second, base.NewCounters())
 	rapid.Check(t, func(t *rapid.T) {
-		if problem := runPlan(worker, client, planGen.Draw(t, "plan")); problem != "" {
+		if problem := runPlan(worker, client, genPlan.Draw(t, "plan")); problem != "" {
 			t.Fatal(problem)
 		}
 	})
@@ -316,7 +316,7 @@
 			client := New(5*time.Second, base.NewCounters())
 			tt.disable(client.pool)
 			for seed := range 300 {
-				if problem := runPlan(worker, client, planGen.Example(seed)); problem != "" {
+				if problem := runPlan(worker, client, genPlan.Example(seed)); problem != "" {
 					t.Logf("plan %d: %s", seed, problem)
 					return
 				}
--- a/internal/workerconn/pool_test.go
+++ b/internal/workerconn/pool_test.go
@@ -25,11 +25,11 @@
 type fakeWorker struct {
 	listener    net.Listener
 	connections atomic.Int32
-	answer      func(c net.Conn, request *http.Request, made int) bool
+	answer      func(c net.Conn, request *http.Request, connNumber int) bool
 	connEnded   chan struct{} // one value for each connection that the worker has closed
 }
 
-func newFakeWorker(t testing.TB, answer func(c net.Conn, request *http.Request, made int) bool) *fakeWorker {
+func newFakeWorker(t testing.TB, answer func(c net.Conn, request *http.Request, connNumber int) bool) *fakeWorker {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	return w
 }
 
-func (w *fakeWorker) serve(c net.Conn, made int) {
+func (w *fakeWorker) serve(c net.Conn, connNumber int) {
 	reader := bufio.NewReader(c)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -58,7 +58,7 @@
 		var body bytes.Buffer
 		_, _ = io.Copy(&body, request.Body)
 		request.Body = io.NopCloser(&body)
-		if !w.answer(c, request, made) {
+		if !w.answer(c, request, connNumber) {
 			break
 		}
 	}
@@ -96,26 +96,26 @@
 	requests int
 }
 
-func newPoolTest(t testing.TB, answer func(c net.Conn, request *http.Request, made int) bool) *poolTest {
-	b := &poolTest{I: is.NewRelaxed(t.(*testing.T)), worker: newFakeWorker(t, answer), client: New(5*time.Second, base.NewCounters()), clock: &offsetClock{Clock: base.NewRealClock()}}
-	b.client.pool.clock = b.clock
-	return b
+func newPoolTest(t testing.TB, answer func(c net.Conn, request *http.Request, connNumber int) bool) *poolTest {
+	p := &poolTest{I: is.NewRelaxed(t.(*testing.T)), worker: newFakeWorker(t, answer), client: New(5*time.Second, base.NewCounters()), clock: &offsetClock{Clock: base.NewRealClock()}}
+	p.client.pool.clock = p.clock
+	return p
 }
 
-func (b *poolTest) request() *base.BackRequest {
-	b.requests++
-	id := fmt.Sprintf("r%d", b.requests)
+func (p *poolTest) request() *base.BackRequest {
+	p.requests++
+	id := fmt.Sprintf("r%d", p.requests)
 	return &base.BackRequest{Method: "POST", Path: "/x", Body: []byte("ask"), Worker: "w1", Lines: []base.HeaderLine{{Name: "Request-Id", Value: id}},
 		Match: base.HeaderLine{Name: "Request-Id", Value: id}}
 }
 
-func (b *poolTest) send(request *base.BackRequest) (base.BackReply, error) {
-	return b.client.Call(base.NewCtx(b.clock, 20*time.Second), b.worker.addr(), request)
+func (p *poolTest) send(request *base.BackRequest) (base.BackReply, error) {
+	return p.client.Call(base.NewCtx(p.clock, 20*time.Second), p.worker.addr(), request)
 }
 
 // call sends a request and reads the whole body.
-func (b *poolTest) call() (string, error) {
-	reply, err := b.send(b.request())
+func (p *poolTest) call() (string, error) {
+	reply, err := p.send(p.request())
 	if err != nil {
 		return "", err
 	}
@@ -125,99 +125,99 @@
 }
 
 // mustCall expects a request to be answered correctly.
-func (b *poolTest) mustCall() {
-	b.Helper()
-	body, err := b.call()
-	b.NoErr(err)
-	b.Equal(body, "hello")
+func (p *poolTest) mustCall() {
+	p.Helper()
+	body, err := p.call()
+	p.NoErr(err)
+	p.Equal(body, "hello")
 }
 
 // connections returns how many connections were made.
-func (b *poolTest) connections() int { return int(b.worker.connections.Load()) }
+func (p *poolTest) connections() int { return int(p.worker.connections.Load()) }
 
 // connCounts returns how many connections are idle, and how many are open.
-func (b *poolTest) connCounts() (idle, open int) {
-	b.client.pool.mu.Lock()
-	defer b.client.pool.mu.Unlock()
-	if entry := b.client.pool.workers["w1"]; entry != nil {
+func (p *poolTest) connCounts() (idle, open int) {
+	p.client.pool.mu.Lock()
+	defer p.client.pool.mu.Unlock()
+	if entry := p.client.pool.workers["w1"]; entry != nil {
 		return len(entry.idle), entry.open
 	}
 	return 0, 0
 }
 
 func TestConnectionIsReused(t *testing.T) {
-	b := newPoolTest(t, answerHello)
+	p := newPoolTest(t, answerHello)
 	for range 20 {
-		b.mustCall()
+		p.mustCall()
 	}
-	b.Equal(b.connections(), 1)
-	idle, open := b.connCounts()
-	b.Equal(idle, 1)
-	b.Equal(open, 1)
+	p.Equal(p.connections(), 1)
+	idle, open := p.connCounts()
+	p.Equal(idle, 1)
+	p.Equal(open, 1)
 }
 
 // The deadline of one request does not apply to the next on the same connection.
 func TestConnectionOutlivesRequestDeadline(t *testing.T) {
-	b := newPoolTest(t, answerHello)
-	b.mustCall()
-	b.NoErr(b.client.pool.workers["w1"].idle[0].SetDeadline(time.Now().Add(-time.Second)))
-	b.mustCall()
-	b.Equal(b.connections(), 1)
+	p := newPoolTest(t, answerHello)
+	p.mustCall()
+	p.NoErr(p.client.pool.workers["w1"].idle[0].SetDeadline(time.Now().Add(-time.Second)))
+	p.mustCall()
+	p.Equal(p.connections(), 1)
 }
 
 func TestConnectionBelongsToOneIncarnation(t *testing.T) {
-	b := newPoolTest(t, answerHello)
-	b.mustCall()
-	request := b.request()
+	p := newPoolTest(t, answerHello)
+	p.mustCall()
+	request := p.request()
 	request.Worker = "w2" // the same address, another incarnation
-	reply, err := b.send(request)
-	b.NoErr(err)
+	reply, err := p.send(request)
+	p.NoErr(err)
 	_, err = reply.Body(20*time.Second, 1000)
-	b.NoErr(err)
-	b.Equal(b.connections(), 2)
-	b.client.Forget("w1")
-	<-b.worker.connEnded
-	b.mustCall()
-	b.Equal(b.connections(), 3)
+	p.NoErr(err)
+	p.Equal(p.connections(), 2)
+	p.client.Forget("w1")
+	<-p.worker.connEnded
+	p.mustCall()
+	p.Equal(p.connections(), 3)
 }
 
 // After the worker has closed an idle connection, the next request uses a new one.
 func TestStaleConnectionIsNotReused(t *testing.T) {
-	b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
-		answerHello(c, request, made)
-		return made > 1
+	p := newPoolTest(t, func(c net.Conn, request *http.Request, connNumber int) bool {
+		answerHello(c, request, connNumber)
+		return connNumber > 1
 	})
-	b.mustCall()
-	<-b.worker.connEnded
-	b.mustCall()
-	b.mustCall()
-	b.Equal(b.connections(), 2)
+	p.mustCall()
+	<-p.worker.connEnded
+	p.mustCall()
+	p.mustCall()
+	p.Equal(p.connections(), 2)
 }
 
 // If a connection ends after the request was written, the worker may have run it.
 func TestLossAfterSendIsNotCalledNotSent(t *testing.T) {
-	b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
+	p := newPoolTest(t, func(c net.Conn, request *http.Request, connNumber int) bool {
 		if request.Header.Get("Request-Id") == "r2" {
 			return false
 		}
-		return answerHello(c, request, made)
+		return answerHello(c, request, connNumber)
 	})
-	b.mustCall()
-	_, err := b.call()
-	b.True(err != nil)
-	b.True(!base.WasNotSent(err))
-	idle, open := b.connCounts()
-	b.Equal(idle, 0)
-	b.Equal(open, 0)
+	p.mustCall()
+	_, err := p.call()
+	p.True(err != nil)
+	p.True(!base.WasNotSent(err))
+	idle, open := p.connCounts()
+	p.Equal(idle, 0)
+	p.Equal(open, 0)
 }
 
 func TestDialFailureIsNotSent(t *testing.T) {
-	b := newPoolTest(t, answerHello)
-	b.NoErr(b.worker.listener.Close())
-	_, err := b.call()
-	b.True(base.WasNotSent(err))
-	_, open := b.connCounts()
-	b.Equal(open, 0)
+	p := newPoolTest(t, answerHello)
+	p.NoErr(p.worker.listener.Close())
+	_, err := p.call()
+	p.True(base.WasNotSent(err))
+	_, open := p.connCounts()
+	p.Equal(open, 0)
 }
 
 // Responses after which the connection is not reused, and whether the response
@@ -244,26 +244,26 @@
 		{"a truncated head", func(id string) string { return "HTTP/1.1 200 OK\r\nRequest-Id: " + id }, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
-				if id := request.Header.Get("Request-Id"); made == 1 {
+			p := newPoolTest(t, func(c net.Conn, request *http.Request, connNumber int) bool {
+				if id := request.Header.Get("Request-Id"); connNumber == 1 {
 					_, _ = io.WriteString(c, tt.raw(id))
 					return tt.served // truncated responses end with a close
 				}
-				return answerHello(c, request, made)
+				return answerHello(c, request, connNumber)
 			})
-			body, err := b.call()
-			b.Equal(err == nil, tt.served)
+			body, err := p.call()
+			p.Equal(err == nil, tt.served)
 			if tt.served {
-				b.Equal(body, "hello")
+				p.Equal(body, "hello")
 			} else {
-				b.True(!base.WasNotSent(err))
+				p.True(!base.WasNotSent(err))
 			}
-			idle, open := b.connCounts()
-			b.Equal(idle, 0)
-			b.Equal(open, 0)
-			<-b.worker.connEnded
-			b.mustCall()
-			b.Equal(b.connections(), 2)
+			idle, open := p.connCounts()
+			p.Equal(idle, 0)
+			p.Equal(open, 0)
+			<-p.worker.connEnded
+			p.mustCall()
+			p.Equal(p.connections(), 2)
 		})
 	}
 }
@@ -271,22 +271,22 @@
 // Bytes that arrive while a connection is idle belong to no request.
 func TestUnexpectedBytesCloseIdleConnection(t *testing.T) {
 	late, written := make(chan struct{}), make(chan struct{})
-	b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
-		answerHello(c, request, made)
-		if made == 1 {
+	p := newPoolTest(t, func(c net.Conn, request *http.Request, connNumber int) bool {
+		answerHello(c, request, connNumber)
+		if connNumber == 1 {
 			<-late
 			_, _ = io.WriteString(c, fullReply("r0", "", "other"))
 			close(written)
 		}
 		return true
 	})
-	b.mustCall()
-	idle, _ := b.connCounts()
-	b.Equal(idle, 1)
+	p.mustCall()
+	idle, _ := p.connCounts()
+	p.Equal(idle, 1)
 	close(late)
 	<-written
-	b.mustCall()
-	b.Equal(b.connections(), 2)
+	p.mustCall()
+	p.Equal(p.connections(), 2)
 }
 
 // The expected response may follow responses to other requests. The id identifies
@@ -307,23 +307,23 @@
 		{"bytes that are no response", "\r\nother\r\n\r\n", false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
-				if made == 1 {
+			p := newPoolTest(t, func(c net.Conn, request *http.Request, connNumber int) bool {
+				if connNumber == 1 {
 					_, _ = io.WriteString(c, tt.before)
 				}
-				answerHello(c, request, made)
+				answerHello(c, request, connNumber)
 				return tt.served
 			})
-			body, err := b.call()
-			b.Equal(err == nil, tt.served)
+			body, err := p.call()
+			p.Equal(err == nil, tt.served)
 			if tt.served {
-				b.Equal(body, "hello")
+				p.Equal(body, "hello")
 			}
-			_, open := b.connCounts()
-			b.Equal(open, 0)
-			<-b.worker.connEnded
-			b.mustCall()
-			b.Equal(b.connections(), 2)
+			_, open := p.connCounts()
+			p.Equal(open, 0)
+			<-p.worker.connEnded
+			p.mustCall()
+			p.Equal(p.connections(), 2)
 		})
 	}
 }
@@ -341,33 +341,33 @@
 		{"no timeout announced, late", "", 5 * time.Second, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+			p := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 				_, _ = io.WriteString(c, fullReply(request.Header.Get("Request-Id"), tt.head, "hello"))
 				return true
 			})
-			b.mustCall()
-			b.clock.offset.Add(int64(tt.idle))
-			b.mustCall()
-			b.Equal(b.connections() == 1, tt.kept)
+			p.mustCall()
+			p.clock.offset.Add(int64(tt.idle))
+			p.mustCall()
+			p.Equal(p.connections() == 1, tt.kept)
 		})
 	}
 }
 
 func TestSweepClosesExpiredConnections(t *testing.T) {
-	b := newPoolTest(t, answerHello)
-	b.mustCall()
-	b.clock.offset.Add(int64(time.Minute))
-	b.client.pool.sweepIdle()
-	<-b.worker.connEnded
-	b.Equal(len(b.client.pool.workers), 0)
+	p := newPoolTest(t, answerHello)
+	p.mustCall()
+	p.clock.offset.Add(int64(time.Minute))
+	p.client.pool.sweepIdle()
+	<-p.worker.connEnded
+	p.Equal(len(p.client.pool.workers), 0)
 }
 
 func TestRequestIsSentByteForByte(t *testing.T) {
 	var raw bytes.Buffer
 	got := make(chan struct{})
-	b := newPoolTest(t, nil)
+	p := newPoolTest(t, nil)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	b.NoErr(err)
+	p.NoErr(err)
 	defer listener.Close()
 	go func() {
 		c, err := listener.Accept()
@@ -381,94 +381,94 @@
 		_, _ = io.WriteString(c, fullReply("r1", "", "hello"))
 		close(got)
 	}()
-	request := b.request()
+	request := p.request()
 	request.Method, request.Path, request.Host = "DELETE", "/a//b/../c%2Fd/./?x=%41&y=+&z", "Some.Host:81"
 	request.Lines = append(request.Lines, base.HeaderLine{Name: "x-Second", Value: "b"}, base.HeaderLine{Name: "x-Second", Value: "a"}, base.HeaderLine{Name: "Cookie", Value: "b=2; a=1"},
 		base.HeaderLine{Name: "Content-Type", Value: "text/odd"}, base.HeaderLine{Name: "user-agent", Value: "me"})
-	reply, err := b.client.Call(base.NewCtx(b.clock, 20*time.Second), listener.Addr().String(), request)
-	b.NoErr(err)
+	reply, err := p.client.Call(base.NewCtx(p.clock, 20*time.Second), listener.Addr().String(), request)
+	p.NoErr(err)
 	defer reply.Close()
 	<-got
-	b.Equal(raw.String(), strings.Join([]string{"DELETE /a//b/../c%2Fd/./?x=%41&y=+&z HTTP/1.1", "Host: Some.Host:81", "Request-Id: r1", "x-Second: b", "x-Second: a",
+	p.Equal(raw.String(), strings.Join([]string{"DELETE /a//b/../c%2Fd/./?x=%41&y=+&z HTTP/1.1", "Host: Some.Host:81", "Request-Id: r1", "x-Second: b", "x-Second: a",
 		"Cookie: b=2; a=1", "Content-Type: text/odd", "user-agent: me", "Content-Length: 3", "", "ask"}, "\r\n"))
 }
 
 func TestLongBodyIsSentWhole(t *testing.T) {
 	long := bytes.Repeat([]byte("0123456789abcdef"), 1<<15)
-	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+	p := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		body, _ := io.ReadAll(request.Body)
 		_, _ = io.WriteString(c, fullReply(request.Header.Get("Request-Id"), "", fmt.Sprint(bytes.Equal(body, long))))
 		return true
 	})
 	for range 2 {
-		request := b.request()
+		request := p.request()
 		request.Body = long
-		reply, err := b.send(request)
-		b.NoErr(err)
+		reply, err := p.send(request)
+		p.NoErr(err)
 		body, err := reply.Body(20*time.Second, 1000)
-		b.NoErr(err)
-		b.Equal(string(body), "true")
+		p.NoErr(err)
+		p.Equal(string(body), "true")
 	}
-	b.Equal(b.connections(), 1)
+	p.Equal(p.connections(), 1)
 }
 
 func TestReplyBodyIsBounded(t *testing.T) {
 	for _, raw := range []string{"Content-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000), "Transfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000) + "\r\n0\r\n\r\n"} {
-		b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+		p := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\n"+raw)
 			return true
 		})
-		_, err := b.call()
-		b.True(err != nil)
-		_, open := b.connCounts()
-		b.Equal(open, 0)
+		_, err := p.call()
+		p.True(err != nil)
+		_, open := p.connCounts()
+		p.Equal(open, 0)
 	}
 }
 
 func TestConnectionsPerWorkerAreBounded(t *testing.T) {
-	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+	p := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\nTransfer-Encoding: chunked\r\n\r\n")
 		return true
 	})
-	request := b.request()
+	request := p.request()
 	request.MostConns = 1
-	first, err := b.send(request)
-	b.NoErr(err)
-	second := b.request()
+	first, err := p.send(request)
+	p.NoErr(err)
+	second := p.request()
 	second.MostConns = 1
-	_, err = b.send(second)
-	b.True(base.WasNotSent(err))
-	b.True(errors.Is(err, base.ErrNoConnection))
+	_, err = p.send(second)
+	p.True(base.WasNotSent(err))
+	p.True(errors.Is(err, base.ErrNoConnection))
 	first.Close()
-	third := b.request()
+	third := p.request()
 	third.MostConns = 1
-	reply, err := b.send(third)
-	b.NoErr(err)
+	reply, err := p.send(third)
+	p.NoErr(err)
 	reply.Close()
 }
 
 func TestNothingIsSentToLeavingWorker(t *testing.T) {
-	b := newPoolTest(t, func(c net.Conn, request *http.Request, made int) bool {
+	p := newPoolTest(t, func(c net.Conn, request *http.Request, connNumber int) bool {
 		if request.Header.Get("Request-Id") == "r2" {
 			t.Error("the request was sent")
 		}
-		return answerHello(c, request, made)
+		return answerHello(c, request, connNumber)
 	})
-	b.mustCall()
-	request := b.request()
+	p.mustCall()
+	request := p.request()
 	request.Stays = func() bool { return false }
-	_, err := b.send(request)
-	b.True(base.WasNotSent(err))
-	b.True(errors.Is(err, base.ErrLeaves))
-	b.mustCall()
-	b.Equal(b.connections(), 1)
+	_, err := p.send(request)
+	p.True(base.WasNotSent(err))
+	p.True(errors.Is(err, base.ErrLeaves))
+	p.mustCall()
+	p.Equal(p.connections(), 1)
 }
 
 // The lines of a stream are returned as they arrive. The connection is reused after
 // the last chunk, and closed if the reply is closed before.
 func TestStreamsOnPooledConnections(t *testing.T) {
 	next, seen := make(chan struct{}), make(chan error, 1)
-	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+	p := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n")
 		<-next
 		if request.Header.Get("Request-Id") == "r3" {
@@ -480,30 +480,30 @@
 		return true
 	})
 	for range 2 {
-		reply, err := b.send(b.request())
-		b.NoErr(err)
+		reply, err := p.send(p.request())
+		p.NoErr(err)
 		var lines []string
 		for {
 			line, err := reply.Line(20 * time.Second)
 			if err == io.EOF {
 				break
 			}
-			b.NoErr(err)
+			p.NoErr(err)
 			lines = append(lines, string(line))
 			if len(lines) == 2 {
 				next <- struct{}{}
 			}
 		}
-		b.Equal(strings.Join(lines, ""), "data: 1\n\ndata: 2\n\n")
+		p.Equal(strings.Join(lines, ""), "data: 1\n\ndata: 2\n\n")
 		reply.Close()
 	}
-	b.Equal(b.connections(), 1)
-	reply, err := b.send(b.request())
-	b.NoErr(err)
+	p.Equal(p.connections(), 1)
+	reply, err := p.send(p.request())
+	p.NoErr(err)
 	_, err = reply.Line(20 * time.Second)
-	b.NoErr(err)
+	p.NoErr(err)
 	_, err = reply.Line(20 * time.Second)
-	b.NoErr(err)
+	p.NoErr(err)
 	ended := make(chan error)
 	go func() {
 		_, err := reply.Line(time.Minute)
@@ -511,60 +511,60 @@
 	}()
 	next <- struct{}{}
 	reply.Close()
-	b.True(<-ended != nil)
-	b.True(<-seen != nil)
+	p.True(<-ended != nil)
+	p.True(<-seen != nil)
 }
 
 func TestTruncatedStreamHasNoCleanEnd(t *testing.T) {
 	for _, tail := range []string{"", "9\r\ndata", "9\r\ndata: 2\n\n\r\n", "zz\r\n", "0\r\n"} {
-		b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+		p := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n"+tail)
 			return false
 		})
-		b.checkTruncatedStream()
+		p.checkTruncatedStream()
 	}
-	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+	p := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\n\r\ndata: 1\n\n")
 		return false // a body that ends only with the close
 	})
-	b.checkTruncatedStream()
+	p.checkTruncatedStream()
 }
 
 // checkTruncatedStream reads a stream and expects it to end with an error other
 // than io.EOF.
-func (b *poolTest) checkTruncatedStream() {
-	b.Helper()
-	reply, err := b.send(b.request())
-	b.NoErr(err)
+func (p *poolTest) checkTruncatedStream() {
+	p.Helper()
+	reply, err := p.send(p.request())
+	p.NoErr(err)
 	for err == nil {
 		_, err = reply.Line(20 * time.Second)
 	}
-	b.True(err != io.EOF)
+	p.True(err != io.EOF)
 	reply.Close()
-	_, open := b.connCounts()
-	b.Equal(open, 0)
+	_, open := p.connCounts()
+	p.Equal(open, 0)
 }
 
 // The connection of a worker that is forgotten while it answers is not pooled.
 func TestConnectionOfForgottenWorkerIsClosed(t *testing.T) {
-	b := newPoolTest(t, answerHello)
-	reply, err := b.send(b.request())
-	b.NoErr(err)
-	entry := b.client.pool.workers["w1"]
-	b.client.Forget("w1")
+	p := newPoolTest(t, answerHello)
+	reply, err := p.send(p.request())
+	p.NoErr(err)
+	entry := p.client.pool.workers["w1"]
+	p.client.Forget("w1")
 	_, err = reply.Body(20*time.Second, 1000)
-	b.NoErr(err)
+	p.NoErr(err)
 	reply.Close()
-	b.Equal(len(entry.idle), 0)
-	b.Equal(entry.open, 0)
-	<-b.worker.connEnded
-	b.mustCall()
-	b.Equal(b.connections(), 2)
+	p.Equal(len(entry.idle), 0)
+	p.Equal(entry.open, 0)
+	<-p.worker.connEnded
+	p.mustCall()
+	p.Equal(p.connections(), 2)
 }
 
 // Many concurrent calls. Run with -race, this also checks for data races.
 func TestConcurrentCallsOnPooledConnections(t *testing.T) {
-	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+	p := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, fullReply(request.Header.Get("Request-Id"), "", request.Header.Get("Request-Id")))
 		return true
 	})
@@ -573,7 +573,7 @@
 		group.Go(func() {
 			for round := range 50 {
 				id := fmt.Sprintf("t%d-%d", task, round)
-				reply, err := b.send(&base.BackRequest{Method: "GET", Path: "/x", Worker: "w1", Lines: []base.HeaderLine{{Name: "Request-Id", Value: id}}, Match: base.HeaderLine{Name: "Request-Id", Value: id}})
+				reply, err := p.send(&base.BackRequest{Method: "GET", Path: "/x", Worker: "w1", Lines: []base.HeaderLine{{Name: "Request-Id", Value: id}}, Match: base.HeaderLine{Name: "Request-Id", Value: id}})
 				if err != nil {
 					t.Error(err)
 					return
@@ -587,11 +587,11 @@
 		})
 	}
 	group.Wait()
-	b.True(b.connections() <= 8)
+	p.True(p.connections() <= 8)
 }
 
 func TestIdleConnectionsHaveNoGoroutines(t *testing.T) {
-	b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+	p := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: "+request.Header.Get("Request-Id")+"\r\nContent-Length: 5\r\n\r\n")
 		_, _ = io.WriteString(c, "hello")
 		return true
@@ -599,17 +599,17 @@
 	before := runtime.NumGoroutine()
 	var replies []base.BackReply
 	for range 10 {
-		reply, err := b.send(b.request())
-		b.NoErr(err)
+		reply, err := p.send(p.request())
+		p.NoErr(err)
 		replies = append(replies, reply)
 	}
 	for _, reply := range replies {
 		_, err := reply.Body(20*time.Second, 1000)
-		b.NoErr(err)
+		p.NoErr(err)
 	}
-	idle, _ := b.connCounts()
-	b.Equal(idle, 10)
-	b.True(runtime.NumGoroutine() <= before+10+2) // the worker's own goroutines
+	idle, _ := p.connCounts()
+	p.Equal(idle, 10)
+	p.True(runtime.NumGoroutine() <= before+10+2) // the worker's own goroutines
 }
 
 func BenchmarkPooledCall(b *testing.B) {
@@ -650,7 +650,7 @@
 		{"ended at once", 0, 100 * time.Millisecond, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
+			p := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 				id := request.Header.Get("Request-Id")
 				if id == "r3" {
 					return false
@@ -658,21 +658,21 @@
 				_, _ = io.WriteString(c, fullReply(id, "Keep-Alive: timeout=10\r\n", "hello"))
 				return true
 			})
-			b.mustCall()
-			b.clock.offset.Add(int64(tt.survived))
-			b.mustCall()
-			b.clock.offset.Add(int64(tt.ends))
-			_, err := b.call()
-			b.True(err != nil)
-			b.True(!base.WasNotSent(err))
-			b.mustCall()
-			b.clock.offset.Add(int64(5 * time.Second))
-			b.mustCall()
-			made := 2
+			p.mustCall()
+			p.clock.offset.Add(int64(tt.survived))
+			p.mustCall()
+			p.clock.offset.Add(int64(tt.ends))
+			_, err := p.call()
+			p.True(err != nil)
+			p.True(!base.WasNotSent(err))
+			p.mustCall()
+			p.clock.offset.Add(int64(5 * time.Second))
+			p.mustCall()
+			wantConnections := 2
 			if tt.shortened {
-				made = 3 // the last one was idle too long
+				wantConnections = 3 // the last one was idle too long
 			}
-			b.Equal(b.connections(), made)
+			p.Equal(p.connections(), wantConnections)
 		})
 	}
 }
