--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -11,6 +11,12 @@
 
 // WireNames holds the header names that clients and workers use, and the path of
 // the workers' reports.
+//
+// ID, Deadline, ExpectWorker and Urgency are set on requests to workers;
+// ExpectWorker names the worker that must run the request. Workers answer with
+// Load, with Seal in every successful response, and with NotRun if they did not run
+// the request. LastEventID asks for the events of a stream after an id; without it
+// streams are not resumed.
 type WireNames struct {
 	ID, Deadline, Model, TokenCounts, PromptParts, Seal, ExpectWorker, NotRun, Load, Worker, Urgency string
 	Program, Session, Finish, TokenBudget, PreviousTurn, LastEventID, WeightVersions, ExpectVersion  string
@@ -43,7 +49,7 @@
 
 	Program        string
 	Session        string
-	Finish         time.Duration
+	Finish         time.Duration // time left for the program to finish, 0 if unknown
 	TokenBudget    int64
 	HasTokenBudget bool
 	PreviousTurn   string
--- a/internal/relay/roster_syncer.go
+++ b/internal/relay/roster_syncer.go
@@ -17,7 +17,7 @@
 const maxChangeWorkers = 200
 
 // Lister fetches the whole list of workers from the platform.
-type Lister func(limit time.Duration) ([]Worker, error)
+type Lister func(timeout time.Duration) ([]Worker, error)
 
 // RosterSyncer copies the platform's list of workers into the roster in the feed.
 //
