--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -23,14 +23,14 @@
 	Immediate Termination = "Immediate"
 )
 
-var ranks = map[Termination]int{"": 0, Drain: 1, Immediate: 2}
+var terminationRanks = map[Termination]int{"": 0, Drain: 1, Immediate: 2}
 
 // Valid reports whether a word names a termination.
-func (t Termination) Valid() bool { return ranks[t] > 0 }
+func (t Termination) Valid() bool { return terminationRanks[t] > 0 }
 
 // Escalate gives the stronger of two.
 func (t Termination) Escalate(asked Termination) Termination {
-	if ranks[asked] > ranks[t] {
+	if terminationRanks[asked] > terminationRanks[t] {
 		return asked
 	}
 	return t
@@ -73,24 +73,24 @@
 	return root
 }
 
-func key(id string) string { return "program/" + id }
+func programKey(id string) string { return "program/" + id }
 
 // Load reads a program in a change.
 func Load(tx *register.Tx, id string) *Program {
-	raw := tx.Get(key(id))
+	raw := tx.Get(programKey(id))
 	if raw == nil {
 		return nil
 	}
-	var found Program
-	if json.Unmarshal(raw, &found) != nil {
+	var program Program
+	if json.Unmarshal(raw, &program) != nil {
 		return nil
 	}
-	return &found
+	return &program
 }
 
 func (p *Program) store(tx *register.Tx) {
 	p.UpdatedAt = tx.Now
-	tx.Put(key(p.ID), base.Encode(p))
+	tx.Put(programKey(p.ID), base.Encode(p))
 }
 
 // UnknownProgram is the verdict for a program that is not there.
@@ -117,42 +117,42 @@
 }
 
 // Reserve sets tokens aside for a leg and grants at most what is left.
-func Reserve(tx *register.Tx, program *Program, leg string, wanted int64) (int64, error) {
+func Reserve(tx *register.Tx, program *Program, attempt string, wanted int64) (int64, error) {
 	if err := CheckActive(tx, program, true); err != nil {
 		return 0, err
 	}
 	root := Load(tx, program.Root)
-	if granted, ok := root.Reserved[leg]; ok {
+	if granted, ok := root.Reserved[attempt]; ok {
 		return granted, nil
 	}
-	left := root.Budget - root.Spent - root.Outstanding()
-	granted := min(wanted, left)
+	remaining := root.Budget - root.Spent - root.Outstanding()
+	granted := min(wanted, remaining)
 	if granted <= 0 {
 		return 0, base.Decline(402, "over_budget", "the program's budget of %d output tokens is used up", root.Budget)
 	}
 	if root.Reserved == nil {
 		root.Reserved = map[string]int64{}
 	}
-	root.Reserved[leg] = granted
+	root.Reserved[attempt] = granted
 	root.store(tx)
 	return granted, nil
 }
 
 // IsReserved reports whether a leg's reservation stands.
-func IsReserved(tx *register.Tx, program *Program, leg string) bool {
+func IsReserved(tx *register.Tx, program *Program, attempt string) bool {
 	root := Load(tx, program.Root)
 	if root == nil {
 		return false
 	}
-	_, ok := root.Reserved[leg]
+	_, ok := root.Reserved[attempt]
 	return ok
 }
 
 // HasReservations reports whether any reservation under a prefix stands.
 func HasReservations(tx *register.Tx, program *Program, prefix string) bool {
 	if root := Load(tx, program.Root); root != nil {
-		for leg := range root.Reserved {
-			if strings.HasPrefix(leg, prefix) {
+		for attempt := range root.Reserved {
+			if strings.HasPrefix(attempt, prefix) {
 				return true
 			}
 		}
@@ -163,19 +163,19 @@
 // Settle ends a reservation with what was put out; below zero means that
 // the end is unknown and the whole of it counts as spent. It tells whether
 // the reservation still stood.
-func Settle(tx *register.Tx, program *Program, leg string, used int64) bool {
+func Settle(tx *register.Tx, program *Program, attempt string, used int64) bool {
 	root := Load(tx, program.Root)
 	if root == nil {
 		return false
 	}
-	granted, ok := root.Reserved[leg]
+	granted, ok := root.Reserved[attempt]
 	if !ok {
 		return false
 	}
 	if used < 0 || used > granted {
 		used = granted
 	}
-	delete(root.Reserved, leg)
+	delete(root.Reserved, attempt)
 	root.Spent += used
 	root.store(tx)
 	return true
@@ -183,22 +183,22 @@
 
 // Forfeit counts every reservation under a prefix as spent in full, and
 // lists them.
-func Forfeit(tx *register.Tx, program *Program, prefix string) (legs []string) {
+func Forfeit(tx *register.Tx, program *Program, prefix string) (attempts []string) {
 	root := Load(tx, program.Root)
 	if root == nil {
 		return nil
 	}
-	for _, leg := range base.SortedKeys(root.Reserved) {
-		if strings.HasPrefix(leg, prefix) {
-			root.Spent += root.Reserved[leg]
-			delete(root.Reserved, leg)
-			legs = append(legs, leg)
+	for _, attempt := range base.SortedKeys(root.Reserved) {
+		if strings.HasPrefix(attempt, prefix) {
+			root.Spent += root.Reserved[attempt]
+			delete(root.Reserved, attempt)
+			attempts = append(attempts, attempt)
 		}
 	}
-	if len(legs) > 0 {
+	if len(attempts) > 0 {
 		root.store(tx)
 	}
-	return legs
+	return attempts
 }
 
 // TerminationPrefix is where the feed tells of programs that were told to end.
@@ -212,37 +212,37 @@
 
 // DecodeTermination reads what the feed tells of one program.
 func DecodeTermination(raw []byte) Termination {
-	var told TerminationNotice
-	_ = json.Unmarshal(raw, &told)
-	return told.Mode
+	var notice TerminationNotice
+	_ = json.Unmarshal(raw, &notice)
+	return notice.Mode
 }
 
-type create struct {
+type createArgs struct {
 	Program Program `json:"program"`
 }
 
-type terminate struct {
+type terminateArgs struct {
 	Program string      `json:"program"`
 	Mode    Termination `json:"mode"`
 }
 
-type named struct {
+type getArgs struct {
 	Program string `json:"program"`
 }
 
 // RegisterHandlers adds the programs' ops to a core.
 func RegisterHandlers(owner *register.Owner) {
-	owner.Handle("budget.create", func(tx *register.Tx, args []byte) (any, error) {
-		var asked create
-		if err := json.Unmarshal(args, &asked); err != nil {
+	owner.Handle("budget.create", func(tx *register.Tx, raw []byte) (any, error) {
+		var args createArgs
+		if err := json.Unmarshal(raw, &args); err != nil {
 			return nil, base.DeclineField("program", "%v", err)
 		}
-		program := asked.Program
-		if held := Load(tx, program.ID); held != nil {
-			if held.SecretDigest != program.SecretDigest {
+		program := args.Program
+		if existing := Load(tx, program.ID); existing != nil {
+			if existing.SecretDigest != program.SecretDigest {
 				return nil, base.Decline(409, "program_exists", "a program of that name exists")
 			}
-			return held, nil
+			return existing, nil
 		}
 		if program.Root != program.ID {
 			root := Load(tx, program.Root)
@@ -262,10 +262,10 @@
 		program.RemainingMs = program.DeadlineMs
 		return program, nil
 	})
-	owner.Handle("budget.get", func(tx *register.Tx, args []byte) (any, error) {
-		var asked named
-		_ = json.Unmarshal(args, &asked)
-		if found := Load(tx, asked.Program); found != nil {
+	owner.Handle("budget.get", func(tx *register.Tx, raw []byte) (any, error) {
+		var args getArgs
+		_ = json.Unmarshal(raw, &args)
+		if found := Load(tx, args.Program); found != nil {
 			if found.Deadline > 0 {
 				found.RemainingMs = max(0, found.Deadline-tx.Now)
 			}
@@ -273,35 +273,35 @@
 		}
 		return nil, UnknownProgram()
 	})
-	owner.Handle("budget.terminate", func(tx *register.Tx, args []byte) (any, error) {
-		var asked terminate
-		_ = json.Unmarshal(args, &asked)
-		found := Load(tx, asked.Program)
+	owner.Handle("budget.terminate", func(tx *register.Tx, raw []byte) (any, error) {
+		var args terminateArgs
+		_ = json.Unmarshal(raw, &args)
+		found := Load(tx, args.Program)
 		if found == nil {
 			return nil, UnknownProgram()
 		}
-		if after := found.Termination.Escalate(asked.Mode); after != found.Termination {
-			found.Termination = after
+		if escalated := found.Termination.Escalate(args.Mode); escalated != found.Termination {
+			found.Termination = escalated
 			found.store(tx)
 		}
 		return found, nil
 	})
-	owner.Handle("budget.ended", func(tx *register.Tx, args []byte) (any, error) {
-		var asked terminate
-		_ = json.Unmarshal(args, &asked)
-		var told TerminationNotice
-		if raw := tx.Get(TerminationPrefix + asked.Program); raw != nil {
-			_ = json.Unmarshal(raw, &told)
+	owner.Handle("budget.ended", func(tx *register.Tx, raw []byte) (any, error) {
+		var args terminateArgs
+		_ = json.Unmarshal(raw, &args)
+		var notice TerminationNotice
+		if stored := tx.Get(TerminationPrefix + args.Program); stored != nil {
+			_ = json.Unmarshal(stored, &notice)
 		}
-		if after := told.Mode.Escalate(asked.Mode); after != told.Mode {
-			tx.Put(TerminationPrefix+asked.Program, base.Encode(TerminationNotice{after, tx.Now}))
+		if escalated := notice.Mode.Escalate(args.Mode); escalated != notice.Mode {
+			tx.Put(TerminationPrefix+args.Program, base.Encode(TerminationNotice{escalated, tx.Now}))
 		}
 		return struct{}{}, nil
 	})
 	owner.Sweep(func(tx *register.Tx) {
 		tx.Walk(TerminationPrefix, "", func(storedKey string, value []byte) bool {
-			var told TerminationNotice
-			if json.Unmarshal(value, &told) == nil && tx.Now-told.At > tx.Bounds.Retain.Milliseconds() {
+			var notice TerminationNotice
+			if json.Unmarshal(value, &notice) == nil && tx.Now-notice.At > tx.Bounds.Retain.Milliseconds() {
 				tx.Gone(storedKey)
 			}
 			return true
@@ -323,19 +323,19 @@
 type Client struct{ Register *register.Client }
 
 func (c *Client) Create(ctx *base.Ctx, program Program) (*Program, error) {
-	var made Program
-	return &made, c.Register.Change(ctx, RegisterGroup(program.ID), "budget.create", create{program}, &made)
+	var created Program
+	return &created, c.Register.Change(ctx, RegisterGroup(program.ID), "budget.create", createArgs{program}, &created)
 }
 
 func (c *Client) Get(ctx *base.Ctx, id string) (*Program, error) {
 	var found Program
-	return &found, c.Register.Change(ctx, RegisterGroup(id), "budget.get", named{id}, &found)
+	return &found, c.Register.Change(ctx, RegisterGroup(id), "budget.get", getArgs{id}, &found)
 }
 
 func (c *Client) Terminate(ctx *base.Ctx, id string, mode Termination) (*Program, error) {
 	var found Program
-	if err := c.Register.Change(ctx, RegisterGroup(id), "budget.terminate", terminate{id, mode}, &found); err != nil {
+	if err := c.Register.Change(ctx, RegisterGroup(id), "budget.terminate", terminateArgs{id, mode}, &found); err != nil {
 		return nil, err
 	}
-	return &found, c.Register.Change(ctx, register.FeedGroup, "budget.ended", terminate{id, found.Termination}, nil)
+	return &found, c.Register.Change(ctx, register.FeedGroup, "budget.ended", terminateArgs{id, found.Termination}, nil)
 }
--- /dev/null
+++ b/internal/line/execute.go
@@ -0,0 +1,313 @@
+// A turn under way: its claim and its chain from the ledger, the attempt at a worker,
+// and what is kept of it.
+
+package line
+
+import (
+	"time"
+
+	"fordseam/internal/base"
+	"fordseam/internal/relay"
+	"fordseam/internal/route"
+	"fordseam/internal/session"
+)
+
+// operate carries one turn out: claim, chain, worker, ledger.
+func (m *Manager) runTurn(s *ownedSession, op *operation, replaces *Assignment, onClaim func(*Assignment)) (ownerChanged bool) {
+	call, ctx := op.call, op.ctx
+	table := m.Routes.Load()
+	matched := table.Match(call.Host, call.Target)
+	if matched == nil {
+		onClaim(nil)
+		op.stream.fail(base.Decline(404, "no_route", "no route takes this request"))
+		return false
+	}
+	if op.isCancelled() || ctx.Over() {
+		onClaim(nil)
+		op.stream.fail(base.Decline(408, "cancelled", "the turn was given up before it ran"))
+		return false
+	}
+	op.state = session.OpRunning
+	chainReady := m.Clock.NewSignal()
+	var chain []byte
+	var chainErr error
+	if call.Previous == "" || !matched.Retained {
+		chainReady.Fire()
+	} else if body, ok := m.history.chain(call.Previous); ok {
+		chain = body
+		chainReady.Fire()
+	} else {
+		m.Clock.Go(func() {
+			chain, chainErr = m.loadChain(ctx, call.Program, call.Previous, matched.Retain)
+			chainReady.Fire()
+		})
+	}
+	op.retain = m.retention(table, matched)
+	result, err := m.claim(s, op, replaces)
+	if err != nil {
+		onClaim(nil)
+		op.stream.fail(base.FromWire(err))
+		return false
+	}
+	if !result.Granted {
+		if op.forwarded {
+			onClaim(nil)
+			op.stream.fail(base.Decline(409, "stale_assignment", "the session is assigned to another Run"))
+			return true
+		}
+		m.mu.Lock()
+		m.remoteOwners[sessionKey(call)] = result.Assignment
+		m.mu.Unlock()
+		m.remove(s)
+		onClaim(result.Assignment)
+		return true
+	}
+	onClaim(nil)
+	chainReady.Wait(max(0, ctx.Left()))
+	if chainErr == nil && !chainReady.Fired() {
+		chainErr = m.retrySoon("history_late", "the conversation's history did not come in time")
+	}
+	if chainErr != nil {
+		m.settle(s, op, 0)
+		op.stream.fail(base.FromWire(chainErr))
+		return false
+	}
+	m.sendToWorker(s, op, matched, chain)
+	return false
+}
+
+// claim asks the ledger for the assignment and the turn's tokens.
+func (m *Manager) claim(s *ownedSession, op *operation, replaces *Assignment) (*ClaimResult, error) {
+	s.mu.Lock()
+	assignment, confirmed := s.assignment, s.confirmed
+	s.mu.Unlock()
+	call := op.call
+	claim := &Claim{Program: call.Program, Session: call.Session, Turn: call.ID, MaxTokens: int64(call.Most), Budget: call.Budget, HasBudget: call.HasBudget, Owner: m.nodeID(), Previous: call.Previous, Retain: op.retain, Replaces: replaces}
+	if assignment != nil {
+		claim.Run, claim.Epoch, claim.Confirmed, claim.Replaces = assignment.Run, assignment.Epoch, confirmed, nil
+	} else {
+		claim.Run, claim.Epoch = base.NewID(m.Clock, "run-"), 1
+		if replaces != nil {
+			claim.Epoch = replaces.Epoch + 1
+		}
+	}
+	for takeovers := 0; ; takeovers++ {
+		result, err := m.Ledger.Begin(op.ctx, claim)
+		if err != nil || result.Granted {
+			s.mu.Lock()
+			switch {
+			case err == nil:
+				s.assignment, s.confirmed = result.Assignment, true
+				if s.phase == session.Pending {
+					s.phase = session.Ready
+				}
+			case s.assignment == nil:
+				// The claim may be in the ledger; the next turn claims by the same.
+				s.assignment = &Assignment{Run: claim.Run, Owner: claim.Owner, Epoch: claim.Epoch}
+			}
+			s.mu.Unlock()
+			return result, err
+		}
+		// Another has it: it is succeeded when it is gone, or was a former life
+		// of this node or a Run that this node has let go.
+		current := result.Assignment
+		member, alive := m.View.Find(current.Owner)
+		ownerGone := member == nil || !alive || member.Leaving || current.Owner == m.nodeID()
+		if !ownerGone || takeovers > 2 {
+			return result, nil
+		}
+		m.Counters.Add("runs_succeeded", 1)
+		claim.Replaces, claim.Epoch, claim.Run, claim.Confirmed = current, current.Epoch+1, base.NewID(m.Clock, "run-"), false
+	}
+}
+
+// recall brings a chain back from the ledger.
+func (m *Manager) loadChain(ctx *base.Ctx, program, turn string, retain time.Duration) ([]byte, error) {
+	m.Counters.Add("chains_recalled", 1)
+	turns, err := m.Ledger.Chain(ctx, program, turn)
+	if err != nil {
+		return nil, err
+	}
+	for _, turn := range turns {
+		m.history.add(turn, retain)
+	}
+	body, ok := m.history.chain(turn)
+	if !ok { // there is no room to remember it
+		body = joinTurns(turns)
+	}
+	return body, nil
+}
+
+// settle tells the ledger in its own time what a turn handed out that is not
+// kept there. Until then the turn counts at its most.
+func (m *Manager) settle(s *ownedSession, op *operation, tokens int64) {
+	s.mu.Lock()
+	assignment := s.assignment
+	s.mu.Unlock()
+	if !op.call.HasBudget || assignment == nil {
+		return
+	}
+	settlement := &Settlement{Program: op.call.Program, Run: assignment.Run, Turn: op.call.ID, Tokens: tokens, Retain: op.retain}
+	m.pendingSettlements.Add(1)
+	m.Clock.Go(func() {
+		defer m.pendingSettlements.Add(-1)
+		recoverBound := m.Bounds.Load().Recover
+		for end := m.Clock.Now() + recoverBound; m.Clock.Now() < end; m.Clock.Sleep(recoverBound / 48) {
+			if m.Ledger.Settle(base.NewCtx(m.Clock, recoverBound/6), settlement) == nil {
+				return
+			}
+		}
+		m.Counters.Add("settles_lost", 1)
+	})
+}
+
+// serve sends the turn to a worker and passes its events on.
+func (m *Manager) sendToWorker(s *ownedSession, op *operation, matched *route.Route, chain []byte) {
+	call, ctx := op.call, op.ctx
+	body := call.Body
+	if len(chain) > 0 {
+		body = append(append(make([]byte, 0, len(chain)+len(call.Body)), chain...), call.Body...)
+	}
+	service := matched.Pick(m.servicePicker(matched, call))
+	reply, err := m.Workers.Send(ctx, matched, service, call, body)
+	if err != nil {
+		verdict := base.FromWire(err)
+		delivered := int64(0)
+		op.state = session.OpFailed
+		m.settle(s, op, delivered)
+		op.stream.fail(verdict)
+		return
+	}
+	defer reply.Close()
+	if !op.setReply(reply) {
+		m.settle(s, op, 0)
+		op.state = session.OpCancelled
+		op.stream.fail(base.Unsure(502, "cancelled", "the turn was given up"))
+		return
+	}
+	if !reply.IsStream() {
+		m.settle(s, op, 0)
+		op.state = session.OpFailed
+		m.relayPlain(op, reply)
+		return
+	}
+	stride := int64(1)
+	if known := m.Routes.Load().Services[service]; known != nil && known.Engine != nil {
+		stride = int64(max(1, known.Engine.Stride))
+	}
+	output, events, complete := m.relayEvents(op, reply)
+	if !complete {
+		m.settle(s, op, events*stride)
+		op.state = session.OpFailed
+		m.Counters.Add("turns_cut", 1)
+		op.stream.fail(base.Unsure(502, "cut", "the worker's answer was cut short"))
+		return
+	}
+	if !matched.Retained {
+		m.settle(s, op, events*stride)
+		m.endWhole(op)
+		return
+	}
+	m.commit(s, op, matched, output, events*stride)
+}
+
+// succeed ends a turn that was answered whole.
+func (m *Manager) endWhole(op *operation) {
+	op.state = session.OpSucceeded
+	m.Counters.Add("turns_whole", 1)
+	op.stream.finish()
+}
+
+// keepFor is how long a program's spending is kept after a turn: the route's own
+// time, or where that is not given the longest that any route names. The ledger
+// keeps it for twice the recovery bound at least.
+func (m *Manager) retention(table *route.Table, matched *route.Route) time.Duration {
+	if matched.Retain > 0 {
+		return matched.Retain
+	}
+	return table.LongestRetain()
+}
+
+// homeOf draws the service of a route's call: the same for a whole session where
+// the route asks for that or keeps its turns, else anew for each.
+func (m *Manager) servicePicker(matched *route.Route, call *relay.Call) func(n int64) int64 {
+	if matched.Pinned || matched.Retained {
+		return func(n int64) int64 { return int64(base.Hash64(call.Session) % uint64(n)) }
+	}
+	return m.Clock.Int64N
+}
+
+// passOn gives each event to the reader as it comes.
+func (m *Manager) relayEvents(op *operation, reply Reply) (output []byte, events int64, complete bool) {
+	op.stream.setHead(&Head{Status: reply.Status(), Headers: reply.Headers()})
+	for {
+		event, err := reply.Event(op.ctx.Left())
+		if err != nil {
+			return output, events, isCleanEnd(err) && !op.isCancelled()
+		}
+		if event.Data != nil {
+			events++
+			output = append(append(output, event.Data...), '\n')
+		}
+		op.stream.add(event.Raw)
+	}
+}
+
+// PassThrough takes a streamed call that belongs to no line to a worker.
+func (m *Manager) PassThrough(ctx *base.Ctx, matched *route.Route, call *relay.Call) *Stream {
+	op := &operation{call: call, ctx: ctx, state: session.OpRunning}
+	op.stream = newStream(m.Clock, op.cancel)
+	m.Clock.Go(func() {
+		reply, err := m.Workers.Send(ctx, matched, matched.Pick(m.Clock.Int64N), call, call.Body)
+		if err != nil {
+			op.stream.fail(base.FromWire(err))
+			return
+		}
+		defer reply.Close()
+		switch {
+		case !op.setReply(reply):
+			op.stream.fail(base.Unsure(502, "cancelled", "the call was given up"))
+		case !reply.IsStream():
+			m.relayPlain(op, reply)
+		default:
+			if _, _, complete := m.relayEvents(op, reply); !complete {
+				op.stream.fail(base.Unsure(502, "cut", "the worker's answer was cut short"))
+				return
+			}
+			op.stream.finish()
+		}
+	})
+	return op.stream
+}
+
+// keep makes the turn whole: the end of the answer waits for the ledger.
+func (m *Manager) commit(s *ownedSession, op *operation, matched *route.Route, output []byte, tokens int64) {
+	call := op.call
+	s.mu.Lock()
+	assignment := s.assignment
+	s.mu.Unlock()
+	turn := CompletedTurn{Turn: call.ID, Previous: call.Previous, Input: call.Body, Output: output}
+	completion := &Completion{Program: call.Program, Session: call.Session, Run: assignment.Run, Owner: assignment.Owner, Epoch: assignment.Epoch, CompletedTurn: turn, Budgeted: call.HasBudget, Tokens: tokens, Retain: matched.Retain}
+	ctx := base.NewCtx(m.Clock, m.commitTimeout(op.ctx.Left()))
+	if err := m.Ledger.Finish(ctx, completion); err != nil {
+		m.Counters.Add("turns_not_kept", 1)
+		m.settle(s, op, tokens)
+		op.state = session.OpFailed
+		op.stream.fail(base.FromWire(err))
+		return
+	}
+	m.history.add(turn, matched.Retain)
+	m.endWhole(op)
+}
+
+// answerPlain passes an answer on that is no stream.
+func (m *Manager) relayPlain(op *operation, reply Reply) {
+	body, err := reply.Body(op.ctx.Left())
+	if err != nil {
+		op.stream.fail(base.Unsure(502, "worker_cut", "the worker's answer was cut short"))
+		return
+	}
+	op.stream.setHead(&Head{Status: reply.Status(), Headers: reply.Headers()})
+	op.stream.add(body)
+	op.stream.finish()
+}
--- a/internal/line/history.go
+++ b/internal/line/history.go
@@ -11,36 +11,36 @@
 )
 
 // historyMost bounds the bytes of turns kept in a gateway's memory.
-const historyMost = 48 << 20
+const maxHistoryBytes = 48 << 20
 
-type remembered struct {
+type historyEntry struct {
 	CompletedTurn
-	until time.Duration
+	expiresAt time.Duration
 }
 
 type history struct {
 	clock base.Clock
 	mu    sync.Mutex
-	turns map[string]*remembered
+	turns map[string]*historyEntry
 	size  int
 }
 
 func newHistory(clock base.Clock) *history {
-	return &history{clock: clock, turns: map[string]*remembered{}}
+	return &history{clock: clock, turns: map[string]*historyEntry{}}
 }
 
-func (h *history) keep(turn CompletedTurn, retain time.Duration) {
+func (h *history) add(turn CompletedTurn, retain time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, ok := h.turns[turn.Turn]; ok || h.size > historyMost {
+	if _, ok := h.turns[turn.Turn]; ok || h.size > maxHistoryBytes {
 		return
 	}
-	until := h.clock.Now() + retain
+	expiresAt := h.clock.Now() + retain
 	h.size += len(turn.Input) + len(turn.Output)
-	h.turns[turn.Turn] = &remembered{turn, until}
+	h.turns[turn.Turn] = &historyEntry{turn, expiresAt}
 	// What came before is kept as long as what follows from it.
-	for former := h.turns[turn.Previous]; former != nil && former.until < until; former = h.turns[former.Previous] {
-		former.until = until
+	for ancestor := h.turns[turn.Previous]; ancestor != nil && ancestor.expiresAt < expiresAt; ancestor = h.turns[ancestor.Previous] {
+		ancestor.expiresAt = expiresAt
 	}
 }
 
@@ -48,39 +48,39 @@
 func (h *history) chain(turn string) ([]byte, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	line, size := []*remembered{}, 0
+	entries, size := []*historyEntry{}, 0
 	for turn != "" {
-		found := h.turns[turn]
-		if found == nil || len(line) > 1<<12 {
+		entry := h.turns[turn]
+		if entry == nil || len(entries) > 1<<12 {
 			return nil, false
 		}
-		line = append(line, found)
-		size += len(found.Input) + len(found.Output)
-		turn = found.Previous
+		entries = append(entries, entry)
+		size += len(entry.Input) + len(entry.Output)
+		turn = entry.Previous
 	}
 	body := make([]byte, 0, size)
-	for last := len(line) - 1; last >= 0; last-- {
-		body = append(append(body, line[last].Input...), line[last].Output...)
+	for i := len(entries) - 1; i >= 0; i-- {
+		body = append(append(body, entries[i].Input...), entries[i].Output...)
 	}
 	return body, true
 }
 
 // joined builds the body of a chain that is given oldest first.
-func joined(turns []CompletedTurn) []byte {
+func joinTurns(turns []CompletedTurn) []byte {
 	body := []byte{}
-	for _, one := range turns {
-		body = append(append(body, one.Input...), one.Output...)
+	for _, turn := range turns {
+		body = append(append(body, turn.Input...), turn.Output...)
 	}
 	return body
 }
 
 // sweep forgets what no turn may name any more.
-func (h *history) sweep() {
+func (h *history) removeExpired() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for id, one := range h.turns {
-		if one.until < h.clock.Now() {
-			h.size -= len(one.Input) + len(one.Output)
+	for id, entry := range h.turns {
+		if entry.expiresAt < h.clock.Now() {
+			h.size -= len(entry.Input) + len(entry.Output)
 			delete(h.turns, id)
 		}
 	}
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -23,99 +23,99 @@
 	"github.com/matryer/is"
 )
 
-type book struct {
-	mu       sync.Mutex
-	sessions map[string]*Assignment
-	kept     map[string]CompletedTurn
-	settled  map[string]int64
-	claims   []Claim
-	refuse   error
+type fakeLedger struct {
+	mu        sync.Mutex
+	sessions  map[string]*Assignment
+	completed map[string]CompletedTurn
+	settled   map[string]int64
+	claims    []Claim
+	beginErr  error
 }
 
-func newBook() *book {
-	return &book{sessions: map[string]*Assignment{}, kept: map[string]CompletedTurn{}, settled: map[string]int64{}}
+func newFakeLedger() *fakeLedger {
+	return &fakeLedger{sessions: map[string]*Assignment{}, completed: map[string]CompletedTurn{}, settled: map[string]int64{}}
 }
 
-func (b *book) Begin(_ *base.Ctx, c *Claim) (*ClaimResult, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.refuse != nil {
-		return nil, b.refuse
+func (l *fakeLedger) Begin(_ *base.Ctx, claim *Claim) (*ClaimResult, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.beginErr != nil {
+		return nil, l.beginErr
 	}
-	b.claims = append(b.claims, *c)
-	now := b.sessions[c.Program+c.Session]
-	mine := &Assignment{Run: c.Run, Owner: c.Owner, Epoch: c.Epoch}
+	l.claims = append(l.claims, *claim)
+	current := l.sessions[claim.Program+claim.Session]
+	requested := &Assignment{Run: claim.Run, Owner: claim.Owner, Epoch: claim.Epoch}
 	switch {
-	case now == nil, now.Run == c.Run, c.Replaces != nil && c.Replaces.Run == now.Run && c.Epoch > now.Epoch:
-		b.sessions[c.Program+c.Session] = mine
-		return &ClaimResult{mine, true}, nil
+	case current == nil, current.Run == claim.Run, claim.Replaces != nil && claim.Replaces.Run == current.Run && claim.Epoch > current.Epoch:
+		l.sessions[claim.Program+claim.Session] = requested
+		return &ClaimResult{requested, true}, nil
 	}
-	return &ClaimResult{now, false}, nil
+	return &ClaimResult{current, false}, nil
 }
 
-func (b *book) Finish(_ *base.Ctx, e *Completion) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if now := b.sessions[e.Program+e.Session]; now == nil || now.Run != e.Run {
+func (l *fakeLedger) Finish(_ *base.Ctx, completion *Completion) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if current := l.sessions[completion.Program+completion.Session]; current == nil || current.Run != completion.Run {
 		return base.Decline(409, "stale_assignment", "succeeded")
 	}
-	b.kept[e.Turn] = e.CompletedTurn
-	b.settled[e.Turn] = e.Tokens
+	l.completed[completion.Turn] = completion.CompletedTurn
+	l.settled[completion.Turn] = completion.Tokens
 	return nil
 }
 
-func (b *book) Settle(_ *base.Ctx, settled *Settlement) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.settled[settled.Turn] = settled.Tokens
+func (l *fakeLedger) Settle(_ *base.Ctx, settlement *Settlement) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.settled[settlement.Turn] = settlement.Tokens
 	return nil
 }
 
-func (b *book) Chain(_ *base.Ctx, _, turn string) ([]CompletedTurn, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	found := []CompletedTurn{}
+func (l *fakeLedger) Chain(_ *base.Ctx, _, turn string) ([]CompletedTurn, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	chain := []CompletedTurn{}
 	for turn != "" {
-		one, ok := b.kept[turn]
+		turnRecord, ok := l.completed[turn]
 		if !ok {
 			return nil, base.Decline(404, "unknown_turn", "there is no such turn")
 		}
-		found = append([]CompletedTurn{one}, found...)
-		turn = one.Previous
+		chain = append([]CompletedTurn{turnRecord}, chain...)
+		turn = turnRecord.Previous
 	}
-	return found, nil
+	return chain, nil
 }
 
 // bench is a worker's side: it notes what it ran and answers when told to.
-type bench struct {
-	mu     sync.Mutex
-	ran    []string
-	bodies map[string]string
-	gate   map[string]chan struct{}
-	cut    map[string]bool
+type fakeWorkers struct {
+	mu        sync.Mutex
+	started   []string
+	bodies    map[string]string
+	gates     map[string]chan struct{}
+	truncated map[string]bool
 }
 
-func newBench() *bench {
-	return &bench{bodies: map[string]string{}, gate: map[string]chan struct{}{}, cut: map[string]bool{}}
+func newFakeWorkers() *fakeWorkers {
+	return &fakeWorkers{bodies: map[string]string{}, gates: map[string]chan struct{}{}, truncated: map[string]bool{}}
 }
 
-type benchReply struct {
-	events []string
-	gate   chan struct{}
-	cut    bool
-	closed chan struct{}
-	once   sync.Once
+type fakeReply struct {
+	events    []string
+	gate      chan struct{}
+	truncated bool
+	closed    chan struct{}
+	once      sync.Once
 }
 
-func (r *benchReply) Status() int             { return 200 }
-func (r *benchReply) Headers() []relay.Header { return []relay.Header{{Name: "Seal", Value: "s"}} }
-func (r *benchReply) IsStream() bool          { return true }
-func (r *benchReply) Close()                  { r.once.Do(func() { close(r.closed) }) }
-func (r *benchReply) Body(time.Duration) ([]byte, error) {
+func (r *fakeReply) Status() int             { return 200 }
+func (r *fakeReply) Headers() []relay.Header { return []relay.Header{{Name: "Seal", Value: "s"}} }
+func (r *fakeReply) IsStream() bool          { return true }
+func (r *fakeReply) Close()                  { r.once.Do(func() { close(r.closed) }) }
+func (r *fakeReply) Body(time.Duration) ([]byte, error) {
 	return nil, io.ErrUnexpectedEOF
 }
 
-func (r *benchReply) Event(time.Duration) (*relay.Event, error) {
+func (r *fakeReply) Event(time.Duration) (*relay.Event, error) {
 	if len(r.events) == 0 {
 		if r.gate != nil {
 			select {
@@ -124,7 +124,7 @@
 				return nil, io.ErrClosedPipe
 			}
 		}
-		if r.cut {
+		if r.truncated {
 			return nil, io.ErrUnexpectedEOF
 		}
 		return nil, io.EOF
@@ -134,28 +134,28 @@
 	return &relay.Event{Raw: []byte("data: " + next + "\n\n"), Data: []byte(next)}, nil
 }
 
-func (b *bench) Send(_ *base.Ctx, _ *route.Route, _ string, call *relay.Call, body []byte) (Reply, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.ran = append(b.ran, call.ID)
-	b.bodies[call.ID] = string(body)
-	return &benchReply{events: []string{"x" + call.ID, "y" + call.ID}, gate: b.gate[call.ID], cut: b.cut[call.ID], closed: make(chan struct{})}, nil
+func (w *fakeWorkers) Send(_ *base.Ctx, _ *route.Route, _ string, call *relay.Call, body []byte) (Reply, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.started = append(w.started, call.ID)
+	w.bodies[call.ID] = string(body)
+	return &fakeReply{events: []string{"x" + call.ID, "y" + call.ID}, gate: w.gates[call.ID], truncated: w.truncated[call.ID], closed: make(chan struct{})}, nil
 }
 
 // plainWire reaches nodes by a table of handlers.
-type plainWire struct {
+type fakeWire struct {
 	mu    sync.Mutex
 	nodes map[string]http.Handler
 }
 
 // lose makes a node unreachable.
-func (w *plainWire) lose(addr string) {
+func (w *fakeWire) disconnect(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.nodes, addr)
 }
 
-func (w *plainWire) Do(request *http.Request) (*http.Response, error) {
+func (w *fakeWire) Do(request *http.Request) (*http.Response, error) {
 	w.mu.Lock()
 	node := w.nodes[request.URL.Host]
 	w.mu.Unlock()
@@ -170,436 +170,436 @@
 	return recorder.Result(), nil
 }
 
-type world struct {
+type testCluster struct {
 	is      *is.I
 	clock   base.Clock
-	wire    *plainWire
-	book    *book
-	bench   *bench
+	wire    *fakeWire
+	ledger  *fakeLedger
+	workers *fakeWorkers
 	bounds  *base.Table[base.Bounds]
 	keepers map[string]*Manager
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{is: is.New(t), clock: base.NewRealClock(), wire: &plainWire{nodes: map[string]http.Handler{}}, book: newBook(), bench: newBench(),
+func newTestCluster(t *testing.T) *testCluster {
+	c := &testCluster{is: is.New(t), clock: base.NewRealClock(), wire: &fakeWire{nodes: map[string]http.Handler{}}, ledger: newFakeLedger(), workers: newFakeWorkers(),
 		bounds: &base.Table[base.Bounds]{}, keepers: map[string]*Manager{}}
-	w.bounds.Swap(base.DefaultBounds())
-	return w
+	c.bounds.Swap(base.DefaultBounds())
+	return c
 }
 
-func (w *world) node(name string, seeds ...string) *Manager {
+func (c *testCluster) addNode(name string, seeds ...string) *Manager {
 	counters := base.NewCounters()
-	view := membership.NewView(w.clock, w.wire, w.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleEdge, Zone: "z"}, seeds, nil)
+	view := membership.NewView(c.clock, c.wire, c.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleEdge, Zone: "z"}, seeds, nil)
 	table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s", Engine: &route.Engine{Stride: 2}}},
 		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Kind: route.Stream, Timeout: 10 * time.Second, Retained: true, Retain: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}},
 			{Name: "loose", Host: "h", Prefix: "/loose/", Kind: route.Stream, Timeout: 10 * time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}}}}
-	w.is.NoErr(table.Index())
+	c.is.NoErr(table.Index())
 	routes := &base.Table[route.Table]{}
 	routes.Swap(table)
-	k := NewManager(Dependencies{Clock: w.clock, Wire: w.wire, View: view, Bounds: w.bounds, Counters: counters, Routes: routes, Ledger: w.book, Workers: w.bench})
+	k := NewManager(Dependencies{Clock: c.clock, Wire: c.wire, View: view, Bounds: c.bounds, Counters: counters, Routes: routes, Ledger: c.ledger, Workers: c.workers})
 	mux := http.NewServeMux()
 	member := membership.NewMembershipServer(view)
 	mux.Handle(member.PathPrefix(), member)
 	owner := NewOwnerServer(k)
 	mux.Handle(owner.PathPrefix(), owner)
-	w.wire.nodes[name] = base.Receive(w.clock, mux)
-	w.keepers[name] = k
+	c.wire.nodes[name] = base.Receive(c.clock, mux)
+	c.keepers[name] = k
 	return k
 }
 
-func (w *world) call(session, turn, previous string) *relay.Call {
+func (c *testCluster) call(session, turn, previous string) *relay.Call {
 	return &relay.Call{ID: turn, Host: "h", Method: "POST", Target: "/t", Body: []byte("in-" + turn), Program: "p", Session: session, Previous: previous, Most: 10, Deadline: 10 * time.Second}
 }
 
-func (w *world) take(k *Manager, call *relay.Call) (string, error) {
-	ctx := base.NewCtx(w.clock, 10*time.Second)
+func (c *testCluster) submitAndRead(k *Manager, call *relay.Call) (string, error) {
+	ctx := base.NewCtx(c.clock, 10*time.Second)
 	stream, err := k.SubmitTurn(ctx, call)
 	if err != nil {
 		return "", err
 	}
-	if _, err := stream.Head(10*time.Second, w.clock); err != nil {
+	if _, err := stream.Head(10*time.Second, c.clock); err != nil {
 		return "", err
 	}
-	body, err := io.ReadAll(NewReader(stream, w.clock, 10*time.Second))
+	body, err := io.ReadAll(NewReader(stream, c.clock, 10*time.Second))
 	return string(body), err
 }
 
-func TestATurnCarriesItsChainInBytes(t *testing.T) {
-	w := newWorld(t)
-	k := w.node("a")
-	got, err := w.take(k, w.call("s1", "t1", ""))
-	w.is.NoErr(err)
-	w.is.Equal(got, "data: xt1\n\ndata: yt1\n\n")
-	_, err = w.take(k, w.call("s1", "t2", "t1"))
-	w.is.NoErr(err)
-	w.is.Equal(w.bench.bodies["t2"], "in-t1xt1\nyt1\nin-t2")
-	_, err = w.take(w.node("b"), w.call("s2", "t3", "t2")) // another session, another node
-	w.is.NoErr(err)
-	w.is.Equal(w.bench.bodies["t3"], "in-t1xt1\nyt1\nin-t2xt2\nyt2\nin-t3")
-	w.is.Equal(w.book.settled["t1"], int64(4)) // two events of stride two
+func TestTurnBodyIncludesItsChain(t *testing.T) {
+	c := newTestCluster(t)
+	k := c.addNode("a")
+	got, err := c.submitAndRead(k, c.call("s1", "t1", ""))
+	c.is.NoErr(err)
+	c.is.Equal(got, "data: xt1\n\ndata: yt1\n\n")
+	_, err = c.submitAndRead(k, c.call("s1", "t2", "t1"))
+	c.is.NoErr(err)
+	c.is.Equal(c.workers.bodies["t2"], "in-t1xt1\nyt1\nin-t2")
+	_, err = c.submitAndRead(c.addNode("b"), c.call("s2", "t3", "t2")) // another session, another node
+	c.is.NoErr(err)
+	c.is.Equal(c.workers.bodies["t3"], "in-t1xt1\nyt1\nin-t2xt2\nyt2\nin-t3")
+	c.is.Equal(c.ledger.settled["t1"], int64(4)) // two events of stride two
 }
 
 // A gateway whose memory of turns is full goes on from what the ledger gives.
-func TestAFullMemoryStillRecallsChains(t *testing.T) {
-	w := newWorld(t)
-	k := w.node("a")
+func TestFullHistoryStillLoadsChainsFromTheLedger(t *testing.T) {
+	c := newTestCluster(t)
+	k := c.addNode("a")
 	for _, turn := range []string{"t1", "t2"} {
 		previous := map[string]string{"t2": "t1"}[turn]
-		_, err := w.take(k, w.call("s1", turn, previous))
-		w.is.NoErr(err)
+		_, err := c.submitAndRead(k, c.call("s1", turn, previous))
+		c.is.NoErr(err)
 	}
-	other := w.node("b")
-	other.history.size = historyMost + 1
-	_, err := w.take(other, w.call("s2", "t3", "t2"))
-	w.is.NoErr(err)
-	w.is.Equal(w.bench.bodies["t3"], "in-t1xt1\nyt1\nin-t2xt2\nyt2\nin-t3")
-}
-
-func TestAnUnknownPreviousTurnRunsNothing(t *testing.T) {
-	w := newWorld(t)
-	_, err := w.take(w.node("a"), w.call("s1", "t1", "never"))
-	w.is.Equal(base.FromWire(err).Status, 404)
-	w.is.Equal(len(w.bench.ran), 0)
-}
-
-func TestARefusedClaimRunsNothing(t *testing.T) {
-	w := newWorld(t)
-	w.book.refuse = base.Decline(402, "over_budget", "spent")
-	_, err := w.take(w.node("a"), w.call("s1", "t1", ""))
-	w.is.Equal(base.FromWire(err).Status, 402)
-	w.is.Equal(base.FromWire(err).Ran, base.NotRun)
-	w.is.Equal(len(w.bench.ran), 0)
-}
-
-func TestACutAnswerNeverLooksWholeAndIsNotKept(t *testing.T) {
-	w := newWorld(t)
-	w.bench.cut["t1"] = true
-	_, err := w.take(w.node("a"), w.call("s1", "t1", ""))
-	w.is.Equal(err, io.ErrUnexpectedEOF)
-	_, kept := w.book.kept["t1"]
-	w.is.True(!kept)
-}
-
-func TestAStaleOwnersTurnIsCut(t *testing.T) {
-	w := newWorld(t)
-	k := w.node("a")
-	w.bench.gate["t1"] = make(chan struct{})
-	ctx := base.NewCtx(w.clock, 10*time.Second)
-	stream, err := k.SubmitTurn(ctx, w.call("s1", "t1", ""))
-	w.is.NoErr(err)
-	_, err = stream.Head(5*time.Second, w.clock)
-	w.is.NoErr(err)
-	w.book.mu.Lock()
-	w.book.sessions["ps1"] = &Assignment{Run: "other", Owner: "b/1", Epoch: 2}
-	w.book.mu.Unlock()
-	close(w.bench.gate["t1"])
-	_, err = io.ReadAll(NewReader(stream, w.clock, 5*time.Second))
-	w.is.Equal(err, io.ErrUnexpectedEOF)
-}
-
-func TestTurnsOfASessionRunOneByOneAndTheQueueIsBounded(t *testing.T) {
-	w := newWorld(t)
-	k := w.node("a")
-	w.bench.gate["t0"] = make(chan struct{})
-	ctx := base.NewCtx(w.clock, 10*time.Second)
-	first, err := k.SubmitTurn(ctx, w.call("s1", "t0", ""))
-	w.is.NoErr(err)
-	_, err = first.Head(5*time.Second, w.clock)
-	w.is.NoErr(err)
+	other := c.addNode("b")
+	other.history.size = maxHistoryBytes + 1
+	_, err := c.submitAndRead(other, c.call("s2", "t3", "t2"))
+	c.is.NoErr(err)
+	c.is.Equal(c.workers.bodies["t3"], "in-t1xt1\nyt1\nin-t2xt2\nyt2\nin-t3")
+}
+
+func TestUnknownPreviousTurnIsDeclinedWithoutRunning(t *testing.T) {
+	c := newTestCluster(t)
+	_, err := c.submitAndRead(c.addNode("a"), c.call("s1", "t1", "never"))
+	c.is.Equal(base.FromWire(err).Status, 404)
+	c.is.Equal(len(c.workers.started), 0)
+}
+
+func TestRefusedClaimDoesNotReachAWorker(t *testing.T) {
+	c := newTestCluster(t)
+	c.ledger.beginErr = base.Decline(402, "over_budget", "spent")
+	_, err := c.submitAndRead(c.addNode("a"), c.call("s1", "t1", ""))
+	c.is.Equal(base.FromWire(err).Status, 402)
+	c.is.Equal(base.FromWire(err).Ran, base.NotRun)
+	c.is.Equal(len(c.workers.started), 0)
+}
+
+func TestTruncatedAnswerFailsTheReadAndIsNotStored(t *testing.T) {
+	c := newTestCluster(t)
+	c.workers.truncated["t1"] = true
+	_, err := c.submitAndRead(c.addNode("a"), c.call("s1", "t1", ""))
+	c.is.Equal(err, io.ErrUnexpectedEOF)
+	_, kept := c.ledger.completed["t1"]
+	c.is.True(!kept)
+}
+
+func TestTurnOfReplacedOwnerIsCut(t *testing.T) {
+	c := newTestCluster(t)
+	k := c.addNode("a")
+	c.workers.gates["t1"] = make(chan struct{})
+	ctx := base.NewCtx(c.clock, 10*time.Second)
+	stream, err := k.SubmitTurn(ctx, c.call("s1", "t1", ""))
+	c.is.NoErr(err)
+	_, err = stream.Head(5*time.Second, c.clock)
+	c.is.NoErr(err)
+	c.ledger.mu.Lock()
+	c.ledger.sessions["ps1"] = &Assignment{Run: "other", Owner: "b/1", Epoch: 2}
+	c.ledger.mu.Unlock()
+	close(c.workers.gates["t1"])
+	_, err = io.ReadAll(NewReader(stream, c.clock, 5*time.Second))
+	c.is.Equal(err, io.ErrUnexpectedEOF)
+}
+
+func TestSessionTurnsRunInOrderAndTheQueueIsBounded(t *testing.T) {
+	c := newTestCluster(t)
+	k := c.addNode("a")
+	c.workers.gates["t0"] = make(chan struct{})
+	ctx := base.NewCtx(c.clock, 10*time.Second)
+	first, err := k.SubmitTurn(ctx, c.call("s1", "t0", ""))
+	c.is.NoErr(err)
+	_, err = first.Head(5*time.Second, c.clock)
+	c.is.NoErr(err)
 	streams := []*Stream{}
-	for n := range queueMost {
-		call := w.call("s1", fmt.Sprint("q", n), fmt.Sprint("p", n)) // each from another place
-		w.book.kept[call.Previous] = CompletedTurn{Turn: call.Previous}
+	for n := range maxQueuedTurns {
+		call := c.call("s1", fmt.Sprint("q", n), fmt.Sprint("p", n)) // each from another place
+		c.ledger.completed[call.Previous] = CompletedTurn{Turn: call.Previous}
 		stream, err := k.SubmitTurn(ctx, call)
-		w.is.NoErr(err)
+		c.is.NoErr(err)
 		streams = append(streams, stream)
 	}
-	_, err = k.SubmitTurn(ctx, w.call("s1", "over", "p"))
-	w.is.Equal(base.FromWire(err).Code, "queue_full")
-	w.is.Equal(k.List(10)[0].Waiting, queueMost) // a read does not queue
-	w.is.Equal(len(w.bench.ran), 1)
-	close(w.bench.gate["t0"])
+	_, err = k.SubmitTurn(ctx, c.call("s1", "over", "p"))
+	c.is.Equal(base.FromWire(err).Code, "queue_full")
+	c.is.Equal(k.List(10)[0].Waiting, maxQueuedTurns) // a read does not queue
+	c.is.Equal(len(c.workers.started), 1)
+	close(c.workers.gates["t0"])
 	for _, stream := range streams {
-		_, err = stream.Head(5*time.Second, w.clock)
-		w.is.NoErr(err)
-		_, err = io.ReadAll(NewReader(stream, w.clock, 5*time.Second))
-		w.is.NoErr(err)
+		_, err = stream.Head(5*time.Second, c.clock)
+		c.is.NoErr(err)
+		_, err = io.ReadAll(NewReader(stream, c.clock, 5*time.Second))
+		c.is.NoErr(err)
 	}
-	w.is.Equal(w.bench.ran[1], "q0")
-	w.is.Equal(w.bench.ran[queueMost], fmt.Sprint("q", queueMost-1))
+	c.is.Equal(c.workers.started[1], "q0")
+	c.is.Equal(c.workers.started[maxQueuedTurns], fmt.Sprint("q", maxQueuedTurns-1))
 }
 
-func TestAskingAgainFromTheSamePlaceEndsTheFormerTry(t *testing.T) {
-	w := newWorld(t)
-	k := w.node("a")
-	w.bench.gate["t1"] = make(chan struct{}) // never opened: the worker hangs
-	ctx := base.NewCtx(w.clock, 10*time.Second)
-	first, err := k.SubmitTurn(ctx, w.call("s1", "t1", ""))
-	w.is.NoErr(err)
-	_, err = first.Head(5*time.Second, w.clock)
-	w.is.NoErr(err)
-	_, err = w.take(k, w.call("s1", "t2", ""))
-	w.is.NoErr(err)
-	_, err = io.ReadAll(NewReader(first, w.clock, 5*time.Second))
-	w.is.Equal(err, io.ErrUnexpectedEOF)
+func TestRetryFromTheSamePreviousTurnCancelsTheEarlierAttempt(t *testing.T) {
+	c := newTestCluster(t)
+	k := c.addNode("a")
+	c.workers.gates["t1"] = make(chan struct{}) // never opened: the worker hangs
+	ctx := base.NewCtx(c.clock, 10*time.Second)
+	first, err := k.SubmitTurn(ctx, c.call("s1", "t1", ""))
+	c.is.NoErr(err)
+	_, err = first.Head(5*time.Second, c.clock)
+	c.is.NoErr(err)
+	_, err = c.submitAndRead(k, c.call("s1", "t2", ""))
+	c.is.NoErr(err)
+	_, err = io.ReadAll(NewReader(first, c.clock, 5*time.Second))
+	c.is.Equal(err, io.ErrUnexpectedEOF)
 }
 
 // loose is a call on a route that keeps no turns.
-func (w *world) loose(session, turn, previous string) *relay.Call {
-	call := w.call(session, turn, previous)
+func (c *testCluster) unretainedCall(session, turn, previous string) *relay.Call {
+	call := c.call(session, turn, previous)
 	call.Target, call.Budget, call.HasBudget = "/loose/t", 100, true
 	return call
 }
 
-func TestTurnsThatAreNotKeptAreCounted(t *testing.T) {
-	w := newWorld(t)
-	k := w.node("a")
-	_, err := w.take(k, w.loose("s1", "t1", "never"))
-	w.is.NoErr(err)
-	w.is.Equal(w.bench.bodies["t1"], "in-t1") // the prompt says it all
-	k.Drain(5 * time.Second)                  // is not over before the ledger has heard
-	w.is.Equal(k.settling.Load(), int64(0))
-	w.is.Equal(w.book.settled["t1"], int64(4))
-	_, kept := w.book.kept["t1"]
-	w.is.True(!kept)
-	w.is.Equal(w.book.claims[0].MaxTokens, int64(10))
-	w.is.Equal(w.book.claims[0].Retain, time.Minute) // the longest that a route names
-}
-
-func TestCallsWithoutNamesHaveLinesOfTheirOwn(t *testing.T) {
-	w := newWorld(t)
-	k := w.node("a")
+func TestUnretainedTurnsAreSettled(t *testing.T) {
+	c := newTestCluster(t)
+	k := c.addNode("a")
+	_, err := c.submitAndRead(k, c.unretainedCall("s1", "t1", "never"))
+	c.is.NoErr(err)
+	c.is.Equal(c.workers.bodies["t1"], "in-t1") // the prompt says it all
+	k.Drain(5 * time.Second)                    // is not over before the ledger has heard
+	c.is.Equal(k.pendingSettlements.Load(), int64(0))
+	c.is.Equal(c.ledger.settled["t1"], int64(4))
+	_, kept := c.ledger.completed["t1"]
+	c.is.True(!kept)
+	c.is.Equal(c.ledger.claims[0].MaxTokens, int64(10))
+	c.is.Equal(c.ledger.claims[0].Retain, time.Minute) // the longest that a route names
+}
+
+func TestCallsWithoutNamesGetTheirOwnSession(t *testing.T) {
+	c := newTestCluster(t)
+	k := c.addNode("a")
 	for _, turn := range []string{"t1", "t2"} {
-		call := w.loose("", turn, "")
+		call := c.unretainedCall("", turn, "")
 		call.Program = ""
-		w.is.True(IsTurn(&route.Route{}, call))
-		_, err := w.take(k, call)
-		w.is.NoErr(err)
+		c.is.True(IsTurn(&route.Route{}, call))
+		_, err := c.submitAndRead(k, call)
+		c.is.NoErr(err)
 	}
-	first, second := w.book.claims[0], w.book.claims[1]
-	w.is.True(first.Session != second.Session && first.Program != second.Program)
-	w.is.True(strings.HasPrefix(first.Session, unnamedMark) && strings.HasPrefix(first.Program, unnamedMark))
-	w.is.True(!IsTurn(&route.Route{}, &relay.Call{ID: "t3"}))
-	w.is.True(IsTurn(&route.Route{Retained: true}, &relay.Call{ID: "t3"}))
-}
-
-func TestOnlyTheSameWordsEndAFormerTryWhereNothingIsKept(t *testing.T) {
-	w := newWorld(t)
-	k := w.node("a")
-	w.bench.gate["t1"] = make(chan struct{}) // never opened: the worker hangs
-	ctx := base.NewCtx(w.clock, 10*time.Second)
-	first, err := k.SubmitTurn(ctx, w.loose("s1", "t1", ""))
-	w.is.NoErr(err)
-	_, err = first.Head(5*time.Second, w.clock)
-	w.is.NoErr(err)
-	other, err := k.SubmitTurn(ctx, w.loose("s1", "t2", "")) // another turn waits behind it
-	w.is.NoErr(err)
-	w.is.True(!first.abandoned() && k.List(1)[0].Waiting == 1)
-	again := w.loose("s1", "t3", "")
+	first, second := c.ledger.claims[0], c.ledger.claims[1]
+	c.is.True(first.Session != second.Session && first.Program != second.Program)
+	c.is.True(strings.HasPrefix(first.Session, unnamedPrefix) && strings.HasPrefix(first.Program, unnamedPrefix))
+	c.is.True(!IsTurn(&route.Route{}, &relay.Call{ID: "t3"}))
+	c.is.True(IsTurn(&route.Route{Retained: true}, &relay.Call{ID: "t3"}))
+}
+
+func TestUnretainedRetryNeedsTheSameBodyToCancelTheEarlierAttempt(t *testing.T) {
+	c := newTestCluster(t)
+	k := c.addNode("a")
+	c.workers.gates["t1"] = make(chan struct{}) // never opened: the worker hangs
+	ctx := base.NewCtx(c.clock, 10*time.Second)
+	first, err := k.SubmitTurn(ctx, c.unretainedCall("s1", "t1", ""))
+	c.is.NoErr(err)
+	_, err = first.Head(5*time.Second, c.clock)
+	c.is.NoErr(err)
+	other, err := k.SubmitTurn(ctx, c.unretainedCall("s1", "t2", "")) // another turn waits behind it
+	c.is.NoErr(err)
+	c.is.True(!first.isAbandoned() && k.List(1)[0].Waiting == 1)
+	again := c.unretainedCall("s1", "t3", "")
 	again.Body = []byte("in-t1")
 	_, err = k.SubmitTurn(ctx, again)
-	w.is.NoErr(err)
-	_, err = io.ReadAll(NewReader(first, w.clock, 5*time.Second))
-	w.is.Equal(err, io.ErrUnexpectedEOF)
-	_, err = other.Head(5*time.Second, w.clock)
-	w.is.NoErr(err)
+	c.is.NoErr(err)
+	_, err = io.ReadAll(NewReader(first, c.clock, 5*time.Second))
+	c.is.Equal(err, io.ErrUnexpectedEOF)
+	_, err = other.Head(5*time.Second, c.clock)
+	c.is.NoErr(err)
 }
 
 // After an outage programs go on from others' turns under the session's old
 // name: each is a line of its own.
-func TestProgramsThatShareASessionsNameDoNotMeet(t *testing.T) {
-	w := newWorld(t)
-	k := w.node("a")
-	_, err := w.take(k, w.call("s1", "t1", ""))
-	w.is.NoErr(err)
-	w.bench.gate["t2"] = make(chan struct{})
-	first := w.call("s1", "t2", "t1")
-	stream, err := k.SubmitTurn(base.NewCtx(w.clock, 10*time.Second), first)
-	w.is.NoErr(err)
-	_, err = stream.Head(5*time.Second, w.clock)
-	w.is.NoErr(err)
-	second := w.call("s1", "t3", "t1")
+func TestProgramsWithTheSameSessionNameAreIndependent(t *testing.T) {
+	c := newTestCluster(t)
+	k := c.addNode("a")
+	_, err := c.submitAndRead(k, c.call("s1", "t1", ""))
+	c.is.NoErr(err)
+	c.workers.gates["t2"] = make(chan struct{})
+	first := c.call("s1", "t2", "t1")
+	stream, err := k.SubmitTurn(base.NewCtx(c.clock, 10*time.Second), first)
+	c.is.NoErr(err)
+	_, err = stream.Head(5*time.Second, c.clock)
+	c.is.NoErr(err)
+	second := c.call("s1", "t3", "t1")
 	second.Program = "q"
-	_, err = w.take(k, second)
-	w.is.NoErr(err)
-	close(w.bench.gate["t2"])
-	_, err = io.ReadAll(NewReader(stream, w.clock, 5*time.Second))
-	w.is.NoErr(err)
-	w.is.Equal(len(k.List(10)), 2)
-}
-
-func TestAReaderThatLeavesEndsTheWork(t *testing.T) {
-	w := newWorld(t)
-	k := w.node("a")
-	w.bench.gate["t1"] = make(chan struct{})
-	stream, err := k.SubmitTurn(base.NewCtx(w.clock, 10*time.Second), w.call("s1", "t1", ""))
-	w.is.NoErr(err)
-	_, err = stream.Head(5*time.Second, w.clock)
-	w.is.NoErr(err)
-	w.is.NoErr(NewReader(stream, w.clock, time.Second).Close())
-	_, err = w.take(k, w.call("s1", "t2", "")) // the queue goes on
-	w.is.NoErr(err)
+	_, err = c.submitAndRead(k, second)
+	c.is.NoErr(err)
+	close(c.workers.gates["t2"])
+	_, err = io.ReadAll(NewReader(stream, c.clock, 5*time.Second))
+	c.is.NoErr(err)
+	c.is.Equal(len(k.List(10)), 2)
+}
+
+func TestClosingTheReaderCancelsTheTurn(t *testing.T) {
+	c := newTestCluster(t)
+	k := c.addNode("a")
+	c.workers.gates["t1"] = make(chan struct{})
+	stream, err := k.SubmitTurn(base.NewCtx(c.clock, 10*time.Second), c.call("s1", "t1", ""))
+	c.is.NoErr(err)
+	_, err = stream.Head(5*time.Second, c.clock)
+	c.is.NoErr(err)
+	c.is.NoErr(NewReader(stream, c.clock, time.Second).Close())
+	_, err = c.submitAndRead(k, c.call("s1", "t2", "")) // the queue goes on
+	c.is.NoErr(err)
 }
 
 // meet lets two nodes know each other.
-func (w *world) meet(a, b *Manager) {
+func (c *testCluster) connect(a, b *Manager) {
 	for _, pair := range [][2]*Manager{{a, b}, {b, a}} {
-		client := membership.NewMembershipProtobufClient("http://"+pair[1].View.Self().Addr, w.wire)
+		client := membership.NewMembershipProtobufClient("http://"+pair[1].View.Self().Addr, c.wire)
 		_ = client
-		w.clock.Go(pair[0].View.Run)
+		c.clock.Go(pair[0].View.Run)
 	}
 	for tries := 0; ; tries++ {
-		_, first := a.View.Find(b.me())
-		_, second := b.View.Find(a.me())
+		_, first := a.View.Find(b.nodeID())
+		_, second := b.View.Find(a.nodeID())
 		if first && second {
 			return
 		}
 		if tries > 400 {
-			w.is.Fail()
+			c.is.Fail()
 		}
-		w.clock.NewSignal().Wait(10 * time.Millisecond)
+		c.clock.NewSignal().Wait(10 * time.Millisecond)
 	}
 }
 
-func TestATurnElsewhereIsForwardedOnceToItsOwner(t *testing.T) {
-	w := newWorld(t)
-	a, b := w.node("a:1", "b:1"), w.node("b:1", "a:1")
-	w.meet(a, b)
+func TestTurnIsForwardedOnceToItsOwner(t *testing.T) {
+	c := newTestCluster(t)
+	a, b := c.addNode("a:1", "b:1"), c.addNode("b:1", "a:1")
+	c.connect(a, b)
 	defer a.View.Close()
 	defer b.View.Close()
-	_, err := w.take(a, w.call("s1", "t1", ""))
-	w.is.NoErr(err)
-	got, err := w.take(b, w.call("s1", "t2", "t1"))
-	w.is.NoErr(err)
-	w.is.Equal(got, "data: xt2\n\ndata: yt2\n\n")
-	w.is.Equal(w.book.sessions["ps1"].Owner, a.me()) // the owner stays
-	w.is.Equal(b.Counters.Frame()["turns_forwarded"], int64(1))
-	owner := NewOwnerProtobufClient("http://a:1", w.wire)
+	_, err := c.submitAndRead(a, c.call("s1", "t1", ""))
+	c.is.NoErr(err)
+	got, err := c.submitAndRead(b, c.call("s1", "t2", "t1"))
+	c.is.NoErr(err)
+	c.is.Equal(got, "data: xt2\n\ndata: yt2\n\n")
+	c.is.Equal(c.ledger.sessions["ps1"].Owner, a.nodeID()) // the owner stays
+	c.is.Equal(b.Counters.Frame()["turns_forwarded"], int64(1))
+	owner := NewOwnerProtobufClient("http://a:1", c.wire)
 	for _, bad := range []*ForwardRequest{
-		{From: "x", Assignment: w.book.sessions["ps1"], Call: &Call{Session: "s1"}},                                                            // no marker
-		{From: "x", Forwarded: true, Assignment: &Assignment{Run: "r", Owner: a.me(), Epoch: 1}, Call: &Call{Session: "s1", DeadlineMs: 1000}}, // another Run
-		{From: "x", Forwarded: true, Assignment: &Assignment{Run: "r", Owner: "a:1/0", Epoch: 1}, Call: &Call{Session: "s1"}},                  // a former life
+		{From: "x", Assignment: c.ledger.sessions["ps1"], Call: &Call{Session: "s1"}},                                                              // no marker
+		{From: "x", Forwarded: true, Assignment: &Assignment{Run: "r", Owner: a.nodeID(), Epoch: 1}, Call: &Call{Session: "s1", DeadlineMs: 1000}}, // another Run
+		{From: "x", Forwarded: true, Assignment: &Assignment{Run: "r", Owner: "a:1/0", Epoch: 1}, Call: &Call{Session: "s1"}},                      // a former life
 	} {
 		_, err := owner.Forward(context.Background(), bad)
-		w.is.True(err != nil)
+		c.is.True(err != nil)
 	}
-	w.is.Equal(len(w.bench.ran), 2)
+	c.is.Equal(len(c.workers.started), 2)
 }
 
 // A forwarded turn whose message comes once more runs once, and both get its
 // answer.
-func TestAForwardThatComesTwiceRunsOnce(t *testing.T) {
-	w := newWorld(t)
-	a, b := w.node("a:1", "b:1"), w.node("b:1", "a:1")
-	w.meet(a, b)
+func TestDuplicateForwardRunsOnce(t *testing.T) {
+	c := newTestCluster(t)
+	a, b := c.addNode("a:1", "b:1"), c.addNode("b:1", "a:1")
+	c.connect(a, b)
 	defer a.View.Close()
 	defer b.View.Close()
-	_, err := w.take(a, w.call("s1", "t1", ""))
-	w.is.NoErr(err)
-	ctx := base.NewCtx(w.clock, 10*time.Second)
-	asked := &ForwardRequest{From: b.me(), Forwarded: true, Assignment: w.book.sessions["ps1"], Call: packCall(w.call("s1", "t2", "t1"), ctx)}
-	owner := NewOwnerProtobufClient("http://a:1", w.wire)
+	_, err := c.submitAndRead(a, c.call("s1", "t1", ""))
+	c.is.NoErr(err)
+	ctx := base.NewCtx(c.clock, 10*time.Second)
+	asked := &ForwardRequest{From: b.nodeID(), Forwarded: true, Assignment: c.ledger.sessions["ps1"], Call: callToProto(c.call("s1", "t2", "t1"), ctx)}
+	owner := NewOwnerProtobufClient("http://a:1", c.wire)
 	for range 2 {
 		reply, err := owner.Forward(ctx, asked)
-		w.is.NoErr(err)
+		c.is.NoErr(err)
 		for place := uint64(len(reply.Pieces)); !reply.Done; place += uint64(len(reply.Pieces)) {
 			reply, err = owner.Pull(ctx, &PullRequest{Program: "p", Session: "s1", Turn: "t2", Place: place, HoldMs: 1000, Assignment: asked.Assignment})
-			w.is.NoErr(err)
+			c.is.NoErr(err)
 		}
-		w.is.True(!reply.Cut)
+		c.is.True(!reply.Cut)
 	}
-	w.is.Equal(len(w.bench.ran), 2) // t1 and t2
+	c.is.Equal(len(c.workers.started), 2) // t1 and t2
 }
 
 // That a pull was not sent proves nothing of the turn; the owner's own word that
 // it has not run does.
-func TestOnlyTheOwnersWordProvesThatATurnHasNotRun(t *testing.T) {
+func TestOnlyTheOwnersReplyProvesThatATurnHasNotRun(t *testing.T) {
 	is := is.New(t)
-	lost := pullFailed(&base.NotSent{Cause: io.EOF})
+	lost := pullError(&base.NotSent{Cause: io.EOF})
 	is.Equal(lost.Ran, base.MayHaveRun)
 	is.Equal(lost.Status, 502)
-	told := pullFailed(base.ToWire(base.BusyFor(503, "workers_full", time.Second, "no worker has room")))
-	is.Equal(told.Ran, base.NotRun)
-	is.Equal(told.RetryAfterMs, int64(1000))
+	declined := pullError(base.ToWire(base.BusyFor(503, "workers_full", time.Second, "no worker has room")))
+	is.Equal(declined.Ran, base.NotRun)
+	is.Equal(declined.RetryAfterMs, int64(1000))
 }
 
-func TestALostOwnerIsSucceededAndADrainingOneLetsGo(t *testing.T) {
-	w := newWorld(t)
-	a, b := w.node("a:1", "b:1"), w.node("b:1", "a:1")
-	w.meet(a, b)
+func TestLostOrDrainingOwnerIsReplaced(t *testing.T) {
+	c := newTestCluster(t)
+	a, b := c.addNode("a:1", "b:1"), c.addNode("b:1", "a:1")
+	c.connect(a, b)
 	defer b.View.Close()
-	_, err := w.take(a, w.call("s1", "t1", ""))
-	w.is.NoErr(err)
-	_, err = w.take(a, w.call("s2", "u1", ""))
-	w.is.NoErr(err)
+	_, err := c.submitAndRead(a, c.call("s1", "t1", ""))
+	c.is.NoErr(err)
+	_, err = c.submitAndRead(a, c.call("s2", "u1", ""))
+	c.is.NoErr(err)
 	a.Drain(time.Second)
-	_, err = a.SubmitTurn(base.NewCtx(w.clock, time.Second), w.call("s1", "t2", "t1"))
-	w.is.Equal(base.FromWire(err).Ran, base.NotRun)
-	_, err = w.take(b, w.call("s1", "t3", "t1")) // a is leaving: b goes on
-	w.is.NoErr(err)
-	w.is.Equal(w.book.sessions["ps1"].Owner, b.me())
-	w.is.Equal(w.book.sessions["ps1"].Epoch, uint64(2))
+	_, err = a.SubmitTurn(base.NewCtx(c.clock, time.Second), c.call("s1", "t2", "t1"))
+	c.is.Equal(base.FromWire(err).Ran, base.NotRun)
+	_, err = c.submitAndRead(b, c.call("s1", "t3", "t1")) // a is leaving: b goes on
+	c.is.NoErr(err)
+	c.is.Equal(c.ledger.sessions["ps1"].Owner, b.nodeID())
+	c.is.Equal(c.ledger.sessions["ps1"].Epoch, uint64(2))
 	a.View.Close()
-	w.wire.lose("a:1")
-	_, err = w.take(b, w.call("s2", "u2", "u1"))
-	w.is.NoErr(err)
-	w.is.Equal(w.book.sessions["ps2"].Owner, b.me())
-	w.is.True(strings.HasPrefix(w.bench.bodies["u2"], "in-u1"))
+	c.wire.disconnect("a:1")
+	_, err = c.submitAndRead(b, c.call("s2", "u2", "u1"))
+	c.is.NoErr(err)
+	c.is.Equal(c.ledger.sessions["ps2"].Owner, b.nodeID())
+	c.is.True(strings.HasPrefix(c.workers.bodies["u2"], "in-u1"))
 }
 
 // An owner that leaves answers what others forwarded to it before it goes.
-func TestADrainWaitsForWhatWasForwarded(t *testing.T) {
-	w := newWorld(t)
-	a, b := w.node("a:1", "b:1"), w.node("b:1", "a:1")
-	w.meet(a, b)
+func TestDrainWaitsForForwardedTurns(t *testing.T) {
+	c := newTestCluster(t)
+	a, b := c.addNode("a:1", "b:1"), c.addNode("b:1", "a:1")
+	c.connect(a, b)
 	defer a.View.Close()
 	defer b.View.Close()
-	_, err := w.take(a, w.call("s1", "t1", ""))
-	w.is.NoErr(err)
-	w.bench.gate["t2"] = make(chan struct{})
-	stream, err := b.SubmitTurn(base.NewCtx(w.clock, 10*time.Second), w.call("s1", "t2", "t1"))
-	w.is.NoErr(err)
-	_, err = stream.Head(5*time.Second, w.clock)
-	w.is.NoErr(err)
+	_, err := c.submitAndRead(a, c.call("s1", "t1", ""))
+	c.is.NoErr(err)
+	c.workers.gates["t2"] = make(chan struct{})
+	stream, err := b.SubmitTurn(base.NewCtx(c.clock, 10*time.Second), c.call("s1", "t2", "t1"))
+	c.is.NoErr(err)
+	_, err = stream.Head(5*time.Second, c.clock)
+	c.is.NoErr(err)
 	drained := make(chan struct{})
 	go func() {
 		a.Drain(10 * time.Second)
 		close(drained)
 	}()
 	for !a.isDraining() {
-		w.clock.NewSignal().Wait(time.Millisecond)
+		c.clock.NewSignal().Wait(time.Millisecond)
 	}
-	w.is.Equal(a.owing(), 1)
-	close(w.bench.gate["t2"])
+	c.is.Equal(a.undeliveredStreams(), 1)
+	close(c.workers.gates["t2"])
 	<-drained
-	w.wire.lose("a:1") // gone at once
-	body, err := io.ReadAll(NewReader(stream, w.clock, 5*time.Second))
-	w.is.NoErr(err)
-	w.is.Equal(string(body), "data: xt2\n\ndata: yt2\n\n")
+	c.wire.disconnect("a:1") // gone at once
+	body, err := io.ReadAll(NewReader(stream, c.clock, 5*time.Second))
+	c.is.NoErr(err)
+	c.is.Equal(string(body), "data: xt2\n\ndata: yt2\n\n")
 }
 
 func TestTerminationOnlyEscalates(t *testing.T) {
-	w := newWorld(t)
-	k := w.node("a")
-	w.bench.gate["t1"] = make(chan struct{})
-	stream, err := k.SubmitTurn(base.NewCtx(w.clock, 10*time.Second), w.call("s1", "t1", ""))
-	w.is.NoErr(err)
-	_, err = stream.Head(5*time.Second, w.clock)
-	w.is.NoErr(err)
-	w.is.True(k.Terminate("p", "s1", budget.Immediate))
-	w.is.True(k.Terminate("p", "s1", budget.Drain))
-	w.is.Equal(k.List(1)[0].Termination, budget.Immediate)
-	_, err = io.ReadAll(NewReader(stream, w.clock, 5*time.Second))
-	w.is.Equal(err, io.ErrUnexpectedEOF)
-}
-
-func TestHistoryKeepsAncestorsAsLongAsWhatFollows(t *testing.T) {
+	c := newTestCluster(t)
+	k := c.addNode("a")
+	c.workers.gates["t1"] = make(chan struct{})
+	stream, err := k.SubmitTurn(base.NewCtx(c.clock, 10*time.Second), c.call("s1", "t1", ""))
+	c.is.NoErr(err)
+	_, err = stream.Head(5*time.Second, c.clock)
+	c.is.NoErr(err)
+	c.is.True(k.Terminate("p", "s1", budget.Immediate))
+	c.is.True(k.Terminate("p", "s1", budget.Drain))
+	c.is.Equal(k.List(1)[0].Termination, budget.Immediate)
+	_, err = io.ReadAll(NewReader(stream, c.clock, 5*time.Second))
+	c.is.Equal(err, io.ErrUnexpectedEOF)
+}
+
+func TestHistoryRetainsAncestorsAsLongAsDescendants(t *testing.T) {
 	is := is.New(t)
 	h := newHistory(base.NewRealClock())
-	h.keep(CompletedTurn{Turn: "a", Input: []byte("1")}, -time.Second)
-	h.keep(CompletedTurn{Turn: "b", Previous: "a", Input: []byte("2")}, time.Minute)
-	h.keep(CompletedTurn{Turn: "c", Previous: "a", Input: []byte("3")}, -time.Second)
-	h.sweep()
+	h.add(CompletedTurn{Turn: "a", Input: []byte("1")}, -time.Second)
+	h.add(CompletedTurn{Turn: "b", Previous: "a", Input: []byte("2")}, time.Minute)
+	h.add(CompletedTurn{Turn: "c", Previous: "a", Input: []byte("3")}, -time.Second)
+	h.removeExpired()
 	body, ok := h.chain("b")
 	is.True(ok)
 	is.True(bytes.Equal(body, []byte("12")))
--- a/internal/line/stream.go
+++ b/internal/line/stream.go
@@ -22,36 +22,36 @@
 
 // Stream is written by the owner of the session and read by one client.
 type Stream struct {
-	mu     sync.Mutex
-	bell   *base.Bell
-	head   *Head
-	failed *base.Verdict
-	pieces [][]byte
-	done   bool
-	cut    bool
-	left   bool
-	leave  func()
-	told   atomic.Bool // the end was given to whoever pulls
+	mu           sync.Mutex
+	changed      *base.Bell
+	head         *Head
+	failure      *base.Verdict
+	pieces       [][]byte
+	done         bool
+	cut          bool
+	abandoned    bool
+	onAbandon    func()
+	endDelivered atomic.Bool // the end was given to whoever pulls
 }
 
-func newStream(clock base.Clock, leave func()) *Stream {
-	return &Stream{bell: base.NewBell(clock), leave: leave}
+func newStream(clock base.Clock, onAbandon func()) *Stream {
+	return &Stream{changed: base.NewBell(clock), onAbandon: onAbandon}
 }
 
-func (s *Stream) change(step func()) {
+func (s *Stream) update(change func()) {
 	s.mu.Lock()
-	step()
+	change()
 	s.mu.Unlock()
-	s.bell.Ring()
+	s.changed.Ring()
 }
 
-func (s *Stream) open(head *Head)      { s.change(func() { s.head = head }) }
-func (s *Stream) put(pieces ...[]byte) { s.change(func() { s.pieces = append(s.pieces, pieces...) }) }
-func (s *Stream) finish()              { s.change(func() { s.done = true }) }
-func (s *Stream) fail(v *base.Verdict) {
-	s.change(func() {
+func (s *Stream) setHead(head *Head)   { s.update(func() { s.head = head }) }
+func (s *Stream) add(pieces ...[]byte) { s.update(func() { s.pieces = append(s.pieces, pieces...) }) }
+func (s *Stream) finish()              { s.update(func() { s.done = true }) }
+func (s *Stream) fail(verdict *base.Verdict) {
+	s.update(func() {
 		if s.head == nil {
-			s.failed = v
+			s.failure = verdict
 		}
 		s.cut = s.head != nil
 		s.done = true
@@ -61,27 +61,27 @@
 // Abandon says that nobody reads any more.
 func (s *Stream) Abandon() {
 	s.mu.Lock()
-	first := !s.left && !s.done
-	s.left = true
+	first := !s.abandoned && !s.done
+	s.abandoned = true
 	s.mu.Unlock()
-	if first && s.leave != nil {
-		s.leave()
+	if first && s.onAbandon != nil {
+		s.onAbandon()
 	}
 }
 
-func (s *Stream) abandoned() bool {
+func (s *Stream) isAbandoned() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.left
+	return s.abandoned
 }
 
 // Head waits for the answer's head, or the verdict that there is none.
 func (s *Stream) Head(limit time.Duration, clock base.Clock) (*Head, error) {
 	end := clock.Now() + limit
 	for {
-		next := s.bell.Next()
+		next := s.changed.Next()
 		s.mu.Lock()
-		head, failed := s.head, s.failed
+		head, failed := s.head, s.failure
 		s.mu.Unlock()
 		switch {
 		case failed != nil:
@@ -97,13 +97,13 @@
 }
 
 // PiecesFrom gives the pieces from a place on, waiting for news up to limit.
-func (s *Stream) PiecesFrom(place int, limit time.Duration, clock base.Clock) (pieces [][]byte, done, cut bool) {
+func (s *Stream) PiecesFrom(position int, limit time.Duration, clock base.Clock) (pieces [][]byte, done, cut bool) {
 	end := clock.Now() + limit
 	for {
-		next := s.bell.Next()
+		next := s.changed.Next()
 		s.mu.Lock()
-		if place < len(s.pieces) || s.done {
-			pieces = s.pieces[min(place, len(s.pieces)):]
+		if position < len(s.pieces) || s.done {
+			pieces = s.pieces[min(position, len(s.pieces)):]
 			done, cut = s.done, s.cut
 			s.mu.Unlock()
 			return pieces, done, cut
@@ -116,13 +116,13 @@
 }
 
 // WaitUntil waits until the stream has come to a place or its end, or limit passed.
-func (s *Stream) WaitUntil(place int, limit time.Duration, clock base.Clock) {
+func (s *Stream) WaitUntil(position int, limit time.Duration, clock base.Clock) {
 	for end := clock.Now() + limit; ; {
-		next := s.bell.Next()
+		next := s.changed.Next()
 		s.mu.Lock()
-		there := len(s.pieces) >= place || s.done
+		reached := len(s.pieces) >= position || s.done
 		s.mu.Unlock()
-		if there || !next.Wait(max(0, end-clock.Now())) {
+		if reached || !next.Wait(max(0, end-clock.Now())) {
 			return
 		}
 	}
@@ -131,28 +131,28 @@
 // Reader is a stream's body for a server: a read returns what has come, and
 // an answer that was cut ends with an error, so that it never looks whole.
 type Reader struct {
-	stream *Stream
-	clock  base.Clock
-	until  time.Duration
-	place  int
-	rest   []byte
+	stream   *Stream
+	clock    base.Clock
+	deadline time.Duration
+	place    int
+	unread   []byte
 }
 
 // NewReader reads a stream for at most the limit in all.
 func NewReader(stream *Stream, clock base.Clock, limit time.Duration) *Reader {
-	return &Reader{stream: stream, clock: clock, until: clock.Now() + limit}
+	return &Reader{stream: stream, clock: clock, deadline: clock.Now() + limit}
 }
 
 // Read gives what has come. It fails when the stream was cut, or when the time
 // is over before its end.
 
-func (r *Reader) Read(into []byte) (int, error) {
-	for len(r.rest) == 0 {
-		pieces, done, cut := r.stream.PiecesFrom(r.place, max(0, r.until-r.clock.Now()), r.clock)
+func (r *Reader) Read(buffer []byte) (int, error) {
+	for len(r.unread) == 0 {
+		pieces, done, cut := r.stream.PiecesFrom(r.place, max(0, r.deadline-r.clock.Now()), r.clock)
 		switch {
 		case len(pieces) > 0:
 			for _, piece := range pieces {
-				r.rest = append(r.rest, piece...)
+				r.unread = append(r.unread, piece...)
 			}
 			r.place += len(pieces)
 		case done && !cut:
@@ -161,8 +161,8 @@
 			return 0, io.ErrUnexpectedEOF
 		}
 	}
-	n := copy(into, r.rest)
-	r.rest = r.rest[n:]
+	n := copy(buffer, r.unread)
+	r.unread = r.unread[n:]
 	return n, nil
 }
 
--- a/internal/line/termination.go
+++ b/internal/line/termination.go
@@ -11,107 +11,107 @@
 	"fordseam/internal/session"
 )
 
-func (k *Manager) isDraining() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.draining
+func (m *Manager) isDraining() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.draining
 }
 
-func (k *Manager) drop(h *held) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.held[h.line] == h {
-		delete(k.held, h.line)
+func (m *Manager) remove(s *ownedSession) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.owned[s.key] == s {
+		delete(m.owned, s.key)
 	}
 }
 
 // Run lets go of sessions that have been quiet for a while: their lease is
 // over, and a later turn gets the next Run.
-func (k *Manager) Run() {
-	for !k.View.Closed() {
-		k.Clock.Sleep(k.Bounds.Load().Recover / 6)
-		quiet := k.Clock.Now() - k.Bounds.Load().Recover*2
-		k.history.sweep()
-		k.mu.Lock()
-		for _, id := range base.SortedKeys(k.held) {
-			h := k.held[id]
-			h.mu.Lock()
-			if h.running == nil && h.used < quiet {
-				h.phase = session.Failed
-				delete(k.held, id)
+func (m *Manager) Run() {
+	for !m.View.Closed() {
+		m.Clock.Sleep(m.Bounds.Load().Recover / 6)
+		idleSince := m.Clock.Now() - m.Bounds.Load().Recover*2
+		m.history.removeExpired()
+		m.mu.Lock()
+		for _, id := range base.SortedKeys(m.owned) {
+			s := m.owned[id]
+			s.mu.Lock()
+			if s.running == nil && s.lastUsed < idleSince {
+				s.phase = session.Failed
+				delete(m.owned, id)
 			}
-			h.mu.Unlock()
+			s.mu.Unlock()
 		}
-		if len(k.elsewhere) > 1<<14 {
-			clear(k.elsewhere)
+		if len(m.remoteOwners) > 1<<14 {
+			clear(m.remoteOwners)
 		}
-		k.mu.Unlock()
+		m.mu.Unlock()
 	}
 }
 
 // Drain ends all lines here: accepted turns finish, new ones go elsewhere. It is
 // over when whoever forwarded a turn has its end too, and the ledger has heard what
 // was spent.
-func (k *Manager) Drain(limit time.Duration) {
-	k.mu.Lock()
-	k.draining = true
-	all := []*held{}
-	for _, id := range base.SortedKeys(k.held) {
-		all = append(all, k.held[id])
+func (m *Manager) Drain(limit time.Duration) {
+	m.mu.Lock()
+	m.draining = true
+	all := []*ownedSession{}
+	for _, id := range base.SortedKeys(m.owned) {
+		all = append(all, m.owned[id])
 	}
-	k.mu.Unlock()
-	for _, h := range all {
-		k.terminate(h, budget.Drain)
+	m.mu.Unlock()
+	for _, s := range all {
+		m.terminate(s, budget.Drain)
 	}
-	end := k.Clock.Now() + limit
-	for k.BusySessions()+k.owing()+int(k.settling.Load()) > 0 && k.Clock.Now() < end {
-		k.Clock.Sleep(k.Bounds.Load().Recover / 120)
+	end := m.Clock.Now() + limit
+	for m.BusySessions()+m.undeliveredStreams()+int(m.pendingSettlements.Load()) > 0 && m.Clock.Now() < end {
+		m.Clock.Sleep(m.Bounds.Load().Recover / 120)
 	}
 }
 
 // BusySessions counts the sessions with a turn under way.
-func (k *Manager) BusySessions() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) BusySessions() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	count := 0
-	for _, h := range k.held {
-		h.mu.Lock()
-		if h.running != nil {
+	for _, s := range m.owned {
+		s.mu.Lock()
+		if s.running != nil {
 			count++
 		}
-		h.mu.Unlock()
+		s.mu.Unlock()
 	}
 	return count
 }
 
 // Terminate ends a session's Run here; it only escalates.
-func (k *Manager) Terminate(program, id string, mode budget.Termination) bool {
-	k.mu.Lock()
-	found := k.held[program+" "+id]
-	k.mu.Unlock()
-	if found == nil {
+func (m *Manager) Terminate(program, sessionID string, mode budget.Termination) bool {
+	m.mu.Lock()
+	s := m.owned[program+" "+sessionID]
+	m.mu.Unlock()
+	if s == nil {
 		return false
 	}
-	k.terminate(found, mode)
+	m.terminate(s, mode)
 	return true
 }
 
-func (k *Manager) terminate(h *held, mode budget.Termination) {
-	h.mu.Lock()
-	h.termination = h.termination.Escalate(mode)
-	if h.phase.CanBecome(session.Finalizing) {
-		h.phase = session.Finalizing
+func (m *Manager) terminate(s *ownedSession, mode budget.Termination) {
+	s.mu.Lock()
+	s.termination = s.termination.Escalate(mode)
+	if s.phase.CanBecome(session.Finalizing) {
+		s.phase = session.Finalizing
 	}
-	running, waiting := h.running, []*operation(nil)
-	if h.termination == budget.Immediate {
-		waiting, h.queue = h.queue, nil
+	running, dropped := s.running, []*operation(nil)
+	if s.termination == budget.Immediate {
+		dropped, s.queue = s.queue, nil
 	}
-	h.mu.Unlock()
-	if h.termination != budget.Immediate {
+	s.mu.Unlock()
+	if s.termination != budget.Immediate {
 		return
 	}
-	for _, op := range waiting {
-		op.stream.fail(k.elsewhereNow("session_terminating", "the session is ending; the turn has not run"))
+	for _, op := range dropped {
+		op.stream.fail(m.retryElsewhere("session_terminating", "the session is ending; the turn has not run"))
 	}
 	if running != nil {
 		running.cancel()
@@ -131,25 +131,25 @@
 }
 
 // List shows the sessions this node owns.
-func (k *Manager) List(limit int) []Status {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) List(limit int) []Status {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	found := []Status{}
-	for _, id := range base.SortedKeys(k.held) {
+	for _, id := range base.SortedKeys(m.owned) {
 		if len(found) == limit {
 			break
 		}
-		h := k.held[id]
-		h.mu.Lock()
-		one := Status{Session: h.session, Program: h.program, Phase: h.phase, Termination: h.termination, Waiting: len(h.queue)}
-		if h.assignment != nil {
-			one.Run, one.Epoch = h.assignment.Run, h.assignment.Epoch
+		s := m.owned[id]
+		s.mu.Lock()
+		status := Status{Session: s.session, Program: s.program, Phase: s.phase, Termination: s.termination, Waiting: len(s.queue)}
+		if s.assignment != nil {
+			status.Run, status.Epoch = s.assignment.Run, s.assignment.Epoch
 		}
-		if h.running != nil {
-			one.Running = h.running.call.ID
+		if s.running != nil {
+			status.Running = s.running.call.ID
 		}
-		h.mu.Unlock()
-		found = append(found, one)
+		s.mu.Unlock()
+		found = append(found, status)
 	}
 	return found
 }
--- a/internal/session/accept.go
+++ b/internal/session/accept.go
@@ -12,142 +12,142 @@
 )
 
 // submit accepts a turn, joins it, or replays it.
-func (k *Manager) submit(ctx *base.Ctx, h *held, v *Request) (*Reply, error) {
-	digest := base.Digest(append([]byte(v.Previous+"\n"+strconv.FormatInt(v.MaxTokens, 10)+"\n"), v.Messages...))
-	reply, err := k.accept(h, v, digest)
+func (m *Manager) submit(ctx *base.Ctx, s *ownedSession, req *Request) (*Reply, error) {
+	digest := base.Digest(append([]byte(req.Previous+"\n"+strconv.FormatInt(req.MaxTokens, 10)+"\n"), req.Messages...))
+	reply, err := m.accept(s, req, digest)
 	if verdict, ok := err.(*base.Verdict); ok && verdict.Code == "run_over" {
-		if v.Previous == "" {
+		if req.Previous == "" {
 			return nil, verdict
 		}
-		record := h.snapshot()
-		_, err := k.succeedHere(ctx, &SucceedRequest{Session: record.ID, Program: record.Program, Assignment: record.assignment(), Why: "after_" + strings.ToLower(string(record.Phase))})
+		record := s.recordCopy()
+		_, err := m.takeRun(ctx, &SucceedRequest{Session: record.ID, Program: record.Program, Assignment: record.assignment(), Why: "after_" + strings.ToLower(string(record.Phase))})
 		if err != nil {
 			return nil, err
 		}
-		return nil, staleRun()
+		return nil, staleAssignment()
 	}
 	return reply, err
 }
 
-func (k *Manager) reader(stream *Stream, v *Request) (*Reply, error) {
-	reader := &Reader{keeper: k, turn: v.Turn, local: stream}
-	if v.LastAttempt != "" {
-		if leg := stream.legID(); leg != v.LastAttempt {
+func (m *Manager) newReader(stream *Stream, req *Request) (*Reply, error) {
+	reader := &Reader{keeper: m, turn: req.Turn, local: stream}
+	if req.LastAttempt != "" {
+		if leg := stream.attemptID(); leg != req.LastAttempt {
 			return nil, base.Unsure(409, "leg_changed", "the pieces seen are of another run of this turn; read it from the start")
 		}
-		reader.place = min(v.LastPiece, uint64(stream.count()))
-		reader.given = reader.place
+		reader.position = min(req.LastPiece, uint64(stream.pieceCount()))
+		reader.delivered = reader.position
 	}
 	return &Reply{Status: 200, Stream: reader}, nil
 }
 
-func (k *Manager) accept(h *held, v *Request, digest string) (*Reply, error) {
-	h.mu.Lock()
-	if turn := h.whole(v.Turn); turn != nil {
-		run := h.record.Run
-		h.mu.Unlock()
+func (m *Manager) accept(s *ownedSession, req *Request, digest string) (*Reply, error) {
+	s.mu.Lock()
+	if turn := s.completedTurn(req.Turn); turn != nil {
+		run := s.record.Run
+		s.mu.Unlock()
 		if turn.Digest != digest {
-			return nil, turnReused()
+			return nil, turnIDReused()
 		}
-		k.counters.Add("turns_replayed", 1)
-		return k.reader(replayStream(k.clock, turn, run), v)
+		m.counters.Add("turns_replayed", 1)
+		return m.newReader(replayStream(m.clock, turn, run), req)
 	}
-	if op := h.ops[v.Turn]; op != nil {
-		again := (op.state == OpFailed || op.state == OpTimedOut) && op.verdict.Ran == base.MayHaveRun
+	if op := s.operations[req.Turn]; op != nil {
+		retryable := (op.state == OpFailed || op.state == OpTimedOut) && op.verdict.Ran == base.MayHaveRun
 		if op.digest != digest {
-			h.mu.Unlock()
-			return nil, turnReused()
+			s.mu.Unlock()
+			return nil, turnIDReused()
 		}
-		if !again {
-			h.mu.Unlock()
-			k.counters.Add("turns_joined", 1)
-			return k.reader(op.stream, v)
+		if !retryable {
+			s.mu.Unlock()
+			m.counters.Add("turns_joined", 1)
+			return m.newReader(op.stream, req)
 		}
 	}
-	if refused := h.refused[v.Turn]; refused != nil {
-		h.mu.Unlock()
-		return nil, refused.verdict
+	if refusal := s.refusals[req.Turn]; refusal != nil {
+		s.mu.Unlock()
+		return nil, refusal.verdict
 	}
-	if v.LastAttempt != "" {
-		h.mu.Unlock()
+	if req.LastAttempt != "" {
+		s.mu.Unlock()
 		return nil, base.Unsure(409, "leg_changed", "the pieces seen are of a run of this turn that was lost; read it from the start")
 	}
-	if h.gone {
-		h.mu.Unlock()
-		return nil, staleRun()
+	if s.lost {
+		s.mu.Unlock()
+		return nil, staleAssignment()
 	}
-	if h.record.Phase.Terminal() {
-		h.mu.Unlock()
+	if s.record.Phase.Terminal() {
+		s.mu.Unlock()
 		return nil, base.Decline(409, "run_over", "the session's Run has ended; name the Previous-Turn to go on")
 	}
-	h.mu.Unlock()
-	if err := k.admit(v); err != nil {
+	s.mu.Unlock()
+	if err := m.beginRequest(req); err != nil {
 		return nil, err
 	}
-	h.mu.Lock()
+	s.mu.Lock()
 	var verdict *base.Verdict
-	if h.record.Phase != Ready {
+	if s.record.Phase != Ready {
 		verdict = base.Decline(503, "session_draining", "the session takes no new turns")
-	} else if len(h.queue) >= h.record.QueueSize {
-		verdict = base.Busy(429, "queue_full", 1, "the session's queue of %d is full", h.record.QueueSize)
+	} else if len(s.queue) >= s.record.QueueSize {
+		verdict = base.Busy(429, "queue_full", 1, "the session's queue of %d is full", s.record.QueueSize)
 	}
 	if verdict != nil {
-		if h.record.unsure(v.Turn) {
+		if s.record.isUncertain(req.Turn) {
 			verdict = afterLostAttempt(verdict)
 		}
-		h.refused[v.Turn] = &declinedVisit{verdict: verdict, at: k.clock.Now()}
-		h.mu.Unlock()
-		k.counters.Add("turns_declined", 1)
+		s.refusals[req.Turn] = &requestOutcome{verdict: verdict, recordedAt: m.clock.Now()}
+		s.mu.Unlock()
+		m.counters.Add("turns_declined", 1)
 		if verdict.Ran == base.NotRun {
-			if verdict = k.refuseForGood(h, v.Turn, verdict); verdict.Ran != base.NotRun {
-				h.forgetRefusal(v.Turn)
+			if verdict = m.recordRefusal(s, req.Turn, verdict); verdict.Ran != base.NotRun {
+				s.forgetRefusal(req.Turn)
 			}
 		}
-		return nil, k.decline(v, verdict)
+		return nil, m.recordDecline(req, verdict)
 	}
-	op := &operation{id: v.Turn, digest: digest, visit: v, state: OpQueued, stream: newStream(k.clock), cancelled: k.clock.NewSignal(),
-		until: k.clock.Now() + time.Duration(h.record.TimeoutMs)*time.Millisecond}
-	h.ops[v.Turn] = op
-	h.queue = append(h.queue, op)
-	starts := !h.busy
-	h.busy = true
-	h.mu.Unlock()
-	k.accepted(v)
-	k.counters.Add("turns_accepted", 1)
-	if starts {
-		k.clock.Go(func() { k.work(h) })
+	op := &operation{id: req.Turn, digest: digest, request: req, state: OpQueued, stream: newStream(m.clock), cancelled: m.clock.NewSignal(),
+		deadline: m.clock.Now() + time.Duration(s.record.TimeoutMs)*time.Millisecond}
+	s.operations[req.Turn] = op
+	s.queue = append(s.queue, op)
+	startQueue := !s.working
+	s.working = true
+	s.mu.Unlock()
+	m.markAccepted(req)
+	m.counters.Add("turns_accepted", 1)
+	if startQueue {
+		m.clock.Go(func() { m.runQueue(s) })
 	}
-	return k.reader(op.stream, v)
+	return m.newReader(op.stream, req)
 }
 
-func turnReused() *base.Verdict {
+func turnIDReused() *base.Verdict {
 	return base.Decline(409, "turn_id_reused", "this Turn-Id was used with another body")
 }
 
 // work runs the queue, one turn at a time, until it is empty.
-func (k *Manager) work(h *held) {
+func (m *Manager) runQueue(s *ownedSession) {
 	for {
-		h.mu.Lock()
-		if len(h.queue) == 0 || h.gone {
-			h.busy, h.running = false, nil
-			h.mu.Unlock()
-			h.bell.Ring()
-			_ = k.closeIfQuiet(base.NewCtx(k.clock, k.bounds.Load().Call()), h)
+		s.mu.Lock()
+		if len(s.queue) == 0 || s.lost {
+			s.working, s.running = false, nil
+			s.mu.Unlock()
+			s.changed.Ring()
+			_ = m.finalizeIfIdle(base.NewCtx(m.clock, m.bounds.Load().Call()), s)
 			return
 		}
-		op := h.queue[0]
-		h.queue = h.queue[1:]
+		op := s.queue[0]
+		s.queue = s.queue[1:]
 		op.state = OpRunning
-		h.running = op
-		h.mu.Unlock()
-		state, verdict := k.runTurn(h, op)
+		s.running = op
+		s.mu.Unlock()
+		state, verdict := m.runTurn(s, op)
 		if verdict != nil {
 			if verdict.Code == "stale_assignment" {
-				h.lose()
+				s.loseRun()
 				continue
 			}
-			k.counters.Add("turns_"+strings.ToLower(string(state)), 1)
-			k.conclude(h, op, state, verdict)
+			m.counters.Add("turns_"+strings.ToLower(string(state)), 1)
+			m.endUnsuccessfully(s, op, state, verdict)
 		}
 	}
 }
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -19,62 +19,62 @@
 )
 
 // plan is all that a turn's attempts need, made before any goes out.
-type plan struct {
-	route    *settings.Route
-	chain    []json.RawMessage
-	wanted   int64
-	need     *worker.Need
-	attempts int
-	fallback *settings.Route
+type turnPlan struct {
+	route         *settings.Route
+	messages      []json.RawMessage
+	maxTokens     int64
+	need          *worker.Need
+	maxAttempts   int
+	fallbackRoute *settings.Route
 }
 
-func (k *Manager) planTurn(h *held, op *operation) (*plan, *base.Verdict) {
-	chain, verdict := h.prompt(op)
+func (m *Manager) planTurn(s *ownedSession, op *operation) (*turnPlan, *base.Verdict) {
+	chain, verdict := s.prompt(op)
 	if verdict != nil {
 		return nil, verdict
 	}
-	tree := k.tree.Load()
+	tree := m.tree.Load()
 	if tree == nil {
 		return nil, base.Busy(503, "no_settings", 1, "no settings have been applied")
 	}
-	record := h.snapshot()
+	record := s.recordCopy()
 	route, err := tree.Match(record.Group, record.Site, record.Route)
 	if err != nil {
 		return nil, base.FromWire(err)
 	}
-	made := &plan{route: route, chain: chain, wanted: route.MaxOutputTokens, attempts: route.Legs}
-	if op.visit.MaxTokens > 0 {
-		made.wanted = min(made.wanted, op.visit.MaxTokens)
+	plan := &turnPlan{route: route, messages: chain, maxTokens: route.MaxOutputTokens, maxAttempts: route.Legs}
+	if op.request.MaxTokens > 0 {
+		plan.maxTokens = min(plan.maxTokens, op.request.MaxTokens)
 	}
 	if route.Fallback != "" {
-		made.fallback, _ = tree.Match(record.Group, record.Site, route.Fallback)
+		plan.fallbackRoute, _ = tree.Match(record.Group, record.Site, route.Fallback)
 	}
-	h.mu.Lock()
-	former := h.worker
-	h.mu.Unlock()
-	made.need = &worker.Need{Pool: route.Pool, Affinity: record.ID, Former: former, Program: record.Program, Site: record.Group + "/" + record.Site,
+	s.mu.Lock()
+	previousWorker := s.lastWorker
+	s.mu.Unlock()
+	plan.need = &worker.Need{Pool: route.Pool, Affinity: record.ID, Former: previousWorker, Program: record.Program, Site: record.Group + "/" + record.Site,
 		Urgency: record.Urgency, Waiting: route.Waiting, Tried: map[string]bool{}, Policy: route.Policy}
-	return made, nil
+	return plan, nil
 }
 
-func (k *Manager) runTurn(h *held, op *operation) (OperationState, *base.Verdict) {
-	if err := k.revalidate(base.NewCtx(k.clock, k.bounds.Load().Recover), h); err != nil {
+func (m *Manager) runTurn(s *ownedSession, op *operation) (OperationState, *base.Verdict) {
+	if err := m.revalidate(base.NewCtx(m.clock, m.bounds.Load().Recover), s); err != nil {
 		return OpFailed, base.FromWire(err)
 	}
-	made, verdict := k.planTurn(h, op)
+	plan, verdict := m.planTurn(s, op)
 	if verdict != nil {
 		return OpFailed, verdict
 	}
 	ran := base.NotRun
-	for number := 1; ; {
-		ctx := base.NewCtx(k.clock, max(0, op.until-k.clock.Now()))
+	for attempt := 1; ; {
+		ctx := base.NewCtx(m.clock, max(0, op.deadline-m.clock.Now()))
 		switch {
 		case op.cancelled.Fired():
 			return OpCancelled, &base.Verdict{Status: 409, Code: "cancelled", Message: "the turn was cancelled", Ran: ran}
 		case ctx.Over():
 			return OpTimedOut, &base.Verdict{Status: 504, Code: "timed_out", Message: "the turn's time is over", Ran: ran}
 		}
-		outcome := k.runAttempt(ctx, h, op, made)
+		outcome := m.runAttempt(ctx, s, op, plan)
 		if outcome.verdict == nil {
 			return OpSucceeded, nil
 		}
@@ -86,23 +86,23 @@
 		} else if ran != base.NotRun {
 			outcome.verdict = afterLostAttempt(outcome.verdict)
 		}
-		if op.stream.count() > 0 {
+		if op.stream.pieceCount() > 0 {
 			outcome.verdict.Code = "cut"
-			return k.stateOf(op, ctx), outcome.verdict
+			return m.failureState(op, ctx), outcome.verdict
 		}
-		if outcome.next == attemptFinal {
-			return k.stateOf(op, ctx), outcome.verdict
+		if outcome.retry == noRetry {
+			return m.failureState(op, ctx), outcome.verdict
 		}
-		if outcome.next == attemptCounted {
-			if !k.mayRepeat() {
-				k.counters.Add("legs_not_repeated", 1)
-				return k.stateOf(op, ctx), outcome.verdict
+		if outcome.retry == countedRetry {
+			if !m.takeRetry() {
+				m.counters.Add("legs_not_repeated", 1)
+				return m.failureState(op, ctx), outcome.verdict
 			}
-			number++
-			k.counters.Add("legs_repeated", 1)
+			attempt++
+			m.counters.Add("legs_repeated", 1)
 		}
-		if number > made.attempts {
-			return k.stateOf(op, ctx), outcome.verdict
+		if attempt > plan.maxAttempts {
+			return m.failureState(op, ctx), outcome.verdict
 		}
 	}
 }
@@ -110,35 +110,35 @@
 // afterLostAttempt is the word on a turn that can have no other attempt after one
 // whose end is not known: not a refusal, whatever stopped it.
 func afterLostAttempt(refused *base.Verdict) *base.Verdict {
-	v := base.Unsure(502, "worker_lost", "an earlier run of this turn was lost and there can be no other now: %s", refused.Message)
-	v.RetryAfter = refused.RetryAfter
-	return v
+	verdict := base.Unsure(502, "worker_lost", "an earlier run of this turn was lost and there can be no other now: %s", refused.Message)
+	verdict.RetryAfter = refused.RetryAfter
+	return verdict
 }
 
 const (
-	repeatShare = 0.1
-	repeatMost  = 10
+	retryShare     = 0.1
+	maxRetryCredit = 10
 )
 
 // Repeated attempts are a bounded share of all attempts on this node, so that workers
 // in trouble are not buried under them.
-func (k *Manager) earnRepeat() {
-	k.mu.Lock()
-	k.repeats = min(repeatMost, k.repeats+repeatShare)
-	k.mu.Unlock()
+func (m *Manager) earnRetry() {
+	m.mu.Lock()
+	m.retryCredit = min(maxRetryCredit, m.retryCredit+retryShare)
+	m.mu.Unlock()
 }
 
-func (k *Manager) mayRepeat() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.repeats < 1 {
+func (m *Manager) takeRetry() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.retryCredit < 1 {
 		return false
 	}
-	k.repeats--
+	m.retryCredit--
 	return true
 }
 
-func (k *Manager) stateOf(op *operation, ctx *base.Ctx) OperationState {
+func (m *Manager) failureState(op *operation, ctx *base.Ctx) OperationState {
 	switch {
 	case op.cancelled.Fired():
 		return OpCancelled
@@ -148,218 +148,218 @@
 	return OpFailed
 }
 
-type attemptNext int
+type retryDecision int
 
 const (
-	attemptFinal   attemptNext = iota // no other attempt
-	attemptCounted                    // another attempt, counted
-	attemptFree                       // never left: another worker, not counted
+	noRetry        retryDecision = iota // no other attempt
+	countedRetry                        // another attempt, counted
+	uncountedRetry                      // never left: another worker, not counted
 )
 
 type attemptOutcome struct {
 	verdict *base.Verdict
-	next    attemptNext
+	retry   retryDecision
 }
 
 // runAttempt takes one attempt from the pick of a worker to its end.
-func (k *Manager) runAttempt(ctx *base.Ctx, h *held, op *operation, made *plan) attemptOutcome {
+func (m *Manager) runAttempt(ctx *base.Ctx, s *ownedSession, op *operation, plan *turnPlan) attemptOutcome {
 	var cleanup base.Cleanup
 	defer cleanup.Run()
-	chosenWorker, err := k.picker.Hold(ctx, made.need)
+	chosenWorker, err := m.picker.Hold(ctx, plan.need)
 	if err != nil {
-		if made.fallback != nil && base.IsCode(err, "no_worker") {
-			made.route, made.need.Pool, made.fallback = made.fallback, made.fallback.Pool, nil
-			return attemptOutcome{base.FromWire(err), attemptFree}
+		if plan.fallbackRoute != nil && base.IsCode(err, "no_worker") {
+			plan.route, plan.need.Pool, plan.fallbackRoute = plan.fallbackRoute, plan.fallbackRoute.Pool, nil
+			return attemptOutcome{base.FromWire(err), uncountedRetry}
 		}
-		return attemptOutcome{base.FromWire(err), attemptFinal}
+		return attemptOutcome{base.FromWire(err), noRetry}
 	}
-	held := k.clock.Now()
-	cleanup.Push(func() { k.picker.Release(chosenWorker, made.need, k.clock.Now()-held) })
-	record := h.snapshot()
-	h.mu.Lock()
-	h.attempts++
-	attemptNumber := h.attempts
-	h.mu.Unlock()
+	heldSince := m.clock.Now()
+	cleanup.Push(func() { m.picker.Release(chosenWorker, plan.need, m.clock.Now()-heldSince) })
+	record := s.recordCopy()
+	s.mu.Lock()
+	s.lastAttempt++
+	attemptNumber := s.lastAttempt
+	s.mu.Unlock()
 	attemptID := record.Run + "/" + op.id + "/" + strconv.FormatUint(attemptNumber, 10)
-	reserveCtx := base.NewCtx(k.clock, max(ctx.Left(), k.bounds.Load().Call()))
-	answer, err := k.change(reserveCtx, record.Program, "session.reserve", ask{Session: record.ID, Run: record.Run, Leg: attemptID, LegNum: attemptNumber, Tokens: made.wanted})
+	reserveCtx := base.NewCtx(m.clock, max(ctx.Left(), m.bounds.Load().Call()))
+	answer, err := m.changeRegister(reserveCtx, record.Program, "session.reserve", changeArgs{Session: record.ID, Run: record.Run, Attempt: attemptID, AttemptNumber: attemptNumber, Tokens: plan.maxTokens})
 	if err != nil {
-		v := base.FromWire(err)
-		if v.Ran != base.NotRun {
+		verdict := base.FromWire(err)
+		if verdict.Ran != base.NotRun {
 			// The reservation may stand and counts as spent; the attempt itself never left.
-			v = base.Busy(503, "budget_unconfirmed", 1, "the budget could not be confirmed in time")
+			verdict = base.Busy(503, "budget_unconfirmed", 1, "the budget could not be confirmed in time")
 		}
-		return attemptOutcome{v, attemptFinal}
+		return attemptOutcome{verdict, noRetry}
 	}
 	settle := func(used int64) {
-		answer, err := k.change(base.NewCtx(k.clock, k.bounds.Load().Recover), record.Program, "session.settle",
-			ask{Session: record.ID, Run: record.Run, Leg: attemptID, Tokens: used})
+		answer, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recover), record.Program, "session.settle",
+			changeArgs{Session: record.ID, Run: record.Run, Attempt: attemptID, Tokens: used})
 		if err != nil {
-			k.counters.Add("settles_lost", 1)
+			m.counters.Add("settles_lost", 1)
 			return
 		}
-		h.take(answer.Record)
+		s.updateRecord(answer.Record)
 	}
-	if err := k.stillOwns(ctx, h, record.Run); err != nil {
+	if err := m.confirmOwnership(ctx, s, record.Run); err != nil {
 		settle(0)
-		return attemptOutcome{base.FromWire(err), attemptFinal}
+		return attemptOutcome{base.FromWire(err), noRetry}
 	}
-	if !k.picker.Stays(chosenWorker, made.need) {
+	if !m.picker.Stays(chosenWorker, plan.need) {
 		settle(0)
-		k.counters.Add("legs_turned_back", 1)
-		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is leaving"), attemptFree}
+		m.counters.Add("legs_turned_back", 1)
+		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is leaving"), uncountedRetry}
 	}
-	k.counters.Add("legs_sent", 1)
-	k.earnRepeat()
-	reply, err := k.backends.Call(ctx, chosenWorker.Addr, modelRequest(made, answer.Granted))
+	m.counters.Add("legs_sent", 1)
+	m.earnRetry()
+	reply, err := m.backends.Call(ctx, chosenWorker.Addr, newCompletionRequest(plan, answer.GrantedTokens))
 	if err != nil {
-		made.need.Tried[chosenWorker.ID] = true
-		k.picker.Shun(chosenWorker.ID)
+		plan.need.Tried[chosenWorker.ID] = true
+		m.picker.Shun(chosenWorker.ID)
 		if base.WasNotSent(err) {
-			k.counters.Add("legs_not_sent", 1)
+			m.counters.Add("legs_not_sent", 1)
 			settle(0)
-			return attemptOutcome{base.Busy(503, "worker_unreachable", 1, "no worker could be reached"), attemptFree}
+			return attemptOutcome{base.Busy(503, "worker_unreachable", 1, "no worker could be reached"), uncountedRetry}
 		}
 		settle(-1)
-		return attemptOutcome{base.Unsure(502, "worker_lost", "the worker's answer was lost"), attemptCounted}
+		return attemptOutcome{base.Unsure(502, "worker_lost", "the worker's answer was lost"), countedRetry}
 	}
 	cleanup.Push(reply.Close)
 	if reply.Status() != 200 {
-		return k.refusedAttempt(h, made, chosenWorker, reply, settle)
+		return m.handleRefusal(s, plan, chosenWorker, reply, settle)
 	}
-	if k.picker.Answered(chosenWorker, reply.Closes()) {
-		k.MarkWorkerLeaving(chosenWorker)
+	if m.picker.Answered(chosenWorker, reply.Closes()) {
+		m.MarkWorkerLeaving(chosenWorker)
 	}
-	h.abortable(op, reply.Close)
-	cleanup.Push(func() { h.abortable(op, nil) })
+	s.setAbort(op, reply.Close)
+	cleanup.Push(func() { s.setAbort(op, nil) })
 	if !op.stream.begin(attemptID) {
 		settle(-1)
-		return attemptOutcome{staleRun(), attemptFinal}
+		return attemptOutcome{staleAssignment(), noRetry}
 	}
-	got, verdict := k.receive(ctx, op, reply, answer.Granted)
+	output, verdict := m.receive(ctx, op, reply, answer.GrantedTokens)
 	if verdict != nil {
-		made.need.Tried[chosenWorker.ID] = true
+		plan.need.Tried[chosenWorker.ID] = true
 		settle(-1)
 		if op.cancelled.Fired() {
 			verdict = base.Unsure(409, "cancelled", "the turn was cancelled while it ran")
-			return attemptOutcome{verdict, attemptFinal}
+			return attemptOutcome{verdict, noRetry}
 		}
-		return attemptOutcome{verdict, attemptCounted}
+		return attemptOutcome{verdict, countedRetry}
 	}
-	h.mu.Lock()
-	h.worker = chosenWorker.ID
-	h.mu.Unlock()
-	turn := &Turn{ID: op.id, Previous: op.visit.Previous, Digest: op.digest, Messages: op.visit.Messages, Pieces: got.pieces,
-		Attempt: attemptID, FinishReason: got.finish, OutputTokens: got.tokens, Worker: chosenWorker.ID}
-	return k.finishTurn(h, op, record, turn)
+	s.mu.Lock()
+	s.lastWorker = chosenWorker.ID
+	s.mu.Unlock()
+	turn := &Turn{ID: op.id, Previous: op.request.Previous, Digest: op.digest, Messages: op.request.Messages, Pieces: output.pieces,
+		Attempt: attemptID, FinishReason: output.finishReason, OutputTokens: output.tokens, Worker: chosenWorker.ID}
+	return m.commitTurn(s, op, record, turn)
 }
 
 // stillOwns is the last look before an attempt goes out: the permit on the
 // monotonic clock, and the register's word if the permit had lapsed since.
-func (k *Manager) stillOwns(ctx *base.Ctx, h *held, run string) error {
-	if err := k.follower.Permit(ctx); err != nil {
+func (m *Manager) confirmOwnership(ctx *base.Ctx, s *ownedSession, run string) error {
+	if err := m.follower.Permit(ctx); err != nil {
 		return err
 	}
-	if err := k.revalidate(ctx, h); err != nil {
+	if err := m.revalidate(ctx, s); err != nil {
 		return err
 	}
-	if !h.isRun(run) {
-		return staleRun()
+	if !s.isCurrentRun(run) {
+		return staleAssignment()
 	}
 	return nil
 }
 
 // refusedAttempt reads a worker's refusal. 503 is a worker's notice that it is
 // leaving; 429 and 503 say that nothing ran.
-func (k *Manager) refusedAttempt(h *held, made *plan, chosen *worker.Worker, reply base.BackReply, settle func(int64)) attemptOutcome {
-	made.need.Tried[chosen.ID] = reply.Status() != 429
+func (m *Manager) handleRefusal(s *ownedSession, plan *turnPlan, chosen *worker.Worker, reply base.BackReply, settle func(int64)) attemptOutcome {
+	plan.need.Tried[chosen.ID] = reply.Status() != 429
 	switch status := reply.Status(); {
 	case status == 503:
-		k.MarkWorkerLeaving(chosen)
+		m.MarkWorkerLeaving(chosen)
 		settle(0)
-		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is leaving"), attemptFree}
+		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is leaving"), uncountedRetry}
 	case status == 429:
-		k.picker.Shun(chosen.ID)
+		m.picker.Shun(chosen.ID)
 		settle(0)
-		return attemptOutcome{base.Busy(429, "worker_busy", 1, "the worker is busy"), attemptFree}
+		return attemptOutcome{base.Busy(429, "worker_busy", 1, "the worker is busy"), uncountedRetry}
 	case status >= 400 && status < 500:
 		settle(0)
-		return attemptOutcome{base.Decline(502, "worker_refused", "the worker refused the prompt with status %d", status), attemptFinal}
+		return attemptOutcome{base.Decline(502, "worker_refused", "the worker refused the prompt with status %d", status), noRetry}
 	default:
 		settle(-1)
-		return attemptOutcome{base.Unsure(502, "worker_failed", "the worker failed with status %d", status), attemptCounted}
+		return attemptOutcome{base.Unsure(502, "worker_failed", "the worker failed with status %d", status), countedRetry}
 	}
 }
 
 // MarkWorkerLeaving takes a worker's own notice: no new work here at once, and
 // everywhere once the notice is told.
-func (k *Manager) MarkWorkerLeaving(chosen *worker.Worker) {
-	k.picker.LeftNow(chosen)
-	k.counters.Add("workers_seen_leaving", 1)
-	incarnation := k.picker.Incarnation(chosen)
-	k.clock.Go(func() {
-		_ = k.workers.Notice(base.NewCtx(k.clock, k.bounds.Load().Leave), worker.Notice{Worker: chosen.ID, Incarnation: incarnation, Leaving: true, Source: "refusal"})
+func (m *Manager) MarkWorkerLeaving(chosen *worker.Worker) {
+	m.picker.LeftNow(chosen)
+	m.counters.Add("workers_seen_leaving", 1)
+	incarnation := m.picker.Incarnation(chosen)
+	m.clock.Go(func() {
+		_ = m.workers.Notice(base.NewCtx(m.clock, m.bounds.Load().Leave), worker.Notice{Worker: chosen.ID, Incarnation: incarnation, Leaving: true, Source: "refusal"})
 	})
 }
 
 // finishTurn makes the answer whole: the chain goes to a majority, with the
 // budget settled in the same change, and to the understudy meanwhile.
-func (k *Manager) finishTurn(h *held, op *operation, record *Record, turn *Turn) attemptOutcome {
-	h.mu.Lock()
-	turn.Number = uint64(len(h.turns)) + 1
-	h.mu.Unlock()
-	offered := k.clock.NewSignal()
-	k.clock.Go(func() {
-		k.offer(h, record, turn)
-		offered.Fire()
+func (m *Manager) commitTurn(s *ownedSession, op *operation, record *Record, turn *Turn) attemptOutcome {
+	s.mu.Lock()
+	turn.Number = uint64(len(s.turns)) + 1
+	s.mu.Unlock()
+	copied := m.clock.NewSignal()
+	m.clock.Go(func() {
+		m.offerToStandby(s, record, turn)
+		copied.Fire()
 	})
-	answer, err := k.change(base.NewCtx(k.clock, k.bounds.Load().Recover), record.Program, "session.finish",
-		ask{Session: record.ID, Run: record.Run, Leg: turn.Attempt, Tokens: turn.OutputTokens, Turn: turn})
+	answer, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recover), record.Program, "session.finish",
+		changeArgs{Session: record.ID, Run: record.Run, Attempt: turn.Attempt, Tokens: turn.OutputTokens, Turn: turn})
 	if err != nil {
-		v := base.FromWire(err)
-		h.mu.Lock()
-		h.unsure = turn.Attempt
-		h.mu.Unlock()
-		if v.Code == "stale_assignment" {
-			return attemptOutcome{v, attemptFinal}
+		verdict := base.FromWire(err)
+		s.mu.Lock()
+		s.uncertainAttempt = turn.Attempt
+		s.mu.Unlock()
+		if verdict.Code == "stale_assignment" {
+			return attemptOutcome{verdict, noRetry}
 		}
-		return attemptOutcome{base.Unsure(502, "cut", "the answer could not be kept: %s", v.Message), attemptFinal}
+		return attemptOutcome{base.Unsure(502, "cut", "the answer could not be kept: %s", verdict.Message), noRetry}
 	}
-	offered.Wait(k.bounds.Load().Beat() * 2)
-	h.take(answer.Record)
-	h.mu.Lock()
+	copied.Wait(m.bounds.Load().Beat() * 2)
+	s.updateRecord(answer.Record)
+	s.mu.Lock()
 	turn.FinishedAt = answer.Record.LastTurnAt
-	if h.whole(turn.ID) == nil { // the chain may have been read anew meanwhile
-		h.turns = append(h.turns, *turn)
+	if s.completedTurn(turn.ID) == nil { // the chain may have been read anew meanwhile
+		s.turns = append(s.turns, *turn)
 	}
-	op.state, op.ended = OpSucceeded, k.clock.Now()
-	h.mu.Unlock()
-	k.counters.Add("turns_succeeded", 1)
+	op.state, op.endedAt = OpSucceeded, m.clock.Now()
+	s.mu.Unlock()
+	m.counters.Add("turns_succeeded", 1)
 	op.stream.finish(&Final{Outcome: "success", Ran: base.DidRun, Turn: op.id, Run: record.Run, FinishReason: turn.FinishReason, OutputTokens: turn.OutputTokens})
 	return attemptOutcome{}
 }
 
 // offer sends one turn to the understudy; a gap is filled by catchUp.
-func (k *Manager) offer(h *held, record *Record, turn *Turn) {
-	member, alive := k.view.Find(record.Standby)
+func (m *Manager) offerToStandby(s *ownedSession, record *Record, turn *Turn) {
+	member, alive := m.view.Find(record.Standby)
 	if !alive {
-		k.counters.Add("offers_missed", 1)
+		m.counters.Add("offers_missed", 1)
 		return
 	}
-	reply, err := NewOwnerProtobufClient("http://"+member.Addr, k.wire).Offer(base.NewCtx(k.clock, k.bounds.Load().Beat()*2),
+	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Offer(base.NewCtx(m.clock, m.bounds.Load().Beat()*2),
 		&OfferRequest{Session: record.ID, Assignment: record.assignment(), Turns: turn.Number, Turn: base.Encode(turn)})
 	if err != nil {
-		k.counters.Add("offers_missed", 1)
+		m.counters.Add("offers_missed", 1)
 		return
 	}
-	h.mu.Lock()
-	h.offered[record.Standby] = min(reply.Turns, turn.Number)
-	h.mu.Unlock()
+	s.mu.Lock()
+	s.standbyTurns[record.Standby] = min(reply.Turns, turn.Number)
+	s.mu.Unlock()
 }
 
 // ProgramTermination says how a program was told to end, as far as the feed knows.
-func (k *Manager) ProgramTermination(program string) budget.Termination {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.ended[program]
+func (m *Manager) ProgramTermination(program string) budget.Termination {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.terminations[program]
 }
--- a/internal/session/forward.go
+++ b/internal/session/forward.go
@@ -11,139 +11,139 @@
 )
 
 // forward carries the visit to the owner once.
-func (k *Manager) forward(ctx *base.Ctx, record *Record, v *Request) (*Reply, error) {
-	member, alive := k.view.Find(record.Owner)
+func (m *Manager) forward(ctx *base.Ctx, record *Record, req *Request) (*Reply, error) {
+	member, alive := m.view.Find(record.Owner)
 	if member == nil || !alive {
 		return nil, base.Busy(503, "unreachable", 1, "the owner is not known to be alive")
 	}
-	k.counters.Add("visits_forwarded", 1)
-	limit := k.bounds.Load().Call() / 2
-	reply, err := NewOwnerProtobufClient("http://"+member.Addr, k.wire).Forward(ctx.Within(limit), &ForwardRequest{
-		Visit: v.ID, From: k.me(), Forwarded: true, Assignment: record.assignment(), Request: base.Encode(v)})
+	m.counters.Add("visits_forwarded", 1)
+	timeout := m.bounds.Load().Call() / 2
+	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Forward(ctx.Within(timeout), &ForwardRequest{
+		Visit: req.ID, From: m.nodeID(), Forwarded: true, Assignment: record.assignment(), Request: base.Encode(req)})
 	if err != nil {
 		verdict := base.FromWire(err)
 		if verdict.Code == "unreachable" || verdict.Code == "owner_lost" {
-			k.view.Suspect(record.Owner)
+			m.view.Suspect(record.Owner)
 		}
 		return nil, verdict
 	}
 	if reply.Stream != "" {
-		return &Reply{Status: 200, Stream: &Reader{keeper: k, turn: v.Turn, leg: reply.Leg, place: reply.Place,
-			remote: &remoteStream{stream: reply.Stream, run: record.Run, owner: record.Owner}}}, nil
+		return &Reply{Status: 200, Stream: &Reader{keeper: m, turn: req.Turn, attempt: reply.Leg, position: reply.Place,
+			remote: &remoteStream{id: reply.Stream, run: record.Run, owner: record.Owner}}}, nil
 	}
 	return &Reply{Status: 200, Body: json.RawMessage(reply.Reply)}, nil
 }
 
 // Forward is the owner's side: it never carries a visit any further.
-func (k *Manager) Forward(plain context.Context, request *ForwardRequest) (*ForwardReply, error) {
-	ctx := base.CtxOf(plain, k.clock)
-	var v Request
-	if err := json.Unmarshal(request.Request, &v); err != nil || !request.Forwarded {
+func (m *Manager) Forward(plain context.Context, msg *ForwardRequest) (*ForwardReply, error) {
+	ctx := base.CtxOf(plain, m.clock)
+	var req Request
+	if err := json.Unmarshal(msg.Request, &req); err != nil || !msg.Forwarded {
 		return nil, base.ToWire(base.Decline(400, "bad_request", "not a forwarded visit"))
 	}
-	if request.Assignment.GetOwner() != k.me() {
+	if msg.Assignment.GetOwner() != m.nodeID() {
 		// The caller reached this address for a former life of the process.
 		return nil, base.ToWire(base.Busy(503, "owner_lost", 1, "the owner's life at this address is over"))
 	}
-	record := &Record{ID: v.Session, Program: v.Program, Run: request.Assignment.Run, Epoch: request.Assignment.Epoch, Owner: k.me()}
+	record := &Record{ID: req.Session, Program: req.Program, Run: msg.Assignment.Run, Epoch: msg.Assignment.Epoch, Owner: m.nodeID()}
 	var reply *Reply
-	err := k.follower.Permit(ctx)
+	err := m.follower.Permit(ctx)
 	if err == nil {
-		reply, err = k.serve(ctx, record, &v)
+		reply, err = m.serve(ctx, record, &req)
 	}
 	if err != nil {
 		// The forwarder will tell its caller so: a late copy must not run.
 		if verdict := base.FromWire(err); verdict.Ran == base.NotRun && verdict.Code != "stale_assignment" && verdict.Code != "handing_over" {
-			err = k.decline(&v, verdict)
+			err = m.recordDecline(&req, verdict)
 		}
 		return nil, base.ToWire(err)
 	}
 	if reply.Stream != nil {
 		stream := reply.Stream.local
-		id := request.Assignment.Run + "/" + v.Turn
-		k.mu.Lock()
-		k.streams[id] = stream
-		k.mu.Unlock()
-		return &ForwardReply{Stream: id, Leg: stream.legID(), Place: reply.Stream.place}, nil
+		streamID := msg.Assignment.Run + "/" + req.Turn
+		m.mu.Lock()
+		m.forwardedStreams[streamID] = stream
+		m.mu.Unlock()
+		return &ForwardReply{Stream: streamID, Leg: stream.attemptID(), Place: reply.Stream.position}, nil
 	}
 	return &ForwardReply{Reply: base.Encode(reply.Body)}, nil
 }
 
 // withdraw asks an owner whose reply was lost to fence the visit; only its
 // word that the visit will never run makes it not run.
-func (k *Manager) withdraw(record *Record, v *Request, verdict *base.Verdict) error {
-	unsure := base.Unsure(504, "owner_silent", "the session's owner did not answer in time")
-	member, _ := k.view.Find(record.Owner)
+func (m *Manager) withdraw(record *Record, req *Request, verdict *base.Verdict) error {
+	uncertain := base.Unsure(504, "owner_silent", "the session's owner did not answer in time")
+	member, _ := m.view.Find(record.Owner)
 	if member == nil {
-		return unsure
+		return uncertain
 	}
-	ctx := base.NewCtx(k.clock, k.bounds.Load().Call()/2)
-	reply, err := NewOwnerProtobufClient("http://"+member.Addr, k.wire).Withdraw(ctx, &WithdrawRequest{Visit: v.ID, Session: v.Session, Turn: v.Turn, Run: record.Run})
+	ctx := base.NewCtx(m.clock, m.bounds.Load().Call()/2)
+	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Withdraw(ctx, &WithdrawRequest{Visit: req.ID, Session: req.Session, Turn: req.Turn, Run: record.Run})
 	if err != nil || !reply.Fenced {
-		return unsure
+		return uncertain
 	}
 	return base.Busy(503, "owner_silent", 1, "the owner was slow and has put the request aside: %s", verdict.Message)
 }
 
 // Withdraw fences a visit that was not accepted: its copies are declined, and
 // so is its turn, whichever request brings it.
-func (k *Manager) Withdraw(_ context.Context, request *WithdrawRequest) (*WithdrawReply, error) {
-	k.mu.Lock()
-	h := k.held[request.Session]
-	fenced := h != nil && h.isRun(request.Run) && k.fence(h, request)
-	k.mu.Unlock()
+func (m *Manager) Withdraw(_ context.Context, request *WithdrawRequest) (*WithdrawReply, error) {
+	m.mu.Lock()
+	s := m.owned[request.Session]
+	fenced := s != nil && s.isCurrentRun(request.Run) && m.fence(s, request)
+	m.mu.Unlock()
 	if !fenced || request.Turn == "" {
 		return &WithdrawReply{Fenced: fenced}, nil
 	}
-	kept := k.refuseForGood(h, request.Turn, base.Decline(503, "withdrawn", "the request was withdrawn"))
-	if kept.Ran != base.NotRun {
-		h.forgetRefusal(request.Turn)
+	refusal := m.recordRefusal(s, request.Turn, base.Decline(503, "withdrawn", "the request was withdrawn"))
+	if refusal.Ran != base.NotRun {
+		s.forgetRefusal(request.Turn)
 	}
-	return &WithdrawReply{Fenced: kept.Ran == base.NotRun}, nil
+	return &WithdrawReply{Fenced: refusal.Ran == base.NotRun}, nil
 }
 
 // fence is the owner's own part of a withdrawal; the caller holds the lock.
-func (k *Manager) fence(h *held, request *WithdrawRequest) bool {
-	withdrawn := &declinedVisit{verdict: base.Decline(503, "withdrawn", "the request was withdrawn"), at: k.clock.Now()}
-	if known := k.declined[request.Visit]; known != nil && (known.verdict == nil || known.verdict.Ran != base.NotRun) {
+func (m *Manager) fence(s *ownedSession, request *WithdrawRequest) bool {
+	withdrawn := &requestOutcome{verdict: base.Decline(503, "withdrawn", "the request was withdrawn"), recordedAt: m.clock.Now()}
+	if outcome := m.outcomes[request.Visit]; outcome != nil && (outcome.verdict == nil || outcome.verdict.Ran != base.NotRun) {
 		return false
 	}
-	if request.Turn != "" && !h.refuseUnknown(request.Turn, withdrawn) {
+	if request.Turn != "" && !s.refuseUnknown(request.Turn, withdrawn) {
 		return false
 	}
-	if k.declined[request.Visit] == nil {
-		k.declined[request.Visit] = withdrawn
+	if m.outcomes[request.Visit] == nil {
+		m.outcomes[request.Visit] = withdrawn
 	}
 	return true
 }
 
 // admit marks a visit as seen, once. A copy of one that was declined is
 // declined with the same words.
-func (k *Manager) admit(v *Request) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if known := k.declined[v.ID]; known != nil && known.verdict != nil {
-		return known.verdict
+func (m *Manager) beginRequest(req *Request) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if outcome := m.outcomes[req.ID]; outcome != nil && outcome.verdict != nil {
+		return outcome.verdict
 	}
-	k.declined[v.ID] = &declinedVisit{at: k.clock.Now()}
+	m.outcomes[req.ID] = &requestOutcome{recordedAt: m.clock.Now()}
 	return nil
 }
 
 // accepted marks a visit whose turn is in the queue.
-func (k *Manager) accepted(v *Request) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.declined[v.ID] = &declinedVisit{at: k.clock.Now(), accepted: true}
+func (m *Manager) markAccepted(req *Request) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.outcomes[req.ID] = &requestOutcome{recordedAt: m.clock.Now(), accepted: true}
 }
 
 // decline keeps the words a visit was declined with, unless a copy of it was
 // accepted before.
-func (k *Manager) decline(v *Request, verdict *base.Verdict) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if known := k.declined[v.ID]; known != nil && known.accepted {
+func (m *Manager) recordDecline(req *Request, verdict *base.Verdict) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if outcome := m.outcomes[req.ID]; outcome != nil && outcome.accepted {
 		return base.Unsure(verdict.Status, verdict.Code, "%s", verdict.Message)
 	}
-	k.declined[v.ID] = &declinedVisit{verdict: verdict, at: k.clock.Now()}
+	m.outcomes[req.ID] = &requestOutcome{verdict: verdict, recordedAt: m.clock.Now()}
 	return verdict
 }
--- a/internal/session/housekeeping.go
+++ b/internal/session/housekeeping.go
@@ -11,111 +11,111 @@
 )
 
 // SetTerminations takes in from the feed which programs were told to end.
-func (k *Manager) SetTerminations(ended map[string]budget.Termination) {
-	k.mu.Lock()
-	k.ended = ended
-	touched := []*held{}
-	for _, id := range base.SortedKeys(k.held) {
-		found := k.held[id]
-		if _, ok := ended[found.program]; ok {
-			touched = append(touched, found)
+func (m *Manager) SetTerminations(terminations map[string]budget.Termination) {
+	m.mu.Lock()
+	m.terminations = terminations
+	affected := []*ownedSession{}
+	for _, id := range base.SortedKeys(m.owned) {
+		s := m.owned[id]
+		if _, ok := terminations[s.program]; ok {
+			affected = append(affected, s)
 		}
 	}
-	k.mu.Unlock()
-	for _, h := range touched {
-		k.clock.Go(func() { k.endBy(h, ended[h.program]) })
+	m.mu.Unlock()
+	for _, s := range affected {
+		m.clock.Go(func() { m.terminateForProgram(s, terminations[s.program]) })
 	}
 }
 
 // Run looks after leases, understudies and what has been kept long enough.
-func (k *Manager) Run() {
+func (m *Manager) Run() {
 	for {
-		k.clock.Sleep(k.bounds.Load().Beat())
-		k.mu.Lock()
-		if k.closed {
-			k.mu.Unlock()
+		m.clock.Sleep(m.bounds.Load().Beat())
+		m.mu.Lock()
+		if m.closed {
+			m.mu.Unlock()
 			return
 		}
-		all := []*held{}
-		for _, id := range base.SortedKeys(k.held) {
-			all = append(all, k.held[id])
+		all := []*ownedSession{}
+		for _, id := range base.SortedKeys(m.owned) {
+			all = append(all, m.owned[id])
 		}
-		k.prune()
-		k.mu.Unlock()
-		for _, h := range all {
-			k.tend(h)
+		m.prune()
+		m.mu.Unlock()
+		for _, s := range all {
+			m.maintain(s)
 		}
 	}
 }
 
 // prune forgets what no one can ask for any more; the caller holds the lock.
-func (k *Manager) prune() {
-	now, bounds := k.clock.Now(), k.bounds.Load()
-	for id, mark := range k.declined {
-		if now-mark.at > 10*bounds.Recover {
-			delete(k.declined, id)
+func (m *Manager) prune() {
+	now, bounds := m.clock.Now(), m.bounds.Load()
+	for id, outcome := range m.outcomes {
+		if now-outcome.recordedAt > 10*bounds.Recover {
+			delete(m.outcomes, id)
 		}
 	}
-	for id, copied := range k.copies {
-		if now-copied.at > bounds.Retain*5/4 {
-			delete(k.copies, id)
+	for id, copied := range m.standbyCopies {
+		if now-copied.updatedAt > bounds.Retain*5/4 {
+			delete(m.standbyCopies, id)
 		}
 	}
-	for id, stream := range k.streams {
-		if stream.over() && now-stream.lastPulled() > 2*bounds.Recover {
-			delete(k.streams, id)
+	for id, stream := range m.forwardedStreams {
+		if stream.ended() && now-stream.lastPulled() > 2*bounds.Recover {
+			delete(m.forwardedStreams, id)
 		}
 	}
-	for id, h := range k.held {
-		if h.forgettable(now, bounds) {
-			delete(k.held, id)
+	for id, s := range m.owned {
+		if s.canForget(now, bounds) {
+			delete(m.owned, id)
 		}
 	}
 }
 
 // Close stops the keeper's own tasks.
-func (k *Manager) Close() {
-	k.mu.Lock()
-	k.closed = true
-	k.mu.Unlock()
+func (m *Manager) Close() {
+	m.mu.Lock()
+	m.closed = true
+	m.mu.Unlock()
 }
 
 // closingShare is the part of a planned stop's time that is left for answering
 // the requests whose turns did not end before it.
-const closingShare = 8
+const drainReserveDivisor = 8
 
 // Drain finishes what was accepted and hands each session to its standby; new
 // turns wait for the hand-over and go on there. A turn may take longer than the
 // stop: what is still carried near its end is answered as cut.
-func (k *Manager) Drain(limit time.Duration) {
-	limit -= limit / closingShare
-	k.clock.Go(func() {
-		k.clock.Sleep(limit)
-		k.stopping.Fire()
+func (m *Manager) Drain(limit time.Duration) {
+	limit -= limit / drainReserveDivisor
+	m.clock.Go(func() {
+		m.clock.Sleep(limit)
+		m.stopping.Fire()
 	})
-	k.mu.Lock()
-	k.draining = true
-	all := []*held{}
-	for _, id := range base.SortedKeys(k.held) {
-		all = append(all, k.held[id])
+	m.mu.Lock()
+	m.draining = true
+	all := []*ownedSession{}
+	for _, id := range base.SortedKeys(m.owned) {
+		all = append(all, m.owned[id])
 	}
-	k.mu.Unlock()
-	base.AskAll(k.clock, all, limit, func(ctx *base.Ctx, h *held) { k.handOver(h, ctx.Until-k.bounds.Load().Call()) })
-	k.flush()
+	m.mu.Unlock()
+	base.AskAll(m.clock, all, limit, func(ctx *base.Ctx, s *ownedSession) { m.handOver(s, ctx.Until-m.bounds.Load().Call()) })
+	m.waitForPulls()
 }
 
 // flush gives partners that carry streams to their callers a little time to
 // pull the last pieces.
-func (k *Manager) flush() {
-	hold := k.bounds.Load().Pull()
-	for end := k.clock.Now() + hold; k.clock.Now() < end; k.clock.Sleep(hold / 20) {
-		owed := false
-		k.mu.Lock()
-		for _, id := range base.SortedKeys(k.streams) {
-			owed = owed || k.streams[id].owed(k.clock.Now()-2*hold)
+func (m *Manager) waitForPulls() {
+	wait := m.bounds.Load().Pull()
+	for end := m.clock.Now() + wait; m.clock.Now() < end; m.clock.Sleep(wait / 20) {
+		unpulled := false
+		m.mu.Lock()
+		for _, id := range base.SortedKeys(m.forwardedStreams) {
+			unpulled = unpulled || m.forwardedStreams[id].hasUnpulled(m.clock.Now()-2*wait)
 		}
-		k.mu.Unlock()
-		if !owed {
+		m.mu.Unlock()
+		if !unpulled {
 			return
 		}
 	}
@@ -123,8 +123,8 @@
 
 // Sizes counts what this node keeps of sessions: owned, understudied, and
 // streams carried for other gateways.
-func (k *Manager) Sizes() (owned, copies, streams int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.held), len(k.copies), len(k.streams)
+func (m *Manager) Sizes() (owned, standbyCopies, forwardedStreams int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.owned), len(m.standbyCopies), len(m.forwardedStreams)
 }
--- /dev/null
+++ b/internal/session/manager.go
@@ -0,0 +1,329 @@
+// The keeper is a gateway's part in sessions: it finds the owner of a
+// session for each visit, serves it here when this node is the owner, else
+// carries it to the owner once, marked so that it goes no further. The
+// session id and the assignment identity travel with every call; an owner
+// that holds another Run says so, and the assignment is looked up anew once.
+// When the owner is gone, the understudy, or failing it this node, takes the
+// next Run by epoch, and the visit goes on there.
+
+package session
+
+import (
+	"encoding/json"
+	"sync"
+	"time"
+
+	"fordseam/internal/base"
+	"fordseam/internal/budget"
+	"fordseam/internal/feed"
+	"fordseam/internal/membership"
+	"fordseam/internal/register"
+	"fordseam/internal/settings"
+	"fordseam/internal/worker"
+)
+
+// Kinds of visits to a session.
+const (
+	KindStatus     = "status"
+	KindSubmitTurn = "turn"
+	KindListTurns  = "turns"
+	KindReadTurn   = "read"
+	KindCancelTurn = "cancel"
+	KindRenewLease = "renew"
+	KindClose      = "close"
+	KindTerminate  = "terminate"
+)
+
+const (
+	recordCacheLimit  = 8192
+	ownedSessionLimit = 16384
+)
+
+// Request is one call to a session, as a caller meant it.
+type Request struct {
+	ID          string          `json:"id"`
+	Kind        string          `json:"kind"`
+	Program     string          `json:"program"`
+	Session     string          `json:"session"`
+	Bearer      string          `json:"bearer"`
+	Turn        string          `json:"turn,omitempty"`
+	Previous    string          `json:"previous,omitempty"`
+	LastAttempt string          `json:"last_leg,omitempty"`
+	LastPiece   uint64          `json:"last_place,omitempty"`
+	Limit       int             `json:"limit,omitempty"`
+	After       uint64          `json:"after,omitempty"`
+	Messages    json.RawMessage `json:"messages,omitempty"`
+	MaxTokens   int64           `json:"max_tokens,omitempty"`
+}
+
+// Reply is a plain answer, or a stream to read.
+type Reply struct {
+	Status int
+	Body   any
+	Stream *Reader
+}
+
+// Manager holds what this gateway owns, understudies and remembers.
+type Manager struct {
+	clock    base.Clock
+	wire     base.Wire
+	view     *membership.View
+	bounds   *base.Table[base.Bounds]
+	counters *base.Counters
+	register *register.Client
+	follower *feed.Follower
+	picker   *worker.Picker
+	workers  *worker.Client
+	backends base.Backends
+	tree     *base.Table[settings.Tree]
+
+	mu               sync.Mutex
+	owned            map[string]*ownedSession
+	standbyCopies    map[string]*standbyCopy
+	recordCache      map[string]*Record
+	forwardedStreams map[string]*Stream
+	outcomes         map[string]*requestOutcome
+	terminations     map[string]budget.Termination
+	retryCredit      float64
+	draining         bool
+	closed           bool
+	// stopping fires when a leaving node has no more time for what it carries.
+	stopping base.Signal
+}
+
+// declinedVisit is what became of a visit here: declined with a verdict,
+// accepted, or neither yet.
+type requestOutcome struct {
+	verdict    *base.Verdict
+	recordedAt time.Duration
+	accepted   bool
+}
+
+// Dependencies are what a keeper is built from.
+type Dependencies struct {
+	Clock    base.Clock
+	Wire     base.Wire
+	View     *membership.View
+	Bounds   *base.Table[base.Bounds]
+	Counters *base.Counters
+	Register *register.Client
+	Follower *feed.Follower
+	Picker   *worker.Picker
+	Backends base.Backends
+	Tree     *base.Table[settings.Tree]
+}
+
+func NewManager(deps Dependencies) *Manager {
+	return &Manager{clock: deps.Clock, wire: deps.Wire, view: deps.View, bounds: deps.Bounds, counters: deps.Counters, register: deps.Register,
+		follower: deps.Follower, picker: deps.Picker, workers: &worker.Client{Register: deps.Register}, backends: deps.Backends, tree: deps.Tree,
+		owned: map[string]*ownedSession{}, standbyCopies: map[string]*standbyCopy{}, recordCache: map[string]*Record{}, forwardedStreams: map[string]*Stream{},
+		outcomes: map[string]*requestOutcome{}, terminations: map[string]budget.Termination{}, retryCredit: maxRetryCredit, stopping: deps.Clock.NewSignal()}
+}
+
+func (m *Manager) nodeID() string { return m.view.Me() }
+
+func (m *Manager) changeRegister(ctx *base.Ctx, program, op string, args changeArgs) (*changeResult, error) {
+	var answer changeResult
+	if err := m.register.Change(ctx, budget.RegisterGroup(program), op, args, &answer); err != nil {
+		return nil, err
+	}
+	return &answer, nil
+}
+
+// Create makes a session with this node as its owner. The Run passes
+// Pending, Scheduled and Running here, and is recorded as Ready.
+func (m *Manager) Create(ctx *base.Ctx, record *Record) (*Record, error) {
+	record.Run = base.NewID(m.clock, "run-")
+	record.Epoch = 1
+	record.Owner = m.nodeID()
+	record.Standby = m.pickStandby(record.ID, "")
+	record.Phase = Ready
+	if m.isDraining() {
+		return nil, base.Busy(503, "draining", 1, "this node is leaving")
+	}
+	if m.OwnedCount() >= ownedSessionLimit {
+		return nil, base.Busy(429, "too_many_sessions", 5, "this node owns %d sessions and takes no more", ownedSessionLimit)
+	}
+	answer, err := m.changeRegister(ctx, record.Program, "session.acquire", changeArgs{Session: record.ID, Record: record})
+	if err != nil {
+		return nil, err
+	}
+	m.addOwned(answer.Record, nil)
+	m.counters.Add("sessions_acquired", 1)
+	return answer.Record, nil
+}
+
+// OwnedCount counts the sessions in this node's memory.
+func (m *Manager) OwnedCount() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.owned)
+}
+
+func (m *Manager) isDraining() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.draining
+}
+
+func (m *Manager) addOwned(record *Record, turns []Turn) *ownedSession {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	cached := *record
+	m.recordCache[record.ID] = &cached
+	if existing := m.owned[record.ID]; existing != nil {
+		existing.mu.Lock()
+		sameRun := existing.record.Run == record.Run
+		existing.mu.Unlock()
+		if sameRun {
+			return existing
+		}
+	}
+	added := newOwnedSession(m.clock, record, turns, m.follower.Lapses())
+	m.owned[record.ID] = added
+	return added
+}
+
+func (m *Manager) cacheRecord(record *Record) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.recordCache) > recordCacheLimit {
+		clear(m.recordCache)
+	}
+	if existing := m.recordCache[record.ID]; existing != nil && existing.Version > record.Version {
+		return
+	}
+	cached := *record
+	m.recordCache[record.ID] = &cached
+}
+
+func (m *Manager) lookupRecord(ctx *base.Ctx, req *Request, refresh bool) (*Record, error) {
+	m.mu.Lock()
+	cached := m.recordCache[req.Session]
+	m.mu.Unlock()
+	if cached != nil && !refresh {
+		return cached, nil
+	}
+	answer, err := m.changeRegister(ctx, req.Program, "session.get", changeArgs{Session: req.Session})
+	if err != nil {
+		return nil, err
+	}
+	if answer.Record.Program != req.Program {
+		return nil, unknownSession()
+	}
+	m.cacheRecord(answer.Record)
+	return answer.Record, nil
+}
+
+// Lookup gives a visit's session as this node knows it, or looks it up.
+func (m *Manager) Lookup(ctx *base.Ctx, req *Request) (*Record, error) {
+	record, err := m.lookupRecord(ctx, req, false)
+	if err == nil && record.Program != req.Program {
+		return nil, unknownSession()
+	}
+	return record, err
+}
+
+// attempt is what a visit has learnt of the copies it sent.
+type deliveryState struct {
+	unanswered   *Record
+	ownerChanged bool
+}
+
+func (d *deliveryState) replyLost(record *Record) {
+	d.ownerChanged = d.ownerChanged || (d.unanswered != nil && d.unanswered.Run != record.Run)
+	d.unanswered = record
+}
+
+// ownerWords are an owner's verdicts on the turn itself, which hold whatever
+// became of earlier copies of the request.
+var finalOwnerCodes = map[string]bool{"queue_full": true, "session_draining": true, "turn_id_reused": true, "run_over": true, "leg_changed": true,
+	"turn_refused": true, "unknown_session": true, "unknown_turn": true, "session_over": true, "forbidden": true, "withdrawn": true}
+
+// giveUp is the visit's last word. Where a copy's reply was lost, only the
+// owner's word makes it not run.
+func (m *Manager) finalError(req *Request, delivery *deliveryState, err error) error {
+	verdict := base.FromWire(err)
+	switch {
+	case delivery.unanswered == nil || finalOwnerCodes[verdict.Code]:
+		return verdict
+	case delivery.ownerChanged:
+		return base.Unsure(504, "owner_silent", "the session's owner was lost with the request: %s", verdict.Message)
+	}
+	return m.withdraw(delivery.unanswered, req, verdict)
+}
+
+// Handle carries one call out, wherever the owner is.
+func (m *Manager) Handle(ctx *base.Ctx, req *Request) (*Reply, error) {
+	refresh, refreshedRun, delivery := false, "", &deliveryState{}
+	for {
+		if err := m.follower.Permit(ctx); err != nil {
+			return nil, m.finalError(req, delivery, err)
+		}
+		record, err := m.lookupRecord(ctx, req, refresh)
+		if err != nil {
+			return nil, m.finalError(req, delivery, err)
+		}
+		if req.Program != record.Program {
+			return nil, unknownSession()
+		}
+		refreshed := refresh
+		refresh = false
+		var reply *Reply
+		if record.Owner == m.nodeID() {
+			reply, err = m.serve(ctx, record, req)
+		} else {
+			reply, err = m.forward(ctx, record, req)
+		}
+		if err == nil {
+			return m.withReopen(reply, req), nil
+		}
+		verdict := base.FromWire(err)
+		ownerLost := false
+		switch verdict.Code {
+		case "stale_assignment":
+			if refreshed && refreshedRun == record.Run {
+				return nil, m.finalError(req, delivery, verdict)
+			}
+			refresh, refreshedRun = true, record.Run
+		case "unreachable", "owner_lost":
+			m.counters.Add("owner_unreachable", 1)
+			ownerLost = true
+		case "handing_over":
+			// The owner is leaving and finishes what it accepted; ask again.
+		case "reply_lost":
+			delivery.replyLost(record)
+			_, alive := m.view.Find(record.Owner)
+			ownerLost = !alive
+		default:
+			return nil, m.finalError(req, delivery, verdict)
+		}
+		if ownerLost {
+			delivery.ownerChanged = delivery.unanswered != nil
+			if err := m.takeOver(ctx, req, record); err != nil {
+				return nil, m.finalError(req, delivery, err)
+			}
+		}
+		if ctx.Over() {
+			if verdict.Code != "handing_over" {
+				verdict = base.Busy(503, "owner_unreachable", 1, "the session's owner could not be reached in time")
+			}
+			return nil, m.finalError(req, delivery, verdict)
+		}
+	}
+}
+
+// withAgain lets a stream that gave nothing yet be found anew.
+func (m *Manager) withReopen(reply *Reply, req *Request) *Reply {
+	if reply.Stream != nil {
+		reply.Stream.reopen = func() (*Reader, error) {
+			m.counters.Add("streams_found_again", 1)
+			next, err := m.Handle(base.NewCtx(m.clock, 2*m.bounds.Load().Recover), req)
+			if err != nil {
+				return nil, err
+			}
+			return next.Stream, nil
+		}
+	}
+	return reply
+}
--- a/internal/session/record.go
+++ b/internal/session/record.go
@@ -54,14 +54,14 @@
 	OpTimedOut  OperationState = "TimedOut"
 )
 
-var operationSteps = map[OperationState][]OperationState{
+var operationTransitions = map[OperationState][]OperationState{
 	OpQueued:  {OpRunning, OpCancelled, OpTimedOut, OpFailed},
 	OpRunning: {OpSucceeded, OpFailed, OpCancelled, OpTimedOut},
 }
 
 // CanBecome reports whether a turn may go from one state to another.
 func (s OperationState) CanBecome(next OperationState) bool {
-	for _, allowed := range operationSteps[s] {
+	for _, allowed := range operationTransitions[s] {
 		if allowed == next {
 			return true
 		}
@@ -131,16 +131,16 @@
 
 func turnKey(id string, num uint64) string { return fmt.Sprintf("turn/%s/%016x", id, num) }
 
-func load(tx *register.Tx, id string) *Record {
+func loadRecord(tx *register.Tx, id string) *Record {
 	raw := tx.Get(recordKey(id))
 	if raw == nil {
 		return nil
 	}
-	var found Record
-	if json.Unmarshal(raw, &found) != nil {
+	var record Record
+	if json.Unmarshal(raw, &record) != nil {
 		return nil
 	}
-	return &found
+	return &record
 }
 
 func (r *Record) store(tx *register.Tx) {
@@ -149,35 +149,35 @@
 }
 
 // refusedKey is where the control state keeps that a turn was refused.
-func refusedKey(session, turn string) string { return "refused/" + session + "/" + turn }
+func refusalKey(session, turn string) string { return "refused/" + session + "/" + turn }
 
 // RefusalRetention is how long a refused Turn-Id stays refused.
 func RefusalRetention(bounds *base.Bounds) time.Duration { return 10 * bounds.Recover }
 
 // turnOf is the turn that a leg, RUN/TURN/NUMBER, is of.
-func turnOf(leg string) string {
-	_, rest, _ := strings.Cut(leg, "/")
+func turnOfAttempt(attempt string) string {
+	_, rest, _ := strings.Cut(attempt, "/")
 	turn, _, _ := strings.Cut(rest, "/")
 	return turn
 }
 
-const unsureLimit = 64
+const uncertainTurnLimit = 64
 
 // forfeit counts a Run's unfinished legs as spent, and keeps which turns
 // they were of: those may have run, whatever a later Run makes of them.
-func (r *Record) forfeit(tx *register.Tx, program *budget.Program) {
-	for _, leg := range budget.Forfeit(tx, program, r.Run+"/") {
-		r.doubt(leg)
+func (r *Record) forfeitReservations(tx *register.Tx, program *budget.Program) {
+	for _, attempt := range budget.Forfeit(tx, program, r.Run+"/") {
+		r.markUncertain(attempt)
 	}
 }
 
 // unsure tells of a turn that may have run by a leg whose end is not known.
-func (r *Record) unsure(turn string) bool { return slices.Contains(r.UncertainTurns, turn) }
+func (r *Record) isUncertain(turn string) bool { return slices.Contains(r.UncertainTurns, turn) }
 
-func (r *Record) doubt(leg string) {
-	if turn := turnOf(leg); turn != "" && !r.unsure(turn) {
+func (r *Record) markUncertain(attempt string) {
+	if turn := turnOfAttempt(attempt); turn != "" && !r.isUncertain(turn) {
 		r.UncertainTurns = append(r.UncertainTurns, turn)
-		r.UncertainTurns = r.UncertainTurns[max(0, len(r.UncertainTurns)-unsureLimit):]
+		r.UncertainTurns = r.UncertainTurns[max(0, len(r.UncertainTurns)-uncertainTurnLimit):]
 	}
 }
 
@@ -185,19 +185,19 @@
 	return base.Decline(404, "unknown_session", "there is no such session")
 }
 
-func staleRun() *base.Verdict {
+func staleAssignment() *base.Verdict {
 	return base.Decline(409, "stale_assignment", "the session is assigned to another Run")
 }
 
 // EffectiveLimits bound what a caller asked for by what the route allows, which is
 // itself the least of route, site and the whole tree.
-func EffectiveLimits(route *settings.Route, queue int, timeout time.Duration) (int, int64) {
-	size, limit := route.QueueSize, route.OperationTimeout
-	if queue > 0 {
-		size = min(size, queue)
+func EffectiveLimits(route *settings.Route, requestedQueueSize int, requestedTimeout time.Duration) (int, int64) {
+	queueSize, turnTimeout := route.QueueSize, route.OperationTimeout
+	if requestedQueueSize > 0 {
+		queueSize = min(queueSize, requestedQueueSize)
 	}
-	if timeout > 0 {
-		limit = min(limit, timeout)
+	if requestedTimeout > 0 {
+		turnTimeout = min(turnTimeout, requestedTimeout)
 	}
-	return size, limit.Milliseconds()
+	return queueSize, turnTimeout.Milliseconds()
 }
--- a/internal/session/record_test.go
+++ b/internal/session/record_test.go
@@ -12,30 +12,30 @@
 	"github.com/matryer/is"
 )
 
-func TestPhasesFollowTheDesign(t *testing.T) {
-	order := []Phase{Pending, Scheduled, Running, Ready, Finalizing}
-	ends := []Phase{Succeeded, Failed, Cancelled}
+func TestPhaseTransitions(t *testing.T) {
+	active := []Phase{Pending, Scheduled, Running, Ready, Finalizing}
+	terminal := []Phase{Succeeded, Failed, Cancelled}
 	is := is.New(t)
-	for from, phase := range order {
+	for from, phase := range active {
 		is.True(!phase.Terminal())
-		for to, next := range order {
+		for to, next := range active {
 			is.Equal(phase.CanBecome(next), to > from) // only onward
 		}
-		for _, end := range ends {
-			is.True(phase.CanBecome(end)) // any active Run may end
+		for _, terminalPhase := range terminal {
+			is.True(phase.CanBecome(terminalPhase)) // any active Run may end
 		}
 	}
-	for _, end := range ends {
-		is.True(end.Terminal())
-		for _, next := range append(order, ends...) {
-			is.True(!end.CanBecome(next)) // a terminal Run stays so
+	for _, terminalPhase := range terminal {
+		is.True(terminalPhase.Terminal())
+		for _, next := range append(active, terminal...) {
+			is.True(!terminalPhase.CanBecome(next)) // a terminal Run stays so
 		}
 	}
 }
 
-func TestOperationStatesFollowTheDesign(t *testing.T) {
+func TestOperationStateTransitions(t *testing.T) {
 	is := is.New(t)
-	allowed := map[OperationState][]OperationState{
+	transitions := map[OperationState][]OperationState{
 		OpQueued:  {OpRunning, OpFailed, OpCancelled, OpTimedOut},
 		OpRunning: {OpSucceeded, OpFailed, OpCancelled, OpTimedOut},
 	}
@@ -43,7 +43,7 @@
 	for _, from := range all {
 		for _, to := range all {
 			want := false
-			for _, next := range allowed[from] {
+			for _, next := range transitions[from] {
 				want = want || next == to
 			}
 			is.Equal(from.CanBecome(to), want)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestTerminationEscalates(t *testing.T) {
+func TestTerminationOnlyEscalates(t *testing.T) {
 	is := is.New(t)
 	rows := []struct{ now, asked, after budget.Termination }{
 		{"", "", ""}, {"", budget.Drain, budget.Drain}, {"", budget.Immediate, budget.Immediate},
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestLimitsAreTheLeastOfRunSiteAndGlobal(t *testing.T) {
+func TestEffectiveLimitsAreTheMinimumOfRequestSiteAndGlobal(t *testing.T) {
 	rows := []struct {
 		document string
 		queue    int
--- a/internal/session/status.go
+++ b/internal/session/status.go
@@ -38,15 +38,15 @@
 		LeaseS: float64(r.LeaseMs) / 1000, TurnCount: r.TurnCount, LastTurn: r.LastTurn}
 }
 
-func (h *held) status() Status {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	shown := StatusOf(h.record)
-	shown.Queued = len(h.queue)
-	if h.running != nil {
-		shown.Running = h.running.id
+func (s *ownedSession) status() Status {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	status := StatusOf(s.record)
+	status.Queued = len(s.queue)
+	if s.running != nil {
+		status.Running = s.running.id
 	}
-	return shown
+	return status
 }
 
 // TurnView is a turn in a listing.
@@ -64,13 +64,13 @@
 
 // TurnStateOf is the state of the turn that a read's reply shows.
 func TurnStateOf(body any) OperationState {
-	switch shown := body.(type) {
+	switch reply := body.(type) {
 	case TurnView:
-		return shown.State
+		return reply.State
 	case json.RawMessage:
-		var read TurnView
-		_ = json.Unmarshal(shown, &read)
-		return read.State
+		var view TurnView
+		_ = json.Unmarshal(reply, &view)
+		return view.State
 	}
 	return ""
 }
@@ -81,42 +81,42 @@
 	Next  uint64     `json:"next"`
 }
 
-func viewTurn(turn *Turn, whole bool) TurnView {
-	shown := TurnView{Turn: turn.ID, Number: turn.Number, Previous: turn.Previous, State: OpSucceeded, FinishReason: turn.FinishReason, OutputTokens: turn.OutputTokens}
-	if whole {
-		shown.Messages = turn.Messages
+func newTurnView(turn *Turn, full bool) TurnView {
+	view := TurnView{Turn: turn.ID, Number: turn.Number, Previous: turn.Previous, State: OpSucceeded, FinishReason: turn.FinishReason, OutputTokens: turn.OutputTokens}
+	if full {
+		view.Messages = turn.Messages
 		for _, piece := range turn.Pieces {
-			shown.Answer += piece
+			view.Answer += piece
 		}
 	}
-	return shown
+	return view
 }
 
-func (h *held) list(v *Request) TurnPage {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (s *ownedSession) listTurns(req *Request) TurnPage {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	page := TurnPage{Turns: []TurnView{}}
-	for place := range h.turns {
-		turn := &h.turns[place]
-		if turn.Number <= v.After {
+	for i := range s.turns {
+		turn := &s.turns[i]
+		if turn.Number <= req.After {
 			continue
 		}
-		if len(page.Turns) == v.Limit {
+		if len(page.Turns) == req.Limit {
 			page.Next = page.Turns[len(page.Turns)-1].Number
 			return page
 		}
-		page.Turns = append(page.Turns, viewTurn(turn, false))
+		page.Turns = append(page.Turns, newTurnView(turn, false))
 	}
 	return page
 }
 
-func (h *held) read(v *Request) (*Reply, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if turn := h.whole(v.Turn); turn != nil {
-		return &Reply{Status: 200, Body: viewTurn(turn, true)}, nil
+func (s *ownedSession) readTurn(req *Request) (*Reply, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if turn := s.completedTurn(req.Turn); turn != nil {
+		return &Reply{Status: 200, Body: newTurnView(turn, true)}, nil
 	}
-	if op := h.ops[v.Turn]; op != nil {
+	if op := s.operations[req.Turn]; op != nil {
 		return &Reply{Status: 200, Body: TurnView{Turn: op.id, State: op.state, Error: op.verdict}}, nil
 	}
 	return nil, base.Decline(404, "unknown_turn", "there is no such turn")
--- a/internal/session/stream.go
+++ b/internal/session/stream.go
@@ -25,131 +25,131 @@
 	Error        *base.Verdict `json:"error,omitempty"`
 }
 
-func finalOf(turn string, v *base.Verdict) *Final {
-	word := "failed"
+func failureFinal(turn string, verdict *base.Verdict) *Final {
+	outcome := "failed"
 	switch {
-	case v.Ran == base.NotRun:
-		word = "refused"
-	case v.Code == "cancelled" || v.Code == "timed_out":
-		word = v.Code
-	case v.Code == "cut":
-		word = "cut"
+	case verdict.Ran == base.NotRun:
+		outcome = "refused"
+	case verdict.Code == "cancelled" || verdict.Code == "timed_out":
+		outcome = verdict.Code
+	case verdict.Code == "cut":
+		outcome = "cut"
 	}
-	return &Final{Outcome: word, Ran: v.Ran, Turn: turn, Error: v}
+	return &Final{Outcome: outcome, Ran: verdict.Ran, Turn: turn, Error: verdict}
 }
 
 // Stream holds one turn's pieces.
 type Stream struct {
-	bell   *base.Bell
-	mu     sync.Mutex
-	leg    string
-	pieces []*Piece
-	pulled time.Duration
-	moved  bool
-	given  uint64
+	changed      *base.Bell
+	mu           sync.Mutex
+	attempt      string
+	pieces       []*Piece
+	pulledAt     time.Duration
+	ownerChanged bool
+	delivered    uint64
 }
 
-func newStream(clock base.Clock) *Stream { return &Stream{bell: base.NewBell(clock)} }
+func newStream(clock base.Clock) *Stream { return &Stream{changed: base.NewBell(clock)} }
 
 // begin names the leg whose pieces follow; false when another leg's stand.
-func (s *Stream) begin(leg string) bool {
+func (s *Stream) begin(attempt string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.pieces) > 0 || s.moved {
+	if len(s.pieces) > 0 || s.ownerChanged {
 		return false
 	}
-	s.leg = leg
+	s.attempt = attempt
 	return true
 }
 
-func (s *Stream) put(data []byte, final bool) {
+func (s *Stream) add(data []byte, final bool) {
 	s.mu.Lock()
-	if last := len(s.pieces); !s.moved && (last == 0 || !s.pieces[last-1].Final) {
-		s.pieces = append(s.pieces, &Piece{Place: uint64(last + 1), Data: data, Final: final})
+	if count := len(s.pieces); !s.ownerChanged && (count == 0 || !s.pieces[count-1].Final) {
+		s.pieces = append(s.pieces, &Piece{Place: uint64(count + 1), Data: data, Final: final})
 	}
 	s.mu.Unlock()
-	s.bell.Ring()
+	s.changed.Ring()
 }
 
-func (s *Stream) finish(final *Final) { s.put(base.Encode(final), true) }
+func (s *Stream) finish(final *Final) { s.add(base.Encode(final), true) }
 
 // moveAway ends a stream whose Run was lost here: one without pieces may be
 // found anew with the next owner, one with pieces is cut.
-func (s *Stream) moveAway(turn string) {
+func (s *Stream) endMoved(turn string) {
 	s.mu.Lock()
 	empty := len(s.pieces) == 0
-	s.moved = s.moved || empty
+	s.ownerChanged = s.ownerChanged || empty
 	s.mu.Unlock()
 	if empty {
-		s.bell.Ring()
+		s.changed.Ring()
 		return
 	}
-	s.finish(finalOf(turn, base.Unsure(502, "cut", "the session moved to another owner before the answer was whole")))
+	s.finish(failureFinal(turn, base.Unsure(502, "cut", "the session moved to another owner before the answer was whole")))
 }
 
-func (s *Stream) isMoved() bool {
+func (s *Stream) hasMoved() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.moved
+	return s.ownerChanged
 }
 
-func (s *Stream) over() bool {
+func (s *Stream) ended() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.moved || (len(s.pieces) > 0 && s.pieces[len(s.pieces)-1].Final)
+	return s.ownerChanged || (len(s.pieces) > 0 && s.pieces[len(s.pieces)-1].Final)
 }
 
-func (s *Stream) count() int {
+func (s *Stream) pieceCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.pieces)
 }
 
-func (s *Stream) legID() string {
+func (s *Stream) attemptID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leg
+	return s.attempt
 }
 
 // from waits up to hold for pieces after a place.
-func (s *Stream) from(place uint64, hold time.Duration, now func() time.Duration) []*Piece {
-	end := now() + hold
+func (s *Stream) piecesAfter(position uint64, wait time.Duration, now func() time.Duration) []*Piece {
+	end := now() + wait
 	for {
-		next := s.bell.Next()
+		next := s.changed.Next()
 		s.mu.Lock()
-		s.pulled = now()
-		if place < uint64(len(s.pieces)) {
-			found := append([]*Piece(nil), s.pieces[place:]...)
-			s.given = max(s.given, uint64(len(s.pieces)))
+		s.pulledAt = now()
+		if position < uint64(len(s.pieces)) {
+			found := append([]*Piece(nil), s.pieces[position:]...)
+			s.delivered = max(s.delivered, uint64(len(s.pieces)))
 			s.mu.Unlock()
 			return found
 		}
-		moved := s.moved
+		ownerChanged := s.ownerChanged
 		s.mu.Unlock()
-		if moved || !next.Wait(max(0, end-now())) {
+		if ownerChanged || !next.Wait(max(0, end-now())) {
 			return nil
 		}
 	}
 }
 
 // owed tells whether a partner that pulled lately has yet to get the end.
-func (s *Stream) owed(since time.Duration) bool {
+func (s *Stream) hasUnpulled(pulledSince time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pulled >= since && s.given < uint64(len(s.pieces))
+	return s.pulledAt >= pulledSince && s.delivered < uint64(len(s.pieces))
 }
 
 func (s *Stream) lastPulled() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pulled
+	return s.pulledAt
 }
 
 func replayStream(clock base.Clock, turn *Turn, run string) *Stream {
 	s := newStream(clock)
 	s.begin(turn.Attempt)
 	for _, text := range turn.Pieces {
-		s.put([]byte(text), false)
+		s.add([]byte(text), false)
 	}
 	s.finish(&Final{Outcome: "success", Ran: base.DidRun, Turn: turn.ID, Run: run, FinishReason: turn.FinishReason, OutputTokens: turn.OutputTokens})
 	return s
@@ -157,31 +157,31 @@
 
 // Reader gives a stream's pieces in order, wherever the owner is.
 type Reader struct {
-	keeper *Manager
-	turn   string
-	leg    string
-	place  uint64
-	given  uint64
-	local  *Stream
-	remote *remoteStream
+	keeper    *Manager
+	turn      string
+	attempt   string
+	position  uint64
+	delivered uint64
+	local     *Stream
+	remote    *remoteStream
 	// again finds the stream anew after its owner was lost; search is that under way.
-	again  func() (*Reader, error)
-	search *search
-	done   bool
-	ahead  []*Piece
+	reopen   func() (*Reader, error)
+	search   *streamSearch
+	done     bool
+	buffered []*Piece
 }
 
 // search looks for a stream with its next owner.
-type search struct {
-	over  base.Signal
-	found *Reader
-	err   error
+type streamSearch struct {
+	ended  base.Signal
+	reader *Reader
+	err    error
 }
 
 type remoteStream struct {
-	stream string
-	run    string
-	owner  string
+	id    string
+	run   string
+	owner string
 }
 
 // EarlyFailure waits up to a limit for the stream's first event. A turn that ends
@@ -189,14 +189,14 @@
 // was read ahead otherwise comes first out of Next.
 func (r *Reader) EarlyFailure(limit time.Duration) *base.Verdict {
 	end := r.keeper.clock.Now() + limit
-	for len(r.ahead) == 0 && !r.done && r.keeper.clock.Now() < end {
-		r.ahead, _, _ = r.Next()
+	for len(r.buffered) == 0 && !r.done && r.keeper.clock.Now() < end {
+		r.buffered, _, _ = r.Next()
 	}
-	if len(r.ahead) != 1 || !r.ahead[0].Final || r.ahead[0].Place != 1 {
+	if len(r.buffered) != 1 || !r.buffered[0].Final || r.buffered[0].Place != 1 {
 		return nil
 	}
 	var final Final
-	if json.Unmarshal(r.ahead[0].Data, &final) != nil {
+	if json.Unmarshal(r.buffered[0].Data, &final) != nil {
 		return nil
 	}
 	return final.Error
@@ -204,73 +204,73 @@
 
 // Next gives the pieces that came since, or none after a hold. After the
 // final piece, done is true.
-func (r *Reader) Next() (pieces []*Piece, leg string, done bool) {
-	if len(r.ahead) > 0 {
-		ahead := r.ahead
-		r.ahead = nil
-		return ahead, r.leg, r.done
+func (r *Reader) Next() (pieces []*Piece, attempt string, done bool) {
+	if len(r.buffered) > 0 {
+		buffered := r.buffered
+		r.buffered = nil
+		return buffered, r.attempt, r.done
 	}
 	if r.done {
-		return nil, r.leg, true
+		return nil, r.attempt, true
 	}
-	found, err := r.pull()
-	if err != nil && r.given == 0 && r.again != nil {
-		err = r.findAgain(err)
+	pulled, err := r.pull()
+	if err != nil && r.delivered == 0 && r.reopen != nil {
+		err = r.reopenStream(err)
 	}
-	if err == nil && len(found) == 0 && r.keeper.stopping.Fired() {
+	if err == nil && len(pulled) == 0 && r.keeper.stopping.Fired() {
 		err = base.Unsure(502, "node_stopping", "this node is stopping")
 	}
 	if err != nil {
 		// The turn was accepted once, so this node cannot know that it did not run.
-		v := base.Unsure(502, "cut", "the session's owner was lost before the answer was whole: %s", base.FromWire(err).Message)
+		verdict := base.Unsure(502, "cut", "the session's owner was lost before the answer was whole: %s", base.FromWire(err).Message)
 		r.done = true
-		return []*Piece{{Place: r.place + 1, Data: base.Encode(finalOf(r.turn, v)), Final: true}}, r.leg, true
+		return []*Piece{{Place: r.position + 1, Data: base.Encode(failureFinal(r.turn, verdict)), Final: true}}, r.attempt, true
 	}
-	for _, piece := range found {
-		r.place = piece.Place
-		r.given++
+	for _, piece := range pulled {
+		r.position = piece.Place
+		r.delivered++
 		r.done = r.done || piece.Final
 	}
-	return found, r.leg, r.done
+	return pulled, r.attempt, r.done
 }
 
 // findAgain looks for the stream with its next owner and reads on there; nil
 // means that it was found, or that the search goes on.
-func (r *Reader) findAgain(lost error) error {
+func (r *Reader) reopenStream(cause error) error {
 	clock := r.keeper.clock
 	if r.search == nil {
-		looking := &search{over: clock.NewSignal()}
-		r.search = looking
+		search := &streamSearch{ended: clock.NewSignal()}
+		r.search = search
 		clock.Go(func() {
-			looking.found, looking.err = r.again()
-			looking.over.Fire()
+			search.reader, search.err = r.reopen()
+			search.ended.Fire()
 		})
 	}
-	if !r.search.over.Wait(r.keeper.bounds.Load().Pull()) {
+	if !r.search.ended.Wait(r.keeper.bounds.Load().Pull()) {
 		return nil
 	}
-	next, failed := r.search.found, r.search.err
+	next, err := r.search.reader, r.search.err
 	r.search = nil
 	switch {
-	case failed != nil:
-		return failed
+	case err != nil:
+		return err
 	case next == nil:
-		return lost
+		return cause
 	}
-	r.local, r.remote, r.leg, r.place = next.local, next.remote, next.leg, next.place
+	r.local, r.remote, r.attempt, r.position = next.local, next.remote, next.attempt, next.position
 	return nil
 }
 
 func (r *Reader) pull() ([]*Piece, error) {
 	if r.search != nil {
-		return nil, staleRun()
+		return nil, staleAssignment()
 	}
-	hold := r.keeper.bounds.Load().Pull()
+	wait := r.keeper.bounds.Load().Pull()
 	if r.local != nil {
-		found := r.local.from(r.place, hold, r.keeper.clock.Now)
-		r.leg = r.local.legID()
-		if r.local.isMoved() {
-			return nil, staleRun()
+		found := r.local.piecesAfter(r.position, wait, r.keeper.clock.Now)
+		r.attempt = r.local.attemptID()
+		if r.local.hasMoved() {
+			return nil, staleAssignment()
 		}
 		return found, nil
 	}
@@ -279,42 +279,42 @@
 
 // pullRemote asks the owner for pieces; a lost reply is asked again by place
 // while the owner is not suspected.
-func (k *Manager) pullRemote(from *remoteStream, r *Reader) ([]*Piece, error) {
-	hold := k.bounds.Load().Pull()
-	member, alive := k.view.Find(from.owner)
+func (m *Manager) pullRemote(remote *remoteStream, reader *Reader) ([]*Piece, error) {
+	wait := m.bounds.Load().Pull()
+	member, alive := m.view.Find(remote.owner)
 	if member == nil || !alive {
 		return nil, base.Unsure(502, "owner_lost", "the owner is gone")
 	}
-	ctx := base.NewCtx(k.clock, 2*hold)
-	reply, err := NewOwnerProtobufClient("http://"+member.Addr, k.wire).Pull(ctx,
-		&PullRequest{Stream: from.stream, Place: r.place, HoldMs: hold.Milliseconds(), Run: from.run})
+	ctx := base.NewCtx(m.clock, 2*wait)
+	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Pull(ctx,
+		&PullRequest{Stream: remote.id, Place: reader.position, HoldMs: wait.Milliseconds(), Run: remote.run})
 	if err != nil {
-		v := base.FromWire(err)
-		if v.Code == "reply_lost" {
+		verdict := base.FromWire(err)
+		if verdict.Code == "reply_lost" {
 			return nil, nil
 		}
-		if v.Code == "unreachable" {
-			k.view.Suspect(from.owner)
+		if verdict.Code == "unreachable" {
+			m.view.Suspect(remote.owner)
 		}
-		return nil, base.Unsure(502, "owner_lost", "%s", v.Message)
+		return nil, base.Unsure(502, "owner_lost", "%s", verdict.Message)
 	}
 	if reply.Leg != "" {
-		r.leg = reply.Leg
+		reader.attempt = reply.Leg
 	}
 	return reply.Pieces, nil
 }
 
 // Pull answers a node that carries a stream to its caller.
-func (k *Manager) Pull(_ context.Context, request *PullRequest) (*PullReply, error) {
-	k.mu.Lock()
-	found := k.streams[request.Stream]
-	k.mu.Unlock()
-	if found == nil {
+func (m *Manager) Pull(_ context.Context, request *PullRequest) (*PullReply, error) {
+	m.mu.Lock()
+	stream := m.forwardedStreams[request.Stream]
+	m.mu.Unlock()
+	if stream == nil {
 		return nil, base.ToWire(base.Unsure(410, "stream_gone", "the stream is no longer held here"))
 	}
-	pieces := found.from(request.Place, time.Duration(request.HoldMs)*time.Millisecond, k.clock.Now)
-	if found.isMoved() {
-		return nil, base.ToWire(staleRun())
+	pieces := stream.piecesAfter(request.Place, time.Duration(request.HoldMs)*time.Millisecond, m.clock.Now)
+	if stream.hasMoved() {
+		return nil, base.ToWire(staleAssignment())
 	}
-	return &PullReply{Pieces: pieces, Leg: found.legID()}, nil
+	return &PullReply{Pieces: pieces, Leg: stream.attemptID()}, nil
 }
--- /dev/null
+++ b/internal/session/takeover.go
@@ -0,0 +1,190 @@
+// The next Run after an owner is lost or leaves: taken by epoch by the standby or,
+// failing it, by the node that noticed; and the standby's copy of the chain.
+
+package session
+
+import (
+	"context"
+	"encoding/json"
+	"slices"
+	"time"
+
+	"fordseam/internal/base"
+	"fordseam/internal/membership"
+)
+
+type standbyCopy struct {
+	turns     []Turn
+	updatedAt time.Duration
+}
+
+// pickStandby prefers another zone.
+func (m *Manager) pickStandby(session, excluded string) string {
+	self := m.view.Self()
+	sameZone, otherZones := []string{}, []string{}
+	for _, member := range m.view.Alive(membership.RoleEdge) {
+		switch {
+		case member.Id == self.Id || member.Id == excluded:
+		case member.Zone != self.Zone:
+			otherZones = append(otherZones, member.Id)
+		default:
+			sameZone = append(sameZone, member.Id)
+		}
+	}
+	if candidates := append(base.Rendezvous(session, otherZones), base.Rendezvous(session, sameZone)...); len(candidates) > 0 {
+		return candidates[0]
+	}
+	return ""
+}
+
+// takeOver has the next Run taken, by the understudy if it lives.
+func (m *Manager) takeOver(ctx *base.Ctx, req *Request, record *Record) error {
+	current, err := m.lookupRecord(ctx, req, true)
+	if err != nil {
+		return err
+	}
+	if current.Run != record.Run {
+		return nil
+	}
+	m.counters.Add("takeovers_asked", 1)
+	request := &SucceedRequest{Session: current.ID, Program: current.Program, Assignment: current.assignment(), Why: "owner_lost"}
+	if member, alive := m.view.Find(current.Standby); alive && member.Id != m.nodeID() && !member.Leaving {
+		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Succeed(ctx.Within(m.bounds.Load().Call()), request)
+		if err == nil {
+			var next Record
+			if json.Unmarshal(reply.Record, &next) == nil {
+				m.cacheRecord(&next)
+				return nil
+			}
+		}
+	}
+	_, err = m.takeRun(ctx, request)
+	return err
+}
+
+// Succeed makes this node the owner of a session's next Run.
+func (m *Manager) Succeed(plain context.Context, request *SucceedRequest) (*SucceedReply, error) {
+	record, err := m.takeRun(base.CtxOf(plain, m.clock), request)
+	if err != nil {
+		return nil, base.ToWire(err)
+	}
+	return &SucceedReply{Record: base.Encode(record)}, nil
+}
+
+func (m *Manager) takeRun(ctx *base.Ctx, request *SucceedRequest) (*Record, error) {
+	if m.isDraining() {
+		return nil, base.Busy(503, "draining", 1, "this node is leaving")
+	}
+	began := m.clock.Now()
+	answer, err := m.changeRegister(ctx, request.Program, "session.succeed", changeArgs{Session: request.Session, Run: request.Assignment.Run,
+		NewRun: base.NewID(m.clock, "run-"), Owner: m.nodeID(), Standby: m.pickStandby(request.Session, request.Assignment.Owner), Reason: request.Why})
+	if err != nil {
+		return nil, err
+	}
+	m.cacheRecord(answer.Record)
+	if answer.Record.Owner == m.nodeID() {
+		if _, err := m.loadRun(ctx, answer.Record); err != nil {
+			return nil, err
+		}
+		m.counters.Add("runs_succeeded", 1)
+		m.counters.Add("takeover_ms", (m.clock.Now() - began).Milliseconds())
+	}
+	return answer.Record, nil
+}
+
+// adopt brings the chain of a Run this node owns into memory, from its copy
+// as understudy when that is whole, else from the register.
+func (m *Manager) loadRun(ctx *base.Ctx, record *Record) (*ownedSession, error) {
+	m.mu.Lock()
+	if existing := m.owned[record.ID]; existing != nil && existing.isCurrentRun(record.Run) {
+		m.mu.Unlock()
+		return existing, nil
+	}
+	var turns []Turn
+	if copied := m.standbyCopies[record.ID]; copied != nil && uint64(len(copied.turns)) >= record.TurnCount {
+		if completed := copied.turns[:record.TurnCount]; record.TurnCount == 0 || completed[record.TurnCount-1].ID == record.LastTurn {
+			turns = slices.Clone(completed)
+		}
+	}
+	m.mu.Unlock()
+	if uint64(len(turns)) < record.TurnCount {
+		m.counters.Add("chains_read_from_register", 1)
+		read, err := m.readChain(ctx, record)
+		if err != nil {
+			return nil, err
+		}
+		turns = read
+	}
+	return m.addOwned(record, turns), nil
+}
+
+func (m *Manager) readChain(ctx *base.Ctx, record *Record) ([]Turn, error) {
+	turns := []Turn{}
+	for uint64(len(turns)) < record.TurnCount {
+		answer, err := m.changeRegister(ctx, record.Program, "session.turns", changeArgs{Session: record.ID, After: uint64(len(turns)), Limit: 64})
+		if err != nil {
+			return nil, err
+		}
+		if len(answer.Turns) == 0 {
+			return nil, base.Decline(410, "history_gone", "the session's history is no longer kept")
+		}
+		turns = append(turns, answer.Turns...)
+	}
+	return turns[:record.TurnCount], nil
+}
+
+// Offer takes a turn of a chain this node understudies.
+func (m *Manager) Offer(_ context.Context, request *OfferRequest) (*OfferReply, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	copied := m.standbyCopies[request.Session]
+	if copied == nil {
+		copied = &standbyCopy{}
+		m.standbyCopies[request.Session] = copied
+	}
+	copied.updatedAt = m.clock.Now()
+	var turn Turn
+	if len(request.Turn) > 0 && json.Unmarshal(request.Turn, &turn) == nil && request.Turns >= 1 {
+		if uint64(len(copied.turns)) >= request.Turns-1 {
+			copied.turns = append(copied.turns[:request.Turns-1:request.Turns-1], turn)
+		}
+	}
+	return &OfferReply{Turns: uint64(len(copied.turns))}, nil
+}
+
+func (m *Manager) handOver(s *ownedSession, deadline time.Duration) {
+	defer s.handedOver.Fire()
+	for {
+		changed := s.changed.Next()
+		if s.idle() {
+			break
+		}
+		if !changed.Wait(max(0, deadline-m.clock.Now())) {
+			break
+		}
+	}
+	record := s.recordCopy()
+	if record.Phase.Terminal() {
+		return
+	}
+	request := &SucceedRequest{Session: record.ID, Program: record.Program, Assignment: record.assignment(), Why: "owner_leaving"}
+	tried := map[string]bool{m.nodeID(): true}
+	for _, id := range []string{record.Standby, m.pickStandby(record.ID, record.Standby)} {
+		member, alive := m.view.Find(id)
+		if !alive || member.Leaving || tried[id] {
+			continue
+		}
+		tried[id] = true
+		ctx := base.NewCtx(m.clock, m.bounds.Load().Call())
+		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Succeed(ctx, request)
+		if err == nil {
+			var changed Record
+			if json.Unmarshal(reply.Record, &changed) == nil {
+				m.cacheRecord(&changed)
+			}
+			s.loseRun()
+			m.counters.Add("sessions_handed_over", 1)
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/session/termination.go
@@ -0,0 +1,220 @@
+// How operations and Runs end: cancelled, refused for good, closed when quiet, or
+// by the program's end or the lease.
+
+package session
+
+import (
+	"slices"
+	"time"
+
+	"fordseam/internal/base"
+	"fordseam/internal/budget"
+)
+
+func (m *Manager) cancelTurn(s *ownedSession, req *Request) (*Reply, error) {
+	s.mu.Lock()
+	op := s.operations[req.Turn]
+	s.mu.Unlock()
+	if op == nil {
+		return s.readTurn(req)
+	}
+	m.cancelOperation(s, op)
+	return s.readTurn(req)
+}
+
+// cancelOp answers a queued turn as not run at once; a running one is told
+// to stop and answered by its leg.
+func (m *Manager) cancelOperation(s *ownedSession, op *operation) {
+	op.cancelled.Fire()
+	s.mu.Lock()
+	abort := op.abort
+	position := slices.Index(s.queue, op)
+	if position >= 0 {
+		s.queue = slices.Delete(s.queue, position, position+1)
+	}
+	s.mu.Unlock()
+	if abort != nil {
+		abort()
+	}
+	if position >= 0 {
+		m.endUnsuccessfully(s, op, OpCancelled, base.Decline(409, "cancelled", "the turn was cancelled before it ran"))
+	}
+}
+
+// abortable sets how a running turn is stopped; one that was cancelled
+// meanwhile is stopped at once.
+func (s *ownedSession) setAbort(op *operation, abort func()) {
+	s.mu.Lock()
+	op.abort = abort
+	s.mu.Unlock()
+	if abort != nil && op.cancelled.Fired() {
+		abort()
+	}
+}
+
+// conclude ends an operation without success. Not run is said only of a turn
+// that no earlier Run may have run, and that no later one will.
+func (m *Manager) endUnsuccessfully(s *ownedSession, op *operation, state OperationState, verdict *base.Verdict) {
+	if verdict.Ran == base.NotRun && s.mayHaveRun(op.id) {
+		verdict = afterLostAttempt(verdict)
+	}
+	if verdict.Ran == base.NotRun && verdict.Code != "turn_refused" {
+		verdict = m.recordRefusal(s, op.id, verdict)
+	}
+	s.mu.Lock()
+	if op.state.CanBecome(state) {
+		op.state, op.verdict, op.endedAt = state, verdict, s.clock.Now()
+	}
+	s.mu.Unlock()
+	op.stream.finish(failureFinal(op.id, verdict))
+	s.changed.Ring()
+}
+
+// refuseForGood has the control state keep that a turn was refused, so that
+// no later owner runs it, and gives the verdict to tell. Where that cannot be
+// kept soon, the turn is not called not run; the caller may ask again by its id.
+func (m *Manager) recordRefusal(s *ownedSession, turn string, verdict *base.Verdict) *base.Verdict {
+	record := s.recordCopy()
+	answer, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Beat()), record.Program, "session.refuse", changeArgs{Session: record.ID, Run: record.Run, RefusedTurn: turn})
+	if err == nil && answer.Refused {
+		return verdict
+	}
+	m.counters.Add("refusals_unkept", 1)
+	uncertain := base.Unsure(503, "outcome_unknown", "the turn was refused, which could not be kept in time; ask again by its Turn-Id (%s)", verdict.Message)
+	uncertain.RetryAfter = max(1, verdict.RetryAfter)
+	return uncertain
+}
+
+// end asks for Drain or Immediate; the request only ever escalates.
+func (m *Manager) terminate(ctx *base.Ctx, s *ownedSession, mode budget.Termination) (*Reply, error) {
+	s.mu.Lock()
+	if s.record.Phase.Terminal() {
+		s.mu.Unlock()
+		return &Reply{Status: 200, Body: s.status()}, nil
+	}
+	mode = s.record.Termination.Escalate(mode)
+	s.mu.Unlock()
+	if err := m.updateRun(ctx, s, Finalizing, mode, string(mode)); err != nil {
+		return nil, err
+	}
+	if mode == budget.Immediate {
+		m.cancelAll(s)
+	}
+	if err := m.finalizeIfIdle(ctx, s); err != nil {
+		return nil, err
+	}
+	return &Reply{Status: 200, Body: s.status()}, nil
+}
+
+func (m *Manager) cancelAll(s *ownedSession) {
+	s.mu.Lock()
+	all := slices.Clone(s.queue)
+	if s.running != nil {
+		all = append(all, s.running)
+	}
+	s.mu.Unlock()
+	for _, op := range all {
+		m.cancelOperation(s, op)
+	}
+}
+
+// moveRun puts a phase or termination in force.
+func (m *Manager) updateRun(ctx *base.Ctx, s *ownedSession, phase Phase, mode budget.Termination, reason string) error {
+	s.mu.Lock()
+	id, run := s.record.ID, s.record.Run
+	s.mu.Unlock()
+	answer, err := m.changeRegister(ctx, s.program, "session.move", changeArgs{Session: id, Run: run, Phase: phase, Termination: mode, Reason: reason})
+	if err != nil {
+		if base.IsCode(err, "stale_assignment") {
+			s.loseRun()
+		}
+		return err
+	}
+	s.updateRecord(answer.Record)
+	m.cacheRecord(answer.Record)
+	s.changed.Ring()
+	return nil
+}
+
+// closeIfQuiet makes a finalizing Run terminal once nothing is left to do.
+func (m *Manager) finalizeIfIdle(ctx *base.Ctx, s *ownedSession) error {
+	s.mu.Lock()
+	due := s.record.Phase == Finalizing && !s.working && len(s.queue) == 0
+	mode := s.record.Termination
+	s.mu.Unlock()
+	if !due {
+		return nil
+	}
+	if mode == budget.Immediate {
+		return m.updateRun(ctx, s, Cancelled, mode, "terminated")
+	}
+	return m.updateRun(ctx, s, Succeeded, mode, "drained")
+}
+
+// endBy ends a session because its program was told to.
+func (m *Manager) terminateForProgram(s *ownedSession, mode budget.Termination) {
+	record := s.recordCopy()
+	if record.Phase.Terminal() || record.Termination.Escalate(mode) == record.Termination {
+		return
+	}
+	if _, err := m.terminate(base.NewCtx(m.clock, m.bounds.Load().Recover), s, mode); err != nil {
+		m.counters.Add("session_end_failed", 1)
+	}
+}
+
+// tend looks after one session: its lease, its understudy, old operations.
+func (m *Manager) maintain(s *ownedSession) {
+	now, bounds := m.clock.Now(), m.bounds.Load()
+	s.mu.Lock()
+	if s.lost || s.maintaining || s.record.Phase.Terminal() {
+		s.mu.Unlock()
+		return
+	}
+	if s.working {
+		s.lastUsed = now
+	}
+	unused := now-s.lastUsed > 4*bounds.Retain && !s.working
+	lease := time.Duration(s.record.LeaseMs) * time.Millisecond
+	expired := lease > 0 && now-s.lastUsed > lease
+	for id, op := range s.operations {
+		if op.endedAt > 0 && now-op.endedAt > bounds.Retain {
+			delete(s.operations, id)
+		}
+	}
+	for id, outcome := range s.refusals {
+		if now-outcome.recordedAt > RefusalRetention(bounds) {
+			delete(s.refusals, id)
+		}
+	}
+	member, alive := m.view.Find(s.record.Standby)
+	standbyBehind := !alive || member.Leaving || s.standbyTurns[s.record.Standby] < uint64(len(s.turns))
+	readyToFinalize := s.record.Phase == Finalizing && !s.working && len(s.queue) == 0
+	s.maintaining = expired || standbyBehind || readyToFinalize || unused
+	due := s.maintaining
+	s.mu.Unlock()
+	if !due {
+		return
+	}
+	m.clock.Go(func() {
+		ctx := base.NewCtx(m.clock, bounds.Call())
+		switch {
+		case expired:
+			m.counters.Add("leases_expired", 1)
+			if m.updateRun(ctx, s, Failed, "", "lease_expired") == nil {
+				m.cancelAll(s)
+			}
+		case unused:
+			// The register forgets what nobody may ask for any more.
+			if _, err := m.changeRegister(ctx, s.program, "session.get", changeArgs{Session: s.recordCopy().ID}); base.IsCode(err, "unknown_session") {
+				s.loseRun()
+			}
+		case readyToFinalize:
+			_ = m.finalizeIfIdle(ctx, s)
+		default:
+			m.syncStandby(ctx, s)
+		}
+		s.mu.Lock()
+		s.maintaining = false
+		s.mu.Unlock()
+	})
+}
--- a/internal/toolcall/toolcall.go
+++ b/internal/toolcall/toolcall.go
@@ -30,12 +30,12 @@
 	Body        []byte `json:"body"`
 }
 
-type record struct {
-	State  state     `json:"state"`
-	Digest string    `json:"digest"`
-	Leg    string    `json:"leg"`
-	Answer *Response `json:"answer,omitempty"`
-	At     int64     `json:"at"`
+type claimRecord struct {
+	State    state     `json:"state"`
+	Digest   string    `json:"digest"`
+	Attempt  string    `json:"leg"`
+	Response *Response `json:"answer,omitempty"`
+	At       int64     `json:"at"`
 }
 
 // Claim asks for the right to carry a call out once.
@@ -52,49 +52,49 @@
 	Response *Response `json:"answer,omitempty"`
 }
 
-type finish struct {
+type finishArgs struct {
 	Claim
-	Answer *Response `json:"answer,omitempty"`
+	Response *Response `json:"answer,omitempty"`
 }
 
-func key(program, callKey string) string { return "claim/" + program + "/" + callKey }
+func claimKey(program, callKey string) string { return "claim/" + program + "/" + callKey }
 
-func load(tx *register.Tx, c *Claim) *record {
-	raw := tx.Get(key(c.Program, c.Key))
+func loadClaim(tx *register.Tx, claim *Claim) *claimRecord {
+	raw := tx.Get(claimKey(claim.Program, claim.Key))
 	if raw == nil {
 		return nil
 	}
-	var found record
-	_ = json.Unmarshal(raw, &found)
-	return &found
+	var record claimRecord
+	_ = json.Unmarshal(raw, &record)
+	return &record
 }
 
-func (r *record) store(tx *register.Tx, c *Claim) {
+func (r *claimRecord) store(tx *register.Tx, claim *Claim) {
 	r.At = tx.Now
-	tx.Put(key(c.Program, c.Key), base.Encode(r))
+	tx.Put(claimKey(claim.Program, claim.Key), base.Encode(r))
 }
 
 // RegisterHandlers adds the claims' ops to a core.
 func RegisterHandlers(owner *register.Owner) {
-	owner.Handle("toolcall.claim", claim)
-	owner.Handle("toolcall.finish", func(tx *register.Tx, args []byte) (any, error) {
-		var asked finish
-		_ = json.Unmarshal(args, &asked)
-		found := load(tx, &asked.Claim)
-		if found == nil || found.Leg != asked.Attempt || found.State != claimed {
+	owner.Handle("toolcall.claim", handleClaim)
+	owner.Handle("toolcall.finish", func(tx *register.Tx, raw []byte) (any, error) {
+		var args finishArgs
+		_ = json.Unmarshal(raw, &args)
+		stored := loadClaim(tx, &args.Claim)
+		if stored == nil || stored.Attempt != args.Attempt || stored.State != claimed {
 			return struct{}{}, nil
 		}
-		found.State = released
-		if asked.Answer != nil {
-			found.State, found.Answer = answered, asked.Answer
+		stored.State = released
+		if args.Response != nil {
+			stored.State, stored.Response = answered, args.Response
 		}
-		found.store(tx, &asked.Claim)
+		stored.store(tx, &args.Claim)
 		return struct{}{}, nil
 	})
 	owner.Sweep(func(tx *register.Tx) {
 		tx.Walk("claim/", "", func(storedKey string, value []byte) bool {
-			var found record
-			if json.Unmarshal(value, &found) == nil && tx.Now-found.At > tx.Bounds.Retain.Milliseconds()*5/4 {
+			var stored claimRecord
+			if json.Unmarshal(value, &stored) == nil && tx.Now-stored.At > tx.Bounds.Retain.Milliseconds()*5/4 {
 				tx.Gone(storedKey)
 			}
 			return true
@@ -102,43 +102,43 @@
 	})
 }
 
-func claim(tx *register.Tx, args []byte) (any, error) {
-	var asked Claim
-	_ = json.Unmarshal(args, &asked)
-	found := load(tx, &asked)
-	if found != nil && found.Digest != asked.Digest {
+func handleClaim(tx *register.Tx, raw []byte) (any, error) {
+	var request Claim
+	_ = json.Unmarshal(raw, &request)
+	stored := loadClaim(tx, &request)
+	if stored != nil && stored.Digest != request.Digest {
 		return nil, base.Decline(409, "key_reused", "this Idempotency-Key was used with another call")
 	}
-	if found != nil && found.State == answered {
-		return Outcome{Response: found.Answer}, nil
+	if stored != nil && stored.State == answered {
+		return Outcome{Response: stored.Response}, nil
 	}
-	if found != nil && found.State == claimed {
-		return Outcome{Proceed: found.Leg == asked.Attempt}, nil
+	if stored != nil && stored.State == claimed {
+		return Outcome{Proceed: stored.Attempt == request.Attempt}, nil
 	}
-	if found != nil && found.Leg == asked.Attempt {
+	if stored != nil && stored.Attempt == request.Attempt {
 		return nil, base.Decline(409, "leg_over", "this leg was given up")
 	}
-	program := budget.Load(tx, asked.Program)
+	program := budget.Load(tx, request.Program)
 	if program == nil {
 		return nil, budget.UnknownProgram()
 	}
 	if err := budget.CheckActive(tx, program, false); err != nil {
 		return nil, err
 	}
-	fresh := &record{State: claimed, Digest: asked.Digest, Leg: asked.Attempt}
-	fresh.store(tx, &asked)
+	added := &claimRecord{State: claimed, Digest: request.Digest, Attempt: request.Attempt}
+	added.store(tx, &request)
 	return Outcome{Proceed: true}, nil
 }
 
 // Client claims and finishes calls.
 type Client struct{ Register *register.Client }
 
-func (c *Client) Claim(ctx *base.Ctx, asked Claim) (*Outcome, error) {
+func (c *Client) Claim(ctx *base.Ctx, claim Claim) (*Outcome, error) {
 	var outcome Outcome
-	return &outcome, c.Register.Change(ctx, budget.RegisterGroup(asked.Program), "toolcall.claim", asked, &outcome)
+	return &outcome, c.Register.Change(ctx, budget.RegisterGroup(claim.Program), "toolcall.claim", claim, &outcome)
 }
 
 // Finish records the answer, or gives the claim back when there is none.
-func (c *Client) Finish(ctx *base.Ctx, asked Claim, answer *Response) error {
-	return c.Register.Change(ctx, budget.RegisterGroup(asked.Program), "toolcall.finish", finish{asked, answer}, nil)
+func (c *Client) Finish(ctx *base.Ctx, claim Claim, response *Response) error {
+	return c.Register.Change(ctx, budget.RegisterGroup(claim.Program), "toolcall.finish", finishArgs{claim, response}, nil)
 }
