--- a/internal/session/accept.go
+++ b/internal/session/accept.go
@@ -1,6 +1,3 @@
-// Acceptance of turns: once by Turn-Id, joined or replayed when asked again, and
-// queued for the one mutation at a time.
-
 package session
 
 import (
@@ -11,7 +8,9 @@
 	"fordseam/internal/base"
 )
 
-// submit accepts a turn, joins it, or replays it.
+// submit accepts a turn, joins one that is under way, or replays one that was
+// answered. A turn that names its previous turn after the Run has ended starts the
+// session's next Run; stale_assignment then makes the caller try again there.
 func (m *Manager) submit(ctx *base.Ctx, s *ownedSession, req *Request) (*Reply, error) {
 	digest := base.Digest(append([]byte(req.Previous+"\n"+strconv.FormatInt(req.MaxTokens, 10)+"\n"), req.Messages...))
 	reply, err := m.accept(s, req, digest)
@@ -29,11 +28,13 @@
 	return reply, err
 }
 
+// newReader returns a reader of a turn's stream, from the place that the client has
+// reached when it read some of the same attempt before.
 func (m *Manager) newReader(stream *Stream, req *Request) (*Reply, error) {
 	reader := &Reader{keeper: m, turn: req.Turn, local: stream}
 	if req.LastAttempt != "" {
 		if leg := stream.attemptID(); leg != req.LastAttempt {
-			return nil, base.Unsure(409, "leg_changed", "the pieces seen are of another run of this turn; read it from the start")
+			return nil, base.Unsure(409, "leg_changed", "the pieces received belong to another attempt of this turn; read the turn from the start")
 		}
 		reader.position = min(req.LastPiece, uint64(stream.pieceCount()))
 		reader.delivered = reader.position
@@ -41,6 +42,10 @@
 	return &Reply{Status: 200, Stream: reader}, nil
 }
 
+// accept queues a turn, once per Turn-Id: the same id again joins the turn or
+// replays its answer, or is refused as it was before. Turns of a session run one at
+// a time, in the order accepted. A turn that failed and may have run can be
+// accepted again.
 func (m *Manager) accept(s *ownedSession, req *Request, digest string) (*Reply, error) {
 	s.mu.Lock()
 	if turn := s.completedTurn(req.Turn); turn != nil {
@@ -70,7 +75,7 @@
 	}
 	if req.LastAttempt != "" {
 		s.mu.Unlock()
-		return nil, base.Unsure(409, "leg_changed", "the pieces seen are of a run of this turn that was lost; read it from the start")
+		return nil, base.Unsure(409, "leg_changed", "the pieces received belong to an attempt of this turn that was lost; read the turn from the start")
 	}
 	if s.lost {
 		s.mu.Unlock()
@@ -78,7 +83,7 @@
 	}
 	if s.record.Phase.Terminal() {
 		s.mu.Unlock()
-		return nil, base.Decline(409, "run_over", "the session's Run has ended; name the Previous-Turn to go on")
+		return nil, base.Decline(409, "run_over", "the session's Run has ended; send Previous-Turn to continue in a new Run")
 	}
 	s.mu.Unlock()
 	if err := m.beginRequest(req); err != nil {
@@ -87,9 +92,9 @@
 	s.mu.Lock()
 	var verdict *base.Verdict
 	if s.record.Phase != Ready {
-		verdict = base.Decline(503, "session_draining", "the session takes no new turns")
+		verdict = base.Decline(503, "session_draining", "the session is closing and accepts no new turns")
 	} else if len(s.queue) >= s.record.QueueSize {
-		verdict = base.Busy(429, "queue_full", 1, "the session's queue of %d is full", s.record.QueueSize)
+		verdict = base.Busy(429, "queue_full", 1, "the session's queue of %d turns is full", s.record.QueueSize)
 	}
 	if verdict != nil {
 		if s.record.isUncertain(req.Turn) {
@@ -121,10 +126,11 @@
 }
 
 func turnIDReused() *base.Verdict {
-	return base.Decline(409, "turn_id_reused", "this Turn-Id was used with another body")
+	return base.Decline(409, "turn_id_reused", "this Turn-Id was already used with a different request body")
 }
 
-// work runs the queue, one turn at a time, until it is empty.
+// runQueue runs the queued turns, one at a time, until the queue is empty or the Run
+// is lost.
 func (m *Manager) runQueue(s *ownedSession) {
 	for {
 		s.mu.Lock()
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -1,11 +1,3 @@
-// Turns and their attempts. A turn is accepted once by its Turn-Id; the same id
-// again joins it or replays its answer. An attempt reserves its tokens durably,
-// checks the permit once more, and only then goes out; what it streams is
-// passed on piece by piece. Before any piece is out another attempt may follow;
-// after that a lost attempt ends the stream as cut. Success needs the worker's
-// finish reason and its end mark, the chain on a majority, and the offer to
-// the understudy.
-
 package session
 
 import (
@@ -18,14 +10,14 @@
 	"fordseam/internal/worker"
 )
 
-// plan is all that a turn's attempts need, made before any goes out.
+// turnPlan is what the attempts of a turn need, computed before the first is sent.
 type turnPlan struct {
 	route         *settings.Route
-	messages      []json.RawMessage
+	messages      []json.RawMessage // the chain and the turn's own messages
 	maxTokens     int64
 	need          *worker.Need
-	maxAttempts   int
-	fallbackRoute *settings.Route
+	maxAttempts   int             // counted attempts
+	fallbackRoute *settings.Route // nil when there is none or it is in use
 }
 
 func (m *Manager) planTurn(s *ownedSession, op *operation) (*turnPlan, *base.Verdict) {
@@ -57,6 +49,9 @@
 	return plan, nil
 }
 
+// runTurn makes attempts of a turn until one succeeds, or until no other may
+// follow. Before any piece is streamed another attempt may follow; after that a lost
+// attempt ends the stream as cut.
 func (m *Manager) runTurn(s *ownedSession, op *operation) (OperationState, *base.Verdict) {
 	if err := m.revalidate(base.NewCtx(m.clock, m.bounds.Load().Recover), s); err != nil {
 		return OpFailed, base.FromWire(err)
@@ -72,7 +67,7 @@
 		case op.cancelled.Fired():
 			return OpCancelled, &base.Verdict{Status: 409, Code: "cancelled", Message: "the turn was cancelled", Ran: ran}
 		case ctx.Over():
-			return OpTimedOut, &base.Verdict{Status: 504, Code: "timed_out", Message: "the turn's time is over", Ran: ran}
+			return OpTimedOut, &base.Verdict{Status: 504, Code: "timed_out", Message: "the turn exceeded its time limit", Ran: ran}
 		}
 		outcome := m.runAttempt(ctx, s, op, plan)
 		if outcome.verdict == nil {
@@ -107,27 +102,31 @@
 	}
 }
 
-// afterLostAttempt is the word on a turn that can have no other attempt after one
-// whose end is not known: not a refusal, whatever stopped it.
+// afterLostAttempt returns the verdict on a turn that can have no other attempt
+// after one whose outcome is unknown. It is never a refusal, whatever prevented the
+// other attempt, because the turn may have run.
 func afterLostAttempt(refused *base.Verdict) *base.Verdict {
-	verdict := base.Unsure(502, "worker_lost", "an earlier run of this turn was lost and there can be no other now: %s", refused.Message)
+	verdict := base.Unsure(502, "worker_lost", "an earlier attempt of this turn was lost and no other can be made: %s", refused.Message)
 	verdict.RetryAfter = refused.RetryAfter
 	return verdict
 }
 
+// Retries of attempts are a bounded share of all attempts on this node, so that
+// retries don't overload workers in trouble. Each attempt sent earns retryShare of a
+// retry, up to maxRetryCredit in store.
 const (
 	retryShare     = 0.1
 	maxRetryCredit = 10
 )
 
-// Repeated attempts are a bounded share of all attempts on this node, so that workers
-// in trouble are not buried under them.
+// earnRetry adds one sent attempt's share to the retry credit.
 func (m *Manager) earnRetry() {
 	m.mu.Lock()
 	m.retryCredit = min(maxRetryCredit, m.retryCredit+retryShare)
 	m.mu.Unlock()
 }
 
+// takeRetry uses up credit for one retry and reports whether there was any.
 func (m *Manager) takeRetry() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -138,6 +137,7 @@
 	return true
 }
 
+// failureState returns the state of a turn that did not succeed.
 func (m *Manager) failureState(op *operation, ctx *base.Ctx) OperationState {
 	switch {
 	case op.cancelled.Fired():
@@ -148,6 +148,7 @@
 	return OpFailed
 }
 
+// retryDecision says whether another attempt may follow a failed one.
 type retryDecision int
 
 const (
@@ -156,12 +157,16 @@
 	uncountedRetry                      // never left: another worker, not counted
 )
 
+// attemptOutcome is the result of one attempt; verdict is nil on success.
 type attemptOutcome struct {
 	verdict *base.Verdict
 	retry   retryDecision
 }
 
-// runAttempt takes one attempt from the pick of a worker to its end.
+// runAttempt makes one attempt at a worker. It reserves the tokens durably, checks
+// the permit once more, and only then sends the request; the events are passed on as
+// they come. Success needs the worker's finish reason and its end marker, the turn
+// on a majority of disks, and the attempt to copy it to the standby.
 func (m *Manager) runAttempt(ctx *base.Ctx, s *ownedSession, op *operation, plan *turnPlan) attemptOutcome {
 	var cleanup base.Cleanup
 	defer cleanup.Run()
@@ -186,8 +191,8 @@
 	if err != nil {
 		verdict := base.FromWire(err)
 		if verdict.Ran != base.NotRun {
-			// The reservation may stand and counts as spent; the attempt itself never left.
-			verdict = base.Busy(503, "budget_unconfirmed", 1, "the budget could not be confirmed in time")
+			// The reservation may exist and then counts as spent; the request was not sent.
+			verdict = base.Busy(503, "budget_unconfirmed", 1, "the token reservation could not be confirmed in time")
 		}
 		return attemptOutcome{verdict, noRetry}
 	}
@@ -207,7 +212,7 @@
 	if !m.picker.Stays(chosenWorker, plan.need) {
 		settle(0)
 		m.counters.Add("legs_turned_back", 1)
-		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is leaving"), uncountedRetry}
+		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is shutting down"), uncountedRetry}
 	}
 	m.counters.Add("legs_sent", 1)
 	m.earnRetry()
@@ -221,7 +226,7 @@
 			return attemptOutcome{base.Busy(503, "worker_unreachable", 1, "no worker could be reached"), uncountedRetry}
 		}
 		settle(-1)
-		return attemptOutcome{base.Unsure(502, "worker_lost", "the worker's answer was lost"), countedRetry}
+		return attemptOutcome{base.Unsure(502, "worker_lost", "the worker's response was lost"), countedRetry}
 	}
 	cleanup.Push(reply.Close)
 	if reply.Status() != 200 {
@@ -254,8 +259,8 @@
 	return m.commitTurn(s, op, record, turn)
 }
 
-// stillOwns is the last look before an attempt goes out: the permit on the
-// monotonic clock, and the register's word if the permit had lapsed since.
+// confirmOwnership is the last check before an attempt is sent: the permit on the
+// monotonic clock, and the register's record if the permit lapsed meanwhile.
 func (m *Manager) confirmOwnership(ctx *base.Ctx, s *ownedSession, run string) error {
 	if err := m.follower.Permit(ctx); err != nil {
 		return err
@@ -269,30 +274,30 @@
 	return nil
 }
 
-// refusedAttempt reads a worker's refusal. 503 is a worker's notice that it is
-// leaving; 429 and 503 say that nothing ran.
+// handleRefusal handles a worker's response other than 200. With 503 a worker says
+// that it is shutting down; 429 and 503 say that nothing ran.
 func (m *Manager) handleRefusal(s *ownedSession, plan *turnPlan, chosen *worker.Worker, reply base.BackReply, settle func(int64)) attemptOutcome {
 	plan.need.Tried[chosen.ID] = reply.Status() != 429
 	switch status := reply.Status(); {
 	case status == 503:
 		m.MarkWorkerLeaving(chosen)
 		settle(0)
-		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is leaving"), uncountedRetry}
+		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is shutting down"), uncountedRetry}
 	case status == 429:
 		m.picker.Shun(chosen.ID)
 		settle(0)
 		return attemptOutcome{base.Busy(429, "worker_busy", 1, "the worker is busy"), uncountedRetry}
 	case status >= 400 && status < 500:
 		settle(0)
-		return attemptOutcome{base.Decline(502, "worker_refused", "the worker refused the prompt with status %d", status), noRetry}
+		return attemptOutcome{base.Decline(502, "worker_refused", "the worker rejected the prompt with status %d", status), noRetry}
 	default:
 		settle(-1)
 		return attemptOutcome{base.Unsure(502, "worker_failed", "the worker failed with status %d", status), countedRetry}
 	}
 }
 
-// MarkWorkerLeaving takes a worker's own notice: no new work here at once, and
-// everywhere once the notice is told.
+// MarkWorkerLeaving handles a worker's own sign that it is shutting down: this node
+// sends it no new work from now on, and the others once they receive the notice.
 func (m *Manager) MarkWorkerLeaving(chosen *worker.Worker) {
 	m.picker.LeftNow(chosen)
 	m.counters.Add("workers_seen_leaving", 1)
@@ -302,8 +307,8 @@
 	})
 }
 
-// finishTurn makes the answer whole: the chain goes to a majority, with the
-// budget settled in the same change, and to the understudy meanwhile.
+// commitTurn stores an answered turn on a majority of disks, with its budget settled
+// in the same change, copies it to the standby meanwhile, and ends the stream.
 func (m *Manager) commitTurn(s *ownedSession, op *operation, record *Record, turn *Turn) attemptOutcome {
 	s.mu.Lock()
 	turn.Number = uint64(len(s.turns)) + 1
@@ -323,13 +328,13 @@
 		if verdict.Code == "stale_assignment" {
 			return attemptOutcome{verdict, noRetry}
 		}
-		return attemptOutcome{base.Unsure(502, "cut", "the answer could not be kept: %s", verdict.Message), noRetry}
+		return attemptOutcome{base.Unsure(502, "cut", "the answer could not be stored: %s", verdict.Message), noRetry}
 	}
 	copied.Wait(m.bounds.Load().Beat() * 2)
 	s.updateRecord(answer.Record)
 	s.mu.Lock()
 	turn.FinishedAt = answer.Record.LastTurnAt
-	if s.completedTurn(turn.ID) == nil { // the chain may have been read anew meanwhile
+	if s.completedTurn(turn.ID) == nil { // revalidate may have reloaded the chain meanwhile
 		s.turns = append(s.turns, *turn)
 	}
 	op.state, op.endedAt = OpSucceeded, m.clock.Now()
@@ -339,7 +344,7 @@
 	return attemptOutcome{}
 }
 
-// offer sends one turn to the understudy; a gap is filled by catchUp.
+// offerToStandby sends one turn to the standby; syncStandby fills any gap later.
 func (m *Manager) offerToStandby(s *ownedSession, record *Record, turn *Turn) {
 	member, alive := m.view.Find(record.Standby)
 	if !alive {
@@ -357,7 +362,8 @@
 	s.mu.Unlock()
 }
 
-// ProgramTermination says how a program was told to end, as far as the feed knows.
+// ProgramTermination returns the termination that was requested of a program, as far
+// as the feed has told this node.
 func (m *Manager) ProgramTermination(program string) budget.Termination {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/session/completion.go
+++ b/internal/session/completion.go
@@ -1,5 +1,3 @@
-// The call to a model worker: its request, and its answer read event by event.
-
 package session
 
 import (
@@ -10,20 +8,21 @@
 	"fordseam/internal/base"
 )
 
+// chatMessage is a message of the chat completions API.
 type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// prompt is the chain so far and the turn's own messages.
+// prompt returns the messages of the chain so far and those of the turn itself.
 func (s *ownedSession) prompt(op *operation) ([]json.RawMessage, *base.Verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if previous := op.request.Previous; previous != "" && previous != s.record.LastTurn {
 		if s.completedTurn(previous) != nil {
-			return nil, base.Decline(409, "previous_turn_not_latest", "the chain has gone on past that Previous-Turn")
+			return nil, base.Decline(409, "previous_turn_not_latest", "Previous-Turn %q is not the latest turn of the session", previous)
 		}
-		return nil, base.Decline(404, "previous_turn_unknown", "that Previous-Turn was not answered whole in this session")
+		return nil, base.Decline(404, "previous_turn_unknown", "Previous-Turn %q is not a completed turn of this session", previous)
 	}
 	messages := []json.RawMessage{}
 	add := func(raw json.RawMessage) {
@@ -40,6 +39,7 @@
 	return messages, nil
 }
 
+// completionRequest is the body of a streamed chat completions request.
 type completionRequest struct {
 	Model         string            `json:"model"`
 	Messages      []json.RawMessage `json:"messages"`
@@ -48,6 +48,7 @@
 	StreamOptions map[string]bool   `json:"stream_options"`
 }
 
+// completionChunk is one event of the streamed response.
 type completionChunk struct {
 	Choices []struct {
 		Delta struct {
@@ -66,24 +67,25 @@
 			StreamOptions: map[string]bool{"include_usage": true}})}
 }
 
+// modelOutput is a worker's complete answer.
 type modelOutput struct {
 	pieces       []string
 	finishReason string
 	tokens       int64
 }
 
-// receive passes a worker's chunks on as pieces. An answer that lacks its
-// finish reason or end mark, is malformed, stalls or overruns what was
-// granted is never a success.
+// receive passes a worker's chunks on as pieces of the stream. An answer that lacks
+// its finish reason or end marker, is malformed, stalls or exceeds the granted tokens
+// is never a success.
 func (m *Manager) receive(ctx *base.Ctx, op *operation, reply base.BackReply, granted int64) (*modelOutput, *base.Verdict) {
 	output := &modelOutput{}
 	stallLimit := m.bounds.Load().Recover * 5 / 2
 	for {
 		line, err := reply.Line(min(ctx.Left(), stallLimit))
 		if err != nil {
-			message := "the worker's answer was cut short"
+			message := "the worker's stream ended before its end marker"
 			if err != io.EOF && !op.cancelled.Fired() {
-				message = "the worker's answer stopped coming"
+				message = "the worker's stream stalled or failed"
 			}
 			return nil, base.Unsure(502, "worker_cut", "%s", message)
 		}
@@ -94,13 +96,13 @@
 		data = strings.TrimSpace(data)
 		if data == "[DONE]" {
 			if output.finishReason == "" {
-				return nil, base.Unsure(502, "worker_cut", "the worker ended without a finish reason")
+				return nil, base.Unsure(502, "worker_cut", "the worker ended its stream without a finish reason")
 			}
 			return output, nil
 		}
 		var chunk completionChunk
 		if json.Unmarshal([]byte(data), &chunk) != nil {
-			return nil, base.Unsure(502, "worker_malformed", "the worker's answer could not be read")
+			return nil, base.Unsure(502, "worker_malformed", "the worker sent a chunk that is not valid JSON")
 		}
 		if chunk.Usage != nil {
 			output.tokens = max(output.tokens, chunk.Usage.CompletionTokens)
@@ -108,7 +110,7 @@
 		for _, choice := range chunk.Choices {
 			if choice.Delta.Content != "" {
 				if output.finishReason != "" || int64(len(output.pieces)) >= granted {
-					return nil, base.Unsure(502, "worker_overran", "the worker put out more than it was granted")
+					return nil, base.Unsure(502, "worker_overran", "the worker sent output after its finish reason or beyond the %d tokens granted", granted)
 				}
 				output.pieces = append(output.pieces, choice.Delta.Content)
 				output.tokens = max(output.tokens, int64(len(output.pieces)))
--- a/internal/session/forward.go
+++ b/internal/session/forward.go
@@ -1,6 +1,3 @@
-// Visits that the owner elsewhere serves: carried to it once, marked so that they
-// go no further, and withdrawn where the outcome is unknown.
-
 package session
 
 import (
@@ -10,11 +7,12 @@
 	"fordseam/internal/base"
 )
 
-// forward carries the visit to the owner once.
+// forward sends the request to the session's owner once, marked so that the owner
+// does not forward it again.
 func (m *Manager) forward(ctx *base.Ctx, record *Record, req *Request) (*Reply, error) {
 	member, alive := m.view.Find(record.Owner)
 	if member == nil || !alive {
-		return nil, base.Busy(503, "unreachable", 1, "the owner is not known to be alive")
+		return nil, base.Busy(503, "unreachable", 1, "the session's owner is not known to be alive")
 	}
 	m.counters.Add("visits_forwarded", 1)
 	timeout := m.bounds.Load().Call() / 2
@@ -34,16 +32,17 @@
 	return &Reply{Status: 200, Body: json.RawMessage(reply.Reply)}, nil
 }
 
-// Forward is the owner's side: it never carries a visit any further.
+// Forward serves a request that another gateway forwarded to this node as the
+// session's owner. It never forwards the request again.
 func (m *Manager) Forward(plain context.Context, msg *ForwardRequest) (*ForwardReply, error) {
 	ctx := base.CtxOf(plain, m.clock)
 	var req Request
 	if err := json.Unmarshal(msg.Request, &req); err != nil || !msg.Forwarded {
-		return nil, base.ToWire(base.Decline(400, "bad_request", "not a forwarded visit"))
+		return nil, base.ToWire(base.Decline(400, "bad_request", "not a valid forwarded request"))
 	}
 	if msg.Assignment.GetOwner() != m.nodeID() {
-		// The caller reached this address for a former life of the process.
-		return nil, base.ToWire(base.Busy(503, "owner_lost", 1, "the owner's life at this address is over"))
+		// The caller means an earlier process at this address.
+		return nil, base.ToWire(base.Busy(503, "owner_lost", 1, "the owner was an earlier process at this address"))
 	}
 	record := &Record{ID: req.Session, Program: req.Program, Run: msg.Assignment.Run, Epoch: msg.Assignment.Epoch, Owner: m.nodeID()}
 	var reply *Reply
@@ -52,7 +51,7 @@
 		reply, err = m.serve(ctx, record, &req)
 	}
 	if err != nil {
-		// The forwarder will tell its caller so: a late copy must not run.
+		// The forwarding node tells its client "not run", so a late copy must not run.
 		if verdict := base.FromWire(err); verdict.Ran == base.NotRun && verdict.Code != "stale_assignment" && verdict.Code != "handing_over" {
 			err = m.recordDecline(&req, verdict)
 		}
@@ -69,8 +68,8 @@
 	return &ForwardReply{Reply: base.Encode(reply.Body)}, nil
 }
 
-// withdraw asks an owner whose reply was lost to fence the visit; only its
-// word that the visit will never run makes it not run.
+// withdraw asks an owner whose reply was lost to fence the request. The request
+// counts as not run only if the owner confirms that it will never run.
 func (m *Manager) withdraw(record *Record, req *Request, verdict *base.Verdict) error {
 	uncertain := base.Unsure(504, "owner_silent", "the session's owner did not answer in time")
 	member, _ := m.view.Find(record.Owner)
@@ -82,11 +81,11 @@
 	if err != nil || !reply.Fenced {
 		return uncertain
 	}
-	return base.Busy(503, "owner_silent", 1, "the owner was slow and has put the request aside: %s", verdict.Message)
+	return base.Busy(503, "owner_silent", 1, "the session's owner did not answer in time and withdrew the request: %s", verdict.Message)
 }
 
-// Withdraw fences a visit that was not accepted: its copies are declined, and
-// so is its turn, whichever request brings it.
+// Withdraw fences a request that was not accepted: later copies of it are declined,
+// and so is its turn in whichever request it comes.
 func (m *Manager) Withdraw(_ context.Context, request *WithdrawRequest) (*WithdrawReply, error) {
 	m.mu.Lock()
 	s := m.owned[request.Session]
@@ -102,7 +101,9 @@
 	return &WithdrawReply{Fenced: refusal.Ran == base.NotRun}, nil
 }
 
-// fence is the owner's own part of a withdrawal; the caller holds the lock.
+// fence makes this node decline a request and its turn from now on, and reports
+// whether it could: not when the request was accepted or may have run. The caller
+// holds m.mu.
 func (m *Manager) fence(s *ownedSession, request *WithdrawRequest) bool {
 	withdrawn := &requestOutcome{verdict: base.Decline(503, "withdrawn", "the request was withdrawn"), recordedAt: m.clock.Now()}
 	if outcome := m.outcomes[request.Visit]; outcome != nil && (outcome.verdict == nil || outcome.verdict.Ran != base.NotRun) {
@@ -117,8 +118,8 @@
 	return true
 }
 
-// admit marks a visit as seen, once. A copy of one that was declined is
-// declined with the same words.
+// beginRequest marks a request as seen. A copy of one that was declined gets the
+// same verdict again.
 func (m *Manager) beginRequest(req *Request) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,15 +130,16 @@
 	return nil
 }
 
-// accepted marks a visit whose turn is in the queue.
+// markAccepted marks a request whose turn is in the queue.
 func (m *Manager) markAccepted(req *Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.outcomes[req.ID] = &requestOutcome{recordedAt: m.clock.Now(), accepted: true}
 }
 
-// decline keeps the words a visit was declined with, unless a copy of it was
-// accepted before.
+// recordDecline stores the verdict that a request was declined with and returns it.
+// When a copy of the request was accepted before, the verdict says instead that it
+// may have run.
 func (m *Manager) recordDecline(req *Request, verdict *base.Verdict) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/session/housekeeping.go
+++ b/internal/session/housekeeping.go
@@ -1,6 +1,3 @@
-// What the keeper does by itself: forgets what nobody asks for any more, hands
-// over what is left when the node leaves, and ends with it.
-
 package session
 
 import (
@@ -10,7 +7,8 @@
 	"fordseam/internal/budget"
 )
 
-// SetTerminations takes in from the feed which programs were told to end.
+// SetTerminations takes from the feed the terminations requested of programs and
+// ends their sessions on this node.
 func (m *Manager) SetTerminations(terminations map[string]budget.Termination) {
 	m.mu.Lock()
 	m.terminations = terminations
@@ -27,7 +25,7 @@
 	}
 }
 
-// Run looks after leases, understudies and what has been kept long enough.
+// Run maintains leases and standbys and deletes expired state until Close.
 func (m *Manager) Run() {
 	for {
 		m.clock.Sleep(m.bounds.Load().Beat())
@@ -48,7 +46,7 @@
 	}
 }
 
-// prune forgets what no one can ask for any more; the caller holds the lock.
+// prune deletes state that no request can refer to any more. The caller holds m.mu.
 func (m *Manager) prune() {
 	now, bounds := m.clock.Now(), m.bounds.Load()
 	for id, outcome := range m.outcomes {
@@ -73,20 +71,20 @@
 	}
 }
 
-// Close stops the keeper's own tasks.
+// Close makes Run return.
 func (m *Manager) Close() {
 	m.mu.Lock()
 	m.closed = true
 	m.mu.Unlock()
 }
 
-// closingShare is the part of a planned stop's time that is left for answering
-// the requests whose turns did not end before it.
+// drainReserveDivisor reserves an eighth of the time for a drain for answering the
+// requests whose turns have not ended by then.
 const drainReserveDivisor = 8
 
-// Drain finishes what was accepted and hands each session to its standby; new
-// turns wait for the hand-over and go on there. A turn may take longer than the
-// stop: what is still carried near its end is answered as cut.
+// Drain finishes the accepted turns and hands each session over to its standby. New
+// turns wait for the handover and continue there. A turn may take longer than limit:
+// streams that are open near its end are answered as cut.
 func (m *Manager) Drain(limit time.Duration) {
 	limit -= limit / drainReserveDivisor
 	m.clock.Go(func() {
@@ -104,8 +102,8 @@
 	m.waitForPulls()
 }
 
-// flush gives partners that carry streams to their callers a little time to
-// pull the last pieces.
+// waitForPulls gives other gateways up to one pull interval to pull the last pieces
+// of forwarded streams.
 func (m *Manager) waitForPulls() {
 	wait := m.bounds.Load().Pull()
 	for end := m.clock.Now() + wait; m.clock.Now() < end; m.clock.Sleep(wait / 20) {
@@ -121,8 +119,8 @@
 	}
 }
 
-// Sizes counts what this node keeps of sessions: owned, understudied, and
-// streams carried for other gateways.
+// Sizes returns the number of sessions owned here, of standby copies, and of streams
+// kept for other gateways.
 func (m *Manager) Sizes() (owned, standbyCopies, forwardedStreams int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/session/manager.go
+++ b/internal/session/manager.go
@@ -1,11 +1,26 @@
-// The keeper is a gateway's part in sessions: it finds the owner of a
-// session for each visit, serves it here when this node is the owner, else
-// carries it to the owner once, marked so that it goes no further. The
-// session id and the assignment identity travel with every call; an owner
-// that holds another Run says so, and the assignment is looked up anew once.
-// When the owner is gone, the understudy, or failing it this node, takes the
-// next Run by epoch, and the visit goes on there.
-
+// Package session serves conversations on the gateways and keeps their durable
+// state in the register.
+//
+// A session is assigned to one Run at a time. A Run has an id, an epoch and one
+// owner: the gateway that alone holds the session's queue, its operation states,
+// its answered turns (the chain) and its streams. The Record in the register is
+// the assignment and the durable part. Every register operation names the Run
+// that it acts for, so an owner whose Run was replaced can no longer reserve
+// tokens, finish turns or change the session. The paper ends a session together
+// with its owner; here only the Run ends and the history stays, and a later turn
+// starts a successor Run with a new id and epoch.
+//
+// Manager.Handle finds a session's owner and serves the request here when this
+// node is the owner, or else forwards it to the owner once, marked so that it is
+// not forwarded again. The session id and the assignment travel with every call;
+// an owner that holds another Run answers stale_assignment, and the assignment is
+// then looked up once more. When the owner is gone, the session's standby, or
+// this node if the standby fails, takes the next Run by epoch and the request
+// continues there.
+//
+// Two terms are spelt otherwise in JSON, register keys and metric names: a
+// standby is an understudy there, and an attempt, one try of a turn at a worker,
+// is a leg.
 package session
 
 import (
@@ -22,7 +37,7 @@
 	"fordseam/internal/worker"
 )
 
-// Kinds of visits to a session.
+// Kinds of requests to a session.
 const (
 	KindStatus     = "status"
 	KindSubmitTurn = "turn"
@@ -34,12 +49,15 @@
 	KindTerminate  = "terminate"
 )
 
+// Limits per gateway: cached records of sessions, wherever they are owned, and
+// sessions owned here.
 const (
 	recordCacheLimit  = 8192
 	ownedSessionLimit = 16384
 )
 
-// Request is one call to a session, as a caller meant it.
+// Request is one call to a session, as a client sent it. It crosses to the owner
+// as JSON inside ForwardRequest.
 type Request struct {
 	ID          string          `json:"id"`
 	Kind        string          `json:"kind"`
@@ -56,14 +74,15 @@
 	MaxTokens   int64           `json:"max_tokens,omitempty"`
 }
 
-// Reply is a plain answer, or a stream to read.
+// Reply is a response body, or a stream to read.
 type Reply struct {
 	Status int
 	Body   any
 	Stream *Reader
 }
 
-// Manager holds what this gateway owns, understudies and remembers.
+// Manager is a gateway's session service. It holds the sessions that this gateway
+// owns, the copies of those that it is the standby for, and a cache of records.
 type Manager struct {
 	clock    base.Clock
 	wire     base.Wire
@@ -81,17 +100,17 @@
 	owned            map[string]*ownedSession
 	standbyCopies    map[string]*standbyCopy
 	recordCache      map[string]*Record
-	forwardedStreams map[string]*Stream
+	forwardedStreams map[string]*Stream // pulled by other gateways, by Run and turn id
 	outcomes         map[string]*requestOutcome
 	terminations     map[string]budget.Termination
 	retryCredit      float64
 	draining         bool
 	closed           bool
-	// stopping fires when a leaving node has no more time for what it carries.
+	// stopping fires when a draining node has no time left for unfinished streams.
 	stopping base.Signal
 }
 
-// declinedVisit is what became of a visit here: declined with a verdict,
+// requestOutcome is what became of a request here: declined with a verdict,
 // accepted, or neither yet.
 type requestOutcome struct {
 	verdict    *base.Verdict
@@ -99,7 +118,7 @@
 	accepted   bool
 }
 
-// Dependencies are what a keeper is built from.
+// Dependencies are the services that a Manager uses.
 type Dependencies struct {
 	Clock    base.Clock
 	Wire     base.Wire
@@ -113,6 +132,7 @@
 	Tree     *base.Table[settings.Tree]
 }
 
+// NewManager returns a Manager that owns no sessions yet.
 func NewManager(deps Dependencies) *Manager {
 	return &Manager{clock: deps.Clock, wire: deps.Wire, view: deps.View, bounds: deps.Bounds, counters: deps.Counters, register: deps.Register,
 		follower: deps.Follower, picker: deps.Picker, workers: &worker.Client{Register: deps.Register}, backends: deps.Backends, tree: deps.Tree,
@@ -122,6 +142,7 @@
 
 func (m *Manager) nodeID() string { return m.view.Me() }
 
+// changeRegister runs a session operation on the register shard of the program.
 func (m *Manager) changeRegister(ctx *base.Ctx, program, op string, args changeArgs) (*changeResult, error) {
 	var answer changeResult
 	if err := m.register.Change(ctx, budget.RegisterGroup(program), op, args, &answer); err != nil {
@@ -130,8 +151,8 @@
 	return &answer, nil
 }
 
-// Create makes a session with this node as its owner. The Run passes
-// Pending, Scheduled and Running here, and is recorded as Ready.
+// Create registers a new session with this node as its owner. The Run passes
+// through Pending, Scheduled and Running here and is recorded as Ready.
 func (m *Manager) Create(ctx *base.Ctx, record *Record) (*Record, error) {
 	record.Run = base.NewID(m.clock, "run-")
 	record.Epoch = 1
@@ -139,10 +160,10 @@
 	record.Standby = m.pickStandby(record.ID, "")
 	record.Phase = Ready
 	if m.isDraining() {
-		return nil, base.Busy(503, "draining", 1, "this node is leaving")
+		return nil, base.Busy(503, "draining", 1, "this node is draining and accepts no new sessions")
 	}
 	if m.OwnedCount() >= ownedSessionLimit {
-		return nil, base.Busy(429, "too_many_sessions", 5, "this node owns %d sessions and takes no more", ownedSessionLimit)
+		return nil, base.Busy(429, "too_many_sessions", 5, "this node already owns its maximum of %d sessions", ownedSessionLimit)
 	}
 	answer, err := m.changeRegister(ctx, record.Program, "session.acquire", changeArgs{Session: record.ID, Record: record})
 	if err != nil {
@@ -153,7 +174,7 @@
 	return answer.Record, nil
 }
 
-// OwnedCount counts the sessions in this node's memory.
+// OwnedCount returns the number of sessions in this node's memory.
 func (m *Manager) OwnedCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,6 +187,8 @@
 	return m.draining
 }
 
+// addOwned puts a session that this node owns into memory. It keeps the entry that
+// is there when it is of the same Run.
 func (m *Manager) addOwned(record *Record, turns []Turn) *ownedSession {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,6 +207,7 @@
 	return added
 }
 
+// cacheRecord caches a record unless a newer version of it is cached.
 func (m *Manager) cacheRecord(record *Record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -197,6 +221,8 @@
 	m.recordCache[record.ID] = &cached
 }
 
+// lookupRecord returns the record of a request's session from the cache, or from
+// the register when it is not cached or refresh is set.
 func (m *Manager) lookupRecord(ctx *base.Ctx, req *Request, refresh bool) (*Record, error) {
 	m.mu.Lock()
 	cached := m.recordCache[req.Session]
@@ -215,7 +241,7 @@
 	return answer.Record, nil
 }
 
-// Lookup gives a visit's session as this node knows it, or looks it up.
+// Lookup returns the record of a request's session, which may be a cached one.
 func (m *Manager) Lookup(ctx *base.Ctx, req *Request) (*Record, error) {
 	record, err := m.lookupRecord(ctx, req, false)
 	if err == nil && record.Program != req.Program {
@@ -224,10 +250,11 @@
 	return record, err
 }
 
-// attempt is what a visit has learnt of the copies it sent.
+// deliveryState tracks the copies of a request that were sent to owners without
+// a reply.
 type deliveryState struct {
-	unanswered   *Record
-	ownerChanged bool
+	unanswered   *Record // the assignment that the last such copy was sent to
+	ownerChanged bool    // that owner was lost, or the Run replaced, since
 }
 
 func (d *deliveryState) replyLost(record *Record) {
@@ -235,25 +262,26 @@
 	d.unanswered = record
 }
 
-// ownerWords are an owner's verdicts on the turn itself, which hold whatever
+// finalOwnerCodes are an owner's verdicts on the turn itself. They hold whatever
 // became of earlier copies of the request.
 var finalOwnerCodes = map[string]bool{"queue_full": true, "session_draining": true, "turn_id_reused": true, "run_over": true, "leg_changed": true,
 	"turn_refused": true, "unknown_session": true, "unknown_turn": true, "session_over": true, "forbidden": true, "withdrawn": true}
 
-// giveUp is the visit's last word. Where a copy's reply was lost, only the
-// owner's word makes it not run.
+// finalError returns the error that a request ends with. When the reply to a copy
+// was lost, the request counts as not run only if its owner confirms that.
 func (m *Manager) finalError(req *Request, delivery *deliveryState, err error) error {
 	verdict := base.FromWire(err)
 	switch {
 	case delivery.unanswered == nil || finalOwnerCodes[verdict.Code]:
 		return verdict
 	case delivery.ownerChanged:
-		return base.Unsure(504, "owner_silent", "the session's owner was lost with the request: %s", verdict.Message)
+		return base.Unsure(504, "owner_silent", "the session's owner was lost while it had the request: %s", verdict.Message)
 	}
 	return m.withdraw(delivery.unanswered, req, verdict)
 }
 
-// Handle carries one call out, wherever the owner is.
+// Handle serves one request on the session's owner, here or on another node, and
+// has the session taken over when the owner is lost.
 func (m *Manager) Handle(ctx *base.Ctx, req *Request) (*Reply, error) {
 	refresh, refreshedRun, delivery := false, "", &deliveryState{}
 	for {
@@ -290,7 +318,7 @@
 			m.counters.Add("owner_unreachable", 1)
 			ownerLost = true
 		case "handing_over":
-			// The owner is leaving and finishes what it accepted; ask again.
+			// The owner is draining and finishes what it accepted; try again.
 		case "reply_lost":
 			delivery.replyLost(record)
 			_, alive := m.view.Find(record.Owner)
@@ -313,7 +341,8 @@
 	}
 }
 
-// withAgain lets a stream that gave nothing yet be found anew.
+// withReopen lets the reader of a stream repeat the request when the owner is lost
+// before the first piece.
 func (m *Manager) withReopen(reply *Reply, req *Request) *Reply {
 	if reply.Stream != nil {
 		reply.Stream.reopen = func() (*Reader, error) {
--- a/internal/session/operations.go
+++ b/internal/session/operations.go
@@ -1,6 +1,3 @@
-// The register's operations on sessions, each decided by the leader of the
-// session's shard on the record as it stands.
-
 package session
 
 import (
@@ -11,7 +8,8 @@
 	"fordseam/internal/register"
 )
 
-// ask is the one message of all session ops.
+// changeArgs are the arguments of every session operation of the register; each uses
+// some of the fields.
 type changeArgs struct {
 	Session       string             `json:"session"`
 	Run           string             `json:"run"`
@@ -31,6 +29,7 @@
 	Limit         int                `json:"limit,omitempty"`
 }
 
+// changeResult is the result of every session operation.
 type changeResult struct {
 	Record        *Record `json:"record,omitempty"`
 	GrantedTokens int64   `json:"granted,omitempty"`
@@ -38,7 +37,8 @@
 	Refused       bool    `json:"refused,omitempty"`
 }
 
-// RegisterHandlers adds the sessions' ops to a core.
+// RegisterHandlers adds the session operations to a core's register. The leader of
+// the session's shard decides each on the current record.
 func RegisterHandlers(owner *register.Owner) {
 	handle := func(name string, op func(tx *register.Tx, args *changeArgs, record *Record, program *budget.Program) (any, error)) {
 		owner.Handle(name, func(tx *register.Tx, raw []byte) (any, error) {
@@ -85,12 +85,13 @@
 	owner.Sweep(deleteExpired)
 }
 
+// acquire creates a session. It may be repeated by the same Run.
 func acquire(tx *register.Tx, args *changeArgs, record *Record, program *budget.Program) (any, error) {
 	if record != nil {
 		if record.Run == args.Record.Run {
 			return changeResult{Record: record}, nil
 		}
-		return nil, base.Decline(409, "session_exists", "the session exists")
+		return nil, base.Decline(409, "session_exists", "session %q already exists", record.ID)
 	}
 	if err := budget.CheckActive(tx, program, false); err != nil {
 		return nil, err
@@ -101,19 +102,21 @@
 	return changeResult{Record: &created}, nil
 }
 
+// reserve reserves tokens for an attempt. Attempt numbers only rise, so that a late
+// copy of an earlier attempt's request reserves nothing.
 func reserve(tx *register.Tx, args *changeArgs, record *Record, program *budget.Program) (any, error) {
 	if record.Run != args.Run || record.Phase.Terminal() {
 		return nil, staleAssignment()
 	}
 	if record.Termination == budget.Immediate {
-		return nil, base.Decline(503, "session_terminating", "the session is ending")
+		return nil, base.Decline(503, "session_terminating", "the session is being terminated")
 	}
 	if tx.Get(refusalKey(record.ID, turnOfAttempt(args.Attempt))) != nil {
-		return nil, base.Decline(409, "turn_refused", "this Turn-Id was refused before and stays so; send a new one")
+		return nil, base.Decline(409, "turn_refused", "this Turn-Id was refused earlier and stays refused; send a new one")
 	}
 	reserved := budget.IsReserved(tx, program, args.Attempt)
 	if args.AttemptNumber < record.HighestAttempt || (args.AttemptNumber == record.HighestAttempt && !reserved) {
-		return nil, base.Decline(409, "leg_over", "the leg is over; this is a late copy")
+		return nil, base.Decline(409, "leg_over", "the attempt has already ended; this request is a late copy")
 	}
 	granted, err := budget.Reserve(tx, program, args.Attempt, args.Tokens)
 	if err != nil {
@@ -126,8 +129,8 @@
 	return changeResult{Record: record, GrantedTokens: granted}, nil
 }
 
-// refuse keeps a turn from ever having a leg, under this Run or a later one.
-// It is too late for one that has had any.
+// refuse records that a turn must not get an attempt, under this Run or a later one.
+// It is too late for a turn that has had an attempt; Refused is then not set.
 func refuse(tx *register.Tx, args *changeArgs, record *Record, program *budget.Program) (any, error) {
 	if record.Run != args.Run {
 		return nil, staleAssignment()
@@ -139,9 +142,9 @@
 	return changeResult{Record: record, Refused: true}, nil
 }
 
-// settle ends a leg that brought no whole answer. Below zero the end is not
-// known: the tokens count as spent and the turn as one that may have run.
-// What comes after, a finish of the same leg included, is too late.
+// settle ends an attempt without a complete answer. Negative tokens mean that the
+// outcome is unknown: the whole reservation counts as spent and the turn may have
+// run. A later change of the same attempt, finish included, comes too late.
 func settle(tx *register.Tx, args *changeArgs, record *Record, program *budget.Program) (any, error) {
 	if budget.Settle(tx, program, args.Attempt, args.Tokens) && args.Tokens < 0 {
 		record.markUncertain(args.Attempt)
@@ -150,6 +153,8 @@
 	return changeResult{Record: record}, nil
 }
 
+// finish ends an attempt with its complete answer: it settles the reservation and adds
+// the turn to the chain. It may be repeated.
 func finish(tx *register.Tx, args *changeArgs, record *Record, program *budget.Program) (any, error) {
 	if record.LastAttempt == args.Attempt {
 		return changeResult{Record: record}, nil
@@ -158,7 +163,7 @@
 		return nil, staleAssignment()
 	}
 	if !budget.Settle(tx, program, args.Attempt, args.Tokens) {
-		return nil, base.Decline(409, "leg_over", "the leg was given up; this is a late copy")
+		return nil, base.Decline(409, "leg_over", "the attempt was given up; this request is a late copy")
 	}
 	turn := *args.Turn
 	turn.Number, turn.FinishedAt = record.TurnCount+1, tx.Now
@@ -168,6 +173,7 @@
 	return changeResult{Record: record}, nil
 }
 
+// move changes the Run's phase, its termination or the standby.
 func move(tx *register.Tx, args *changeArgs, record *Record, program *budget.Program) (any, error) {
 	if record.Run != args.Run {
 		return nil, staleAssignment()
@@ -192,8 +198,8 @@
 	return changeResult{Record: record}, nil
 }
 
-// succeed ends a Run and gives the session the next one. Whoever loses the
-// race is told which Run won.
+// succeed ends a Run and starts the session's next one. A caller that lost the race
+// receives the record of the Run that won.
 func succeed(tx *register.Tx, args *changeArgs, record *Record, program *budget.Program) (any, error) {
 	if record.Run != args.Run {
 		return changeResult{Record: record}, nil
@@ -202,7 +208,7 @@
 		return nil, err
 	}
 	if record.Phase.Terminal() && tx.Now-max(record.LastTurnAt, record.EndedAt) > tx.Bounds.Retain.Milliseconds()*5/4 {
-		return nil, base.Decline(410, "session_over", "the session ended and its history is no longer kept")
+		return nil, base.Decline(410, "session_over", "the session has ended and its history is no longer retained")
 	}
 	record.forfeitReservations(tx, program)
 	record.Run, record.Owner, record.Standby = args.NewRun, args.Owner, args.Standby
@@ -212,8 +218,8 @@
 	return changeResult{Record: record}, nil
 }
 
-// sweep forgets sessions that ended, with their turns, once no later turn
-// may ask for them, and those whose program is forgotten.
+// deleteExpired deletes old refusals, sessions that ended so long ago that no later
+// turn may refer to them, and sessions whose program is deleted, with their turns.
 func deleteExpired(tx *register.Tx) {
 	tx.Walk("refused/", "", func(key string, value []byte) bool {
 		var at int64
--- a/internal/session/owned.go
+++ b/internal/session/owned.go
@@ -1,8 +1,3 @@
-// A held session is the owner's memory of one Run: the queue that it alone
-// has, the operation states, the chain, and the streams. One mutation runs
-// at a time, in the order accepted, each within its own deadline; reads,
-// lists and status look at the memory and never stand in the queue.
-
 package session
 
 import (
@@ -13,6 +8,8 @@
 	"fordseam/internal/budget"
 )
 
+// operation is a turn that the owner accepted. The session's mutex guards its state,
+// abort, verdict and endedAt.
 type operation struct {
 	id        string
 	digest    string
@@ -26,28 +23,32 @@
 	endedAt   time.Duration
 }
 
+// ownedSession is the owner's memory of one Run: its queue, the operation states,
+// the chain and the streams. One turn runs at a time, in the order accepted, each
+// within its own deadline. Reads, lists and status use the memory and never wait in
+// the queue.
 type ownedSession struct {
 	program    string
-	changed    *base.Bell
-	handedOver base.Signal
+	changed    *base.Bell  // rings when the session may have become idle
+	handedOver base.Signal // fires when the Run is lost or a drain is done with it
 	clock      base.Clock
 
 	mu               sync.Mutex
 	record           *Record
-	turns            []Turn
+	turns            []Turn // the chain
 	operations       map[string]*operation
 	queue            []*operation
 	running          *operation
-	working          bool
-	lost             bool
-	uncertainAttempt string
-	lastAttempt      uint64
-	permitLapses     uint64
-	lastUsed         time.Duration
-	standbyTurns     map[string]uint64
-	refusals         map[string]*requestOutcome
-	maintaining      bool
-	lastWorker       string
+	working          bool                       // runQueue is running
+	lost             bool                       // the Run was given up
+	uncertainAttempt string                     // the attempt whose finish has an unknown outcome, or ""
+	lastAttempt      uint64                     // number of the last attempt
+	permitLapses     uint64                     // the follower's count when the Run was last confirmed
+	lastUsed         time.Duration              // when a client last used the session
+	standbyTurns     map[string]uint64          // turns of the chain that each standby has
+	refusals         map[string]*requestOutcome // by turn id
+	maintaining      bool                       // maintain has a task under way
+	lastWorker       string                     // worker of the last completed turn
 }
 
 func newOwnedSession(clock base.Clock, record *Record, turns []Turn, lapses uint64) *ownedSession {
@@ -69,8 +70,8 @@
 	return &copied
 }
 
-// take brings in the register's word on this Run; answers may cross, and the
-// older of two changes nothing.
+// updateRecord takes over the register's record of this Run. Replies may overtake
+// each other; an older record is ignored.
 func (s *ownedSession) updateRecord(record *Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,15 +80,15 @@
 	}
 }
 
-// mayHaveRun tells of a turn that had a leg under way when an earlier Run of
-// the session was lost.
+// mayHaveRun reports whether a turn had an attempt whose outcome is unknown, such as
+// one under way when an earlier Run of the session was lost.
 func (s *ownedSession) mayHaveRun(turn string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.record.isUncertain(turn)
 }
 
-// whole finds a turn of the chain; the caller holds the lock.
+// completedTurn returns a turn of the chain, or nil. The caller holds s.mu.
 func (s *ownedSession) completedTurn(turn string) *Turn {
 	for i := range s.turns {
 		if s.turns[i].ID == turn {
@@ -97,8 +98,9 @@
 	return nil
 }
 
-// refuseUnknown keeps a turn that this owner knows nothing of from ever being
-// accepted; false when it is known.
+// refuseUnknown keeps a turn that this owner knows nothing of from being accepted
+// later. It returns false when the turn is known, unless it is refused as not run
+// already.
 func (s *ownedSession) refuseUnknown(turn string, refusal *requestOutcome) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +114,7 @@
 	return true
 }
 
-// forgetRefusal lets a turn be asked again whose refusal could not be kept.
+// forgetRefusal lets a turn be sent again whose refusal could not be recorded.
 func (s *ownedSession) forgetRefusal(turn string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,6 +127,8 @@
 	return !s.working && len(s.queue) == 0
 }
 
+// canForget reports whether a session whose Run was lost or has ended can be removed
+// from memory.
 func (s *ownedSession) canForget(now time.Duration, bounds *base.Bounds) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,8 +136,8 @@
 	return released && !s.working && now-s.lastUsed > 2*bounds.Recover
 }
 
-// lose gives the Run up: what was accepted and gave no piece yet can be
-// found anew with the next owner, the rest is cut.
+// loseRun gives the Run up. Turns without a piece so far can be found again with the
+// next owner; the streams of the others end as cut.
 func (s *ownedSession) loseRun() {
 	s.mu.Lock()
 	s.lost = true
@@ -152,7 +156,7 @@
 	s.changed.Ring()
 }
 
-// serve answers a visit on the owner.
+// serve handles a request on the session's owner.
 func (m *Manager) serve(ctx *base.Ctx, record *Record, req *Request) (*Reply, error) {
 	m.mu.Lock()
 	s := m.owned[record.ID]
@@ -170,7 +174,7 @@
 	}
 	if draining && req.Kind == KindSubmitTurn {
 		if !s.handedOver.Wait(ctx.Left()) {
-			return nil, base.Busy(503, "handing_over", 1, "the session is being handed over")
+			return nil, base.Busy(503, "handing_over", 1, "the session is being handed over to another node")
 		}
 		return nil, staleAssignment()
 	}
@@ -181,7 +185,7 @@
 	}
 	s.mu.Unlock()
 	if !allowed {
-		return nil, base.Decline(403, "forbidden", "the credentials do not open this session")
+		return nil, base.Decline(403, "forbidden", "the credentials do not grant access to this session")
 	}
 	switch req.Kind {
 	case KindStatus, KindRenewLease:
@@ -199,12 +203,12 @@
 	case KindSubmitTurn:
 		return m.submit(ctx, s, req)
 	}
-	return nil, base.Decline(400, "bad_request", "unknown kind of visit")
+	return nil, base.Decline(400, "bad_request", "unknown request kind %q", req.Kind)
 }
 
-// recall finds a Run that the register says is this node's but that is not
-// in memory: one it took without learning so, or one that ended and was
-// forgotten. Only this life of the node can be named as owner.
+// restoreRun loads a Run that the register assigns to this node but that is not in
+// memory: one taken without receiving the reply, or one that ended and was removed.
+// A node's id differs from process to process, so the owner named is this process.
 func (m *Manager) restoreRun(ctx *base.Ctx, record *Record, req *Request) (*ownedSession, error) {
 	answer, err := m.changeRegister(ctx, req.Program, "session.get", changeArgs{Session: record.ID})
 	if err != nil {
@@ -217,8 +221,8 @@
 	return m.loadRun(ctx, answer.Record)
 }
 
-// revalidate asks the register whether the Run still stands, after this
-// node went without a permit or a change of its own ended unknown.
+// revalidate asks the register whether the Run is still this node's, after the permit
+// lapsed or the outcome of a change became unknown.
 func (m *Manager) revalidate(ctx *base.Ctx, s *ownedSession) error {
 	lapses := m.follower.Lapses()
 	s.mu.Lock()
@@ -229,8 +233,8 @@
 	if valid {
 		return nil
 	}
-	// A leg whose end was not learnt is given up first: from then on either
-	// its turn is in the chain or a late copy can no longer put it there.
+	// An attempt whose outcome is unknown is given up first: from then on either its
+	// turn is in the chain or a late copy of the change can no longer put it there.
 	args, op := changeArgs{Session: id}, "session.get"
 	if uncertainAttempt != "" {
 		args.Attempt, args.Tokens, op = uncertainAttempt, -1, "session.settle"
@@ -262,8 +266,9 @@
 	return nil
 }
 
-// catchUp brings the understudy up to the chain, nominating another when it
-// is gone; a new one counts only once it has the whole chain.
+// syncStandby sends the standby the turns of the chain that it lacks. When the
+// standby is gone or leaving it picks another, which is recorded only once it has
+// the whole chain.
 func (m *Manager) syncStandby(ctx *base.Ctx, s *ownedSession) {
 	record := s.recordCopy()
 	standby := record.Standby
--- a/internal/session/record.go
+++ b/internal/session/record.go
@@ -1,10 +1,3 @@
-// Package session keeps conversations. A session is one Run at a time, with
-// one owner that alone holds its queue; the record here is its assignment
-// and its durable part, and the ops are how an owner's word comes into
-// force. Every op names the Run it speaks for, so an owner whose Run was
-// succeeded can reserve, finish and move nothing any more. Where the paper
-// ends a session with its owner, here the Run ends and its history stays: a
-// later turn is given a successor Run with a new id and epoch.
 package session
 
 import (
@@ -20,9 +13,10 @@
 	"fordseam/internal/settings"
 )
 
-// Phase of a Run.
+// Phase is the lifecycle phase of a Run.
 type Phase string
 
+// Phases of a Run. A Run only moves to a later phase.
 const (
 	Pending    Phase = "Pending"
 	Scheduled  Phase = "Scheduled"
@@ -36,15 +30,16 @@
 
 var phaseRanks = map[Phase]int{Pending: 0, Scheduled: 1, Running: 2, Ready: 3, Finalizing: 4, Succeeded: 5, Failed: 5, Cancelled: 5}
 
-// Terminal phases are never left.
+// Terminal reports whether the Run has ended; such a phase never changes.
 func (p Phase) Terminal() bool { return phaseRanks[p] == 5 }
 
-// CanBecome reports whether a Run may go from one phase to another: only onward.
+// CanBecome reports whether a Run may go from p to next: only to a later phase.
 func (p Phase) CanBecome(next Phase) bool { return phaseRanks[next] > phaseRanks[p] }
 
-// OperationState is where a turn stands on its owner.
+// OperationState is the state of a turn on the session's owner.
 type OperationState string
 
+// States of a turn.
 const (
 	OpQueued    OperationState = "Queued"
 	OpRunning   OperationState = "Running"
@@ -59,7 +54,7 @@
 	OpRunning: {OpSucceeded, OpFailed, OpCancelled, OpTimedOut},
 }
 
-// CanBecome reports whether a turn may go from one state to another.
+// CanBecome reports whether a turn may go from s to next.
 func (s OperationState) CanBecome(next OperationState) bool {
 	for _, allowed := range operationTransitions[s] {
 		if allowed == next {
@@ -69,7 +64,8 @@
 	return false
 }
 
-// Record is a session's durable part.
+// Record is the durable part of a session: its assignment, limits and position.
+// Times are in milliseconds of the register shard's clock.
 type Record struct {
 	ID                  string             `json:"id"`
 	Program             string             `json:"program"`
@@ -95,15 +91,18 @@
 	LastTurnAt          int64              `json:"last_at"`
 	CreatedAt           int64              `json:"created"`
 	EndedAt             int64              `json:"ended_at"`
-	// Legs is the highest number a leg of this session was reserved under.
+	// HighestAttempt is the highest number that an attempt of this session was
+	// reserved under.
 	HighestAttempt uint64 `json:"legs"`
-	// Unsure are turns that had a leg whose end is not known.
+	// UncertainTurns are the ids of turns with an attempt whose outcome is unknown.
 	UncertainTurns []string `json:"unsure,omitempty"`
-	// Version rises with each change, so that answers that cross are told apart.
+	// Version rises with each change, so that the newer of two replies that
+	// overtook each other is known.
 	Version uint64 `json:"version"`
 }
 
-// Authorizes tells whether a credential's digest opens the session.
+// Authorizes reports whether a credential, given as its digest, grants access to
+// the session: the session's own or that of its program.
 func (r *Record) Authorizes(bearer string) bool {
 	return bearer == r.SecretDigest || bearer == r.ProgramSecretDigest
 }
@@ -112,7 +111,7 @@
 	return &Assignment{Run: r.Run, Owner: r.Owner, Epoch: r.Epoch}
 }
 
-// Turn is one turn answered whole.
+// Turn is one completely answered turn of a session's chain.
 type Turn struct {
 	ID           string          `json:"id"`
 	Number       uint64          `json:"num"`
@@ -148,32 +147,36 @@
 	tx.Put(recordKey(r.ID), base.Encode(r))
 }
 
-// refusedKey is where the control state keeps that a turn was refused.
+// refusalKey is the register key that records the refusal of a turn.
 func refusalKey(session, turn string) string { return "refused/" + session + "/" + turn }
 
-// RefusalRetention is how long a refused Turn-Id stays refused.
+// RefusalRetention returns how long a refused Turn-Id stays refused.
 func RefusalRetention(bounds *base.Bounds) time.Duration { return 10 * bounds.Recover }
 
-// turnOf is the turn that a leg, RUN/TURN/NUMBER, is of.
+// turnOfAttempt returns the turn id in an attempt id, RUN/TURN/NUMBER.
 func turnOfAttempt(attempt string) string {
 	_, rest, _ := strings.Cut(attempt, "/")
 	turn, _, _ := strings.Cut(rest, "/")
 	return turn
 }
 
+// uncertainTurnLimit bounds Record.UncertainTurns; the oldest are dropped.
 const uncertainTurnLimit = 64
 
-// forfeit counts a Run's unfinished legs as spent, and keeps which turns
-// they were of: those may have run, whatever a later Run makes of them.
+// forfeitReservations counts the reservations of a Run's unfinished attempts as
+// spent and marks their turns as uncertain: they may have run, whatever a later Run
+// does with them.
 func (r *Record) forfeitReservations(tx *register.Tx, program *budget.Program) {
 	for _, attempt := range budget.Forfeit(tx, program, r.Run+"/") {
 		r.markUncertain(attempt)
 	}
 }
 
-// unsure tells of a turn that may have run by a leg whose end is not known.
+// isUncertain reports whether a turn had an attempt whose outcome is unknown, so
+// that it may have run.
 func (r *Record) isUncertain(turn string) bool { return slices.Contains(r.UncertainTurns, turn) }
 
+// markUncertain records that the outcome of an attempt is unknown.
 func (r *Record) markUncertain(attempt string) {
 	if turn := turnOfAttempt(attempt); turn != "" && !r.isUncertain(turn) {
 		r.UncertainTurns = append(r.UncertainTurns, turn)
@@ -182,15 +185,17 @@
 }
 
 func unknownSession() *base.Verdict {
-	return base.Decline(404, "unknown_session", "there is no such session")
+	return base.Decline(404, "unknown_session", "the session does not exist")
 }
 
 func staleAssignment() *base.Verdict {
 	return base.Decline(409, "stale_assignment", "the session is assigned to another Run")
 }
 
-// EffectiveLimits bound what a caller asked for by what the route allows, which is
-// itself the least of route, site and the whole tree.
+// EffectiveLimits returns the queue size and the operation timeout in milliseconds
+// of a session: what the caller asked for, at most what the route allows, which is
+// the minimum of the route's, the site's and the global setting. Zero asks for the
+// route's own.
 func EffectiveLimits(route *settings.Route, requestedQueueSize int, requestedTimeout time.Duration) (int, int64) {
 	queueSize, turnTimeout := route.QueueSize, route.OperationTimeout
 	if requestedQueueSize > 0 {
--- a/internal/session/record_test.go
+++ b/internal/session/record_test.go
@@ -1,4 +1,4 @@
-// Conformance tables taken from the design page: the Run's phases, the
+// Conformance tests for the tables of the design page: the phases of a Run, the
 // operation states, and how limits are bounded.
 package session
 
@@ -19,7 +19,7 @@
 	for from, phase := range active {
 		is.True(!phase.Terminal())
 		for to, next := range active {
-			is.Equal(phase.CanBecome(next), to > from) // only onward
+			is.Equal(phase.CanBecome(next), to > from) // only to a later phase
 		}
 		for _, terminalPhase := range terminal {
 			is.True(phase.CanBecome(terminalPhase)) // any active Run may end
@@ -28,7 +28,7 @@
 	for _, terminalPhase := range terminal {
 		is.True(terminalPhase.Terminal())
 		for _, next := range append(active, terminal...) {
-			is.True(!terminalPhase.CanBecome(next)) // a terminal Run stays so
+			is.True(!terminalPhase.CanBecome(next)) // a terminal phase never changes
 		}
 	}
 }
@@ -53,13 +53,13 @@
 
 func TestTerminationOnlyEscalates(t *testing.T) {
 	is := is.New(t)
-	rows := []struct{ now, asked, after budget.Termination }{
+	rows := []struct{ current, requested, want budget.Termination }{
 		{"", "", ""}, {"", budget.Drain, budget.Drain}, {"", budget.Immediate, budget.Immediate},
 		{budget.Drain, budget.Immediate, budget.Immediate}, {budget.Drain, "", budget.Drain}, {budget.Drain, budget.Drain, budget.Drain},
 		{budget.Immediate, budget.Drain, budget.Immediate}, {budget.Immediate, "", budget.Immediate},
 	}
 	for _, row := range rows {
-		is.Equal(row.now.Escalate(row.asked), row.after)
+		is.Equal(row.current.Escalate(row.requested), row.want)
 	}
 }
 
--- a/internal/session/status.go
+++ b/internal/session/status.go
@@ -1,6 +1,3 @@
-// What the owner shows of a session: its status, its turns and their answers, out
-// of memory and without queueing.
-
 package session
 
 import (
@@ -10,7 +7,7 @@
 	"fordseam/internal/budget"
 )
 
-// Status is what callers see of a session.
+// Status is a session as clients see it.
 type Status struct {
 	Session     string             `json:"session"`
 	Program     string             `json:"program"`
@@ -31,13 +28,14 @@
 	LastTurn    string             `json:"last_turn,omitempty"`
 }
 
-// StatusOf shows a record.
+// StatusOf returns the status that a record alone shows, without the queue.
 func StatusOf(r *Record) Status {
 	return Status{Session: r.ID, Program: r.Program, Route: r.Route, Run: r.Run, Epoch: r.Epoch, Owner: r.Owner, Standby: r.Standby,
 		Phase: r.Phase, Termination: r.Termination, Reason: r.Reason, QueueSize: r.QueueSize, TimeoutS: float64(r.TimeoutMs) / 1000,
 		LeaseS: float64(r.LeaseMs) / 1000, TurnCount: r.TurnCount, LastTurn: r.LastTurn}
 }
 
+// status returns the status from memory, so that it does not wait in the queue.
 func (s *ownedSession) status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +47,7 @@
 	return status
 }
 
-// TurnView is a turn in a listing.
+// TurnView is a turn as clients see it, in a listing or on its own.
 type TurnView struct {
 	Turn         string         `json:"turn"`
 	Number       uint64         `json:"num,omitempty"`
@@ -62,7 +60,8 @@
 	Error        *base.Verdict  `json:"error,omitempty"`
 }
 
-// TurnStateOf is the state of the turn that a read's reply shows.
+// TurnStateOf returns the state of the turn in the body of a read's reply, or "". The
+// body is JSON when the reply came from another node.
 func TurnStateOf(body any) OperationState {
 	switch reply := body.(type) {
 	case TurnView:
@@ -81,6 +80,8 @@
 	Next  uint64     `json:"next"`
 }
 
+// newTurnView returns the view of a turn of the chain, with its messages and answer if
+// full is set.
 func newTurnView(turn *Turn, full bool) TurnView {
 	view := TurnView{Turn: turn.ID, Number: turn.Number, Previous: turn.Previous, State: OpSucceeded, FinishReason: turn.FinishReason, OutputTokens: turn.OutputTokens}
 	if full {
@@ -92,6 +93,7 @@
 	return view
 }
 
+// listTurns returns the page of the chain after turn number req.After.
 func (s *ownedSession) listTurns(req *Request) TurnPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,6 +112,7 @@
 	return page
 }
 
+// readTurn returns a turn of the chain, or the state of one that was accepted.
 func (s *ownedSession) readTurn(req *Request) (*Reply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,5 +122,5 @@
 	if op := s.operations[req.Turn]; op != nil {
 		return &Reply{Status: 200, Body: TurnView{Turn: op.id, State: op.state, Error: op.verdict}}, nil
 	}
-	return nil, base.Decline(404, "unknown_turn", "there is no such turn")
+	return nil, base.Decline(404, "unknown_turn", "turn %q does not exist in this session", req.Turn)
 }
--- a/internal/session/stream.go
+++ b/internal/session/stream.go
@@ -1,8 +1,3 @@
-// A stream is a turn's numbered pieces, kept by the owner and pulled by
-// place; a pull that finds none is held until there is one. All pieces of a
-// stream are of one leg: a stream may change legs only while it has none,
-// and it ends in exactly one final piece.
-
 package session
 
 import (
@@ -14,7 +9,7 @@
 	"fordseam/internal/base"
 )
 
-// Final is what the last piece of every stream says.
+// Final is the content of the last piece of every stream.
 type Final struct {
 	Outcome      string        `json:"verdict"`
 	Ran          base.Ran      `json:"request"`
@@ -25,6 +20,7 @@
 	Error        *base.Verdict `json:"error,omitempty"`
 }
 
+// failureFinal returns the last piece of a turn that did not succeed.
 func failureFinal(turn string, verdict *base.Verdict) *Final {
 	outcome := "failed"
 	switch {
@@ -38,7 +34,10 @@
 	return &Final{Outcome: outcome, Ran: verdict.Ran, Turn: turn, Error: verdict}
 }
 
-// Stream holds one turn's pieces.
+// Stream holds the numbered pieces of one turn's answer. The owner keeps it, and
+// readers pull from a position on; a pull that finds nothing waits for the next
+// piece. All pieces are of one attempt: a stream may change to another attempt only
+// while it is empty. It ends in exactly one final piece.
 type Stream struct {
 	changed      *base.Bell
 	mu           sync.Mutex
@@ -51,7 +50,8 @@
 
 func newStream(clock base.Clock) *Stream { return &Stream{changed: base.NewBell(clock)} }
 
-// begin names the leg whose pieces follow; false when another leg's stand.
+// begin sets the attempt whose pieces follow. It returns false when there are pieces of
+// another attempt.
 func (s *Stream) begin(attempt string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,6 +62,7 @@
 	return true
 }
 
+// add appends a piece unless the stream has ended.
 func (s *Stream) add(data []byte, final bool) {
 	s.mu.Lock()
 	if count := len(s.pieces); !s.ownerChanged && (count == 0 || !s.pieces[count-1].Final) {
@@ -73,8 +74,8 @@
 
 func (s *Stream) finish(final *Final) { s.add(base.Encode(final), true) }
 
-// moveAway ends a stream whose Run was lost here: one without pieces may be
-// found anew with the next owner, one with pieces is cut.
+// endMoved ends a stream whose Run this node lost. The turn of an empty stream may be
+// found again with the next owner; a stream with pieces is cut.
 func (s *Stream) endMoved(turn string) {
 	s.mu.Lock()
 	empty := len(s.pieces) == 0
@@ -84,7 +85,7 @@
 		s.changed.Ring()
 		return
 	}
-	s.finish(failureFinal(turn, base.Unsure(502, "cut", "the session moved to another owner before the answer was whole")))
+	s.finish(failureFinal(turn, base.Unsure(502, "cut", "the session moved to another owner before the answer was complete")))
 }
 
 func (s *Stream) hasMoved() bool {
@@ -111,7 +112,7 @@
 	return s.attempt
 }
 
-// from waits up to hold for pieces after a place.
+// piecesAfter returns the pieces after a position, waiting up to wait for the first.
 func (s *Stream) piecesAfter(position uint64, wait time.Duration, now func() time.Duration) []*Piece {
 	end := now() + wait
 	for {
@@ -132,7 +133,8 @@
 	}
 }
 
-// owed tells whether a partner that pulled lately has yet to get the end.
+// hasUnpulled reports whether a reader that has pulled since then has not received all
+// pieces.
 func (s *Stream) hasUnpulled(pulledSince time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,6 +147,7 @@
 	return s.pulledAt
 }
 
+// replayStream returns a finished stream of a turn that was answered before.
 func replayStream(clock base.Clock, turn *Turn, run string) *Stream {
 	s := newStream(clock)
 	s.begin(turn.Attempt)
@@ -155,7 +158,7 @@
 	return s
 }
 
-// Reader gives a stream's pieces in order, wherever the owner is.
+// Reader reads a stream's pieces in order, from this node or from the owner's.
 type Reader struct {
 	keeper    *Manager
 	turn      string
@@ -164,29 +167,31 @@
 	delivered uint64
 	local     *Stream
 	remote    *remoteStream
-	// again finds the stream anew after its owner was lost; search is that under way.
+	// reopen finds the stream again after its owner was lost; search is the attempt
+	// under way.
 	reopen   func() (*Reader, error)
 	search   *streamSearch
 	done     bool
 	buffered []*Piece
 }
 
-// search looks for a stream with its next owner.
+// streamSearch is the search for a stream with the session's next owner.
 type streamSearch struct {
 	ended  base.Signal
 	reader *Reader
 	err    error
 }
 
+// remoteStream names a stream on the session's owner.
 type remoteStream struct {
 	id    string
 	run   string
 	owner string
 }
 
-// EarlyFailure waits up to a limit for the stream's first event. A turn that ends
-// without success before any piece can be answered with a plain status; what
-// was read ahead otherwise comes first out of Next.
+// EarlyFailure waits up to limit for the first pieces and returns the verdict of a turn
+// that ended without success before any piece, so that it can be answered with a
+// plain status, or else nil. Next returns the pieces that were read here first.
 func (r *Reader) EarlyFailure(limit time.Duration) *base.Verdict {
 	end := r.keeper.clock.Now() + limit
 	for len(r.buffered) == 0 && !r.done && r.keeper.clock.Now() < end {
@@ -202,8 +207,8 @@
 	return final.Error
 }
 
-// Next gives the pieces that came since, or none after a hold. After the
-// final piece, done is true.
+// Next returns the pieces that came since the last call, or none when none came within
+// the pull interval. After the final piece, done is true.
 func (r *Reader) Next() (pieces []*Piece, attempt string, done bool) {
 	if len(r.buffered) > 0 {
 		buffered := r.buffered
@@ -221,8 +226,8 @@
 		err = base.Unsure(502, "node_stopping", "this node is stopping")
 	}
 	if err != nil {
-		// The turn was accepted once, so this node cannot know that it did not run.
-		verdict := base.Unsure(502, "cut", "the session's owner was lost before the answer was whole: %s", base.FromWire(err).Message)
+		// The turn was accepted, so this node cannot know that it did not run.
+		verdict := base.Unsure(502, "cut", "the session's owner was lost before the answer was complete: %s", base.FromWire(err).Message)
 		r.done = true
 		return []*Piece{{Place: r.position + 1, Data: base.Encode(failureFinal(r.turn, verdict)), Final: true}}, r.attempt, true
 	}
@@ -234,8 +239,8 @@
 	return pulled, r.attempt, r.done
 }
 
-// findAgain looks for the stream with its next owner and reads on there; nil
-// means that it was found, or that the search goes on.
+// reopenStream looks for the stream with the session's next owner and continues there.
+// It returns nil when the stream was found or the search is still under way.
 func (r *Reader) reopenStream(cause error) error {
 	clock := r.keeper.clock
 	if r.search == nil {
@@ -261,6 +266,7 @@
 	return nil
 }
 
+// pull waits up to the pull interval for new pieces.
 func (r *Reader) pull() ([]*Piece, error) {
 	if r.search != nil {
 		return nil, staleAssignment()
@@ -277,13 +283,13 @@
 	return r.keeper.pullRemote(r.remote, r)
 }
 
-// pullRemote asks the owner for pieces; a lost reply is asked again by place
-// while the owner is not suspected.
+// pullRemote pulls pieces from the owner. After a lost reply the next call pulls from
+// the same position again, as long as the owner counts as alive.
 func (m *Manager) pullRemote(remote *remoteStream, reader *Reader) ([]*Piece, error) {
 	wait := m.bounds.Load().Pull()
 	member, alive := m.view.Find(remote.owner)
 	if member == nil || !alive {
-		return nil, base.Unsure(502, "owner_lost", "the owner is gone")
+		return nil, base.Unsure(502, "owner_lost", "the session's owner is not known to be alive")
 	}
 	ctx := base.NewCtx(m.clock, 2*wait)
 	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Pull(ctx,
@@ -304,13 +310,13 @@
 	return reply.Pieces, nil
 }
 
-// Pull answers a node that carries a stream to its caller.
+// Pull serves pieces of a stream to the gateway that forwarded the turn here.
 func (m *Manager) Pull(_ context.Context, request *PullRequest) (*PullReply, error) {
 	m.mu.Lock()
 	stream := m.forwardedStreams[request.Stream]
 	m.mu.Unlock()
 	if stream == nil {
-		return nil, base.ToWire(base.Unsure(410, "stream_gone", "the stream is no longer held here"))
+		return nil, base.ToWire(base.Unsure(410, "stream_gone", "this node no longer has the stream"))
 	}
 	pieces := stream.piecesAfter(request.Place, time.Duration(request.HoldMs)*time.Millisecond, m.clock.Now)
 	if stream.hasMoved() {
--- a/internal/session/takeover.go
+++ b/internal/session/takeover.go
@@ -1,6 +1,3 @@
-// The next Run after an owner is lost or leaves: taken by epoch by the standby or,
-// failing it, by the node that noticed; and the standby's copy of the chain.
-
 package session
 
 import (
@@ -13,12 +10,14 @@
 	"fordseam/internal/membership"
 )
 
+// standbyCopy is the copy of a chain on the session's standby.
 type standbyCopy struct {
 	turns     []Turn
 	updatedAt time.Duration
 }
 
-// pickStandby prefers another zone.
+// pickStandby returns a live gateway for a session's standby, preferably in another
+// zone, or "".
 func (m *Manager) pickStandby(session, excluded string) string {
 	self := m.view.Self()
 	sameZone, otherZones := []string{}, []string{}
@@ -37,7 +36,9 @@
 	return ""
 }
 
-// takeOver has the next Run taken, by the understudy if it lives.
+// takeOver has the next Run of a session taken after its owner was lost: by the
+// standby if it is alive, or else by this node. It does nothing when the session has
+// a later Run already.
 func (m *Manager) takeOver(ctx *base.Ctx, req *Request, record *Record) error {
 	current, err := m.lookupRecord(ctx, req, true)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return err
 }
 
-// Succeed makes this node the owner of a session's next Run.
+// Succeed makes this node the owner of a session's next Run, as another node asks.
 func (m *Manager) Succeed(plain context.Context, request *SucceedRequest) (*SucceedReply, error) {
 	record, err := m.takeRun(base.CtxOf(plain, m.clock), request)
 	if err != nil {
@@ -71,9 +72,11 @@
 	return &SucceedReply{Record: base.Encode(record)}, nil
 }
 
+// takeRun takes the next Run of a session for this node and returns the record of the
+// Run that the session has then.
 func (m *Manager) takeRun(ctx *base.Ctx, request *SucceedRequest) (*Record, error) {
 	if m.isDraining() {
-		return nil, base.Busy(503, "draining", 1, "this node is leaving")
+		return nil, base.Busy(503, "draining", 1, "this node is draining and takes over no sessions")
 	}
 	began := m.clock.Now()
 	answer, err := m.changeRegister(ctx, request.Program, "session.succeed", changeArgs{Session: request.Session, Run: request.Assignment.Run,
@@ -92,8 +95,8 @@
 	return answer.Record, nil
 }
 
-// adopt brings the chain of a Run this node owns into memory, from its copy
-// as understudy when that is whole, else from the register.
+// loadRun loads the chain of a Run that this node owns into memory: from its standby
+// copy when that is complete, or else from the register.
 func (m *Manager) loadRun(ctx *base.Ctx, record *Record) (*ownedSession, error) {
 	m.mu.Lock()
 	if existing := m.owned[record.ID]; existing != nil && existing.isCurrentRun(record.Run) {
@@ -118,6 +121,7 @@
 	return m.addOwned(record, turns), nil
 }
 
+// readChain reads the turns of a session from the register.
 func (m *Manager) readChain(ctx *base.Ctx, record *Record) ([]Turn, error) {
 	turns := []Turn{}
 	for uint64(len(turns)) < record.TurnCount {
@@ -126,14 +130,15 @@
 			return nil, err
 		}
 		if len(answer.Turns) == 0 {
-			return nil, base.Decline(410, "history_gone", "the session's history is no longer kept")
+			return nil, base.Decline(410, "history_gone", "the session's history is no longer retained")
 		}
 		turns = append(turns, answer.Turns...)
 	}
 	return turns[:record.TurnCount], nil
 }
 
-// Offer takes a turn of a chain this node understudies.
+// Offer stores a turn of a session that this node is the standby for, and answers how
+// many turns of the chain it has. A turn after a gap is not stored.
 func (m *Manager) Offer(_ context.Context, request *OfferRequest) (*OfferReply, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,6 +157,8 @@
 	return &OfferReply{Turns: uint64(len(copied.turns))}, nil
 }
 
+// handOver waits until a session is idle, or until deadline, and has its standby or
+// another gateway take the next Run.
 func (m *Manager) handOver(s *ownedSession, deadline time.Duration) {
 	defer s.handedOver.Fire()
 	for {
--- a/internal/session/termination.go
+++ b/internal/session/termination.go
@@ -1,6 +1,3 @@
-// How operations and Runs end: cancelled, refused for good, closed when quiet, or
-// by the program's end or the lease.
-
 package session
 
 import (
@@ -22,8 +19,8 @@
 	return s.readTurn(req)
 }
 
-// cancelOp answers a queued turn as not run at once; a running one is told
-// to stop and answered by its leg.
+// cancelOperation answers a queued turn as not run at once. A running one is told to
+// stop, and its attempt gives the answer.
 func (m *Manager) cancelOperation(s *ownedSession, op *operation) {
 	op.cancelled.Fire()
 	s.mu.Lock()
@@ -41,8 +38,8 @@
 	}
 }
 
-// abortable sets how a running turn is stopped; one that was cancelled
-// meanwhile is stopped at once.
+// setAbort sets the function that stops a running turn, and calls it at once for a
+// turn that was cancelled meanwhile.
 func (s *ownedSession) setAbort(op *operation, abort func()) {
 	s.mu.Lock()
 	op.abort = abort
@@ -52,8 +49,8 @@
 	}
 }
 
-// conclude ends an operation without success. Not run is said only of a turn
-// that no earlier Run may have run, and that no later one will.
+// endUnsuccessfully ends an operation without success. The verdict says "not run"
+// only of a turn that no earlier Run may have run and no later Run will.
 func (m *Manager) endUnsuccessfully(s *ownedSession, op *operation, state OperationState, verdict *base.Verdict) {
 	if verdict.Ran == base.NotRun && s.mayHaveRun(op.id) {
 		verdict = afterLostAttempt(verdict)
@@ -70,9 +67,9 @@
 	s.changed.Ring()
 }
 
-// refuseForGood has the control state keep that a turn was refused, so that
-// no later owner runs it, and gives the verdict to tell. Where that cannot be
-// kept soon, the turn is not called not run; the caller may ask again by its id.
+// recordRefusal records in the register that a turn was refused, so that no later
+// owner runs it, and returns the verdict for the client. When that cannot be recorded
+// soon, the verdict is that the outcome is unknown; the client may retry by the id.
 func (m *Manager) recordRefusal(s *ownedSession, turn string, verdict *base.Verdict) *base.Verdict {
 	record := s.recordCopy()
 	answer, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Beat()), record.Program, "session.refuse", changeArgs{Session: record.ID, Run: record.Run, RefusedTurn: turn})
@@ -80,12 +77,13 @@
 		return verdict
 	}
 	m.counters.Add("refusals_unkept", 1)
-	uncertain := base.Unsure(503, "outcome_unknown", "the turn was refused, which could not be kept in time; ask again by its Turn-Id (%s)", verdict.Message)
+	uncertain := base.Unsure(503, "outcome_unknown", "the turn was refused, but that could not be recorded in time; retry with the same Turn-Id (%s)", verdict.Message)
 	uncertain.RetryAfter = max(1, verdict.RetryAfter)
 	return uncertain
 }
 
-// end asks for Drain or Immediate; the request only ever escalates.
+// terminate ends the session's Run by Drain or Immediate; a termination only
+// escalates.
 func (m *Manager) terminate(ctx *base.Ctx, s *ownedSession, mode budget.Termination) (*Reply, error) {
 	s.mu.Lock()
 	if s.record.Phase.Terminal() {
@@ -118,7 +116,7 @@
 	}
 }
 
-// moveRun puts a phase or termination in force.
+// updateRun changes the Run's phase or termination in the register.
 func (m *Manager) updateRun(ctx *base.Ctx, s *ownedSession, phase Phase, mode budget.Termination, reason string) error {
 	s.mu.Lock()
 	id, run := s.record.ID, s.record.Run
@@ -136,7 +134,7 @@
 	return nil
 }
 
-// closeIfQuiet makes a finalizing Run terminal once nothing is left to do.
+// finalizeIfIdle ends a finalizing Run once no turn is left.
 func (m *Manager) finalizeIfIdle(ctx *base.Ctx, s *ownedSession) error {
 	s.mu.Lock()
 	due := s.record.Phase == Finalizing && !s.working && len(s.queue) == 0
@@ -151,7 +149,7 @@
 	return m.updateRun(ctx, s, Succeeded, mode, "drained")
 }
 
-// endBy ends a session because its program was told to.
+// terminateForProgram ends a session whose program is being terminated.
 func (m *Manager) terminateForProgram(s *ownedSession, mode budget.Termination) {
 	record := s.recordCopy()
 	if record.Phase.Terminal() || record.Termination.Escalate(mode) == record.Termination {
@@ -162,7 +160,9 @@
 	}
 }
 
-// tend looks after one session: its lease, its understudy, old operations.
+// maintain does the periodic work for one session: it ends the Run when the lease
+// has expired, deletes old operations and refusals, and copies the chain to the
+// standby.
 func (m *Manager) maintain(s *ownedSession) {
 	now, bounds := m.clock.Now(), m.bounds.Load()
 	s.mu.Lock()
@@ -204,7 +204,7 @@
 				m.cancelAll(s)
 			}
 		case unused:
-			// The register forgets what nobody may ask for any more.
+			// The register deletes sessions that nothing can refer to any more.
 			if _, err := m.changeRegister(ctx, s.program, "session.get", changeArgs{Session: s.recordCopy().ID}); base.IsCode(err, "unknown_session") {
 				s.loseRun()
 			}
