--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,10 +1,12 @@
-// Package budget counts what a program may put out, once for the whole
-// fleet. The record of a program lives in the slot of its root program, so
-// that helpers draw on the same count and deadline. Tokens are reserved on a
-// majority before a leg goes out, and the worker's own limit is what was
-// reserved; they are settled when the leg's end is known. What is never
-// settled stays counted as spent. All ops may be repeated, and one that
-// comes late changes nothing that was settled.
+// Package budget keeps the output token budget, the deadline and the termination of
+// programs in the register, once for the whole fleet.
+//
+// The record of a program is in the register slot of its root program, so that helper
+// programs share the root's budget and deadline. Tokens are reserved on a majority of
+// disks before an attempt is sent to a worker, with the reservation as the worker's own
+// limit, and settled when the attempt's outcome is known. A reservation that is never
+// settled stays counted against the budget. All operations may be repeated, and one
+// that arrives late changes nothing that was settled.
 package budget
 
 import (
@@ -15,9 +17,12 @@
 	"fordseam/internal/register"
 )
 
-// Termination only escalates: none, Drain, Immediate.
+// Termination is how a program or session is requested to end. It only escalates: from
+// none to Drain to Immediate.
 type Termination string
 
+// Drain finishes the accepted work and accepts no new work; Immediate also stops what
+// is running.
 const (
 	Drain     Termination = "Drain"
 	Immediate Termination = "Immediate"
@@ -25,10 +30,10 @@
 
 var terminationRanks = map[Termination]int{"": 0, Drain: 1, Immediate: 2}
 
-// Valid reports whether a word names a termination.
+// Valid reports whether t is Drain or Immediate.
 func (t Termination) Valid() bool { return terminationRanks[t] > 0 }
 
-// Escalate gives the stronger of two.
+// Escalate returns the stronger of two terminations.
 func (t Termination) Escalate(asked Termination) Termination {
 	if terminationRanks[asked] > terminationRanks[t] {
 		return asked
@@ -36,7 +41,9 @@
 	return t
 }
 
-// Program is what is kept of one. Root programs hold the count.
+// Program is the stored record of a program. The record of a root program also holds
+// the budget, the reservations and the deadline for its helpers. Times are in
+// milliseconds of the register slot's clock.
 type Program struct {
 	ID           string           `json:"id"`
 	Root         string           `json:"root"`
@@ -46,8 +53,8 @@
 	Budget       int64            `json:"budget"`
 	Spent        int64            `json:"spent"`
 	Reserved     map[string]int64 `json:"reserved"`
-	// Deadline is in the slot's time; DeadlineMs is how long it was asked to be,
-	// and LeftMs what is left of it, in answers only.
+	// Deadline is a time of the slot's clock. DeadlineMs is the duration that was
+	// requested, and RemainingMs what remains of it, which is set in replies only.
 	Deadline    int64       `json:"deadline"`
 	DeadlineMs  int64       `json:"deadline_ms,omitempty"`
 	RemainingMs int64       `json:"left_ms,omitempty"`
@@ -57,7 +64,7 @@
 	UpdatedAt   int64       `json:"seen"`
 }
 
-// Outstanding is what legs under way may still put out.
+// Outstanding returns the tokens that unfinished attempts may still put out.
 func (p *Program) Outstanding() int64 {
 	total := int64(0)
 	for _, tokens := range p.Reserved {
@@ -66,8 +73,8 @@
 	return total
 }
 
-// RegisterGroup is the register group of a program: its root's name, which every
-// helper's name begins with.
+// RegisterGroup returns the register group of a program: the name of its root program,
+// with which the name of every helper begins.
 func RegisterGroup(program string) string {
 	root, _, _ := strings.Cut(program, ".")
 	return root
@@ -75,7 +82,7 @@
 
 func programKey(id string) string { return "program/" + id }
 
-// Load reads a program in a change.
+// Load reads a program's record inside a register change, or returns nil.
 func Load(tx *register.Tx, id string) *Program {
 	raw := tx.Get(programKey(id))
 	if raw == nil {
@@ -93,13 +100,13 @@
 	tx.Put(programKey(p.ID), base.Encode(p))
 }
 
-// UnknownProgram is the verdict for a program that is not there.
+// UnknownProgram returns the verdict for a program that does not exist.
 func UnknownProgram() *base.Verdict {
-	return base.Decline(404, "unknown_program", "there is no such program")
+	return base.Decline(404, "unknown_program", "the program does not exist")
 }
 
-// CheckActive declines when the program or its root takes no new work; work that
-// was accepted before may still go on while the program drains.
+// CheckActive declines when the program or its root accepts no new work. Work that was
+// accepted before may continue while the program drains.
 func CheckActive(tx *register.Tx, program *Program, accepted bool) error {
 	root := program
 	if program.Root != program.ID {
@@ -108,7 +115,7 @@
 		}
 	}
 	if stopped := program.Termination.Escalate(root.Termination); stopped == Immediate || (stopped != "" && !accepted) {
-		return base.Decline(503, "program_terminating", "the program is ending (%s)", stopped)
+		return base.Decline(503, "program_terminating", "the program is terminating (%s)", stopped)
 	}
 	if root.Deadline > 0 && tx.Now >= root.Deadline {
 		return base.Decline(408, "past_deadline", "the program's deadline has passed")
@@ -116,7 +123,8 @@
 	return nil
 }
 
-// Reserve sets tokens aside for a leg and grants at most what is left.
+// Reserve reserves tokens for an attempt and returns how many, at most what remains of
+// the budget. Repeated for the same attempt it returns the first reservation.
 func Reserve(tx *register.Tx, program *Program, attempt string, wanted int64) (int64, error) {
 	if err := CheckActive(tx, program, true); err != nil {
 		return 0, err
@@ -138,7 +146,7 @@
 	return granted, nil
 }
 
-// IsReserved reports whether a leg's reservation stands.
+// IsReserved reports whether an attempt has a reservation that is not settled.
 func IsReserved(tx *register.Tx, program *Program, attempt string) bool {
 	root := Load(tx, program.Root)
 	if root == nil {
@@ -148,7 +156,8 @@
 	return ok
 }
 
-// HasReservations reports whether any reservation under a prefix stands.
+// HasReservations reports whether any attempt whose id has the prefix has a reservation
+// that is not settled.
 func HasReservations(tx *register.Tx, program *Program, prefix string) bool {
 	if root := Load(tx, program.Root); root != nil {
 		for attempt := range root.Reserved {
@@ -160,9 +169,9 @@
 	return false
 }
 
-// Settle ends a reservation with what was put out; below zero means that
-// the end is unknown and the whole of it counts as spent. It tells whether
-// the reservation still stood.
+// Settle ends a reservation with the number of tokens used. A negative number means
+// that the outcome is unknown, and the whole reservation counts as spent. It returns
+// false when there was no such reservation.
 func Settle(tx *register.Tx, program *Program, attempt string, used int64) bool {
 	root := Load(tx, program.Root)
 	if root == nil {
@@ -181,8 +190,8 @@
 	return true
 }
 
-// Forfeit counts every reservation under a prefix as spent in full, and
-// lists them.
+// Forfeit counts the reservations of all attempts whose ids have the prefix as spent in
+// full, and returns those ids.
 func Forfeit(tx *register.Tx, program *Program, prefix string) (attempts []string) {
 	root := Load(tx, program.Root)
 	if root == nil {
@@ -201,16 +210,17 @@
 	return attempts
 }
 
-// TerminationPrefix is where the feed tells of programs that were told to end.
+// TerminationPrefix is the prefix of the feed's keys for programs that are requested to
+// end.
 const TerminationPrefix = "feed/ended/"
 
-// TerminationNotice is what the feed tells of one.
+// TerminationNotice is the feed's value for one such program.
 type TerminationNotice struct {
 	Mode Termination `json:"mode"`
 	At   int64       `json:"at"`
 }
 
-// DecodeTermination reads what the feed tells of one program.
+// DecodeTermination returns the termination in the feed's value for a program.
 func DecodeTermination(raw []byte) Termination {
 	var notice TerminationNotice
 	_ = json.Unmarshal(raw, &notice)
@@ -230,7 +240,8 @@
 	Program string `json:"program"`
 }
 
-// RegisterHandlers adds the programs' ops to a core.
+// RegisterHandlers adds the operations on programs to a core's register, and the
+// periodic deletion of old programs and notices.
 func RegisterHandlers(owner *register.Owner) {
 	owner.Handle("budget.create", func(tx *register.Tx, raw []byte) (any, error) {
 		var args createArgs
@@ -240,7 +251,7 @@
 		program := args.Program
 		if existing := Load(tx, program.ID); existing != nil {
 			if existing.SecretDigest != program.SecretDigest {
-				return nil, base.Decline(409, "program_exists", "a program of that name exists")
+				return nil, base.Decline(409, "program_exists", "program %q already exists", program.ID)
 			}
 			return existing, nil
 		}
@@ -319,19 +330,22 @@
 	})
 }
 
-// Client asks for programs.
+// Client calls the operations on programs.
 type Client struct{ Register *register.Client }
 
+// Create stores a new program. It may be repeated with the same secret.
 func (c *Client) Create(ctx *base.Ctx, program Program) (*Program, error) {
 	var created Program
 	return &created, c.Register.Change(ctx, RegisterGroup(program.ID), "budget.create", createArgs{program}, &created)
 }
 
+// Get returns a program's record with RemainingMs set.
 func (c *Client) Get(ctx *base.Ctx, id string) (*Program, error) {
 	var found Program
 	return &found, c.Register.Change(ctx, RegisterGroup(id), "budget.get", getArgs{id}, &found)
 }
 
+// Terminate requests a program to end and publishes that in the feed.
 func (c *Client) Terminate(ctx *base.Ctx, id string, mode Termination) (*Program, error) {
 	var found Program
 	if err := c.Register.Change(ctx, RegisterGroup(id), "budget.terminate", terminateArgs{id, mode}, &found); err != nil {
--- a/internal/line/execute.go
+++ b/internal/line/execute.go
@@ -1,6 +1,3 @@
-// A turn under way: its claim and its chain from the ledger, the attempt at a worker,
-// and what is kept of it.
-
 package line
 
 import (
@@ -12,19 +9,21 @@
 	"fordseam/internal/session"
 )
 
-// operate carries one turn out: claim, chain, worker, ledger.
+// runTurn runs one turn: it claims the session and loads the chain from the ledger,
+// sends the turn to a worker, and stores or settles the result. It returns true when
+// another node owns the session.
 func (m *Manager) runTurn(s *ownedSession, op *operation, replaces *Assignment, onClaim func(*Assignment)) (ownerChanged bool) {
 	call, ctx := op.call, op.ctx
 	table := m.Routes.Load()
 	matched := table.Match(call.Host, call.Target)
 	if matched == nil {
 		onClaim(nil)
-		op.stream.fail(base.Decline(404, "no_route", "no route takes this request"))
+		op.stream.fail(base.Decline(404, "no_route", "no route matches this request"))
 		return false
 	}
 	if op.isCancelled() || ctx.Over() {
 		onClaim(nil)
-		op.stream.fail(base.Decline(408, "cancelled", "the turn was given up before it ran"))
+		op.stream.fail(base.Decline(408, "cancelled", "the turn was cancelled or timed out before it ran"))
 		return false
 	}
 	op.state = session.OpRunning
@@ -65,7 +64,7 @@
 	onClaim(nil)
 	chainReady.Wait(max(0, ctx.Left()))
 	if chainErr == nil && !chainReady.Fired() {
-		chainErr = m.retrySoon("history_late", "the conversation's history did not come in time")
+		chainErr = m.retrySoon("history_late", "the conversation's history could not be loaded in time")
 	}
 	if chainErr != nil {
 		m.settle(s, op, 0)
@@ -76,7 +75,8 @@
 	return false
 }
 
-// claim asks the ledger for the assignment and the turn's tokens.
+// claim claims the assignment and the turn's tokens in the ledger. When the session's
+// owner is gone, it replaces that Run with a new one.
 func (m *Manager) claim(s *ownedSession, op *operation, replaces *Assignment) (*ClaimResult, error) {
 	s.mu.Lock()
 	assignment, confirmed := s.assignment, s.confirmed
@@ -102,14 +102,14 @@
 					s.phase = session.Ready
 				}
 			case s.assignment == nil:
-				// The claim may be in the ledger; the next turn claims by the same.
+				// The claim may be in the ledger, so the next turn repeats the same one.
 				s.assignment = &Assignment{Run: claim.Run, Owner: claim.Owner, Epoch: claim.Epoch}
 			}
 			s.mu.Unlock()
 			return result, err
 		}
-		// Another has it: it is succeeded when it is gone, or was a former life
-		// of this node or a Run that this node has let go.
+		// Another Run has the session. It is replaced when its owner is gone or leaving,
+		// or when it is a Run of this node that this node has dropped.
 		current := result.Assignment
 		member, alive := m.View.Find(current.Owner)
 		ownerGone := member == nil || !alive || member.Leaving || current.Owner == m.nodeID()
@@ -121,25 +121,26 @@
 	}
 }
 
-// recall brings a chain back from the ledger.
-func (m *Manager) loadChain(ctx *base.Ctx, program, turn string, retain time.Duration) ([]byte, error) {
+// loadChain loads a turn and its ancestors from the ledger and adds them to the history.
+func (m *Manager) loadChain(ctx *base.Ctx, program, turnID string, retain time.Duration) ([]byte, error) {
 	m.Counters.Add("chains_recalled", 1)
-	turns, err := m.Ledger.Chain(ctx, program, turn)
+	turns, err := m.Ledger.Chain(ctx, program, turnID)
 	if err != nil {
 		return nil, err
 	}
 	for _, turn := range turns {
 		m.history.add(turn, retain)
 	}
-	body, ok := m.history.chain(turn)
-	if !ok { // there is no room to remember it
+	body, ok := m.history.chain(turnID)
+	if !ok { // the history is full
 		body = joinTurns(turns)
 	}
 	return body, nil
 }
 
-// settle tells the ledger in its own time what a turn handed out that is not
-// kept there. Until then the turn counts at its most.
+// settle tells the ledger in the background how many tokens a turn delivered whose
+// answer is not stored there. Until then the turn counts with its maximum. It retries
+// for as long as the recovery bound.
 func (m *Manager) settle(s *ownedSession, op *operation, tokens int64) {
 	s.mu.Lock()
 	assignment := s.assignment
@@ -161,7 +162,8 @@
 	})
 }
 
-// serve sends the turn to a worker and passes its events on.
+// sendToWorker sends the turn to a worker, passes its events on, and stores or settles
+// the result.
 func (m *Manager) sendToWorker(s *ownedSession, op *operation, matched *route.Route, chain []byte) {
 	call, ctx := op.call, op.ctx
 	body := call.Body
@@ -182,7 +184,7 @@
 	if !op.setReply(reply) {
 		m.settle(s, op, 0)
 		op.state = session.OpCancelled
-		op.stream.fail(base.Unsure(502, "cancelled", "the turn was given up"))
+		op.stream.fail(base.Unsure(502, "cancelled", "the turn was cancelled"))
 		return
 	}
 	if !reply.IsStream() {
@@ -200,27 +202,27 @@
 		m.settle(s, op, events*stride)
 		op.state = session.OpFailed
 		m.Counters.Add("turns_cut", 1)
-		op.stream.fail(base.Unsure(502, "cut", "the worker's answer was cut short"))
+		op.stream.fail(base.Unsure(502, "cut", "the worker's answer ended before it was complete"))
 		return
 	}
 	if !matched.Retained {
 		m.settle(s, op, events*stride)
-		m.endWhole(op)
+		m.finishTurn(op)
 		return
 	}
 	m.commit(s, op, matched, output, events*stride)
 }
 
-// succeed ends a turn that was answered whole.
-func (m *Manager) endWhole(op *operation) {
+// finishTurn ends a turn that was answered completely.
+func (m *Manager) finishTurn(op *operation) {
 	op.state = session.OpSucceeded
 	m.Counters.Add("turns_whole", 1)
 	op.stream.finish()
 }
 
-// keepFor is how long a program's spending is kept after a turn: the route's own
-// time, or where that is not given the longest that any route names. The ledger
-// keeps it for twice the recovery bound at least.
+// retention returns how long the ledger keeps a program's spending after a turn: the
+// route's own time, or the longest of any route when it has none. The ledger keeps it
+// for at least twice the recovery bound.
 func (m *Manager) retention(table *route.Table, matched *route.Route) time.Duration {
 	if matched.Retain > 0 {
 		return matched.Retain
@@ -228,8 +230,9 @@
 	return table.LongestRetain()
 }
 
-// homeOf draws the service of a route's call: the same for a whole session where
-// the route asks for that or keeps its turns, else anew for each.
+// servicePicker returns the function that draws the number by which a route's service
+// is picked: the same for a whole session when the route is pinned or retains its
+// turns, or else a random one for each call.
 func (m *Manager) servicePicker(matched *route.Route, call *relay.Call) func(n int64) int64 {
 	if matched.Pinned || matched.Retained {
 		return func(n int64) int64 { return int64(base.Hash64(call.Session) % uint64(n)) }
@@ -237,13 +240,14 @@
 	return m.Clock.Int64N
 }
 
-// passOn gives each event to the reader as it comes.
+// relayEvents adds each event to the stream as it arrives. It returns the data of all
+// events for the ledger, their number, and whether the answer came to a clean end.
 func (m *Manager) relayEvents(op *operation, reply Reply) (output []byte, events int64, complete bool) {
 	op.stream.setHead(&Head{Status: reply.Status(), Headers: reply.Headers()})
 	for {
 		event, err := reply.Event(op.ctx.Left())
 		if err != nil {
-			return output, events, isCleanEnd(err) && !op.isCancelled()
+			return output, events, isEOF(err) && !op.isCancelled()
 		}
 		if event.Data != nil {
 			events++
@@ -253,7 +257,7 @@
 	}
 }
 
-// PassThrough takes a streamed call that belongs to no line to a worker.
+// PassThrough sends a streamed call that is not a turn to a worker.
 func (m *Manager) PassThrough(ctx *base.Ctx, matched *route.Route, call *relay.Call) *Stream {
 	op := &operation{call: call, ctx: ctx, state: session.OpRunning}
 	op.stream = newStream(m.Clock, op.cancel)
@@ -266,12 +270,12 @@
 		defer reply.Close()
 		switch {
 		case !op.setReply(reply):
-			op.stream.fail(base.Unsure(502, "cancelled", "the call was given up"))
+			op.stream.fail(base.Unsure(502, "cancelled", "the call was cancelled"))
 		case !reply.IsStream():
 			m.relayPlain(op, reply)
 		default:
 			if _, _, complete := m.relayEvents(op, reply); !complete {
-				op.stream.fail(base.Unsure(502, "cut", "the worker's answer was cut short"))
+				op.stream.fail(base.Unsure(502, "cut", "the worker's answer ended before it was complete"))
 				return
 			}
 			op.stream.finish()
@@ -280,7 +284,7 @@
 	return op.stream
 }
 
-// keep makes the turn whole: the end of the answer waits for the ledger.
+// commit stores a completed turn in the ledger, and ends the stream only after that.
 func (m *Manager) commit(s *ownedSession, op *operation, matched *route.Route, output []byte, tokens int64) {
 	call := op.call
 	s.mu.Lock()
@@ -297,14 +301,14 @@
 		return
 	}
 	m.history.add(turn, matched.Retain)
-	m.endWhole(op)
+	m.finishTurn(op)
 }
 
-// answerPlain passes an answer on that is no stream.
+// relayPlain passes on a response that is not a stream.
 func (m *Manager) relayPlain(op *operation, reply Reply) {
 	body, err := reply.Body(op.ctx.Left())
 	if err != nil {
-		op.stream.fail(base.Unsure(502, "worker_cut", "the worker's answer was cut short"))
+		op.stream.fail(base.Unsure(502, "worker_cut", "the worker's answer ended before it was complete"))
 		return
 	}
 	op.stream.setHead(&Head{Status: reply.Status(), Headers: reply.Headers()})
--- a/internal/line/forward.go
+++ b/internal/line/forward.go
@@ -1,5 +1,3 @@
-// Turns whose session another gateway owns: forwarded to it once, marked.
-
 package line
 
 import (
@@ -11,11 +9,12 @@
 	"fordseam/internal/session"
 )
 
-// forward carries a turn to its owner once and follows the answer.
+// forward sends a turn to its session's owner once, marked so that the owner does not
+// forward it again, and pulls the answer into the stream that it returns.
 func (m *Manager) forward(ctx *base.Ctx, assignment *Assignment, call *relay.Call) (*Stream, error) {
 	member, alive := m.View.Find(assignment.Owner)
 	if member == nil || !alive {
-		return nil, base.Busy(503, "unreachable", 1, "the owner is not known to be alive")
+		return nil, base.Busy(503, "unreachable", 1, "the session's owner is not known to be alive")
 	}
 	m.Counters.Add("turns_forwarded", 1)
 	owner := NewOwnerProtobufClient("http://"+member.Addr, m.Wire)
@@ -44,13 +43,13 @@
 			position += uint64(len(reply.Pieces))
 			switch {
 			case reply.Cut:
-				stream.fail(base.Unsure(502, "cut", "the answer was cut short"))
+				stream.fail(base.Unsure(502, "cut", "the answer ended before it was complete"))
 				return
 			case reply.Done:
 				stream.finish()
 				return
 			case ctx.Over() || stream.isAbandoned():
-				stream.fail(base.Unsure(504, "timed_out", "no answer came in time"))
+				stream.fail(base.Unsure(504, "timed_out", "no answer arrived in time"))
 				return
 			}
 			if reply, err = pull(false, position, 3*wait); err != nil {
@@ -62,33 +61,34 @@
 	return stream, nil
 }
 
-// Forward is the owner's side; it never carries a turn any further.
-func (m *Manager) Forward(plain context.Context, request *ForwardRequest) (*PullReply, error) {
-	arrivalCtx := base.CtxOf(plain, m.Clock)
+// Forward accepts a turn that another gateway forwarded to this node as the session's
+// owner. It never forwards the turn again.
+func (m *Manager) Forward(rawCtx context.Context, request *ForwardRequest) (*PullReply, error) {
+	replyCtx := base.CtxOf(rawCtx, m.Clock)
 	call := callFromProto(request.GetCall())
 	if !request.Forwarded || call.Session == "" || request.Assignment == nil {
-		return nil, base.ToWire(base.Decline(400, "bad_request", "not a forwarded turn"))
+		return nil, base.ToWire(base.Decline(400, "bad_request", "not a valid forwarded turn"))
 	}
 	if request.Assignment.Owner != m.nodeID() {
-		return nil, base.ToWire(base.Busy(503, "owner_lost", 1, "the owner's life at this address is over"))
+		return nil, base.ToWire(base.Busy(503, "owner_lost", 1, "the owner was an earlier process at this address"))
 	}
 	m.mu.Lock()
 	s := m.owned[sessionKey(call)]
 	m.mu.Unlock()
 	if s == nil {
-		return nil, base.ToWire(base.Decline(409, "stale_assignment", "this node has let the session go"))
+		return nil, base.ToWire(base.Decline(409, "stale_assignment", "this node no longer owns the session"))
 	}
 	s.mu.Lock()
-	sameRun, leaving := s.assignment != nil && s.assignment.Run == request.Assignment.Run && s.assignment.Epoch == request.Assignment.Epoch, s.phase == session.Finalizing
+	sameRun, closing := s.assignment != nil && s.assignment.Run == request.Assignment.Run && s.assignment.Epoch == request.Assignment.Epoch, s.phase == session.Finalizing
 	s.mu.Unlock()
 	switch {
 	case !sameRun:
 		return nil, base.ToWire(base.Decline(409, "stale_assignment", "the session is assigned to another Run"))
-	case leaving:
-		return nil, base.ToWire(base.Busy(503, "handing_over", 1, "this node is leaving"))
+	case closing:
+		return nil, base.ToWire(base.Busy(503, "handing_over", 1, "the session is closing on this node"))
 	}
-	if existing := m.forwardedStream(call); existing != nil { // the message came twice
-		return m.pullReply(arrivalCtx, existing, 0, m.Bounds.Load().Recover/24)
+	if existing := m.forwardedStream(call); existing != nil { // a duplicate of the message
+		return m.pullReply(replyCtx, existing, 0, m.Bounds.Load().Recover/24)
 	}
 	ctx := base.NewCtx(m.Clock, call.Deadline)
 	stream, _, err := m.accept(ctx, call, s, nil, true)
@@ -98,11 +98,12 @@
 	m.mu.Lock()
 	m.keepForwarded(call, stream)
 	m.mu.Unlock()
-	return m.pullReply(arrivalCtx, stream, 0, m.Bounds.Load().Recover/24)
+	return m.pullReply(replyCtx, stream, 0, m.Bounds.Load().Recover/24)
 }
 
-// pullFailed judges a pull without an answer. That it was not sent says nothing
-// of the turn, which the owner has; the owner's own word does.
+// pullError returns the verdict for a failed pull. That the pull was not sent proves
+// nothing about the turn, which the owner already has, so the turn may have run. A
+// verdict that the owner itself sent is passed on.
 func pullError(err error) *base.Verdict {
 	verdict := base.FromWire(err)
 	if base.WasNotSent(err) {
--- a/internal/line/history.go
+++ b/internal/line/history.go
@@ -1,6 +1,3 @@
-// The history is a gateway's memory of whole turns, by turn id. It only
-// saves asking the ledger: what is not here is recalled from there.
-
 package line
 
 import (
@@ -10,7 +7,8 @@
 	"fordseam/internal/base"
 )
 
-// historyMost bounds the bytes of turns kept in a gateway's memory.
+// maxHistoryBytes bounds the bytes of turns in a gateway's history; a full history
+// accepts no more turns until some expire.
 const maxHistoryBytes = 48 << 20
 
 type historyEntry struct {
@@ -18,6 +16,8 @@
 	expiresAt time.Duration
 }
 
+// history is a gateway's cache of completed turns, by turn id. What it does not have is
+// loaded from the ledger.
 type history struct {
 	clock base.Clock
 	mu    sync.Mutex
@@ -38,13 +38,14 @@
 	expiresAt := h.clock.Now() + retain
 	h.size += len(turn.Input) + len(turn.Output)
 	h.turns[turn.Turn] = &historyEntry{turn, expiresAt}
-	// What came before is kept as long as what follows from it.
+	// Ancestors are kept at least as long as their descendants.
 	for ancestor := h.turns[turn.Previous]; ancestor != nil && ancestor.expiresAt < expiresAt; ancestor = h.turns[ancestor.Previous] {
 		ancestor.expiresAt = expiresAt
 	}
 }
 
-// chain builds what came before, oldest first.
+// chain returns the inputs and outputs of a turn and its ancestors, oldest first. It
+// returns false when one is not in the history.
 func (h *history) chain(turn string) ([]byte, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -65,7 +66,7 @@
 	return body, true
 }
 
-// joined builds the body of a chain that is given oldest first.
+// joinTurns returns the inputs and outputs of turns that are given oldest first.
 func joinTurns(turns []CompletedTurn) []byte {
 	body := []byte{}
 	for _, turn := range turns {
@@ -74,7 +75,7 @@
 	return body
 }
 
-// sweep forgets what no turn may name any more.
+// removeExpired removes the turns that no later turn may refer to any more.
 func (h *history) removeExpired() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/line/interfaces.go
+++ b/internal/line/interfaces.go
@@ -1,6 +1,3 @@
-// What a line needs of others: the ledger that keeps it, and the relay that
-// takes its turns to workers.
-
 package line
 
 import (
@@ -11,8 +8,8 @@
 	"fordseam/internal/route"
 )
 
-// Claim begins a turn: it claims or confirms the session's assignment and
-// sets the turn's tokens aside in one step.
+// Claim starts a turn in the ledger: it claims or confirms the session's assignment
+// and reserves the turn's tokens in one step.
 type Claim struct {
 	Program   string
 	Session   string
@@ -24,22 +21,22 @@
 	Owner     string
 	Epoch     uint64
 	Previous  string
-	// Confirmed tells that this claim held before.
+	// Confirmed says that the ledger accepted this assignment before.
 	Confirmed bool
-	// Keep is how long what is kept of the program may be needed.
+	// Retain is how long the ledger's record of the program may be needed.
 	Retain time.Duration
-	// After is the assignment that is to be succeeded, if any.
+	// Replaces is the assignment that this one is to replace, if any.
 	Replaces *Assignment
 }
 
-// ClaimResult tells who has the session; Mine that the claim holds and the turn's
-// tokens are set aside.
+// ClaimResult is the session's assignment after a claim. Granted says that the claim
+// holds and the turn's tokens are reserved.
 type ClaimResult struct {
 	Assignment *Assignment
 	Granted    bool
 }
 
-// CompletedTurn is one turn answered whole.
+// CompletedTurn is one completely answered turn.
 type CompletedTurn struct {
 	Turn     string
 	Previous string
@@ -47,7 +44,7 @@
 	Output   []byte
 }
 
-// Completion is a turn answered whole on its way into the ledger.
+// Completion stores a completed turn in the ledger and settles its tokens.
 type Completion struct {
 	Program string
 	Session string
@@ -60,7 +57,7 @@
 	Retain   time.Duration
 }
 
-// Settlement is what a turn came to that was not answered whole.
+// Settlement reports the tokens used by a turn whose answer is not stored.
 type Settlement struct {
 	Program string
 	Run     string
@@ -69,7 +66,7 @@
 	Retain  time.Duration
 }
 
-// Ledger keeps assignments, reservations and turns.
+// Ledger stores assignments, reservations and completed turns durably.
 type Ledger interface {
 	Begin(ctx *base.Ctx, claim *Claim) (*ClaimResult, error)
 	Finish(ctx *base.Ctx, ending *Completion) error
@@ -77,19 +74,19 @@
 	Chain(ctx *base.Ctx, program, turn string) ([]CompletedTurn, error)
 }
 
-// Reply is a worker's answer under way.
+// Reply is a worker's response while it is received.
 type Reply interface {
 	Status() int
 	Headers() []relay.Header
-	// Event gives the next event; io.EOF at a clean end.
+	// Event returns the next event, or io.EOF at a clean end.
 	Event(limit time.Duration) (*relay.Event, error)
 	Body(limit time.Duration) ([]byte, error)
-	// Streams tells that events are to come; otherwise the body is whole.
+	// IsStream reports whether events follow; otherwise Body returns the whole body.
 	IsStream() bool
 	Close()
 }
 
-// Workers sends a call to one worker that runs it.
+// Workers sends a call to a worker of a service.
 type Workers interface {
 	Send(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (Reply, error)
 }
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -1,5 +1,5 @@
-// Lines of turns over a ledger and workers of the test's own: order, one
-// owner, forwarding once, succession, history, and answers cut or whole.
+// Tests of the session queue with a fake ledger and fake workers: order, a single
+// owner, forwarding once, takeover, history, and complete and truncated answers.
 package line
 
 import (
@@ -23,6 +23,7 @@
 	"github.com/matryer/is"
 )
 
+// fakeLedger is a Ledger in memory.
 type fakeLedger struct {
 	mu        sync.Mutex
 	sessions  map[string]*Assignment
@@ -78,7 +79,7 @@
 	for turn != "" {
 		turnRecord, ok := l.completed[turn]
 		if !ok {
-			return nil, base.Decline(404, "unknown_turn", "there is no such turn")
+			return nil, base.Decline(404, "unknown_turn", "the turn does not exist")
 		}
 		chain = append([]CompletedTurn{turnRecord}, chain...)
 		turn = turnRecord.Previous
@@ -86,7 +87,8 @@
 	return chain, nil
 }
 
-// bench is a worker's side: it notes what it ran and answers when told to.
+// fakeWorkers records the turns that it was sent. A turn with a gate ends its answer
+// only once the gate is closed.
 type fakeWorkers struct {
 	mu        sync.Mutex
 	started   []string
@@ -142,13 +144,13 @@
 	return &fakeReply{events: []string{"x" + call.ID, "y" + call.ID}, gate: w.gates[call.ID], truncated: w.truncated[call.ID], closed: make(chan struct{})}, nil
 }
 
-// plainWire reaches nodes by a table of handlers.
+// fakeWire calls the handlers of the test's nodes directly.
 type fakeWire struct {
 	mu    sync.Mutex
 	nodes map[string]http.Handler
 }
 
-// lose makes a node unreachable.
+// disconnect makes a node unreachable.
 func (w *fakeWire) disconnect(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -196,24 +198,24 @@
 	c.is.NoErr(table.Index())
 	routes := &base.Table[route.Table]{}
 	routes.Swap(table)
-	k := NewManager(Dependencies{Clock: c.clock, Wire: c.wire, View: view, Bounds: c.bounds, Counters: counters, Routes: routes, Ledger: c.ledger, Workers: c.workers})
+	m := NewManager(Dependencies{Clock: c.clock, Wire: c.wire, View: view, Bounds: c.bounds, Counters: counters, Routes: routes, Ledger: c.ledger, Workers: c.workers})
 	mux := http.NewServeMux()
 	member := membership.NewMembershipServer(view)
 	mux.Handle(member.PathPrefix(), member)
-	owner := NewOwnerServer(k)
+	owner := NewOwnerServer(m)
 	mux.Handle(owner.PathPrefix(), owner)
 	c.wire.nodes[name] = base.Receive(c.clock, mux)
-	c.keepers[name] = k
-	return k
+	c.keepers[name] = m
+	return m
 }
 
 func (c *testCluster) call(session, turn, previous string) *relay.Call {
 	return &relay.Call{ID: turn, Host: "h", Method: "POST", Target: "/t", Body: []byte("in-" + turn), Program: "p", Session: session, Previous: previous, Most: 10, Deadline: 10 * time.Second}
 }
 
-func (c *testCluster) submitAndRead(k *Manager, call *relay.Call) (string, error) {
+func (c *testCluster) submitAndRead(m *Manager, call *relay.Call) (string, error) {
 	ctx := base.NewCtx(c.clock, 10*time.Second)
-	stream, err := k.SubmitTurn(ctx, call)
+	stream, err := m.SubmitTurn(ctx, call)
 	if err != nil {
 		return "", err
 	}
@@ -226,11 +228,11 @@
 
 func TestTurnBodyIncludesItsChain(t *testing.T) {
 	c := newTestCluster(t)
-	k := c.addNode("a")
-	got, err := c.submitAndRead(k, c.call("s1", "t1", ""))
+	m := c.addNode("a")
+	got, err := c.submitAndRead(m, c.call("s1", "t1", ""))
 	c.is.NoErr(err)
 	c.is.Equal(got, "data: xt1\n\ndata: yt1\n\n")
-	_, err = c.submitAndRead(k, c.call("s1", "t2", "t1"))
+	_, err = c.submitAndRead(m, c.call("s1", "t2", "t1"))
 	c.is.NoErr(err)
 	c.is.Equal(c.workers.bodies["t2"], "in-t1xt1\nyt1\nin-t2")
 	_, err = c.submitAndRead(c.addNode("b"), c.call("s2", "t3", "t2")) // another session, another node
@@ -239,13 +241,14 @@
 	c.is.Equal(c.ledger.settled["t1"], int64(4)) // two events of stride two
 }
 
-// A gateway whose memory of turns is full goes on from what the ledger gives.
+// A gateway whose history is full must use the chain from the ledger itself, because it
+// cannot add those turns to its history.
 func TestFullHistoryStillLoadsChainsFromTheLedger(t *testing.T) {
 	c := newTestCluster(t)
-	k := c.addNode("a")
+	m := c.addNode("a")
 	for _, turn := range []string{"t1", "t2"} {
 		previous := map[string]string{"t2": "t1"}[turn]
-		_, err := c.submitAndRead(k, c.call("s1", turn, previous))
+		_, err := c.submitAndRead(m, c.call("s1", turn, previous))
 		c.is.NoErr(err)
 	}
 	other := c.addNode("b")
@@ -282,10 +285,10 @@
 
 func TestTurnOfReplacedOwnerIsCut(t *testing.T) {
 	c := newTestCluster(t)
-	k := c.addNode("a")
+	m := c.addNode("a")
 	c.workers.gates["t1"] = make(chan struct{})
 	ctx := base.NewCtx(c.clock, 10*time.Second)
-	stream, err := k.SubmitTurn(ctx, c.call("s1", "t1", ""))
+	stream, err := m.SubmitTurn(ctx, c.call("s1", "t1", ""))
 	c.is.NoErr(err)
 	_, err = stream.Head(5*time.Second, c.clock)
 	c.is.NoErr(err)
@@ -299,24 +302,24 @@
 
 func TestSessionTurnsRunInOrderAndTheQueueIsBounded(t *testing.T) {
 	c := newTestCluster(t)
-	k := c.addNode("a")
+	m := c.addNode("a")
 	c.workers.gates["t0"] = make(chan struct{})
 	ctx := base.NewCtx(c.clock, 10*time.Second)
-	first, err := k.SubmitTurn(ctx, c.call("s1", "t0", ""))
+	first, err := m.SubmitTurn(ctx, c.call("s1", "t0", ""))
 	c.is.NoErr(err)
 	_, err = first.Head(5*time.Second, c.clock)
 	c.is.NoErr(err)
 	streams := []*Stream{}
 	for n := range maxQueuedTurns {
-		call := c.call("s1", fmt.Sprint("q", n), fmt.Sprint("p", n)) // each from another place
+		call := c.call("s1", fmt.Sprint("q", n), fmt.Sprint("p", n)) // each with a different previous turn
 		c.ledger.completed[call.Previous] = CompletedTurn{Turn: call.Previous}
-		stream, err := k.SubmitTurn(ctx, call)
+		stream, err := m.SubmitTurn(ctx, call)
 		c.is.NoErr(err)
 		streams = append(streams, stream)
 	}
-	_, err = k.SubmitTurn(ctx, c.call("s1", "over", "p"))
+	_, err = m.SubmitTurn(ctx, c.call("s1", "over", "p"))
 	c.is.Equal(base.FromWire(err).Code, "queue_full")
-	c.is.Equal(k.List(10)[0].Waiting, maxQueuedTurns) // a read does not queue
+	c.is.Equal(m.List(10)[0].Waiting, maxQueuedTurns) // a read does not wait in the queue
 	c.is.Equal(len(c.workers.started), 1)
 	close(c.workers.gates["t0"])
 	for _, stream := range streams {
@@ -331,20 +334,20 @@
 
 func TestRetryFromTheSamePreviousTurnCancelsTheEarlierAttempt(t *testing.T) {
 	c := newTestCluster(t)
-	k := c.addNode("a")
-	c.workers.gates["t1"] = make(chan struct{}) // never opened: the worker hangs
+	m := c.addNode("a")
+	c.workers.gates["t1"] = make(chan struct{}) // never closed: the worker hangs
 	ctx := base.NewCtx(c.clock, 10*time.Second)
-	first, err := k.SubmitTurn(ctx, c.call("s1", "t1", ""))
+	first, err := m.SubmitTurn(ctx, c.call("s1", "t1", ""))
 	c.is.NoErr(err)
 	_, err = first.Head(5*time.Second, c.clock)
 	c.is.NoErr(err)
-	_, err = c.submitAndRead(k, c.call("s1", "t2", ""))
+	_, err = c.submitAndRead(m, c.call("s1", "t2", ""))
 	c.is.NoErr(err)
 	_, err = io.ReadAll(NewReader(first, c.clock, 5*time.Second))
 	c.is.Equal(err, io.ErrUnexpectedEOF)
 }
 
-// loose is a call on a route that keeps no turns.
+// unretainedCall is a call on a route that does not retain turns.
 func (c *testCluster) unretainedCall(session, turn, previous string) *relay.Call {
 	call := c.call(session, turn, previous)
 	call.Target, call.Budget, call.HasBudget = "/loose/t", 100, true
@@ -353,27 +356,27 @@
 
 func TestUnretainedTurnsAreSettled(t *testing.T) {
 	c := newTestCluster(t)
-	k := c.addNode("a")
-	_, err := c.submitAndRead(k, c.unretainedCall("s1", "t1", "never"))
+	m := c.addNode("a")
+	_, err := c.submitAndRead(m, c.unretainedCall("s1", "t1", "never"))
 	c.is.NoErr(err)
-	c.is.Equal(c.workers.bodies["t1"], "in-t1") // the prompt says it all
-	k.Drain(5 * time.Second)                    // is not over before the ledger has heard
-	c.is.Equal(k.pendingSettlements.Load(), int64(0))
+	c.is.Equal(c.workers.bodies["t1"], "in-t1") // no chain is added
+	m.Drain(5 * time.Second)                    // returns only once the ledger has the settlement
+	c.is.Equal(m.pendingSettlements.Load(), int64(0))
 	c.is.Equal(c.ledger.settled["t1"], int64(4))
 	_, kept := c.ledger.completed["t1"]
 	c.is.True(!kept)
 	c.is.Equal(c.ledger.claims[0].MaxTokens, int64(10))
-	c.is.Equal(c.ledger.claims[0].Retain, time.Minute) // the longest that a route names
+	c.is.Equal(c.ledger.claims[0].Retain, time.Minute) // the longest of any route
 }
 
 func TestCallsWithoutNamesGetTheirOwnSession(t *testing.T) {
 	c := newTestCluster(t)
-	k := c.addNode("a")
+	m := c.addNode("a")
 	for _, turn := range []string{"t1", "t2"} {
 		call := c.unretainedCall("", turn, "")
 		call.Program = ""
 		c.is.True(IsTurn(&route.Route{}, call))
-		_, err := c.submitAndRead(k, call)
+		_, err := c.submitAndRead(m, call)
 		c.is.NoErr(err)
 	}
 	first, second := c.ledger.claims[0], c.ledger.claims[1]
@@ -385,19 +388,19 @@
 
 func TestUnretainedRetryNeedsTheSameBodyToCancelTheEarlierAttempt(t *testing.T) {
 	c := newTestCluster(t)
-	k := c.addNode("a")
-	c.workers.gates["t1"] = make(chan struct{}) // never opened: the worker hangs
+	m := c.addNode("a")
+	c.workers.gates["t1"] = make(chan struct{}) // never closed: the worker hangs
 	ctx := base.NewCtx(c.clock, 10*time.Second)
-	first, err := k.SubmitTurn(ctx, c.unretainedCall("s1", "t1", ""))
+	first, err := m.SubmitTurn(ctx, c.unretainedCall("s1", "t1", ""))
 	c.is.NoErr(err)
 	_, err = first.Head(5*time.Second, c.clock)
 	c.is.NoErr(err)
-	other, err := k.SubmitTurn(ctx, c.unretainedCall("s1", "t2", "")) // another turn waits behind it
+	other, err := m.SubmitTurn(ctx, c.unretainedCall("s1", "t2", "")) // another turn waits behind it
 	c.is.NoErr(err)
-	c.is.True(!first.isAbandoned() && k.List(1)[0].Waiting == 1)
+	c.is.True(!first.isAbandoned() && m.List(1)[0].Waiting == 1)
 	again := c.unretainedCall("s1", "t3", "")
 	again.Body = []byte("in-t1")
-	_, err = k.SubmitTurn(ctx, again)
+	_, err = m.SubmitTurn(ctx, again)
 	c.is.NoErr(err)
 	_, err = io.ReadAll(NewReader(first, c.clock, 5*time.Second))
 	c.is.Equal(err, io.ErrUnexpectedEOF)
@@ -405,43 +408,43 @@
 	c.is.NoErr(err)
 }
 
-// After an outage programs go on from others' turns under the session's old
-// name: each is a line of its own.
+// After an outage several programs may continue from the same turn under the same
+// session name. Each must get a session of its own, or their turns block each other.
 func TestProgramsWithTheSameSessionNameAreIndependent(t *testing.T) {
 	c := newTestCluster(t)
-	k := c.addNode("a")
-	_, err := c.submitAndRead(k, c.call("s1", "t1", ""))
+	m := c.addNode("a")
+	_, err := c.submitAndRead(m, c.call("s1", "t1", ""))
 	c.is.NoErr(err)
 	c.workers.gates["t2"] = make(chan struct{})
 	first := c.call("s1", "t2", "t1")
-	stream, err := k.SubmitTurn(base.NewCtx(c.clock, 10*time.Second), first)
+	stream, err := m.SubmitTurn(base.NewCtx(c.clock, 10*time.Second), first)
 	c.is.NoErr(err)
 	_, err = stream.Head(5*time.Second, c.clock)
 	c.is.NoErr(err)
 	second := c.call("s1", "t3", "t1")
 	second.Program = "q"
-	_, err = c.submitAndRead(k, second)
+	_, err = c.submitAndRead(m, second)
 	c.is.NoErr(err)
 	close(c.workers.gates["t2"])
 	_, err = io.ReadAll(NewReader(stream, c.clock, 5*time.Second))
 	c.is.NoErr(err)
-	c.is.Equal(len(k.List(10)), 2)
+	c.is.Equal(len(m.List(10)), 2)
 }
 
 func TestClosingTheReaderCancelsTheTurn(t *testing.T) {
 	c := newTestCluster(t)
-	k := c.addNode("a")
+	m := c.addNode("a")
 	c.workers.gates["t1"] = make(chan struct{})
-	stream, err := k.SubmitTurn(base.NewCtx(c.clock, 10*time.Second), c.call("s1", "t1", ""))
+	stream, err := m.SubmitTurn(base.NewCtx(c.clock, 10*time.Second), c.call("s1", "t1", ""))
 	c.is.NoErr(err)
 	_, err = stream.Head(5*time.Second, c.clock)
 	c.is.NoErr(err)
 	c.is.NoErr(NewReader(stream, c.clock, time.Second).Close())
-	_, err = c.submitAndRead(k, c.call("s1", "t2", "")) // the queue goes on
+	_, err = c.submitAndRead(m, c.call("s1", "t2", "")) // the queue continues
 	c.is.NoErr(err)
 }
 
-// meet lets two nodes know each other.
+// connect waits until two nodes know each other.
 func (c *testCluster) connect(a, b *Manager) {
 	for _, pair := range [][2]*Manager{{a, b}, {b, a}} {
 		client := membership.NewMembershipProtobufClient("http://"+pair[1].View.Self().Addr, c.wire)
@@ -472,13 +475,13 @@
 	got, err := c.submitAndRead(b, c.call("s1", "t2", "t1"))
 	c.is.NoErr(err)
 	c.is.Equal(got, "data: xt2\n\ndata: yt2\n\n")
-	c.is.Equal(c.ledger.sessions["ps1"].Owner, a.nodeID()) // the owner stays
+	c.is.Equal(c.ledger.sessions["ps1"].Owner, a.nodeID()) // the owner is unchanged
 	c.is.Equal(b.Counters.Frame()["turns_forwarded"], int64(1))
 	owner := NewOwnerProtobufClient("http://a:1", c.wire)
 	for _, bad := range []*ForwardRequest{
 		{From: "x", Assignment: c.ledger.sessions["ps1"], Call: &Call{Session: "s1"}},                                                              // no marker
 		{From: "x", Forwarded: true, Assignment: &Assignment{Run: "r", Owner: a.nodeID(), Epoch: 1}, Call: &Call{Session: "s1", DeadlineMs: 1000}}, // another Run
-		{From: "x", Forwarded: true, Assignment: &Assignment{Run: "r", Owner: "a:1/0", Epoch: 1}, Call: &Call{Session: "s1"}},                      // a former life
+		{From: "x", Forwarded: true, Assignment: &Assignment{Run: "r", Owner: "a:1/0", Epoch: 1}, Call: &Call{Session: "s1"}},                      // an earlier process of a
 	} {
 		_, err := owner.Forward(context.Background(), bad)
 		c.is.True(err != nil)
@@ -486,8 +489,8 @@
 	c.is.Equal(len(c.workers.started), 2)
 }
 
-// A forwarded turn whose message comes once more runs once, and both get its
-// answer.
+// When the message that forwards a turn is delivered twice, the turn must run once and
+// both deliveries must get its answer.
 func TestDuplicateForwardRunsOnce(t *testing.T) {
 	c := newTestCluster(t)
 	a, b := c.addNode("a:1", "b:1"), c.addNode("b:1", "a:1")
@@ -497,13 +500,13 @@
 	_, err := c.submitAndRead(a, c.call("s1", "t1", ""))
 	c.is.NoErr(err)
 	ctx := base.NewCtx(c.clock, 10*time.Second)
-	asked := &ForwardRequest{From: b.nodeID(), Forwarded: true, Assignment: c.ledger.sessions["ps1"], Call: callToProto(c.call("s1", "t2", "t1"), ctx)}
+	forward := &ForwardRequest{From: b.nodeID(), Forwarded: true, Assignment: c.ledger.sessions["ps1"], Call: callToProto(c.call("s1", "t2", "t1"), ctx)}
 	owner := NewOwnerProtobufClient("http://a:1", c.wire)
 	for range 2 {
-		reply, err := owner.Forward(ctx, asked)
+		reply, err := owner.Forward(ctx, forward)
 		c.is.NoErr(err)
-		for place := uint64(len(reply.Pieces)); !reply.Done; place += uint64(len(reply.Pieces)) {
-			reply, err = owner.Pull(ctx, &PullRequest{Program: "p", Session: "s1", Turn: "t2", Place: place, HoldMs: 1000, Assignment: asked.Assignment})
+		for position := uint64(len(reply.Pieces)); !reply.Done; position += uint64(len(reply.Pieces)) {
+			reply, err = owner.Pull(ctx, &PullRequest{Program: "p", Session: "s1", Turn: "t2", Place: position, HoldMs: 1000, Assignment: forward.Assignment})
 			c.is.NoErr(err)
 		}
 		c.is.True(!reply.Cut)
@@ -511,8 +514,8 @@
 	c.is.Equal(len(c.workers.started), 2) // t1 and t2
 }
 
-// That a pull was not sent proves nothing of the turn; the owner's own word that
-// it has not run does.
+// A pull that was not sent proves nothing about the turn, which the owner already has.
+// Only a verdict from the owner can say that the turn has not run.
 func TestOnlyTheOwnersReplyProvesThatATurnHasNotRun(t *testing.T) {
 	is := is.New(t)
 	lost := pullError(&base.NotSent{Cause: io.EOF})
@@ -535,7 +538,7 @@
 	a.Drain(time.Second)
 	_, err = a.SubmitTurn(base.NewCtx(c.clock, time.Second), c.call("s1", "t2", "t1"))
 	c.is.Equal(base.FromWire(err).Ran, base.NotRun)
-	_, err = c.submitAndRead(b, c.call("s1", "t3", "t1")) // a is leaving: b goes on
+	_, err = c.submitAndRead(b, c.call("s1", "t3", "t1")) // a is draining, so b takes over
 	c.is.NoErr(err)
 	c.is.Equal(c.ledger.sessions["ps1"].Owner, b.nodeID())
 	c.is.Equal(c.ledger.sessions["ps1"].Epoch, uint64(2))
@@ -547,7 +550,8 @@
 	c.is.True(strings.HasPrefix(c.workers.bodies["u2"], "in-u1"))
 }
 
-// An owner that leaves answers what others forwarded to it before it goes.
+// A draining owner must keep running until the gateways that forwarded turns to it have
+// pulled the ends of their answers.
 func TestDrainWaitsForForwardedTurns(t *testing.T) {
 	c := newTestCluster(t)
 	a, b := c.addNode("a:1", "b:1"), c.addNode("b:1", "a:1")
@@ -572,7 +576,7 @@
 	c.is.Equal(a.undeliveredStreams(), 1)
 	close(c.workers.gates["t2"])
 	<-drained
-	c.wire.disconnect("a:1") // gone at once
+	c.wire.disconnect("a:1") // a stops right after the drain
 	body, err := io.ReadAll(NewReader(stream, c.clock, 5*time.Second))
 	c.is.NoErr(err)
 	c.is.Equal(string(body), "data: xt2\n\ndata: yt2\n\n")
@@ -580,15 +584,15 @@
 
 func TestTerminationOnlyEscalates(t *testing.T) {
 	c := newTestCluster(t)
-	k := c.addNode("a")
+	m := c.addNode("a")
 	c.workers.gates["t1"] = make(chan struct{})
-	stream, err := k.SubmitTurn(base.NewCtx(c.clock, 10*time.Second), c.call("s1", "t1", ""))
+	stream, err := m.SubmitTurn(base.NewCtx(c.clock, 10*time.Second), c.call("s1", "t1", ""))
 	c.is.NoErr(err)
 	_, err = stream.Head(5*time.Second, c.clock)
 	c.is.NoErr(err)
-	c.is.True(k.Terminate("p", "s1", budget.Immediate))
-	c.is.True(k.Terminate("p", "s1", budget.Drain))
-	c.is.Equal(k.List(1)[0].Termination, budget.Immediate)
+	c.is.True(m.Terminate("p", "s1", budget.Immediate))
+	c.is.True(m.Terminate("p", "s1", budget.Drain))
+	c.is.Equal(m.List(1)[0].Termination, budget.Immediate)
 	_, err = io.ReadAll(NewReader(stream, c.clock, 5*time.Second))
 	c.is.Equal(err, io.ErrUnexpectedEOF)
 }
--- a/internal/line/manager.go
+++ b/internal/line/manager.go
@@ -1,10 +1,13 @@
-// Package line holds a program's lines of turns. A session is one Run at a
-// time with one owner, which alone has its queue: turns run one after the
-// other, in the order accepted, and reads of state bypass the queue. The
-// session and the assignment (run, owner, epoch) go with every call between
-// nodes; a call that lands elsewhere is forwarded once, marked. Termination
-// only escalates. What a line must not lose, its assignment, its budget and
-// its whole turns, is in the ledger before anyone is told.
+// Package line queues the turns of sessions on the gateways that serve an operator's
+// routes, and relays them to workers.
+//
+// A session is assigned to one Run at a time, with one owner: the gateway that alone
+// holds the session's queue. Its turns run one after the other, in the order accepted;
+// reads of its state bypass the queue. The session and the assignment (run, owner,
+// epoch) travel with every call between nodes. A turn that arrives at another gateway
+// is forwarded to the owner once, marked so that it is not forwarded again.
+// Termination only escalates. What must not be lost, the assignment, the budget and
+// the completed turns, is in the ledger before a client is told of it.
 package line
 
 import (
@@ -21,10 +24,10 @@
 	"fordseam/internal/session"
 )
 
-// queueMost is the paper's default: turns that may wait in one session.
+// maxQueuedTurns is how many turns may wait in one session, the paper's default.
 const maxQueuedTurns = 32
 
-// Dependencies are what a keeper is built from.
+// Dependencies are the services that a Manager uses.
 type Dependencies struct {
 	Clock    base.Clock
 	Wire     base.Wire
@@ -36,38 +39,39 @@
 	Workers  Workers
 }
 
-// Manager is a gateway's part in lines.
+// Manager is a gateway's session service for an operator's routes.
 type Manager struct {
 	Dependencies
 	history *history
 
 	mu               sync.Mutex
-	owned            map[string]*ownedSession
-	remoteOwners     map[string]*Assignment
+	owned            map[string]*ownedSession // by session key
+	remoteOwners     map[string]*Assignment   // assignments to other nodes, by session key
 	draining         bool
-	forwardedStreams map[string]*Stream
+	forwardedStreams map[string]*Stream // pulled by other gateways
 
-	pendingSettlements atomic.Int64 // turns whose spending is on its way to the ledger
+	pendingSettlements atomic.Int64 // settlements that the ledger has not confirmed
 }
 
+// NewManager returns a Manager that owns no sessions yet.
 func NewManager(deps Dependencies) *Manager {
 	return &Manager{Dependencies: deps, history: newHistory(deps.Clock), owned: map[string]*ownedSession{}, remoteOwners: map[string]*Assignment{}}
 }
 
 func (m *Manager) nodeID() string { return m.View.Me() }
 
-// unnamedMark begins the names that stand in for a program or a session that a
-// call does not name. No header value holds this byte, so they meet no caller's.
+// unnamedPrefix starts the generated names of programs and sessions that a call does
+// not name. No header value can contain this byte, so they never equal a client's.
 const unnamedPrefix = "\x1f"
 
-// IsTurn tells whether a streamed call goes to a session's owner: it is kept, or
-// belongs to a program or a session, or spends a budget.
+// IsTurn reports whether a streamed call goes to a session's owner: its turns are
+// retained, it belongs to a program or a session, or it spends a budget.
 func IsTurn(matched *route.Route, call *relay.Call) bool {
 	return matched.Retained || call.Program != "" || call.Session != "" || call.HasBudget
 }
 
-// identify gives a turn the names that it lacks: one without a session has a
-// session of its own, one without a program a program of its session's.
+// fillMissingNames gives a turn without a session a session of its own, and one
+// without a program a program of its own for that session.
 func fillMissingNames(call *relay.Call) {
 	if call.Session == "" {
 		call.Session = unnamedPrefix + call.ID
@@ -77,10 +81,11 @@
 	}
 }
 
-// lineOf is what a line goes by: programs may use each other's session names.
+// sessionKey identifies a session on this node. It contains the program, because
+// different programs may use the same session names.
 func sessionKey(call *relay.Call) string { return call.Program + " " + call.Session }
 
-// held is the owner's memory of one Run.
+// ownedSession is the owner's memory of one Run.
 type ownedSession struct {
 	key     string
 	session string
@@ -88,7 +93,7 @@
 
 	mu          sync.Mutex
 	assignment  *Assignment
-	confirmed   bool // the ledger gave the session to the assignment
+	confirmed   bool // the ledger accepted the assignment
 	phase       session.Phase
 	termination budget.Termination
 	queue       []*operation
@@ -96,13 +101,13 @@
 	lastUsed    time.Duration
 }
 
-// operation is one turn on its owner.
+// operation is one turn on the session's owner.
 type operation struct {
 	call      *relay.Call
 	ctx       *base.Ctx
 	stream    *Stream
 	state     session.OperationState
-	forwarded bool // forwarded to here, so it goes no further
+	forwarded bool // forwarded to this node, which must not forward it again
 	retain    time.Duration
 
 	mu        sync.Mutex
@@ -110,7 +115,7 @@
 	reply     Reply
 }
 
-// cancel stops an operation; what it handed out stays handed out.
+// cancel stops an operation. What was already streamed stays delivered.
 func (op *operation) cancel() {
 	op.mu.Lock()
 	op.cancelled = true
@@ -127,7 +132,8 @@
 	return op.cancelled
 }
 
-// attach gives the operation a worker's reply, unless it was cancelled.
+// setReply sets the worker's reply, which cancel closes. It returns false when the
+// operation was cancelled before.
 func (op *operation) setReply(reply Reply) bool {
 	op.mu.Lock()
 	defer op.mu.Unlock()
@@ -135,7 +141,8 @@
 	return !op.cancelled
 }
 
-// SubmitTurn takes a turn from a client, to wherever its session is owned.
+// SubmitTurn runs a client's turn on the owner of its session: here, when this node
+// owns the session or can claim it, or else by forwarding it.
 func (m *Manager) SubmitTurn(ctx *base.Ctx, call *relay.Call) (*Stream, error) {
 	m.Counters.Add("turns", 1)
 	fillMissingNames(call)
@@ -156,34 +163,34 @@
 				}
 				m.forgetAssignment(sessionKey(call), remote)
 				if verdict.Code == "stale_assignment" {
-					remote = nil // looked up anew
+					remote = nil // claim asks the ledger for the current one
 				}
 			default:
 				m.forgetAssignment(sessionKey(call), remote)
 				return nil, err
 			}
 		}
-		stream, moved, err := m.accept(ctx, call, s, remote, false)
-		if err != nil || moved == nil {
+		stream, newOwner, err := m.accept(ctx, call, s, remote, false)
+		if err != nil || newOwner == nil {
 			return stream, err
 		}
 		if attempts > 2 {
-			return nil, m.retrySoon("assignment_moves", "the session is changing hands")
+			return nil, m.retrySoon("assignment_moves", "the session is moving to another owner")
 		}
 	}
 }
 
-// soon refuses what will be possible again in a moment.
+// retrySoon declines what is expected to be possible again shortly, on this node too.
 func (m *Manager) retrySoon(code, format string, args ...any) *base.Verdict {
 	return base.BusyFor(503, code, m.Bounds.Load().Recover/60, format, args...)
 }
 
-// elsewhereNow refuses what another node takes at once.
+// retryElsewhere declines what another node can accept at once.
 func (m *Manager) retryElsewhere(code, format string, args ...any) *base.Verdict {
 	return base.BusyFor(503, code, m.Bounds.Load().Recover/48, format, args...)
 }
 
-// forgetAssignment lets an assignment be looked up anew.
+// forgetAssignment drops a cached assignment, so that the next turn looks it up.
 func (m *Manager) forgetAssignment(key string, assignment *Assignment) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -192,15 +199,17 @@
 	}
 }
 
-// accept puts a turn into its session's queue on this node. after is an
-// assignment that is to be succeeded.
+// accept puts a turn into its session's queue on this node and returns its stream.
+// s is the session if this node owns it; replaces is the assignment of a lost owner
+// that the new Run is to replace, if any. The assignment returned is the one of
+// another node that has the session instead.
 func (m *Manager) accept(ctx *base.Ctx, call *relay.Call, s *ownedSession, replaces *Assignment, forwarded bool) (*Stream, *Assignment, error) {
 	op := &operation{call: call, ctx: ctx, state: session.OpQueued, forwarded: forwarded}
 	op.stream = newStream(m.Clock, op.cancel)
 	for {
 		if s == nil {
 			if m.isDraining() {
-				return nil, nil, m.retryElsewhere("draining", "this node is leaving")
+				return nil, nil, m.retryElsewhere("draining", "this node is draining and accepts no new sessions")
 			}
 			s = &ownedSession{key: sessionKey(call), session: call.Session, program: call.Program, phase: session.Pending, lastUsed: m.Clock.Now()}
 			m.mu.Lock()
@@ -220,10 +229,10 @@
 			continue
 		case s.phase == session.Finalizing:
 			s.mu.Unlock()
-			return nil, nil, m.retryElsewhere("session_draining", "the session takes no more turns here")
+			return nil, nil, m.retryElsewhere("session_draining", "the session is closing on this node and accepts no more turns here")
 		case len(s.queue) >= maxQueuedTurns:
 			s.mu.Unlock()
-			return nil, nil, base.Busy(429, "queue_full", 1, "%d turns wait in this session", maxQueuedTurns)
+			return nil, nil, base.Busy(429, "queue_full", 1, "the session's queue of %d turns is full", maxQueuedTurns)
 		}
 		break
 	}
@@ -246,12 +255,12 @@
 		earlier.cancel()
 	}
 	if startQueue {
-		moved := make(chan *Assignment, 1)
+		newOwner := make(chan *Assignment, 1)
 		claimed := m.Clock.NewSignal()
-		m.Clock.Go(func() { m.runQueue(s, op, replaces, func(remote *Assignment) { moved <- remote; claimed.Fire() }) })
+		m.Clock.Go(func() { m.runQueue(s, op, replaces, func(remote *Assignment) { newOwner <- remote; claimed.Fire() }) })
 		claimed.Wait(-1)
 		select {
-		case remote := <-moved:
+		case remote := <-newOwner:
 			return op.stream, remote, nil
 		default:
 		}
@@ -259,10 +268,10 @@
 	return op.stream, nil, nil
 }
 
-// asksAgain tells whether a turn stands for a former one of its session. A
-// program asks again from the same place only once it has given up on the turn
-// that it asked for before; where turns are not kept they name no place, and only
-// one that says the same is the same turn.
+// supersedes reports whether a turn replaces an earlier one of its session. A program
+// sends another turn with the same previous turn only after it has given up on the
+// earlier one. Where turns are not retained they name no previous turn, and only a
+// turn with the same target and body is the same turn.
 func (m *Manager) supersedes(earlier, call *relay.Call) bool {
 	matched := m.Routes.Load().Match(call.Host, call.Target)
 	if matched != nil && matched.Retained {
@@ -271,8 +280,9 @@
 	return earlier.Target == call.Target && bytes.Equal(earlier.Body, call.Body)
 }
 
-// run takes the turns of a session one after the other. told hears, once,
-// whether the first one's claim held (nil) or whose the session is.
+// runQueue runs the turns of a session one after the other. It calls onClaim once:
+// with nil when the first turn's claim held or failed, or with the assignment of the
+// other node that has the session.
 func (m *Manager) runQueue(s *ownedSession, op *operation, replaces *Assignment, onClaim func(*Assignment)) {
 	for op != nil {
 		ownerChanged := m.runTurn(s, op, replaces, onClaim)
@@ -292,16 +302,16 @@
 		if ownerChanged {
 			m.remove(s)
 			for _, waitingOp := range waiting {
-				waitingOp.stream.fail(m.retrySoon("session_moved", "the session is owned elsewhere now"))
+				waitingOp.stream.fail(m.retrySoon("session_moved", "the session moved to another owner"))
 			}
 		}
 	}
 }
 
-// keepLimit is how long the ledger may take for a turn whose answer is over, of
-// the time left: it gets a little also when that is over, but no more than what
-// a client is held past its deadline without a price.
-func (m *Manager) commitTimeout(left time.Duration) time.Duration {
+// commitTimeout returns how long storing a turn in the ledger may take once its answer
+// is complete. It is a little even when no time remains, but at most the time that a
+// client may be kept waiting past its deadline without a penalty.
+func (m *Manager) commitTimeout(remaining time.Duration) time.Duration {
 	recoverBound := m.Bounds.Load().Recover
-	return min(max(left, recoverBound/60), recoverBound/4)
+	return min(max(remaining, recoverBound/60), recoverBound/4)
 }
--- a/internal/line/pull.go
+++ b/internal/line/pull.go
@@ -1,5 +1,3 @@
-// How a call travels between gateways, and how an answer is pulled.
-
 package line
 
 import (
@@ -11,26 +9,27 @@
 	"fordseam/internal/relay"
 )
 
-func isCleanEnd(err error) bool { return err == io.EOF }
+func isEOF(err error) bool { return err == io.EOF }
 
+// callToProto encodes a call for another gateway, with the time left as its deadline.
 func callToProto(call *relay.Call, ctx *base.Ctx) *Call {
-	packed := &Call{Id: call.ID, Host: call.Host, Method: call.Method, Target: call.Target, Body: call.Body, DeadlineMs: ctx.Left().Milliseconds(),
+	msg := &Call{Id: call.ID, Host: call.Host, Method: call.Method, Target: call.Target, Body: call.Body, DeadlineMs: ctx.Left().Milliseconds(),
 		Model: call.Model, Prompt: int64(call.Prompt), Most: int64(call.Most), Program: call.Program, Session: call.Session,
 		FinishMs: call.Finish.Milliseconds(), Budget: call.Budget, HasBudget: call.HasBudget, Previous: call.Previous, Headers: headersToProto(call.Headers)}
 	for _, part := range call.Parts {
-		packed.Parts = append(packed.Parts, &Part{Id: part.ID, Tokens: int64(part.Tokens)})
+		msg.Parts = append(msg.Parts, &Part{Id: part.ID, Tokens: int64(part.Tokens)})
 	}
-	return packed
+	return msg
 }
 
-func callFromProto(packed *Call) *relay.Call {
-	if packed == nil {
+func callFromProto(msg *Call) *relay.Call {
+	if msg == nil {
 		return &relay.Call{}
 	}
-	call := &relay.Call{ID: packed.Id, Host: packed.Host, Method: packed.Method, Target: packed.Target, Body: packed.Body, Deadline: time.Duration(packed.DeadlineMs) * time.Millisecond,
-		Model: packed.Model, Prompt: int(packed.Prompt), Most: int(packed.Most), Program: packed.Program, Session: packed.Session,
-		Finish: time.Duration(packed.FinishMs) * time.Millisecond, Budget: packed.Budget, HasBudget: packed.HasBudget, Previous: packed.Previous, Headers: headersFromProto(packed.Headers)}
-	for _, part := range packed.Parts {
+	call := &relay.Call{ID: msg.Id, Host: msg.Host, Method: msg.Method, Target: msg.Target, Body: msg.Body, Deadline: time.Duration(msg.DeadlineMs) * time.Millisecond,
+		Model: msg.Model, Prompt: int(msg.Prompt), Most: int(msg.Most), Program: msg.Program, Session: msg.Session,
+		Finish: time.Duration(msg.FinishMs) * time.Millisecond, Budget: msg.Budget, HasBudget: msg.HasBudget, Previous: msg.Previous, Headers: headersFromProto(msg.Headers)}
+	for _, part := range msg.Parts {
 		call.Parts = append(call.Parts, relay.Part{ID: part.Id, Tokens: int(part.Tokens)})
 	}
 	return call
@@ -44,34 +43,34 @@
 	return base.Map(headers, func(h *Header) relay.Header { return relay.Header{Name: h.Name, Value: h.Value} })
 }
 
-// follow keeps a forwarded turn's stream where pulls find it; the caller
-// holds the lock.
+// keepForwarded keeps the stream of a forwarded turn for pulls until some time after
+// the call's deadline. The caller holds m.mu.
 func (m *Manager) keepForwarded(call *relay.Call, stream *Stream) {
 	if m.forwardedStreams == nil {
 		m.forwardedStreams = map[string]*Stream{}
 	}
-	id := forwardedStreamKey(call)
-	m.forwardedStreams[id] = stream
+	key := forwardedStreamKey(call)
+	m.forwardedStreams[key] = stream
 	m.Clock.Go(func() {
 		m.Clock.Sleep(call.Deadline + m.Bounds.Load().Recover/4)
 		m.mu.Lock()
-		delete(m.forwardedStreams, id)
+		delete(m.forwardedStreams, key)
 		m.mu.Unlock()
 	})
 }
 
-// streamID is what a forwarded turn's stream goes by.
+// forwardedStreamKey identifies the stream of a forwarded turn.
 func forwardedStreamKey(call *relay.Call) string { return sessionKey(call) + " " + call.ID }
 
-// forwarded is the stream of a turn that was forwarded here before, or nil: a
-// message that comes once more runs nothing.
+// forwardedStream returns the stream of a turn that was forwarded here before, or nil.
+// A duplicate of the message must not run the turn again.
 func (m *Manager) forwardedStream(call *relay.Call) *Stream {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.forwardedStreams[forwardedStreamKey(call)]
 }
 
-// owing counts the forwarded turns whose end has not been pulled.
+// undeliveredStreams counts the forwarded turns whose end has not been pulled.
 func (m *Manager) undeliveredStreams() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,13 +83,13 @@
 	return count
 }
 
-// Pull gives a forwarded turn's answer from a place on.
-func (m *Manager) Pull(plain context.Context, request *PullRequest) (*PullReply, error) {
+// Pull serves the answer of a forwarded turn from a position on.
+func (m *Manager) Pull(rawCtx context.Context, request *PullRequest) (*PullReply, error) {
 	m.mu.Lock()
 	stream := m.forwardedStreams[request.Program+" "+request.Session+" "+request.Turn]
 	m.mu.Unlock()
 	if stream == nil {
-		return nil, base.ToWire(base.Unsure(502, "owner_lost", "this node does not have the answer"))
+		return nil, base.ToWire(base.Unsure(502, "owner_lost", "this node has no answer for turn %q", request.Turn))
 	}
 	if request.Leave {
 		stream.Abandon()
@@ -98,24 +97,25 @@
 	}
 	wait := time.Duration(request.HoldMs) * time.Millisecond
 	if request.Place > 0 {
-		// After the first event a few that come together go together.
+		// After the first event, wait briefly to send several events in one reply.
 		stream.WaitUntil(int(request.Place)+maxGatheredEvents, min(wait, m.Bounds.Load().Recover/400), m.Clock)
 	}
-	return m.pullReply(base.CtxOf(plain, m.Clock), stream, int(request.Place), wait)
+	return m.pullReply(base.CtxOf(rawCtx, m.Clock), stream, int(request.Place), wait)
 }
 
-// gatherMost is how many events a pull waits for, for a short while.
+// maxGatheredEvents is the number of events that a pull briefly waits for.
 const maxGatheredEvents = 16
 
-// news is what a stream has from a place on, after at most hold.
+// pullReply returns the pieces of a stream from a position on, waiting for the first of
+// them for at most wait.
 func (m *Manager) pullReply(ctx *base.Ctx, stream *Stream, position int, wait time.Duration) (*PullReply, error) {
 	pieces, done, cut := stream.PiecesFrom(position, min(wait, ctx.Left()/2), m.Clock)
 	stream.mu.Lock()
-	head, failed := stream.head, stream.failure
+	head, failure := stream.head, stream.failure
 	stream.mu.Unlock()
-	if failed != nil {
+	if failure != nil {
 		stream.endDelivered.Store(true)
-		return nil, base.ToWire(failed)
+		return nil, base.ToWire(failure)
 	}
 	if done {
 		stream.endDelivered.Store(true)
--- a/internal/line/stream.go
+++ b/internal/line/stream.go
@@ -1,7 +1,3 @@
-// A stream is one turn's answer as it comes: a head, then pieces that are
-// passed on unchanged, then an end. It is whole only when its owner says so; a
-// reader that leaves early ends the turn's work.
-
 package line
 
 import (
@@ -14,13 +10,15 @@
 	"fordseam/internal/relay"
 )
 
-// Head is an answer's status and headers.
+// Head is the status and headers of a response.
 type Head struct {
 	Status  int
 	Headers []relay.Header
 }
 
-// Stream is written by the owner of the session and read by one client.
+// Stream is the response to one turn while it arrives: a head, pieces that are passed
+// on unchanged, and an end. The session's owner writes it and one client reads it. It
+// is complete only when the owner says so. A reader that closes early cancels the turn.
 type Stream struct {
 	mu           sync.Mutex
 	changed      *base.Bell
@@ -31,7 +29,7 @@
 	cut          bool
 	abandoned    bool
 	onAbandon    func()
-	endDelivered atomic.Bool // the end was given to whoever pulls
+	endDelivered atomic.Bool // the end was sent to the gateway that pulls
 }
 
 func newStream(clock base.Clock, onAbandon func()) *Stream {
@@ -48,6 +46,9 @@
 func (s *Stream) setHead(head *Head)   { s.update(func() { s.head = head }) }
 func (s *Stream) add(pieces ...[]byte) { s.update(func() { s.pieces = append(s.pieces, pieces...) }) }
 func (s *Stream) finish()              { s.update(func() { s.done = true }) }
+
+// fail ends the stream without success: with a verdict when no head was set, or else as
+// cut.
 func (s *Stream) fail(verdict *base.Verdict) {
 	s.update(func() {
 		if s.head == nil {
@@ -58,7 +59,8 @@
 	})
 }
 
-// Abandon says that nobody reads any more.
+// Abandon says that nobody reads the stream any more; a turn that is not done is
+// cancelled.
 func (s *Stream) Abandon() {
 	s.mu.Lock()
 	first := !s.abandoned && !s.done
@@ -75,7 +77,7 @@
 	return s.abandoned
 }
 
-// Head waits for the answer's head, or the verdict that there is none.
+// Head waits for the response's head, or returns the verdict when there is none.
 func (s *Stream) Head(limit time.Duration, clock base.Clock) (*Head, error) {
 	end := clock.Now() + limit
 	for {
@@ -91,12 +93,12 @@
 		}
 		if !next.Wait(max(0, end-clock.Now())) {
 			s.Abandon()
-			return nil, base.Unsure(504, "timed_out", "no answer came in time")
+			return nil, base.Unsure(504, "timed_out", "no answer arrived in time")
 		}
 	}
 }
 
-// PiecesFrom gives the pieces from a place on, waiting for news up to limit.
+// PiecesFrom returns the pieces from a position on, waiting up to limit for the first.
 func (s *Stream) PiecesFrom(position int, limit time.Duration, clock base.Clock) (pieces [][]byte, done, cut bool) {
 	end := clock.Now() + limit
 	for {
@@ -115,7 +117,7 @@
 	}
 }
 
-// WaitUntil waits until the stream has come to a place or its end, or limit passed.
+// WaitUntil waits until the stream has reached a position or its end, or limit passed.
 func (s *Stream) WaitUntil(position int, limit time.Duration, clock base.Clock) {
 	for end := clock.Now() + limit; ; {
 		next := s.changed.Next()
@@ -128,8 +130,8 @@
 	}
 }
 
-// Reader is a stream's body for a server: a read returns what has come, and
-// an answer that was cut ends with an error, so that it never looks whole.
+// Reader reads a stream as a response body. A read returns what has arrived. A stream
+// that was cut ends with an error, so that it never looks complete.
 type Reader struct {
 	stream   *Stream
 	clock    base.Clock
@@ -138,14 +140,13 @@
 	unread   []byte
 }
 
-// NewReader reads a stream for at most the limit in all.
+// NewReader returns a reader of a stream that fails after limit.
 func NewReader(stream *Stream, clock base.Clock, limit time.Duration) *Reader {
 	return &Reader{stream: stream, clock: clock, deadline: clock.Now() + limit}
 }
 
-// Read gives what has come. It fails when the stream was cut, or when the time
-// is over before its end.
-
+// Read returns what has arrived. It fails when the stream was cut or the time limit
+// passed before its end.
 func (r *Reader) Read(buffer []byte) (int, error) {
 	for len(r.unread) == 0 {
 		pieces, done, cut := r.stream.PiecesFrom(r.place, max(0, r.deadline-r.clock.Now()), r.clock)
@@ -166,7 +167,7 @@
 	return n, nil
 }
 
-// Close ends the reading; what is not over by then is given up.
+// Close abandons the stream, which cancels a turn that is not done.
 func (r *Reader) Close() error {
 	r.stream.Abandon()
 	return nil
--- a/internal/line/termination.go
+++ b/internal/line/termination.go
@@ -1,6 +1,3 @@
-// How sessions end and the owner leaves: termination that only escalates, draining,
-// and the list of what is held.
-
 package line
 
 import (
@@ -25,8 +22,9 @@
 	}
 }
 
-// Run lets go of sessions that have been quiet for a while: their lease is
-// over, and a later turn gets the next Run.
+// Run drops sessions that have been idle for twice the recovery bound, as their lease
+// is over: a later turn starts the next Run. It also removes expired turns from the
+// history. It returns once the membership view is closed.
 func (m *Manager) Run() {
 	for !m.View.Closed() {
 		m.Clock.Sleep(m.Bounds.Load().Recover / 6)
@@ -49,9 +47,9 @@
 	}
 }
 
-// Drain ends all lines here: accepted turns finish, new ones go elsewhere. It is
-// over when whoever forwarded a turn has its end too, and the ledger has heard what
-// was spent.
+// Drain closes all sessions on this node: accepted turns finish and new ones are
+// declined here. It returns when no turn is running, the gateways that forwarded
+// turns have received their ends and the ledger has all settlements, or after limit.
 func (m *Manager) Drain(limit time.Duration) {
 	m.mu.Lock()
 	m.draining = true
@@ -69,7 +67,7 @@
 	}
 }
 
-// BusySessions counts the sessions with a turn under way.
+// BusySessions returns the number of sessions with a running turn.
 func (m *Manager) BusySessions() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,7 +82,8 @@
 	return count
 }
 
-// Terminate ends a session's Run here; it only escalates.
+// Terminate ends a session's Run on this node, and returns false when this node does
+// not own the session. A termination only escalates.
 func (m *Manager) Terminate(program, sessionID string, mode budget.Termination) bool {
 	m.mu.Lock()
 	s := m.owned[program+" "+sessionID]
@@ -111,14 +110,14 @@
 		return
 	}
 	for _, op := range dropped {
-		op.stream.fail(m.retryElsewhere("session_terminating", "the session is ending; the turn has not run"))
+		op.stream.fail(m.retryElsewhere("session_terminating", "the session was terminated before the turn ran"))
 	}
 	if running != nil {
 		running.cancel()
 	}
 }
 
-// Status is what a read of a session shows; it never waits in the queue.
+// Status is a session as clients see it. Reading it never waits in the queue.
 type Status struct {
 	Session     string             `json:"session"`
 	Program     string             `json:"program"`
@@ -130,13 +129,13 @@
 	Running     string             `json:"running,omitempty"`
 }
 
-// List shows the sessions this node owns.
+// List returns the status of up to limit sessions that this node owns.
 func (m *Manager) List(limit int) []Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	found := []Status{}
+	statuses := []Status{}
 	for _, id := range base.SortedKeys(m.owned) {
-		if len(found) == limit {
+		if len(statuses) == limit {
 			break
 		}
 		s := m.owned[id]
@@ -149,7 +148,7 @@
 			status.Running = s.running.call.ID
 		}
 		s.mu.Unlock()
-		found = append(found, status)
+		statuses = append(statuses, status)
 	}
-	return found
+	return statuses
 }
--- a/internal/session/accept.go
+++ b/internal/session/accept.go
@@ -28,12 +28,12 @@
 	return reply, err
 }
 
-// newReader returns a reader of a turn's stream, from the place that the client has
+// newReader returns a reader of a turn's stream, from the position that the client has
 // reached when it read some of the same attempt before.
 func (m *Manager) newReader(stream *Stream, req *Request) (*Reply, error) {
 	reader := &Reader{keeper: m, turn: req.Turn, local: stream}
 	if req.LastAttempt != "" {
-		if leg := stream.attemptID(); leg != req.LastAttempt {
+		if attempt := stream.attemptID(); attempt != req.LastAttempt {
 			return nil, base.Unsure(409, "leg_changed", "the pieces received belong to another attempt of this turn; read the turn from the start")
 		}
 		reader.position = min(req.LastPiece, uint64(stream.pieceCount()))
--- a/internal/session/forward.go
+++ b/internal/session/forward.go
@@ -34,8 +34,8 @@
 
 // Forward serves a request that another gateway forwarded to this node as the
 // session's owner. It never forwards the request again.
-func (m *Manager) Forward(plain context.Context, msg *ForwardRequest) (*ForwardReply, error) {
-	ctx := base.CtxOf(plain, m.clock)
+func (m *Manager) Forward(rawCtx context.Context, msg *ForwardRequest) (*ForwardReply, error) {
+	ctx := base.CtxOf(rawCtx, m.clock)
 	var req Request
 	if err := json.Unmarshal(msg.Request, &req); err != nil || !msg.Forwarded {
 		return nil, base.ToWire(base.Decline(400, "bad_request", "not a valid forwarded request"))
--- a/internal/session/stream.go
+++ b/internal/session/stream.go
@@ -120,10 +120,10 @@
 		s.mu.Lock()
 		s.pulledAt = now()
 		if position < uint64(len(s.pieces)) {
-			found := append([]*Piece(nil), s.pieces[position:]...)
+			pieces := append([]*Piece(nil), s.pieces[position:]...)
 			s.delivered = max(s.delivered, uint64(len(s.pieces)))
 			s.mu.Unlock()
-			return found
+			return pieces
 		}
 		ownerChanged := s.ownerChanged
 		s.mu.Unlock()
@@ -273,12 +273,12 @@
 	}
 	wait := r.keeper.bounds.Load().Pull()
 	if r.local != nil {
-		found := r.local.piecesAfter(r.position, wait, r.keeper.clock.Now)
+		pieces := r.local.piecesAfter(r.position, wait, r.keeper.clock.Now)
 		r.attempt = r.local.attemptID()
 		if r.local.hasMoved() {
 			return nil, staleAssignment()
 		}
-		return found, nil
+		return pieces, nil
 	}
 	return r.keeper.pullRemote(r.remote, r)
 }
--- a/internal/session/takeover.go
+++ b/internal/session/takeover.go
@@ -64,8 +64,8 @@
 }
 
 // Succeed makes this node the owner of a session's next Run, as another node asks.
-func (m *Manager) Succeed(plain context.Context, request *SucceedRequest) (*SucceedReply, error) {
-	record, err := m.takeRun(base.CtxOf(plain, m.clock), request)
+func (m *Manager) Succeed(rawCtx context.Context, request *SucceedRequest) (*SucceedReply, error) {
+	record, err := m.takeRun(base.CtxOf(rawCtx, m.clock), request)
 	if err != nil {
 		return nil, base.ToWire(err)
 	}
@@ -162,11 +162,11 @@
 func (m *Manager) handOver(s *ownedSession, deadline time.Duration) {
 	defer s.handedOver.Fire()
 	for {
-		changed := s.changed.Next()
+		next := s.changed.Next()
 		if s.idle() {
 			break
 		}
-		if !changed.Wait(max(0, deadline-m.clock.Now())) {
+		if !next.Wait(max(0, deadline-m.clock.Now())) {
 			break
 		}
 	}
@@ -185,9 +185,9 @@
 		ctx := base.NewCtx(m.clock, m.bounds.Load().Call())
 		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Succeed(ctx, request)
 		if err == nil {
-			var changed Record
-			if json.Unmarshal(reply.Record, &changed) == nil {
-				m.cacheRecord(&changed)
+			var next Record
+			if json.Unmarshal(reply.Record, &next) == nil {
+				m.cacheRecord(&next)
 			}
 			s.loseRun()
 			m.counters.Add("sessions_handed_over", 1)
--- a/internal/toolcall/toolcall.go
+++ b/internal/toolcall/toolcall.go
@@ -1,10 +1,11 @@
-// Package toolcall keeps outside effects from happening twice. A call with
-// an Idempotency-Key is claimed on a majority before it goes out, under the
-// name of the leg that will carry it. Once a byte may have left there is no
-// other leg: the recorded answer is given again, or "may have run" when it
-// never came. A leg that provably did not leave may go to another worker
-// under the same claim, or gives the claim back; what was given back by one
-// leg can be claimed by another, never by a late copy of the same.
+// Package toolcall keeps the external effects of a tool call from happening twice.
+//
+// A call with an Idempotency-Key is claimed on a majority of disks before it is sent,
+// with the id of the attempt that will send it. Once a byte of it may have been sent
+// there is no other attempt: a repeated call gets the recorded response, or "may have
+// run" when there was none. An attempt that provably sent nothing may use another
+// worker under the same claim, or release the claim. A released claim can be taken by
+// another attempt, but never by a late copy of the one that released it.
 package toolcall
 
 import (
@@ -15,21 +16,23 @@
 	"fordseam/internal/register"
 )
 
+// state is the state of a claim.
 type state string
 
 const (
-	claimed  state = "claimed"
-	answered state = "answered"
-	released state = "released"
+	claimed  state = "claimed"  // an attempt may have sent the call
+	answered state = "answered" // the response is recorded
+	released state = "released" // the attempt sent nothing and gave the claim back
 )
 
-// Response is what a worker gave.
+// Response is a worker's response to a call.
 type Response struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
 	Body        []byte `json:"body"`
 }
 
+// claimRecord is the stored state of a claim; At is when it last changed.
 type claimRecord struct {
 	State    state     `json:"state"`
 	Digest   string    `json:"digest"`
@@ -38,7 +41,7 @@
 	At       int64     `json:"at"`
 }
 
-// Claim asks for the right to carry a call out once.
+// Claim requests the right to send a call. Digest is of the call's route and body.
 type Claim struct {
 	Program string `json:"program"`
 	Key     string `json:"key"`
@@ -46,7 +49,8 @@
 	Attempt string `json:"leg"`
 }
 
-// Outcome of a claim: go ahead, the recorded answer, or another leg has it.
+// Outcome is the result of a claim: the attempt may proceed, or there is a recorded
+// response, or, when neither is set, another attempt has the claim.
 type Outcome struct {
 	Proceed  bool      `json:"go"`
 	Response *Response `json:"answer,omitempty"`
@@ -74,7 +78,8 @@
 	tx.Put(claimKey(claim.Program, claim.Key), base.Encode(r))
 }
 
-// RegisterHandlers adds the claims' ops to a core.
+// RegisterHandlers adds the operations on claims to a core's register, and the periodic
+// deletion of old claims.
 func RegisterHandlers(owner *register.Owner) {
 	owner.Handle("toolcall.claim", handleClaim)
 	owner.Handle("toolcall.finish", func(tx *register.Tx, raw []byte) (any, error) {
@@ -102,12 +107,14 @@
 	})
 }
 
+// handleClaim grants a claim unless another attempt has it or the call was answered. It
+// may be repeated by the attempt that has it.
 func handleClaim(tx *register.Tx, raw []byte) (any, error) {
 	var request Claim
 	_ = json.Unmarshal(raw, &request)
 	stored := loadClaim(tx, &request)
 	if stored != nil && stored.Digest != request.Digest {
-		return nil, base.Decline(409, "key_reused", "this Idempotency-Key was used with another call")
+		return nil, base.Decline(409, "key_reused", "this Idempotency-Key was already used with a different call")
 	}
 	if stored != nil && stored.State == answered {
 		return Outcome{Response: stored.Response}, nil
@@ -116,7 +123,7 @@
 		return Outcome{Proceed: stored.Attempt == request.Attempt}, nil
 	}
 	if stored != nil && stored.Attempt == request.Attempt {
-		return nil, base.Decline(409, "leg_over", "this leg was given up")
+		return nil, base.Decline(409, "leg_over", "the attempt released its claim; this request is a late copy")
 	}
 	program := budget.Load(tx, request.Program)
 	if program == nil {
@@ -130,15 +137,16 @@
 	return Outcome{Proceed: true}, nil
 }
 
-// Client claims and finishes calls.
+// Client calls the operations on claims.
 type Client struct{ Register *register.Client }
 
+// Claim requests the claim.
 func (c *Client) Claim(ctx *base.Ctx, claim Claim) (*Outcome, error) {
 	var outcome Outcome
 	return &outcome, c.Register.Change(ctx, budget.RegisterGroup(claim.Program), "toolcall.claim", claim, &outcome)
 }
 
-// Finish records the answer, or gives the claim back when there is none.
+// Finish records the response, or releases the claim when response is nil.
 func (c *Client) Finish(ctx *base.Ctx, claim Claim, response *Response) error {
 	return c.Register.Change(ctx, budget.RegisterGroup(claim.Program), "toolcall.finish", finishArgs{claim, response}, nil)
 }
