--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -242,7 +242,7 @@
 
 // RegisterHandlers adds the operations on programs to a core's register, and the
 // periodic deletion of old programs and notices.
-func RegisterHandlers(owner *register.Owner) {
+func RegisterHandlers(owner *register.Server) {
 	owner.Handle("budget.create", func(tx *register.Tx, raw []byte) (any, error) {
 		var args createArgs
 		if err := json.Unmarshal(raw, &args); err != nil {
@@ -309,21 +309,21 @@
 		}
 		return struct{}{}, nil
 	})
-	owner.Sweep(func(tx *register.Tx) {
+	owner.AddSweep(func(tx *register.Tx) {
 		tx.Walk(TerminationPrefix, "", func(storedKey string, value []byte) bool {
 			var notice TerminationNotice
 			if json.Unmarshal(value, &notice) == nil && tx.Now-notice.At > tx.Bounds.Retain.Milliseconds() {
-				tx.Gone(storedKey)
+				tx.Delete(storedKey)
 			}
 			return true
 		})
 	})
-	owner.Sweep(func(tx *register.Tx) {
+	owner.AddSweep(func(tx *register.Tx) {
 		now := tx.Now
 		tx.Walk("program/", "", func(storedKey string, value []byte) bool {
 			var found Program
 			if json.Unmarshal(value, &found) == nil && now > max(found.Deadline, found.UpdatedAt)+4*tx.Bounds.Retain.Milliseconds() {
-				tx.Gone(storedKey)
+				tx.Delete(storedKey)
 			}
 			return true
 		})
--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -17,7 +17,7 @@
 
 const toolBodyLimit = 4 << 20
 
-func (f *Front) planTool(r *Request, program, name string) (*plan, error) {
+func (f *Handler) planTool(r *Request, program, name string) (*plan, error) {
 	key := r.Header["idempotency-key"]
 	if key != "" {
 		if err := checkName("Idempotency-Key", key); err != nil {
@@ -32,7 +32,7 @@
 		if err != nil {
 			return nil, err
 		}
-		route, err := f.Tree.Load().Match(opened.Group, opened.Site, name)
+		route, err := f.Settings.Load().Route(opened.Group, opened.Site, name)
 		if err != nil {
 			return nil, err
 		}
@@ -42,7 +42,7 @@
 		if key == "" && !route.Repeatable {
 			return nil, base.DeclineField("Idempotency-Key", "route %q may not be repeated; an Idempotency-Key must be given", name)
 		}
-		if f.Keeper.ProgramTermination(budget.RegisterGroup(program)) != "" || f.Keeper.ProgramTermination(program) != "" {
+		if f.Sessions.ProgramTermination(budget.RegisterGroup(program)) != "" || f.Sessions.ProgramTermination(program) != "" {
 			return nil, base.Decline(503, "program_terminating", "the program is ending")
 		}
 		ctx = ctx.Within(route.ToolTimeout)
@@ -56,7 +56,7 @@
 }
 
 type toolVisit struct {
-	front   *Front
+	front   *Handler
 	ctx     *base.Ctx
 	request *Request
 	route   *settings.Route
@@ -67,7 +67,7 @@
 // show passes a worker's whole answer on; its failure is a verdict of ours.
 func show(given *toolcall.Response, replayed bool) *Response {
 	if given.Status >= 500 {
-		return Failure(base.Unsure(502, "worker_failed", "the worker failed with status %d", given.Status))
+		return ErrorResponse(base.Unsure(502, "worker_failed", "the worker failed with status %d", given.Status))
 	}
 	response := &Response{Status: given.Status, Header: map[string]string{"Content-Type": given.ContentType}, Body: given.Body}
 	if replayed {
@@ -137,8 +137,8 @@
 // send tries workers until one was reached; from then on there is no other.
 func (t *toolVisit) send(tried map[string]bool) (*toolcall.Response, error) {
 	f := t.front
-	need := &worker.Need{Pool: t.route.Pool, Affinity: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
-		Waiting: t.route.Waiting, Tried: tried, Policy: t.route.Policy}
+	need := &worker.Requirements{Pool: t.route.Pool, AffinityKey: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
+		MaxQueue: t.route.Waiting, Tried: tried, Policy: t.route.Policy}
 	for {
 		given, err, another := t.sendOnce(need)
 		if !another || t.ctx.Over() {
@@ -148,20 +148,20 @@
 	}
 }
 
-func (t *toolVisit) sendOnce(need *worker.Need) (given *toolcall.Response, failed error, another bool) {
+func (t *toolVisit) sendOnce(need *worker.Requirements) (given *toolcall.Response, failed error, another bool) {
 	f := t.front
 	var cleanup base.Cleanup
 	defer cleanup.Run()
-	chosenWorker, err := f.Picker.Hold(t.ctx, need)
+	chosenWorker, err := f.Picker.Acquire(t.ctx, need)
 	if err != nil {
 		return nil, err, false
 	}
 	held := f.Clock.Now()
 	cleanup.Push(func() { f.Picker.Release(chosenWorker, need, f.Clock.Now()-held) })
-	if err := f.Follower.Permit(t.ctx); err != nil {
+	if err := f.Follower.WaitForLease(t.ctx); err != nil {
 		return nil, err, false
 	}
-	if !f.Picker.Stays(chosenWorker, need) {
+	if !f.Picker.StillEligible(chosenWorker, need) {
 		f.Counters.Add("legs_turned_back", 1)
 		return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 	}
@@ -180,7 +180,7 @@
 	reply, err := f.Backends.Call(t.ctx, chosenWorker.Addr, &base.BackRequest{Method: "POST", Path: path, Header: header, Body: t.request.Body})
 	need.Tried[chosenWorker.ID] = true
 	if err != nil {
-		f.Picker.Shun(chosenWorker.ID)
+		f.Picker.Avoid(chosenWorker.ID)
 		if base.WasNotSent(err) {
 			return nil, base.Busy(503, "worker_unreachable", 1, "no worker could be reached"), true
 		}
@@ -188,14 +188,14 @@
 	}
 	cleanup.Push(reply.Close)
 	if reply.Status() == 503 {
-		f.Keeper.MarkWorkerLeaving(chosenWorker)
+		f.Sessions.MarkWorkerLeaving(chosenWorker)
 		if t.route.Repeatable {
 			return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 		}
 		return nil, base.Unsure(502, "worker_leaving", "the worker refused the call as it leaves, but bytes had gone out"), false
 	}
-	if f.Picker.Answered(chosenWorker, reply.Closes()) {
-		f.Keeper.MarkWorkerLeaving(chosenWorker)
+	if f.Picker.ObserveResponse(chosenWorker, reply.Closes()) {
+		f.Sessions.MarkWorkerLeaving(chosenWorker)
 	}
 	body, err := reply.Body(t.ctx.Left(), toolBodyLimit)
 	if err != nil {
--- a/internal/line/execute.go
+++ b/internal/line/execute.go
@@ -30,14 +30,14 @@
 	chainReady := m.Clock.NewSignal()
 	var chain []byte
 	var chainErr error
-	if call.Previous == "" || !matched.Retained {
+	if call.PreviousTurn == "" || !matched.RetainTurns {
 		chainReady.Fire()
-	} else if body, ok := m.history.chain(call.Previous); ok {
+	} else if body, ok := m.history.chain(call.PreviousTurn); ok {
 		chain = body
 		chainReady.Fire()
 	} else {
 		m.Clock.Go(func() {
-			chain, chainErr = m.loadChain(ctx, call.Program, call.Previous, matched.Retain)
+			chain, chainErr = m.loadChain(ctx, call.Program, call.PreviousTurn, matched.Retention)
 			chainReady.Fire()
 		})
 	}
@@ -82,7 +82,7 @@
 	assignment, confirmed := s.assignment, s.confirmed
 	s.mu.Unlock()
 	call := op.call
-	claim := &Claim{Program: call.Program, Session: call.Session, Turn: call.ID, MaxTokens: int64(call.Most), Budget: call.Budget, HasBudget: call.HasBudget, Owner: m.nodeID(), Previous: call.Previous, Retain: op.retain, Replaces: replaces}
+	claim := &Claim{Program: call.Program, Session: call.Session, Turn: call.ID, MaxTokens: int64(call.MaxOutputTokens), Budget: call.TokenBudget, HasBudget: call.HasTokenBudget, Owner: m.nodeID(), Previous: call.PreviousTurn, Retain: op.retain, Replaces: replaces}
 	if assignment != nil {
 		claim.Run, claim.Epoch, claim.Confirmed, claim.Replaces = assignment.Run, assignment.Epoch, confirmed, nil
 	} else {
@@ -145,7 +145,7 @@
 	s.mu.Lock()
 	assignment := s.assignment
 	s.mu.Unlock()
-	if !op.call.HasBudget || assignment == nil {
+	if !op.call.HasTokenBudget || assignment == nil {
 		return
 	}
 	settlement := &Settlement{Program: op.call.Program, Run: assignment.Run, Turn: op.call.ID, Tokens: tokens, Retain: op.retain}
@@ -170,7 +170,7 @@
 	if len(chain) > 0 {
 		body = append(append(make([]byte, 0, len(chain)+len(call.Body)), chain...), call.Body...)
 	}
-	service := matched.Pick(m.servicePicker(matched, call))
+	service := matched.PickService(m.servicePicker(matched, call))
 	reply, err := m.Workers.Send(ctx, matched, service, call, body)
 	if err != nil {
 		verdict := base.FromWire(err)
@@ -195,7 +195,7 @@
 	}
 	stride := int64(1)
 	if known := m.Routes.Load().Services[service]; known != nil && known.Engine != nil {
-		stride = int64(max(1, known.Engine.Stride))
+		stride = int64(max(1, known.Engine.TokensPerEvent))
 	}
 	output, events, complete := m.relayEvents(op, reply)
 	if !complete {
@@ -205,7 +205,7 @@
 		op.stream.fail(base.Unsure(502, "cut", "the worker's answer ended before it was complete"))
 		return
 	}
-	if !matched.Retained {
+	if !matched.RetainTurns {
 		m.settle(s, op, events*stride)
 		m.finishTurn(op)
 		return
@@ -224,17 +224,17 @@
 // route's own time, or the longest of any route when it has none. The ledger keeps it
 // for at least twice the recovery bound.
 func (m *Manager) retention(table *route.Table, matched *route.Route) time.Duration {
-	if matched.Retain > 0 {
-		return matched.Retain
+	if matched.Retention > 0 {
+		return matched.Retention
 	}
-	return table.LongestRetain()
+	return table.MaxRetention()
 }
 
 // servicePicker returns the function that draws the number by which a route's service
 // is picked: the same for a whole session when the route is pinned or retains its
 // turns, or else a random one for each call.
 func (m *Manager) servicePicker(matched *route.Route, call *relay.Call) func(n int64) int64 {
-	if matched.Pinned || matched.Retained {
+	if matched.Pinned || matched.RetainTurns {
 		return func(n int64) int64 { return int64(base.Hash64(call.Session) % uint64(n)) }
 	}
 	return m.Clock.Int64N
@@ -262,7 +262,7 @@
 	op := &operation{call: call, ctx: ctx, state: session.OpRunning}
 	op.stream = newStream(m.Clock, op.cancel)
 	m.Clock.Go(func() {
-		reply, err := m.Workers.Send(ctx, matched, matched.Pick(m.Clock.Int64N), call, call.Body)
+		reply, err := m.Workers.Send(ctx, matched, matched.PickService(m.Clock.Int64N), call, call.Body)
 		if err != nil {
 			op.stream.fail(base.FromWire(err))
 			return
@@ -290,8 +290,8 @@
 	s.mu.Lock()
 	assignment := s.assignment
 	s.mu.Unlock()
-	turn := CompletedTurn{Turn: call.ID, Previous: call.Previous, Input: call.Body, Output: output}
-	completion := &Completion{Program: call.Program, Session: call.Session, Run: assignment.Run, Owner: assignment.Owner, Epoch: assignment.Epoch, CompletedTurn: turn, Budgeted: call.HasBudget, Tokens: tokens, Retain: matched.Retain}
+	turn := CompletedTurn{Turn: call.ID, Previous: call.PreviousTurn, Input: call.Body, Output: output}
+	completion := &Completion{Program: call.Program, Session: call.Session, Run: assignment.Run, Owner: assignment.Owner, Epoch: assignment.Epoch, CompletedTurn: turn, Budgeted: call.HasTokenBudget, Tokens: tokens, Retain: matched.Retention}
 	ctx := base.NewCtx(m.Clock, m.commitTimeout(op.ctx.Left()))
 	if err := m.Ledger.Finish(ctx, completion); err != nil {
 		m.Counters.Add("turns_not_kept", 1)
@@ -300,7 +300,7 @@
 		op.stream.fail(base.FromWire(err))
 		return
 	}
-	m.history.add(turn, matched.Retain)
+	m.history.add(turn, matched.Retention)
 	m.finishTurn(op)
 }
 
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -191,11 +191,11 @@
 
 func (c *testCluster) addNode(name string, seeds ...string) *Manager {
 	counters := base.NewCounters()
-	view := membership.NewView(c.clock, c.wire, c.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleEdge, Zone: "z"}, seeds, nil)
-	table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s", Engine: &route.Engine{Stride: 2}}},
-		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Kind: route.Stream, Timeout: 10 * time.Second, Retained: true, Retain: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}},
-			{Name: "loose", Host: "h", Prefix: "/loose/", Kind: route.Stream, Timeout: 10 * time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}}}}
-	c.is.NoErr(table.Index())
+	view := membership.NewView(c.clock, c.wire, c.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleGateway, Zone: "z"}, seeds, nil)
+	table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s", Engine: &route.Engine{TokensPerEvent: 2}}},
+		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Kind: route.KindStream, Timeout: 10 * time.Second, RetainTurns: true, Retention: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}},
+			{Name: "loose", Host: "h", Prefix: "/loose/", Kind: route.KindStream, Timeout: 10 * time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}}}}
+	c.is.NoErr(table.BuildIndex())
 	routes := &base.Table[route.Table]{}
 	routes.Swap(table)
 	m := NewManager(Dependencies{Clock: c.clock, Wire: c.wire, View: view, Bounds: c.bounds, Counters: counters, Routes: routes, Ledger: c.ledger, Workers: c.workers})
@@ -210,7 +210,7 @@
 }
 
 func (c *testCluster) call(session, turn, previous string) *relay.Call {
-	return &relay.Call{ID: turn, Host: "h", Method: "POST", Target: "/t", Body: []byte("in-" + turn), Program: "p", Session: session, Previous: previous, Most: 10, Deadline: 10 * time.Second}
+	return &relay.Call{ID: turn, Host: "h", Method: "POST", Target: "/t", Body: []byte("in-" + turn), Program: "p", Session: session, PreviousTurn: previous, MaxOutputTokens: 10, Deadline: 10 * time.Second}
 }
 
 func (c *testCluster) submitAndRead(m *Manager, call *relay.Call) (string, error) {
@@ -312,7 +312,7 @@
 	streams := []*Stream{}
 	for n := range maxQueuedTurns {
 		call := c.call("s1", fmt.Sprint("q", n), fmt.Sprint("p", n)) // each with a different previous turn
-		c.ledger.completed[call.Previous] = CompletedTurn{Turn: call.Previous}
+		c.ledger.completed[call.PreviousTurn] = CompletedTurn{Turn: call.PreviousTurn}
 		stream, err := m.SubmitTurn(ctx, call)
 		c.is.NoErr(err)
 		streams = append(streams, stream)
@@ -350,7 +350,7 @@
 // unretainedCall is a call on a route that does not retain turns.
 func (c *testCluster) unretainedCall(session, turn, previous string) *relay.Call {
 	call := c.call(session, turn, previous)
-	call.Target, call.Budget, call.HasBudget = "/loose/t", 100, true
+	call.Target, call.TokenBudget, call.HasTokenBudget = "/loose/t", 100, true
 	return call
 }
 
@@ -383,7 +383,7 @@
 	c.is.True(first.Session != second.Session && first.Program != second.Program)
 	c.is.True(strings.HasPrefix(first.Session, unnamedPrefix) && strings.HasPrefix(first.Program, unnamedPrefix))
 	c.is.True(!IsTurn(&route.Route{}, &relay.Call{ID: "t3"}))
-	c.is.True(IsTurn(&route.Route{Retained: true}, &relay.Call{ID: "t3"}))
+	c.is.True(IsTurn(&route.Route{RetainTurns: true}, &relay.Call{ID: "t3"}))
 }
 
 func TestUnretainedRetryNeedsTheSameBodyToCancelTheEarlierAttempt(t *testing.T) {
--- a/internal/line/manager.go
+++ b/internal/line/manager.go
@@ -58,7 +58,7 @@
 	return &Manager{Dependencies: deps, history: newHistory(deps.Clock), owned: map[string]*ownedSession{}, remoteOwners: map[string]*Assignment{}}
 }
 
-func (m *Manager) nodeID() string { return m.View.Me() }
+func (m *Manager) nodeID() string { return m.View.SelfID() }
 
 // unnamedPrefix starts the generated names of programs and sessions that a call does
 // not name. No header value can contain this byte, so they never equal a client's.
@@ -67,7 +67,7 @@
 // IsTurn reports whether a streamed call goes to a session's owner: its turns are
 // retained, it belongs to a program or a session, or it spends a budget.
 func IsTurn(matched *route.Route, call *relay.Call) bool {
-	return matched.Retained || call.Program != "" || call.Session != "" || call.HasBudget
+	return matched.RetainTurns || call.Program != "" || call.Session != "" || call.HasTokenBudget
 }
 
 // fillMissingNames gives a turn without a session a session of its own, and one
@@ -274,8 +274,8 @@
 // turn with the same target and body is the same turn.
 func (m *Manager) supersedes(earlier, call *relay.Call) bool {
 	matched := m.Routes.Load().Match(call.Host, call.Target)
-	if matched != nil && matched.Retained {
-		return earlier.Previous == call.Previous
+	if matched != nil && matched.RetainTurns {
+		return earlier.PreviousTurn == call.PreviousTurn
 	}
 	return earlier.Target == call.Target && bytes.Equal(earlier.Body, call.Body)
 }
--- a/internal/line/pull.go
+++ b/internal/line/pull.go
@@ -14,9 +14,9 @@
 // callToProto encodes a call for another gateway, with the time left as its deadline.
 func callToProto(call *relay.Call, ctx *base.Ctx) *Call {
 	msg := &Call{Id: call.ID, Host: call.Host, Method: call.Method, Target: call.Target, Body: call.Body, DeadlineMs: ctx.Left().Milliseconds(),
-		Model: call.Model, Prompt: int64(call.Prompt), Most: int64(call.Most), Program: call.Program, Session: call.Session,
-		FinishMs: call.Finish.Milliseconds(), Budget: call.Budget, HasBudget: call.HasBudget, Previous: call.Previous, Headers: headersToProto(call.Headers)}
-	for _, part := range call.Parts {
+		Model: call.Model, Prompt: int64(call.PromptTokens), Most: int64(call.MaxOutputTokens), Program: call.Program, Session: call.Session,
+		FinishMs: call.Finish.Milliseconds(), Budget: call.TokenBudget, HasBudget: call.HasTokenBudget, Previous: call.PreviousTurn, Headers: headersToProto(call.Headers)}
+	for _, part := range call.PromptParts {
 		msg.Parts = append(msg.Parts, &Part{Id: part.ID, Tokens: int64(part.Tokens)})
 	}
 	return msg
@@ -27,10 +27,10 @@
 		return &relay.Call{}
 	}
 	call := &relay.Call{ID: msg.Id, Host: msg.Host, Method: msg.Method, Target: msg.Target, Body: msg.Body, Deadline: time.Duration(msg.DeadlineMs) * time.Millisecond,
-		Model: msg.Model, Prompt: int(msg.Prompt), Most: int(msg.Most), Program: msg.Program, Session: msg.Session,
-		Finish: time.Duration(msg.FinishMs) * time.Millisecond, Budget: msg.Budget, HasBudget: msg.HasBudget, Previous: msg.Previous, Headers: headersFromProto(msg.Headers)}
+		Model: msg.Model, PromptTokens: int(msg.Prompt), MaxOutputTokens: int(msg.Most), Program: msg.Program, Session: msg.Session,
+		Finish: time.Duration(msg.FinishMs) * time.Millisecond, TokenBudget: msg.Budget, HasTokenBudget: msg.HasBudget, PreviousTurn: msg.Previous, Headers: headersFromProto(msg.Headers)}
 	for _, part := range msg.Parts {
-		call.Parts = append(call.Parts, relay.Part{ID: part.Id, Tokens: int(part.Tokens)})
+		call.PromptParts = append(call.PromptParts, relay.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
 	}
 	return call
 }
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -28,7 +28,7 @@
 	View     *membership.View
 	Bounds   *base.Table[base.Bounds]
 	Register *register.Client
-	Owner    *register.Owner
+	Owner    *register.Server
 	Counters *base.Counters
 	// Frame is the newest that this core has heard of the feed.
 	Frame func() map[string][]byte
@@ -40,7 +40,7 @@
 func (o *Operate) Handle(ctx *base.Ctx, r *front.Request) *front.Response {
 	body, err := o.answer(ctx.Within(o.Bounds.Load().Recover), r)
 	if err != nil {
-		return front.Failure(err)
+		return front.ErrorResponse(err)
 	}
 	return &front.Response{Status: 200, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.Encode(body), '\n')}
 }
@@ -96,7 +96,7 @@
 	case "POST /v1/operator/storage/empty":
 		return o.empty(ctx, r)
 	case "GET /v1/operator/storage/empty":
-		return emptying(register.RetireState(ctx, o.Register, r.Query["node"]))
+		return emptying(register.GetRetirement(ctx, o.Register, r.Query["node"]))
 	case "POST /v1/operator/terminate":
 		return o.terminate(ctx, r)
 	}
@@ -109,8 +109,8 @@
 }
 
 func (o *Operate) check(document []byte) (any, error) {
-	if _, faults := settings.Read(document); len(faults) > 0 {
-		return nil, settings.FaultVerdict(faults)
+	if _, faults := settings.Parse(document); len(faults) > 0 {
+		return nil, settings.InvalidDocument(faults)
 	}
 	return map[string]bool{"valid": true}, nil
 }
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, err
 	}
-	tree, faults := settings.Read(record.Document)
+	tree, faults := settings.Parse(record.Document)
 	if len(faults) > 0 {
 		return nil, base.Decline(404, "no_settings", "no settings have been applied")
 	}
@@ -208,15 +208,15 @@
 }
 
 func (o *Operate) status(ctx *base.Ctx) StatusView {
-	owned, set := o.Owner.Frame()
-	shown := StatusView{Core: o.View.Me(), Slots: owned, SetStamp: set.GetStamp(), Cluster: set.GetCluster(), Counters: o.Counters.Frame()}
-	for _, role := range []string{membership.RoleEdge, membership.RoleCore, membership.RoleStorage} {
+	owned, set := o.Owner.Status()
+	shown := StatusView{Core: o.View.SelfID(), Slots: owned, SetStamp: set.GetStamp(), Cluster: set.GetCluster(), Counters: o.Counters.Frame()}
+	for _, role := range []string{membership.RoleGateway, membership.RoleCore, membership.RoleStorage} {
 		for _, member := range o.View.Known(role) {
 			_, alive := o.View.Find(member.Id)
 			shown.Members = append(shown.Members, MemberView{member.Id, role, member.Zone, member.Addr, member.PublicAddr, alive, member.Leaving, member.Unwell})
 		}
 	}
-	shown.Mending = append([]string{}, o.Owner.Mending()...)
+	shown.Mending = append([]string{}, o.Owner.ReconcileStatus()...)
 	if len(shown.Mending) == 0 {
 		for _, entry := range set.GetDisks() {
 			if entry.Learner {
@@ -264,7 +264,7 @@
 			found = append(found, fmt.Sprintf("disk %s at %s does not answer; %s", entry.Id, entry.Addr, o.advice()))
 		}
 	})
-	base.AskAll(o.Clock, o.View.Present(membership.RoleCore), o.Bounds.Load().DiskLimit(), func(ctx *base.Ctx, member *membership.Member) {
+	base.AskAll(o.Clock, o.View.Live(membership.RoleCore), o.Bounds.Load().DiskLimit(), func(ctx *base.Ctx, member *membership.Member) {
 		reply, err := register.NewRegisterProtobufClient("http://"+member.Addr, o.Wire).Census(ctx, &register.CensusRequest{Set: set})
 		mu.Lock()
 		defer mu.Unlock()
@@ -282,8 +282,8 @@
 	case answering == need && voting > need:
 		say("%d of %d disks answer, %d must: no other may be lost", answering, voting, need)
 	}
-	if missing := register.Slots - len(owned); missing > 0 {
-		say("%d of %d slots have no owner", missing, register.Slots)
+	if missing := register.ShardCount - len(owned); missing > 0 {
+		say("%d of %d slots have no owner", missing, register.ShardCount)
 	}
 	slices.Sort(found)
 	return found
@@ -291,7 +291,7 @@
 
 // advice is what to do about a lost disk.
 func (o *Operate) advice() string {
-	if o.Owner.Mends() {
+	if o.Owner.ReconcileEnabled() {
 		return "if it is lost, start an empty storage machine; it takes its place"
 	}
 	return "if it is lost, retire it and admit another"
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -15,7 +15,7 @@
 	route         *settings.Route
 	messages      []json.RawMessage // the chain and the turn's own messages
 	maxTokens     int64
-	need          *worker.Need
+	need          *worker.Requirements
 	maxAttempts   int             // counted attempts
 	fallbackRoute *settings.Route // nil when there is none or it is in use
 }
@@ -30,7 +30,7 @@
 		return nil, base.Busy(503, "no_settings", 1, "no settings have been applied")
 	}
 	record := s.recordCopy()
-	route, err := tree.Match(record.Group, record.Site, record.Route)
+	route, err := tree.Route(record.Group, record.Site, record.Route)
 	if err != nil {
 		return nil, base.FromWire(err)
 	}
@@ -39,13 +39,13 @@
 		plan.maxTokens = min(plan.maxTokens, op.request.MaxTokens)
 	}
 	if route.Fallback != "" {
-		plan.fallbackRoute, _ = tree.Match(record.Group, record.Site, route.Fallback)
+		plan.fallbackRoute, _ = tree.Route(record.Group, record.Site, route.Fallback)
 	}
 	s.mu.Lock()
 	previousWorker := s.lastWorker
 	s.mu.Unlock()
-	plan.need = &worker.Need{Pool: route.Pool, Affinity: record.ID, Former: previousWorker, Program: record.Program, Site: record.Group + "/" + record.Site,
-		Urgency: record.Urgency, Waiting: route.Waiting, Tried: map[string]bool{}, Policy: route.Policy}
+	plan.need = &worker.Requirements{Pool: route.Pool, AffinityKey: record.ID, LastWorker: previousWorker, Program: record.Program, Site: record.Group + "/" + record.Site,
+		Urgency: record.Urgency, MaxQueue: route.Waiting, Tried: map[string]bool{}, Policy: route.Policy}
 	return plan, nil
 }
 
@@ -163,14 +163,14 @@
 	retry   retryDecision
 }
 
-// runAttempt makes one attempt at a worker. It reserves the tokens durably, checks
-// the permit once more, and only then sends the request; the events are passed on as
-// they come. Success needs the worker's finish reason and its end marker, the turn
-// on a majority of disks, and the attempt to copy it to the standby.
+// runAttempt makes one attempt at a worker. It reserves the tokens durably, checks the
+// node's feed lease once more, and only then sends the request; events are passed on as
+// they arrive. Success needs the worker's finish reason and end marker and the turn
+// stored on a majority of disks; the turn is also offered to the standby by then.
 func (m *Manager) runAttempt(ctx *base.Ctx, s *ownedSession, op *operation, plan *turnPlan) attemptOutcome {
 	var cleanup base.Cleanup
 	defer cleanup.Run()
-	chosenWorker, err := m.picker.Hold(ctx, plan.need)
+	chosenWorker, err := m.picker.Acquire(ctx, plan.need)
 	if err != nil {
 		if plan.fallbackRoute != nil && base.IsCode(err, "no_worker") {
 			plan.route, plan.need.Pool, plan.fallbackRoute = plan.fallbackRoute, plan.fallbackRoute.Pool, nil
@@ -209,7 +209,7 @@
 		settle(0)
 		return attemptOutcome{base.FromWire(err), noRetry}
 	}
-	if !m.picker.Stays(chosenWorker, plan.need) {
+	if !m.picker.StillEligible(chosenWorker, plan.need) {
 		settle(0)
 		m.counters.Add("legs_turned_back", 1)
 		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is shutting down"), uncountedRetry}
@@ -219,7 +219,7 @@
 	reply, err := m.backends.Call(ctx, chosenWorker.Addr, newCompletionRequest(plan, answer.GrantedTokens))
 	if err != nil {
 		plan.need.Tried[chosenWorker.ID] = true
-		m.picker.Shun(chosenWorker.ID)
+		m.picker.Avoid(chosenWorker.ID)
 		if base.WasNotSent(err) {
 			m.counters.Add("legs_not_sent", 1)
 			settle(0)
@@ -232,7 +232,7 @@
 	if reply.Status() != 200 {
 		return m.handleRefusal(s, plan, chosenWorker, reply, settle)
 	}
-	if m.picker.Answered(chosenWorker, reply.Closes()) {
+	if m.picker.ObserveResponse(chosenWorker, reply.Closes()) {
 		m.MarkWorkerLeaving(chosenWorker)
 	}
 	s.setAbort(op, reply.Close)
@@ -259,10 +259,11 @@
 	return m.commitTurn(s, op, record, turn)
 }
 
-// confirmOwnership is the last check before an attempt is sent: the permit on the
-// monotonic clock, and the register's record if the permit lapsed meanwhile.
+// confirmOwnership is the last check before an attempt is sent: the node's feed
+// lease by the monotonic clock, and the register's record if the lease expired
+// meanwhile.
 func (m *Manager) confirmOwnership(ctx *base.Ctx, s *ownedSession, run string) error {
-	if err := m.follower.Permit(ctx); err != nil {
+	if err := m.follower.WaitForLease(ctx); err != nil {
 		return err
 	}
 	if err := m.revalidate(ctx, s); err != nil {
@@ -284,7 +285,7 @@
 		settle(0)
 		return attemptOutcome{base.Busy(503, "worker_leaving", 1, "the worker is shutting down"), uncountedRetry}
 	case status == 429:
-		m.picker.Shun(chosen.ID)
+		m.picker.Avoid(chosen.ID)
 		settle(0)
 		return attemptOutcome{base.Busy(429, "worker_busy", 1, "the worker is busy"), uncountedRetry}
 	case status >= 400 && status < 500:
@@ -299,11 +300,11 @@
 // MarkWorkerLeaving handles a worker's own sign that it is shutting down: this node
 // sends it no new work from now on, and the others once they receive the notice.
 func (m *Manager) MarkWorkerLeaving(chosen *worker.Worker) {
-	m.picker.LeftNow(chosen)
+	m.picker.MarkLeaving(chosen)
 	m.counters.Add("workers_seen_leaving", 1)
 	incarnation := m.picker.Incarnation(chosen)
 	m.clock.Go(func() {
-		_ = m.workers.Notice(base.NewCtx(m.clock, m.bounds.Load().Leave), worker.Notice{Worker: chosen.ID, Incarnation: incarnation, Leaving: true, Source: "refusal"})
+		_ = m.workers.SubmitNotice(base.NewCtx(m.clock, m.bounds.Load().Leave), worker.Notice{Worker: chosen.ID, Incarnation: incarnation, Leaving: true, Source: "refusal"})
 	})
 }
 
--- a/internal/session/forward.go
+++ b/internal/session/forward.go
@@ -46,7 +46,7 @@
 	}
 	record := &Record{ID: req.Session, Program: req.Program, Run: msg.Assignment.Run, Epoch: msg.Assignment.Epoch, Owner: m.nodeID()}
 	var reply *Reply
-	err := m.follower.Permit(ctx)
+	err := m.follower.WaitForLease(ctx)
 	if err == nil {
 		reply, err = m.serve(ctx, record, &req)
 	}
--- a/internal/session/manager.go
+++ b/internal/session/manager.go
@@ -140,7 +140,7 @@
 		outcomes: map[string]*requestOutcome{}, terminations: map[string]budget.Termination{}, retryCredit: maxRetryCredit, stopping: deps.Clock.NewSignal()}
 }
 
-func (m *Manager) nodeID() string { return m.view.Me() }
+func (m *Manager) nodeID() string { return m.view.SelfID() }
 
 // changeRegister runs a session operation on the register shard of the program.
 func (m *Manager) changeRegister(ctx *base.Ctx, program, op string, args changeArgs) (*changeResult, error) {
@@ -202,7 +202,7 @@
 			return existing
 		}
 	}
-	added := newOwnedSession(m.clock, record, turns, m.follower.Lapses())
+	added := newOwnedSession(m.clock, record, turns, m.follower.LeaseExpirations())
 	m.owned[record.ID] = added
 	return added
 }
@@ -285,7 +285,7 @@
 func (m *Manager) Handle(ctx *base.Ctx, req *Request) (*Reply, error) {
 	refresh, refreshedRun, delivery := false, "", &deliveryState{}
 	for {
-		if err := m.follower.Permit(ctx); err != nil {
+		if err := m.follower.WaitForLease(ctx); err != nil {
 			return nil, m.finalError(req, delivery, err)
 		}
 		record, err := m.lookupRecord(ctx, req, refresh)
--- a/internal/session/operations.go
+++ b/internal/session/operations.go
@@ -39,7 +39,7 @@
 
 // RegisterHandlers adds the session operations to a core's register. The leader of
 // the session's shard decides each on the current record.
-func RegisterHandlers(owner *register.Owner) {
+func RegisterHandlers(owner *register.Server) {
 	handle := func(name string, op func(tx *register.Tx, args *changeArgs, record *Record, program *budget.Program) (any, error)) {
 		owner.Handle(name, func(tx *register.Tx, raw []byte) (any, error) {
 			var args changeArgs
@@ -82,7 +82,7 @@
 		})
 		return changeResult{Record: record, Turns: found}, nil
 	})
-	owner.Sweep(deleteExpired)
+	owner.AddSweep(deleteExpired)
 }
 
 // acquire creates a session. It may be repeated by the same Run.
@@ -224,7 +224,7 @@
 	tx.Walk("refused/", "", func(key string, value []byte) bool {
 		var at int64
 		if json.Unmarshal(value, &at) != nil || tx.Now-at > RefusalRetention(tx.Bounds).Milliseconds() {
-			tx.Gone(key)
+			tx.Delete(key)
 		}
 		return true
 	})
@@ -237,10 +237,10 @@
 		expired := record.Phase.Terminal() && tx.Now-max(record.LastTurnAt, record.EndedAt) > retention
 		if expired || budget.Load(tx, record.Program) == nil {
 			tx.Walk("turn/"+record.ID+"/", "", func(turnKey string, _ []byte) bool {
-				tx.Gone(turnKey)
+				tx.Delete(turnKey)
 				return true
 			})
-			tx.Gone(key)
+			tx.Delete(key)
 		}
 		return true
 	})
--- a/internal/session/owned.go
+++ b/internal/session/owned.go
@@ -33,27 +33,27 @@
 	handedOver base.Signal // fires when the Run is lost or a drain is done with it
 	clock      base.Clock
 
-	mu               sync.Mutex
-	record           *Record
-	turns            []Turn // the chain
-	operations       map[string]*operation
-	queue            []*operation
-	running          *operation
-	working          bool                       // runQueue is running
-	lost             bool                       // the Run was given up
-	uncertainAttempt string                     // the attempt whose finish has an unknown outcome, or ""
-	lastAttempt      uint64                     // number of the last attempt
-	permitLapses     uint64                     // the follower's count when the Run was last confirmed
-	lastUsed         time.Duration              // when a client last used the session
-	standbyTurns     map[string]uint64          // turns of the chain that each standby has
-	refusals         map[string]*requestOutcome // by turn id
-	maintaining      bool                       // maintain has a task under way
-	lastWorker       string                     // worker of the last completed turn
+	mu                   sync.Mutex
+	record               *Record
+	turns                []Turn // the chain
+	operations           map[string]*operation
+	queue                []*operation
+	running              *operation
+	working              bool                       // runQueue is running
+	lost                 bool                       // the Run was given up
+	uncertainAttempt     string                     // the attempt whose finish has an unknown outcome, or ""
+	lastAttempt          uint64                     // number of the last attempt
+	feedLeaseExpirations uint64                     // the follower's count when the Run was last confirmed
+	lastUsed             time.Duration              // when a client last used the session
+	standbyTurns         map[string]uint64          // turns of the chain that each standby has
+	refusals             map[string]*requestOutcome // by turn id
+	maintaining          bool                       // maintain has a task under way
+	lastWorker           string                     // worker of the last completed turn
 }
 
-func newOwnedSession(clock base.Clock, record *Record, turns []Turn, lapses uint64) *ownedSession {
+func newOwnedSession(clock base.Clock, record *Record, turns []Turn, leaseExpirations uint64) *ownedSession {
 	return &ownedSession{program: record.Program, changed: base.NewBell(clock), handedOver: clock.NewSignal(), clock: clock, record: record,
-		turns: turns, operations: map[string]*operation{}, permitLapses: lapses, lastAttempt: record.HighestAttempt, lastUsed: clock.Now(), standbyTurns: map[string]uint64{},
+		turns: turns, operations: map[string]*operation{}, feedLeaseExpirations: leaseExpirations, lastAttempt: record.HighestAttempt, lastUsed: clock.Now(), standbyTurns: map[string]uint64{},
 		refusals: map[string]*requestOutcome{}}
 }
 
@@ -221,13 +221,13 @@
 	return m.loadRun(ctx, answer.Record)
 }
 
-// revalidate asks the register whether the Run is still this node's, after the permit
-// lapsed or the outcome of a change became unknown.
+// revalidate asks the register whether the Run is still this node's, after the node's
+// feed lease expired or the outcome of a change became unknown.
 func (m *Manager) revalidate(ctx *base.Ctx, s *ownedSession) error {
-	lapses := m.follower.Lapses()
+	leaseExpirations := m.follower.LeaseExpirations()
 	s.mu.Lock()
 	uncertainAttempt := s.uncertainAttempt
-	valid := s.permitLapses == lapses && uncertainAttempt == ""
+	valid := s.feedLeaseExpirations == leaseExpirations && uncertainAttempt == ""
 	id, run, knownTurns := s.record.ID, s.record.Run, uint64(len(s.turns))
 	s.mu.Unlock()
 	if valid {
@@ -255,7 +255,7 @@
 		}
 	}
 	s.mu.Lock()
-	s.permitLapses, s.uncertainAttempt = lapses, ""
+	s.feedLeaseExpirations, s.uncertainAttempt = leaseExpirations, ""
 	if answer.Record.Version > s.record.Version {
 		s.record = answer.Record
 	}
--- a/internal/session/takeover.go
+++ b/internal/session/takeover.go
@@ -21,7 +21,7 @@
 func (m *Manager) pickStandby(session, excluded string) string {
 	self := m.view.Self()
 	sameZone, otherZones := []string{}, []string{}
-	for _, member := range m.view.Alive(membership.RoleEdge) {
+	for _, member := range m.view.Available(membership.RoleGateway) {
 		switch {
 		case member.Id == self.Id || member.Id == excluded:
 		case member.Zone != self.Zone:
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -212,7 +212,7 @@
 
 // Serving tells whether a gateway lives and may serve.
 func (m *Machine) Serving() bool {
-	return m.Host.alive && !m.Host.frozen && m.gateway != nil && m.gateway.Follower.Permitted()
+	return m.Host.alive && !m.Host.frozen && m.gateway != nil && m.gateway.Follower.HasLease()
 }
 
 // Kill ends a machine's process; PowerLoss ends it and drops what its disk
@@ -341,7 +341,7 @@
 // feeds is the core that owns the feed.
 func (f *Fleet) feeds() *Machine {
 	for _, m := range f.Cores {
-		if m.Host.alive && m.core != nil && m.core.Owner.ServesFeed() {
+		if m.Host.alive && m.core != nil && m.core.Owner.LeadsFeed() {
 			return m
 		}
 	}
--- a/internal/simulate/tier_removal_test.go
+++ b/internal/simulate/tier_removal_test.go
@@ -177,7 +177,7 @@
 		{"news of workers that leave", "release of plain workers", func(t *Tier) {
 			onFeed(func(_ *Message, reply *feed.FollowReply) {
 				reply.Puts = base.Filter(reply.Puts, func(put *register.Put) bool {
-					return !strings.HasPrefix(put.Key, relay.RosterPrefix) || len(put.Value) > 0 && !strings.Contains(string(put.Value), `"d":true`)
+					return !strings.HasPrefix(put.Key, relay.RosterKeyPrefix) || len(put.Value) > 0 && !strings.Contains(string(put.Value), `"d":true`)
 				})
 			})(t.Fleet)
 		}, "DRAIN", ""},
@@ -188,7 +188,7 @@
 			told := map[string]int{}
 			onFeed(func(m *Message, reply *feed.FollowReply) {
 				for _, put := range reply.Puts {
-					if put.Key != route.DocumentKey {
+					if put.Key != route.FeedKey {
 						continue
 					}
 					if older == nil {
--- a/internal/toolcall/toolcall.go
+++ b/internal/toolcall/toolcall.go
@@ -80,7 +80,7 @@
 
 // RegisterHandlers adds the operations on claims to a core's register, and the periodic
 // deletion of old claims.
-func RegisterHandlers(owner *register.Owner) {
+func RegisterHandlers(owner *register.Server) {
 	owner.Handle("toolcall.claim", handleClaim)
 	owner.Handle("toolcall.finish", func(tx *register.Tx, raw []byte) (any, error) {
 		var args finishArgs
@@ -96,11 +96,11 @@
 		stored.store(tx, &args.Claim)
 		return struct{}{}, nil
 	})
-	owner.Sweep(func(tx *register.Tx) {
+	owner.AddSweep(func(tx *register.Tx) {
 		tx.Walk("claim/", "", func(storedKey string, value []byte) bool {
 			var stored claimRecord
 			if json.Unmarshal(value, &stored) == nil && tx.Now-stored.At > tx.Bounds.Retain.Milliseconds()*5/4 {
-				tx.Gone(storedKey)
+				tx.Delete(storedKey)
 			}
 			return true
 		})
