--- a/internal/front/access.go
+++ b/internal/front/access.go
@@ -12,26 +12,26 @@
 // allowed refuses a turn whose model its team may not call. A turn that was
 // accepted before, and is asked for again by its own id, is no new one: it ends
 // as it was accepted.
-func (f *Handler) allowed(ctx *base.Ctx, v *session.Visit, named bool) error {
-	if v.Kind != session.KindTurn || !f.Access.Rules() {
+func (h *Handler) checkModelAccess(ctx *base.Ctx, visit *session.Visit, clientNamed bool) error {
+	if visit.Kind != session.KindTurn || !h.Access.Rules() {
 		return nil
 	}
-	record, err := f.Sessions.Find(ctx.Within(f.Bounds.Load().Recover), v)
-	if err != nil || !record.Opens(v.Bearer) {
+	record, err := h.Sessions.Find(ctx.Within(h.Bounds.Load().Recover), visit)
+	if err != nil || !record.Opens(visit.Bearer) {
 		return err // wrong credentials are the owner's to decline
 	}
-	refusal := f.Access.Allows(ctx, &access.Question{Place: access.Place{Group: record.Group, Site: record.Site, Route: record.Route}})
-	if refusal == nil || !named || base.FromWire(refusal).Status != 403 {
+	refusal := h.Access.Allows(ctx, &access.Question{Place: access.Place{Group: record.Group, Site: record.Site, Route: record.Route}})
+	if refusal == nil || !clientNamed || base.FromWire(refusal).Status != 403 {
 		return refusal
 	}
-	read := *v
-	read.Kind, read.ID = session.KindRead, base.NewID(f.Clock, "v")
-	found, err := f.Sessions.Visit(ctx.Within(f.Bounds.Load().Call()), &read)
+	lookup := *visit
+	lookup.Kind, lookup.ID = session.KindRead, base.NewID(h.Clock, "v")
+	reply, err := h.Sessions.Visit(ctx.Within(h.Bounds.Load().Call()), &lookup)
 	if err != nil {
 		return refusal
 	}
-	if state := session.StateIn(found.Body); state == session.OpQueued || state == session.OpRunning || state == session.OpSucceeded {
-		f.Counters.Add("access_accepted_before", 1)
+	if state := session.StateIn(reply.Body); state == session.OpQueued || state == session.OpRunning || state == session.OpSucceeded {
+		h.Counters.Add("access_accepted_before", 1)
 		return nil
 	}
 	return refusal
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -36,112 +36,112 @@
 	Backends     base.Backends
 	Access       *access.Guard
 
-	known sync.Map
-	open  atomic.Int64
+	credentialCache sync.Map
+	inFlight        atomic.Int64
 }
 
 // visitLimit bounds the requests a gateway has in hand. Admission never
 // waits: one more is declined at once.
-const visitLimit = 2048
+const maxInFlight = 2048
 
 // plan is a request understood and checked: what is left is to act.
-type plan struct {
-	act func(ctx *base.Ctx) (*Response, error)
+type action struct {
+	run func(ctx *base.Ctx) (*Response, error)
 }
 
 // Handle answers one request.
-func (f *Handler) Handle(ctx *base.Ctx, r *Request) *Response {
-	f.Counters.Add("requests", 1)
-	made, err := f.plan(r)
+func (h *Handler) Handle(ctx *base.Ctx, r *Request) *Response {
+	h.Counters.Add("requests", 1)
+	parsed, err := h.parse(r)
 	if err != nil {
-		f.Counters.Add("requests_declined_bad", 1)
+		h.Counters.Add("requests_declined_bad", 1)
 		return ErrorResponse(err)
 	}
-	defer f.open.Add(-1)
-	if f.open.Add(1) > visitLimit {
-		f.Counters.Add("requests_declined_full", 1)
-		return ErrorResponse(base.Busy(429, "overloaded", 1, "this gateway has %d requests in hand", visitLimit))
+	defer h.inFlight.Add(-1)
+	if h.inFlight.Add(1) > maxInFlight {
+		h.Counters.Add("requests_declined_full", 1)
+		return ErrorResponse(base.Busy(429, "overloaded", 1, "this gateway has %d requests in hand", maxInFlight))
 	}
-	if err := f.Follower.Permit(ctx); err != nil {
+	if err := h.Follower.Permit(ctx); err != nil {
 		return ErrorResponse(err)
 	}
-	if f.Settings.Load() == nil {
+	if h.Settings.Load() == nil {
 		return ErrorResponse(base.Busy(503, "no_settings", 2, "no settings have been applied"))
 	}
-	response, err := made.act(ctx)
+	response, err := parsed.run(ctx)
 	if err != nil {
 		return ErrorResponse(err)
 	}
 	return response
 }
 
-func (f *Handler) bodyLimit() int {
-	if tree := f.Settings.Load(); tree != nil {
+func (h *Handler) bodyLimit() int {
+	if tree := h.Settings.Load(); tree != nil {
 		return tree.BodyLimit()
 	}
 	return 1 << 20
 }
 
-func unknownPath() error {
+func unknownPathError() error {
 	return base.Decline(404, "unknown_path", "there is nothing at this path with this method")
 }
 
-func (f *Handler) plan(r *Request) (*plan, error) {
-	if limit := f.bodyLimit(); len(r.Body) > limit {
+func (h *Handler) parse(r *Request) (*action, error) {
+	if limit := h.bodyLimit(); len(r.Body) > limit {
 		return nil, base.Decline(413, "body_too_large", "the body is larger than %d bytes", limit)
 	}
 	parts := strings.Split(strings.Trim(r.Path, "/"), "/")
 	if len(parts) < 2 || parts[0] != "v1" {
-		return nil, unknownPath()
+		return nil, unknownPathError()
 	}
 	if parts[1] == "platform" {
-		return f.planPlatform(r, parts[2:])
+		return h.parsePlatform(r, parts[2:])
 	}
 	if parts[1] != "programs" {
-		return nil, unknownPath()
+		return nil, unknownPathError()
 	}
 	parts = parts[2:]
 	if len(parts) == 0 {
 		if r.Method != "POST" {
-			return nil, unknownPath()
+			return nil, unknownPathError()
 		}
-		return f.planCreate(r)
+		return h.parseCreateProgram(r)
 	}
-	if err := checkName("program", parts[0]); err != nil {
+	if err := validateName("program", parts[0]); err != nil {
 		return nil, err
 	}
-	switch r.Method + " " + shape(parts[1:]) {
+	switch r.Method + " " + pathPattern(parts[1:]) {
 	case "GET ":
-		return &plan{func(ctx *base.Ctx) (*Response, error) { return f.showProgram(ctx, r, parts[0]) }}, nil
+		return &action{func(ctx *base.Ctx) (*Response, error) { return h.getProgram(ctx, r, parts[0]) }}, nil
 	case "POST terminate":
-		return f.planTerminate(r, parts[0])
+		return h.parseTerminateProgram(r, parts[0])
 	case "POST sessions":
-		return f.planAcquire(r, parts[0])
+		return h.parseAcquireSession(r, parts[0])
 	case "POST tools/*":
-		return f.planTool(r, parts[0], parts[2])
+		return h.parseToolCall(r, parts[0], parts[2])
 	}
 	if len(parts) >= 3 && parts[1] == "sessions" {
-		return f.planSession(r, parts[0], parts[2], parts[3:])
+		return h.parseSessionRequest(r, parts[0], parts[2], parts[3:])
 	}
-	return nil, unknownPath()
+	return nil, unknownPathError()
 }
 
 // shape replaces the names in a path, which stand at odd places.
-func shape(parts []string) string {
-	shaped := slices.Clone(parts)
-	for place := 1; place < len(shaped); place += 2 {
-		shaped[place] = "*"
+func pathPattern(parts []string) string {
+	pattern := slices.Clone(parts)
+	for i := 1; i < len(pattern); i += 2 {
+		pattern[i] = "*"
 	}
-	return strings.Join(shaped, "/")
+	return strings.Join(pattern, "/")
 }
 
 // newSecret gives a credential and the digest that is kept of it.
-func (f *Handler) newSecret() (secret, digest string) {
-	secret = base.NewID(f.Clock, "") + base.NewID(f.Clock, "")
+func (h *Handler) newSecret() (secret, digest string) {
+	secret = base.NewID(h.Clock, "") + base.NewID(h.Clock, "")
 	return secret, base.Digest([]byte(secret))
 }
 
-func (f *Handler) planCreate(r *Request) (*plan, error) {
+func (h *Handler) parseCreateProgram(r *Request) (*action, error) {
 	var name, group, site, parent, urgency string
 	var tokens, deadline float64
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
@@ -153,7 +153,7 @@
 		return nil, err
 	}
 	if name != "" {
-		if err := checkName("program", name); err != nil {
+		if err := validateName("program", name); err != nil {
 			return nil, err
 		}
 		if strings.ContainsAny(name, ".:") {
@@ -173,96 +173,96 @@
 		return nil, base.DeclineField("site", "must be given")
 	}
 	program := budget.Program{ID: name, Group: group, Site: site, Budget: int64(tokens), Urgency: urgency}
-	return &plan{func(ctx *base.Ctx) (*Response, error) { return f.create(ctx, r, program, parent, deadline) }}, nil
+	return &action{func(ctx *base.Ctx) (*Response, error) { return h.createProgram(ctx, r, program, parent, deadline) }}, nil
 }
 
-func (f *Handler) create(ctx *base.Ctx, r *Request, program budget.Program, parent string, deadline float64) (*Response, error) {
+func (h *Handler) createProgram(ctx *base.Ctx, r *Request, program budget.Program, parent string, deadline float64) (*Response, error) {
 	if program.ID == "" {
-		program.ID = base.NewID(f.Clock, "p")
+		program.ID = base.NewID(h.Clock, "p")
 	}
 	program.Root = program.ID
 	if parent != "" {
-		if _, err := f.admit(ctx, r, parent); err != nil {
+		if _, err := h.authorize(ctx, r, parent); err != nil {
 			return nil, err
 		}
 		program.ID, program.Root = parent+"."+program.ID, budget.GroupOf(parent)
-	} else if _, err := f.Settings.Load().Effective(program.Group, program.Site); err != nil {
+	} else if _, err := h.Settings.Load().Effective(program.Group, program.Site); err != nil {
 		return nil, err
 	}
 	if deadline > 0 {
 		program.DeadlineMs = max(1, int64(deadline*1000))
 	}
-	secret, digest := f.newSecret()
+	secret, digest := h.newSecret()
 	program.Secret = digest
-	made, err := f.Budget.Create(ctx.Within(f.Bounds.Load().Recover), program)
+	created, err := h.Budget.Create(ctx.Within(h.Bounds.Load().Recover), program)
 	if err != nil {
 		return nil, err
 	}
-	f.Counters.Add("programs_created", 1)
-	shown := showProgram(made)
-	shown["secret"] = secret
-	return answer(201, shown), nil
+	h.Counters.Add("programs_created", 1)
+	view := programView(created)
+	view["secret"] = secret
+	return jsonResponse(201, view), nil
 }
 
-func showProgram(p *budget.Program) map[string]any {
-	shown := map[string]any{"program": p.ID, "group": p.Group, "site": p.Site, "urgency": p.Urgency, "termination": p.Termination}
+func programView(p *budget.Program) map[string]any {
+	view := map[string]any{"program": p.ID, "group": p.Group, "site": p.Site, "urgency": p.Urgency, "termination": p.Termination}
 	if p.Root != p.ID {
-		shown["parent"] = p.ID[:strings.LastIndex(p.ID, ".")]
-		return shown
+		view["parent"] = p.ID[:strings.LastIndex(p.ID, ".")]
+		return view
 	}
-	shown["budget_tokens"], shown["spent_tokens"], shown["reserved_tokens"] = p.Budget, p.Spent, p.Outstanding()
-	shown["left_tokens"] = p.Budget - p.Spent - p.Outstanding()
+	view["budget_tokens"], view["spent_tokens"], view["reserved_tokens"] = p.Budget, p.Spent, p.Outstanding()
+	view["left_tokens"] = p.Budget - p.Spent - p.Outstanding()
 	if p.Deadline > 0 {
-		shown["deadline_s"], shown["deadline_left_s"] = float64(p.DeadlineMs)/1000, float64(p.LeftMs)/1000
+		view["deadline_s"], view["deadline_left_s"] = float64(p.DeadlineMs)/1000, float64(p.LeftMs)/1000
 	}
-	return shown
+	return view
 }
 
-type opened struct {
-	program *budget.Program
-	at      time.Duration
+type authorizedProgram struct {
+	program   *budget.Program
+	checkedAt time.Duration
 }
 
 // admit checks a program's credentials. A right answer is kept for a while,
 // by digest, so that not every call asks the register; a wrong one is not.
-func (f *Handler) admit(ctx *base.Ctx, r *Request, id string) (*budget.Program, error) {
-	given := bearer(r)
-	if kept, ok := f.known.Load(id + " " + given); ok && f.Clock.Now()-kept.(*opened).at < f.Bounds.Load().Recover*5/2 {
-		return kept.(*opened).program, nil
+func (h *Handler) authorize(ctx *base.Ctx, r *Request, id string) (*budget.Program, error) {
+	tokenDigest := bearerDigest(r)
+	if cached, ok := h.credentialCache.Load(id + " " + tokenDigest); ok && h.Clock.Now()-cached.(*authorizedProgram).checkedAt < h.Bounds.Load().Recover*5/2 {
+		return cached.(*authorizedProgram).program, nil
 	}
-	found, err := f.Budget.Get(ctx.Within(f.Bounds.Load().Recover), id)
+	found, err := h.Budget.Get(ctx.Within(h.Bounds.Load().Recover), id)
 	if err != nil {
 		return nil, err
 	}
-	if found.Secret != given {
+	if found.Secret != tokenDigest {
 		return nil, base.Decline(403, "forbidden", "the credentials do not open this program")
 	}
-	f.known.Store(id+" "+given, &opened{found, f.Clock.Now()})
+	h.credentialCache.Store(id+" "+tokenDigest, &authorizedProgram{found, h.Clock.Now()})
 	return found, nil
 }
 
 // EvictExpired drops what admit kept for too long.
-func (f *Handler) EvictExpired() {
-	f.known.Range(func(key, kept any) bool {
-		if f.Clock.Now()-kept.(*opened).at > f.Bounds.Load().Recover*5/2 {
-			f.known.Delete(key)
+func (h *Handler) EvictExpired() {
+	h.credentialCache.Range(func(key, cached any) bool {
+		if h.Clock.Now()-cached.(*authorizedProgram).checkedAt > h.Bounds.Load().Recover*5/2 {
+			h.credentialCache.Delete(key)
 		}
 		return true
 	})
 }
 
-func (f *Handler) showProgram(ctx *base.Ctx, r *Request, id string) (*Response, error) {
-	program, err := f.Budget.Get(ctx.Within(f.Bounds.Load().Recover), id)
+func (h *Handler) getProgram(ctx *base.Ctx, r *Request, id string) (*Response, error) {
+	program, err := h.Budget.Get(ctx.Within(h.Bounds.Load().Recover), id)
 	if err != nil {
 		return nil, err
 	}
-	if program.Secret != bearer(r) {
+	if program.Secret != bearerDigest(r) {
 		return nil, base.Decline(403, "forbidden", "the credentials do not open this program")
 	}
-	return answer(200, showProgram(program)), nil
+	return jsonResponse(200, programView(program)), nil
 }
 
-func readMode(r *Request) (budget.Termination, error) {
+func readTerminationMode(r *Request) (budget.Termination, error) {
 	var mode string
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"mode": base.Text(&mode, 16)}); err != nil {
 		return "", err
@@ -273,28 +273,28 @@
 	return budget.Termination(mode), nil
 }
 
-func (f *Handler) planTerminate(r *Request, id string) (*plan, error) {
-	mode, err := readMode(r)
+func (h *Handler) parseTerminateProgram(r *Request, id string) (*action, error) {
+	mode, err := readTerminationMode(r)
 	if err != nil {
 		return nil, err
 	}
-	return &plan{func(ctx *base.Ctx) (*Response, error) {
-		if _, err := f.admit(ctx, r, id); err != nil {
+	return &action{func(ctx *base.Ctx) (*Response, error) {
+		if _, err := h.authorize(ctx, r, id); err != nil {
 			return nil, err
 		}
-		program, err := f.Budget.Terminate(ctx.Within(f.Bounds.Load().Recover), id, mode)
+		program, err := h.Budget.Terminate(ctx.Within(h.Bounds.Load().Recover), id, mode)
 		if err != nil {
 			return nil, err
 		}
-		return answer(200, showProgram(program)), nil
+		return jsonResponse(200, programView(program)), nil
 	}}, nil
 }
 
-func (f *Handler) planAcquire(r *Request, id string) (*plan, error) {
+func (h *Handler) parseAcquireSession(r *Request, id string) (*action, error) {
 	var route string
-	var queue, timeout, lease float64
+	var queueSize, timeout, lease float64
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"route": base.Text(&route, 128), "queue_size": base.Number(&queue, 1, 1<<20, true),
+		"route": base.Text(&route, 128), "queue_size": base.Number(&queueSize, 1, 1<<20, true),
 		"operation_timeout_s": base.Number(&timeout, 0.1, 86400, false), "lease_s": base.Number(&lease, 0.1, 86400, false),
 	})
 	if err != nil {
@@ -303,150 +303,150 @@
 	if route == "" {
 		return nil, base.DeclineField("route", "must be given")
 	}
-	return &plan{func(ctx *base.Ctx) (*Response, error) {
-		program, err := f.admit(ctx, r, id)
+	return &action{func(ctx *base.Ctx) (*Response, error) {
+		program, err := h.authorize(ctx, r, id)
 		if err != nil {
 			return nil, err
 		}
-		matched, err := f.Settings.Load().Match(program.Group, program.Site, route)
+		matched, err := h.Settings.Load().Match(program.Group, program.Site, route)
 		if err != nil {
 			return nil, err
 		}
 		if matched.Kind != "model" {
 			return nil, base.DeclineField("route", "route %q is not for sessions", route)
 		}
-		if err := f.Access.Allows(ctx, &access.Question{Place: access.Place{Group: program.Group, Site: program.Site, Route: route}}); err != nil {
+		if err := h.Access.Allows(ctx, &access.Question{Place: access.Place{Group: program.Group, Site: program.Site, Route: route}}); err != nil {
 			return nil, err
 		}
 		if matched.Policy != nil {
-			allowed, err := matched.Policy.Admit(program.Urgency, route, f.Sessions.Owned())
+			allowed, err := matched.Policy.Admit(program.Urgency, route, h.Sessions.Owned())
 			if err != nil {
-				f.Counters.Add("policy_faults", 1)
+				h.Counters.Add("policy_faults", 1)
 			}
 			if !allowed {
 				return nil, base.Busy(429, "not_admitted", 2, "the site's policy takes no such session now")
 			}
 		}
-		secret, digest := f.newSecret()
-		record := &session.Record{ID: id + ":" + base.NewID(f.Clock, "s"), Program: id, ProgramSecret: program.Secret, Secret: digest,
+		secret, digest := h.newSecret()
+		record := &session.Record{ID: id + ":" + base.NewID(h.Clock, "s"), Program: id, ProgramSecret: program.Secret, Secret: digest,
 			Group: program.Group, Site: program.Site, Route: route, Urgency: program.Urgency, LeaseMs: int64(lease * 1000)}
-		record.QueueSize, record.TimeoutMs = session.Limits(matched, int(queue), time.Duration(timeout*float64(time.Second)))
-		made, err := f.Sessions.Acquire(ctx.Within(f.Bounds.Load().Recover), record)
+		record.QueueSize, record.TimeoutMs = session.Limits(matched, int(queueSize), time.Duration(timeout*float64(time.Second)))
+		acquired, err := h.Sessions.Acquire(ctx.Within(h.Bounds.Load().Recover), record)
 		if err != nil {
 			return nil, err
 		}
-		return answer(201, struct {
+		return jsonResponse(201, struct {
 			session.Status
 			Secret string `json:"secret"`
-		}{session.StatusOf(made), secret}), nil
+		}{session.StatusOf(acquired), secret}), nil
 	}}, nil
 }
 
-func (f *Handler) planSession(r *Request, program, id string, rest []string) (*plan, error) {
-	v := &session.Visit{Program: program, Session: id, Bearer: bearer(r)}
-	if err := checkName("session", id); err != nil {
+func (h *Handler) parseSessionRequest(r *Request, program, id string, rest []string) (*action, error) {
+	visit := &session.Visit{Program: program, Session: id, Bearer: bearerDigest(r)}
+	if err := validateName("session", id); err != nil {
 		return nil, err
 	}
 	var err error
-	switch r.Method + " " + shape(rest) {
+	switch r.Method + " " + pathPattern(rest) {
 	case "GET ":
-		v.Kind = session.KindStatus
+		visit.Kind = session.KindStatus
 	case "GET turns":
-		err = readListing(r, v)
+		err = readTurnListing(r, visit)
 	case "GET turns/*":
-		v.Kind, v.Turn = session.KindRead, rest[1]
-		err = checkName("turn", v.Turn)
+		visit.Kind, visit.Turn = session.KindRead, rest[1]
+		err = validateName("turn", visit.Turn)
 	case "POST turns/*/cancel":
-		v.Kind, v.Turn = session.KindCancel, rest[1]
-		err = checkName("turn", v.Turn)
+		visit.Kind, visit.Turn = session.KindCancel, rest[1]
+		err = validateName("turn", visit.Turn)
 	case "POST renew":
-		v.Kind = session.KindRenew
+		visit.Kind = session.KindRenew
 	case "POST close":
-		v.Kind = session.KindClose
+		visit.Kind = session.KindClose
 	case "POST terminate":
 		var mode budget.Termination
-		mode, err = readMode(r)
-		v.Kind = map[budget.Termination]string{budget.Drain: session.KindClose}[mode]
-		if v.Kind == "" {
-			v.Kind = session.KindTerminate
+		mode, err = readTerminationMode(r)
+		visit.Kind = map[budget.Termination]string{budget.Drain: session.KindClose}[mode]
+		if visit.Kind == "" {
+			visit.Kind = session.KindTerminate
 		}
 	case "POST turns":
-		err = readTurn(r, v)
+		err = readTurnRequest(r, visit)
 	default:
-		err = unknownPath()
+		err = unknownPathError()
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &plan{func(ctx *base.Ctx) (*Response, error) { return f.visit(ctx, v) }}, nil
+	return &action{func(ctx *base.Ctx) (*Response, error) { return h.runVisit(ctx, visit) }}, nil
 }
 
-func (f *Handler) visit(ctx *base.Ctx, v *session.Visit) (*Response, error) {
-	v.ID = base.NewID(f.Clock, "v")
-	given := v.Turn != ""
-	if v.Kind == session.KindTurn && !given {
-		v.Turn = base.NewID(f.Clock, "t")
+func (h *Handler) runVisit(ctx *base.Ctx, visit *session.Visit) (*Response, error) {
+	visit.ID = base.NewID(h.Clock, "v")
+	clientNamed := visit.Turn != ""
+	if visit.Kind == session.KindTurn && !clientNamed {
+		visit.Turn = base.NewID(h.Clock, "t")
 	}
-	if err := f.allowed(ctx, v, given); err != nil {
+	if err := h.checkModelAccess(ctx, visit, clientNamed); err != nil {
 		return nil, err
 	}
-	reply, err := f.Sessions.Visit(ctx.Within(2*f.Bounds.Load().Recover), v)
+	reply, err := h.Sessions.Visit(ctx.Within(2*h.Bounds.Load().Recover), visit)
 	if err != nil {
 		return nil, err
 	}
 	if reply.Stream != nil {
-		if refused := reply.Stream.Refused(f.Bounds.Load().Call()); refused != nil {
+		if refused := reply.Stream.Refused(h.Bounds.Load().Call()); refused != nil {
 			return nil, refused
 		}
-		header := map[string]string{"Content-Type": "text/event-stream", "Cache-Control": "no-store", "Turn-Id": v.Turn}
+		header := map[string]string{"Content-Type": "text/event-stream", "Cache-Control": "no-store", "Turn-Id": visit.Turn}
 		return &Response{Status: 200, Header: header, Stream: reply.Stream}, nil
 	}
-	if page, ok := showPage(v, reply.Body); ok {
-		return answer(200, page), nil
+	if page, ok := listingPage(visit, reply.Body); ok {
+		return jsonResponse(200, page), nil
 	}
-	return answer(reply.Status, reply.Body), nil
+	return jsonResponse(reply.Status, reply.Body), nil
 }
 
-func readListing(r *Request, v *session.Visit) (err error) {
-	v.Kind = session.KindTurns
+func readTurnListing(r *Request, visit *session.Visit) (err error) {
+	visit.Kind = session.KindTurns
 	for _, name := range base.SortedKeys(r.Query) {
 		if name != "limit" && name != "cursor" {
 			return base.DeclineField(name, "unknown query parameter")
 		}
 	}
-	if v.Limit, err = readLimit(r.Query["limit"]); err != nil {
+	if visit.Limit, err = parseLimit(r.Query["limit"]); err != nil {
 		return err
 	}
-	v.After, err = readCursor(v.Session, r.Query["cursor"])
+	visit.After, err = decodeCursor(visit.Session, r.Query["cursor"])
 	return err
 }
 
-func readTurn(r *Request, v *session.Visit) error {
-	v.Kind, v.Turn, v.Previous = session.KindTurn, r.Header["turn-id"], r.Header["previous-turn"]
-	for name, given := range map[string]string{"Turn-Id": v.Turn, "Previous-Turn": v.Previous} {
-		if given != "" {
-			if err := checkName(name, given); err != nil {
+func readTurnRequest(r *Request, visit *session.Visit) error {
+	visit.Kind, visit.Turn, visit.Previous = session.KindTurn, r.Header["turn-id"], r.Header["previous-turn"]
+	for name, value := range map[string]string{"Turn-Id": visit.Turn, "Previous-Turn": visit.Previous} {
+		if value != "" {
+			if err := validateName(name, value); err != nil {
 				return err
 			}
 		}
 	}
-	if last := r.Header["last-event-id"]; last != "" {
-		leg, place, ok := strings.Cut(last, "#")
-		at, err := strconv.ParseUint(place, 10, 64)
+	if lastEventID := r.Header["last-event-id"]; lastEventID != "" {
+		leg, number, ok := strings.Cut(lastEventID, "#")
+		position, err := strconv.ParseUint(number, 10, 64)
 		if !ok || err != nil {
 			return base.DeclineField("Last-Event-ID", "not an event id of this turn")
 		}
-		v.LastLeg, v.LastPlace = leg, at
+		visit.LastLeg, visit.LastPlace = leg, position
 	}
-	var most float64
+	var maxTokens float64
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"messages": messages(&v.Messages), "max_output_tokens": base.Number(&most, 1, 1<<20, true),
+		"messages": readMessages(&visit.Messages), "max_output_tokens": base.Number(&maxTokens, 1, 1<<20, true),
 	}); err != nil {
 		return err
 	}
-	if v.Messages == nil {
+	if visit.Messages == nil {
 		return base.DeclineField("messages", "must be given")
 	}
-	v.MaxTokens = int64(most)
+	visit.MaxTokens = int64(maxTokens)
 	return nil
 }
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -14,60 +14,60 @@
 	"github.com/go-faster/jx"
 )
 
-func (f *Handler) planPlatform(r *Request, parts []string) (*plan, error) {
-	switch r.Method + " " + shape(parts) {
+func (h *Handler) parsePlatform(r *Request, parts []string) (*action, error) {
+	switch r.Method + " " + pathPattern(parts) {
 	case "GET workers":
-		return &plan{func(ctx *base.Ctx) (*Response, error) {
-			list, err := f.Workers.List(ctx.Within(f.Bounds.Load().Recover))
+		return &action{func(ctx *base.Ctx) (*Response, error) {
+			list, err := h.Workers.List(ctx.Within(h.Bounds.Load().Recover))
 			if err != nil {
 				return nil, err
 			}
-			return answer(200, list), nil
+			return jsonResponse(200, list), nil
 		}}, nil
 	case "GET settings":
-		return &plan{func(*base.Ctx) (*Response, error) {
-			return answer(200, map[string]uint64{"stamp": settings.StampIn(f.Follower.Frame().Values)}), nil
+		return &action{func(*base.Ctx) (*Response, error) {
+			return jsonResponse(200, map[string]uint64{"stamp": settings.StampIn(h.Follower.Frame().Values)}), nil
 		}}, nil
 	case "PUT workers":
-		return f.planReplace(r)
+		return h.parseReplaceWorkers(r)
 	case "PATCH workers":
-		return f.planPatch(r)
+		return h.parsePatchWorkers(r)
 	case "POST workers/*/usage":
-		return f.planUsage(r, parts[1])
+		return h.parseUsageReport(r, parts[1])
 	}
-	return nil, unknownPath()
+	return nil, unknownPathError()
 }
 
-func readWorkers(into *[]worker.Worker) base.FieldReader {
+func readWorkers(dst *[]worker.Worker) base.FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.Array {
 			return base.DeclineField(path, "must be a list")
 		}
-		*into = []worker.Worker{}
+		*dst = []worker.Worker{}
 		return d.Arr(func(d *jx.Decoder) error {
-			at := path + "[" + strconv.Itoa(len(*into)) + "]"
+			elementPath := path + "[" + strconv.Itoa(len(*dst)) + "]"
 			raw, err := d.Raw()
 			if err != nil {
 				return err
 			}
-			var one worker.Worker
+			var parsed worker.Worker
 			capacity := 1.0
 			err = base.ReadFields(raw, map[string]base.FieldReader{
-				"id": base.Text(&one.ID, 128), "addr": base.Text(&one.Addr, 64), "pool": base.Text(&one.Pool, 128),
-				"zone": base.Text(&one.Zone, 128), "incarnation": base.Text(&one.Incarnation, 128), "capacity": base.Number(&capacity, 1, 4096, true),
+				"id": base.Text(&parsed.ID, 128), "addr": base.Text(&parsed.Addr, 64), "pool": base.Text(&parsed.Pool, 128),
+				"zone": base.Text(&parsed.Zone, 128), "incarnation": base.Text(&parsed.Incarnation, 128), "capacity": base.Number(&capacity, 1, 4096, true),
 			})
-			if v := base.VerdictIn(err); v != nil {
-				v.Field = at + "." + v.Field
-				return v
+			if verdict := base.VerdictIn(err); verdict != nil {
+				verdict.Field = elementPath + "." + verdict.Field
+				return verdict
 			}
-			one.Capacity = int(capacity)
-			*into = append(*into, one)
+			parsed.Capacity = int(capacity)
+			*dst = append(*dst, parsed)
 			return nil
 		})
 	}
 }
 
-func (f *Handler) planReplace(r *Request) (*plan, error) {
+func (h *Handler) parseReplaceWorkers(r *Request) (*action, error) {
 	var stamp float64
 	var workers []worker.Worker
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{"stamp": base.Number(&stamp, 1, 1<<52, true), "workers": readWorkers(&workers)})
@@ -82,12 +82,12 @@
 	if err := worker.CheckList("workers", workers); err != nil {
 		return nil, err
 	}
-	return f.changeList(func(ctx *base.Ctx) (*worker.List, error) {
-		return f.Workers.Replace(ctx, worker.List{Stamp: uint64(stamp), Workers: workers})
+	return h.changeWorkers(func(ctx *base.Ctx) (*worker.List, error) {
+		return h.Workers.Replace(ctx, worker.List{Stamp: uint64(stamp), Workers: workers})
 	}), nil
 }
 
-func (f *Handler) planPatch(r *Request) (*plan, error) {
+func (h *Handler) parsePatchWorkers(r *Request) (*action, error) {
 	var stamp float64
 	var put []worker.Worker
 	var remove []string
@@ -113,51 +113,51 @@
 	if err := worker.CheckList("put", put); err != nil {
 		return nil, err
 	}
-	return f.changeList(func(ctx *base.Ctx) (*worker.List, error) {
-		return f.Workers.Patch(ctx, worker.Patch{Stamp: uint64(stamp), Put: put, Remove: remove})
+	return h.changeWorkers(func(ctx *base.Ctx) (*worker.List, error) {
+		return h.Workers.Patch(ctx, worker.Patch{Stamp: uint64(stamp), Put: put, Remove: remove})
 	}), nil
 }
 
-func (f *Handler) changeList(change func(ctx *base.Ctx) (*worker.List, error)) *plan {
-	return &plan{func(ctx *base.Ctx) (*Response, error) {
-		now, err := change(ctx.Within(f.Bounds.Load().Recover))
+func (h *Handler) changeWorkers(change func(ctx *base.Ctx) (*worker.List, error)) *action {
+	return &action{func(ctx *base.Ctx) (*Response, error) {
+		list, err := change(ctx.Within(h.Bounds.Load().Recover))
 		if err != nil {
 			return nil, err
 		}
-		return answer(200, now), nil
+		return jsonResponse(200, list), nil
 	}}
 }
 
-func (f *Handler) planUsage(r *Request, id string) (*plan, error) {
-	var load, count float64
+func (h *Handler) parseUsageReport(r *Request, id string) (*action, error) {
+	var load, number float64
 	usage := &membership.Usage{Worker: id}
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"load": base.Number(&load, 0, 1<<20, true), "number": base.Number(&count, 1, 1<<52, true),
+		"load": base.Number(&load, 0, 1<<20, true), "number": base.Number(&number, 1, 1<<52, true),
 		"incarnation": base.Text(&usage.Incarnation, 128), "leaving": base.Truth(&usage.Leaving),
 	})
 	if err != nil {
 		return nil, err
 	}
-	if count == 0 {
+	if number == 0 {
 		return nil, base.DeclineField("number", "must be given and rise with each report")
 	}
-	usage.Number, usage.Load = uint64(count), int64(load)
-	return &plan{func(ctx *base.Ctx) (*Response, error) {
-		if !f.UsageReports.Tell(usage) {
-			f.Counters.Add("usage_stale", 1)
-			return answer(200, map[string]any{"taken": false}), nil
+	usage.Number, usage.Load = uint64(number), int64(load)
+	return &action{func(ctx *base.Ctx) (*Response, error) {
+		if !h.UsageReports.Tell(usage) {
+			h.Counters.Add("usage_stale", 1)
+			return jsonResponse(200, map[string]any{"taken": false}), nil
 		}
-		notice, marked := f.Picker.Roster().Leaving[id]
+		notice, marked := h.Picker.Roster().Leaving[id]
 		if !usage.Leaving {
-			f.Picker.Back(id)
+			h.Picker.Back(id)
 		}
 		if usage.Leaving != marked || (marked && notice.Incarnation != usage.Incarnation) {
-			err := f.Workers.Notice(ctx.Within(f.Bounds.Load().Recover), worker.Notice{Worker: id, Incarnation: usage.Incarnation,
+			err := h.Workers.Notice(ctx.Within(h.Bounds.Load().Recover), worker.Notice{Worker: id, Incarnation: usage.Incarnation,
 				Leaving: usage.Leaving, Source: "report", Number: usage.Number})
 			if err != nil {
 				return nil, err
 			}
 		}
-		return answer(200, map[string]any{"taken": true}), nil
+		return jsonResponse(200, map[string]any{"taken": true}), nil
 	}}, nil
 }
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -34,25 +34,25 @@
 	Stream *session.Reader
 }
 
-func answer(status int, body any) *Response {
+func jsonResponse(status int, body any) *Response {
 	return &Response{Status: status, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.Encode(body), '\n')}
 }
 
 // ErrorResponse shows a verdict to a caller.
 func ErrorResponse(err error) *Response {
-	v := base.FromWire(err)
-	status := v.Status
+	verdict := base.FromWire(err)
+	status := verdict.Status
 	if status == 0 {
 		status = 500
 	}
-	response := answer(status, map[string]any{"error": v})
-	if v.RetryAfter > 0 {
-		response.Header["Retry-After"] = strconv.Itoa(v.RetryAfter)
+	response := jsonResponse(status, map[string]any{"error": verdict})
+	if verdict.RetryAfter > 0 {
+		response.Header["Retry-After"] = strconv.Itoa(verdict.RetryAfter)
 	}
 	return response
 }
 
-func bearer(r *Request) string {
+func bearerDigest(r *Request) string {
 	token, ok := strings.CutPrefix(r.Header["authorization"], "Bearer ")
 	if !ok || token == "" {
 		return ""
@@ -61,7 +61,7 @@
 }
 
 // messages reads a list of role and content and keeps it in one form.
-func messages(into *json.RawMessage) base.FieldReader {
+func readMessages(dst *json.RawMessage) base.FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.Array {
 			return base.DeclineField(path, "must be a list")
@@ -72,27 +72,27 @@
 		}
 		list := []message{}
 		err := d.Arr(func(d *jx.Decoder) error {
-			at := fmt.Sprintf("%s[%d]", path, len(list))
+			itemPath := fmt.Sprintf("%s[%d]", path, len(list))
 			if d.Next() != jx.Object {
-				return base.DeclineField(at, "must be an object")
+				return base.DeclineField(itemPath, "must be an object")
 			}
-			var one message
+			var item message
 			err := d.ObjBytes(func(d *jx.Decoder, key []byte) error {
 				switch string(key) {
 				case "role":
-					return base.Text(&one.Role, 64)(at+".role", d)
+					return base.Text(&item.Role, 64)(itemPath+".role", d)
 				case "content":
-					return base.Text(&one.Content, 1<<24)(at+".content", d)
+					return base.Text(&item.Content, 1<<24)(itemPath+".content", d)
 				}
-				return base.DeclineField(at+"."+string(key), "unknown field")
+				return base.DeclineField(itemPath+"."+string(key), "unknown field")
 			})
 			if err != nil {
 				return err
 			}
-			if one.Role != "system" && one.Role != "user" && one.Role != "assistant" && one.Role != "tool" {
-				return base.DeclineField(at+".role", `must be "system", "user", "assistant" or "tool"`)
+			if item.Role != "system" && item.Role != "user" && item.Role != "assistant" && item.Role != "tool" {
+				return base.DeclineField(itemPath+".role", `must be "system", "user", "assistant" or "tool"`)
 			}
-			list = append(list, one)
+			list = append(list, item)
 			return nil
 		})
 		if err != nil {
@@ -101,57 +101,57 @@
 		if len(list) == 0 {
 			return base.DeclineField(path, "must not be empty")
 		}
-		*into = base.Encode(list)
+		*dst = base.Encode(list)
 		return nil
 	}
 }
 
-const cursorMark = "v1:"
+const cursorPrefix = "v1:"
 
 // cursor is opaque to callers: a version, the session and the last place.
-func makeCursor(sessionID string, place uint64) string {
-	if place == 0 {
+func encodeCursor(sessionID string, position uint64) string {
+	if position == 0 {
 		return ""
 	}
-	return base64.RawURLEncoding.EncodeToString([]byte(cursorMark + sessionID + ":" + strconv.FormatUint(place, 10)))
+	return base64.RawURLEncoding.EncodeToString([]byte(cursorPrefix + sessionID + ":" + strconv.FormatUint(position, 10)))
 }
 
-func readCursor(sessionID, given string) (uint64, error) {
-	if given == "" {
+func decodeCursor(sessionID, encoded string) (uint64, error) {
+	if encoded == "" {
 		return 0, nil
 	}
-	raw, err := base64.RawURLEncoding.DecodeString(given)
-	bad := base.DeclineField("cursor", "not a cursor of this listing")
+	raw, err := base64.RawURLEncoding.DecodeString(encoded)
+	invalid := base.DeclineField("cursor", "not a cursor of this listing")
 	if err != nil {
-		return 0, bad
+		return 0, invalid
 	}
-	rest, ok := strings.CutPrefix(string(raw), cursorMark+sessionID+":")
+	rest, ok := strings.CutPrefix(string(raw), cursorPrefix+sessionID+":")
 	if !ok {
-		return 0, bad
+		return 0, invalid
 	}
-	place, err := strconv.ParseUint(rest, 10, 64)
-	if err != nil || place == 0 {
-		return 0, bad
+	position, err := strconv.ParseUint(rest, 10, 64)
+	if err != nil || position == 0 {
+		return 0, invalid
 	}
-	return place, nil
+	return position, nil
 }
 
-func readLimit(given string) (int, error) {
-	if given == "" {
+func parseLimit(text string) (int, error) {
+	if text == "" {
 		return 100, nil
 	}
-	limit, err := strconv.Atoi(given)
+	limit, err := strconv.Atoi(text)
 	if err != nil || limit < 1 || limit > 1000 {
 		return 0, base.DeclineField("limit", "must be between 1 and 1000")
 	}
 	return limit, nil
 }
 
-func checkName(field, given string) error {
-	if given == "" || len(given) > 128 {
+func validateName(field, name string) error {
+	if name == "" || len(name) > 128 {
 		return base.DeclineField(field, "must be 1 to 128 characters")
 	}
-	for _, c := range given {
+	for _, c := range name {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.' || c == ':') {
 			return base.DeclineField(field, "may hold letters, digits and -_.: only")
 		}
--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -15,48 +15,48 @@
 	"fordseam/internal/worker"
 )
 
-const toolBodyLimit = 4 << 20
+const maxToolResponseBytes = 4 << 20
 
-func (f *Handler) planTool(r *Request, program, name string) (*plan, error) {
+func (h *Handler) parseToolCall(r *Request, programID, routeName string) (*action, error) {
 	key := r.Header["idempotency-key"]
 	if key != "" {
-		if err := checkName("Idempotency-Key", key); err != nil {
+		if err := validateName("Idempotency-Key", key); err != nil {
 			return nil, err
 		}
 	}
 	if len(r.Body) > 0 && !json.Valid(r.Body) {
 		return nil, base.DeclineField("body", "not valid JSON")
 	}
-	return &plan{func(ctx *base.Ctx) (*Response, error) {
-		opened, err := f.admit(ctx, r, program)
+	return &action{func(ctx *base.Ctx) (*Response, error) {
+		program, err := h.authorize(ctx, r, programID)
 		if err != nil {
 			return nil, err
 		}
-		route, err := f.Settings.Load().Match(opened.Group, opened.Site, name)
+		route, err := h.Settings.Load().Match(program.Group, program.Site, routeName)
 		if err != nil {
 			return nil, err
 		}
 		if route.Kind != "tool" {
-			return nil, base.DeclineField("route", "route %q is not for tool calls", name)
+			return nil, base.DeclineField("route", "route %q is not for tool calls", routeName)
 		}
 		if key == "" && !route.Repeatable {
-			return nil, base.DeclineField("Idempotency-Key", "route %q may not be repeated; an Idempotency-Key must be given", name)
+			return nil, base.DeclineField("Idempotency-Key", "route %q may not be repeated; an Idempotency-Key must be given", routeName)
 		}
-		if f.Sessions.ProgramEnded(budget.GroupOf(program)) != "" || f.Sessions.ProgramEnded(program) != "" {
+		if h.Sessions.ProgramEnded(budget.GroupOf(programID)) != "" || h.Sessions.ProgramEnded(programID) != "" {
 			return nil, base.Decline(503, "program_terminating", "the program is ending")
 		}
 		ctx = ctx.Within(route.ToolTimeout)
-		call := &toolVisit{front: f, ctx: ctx, request: r, route: route, urgency: opened.Urgency,
-			claim: toolcall.Claim{Program: program, Key: key, Leg: base.NewID(f.Clock, "c"), Digest: base.Digest(append([]byte(name+"\n"), r.Body...))}}
+		call := &toolCall{handler: h, ctx: ctx, request: r, route: route, urgency: program.Urgency,
+			claim: toolcall.Claim{Program: programID, Key: key, Leg: base.NewID(h.Clock, "c"), Digest: base.Digest(append([]byte(routeName+"\n"), r.Body...))}}
 		if key == "" {
-			return call.plain()
+			return call.callRepeatable()
 		}
-		return call.claimed()
+		return call.callClaimed()
 	}}, nil
 }
 
-type toolVisit struct {
-	front   *Handler
+type toolCall struct {
+	handler *Handler
 	ctx     *base.Ctx
 	request *Request
 	route   *settings.Route
@@ -65,11 +65,11 @@
 }
 
 // show passes a worker's whole answer on; its failure is a verdict of ours.
-func show(given *toolcall.Answer, replayed bool) *Response {
-	if given.Status >= 500 {
-		return ErrorResponse(base.Unsure(502, "worker_failed", "the worker failed with status %d", given.Status))
+func toolResponse(answer *toolcall.Answer, replayed bool) *Response {
+	if answer.Status >= 500 {
+		return ErrorResponse(base.Unsure(502, "worker_failed", "the worker failed with status %d", answer.Status))
 	}
-	response := &Response{Status: given.Status, Header: map[string]string{"Content-Type": given.ContentType}, Body: given.Body}
+	response := &Response{Status: answer.Status, Header: map[string]string{"Content-Type": answer.ContentType}, Body: answer.Body}
 	if replayed {
 		response.Header["Idempotent-Replayed"] = "true"
 	}
@@ -77,23 +77,23 @@
 }
 
 // plain is for repeatable routes without a key: a lost leg may be repeated.
-func (t *toolVisit) plain() (*Response, error) {
+func (t *toolCall) callRepeatable() (*Response, error) {
 	tried := map[string]bool{}
-	for leg := 1; ; leg++ {
-		given, err := t.send(tried)
+	for attempt := 1; ; attempt++ {
+		answer, err := t.send(tried)
 		if err == nil {
-			return show(given, false), nil
+			return toolResponse(answer, false), nil
 		}
-		if v := base.FromWire(err); v.Ran == base.NotRun || leg >= t.route.Legs || t.ctx.Over() {
+		if v := base.FromWire(err); v.Ran == base.NotRun || attempt >= t.route.Legs || t.ctx.Over() {
 			return nil, err
 		}
-		t.front.Counters.Add("tool_legs_repeated", 1)
+		t.handler.Counters.Add("tool_legs_repeated", 1)
 	}
 }
 
 // claimed carries a call out at most once, ever.
-func (t *toolVisit) claimed() (*Response, error) {
-	f := t.front
+func (t *toolCall) callClaimed() (*Response, error) {
+	f := t.handler
 	pause := f.Bounds.Load().Beat()
 	for {
 		outcome, err := f.Tools.Claim(t.ctx, t.claim)
@@ -108,7 +108,7 @@
 		}
 		if outcome.Answer != nil {
 			f.Counters.Add("tool_calls_replayed", 1)
-			return show(outcome.Answer, true), nil
+			return toolResponse(outcome.Answer, true), nil
 		}
 		if outcome.Go {
 			break
@@ -118,50 +118,50 @@
 		}
 		f.Clock.Sleep(pause)
 	}
-	given, err := t.send(map[string]bool{})
-	record := base.NewCtx(f.Clock, f.Bounds.Load().Recover)
+	answer, err := t.send(map[string]bool{})
+	recordCtx := base.NewCtx(f.Clock, f.Bounds.Load().Recover)
 	if err != nil {
 		if base.FromWire(err).Ran == base.NotRun {
-			if failed := f.Tools.Finish(record, t.claim, nil); failed != nil {
+			if finishErr := f.Tools.Finish(recordCtx, t.claim, nil); finishErr != nil {
 				f.Counters.Add("tool_claims_stuck", 1)
 			}
 		}
 		return nil, err
 	}
-	if failed := f.Tools.Finish(record, t.claim, given); failed != nil {
+	if finishErr := f.Tools.Finish(recordCtx, t.claim, answer); finishErr != nil {
 		f.Counters.Add("tool_answers_unrecorded", 1)
 	}
-	return show(given, false), nil
+	return toolResponse(answer, false), nil
 }
 
 // send tries workers until one was reached; from then on there is no other.
-func (t *toolVisit) send(tried map[string]bool) (*toolcall.Answer, error) {
-	f := t.front
+func (t *toolCall) send(tried map[string]bool) (*toolcall.Answer, error) {
+	f := t.handler
 	need := &worker.Need{Pool: t.route.Pool, Affinity: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
 		Waiting: t.route.Waiting, Tried: tried, Policy: t.route.Policy}
 	for {
-		given, err, another := t.sendOnce(need)
-		if !another || t.ctx.Over() {
-			return given, err
+		answer, err, tryNext := t.sendOnce(need)
+		if !tryNext || t.ctx.Over() {
+			return answer, err
 		}
 		f.Counters.Add("tool_legs_not_sent", 1)
 	}
 }
 
-func (t *toolVisit) sendOnce(need *worker.Need) (given *toolcall.Answer, failed error, another bool) {
-	f := t.front
+func (t *toolCall) sendOnce(need *worker.Need) (answer *toolcall.Answer, failure error, tryNext bool) {
+	f := t.handler
 	var cleanup base.Cleanup
 	defer cleanup.Run()
-	chosenWorker, err := f.Picker.Hold(t.ctx, need)
+	chosen, err := f.Picker.Hold(t.ctx, need)
 	if err != nil {
 		return nil, err, false
 	}
-	held := f.Clock.Now()
-	cleanup.Push(func() { f.Picker.Release(chosenWorker, need, f.Clock.Now()-held) })
+	heldSince := f.Clock.Now()
+	cleanup.Push(func() { f.Picker.Release(chosen, need, f.Clock.Now()-heldSince) })
 	if err := f.Follower.Permit(t.ctx); err != nil {
 		return nil, err, false
 	}
-	if !f.Picker.Stays(chosenWorker, need) {
+	if !f.Picker.Stays(chosen, need) {
 		f.Counters.Add("legs_turned_back", 1)
 		return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 	}
@@ -177,10 +177,10 @@
 		header["Idempotency-Key"] = t.claim.Program + "/" + t.claim.Key
 	}
 	f.Counters.Add("tool_legs_sent", 1)
-	reply, err := f.Backends.Call(t.ctx, chosenWorker.Addr, &base.BackRequest{Method: "POST", Path: path, Header: header, Body: t.request.Body})
-	need.Tried[chosenWorker.ID] = true
+	reply, err := f.Backends.Call(t.ctx, chosen.Addr, &base.BackRequest{Method: "POST", Path: path, Header: header, Body: t.request.Body})
+	need.Tried[chosen.ID] = true
 	if err != nil {
-		f.Picker.Shun(chosenWorker.ID)
+		f.Picker.Shun(chosen.ID)
 		if base.WasNotSent(err) {
 			return nil, base.Busy(503, "worker_unreachable", 1, "no worker could be reached"), true
 		}
@@ -188,16 +188,16 @@
 	}
 	cleanup.Push(reply.Close)
 	if reply.Status() == 503 {
-		f.Sessions.WorkerLeaves(chosenWorker)
+		f.Sessions.WorkerLeaves(chosen)
 		if t.route.Repeatable {
 			return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 		}
 		return nil, base.Unsure(502, "worker_leaving", "the worker refused the call as it leaves, but bytes had gone out"), false
 	}
-	if f.Picker.Answered(chosenWorker, reply.Closes()) {
-		f.Sessions.WorkerLeaves(chosenWorker)
+	if f.Picker.Answered(chosen, reply.Closes()) {
+		f.Sessions.WorkerLeaves(chosen)
 	}
-	body, err := reply.Body(t.ctx.Left(), toolBodyLimit)
+	body, err := reply.Body(t.ctx.Left(), maxToolResponseBytes)
 	if err != nil {
 		return nil, base.Unsure(502, "worker_cut", "the worker's answer was cut short"), false
 	}
@@ -212,21 +212,21 @@
 }
 
 // showPage puts the cursor into a listing, which may come from another node.
-func showPage(v *session.Visit, body any) (any, bool) {
-	if v.Kind != session.KindTurns {
+func listingPage(visit *session.Visit, body any) (any, bool) {
+	if visit.Kind != session.KindTurns {
 		return nil, false
 	}
 	var page session.TurnPage
-	switch held := body.(type) {
+	switch typed := body.(type) {
 	case session.TurnPage:
-		page = held
+		page = typed
 	case json.RawMessage:
-		if json.Unmarshal(held, &page) != nil {
+		if json.Unmarshal(typed, &page) != nil {
 			return nil, false
 		}
 	}
 	return struct {
 		Turns []session.TurnView `json:"turns"`
 		Next  string             `json:"next_cursor"`
-	}{page.Turns, makeCursor(v.Session, page.Next)}, true
+	}{page.Turns, encodeCursor(visit.Session, page.Next)}, true
 }
--- a/internal/ledger/begin.go
+++ b/internal/ledger/begin.go
@@ -1,5 +1,3 @@
-// The beginning of a turn: its session's claim and its tokens' reservation.
-
 package ledger
 
 import (
@@ -8,11 +6,11 @@
 	"fordseam/internal/base"
 )
 
-// BeginParams is a turn that wants to run, and the claim it runs under: for a
-// first claim the epoch is 1, for a successor's one more than that of the Run
-// it succeeds, and once a Begin gave the session to the claim, the epoch it
-// gave, with Confirmed. A Run that had to give way needs a new id to claim
-// again.
+// BeginParams describes a turn to begin and the claim it runs under. The epoch of
+// a first claim is 1, and that of a takeover is one more than the epoch of the
+// Run that is taken over. Once Begin has granted the claim, later calls pass the
+// epoch that it returned and set Confirmed. A Run whose claim was refused needs a
+// new id to claim again.
 type BeginParams struct {
 	Program  string
 	Session  string
@@ -21,17 +19,18 @@
 	Owner    string
 	Run      string
 	Epoch    uint64
-	// Confirmed tells that a quorum took this claim before.
+	// Confirmed means that a quorum has granted this claim before.
 	Confirmed bool
-	// Budgeted turns reserve MaxTokens of the program's Budget.
+	// Budgeted turns reserve MaxTokens of the program's Budget, in tokens.
 	Budgeted  bool
 	MaxTokens int64
 	Budget    int64
-	// Retention is how long the program's state may be needed after this.
+	// Retention is how long the program's state must be kept from now on.
 	Retention time.Duration
 }
 
-// BeginResult is who holds the session; Granted tells that it is the claimant.
+// BeginResult is the holder of the session. Granted means that it is the
+// claimant.
 type BeginResult struct {
 	Granted bool
 	Owner   string
@@ -39,72 +38,74 @@
 	Epoch   uint64
 }
 
-// Begin claims the session and reserves the turn's tokens. When another holds
-// the session nothing is reserved and the holder is told. An error means that
-// the turn must not run.
-func (c *Client) Begin(ctx *base.Ctx, b *BeginParams) (*BeginResult, error) {
-	epoch := max(b.Epoch, 1)
-	came, err := c.settleClaim(ctx, b, &epoch, nil)
-	if err != nil || came.best != nil {
-		c.cancel(b)
+// Begin claims the session and reserves the turn's tokens. If another Run holds
+// the session, it reserves nothing and returns the holder. After an error the
+// turn must not run.
+func (c *Client) Begin(ctx *base.Ctx, params *BeginParams) (*BeginResult, error) {
+	epoch := max(params.Epoch, 1)
+	round, err := c.claimSession(ctx, params, &epoch, nil)
+	if err != nil || round.rival != nil {
+		c.releaseReservation(params)
 		if err != nil {
 			return nil, err
 		}
-		return &BeginResult{Owner: came.best.Owner, Run: came.best.Run, Epoch: came.best.Epoch}, nil
+		return &BeginResult{Owner: round.rival.Owner, Run: round.rival.Run, Epoch: round.rival.Epoch}, nil
 	}
-	if b.Budgeted && b.Turn != "" {
-		if err := c.afford(ctx, b, &epoch, came); err != nil {
-			c.cancel(b)
+	if params.Budgeted && params.Turn != "" {
+		if err := c.reserveBudget(ctx, params, &epoch, round); err != nil {
+			c.releaseReservation(params)
 			return nil, err
 		}
 	}
-	return &BeginResult{Granted: true, Owner: b.Owner, Run: b.Run, Epoch: epoch}, nil
+	return &BeginResult{Granted: true, Owner: params.Owner, Run: params.Run, Epoch: epoch}, nil
 }
 
-// afford decides whether the budget holds the turn. Any two reservations meet
-// at some replica, where the later sees the earlier, but of three each may see
-// only one other. So one round is enough only where all replicas saw the same
-// reservations. Otherwise a second, begun after the first was on a quorum, sees
-// whatever was granted before it, and tells each replica what it missed. Of any
-// reservations granted so, one sees all the others; docs/duties/ledger.md says
-// why.
-func (c *Client) afford(ctx *base.Ctx, b *BeginParams, epoch *uint64, came claimed) error {
-	for tries := 0; ; tries++ {
-		if !came.alike || tries > 0 {
+// reserveBudget checks that the program's budget covers the turn. Any two
+// reservations meet at some replica, where the later one sees the earlier one,
+// but of three concurrent reservations each may see only one other. One round is
+// therefore enough only if all replicas reported the same reservations. Otherwise
+// a second round, started once the first is on a quorum, sees everything granted
+// before it and tells each replica what it missed. Among any set of granted
+// reservations, one has then seen all the others; docs/duties/ledger.md has the
+// proof.
+func (c *Client) reserveBudget(ctx *base.Ctx, params *BeginParams, epoch *uint64, round claimRound) error {
+	for retries := 0; ; retries++ {
+		if !round.identical || retries > 0 {
 			c.counters.Add("ledger_second_rounds", 1)
-			again, err := c.settleClaim(ctx, b, epoch, came.known())
+			again, err := c.claimSession(ctx, params, epoch, round.knownSpends())
 			if err != nil {
 				return err
 			}
-			if again.best != nil {
+			if again.rival != nil {
 				return base.Decline(409, "stale_assignment", "the session is assigned to another Run")
 			}
-			again.merge(came)
-			came = again
+			again.merge(round)
+			round = again
 		}
-		settled, open := came.sums()
-		if settled+open < b.Budget {
+		settled, reserved := round.sums()
+		if settled+reserved < params.Budget {
 			return nil
 		}
-		if settled+came.ahead(b.Turn+"/"+b.Run) >= b.Budget || tries == 3 || ctx.Over() {
-			return base.Decline(402, "over_budget", "the program's budget is spent")
+		if settled+round.reservedBefore(params.Turn+"/"+params.Run) >= params.Budget || retries == 3 || ctx.Over() {
+			return base.Decline(402, "over_budget", "the program's token budget is used up")
 		}
-		c.clock.Sleep(min(ctx.Left(), c.bounds.Load().Hedge()/8<<tries))
+		c.clock.Sleep(min(ctx.Left(), c.bounds.Load().Hedge()/8<<retries))
 	}
 }
 
-// cancel takes back what a turn reserved that will not run.
-func (c *Client) cancel(b *BeginParams) {
-	if !b.Budgeted || b.Turn == "" {
+// releaseReservation settles, in the background, the reservation of a turn that
+// will not run.
+func (c *Client) releaseReservation(params *BeginParams) {
+	if !params.Budgeted || params.Turn == "" {
 		return
 	}
 	c.clock.Go(func() {
-		_ = c.Settle(base.NewCtx(c.clock, c.bounds.Load().Call()), &SettleParams{Program: b.Program, Run: b.Run, Turn: b.Turn, Retention: b.Retention})
+		_ = c.Settle(base.NewCtx(c.clock, c.bounds.Load().Call()), &SettleParams{Program: params.Program, Run: params.Run, Turn: params.Turn, Retention: params.Retention})
 	})
 }
 
-// TakeOver takes a session over from a Run; it is told by that Run's epoch.
-// Whoever loses a race is told who won.
-func (c *Client) TakeOver(ctx *base.Ctx, program, session, owner, run string, expected uint64, keep time.Duration) (*BeginResult, error) {
-	return c.Begin(ctx, &BeginParams{Program: program, Session: session, Owner: owner, Run: run, Epoch: expected + 1, Retention: keep})
+// TakeOver claims a session from the Run that held it at formerEpoch. Of
+// concurrent takeovers one is granted, and the others return its holder.
+func (c *Client) TakeOver(ctx *base.Ctx, program, session, owner, run string, formerEpoch uint64, retention time.Duration) (*BeginResult, error) {
+	return c.Begin(ctx, &BeginParams{Program: program, Session: session, Owner: owner, Run: run, Epoch: formerEpoch + 1, Retention: retention})
 }
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -1,5 +1,3 @@
-// What a turn and a pull cost on the real clock, over the real wire on
-// loopback, with files in a temporary folder.
 package ledger_test
 
 import (
@@ -22,28 +20,28 @@
 	"fordseam/internal/register"
 )
 
-// counted counts the bytes of messages and replies.
-type counted struct {
+// countingWire counts messages, and the bytes of requests and replies.
+type countingWire struct {
 	base.Wire
 	bytes atomic.Int64
 	calls atomic.Int64
 }
 
-func (w *counted) Do(request *http.Request) (*http.Response, error) {
+func (w *countingWire) Do(request *http.Request) (*http.Response, error) {
 	w.calls.Add(1)
 	w.bytes.Add(request.ContentLength)
 	response, err := w.Wire.Do(request)
 	if err == nil {
 		body, _ := io.ReadAll(response.Body)
 		w.bytes.Add(int64(len(body)))
-		response.Body = io.NopCloser(&reader{body})
+		response.Body = io.NopCloser(&bytesReader{body})
 	}
 	return response, err
 }
 
-type reader struct{ left []byte }
+type bytesReader struct{ left []byte }
 
-func (r *reader) Read(into []byte) (int, error) {
+func (r *bytesReader) Read(into []byte) (int, error) {
 	if len(r.left) == 0 {
 		return 0, io.EOF
 	}
@@ -52,36 +50,38 @@
 	return n, nil
 }
 
-type bench struct {
+// benchCluster runs stores and clients on the real clock, over HTTP on loopback
+// addresses.
+type benchCluster struct {
 	b      testing.TB
 	clock  base.Clock
-	wire   *counted
+	wire   *countingWire
 	bounds *base.Table[base.Bounds]
 	set    atomic.Pointer[register.DiskSet]
 	stores []*ledger.Store
 	addrs  []string
 }
 
-// processorTime is what this process has used.
+// processorTime returns the processor time that this process has used.
 func processorTime() time.Duration {
 	var used syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-func newBench(b testing.TB) *bench {
+func newBench(b testing.TB) *benchCluster {
 	wire, err := conn.NewWire(func() {})
 	if err != nil {
 		b.Fatal(err)
 	}
-	x := &bench{b: b, clock: base.NewRealClock(), wire: &counted{Wire: wire}, bounds: &base.Table[base.Bounds]{}}
+	x := &benchCluster{b: b, clock: base.NewRealClock(), wire: &countingWire{Wire: wire}, bounds: &base.Table[base.Bounds]{}}
 	x.bounds.Swap(base.DefaultBounds())
 	b.Cleanup(wire.Close)
 	return x
 }
 
-// folder is a disk of this machine's.
-func (x *bench) folder() disk.Files {
+// newFolder returns files in a temporary directory of this machine.
+func (x *benchCluster) newFolder() disk.Files {
 	files, err := disk.OpenFolder(x.b.TempDir(), 0)
 	if err != nil {
 		x.b.Fatal(err)
@@ -89,11 +89,12 @@
 	return files
 }
 
-func (x *bench) open(files disk.Files) {
-	place := len(x.stores)
-	addr := fmt.Sprintf("127.%d.%d.%d:21840", 220+os.Getpid()%30, 1+os.Getpid()/30%250, place+1)
+// openStore opens the next store and serves it.
+func (x *benchCluster) openStore(files disk.Files) {
+	i := len(x.stores)
+	addr := fmt.Sprintf("127.%d.%d.%d:21840", 220+os.Getpid()%30, 1+os.Getpid()/30%250, i+1)
 	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: x.clock, Wire: x.wire.Wire, Files: files, Bounds: x.bounds, Counters: base.NewCounters(), FaultTolerance: 1,
-		LocalDisk: func() (string, *register.DiskSet) { return fmt.Sprintf("d%d", place), x.set.Load() }})
+		LocalDisk: func() (string, *register.DiskSet) { return fmt.Sprintf("d%d", i), x.set.Load() }})
 	if err != nil {
 		x.b.Fatal(err)
 	}
@@ -113,10 +114,11 @@
 	x.stores, x.addrs = append(x.stores, store), append(x.addrs, addr)
 }
 
-func (x *bench) members(places ...int) {
+// setMembers switches to a new disk set of the stores with these indexes.
+func (x *benchCluster) setMembers(indexes ...int) {
 	next := &register.DiskSet{Stamp: x.set.Load().GetStamp() + 1, Cluster: "c"}
-	for _, place := range places {
-		next.Disks = append(next.Disks, &register.DiskEntry{Id: fmt.Sprintf("d%d", place), Addr: x.addrs[place], Zone: fmt.Sprintf("z%d", place)})
+	for _, i := range indexes {
+		next.Disks = append(next.Disks, &register.DiskEntry{Id: fmt.Sprintf("d%d", i), Addr: x.addrs[i], Zone: fmt.Sprintf("z%d", i)})
 	}
 	x.set.Store(next)
 	for _, store := range x.stores {
@@ -124,11 +126,12 @@
 	}
 }
 
-func (x *bench) client() *ledger.Client {
+func (x *benchCluster) client() *ledger.Client {
 	return ledger.NewClient(x.clock, x.wire, x.set.Load, "z0", 1, x.bounds, base.NewCounters(), nil)
 }
 
-func (x *bench) turn(c *ledger.Client, program string, number int, input, output []byte) {
+// runTurn begins and finishes one turn of a program.
+func (x *benchCluster) runTurn(c *ledger.Client, program string, number int, input, output []byte) {
 	ctx := base.NewCtx(x.clock, time.Minute)
 	id, previous := fmt.Sprintf("%s.%012d", program, number), ""
 	if number > 0 {
@@ -147,10 +150,10 @@
 
 func BenchmarkTurn(b *testing.B) {
 	x := newBench(b)
-	for place := 0; place < 4; place++ {
-		x.open(x.folder())
+	for i := 0; i < 4; i++ {
+		x.openStore(x.newFolder())
 	}
-	x.members(0, 1, 2, 3)
+	x.setMembers(0, 1, 2, 3)
 	c := x.client()
 	input, output := make([]byte, 2000), make([]byte, 1000)
 	var program atomic.Int64
@@ -163,7 +166,7 @@
 			if number++; number >= 5 {
 				name, number = fmt.Sprintf("p%d", program.Add(1)), 0
 			}
-			x.turn(c, name, number, input, output)
+			x.runTurn(c, name, number, input, output)
 		}
 	})
 	b.StopTimer()
@@ -178,15 +181,16 @@
 	b.ReportMetric(float64(logged)/float64(b.N), "log-bytes/turn")
 }
 
-// BenchmarkFilling replaces one of four stores that hold 30 MB each.
-func BenchmarkFilling(b *testing.B) {
+// BenchmarkRefill replaces one of four stores that hold 30 MB each and measures
+// the time until the new one is complete.
+func BenchmarkRefill(b *testing.B) {
 	for run := 0; run < b.N; run++ {
 		b.StopTimer()
 		x := newBench(b)
-		for place := 0; place < 4; place++ {
-			x.open(x.folder())
+		for i := 0; i < 4; i++ {
+			x.openStore(x.newFolder())
 		}
-		x.members(0, 1, 2, 3)
+		x.setMembers(0, 1, 2, 3)
 		c := x.client()
 		input, output := make([]byte, 2000), make([]byte, 1000)
 		done := make(chan bool)
@@ -194,7 +198,7 @@
 			go func() {
 				for program := worker; program < 2600; program += 32 {
 					for number := 0; number < 5; number++ {
-						x.turn(c, fmt.Sprintf("p%d", program), number, input, output)
+						x.runTurn(c, fmt.Sprintf("p%d", program), number, input, output)
 					}
 				}
 				done <- true
@@ -203,10 +207,10 @@
 		for worker := 0; worker < 32; worker++ {
 			<-done
 		}
-		x.open(x.folder())
+		x.openStore(x.newFolder())
 		b.StartTimer()
 		started, used := x.clock.Now(), processorTime()
-		x.members(0, 1, 2, 4)
+		x.setMembers(0, 1, 2, 4)
 		for !c.AllComplete(base.NewCtx(x.clock, time.Second)) {
 		}
 		b.StopTimer()
@@ -217,13 +221,12 @@
 	}
 }
 
-// BenchmarkStore is one store's part of a turn, without the wire; its files
-// are in memory.
+// BenchmarkStore measures one store's part of a turn, without network or disk.
 func BenchmarkStore(b *testing.B) {
 	bounds := &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
 	set := &register.DiskSet{Stamp: 1, Cluster: "c", Disks: []*register.DiskEntry{{Id: "d0"}}}
-	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: base.NewRealClock(), Files: &memory{}, Bounds: bounds, Counters: base.NewCounters(),
+	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: base.NewRealClock(), Files: &discardingFiles{}, Bounds: bounds, Counters: base.NewCounters(),
 		FaultTolerance: 1, LocalDisk: func() (string, *register.DiskSet) { return "d0", set }})
 	if err != nil {
 		b.Fatal(err)
@@ -255,24 +258,24 @@
 	b.ReportMetric(float64(state.LogBytes)/float64(b.N), "log-bytes/turn")
 }
 
-// memory is files that keep nothing.
-type memory struct{}
+// discardingFiles discards everything that is written.
+type discardingFiles struct{}
 
-func (m *memory) Read(string) ([]byte, error)  { return nil, nil }
-func (m *memory) Append(string, []byte) error  { return nil }
-func (m *memory) Replace(string, []byte) error { return nil }
-func (m *memory) Trim(string, int) error       { return nil }
-func (m *memory) Sync(string) error            { return nil }
-func (m *memory) Free() int64                  { return 1 << 40 }
+func (m *discardingFiles) Read(string) ([]byte, error)  { return nil, nil }
+func (m *discardingFiles) Append(string, []byte) error  { return nil }
+func (m *discardingFiles) Replace(string, []byte) error { return nil }
+func (m *discardingFiles) Trim(string, int) error       { return nil }
+func (m *discardingFiles) Sync(string) error            { return nil }
+func (m *discardingFiles) Free() int64                  { return 1 << 40 }
 
-// TestManyGatewaysAtOnce is for the race detector: threads, the real wire and
-// a change of the set in the middle.
-func TestManyGatewaysAtOnce(t *testing.T) {
+// TestConcurrentGatewaysDuringSetChange is meant for the race detector: concurrent
+// gateways over HTTP while the disk set changes.
+func TestConcurrentGatewaysDuringSetChange(t *testing.T) {
 	x := newBench(t)
-	for place := 0; place < 5; place++ {
-		x.open(&memory{})
+	for i := 0; i < 5; i++ {
+		x.openStore(&discardingFiles{})
 	}
-	x.members(0, 1, 2, 3)
+	x.setMembers(0, 1, 2, 3)
 	var done sync.WaitGroup
 	for gateway := 0; gateway < 8; gateway++ {
 		c := x.client()
@@ -281,7 +284,7 @@
 			defer done.Done()
 			program := fmt.Sprintf("p%d", gateway)
 			for number := 0; number < 40; number++ {
-				x.turn(c, program, number, []byte("in"), []byte("out"))
+				x.runTurn(c, program, number, []byte("in"), []byte("out"))
 				if number%10 == 9 {
 					chain, err := c.Chain(base.NewCtx(x.clock, time.Minute), program, fmt.Sprintf("%s.%012d", program, number))
 					if err != nil || len(chain) != number+1 {
@@ -289,7 +292,7 @@
 					}
 				}
 				if gateway == 0 && number == 20 {
-					x.members(0, 2, 3, 4)
+					x.setMembers(0, 2, 3, 4)
 				}
 			}
 		}()
@@ -297,7 +300,7 @@
 	done.Wait()
 	for c, end := x.client(), x.clock.Now()+time.Minute; !c.AllComplete(base.NewCtx(x.clock, time.Second)); {
 		if x.clock.Now() > end {
-			t.Fatal("not whole")
+			t.Fatal("the stores did not become complete")
 		}
 	}
 }
--- a/internal/ledger/claim.go
+++ b/internal/ledger/claim.go
@@ -1,87 +1,90 @@
-// Claims of sessions: one round over a program's replicas, and what it came to.
-
 package ledger
 
 import (
 	"fordseam/internal/base"
 )
 
-// claimed is what one round of a claim came to.
-type claimed struct {
-	taken bool
-	moved bool
-	over  bool
-	// best is the assignment that stands against the claim; it has won if a
-	// quorum holds to it, or as good as won if its owner said that one did.
-	best *Assignment
-	won  bool
-	// silent tells that not all replicas answered.
-	silent bool
+// claimRound is the result of sending a claim once to a program's replicas.
+type claimRound struct {
+	granted    bool
+	setChanged bool
+	turnOver   bool
+	// rival is the strongest assignment that conflicts with the claim. It has won
+	// if a quorum holds it, or if its owner has confirmed that a quorum did.
+	rival    *Assignment
+	rivalWon bool
+	// incomplete means that not all replicas answered.
+	incomplete bool
+	// spends are the program's other reservations and spends, by turn and Run.
 	spends map[string]*Spend
-	alike  bool
+	// identical means that all granting replicas reported the same spends.
+	identical bool
 }
 
-func (c *Client) claim(ctx *base.Ctx, b *BeginParams, epoch uint64, known []*Spend) claimed {
-	set, order, need := c.replicas(b.Program)
+// runClaimRound sends the claim and the turn's reservation to the program's
+// replicas; known are spends that the replicas may have missed.
+func (c *Client) runClaimRound(ctx *base.Ctx, params *BeginParams, epoch uint64, known []*Spend) claimRound {
+	set, replicas, quorum := c.replicas(params.Program)
 	if set == nil {
-		return claimed{}
+		return claimRound{}
 	}
-	claim := &Assignment{Session: b.Session, Owner: b.Owner, Run: b.Run, Epoch: epoch, Confirmed: b.Confirmed}
-	good := func(reply *BeginReply) bool { return reply.Ack.GetWhy() == "" && reply.Ack.GetWhole() }
-	against := func(answers []answer[*BeginReply]) (best *Assignment, won bool) {
+	claim := &Assignment{Session: params.Session, Owner: params.Owner, Run: params.Run, Epoch: epoch, Confirmed: params.Confirmed}
+	granted := func(reply *BeginReply) bool { return reply.Ack.GetWhy() == "" && reply.Ack.GetWhole() }
+	strongestRival := func(responses []storeResponse[*BeginReply]) (rival *Assignment, won bool) {
 		votes := map[[2]string]int{}
-		held := 0
-		for _, one := range answers {
-			if one.ack.GetWhy() == "held" {
-				holder := one.reply.Holder
-				held++
+		refusals := 0
+		for _, response := range responses {
+			if response.ack.GetWhy() == "held" {
+				holder := response.reply.Holder
+				refusals++
 				votes[[2]string{holder.Owner, holder.Run}]++
-				if better(holder, best) {
-					best = holder
+				if stronger(holder, rival) {
+					rival = holder
 				}
 			}
 		}
-		if best == nil || best.Run == "" {
-			return best, false
+		if rival == nil || rival.Run == "" {
+			return rival, false
 		}
-		won = votes[[2]string{best.Owner, best.Run}] >= need || best.Epoch > epoch && held > len(order)-need
-		return best, won || best.Confirmed && !b.Confirmed
+		won = votes[[2]string{rival.Owner, rival.Run}] >= quorum || rival.Epoch > epoch && refusals > len(replicas)-quorum
+		return rival, won || rival.Confirmed && !params.Confirmed
 	}
-	answers, moved := gather(c, ctx, round[*BeginReply]{set: set, order: order, enough: need, yes: good,
-		call: func(ctx *base.Ctx, store Ledger, target *Target) (*BeginReply, error) {
-			return store.Begin(ctx, &BeginRequest{Target: target, Program: b.Program, Claim: claim, Turn: b.Turn, Previous: b.Previous,
-				Budgeted: b.Budgeted, Most: b.MaxTokens, KeepMs: b.Retention.Milliseconds(), Known: known})
+	responses, setChanged := callQuorum(c, ctx, quorumCall[*BeginReply]{set: set, stores: replicas, required: quorum, accepted: granted,
+		send: func(ctx *base.Ctx, store Ledger, target *Target) (*BeginReply, error) {
+			return store.Begin(ctx, &BeginRequest{Target: target, Program: params.Program, Claim: claim, Turn: params.Turn, Previous: params.Previous,
+				Budgeted: params.Budgeted, Most: params.MaxTokens, KeepMs: params.Retention.Milliseconds(), Known: known})
 		},
-		over: func(answers []answer[*BeginReply]) bool {
-			_, won := against(answers)
+		decided: func(responses []storeResponse[*BeginReply]) bool {
+			_, won := strongestRival(responses)
 			return won
 		}})
-	came := claimed{moved: moved, spends: map[string]*Spend{}, alike: true, silent: len(answers) < len(order)}
-	took := 0
+	round := claimRound{setChanged: setChanged, spends: map[string]*Spend{}, identical: true, incomplete: len(responses) < len(replicas)}
+	grants := 0
 	var first []*Spend
-	for _, one := range answers {
+	for _, response := range responses {
 		switch {
-		case one.ack == nil:
-			came.silent = true
-		case good(one.reply):
-			if took++; took == 1 {
-				first = one.reply.Others
+		case response.ack == nil:
+			round.incomplete = true
+		case granted(response.reply):
+			if grants++; grants == 1 {
+				first = response.reply.Others
 			}
-			came.alike = came.alike && sameSpends(first, one.reply.Others)
-			for _, held := range one.reply.Others {
-				came.count(held)
+			round.identical = round.identical && sameSpends(first, response.reply.Others)
+			for _, other := range response.reply.Others {
+				round.addSpend(other)
 			}
-		case one.reply.Over:
-			came.over = true
+		case response.reply.Over:
+			round.turnOver = true
 		}
 	}
-	came.best, came.won = against(answers)
-	came.taken = took >= need && !moved
-	return came
+	round.rival, round.rivalWon = strongestRival(responses)
+	round.granted = grants >= quorum && !setChanged
+	return round
 }
 
-// better orders assignments that stand against each other.
-func better(a, b *Assignment) bool {
+// stronger reports whether a takes precedence over b: a higher epoch, then a
+// confirmed one, then the Run that is first by name.
+func stronger(a, b *Assignment) bool {
 	switch {
 	case b == nil || a.Epoch != b.Epoch:
 		return b == nil || a.Epoch > b.Epoch
@@ -91,91 +94,99 @@
 	return b.Run == "" || a.Run != "" && a.Run < b.Run
 }
 
-func (r *claimed) count(held *Spend) {
-	key := held.Turn + "/" + held.Run
+// addSpend keeps the settled one of two accounts of a spend, otherwise the larger
+// amount.
+func (r *claimRound) addSpend(s *Spend) {
+	key := s.Turn + "/" + s.Run
 	known, ok := r.spends[key]
-	if !ok || held.Settled && !known.Settled || held.Settled == known.Settled && held.Tokens > known.Tokens {
-		r.spends[key] = held
+	if !ok || s.Settled && !known.Settled || s.Settled == known.Settled && s.Tokens > known.Tokens {
+		r.spends[key] = s
 	}
 }
 
-func (r *claimed) known() []*Spend {
+// knownSpends returns the spends in a fixed order.
+func (r *claimRound) knownSpends() []*Spend {
 	return base.Map(base.SortedKeys(r.spends), func(key string) *Spend { return r.spends[key] })
 }
 
-// merge adds what an earlier round saw.
-func (r *claimed) merge(former claimed) {
-	for _, held := range former.spends {
-		r.count(held)
+// merge adds the spends that an earlier round saw.
+func (r *claimRound) merge(former claimRound) {
+	for _, s := range former.spends {
+		r.addSpend(s)
 	}
 }
 
-func (r *claimed) sums() (settled, open int64) {
-	for _, held := range r.spends {
-		if held.Settled {
-			settled += held.Tokens
+// sums returns the settled and the reserved tokens.
+func (r *claimRound) sums() (settled, reserved int64) {
+	for _, s := range r.spends {
+		if s.Settled {
+			settled += s.Tokens
 		} else {
-			open += held.Tokens
+			reserved += s.Tokens
 		}
 	}
-	return settled, open
+	return settled, reserved
 }
 
+// sameSpends reports whether both list the same turns and Runs, whatever their
+// amounts.
 func sameSpends(a, b []*Spend) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	known := map[[2]string]bool{}
-	for _, held := range a {
-		known[[2]string{held.Turn, held.Run}] = true
+	for _, s := range a {
+		known[[2]string{s.Turn, s.Run}] = true
 	}
-	for _, held := range b {
-		if !known[[2]string{held.Turn, held.Run}] {
+	for _, s := range b {
+		if !known[[2]string{s.Turn, s.Run}] {
 			return false
 		}
 	}
 	return true
 }
 
-// settleClaim asks until a quorum took the claim or it must give way. Where the
-// replicas' votes are split between claims at one epoch, the one whose Run is
-// first by name asks again at a higher one.
-func (c *Client) settleClaim(ctx *base.Ctx, b *BeginParams, epoch *uint64, known []*Spend) (claimed, error) {
-	try := c.confirming(ctx)
-	ctx = try.ctx
-	answered := false
-	for tries := 0; !try.over(answered); tries++ {
-		came := c.claim(ctx, b, *epoch, known)
-		best := came.best
-		answered = best == nil && !came.silent && !came.moved
+// claimSession repeats claim rounds until a quorum has granted the claim or it has
+// lost to a rival, which the result then has. If the replicas are split between
+// claims at one epoch, the claim whose Run is first by name retries at a higher
+// epoch.
+func (c *Client) claimSession(ctx *base.Ctx, params *BeginParams, epoch *uint64, known []*Spend) (claimRound, error) {
+	attempt := c.newAttempt(ctx)
+	ctx = attempt.ctx
+	everyStoreAnswered := false
+	for retries := 0; !attempt.ended(everyStoreAnswered); retries++ {
+		round := c.runClaimRound(ctx, params, *epoch, known)
+		rival := round.rival
+		everyStoreAnswered = rival == nil && !round.incomplete && !round.setChanged
 		switch {
-		case came.moved:
-		case came.taken:
-			came.best = nil
-			return came, nil
-		case came.over:
-			return came, base.Decline(409, "turn_over", "the turn is over; this is a late copy")
-		case came.won:
-			return came, nil
-		case best == nil || came.silent && tries < 3 || b.Confirmed && best.Epoch > *epoch:
-			c.pause(ctx)
-		case best.Run == "" || best.Epoch == *epoch && b.Run < best.Run:
+		case round.setChanged:
+		case round.granted:
+			round.rival = nil
+			return round, nil
+		case round.turnOver:
+			return round, base.Decline(409, "turn_over", "turn %q is already over; this request is a late duplicate", params.Turn)
+		case round.rivalWon:
+			return round, nil
+		case rival == nil || round.incomplete && retries < 3 || params.Confirmed && rival.Epoch > *epoch:
+			c.backOff(ctx)
+		case rival.Run == "" || rival.Epoch == *epoch && params.Run < rival.Run:
 			c.counters.Add("ledger_claims_split", 1)
-			*epoch = best.Epoch + 1
+			*epoch = rival.Epoch + 1
 		default:
-			return came, nil
+			return round, nil
 		}
 	}
-	return claimed{}, c.unreached("the program's state")
+	return claimRound{}, c.unreachableError("the program's state")
 }
 
-// ahead is what reservations came to that are before one by name. Where too
-// many want what is left, those behind give way at once.
-func (r *claimed) ahead(name string) int64 {
+// reservedBefore sums the reservations whose key sorts before one. When
+// concurrent reservations exceed the remaining budget, those that sort last are
+// refused at once.
+func (r *claimRound) reservedBefore(limit string) int64 {
 	sum := int64(0)
-	for key, held := range r.spends {
-		if !held.Settled && key < name {
-			sum += held.Tokens
+	for key, s := range r.spends {
+		if !s.Settled && key < limit {
+			sum += s.Tokens
 		}
 	}
 	return sum
--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -1,9 +1,3 @@
-// The client writes to a program's replicas and reads from them. In the
-// ordinary case it asks just as many as make a write last, its own zone's
-// first; the others are turned to at once when one fails or declines, and
-// after a short while when one is slow. A store that was slow or could not be
-// reached is asked last for a moment.
-
 package ledger
 
 import (
@@ -15,72 +9,81 @@
 	"fordseam/internal/register"
 )
 
-// Client is a gateway's way to the ledger.
+// Client writes to and reads from a program's replicas on behalf of a gateway. It
+// normally asks just a write quorum, stores of its own zone first. The remaining
+// replicas are asked at once when one fails or declines, and after the hedge delay
+// when one is slow. A store that was slow or unreachable is asked last for a while.
 type Client struct {
-	clock    base.Clock
-	wire     base.Wire
-	set      func() *register.DiskSet
-	zone     string
-	tolerate int
-	bounds   *base.Table[base.Bounds]
-	counters *base.Counters
-	alive    func(addr string) bool
+	clock          base.Clock
+	wire           base.Wire
+	toldSet        func() *register.DiskSet
+	zone           string
+	faultTolerance int
+	bounds         *base.Table[base.Bounds]
+	counters       *base.Counters
+	alive          func(addr string) bool
 
-	mu      sync.Mutex
-	newer   *register.DiskSet
-	doubted map[string]time.Duration
+	mu           sync.Mutex
+	learnedSet   *register.DiskSet
+	suspectUntil map[string]time.Duration
 }
 
-// NewClient uses set for the newest disk set this node was told of; alive may
+// NewClient returns a client that calls set for the newest disk set that this node
+// was told of, and alive to skip nodes that membership considers dead. alive may
 // be nil.
-func NewClient(clock base.Clock, wire base.Wire, set func() *register.DiskSet, zone string, tolerate int, bounds *base.Table[base.Bounds], counters *base.Counters, alive func(addr string) bool) *Client {
+func NewClient(clock base.Clock, wire base.Wire, set func() *register.DiskSet, zone string, faultTolerance int, bounds *base.Table[base.Bounds], counters *base.Counters, alive func(addr string) bool) *Client {
 	if alive == nil {
 		alive = func(string) bool { return true }
 	}
-	return &Client{clock: clock, wire: wire, set: set, zone: zone, tolerate: max(1, tolerate), bounds: bounds, counters: counters, alive: alive,
-		doubted: map[string]time.Duration{}}
+	return &Client{clock: clock, wire: wire, toldSet: set, zone: zone, faultTolerance: max(1, faultTolerance), bounds: bounds, counters: counters, alive: alive,
+		suspectUntil: map[string]time.Duration{}}
 }
 
-func (c *Client) newest() *register.DiskSet {
-	told := c.set()
+// newestSet returns the newest of the set that this node was told of and the sets
+// that stores replied with.
+func (c *Client) newestSet() *register.DiskSet {
+	current := c.toldSet()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.newer.GetStamp() > told.GetStamp() {
-		return c.newer
+	if c.learnedSet.GetStamp() > current.GetStamp() {
+		return c.learnedSet
 	}
-	return told
+	return current
 }
 
-func (c *Client) learn(set *register.DiskSet) {
+// learnSet remembers a newer set that a store replied with.
+func (c *Client) learnSet(set *register.DiskSet) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if set.GetStamp() > c.newer.GetStamp() {
-		c.newer = set
+	if set.GetStamp() > c.learnedSet.GetStamp() {
+		c.learnedSet = set
 	}
 }
 
-func (c *Client) doubt(addr string) {
+// markSuspect has a store asked last for half the suspicion time.
+func (c *Client) markSuspect(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.doubted[addr] = c.clock.Now() + c.bounds.Load().Suspect()/2
+	c.suspectUntil[addr] = c.clock.Now() + c.bounds.Load().Suspect()/2
 }
 
-func (c *Client) doubts(addr string) bool {
+// isSuspect reports whether a store is to be asked last.
+func (c *Client) isSuspect(addr string) bool {
 	c.mu.Lock()
-	until, ok := c.doubted[addr]
+	until, ok := c.suspectUntil[addr]
 	if ok && until <= c.clock.Now() {
-		delete(c.doubted, addr)
+		delete(c.suspectUntil, addr)
 		ok = false
 	}
 	c.mu.Unlock()
 	return ok || !c.alive(addr)
 }
 
-// prefer puts those in doubt last and this zone's first.
-func (c *Client) prefer(entries []*register.DiskEntry) []*register.DiskEntry {
+// orderByPreference sorts entries: this zone's first, suspects last.
+func (c *Client) orderByPreference(entries []*register.DiskEntry) []*register.DiskEntry {
 	rank := func(entry *register.DiskEntry) int {
 		switch {
-		case c.doubts(entry.Addr):
+		case c.isSuspect(entry.Addr):
 			return 2
 		case entry.Zone != c.zone:
 			return 1
@@ -96,16 +99,17 @@
 	return ordered
 }
 
-func (c *Client) store(entry *register.DiskEntry) Ledger {
+func (c *Client) storeClient(entry *register.DiskEntry) Ledger {
 	return NewLedgerProtobufClient("http://"+entry.Addr, c.wire)
 }
 
-// replicas are a program's in the newest set, in the order of asking.
-func (c *Client) replicas(program string) (set *register.DiskSet, order []*register.DiskEntry, need int) {
-	set = c.newest()
+// replicas returns a program's replicas in the newest set, in the order in which
+// they are asked, and the size of a quorum.
+func (c *Client) replicas(program string) (set *register.DiskSet, replicas []*register.DiskEntry, quorum int) {
+	set = c.newestSet()
 	if len(set.GetDisks()) == 0 {
 		return nil, nil, 0
 	}
-	_, need = quorum(len(set.Disks), c.tolerate)
-	return set, c.prefer(place(set, program, c.tolerate)), need
+	_, quorum = quorumSize(len(set.Disks), c.faultTolerance)
+	return set, c.orderByPreference(placeReplicas(set, program, c.faultTolerance)), quorum
 }
--- a/internal/ledger/finish.go
+++ b/internal/ledger/finish.go
@@ -1,5 +1,3 @@
-// The end of a turn: kept whole, or settled for what it handed out.
-
 package ledger
 
 import (
@@ -8,7 +6,7 @@
 	"fordseam/internal/base"
 )
 
-// FinishParams is a turn that was answered whole.
+// FinishParams describes a turn that was answered completely.
 type FinishParams struct {
 	Program   string
 	Session   string
@@ -24,7 +22,8 @@
 	Retention time.Duration
 }
 
-// SettleParams is what a turn came to that was not answered whole.
+// SettleParams describes the tokens used by a turn that was not answered
+// completely.
 type SettleParams struct {
 	Program   string
 	Run       string
@@ -33,56 +32,56 @@
 	Retention time.Duration
 }
 
-// Finish keeps a turn that was answered whole. Until it returns without error
-// the end of the answer must not be let out.
-func (c *Client) Finish(ctx *base.Ctx, f *FinishParams) error {
-	claim := &Assignment{Session: f.Session, Owner: f.Owner, Run: f.Run, Epoch: f.Epoch, Confirmed: true}
+// Finish stores a completely answered turn. The end of the answer must not be sent
+// to the caller before Finish has returned without error.
+func (c *Client) Finish(ctx *base.Ctx, params *FinishParams) error {
+	claim := &Assignment{Session: params.Session, Owner: params.Owner, Run: params.Run, Epoch: params.Epoch, Confirmed: true}
 	for !ctx.Over() {
-		set, order, need := c.replicas(f.Program)
+		set, replicas, quorum := c.replicas(params.Program)
 		if set == nil {
-			c.pause(ctx)
+			c.backOff(ctx)
 			continue
 		}
-		stale := func(answers []answer[*WriteReply]) bool {
-			return len(base.Filter(answers, func(one answer[*WriteReply]) bool { return one.ack.GetWhy() == "held" })) > len(order)-need
+		stale := func(responses []storeResponse[*WriteReply]) bool {
+			return len(base.Filter(responses, func(response storeResponse[*WriteReply]) bool { return response.ack.GetWhy() == "held" })) > len(replicas)-quorum
 		}
-		answers, moved := gather(c, ctx, round[*WriteReply]{set: set, order: order, enough: need, yes: wholeYes, over: stale,
-			call: func(ctx *base.Ctx, store Ledger, target *Target) (*WriteReply, error) {
-				return store.Finish(ctx, &FinishRequest{Target: target, Program: f.Program, Claim: claim, Turn: f.Turn, Previous: f.Previous,
-					Input: f.Input, Output: f.Output, Budgeted: f.Budgeted, Tokens: f.Tokens, KeepMs: f.Retention.Milliseconds()})
+		responses, setChanged := callQuorum(c, ctx, quorumCall[*WriteReply]{set: set, stores: replicas, required: quorum, accepted: writeAccepted, decided: stale,
+			send: func(ctx *base.Ctx, store Ledger, target *Target) (*WriteReply, error) {
+				return store.Finish(ctx, &FinishRequest{Target: target, Program: params.Program, Claim: claim, Turn: params.Turn, Previous: params.Previous,
+					Input: params.Input, Output: params.Output, Budgeted: params.Budgeted, Tokens: params.Tokens, KeepMs: params.Retention.Milliseconds()})
 			}})
 		switch {
-		case moved:
-		case wholes(answers) >= need:
+		case setChanged:
+		case countAccepted(responses) >= quorum:
 			return nil
-		case stale(answers):
+		case stale(responses):
 			return base.Decline(409, "stale_assignment", "the session is assigned to another Run")
 		default:
-			c.pause(ctx)
+			c.backOff(ctx)
 		}
 	}
-	return base.Unsure(503, "outcome_unknown", "too few storage machines answered for the turn's end")
+	return base.Unsure(503, "outcome_unknown", "too few storage machines answered to confirm the end of turn %q", params.Turn)
 }
 
-// Settle says what a turn came to that was not answered whole: nought where it
-// surely handed nothing out.
-func (c *Client) Settle(ctx *base.Ctx, t *SettleParams) error {
+// Settle replaces the reservation of a turn that was not answered completely by
+// the tokens that it used: 0 if it certainly delivered none.
+func (c *Client) Settle(ctx *base.Ctx, params *SettleParams) error {
 	for !ctx.Over() {
-		set, order, need := c.replicas(t.Program)
+		set, replicas, quorum := c.replicas(params.Program)
 		if set == nil {
-			c.pause(ctx)
+			c.backOff(ctx)
 			continue
 		}
-		answers, moved := gather(c, ctx, round[*WriteReply]{set: set, order: order, enough: need, yes: wholeYes,
-			call: func(ctx *base.Ctx, store Ledger, target *Target) (*WriteReply, error) {
-				return store.Settle(ctx, &SettleRequest{Target: target, Program: t.Program, Run: t.Run, Turn: t.Turn, Tokens: t.Tokens, KeepMs: t.Retention.Milliseconds()})
+		responses, setChanged := callQuorum(c, ctx, quorumCall[*WriteReply]{set: set, stores: replicas, required: quorum, accepted: writeAccepted,
+			send: func(ctx *base.Ctx, store Ledger, target *Target) (*WriteReply, error) {
+				return store.Settle(ctx, &SettleRequest{Target: target, Program: params.Program, Run: params.Run, Turn: params.Turn, Tokens: params.Tokens, KeepMs: params.Retention.Milliseconds()})
 			}})
-		if wholes(answers) >= need && !moved {
+		if countAccepted(responses) >= quorum && !setChanged {
 			return nil
 		}
-		if !moved {
-			c.pause(ctx)
+		if !setChanged {
+			c.backOff(ctx)
 		}
 	}
-	return base.Unsure(503, "outcome_unknown", "too few storage machines answered for what the turn came to")
+	return base.Unsure(503, "outcome_unknown", "too few storage machines answered to settle turn %q", params.Turn)
 }
--- a/internal/ledger/gaps.go
+++ b/internal/ledger/gaps.go
@@ -1,5 +1,3 @@
-// What stores lack of the turn history, for whoever changes the disk set.
-
 package ledger
 
 import (
@@ -10,16 +8,16 @@
 	"fordseam/internal/register"
 )
 
-// Gaps lists the disks of a set whose stores lack something or do not answer,
-// with the reason; a store that goes by an older set is told the newer one.
+// Gaps lists the disks of a set whose stores are incomplete or do not answer, with
+// the reason. A store that uses an older set is sent the newer one.
 func (c *Client) Gaps(ctx *base.Ctx, set *register.DiskSet) []register.DiskGap {
 	var mu sync.Mutex
 	reasons := map[string]string{}
 	for _, entry := range set.GetDisks() {
-		reasons[entry.Id] = "does not answer for its turn history"
+		reasons[entry.Id] = "does not report its turn history"
 	}
 	base.AskAll(c.clock, set.GetDisks(), ctx.Left(), func(ctx *base.Ctx, entry *register.DiskEntry) {
-		reason := c.gap(ctx, set, entry)
+		reason := c.gapReason(ctx, set, entry)
 		mu.Lock()
 		defer mu.Unlock()
 		reasons[entry.Id] = reason
@@ -35,35 +33,36 @@
 	return gaps
 }
 
-// gap says what one store lacks under a set; nothing where it is whole.
-func (c *Client) gap(ctx *base.Ctx, set *register.DiskSet, entry *register.DiskEntry) string {
-	state, err := c.store(entry).Describe(ctx, &DescribeRequest{})
+// gapReason returns why one store is not complete for a set, or "".
+func (c *Client) gapReason(ctx *base.Ctx, set *register.DiskSet, entry *register.DiskEntry) string {
+	state, err := c.storeClient(entry).Describe(ctx, &DescribeRequest{})
 	switch {
 	case err != nil:
-		return "does not answer for its turn history"
+		return "does not report its turn history"
 	case state.Disk != entry.Id:
-		return "is another one now"
+		return "is no longer the disk at its address"
 	case state.Stamp < set.Stamp:
-		if _, err := c.store(entry).Learn(ctx, &LearnRequest{Set: set}); err != nil {
-			return "does not answer for its turn history"
+		if _, err := c.storeClient(entry).Learn(ctx, &LearnRequest{Set: set}); err != nil {
+			return "does not report its turn history"
 		}
-		return fmt.Sprintf("goes by set %d of %d", state.Stamp, set.Stamp)
+		return fmt.Sprintf("still uses disk set %d, not %d", state.Stamp, set.Stamp)
 	case state.Stamp > set.Stamp:
-		return fmt.Sprintf("goes by set %d already", state.Stamp)
+		return fmt.Sprintf("already uses disk set %d, not %d", state.Stamp, set.Stamp)
 	case state.Whole < set.Stamp:
-		return fmt.Sprintf("has its turn history whole up to set %d of %d", state.Whole, set.Stamp)
+		return fmt.Sprintf("has complete turn history only up to disk set %d, not %d", state.Whole, set.Stamp)
 	}
 	return ""
 }
 
-// AllComplete tells whether every store of the newest set lacks nothing.
+// AllComplete reports whether every store of the newest set is complete.
 func (c *Client) AllComplete(ctx *base.Ctx) bool {
-	set := c.newest()
+	set := c.newestSet()
 	return set != nil && len(c.Gaps(ctx.Within(c.bounds.Load().DiskLimit()), set)) == 0
 }
 
-// IsEmptied tells whether a disk is out of the set and nothing rests on it.
+// IsEmptied reports whether a disk is out of the newest set and no longer needed,
+// because all stores of the set are complete.
 func (c *Client) IsEmptied(ctx *base.Ctx, disk string) bool {
-	set := c.newest()
-	return set != nil && entryIn(set, disk) == nil && c.AllComplete(ctx)
+	set := c.newestSet()
+	return set != nil && findEntry(set, disk) == nil && c.AllComplete(ctx)
 }
--- a/internal/ledger/lookup.go
+++ b/internal/ledger/lookup.go
@@ -1,5 +1,3 @@
-// Looking turns up, with all before them.
-
 package ledger
 
 import (
@@ -9,15 +7,16 @@
 	"fordseam/internal/register"
 )
 
-// Chain gives a turn and all before it, oldest first. The program is a hint
-// where to look. A turn is told unknown only when no quorum can hide it.
+// Chain returns a turn and all its ancestors, oldest first. The program is a hint
+// where to look first. The code "unknown_turn" is returned only if so many complete
+// stores lack the turn that no quorum can hold it.
 func (c *Client) Chain(ctx *base.Ctx, program, id string) ([]*Turn, error) {
 	found := []*Turn{}
 	for id != "" {
-		part, err := c.look(ctx, program, id)
+		part, err := c.findTurn(ctx, program, id)
 		if len(found) > 0 && base.IsCode(err, "unknown_turn") {
 			c.counters.Add("ledger_chains_broken", 1)
-			return nil, base.Busy(503, "chain_broken", 1, "a turn that the chain goes on from is missing")
+			return nil, base.Busy(503, "chain_broken", 1, "turn %q, an ancestor in the chain, is missing", id)
 		}
 		if err != nil {
 			return nil, err
@@ -28,40 +27,40 @@
 	return found, nil
 }
 
-func (c *Client) look(ctx *base.Ctx, program, id string) ([]*Turn, error) {
-	try := c.confirming(ctx)
-	ctx = try.ctx
-	answered := false
-	for !try.over(answered) {
-		set, order, need := c.replicas(program)
+func (c *Client) findTurn(ctx *base.Ctx, program, id string) ([]*Turn, error) {
+	attempt := c.newAttempt(ctx)
+	ctx = attempt.ctx
+	everyStoreAnswered := false
+	for !attempt.ended(everyStoreAnswered) {
+		set, replicas, quorum := c.replicas(program)
 		if set == nil {
-			c.pause(ctx)
+			c.backOff(ctx)
 			continue
 		}
-		others := base.Filter(set.Disks, func(entry *register.DiskEntry) bool { return !slices.Contains(order, entry) })
-		has := func(reply *ChainReply) bool { return reply.Ack.GetWhy() == "" && len(reply.Turns) > 0 }
-		absent := func(answers []answer[*ChainReply]) bool {
-			without := base.Filter(answers, func(one answer[*ChainReply]) bool {
-				return one.ack != nil && one.ack.Why == "" && one.ack.Whole && len(one.reply.Turns) == 0
+		others := base.Filter(set.Disks, func(entry *register.DiskEntry) bool { return !slices.Contains(replicas, entry) })
+		found := func(reply *ChainReply) bool { return reply.Ack.GetWhy() == "" && len(reply.Turns) > 0 }
+		absent := func(responses []storeResponse[*ChainReply]) bool {
+			without := base.Filter(responses, func(response storeResponse[*ChainReply]) bool {
+				return response.ack != nil && response.ack.Why == "" && response.ack.Whole && len(response.reply.Turns) == 0
 			})
-			return len(without) > len(set.Disks)-need
+			return len(without) > len(set.Disks)-quorum
 		}
-		answers, moved := gather(c, ctx, round[*ChainReply]{set: set, order: append(order, c.prefer(others)...), enough: 1, wide: true, yes: has, over: absent,
-			call: func(ctx *base.Ctx, store Ledger, target *Target) (*ChainReply, error) {
+		responses, setChanged := callQuorum(c, ctx, quorumCall[*ChainReply]{set: set, stores: append(replicas, c.orderByPreference(others)...), required: 1, askAllOnMiss: true, accepted: found, decided: absent,
+			send: func(ctx *base.Ctx, store Ledger, target *Target) (*ChainReply, error) {
 				return store.Chain(ctx, &ChainRequest{Target: target, Turn: id})
 			}})
-		for _, one := range answers {
-			if one.ack != nil && has(one.reply) {
-				return one.reply.Turns, nil
+		for _, response := range responses {
+			if response.ack != nil && found(response.reply) {
+				return response.reply.Turns, nil
 			}
 		}
-		if !moved && absent(answers) {
-			return nil, base.Decline(404, "unknown_turn", "there is no such turn")
+		if !setChanged && absent(responses) {
+			return nil, base.Decline(404, "unknown_turn", "turn %q does not exist", id)
 		}
-		answered = !moved && allAnswered(answers, len(set.Disks))
-		if !moved {
-			c.pause(ctx)
+		everyStoreAnswered = !setChanged && allAnswered(responses, len(set.Disks))
+		if !setChanged {
+			c.backOff(ctx)
 		}
 	}
-	return nil, c.unreached("the turn's chain")
+	return nil, c.unreachableError("the turn's chain")
 }
--- a/internal/ledger/placement.go
+++ b/internal/ledger/placement.go
@@ -1,10 +1,15 @@
-// Package ledger keeps what is known of programs and their turns on the
-// storage machines: which Run a session is assigned to, what its turns have
-// reserved and spent, and the turns that were answered whole. Gateways write
-// straight to the storage machines. Of a program's replicas any two quorums
-// meet, so whatever was acknowledged, and whatever was promised, is seen by
-// the next that asks. Which machines hold a program follows from its name and
-// the disk set, on this page.
+// Package ledger stores programs and their turns on the storage machines: the
+// Run that each session is assigned to, the tokens that its turns have reserved
+// and spent, and the turns that were answered completely. Gateways write
+// directly to the storage machines, without a leader: any two quorums of a
+// program's replicas intersect, so a later request sees every acknowledged
+// write and every granted claim. The replicas of a program are chosen by
+// rendezvous hashing of its id over the disk set.
+//
+// Client is the gateway's side. Store is the storage machine's side: it keeps
+// its state in memory and in a log (store.go), merges accounts of other stores
+// (state.go), serves requests (service.go) and pulls from other stores what it
+// lacks (pull.go).
 package ledger
 
 import (
@@ -15,15 +20,17 @@
 	"fordseam/internal/register"
 )
 
-// quorum tells how many replicas a program has in a set of so many disks, and
-// how many of them make a write last.
-func quorum(disks, tolerate int) (replicas, need int) {
-	replicas = min(2*tolerate+1, disks)
-	return replicas, max(replicas/2+1, min(tolerate+1, replicas))
+// quorumSize returns the number of replicas that a program has in a set of the
+// given number of disks, and how many of them must have a write for it to be
+// durable.
+func quorumSize(disks, faultTolerance int) (replicas, required int) {
+	replicas = min(2*faultTolerance+1, disks)
+	return replicas, max(replicas/2+1, min(faultTolerance+1, replicas))
 }
 
-// place lists a program's replicas, first the one that ranks first.
-func place(set *register.DiskSet, program string, tolerate int) []*register.DiskEntry {
+// placeReplicas returns a program's replicas in descending order of rendezvous
+// hash.
+func placeReplicas(set *register.DiskSet, program string, faultTolerance int) []*register.DiskEntry {
 	type ranked struct {
 		entry *register.DiskEntry
 		rank  uint64
@@ -38,15 +45,17 @@
 		}
 		return cmp.Compare(a.entry.Id, b.entry.Id)
 	})
-	count, _ := quorum(len(order), tolerate)
-	return base.Map(order[:count], func(one ranked) *register.DiskEntry { return one.entry })
+	count, _ := quorumSize(len(order), faultTolerance)
+	return base.Map(order[:count], func(r ranked) *register.DiskEntry { return r.entry })
 }
 
-func placed(set *register.DiskSet, program, disk string, tolerate int) bool {
-	return slices.ContainsFunc(place(set, program, tolerate), func(entry *register.DiskEntry) bool { return entry.Id == disk })
+// isReplica reports whether a disk is one of the program's replicas in the set.
+func isReplica(set *register.DiskSet, program, disk string, faultTolerance int) bool {
+	return slices.ContainsFunc(placeReplicas(set, program, faultTolerance), func(entry *register.DiskEntry) bool { return entry.Id == disk })
 }
 
-func entryIn(set *register.DiskSet, disk string) *register.DiskEntry {
+// findEntry returns the entry of a disk in the set, or nil.
+func findEntry(set *register.DiskSet, disk string) *register.DiskEntry {
 	for _, entry := range set.GetDisks() {
 		if entry.Id == disk {
 			return entry
--- a/internal/ledger/pull.go
+++ b/internal/ledger/pull.go
@@ -1,10 +1,3 @@
-// How a store comes to lack nothing. When the disk set changes, and at each
-// start, every store goes through what every other holds for it and takes what
-// it lacks. Whoever is asked first takes the newer set, on the disk, so that
-// from then on it answers no write under the older one: what was acknowledged
-// under that is seen, and nothing more comes. A store lacks nothing of a set
-// once it has heard out enough of those that could hold what it does not.
-
 package ledger
 
 import (
@@ -17,32 +10,37 @@
 )
 
 const (
-	offerLimit = 2000
-	fetchLimit = 1 << 20
-	fetchWidth = 256
+	// maxOfferPrograms is the number of programs that one Offer looks at.
+	maxOfferPrograms = 2000
+	// maxFetchBytes is the size of inputs and outputs at which a reply to Fetch is
+	// ended.
+	maxFetchBytes = 1 << 20
+	// maxFetchPrograms is the number of programs that one Fetch asks for.
+	maxFetchPrograms = 256
 )
 
-// peer is a store that was heard out under the present stamp.
-type peer struct {
-	whole   uint64
-	damaged bool
-	empty   bool
-	sets    []*register.DiskSet
-	at      time.Duration
+// peerState is what another store told of itself when this one pulled everything
+// from it under the current stamp.
+type peerState struct {
+	completeStamp uint64
+	damaged       bool
+	empty         bool // it held no programs at all
+	sets          []*register.DiskSet
+	pulledAt      time.Duration
 }
 
-// Offer lists what this store holds for another, from a place in the order of
-// arrival on. It takes the other's set first.
+// Offer lists the programs that this store holds for another one, in order of
+// arrival after the given position. It adopts the other's set first.
 func (s *Store) Offer(_ context.Context, request *OfferRequest) (*OfferReply, error) {
 	s.mu.Lock()
-	s.identify()
-	s.adopt(request.Set)
-	set := s.set()
+	s.refreshIdentity()
+	s.adoptSet(request.Set)
+	set := s.currentSet()
 	ack := &Ack{}
 	switch {
-	case s.broken != nil:
+	case s.logErr != nil:
 		ack.Why = "broken"
-	case s.id == "" || request.Target.GetDisk() != s.id:
+	case s.diskID == "" || request.Target.GetDisk() != s.diskID:
 		ack.Why = "blank"
 	case request.Target.Stamp != set.Stamp:
 		ack.Why, ack.Set = "set", set
@@ -51,50 +49,50 @@
 		s.mu.Unlock()
 		return &OfferReply{Ack: ack}, nil
 	}
-	reply := &OfferReply{Whole: s.whole, Damaged: s.damaged, Sets: s.sets, Next: request.After, End: true}
-	element := s.order.Front()
+	reply := &OfferReply{Whole: s.completeStamp, Damaged: s.damaged, Sets: s.sets, Next: request.After, End: true}
+	element := s.byArrival.Front()
 	if request.After > 0 {
 		element = nil
-		for at := s.order.Back(); at != nil && at.Value.(*program).arrival > request.After; at = at.Prev() {
-			element = at
+		for e := s.byArrival.Back(); e != nil && e.Value.(*program).arrival > request.After; e = e.Prev() {
+			element = e
 		}
 	}
 	for seen := 0; element != nil; element = element.Next() {
-		if seen++; seen > offerLimit {
+		if seen++; seen > maxOfferPrograms {
 			reply.End = false
 			break
 		}
 		p := element.Value.(*program)
 		reply.Next = p.arrival
-		if slices.Contains(s.ranks(p), request.Disk) {
+		if slices.Contains(s.replicasOf(p), request.Disk) {
 			reply.Programs = append(reply.Programs, &Offered{Program: p.id, Digest: p.digest(), Turns: base.Map(p.turns, func(held *turn) string { return held.id })})
 		}
 	}
-	reply.Ack = s.finish(ack)
+	reply.Ack = s.unlockAndSync(ack)
 	return reply, nil
 }
 
-// Fetch gives what was chosen of an offer, as far as one reply holds it.
+// Fetch returns the selected parts of an offer, as far as they fit into one reply.
 func (s *Store) Fetch(_ context.Context, request *FetchRequest) (*FetchReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken != nil || s.id == "" || request.Target.GetDisk() != s.id {
+	if s.logErr != nil || s.diskID == "" || request.Target.GetDisk() != s.diskID {
 		return &FetchReply{Ack: &Ack{Why: "blank"}}, nil
 	}
 	reply := &FetchReply{Ack: &Ack{}}
-	now, size := s.now(), 0
+	now, size := s.storeTime(), 0
 	for _, want := range request.Programs {
 		p := s.programs[want.Program]
 		if p == nil {
 			continue
 		}
-		record := &Record{Program: p.id, UntilMs: p.until - now}
+		record := &Record{Program: p.id, UntilMs: p.retainUntil - now}
 		if want.State {
-			record = p.state(p.until - now)
+			record = p.stateRecord(p.retainUntil - now)
 		}
 		for _, id := range want.Turns {
-			if held := p.turn(id); held != nil && size < fetchLimit {
-				record.Turns = append(record.Turns, held.message(held.until-now))
+			if held := p.findTurn(id); held != nil && size < maxFetchBytes {
+				record.Turns = append(record.Turns, held.toProto(held.retainUntil-now))
 				size += len(held.input) + len(held.output)
 			}
 		}
@@ -103,67 +101,76 @@
 	return reply, nil
 }
 
-func (s *Store) client(entry *register.DiskEntry) Ledger {
+func (s *Store) peerClient(entry *register.DiskEntry) Ledger {
 	return NewLedgerProtobufClient("http://"+entry.Addr, s.wire)
 }
 
-// follow takes newer sets and hears others out, until closed.
-func (s *Store) follow() {
+// pullLoop adopts newer sets and pulls from other stores until the store is closed.
+//
+// When the disk set changes, and at each start, a store goes through what every
+// other store holds for it and fetches what it lacks. A store that is asked first
+// writes the newer set to its disk, so that it accepts no more writes under the
+// older one: the pull sees everything acknowledged under the older set. A store is
+// complete for a set once it has pulled from enough of the stores that may hold
+// what it lacks.
+func (s *Store) pullLoop() {
 	for !s.isClosed() {
-		next := s.news.Next()
+		ring := s.setBell.Next()
 		s.mu.Lock()
-		s.identify()
-		set := s.set()
-		if s.id != "" && set != nil {
-			for _, entry := range s.others() {
-				s.hearing[entry.Id] = set.Stamp
-				s.clock.Go(func() { s.ask(set, entry) })
+		s.refreshIdentity()
+		set := s.currentSet()
+		if s.diskID != "" && set != nil {
+			for _, entry := range s.peersToPull() {
+				s.pulling[entry.Id] = set.Stamp
+				s.clock.Go(func() { s.pull(set, entry) })
 			}
 		}
 		s.mu.Unlock()
-		next.Wait(s.patience())
+		ring.Wait(s.retryInterval())
 	}
 }
 
-// patience is how long this store waits to look again: it is short while it
-// lacks something.
-func (s *Store) patience() time.Duration {
+// retryInterval is the time between looks for stores to pull from. It is shorter
+// while this store is incomplete.
+func (s *Store) retryInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.id == "" || s.whole < s.set().GetStamp() {
+	if s.diskID == "" || s.completeStamp < s.currentSet().GetStamp() {
 		return s.bounds.Load().Beat() / 4
 	}
 	return s.bounds.Load().Suspect()
 }
 
-// ask hears another store out, and looks whether this one then lacks nothing.
-func (s *Store) ask(set *register.DiskSet, entry *register.DiskEntry) {
-	heard, err := s.hear(base.NewCtx(s.clock, s.bounds.Load().Recover), set, entry)
+// pull pulls everything from another store and then checks whether this one is
+// complete.
+func (s *Store) pull(set *register.DiskSet, entry *register.DiskEntry) {
+	state, err := s.pullPrograms(base.NewCtx(s.clock, s.bounds.Load().Recover), set, entry)
 	if err != nil {
 		s.counters.Add("ledger_pulls_failed", 1)
-		s.clock.Sleep(s.patience())
+		s.clock.Sleep(s.retryInterval())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hearing[entry.Id] == set.Stamp {
-		delete(s.hearing, entry.Id)
+	if s.pulling[entry.Id] == set.Stamp {
+		delete(s.pulling, entry.Id)
 	}
-	if err != nil || s.set().Stamp != set.Stamp {
+	if err != nil || s.currentSet().Stamp != set.Stamp {
 		return
 	}
-	heard.at = s.clock.Now()
-	s.peers[entry.Id] = heard
-	if s.whole < set.Stamp && entryIn(set, s.id) != nil && s.covered() {
-		s.whole, s.damaged = set.Stamp, false
-		s.mark()
+	state.pulledAt = s.clock.Now()
+	s.peers[entry.Id] = state
+	if s.completeStamp < set.Stamp && findEntry(set, s.diskID) != nil && s.coversOlderSets() {
+		s.completeStamp, s.damaged = set.Stamp, false
+		s.appendMarks()
 		s.counters.Add("ledger_whole", 1)
-		s.bell.Ring()
+		s.commitBell.Ring()
 	}
-	s.news.Ring()
+	s.setBell.Ring()
 }
 
-// known are all sets that this store or those it heard out know, by stamp.
-func (s *Store) known() map[uint64]*register.DiskSet {
+// knownSets returns all sets that this store or the peers it has pulled from know,
+// by stamp.
+func (s *Store) knownSets() map[uint64]*register.DiskSet {
 	known := map[uint64]*register.DiskSet{}
 	for _, set := range s.sets {
 		known[set.Stamp] = set
@@ -176,20 +183,20 @@
 	return known
 }
 
-// others are the disks of all known sets that are to be heard out: those not
-// heard under this stamp, and those that lacked something then, as long as
-// this store does.
-func (s *Store) others() []*register.DiskEntry {
-	set := s.set()
-	if entryIn(set, s.id) == nil {
+// peersToPull returns the disks of all known sets to pull from: those not pulled
+// from under the current stamp, and, while this store is incomplete, those that
+// were incomplete themselves at the time.
+func (s *Store) peersToPull() []*register.DiskEntry {
+	set := s.currentSet()
+	if findEntry(set, s.diskID) == nil {
 		return nil
 	}
 	found := map[string]*register.DiskEntry{}
-	for _, known := range s.known() {
+	for _, known := range s.knownSets() {
 		for _, entry := range known.Disks {
-			one := s.peers[entry.Id]
-			again := one != nil && s.whole < set.Stamp && one.whole < set.Stamp && s.clock.Now()-one.at > s.bounds.Load().Beat()/2
-			if entry.Id != s.id && (one == nil || again) && s.hearing[entry.Id] != set.Stamp {
+			state := s.peers[entry.Id]
+			retry := state != nil && s.completeStamp < set.Stamp && state.completeStamp < set.Stamp && s.clock.Now()-state.pulledAt > s.bounds.Load().Beat()/2
+			if entry.Id != s.diskID && (state == nil || retry) && s.pulling[entry.Id] != set.Stamp {
 				found[entry.Id] = entry
 			}
 		}
@@ -197,87 +204,89 @@
 	return base.Map(base.SortedKeys(found), func(id string) *register.DiskEntry { return found[id] })
 }
 
-// covered tells whether everything acknowledged under an older stamp has been
-// seen. It looks for a set such that every program had a replica there that
-// lacked nothing of it, and that no quorum under it or a later one can have
-// been made of stores not heard out. Under a set that none of those knows
-// nothing was acknowledged: whoever lacked nothing then was of the set before,
-// and all of those heard out passed it over.
-func (s *Store) covered() bool {
-	known, set := s.known(), s.set()
-	self := &peer{whole: s.whole, damaged: s.damaged, sets: s.sets}
-	heard := func(id string) *peer {
-		if id == s.id {
-			return self
+// coversOlderSets reports whether this store has seen everything acknowledged under
+// older stamps. It looks for a set in which every program had a complete replica,
+// and such that under it and every later set no quorum can consist only of damaged
+// stores and stores that were not pulled from. A set that none of the peers knows
+// is skipped: nothing was acknowledged under it, since a store complete at that
+// time would belong to the set before, and none of those pulled from went through
+// the skipped one.
+func (s *Store) coversOlderSets() bool {
+	known, set := s.knownSets(), s.currentSet()
+	own := &peerState{completeStamp: s.completeStamp, damaged: s.damaged, sets: s.sets}
+	stateOf := func(id string) *peerState {
+		if id == s.diskID {
+			return own
 		}
 		return s.peers[id]
 	}
-	count := func(set *register.DiskSet, fails func(*peer) bool) int {
-		return len(base.Filter(set.Disks, func(entry *register.DiskEntry) bool { return fails(heard(entry.Id)) }))
+	count := func(set *register.DiskSet, matches func(*peerState) bool) int {
+		return len(base.Filter(set.Disks, func(entry *register.DiskEntry) bool { return matches(stateOf(entry.Id)) }))
 	}
-	hides := func(stamp uint64) bool {
-		_, need := quorum(len(known[stamp].Disks), s.tolerate)
-		return count(known[stamp], func(one *peer) bool { return one == nil || one.damaged }) >= need
+	mayHideWrite := func(stamp uint64) bool {
+		_, need := quorumSize(len(known[stamp].Disks), s.faultTolerance)
+		return count(known[stamp], func(state *peerState) bool { return state == nil || state.damaged }) >= need
 	}
-	last := set.Stamp
+	lastRequired := set.Stamp
 	if !s.damaged {
-		last--
+		lastRequired--
 	}
-	passed := false
-	for from := set.Stamp; from >= 1; from-- {
-		if known[from] == nil {
-			passed = true
+	skipped := false
+	for stamp := set.Stamp; stamp >= 1; stamp-- {
+		if known[stamp] == nil {
+			skipped = true
 			continue
 		}
-		if passed && count(known[from], func(one *peer) bool { return one != nil && one.sets[0].Stamp > from }) > 0 {
+		if skipped && count(known[stamp], func(state *peerState) bool { return state != nil && state.sets[0].Stamp > stamp }) > 0 {
 			break
 		}
-		passed = false
-		if from <= last && hides(from) {
+		skipped = false
+		if stamp <= lastRequired && mayHideWrite(stamp) {
 			break
 		}
-		replicas, _ := quorum(len(known[from].Disks), s.tolerate)
-		if count(known[from], func(one *peer) bool { return one == nil || one.whole < from }) < replicas {
+		replicas, _ := quorumSize(len(known[stamp].Disks), s.faultTolerance)
+		if count(known[stamp], func(state *peerState) bool { return state == nil || state.completeStamp < stamp }) < replicas {
 			return true
 		}
 	}
-	return s.founds(set)
+	return s.isInitialSet(set)
 }
 
-// founds tells that no store of the set ever held anything.
-func (s *Store) founds(set *register.DiskSet) bool {
-	if s.damaged || s.whole > 0 {
+// isInitialSet reports whether no store of the set ever held anything.
+func (s *Store) isInitialSet(set *register.DiskSet) bool {
+	if s.damaged || s.completeStamp > 0 {
 		return false
 	}
 	for _, entry := range set.Disks {
-		if one := s.peers[entry.Id]; entry.Id != s.id && (one == nil || one.whole > 0 || one.damaged || !one.empty) {
+		if state := s.peers[entry.Id]; entry.Id != s.diskID && (state == nil || state.completeStamp > 0 || state.damaged || !state.empty) {
 			return false
 		}
 	}
 	return true
 }
 
-// hear goes through all that another store holds for this one.
-func (s *Store) hear(ctx *base.Ctx, set *register.DiskSet, entry *register.DiskEntry) (*peer, error) {
-	heard := &peer{empty: true}
-	late := []wanted{}
+// pullPrograms fetches everything that another store holds for this one and that
+// this one lacks.
+func (s *Store) pullPrograms(ctx *base.Ctx, set *register.DiskSet, entry *register.DiskEntry) (*peerState, error) {
+	state := &peerState{empty: true}
+	inFlight := []turnKey{}
 	for after := uint64(0); ; {
-		reply, err := s.client(entry).Offer(ctx.Within(s.bounds.Load().DiskLimit()), &OfferRequest{Target: &Target{Disk: entry.Id, Stamp: set.Stamp}, Set: set, Disk: s.id, After: after})
+		reply, err := s.peerClient(entry).Offer(ctx.Within(s.bounds.Load().DiskLimit()), &OfferRequest{Target: &Target{Disk: entry.Id, Stamp: set.Stamp}, Set: set, Disk: s.diskID, After: after})
 		if err != nil {
 			return nil, err
 		}
 		if reply.Ack.GetWhy() != "" {
 			s.mu.Lock()
-			s.adopt(reply.Ack.Set)
+			s.adoptSet(reply.Ack.Set)
 			s.mu.Unlock()
 			return nil, base.Busy(503, "disk_"+reply.Ack.Why, 1, "the store at %s declined: %s", entry.Addr, reply.Ack.Why)
 		}
-		heard.whole, heard.damaged, heard.sets = reply.Whole, reply.Damaged, reply.Sets
-		heard.empty = heard.empty && reply.Next == 0
+		state.completeStamp, state.damaged, state.sets = reply.Whole, reply.Damaged, reply.Sets
+		state.empty = state.empty && reply.Next == 0
 		s.mu.Lock()
-		wants, busy := s.lacking(reply.Programs)
+		wants, busy := s.selectMissing(reply.Programs)
 		s.mu.Unlock()
-		late = append(late, busy...)
+		inFlight = append(inFlight, busy...)
 		if err := s.fetch(ctx, entry, wants); err != nil {
 			return nil, err
 		}
@@ -286,19 +295,20 @@
 			break
 		}
 	}
-	return heard, s.await(ctx, entry, late)
+	return state, s.awaitFetches(ctx, entry, inFlight)
 }
 
-// lacking chooses of an offer what this store does not hold. What is being
-// fetched from another is told apart.
-func (s *Store) lacking(offered []*Offered) (wants []*Wanted, busy []wanted) {
+// selectMissing selects what this store lacks of an offer and marks those turns as
+// being fetched. Turns that are already being fetched from another store are
+// returned in busy.
+func (s *Store) selectMissing(offered []*Offered) (wants []*Wanted, busy []turnKey) {
 	for _, offer := range offered {
 		p := s.programs[offer.Program]
 		want := &Wanted{Program: offer.Program, State: p == nil || p.digest() != offer.Digest}
 		for _, id := range offer.Turns {
-			key := wanted{offer.Program, id}
+			key := turnKey{offer.Program, id}
 			switch {
-			case p != nil && p.turn(id) != nil:
+			case p != nil && p.findTurn(id) != nil:
 			case s.fetching[key]:
 				busy = append(busy, key)
 			default:
@@ -313,88 +323,90 @@
 	return wants, busy
 }
 
-// fetch takes what was chosen, and releases what it could not get.
+// fetch fetches and merges the selected parts. At the end it unmarks all selected
+// turns, so that those it could not get may be fetched from another store.
 func (s *Store) fetch(ctx *base.Ctx, entry *register.DiskEntry, wants []*Wanted) (err error) {
-	chosen := wants
+	requested := wants
 	defer func() {
 		s.mu.Lock()
-		for _, want := range chosen {
+		for _, want := range requested {
 			for _, id := range want.Turns {
-				delete(s.fetching, wanted{want.Program, id})
+				delete(s.fetching, turnKey{want.Program, id})
 			}
 		}
 		s.mu.Unlock()
 	}()
 	for len(wants) > 0 {
-		width := min(len(wants), fetchWidth)
-		reply, err := s.client(entry).Fetch(ctx.Within(s.bounds.Load().DiskLimit()), &FetchRequest{Target: &Target{Disk: entry.Id}, Programs: wants[:width]})
+		count := min(len(wants), maxFetchPrograms)
+		reply, err := s.peerClient(entry).Fetch(ctx.Within(s.bounds.Load().DiskLimit()), &FetchRequest{Target: &Target{Disk: entry.Id}, Programs: wants[:count]})
 		if err != nil {
 			return err
 		}
 		if reply.Ack.GetWhy() != "" {
 			return base.Busy(503, "disk_"+reply.Ack.Why, 1, "the store at %s declined: %s", entry.Addr, reply.Ack.Why)
 		}
-		got := 0
+		received := 0
 		s.mu.Lock()
 		for _, record := range reply.Records {
-			got += len(record.Turns)
-			s.take(record)
+			received += len(record.Turns)
+			s.mergePulled(record)
 		}
 		rest := []*Wanted{}
-		for _, want := range wants[:width] {
+		for _, want := range wants[:count] {
 			p := s.programs[want.Program]
-			turns := base.Filter(want.Turns, func(id string) bool { return p == nil || p.turn(id) == nil })
-			if len(turns) > 0 && got > 0 {
+			turns := base.Filter(want.Turns, func(id string) bool { return p == nil || p.findTurn(id) == nil })
+			if len(turns) > 0 && received > 0 {
 				rest = append(rest, &Wanted{Program: want.Program, Turns: turns})
 			}
 		}
-		s.counters.Add("ledger_turns_pulled", int64(got))
-		if err := s.ease(); err != nil {
+		s.counters.Add("ledger_turns_pulled", int64(received))
+		if err := s.unlockAndThrottle(); err != nil {
 			return err
 		}
-		wants = append(rest, wants[width:]...)
+		wants = append(rest, wants[count:]...)
 	}
 	return nil
 }
 
-// ease unlocks, and waits for the log where much is queued. What was taken
-// rests on the disk once the mark does that says what this store lacks, since
-// that follows it in the log.
-func (s *Store) ease() error {
-	if len(s.forming.payload) < queueLimit/4 {
+// unlockAndThrottle releases the lock, and waits for the log if much is queued.
+// Pulled records need no sync of their own: the marks that declare this store
+// complete follow them in the log.
+func (s *Store) unlockAndThrottle() error {
+	if len(s.next.payload) < maxQueuedBytes/4 {
 		s.mu.Unlock()
-		s.bell.Ring()
+		s.commitBell.Ring()
 		return nil
 	}
-	if ack := s.finish(&Ack{}); ack.Why != "" {
-		return base.Busy(503, "disk_"+ack.Why, 1, "the ledger's log: %s", ack.Why)
+	if ack := s.unlockAndSync(&Ack{}); ack.Why != "" {
+		return base.Busy(503, "disk_"+ack.Why, 1, "cannot store pulled turns: the ledger's log is %s", ack.Why)
 	}
 	return nil
 }
 
-// take joins what another store gave, whose times are time left.
-func (s *Store) take(record *Record) {
-	now := s.now()
+// mergePulled merges a record of another store, whose times are remaining time.
+func (s *Store) mergePulled(record *Record) {
+	now := s.storeTime()
 	record.UntilMs += now
-	for _, one := range record.Turns {
-		one.UntilMs += now
+	for _, t := range record.Turns {
+		t.UntilMs += now
 	}
-	if p, added, fresh := s.absorb(record); fresh {
-		s.write(record, p, added)
+	if p, added, changed := s.mergeRecord(record); changed {
+		s.appendRecord(record, p, added)
 	}
 }
 
-// await sees to it that what others were fetching has come, or fetches it.
-func (s *Store) await(ctx *base.Ctx, entry *register.DiskEntry, late []wanted) error {
-	for len(late) > 0 {
+// awaitFetches waits until the turns that were being fetched from other stores have
+// arrived, and fetches those that were not obtained there.
+func (s *Store) awaitFetches(ctx *base.Ctx, entry *register.DiskEntry, pending []turnKey) error {
+	for len(pending) > 0 {
 		if ctx.Over() {
-			return base.Busy(503, "pull_late", 1, "other pulls hold this one up")
+			return base.Busy(503, "pull_late", 1, "%d turns are still being fetched from other stores", len(pending))
 		}
-		waiting, offers := []wanted{}, []*Offered{}
+		waiting, offers := []turnKey{}, []*Offered{}
 		s.mu.Lock()
-		for _, key := range late {
+		for _, key := range pending {
 			p := s.programs[key.program]
-			if p != nil && p.turn(key.turn) != nil {
+			if p != nil && p.findTurn(key.turn) != nil {
 				continue
 			}
 			if s.fetching[key] {
@@ -403,44 +415,46 @@
 			}
 			offers = append(offers, &Offered{Program: key.program, Turns: []string{key.turn}})
 		}
-		wants, busy := s.lacking(offers)
+		wants, busy := s.selectMissing(offers)
 		s.mu.Unlock()
-		late = append(waiting, busy...)
+		pending = append(waiting, busy...)
 		if err := s.fetch(ctx, entry, wants); err != nil {
 			return err
 		}
-		if len(late) > 0 {
+		if len(pending) > 0 {
 			s.clock.Sleep(s.bounds.Load().Hedge() / 8)
 		}
 	}
 	return nil
 }
 
-// seek looks for turns that others here follow on, under another program or
-// missed, so that whoever holds a turn holds its whole chain.
-func (s *Store) seek() {
+// findMissingLoop looks for missing ancestors of held turns, which belong to
+// another program or were missed, so that a store that holds a turn holds its whole
+// chain.
+func (s *Store) findMissingLoop() {
 	for !s.isClosed() {
 		s.mu.Lock()
-		pause := pick(len(s.wanted) > 0, 2*s.bounds.Load().Beat(), s.bounds.Load().Suspect())
+		pause := choose(len(s.missing) > 0, 2*s.bounds.Load().Beat(), s.bounds.Load().Suspect())
 		s.mu.Unlock()
 		s.clock.Sleep(pause)
 		s.mu.Lock()
-		due := []wanted{}
-		for want, since := range s.wanted {
-			if s.clock.Now() >= since.due {
-				due = append(due, want)
+		due := []turnKey{}
+		for key, wanted := range s.missing {
+			if s.clock.Now() >= wanted.retryAt {
+				due = append(due, key)
 			}
 		}
-		set := s.set()
+		set := s.currentSet()
 		s.mu.Unlock()
-		slices.SortFunc(due, func(a, b wanted) int { return compare(a, b) })
-		for _, want := range due[:min(len(due), fetchWidth)] {
-			s.find(set, want)
+		slices.SortFunc(due, func(a, b turnKey) int { return compareTurnKeys(a, b) })
+		for _, key := range due[:min(len(due), maxFetchPrograms)] {
+			s.findMissing(set, key)
 		}
 	}
 }
 
-func compare(a, b wanted) int {
+// compareTurnKeys orders by program, then by turn.
+func compareTurnKeys(a, b turnKey) int {
 	switch {
 	case a == b:
 		return 0
@@ -450,23 +464,23 @@
 	return 1
 }
 
-// find copies a turn and its chain from this store's own holdings or, failing
-// that, from another's. One that no store has is given up.
-func (s *Store) find(set *register.DiskSet, want wanted) {
+// findMissing copies a turn and its chain from another program of this store or,
+// failing that, from another store. A turn that no store has is given up.
+func (s *Store) findMissing(set *register.DiskSet, key turnKey) {
 	s.mu.Lock()
-	since, still := s.wanted[want]
-	found := s.chain(want.turn)
+	wanted, stillMissing := s.missing[key]
+	found := s.localChain(key.turn)
 	s.mu.Unlock()
-	if !still {
+	if !stillMissing {
 		return
 	}
-	without := 1
+	confirmedAbsent := 1
 	if len(found) == 0 {
-		for _, entry := range place(set, want.program, len(set.GetDisks())) {
-			if entry.Id == s.id {
+		for _, entry := range placeReplicas(set, key.program, len(set.GetDisks())) {
+			if entry.Id == s.diskID {
 				continue
 			}
-			reply, err := s.client(entry).Chain(base.NewCtx(s.clock, s.bounds.Load().DiskLimit()), &ChainRequest{Target: &Target{Disk: entry.Id, Stamp: set.Stamp}, Turn: want.turn})
+			reply, err := s.peerClient(entry).Chain(base.NewCtx(s.clock, s.bounds.Load().DiskLimit()), &ChainRequest{Target: &Target{Disk: entry.Id, Stamp: set.Stamp}, Turn: key.turn})
 			if err != nil || reply.Ack.GetWhy() != "" {
 				continue
 			}
@@ -474,36 +488,37 @@
 				break
 			}
 			if reply.Ack.Whole {
-				without++
+				confirmedAbsent++
 			}
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.programs[want.program] == nil || len(found) == 0 && without == len(set.GetDisks()):
-		delete(s.wanted, want)
+	case s.programs[key.program] == nil || len(found) == 0 && confirmedAbsent == len(set.GetDisks()):
+		delete(s.missing, key)
 	case len(found) == 0:
-		since.due = s.clock.Now() + s.bounds.Load().Suspect()
-		s.wanted[want] = since
+		wanted.retryAt = s.clock.Now() + s.bounds.Load().Suspect()
+		s.missing[key] = wanted
 	default:
-		s.take(&Record{Program: want.program, Turns: found})
-		s.bell.Ring()
+		s.mergePulled(&Record{Program: key.program, Turns: found})
+		s.commitBell.Ring()
 		s.counters.Add("ledger_turns_copied", int64(len(found)))
 	}
 }
 
-// chain lists a turn and those before it, oldest first, with their time left.
-func (s *Store) chain(id string) []*Turn {
-	found, now := []*Turn{}, s.now()
-	for size := 0; id != "" && size < chainLimit; {
-		held := s.longest(id)
-		if held == nil {
+// localChain lists a held turn and its held ancestors, oldest first, with their
+// remaining time.
+func (s *Store) localChain(id string) []*Turn {
+	found, now := []*Turn{}, s.storeTime()
+	for size := 0; id != "" && size < maxChainBytes; {
+		t := s.longestKept(id)
+		if t == nil {
 			break
 		}
-		size += len(held.input) + len(held.output)
-		found = append(found, held.message(held.until-now))
-		id = held.previous
+		size += len(t.input) + len(t.output)
+		found = append(found, t.toProto(t.retainUntil-now))
+		id = t.previous
 	}
 	slices.Reverse(found)
 	return found
--- a/internal/ledger/redundancy_time_test.go
+++ b/internal/ledger/redundancy_time_test.go
@@ -1,5 +1,3 @@
-// How long it takes until a lost disk's copies stand elsewhere, with the disks
-// and the link of the larger sites.
 package ledger_test
 
 import (
@@ -16,19 +14,21 @@
 )
 
 const (
-	// linkBytes is what a storage machine's link carries in a second: 600 Mbit/s.
-	linkBytes = 75 << 20
-	// historyTurns and turnBytes are the turns that are held.
+	// linkBytesPerSecond is the bandwidth of a storage machine's link at the larger
+	// sites: 600 Mbit/s.
+	linkBytesPerSecond = 75 << 20
+	// historyTurns is the number of turns that are held, and turnBytes the size of
+	// each.
 	historyTurns = 2000
 	turnBytes    = 5700
-	// fillBound is what is left of catch_up_s (4.1 s) once a lost disk has been
-	// noticed and the set has changed.
-	fillBound = 2 * time.Second
+	// refillLimit is what remains of catch_up_s (4.1 s) once the loss of a disk has
+	// been detected and the set has changed.
+	refillLimit = 2 * time.Second
 )
 
-// narrowLinks has each store's link carry linkBytes a second.
-func (f *fleet) narrowLinks() {
-	free := map[string]time.Duration{}
+// limitBandwidth limits the link of each store to linkBytesPerSecond.
+func (f *fleet) limitBandwidth() {
+	freeAt := map[string]time.Duration{}
 	f.net.Meddle = func(m *simulate.Message) *http.Response {
 		response, _ := m.Pass(m.Body)
 		if response == nil || !strings.Contains(m.Path, "Ledger/") {
@@ -37,56 +37,56 @@
 		body, _ := io.ReadAll(response.Body)
 		response.Body = io.NopCloser(bytes.NewReader(body))
 		clock := m.From.Clock()
-		from := max(free[m.From.Name], clock.Now())
-		free[m.From.Name] = from + time.Duration(len(body)+len(m.Body))*time.Second/linkBytes
-		clock.Sleep(free[m.From.Name] - clock.Now())
+		start := max(freeAt[m.From.Name], clock.Now())
+		freeAt[m.From.Name] = start + time.Duration(len(body)+len(m.Body))*time.Second/linkBytesPerSecond
+		clock.Sleep(freeAt[m.From.Name] - clock.Now())
 		return response
 	}
 }
 
-// TestFullRedundancyWithinTheTimeToCatchUp wipes as many disks as may be lost
-// and waits until every store is whole again.
-func TestFullRedundancyWithinTheTimeToCatchUp(t *testing.T) {
+// TestRedundancyIsRestoredInTime wipes as many disks as may be lost at once and
+// checks that every store is complete again within refillLimit.
+func TestRedundancyIsRestoredInTime(t *testing.T) {
 	for _, size := range []struct{ stores, tolerate int }{{4, 1}, {9, 2}} {
-		for _, sync := range []time.Duration{500 * time.Microsecond, 2 * time.Millisecond} {
-			t.Run(fmt.Sprint(size.stores, "/", sync), func(t *testing.T) {
-				play(t, 1, size.stores, size.tolerate, func(f *fleet) {
-					for _, m := range f.stores {
-						m.files.Quick, m.files.Slow = sync, sync
+		for _, syncTime := range []time.Duration{500 * time.Microsecond, 2 * time.Millisecond} {
+			t.Run(fmt.Sprint(size.stores, "/", syncTime), func(t *testing.T) {
+				runFleet(t, 1, size.stores, size.tolerate, func(f *fleet) {
+					for _, m := range f.machines {
+						m.files.Quick, m.files.Slow = syncTime, syncTime
 					}
 					f.fillHistory()
-					f.narrowLinks()
-					for _, m := range f.stores[:size.tolerate] {
-						gone := m.id
+					f.limitBandwidth()
+					for _, m := range f.machines[:size.tolerate] {
+						removed := m.diskID
 						f.wipe(m)
 						f.start(m)
 						f.sleep(50 * time.Millisecond)
-						f.replace(gone, m)
+						f.replaceDisk(removed, m)
 					}
 					began := f.now()
-					c := f.client(1)
-					f.is.True(f.settled(c))
+					c := f.newClient(1)
+					f.is.True(f.waitComplete(c))
 					took := f.now() - began
-					t.Logf("%d stores, %d wiped, sync %v: whole after %v with %d KB in the first", size.stores, size.tolerate, sync, took, f.stores[0].state().Bytes>>10)
-					f.is.True(took < fillBound)
+					t.Logf("%d stores, %d wiped, sync %v: complete after %v with %d KB in the first", size.stores, size.tolerate, syncTime, took, f.machines[0].describe().Bytes>>10)
+					f.is.True(took < refillLimit)
 				})
 			})
 		}
 	}
 }
 
-// fillHistory has programs of ten turns each, of which nobody reads.
+// fillHistory writes historyTurns turns in programs of ten turns each.
 func (f *fleet) fillHistory() {
-	c := f.client(0)
+	c := f.newClient(0)
 	text := bytes.Repeat([]byte("x"), turnBytes)
-	for place := range historyTurns / 10 {
-		l := f.line(c, fmt.Sprintf("h%d", place))
+	for i := range historyTurns / 10 {
+		s := f.newSession(c, fmt.Sprintf("h%d", i))
 		for turn := range 10 {
-			id := fmt.Sprintf("%s.%d", l.program, turn)
-			_, err := l.begin(id)
+			id := fmt.Sprintf("%s.%d", s.program, turn)
+			_, err := s.begin(id)
 			f.is.NoErr(err)
-			f.is.NoErr(c.Finish(f.ctx(), &ledger.FinishParams{Program: l.program, Session: l.session, Turn: id, Owner: l.owner, Run: l.run, Epoch: l.epoch,
-				Input: text, Output: text[:100], Budgeted: true, Tokens: l.most, Retention: retain}))
+			f.is.NoErr(c.Finish(f.ctx(), &ledger.FinishParams{Program: s.program, Session: s.session, Turn: id, Owner: s.owner, Run: s.run, Epoch: s.epoch,
+				Input: text, Output: text[:100], Budgeted: true, Tokens: s.maxTokens, Retention: retention}))
 		}
 	}
 }
--- a/internal/ledger/refusal_test.go
+++ b/internal/ledger/refusal_test.go
@@ -1,5 +1,3 @@
-// A turn whose history cannot be confirmed is refused in time to come back,
-// long before its deadline.
 package ledger_test
 
 import (
@@ -11,63 +9,64 @@
 	"fordseam/internal/ledger"
 )
 
-// TestWhatCannotBeConfirmedIsRefusedAtOnce asks with a long deadline while too
-// few stores can confirm anything.
-func TestWhatCannotBeConfirmedIsRefusedAtOnce(t *testing.T) {
+// TestUnconfirmableRequestIsRefusedEarly checks that a request with a long deadline is
+// refused well before it, early enough to be retried, if too few stores can confirm
+// it.
+func TestUnconfirmableRequestIsRefusedEarly(t *testing.T) {
 	const deadline = 30 * time.Second
 	diskLimit := base.DefaultBounds().DiskLimit()
-	ways := map[string]struct {
+	cases := map[string]struct {
 		lose  func(f *fleet)
 		limit time.Duration
 	}{
 		"two stores refuse connections": {func(f *fleet) {
-			f.kill(f.stores[0])
-			f.kill(f.stores[1])
+			f.kill(f.machines[0])
+			f.kill(f.machines[1])
 		}, diskLimit},
 		"two stores are silent": {func(f *fleet) {
-			f.stores[0].host.Freeze()
-			f.stores[1].host.Freeze()
+			f.machines[0].host.Freeze()
+			f.machines[1].host.Freeze()
 		}, diskLimit},
 		"two stores are blank": {func(f *fleet) {
-			for _, m := range f.stores[:2] {
-				gone := m.id
+			for _, m := range f.machines[:2] {
+				removed := m.diskID
 				f.wipe(m)
 				f.start(m)
 				f.sleep(100 * time.Millisecond)
-				f.replace(gone, m)
+				f.replaceDisk(removed, m)
 			}
 			f.sleep(2 * time.Second)
 		}, diskLimit / 2},
 	}
-	for name, way := range ways {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			play(t, 1, 3, 1, func(f *fleet) {
-				c := f.client(1)
-				l := f.line(c, "p")
-				l.turn()
-				way.lose(f)
-				asked := map[string]func(ctx *base.Ctx) error{
+			runFleet(t, 1, 3, 1, func(f *fleet) {
+				c := f.newClient(1)
+				s := f.newSession(c, "p")
+				s.runTurn()
+				tc.lose(f)
+				requests := map[string]func(ctx *base.Ctx) error{
 					"the history": func(ctx *base.Ctx) error {
 						_, err := c.Chain(ctx, "p", "another")
 						return err
 					},
 					"the claim": func(ctx *base.Ctx) error {
-						_, err := c.Begin(ctx, &ledger.BeginParams{Program: "p", Session: l.session, Turn: "next", Previous: l.turns[0], Owner: l.owner,
-							Run: l.run, Epoch: l.epoch, Confirmed: true, Retention: retain})
+						_, err := c.Begin(ctx, &ledger.BeginParams{Program: "p", Session: s.session, Turn: "next", Previous: s.turns[0], Owner: s.owner,
+							Run: s.run, Epoch: s.epoch, Confirmed: true, Retention: retention})
 						return err
 					},
 				}
-				for _, what := range base.SortedKeys(asked) {
+				for _, name := range base.SortedKeys(requests) {
 					began := f.now()
-					err := asked[what](base.NewCtx(f.test.Clock(), deadline))
+					err := requests[name](base.NewCtx(f.testHost.Clock(), deadline))
 					took := f.now() - began
-					t.Logf("%s: refused after %v: %v", what, took, err)
+					t.Logf("%s: refused after %v: %v", name, took, err)
 					var verdict *base.Verdict
 					f.is.True(errors.As(err, &verdict))
 					f.is.Equal(verdict.Status, 503)
 					f.is.Equal(verdict.Ran, base.NotRun)
 					f.is.True(verdict.RetryAfter > 0)
-					f.is.True(took <= way.limit+50*time.Millisecond)
+					f.is.True(took <= tc.limit+50*time.Millisecond)
 				}
 			})
 		})
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -1,7 +1,3 @@
-// What gateways may ask of a store. Every message names the disk it is meant
-// for and the disk set its sender goes by, and may come twice. An answer that
-// changed nothing still waits for what it rests on to be synced.
-
 package ledger
 
 import (
@@ -10,201 +6,207 @@
 	"fordseam/internal/base"
 )
 
-// Begin takes a claim on a session and reserves a turn's tokens, and tells
-// what else the program has reserved and spent. A claim that must give way
-// reserves nothing.
+// Begin applies a claim on a session, reserves the turn's tokens and returns the
+// program's other reservations and spends. A claim that is not granted reserves
+// nothing.
 func (s *Store) Begin(_ context.Context, request *BeginRequest) (*BeginReply, error) {
 	if request.Claim.GetRun() == "" || request.Claim.Epoch == 0 || request.Program == "" {
 		return nil, base.ToWire(base.DeclineField("claim", "a claim must name a program, a run and an epoch"))
 	}
 	s.mu.Lock()
-	ack := s.judge(request.Target)
+	ack := s.checkTarget(request.Target)
 	if ack.Why != "" {
 		s.mu.Unlock()
 		return &BeginReply{Ack: ack}, nil
 	}
-	ack.Whole = s.wholeFor(request.Program)
-	claim := assignmentOf(request.Claim)
-	if held, ok := s.programs[request.Program]; ok {
-		now := held.session(claim.session)
-		if _, ok := now.take(claim); !ok {
-			return &BeginReply{Holder: now.message(), Ack: s.finish(s.declined(ack, "held"))}, nil
+	ack.Whole = s.completeFor(request.Program)
+	claim := assignmentFromProto(request.Claim)
+	if existing, ok := s.programs[request.Program]; ok {
+		current := existing.assignment(claim.session)
+		if _, ok := current.applyClaim(claim); !ok {
+			return &BeginReply{Holder: current.toProto(), Ack: s.unlockAndSync(s.decline(ack, "held"))}, nil
 		}
-		if known, ok := held.spent(request.Turn, claim.run); ok && known.settled || held.turn(request.Turn) != nil {
+		if known, ok := existing.findSpend(request.Turn, claim.run); ok && known.settled || existing.findTurn(request.Turn) != nil {
 			ack.Why = "over"
-			return &BeginReply{Over: true, Ack: s.finish(ack)}, nil
+			return &BeginReply{Over: true, Ack: s.unlockAndSync(ack)}, nil
 		}
 	}
-	if why := s.room(); why != "" {
+	if why := s.declineReason(); why != "" {
 		s.mu.Unlock()
 		return &BeginReply{Ack: &Ack{Why: why}}, nil
 	}
-	p := s.programOf(request.Program)
-	after, _ := p.session(claim.session).take(claim)
+	p := s.getOrCreateProgram(request.Program)
+	next, _ := p.assignment(claim.session).applyClaim(claim)
 	record := &Record{Program: p.id}
-	if p.assign(after) {
-		record.Sessions = []*Assignment{after.message()}
+	if p.setAssignment(next) {
+		record.Sessions = []*Assignment{next.toProto()}
 	}
-	reply := &BeginReply{Holder: after.message()}
+	reply := &BeginReply{Holder: next.toProto()}
 	if request.Budgeted && request.Turn != "" {
-		if p.count(spend{turn: request.Turn, run: claim.run, tokens: request.Most}) {
+		if p.addSpend(spend{turn: request.Turn, run: claim.run, tokens: request.Most}) {
 			record.Spends = []*Spend{{Turn: request.Turn, Run: claim.run, Tokens: request.Most}}
-			s.bytes += spendWeight
+			s.heldBytes += spendOverhead
 		}
-		before := len(p.spends)
+		spendCount := len(p.spends)
 		for _, known := range request.Known {
-			if p.count(spend{known.Turn, known.Run, known.Tokens, known.Settled}) {
+			if p.addSpend(spend{known.Turn, known.Run, known.Tokens, known.Settled}) {
 				record.Spends = append(record.Spends, known)
 			}
 		}
-		s.bytes += spendWeight * (len(p.spends) - before)
-		for _, held := range p.spends {
-			if held.turn != request.Turn || held.run != claim.run {
-				reply.Others = append(reply.Others, &Spend{Turn: held.turn, Run: held.run, Tokens: held.tokens, Settled: held.settled})
+		s.heldBytes += spendOverhead * (len(p.spends) - spendCount)
+		for _, reserved := range p.spends {
+			if reserved.turn != request.Turn || reserved.run != claim.run {
+				reply.Others = append(reply.Others, &Spend{Turn: reserved.turn, Run: reserved.run, Tokens: reserved.tokens, Settled: reserved.settled})
 			}
 		}
 	}
-	p.until = max(p.until, s.until(request.KeepMs))
-	if before := p.turn(request.Previous); before != nil && before.until < p.until {
-		before.until = p.until
-		s.prolong(before)
+	p.retainUntil = max(p.retainUntil, s.retainUntil(request.KeepMs))
+	if parent := p.findTurn(request.Previous); parent != nil && parent.retainUntil < p.retainUntil {
+		parent.retainUntil = p.retainUntil
+		s.extendAncestors(parent)
 	}
 	if record.Sessions != nil || record.Spends != nil {
-		s.changed(p)
-		record.UntilMs = p.until
-		s.write(record, p, nil)
+		s.markChanged(p)
+		record.UntilMs = p.retainUntil
+		s.appendRecord(record, p, nil)
 	}
-	reply.Ack = s.finish(ack)
+	reply.Ack = s.unlockAndSync(ack)
 	return reply, nil
 }
 
-func (s *Store) declined(ack *Ack, why string) *Ack {
+// decline sets the reason for which a request is declined.
+func (s *Store) decline(ack *Ack, why string) *Ack {
 	ack.Why = why
 	return ack
 }
 
-// Finish keeps a turn that was answered whole, and settles its tokens, unless
-// its Run was succeeded.
+// Finish stores a completely answered turn and settles its tokens, unless the
+// session has been taken over from its Run.
 func (s *Store) Finish(_ context.Context, request *FinishRequest) (*WriteReply, error) {
 	if request.Claim.GetRun() == "" || request.Claim.Epoch == 0 || request.Program == "" || request.Turn == "" {
 		return nil, base.ToWire(base.DeclineField("claim", "a turn must name its program, run and epoch"))
 	}
 	s.mu.Lock()
-	ack := s.judge(request.Target)
+	ack := s.checkTarget(request.Target)
 	if ack.Why != "" {
 		s.mu.Unlock()
 		return &WriteReply{Ack: ack}, nil
 	}
-	ack.Whole = s.wholeFor(request.Program)
-	claim := assignmentOf(request.Claim)
-	if held, ok := s.programs[request.Program]; ok {
-		now := held.session(claim.session)
-		if _, ok := now.take(claim); !ok {
-			return &WriteReply{Holder: now.message(), Ack: s.finish(s.declined(ack, "held"))}, nil
+	ack.Whole = s.completeFor(request.Program)
+	claim := assignmentFromProto(request.Claim)
+	if existing, ok := s.programs[request.Program]; ok {
+		current := existing.assignment(claim.session)
+		if _, ok := current.applyClaim(claim); !ok {
+			return &WriteReply{Holder: current.toProto(), Ack: s.unlockAndSync(s.decline(ack, "held"))}, nil
 		}
-		if held.turn(request.Turn) != nil {
-			return &WriteReply{Ack: s.finish(ack)}, nil
+		if existing.findTurn(request.Turn) != nil {
+			return &WriteReply{Ack: s.unlockAndSync(ack)}, nil
 		}
 	}
-	if why := s.room(); why != "" {
+	if why := s.declineReason(); why != "" {
 		s.mu.Unlock()
 		return &WriteReply{Ack: &Ack{Why: why}}, nil
 	}
-	p := s.programOf(request.Program)
-	until := s.until(request.KeepMs)
-	p.until = max(p.until, until)
-	record := &Record{Program: p.id, UntilMs: p.until}
-	after, _ := p.session(claim.session).take(claim)
-	if p.assign(after) {
-		record.Sessions = []*Assignment{after.message()}
+	p := s.getOrCreateProgram(request.Program)
+	retainUntil := s.retainUntil(request.KeepMs)
+	p.retainUntil = max(p.retainUntil, retainUntil)
+	record := &Record{Program: p.id, UntilMs: p.retainUntil}
+	next, _ := p.assignment(claim.session).applyClaim(claim)
+	if p.setAssignment(next) {
+		record.Sessions = []*Assignment{next.toProto()}
 	}
 	if request.Budgeted {
-		before := len(p.spends)
-		if p.count(spend{turn: request.Turn, run: claim.run, tokens: request.Tokens, settled: true}) {
-			known, _ := p.spent(request.Turn, claim.run)
-			record.Spends = []*Spend{{Turn: known.turn, Run: known.run, Tokens: known.tokens, Settled: true}}
+		spendCount := len(p.spends)
+		if p.addSpend(spend{turn: request.Turn, run: claim.run, tokens: request.Tokens, settled: true}) {
+			settled, _ := p.findSpend(request.Turn, claim.run)
+			record.Spends = []*Spend{{Turn: settled.turn, Run: settled.run, Tokens: settled.tokens, Settled: true}}
 		}
-		s.bytes += spendWeight * (len(p.spends) - before)
+		s.heldBytes += spendOverhead * (len(p.spends) - spendCount)
 	}
-	message := &Turn{Session: claim.session, Id: request.Turn, Previous: request.Previous, Input: request.Input, Output: request.Output, UntilMs: until}
-	held, _ := s.keep(p, message)
+	message := &Turn{Session: claim.session, Id: request.Turn, Previous: request.Previous, Input: request.Input, Output: request.Output, UntilMs: retainUntil}
+	added, _ := s.addTurn(p, message)
 	record.Turns = []*Turn{message}
-	s.changed(p)
-	s.write(record, p, []*turn{held})
+	s.markChanged(p)
+	s.appendRecord(record, p, []*turn{added})
 	s.counters.Add("ledger_turns", 1)
-	return &WriteReply{Ack: s.finish(ack)}, nil
+	return &WriteReply{Ack: s.unlockAndSync(ack)}, nil
 }
 
-// Settle says what a turn came to that was not answered whole.
+// Settle replaces a turn's reservation by the tokens that it used. It is for
+// turns that were not answered completely.
 func (s *Store) Settle(_ context.Context, request *SettleRequest) (*WriteReply, error) {
 	s.mu.Lock()
-	ack := s.judge(request.Target)
+	ack := s.checkTarget(request.Target)
 	if ack.Why != "" || request.Program == "" || request.Turn == "" {
 		s.mu.Unlock()
 		return &WriteReply{Ack: ack}, nil
 	}
-	ack.Whole = s.wholeFor(request.Program)
-	p := s.programOf(request.Program)
-	before := len(p.spends)
-	if p.count(spend{turn: request.Turn, run: request.Run, tokens: request.Tokens, settled: true}) {
-		known, _ := p.spent(request.Turn, request.Run)
-		p.until = max(p.until, s.until(request.KeepMs))
-		s.changed(p)
-		s.write(&Record{Program: p.id, UntilMs: p.until, Spends: []*Spend{{Turn: known.turn, Run: known.run, Tokens: known.tokens, Settled: true}}}, p, nil)
-	}
-	s.bytes += spendWeight * (len(p.spends) - before)
-	return &WriteReply{Ack: s.finish(ack)}, nil
+	ack.Whole = s.completeFor(request.Program)
+	p := s.getOrCreateProgram(request.Program)
+	spendCount := len(p.spends)
+	if p.addSpend(spend{turn: request.Turn, run: request.Run, tokens: request.Tokens, settled: true}) {
+		settled, _ := p.findSpend(request.Turn, request.Run)
+		p.retainUntil = max(p.retainUntil, s.retainUntil(request.KeepMs))
+		s.markChanged(p)
+		s.appendRecord(&Record{Program: p.id, UntilMs: p.retainUntil, Spends: []*Spend{{Turn: settled.turn, Run: settled.run, Tokens: settled.tokens, Settled: true}}}, p, nil)
+	}
+	s.heldBytes += spendOverhead * (len(p.spends) - spendCount)
+	return &WriteReply{Ack: s.unlockAndSync(ack)}, nil
 }
 
-const chainLimit = 3 << 20
+// maxChainBytes bounds the inputs and outputs in one reply to Chain; the turn
+// that exceeds it is the last one included.
+const maxChainBytes = 3 << 20
 
-// Chain gives a turn and those before it, oldest first, as far as they are
-// here; without one, whole tells that this store lacks nothing.
+// Chain returns a turn and its ancestors, oldest first, as far as they are held.
+// Ack.Whole reports whether this store is complete; only then is an empty reply
+// evidence that there is no such turn.
 func (s *Store) Chain(_ context.Context, request *ChainRequest) (*ChainReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ack := s.judge(request.Target)
+	ack := s.checkTarget(request.Target)
 	if ack.Why != "" {
 		return &ChainReply{Ack: ack}, nil
 	}
-	ack.Whole = s.whole == s.set().Stamp
-	return &ChainReply{Ack: ack, Turns: s.chain(request.Turn)}, nil
+	ack.Whole = s.completeStamp == s.currentSet().Stamp
+	return &ChainReply{Ack: ack, Turns: s.localChain(request.Turn)}, nil
 }
 
-// longest is the copy of a turn that is kept the longest.
-func (s *Store) longest(id string) *turn {
+// longestKept returns the copy of a turn with the longest retention, or nil.
+func (s *Store) longestKept(id string) *turn {
 	found := s.turns[id]
 	if found == nil {
 		return nil
 	}
-	for other := found.also; other != nil; other = other.also {
-		if other.until > found.until {
-			found = other
+	for copied := found.nextCopy; copied != nil; copied = copied.nextCopy {
+		if copied.retainUntil > found.retainUntil {
+			found = copied
 		}
 	}
 	return found
 }
 
-// Learn takes a newer set from whoever knows it.
+// Learn adopts a newer disk set.
 func (s *Store) Learn(_ context.Context, request *LearnRequest) (*Ack, error) {
 	s.mu.Lock()
-	s.identify()
-	s.adopt(request.Set)
-	if s.id == "" {
+	s.refreshIdentity()
+	s.adoptSet(request.Set)
+	if s.diskID == "" {
 		s.mu.Unlock()
 		return &Ack{Why: "blank"}, nil
 	}
-	return s.finish(&Ack{}), nil
+	return s.unlockAndSync(&Ack{}), nil
 }
 
-// Describe tells what the store is and whether it lacks anything.
+// Describe returns the store's identity, its size and the stamp of the set that
+// it is complete for.
 func (s *Store) Describe(context.Context, *DescribeRequest) (*DescribeReply, error) {
 	s.mu.Lock()
-	s.identify()
-	reply := &DescribeReply{Disk: s.id, Stamp: s.set().GetStamp(), Whole: s.whole, Programs: int64(len(s.programs)), Turns: int64(len(s.turns)),
-		Bytes: int64(s.bytes), LogBytes: int64(s.logBytes)}
-	if ack := s.finish(&Ack{}); ack.Why != "" {
-		reply.Whole = 0 // it is not on the disk yet
+	s.refreshIdentity()
+	reply := &DescribeReply{Disk: s.diskID, Stamp: s.currentSet().GetStamp(), Whole: s.completeStamp, Programs: int64(len(s.programs)), Turns: int64(len(s.turns)),
+		Bytes: int64(s.heldBytes), LogBytes: int64(s.logBytes)}
+	if ack := s.unlockAndSync(&Ack{}); ack.Why != "" {
+		reply.Whole = 0 // the stamp is not on the disk yet
 	}
 	return reply, nil
 }
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -1,8 +1,3 @@
-// What a store holds in memory, and how two accounts of the same thing are
-// joined. Every join gives the same whatever the order and however often, so
-// the log, a message that comes twice and another store's account are all
-// taken in by the same code.
-
 package ledger
 
 import (
@@ -12,67 +7,76 @@
 	"fordseam/internal/register"
 )
 
+// assignment is the Run that a session is assigned to. A claim is an assignment
+// that its Run wants to have.
 type assignment struct {
 	session, owner, run string
 	epoch               uint64
 	confirmed           bool
 }
 
+// spend is a turn's reservation of tokens, or the tokens that it used once
+// settled.
 type spend struct {
 	turn, run string
 	tokens    int64
 	settled   bool
 }
 
+// turn is a turn that was answered completely.
 type turn struct {
-	program  *program
-	session  string
-	id       string
-	previous string
-	input    []byte
-	output   []byte
-	until    int64
-	home     uint64
-	gone     bool
-	// also is the same turn as another program holds it.
-	also *turn
+	program     *program
+	session     string
+	id          string
+	previous    string
+	input       []byte
+	output      []byte
+	retainUntil int64  // in store time
+	segment     uint64 // the log segment that holds it
+	removed     bool
+	// nextCopy is the same turn as held by another program.
+	nextCopy *turn
 }
 
+// program is what the store holds of one program.
 type program struct {
-	id       string
-	sessions []assignment
-	spends   []spend
-	turns    []*turn
-	until    int64
-	// home is the oldest file of the log that holds a part of the state.
-	home    uint64
-	arrival uint64
-	element *list.Element
-	gone    bool
-	// ranked caches the program's replicas in the set of a stamp.
-	ranked []string
-	stamp  uint64
+	id          string
+	sessions    []assignment
+	spends      []spend
+	turns       []*turn
+	retainUntil int64
+	// oldestSegment is the oldest log segment that holds a part of the state.
+	oldestSegment uint64
+	arrival       uint64
+	element       *list.Element
+	removed       bool
+	// replicas caches the program's replicas in the disk set with the stamp
+	// replicasStamp.
+	replicas      []string
+	replicasStamp uint64
 }
 
-func (a assignment) message() *Assignment {
+func (a assignment) toProto() *Assignment {
 	return &Assignment{Session: a.session, Owner: a.owner, Run: a.run, Epoch: a.epoch, Confirmed: a.confirmed}
 }
 
-func assignmentOf(m *Assignment) assignment {
+func assignmentFromProto(m *Assignment) assignment {
 	return assignment{m.GetSession(), m.GetOwner(), m.GetRun(), m.GetEpoch(), m.GetConfirmed()}
 }
 
-func (a assignment) same(b assignment) bool {
+// sameHolder reports whether both are assigned to the same Run.
+func (a assignment) sameHolder(b assignment) bool {
 	return a.run != "" && a.run == b.run && a.owner == b.owner
 }
 
-// take puts a claim in force where it may be: a higher epoch, the holder's own
-// word, or at the same epoch a claim that a quorum is known to have taken.
-func (a assignment) take(claim assignment) (after assignment, ok bool) {
+// applyClaim returns the assignment after a claim, and whether the claim was
+// granted. A claim is granted with a higher epoch, if it is the holder's own, or
+// at the same epoch if a quorum is known to have granted it.
+func (a assignment) applyClaim(claim assignment) (after assignment, ok bool) {
 	switch {
 	case claim.epoch > a.epoch:
 		return claim, true
-	case a.same(claim):
+	case a.sameHolder(claim):
 		a.confirmed = a.confirmed || claim.confirmed && claim.epoch == a.epoch
 		return a, true
 	case claim.epoch == a.epoch && claim.confirmed && !a.confirmed:
@@ -81,51 +85,55 @@
 	return a, false
 }
 
-// join takes in another store's account: of two unconfirmed votes at one epoch
-// nobody here knows which a quorum took, so neither has this store's.
-func (a assignment) join(b assignment) assignment {
+// merge combines two stores' accounts. Of two unconfirmed assignments at the
+// same epoch it is unknown which one a quorum granted, so the result has neither
+// as its holder.
+func (a assignment) merge(b assignment) assignment {
 	switch {
 	case b.epoch != a.epoch:
-		return pick(b.epoch > a.epoch, b, a)
+		return choose(b.epoch > a.epoch, b, a)
 	case a.run == b.run && a.owner == b.owner:
 		a.confirmed = a.confirmed || b.confirmed
 		return a
 	case a.confirmed || b.confirmed:
-		return pick(b.confirmed, b, a)
+		return choose(b.confirmed, b, a)
 	}
 	return assignment{session: a.session, epoch: a.epoch}
 }
 
-func pick[T any](first bool, a, b T) T {
+// choose returns a if first is true and b otherwise.
+func choose[T any](first bool, a, b T) T {
 	if first {
 		return a
 	}
 	return b
 }
 
-func (s spend) join(b spend) spend {
+// merge returns the settled one of two spends, otherwise the larger amount.
+func (s spend) merge(b spend) spend {
 	if s.settled != b.settled {
-		return pick(s.settled, s, b)
+		return choose(s.settled, s, b)
 	}
 	s.tokens = max(s.tokens, b.tokens)
 	return s
 }
 
-func (p *program) session(id string) assignment {
-	for _, held := range p.sessions {
-		if held.session == id {
-			return held
+// assignment returns a session's assignment, without a holder if it has none.
+func (p *program) assignment(id string) assignment {
+	for _, a := range p.sessions {
+		if a.session == id {
+			return a
 		}
 	}
 	return assignment{session: id}
 }
 
-// assign puts an assignment in force and tells whether it changed anything.
-func (p *program) assign(next assignment) bool {
-	for place := range p.sessions {
-		if p.sessions[place].session == next.session {
-			changed := p.sessions[place] != next
-			p.sessions[place] = next
+// setAssignment replaces a session's assignment and reports whether it changed.
+func (p *program) setAssignment(next assignment) bool {
+	for i := range p.sessions {
+		if p.sessions[i].session == next.session {
+			changed := p.sessions[i] != next
+			p.sessions[i] = next
 			return changed
 		}
 	}
@@ -133,44 +141,46 @@
 	return true
 }
 
-func (p *program) spent(turn, run string) (spend, bool) {
-	for _, held := range p.spends {
-		if held.turn == turn && held.run == run {
-			return held, true
+// findSpend returns what a turn reserved or spent under a Run.
+func (p *program) findSpend(turn, run string) (spend, bool) {
+	for _, s := range p.spends {
+		if s.turn == turn && s.run == run {
+			return s, true
 		}
 	}
 	return spend{turn: turn, run: run}, false
 }
 
-// count joins a spend and tells whether that changed anything.
-func (p *program) count(next spend) bool {
-	for place, held := range p.spends {
-		if held.turn == next.turn && held.run == next.run {
-			p.spends[place] = held.join(next)
-			return p.spends[place] != held
+// addSpend merges a spend and reports whether that changed anything.
+func (p *program) addSpend(next spend) bool {
+	for i, former := range p.spends {
+		if former.turn == next.turn && former.run == next.run {
+			p.spends[i] = former.merge(next)
+			return p.spends[i] != former
 		}
 	}
 	p.spends = append(p.spends, next)
 	return true
 }
 
-func (p *program) turn(id string) *turn {
-	for _, held := range p.turns {
-		if held.id == id {
-			return held
+func (p *program) findTurn(id string) *turn {
+	for _, t := range p.turns {
+		if t.id == id {
+			return t
 		}
 	}
 	return nil
 }
 
-func (t *turn) message(until int64) *Turn {
+func (t *turn) toProto(until int64) *Turn {
 	return &Turn{Program: t.program.id, Session: t.session, Id: t.id, Previous: t.previous, Input: t.input, Output: t.output, UntilMs: until}
 }
 
-func (p *program) state(until int64) *Record {
+// stateRecord returns the program's assignments and spends without its turns.
+func (p *program) stateRecord(until int64) *Record {
 	record := &Record{Program: p.id, UntilMs: until}
 	for _, held := range p.sessions {
-		record.Sessions = append(record.Sessions, held.message())
+		record.Sessions = append(record.Sessions, held.toProto())
 	}
 	for _, held := range p.spends {
 		record.Spends = append(record.Spends, &Spend{Turn: held.turn, Run: held.run, Tokens: held.tokens, Settled: held.settled})
@@ -178,210 +188,219 @@
 	return record
 }
 
-// digest tells two accounts of a program's state apart, whatever their order.
+// digest is a hash of the program's assignments and spends that does not depend
+// on their order.
 func (p *program) digest() uint64 {
 	sum := uint64(0)
-	for _, held := range p.sessions {
-		sum ^= hashOf(held.epoch, held.confirmed, held.session, held.owner, held.run)
+	for _, x := range p.sessions {
+		sum ^= hashParts(x.epoch, x.confirmed, x.session, x.owner, x.run)
 	}
-	for _, held := range p.spends {
-		sum ^= hashOf(uint64(held.tokens), held.settled, held.turn, held.run)
+	for _, x := range p.spends {
+		sum ^= hashParts(uint64(x.tokens), x.settled, x.turn, x.run)
 	}
 	return sum
 }
 
-// hashOf is FNV-1a over the parts, each with an end of its own.
-func hashOf(number uint64, mark bool, parts ...string) uint64 {
+// hashParts is 64-bit FNV-1a over the parts, each followed by a terminator.
+func hashParts(number uint64, flag bool, parts ...string) uint64 {
 	const prime = 1099511628211
 	sum := (14695981039346656037 ^ number) * prime
-	if mark {
+	if flag {
 		sum = (sum ^ 1) * prime
 	}
 	for _, part := range parts {
-		for at := 0; at < len(part); at++ {
-			sum = (sum ^ uint64(part[at])) * prime
+		for i := 0; i < len(part); i++ {
+			sum = (sum ^ uint64(part[i])) * prime
 		}
 		sum = (sum ^ 256) * prime
 	}
 	return sum
 }
 
+// Approximate memory used by an entry besides its input and output, in bytes.
 const (
-	programWeight = 320
-	turnWeight    = 220
-	spendWeight   = 80
+	programOverhead = 320
+	turnOverhead    = 220
+	spendOverhead   = 80
 )
 
-func (s *Store) programOf(id string) *program {
-	held, ok := s.programs[id]
+// getOrCreateProgram returns a program and adds it if it is not held yet.
+func (s *Store) getOrCreateProgram(id string) *program {
+	p, ok := s.programs[id]
 	if !ok {
-		held = &program{id: id}
-		held.element = s.order.PushBack(held)
-		s.programs[id] = held
-		s.bytes += programWeight
+		p = &program{id: id}
+		p.element = s.byArrival.PushBack(p)
+		s.programs[id] = p
+		s.heldBytes += programOverhead
 	}
-	return held
+	return p
 }
 
-// changed puts a program last in the order of arrival.
-func (s *Store) changed(p *program) {
-	s.arrivals++
-	p.arrival = s.arrivals
-	s.order.MoveToBack(p.element)
+// markChanged moves a program to the end of the order in which programs are
+// offered to other stores.
+func (s *Store) markChanged(p *program) {
+	s.lastArrival++
+	p.arrival = s.lastArrival
+	s.byArrival.MoveToBack(p.element)
 }
 
-// absorb joins a record whose times are this store's, and tells whether
-// anything of it was new.
-func (s *Store) absorb(record *Record) (p *program, added []*turn, fresh bool) {
-	p = s.programOf(record.Program)
-	fresh = p.arrival == 0
-	p.until = max(p.until, record.UntilMs)
+// mergeRecord merges a record whose times are in this store's time, and reports
+// whether that changed anything. All merges are commutative, associative and
+// idempotent, so that the same code replays the log, applies a message that is
+// delivered twice, and takes in the state of another store.
+func (s *Store) mergeRecord(record *Record) (p *program, added []*turn, changed bool) {
+	p = s.getOrCreateProgram(record.Program)
+	changed = p.arrival == 0
+	p.retainUntil = max(p.retainUntil, record.UntilMs)
 	for _, message := range record.Sessions {
-		next := assignmentOf(message)
-		fresh = p.assign(p.session(next.session).join(next)) || fresh
+		next := assignmentFromProto(message)
+		changed = p.setAssignment(p.assignment(next.session).merge(next)) || changed
 	}
 	for _, message := range record.Spends {
-		before := len(p.spends)
-		fresh = p.count(spend{message.Turn, message.Run, message.Tokens, message.Settled}) || fresh
-		s.bytes += spendWeight * (len(p.spends) - before)
+		spendCount := len(p.spends)
+		changed = p.addSpend(spend{message.Turn, message.Run, message.Tokens, message.Settled}) || changed
+		s.heldBytes += spendOverhead * (len(p.spends) - spendCount)
 	}
 	for _, message := range record.Turns {
-		held, isNew := s.keep(p, message)
-		added = append(added, held)
-		fresh = fresh || isNew
+		t, isNew := s.addTurn(p, message)
+		added = append(added, t)
+		changed = changed || isNew
 	}
-	if fresh {
-		s.changed(p)
+	if changed {
+		s.markChanged(p)
 	}
-	return p, added, fresh
+	return p, added, changed
 }
 
-// keep holds a turn, and holds its ancestors for as long as it is held.
-func (s *Store) keep(p *program, message *Turn) (held *turn, isNew bool) {
-	held = p.turn(message.Id)
-	if held == nil {
+// addTurn adds a turn or extends the retention of a held one, and retains its
+// ancestors for as long.
+func (s *Store) addTurn(p *program, message *Turn) (t *turn, isNew bool) {
+	t = p.findTurn(message.Id)
+	if t == nil {
 		isNew = true
-		held = &turn{program: p, session: message.Session, id: message.Id, previous: message.Previous, input: message.Input, output: message.Output}
-		held.also = s.turns[held.id]
-		s.turns[held.id] = held
-		p.turns = append(p.turns, held)
-		s.bytes += turnWeight + len(held.input) + len(held.output)
+		t = &turn{program: p, session: message.Session, id: message.Id, previous: message.Previous, input: message.Input, output: message.Output}
+		t.nextCopy = s.turns[t.id]
+		s.turns[t.id] = t
+		p.turns = append(p.turns, t)
+		s.heldBytes += turnOverhead + len(t.input) + len(t.output)
 	}
-	held.until = max(held.until, message.UntilMs)
-	want := wanted{p.id, held.id}
-	if since, ok := s.wanted[want]; ok {
-		held.until = max(held.until, since.until)
-		delete(s.wanted, want)
+	t.retainUntil = max(t.retainUntil, message.UntilMs)
+	key := turnKey{p.id, t.id}
+	if missing, ok := s.missing[key]; ok {
+		t.retainUntil = max(t.retainUntil, missing.retainUntil)
+		delete(s.missing, key)
 	}
-	p.until = max(p.until, held.until)
-	s.prolong(held)
-	return held, isNew
+	p.retainUntil = max(p.retainUntil, t.retainUntil)
+	s.extendAncestors(t)
+	return t, isNew
 }
 
-// prolong keeps a turn's ancestors for as long as the turn. One that is not
-// here is looked for.
-func (s *Store) prolong(last *turn) {
-	p, until := last.program, last.until
-	for last.previous != "" {
-		before := p.turn(last.previous)
-		if before == nil {
-			want := wanted{p.id, last.previous}
-			held, ok := s.wanted[want]
+// extendAncestors retains a turn's ancestors for as long as the turn itself. An
+// ancestor that is not held is recorded as missing, for findMissingLoop.
+func (s *Store) extendAncestors(descendant *turn) {
+	p, retainUntil := descendant.program, descendant.retainUntil
+	for descendant.previous != "" {
+		parent := p.findTurn(descendant.previous)
+		if parent == nil {
+			key := turnKey{p.id, descendant.previous}
+			missing, ok := s.missing[key]
 			if !ok {
-				held.due = s.clock.Now() + s.bounds.Load().Beat()
+				missing.retryAt = s.clock.Now() + s.bounds.Load().Beat()
 			}
-			held.until = max(held.until, until)
-			s.wanted[want] = held
+			missing.retainUntil = max(missing.retainUntil, retainUntil)
+			s.missing[key] = missing
 			return
 		}
-		if before.until >= until {
+		if parent.retainUntil >= retainUntil {
 			return
 		}
-		before.until = until
-		last = before
+		parent.retainUntil = retainUntil
+		descendant = parent
 	}
 }
 
-// forget drops what is over.
-func (s *Store) forget(now int64) (programs, turns int) {
-	for element := s.order.Front(); element != nil; {
+// expire removes the turns and programs whose retention has ended.
+func (s *Store) expire(now int64) (programs, turns int) {
+	for element := s.byArrival.Front(); element != nil; {
 		p := element.Value.(*program)
 		element = element.Next()
 		kept := p.turns[:0]
-		for _, held := range p.turns {
-			if held.until > now {
-				kept = append(kept, held)
+		for _, t := range p.turns {
+			if t.retainUntil > now {
+				kept = append(kept, t)
 				continue
 			}
 			turns++
-			s.drop(held)
+			s.removeTurn(t)
 		}
 		clear(p.turns[len(kept):])
 		p.turns = kept
-		if p.until > now || len(p.turns) > 0 {
+		if p.retainUntil > now || len(p.turns) > 0 {
 			continue
 		}
 		programs++
-		p.gone = true
-		s.order.Remove(p.element)
+		p.removed = true
+		s.byArrival.Remove(p.element)
 		delete(s.programs, p.id)
-		s.bytes -= programWeight + spendWeight*len(p.spends)
+		s.heldBytes -= programOverhead + spendOverhead*len(p.spends)
 	}
-	for want := range s.wanted {
-		if s.programs[want.program] == nil {
-			delete(s.wanted, want)
+	for key := range s.missing {
+		if s.programs[key.program] == nil {
+			delete(s.missing, key)
 		}
 	}
 	return programs, turns
 }
 
-func (s *Store) drop(held *turn) {
-	held.gone = true
-	s.bytes -= turnWeight + len(held.input) + len(held.output)
-	first := s.turns[held.id]
-	if first == held {
-		if held.also == nil {
-			delete(s.turns, held.id)
+// removeTurn removes a turn from the index of turns; its program's list is up to
+// the caller.
+func (s *Store) removeTurn(t *turn) {
+	t.removed = true
+	s.heldBytes -= turnOverhead + len(t.input) + len(t.output)
+	current := s.turns[t.id]
+	if current == t {
+		if t.nextCopy == nil {
+			delete(s.turns, t.id)
 		} else {
-			s.turns[held.id] = held.also
+			s.turns[t.id] = t.nextCopy
 		}
 		return
 	}
-	for ; first != nil; first = first.also {
-		if first.also == held {
-			first.also = held.also
+	for ; current != nil; current = current.nextCopy {
+		if current.nextCopy == t {
+			current.nextCopy = t.nextCopy
 			return
 		}
 	}
 }
 
-// ranks are a program's replicas in the set this store goes by.
-func (s *Store) ranks(p *program) []string {
-	set := s.set()
-	if p.stamp != set.Stamp {
-		p.ranked = p.ranked[:0]
-		for _, entry := range place(set, p.id, s.tolerate) {
-			p.ranked = append(p.ranked, entry.Id)
+// replicasOf returns the disk ids of a program's replicas in the current set.
+func (s *Store) replicasOf(p *program) []string {
+	set := s.currentSet()
+	if p.replicasStamp != set.Stamp {
+		p.replicas = p.replicas[:0]
+		for _, entry := range placeReplicas(set, p.id, s.faultTolerance) {
+			p.replicas = append(p.replicas, entry.Id)
 		}
-		p.stamp = set.Stamp
+		p.replicasStamp = set.Stamp
 	}
-	return p.ranked
+	return p.replicas
 }
 
-// wholeFor tells whether this store holds all it should of a program: it lacks
-// nothing of the set it goes by, or was one of the program's replicas in every
-// set since one of which it lacked nothing.
-func (s *Store) wholeFor(id string) bool {
-	set := s.set()
-	if s.whole == set.GetStamp() {
-		return s.whole > 0
+// completeFor reports whether this store holds everything it should of a
+// program: it is complete for the current set, or it was one of the program's
+// replicas in every set since the one that it is complete for.
+func (s *Store) completeFor(id string) bool {
+	set := s.currentSet()
+	if s.completeStamp == set.GetStamp() {
+		return s.completeStamp > 0
 	}
-	if s.whole == 0 {
+	if s.completeStamp == 0 {
 		return false
 	}
-	for stamp := s.whole; stamp <= set.Stamp; stamp++ {
+	for stamp := s.completeStamp; stamp <= set.Stamp; stamp++ {
 		at := slices.IndexFunc(s.sets, func(known *register.DiskSet) bool { return known.Stamp == stamp })
-		if at < 0 || !placed(s.sets[at], id, s.id, s.tolerate) {
+		if at < 0 || !isReplica(s.sets[at], id, s.diskID, s.faultTolerance) {
 			return false
 		}
 	}
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -1,10 +1,3 @@
-// The store is a storage machine's part of the ledger. What a message changes
-// is put in force in memory and into the batch that is being formed, and is
-// answered once that batch is synced; whatever comes meanwhile shares the next
-// sync. The log is a ring of files: what still counts of the oldest is written
-// again before it is dropped. Time is counted by the store itself and stands
-// still while the process is down, so nothing is forgotten too early.
-
 package ledger
 
 import (
@@ -23,37 +16,47 @@
 )
 
 const (
-	segmentFloor = 1 << 20
-	queueLimit   = 32 << 20
-	refillStep   = 256 << 10
-	freeFloor    = 1 << 20
-	setsKept     = 8
+	// minSegmentBytes is the size below which a log segment is not ended.
+	minSegmentBytes = 1 << 20
+	// maxQueuedBytes is the size of the next batch above which writes are declined.
+	maxQueuedBytes = 32 << 20
+	// rewriteBatchBytes is the size up to which a batch is filled with contents of
+	// the oldest segment.
+	rewriteBatchBytes = 256 << 10
+	// minFreeBytes is the free space below which the store counts as full.
+	minFreeBytes = 1 << 20
+	// maxSetsKept is the number of sets above which those are dropped that are older
+	// than the one that the store is complete for.
+	maxSetsKept = 8
 )
 
+// batch is a group of records that are written and synced together.
 type batch struct {
-	payload  []byte
-	programs []*program
-	moved    []*program
-	turns    []*turn
-	done     base.Signal
-	failed   error
+	payload   []byte
+	programs  []*program
+	rewritten []*program
+	turns     []*turn
+	done      base.Signal
+	err       error
 }
 
-// contents is what was last written into one file of the log.
-type contents struct {
+// segmentContents lists what was last written into one segment of the log.
+type segmentContents struct {
 	programs []*program
 	turns    []*turn
 }
 
-type wanted struct{ program, turn string }
+// turnKey is a turn as one program holds it.
+type turnKey struct{ program, turn string }
 
-type wantedSince struct {
-	until int64
-	due   time.Duration
+// missingTurn is an ancestor of a held turn that the store does not hold.
+type missingTurn struct {
+	retainUntil int64
+	retryAt     time.Duration
 }
 
-// StoreConfig is what a store is made of. LocalDisk tells the id and the set of the
-// disk it is on.
+// StoreConfig holds the dependencies of a store. LocalDisk returns the id of the
+// disk that the store is on and the disk set that this disk knows.
 type StoreConfig struct {
 	Clock          base.Clock
 	Wire           base.Wire
@@ -64,173 +67,190 @@
 	LocalDisk      func() (id string, set *register.DiskSet)
 }
 
-// Store is what one disk holds of the ledger.
+// Store is one disk's part of the ledger. A change is applied in memory and
+// appended to the next batch, and is acknowledged once that batch is synced;
+// changes that arrive meanwhile share the next sync. The log is a ring of
+// segments: live contents of the oldest segment are written again before it is
+// dropped. The store keeps its own time, which stands still while the process is
+// down, so that nothing expires early.
+//
+// Its exported methods with a request and a reply serve the RPC service Ledger.
+// Every request names the disk it is meant for and the disk set its sender uses,
+// and may be delivered twice. A reply to a write that changed nothing still waits
+// until the state that it is based on is synced.
 type Store struct {
-	clock    base.Clock
-	wire     base.Wire
-	bounds   *base.Table[base.Bounds]
-	counters *base.Counters
-	tolerate int
-	local    func() (string, *register.DiskSet)
-	files    disk.Files
-
-	mu       sync.Mutex
-	id       string
-	sets     []*register.DiskSet // those it went by, by stamp
-	whole    uint64              // lacks nothing that was acknowledged under an older stamp
-	damaged  bool                // lost something it had acknowledged
-	programs map[string]*program
-	turns    map[string]*turn
-	wanted   map[wanted]wantedSince
-	order    *list.List
-	arrivals uint64
-	bytes    int
-	past     int64
-	opened   time.Duration
-	peers    map[string]*peer // those heard out under this stamp
-	hearing  map[string]uint64
-	fetching map[wanted]bool
-
-	log      *disk.Segments
-	index    map[uint64]*contents
-	purge    uint64 // files up to here are to be written anew
-	logBytes int
-	forming  *batch
-	writing  *batch
-	bell     *base.Bell
-	news     *base.Bell
-	full     bool
-	unlooked int // bytes written since the room was looked at
-	broken   error
-	closed   bool
-	ended    base.Signal
+	clock          base.Clock
+	wire           base.Wire
+	bounds         *base.Table[base.Bounds]
+	counters       *base.Counters
+	faultTolerance int
+	localDisk      func() (string, *register.DiskSet)
+	files          disk.Files
+
+	mu            sync.Mutex
+	diskID        string
+	sets          []*register.DiskSet // sets that the store has used, in ascending order of stamp
+	completeStamp uint64              // the store holds everything acknowledged under older stamps; 0 means never complete
+	damaged       bool                // it lost something that it had acknowledged
+	programs      map[string]*program
+	turns         map[string]*turn // by id; copies of other programs are linked by nextCopy
+	missing       map[turnKey]missingTurn
+	byArrival     *list.List // programs in ascending order of arrival
+	lastArrival   uint64
+	heldBytes     int
+	openedTimeMs  int64                 // store time when the log was opened
+	openedAt      time.Duration         // clock reading at that time
+	peers         map[string]*peerState // disks pulled from completely under the current stamp
+	pulling       map[string]uint64     // disks being pulled from, with the stamp of the set
+	fetching      map[turnKey]bool      // turns being fetched from some peer
+
+	log                 *disk.Segments
+	segments            map[uint64]*segmentContents
+	rewriteThrough      uint64 // segments up to this one must be rewritten
+	logBytes            int
+	next                *batch
+	writing             *batch
+	commitBell          *base.Bell
+	setBell             *base.Bell
+	full                bool
+	bytesSinceFreeCheck int // bytes written since free space was last checked
+	logErr              error
+	closed              bool
+	committerDone       base.Signal
 }
 
 // OpenStore reads the log and starts the committer.
-func OpenStore(parts StoreConfig) (*Store, error) {
-	s := &Store{clock: parts.Clock, wire: parts.Wire, bounds: parts.Bounds, counters: parts.Counters, tolerate: max(1, parts.FaultTolerance),
-		local: parts.LocalDisk, files: parts.Files, programs: map[string]*program{}, turns: map[string]*turn{}, wanted: map[wanted]wantedSince{},
-		order: list.New(), opened: parts.Clock.Now(), peers: map[string]*peer{}, hearing: map[string]uint64{}, fetching: map[wanted]bool{}, index: map[uint64]*contents{},
-		unlooked: freeFloor, bell: base.NewBell(parts.Clock), news: base.NewBell(parts.Clock), ended: parts.Clock.NewSignal()}
-	s.forming = &batch{done: s.clock.NewSignal()}
-	log, damaged, err := disk.OpenSegments(parts.Files, segmentFloor, s.read)
+func OpenStore(config StoreConfig) (*Store, error) {
+	s := &Store{clock: config.Clock, wire: config.Wire, bounds: config.Bounds, counters: config.Counters, faultTolerance: max(1, config.FaultTolerance),
+		localDisk: config.LocalDisk, files: config.Files, programs: map[string]*program{}, turns: map[string]*turn{}, missing: map[turnKey]missingTurn{},
+		byArrival: list.New(), openedAt: config.Clock.Now(), peers: map[string]*peerState{}, pulling: map[string]uint64{}, fetching: map[turnKey]bool{}, segments: map[uint64]*segmentContents{},
+		bytesSinceFreeCheck: minFreeBytes, commitBell: base.NewBell(config.Clock), setBell: base.NewBell(config.Clock), committerDone: config.Clock.NewSignal()}
+	s.next = &batch{done: s.clock.NewSignal()}
+	log, damaged, err := disk.OpenSegments(config.Files, minSegmentBytes, s.replayBatch)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	s.log, s.logBytes, s.opened = log, log.Bytes(), s.clock.Now()
+	s.log, s.logBytes, s.openedAt = log, log.Bytes(), s.clock.Now()
 	if damaged != nil {
 		s.counters.Add("ledger_damaged", 1)
-		s.damaged, s.whole, s.purge = true, 0, log.Last()
+		s.damaged, s.completeStamp, s.rewriteThrough = true, 0, log.Last()
 		s.log.Turn()
-		s.mark()
+		s.appendMarks()
 	}
-	s.clock.Go(s.commit)
+	s.clock.Go(s.runCommitter)
 	return s, nil
 }
 
-// read puts one batch of the log in force.
-func (s *Store) read(generation uint64, payload []byte) error {
+// replayBatch applies one batch of the log.
+func (s *Store) replayBatch(generation uint64, payload []byte) error {
 	for len(payload) > 0 {
-		size, head := binary.Uvarint(payload)
-		if head <= 0 || uint64(len(payload)-head) < size {
-			return errors.New("an entry of the ledger stops short")
+		size, prefix := binary.Uvarint(payload)
+		if prefix <= 0 || uint64(len(payload)-prefix) < size {
+			return errors.New("a record of the ledger's log is truncated")
 		}
 		var record Record
-		if err := proto.Unmarshal(payload[head:head+int(size)], &record); err != nil {
+		if err := proto.Unmarshal(payload[prefix:prefix+int(size)], &record); err != nil {
 			return errors.Trace(err)
 		}
-		payload = payload[head+int(size):]
-		s.past = max(s.past, record.NowMs)
+		payload = payload[prefix+int(size):]
+		s.openedTimeMs = max(s.openedTimeMs, record.NowMs)
 		if marks := record.Marks; marks != nil {
-			s.id, s.whole, s.damaged, s.sets = marks.Disk, marks.Whole, marks.Damaged, marks.Sets
+			s.diskID, s.completeStamp, s.damaged, s.sets = marks.Disk, marks.Whole, marks.Damaged, marks.Sets
 		}
 		if record.Program != "" {
-			p, added, _ := s.absorb(&record)
-			s.home(generation, []*program{p}, nil, added)
+			p, added, _ := s.mergeRecord(&record)
+			s.recordSegment(generation, []*program{p}, nil, added)
 		}
 	}
 	return nil
 }
 
-// home notes which file of the log holds what was written.
-func (s *Store) home(generation uint64, programs, moved []*program, turns []*turn) {
-	held, ok := s.index[generation]
+// recordSegment records which log segment holds what was written. Rewritten
+// programs have their whole state in it.
+func (s *Store) recordSegment(generation uint64, programs, rewritten []*program, turns []*turn) {
+	segment, ok := s.segments[generation]
 	if !ok {
-		held = &contents{}
-		s.index[generation] = held
+		segment = &segmentContents{}
+		s.segments[generation] = segment
 	}
-	for _, p := range moved {
-		p.home = 0
+	for _, p := range rewritten {
+		p.oldestSegment = 0
 	}
-	for _, p := range append(programs, moved...) {
-		if p.home == 0 {
-			p.home = generation
-			held.programs = append(held.programs, p)
+	for _, p := range append(programs, rewritten...) {
+		if p.oldestSegment == 0 {
+			p.oldestSegment = generation
+			segment.programs = append(segment.programs, p)
 		}
 	}
-	for _, one := range turns {
-		if one.home != generation {
-			one.home = generation
-			held.turns = append(held.turns, one)
+	for _, t := range turns {
+		if t.segment != generation {
+			t.segment = generation
+			segment.turns = append(segment.turns, t)
 		}
 	}
 }
 
-// now is the store's own time.
-func (s *Store) now() int64 { return s.past + (s.clock.Now() - s.opened).Milliseconds() }
+// storeTime returns the store's own time in milliseconds, which does not advance
+// while the process is down.
+func (s *Store) storeTime() int64 {
+	return s.openedTimeMs + (s.clock.Now() - s.openedAt).Milliseconds()
+}
 
-// until is when something that must be kept for so long may be forgotten; it
-// errs to the late side.
-func (s *Store) until(keepMs int64) int64 {
+// retainUntil returns the store time after which something that must be kept for
+// keepMs may expire. It errs on the late side.
+func (s *Store) retainUntil(keepMs int64) int64 {
 	bounds := s.bounds.Load()
 	if keepMs <= 0 {
 		keepMs = bounds.Retain.Milliseconds()
 	}
-	return s.now() + keepMs*5/4 + 2*bounds.Recover.Milliseconds()
+	return s.storeTime() + keepMs*5/4 + 2*bounds.Recover.Milliseconds()
 }
 
-func (s *Store) set() *register.DiskSet {
+// currentSet returns the newest disk set that the store uses, or nil.
+func (s *Store) currentSet() *register.DiskSet {
 	if len(s.sets) == 0 {
 		return nil
 	}
 	return s.sets[len(s.sets)-1]
 }
 
-// write puts a record into the batch that is being formed; the caller holds
-// the lock and must not answer before the batch is done.
-func (s *Store) write(record *Record, p *program, turns []*turn) {
-	if len(s.forming.payload) == 0 {
-		record.NowMs = s.now()
+// appendRecord appends a record to the next batch. The caller holds the lock and
+// must not acknowledge anything that depends on it before the batch is done.
+func (s *Store) appendRecord(record *Record, p *program, turns []*turn) {
+	if len(s.next.payload) == 0 {
+		record.NowMs = s.storeTime()
 	}
-	s.forming.payload = binary.AppendUvarint(s.forming.payload, uint64(proto.Size(record)))
-	payload, err := proto.MarshalOptions{}.MarshalAppend(s.forming.payload, record)
+	s.next.payload = binary.AppendUvarint(s.next.payload, uint64(proto.Size(record)))
+	payload, err := proto.MarshalOptions{}.MarshalAppend(s.next.payload, record)
 	if err != nil {
 		panic(err)
 	}
-	s.forming.payload = payload
+	s.next.payload = payload
 	if p != nil {
-		s.forming.programs = append(s.forming.programs, p)
+		s.next.programs = append(s.next.programs, p)
 	}
-	s.forming.turns = append(s.forming.turns, turns...)
+	s.next.turns = append(s.next.turns, turns...)
 }
 
-func (s *Store) mark() {
-	s.write(&Record{Marks: &Marks{Disk: s.id, Whole: s.whole, Damaged: s.damaged, Sets: s.sets}}, nil, nil)
+// appendMarks appends the disk's identity, its sets and what it is complete for.
+func (s *Store) appendMarks() {
+	s.appendRecord(&Record{Marks: &Marks{Disk: s.diskID, Whole: s.completeStamp, Damaged: s.damaged, Sets: s.sets}}, nil, nil)
 }
 
-// last is the newest batch that is not yet done, if any.
-func (s *Store) last() *batch {
-	if len(s.forming.payload) > 0 {
-		return s.forming
+// lastPending returns the newest batch that is not synced yet, or nil.
+func (s *Store) lastPending() *batch {
+	if len(s.next.payload) > 0 {
+		return s.next
 	}
 	return s.writing
 }
 
-// finish unlocks and waits until all that is in force is on the disk.
-func (s *Store) finish(ack *Ack) *Ack {
-	pending := s.last()
+// unlockAndSync releases the lock and waits until everything applied so far is on
+// the disk. It returns ack, or the reason why the wait failed.
+func (s *Store) unlockAndSync(ack *Ack) *Ack {
+	pending := s.lastPending()
 	s.mu.Unlock()
-	s.bell.Ring()
+	s.commitBell.Ring()
 	if pending == nil {
 		return ack
 	}
@@ -238,76 +258,77 @@
 		s.counters.Add("ledger_declined_stalled", 1)
 		return &Ack{Why: "stalled"}
 	}
-	if pending.failed != nil {
+	if pending.err != nil {
 		return &Ack{Why: "broken"}
 	}
 	return ack
 }
 
-func (s *Store) commit() {
-	defer s.ended.Fire()
+// runCommitter writes batches until the store is closed or its log fails.
+func (s *Store) runCommitter() {
+	defer s.committerDone.Fire()
 	for {
 		s.mu.Lock()
-		next := s.bell.Next()
-		dropping := s.refill()
-		chosen := s.forming
-		if len(chosen.payload) == 0 && !dropping {
+		ring := s.commitBell.Next()
+		dropping := s.rewriteOldest()
+		current := s.next
+		if len(current.payload) == 0 && !dropping {
 			closed := s.closed
 			s.mu.Unlock()
 			if closed {
 				return
 			}
-			next.Wait(-1)
+			ring.Wait(-1)
 			continue
 		}
-		s.writing, s.forming = chosen, &batch{done: s.clock.NewSignal()}
-		live := s.bytes
+		s.writing, s.next = current, &batch{done: s.clock.NewSignal()}
+		liveBytes := s.heldBytes
 		s.mu.Unlock()
-		var failed error
-		if len(chosen.payload) > 0 {
-			failed = s.put(chosen, live)
+		var err error
+		if len(current.payload) > 0 {
+			err = s.writeBatch(current, liveBytes)
 		}
-		if failed == nil && dropping {
+		if err == nil && dropping {
 			oldest := s.log.Oldest()
-			if failed = s.log.Drop(); failed == nil {
+			if err = s.log.Drop(); err == nil {
 				s.mu.Lock()
-				delete(s.index, oldest)
+				delete(s.segments, oldest)
 				s.mu.Unlock()
 			}
 		}
 		s.mu.Lock()
 		s.writing, s.logBytes = nil, s.log.Bytes()
-		if failed != nil {
-			s.broken = failed
+		if err != nil {
+			s.logErr = err
 		}
 		s.mu.Unlock()
-		if failed != nil {
+		if err != nil {
 			s.counters.Add("ledger_broken", 1)
 		}
-		chosen.failed = failed
-		chosen.done.Fire()
-		if failed != nil {
+		current.err = err
+		current.done.Fire()
+		if err != nil {
 			s.mu.Lock()
-			s.forming.failed = failed
-			s.forming.done.Fire()
+			s.next.err = err
+			s.next.done.Fire()
 			s.mu.Unlock()
 			return
 		}
 	}
 }
 
-// put writes a batch. Where there is no room it waits for some; nothing else
-// is written meanwhile, and the store declines what would add to it.
-func (s *Store) put(chosen *batch, live int) error {
+// writeBatch writes a batch. On a full disk it waits for free space; nothing else
+// is written meanwhile, and the store declines requests that add data.
+func (s *Store) writeBatch(current *batch, liveBytes int) error {
 	for {
-		generation, err := s.log.Write(chosen.payload, live)
+		generation, err := s.log.Write(current.payload, liveBytes)
 		s.mu.Lock()
-		if s.unlooked += len(chosen.payload); err != nil || s.full || s.unlooked > freeFloor/4 {
-			s.full, s.unlooked = disk.IsFull(err) || s.files.Free() < freeFloor+int64(len(chosen.payload)), 0
+		if s.bytesSinceFreeCheck += len(current.payload); err != nil || s.full || s.bytesSinceFreeCheck > minFreeBytes/4 {
+			s.full, s.bytesSinceFreeCheck = disk.IsFull(err) || s.files.Free() < minFreeBytes+int64(len(current.payload)), 0
 		}
 		closed := s.closed
 		if err == nil {
-			s.home(generation, chosen.programs, chosen.moved, chosen.turns)
+			s.recordSegment(generation, current.programs, current.rewritten, current.turns)
 		}
 		s.mu.Unlock()
 		if err == nil {
@@ -318,73 +339,75 @@
 			return err
 		}
 		s.counters.Add("ledger_met_full", 1)
-		if s.shrink() {
+		if s.dropDeadSegment() {
 			continue
 		}
 		s.clock.Sleep(s.bounds.Load().DiskLimit() / 10)
 	}
 }
 
-// shrink drops the oldest file if nothing in it counts any more.
-func (s *Store) shrink() bool {
+// dropDeadSegment drops the oldest segment if it has no live contents, and
+// reports whether it did.
+func (s *Store) dropDeadSegment() bool {
 	oldest := s.log.Oldest()
 	s.mu.Lock()
-	s.forget(s.now())
-	held := s.index[oldest]
-	live := held != nil && (slices.ContainsFunc(held.programs, func(p *program) bool { return !p.gone && p.home == oldest }) ||
-		slices.ContainsFunc(held.turns, func(one *turn) bool { return !one.gone && one.home == oldest }))
+	s.expire(s.storeTime())
+	segment := s.segments[oldest]
+	live := segment != nil && (slices.ContainsFunc(segment.programs, func(p *program) bool { return !p.removed && p.oldestSegment == oldest }) ||
+		slices.ContainsFunc(segment.turns, func(t *turn) bool { return !t.removed && t.segment == oldest }))
 	s.mu.Unlock()
 	return !live && oldest != s.log.Last() && s.log.Drop() == nil
 }
 
-// refill adds some of what the oldest file still holds to the batch, where that
-// file is due, and tells whether it can be dropped once the batch is written.
-func (s *Store) refill() bool {
+// rewriteOldest appends live contents of the oldest segment to the next batch if
+// that segment is due for removal. It reports whether the segment can be dropped
+// once the batch is written.
+func (s *Store) rewriteOldest() bool {
 	oldest, due := s.log.Tight()
-	if !due && s.purge > 0 {
+	if !due && s.rewriteThrough > 0 {
 		oldest = s.log.Oldest()
-		due = oldest <= s.purge && oldest > 0
+		due = oldest <= s.rewriteThrough && oldest > 0
 	}
 	if !due || oldest == s.log.Last() {
-		if s.purge > 0 && oldest > s.purge {
-			s.purge = 0
+		if s.rewriteThrough > 0 && oldest > s.rewriteThrough {
+			s.rewriteThrough = 0
 		}
 		return false
 	}
-	held, ok := s.index[oldest]
+	segment, ok := s.segments[oldest]
 	if !ok {
-		held = &contents{}
-	}
-	for len(held.programs) > 0 && len(s.forming.payload) < refillStep {
-		p := held.programs[0]
-		held.programs = held.programs[1:]
-		if !p.gone && p.home == oldest {
-			s.write(p.state(p.until), nil, nil)
-			s.forming.moved = append(s.forming.moved, p)
+		segment = &segmentContents{}
+	}
+	for len(segment.programs) > 0 && len(s.next.payload) < rewriteBatchBytes {
+		p := segment.programs[0]
+		segment.programs = segment.programs[1:]
+		if !p.removed && p.oldestSegment == oldest {
+			s.appendRecord(p.stateRecord(p.retainUntil), nil, nil)
+			s.next.rewritten = append(s.next.rewritten, p)
 		}
 	}
-	for len(held.turns) > 0 && len(s.forming.payload) < refillStep {
-		one := held.turns[0]
-		held.turns = held.turns[1:]
-		if !one.gone && one.home == oldest {
-			s.write(&Record{Program: one.program.id, UntilMs: one.program.until, Turns: []*Turn{one.message(one.until)}}, nil, []*turn{one})
+	for len(segment.turns) > 0 && len(s.next.payload) < rewriteBatchBytes {
+		t := segment.turns[0]
+		segment.turns = segment.turns[1:]
+		if !t.removed && t.segment == oldest {
+			s.appendRecord(&Record{Program: t.program.id, UntilMs: t.program.retainUntil, Turns: []*Turn{t.toProto(t.retainUntil)}}, nil, []*turn{t})
 		}
 	}
-	if len(held.programs) > 0 || len(held.turns) > 0 {
-		s.bell.Ring()
+	if len(segment.programs) > 0 || len(segment.turns) > 0 {
+		s.commitBell.Ring()
 		return false
 	}
-	s.mark()
+	s.appendMarks()
 	return true
 }
 
-// Close ends the committer once what is queued is written.
+// Close stops the store once everything queued is written.
 func (s *Store) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.bell.Ring()
-	s.news.Ring()
+	s.commitBell.Ring()
+	s.setBell.Ring()
 }
 
 func (s *Store) isClosed() bool {
@@ -393,102 +416,104 @@
 	return s.closed
 }
 
-// identify takes the disk's identity and any newer set it goes by; the caller
-// holds the lock.
-func (s *Store) identify() {
-	id, set := s.local()
+// refreshIdentity adopts the disk's identity and any newer set that it knows. The
+// caller holds the lock.
+func (s *Store) refreshIdentity() {
+	id, set := s.localDisk()
 	if id == "" || set == nil {
 		return
 	}
-	if s.id != id {
-		s.id, s.sets, s.whole = id, []*register.DiskSet{set}, 0
-		if set.Stamp == 1 && entryIn(set, id) != nil && len(s.programs) == 0 && !s.damaged {
-			s.whole = 1 // it was there when nothing had been written
+	if s.diskID != id {
+		s.diskID, s.sets, s.completeStamp = id, []*register.DiskSet{set}, 0
+		if set.Stamp == 1 && findEntry(set, id) != nil && len(s.programs) == 0 && !s.damaged {
+			s.completeStamp = 1 // nothing was written before the first set
 		}
-		s.mark()
-		s.news.Ring()
+		s.appendMarks()
+		s.setBell.Ring()
 		return
 	}
-	s.adopt(set)
+	s.adoptSet(set)
 }
 
-// adopt takes a newer set; the caller holds the lock.
-func (s *Store) adopt(set *register.DiskSet) {
-	if s.id == "" || set == nil || set.Stamp <= s.set().GetStamp() || set.Cluster != s.set().GetCluster() {
+// adoptSet switches to a newer set of the same cluster. The caller holds the lock.
+func (s *Store) adoptSet(set *register.DiskSet) {
+	if s.diskID == "" || set == nil || set.Stamp <= s.currentSet().GetStamp() || set.Cluster != s.currentSet().GetCluster() {
 		return
 	}
 	s.sets = append(slices.Clone(s.sets), set)
-	for len(s.sets) > setsKept && s.sets[1].Stamp <= s.whole {
+	for len(s.sets) > maxSetsKept && s.sets[1].Stamp <= s.completeStamp {
 		s.sets = s.sets[1:]
 	}
-	s.peers = map[string]*peer{}
-	s.mark()
-	s.news.Ring()
+	s.peers = map[string]*peerState{}
+	s.appendMarks()
+	s.setBell.Ring()
 	s.counters.Add("ledger_sets", 1)
 }
 
-// judge looks at whom a message is meant for; the caller holds the lock.
-func (s *Store) judge(target *Target) *Ack {
-	if s.id == "" || target.GetStamp() > s.set().GetStamp() {
-		s.identify()
+// checkTarget checks that a message is meant for this disk and that its sender
+// uses the same set. The caller holds the lock.
+func (s *Store) checkTarget(target *Target) *Ack {
+	if s.diskID == "" || target.GetStamp() > s.currentSet().GetStamp() {
+		s.refreshIdentity()
 	}
-	set := s.set()
+	set := s.currentSet()
 	switch {
-	case s.broken != nil:
+	case s.logErr != nil:
 		return &Ack{Why: "broken"}
-	case s.id == "" || target.GetDisk() != s.id:
+	case s.diskID == "" || target.GetDisk() != s.diskID:
 		return &Ack{Why: "blank"}
 	case target.Stamp < set.Stamp:
 		return &Ack{Why: "set", Set: set}
 	case target.Stamp > set.Stamp:
 		return &Ack{Why: "behind"}
-	case entryIn(set, s.id) == nil:
+	case findEntry(set, s.diskID) == nil:
 		return &Ack{Why: "set", Set: set}
 	}
 	return &Ack{}
 }
 
-// room tells why nothing more can be taken in, if so.
-func (s *Store) room() string {
+// declineReason returns why the store accepts no more data, or "".
+func (s *Store) declineReason() string {
 	switch {
-	case s.full && s.files.Free() < freeFloor:
+	case s.full && s.files.Free() < minFreeBytes:
 		s.counters.Add("ledger_declined_full", 1)
 		return "full"
-	case len(s.forming.payload) > queueLimit:
+	case len(s.next.payload) > maxQueuedBytes:
 		s.counters.Add("ledger_declined_stalled", 1)
 		return "stalled"
 	}
 	return ""
 }
 
-// Ready tells what keeps the store from serving, if anything.
+// Ready returns an error if the store cannot accept data.
 func (s *Store) Ready() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.broken != nil:
-		return base.Busy(503, "ledger_broken", 5, "the ledger's log failed: %v; restart the process, and replace the disk if it fails again", s.broken)
-	case s.full && s.files.Free() < freeFloor:
-		return base.Busy(503, "ledger_full", 5, "there is no room for the ledger; free space in its file system or raise disk_limit_bytes")
+	case s.logErr != nil:
+		return base.Busy(503, "ledger_broken", 5, "the ledger's log failed: %v; restart the process, and replace the disk if it fails again", s.logErr)
+	case s.full && s.files.Free() < minFreeBytes:
+		return base.Busy(503, "ledger_full", 5, "no space left for the ledger; free space in its file system or raise disk_limit_bytes")
 	}
 	return nil
 }
 
-// NotifySetChange says that the disk may have a newer set.
-func (s *Store) NotifySetChange() { s.news.Ring() }
+// NotifySetChange tells the store that its disk may know a newer set.
+func (s *Store) NotifySetChange() { s.setBell.Ring() }
 
-// Run keeps the store whole and forgets what is over, until it is closed.
+// Run pulls what the store lacks and expires old data until the store is closed.
 func (s *Store) Run() {
-	s.clock.Go(s.sweep)
-	s.clock.Go(s.seek)
-	s.follow()
+	s.clock.Go(s.expireLoop)
+	s.clock.Go(s.findMissingLoop)
+	s.pullLoop()
 }
 
-func (s *Store) sweep() {
+// expireLoop removes expired programs and turns until the store is closed.
+func (s *Store) expireLoop() {
 	for !s.isClosed() {
 		s.clock.Sleep(s.bounds.Load().Recover / 2)
 		s.mu.Lock()
-		programs, turns := s.forget(s.now())
+		programs, turns := s.expire(s.storeTime())
 		s.mu.Unlock()
 		s.counters.Add("ledger_programs_forgotten", int64(programs))
 		s.counters.Add("ledger_turns_forgotten", int64(turns))
--- a/internal/ledger/turn_bench_test.go
+++ b/internal/ledger/turn_bench_test.go
@@ -1,5 +1,3 @@
-// What a turn costs a store, by how many turns its program had before:
-// processor time, bytes of the replies, and bytes in the log.
 package ledger_test
 
 import (
@@ -18,9 +16,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const together = 64 // programs whose turns share syncs
+// concurrentPrograms is the number of programs whose turns run at the same time and
+// share syncs.
+const concurrentPrograms = 64
 
-func BenchmarkTurnAtAStore(b *testing.B) {
+// BenchmarkStoreTurn measures what a turn costs a store by the number of turns that
+// its program had before: processor time, bytes of Begin's replies, bytes in the log.
+func BenchmarkStoreTurn(b *testing.B) {
 	for _, depth := range []int{1, 20, 100, 200} {
 		b.Run(fmt.Sprintf("after %d turns", depth), func(b *testing.B) {
 			is := is.New(b)
@@ -59,33 +61,33 @@
 			}
 			const turns = 4
 			var used time.Duration
-			rounds, former := 0, int64(0)
+			rounds, logBytesBefore := 0, int64(0)
 			var stored int64
 			for b.Loop() {
 				b.StopTimer()
 				rounds++
-				all := func(do func(program string)) {
+				forEach := func(do func(program string)) {
 					var wait sync.WaitGroup
-					for place := range together {
+					for i := range concurrentPrograms {
 						wait.Add(1)
 						go func() {
 							defer wait.Done()
-							do(fmt.Sprintf("program-%04d-%04d", rounds, place))
+							do(fmt.Sprintf("program-%04d-%04d", rounds, i))
 						}()
 					}
 					wait.Wait()
 				}
-				all(func(program string) {
+				forEach(func(program string) {
 					for number := 1; number < depth; number++ {
 						turn(program, number)
 					}
 				})
 				replies = 0
 				described, _ := store.Describe(ctx, nil)
-				former = described.LogBytes
+				logBytesBefore = described.LogBytes
 				before := processorTime()
 				b.StartTimer()
-				all(func(program string) {
+				forEach(func(program string) {
 					for number := depth; number < depth+turns; number++ {
 						turn(program, number)
 					}
@@ -93,13 +95,13 @@
 				b.StopTimer()
 				used += processorTime() - before
 				described, _ = store.Describe(ctx, nil)
-				stored = described.LogBytes - former
+				stored = described.LogBytes - logBytesBefore
 				b.StartTimer()
 			}
-			count := float64(rounds * together * turns)
+			count := float64(rounds * concurrentPrograms * turns)
 			b.ReportMetric(float64(used.Microseconds())/count, "cpu-us/turn")
-			b.ReportMetric(float64(replies)/float64(together*turns), "begin-reply-bytes")
-			b.ReportMetric(float64(stored)/float64(together*turns), "log-bytes/turn")
+			b.ReportMetric(float64(replies)/float64(concurrentPrograms*turns), "begin-reply-bytes")
+			b.ReportMetric(float64(stored)/float64(concurrentPrograms*turns), "log-bytes/turn")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -9,20 +9,20 @@
 	"fordseam/internal/route"
 )
 
-func tableOf(routes, hosts int) *route.Table {
-	t := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s"}}}
-	for place := range routes {
-		t.Routes = append(t.Routes, route.Route{Name: fmt.Sprint("r", place), Host: fmt.Sprintf("host-%d.example", place%hosts), Prefix: fmt.Sprintf("/v1/part-%d/", place),
+func newTable(routes, hosts int) *route.Table {
+	table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s"}}}
+	for i := range routes {
+		table.Routes = append(table.Routes, route.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("host-%d.example", i%hosts), Prefix: fmt.Sprintf("/v1/part-%d/", i),
 			Timeout: time.Second, LatencyTarget: time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}})
 	}
-	return t
+	return table
 }
 
 func BenchmarkMatch(b *testing.B) {
 	for _, hosts := range []int{1, 100} {
 		for _, routes := range []int{100, 300, 1000} {
 			b.Run(fmt.Sprintf("%d routes of %d hosts", routes, hosts), func(b *testing.B) {
-				t := tableOf(routes, hosts)
+				t := newTable(routes, hosts)
 				if err := t.BuildIndex(); err != nil {
 					b.Fatal(err)
 				}
