--- a/internal/route/canonical.go
+++ b/internal/route/canonical.go
@@ -20,11 +20,11 @@
 const (
 	// depthLimit bounds how deep values may be nested; a configuration of routes
 	// needs five levels.
-	depthLimit = 32
+	maxDepth = 32
 	// exponentDigits bounds the exponent of a number, so that it fits an int.
-	exponentDigits = 6
+	maxExponentDigits = 6
 	// pathNameLimit bounds a member's name in the path of a complaint.
-	pathNameLimit = 64
+	maxPathNameBytes = 64
 )
 
 // Canonicalize gives the canonical form of a JSON document: no white space,
@@ -52,12 +52,12 @@
 // RequireEnd declines a document that has anything but white space after its value.
 func RequireEnd(decoder *jx.Decoder) error {
 	// A value that is cut short ends the document as well, so its beginning counts.
-	begins := decoder.Next() != jx.Invalid
+	valueStarts := decoder.Next() != jx.Invalid
 	err := decoder.Skip()
 	switch {
 	case err == nil:
 		return base.DeclineField("body", "more than one JSON value")
-	case begins || !errors.Is(err, io.EOF):
+	case valueStarts || !errors.Is(err, io.EOF):
 		return base.DeclineField("body", "something follows the JSON value")
 	}
 	return nil
@@ -65,10 +65,10 @@
 
 // path is where a value stands in the document; nil is the whole of it.
 type path struct {
-	parent *path
-	member bool   // of an object; an array's element otherwise
-	name   string // of a member
-	index  int    // of an element
+	parent   *path
+	isMember bool   // of an object; an array's element otherwise
+	name     string // of a member
+	index    int    // of an element
 }
 
 func (p *path) depth() int {
@@ -84,106 +84,106 @@
 	switch {
 	case p == nil:
 		return "body"
-	case !p.member:
+	case !p.isMember:
 		prefix := ""
 		if p.parent != nil {
 			prefix = p.parent.String()
 		}
 		return prefix + "[" + strconv.Itoa(p.index) + "]"
 	}
-	name := strings.ToValidUTF8(p.name[:min(len(p.name), pathNameLimit)], "\uFFFD")
+	name := strings.ToValidUTF8(p.name[:min(len(p.name), maxPathNameBytes)], "\uFFFD")
 	if p.parent == nil {
 		return name
 	}
 	return p.parent.String() + "." + name
 }
 
-func appendValue(into []byte, decoder *jx.Decoder, at *path) ([]byte, error) {
-	if at.depth() > depthLimit {
-		return nil, base.DeclineField(at.String(), "is nested deeper than %d levels", depthLimit)
+func appendValue(dst []byte, decoder *jx.Decoder, location *path) ([]byte, error) {
+	if location.depth() > maxDepth {
+		return nil, base.DeclineField(location.String(), "is nested deeper than %d levels", maxDepth)
 	}
 	switch decoder.Next() {
 	case jx.Object:
-		return appendObject(into, decoder, at)
+		return appendObject(dst, decoder, location)
 	case jx.Array:
-		return appendArray(into, decoder, at)
+		return appendArray(dst, decoder, location)
 	case jx.String:
-		return appendString(into, decoder, at)
+		return appendString(dst, decoder, location)
 	case jx.Number:
-		return appendNumber(into, decoder, at)
+		return appendNumber(dst, decoder, location)
 	}
 	raw, err := decoder.Raw() // true, false, null, or nothing that JSON knows
-	return append(into, raw...), err
+	return append(dst, raw...), err
 }
 
 // member is one of an object's, its value as a stretch of a shared buffer.
 type member struct {
-	name     string
-	from, to int
+	name       string
+	start, end int
 }
 
-func appendObject(into []byte, decoder *jx.Decoder, at *path) ([]byte, error) {
+func appendObject(dst []byte, decoder *jx.Decoder, location *path) ([]byte, error) {
 	var members []member
 	var values []byte
-	inner := &path{parent: at}
+	memberPath := &path{parent: location}
 	err := decoder.ObjBytes(func(decoder *jx.Decoder, key []byte) (err error) {
 		name := string(key)
-		inner.name, inner.member = name, true
+		memberPath.name, memberPath.isMember = name, true
 		if !utf8.ValidString(name) || strings.ContainsRune(name, utf8.RuneError) {
-			return base.DeclineField(inner.String(), "the member's name is not Unicode text")
+			return base.DeclineField(memberPath.String(), "the member's name is not Unicode text")
 		}
-		from := len(values)
-		values, err = appendValue(values, decoder, inner)
-		members = append(members, member{name, from, len(values)})
+		start := len(values)
+		values, err = appendValue(values, decoder, memberPath)
+		members = append(members, member{name, start, len(values)})
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
 	slices.SortFunc(members, func(a, b member) int { return strings.Compare(a.name, b.name) })
-	into = append(into, '{')
-	for place, one := range members {
-		if place > 0 {
-			if members[place-1].name == one.name {
-				inner.name, inner.member = one.name, true
-				return nil, base.DeclineField(inner.String(), "given twice")
+	dst = append(dst, '{')
+	for i, m := range members {
+		if i > 0 {
+			if members[i-1].name == m.name {
+				memberPath.name, memberPath.isMember = m.name, true
+				return nil, base.DeclineField(memberPath.String(), "given twice")
 			}
-			into = append(into, ',')
+			dst = append(dst, ',')
 		}
-		into = appendText(into, one.name)
-		into = append(into, ':')
-		into = append(into, values[one.from:one.to]...)
+		dst = appendQuoted(dst, m.name)
+		dst = append(dst, ':')
+		dst = append(dst, values[m.start:m.end]...)
 	}
-	return append(into, '}'), nil
+	return append(dst, '}'), nil
 }
 
-func appendArray(into []byte, decoder *jx.Decoder, at *path) ([]byte, error) {
-	into = append(into, '[')
-	inner := &path{parent: at, index: -1}
+func appendArray(dst []byte, decoder *jx.Decoder, location *path) ([]byte, error) {
+	dst = append(dst, '[')
+	elementPath := &path{parent: location, index: -1}
 	err := decoder.Arr(func(decoder *jx.Decoder) (err error) {
-		if inner.index++; inner.index > 0 {
-			into = append(into, ',')
+		if elementPath.index++; elementPath.index > 0 {
+			dst = append(dst, ',')
 		}
-		into, err = appendValue(into, decoder, inner)
+		dst, err = appendValue(dst, decoder, elementPath)
 		return err
 	})
-	return append(into, ']'), err
+	return append(dst, ']'), err
 }
 
-func appendString(into []byte, decoder *jx.Decoder, at *path) ([]byte, error) {
+func appendString(dst []byte, decoder *jx.Decoder, location *path) ([]byte, error) {
 	raw, err := decoder.Raw()
 	if err != nil {
 		return nil, err
 	}
 	if !utf8.Valid(raw) || !surrogatesPaired(raw) {
-		return nil, base.DeclineField(at.String(), "is not Unicode text")
+		return nil, base.DeclineField(location.String(), "is not Unicode text")
 	}
 	text, err := jx.DecodeBytes(raw).Str()
-	return appendText(into, text), err
+	return appendQuoted(dst, text), err
 }
 
-func appendText(into []byte, text string) []byte {
-	writer := jx.Writer{Buf: into}
+func appendQuoted(dst []byte, text string) []byte {
+	writer := jx.Writer{Buf: dst}
 	writer.Str(text)
 	return writer.Buf
 }
@@ -192,24 +192,24 @@
 // has its other half: one alone would be read as the replacement character, as
 // any other one alone.
 func surrogatesPaired(literal []byte) bool {
-	for at := 0; at < len(literal); at++ {
-		if literal[at] != '\\' {
+	for i := 0; i < len(literal); i++ {
+		if literal[i] != '\\' {
 			continue
 		}
-		unit, escaped := unicodeEscape(literal[at:])
+		unit, escaped := unicodeEscape(literal[i:])
 		switch {
 		case !escaped:
-			at++ // the escaped character, which may be a backslash
+			i++ // the escaped character, which may be a backslash
 		case unit >= 0xDC00 && unit <= 0xDFFF:
 			return false
 		case unit >= 0xD800 && unit <= 0xDBFF:
-			low, escaped := unicodeEscape(literal[at+escapeLength:])
+			low, escaped := unicodeEscape(literal[i+escapeLength:])
 			if !escaped || low < 0xDC00 || low > 0xDFFF {
 				return false
 			}
-			at += 2*escapeLength - 1
+			i += 2*escapeLength - 1
 		default:
-			at += escapeLength - 1
+			i += escapeLength - 1
 		}
 	}
 	return true
@@ -229,7 +229,7 @@
 // appendNumber writes a number as its coefficient and power of ten: 60.0, 6e1
 // and 60 are all 6e1. No precision is lost, so that two numbers that differ in
 // any digit stay different.
-func appendNumber(into []byte, decoder *jx.Decoder, at *path) ([]byte, error) {
+func appendNumber(dst []byte, decoder *jx.Decoder, location *path) ([]byte, error) {
 	raw, err := decoder.Raw()
 	if err != nil {
 		return nil, err
@@ -238,36 +238,36 @@
 	power := 0
 	if mantissa, exponent, ok := cutAny(text, "eE"); ok {
 		digits := strings.TrimLeft(strings.TrimLeft(exponent, "+-"), "0")
-		if len(digits) > exponentDigits {
-			return nil, base.DeclineField(at.String(), "the number's exponent is out of range")
+		if len(digits) > maxExponentDigits {
+			return nil, base.DeclineField(location.String(), "the number's exponent is out of range")
 		}
 		if power, err = strconv.Atoi(strings.TrimPrefix(exponent, "+")); err != nil {
-			return nil, base.DeclineField(at.String(), "is not a number")
+			return nil, base.DeclineField(location.String(), "is not a number")
 		}
 		text = mantissa
 	}
-	whole, fraction, _ := strings.Cut(text, ".")
+	integer, fraction, _ := strings.Cut(text, ".")
 	power -= len(fraction)
-	digits := strings.TrimLeft(whole+fraction, "0")
+	digits := strings.TrimLeft(integer+fraction, "0")
 	if digits == "" {
-		return append(into, '0'), nil
+		return append(dst, '0'), nil
 	}
 	coefficient := strings.TrimRight(digits, "0")
 	power += len(digits) - len(coefficient)
 	if negative {
-		into = append(into, '-')
+		dst = append(dst, '-')
 	}
-	into = append(into, coefficient...)
+	dst = append(dst, coefficient...)
 	if power == 0 {
-		return into, nil
+		return dst, nil
 	}
-	into = append(into, 'e')
-	return strconv.AppendInt(into, int64(power), 10), nil
+	dst = append(dst, 'e')
+	return strconv.AppendInt(dst, int64(power), 10), nil
 }
 
-func cutAny(text, marks string) (before, after string, found bool) {
-	if at := strings.IndexAny(text, marks); at >= 0 {
-		return text[:at], text[at+1:], true
+func cutAny(text, chars string) (before, after string, found bool) {
+	if i := strings.IndexAny(text, chars); i >= 0 {
+		return text[:i], text[i+1:], true
 	}
 	return text, "", false
 }
--- a/internal/route/canonical_test.go
+++ b/internal/route/canonical_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-func TestSpellingsOfOneDocumentAreTheSame(t *testing.T) {
+func TestEquivalentDocumentsHaveOneCanonicalForm(t *testing.T) {
 	is := is.New(t)
 	for canonical, spellings := range map[string][]string{
 		`{"a":1,"b":[6e1,-25e-1,0,true,null,""]}`: {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestDifferentDocumentsDiffer(t *testing.T) {
+func TestDifferentDocumentsHaveDifferentCanonicalForms(t *testing.T) {
 	is := is.New(t)
 	seen := map[string]string{}
 	for _, document := range []string{
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestWhatHasNoCanonicalFormIsDeclinedByItsPath(t *testing.T) {
+func TestInvalidDocumentIsRejectedWithItsPath(t *testing.T) {
 	is := is.New(t)
 	for document, field := range map[string]string{
 		`{"a":1,"a":1}`: "a",
@@ -92,11 +92,11 @@
 	if err := decoder.Decode(&tree); err != nil {
 		t.Fatalf("%q: %v", document, err)
 	}
-	spelled, err := json.MarshalIndent(tree, " ", "\t")
+	formatted, err := json.MarshalIndent(tree, " ", "\t")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return spelled
+	return formatted
 }
 
 func FuzzCanonical(f *testing.F) {
@@ -114,10 +114,10 @@
 		if !json.Valid(document) || !json.Valid(canonical) {
 			t.Fatalf("%q became %q", document, canonical)
 		}
-		for _, spelled := range [][]byte{canonical, reformat(t, document), reformat(t, canonical)} {
-			again, err := route.Canonicalize(spelled)
+		for _, variant := range [][]byte{canonical, reformat(t, document), reformat(t, canonical)} {
+			again, err := route.Canonicalize(variant)
 			if err != nil || !bytes.Equal(again, canonical) {
-				t.Fatalf("%q is %q, but spelled %q it is %q (%v)", document, canonical, spelled, again, err)
+				t.Fatalf("%q is %q, but spelled %q it is %q (%v)", document, canonical, variant, again, err)
 			}
 		}
 	})
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -36,7 +36,7 @@
 	changeFormat = 2
 
 	// shownOrders is how many of the newest versions operators are shown.
-	shownOrders = 64
+	maxListedVersions = 64
 
 	// operations of the control state
 	operationRead   = "route.read"
@@ -48,7 +48,7 @@
 	fieldVersion       = "version"
 	// askAgainAfter is when the operator of an order without a clear answer is to
 	// come again, in seconds.
-	askAgainAfter = 1
+	retryAfterSeconds = 1
 )
 
 // Document is what the control state keeps of the configuration.
@@ -79,19 +79,19 @@
 	if !ok {
 		return nil
 	}
-	found, err := decodeDocument(raw)
+	document, err := decodeDocument(raw)
 	if err != nil {
 		return nil
 	}
-	return found
+	return document
 }
 
 func decodeDocument(raw []byte) (*Document, error) {
-	var found Document
-	if json.Unmarshal(raw, &found) != nil || found.Format > documentFormat {
-		return nil, unreadable("the configuration of routes")
+	var document Document
+	if json.Unmarshal(raw, &document) != nil || document.Format > documentFormat {
+		return nil, unknownFormat("the configuration of routes")
 	}
-	return &found, nil
+	return &document, nil
 }
 
 // Change asks for a version in the place of another.
@@ -105,118 +105,118 @@
 }
 
 // NewChange packs a document whose table was checked. It fails as Canonicalize does.
-func NewChange(former uint64, table *Table, written []byte) (Change, error) {
-	canonical, err := Canonicalize(written)
+func NewChange(baseVersion uint64, table *Table, source []byte) (Change, error) {
+	canonical, err := Canonicalize(source)
 	if err != nil {
 		return Change{}, err
 	}
 	digest := digestOf(canonical)
-	return Change{Format: changeFormat, Base: former, Version: table.Version, Digest: hex.EncodeToString(digest[:]), Compressed: pack(written)}, nil
+	return Change{Format: changeFormat, Base: baseVersion, Version: table.Version, Digest: hex.EncodeToString(digest[:]), Compressed: compress(source)}, nil
 }
 
-func pack(written []byte) []byte {
-	var packed bytes.Buffer
+func compress(source []byte) []byte {
+	var compressed bytes.Buffer
 	// The level is valid, and writes to a buffer do not fail.
-	writer, _ := flate.NewWriter(&packed, flate.BestCompression)
-	_, _ = writer.Write(written)
+	writer, _ := flate.NewWriter(&compressed, flate.BestCompression)
+	_, _ = writer.Write(source)
 	_ = writer.Close()
-	return packed.Bytes()
+	return compressed.Bytes()
 }
 
 // RegisterOperations adds the configuration's operations to a core.
 func RegisterOperations(owner *register.Owner) {
-	owner.Handle(operationRead, func(tx *register.Tx, _ []byte) (any, error) { return read(tx) })
+	owner.Handle(operationRead, func(tx *register.Tx, _ []byte) (any, error) { return readCurrent(tx) })
 	owner.Handle(operationChange, func(tx *register.Tx, args []byte) (any, error) {
-		asked, digest, err := decodeChange(args)
+		change, digest, err := decodeChange(args)
 		if err != nil {
 			return nil, err
 		}
-		return decide(tx, asked, digest)
+		return applyChange(tx, change, digest)
 	})
 }
 
-func load(from store) (*Document, error) {
-	raw := from.Get(FeedKey)
+func loadDocument(kv kvStore) (*Document, error) {
+	raw := kv.Get(FeedKey)
 	if raw == nil {
 		return &Document{}, nil
 	}
 	return decodeDocument(raw)
 }
 
-func read(from store) (*Document, error) {
-	now, err := load(from)
+func readCurrent(kv kvStore) (*Document, error) {
+	current, err := loadDocument(kv)
 	if err != nil {
 		return nil, err
 	}
-	listed, err := recent(from, shownOrders)
+	versions, err := recentVersions(kv, maxListedVersions)
 	if err != nil {
 		return nil, err
 	}
-	now.Accepted = slices.Concat(now.Accepted, listed)
-	now.Accepted = now.Accepted[max(0, len(now.Accepted)-shownOrders):]
-	return now, nil
+	current.Accepted = slices.Concat(current.Accepted, versions)
+	current.Accepted = current.Accepted[max(0, len(current.Accepted)-maxListedVersions):]
+	return current, nil
 }
 
-func decodeChange(args []byte) (*Change, orderDigest, error) {
-	var asked Change
-	if err := json.Unmarshal(args, &asked); err != nil {
-		return nil, orderDigest{}, base.DeclineField("document", "not a change: %v", err)
+func decodeChange(args []byte) (*Change, documentDigest, error) {
+	var change Change
+	if err := json.Unmarshal(args, &change); err != nil {
+		return nil, documentDigest{}, base.DeclineField("document", "not a change: %v", err)
 	}
-	if asked.Format != changeFormat {
-		return nil, orderDigest{}, unreadable("the change")
+	if change.Format != changeFormat {
+		return nil, documentDigest{}, unknownFormat("the change")
 	}
-	digest, err := parseDigest(asked.Digest)
+	digest, err := parseDigest(change.Digest)
 	if err != nil {
-		return nil, orderDigest{}, base.DeclineField("document", "not a digest: %v", err)
+		return nil, documentDigest{}, base.DeclineField("document", "not a digest: %v", err)
 	}
-	return &asked, digest, nil
+	return &change, digest, nil
 }
 
 // decide takes an order, acknowledges it again, or refuses it. What it decides
 // on is not told before a majority has confirmed it.
-func decide(tx store, asked *Change, digest orderDigest) (*AcceptedVersion, error) {
-	now, err := load(tx)
+func applyChange(tx kvStore, change *Change, digest documentDigest) (*AcceptedVersion, error) {
+	current, err := loadDocument(tx)
 	if err != nil {
 		return nil, err
 	}
-	if asked.Version <= asked.Base {
-		return nil, base.DeclineField(fieldVersion, "must be above %d, which it builds on", asked.Base)
+	if change.Version <= change.Base {
+		return nil, base.DeclineField(fieldVersion, "must be above %d, which it builds on", change.Base)
 	}
-	found, err := find(tx, now, asked, digest)
+	status, err := lookUpChange(tx, current, change, digest)
 	if err != nil {
 		return nil, err
 	}
-	taken := &AcceptedVersion{asked.Version, asked.Digest}
+	accepted := &AcceptedVersion{change.Version, change.Digest}
 	switch {
-	case found == takenAsAsked:
-		tx.Put(repeatKey, binary.BigEndian.AppendUint64(nil, asked.Version))
-		return taken, nil
-	case found == forgotten:
-		return nil, unknownOutcome("version %d is older than the history that is kept", asked.Version)
-	case found == takenOtherwise:
-		return nil, stale(now, "another change was taken under version %d", asked.Version)
-	case asked.Base != now.Version:
-		return nil, stale(now, "version %d is in force, the change builds on %d", now.Version, asked.Base)
+	case status == acceptedUnchanged:
+		tx.Put(repeatKey, binary.BigEndian.AppendUint64(nil, change.Version))
+		return accepted, nil
+	case status == notInHistory:
+		return nil, outcomeUnknown("version %d is older than the history that is kept", change.Version)
+	case status == acceptedDifferently:
+		return nil, staleVersion(current, "another change was taken under version %d", change.Version)
+	case change.Base != current.Version:
+		return nil, staleVersion(current, "version %d is in force, the change builds on %d", current.Version, change.Base)
 	}
-	if err := keepLegacy(tx, now); err != nil {
+	if err := saveLegacy(tx, current); err != nil {
 		return nil, err
 	}
-	if err := record(tx, asked.Base, order{asked.Version, digest}); err != nil {
+	if err := appendEntry(tx, change.Base, historyEntry{change.Version, digest}); err != nil {
 		return nil, err
 	}
-	tx.Put(FeedKey, base.Encode(Document{Format: documentFormat, Version: asked.Version, Compressed: asked.Compressed}))
-	return taken, nil
+	tx.Put(FeedKey, base.Encode(Document{Format: documentFormat, Version: change.Version, Compressed: change.Compressed}))
+	return accepted, nil
 }
 
-func stale(now *Document, format string, args ...any) error {
+func staleVersion(current *Document, format string, args ...any) error {
 	verdict := base.Decline(412, codeStaleVersion, format, args...)
-	verdict.Stamp = now.Version
+	verdict.Stamp = current.Version
 	return verdict
 }
 
-func unknownOutcome(format string, args ...any) error {
+func outcomeUnknown(format string, args ...any) error {
 	verdict := base.Unsure(504, codeOutcomeUnknown, format, args...)
-	verdict.RetryAfter = askAgainAfter
+	verdict.RetryAfter = retryAfterSeconds
 	return verdict
 }
 
@@ -224,39 +224,39 @@
 // not taken and never will be. The error is then a base.Verdict with a status of
 // the 4xx; any other error leaves open whether the change was taken, or says
 // that it was not for now.
-func SubmitChange(ctx *base.Ctx, client *register.Client, asked Change) error {
-	err := client.Change(ctx, register.FeedGroup, operationChange, asked, nil)
+func SubmitChange(ctx *base.Ctx, client *register.Client, change Change) error {
+	err := client.Change(ctx, register.FeedGroup, operationChange, change, nil)
 	if err == nil {
 		return nil
 	}
-	return putOutcome(base.FromWire(err))
+	return submitError(base.FromWire(err))
 }
 
 // putOutcome lets a refusal pass only where it is one of decide's, and makes
 // whatever else went wrong a status of the 5xx.
-func putOutcome(verdict *base.Verdict) error {
-	refused := verdict.Code == codeStaleVersion || verdict.Code == codeBadRequest && verdict.Field != ""
+func submitError(verdict *base.Verdict) error {
+	definitive := verdict.Code == codeStaleVersion || verdict.Code == codeBadRequest && verdict.Field != ""
 	switch {
 	case verdict.Ran != base.NotRun:
-		return unknownOutcome("the outcome is not known; ask again with the same document: %s", verdict.Message)
-	case refused, verdict.Status >= 500:
+		return outcomeUnknown("the outcome is not known; ask again with the same document: %s", verdict.Message)
+	case definitive, verdict.Status >= 500:
 		return verdict
 	}
-	return base.Busy(503, verdict.Code, askAgainAfter, "%s", verdict.Message)
+	return base.Busy(503, verdict.Code, retryAfterSeconds, "%s", verdict.Message)
 }
 
 // ReadDocument asks for what is in force; the version is 0 where nothing is.
 func ReadDocument(ctx *base.Ctx, client *register.Client) (*Document, error) {
-	var found Document
-	err := client.Read(ctx, register.FeedGroup, operationRead, struct{}{}, &found)
+	var document Document
+	err := client.Read(ctx, register.FeedGroup, operationRead, struct{}{}, &document)
 	if err != nil {
-		return nil, readOutcome(base.FromWire(err))
+		return nil, readError(base.FromWire(err))
 	}
-	return &found, nil
+	return &document, nil
 }
 
 // readOutcome is a status of the 5xx that says when to come again: a read has
 // no refusals of its own.
-func readOutcome(verdict *base.Verdict) error {
-	return base.Busy(503, verdict.Code, max(verdict.RetryAfter, askAgainAfter), "%s", verdict.Message)
+func readError(verdict *base.Verdict) error {
+	return base.Busy(503, verdict.Code, max(verdict.RetryAfter, retryAfterSeconds), "%s", verdict.Message)
 }
--- a/internal/route/history.go
+++ b/internal/route/history.go
@@ -27,32 +27,32 @@
 	// legacyKey keeps what a document of the first format listed.
 	legacyKey = "routes/legacy"
 	// legacyLimit bounds that list; a document of the first format had 64 at most.
-	legacyLimit = 256
+	maxLegacyVersions = 256
 
 	// blockOrders is how many changes a block holds. The newest block is written
 	// with each change: at most 1.5 kB.
-	blockOrders = 64
+	entriesPerBlock = 64
 	// blockLimit is how many blocks are kept: 16,320 to 16,384 changes, which is
 	// five days of 3,000 changes each, in 0.4 MB.
-	blockLimit = 256
+	maxBlocks = 256
 
 	blockFormat     = 1
 	blockHeaderSize = 1 + 8
-	orderSize       = 8 + digestSize
+	entrySize       = 8 + digestSize
 	// digestSize is how much of a SHA-256 sum is kept: 128 bits.
 	digestSize = 16
 )
 
 // orderDigest identifies a document by its canonical form.
-type orderDigest [digestSize]byte
+type documentDigest [digestSize]byte
 
 // digestOf identifies a canonical form.
-func digestOf(canonical []byte) orderDigest {
+func digestOf(canonical []byte) documentDigest {
 	sum := sha256.Sum256(canonical)
-	return orderDigest(sum[:digestSize])
+	return documentDigest(sum[:digestSize])
 }
 
-func parseDigest(text string) (digest orderDigest, err error) {
+func parseDigest(text string) (digest documentDigest, err error) {
 	raw, err := hex.DecodeString(text)
 	if err == nil && len(raw) != digestSize {
 		err = fmt.Errorf("%d bytes instead of %d", len(raw), digestSize)
@@ -62,58 +62,58 @@
 }
 
 // order is a change that was taken: its version and its document.
-type order struct {
+type historyEntry struct {
 	version uint64
-	digest  orderDigest
+	digest  documentDigest
 }
 
 // block is a stretch of the history without a gap: the first of its orders was
 // based on the version before, and each other on the one that precedes it.
 type block struct {
-	before uint64
-	orders []order
+	baseVersion uint64
+	entries     []historyEntry
 }
 
 // last is the newest version that the block covers.
-func (b *block) last() uint64 {
-	if len(b.orders) == 0 {
-		return b.before
+func (b *block) lastVersion() uint64 {
+	if len(b.entries) == 0 {
+		return b.baseVersion
 	}
-	return b.orders[len(b.orders)-1].version
+	return b.entries[len(b.entries)-1].version
 }
 
-func (b *block) key() string { return fmt.Sprintf("%s%016x", historyPrefix, b.before) }
+func (b *block) key() string { return fmt.Sprintf("%s%016x", historyPrefix, b.baseVersion) }
 
 func (b *block) encode() []byte {
-	raw := make([]byte, 0, blockHeaderSize+orderSize*len(b.orders))
+	raw := make([]byte, 0, blockHeaderSize+entrySize*len(b.entries))
 	raw = append(raw, blockFormat)
-	raw = binary.BigEndian.AppendUint64(raw, b.before)
-	for _, one := range b.orders {
-		raw = binary.BigEndian.AppendUint64(raw, one.version)
-		raw = append(raw, one.digest[:]...)
+	raw = binary.BigEndian.AppendUint64(raw, b.baseVersion)
+	for _, entry := range b.entries {
+		raw = binary.BigEndian.AppendUint64(raw, entry.version)
+		raw = append(raw, entry.digest[:]...)
 	}
 	return raw
 }
 
 func decodeBlock(raw []byte) (*block, error) {
-	if len(raw) < blockHeaderSize || raw[0] != blockFormat || (len(raw)-blockHeaderSize)%orderSize != 0 {
-		return nil, unreadable("a block of the history of routes")
+	if len(raw) < blockHeaderSize || raw[0] != blockFormat || (len(raw)-blockHeaderSize)%entrySize != 0 {
+		return nil, unknownFormat("a block of the history of routes")
 	}
-	made := &block{before: binary.BigEndian.Uint64(raw[1:])}
-	for rest := raw[blockHeaderSize:]; len(rest) > 0; rest = rest[orderSize:] {
-		made.orders = append(made.orders, order{binary.BigEndian.Uint64(rest), orderDigest(rest[8:orderSize])})
+	decoded := &block{baseVersion: binary.BigEndian.Uint64(raw[1:])}
+	for rest := raw[blockHeaderSize:]; len(rest) > 0; rest = rest[entrySize:] {
+		decoded.entries = append(decoded.entries, historyEntry{binary.BigEndian.Uint64(rest), documentDigest(rest[8:entrySize])})
 	}
-	return made, nil
+	return decoded, nil
 }
 
 // unreadable is the answer where what is kept is of a format that this release
 // does not know; another core may know it.
-func unreadable(what string) error {
+func unknownFormat(what string) error {
 	return base.Busy(503, "unknown_format", 1, "%s is not of a format that this release reads", what)
 }
 
 // store is the part of a transaction that the history is kept in.
-type store interface {
+type kvStore interface {
 	Get(key string) []byte
 	Put(key string, value []byte)
 	Gone(key string)
@@ -121,51 +121,51 @@
 }
 
 // finding is what the history says of an order.
-type finding int
+type changeStatus int
 
 const (
 	// neverTaken: no order with that version was taken.
-	neverTaken finding = iota
+	neverAccepted changeStatus = iota
 	// takenAsAsked: this very order was taken.
-	takenAsAsked
+	acceptedUnchanged
 	// takenOtherwise: another document, or the same on top of another version,
 	// was taken under that version.
-	takenOtherwise
+	acceptedDifferently
 	// forgotten: the history does not reach back that far.
-	forgotten
+	notInHistory
 )
 
 // find tells what became of an order; now is the document in force, and no
 // version above it was ever taken.
-func find(from store, now *Document, asked *Change, digest orderDigest) (finding, error) {
-	if asked.Version > now.Version {
-		return neverTaken, nil
+func lookUpChange(kv kvStore, current *Document, change *Change, digest documentDigest) (changeStatus, error) {
+	if change.Version > current.Version {
+		return neverAccepted, nil
 	}
-	covering, err := blockCovering(from, asked.Version)
+	covering, err := blockCovering(kv, change.Version)
 	if err != nil {
-		return forgotten, err
+		return notInHistory, err
 	}
 	if covering == nil {
-		return findLegacy(from, now, asked)
+		return lookUpLegacy(kv, current, change)
 	}
-	before := covering.before
-	for _, one := range covering.orders {
-		if one.version == asked.Version {
-			if one.digest == digest && before == asked.Base {
-				return takenAsAsked, nil
+	predecessor := covering.baseVersion
+	for _, entry := range covering.entries {
+		if entry.version == change.Version {
+			if entry.digest == digest && predecessor == change.Base {
+				return acceptedUnchanged, nil
 			}
-			return takenOtherwise, nil
+			return acceptedDifferently, nil
 		}
-		before = one.version
+		predecessor = entry.version
 	}
-	return neverTaken, nil
+	return neverAccepted, nil
 }
 
 // blockCovering gives the block whose stretch a version lies in, nil when it
 // lies before the history or in a gap.
-func blockCovering(from store, version uint64) (found *block, err error) {
+func blockCovering(kv kvStore, version uint64) (found *block, err error) {
 	var raw []byte
-	from.Walk(historyPrefix, "", func(key string, value []byte) bool {
+	kv.Walk(historyPrefix, "", func(key string, value []byte) bool {
 		if len(value) >= blockHeaderSize && binary.BigEndian.Uint64(value[1:]) >= version {
 			return false
 		}
@@ -176,7 +176,7 @@
 		return nil, nil
 	}
 	found, err = decodeBlock(raw)
-	if err != nil || version > found.last() {
+	if err != nil || version > found.lastVersion() {
 		return nil, err
 	}
 	return found, nil
@@ -186,90 +186,90 @@
 // listed. They say nothing of the version that each was based on, and their
 // digests are of the document as it was written, so that one that differs
 // proves nothing.
-func findLegacy(from store, now *Document, asked *Change) (finding, error) {
-	listed, err := legacyOrders(from, now)
+func lookUpLegacy(kv kvStore, current *Document, change *Change) (changeStatus, error) {
+	versions, err := legacyVersions(kv, current)
 	if err != nil {
-		return forgotten, err
+		return notInHistory, err
 	}
-	at := slices.IndexFunc(listed, func(one AcceptedVersion) bool { return one.Version == asked.Version })
-	if at < 0 {
-		return forgotten, nil
+	i := slices.IndexFunc(versions, func(accepted AcceptedVersion) bool { return accepted.Version == change.Version })
+	if i < 0 {
+		return notInHistory, nil
 	}
-	written, err := (&Document{Compressed: asked.Compressed}).Source()
+	source, err := (&Document{Compressed: change.Compressed}).Source()
 	if err != nil {
-		return forgotten, base.DeclineField("document", "cannot be unpacked: %v", err)
+		return notInHistory, base.DeclineField("document", "cannot be unpacked: %v", err)
 	}
-	if listed[at].Digest == base.Digest(written) {
-		return takenAsAsked, nil
+	if versions[i].Digest == base.Digest(source) {
+		return acceptedUnchanged, nil
 	}
-	return forgotten, nil
+	return notInHistory, nil
 }
 
 // legacyOrders are the orders that documents of the first format listed, the
 // one in force included if it is of that format.
-func legacyOrders(from store, now *Document) (listed []AcceptedVersion, err error) {
-	if raw := from.Get(legacyKey); raw != nil && json.Unmarshal(raw, &listed) != nil {
-		return nil, unreadable("the former list of versions")
+func legacyVersions(kv kvStore, current *Document) (versions []AcceptedVersion, err error) {
+	if raw := kv.Get(legacyKey); raw != nil && json.Unmarshal(raw, &versions) != nil {
+		return nil, unknownFormat("the former list of versions")
 	}
-	listed = append(listed, now.Accepted...)
-	return listed[max(0, len(listed)-legacyLimit):], nil
+	versions = append(versions, current.Accepted...)
+	return versions[max(0, len(versions)-maxLegacyVersions):], nil
 }
 
 // keepLegacy carries over what a document of the first format lists, before it
 // is replaced by one that lists nothing.
-func keepLegacy(into store, now *Document) error {
-	if len(now.Accepted) == 0 {
+func saveLegacy(kv kvStore, current *Document) error {
+	if len(current.Accepted) == 0 {
 		return nil
 	}
-	listed, err := legacyOrders(into, now)
+	versions, err := legacyVersions(kv, current)
 	if err == nil {
-		into.Put(legacyKey, base.Encode(listed))
+		kv.Put(legacyKey, base.Encode(versions))
 	}
 	return err
 }
 
 // record adds an order that is taken on top of a version, and drops the oldest
 // block when there are too many.
-func record(into store, before uint64, taken order) error {
+func appendEntry(kv kvStore, baseVersion uint64, entry historyEntry) error {
 	var blocks [][]byte
 	var keys []string
-	into.Walk(historyPrefix, "", func(key string, value []byte) bool {
+	kv.Walk(historyPrefix, "", func(key string, value []byte) bool {
 		keys, blocks = append(keys, key), append(blocks, value)
 		return true
 	})
-	newest := &block{before: before}
+	newest := &block{baseVersion: baseVersion}
 	if len(blocks) > 0 {
 		last, err := decodeBlock(blocks[len(blocks)-1])
 		if err != nil {
 			return err
 		}
-		if last.last() == before && len(last.orders) < blockOrders {
+		if last.lastVersion() == baseVersion && len(last.entries) < entriesPerBlock {
 			newest = last
 			keys = keys[:len(keys)-1]
 		}
 	}
-	newest.orders = append(newest.orders, taken)
-	into.Put(newest.key(), newest.encode())
-	for len(keys) >= blockLimit {
-		into.Gone(keys[0])
-		into.Gone(legacyKey) // older than every block
+	newest.entries = append(newest.entries, entry)
+	kv.Put(newest.key(), newest.encode())
+	for len(keys) >= maxBlocks {
+		kv.Gone(keys[0])
+		kv.Gone(legacyKey) // older than every block
 		keys = keys[1:]
 	}
 	return nil
 }
 
 // recent lists the newest orders of the history, oldest first.
-func recent(from store, most int) (listed []AcceptedVersion, err error) {
-	from.Walk(historyPrefix, "", func(_ string, value []byte) bool {
-		var one *block
-		if one, err = decodeBlock(value); err != nil {
+func recentVersions(kv kvStore, limit int) (versions []AcceptedVersion, err error) {
+	kv.Walk(historyPrefix, "", func(_ string, value []byte) bool {
+		var decoded *block
+		if decoded, err = decodeBlock(value); err != nil {
 			return false
 		}
-		for _, order := range one.orders {
-			listed = append(listed, AcceptedVersion{order.version, hex.EncodeToString(order.digest[:])})
+		for _, entry := range decoded.entries {
+			versions = append(versions, AcceptedVersion{entry.version, hex.EncodeToString(entry.digest[:])})
 		}
-		listed = listed[max(0, len(listed)-most):]
+		versions = versions[max(0, len(versions)-limit):]
 		return true
 	})
-	return listed, err
+	return versions, err
 }
--- a/internal/route/history_test.go
+++ b/internal/route/history_test.go
@@ -15,12 +15,12 @@
 )
 
 // memory is a store without a transaction: every change counts at once.
-type memory map[string][]byte
+type memoryStore map[string][]byte
 
-func (m memory) Get(key string) []byte        { return m[key] }
-func (m memory) Put(key string, value []byte) { m[key] = value }
-func (m memory) Gone(key string)              { delete(m, key) }
-func (m memory) Walk(prefix, after string, visit func(key string, value []byte) bool) {
+func (m memoryStore) Get(key string) []byte        { return m[key] }
+func (m memoryStore) Put(key string, value []byte) { m[key] = value }
+func (m memoryStore) Gone(key string)              { delete(m, key) }
+func (m memoryStore) Walk(prefix, after string, visit func(key string, value []byte) bool) {
 	for _, key := range base.SortedKeys(m) {
 		if strings.HasPrefix(key, prefix) && key > after && !visit(key, m[key]) {
 			return
@@ -29,7 +29,7 @@
 }
 
 // historyBytes is what the history takes, keys included.
-func (m memory) historyBytes() int {
+func (m memoryStore) historySize() int {
 	sum := 0
 	m.Walk(historyPrefix, "", func(key string, value []byte) bool {
 		sum += len(key) + len(value)
@@ -44,33 +44,33 @@
 
 // orderFor is an order as ChangeOf makes it, but not packed: packing would take
 // most of these tests' time.
-func orderFor(t *testing.T, former, version uint64, written []byte) *Change {
+func changeFor(t *testing.T, baseVersion, version uint64, source []byte) *Change {
 	t.Helper()
-	canonical, err := Canonicalize(written)
+	canonical, err := Canonicalize(source)
 	if err != nil {
 		t.Fatal(err)
 	}
 	digest := digestOf(canonical)
-	return &Change{Format: changeFormat, Base: former, Version: version, Digest: hex.EncodeToString(digest[:])}
+	return &Change{Format: changeFormat, Base: baseVersion, Version: version, Digest: hex.EncodeToString(digest[:])}
 }
 
 // packedOrderFor is the same with its document.
-func packedOrderFor(t *testing.T, former, version uint64, written []byte) *Change {
+func changeWithDocument(t *testing.T, baseVersion, version uint64, source []byte) *Change {
 	t.Helper()
-	made, err := NewChange(former, &Table{Version: version}, written)
+	change, err := NewChange(baseVersion, &Table{Version: version}, source)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &made
+	return &change
 }
 
-func ask(t *testing.T, from store, asked *Change) error {
+func submit(t *testing.T, kv kvStore, change *Change) error {
 	t.Helper()
-	digest, err := parseDigest(asked.Digest)
+	digest, err := parseDigest(change.Digest)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = decide(from, asked, digest)
+	_, err = applyChange(kv, change, digest)
 	return err
 }
 
@@ -83,139 +83,139 @@
 	return uint64(5*number + number%3)
 }
 
-func takeMany(t *testing.T, into memory, from, to int) {
+func acceptRange(t *testing.T, kv memoryStore, first, last int) {
 	t.Helper()
-	for number := from; number <= to; number++ {
+	for number := first; number <= last; number++ {
 		version := versionOf(number)
-		if err := ask(t, into, orderFor(t, versionOf(number-1), version, documentFor(version))); err != nil {
+		if err := submit(t, kv, changeFor(t, versionOf(number-1), version, documentFor(version))); err != nil {
 			t.Fatalf("change %d: %v", number, err)
 		}
 	}
 }
 
-func repeat(t *testing.T, from memory, number int) error {
+func resubmit(t *testing.T, kv memoryStore, number int) error {
 	t.Helper()
 	version := versionOf(number)
-	return ask(t, from, orderFor(t, versionOf(number-1), version, documentFor(version)))
+	return submit(t, kv, changeFor(t, versionOf(number-1), version, documentFor(version)))
 }
 
-func TestARepeatIsAcknowledgedHoweverManyVersionsCameSince(t *testing.T) {
+func TestRepeatedChangeIsAcknowledgedAfterManyVersions(t *testing.T) {
 	is := is.New(t)
-	held := memory{}
+	kv := memoryStore{}
 	for _, since := range []int{1, 64, 65, 500, 3000} {
-		takeMany(t, held, heldOrders(held)+1, since+1)
+		acceptRange(t, kv, countEntries(kv)+1, since+1)
 		for number := 1; number <= since+1; number++ {
-			is.NoErr(repeat(t, held, number)) // taken, and acknowledged again
+			is.NoErr(resubmit(t, kv, number)) // taken, and acknowledged again
 		}
-		now, err := load(held)
+		current, err := loadDocument(kv)
 		is.NoErr(err)
-		is.Equal(now.Version, versionOf(since+1)) // a repeat changes nothing that is in force
-		is.True(held[repeatKey] != nil)           // but its answer rests on an entry
-		delete(held, repeatKey)
+		is.Equal(current.Version, versionOf(since+1)) // a repeat changes nothing that is in force
+		is.True(kv[repeatKey] != nil)                 // but its answer rests on an entry
+		delete(kv, repeatKey)
 	}
 }
 
 // heldOrders counts the orders that a store holds.
-func heldOrders(held memory) (count int) {
-	held.Walk(historyPrefix, "", func(_ string, value []byte) bool {
-		count += (len(value) - blockHeaderSize) / orderSize
+func countEntries(kv memoryStore) (count int) {
+	kv.Walk(historyPrefix, "", func(_ string, value []byte) bool {
+		count += (len(value) - blockHeaderSize) / entrySize
 		return true
 	})
 	return count
 }
 
-func TestWhatWasNeverTakenIsRefusedHoweverOld(t *testing.T) {
+func TestChangeNeverAcceptedIsRefused(t *testing.T) {
 	is := is.New(t)
-	held := memory{}
-	takeMany(t, held, 1, 300)
+	kv := memoryStore{}
+	acceptRange(t, kv, 1, 300)
 	for number := 1; number < 300; number++ {
-		version, former := versionOf(number), versionOf(number-1)
-		for _, asked := range []*Change{
-			orderFor(t, former, version, []byte(`{"operator":"second"}`)),   // another document
-			orderFor(t, former, version+1, []byte(`{"operator":"second"}`)), // a number that was passed over, or another's
-			orderFor(t, former+1, version, documentFor(version)),            // the same on another version
-			orderFor(t, versionOf(299), versionOf(300)+7, documentFor(901)), // on what is no longer in force
+		version, baseVersion := versionOf(number), versionOf(number-1)
+		for _, change := range []*Change{
+			changeFor(t, baseVersion, version, []byte(`{"operator":"second"}`)),   // another document
+			changeFor(t, baseVersion, version+1, []byte(`{"operator":"second"}`)), // a number that was passed over, or another's
+			changeFor(t, baseVersion+1, version, documentFor(version)),            // the same on another version
+			changeFor(t, versionOf(299), versionOf(300)+7, documentFor(901)),      // on what is no longer in force
 		} {
-			verdict := base.FromWire(ask(t, held, asked))
+			verdict := base.FromWire(submit(t, kv, change))
 			is.True(verdict != nil)
 			is.Equal(verdict.Status, 412)
 			is.Equal(verdict.Ran, base.NotRun)
 			is.Equal(verdict.Stamp, versionOf(300))
 		}
 	}
-	verdict := base.FromWire(ask(t, held, orderFor(t, versionOf(300), versionOf(300), documentFor(versionOf(300)))))
+	verdict := base.FromWire(submit(t, kv, changeFor(t, versionOf(300), versionOf(300), documentFor(versionOf(300)))))
 	is.Equal(verdict.Status, 400) // not above what it builds on
 	is.Equal(verdict.Field, "version")
 }
 
-func TestTheHistoryIsBoundedAndWhatItForgotIsLeftOpen(t *testing.T) {
+func TestHistoryIsBoundedAndExpiredChangesAreUnknown(t *testing.T) {
 	is := is.New(t)
-	held := memory{}
-	const changes = blockOrders*blockLimit + 500
-	takeMany(t, held, 1, changes)
-	is.True(heldOrders(held) <= blockOrders*blockLimit)
-	is.True(heldOrders(held) > blockOrders*(blockLimit-1))
-	is.True(held.historyBytes() < 450_000)
-	is.True(len(held[FeedKey]) < 300) // what every node is told does not grow
-	first := changes - heldOrders(held) + 1
-	is.NoErr(repeat(t, held, first))
+	kv := memoryStore{}
+	const changes = entriesPerBlock*maxBlocks + 500
+	acceptRange(t, kv, 1, changes)
+	is.True(countEntries(kv) <= entriesPerBlock*maxBlocks)
+	is.True(countEntries(kv) > entriesPerBlock*(maxBlocks-1))
+	is.True(kv.historySize() < 450_000)
+	is.True(len(kv[FeedKey]) < 300) // what every node is told does not grow
+	first := changes - countEntries(kv) + 1
+	is.NoErr(resubmit(t, kv, first))
 	for _, number := range []int{1, 65, first - 1} {
-		verdict := base.FromWire(repeat(t, held, number))
+		verdict := base.FromWire(resubmit(t, kv, number))
 		is.True(verdict != nil)
 		is.Equal(verdict.Ran, base.MayHaveRun)
 		is.True(verdict.Status >= 500 && verdict.RetryAfter > 0)
 	}
 }
 
-func TestADocumentOfTheFirstFormatIsCarriedOver(t *testing.T) {
+func TestFirstFormatDocumentIsMigrated(t *testing.T) {
 	is := is.New(t)
-	former := Document{Version: 64, Compressed: pack(documentFor(64))}
+	legacy := Document{Version: 64, Compressed: compress(documentFor(64))}
 	for version := uint64(1); version <= 64; version++ {
-		former.Accepted = append(former.Accepted, AcceptedVersion{version, base.Digest(documentFor(version))})
+		legacy.Accepted = append(legacy.Accepted, AcceptedVersion{version, base.Digest(documentFor(version))})
 	}
-	held := memory{FeedKey: base.Encode(former)}
-	is.True(!strings.Contains(string(held[FeedKey]), "format"))
+	kv := memoryStore{FeedKey: base.Encode(legacy)}
+	is.True(!strings.Contains(string(kv[FeedKey]), "format"))
 	check := func() {
 		for version := uint64(1); version <= 64; version++ {
-			is.NoErr(ask(t, held, packedOrderFor(t, version-1, version, documentFor(version))))
-			other := base.FromWire(ask(t, held, packedOrderFor(t, version-1, version, []byte(`{}`))))
+			is.NoErr(submit(t, kv, changeWithDocument(t, version-1, version, documentFor(version))))
+			other := base.FromWire(submit(t, kv, changeWithDocument(t, version-1, version, []byte(`{}`))))
 			is.True(other.Status >= 500) // a digest of what was written proves nothing of what was not
 		}
 	}
 	check()
-	is.NoErr(ask(t, held, packedOrderFor(t, 64, 70, documentFor(70))))
-	now, err := load(held)
+	is.NoErr(submit(t, kv, changeWithDocument(t, 64, 70, documentFor(70))))
+	current, err := loadDocument(kv)
 	is.NoErr(err)
-	is.Equal(now.Format, documentFormat)
-	is.Equal(len(now.Accepted), 0)
+	is.Equal(current.Format, documentFormat)
+	is.Equal(len(current.Accepted), 0)
 	check()
-	is.NoErr(ask(t, held, packedOrderFor(t, 64, 70, documentFor(70))))
-	shown, err := read(held)
+	is.NoErr(submit(t, kv, changeWithDocument(t, 64, 70, documentFor(70))))
+	shown, err := readCurrent(kv)
 	is.NoErr(err)
 	is.Equal(shown.Accepted[len(shown.Accepted)-1].Version, uint64(70))
 
 	// A core of the former release took two more in between.
-	now.Format, now.Version, now.Compressed = 0, 75, pack(documentFor(75))
-	now.Accepted = []AcceptedVersion{{72, base.Digest(documentFor(72))}, {75, base.Digest(documentFor(75))}}
-	held[FeedKey] = base.Encode(now)
-	is.NoErr(ask(t, held, packedOrderFor(t, 70, 72, documentFor(72))))
-	is.NoErr(ask(t, held, packedOrderFor(t, 75, 80, documentFor(80))))
+	current.Format, current.Version, current.Compressed = 0, 75, compress(documentFor(75))
+	current.Accepted = []AcceptedVersion{{72, base.Digest(documentFor(72))}, {75, base.Digest(documentFor(75))}}
+	kv[FeedKey] = base.Encode(current)
+	is.NoErr(submit(t, kv, changeWithDocument(t, 70, 72, documentFor(72))))
+	is.NoErr(submit(t, kv, changeWithDocument(t, 75, 80, documentFor(80))))
 	for _, step := range [][2]uint64{{64, 70}, {70, 72}, {72, 75}, {75, 80}} {
-		is.NoErr(ask(t, held, packedOrderFor(t, step[0], step[1], documentFor(step[1]))))
+		is.NoErr(submit(t, kv, changeWithDocument(t, step[0], step[1], documentFor(step[1]))))
 	}
 	check()
 }
 
-func TestAnUnknownFormatIsNeverTakenForNothing(t *testing.T) {
+func TestUnknownFormatIsNotTreatedAsMissing(t *testing.T) {
 	is := is.New(t)
-	for name, held := range map[string]memory{
+	for name, kv := range map[string]memoryStore{
 		"document":          {FeedKey: []byte(`{"format":3,"version":9}`)},
 		"damaged document":  {FeedKey: []byte(`{"version":`)},
 		"block":             {FeedKey: base.Encode(Document{Format: 2, Version: 9}), historyPrefix + "0000000000000000": slices.Concat([]byte{9}, make([]byte, 32))},
 		"block cut short":   {FeedKey: base.Encode(Document{Format: 2, Version: 9}), historyPrefix + "0000000000000000": slices.Concat([]byte{blockFormat}, make([]byte, 20))},
 		"list of the first": {FeedKey: base.Encode(Document{Version: 9}), legacyKey: []byte(`{`)},
 	} {
-		verdict := base.FromWire(ask(t, held, orderFor(t, 0, 1, documentFor(1))))
+		verdict := base.FromWire(submit(t, kv, changeFor(t, 0, 1, documentFor(1))))
 		if verdict == nil || verdict.Code != "unknown_format" || verdict.Status != 503 {
 			t.Errorf("%s: %v", name, verdict)
 		}
@@ -225,7 +225,7 @@
 	is.Equal(DocumentFromFeed(map[string][]byte{FeedKey: []byte(`{"format":3,"version":9}`)}), nil)
 }
 
-func TestOnlyADecidedRefusalReachesTheOperatorAsOne(t *testing.T) {
+func TestOnlyDefinitiveRefusalsAreReportedAsRefusals(t *testing.T) {
 	is := is.New(t)
 	for _, row := range []struct {
 		given  *base.Verdict
@@ -241,10 +241,10 @@
 		{base.Unsure(503, "outcome_unknown", "x"), 504, base.MayHaveRun},
 		{base.Unsure(412, codeStaleVersion, "x"), 504, base.MayHaveRun},
 	} {
-		verdict := base.FromWire(putOutcome(row.given))
+		verdict := base.FromWire(submitError(row.given))
 		is.Equal(verdict.Status, row.status)
 		is.Equal(verdict.Ran, row.ran)
 		is.True(verdict.Status < 500 || verdict.RetryAfter > 0)
 	}
-	is.Equal(base.FromWire(readOutcome(base.Decline(400, "unknown_op", "x"))).Status, 503)
+	is.Equal(base.FromWire(readError(base.Decline(400, "unknown_op", "x"))).Status, 503)
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -47,7 +47,7 @@
 	Resumable bool
 	Shares    []Share
 
-	models bool
+	callsModel bool
 }
 
 // MayRepeat tells whether a request of the route may run more than once.
@@ -56,7 +56,7 @@
 }
 
 // CallsModel tells whether the route's requests call a model.
-func (r *Route) CallsModel() bool { return r.models }
+func (r *Route) CallsModel() bool { return r.callsModel }
 
 // Engine is what is published of a service's model workers.
 type Engine struct {
@@ -89,21 +89,21 @@
 	Limits   Limits
 
 	// hosts are a host's routes by prefix.
-	hosts  map[string]map[string]*Route
-	retain time.Duration
+	hosts        map[string]map[string]*Route
+	maxRetention time.Duration
 }
 
 // MaxRetention is the longest time for which a route keeps anything.
-func (t *Table) MaxRetention() time.Duration { return t.retain }
+func (t *Table) MaxRetention() time.Duration { return t.maxRetention }
 
 // BuildIndex prepares matching and lists the faults of a table: the first field
 // at fault as an error, or nil.
 func (t *Table) BuildIndex() error {
 	t.hosts = map[string]map[string]*Route{}
 	seen := map[string]bool{}
-	for place := range t.Routes {
-		r := &t.Routes[place]
-		field := "routes[" + string(base.Encode(place)) + "]"
+	for i := range t.Routes {
+		r := &t.Routes[i]
+		field := "routes[" + string(base.Encode(i)) + "]"
 		switch {
 		case r.Host == "":
 			return base.DeclineField(field+".host", "must be given")
@@ -116,7 +116,7 @@
 		case len(r.Shares) == 0:
 			return base.DeclineField(field+".service", "must be given")
 		}
-		sum := 0
+		totalWeight := 0
 		for _, share := range r.Shares {
 			if t.Services[share.Service] == nil {
 				return base.DeclineField(field+".service", "there is no service %q", share.Service)
@@ -124,13 +124,13 @@
 			if share.Weight < 0 {
 				return base.DeclineField(field+".weight", "must not be below 0")
 			}
-			sum += share.Weight
-			r.models = r.models || t.Services[share.Service].Engine != nil
+			totalWeight += share.Weight
+			r.callsModel = r.callsModel || t.Services[share.Service].Engine != nil
 		}
-		if sum == 0 {
+		if totalWeight == 0 {
 			return base.DeclineField(field+".weight", "the weights sum to 0")
 		}
-		t.retain = max(t.retain, r.Retention)
+		t.maxRetention = max(t.maxRetention, r.Retention)
 		host := strings.ToLower(r.Host)
 		seen[host+" "+r.Prefix] = true
 		if t.hosts[host] == nil {
@@ -159,17 +159,17 @@
 
 // PickService chooses a service by the shares' weights; roll is a number drawn
 // from 0 up to the sum of weights.
-func (r *Route) PickService(roll func(n int64) int64) string {
-	sum := 0
+func (r *Route) PickService(randomN func(n int64) int64) string {
+	totalWeight := 0
 	for _, share := range r.Shares {
-		sum += share.Weight
+		totalWeight += share.Weight
 	}
-	at := int(roll(int64(sum)))
+	offset := int(randomN(int64(totalWeight)))
 	for _, share := range r.Shares {
-		if at < share.Weight {
+		if offset < share.Weight {
 			return share.Service
 		}
-		at -= share.Weight
+		offset -= share.Weight
 	}
 	return r.Shares[0].Service
 }
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -13,19 +13,19 @@
 	"github.com/matryer/is"
 )
 
-func TestTheLongestPrefixMatches(t *testing.T) {
+func TestLongestPrefixMatches(t *testing.T) {
 	is := is.New(t)
-	chance := rand.New(rand.NewPCG(1, 2))
-	part := func() string { return []string{"a", "b", "a-b", ""}[chance.IntN(4)] }
+	rng := rand.New(rand.NewPCG(1, 2))
+	segment := func() string { return []string{"a", "b", "a-b", ""}[rng.IntN(4)] }
 	for range 200 {
 		table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s"}}}
 		seen := map[string]bool{}
 		for range 12 {
 			prefix := "/"
-			for range chance.IntN(4) {
-				prefix += part() + "/"
+			for range rng.IntN(4) {
+				prefix += segment() + "/"
 			}
-			host := fmt.Sprint("h", chance.IntN(2))
+			host := fmt.Sprint("h", rng.IntN(2))
 			if seen[host+prefix] {
 				continue
 			}
@@ -35,12 +35,12 @@
 		is.NoErr(table.BuildIndex())
 		for range 40 {
 			path := ""
-			for range chance.IntN(5) {
-				path += "/" + part()
+			for range rng.IntN(5) {
+				path += "/" + segment()
 			}
 			var want *route.Route
-			for place := range table.Routes {
-				r := &table.Routes[place]
+			for i := range table.Routes {
+				r := &table.Routes[i]
 				if r.Host == "h0" && strings.HasPrefix(path, r.Prefix) && (want == nil || len(r.Prefix) > len(want.Prefix)) {
 					want = r
 				}
