--- a/internal/front/access.go
+++ b/internal/front/access.go
@@ -12,25 +12,25 @@
 // allowed refuses a turn whose model its team may not call. A turn that was
 // accepted before, and is asked for again by its own id, is no new one: it ends
 // as it was accepted.
-func (h *Handler) checkModelAccess(ctx *base.Ctx, visit *session.Visit, clientNamed bool) error {
-	if visit.Kind != session.KindTurn || !h.Access.Rules() {
+func (h *Handler) checkModelAccess(ctx *base.Ctx, visit *session.Request, clientNamed bool) error {
+	if visit.Kind != session.KindSubmitTurn || !h.Access.HasRules() {
 		return nil
 	}
-	record, err := h.Sessions.Find(ctx.Within(h.Bounds.Load().Recover), visit)
-	if err != nil || !record.Opens(visit.Bearer) {
+	record, err := h.Sessions.Lookup(ctx.Within(h.Bounds.Load().Recover), visit)
+	if err != nil || !record.Authorizes(visit.Bearer) {
 		return err // wrong credentials are the owner's to decline
 	}
-	refusal := h.Access.Allows(ctx, &access.Question{Place: access.Place{Group: record.Group, Site: record.Site, Route: record.Route}})
+	refusal := h.Access.Authorize(ctx, &access.Request{Scope: access.Scope{Group: record.Group, Site: record.Site, Route: record.Route}})
 	if refusal == nil || !clientNamed || base.FromWire(refusal).Status != 403 {
 		return refusal
 	}
 	lookup := *visit
-	lookup.Kind, lookup.ID = session.KindRead, base.NewID(h.Clock, "v")
-	reply, err := h.Sessions.Visit(ctx.Within(h.Bounds.Load().Call()), &lookup)
+	lookup.Kind, lookup.ID = session.KindReadTurn, base.NewID(h.Clock, "v")
+	reply, err := h.Sessions.Handle(ctx.Within(h.Bounds.Load().Call()), &lookup)
 	if err != nil {
 		return refusal
 	}
-	if state := session.StateIn(reply.Body); state == session.OpQueued || state == session.OpRunning || state == session.OpSucceeded {
+	if state := session.TurnStateOf(reply.Body); state == session.OpQueued || state == session.OpRunning || state == session.OpSucceeded {
 		h.Counters.Add("access_accepted_before", 1)
 		return nil
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -28,10 +28,10 @@
 	Follower     *feed.Follower
 	Settings     *base.Table[settings.Tree]
 	Budget       *budget.Client
-	Sessions     *session.Keeper
+	Sessions     *session.Manager
 	Tools        *toolcall.Client
 	Workers      *worker.Client
-	UsageReports *worker.Book
+	UsageReports *worker.UsageReports
 	Picker       *worker.Picker
 	Backends     base.Backends
 	Access       *access.Guard
@@ -62,7 +62,7 @@
 		h.Counters.Add("requests_declined_full", 1)
 		return ErrorResponse(base.Busy(429, "overloaded", 1, "this gateway has %d requests in hand", maxInFlight))
 	}
-	if err := h.Follower.Permit(ctx); err != nil {
+	if err := h.Follower.WaitForLease(ctx); err != nil {
 		return ErrorResponse(err)
 	}
 	if h.Settings.Load() == nil {
@@ -161,7 +161,7 @@
 		}
 	}
 	switch {
-	case !worker.KnownUrgency(urgency):
+	case !worker.ValidUrgency(urgency):
 		return nil, base.DeclineField("urgency", `must be "low", "normal" or "urgent"`)
 	case parent != "" && (tokens != 0 || deadline != 0 || group != "" || site != ""):
 		return nil, base.DeclineField("parent", "a helper has its parent's place, budget and deadline and names none")
@@ -185,7 +185,7 @@
 		if _, err := h.authorize(ctx, r, parent); err != nil {
 			return nil, err
 		}
-		program.ID, program.Root = parent+"."+program.ID, budget.GroupOf(parent)
+		program.ID, program.Root = parent+"."+program.ID, budget.RegisterGroup(parent)
 	} else if _, err := h.Settings.Load().Effective(program.Group, program.Site); err != nil {
 		return nil, err
 	}
@@ -193,7 +193,7 @@
 		program.DeadlineMs = max(1, int64(deadline*1000))
 	}
 	secret, digest := h.newSecret()
-	program.Secret = digest
+	program.SecretDigest = digest
 	created, err := h.Budget.Create(ctx.Within(h.Bounds.Load().Recover), program)
 	if err != nil {
 		return nil, err
@@ -213,7 +213,7 @@
 	view["budget_tokens"], view["spent_tokens"], view["reserved_tokens"] = p.Budget, p.Spent, p.Outstanding()
 	view["left_tokens"] = p.Budget - p.Spent - p.Outstanding()
 	if p.Deadline > 0 {
-		view["deadline_s"], view["deadline_left_s"] = float64(p.DeadlineMs)/1000, float64(p.LeftMs)/1000
+		view["deadline_s"], view["deadline_left_s"] = float64(p.DeadlineMs)/1000, float64(p.RemainingMs)/1000
 	}
 	return view
 }
@@ -234,7 +234,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if found.Secret != tokenDigest {
+	if found.SecretDigest != tokenDigest {
 		return nil, base.Decline(403, "forbidden", "the credentials do not open this program")
 	}
 	h.credentialCache.Store(id+" "+tokenDigest, &authorizedProgram{found, h.Clock.Now()})
@@ -256,7 +256,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if program.Secret != bearerDigest(r) {
+	if program.SecretDigest != bearerDigest(r) {
 		return nil, base.Decline(403, "forbidden", "the credentials do not open this program")
 	}
 	return jsonResponse(200, programView(program)), nil
@@ -267,7 +267,7 @@
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"mode": base.Text(&mode, 16)}); err != nil {
 		return "", err
 	}
-	if !budget.Termination(mode).Known() {
+	if !budget.Termination(mode).Valid() {
 		return "", base.DeclineField("mode", `must be "Drain" or "Immediate"`)
 	}
 	return budget.Termination(mode), nil
@@ -308,18 +308,18 @@
 		if err != nil {
 			return nil, err
 		}
-		matched, err := h.Settings.Load().Match(program.Group, program.Site, route)
+		matched, err := h.Settings.Load().Route(program.Group, program.Site, route)
 		if err != nil {
 			return nil, err
 		}
 		if matched.Kind != "model" {
 			return nil, base.DeclineField("route", "route %q is not for sessions", route)
 		}
-		if err := h.Access.Allows(ctx, &access.Question{Place: access.Place{Group: program.Group, Site: program.Site, Route: route}}); err != nil {
+		if err := h.Access.Authorize(ctx, &access.Request{Scope: access.Scope{Group: program.Group, Site: program.Site, Route: route}}); err != nil {
 			return nil, err
 		}
 		if matched.Policy != nil {
-			allowed, err := matched.Policy.Admit(program.Urgency, route, h.Sessions.Owned())
+			allowed, err := matched.Policy.Admit(program.Urgency, route, h.Sessions.OwnedCount())
 			if err != nil {
 				h.Counters.Add("policy_faults", 1)
 			}
@@ -328,10 +328,10 @@
 			}
 		}
 		secret, digest := h.newSecret()
-		record := &session.Record{ID: id + ":" + base.NewID(h.Clock, "s"), Program: id, ProgramSecret: program.Secret, Secret: digest,
+		record := &session.Record{ID: id + ":" + base.NewID(h.Clock, "s"), Program: id, ProgramSecretDigest: program.SecretDigest, SecretDigest: digest,
 			Group: program.Group, Site: program.Site, Route: route, Urgency: program.Urgency, LeaseMs: int64(lease * 1000)}
-		record.QueueSize, record.TimeoutMs = session.Limits(matched, int(queueSize), time.Duration(timeout*float64(time.Second)))
-		acquired, err := h.Sessions.Acquire(ctx.Within(h.Bounds.Load().Recover), record)
+		record.QueueSize, record.TimeoutMs = session.EffectiveLimits(matched, int(queueSize), time.Duration(timeout*float64(time.Second)))
+		acquired, err := h.Sessions.Create(ctx.Within(h.Bounds.Load().Recover), record)
 		if err != nil {
 			return nil, err
 		}
@@ -343,7 +343,7 @@
 }
 
 func (h *Handler) parseSessionRequest(r *Request, program, id string, rest []string) (*action, error) {
-	visit := &session.Visit{Program: program, Session: id, Bearer: bearerDigest(r)}
+	visit := &session.Request{Program: program, Session: id, Bearer: bearerDigest(r)}
 	if err := validateName("session", id); err != nil {
 		return nil, err
 	}
@@ -354,13 +354,13 @@
 	case "GET turns":
 		err = readTurnListing(r, visit)
 	case "GET turns/*":
-		visit.Kind, visit.Turn = session.KindRead, rest[1]
+		visit.Kind, visit.Turn = session.KindReadTurn, rest[1]
 		err = validateName("turn", visit.Turn)
 	case "POST turns/*/cancel":
-		visit.Kind, visit.Turn = session.KindCancel, rest[1]
+		visit.Kind, visit.Turn = session.KindCancelTurn, rest[1]
 		err = validateName("turn", visit.Turn)
 	case "POST renew":
-		visit.Kind = session.KindRenew
+		visit.Kind = session.KindRenewLease
 	case "POST close":
 		visit.Kind = session.KindClose
 	case "POST terminate":
@@ -381,21 +381,21 @@
 	return &action{func(ctx *base.Ctx) (*Response, error) { return h.runVisit(ctx, visit) }}, nil
 }
 
-func (h *Handler) runVisit(ctx *base.Ctx, visit *session.Visit) (*Response, error) {
+func (h *Handler) runVisit(ctx *base.Ctx, visit *session.Request) (*Response, error) {
 	visit.ID = base.NewID(h.Clock, "v")
 	clientNamed := visit.Turn != ""
-	if visit.Kind == session.KindTurn && !clientNamed {
+	if visit.Kind == session.KindSubmitTurn && !clientNamed {
 		visit.Turn = base.NewID(h.Clock, "t")
 	}
 	if err := h.checkModelAccess(ctx, visit, clientNamed); err != nil {
 		return nil, err
 	}
-	reply, err := h.Sessions.Visit(ctx.Within(2*h.Bounds.Load().Recover), visit)
+	reply, err := h.Sessions.Handle(ctx.Within(2*h.Bounds.Load().Recover), visit)
 	if err != nil {
 		return nil, err
 	}
 	if reply.Stream != nil {
-		if refused := reply.Stream.Refused(h.Bounds.Load().Call()); refused != nil {
+		if refused := reply.Stream.EarlyFailure(h.Bounds.Load().Call()); refused != nil {
 			return nil, refused
 		}
 		header := map[string]string{"Content-Type": "text/event-stream", "Cache-Control": "no-store", "Turn-Id": visit.Turn}
@@ -407,8 +407,8 @@
 	return jsonResponse(reply.Status, reply.Body), nil
 }
 
-func readTurnListing(r *Request, visit *session.Visit) (err error) {
-	visit.Kind = session.KindTurns
+func readTurnListing(r *Request, visit *session.Request) (err error) {
+	visit.Kind = session.KindListTurns
 	for _, name := range base.SortedKeys(r.Query) {
 		if name != "limit" && name != "cursor" {
 			return base.DeclineField(name, "unknown query parameter")
@@ -421,8 +421,8 @@
 	return err
 }
 
-func readTurnRequest(r *Request, visit *session.Visit) error {
-	visit.Kind, visit.Turn, visit.Previous = session.KindTurn, r.Header["turn-id"], r.Header["previous-turn"]
+func readTurnRequest(r *Request, visit *session.Request) error {
+	visit.Kind, visit.Turn, visit.Previous = session.KindSubmitTurn, r.Header["turn-id"], r.Header["previous-turn"]
 	for name, value := range map[string]string{"Turn-Id": visit.Turn, "Previous-Turn": visit.Previous} {
 		if value != "" {
 			if err := validateName(name, value); err != nil {
@@ -436,7 +436,7 @@
 		if !ok || err != nil {
 			return base.DeclineField("Last-Event-ID", "not an event id of this turn")
 		}
-		visit.LastLeg, visit.LastPlace = leg, position
+		visit.LastAttempt, visit.LastPiece = leg, position
 	}
 	var maxTokens float64
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -26,7 +26,7 @@
 		}}, nil
 	case "GET settings":
 		return &action{func(*base.Ctx) (*Response, error) {
-			return jsonResponse(200, map[string]uint64{"stamp": settings.StampIn(h.Follower.Frame().Values)}), nil
+			return jsonResponse(200, map[string]uint64{"stamp": settings.StampFromFeed(h.Follower.Snapshot().Values)}), nil
 		}}, nil
 	case "PUT workers":
 		return h.parseReplaceWorkers(r)
@@ -79,7 +79,7 @@
 	case workers == nil:
 		return nil, base.DeclineField("workers", "must be given")
 	}
-	if err := worker.CheckList("workers", workers); err != nil {
+	if err := worker.ValidateWorkers("workers", workers); err != nil {
 		return nil, err
 	}
 	return h.changeWorkers(func(ctx *base.Ctx) (*worker.List, error) {
@@ -110,7 +110,7 @@
 	if stamp == 0 {
 		return nil, base.DeclineField("stamp", "must be given")
 	}
-	if err := worker.CheckList("put", put); err != nil {
+	if err := worker.ValidateWorkers("put", put); err != nil {
 		return nil, err
 	}
 	return h.changeWorkers(func(ctx *base.Ctx) (*worker.List, error) {
@@ -143,16 +143,16 @@
 	}
 	usage.Number, usage.Load = uint64(number), int64(load)
 	return &action{func(ctx *base.Ctx) (*Response, error) {
-		if !h.UsageReports.Tell(usage) {
+		if !h.UsageReports.Record(usage) {
 			h.Counters.Add("usage_stale", 1)
 			return jsonResponse(200, map[string]any{"taken": false}), nil
 		}
 		notice, marked := h.Picker.Roster().Leaving[id]
 		if !usage.Leaving {
-			h.Picker.Back(id)
+			h.Picker.ClearLeaving(id)
 		}
 		if usage.Leaving != marked || (marked && notice.Incarnation != usage.Incarnation) {
-			err := h.Workers.Notice(ctx.Within(h.Bounds.Load().Recover), worker.Notice{Worker: id, Incarnation: usage.Incarnation,
+			err := h.Workers.SubmitNotice(ctx.Within(h.Bounds.Load().Recover), worker.Notice{Worker: id, Incarnation: usage.Incarnation,
 				Leaving: usage.Leaving, Source: "report", Number: usage.Number})
 			if err != nil {
 				return nil, err
--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			return nil, err
 		}
-		route, err := h.Settings.Load().Match(program.Group, program.Site, routeName)
+		route, err := h.Settings.Load().Route(program.Group, program.Site, routeName)
 		if err != nil {
 			return nil, err
 		}
@@ -42,12 +42,12 @@
 		if key == "" && !route.Repeatable {
 			return nil, base.DeclineField("Idempotency-Key", "route %q may not be repeated; an Idempotency-Key must be given", routeName)
 		}
-		if h.Sessions.ProgramEnded(budget.GroupOf(programID)) != "" || h.Sessions.ProgramEnded(programID) != "" {
+		if h.Sessions.ProgramTermination(budget.RegisterGroup(programID)) != "" || h.Sessions.ProgramTermination(programID) != "" {
 			return nil, base.Decline(503, "program_terminating", "the program is ending")
 		}
 		ctx = ctx.Within(route.ToolTimeout)
 		call := &toolCall{handler: h, ctx: ctx, request: r, route: route, urgency: program.Urgency,
-			claim: toolcall.Claim{Program: programID, Key: key, Leg: base.NewID(h.Clock, "c"), Digest: base.Digest(append([]byte(routeName+"\n"), r.Body...))}}
+			claim: toolcall.Claim{Program: programID, Key: key, Attempt: base.NewID(h.Clock, "c"), Digest: base.Digest(append([]byte(routeName+"\n"), r.Body...))}}
 		if key == "" {
 			return call.callRepeatable()
 		}
@@ -65,7 +65,7 @@
 }
 
 // show passes a worker's whole answer on; its failure is a verdict of ours.
-func toolResponse(answer *toolcall.Answer, replayed bool) *Response {
+func toolResponse(answer *toolcall.Response, replayed bool) *Response {
 	if answer.Status >= 500 {
 		return ErrorResponse(base.Unsure(502, "worker_failed", "the worker failed with status %d", answer.Status))
 	}
@@ -106,11 +106,11 @@
 			}
 			return nil, err
 		}
-		if outcome.Answer != nil {
+		if outcome.Response != nil {
 			f.Counters.Add("tool_calls_replayed", 1)
-			return toolResponse(outcome.Answer, true), nil
+			return toolResponse(outcome.Response, true), nil
 		}
-		if outcome.Go {
+		if outcome.Proceed {
 			break
 		}
 		if t.ctx.Left() <= pause {
@@ -135,10 +135,10 @@
 }
 
 // send tries workers until one was reached; from then on there is no other.
-func (t *toolCall) send(tried map[string]bool) (*toolcall.Answer, error) {
+func (t *toolCall) send(tried map[string]bool) (*toolcall.Response, error) {
 	f := t.handler
-	need := &worker.Need{Pool: t.route.Pool, Affinity: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
-		Waiting: t.route.Waiting, Tried: tried, Policy: t.route.Policy}
+	need := &worker.Requirements{Pool: t.route.Pool, AffinityKey: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
+		MaxQueue: t.route.Waiting, Tried: tried, Policy: t.route.Policy}
 	for {
 		answer, err, tryNext := t.sendOnce(need)
 		if !tryNext || t.ctx.Over() {
@@ -148,20 +148,20 @@
 	}
 }
 
-func (t *toolCall) sendOnce(need *worker.Need) (answer *toolcall.Answer, failure error, tryNext bool) {
+func (t *toolCall) sendOnce(need *worker.Requirements) (answer *toolcall.Response, failure error, tryNext bool) {
 	f := t.handler
 	var cleanup base.Cleanup
 	defer cleanup.Run()
-	chosen, err := f.Picker.Hold(t.ctx, need)
+	chosen, err := f.Picker.Acquire(t.ctx, need)
 	if err != nil {
 		return nil, err, false
 	}
 	heldSince := f.Clock.Now()
 	cleanup.Push(func() { f.Picker.Release(chosen, need, f.Clock.Now()-heldSince) })
-	if err := f.Follower.Permit(t.ctx); err != nil {
+	if err := f.Follower.WaitForLease(t.ctx); err != nil {
 		return nil, err, false
 	}
-	if !f.Picker.Stays(chosen, need) {
+	if !f.Picker.StillEligible(chosen, need) {
 		f.Counters.Add("legs_turned_back", 1)
 		return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 	}
@@ -180,7 +180,7 @@
 	reply, err := f.Backends.Call(t.ctx, chosen.Addr, &base.BackRequest{Method: "POST", Path: path, Header: header, Body: t.request.Body})
 	need.Tried[chosen.ID] = true
 	if err != nil {
-		f.Picker.Shun(chosen.ID)
+		f.Picker.Avoid(chosen.ID)
 		if base.WasNotSent(err) {
 			return nil, base.Busy(503, "worker_unreachable", 1, "no worker could be reached"), true
 		}
@@ -188,14 +188,14 @@
 	}
 	cleanup.Push(reply.Close)
 	if reply.Status() == 503 {
-		f.Sessions.WorkerLeaves(chosen)
+		f.Sessions.MarkWorkerLeaving(chosen)
 		if t.route.Repeatable {
 			return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 		}
 		return nil, base.Unsure(502, "worker_leaving", "the worker refused the call as it leaves, but bytes had gone out"), false
 	}
-	if f.Picker.Answered(chosen, reply.Closes()) {
-		f.Sessions.WorkerLeaves(chosen)
+	if f.Picker.ObserveResponse(chosen, reply.Closes()) {
+		f.Sessions.MarkWorkerLeaving(chosen)
 	}
 	body, err := reply.Body(t.ctx.Left(), maxToolResponseBytes)
 	if err != nil {
@@ -208,12 +208,12 @@
 	if contentType == "" {
 		contentType = "application/octet-stream"
 	}
-	return &toolcall.Answer{Status: reply.Status(), ContentType: contentType, Body: body}, nil, false
+	return &toolcall.Response{Status: reply.Status(), ContentType: contentType, Body: body}, nil, false
 }
 
 // showPage puts the cursor into a listing, which may come from another node.
-func listingPage(visit *session.Visit, body any) (any, bool) {
-	if visit.Kind != session.KindTurns {
+func listingPage(visit *session.Request, body any) (any, bool) {
+	if visit.Kind != session.KindListTurns {
 		return nil, false
 	}
 	var page session.TurnPage
--- a/internal/node/tier.go
+++ b/internal/node/tier.go
@@ -19,8 +19,8 @@
 )
 
 // learn takes what a frame of the feed says of routes, workers and disks.
-func (g *Gateway) learn(frame *feed.Frame) {
-	if disks := register.DisksOf(frame.Values); disks != nil {
+func (g *Gateway) learn(frame *feed.Snapshot) {
+	if disks := register.DiskSetIn(frame.Values); disks != nil {
 		g.disks.Swap(disks)
 	}
 	written := frame.Values[route.FeedKey]
@@ -44,8 +44,8 @@
 			}
 		}
 	}
-	if workers, changed := g.roster.Read(frame.Values); changed {
-		g.Relay.Swap(workers)
+	if workers, changed := g.roster.Decode(frame.Values); changed {
+		g.Relay.SetWorkers(workers)
 	}
 }
 
@@ -65,11 +65,11 @@
 // Allows says whether a client's request may call the model it names. It goes
 // before anything else is done for the request.
 func (g *Gateway) Allows(ctx *base.Ctx, matched *route.Route, call *relay.Call) error {
-	if !g.Access.Rules() || !matched.CallsModel() {
+	if !g.Access.HasRules() || !matched.CallsModel() {
 		return nil
 	}
 	host, _, _ := strings.Cut(call.Host, ":")
-	return g.Access.Allows(ctx, &access.Question{Host: strings.ToLower(host), Place: access.Place{Route: matched.Name}, Model: call.Model})
+	return g.Access.Authorize(ctx, &access.Request{Host: strings.ToLower(host), Scope: access.Scope{Route: matched.Name}, Model: call.Model})
 }
 
 // Serves says whether clients of the operator's routes may be sent here.
@@ -127,15 +127,15 @@
 	}
 	switch {
 	case matched.Kind == route.KindStream && line.IsTurn(matched, call):
-		stream, err := g.Lines.Turn(ctx, call)
+		stream, err := g.Lines.SubmitTurn(ctx, call)
 		if err != nil {
 			return nil, err
 		}
 		return passOn(stream, ctx)
 	case matched.Kind == route.KindStream:
-		return passOn(g.Lines.Pass(ctx, matched, call), ctx)
+		return passOn(g.Lines.PassThrough(ctx, matched, call), ctx)
 	}
-	reply, err := g.Relay.Offer(ctx, matched, table.Services[matched.PickService(clock.Int64N)], call, call.Body)
+	reply, err := g.Relay.Dispatch(ctx, matched, table.Services[matched.PickService(clock.Int64N)], call, call.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -162,7 +162,7 @@
 	if service.MaxConns <= 0 {
 		return 0
 	}
-	return shareOf(service.MaxConns, max(1, g.Follower.Gateways(), len(g.view.Present(membership.RoleEdge))))
+	return shareOf(service.MaxConns, max(1, g.Follower.GatewayCount(), len(g.view.Live(membership.RoleGateway))))
 }
 
 // shareOf cuts three quarters of what a worker takes into equal parts, rounded
@@ -183,15 +183,15 @@
 
 type offered struct{ *relay.Reply }
 
-func (o offered) Status() int   { return o.Reply.Status }
-func (o offered) Streams() bool { return !o.Whole() }
+func (o offered) Status() int    { return o.Reply.Status }
+func (o offered) IsStream() bool { return !o.Buffered() }
 
-func (o offering) Offer(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (line.Reply, error) {
+func (o offering) Send(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (line.Reply, error) {
 	known := o.gateway.Routes.Load().Services[service]
 	if known == nil {
 		return nil, base.Busy(503, "no_service", 1, "the service is not configured any more")
 	}
-	reply, err := o.gateway.Relay.Offer(ctx, matched, known, call, body)
+	reply, err := o.gateway.Relay.Dispatch(ctx, matched, known, call, body)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -124,7 +124,7 @@
 }
 
 // RegisterOperations adds the configuration's operations to a core.
-func RegisterOperations(owner *register.Owner) {
+func RegisterOperations(owner *register.Server) {
 	owner.Handle(operationRead, func(tx *register.Tx, _ []byte) (any, error) { return readCurrent(tx) })
 	owner.Handle(operationChange, func(tx *register.Tx, args []byte) (any, error) {
 		change, digest, err := decodeChange(args)
--- a/internal/route/history.go
+++ b/internal/route/history.go
@@ -116,7 +116,7 @@
 type kvStore interface {
 	Get(key string) []byte
 	Put(key string, value []byte)
-	Gone(key string)
+	Delete(key string)
 	Walk(prefix, after string, visit func(key string, value []byte) bool)
 }
 
@@ -251,8 +251,8 @@
 	newest.entries = append(newest.entries, entry)
 	kv.Put(newest.key(), newest.encode())
 	for len(keys) >= maxBlocks {
-		kv.Gone(keys[0])
-		kv.Gone(legacyKey) // older than every block
+		kv.Delete(keys[0])
+		kv.Delete(legacyKey) // older than every block
 		keys = keys[1:]
 	}
 	return nil
--- a/internal/route/history_test.go
+++ b/internal/route/history_test.go
@@ -19,7 +19,7 @@
 
 func (m memoryStore) Get(key string) []byte        { return m[key] }
 func (m memoryStore) Put(key string, value []byte) { m[key] = value }
-func (m memoryStore) Gone(key string)              { delete(m, key) }
+func (m memoryStore) Delete(key string)            { delete(m, key) }
 func (m memoryStore) Walk(prefix, after string, visit func(key string, value []byte) bool) {
 	for _, key := range base.SortedKeys(m) {
 		if strings.HasPrefix(key, prefix) && key > after && !visit(key, m[key]) {
--- a/internal/simulate/manychanges.go
+++ b/internal/simulate/manychanges.go
@@ -338,7 +338,7 @@
 // feedOwner is the core that owns the feed's slot.
 func (r *changesRun) feedOwner() *Machine {
 	for _, m := range r.fleet.Cores {
-		if m.Host.alive && !m.Host.frozen && m.core != nil && m.core.Owner.ServesFeed() {
+		if m.Host.alive && !m.Host.frozen && m.core != nil && m.core.Owner.LeadsFeed() {
 			return m
 		}
 	}
@@ -406,7 +406,7 @@
 func (r *changesRun) place() (newest uint64) {
 	for _, m := range r.fleet.All() {
 		if follower := m.feedFollower(); follower != nil {
-			newest = max(newest, follower.Frame().Place)
+			newest = max(newest, follower.Snapshot().Revision)
 		}
 	}
 	return newest
@@ -417,7 +417,7 @@
 func (r *changesRun) current(m *Machine, version, place uint64) bool {
 	if m.Role != "storage" {
 		follower := m.feedFollower()
-		return follower != nil && follower.Permitted() && follower.Frame().Place >= place && versionOf(follower.Frame().Values) >= version
+		return follower != nil && follower.HasLease() && follower.Snapshot().Revision >= place && versionOf(follower.Snapshot().Values) >= version
 	}
 	if m.storage == nil || m.storage.Store.Ready() != nil || m.storage.Store.Held(0) < place {
 		return false
@@ -443,7 +443,7 @@
 	sum := 0
 	for _, m := range r.fleet.Cores {
 		if m.Host.alive && m.core != nil {
-			sum += m.core.Owner.Kept()
+			sum += m.core.Owner.MemoryBytes()
 		}
 	}
 	r.kept = max(r.kept, sum)
@@ -465,7 +465,7 @@
 	now.KeptBytes, r.kept = r.kept, 0
 	for _, m := range f.Edges {
 		if follower := m.feedFollower(); follower != nil {
-			now.Keys = max(now.Keys, len(follower.Frame().Values))
+			now.Keys = max(now.Keys, len(follower.Snapshot().Values))
 		}
 	}
 	r.report.Figures = append(r.report.Figures, now)
