--- a/internal/front/access.go
+++ b/internal/front/access.go
@@ -1,6 +1,3 @@
-// Which models a program may call follows from its group, its site and the
-// route of its session. A turn is looked at here, before it is carried anywhere.
-
 package front
 
 import (
@@ -9,22 +6,23 @@
 	"fordseam/internal/session"
 )
 
-// allowed refuses a turn whose model its team may not call. A turn that was
-// accepted before, and is asked for again by its own id, is no new one: it ends
-// as it was accepted.
-func (h *Handler) checkModelAccess(ctx *base.Ctx, visit *session.Request, clientNamed bool) error {
-	if visit.Kind != session.KindSubmitTurn || !h.Access.HasRules() {
+// checkModelAccess refuses a turn whose model the session's team may not call,
+// before the turn is forwarded to any node. The models follow from the group, the
+// site and the route of the session. A turn that was accepted before, and is
+// requested again by the id that the client gave it, may proceed.
+func (h *Handler) checkModelAccess(ctx *base.Ctx, request *session.Request, clientNamed bool) error {
+	if request.Kind != session.KindSubmitTurn || !h.Access.HasRules() {
 		return nil
 	}
-	record, err := h.Sessions.Lookup(ctx.Within(h.Bounds.Load().Recover), visit)
-	if err != nil || !record.Authorizes(visit.Bearer) {
-		return err // wrong credentials are the owner's to decline
+	record, err := h.Sessions.Lookup(ctx.Within(h.Bounds.Load().Recover), request)
+	if err != nil || !record.Authorizes(request.Bearer) {
+		return err // the session's owner declines wrong credentials
 	}
 	refusal := h.Access.Authorize(ctx, &access.Request{Scope: access.Scope{Group: record.Group, Site: record.Site, Route: record.Route}})
 	if refusal == nil || !clientNamed || base.FromWire(refusal).Status != 403 {
 		return refusal
 	}
-	lookup := *visit
+	lookup := *request
 	lookup.Kind, lookup.ID = session.KindReadTurn, base.NewID(h.Clock, "v")
 	reply, err := h.Sessions.Handle(ctx.Within(h.Bounds.Load().Call()), &lookup)
 	if err != nil {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,3 @@
-// The callers' interface: programs, sessions, turns and tool calls.
-
 package front
 
 import (
@@ -20,7 +18,9 @@
 	"fordseam/internal/worker"
 )
 
-// Handler is what a gateway shows.
+// Handler serves the HTTP API of a gateway: programs, sessions, turns and tool calls
+// for callers (front.go, access.go, tool.go), and the worker list and usage reports
+// for the platform (platform.go).
 type Handler struct {
 	Clock        base.Clock
 	Bounds       *base.Table[base.Bounds]
@@ -40,16 +40,16 @@
 	inFlight        atomic.Int64
 }
 
-// visitLimit bounds the requests a gateway has in hand. Admission never
-// waits: one more is declined at once.
+// maxInFlight is the number of requests that a gateway handles at the same time.
+// Admission never waits: a request above the limit is declined at once.
 const maxInFlight = 2048
 
-// plan is a request understood and checked: what is left is to act.
+// action carries out a request that has been parsed and validated.
 type action struct {
 	run func(ctx *base.Ctx) (*Response, error)
 }
 
-// Handle answers one request.
+// Handle parses, validates and carries out one request.
 func (h *Handler) Handle(ctx *base.Ctx, r *Request) *Response {
 	h.Counters.Add("requests", 1)
 	parsed, err := h.parse(r)
@@ -60,7 +60,7 @@
 	defer h.inFlight.Add(-1)
 	if h.inFlight.Add(1) > maxInFlight {
 		h.Counters.Add("requests_declined_full", 1)
-		return ErrorResponse(base.Busy(429, "overloaded", 1, "this gateway has %d requests in hand", maxInFlight))
+		return ErrorResponse(base.Busy(429, "overloaded", 1, "this gateway already handles %d requests", maxInFlight))
 	}
 	if err := h.Follower.WaitForLease(ctx); err != nil {
 		return ErrorResponse(err)
@@ -75,6 +75,7 @@
 	return response
 }
 
+// bodyLimit returns the largest request body accepted, in bytes.
 func (h *Handler) bodyLimit() int {
 	if tree := h.Settings.Load(); tree != nil {
 		return tree.BodyLimit()
@@ -83,9 +84,11 @@
 }
 
 func unknownPathError() error {
-	return base.Decline(404, "unknown_path", "there is nothing at this path with this method")
+	return base.Decline(404, "unknown_path", "no endpoint has this path and method")
 }
 
+// parse finds the endpoint of a request and validates the request without side
+// effects.
 func (h *Handler) parse(r *Request) (*action, error) {
 	if limit := h.bodyLimit(); len(r.Body) > limit {
 		return nil, base.Decline(413, "body_too_large", "the body is larger than %d bytes", limit)
@@ -126,7 +129,7 @@
 	return nil, unknownPathError()
 }
 
-// shape replaces the names in a path, which stand at odd places.
+// pathPattern replaces every second path segment, which is a name, by "*".
 func pathPattern(parts []string) string {
 	pattern := slices.Clone(parts)
 	for i := 1; i < len(pattern); i += 2 {
@@ -135,7 +138,7 @@
 	return strings.Join(pattern, "/")
 }
 
-// newSecret gives a credential and the digest that is kept of it.
+// newSecret returns a new credential and the digest under which it is stored.
 func (h *Handler) newSecret() (secret, digest string) {
 	secret = base.NewID(h.Clock, "") + base.NewID(h.Clock, "")
 	return secret, base.Digest([]byte(secret))
@@ -157,14 +160,14 @@
 			return nil, err
 		}
 		if strings.ContainsAny(name, ".:") {
-			return nil, base.DeclineField("program", "may not hold a dot or colon")
+			return nil, base.DeclineField("program", "must not contain a dot or colon")
 		}
 	}
 	switch {
 	case !worker.ValidUrgency(urgency):
 		return nil, base.DeclineField("urgency", `must be "low", "normal" or "urgent"`)
 	case parent != "" && (tokens != 0 || deadline != 0 || group != "" || site != ""):
-		return nil, base.DeclineField("parent", "a helper has its parent's place, budget and deadline and names none")
+		return nil, base.DeclineField("parent", "a program with a parent inherits its group, site, budget and deadline and must not set them")
 	case parent == "" && tokens == 0:
 		return nil, base.DeclineField("budget_tokens", "must be given")
 	case parent == "" && group == "":
@@ -204,6 +207,7 @@
 	return jsonResponse(201, view), nil
 }
 
+// programView is the JSON representation of a program.
 func programView(p *budget.Program) map[string]any {
 	view := map[string]any{"program": p.ID, "group": p.Group, "site": p.Site, "urgency": p.Urgency, "termination": p.Termination}
 	if p.Root != p.ID {
@@ -218,30 +222,31 @@
 	return view
 }
 
+// authorizedProgram is a cached result of a successful check of credentials.
 type authorizedProgram struct {
 	program   *budget.Program
 	checkedAt time.Duration
 }
 
-// admit checks a program's credentials. A right answer is kept for a while,
-// by digest, so that not every call asks the register; a wrong one is not.
+// authorize checks a program's credentials. A successful check is cached by digest
+// for a while, so that not every call reads the register; a failed one is not.
 func (h *Handler) authorize(ctx *base.Ctx, r *Request, id string) (*budget.Program, error) {
 	tokenDigest := bearerDigest(r)
 	if cached, ok := h.credentialCache.Load(id + " " + tokenDigest); ok && h.Clock.Now()-cached.(*authorizedProgram).checkedAt < h.Bounds.Load().Recover*5/2 {
 		return cached.(*authorizedProgram).program, nil
 	}
-	found, err := h.Budget.Get(ctx.Within(h.Bounds.Load().Recover), id)
+	program, err := h.Budget.Get(ctx.Within(h.Bounds.Load().Recover), id)
 	if err != nil {
 		return nil, err
 	}
-	if found.SecretDigest != tokenDigest {
-		return nil, base.Decline(403, "forbidden", "the credentials do not open this program")
+	if program.SecretDigest != tokenDigest {
+		return nil, base.Decline(403, "forbidden", "the credentials are not valid for program %q", id)
 	}
-	h.credentialCache.Store(id+" "+tokenDigest, &authorizedProgram{found, h.Clock.Now()})
-	return found, nil
+	h.credentialCache.Store(id+" "+tokenDigest, &authorizedProgram{program, h.Clock.Now()})
+	return program, nil
 }
 
-// EvictExpired drops what admit kept for too long.
+// EvictExpired removes expired entries from the cache of authorize.
 func (h *Handler) EvictExpired() {
 	h.credentialCache.Range(func(key, cached any) bool {
 		if h.Clock.Now()-cached.(*authorizedProgram).checkedAt > h.Bounds.Load().Recover*5/2 {
@@ -251,13 +256,14 @@
 	})
 }
 
+// getProgram returns a program's state, for which it always reads the register.
 func (h *Handler) getProgram(ctx *base.Ctx, r *Request, id string) (*Response, error) {
 	program, err := h.Budget.Get(ctx.Within(h.Bounds.Load().Recover), id)
 	if err != nil {
 		return nil, err
 	}
 	if program.SecretDigest != bearerDigest(r) {
-		return nil, base.Decline(403, "forbidden", "the credentials do not open this program")
+		return nil, base.Decline(403, "forbidden", "the credentials are not valid for program %q", id)
 	}
 	return jsonResponse(200, programView(program)), nil
 }
@@ -313,7 +319,7 @@
 			return nil, err
 		}
 		if matched.Kind != "model" {
-			return nil, base.DeclineField("route", "route %q is not for sessions", route)
+			return nil, base.DeclineField("route", "route %q does not accept sessions", route)
 		}
 		if err := h.Access.Authorize(ctx, &access.Request{Scope: access.Scope{Group: program.Group, Site: program.Site, Route: route}}); err != nil {
 			return nil, err
@@ -324,7 +330,7 @@
 				h.Counters.Add("policy_faults", 1)
 			}
 			if !allowed {
-				return nil, base.Busy(429, "not_admitted", 2, "the site's policy takes no such session now")
+				return nil, base.Busy(429, "not_admitted", 2, "the site's policy does not admit this session now")
 			}
 		}
 		secret, digest := h.newSecret()
@@ -343,54 +349,54 @@
 }
 
 func (h *Handler) parseSessionRequest(r *Request, program, id string, rest []string) (*action, error) {
-	visit := &session.Request{Program: program, Session: id, Bearer: bearerDigest(r)}
+	request := &session.Request{Program: program, Session: id, Bearer: bearerDigest(r)}
 	if err := validateName("session", id); err != nil {
 		return nil, err
 	}
 	var err error
 	switch r.Method + " " + pathPattern(rest) {
 	case "GET ":
-		visit.Kind = session.KindStatus
+		request.Kind = session.KindStatus
 	case "GET turns":
-		err = readTurnListing(r, visit)
+		err = readTurnListing(r, request)
 	case "GET turns/*":
-		visit.Kind, visit.Turn = session.KindReadTurn, rest[1]
-		err = validateName("turn", visit.Turn)
+		request.Kind, request.Turn = session.KindReadTurn, rest[1]
+		err = validateName("turn", request.Turn)
 	case "POST turns/*/cancel":
-		visit.Kind, visit.Turn = session.KindCancelTurn, rest[1]
-		err = validateName("turn", visit.Turn)
+		request.Kind, request.Turn = session.KindCancelTurn, rest[1]
+		err = validateName("turn", request.Turn)
 	case "POST renew":
-		visit.Kind = session.KindRenewLease
+		request.Kind = session.KindRenewLease
 	case "POST close":
-		visit.Kind = session.KindClose
+		request.Kind = session.KindClose
 	case "POST terminate":
 		var mode budget.Termination
 		mode, err = readTerminationMode(r)
-		visit.Kind = map[budget.Termination]string{budget.Drain: session.KindClose}[mode]
-		if visit.Kind == "" {
-			visit.Kind = session.KindTerminate
+		request.Kind = map[budget.Termination]string{budget.Drain: session.KindClose}[mode]
+		if request.Kind == "" {
+			request.Kind = session.KindTerminate
 		}
 	case "POST turns":
-		err = readTurnRequest(r, visit)
+		err = readTurnRequest(r, request)
 	default:
 		err = unknownPathError()
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &action{func(ctx *base.Ctx) (*Response, error) { return h.runVisit(ctx, visit) }}, nil
+	return &action{func(ctx *base.Ctx) (*Response, error) { return h.runSessionRequest(ctx, request) }}, nil
 }
 
-func (h *Handler) runVisit(ctx *base.Ctx, visit *session.Request) (*Response, error) {
-	visit.ID = base.NewID(h.Clock, "v")
-	clientNamed := visit.Turn != ""
-	if visit.Kind == session.KindSubmitTurn && !clientNamed {
-		visit.Turn = base.NewID(h.Clock, "t")
+func (h *Handler) runSessionRequest(ctx *base.Ctx, request *session.Request) (*Response, error) {
+	request.ID = base.NewID(h.Clock, "v")
+	clientNamed := request.Turn != ""
+	if request.Kind == session.KindSubmitTurn && !clientNamed {
+		request.Turn = base.NewID(h.Clock, "t")
 	}
-	if err := h.checkModelAccess(ctx, visit, clientNamed); err != nil {
+	if err := h.checkModelAccess(ctx, request, clientNamed); err != nil {
 		return nil, err
 	}
-	reply, err := h.Sessions.Handle(ctx.Within(2*h.Bounds.Load().Recover), visit)
+	reply, err := h.Sessions.Handle(ctx.Within(2*h.Bounds.Load().Recover), request)
 	if err != nil {
 		return nil, err
 	}
@@ -398,32 +404,32 @@
 		if refused := reply.Stream.EarlyFailure(h.Bounds.Load().Call()); refused != nil {
 			return nil, refused
 		}
-		header := map[string]string{"Content-Type": "text/event-stream", "Cache-Control": "no-store", "Turn-Id": visit.Turn}
+		header := map[string]string{"Content-Type": "text/event-stream", "Cache-Control": "no-store", "Turn-Id": request.Turn}
 		return &Response{Status: 200, Header: header, Stream: reply.Stream}, nil
 	}
-	if page, ok := listingPage(visit, reply.Body); ok {
+	if page, ok := listingPage(request, reply.Body); ok {
 		return jsonResponse(200, page), nil
 	}
 	return jsonResponse(reply.Status, reply.Body), nil
 }
 
-func readTurnListing(r *Request, visit *session.Request) (err error) {
-	visit.Kind = session.KindListTurns
+func readTurnListing(r *Request, request *session.Request) (err error) {
+	request.Kind = session.KindListTurns
 	for _, name := range base.SortedKeys(r.Query) {
 		if name != "limit" && name != "cursor" {
 			return base.DeclineField(name, "unknown query parameter")
 		}
 	}
-	if visit.Limit, err = parseLimit(r.Query["limit"]); err != nil {
+	if request.Limit, err = parseLimit(r.Query["limit"]); err != nil {
 		return err
 	}
-	visit.After, err = decodeCursor(visit.Session, r.Query["cursor"])
+	request.After, err = decodeCursor(request.Session, r.Query["cursor"])
 	return err
 }
 
-func readTurnRequest(r *Request, visit *session.Request) error {
-	visit.Kind, visit.Turn, visit.Previous = session.KindSubmitTurn, r.Header["turn-id"], r.Header["previous-turn"]
-	for name, value := range map[string]string{"Turn-Id": visit.Turn, "Previous-Turn": visit.Previous} {
+func readTurnRequest(r *Request, request *session.Request) error {
+	request.Kind, request.Turn, request.Previous = session.KindSubmitTurn, r.Header["turn-id"], r.Header["previous-turn"]
+	for name, value := range map[string]string{"Turn-Id": request.Turn, "Previous-Turn": request.Previous} {
 		if value != "" {
 			if err := validateName(name, value); err != nil {
 				return err
@@ -431,22 +437,22 @@
 		}
 	}
 	if lastEventID := r.Header["last-event-id"]; lastEventID != "" {
-		leg, number, ok := strings.Cut(lastEventID, "#")
-		position, err := strconv.ParseUint(number, 10, 64)
+		attempt, pieceText, ok := strings.Cut(lastEventID, "#")
+		piece, err := strconv.ParseUint(pieceText, 10, 64)
 		if !ok || err != nil {
-			return base.DeclineField("Last-Event-ID", "not an event id of this turn")
+			return base.DeclineField("Last-Event-ID", "not a valid event id of this turn")
 		}
-		visit.LastAttempt, visit.LastPiece = leg, position
+		request.LastAttempt, request.LastPiece = attempt, piece
 	}
 	var maxTokens float64
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"messages": readMessages(&visit.Messages), "max_output_tokens": base.Number(&maxTokens, 1, 1<<20, true),
+		"messages": readMessages(&request.Messages), "max_output_tokens": base.Number(&maxTokens, 1, 1<<20, true),
 	}); err != nil {
 		return err
 	}
-	if visit.Messages == nil {
+	if request.Messages == nil {
 		return base.DeclineField("messages", "must be given")
 	}
-	visit.MaxTokens = int64(maxTokens)
+	request.MaxTokens = int64(maxTokens)
 	return nil
 }
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -1,6 +1,3 @@
-// The platform's interface: the stamped worker list, and the usage reports
-// and leaving notices that workers send.
-
 package front
 
 import (
@@ -14,6 +11,8 @@
 	"github.com/go-faster/jx"
 )
 
+// parsePlatform parses requests of the platform: for the worker list, the stamp of
+// the settings, and the usage reports and leaving notices of workers.
 func (h *Handler) parsePlatform(r *Request, parts []string) (*action, error) {
 	switch r.Method + " " + pathPattern(parts) {
 	case "GET workers":
@@ -38,6 +37,7 @@
 	return nil, unknownPathError()
 }
 
+// readWorkers reads a list of workers.
 func readWorkers(dst *[]worker.Worker) base.FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.Array {
@@ -118,6 +118,7 @@
 	}), nil
 }
 
+// changeWorkers is the action of a change of the worker list.
 func (h *Handler) changeWorkers(change func(ctx *base.Ctx) (*worker.List, error)) *action {
 	return &action{func(ctx *base.Ctx) (*Response, error) {
 		list, err := change(ctx.Within(h.Bounds.Load().Recover))
@@ -128,6 +129,8 @@
 	}}
 }
 
+// parseUsageReport parses a worker's usage report. A report that changes whether the
+// worker is leaving also submits a notice to the worker list.
 func (h *Handler) parseUsageReport(r *Request, id string) (*action, error) {
 	var load, number float64
 	usage := &membership.Usage{Worker: id}
@@ -139,7 +142,7 @@
 		return nil, err
 	}
 	if number == 0 {
-		return nil, base.DeclineField("number", "must be given and rise with each report")
+		return nil, base.DeclineField("number", "must be given and increase with each report")
 	}
 	usage.Number, usage.Load = uint64(number), int64(load)
 	return &action{func(ctx *base.Ctx) (*Response, error) {
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -1,7 +1,7 @@
-// Package front is the face of the data plane to callers and the platform:
-// it reads a request into a plan, made whole as data and checked before
-// anything is done, and then carries the plan out. It knows no transport; the
-// daemons put fasthttp in front of it and the simulator calls it as it is.
+// Package front implements the gateway's HTTP API for callers and the platform. A
+// request is first parsed and validated completely, and then carried out. The
+// package does not depend on a transport: the daemons serve it with fasthttp, and
+// the simulator calls it directly.
 package front
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/go-faster/jx"
 )
 
-// Request is one HTTP request, its header names in lower case.
+// Request is one HTTP request. The names in Header are in lower case.
 type Request struct {
 	Method string
 	Path   string
@@ -26,7 +26,7 @@
 	Body   []byte
 }
 
-// Response is whole, or carries a stream of events.
+// Response is an HTTP response with either a complete body or a stream of events.
 type Response struct {
 	Status int
 	Header map[string]string
@@ -34,11 +34,12 @@
 	Stream *session.Reader
 }
 
+// jsonResponse is a response with a JSON body.
 func jsonResponse(status int, body any) *Response {
 	return &Response{Status: status, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.Encode(body), '\n')}
 }
 
-// ErrorResponse shows a verdict to a caller.
+// ErrorResponse converts an error to the response that a caller gets.
 func ErrorResponse(err error) *Response {
 	verdict := base.FromWire(err)
 	status := verdict.Status
@@ -52,6 +53,7 @@
 	return response
 }
 
+// bearerDigest returns the digest of the request's bearer token, or "" without one.
 func bearerDigest(r *Request) string {
 	token, ok := strings.CutPrefix(r.Header["authorization"], "Bearer ")
 	if !ok || token == "" {
@@ -60,7 +62,8 @@
 	return base.Digest([]byte(token))
 }
 
-// messages reads a list of role and content and keeps it in one form.
+// readMessages reads a list of messages, each with a role and content, and stores it
+// in normalized JSON.
 func readMessages(dst *json.RawMessage) base.FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.Array {
@@ -106,9 +109,11 @@
 	}
 }
 
+// cursorPrefix is the version of the cursor format.
 const cursorPrefix = "v1:"
 
-// cursor is opaque to callers: a version, the session and the last place.
+// encodeCursor returns a cursor, which is opaque to callers: the version of its
+// format, the session and the last position listed. The cursor of position 0 is "".
 func encodeCursor(sessionID string, position uint64) string {
 	if position == 0 {
 		return ""
@@ -116,12 +121,13 @@
 	return base64.RawURLEncoding.EncodeToString([]byte(cursorPrefix + sessionID + ":" + strconv.FormatUint(position, 10)))
 }
 
+// decodeCursor returns the position in a cursor of the session's listing.
 func decodeCursor(sessionID, encoded string) (uint64, error) {
 	if encoded == "" {
 		return 0, nil
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(encoded)
-	invalid := base.DeclineField("cursor", "not a cursor of this listing")
+	invalid := base.DeclineField("cursor", "not a valid cursor for this listing")
 	if err != nil {
 		return 0, invalid
 	}
@@ -136,6 +142,7 @@
 	return position, nil
 }
 
+// parseLimit returns the page size, by default 100.
 func parseLimit(text string) (int, error) {
 	if text == "" {
 		return 100, nil
@@ -147,13 +154,14 @@
 	return limit, nil
 }
 
+// validateName checks a name or id that a caller chose.
 func validateName(field, name string) error {
 	if name == "" || len(name) > 128 {
 		return base.DeclineField(field, "must be 1 to 128 characters")
 	}
 	for _, c := range name {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.' || c == ':') {
-			return base.DeclineField(field, "may hold letters, digits and -_.: only")
+			return base.DeclineField(field, "may contain only letters, digits and -_.:")
 		}
 	}
 	return nil
--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -1,7 +1,3 @@
-// Tool calls go by a configured route to application workers. A route that
-// may not be repeated needs an Idempotency-Key, whose claim is durable before
-// the call goes out; see package toolcall for what the claim promises.
-
 package front
 
 import (
@@ -15,8 +11,13 @@
 	"fordseam/internal/worker"
 )
 
+// maxToolResponseBytes is the largest body that a worker may answer a tool call with.
 const maxToolResponseBytes = 4 << 20
 
+// parseToolCall parses a tool call, which is sent by a configured route to an
+// application worker. A route that is not repeatable requires an Idempotency-Key,
+// whose claim is durable before the call is sent; see package toolcall for the
+// guarantees of a claim.
 func (h *Handler) parseToolCall(r *Request, programID, routeName string) (*action, error) {
 	key := r.Header["idempotency-key"]
 	if key != "" {
@@ -25,7 +26,7 @@
 		}
 	}
 	if len(r.Body) > 0 && !json.Valid(r.Body) {
-		return nil, base.DeclineField("body", "not valid JSON")
+		return nil, base.DeclineField("body", "is not valid JSON")
 	}
 	return &action{func(ctx *base.Ctx) (*Response, error) {
 		program, err := h.authorize(ctx, r, programID)
@@ -37,13 +38,13 @@
 			return nil, err
 		}
 		if route.Kind != "tool" {
-			return nil, base.DeclineField("route", "route %q is not for tool calls", routeName)
+			return nil, base.DeclineField("route", "route %q does not accept tool calls", routeName)
 		}
 		if key == "" && !route.Repeatable {
-			return nil, base.DeclineField("Idempotency-Key", "route %q may not be repeated; an Idempotency-Key must be given", routeName)
+			return nil, base.DeclineField("Idempotency-Key", "route %q is not repeatable; an Idempotency-Key must be given", routeName)
 		}
 		if h.Sessions.ProgramTermination(budget.RegisterGroup(programID)) != "" || h.Sessions.ProgramTermination(programID) != "" {
-			return nil, base.Decline(503, "program_terminating", "the program is ending")
+			return nil, base.Decline(503, "program_terminating", "program %q is being terminated", programID)
 		}
 		ctx = ctx.Within(route.ToolTimeout)
 		call := &toolCall{handler: h, ctx: ctx, request: r, route: route, urgency: program.Urgency,
@@ -55,6 +56,7 @@
 	}}, nil
 }
 
+// toolCall is one tool call being carried out.
 type toolCall struct {
 	handler *Handler
 	ctx     *base.Ctx
@@ -64,7 +66,8 @@
 	claim   toolcall.Claim
 }
 
-// show passes a worker's whole answer on; its failure is a verdict of ours.
+// toolResponse passes a worker's complete answer on. A status of 500 or more becomes
+// an error of the gateway.
 func toolResponse(answer *toolcall.Response, replayed bool) *Response {
 	if answer.Status >= 500 {
 		return ErrorResponse(base.Unsure(502, "worker_failed", "the worker failed with status %d", answer.Status))
@@ -76,7 +79,8 @@
 	return response
 }
 
-// plain is for repeatable routes without a key: a lost leg may be repeated.
+// callRepeatable carries out a call without a key on a repeatable route: an attempt
+// whose answer is lost may be repeated.
 func (t *toolCall) callRepeatable() (*Response, error) {
 	tried := map[string]bool{}
 	for attempt := 1; ; attempt++ {
@@ -91,82 +95,86 @@
 	}
 }
 
-// claimed carries a call out at most once, ever.
+// callClaimed carries out a call with a key, which runs at most once however often
+// it is requested.
 func (t *toolCall) callClaimed() (*Response, error) {
-	f := t.handler
-	pause := f.Bounds.Load().Beat()
+	h := t.handler
+	pause := h.Bounds.Load().Beat()
 	for {
-		outcome, err := f.Tools.Claim(t.ctx, t.claim)
+		outcome, err := h.Tools.Claim(t.ctx, t.claim)
 		if err != nil {
 			if v := base.FromWire(err); v.Ran != base.NotRun {
-				// The claim may stand under this leg, but the leg has not gone
-				// out and is given up, so the call did not run.
-				f.Clock.Go(func() { _ = f.Tools.Finish(base.NewCtx(f.Clock, f.Bounds.Load().Recover), t.claim, nil) })
-				return nil, base.Busy(503, "claim_unconfirmed", 1, "the call could not be claimed in time")
+				// The claim may have been recorded for this attempt, but the attempt
+				// was not sent and is given up, so the call did not run.
+				h.Clock.Go(func() { _ = h.Tools.Finish(base.NewCtx(h.Clock, h.Bounds.Load().Recover), t.claim, nil) })
+				return nil, base.Busy(503, "claim_unconfirmed", 1, "the idempotency key could not be claimed in time")
 			}
 			return nil, err
 		}
 		if outcome.Response != nil {
-			f.Counters.Add("tool_calls_replayed", 1)
+			h.Counters.Add("tool_calls_replayed", 1)
 			return toolResponse(outcome.Response, true), nil
 		}
 		if outcome.Proceed {
 			break
 		}
 		if t.ctx.Left() <= pause {
-			return nil, base.Unsure(409, "call_unfinished", "a call with this key went out and has given no answer")
+			return nil, base.Unsure(409, "call_unfinished", "an earlier call with this key was sent and has not been answered")
 		}
-		f.Clock.Sleep(pause)
+		h.Clock.Sleep(pause)
 	}
 	answer, err := t.send(map[string]bool{})
-	recordCtx := base.NewCtx(f.Clock, f.Bounds.Load().Recover)
+	recordCtx := base.NewCtx(h.Clock, h.Bounds.Load().Recover)
 	if err != nil {
 		if base.FromWire(err).Ran == base.NotRun {
-			if finishErr := f.Tools.Finish(recordCtx, t.claim, nil); finishErr != nil {
-				f.Counters.Add("tool_claims_stuck", 1)
+			if finishErr := h.Tools.Finish(recordCtx, t.claim, nil); finishErr != nil {
+				h.Counters.Add("tool_claims_stuck", 1)
 			}
 		}
 		return nil, err
 	}
-	if finishErr := f.Tools.Finish(recordCtx, t.claim, answer); finishErr != nil {
-		f.Counters.Add("tool_answers_unrecorded", 1)
+	if finishErr := h.Tools.Finish(recordCtx, t.claim, answer); finishErr != nil {
+		h.Counters.Add("tool_answers_unrecorded", 1)
 	}
 	return toolResponse(answer, false), nil
 }
 
-// send tries workers until one was reached; from then on there is no other.
+// send tries workers until one is reached. After that no other worker is tried, except
+// when the worker refused a repeatable call because it is leaving.
 func (t *toolCall) send(tried map[string]bool) (*toolcall.Response, error) {
-	f := t.handler
-	need := &worker.Requirements{Pool: t.route.Pool, AffinityKey: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
+	h := t.handler
+	requirements := &worker.Requirements{Pool: t.route.Pool, AffinityKey: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
 		MaxQueue: t.route.Waiting, Tried: tried, Policy: t.route.Policy}
 	for {
-		answer, err, tryNext := t.sendOnce(need)
+		answer, err, tryNext := t.sendOnce(requirements)
 		if !tryNext || t.ctx.Over() {
 			return answer, err
 		}
-		f.Counters.Add("tool_legs_not_sent", 1)
+		h.Counters.Add("tool_legs_not_sent", 1)
 	}
 }
 
-func (t *toolCall) sendOnce(need *worker.Requirements) (answer *toolcall.Response, failure error, tryNext bool) {
-	f := t.handler
+// sendOnce sends the call to one worker. tryNext means that another worker may be
+// tried after the failure.
+func (t *toolCall) sendOnce(requirements *worker.Requirements) (answer *toolcall.Response, failure error, tryNext bool) {
+	h := t.handler
 	var cleanup base.Cleanup
 	defer cleanup.Run()
-	chosen, err := f.Picker.Acquire(t.ctx, need)
+	chosen, err := h.Picker.Acquire(t.ctx, requirements)
 	if err != nil {
 		return nil, err, false
 	}
-	heldSince := f.Clock.Now()
-	cleanup.Push(func() { f.Picker.Release(chosen, need, f.Clock.Now()-heldSince) })
-	if err := f.Follower.WaitForLease(t.ctx); err != nil {
+	acquiredAt := h.Clock.Now()
+	cleanup.Push(func() { h.Picker.Release(chosen, requirements, h.Clock.Now()-acquiredAt) })
+	if err := h.Follower.WaitForLease(t.ctx); err != nil {
 		return nil, err, false
 	}
-	if !f.Picker.StillEligible(chosen, need) {
-		f.Counters.Add("legs_turned_back", 1)
+	if !h.Picker.StillEligible(chosen, requirements) {
+		h.Counters.Add("legs_turned_back", 1)
 		return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 	}
 	if t.ctx.Over() {
-		return nil, base.Decline(504, "timed_out", "the call's time was over before it went out"), false
+		return nil, base.Decline(504, "timed_out", "the call timed out before it was sent to a worker"), false
 	}
 	path := t.route.Path
 	if path == "" {
@@ -176,11 +184,11 @@
 	if t.claim.Key != "" {
 		header["Idempotency-Key"] = t.claim.Program + "/" + t.claim.Key
 	}
-	f.Counters.Add("tool_legs_sent", 1)
-	reply, err := f.Backends.Call(t.ctx, chosen.Addr, &base.BackRequest{Method: "POST", Path: path, Header: header, Body: t.request.Body})
-	need.Tried[chosen.ID] = true
+	h.Counters.Add("tool_legs_sent", 1)
+	reply, err := h.Backends.Call(t.ctx, chosen.Addr, &base.BackRequest{Method: "POST", Path: path, Header: header, Body: t.request.Body})
+	requirements.Tried[chosen.ID] = true
 	if err != nil {
-		f.Picker.Avoid(chosen.ID)
+		h.Picker.Avoid(chosen.ID)
 		if base.WasNotSent(err) {
 			return nil, base.Busy(503, "worker_unreachable", 1, "no worker could be reached"), true
 		}
@@ -188,14 +196,14 @@
 	}
 	cleanup.Push(reply.Close)
 	if reply.Status() == 503 {
-		f.Sessions.MarkWorkerLeaving(chosen)
+		h.Sessions.MarkWorkerLeaving(chosen)
 		if t.route.Repeatable {
 			return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 		}
-		return nil, base.Unsure(502, "worker_leaving", "the worker refused the call as it leaves, but bytes had gone out"), false
+		return nil, base.Unsure(502, "worker_leaving", "the worker refused the call because it is leaving, but the request had been sent"), false
 	}
-	if f.Picker.ObserveResponse(chosen, reply.Closes()) {
-		f.Sessions.MarkWorkerLeaving(chosen)
+	if h.Picker.ObserveResponse(chosen, reply.Closes()) {
+		h.Sessions.MarkWorkerLeaving(chosen)
 	}
 	body, err := reply.Body(t.ctx.Left(), maxToolResponseBytes)
 	if err != nil {
@@ -211,9 +219,10 @@
 	return &toolcall.Response{Status: reply.Status(), ContentType: contentType, Body: body}, nil, false
 }
 
-// showPage puts the cursor into a listing, which may come from another node.
-func listingPage(visit *session.Request, body any) (any, bool) {
-	if visit.Kind != session.KindListTurns {
+// listingPage adds the cursor to a page of a turn listing, whose body is raw JSON if it
+// comes from another node.
+func listingPage(request *session.Request, body any) (any, bool) {
+	if request.Kind != session.KindListTurns {
 		return nil, false
 	}
 	var page session.TurnPage
@@ -228,5 +237,5 @@
 	return struct {
 		Turns []session.TurnView `json:"turns"`
 		Next  string             `json:"next_cursor"`
-	}{page.Turns, encodeCursor(visit.Session, page.Next)}, true
+	}{page.Turns, encodeCursor(request.Session, page.Next)}, true
 }
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -1,4 +1,3 @@
-// Matching by the number of routes.
 package route_test
 
 import (
@@ -9,6 +8,7 @@
 	"fordseam/internal/route"
 )
 
+// newTable returns a table of routes spread over hosts.
 func newTable(routes, hosts int) *route.Table {
 	table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s"}}}
 	for i := range routes {
@@ -18,6 +18,8 @@
 	return table
 }
 
+// BenchmarkMatch measures matching by the number of routes, with all routes on one host
+// and spread over 100 hosts.
 func BenchmarkMatch(b *testing.B) {
 	for _, hosts := range []int{1, 100} {
 		for _, routes := range []int{100, 300, 1000} {
--- a/internal/route/canonical.go
+++ b/internal/route/canonical.go
@@ -1,6 +1,3 @@
-// The canonical form of a JSON document: what two spellings of the same
-// document have in common, and what no two different documents share.
-
 package route
 
 import (
@@ -18,22 +15,23 @@
 )
 
 const (
-	// depthLimit bounds how deep values may be nested; a configuration of routes
-	// needs five levels.
+	// maxDepth is the deepest nesting of values; a route configuration needs five
+	// levels.
 	maxDepth = 32
-	// exponentDigits bounds the exponent of a number, so that it fits an int.
+	// maxExponentDigits bounds the exponent of a number, so that it fits an int.
 	maxExponentDigits = 6
-	// pathNameLimit bounds a member's name in the path of a complaint.
+	// maxPathNameBytes bounds a member's name in the path of an error.
 	maxPathNameBytes = 64
 )
 
-// Canonicalize gives the canonical form of a JSON document: no white space,
-// members sorted by the bytes of their names, strings with the fewest escapes,
-// and numbers as a coefficient without trailing zeros and a power of ten. The
-// order of array elements is kept, and a member that is null differs from one
-// that is absent. A document with a repeated member name, with text that is not
-// Unicode, or nested deeper than 32 levels has no canonical form; the error is a
-// base.Verdict of status 400 that names the field by its path.
+// Canonicalize returns the canonical form of a JSON document, which equivalent
+// documents share and different documents do not. It has no white space, members
+// sorted by the bytes of their names, strings with the fewest escapes, and numbers
+// as a coefficient without trailing zeros and a power of ten. The order of array
+// elements is kept, and a member that is null differs from one that is absent. A
+// document with a duplicate member name, with text that is not valid Unicode, or
+// nested deeper than 32 levels has no canonical form; the error is a base.Verdict
+// of status 400 that names the field by its path.
 func Canonicalize(document []byte) ([]byte, error) {
 	decoder := jx.DecodeBytes(document)
 	canonical, err := appendValue(make([]byte, 0, len(document)), decoder, nil)
@@ -41,7 +39,7 @@
 		if verdict := base.VerdictIn(err); verdict != nil {
 			return nil, verdict
 		}
-		return nil, base.DeclineField("body", "cannot be read: %v", err)
+		return nil, base.DeclineField("body", "is not valid JSON: %v", err)
 	}
 	if err := RequireEnd(decoder); err != nil {
 		return nil, err
@@ -49,26 +47,26 @@
 	return canonical, nil
 }
 
-// RequireEnd declines a document that has anything but white space after its value.
+// RequireEnd returns an error if anything but white space follows the document's value.
 func RequireEnd(decoder *jx.Decoder) error {
-	// A value that is cut short ends the document as well, so its beginning counts.
+	// A truncated value also ends with io.EOF, so check whether a value starts here.
 	valueStarts := decoder.Next() != jx.Invalid
 	err := decoder.Skip()
 	switch {
 	case err == nil:
 		return base.DeclineField("body", "more than one JSON value")
 	case valueStarts || !errors.Is(err, io.EOF):
-		return base.DeclineField("body", "something follows the JSON value")
+		return base.DeclineField("body", "unexpected data after the JSON value")
 	}
 	return nil
 }
 
-// path is where a value stands in the document; nil is the whole of it.
+// path is the location of a value in the document; nil is the document itself.
 type path struct {
 	parent   *path
-	isMember bool   // of an object; an array's element otherwise
-	name     string // of a member
-	index    int    // of an element
+	isMember bool   // a member of an object, otherwise an element of an array
+	name     string // of the member
+	index    int    // of the element
 }
 
 func (p *path) depth() int {
@@ -79,7 +77,7 @@
 	return depth
 }
 
-// String writes the path as operators write it, such as routes[2].name.
+// String returns the path in the usual notation, such as routes[2].name.
 func (p *path) String() string {
 	switch {
 	case p == nil:
@@ -112,11 +110,11 @@
 	case jx.Number:
 		return appendNumber(dst, decoder, location)
 	}
-	raw, err := decoder.Raw() // true, false, null, or nothing that JSON knows
+	raw, err := decoder.Raw() // true, false, null, or invalid
 	return append(dst, raw...), err
 }
 
-// member is one of an object's, its value as a stretch of a shared buffer.
+// member is a member of an object. Its value is a range of a shared buffer.
 type member struct {
 	name       string
 	start, end int
@@ -130,7 +128,7 @@
 		name := string(key)
 		memberPath.name, memberPath.isMember = name, true
 		if !utf8.ValidString(name) || strings.ContainsRune(name, utf8.RuneError) {
-			return base.DeclineField(memberPath.String(), "the member's name is not Unicode text")
+			return base.DeclineField(memberPath.String(), "the member's name is not valid Unicode text")
 		}
 		start := len(values)
 		values, err = appendValue(values, decoder, memberPath)
@@ -146,7 +144,7 @@
 		if i > 0 {
 			if members[i-1].name == m.name {
 				memberPath.name, memberPath.isMember = m.name, true
-				return nil, base.DeclineField(memberPath.String(), "given twice")
+				return nil, base.DeclineField(memberPath.String(), "duplicate member")
 			}
 			dst = append(dst, ',')
 		}
@@ -176,21 +174,22 @@
 		return nil, err
 	}
 	if !utf8.Valid(raw) || !surrogatesPaired(raw) {
-		return nil, base.DeclineField(location.String(), "is not Unicode text")
+		return nil, base.DeclineField(location.String(), "is not valid Unicode text")
 	}
 	text, err := jx.DecodeBytes(raw).Str()
 	return appendQuoted(dst, text), err
 }
 
+// appendQuoted appends a string literal with the fewest escapes.
 func appendQuoted(dst []byte, text string) []byte {
 	writer := jx.Writer{Buf: dst}
 	writer.Str(text)
 	return writer.Buf
 }
 
-// surrogatesPaired tells whether every surrogate that a string literal escapes
-// has its other half: one alone would be read as the replacement character, as
-// any other one alone.
+// surrogatesPaired reports whether every surrogate escaped in a string literal is
+// part of a pair. All unpaired surrogates decode to the same replacement character,
+// so that different documents would get one canonical form.
 func surrogatesPaired(literal []byte) bool {
 	for i := 0; i < len(literal); i++ {
 		if literal[i] != '\\' {
@@ -218,6 +217,7 @@
 // escapeLength is the length of a \uXXXX escape.
 const escapeLength = 6
 
+// unicodeEscape returns the code unit of the \uXXXX escape that text starts with.
 func unicodeEscape(text []byte) (unit uint64, ok bool) {
 	if len(text) < escapeLength || !bytes.HasPrefix(text, []byte(`\u`)) {
 		return 0, false
@@ -226,9 +226,9 @@
 	return unit, err == nil
 }
 
-// appendNumber writes a number as its coefficient and power of ten: 60.0, 6e1
-// and 60 are all 6e1. No precision is lost, so that two numbers that differ in
-// any digit stay different.
+// appendNumber appends a number as its coefficient and power of ten: 60.0, 6e1
+// and 60 all become 6e1. No precision is lost: numbers that differ in any digit
+// stay different.
 func appendNumber(dst []byte, decoder *jx.Decoder, location *path) ([]byte, error) {
 	raw, err := decoder.Raw()
 	if err != nil {
@@ -265,6 +265,7 @@
 	return strconv.AppendInt(dst, int64(power), 10), nil
 }
 
+// cutAny is strings.Cut at the first of several characters.
 func cutAny(text, chars string) (before, after string, found bool) {
 	if i := strings.IndexAny(text, chars); i >= 0 {
 		return text[:i], text[i+1:], true
--- a/internal/route/canonical_test.go
+++ b/internal/route/canonical_test.go
@@ -1,4 +1,3 @@
-// Two spellings of a document have one canonical form, two documents never.
 package route_test
 
 import (
@@ -13,6 +12,8 @@
 	"github.com/matryer/is"
 )
 
+// TestEquivalentDocumentsHaveOneCanonicalForm checks documents that differ only in white
+// space, order of members, escapes and notation of numbers.
 func TestEquivalentDocumentsHaveOneCanonicalForm(t *testing.T) {
 	is := is.New(t)
 	for canonical, spellings := range map[string][]string{
@@ -33,6 +34,8 @@
 	}
 }
 
+// TestDifferentDocumentsHaveDifferentCanonicalForms guards against a change that is taken
+// for a repetition of another one.
 func TestDifferentDocumentsHaveDifferentCanonicalForms(t *testing.T) {
 	is := is.New(t)
 	seen := map[string]string{}
@@ -43,11 +46,13 @@
 	} {
 		canonical, err := route.Canonicalize([]byte(document))
 		is.NoErr(err)
-		is.Equal(seen[string(canonical)], "") // another document has the same form
+		is.Equal(seen[string(canonical)], "") // no other document has this form
 		seen[string(canonical)] = document
 	}
 }
 
+// TestInvalidDocumentIsRejectedWithItsPath checks that the error names the field by its
+// path, and that deep nesting and long names are bounded.
 func TestInvalidDocumentIsRejectedWithItsPath(t *testing.T) {
 	is := is.New(t)
 	for document, field := range map[string]string{
@@ -83,8 +88,8 @@
 	}
 }
 
-// reformat spells a document otherwise: indented, escaped, and by way of a map,
-// so that members change places.
+// reformat returns the same document in another format: indented, with other escapes
+// and with the members in another order.
 func reformat(t *testing.T, document []byte) []byte {
 	decoder := json.NewDecoder(bytes.NewReader(document))
 	decoder.UseNumber()
@@ -99,6 +104,8 @@
 	return formatted
 }
 
+// FuzzCanonical checks that the canonical form does not depend on the format of the
+// document and is its own canonical form.
 func FuzzCanonical(f *testing.F) {
 	for _, document := range []string{`{"a":1.50,"b":["x",null,true,{"c":-0.0e-7}]}`, `"\ud83d\ude00\/\u0000"`, `[1e5,100000,1E+5]`, `{"a":1,"a":2}`, `{"<":"&\u2028"}`, "\"\x7f\"", `[]`, `-0`, `{"":{"":[]}}`} {
 		f.Add([]byte(document))
@@ -107,7 +114,7 @@
 		canonical, err := route.Canonicalize(document)
 		if err != nil {
 			if verdict := base.VerdictIn(err); verdict == nil || verdict.Status != 400 || verdict.Field == "" {
-				t.Fatalf("%q: declined without its field: %v", document, err)
+				t.Fatalf("%q: declined without naming a field: %v", document, err)
 			}
 			return
 		}
@@ -117,7 +124,7 @@
 		for _, variant := range [][]byte{canonical, reformat(t, document), reformat(t, canonical)} {
 			again, err := route.Canonicalize(variant)
 			if err != nil || !bytes.Equal(again, canonical) {
-				t.Fatalf("%q is %q, but spelled %q it is %q (%v)", document, canonical, variant, again, err)
+				t.Fatalf("the canonical form of %q is %q, but that of %q is %q (%v)", document, canonical, variant, again, err)
 			}
 		}
 	})
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -1,14 +1,3 @@
-// A configuration is one document under one version. It is put in force by
-// compare-and-set in the control state, told to every node by the feed, and
-// read back as it was written.
-//
-// An order, that is a request for a change, is identified by three things: the
-// version that it builds on, the version that it brings, and its document's
-// canonical form (see Canonicalize). An order that was taken is acknowledged again
-// whenever it is asked for again, also when its document is spelled otherwise.
-// The same document under the same version on top of another version is another
-// order, and is decided as such.
-
 package route
 
 import (
@@ -24,21 +13,21 @@
 	"fordseam/internal/register"
 )
 
-// FeedKey is where the feed tells of the configuration.
+// FeedKey is the key under which the feed distributes the configuration.
 const FeedKey = "feed/routes"
 
 const (
-	// documentFormat is the format of a Document as it is kept and told. The
-	// first format has no number and lists the versions taken.
+	// documentFormat is the format of a stored and distributed Document. The first
+	// format has no number and includes the list of accepted versions.
 	documentFormat = 2
-	// changeFormat is the format of a Change between nodes. The first has no
-	// number, and its digest is of the document as it was written.
+	// changeFormat is the format of a Change sent between nodes. The first format
+	// has no number, and its digest is of the document's source.
 	changeFormat = 2
 
-	// shownOrders is how many of the newest versions operators are shown.
+	// maxListedVersions is how many of the newest versions are listed to operators.
 	maxListedVersions = 64
 
-	// operations of the control state
+	// Operations of the register.
 	operationRead   = "route.read"
 	operationChange = "route.change"
 
@@ -46,34 +35,34 @@
 	codeOutcomeUnknown = "unknown"
 	codeBadRequest     = "bad_request"
 	fieldVersion       = "version"
-	// askAgainAfter is when the operator of an order without a clear answer is to
-	// come again, in seconds.
+	// retryAfterSeconds is when an operator should retry a change whose outcome is
+	// unknown.
 	retryAfterSeconds = 1
 )
 
-// Document is what the control state keeps of the configuration.
+// Document is a version of the configuration as it is stored in the register.
 type Document struct {
 	Format     int    `json:"format,omitempty"`
 	Version    uint64 `json:"version"`
 	Compressed []byte `json:"packed"`
-	// Accepted lists the newest versions that came into force in an answer to ReadDocument;
-	// it is kept with the document in the first format only.
+	// Accepted lists the newest accepted versions in a result of ReadDocument. It is
+	// stored with the document in the first format only.
 	Accepted []AcceptedVersion `json:"taken,omitempty"`
 }
 
-// AcceptedVersion is a version that came into force, and its document's digest.
+// AcceptedVersion is a version that was put in force, and its document's digest.
 type AcceptedVersion struct {
 	Version uint64 `json:"v"`
 	Digest  string `json:"d"`
 }
 
-// Source gives the document as its operator wrote it.
+// Source returns the document exactly as the operator submitted it.
 func (d *Document) Source() ([]byte, error) {
 	return io.ReadAll(flate.NewReader(bytes.NewReader(d.Compressed)))
 }
 
-// DocumentFromFeed reads the feed's frame; nil when no configuration is in force, or
-// it is of a format that this release does not read.
+// DocumentFromFeed returns the configuration in the feed's values. It is nil if none
+// is in force or its format is unknown to this release.
 func DocumentFromFeed(values map[string][]byte) *Document {
 	raw, ok := values[FeedKey]
 	if !ok {
@@ -89,22 +78,27 @@
 func decodeDocument(raw []byte) (*Document, error) {
 	var document Document
 	if json.Unmarshal(raw, &document) != nil || document.Format > documentFormat {
-		return nil, unknownFormat("the configuration of routes")
+		return nil, unknownFormat("the route configuration")
 	}
 	return &document, nil
 }
 
-// Change asks for a version in the place of another.
+// Change is a request to replace the version Base of the configuration by the version
+// Version. A change is identified by these two versions and by its document's
+// canonical form: a change that was accepted is acknowledged again whenever it is
+// submitted again, also if its document is formatted differently, while the same
+// document and version on top of another base is a different change.
 type Change struct {
 	Format  int    `json:"format"`
 	Base    uint64 `json:"base"`
 	Version uint64 `json:"version"`
-	// Digest is of the document's canonical form.
+	// Digest is the digest of the document's canonical form.
 	Digest     string `json:"digest"`
 	Compressed []byte `json:"packed"`
 }
 
-// NewChange packs a document whose table was checked. It fails as Canonicalize does.
+// NewChange returns the change to a document whose table was validated. It fails if
+// the document has no canonical form.
 func NewChange(baseVersion uint64, table *Table, source []byte) (Change, error) {
 	canonical, err := Canonicalize(source)
 	if err != nil {
@@ -116,14 +110,15 @@
 
 func compress(source []byte) []byte {
 	var compressed bytes.Buffer
-	// The level is valid, and writes to a buffer do not fail.
+	// Neither a valid level nor writes to a buffer fail.
 	writer, _ := flate.NewWriter(&compressed, flate.BestCompression)
 	_, _ = writer.Write(source)
 	_ = writer.Close()
 	return compressed.Bytes()
 }
 
-// RegisterOperations adds the configuration's operations to a core.
+// RegisterOperations registers the operations on the configuration with a core's
+// register.
 func RegisterOperations(owner *register.Server) {
 	owner.Handle(operationRead, func(tx *register.Tx, _ []byte) (any, error) { return readCurrent(tx) })
 	owner.Handle(operationChange, func(tx *register.Tx, args []byte) (any, error) {
@@ -135,6 +130,7 @@
 	})
 }
 
+// loadDocument returns the stored document; its version is 0 if there is none.
 func loadDocument(kv kvStore) (*Document, error) {
 	raw := kv.Get(FeedKey)
 	if raw == nil {
@@ -143,6 +139,7 @@
 	return decodeDocument(raw)
 }
 
+// readCurrent returns the stored document and lists the newest accepted versions.
 func readCurrent(kv kvStore) (*Document, error) {
 	current, err := loadDocument(kv)
 	if err != nil {
@@ -172,15 +169,15 @@
 	return &change, digest, nil
 }
 
-// decide takes an order, acknowledges it again, or refuses it. What it decides
-// on is not told before a majority has confirmed it.
+// applyChange accepts a change, acknowledges it again, or refuses it. The register
+// returns the result only once a majority has confirmed the state it is based on.
 func applyChange(tx kvStore, change *Change, digest documentDigest) (*AcceptedVersion, error) {
 	current, err := loadDocument(tx)
 	if err != nil {
 		return nil, err
 	}
 	if change.Version <= change.Base {
-		return nil, base.DeclineField(fieldVersion, "must be above %d, which it builds on", change.Base)
+		return nil, base.DeclineField(fieldVersion, "must be greater than %d, the version that it is based on", change.Base)
 	}
 	status, err := lookUpChange(tx, current, change, digest)
 	if err != nil {
@@ -192,11 +189,11 @@
 		tx.Put(repeatKey, binary.BigEndian.AppendUint64(nil, change.Version))
 		return accepted, nil
 	case status == notInHistory:
-		return nil, outcomeUnknown("version %d is older than the history that is kept", change.Version)
+		return nil, outcomeUnknown("version %d is older than the retained history", change.Version)
 	case status == acceptedDifferently:
-		return nil, staleVersion(current, "another change was taken under version %d", change.Version)
+		return nil, staleVersion(current, "another change was accepted as version %d", change.Version)
 	case change.Base != current.Version:
-		return nil, staleVersion(current, "version %d is in force, the change builds on %d", current.Version, change.Base)
+		return nil, staleVersion(current, "version %d is in force, but the change is based on %d", current.Version, change.Base)
 	}
 	if err := saveLegacy(tx, current); err != nil {
 		return nil, err
@@ -208,22 +205,24 @@
 	return accepted, nil
 }
 
+// staleVersion is the error of a change that is refused for good.
 func staleVersion(current *Document, format string, args ...any) error {
 	verdict := base.Decline(412, codeStaleVersion, format, args...)
 	verdict.Stamp = current.Version
 	return verdict
 }
 
+// outcomeUnknown is the error of a change that may or may not have been accepted.
 func outcomeUnknown(format string, args ...any) error {
 	verdict := base.Unsure(504, codeOutcomeUnknown, format, args...)
 	verdict.RetryAfter = retryAfterSeconds
 	return verdict
 }
 
-// SubmitChange asks for a change. A change that is refused is refused for good: it was
-// not taken and never will be. The error is then a base.Verdict with a status of
-// the 4xx; any other error leaves open whether the change was taken, or says
-// that it was not for now.
+// SubmitChange submits a change. A refusal is final: the change was not accepted and
+// never will be, and the error is a base.Verdict with a 4xx status. Any other error
+// means either that it is unknown whether the change was accepted, or that it was
+// not accepted this time.
 func SubmitChange(ctx *base.Ctx, client *register.Client, change Change) error {
 	err := client.Change(ctx, register.FeedGroup, operationChange, change, nil)
 	if err == nil {
@@ -232,20 +231,20 @@
 	return submitError(base.FromWire(err))
 }
 
-// putOutcome lets a refusal pass only where it is one of decide's, and makes
-// whatever else went wrong a status of the 5xx.
+// submitError passes refusals of applyChange through and converts every other failure
+// to a 5xx status.
 func submitError(verdict *base.Verdict) error {
 	definitive := verdict.Code == codeStaleVersion || verdict.Code == codeBadRequest && verdict.Field != ""
 	switch {
 	case verdict.Ran != base.NotRun:
-		return outcomeUnknown("the outcome is not known; ask again with the same document: %s", verdict.Message)
+		return outcomeUnknown("the outcome is unknown; submit the same document again: %s", verdict.Message)
 	case definitive, verdict.Status >= 500:
 		return verdict
 	}
 	return base.Busy(503, verdict.Code, retryAfterSeconds, "%s", verdict.Message)
 }
 
-// ReadDocument asks for what is in force; the version is 0 where nothing is.
+// ReadDocument returns the configuration in force; its version is 0 if there is none.
 func ReadDocument(ctx *base.Ctx, client *register.Client) (*Document, error) {
 	var document Document
 	err := client.Read(ctx, register.FeedGroup, operationRead, struct{}{}, &document)
@@ -255,8 +254,8 @@
 	return &document, nil
 }
 
-// readOutcome is a status of the 5xx that says when to come again: a read has
-// no refusals of its own.
+// readError converts a failed read to status 503 with a retry time; a read is never
+// refused.
 func readError(verdict *base.Verdict) error {
 	return base.Busy(503, verdict.Code, max(verdict.RetryAfter, retryAfterSeconds), "%s", verdict.Message)
 }
--- a/internal/route/history.go
+++ b/internal/route/history.go
@@ -1,7 +1,3 @@
-// The history of changes that were taken: which document came into force under
-// which version, so that a change that is asked for again gets the answer that
-// it got, whatever was changed since.
-
 package route
 
 import (
@@ -16,37 +12,41 @@
 )
 
 const (
-	// historyPrefix is where the blocks are kept. It is outside the feed's
-	// prefix: the history is the leader's and is not told to every node.
+	// historyPrefix is the prefix of the keys of the history's blocks. The history
+	// records which document was accepted as which version, so that a change that is
+	// submitted again gets the same answer whatever was changed since. The prefix is
+	// outside the feed's: only the leader needs the history, not every node.
 	historyPrefix = "routes/history/"
-	// repeatKey holds the version of the newest order that was acknowledged again.
-	// It is written so that the answer rests on a majority's acknowledgement of an
-	// entry: where that fails the outcome is open, as it has to be for an order
-	// that was taken, while an answer that changed nothing would be called not run.
+	// repeatKey holds the version of the change that was last acknowledged again. It
+	// is written so that the acknowledgement depends on a majority's confirmation of a
+	// log entry: if that fails, the outcome is reported as unknown, which is right for
+	// a change that was accepted. The failure of an operation that wrote nothing would
+	// be reported as not run.
 	repeatKey = "routes/repeated"
-	// legacyKey keeps what a document of the first format listed.
+	// legacyKey holds the versions that documents of the first format listed.
 	legacyKey = "routes/legacy"
-	// legacyLimit bounds that list; a document of the first format had 64 at most.
+	// maxLegacyVersions bounds that list; a document of the first format listed at
+	// most 64 versions.
 	maxLegacyVersions = 256
 
-	// blockOrders is how many changes a block holds. The newest block is written
-	// with each change: at most 1.5 kB.
+	// entriesPerBlock is the number of changes in a full block. The newest block is
+	// written with each change: at most 1.5 kB.
 	entriesPerBlock = 64
-	// blockLimit is how many blocks are kept: 16,320 to 16,384 changes, which is
+	// maxBlocks is the number of blocks retained: 16,320 to 16,384 changes, which is
 	// five days of 3,000 changes each, in 0.4 MB.
 	maxBlocks = 256
 
 	blockFormat     = 1
 	blockHeaderSize = 1 + 8
 	entrySize       = 8 + digestSize
-	// digestSize is how much of a SHA-256 sum is kept: 128 bits.
+	// digestSize is the length of a truncated SHA-256 sum: 128 bits.
 	digestSize = 16
 )
 
-// orderDigest identifies a document by its canonical form.
+// documentDigest identifies a document by its canonical form.
 type documentDigest [digestSize]byte
 
-// digestOf identifies a canonical form.
+// digestOf returns the digest of a canonical form.
 func digestOf(canonical []byte) documentDigest {
 	sum := sha256.Sum256(canonical)
 	return documentDigest(sum[:digestSize])
@@ -61,20 +61,20 @@
 	return digest, err
 }
 
-// order is a change that was taken: its version and its document.
+// historyEntry is an accepted change: its version and its document.
 type historyEntry struct {
 	version uint64
 	digest  documentDigest
 }
 
-// block is a stretch of the history without a gap: the first of its orders was
-// based on the version before, and each other on the one that precedes it.
+// block is a part of the history without gaps: its first entry is based on
+// baseVersion, and each other entry on the one before it.
 type block struct {
 	baseVersion uint64
 	entries     []historyEntry
 }
 
-// last is the newest version that the block covers.
+// lastVersion returns the newest version that the block covers.
 func (b *block) lastVersion() uint64 {
 	if len(b.entries) == 0 {
 		return b.baseVersion
@@ -97,7 +97,7 @@
 
 func decodeBlock(raw []byte) (*block, error) {
 	if len(raw) < blockHeaderSize || raw[0] != blockFormat || (len(raw)-blockHeaderSize)%entrySize != 0 {
-		return nil, unknownFormat("a block of the history of routes")
+		return nil, unknownFormat("a block of the route history")
 	}
 	decoded := &block{baseVersion: binary.BigEndian.Uint64(raw[1:])}
 	for rest := raw[blockHeaderSize:]; len(rest) > 0; rest = rest[entrySize:] {
@@ -106,13 +106,13 @@
 	return decoded, nil
 }
 
-// unreadable is the answer where what is kept is of a format that this release
-// does not know; another core may know it.
+// unknownFormat is the error for data in a format that this release does not know. It
+// asks for a retry, since another core may run a release that does.
 func unknownFormat(what string) error {
-	return base.Busy(503, "unknown_format", 1, "%s is not of a format that this release reads", what)
+	return base.Busy(503, "unknown_format", 1, "%s has a format that this release cannot read", what)
 }
 
-// store is the part of a transaction that the history is kept in.
+// kvStore is the part of a register transaction that the history uses.
 type kvStore interface {
 	Get(key string) []byte
 	Put(key string, value []byte)
@@ -120,23 +120,23 @@
 	Walk(prefix, after string, visit func(key string, value []byte) bool)
 }
 
-// finding is what the history says of an order.
+// changeStatus is what the history tells about a change.
 type changeStatus int
 
 const (
-	// neverTaken: no order with that version was taken.
+	// neverAccepted: no change with that version was accepted.
 	neverAccepted changeStatus = iota
-	// takenAsAsked: this very order was taken.
+	// acceptedUnchanged: exactly this change was accepted.
 	acceptedUnchanged
-	// takenOtherwise: another document, or the same on top of another version,
-	// was taken under that version.
+	// acceptedDifferently: another document, or the same document on top of another
+	// version, was accepted as that version.
 	acceptedDifferently
-	// forgotten: the history does not reach back that far.
+	// notInHistory: the version is older than the retained history.
 	notInHistory
 )
 
-// find tells what became of an order; now is the document in force, and no
-// version above it was ever taken.
+// lookUpChange returns the status of a change. current is the document in force: no
+// version above it was ever accepted.
 func lookUpChange(kv kvStore, current *Document, change *Change, digest documentDigest) (changeStatus, error) {
 	if change.Version > current.Version {
 		return neverAccepted, nil
@@ -161,8 +161,8 @@
 	return neverAccepted, nil
 }
 
-// blockCovering gives the block whose stretch a version lies in, nil when it
-// lies before the history or in a gap.
+// blockCovering returns the block that covers a version. It is nil if the version lies
+// before the history or in a gap between blocks.
 func blockCovering(kv kvStore, version uint64) (found *block, err error) {
 	var raw []byte
 	kv.Walk(historyPrefix, "", func(key string, value []byte) bool {
@@ -182,10 +182,10 @@
 	return found, nil
 }
 
-// findLegacy looks among the versions that documents of the first format
-// listed. They say nothing of the version that each was based on, and their
-// digests are of the document as it was written, so that one that differs
-// proves nothing.
+// lookUpLegacy looks for a change among the versions that documents of the first
+// format listed. These do not record the version that each was based on, and their
+// digests are of the document's source, so that a different digest does not prove a
+// different document.
 func lookUpLegacy(kv kvStore, current *Document, change *Change) (changeStatus, error) {
 	versions, err := legacyVersions(kv, current)
 	if err != nil {
@@ -205,18 +205,18 @@
 	return notInHistory, nil
 }
 
-// legacyOrders are the orders that documents of the first format listed, the
-// one in force included if it is of that format.
+// legacyVersions returns the versions that documents of the first format listed,
+// including the document in force if it is of that format.
 func legacyVersions(kv kvStore, current *Document) (versions []AcceptedVersion, err error) {
 	if raw := kv.Get(legacyKey); raw != nil && json.Unmarshal(raw, &versions) != nil {
-		return nil, unknownFormat("the former list of versions")
+		return nil, unknownFormat("the list of versions in the first format")
 	}
 	versions = append(versions, current.Accepted...)
 	return versions[max(0, len(versions)-maxLegacyVersions):], nil
 }
 
-// keepLegacy carries over what a document of the first format lists, before it
-// is replaced by one that lists nothing.
+// saveLegacy stores the versions that a document of the first format lists, before it
+// is replaced by a document without a list.
 func saveLegacy(kv kvStore, current *Document) error {
 	if len(current.Accepted) == 0 {
 		return nil
@@ -228,8 +228,8 @@
 	return err
 }
 
-// record adds an order that is taken on top of a version, and drops the oldest
-// block when there are too many.
+// appendEntry appends an accepted change that is based on baseVersion, and deletes the
+// oldest block if there are too many.
 func appendEntry(kv kvStore, baseVersion uint64, entry historyEntry) error {
 	var blocks [][]byte
 	var keys []string
@@ -258,7 +258,7 @@
 	return nil
 }
 
-// recent lists the newest orders of the history, oldest first.
+// recentVersions lists the newest versions of the history, oldest first.
 func recentVersions(kv kvStore, limit int) (versions []AcceptedVersion, err error) {
 	kv.Walk(historyPrefix, "", func(_ string, value []byte) bool {
 		var decoded *block
--- a/internal/route/history_test.go
+++ b/internal/route/history_test.go
@@ -1,5 +1,3 @@
-// An order that was taken is found again however many came since, what is kept
-// is bounded, and what is no longer kept is never refused.
 package route
 
 import (
@@ -14,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// memory is a store without a transaction: every change counts at once.
+// memoryStore is a kvStore without transactions: every write takes effect at once.
 type memoryStore map[string][]byte
 
 func (m memoryStore) Get(key string) []byte        { return m[key] }
@@ -28,7 +26,7 @@
 	}
 }
 
-// historyBytes is what the history takes, keys included.
+// historySize returns the bytes that the history takes, including keys.
 func (m memoryStore) historySize() int {
 	sum := 0
 	m.Walk(historyPrefix, "", func(key string, value []byte) bool {
@@ -38,12 +36,13 @@
 	return sum
 }
 
+// documentFor returns a configuration document for a version.
 func documentFor(version uint64) []byte {
 	return fmt.Appendf(nil, `{"generation": %d, "operator": "first"}`, version)
 }
 
-// orderFor is an order as ChangeOf makes it, but not packed: packing would take
-// most of these tests' time.
+// changeFor returns a change as NewChange does but without the compressed document:
+// compressing would take most of these tests' time.
 func changeFor(t *testing.T, baseVersion, version uint64, source []byte) *Change {
 	t.Helper()
 	canonical, err := Canonicalize(source)
@@ -54,7 +53,7 @@
 	return &Change{Format: changeFormat, Base: baseVersion, Version: version, Digest: hex.EncodeToString(digest[:])}
 }
 
-// packedOrderFor is the same with its document.
+// changeWithDocument returns a change with its compressed document.
 func changeWithDocument(t *testing.T, baseVersion, version uint64, source []byte) *Change {
 	t.Helper()
 	change, err := NewChange(baseVersion, &Table{Version: version}, source)
@@ -64,6 +63,7 @@
 	return &change
 }
 
+// submit applies a change to the store.
 func submit(t *testing.T, kv kvStore, change *Change) error {
 	t.Helper()
 	digest, err := parseDigest(change.Digest)
@@ -74,7 +74,7 @@
 	return err
 }
 
-// versionOf is the version of the change with a number; versions climb in
+// versionOf returns the version of the change with a number. Versions increase in
 // uneven steps.
 func versionOf(number int) uint64 {
 	if number == 0 {
@@ -83,6 +83,7 @@
 	return uint64(5*number + number%3)
 }
 
+// acceptRange submits the changes with the numbers first to last.
 func acceptRange(t *testing.T, kv memoryStore, first, last int) {
 	t.Helper()
 	for number := first; number <= last; number++ {
@@ -93,29 +94,32 @@
 	}
 }
 
+// resubmit submits the change with a number again.
 func resubmit(t *testing.T, kv memoryStore, number int) error {
 	t.Helper()
 	version := versionOf(number)
 	return submit(t, kv, changeFor(t, versionOf(number-1), version, documentFor(version)))
 }
 
+// TestRepeatedChangeIsAcknowledgedAfterManyVersions guards against a client that retries
+// an accepted change and is told that it was refused, because others came since.
 func TestRepeatedChangeIsAcknowledgedAfterManyVersions(t *testing.T) {
 	is := is.New(t)
 	kv := memoryStore{}
 	for _, since := range []int{1, 64, 65, 500, 3000} {
 		acceptRange(t, kv, countEntries(kv)+1, since+1)
 		for number := 1; number <= since+1; number++ {
-			is.NoErr(resubmit(t, kv, number)) // taken, and acknowledged again
+			is.NoErr(resubmit(t, kv, number)) // accepted before, and acknowledged again
 		}
 		current, err := loadDocument(kv)
 		is.NoErr(err)
-		is.Equal(current.Version, versionOf(since+1)) // a repeat changes nothing that is in force
-		is.True(kv[repeatKey] != nil)                 // but its answer rests on an entry
+		is.Equal(current.Version, versionOf(since+1)) // a repeated change does not alter what is in force
+		is.True(kv[repeatKey] != nil)                 // but its acknowledgement depends on a log entry
 		delete(kv, repeatKey)
 	}
 }
 
-// heldOrders counts the orders that a store holds.
+// countEntries counts the changes in the history.
 func countEntries(kv memoryStore) (count int) {
 	kv.Walk(historyPrefix, "", func(_ string, value []byte) bool {
 		count += (len(value) - blockHeaderSize) / entrySize
@@ -124,6 +128,8 @@
 	return count
 }
 
+// TestChangeNeverAcceptedIsRefused checks that a change that resembles an accepted one is
+// refused, however old its version is.
 func TestChangeNeverAcceptedIsRefused(t *testing.T) {
 	is := is.New(t)
 	kv := memoryStore{}
@@ -132,9 +138,9 @@
 		version, baseVersion := versionOf(number), versionOf(number-1)
 		for _, change := range []*Change{
 			changeFor(t, baseVersion, version, []byte(`{"operator":"second"}`)),   // another document
-			changeFor(t, baseVersion, version+1, []byte(`{"operator":"second"}`)), // a number that was passed over, or another's
-			changeFor(t, baseVersion+1, version, documentFor(version)),            // the same on another version
-			changeFor(t, versionOf(299), versionOf(300)+7, documentFor(901)),      // on what is no longer in force
+			changeFor(t, baseVersion, version+1, []byte(`{"operator":"second"}`)), // a version that was skipped, or that another change has
+			changeFor(t, baseVersion+1, version, documentFor(version)),            // the same document on another base
+			changeFor(t, versionOf(299), versionOf(300)+7, documentFor(901)),      // on a version that is no longer in force
 		} {
 			verdict := base.FromWire(submit(t, kv, change))
 			is.True(verdict != nil)
@@ -144,10 +150,12 @@
 		}
 	}
 	verdict := base.FromWire(submit(t, kv, changeFor(t, versionOf(300), versionOf(300), documentFor(versionOf(300)))))
-	is.Equal(verdict.Status, 400) // not above what it builds on
+	is.Equal(verdict.Status, 400) // not greater than its base
 	is.Equal(verdict.Field, "version")
 }
 
+// TestHistoryIsBoundedAndExpiredChangesAreUnknown checks the size of the history, and that
+// the outcome of a change older than the history is reported as unknown, never as refused.
 func TestHistoryIsBoundedAndExpiredChangesAreUnknown(t *testing.T) {
 	is := is.New(t)
 	kv := memoryStore{}
@@ -156,7 +164,7 @@
 	is.True(countEntries(kv) <= entriesPerBlock*maxBlocks)
 	is.True(countEntries(kv) > entriesPerBlock*(maxBlocks-1))
 	is.True(kv.historySize() < 450_000)
-	is.True(len(kv[FeedKey]) < 300) // what every node is told does not grow
+	is.True(len(kv[FeedKey]) < 300) // the value sent to every node does not grow
 	first := changes - countEntries(kv) + 1
 	is.NoErr(resubmit(t, kv, first))
 	for _, number := range []int{1, 65, first - 1} {
@@ -167,6 +175,9 @@
 	}
 }
 
+// TestFirstFormatDocumentIsMigrated checks that the versions listed by a document of the
+// first format are still acknowledged after it was replaced, also if a core of the former
+// release writes that format again.
 func TestFirstFormatDocumentIsMigrated(t *testing.T) {
 	is := is.New(t)
 	legacy := Document{Version: 64, Compressed: compress(documentFor(64))}
@@ -179,7 +190,7 @@
 		for version := uint64(1); version <= 64; version++ {
 			is.NoErr(submit(t, kv, changeWithDocument(t, version-1, version, documentFor(version))))
 			other := base.FromWire(submit(t, kv, changeWithDocument(t, version-1, version, []byte(`{}`))))
-			is.True(other.Status >= 500) // a digest of what was written proves nothing of what was not
+			is.True(other.Status >= 500) // a different digest of a source does not prove a different document
 		}
 	}
 	check()
@@ -194,7 +205,7 @@
 	is.NoErr(err)
 	is.Equal(shown.Accepted[len(shown.Accepted)-1].Version, uint64(70))
 
-	// A core of the former release took two more in between.
+	// Then a core of the former release accepts two more changes.
 	current.Format, current.Version, current.Compressed = 0, 75, compress(documentFor(75))
 	current.Accepted = []AcceptedVersion{{72, base.Digest(documentFor(72))}, {75, base.Digest(documentFor(75))}}
 	kv[FeedKey] = base.Encode(current)
@@ -206,6 +217,8 @@
 	check()
 }
 
+// TestUnknownFormatIsNotTreatedAsMissing guards against an older release that takes data
+// of a newer format for absent and overwrites it.
 func TestUnknownFormatIsNotTreatedAsMissing(t *testing.T) {
 	is := is.New(t)
 	for name, kv := range map[string]memoryStore{
@@ -225,6 +238,8 @@
 	is.Equal(DocumentFromFeed(map[string][]byte{FeedKey: []byte(`{"format":3,"version":9}`)}), nil)
 }
 
+// TestOnlyDefinitiveRefusalsAreReportedAsRefusals checks that a failure other than a
+// refusal by applyChange never reaches the operator with a 4xx status.
 func TestOnlyDefinitiveRefusalsAreReportedAsRefusals(t *testing.T) {
 	is := is.New(t)
 	for _, row := range []struct {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -1,7 +1,13 @@
-// Package route is the operator's whole configuration of routes, services
-// and limits, as one document with one version. A table is immutable and
-// swapped whole; a request is matched by host and longest path prefix. How a
-// document is written is its codec's matter; what it may say is checked here.
+// Package route holds the operator's configuration of routes, services and limits.
+//
+// The configuration is one document with one version. Table is its decoded form,
+// which is immutable and replaced as a whole: a request is matched by host and
+// longest path prefix. The syntax of the document belongs to its codec, and its
+// contents are validated here.
+//
+// A version is put in force by compare-and-set in the register (change.go), sent to
+// every node through the feed, and can be read back exactly as it was submitted. A
+// history of accepted changes (history.go) makes submitting a change idempotent.
 package route
 
 import (
@@ -11,25 +17,25 @@
 	"fordseam/internal/base"
 )
 
-// Kind says how often a request of a route may run.
+// Kind determines how often a request of a route may run.
 type Kind int
 
 const (
 	// KindIdempotent requests may run more than once.
 	KindIdempotent Kind = iota
-	// KindNonIdempotent requests run at most once a try.
+	// KindNonIdempotent requests run at most once per try.
 	KindNonIdempotent
-	// KindStream requests run at most once and answer in events.
+	// KindStream requests run at most once and are answered by a stream of events.
 	KindStream
 )
 
-// Share is a service's weight within a route.
+// Share is the weight of a service within a route.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route is one rule of the table.
+// Route describes how requests to a host and path prefix are served.
 type Route struct {
 	Name           string
 	Host           string
@@ -37,35 +43,35 @@
 	Kind           Kind
 	Timeout        time.Duration
 	LatencyTarget  time.Duration
-	EventGapTarget time.Duration
-	Urgency        int
+	EventGapTarget time.Duration // between two events of a stream
+	Urgency        int           // 0 is the most urgent, 9 the least
 	MaxAttempts    int
 	RetainTurns    bool
-	Retention      time.Duration
+	Retention      time.Duration // of retained turns
 	Pinned         bool
-	// Resumable streams may be continued at another worker after their last event.
+	// Resumable streams may continue on another worker after their last event.
 	Resumable bool
 	Shares    []Share
 
 	callsModel bool
 }
 
-// MayRepeat tells whether a request of the route may run more than once.
+// MayRepeat reports whether a request of the route may run more than once.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
-// CallsModel tells whether the route's requests call a model.
+// CallsModel reports whether one of the route's services is a model service.
 func (r *Route) CallsModel() bool { return r.callsModel }
 
-// Engine is what is published of a service's model workers.
+// Engine describes the model workers of a service.
 type Engine struct {
-	Slots          int
+	Slots          int // requests that a worker runs at the same time
 	CacheTokens    int
 	TokensPerEvent int
 }
 
-// Service is a pool of workers that do the same.
+// Service is a pool of interchangeable workers.
 type Service struct {
 	Name       string
 	HealthPath string
@@ -73,7 +79,7 @@
 	Engine     *Engine
 }
 
-// Limits bound what a client may send.
+// Limits bound the requests and idle connections of clients.
 type Limits struct {
 	MaxHeaderBytes    int
 	MaxBodyBytes      int
@@ -88,16 +94,16 @@
 	Services map[string]*Service
 	Limits   Limits
 
-	// hosts are a host's routes by prefix.
+	// hosts has the routes by host in lower case and path prefix.
 	hosts        map[string]map[string]*Route
 	maxRetention time.Duration
 }
 
-// MaxRetention is the longest time for which a route keeps anything.
+// MaxRetention returns the longest retention of any route.
 func (t *Table) MaxRetention() time.Duration { return t.maxRetention }
 
-// BuildIndex prepares matching and lists the faults of a table: the first field
-// at fault as an error, or nil.
+// BuildIndex validates the table and prepares it for Match. The error names the first
+// invalid field.
 func (t *Table) BuildIndex() error {
 	t.hosts = map[string]map[string]*Route{}
 	seen := map[string]bool{}
@@ -112,17 +118,17 @@
 		case seen[strings.ToLower(r.Host)+" "+r.Prefix]:
 			return base.DeclineField(field+".prefix", "another route has the same host and prefix")
 		case r.Timeout <= 0:
-			return base.DeclineField(field+".timeout", "must be above 0")
+			return base.DeclineField(field+".timeout", "must be greater than 0")
 		case len(r.Shares) == 0:
 			return base.DeclineField(field+".service", "must be given")
 		}
 		totalWeight := 0
 		for _, share := range r.Shares {
 			if t.Services[share.Service] == nil {
-				return base.DeclineField(field+".service", "there is no service %q", share.Service)
+				return base.DeclineField(field+".service", "service %q is not defined", share.Service)
 			}
 			if share.Weight < 0 {
-				return base.DeclineField(field+".weight", "must not be below 0")
+				return base.DeclineField(field+".weight", "must not be negative")
 			}
 			totalWeight += share.Weight
 			r.callsModel = r.callsModel || t.Services[share.Service].Engine != nil
@@ -141,8 +147,7 @@
 	return nil
 }
 
-// Match finds the route of the host whose prefix is the longest that begins
-// the path.
+// Match returns the route of the host with the longest prefix of the path, or nil.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
@@ -157,8 +162,8 @@
 	return nil
 }
 
-// PickService chooses a service by the shares' weights; roll is a number drawn
-// from 0 up to the sum of weights.
+// PickService picks a service at random by the weights of the shares. randomN returns
+// a random number from 0 to n-1.
 func (r *Route) PickService(randomN func(n int64) int64) string {
 	totalWeight := 0
 	for _, share := range r.Shares {
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -1,4 +1,3 @@
-// A request goes to the longest prefix of its host that begins its path.
 package route_test
 
 import (
@@ -13,6 +12,8 @@
 	"github.com/matryer/is"
 )
 
+// TestLongestPrefixMatches compares Match with a search through all routes, on random
+// tables and paths.
 func TestLongestPrefixMatches(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
