--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -1,19 +1,20 @@
 package consensus
 
-// Acceptor is a seed's vote on the first replica set, by ballots (single-decree
-// Paxos). It lives in the memory of the seed's first life only: a later life
-// neither votes nor proposes, since it does not know what it promised.
+// Acceptor is a seed's state in the vote on the first replica set (single-decree
+// Paxos). It is kept in memory only. A seed that has restarted neither votes nor
+// proposes, since it does not know what it promised before.
 type Acceptor[V any] struct {
-	// Promised is the ballot below which the seed votes for nothing.
+	// Promised is the highest ballot that the seed has promised; it votes under no
+	// lower one.
 	Promised uint64
-	// Accepted is the ballot of its newest vote, 0 before the first, and Value
-	// what it voted for.
+	// Accepted is the ballot of the seed's newest vote, 0 before the first, and
+	// Value is what it voted for.
 	Accepted uint64
 	Value    V
 }
 
-// Prepare promises to vote for no lower ballot, unless a higher one was
-// promised.
+// Prepare promises not to vote under a lower ballot, unless a higher one was
+// promised already.
 func (a Acceptor[V]) Prepare(ballot uint64) (next Acceptor[V], ok bool) {
 	if ballot < a.Promised {
 		return a, false
@@ -22,7 +23,7 @@
 	return a, true
 }
 
-// Accept votes for a value, unless a higher ballot was promised.
+// Accept votes for a value under a ballot, unless a higher one was promised.
 func (a Acceptor[V]) Accept(ballot uint64, value V) (next Acceptor[V], ok bool) {
 	if ballot < a.Promised {
 		return a, false
@@ -30,14 +31,15 @@
 	return Acceptor[V]{Promised: ballot, Accepted: ballot, Value: value}, true
 }
 
-// Proposal is what a proposer would have the seeds vote for: what it brings
-// itself, until it hears of a vote.
+// Proposal is the value that a proposer asks the seeds to accept: its own, until it
+// learns of a value that a seed has accepted.
 type Proposal[V any] struct {
 	Accepted uint64
 	Value    V
 }
 
-// Learn takes up the newest vote that a seed told of.
+// Learn adopts a value that a seed has accepted, if its ballot is the highest so
+// far.
 func (p Proposal[V]) Learn(accepted uint64, value V) Proposal[V] {
 	if accepted > p.Accepted {
 		return Proposal[V]{Accepted: accepted, Value: value}
@@ -45,8 +47,9 @@
 	return p
 }
 
-// NextBallot is a ballot above the promised one that no other seed uses.
-func NextBallot(promised uint64, seeds, place int) uint64 {
+// NextBallot returns a ballot above the promised one that only the seed with this
+// index uses.
+func NextBallot(promised uint64, seeds, index int) uint64 {
 	count := uint64(seeds)
-	return (promised/count+1)*count + uint64(place)
+	return (promised/count+1)*count + uint64(index)
 }
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -9,15 +9,15 @@
 	"github.com/matryer/is"
 )
 
-func TestJudge(t *testing.T) {
+func TestCheckClaim(t *testing.T) {
 	self := consensus.Identity{ID: "a", SetVersion: 2}
-	held := consensus.ShardState{Promised: 5, Leader: "one"}
+	state := consensus.ShardState{Promised: 5, Leader: "one"}
 	for _, row := range []struct {
 		name  string
 		claim consensus.Claim
 		want  consensus.Rejection
 	}{
-		{"its leader", consensus.Claim{Epoch: 5, Leader: "one", SetVersion: 2, Replica: "a"}, consensus.Accepted},
+		{"the same leader", consensus.Claim{Epoch: 5, Leader: "one", SetVersion: 2, Replica: "a"}, consensus.Accepted},
 		{"a higher epoch", consensus.Claim{Epoch: 6, Leader: "two", SetVersion: 2, Replica: "a"}, consensus.Accepted},
 		{"a lower epoch", consensus.Claim{Epoch: 4, Leader: "one", SetVersion: 2, Replica: "a"}, consensus.RejectedEpoch},
 		{"another leader of the same epoch", consensus.Claim{Epoch: 5, Leader: "two", SetVersion: 2, Replica: "a"}, consensus.RejectedEpoch},
@@ -26,31 +26,31 @@
 		{"another replica", consensus.Claim{Epoch: 6, Leader: "two", SetVersion: 2, Replica: "b"}, consensus.RejectedWrongReplica},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			is.New(t).Equal(consensus.CheckClaim(self, held, row.claim), row.want)
+			is.New(t).Equal(consensus.CheckClaim(self, state, row.claim), row.want)
 		})
 	}
 }
 
-func TestJudgeWithoutIdentity(t *testing.T) {
+func TestCheckClaimWithoutIdentity(t *testing.T) {
 	is.New(t).Equal(consensus.CheckClaim(consensus.Identity{}, consensus.ShardState{}, consensus.Claim{}), consensus.RejectedWrongReplica)
 }
 
 func TestInstallAndAppend(t *testing.T) {
 	is := is.New(t)
 	shard := consensus.ShardState{}.Promise(3, "one")
-	_, taken := shard.Install(2, "two", 9)
-	is.True(!taken) // fenced by the promise
-	shard, taken = shard.Install(3, "one", 4)
-	is.True(taken)
-	_, taken = shard.Install(3, "one", 4)
-	is.True(!taken) // covered already
+	_, applied := shard.Install(2, "two", 9)
+	is.True(!applied) // fenced by the promise
+	shard, applied = shard.Install(3, "one", 4)
+	is.True(applied)
+	_, applied = shard.Install(3, "one", 4)
+	is.True(!applied) // covered by the content already
 	is.Equal(consensus.CheckAppend(shard, 3, 6), consensus.RejectedBehind)
 	is.Equal(consensus.CheckAppend(shard, 2, 5), consensus.RejectedBehind)
 	is.Equal(consensus.CheckAppend(shard, 3, 5), consensus.Accepted)
-	shard, taken = shard.Append(3, 5)
-	is.True(taken)
-	_, taken = shard.Append(3, 5)
-	is.True(!taken)
+	shard, applied = shard.Append(3, 5)
+	is.True(applied)
+	_, applied = shard.Append(3, 5)
+	is.True(!applied)
 	is.Equal(shard, consensus.ShardState{Promised: 3, Leader: "one", Installed: 3, Seq: 5})
 }
 
@@ -67,13 +67,13 @@
 		want      uint64
 		reached   bool
 	}{
-		{"nobody yet", 0, []consensus.Progress{empty, empty, empty}, 0, false},
+		{"no acknowledgement", 0, []consensus.Progress{empty, empty, empty}, 0, false},
 		{"one of three", 0, []consensus.Progress{at(4), empty, empty}, 0, false},
 		{"two of three, the lower counts", 0, []consensus.Progress{at(4), at(2), empty}, 2, true},
 		{"two of four", 0, []consensus.Progress{at(4), at(4), empty, empty}, 0, false},
 		{"three of four", 0, []consensus.Progress{at(4), at(3), at(5), empty}, 3, true},
-		{"one was acknowledged under a former set", 0, []consensus.Progress{at(4), former, empty}, 0, false},
-		{"never back", 5, []consensus.Progress{at(4), at(4), at(4)}, 5, false},
+		{"one acknowledged under a former set", 0, []consensus.Progress{at(4), former, empty}, 0, false},
+		{"never decreases", 5, []consensus.Progress{at(4), at(4), at(4)}, 5, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -90,12 +90,12 @@
 		progress consensus.Progress
 		want     consensus.MessageKind
 	}{
-		{"nothing yet", consensus.Progress{}, consensus.SendSnapshot},
-		{"it was silent", consensus.Progress{Unresponsive: true}, consensus.SendProbe},
-		{"entries are at hand", consensus.Progress{Installed: true, Acked: 4, SetVersion: 1}, consensus.SendEntries},
-		{"entries are gone", consensus.Progress{Installed: true, Acked: 2, SetVersion: 1}, consensus.SendSnapshot},
-		{"all there is", consensus.Progress{Installed: true, Acked: 7, SetVersion: 1}, consensus.SendNothing},
-		{"all there is, under a former set", consensus.Progress{Installed: true, Acked: 7}, consensus.SendProbe},
+		{"nothing installed", consensus.Progress{}, consensus.SendSnapshot},
+		{"no answer to the last message", consensus.Progress{Unresponsive: true}, consensus.SendProbe},
+		{"the entries are retained", consensus.Progress{Installed: true, Acked: 4, SetVersion: 1}, consensus.SendEntries},
+		{"the entries were dropped", consensus.Progress{Installed: true, Acked: 2, SetVersion: 1}, consensus.SendSnapshot},
+		{"up to date", consensus.Progress{Installed: true, Acked: 7, SetVersion: 1}, consensus.SendNothing},
+		{"up to date under a former set", consensus.Progress{Installed: true, Acked: 7}, consensus.SendProbe},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is.New(t).Equal(row.progress.Next(4, 7, 1), row.want)
@@ -103,8 +103,9 @@
 	}
 }
 
-// setOf makes a set of voters, with those in lower case as learners.
-func setOf(version uint64, voters, learners string) consensus.ReplicaSet {
+// newReplicaSet returns a set with one voter for each letter of voters and one
+// learner for each letter of learners.
+func newReplicaSet(version uint64, voters, learners string) consensus.ReplicaSet {
 	set := consensus.ReplicaSet{Version: version, Cluster: "cluster"}
 	for _, id := range voters {
 		set.Members = append(set.Members, consensus.Member{ID: string(id)})
@@ -115,8 +116,8 @@
 	return set
 }
 
-func TestProposals(t *testing.T) {
-	current := setOf(4, "ABC", "D")
+func TestCheckProposal(t *testing.T) {
+	current := newReplicaSet(4, "ABC", "D")
 	settled := consensus.SetRecord{Current: current, Settled: true}
 	for _, row := range []struct {
 		name   string
@@ -124,13 +125,13 @@
 		next   consensus.ReplicaSet
 		want   consensus.ProposalRejection
 	}{
-		{"a learner gets a vote", settled, setOf(5, "ABCD", ""), consensus.ProposalAccepted},
-		{"a voter goes and learners change", settled, setOf(5, "AB", "EF"), consensus.ProposalAccepted},
-		{"one goes and one comes", settled, setOf(5, "ABD", ""), consensus.ProposalTooManyVotes},
-		{"two come", settled, setOf(5, "ABCDE", ""), consensus.ProposalTooManyVotes},
-		{"a version left out", settled, setOf(6, "ABCD", ""), consensus.ProposalStale},
-		{"another is being adopted", consensus.SetRecord{Current: current, Settled: true, NextVersion: 5}, setOf(5, "ABCD", ""), consensus.ProposalChangePending},
-		{"the last is not settled", consensus.SetRecord{Current: current}, setOf(5, "ABCD", ""), consensus.ProposalChangePending},
+		{"a learner becomes a voter", settled, newReplicaSet(5, "ABCD", ""), consensus.ProposalAccepted},
+		{"a voter is removed and learners change", settled, newReplicaSet(5, "AB", "EF"), consensus.ProposalAccepted},
+		{"a voter is replaced", settled, newReplicaSet(5, "ABD", ""), consensus.ProposalTooManyVotes},
+		{"two voters are added", settled, newReplicaSet(5, "ABCDE", ""), consensus.ProposalTooManyVotes},
+		{"a version is skipped", settled, newReplicaSet(6, "ABCD", ""), consensus.ProposalStale},
+		{"another change is being adopted", consensus.SetRecord{Current: current, Settled: true, NextVersion: 5}, newReplicaSet(5, "ABCD", ""), consensus.ProposalChangePending},
+		{"the last change is not settled", consensus.SetRecord{Current: current}, newReplicaSet(5, "ABCD", ""), consensus.ProposalChangePending},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is.New(t).Equal(row.record.CheckProposal(row.next), row.want)
@@ -139,7 +140,7 @@
 }
 
 func TestAdopted(t *testing.T) {
-	before, after := setOf(4, "ABCD", "E"), setOf(5, "ABCDE", "")
+	before, after := newReplicaSet(4, "ABCD", "E"), newReplicaSet(5, "ABCDE", "")
 	for _, row := range []struct {
 		name string
 		took string
@@ -150,18 +151,18 @@
 		{"nobody", "", false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			took := map[string]bool{}
+			accepted := map[string]bool{}
 			for _, id := range row.took {
-				took[string(id)] = true
+				accepted[string(id)] = true
 			}
-			is.New(t).Equal(consensus.Adopted(before, after, func(id string) bool { return took[id] }), row.want)
+			is.New(t).Equal(consensus.Adopted(before, after, func(id string) bool { return accepted[id] }), row.want)
 		})
 	}
 }
 
-func TestJudgeSet(t *testing.T) {
-	known := setOf(4, "ABC", "")
-	other := setOf(5, "ABC", "")
+func TestCheckSet(t *testing.T) {
+	known := newReplicaSet(4, "ABC", "")
+	other := newReplicaSet(5, "ABC", "")
 	other.Cluster = "other"
 	for _, row := range []struct {
 		name    string
@@ -169,11 +170,11 @@
 		offered consensus.ReplicaSet
 		want    consensus.Rejection
 	}{
-		{"none known", nil, known, consensus.Accepted},
-		{"a newer one", &known, setOf(5, "ABCD", ""), consensus.Accepted},
-		{"the same again", &known, setOf(4, "ABC", ""), consensus.Accepted},
-		{"an older one", &known, setOf(3, "ABC", ""), consensus.RejectedSet},
-		{"another cluster's", &known, other, consensus.RejectedCluster},
+		{"no known set", nil, known, consensus.Accepted},
+		{"a newer version", &known, newReplicaSet(5, "ABCD", ""), consensus.Accepted},
+		{"the same version", &known, newReplicaSet(4, "ABC", ""), consensus.Accepted},
+		{"an older version", &known, newReplicaSet(3, "ABC", ""), consensus.RejectedSet},
+		{"another cluster", &known, other, consensus.RejectedCluster},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is.New(t).Equal(consensus.CheckSet(row.known, row.offered), row.want)
@@ -181,7 +182,7 @@
 	}
 }
 
-func TestBootstrapVotes(t *testing.T) {
+func TestAcceptorAndProposal(t *testing.T) {
 	is := is.New(t)
 	seed := consensus.Acceptor[string]{}
 	seed, ok := seed.Prepare(4)
@@ -208,7 +209,7 @@
 	is.Equal(consensus.LeaseEnd(time.Second, 0, lease), 2140*time.Millisecond)
 	is.Equal(consensus.LeaseEnd(time.Second, 200*time.Millisecond, lease), 1940*time.Millisecond)
 	is.Equal(consensus.ConfirmationAge(time.Second, 900*time.Millisecond+1), 100*time.Millisecond) // rounded up
-	is.Equal(consensus.ConfirmationAge(time.Second, 2*time.Second), time.Duration(0))              // confirmed after the question
+	is.Equal(consensus.ConfirmationAge(time.Second, 2*time.Second), time.Duration(0))              // confirmed after the request arrived
 	is.True(consensus.MayRelay(800*time.Millisecond, 0, lease))
 	is.True(!consensus.MayRelay(801*time.Millisecond, 0, lease))
 	is.True(consensus.AcceptsRevision(3, 3))
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -1,13 +1,13 @@
 package consensus
 
-// Position orders contents of a shard: first by the epoch they were installed
-// under, then by the number of their newest change.
+// Position orders versions of a shard's content: first by the epoch under which
+// they were installed, then by the sequence number of their newest change.
 type Position struct {
 	Installed uint64
 	Seq       uint64
 }
 
-// Newer reports whether p is of newer content than other.
+// Newer reports whether p is the position of newer content than other.
 func (p Position) Newer(other Position) bool {
 	if p.Installed != other.Installed {
 		return p.Installed > other.Installed
@@ -15,47 +15,48 @@
 	return p.Seq > other.Seq
 }
 
-// Progress is what a leader knows of a replica's copy of its shard.
+// Progress is what a shard's leader knows of a replica's copy of the shard.
 type Progress struct {
-	// Installed tells that the replica has the leader's snapshot.
+	// Installed tells that the replica has content of this leader's epoch.
 	Installed bool
-	// Acked is the newest change that the replica acknowledged.
+	// Acked is the newest change that the replica has acknowledged.
 	Acked uint64
-	// SetVersion is that of the set under which it last did.
+	// SetVersion is the version of the replica set under which it last did.
 	SetVersion uint64
-	// Mute tells that the last message got no answer.
+	// Unresponsive tells that the last message got no answer.
 	Unresponsive bool
 }
 
-// Has reports whether the replica is known to hold the shard up to seq.
+// Has reports whether the replica has acknowledged the shard up to seq.
 func (p Progress) Has(seq uint64) bool { return p.Installed && p.Acked >= seq }
 
-// Acknowledge takes in a replica's answer to a message sent under a set.
+// Acknowledge returns the progress after a replica's answer to a message that was
+// sent under a set.
 func (p Progress) Acknowledge(seq, setVersion uint64) Progress {
 	return Progress{Installed: true, Acked: max(p.Acked, seq), SetVersion: setVersion}
 }
 
-// MessageKind is what a leader sends a replica next.
+// MessageKind is the kind of message that a leader sends a replica next.
 type MessageKind int
 
 const (
-	// SendNothing means that the replica has all there is.
+	// SendNothing means that the replica is up to date.
 	SendNothing MessageKind = iota
-	// SendProbe is an append without entries, which asks how far the replica is
-	// and under which set.
+	// SendProbe is an append without entries. Its answer tells how far the replica
+	// is under the current set.
 	SendProbe
-	// SendSnapshot is the whole content.
+	// SendSnapshot is the whole content of the shard.
 	SendSnapshot
-	// SendEntries is what follows what the replica has.
+	// SendEntries is the entries that the replica lacks.
 	SendEntries
 )
 
-// NeedsSnapshot tells that the replica can't go on from entries that begin
-// with number first.
+// NeedsSnapshot reports whether entries from first on do not suffice for the
+// replica.
 func (p Progress) NeedsSnapshot(first uint64) bool { return !p.Installed || p.Acked+1 < first }
 
-// Next decides what to send a replica, where the leader keeps the entries from
-// first to tail and goes by the set of a version.
+// Next decides what to send a replica, if the leader retains the entries from first
+// to tail and uses the set with setVersion.
 func (p Progress) Next(first, tail, setVersion uint64) MessageKind {
 	switch {
 	case p.Unresponsive:
@@ -70,11 +71,12 @@
 	return SendNothing
 }
 
-// Committed finds the newest change that a majority of the voters of a set has,
-// from committed on. It is not reached while no majority has even that. Only
-// what a replica acknowledged under this very set counts: since it acknowledged
-// something under a former set it may have promised a higher epoch to another
-// leader, whose majority of that set need not meet one of this set.
+// Committed returns the newest change, from committed on, that a majority of
+// the voters has acknowledged under the set with setVersion. reached is false
+// if no majority has acknowledged committed itself. Acknowledgements under a
+// former set do not count: since then the replica may have promised a higher
+// epoch to another leader, whose majority of that set need not intersect one of
+// this set.
 func Committed(committed, setVersion uint64, voters []Progress) (seq uint64, reached bool) {
 	seq = committed
 	for _, voter := range voters {
@@ -85,8 +87,8 @@
 	return seq, reached
 }
 
-// MajorityAcked reports whether a majority of the voters acknowledged a change under
-// the set of a version.
+// MajorityAcked reports whether a majority of the voters has acknowledged the shard
+// up to seq under the set with setVersion.
 func MajorityAcked(seq, setVersion uint64, voters []Progress) bool {
 	count := 0
 	for _, voter := range voters {
@@ -97,8 +99,8 @@
 	return count >= Majority(len(voters))
 }
 
-// AckedUnder reports whether the replica acknowledged a change under the set of a
-// version.
+// AckedUnder reports whether the replica has acknowledged the shard up to seq under
+// the set with setVersion.
 func (p Progress) AckedUnder(seq, setVersion uint64) bool {
 	return p.Has(seq) && p.SetVersion == setVersion
 }
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// ClockDriftDivisor is the share of a lease, one in so many, that is kept back for
-// clocks that go at another rate: a clock may be slower than true time by this
-// share.
+// ClockDriftDivisor gives the part of a lease, one in so many, by which a lease is
+// shortened to allow for clock drift: a clock may be slower than true time by up to
+// this part.
 const ClockDriftDivisor = 20
 
-// relayNumerator and relayDenominator are the part of a lease after which a
-// follower no longer passes on what it was told: its own followers would have
-// too little left to ask again.
+// relayNumerator and relayDenominator give the part of a lease after which a
+// follower no longer relays what it knows: its own followers would have too little
+// of the lease left to renew it.
 const (
 	relayNumerator   = 2
 	relayDenominator = 3
 )
 
-// LeaseEnd is until when a follower may serve on an answer, by its own clock.
-// The lease counts from before the question was asked, and from as much
-// earlier as the answer was confirmed before the question reached a relay.
-func LeaseEnd(asked, behind, lease time.Duration) time.Duration {
-	return asked - behind + lease - lease/ClockDriftDivisor
+// LeaseEnd returns until when a follower may serve on an answer, by its own
+// clock. The lease starts at askedAt, before the request was sent, less the age
+// of the answer's confirmation when the request reached a relay.
+func LeaseEnd(askedAt, age, lease time.Duration) time.Duration {
+	return askedAt - age + lease - lease/ClockDriftDivisor
 }
 
-// ConfirmationAge is how long before a question arrived at a relay, by its clock, what
-// it knows was confirmed; it is rounded up to whole milliseconds, which go over
-// the wire.
+// ConfirmationAge returns how long before the arrival of a request, by the relay's
+// clock, the relay's knowledge was confirmed. It is rounded up to whole
+// milliseconds, the unit on the wire, and is 0 if the confirmation came later.
 func ConfirmationAge(arrived, confirmed time.Duration) time.Duration {
-	behind := max(0, arrived-confirmed)
-	return (behind + time.Millisecond - 1).Truncate(time.Millisecond)
+	age := max(0, arrived-confirmed)
+	return (age + time.Millisecond - 1).Truncate(time.Millisecond)
 }
 
-// MayRelay reports whether what was confirmed then may still be passed on now.
+// MayRelay reports whether knowledge confirmed at a time may still be relayed now.
 func MayRelay(now, confirmed, lease time.Duration) bool {
 	return now-confirmed <= lease*relayNumerator/relayDenominator
 }
 
-// AcceptsRevision reports whether an answer with this revision may count for a
-// follower at the current one: its revision never falls, and an answer from
-// before renews nothing. A relay gives no such answer, and a follower that gets
-// one drops it.
+// AcceptsRevision reports whether an answer with a revision may renew the lease
+// of a follower that is at the current one. A follower's revision never
+// decreases, and an older answer renews nothing: a relay does not give one, and
+// a follower drops it.
 func AcceptsRevision(revision, current uint64) bool { return revision >= current }
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -1,80 +1,82 @@
 package consensus
 
-// Rejection is a replica's reason for not taking a message; its values go over
-// the wire.
+// Rejection is a replica's reason to reject a message. Its values are sent on the
+// wire.
 type Rejection string
 
 const (
-	// Accepted means that there is no reason to reject.
+	// Accepted means that the message is not rejected.
 	Accepted Rejection = ""
-	// RejectedBlank means that the message is meant for another replica, or
-	// that this one was never formatted.
+	// RejectedWrongReplica means that the message is addressed to another replica,
+	// or that this one was never formatted.
 	RejectedWrongReplica Rejection = "blank"
-	// RejectedSet means that the sender goes by another replica set.
+	// RejectedSet means that the sender uses another version of the replica set.
 	RejectedSet Rejection = "set"
-	// RejectedEpoch means that a higher epoch was promised, or the same one to
+	// RejectedEpoch means that a higher epoch was promised, or the same epoch to
 	// another leader.
 	RejectedEpoch Rejection = "epoch"
-	// RejectedBehind means that the replica lacks what comes before the entries,
-	// and needs a snapshot.
+	// RejectedBehind means that the replica lacks changes before the entries and
+	// needs a snapshot.
 	RejectedBehind Rejection = "behind"
-	// RejectedCluster means that the set is of another cluster.
+	// RejectedCluster means that the offered set belongs to another cluster.
 	RejectedCluster Rejection = "other_cluster"
 )
 
-// Claim heads each message of a shard's leader to a replica.
+// Claim is the header of each message from a shard's leader to a replica.
 type Claim struct {
 	Epoch  uint64
 	Leader string
-	// SetVersion is that of the replica set which the leader goes by.
+	// SetVersion is the version of the replica set that the leader uses.
 	SetVersion uint64
-	// Replica is whom the message is meant for.
+	// Replica is the id of the replica that the message is addressed to.
 	Replica string
 }
 
-// Identity is who a replica is, and the version of the set that it goes by.
+// Identity is a replica's id, empty before it is formatted, and the version of the
+// replica set that it uses.
 type Identity struct {
 	ID         string
 	SetVersion uint64
 }
 
-// ShardState is how far a replica's copy of one shard is; its content is kept
-// beside it.
+// ShardState is the state of a replica's copy of one shard, without the content.
 type ShardState struct {
-	// Promised is the highest epoch that was promised, and Leader to whom.
+	// Promised is the highest epoch that the replica has promised, and Leader
+	// is the leader it promised it to.
 	Promised uint64
 	Leader   string
-	// Installed is the epoch under which the content was installed, and Seq the
-	// number of the newest change in it.
+	// Installed is the epoch under which the content was installed, and Seq is the
+	// sequence number of the newest change in it.
 	Installed uint64
 	Seq       uint64
 }
 
-// CheckClaim says whether a replica may act on a message with this claim.
-func CheckClaim(self Identity, held ShardState, claim Claim) Rejection {
+// CheckClaim checks whether a replica may act on a message with a claim.
+func CheckClaim(self Identity, state ShardState, claim Claim) Rejection {
 	switch {
 	case self.ID == "" || claim.Replica != self.ID:
 		return RejectedWrongReplica
 	case claim.SetVersion != self.SetVersion:
 		return RejectedSet
-	case claim.Epoch < held.Promised:
+	case claim.Epoch < state.Promised:
 		return RejectedEpoch
-	case claim.Epoch == held.Promised && held.Leader != claim.Leader:
+	case claim.Epoch == state.Promised && state.Leader != claim.Leader:
 		return RejectedEpoch
 	}
 	return Accepted
 }
 
-// CheckAppend says whether entries that begin with number first follow what
-// the replica holds. A message without entries has first 0.
-func CheckAppend(held ShardState, epoch, first uint64) Rejection {
-	if held.Installed != epoch || first > held.Seq+1 {
+// CheckAppend checks whether entries from first on continue what the replica holds
+// under an epoch. A message without entries has first 0.
+func CheckAppend(state ShardState, epoch, first uint64) Rejection {
+	if state.Installed != epoch || first > state.Seq+1 {
 		return RejectedBehind
 	}
 	return Accepted
 }
 
-// Promise raises the epoch below which the shard takes nothing.
+// Promise returns the state after a promise to accept nothing of a lower epoch than
+// this one.
 func (s ShardState) Promise(epoch uint64, leader string) ShardState {
 	if epoch >= s.Promised {
 		s.Promised, s.Leader = epoch, leader
@@ -82,23 +84,25 @@
 	return s
 }
 
-// Covers tells that a snapshot holds nothing that the shard lacks.
+// Covers reports whether the replica already holds all of a snapshot under the
+// snapshot's epoch.
 func (s ShardState) Covers(epoch, seq uint64) bool {
 	return epoch == s.Installed && seq <= s.Seq
 }
 
-// Install puts a snapshot up to seq in the place of the content, unless it is
-// fenced by a higher epoch or already covered; taken tells which.
-func (s ShardState) Install(epoch uint64, leader string, seq uint64) (next ShardState, taken bool) {
+// Install returns the state after a snapshot up to seq has replaced the content. It
+// is not installed if a higher epoch was promised or the content covers it already.
+func (s ShardState) Install(epoch uint64, leader string, seq uint64) (next ShardState, installed bool) {
 	if epoch < s.Promised || s.Covers(epoch, seq) {
 		return s, false
 	}
 	return ShardState{Promised: epoch, Leader: leader, Installed: epoch, Seq: seq}, true
 }
 
-// Append adds the entry with number seq, unless the content was installed under
-// another epoch or has the entry already; taken tells which.
-func (s ShardState) Append(epoch, seq uint64) (next ShardState, taken bool) {
+// Append returns the state after the entry with sequence number seq was
+// appended. It is not appended if the content was installed under another epoch
+// or already has the entry.
+func (s ShardState) Append(epoch, seq uint64) (next ShardState, appended bool) {
 	if s.Installed != epoch || seq <= s.Seq {
 		return s, false
 	}
--- a/internal/consensus/set.go
+++ b/internal/consensus/set.go
@@ -1,24 +1,25 @@
 package consensus
 
-// MaxVotesChanged is how many votes one change of the set may give or take:
-// with one, any majority before the change and any after it share a voter.
+// MaxVotesChanged is how many voters one change of the replica set may add or
+// remove. With one, any majority before the change and any majority after it
+// have a voter in common.
 const MaxVotesChanged = 1
 
-// Member is a replica in a set.
+// Member is a replica in a replica set.
 type Member struct {
 	ID string
-	// Learner members are filled and have no vote.
+	// Learner tells that the replica is still being filled and has no vote.
 	Learner bool
 }
 
-// ReplicaSet is one version of the set of replicas.
+// ReplicaSet is one version of the set of replicas of a cluster.
 type ReplicaSet struct {
 	Version uint64
 	Cluster string
 	Members []Member
 }
 
-// Voters are the members whose word counts.
+// Voters lists the members that count towards a majority.
 func (s ReplicaSet) Voters() []string {
 	var voters []string
 	for _, member := range s.Members {
@@ -29,46 +30,47 @@
 	return voters
 }
 
-// HasMajority reports whether a majority of the voters took something.
-func (s ReplicaSet) HasMajority(took func(id string) bool) bool {
+// HasMajority reports whether a majority of the voters accepted something.
+func (s ReplicaSet) HasMajority(accepted func(id string) bool) bool {
 	voters := s.Voters()
 	count := 0
 	for _, id := range voters {
-		if took(id) {
+		if accepted(id) {
 			count++
 		}
 	}
 	return count >= Majority(len(voters))
 }
 
-// Adopted reports whether a change of the set may be concluded: a majority of
-// the set before and one of the set after took the set after.
-func Adopted(before, after ReplicaSet, took func(id string) bool) bool {
-	return before.HasMajority(took) && after.HasMajority(took)
+// Adopted reports whether a change of the replica set may be concluded: a
+// majority of the set before and a majority of the set after have accepted the
+// set after.
+func Adopted(before, after ReplicaSet, accepted func(id string) bool) bool {
+	return before.HasMajority(accepted) && after.HasMajority(accepted)
 }
 
-// VotesChanged counts the votes that come or go between two sets.
+// VotesChanged counts the voters that are added or removed between two sets.
 func VotesChanged(before, after ReplicaSet) int {
-	return len(missing(before.Voters(), after.Voters())) + len(missing(after.Voters(), before.Voters()))
+	return len(difference(before.Voters(), after.Voters())) + len(difference(after.Voters(), before.Voters()))
 }
 
-// missing lists those of the first list that aren't in the second.
-func missing(ids, from []string) []string {
-	known := make(map[string]bool, len(from))
-	for _, id := range from {
-		known[id] = true
+// difference lists the ids that are not among the others.
+func difference(ids, others []string) []string {
+	inOthers := make(map[string]bool, len(others))
+	for _, id := range others {
+		inOthers[id] = true
 	}
-	var lacking []string
+	var missing []string
 	for _, id := range ids {
-		if !known[id] {
-			lacking = append(lacking, id)
+		if !inOthers[id] {
+			missing = append(missing, id)
 		}
 	}
-	return lacking
+	return missing
 }
 
-// CheckSet says whether a replica or a core that goes by a set, or by none,
-// takes another in its place. One of the same version is taken again.
+// CheckSet checks whether a replica or a core that uses a known set, or none,
+// accepts another one instead. A set of the same version is accepted again.
 func CheckSet(known *ReplicaSet, offered ReplicaSet) Rejection {
 	switch {
 	case known == nil:
@@ -81,31 +83,35 @@
 	return Accepted
 }
 
-// ProposalRejection is why a set may not be the next one.
+// ProposalRejection is the reason why a proposed set may not follow the current
+// one.
 type ProposalRejection int
 
 const (
-	// ProposalAccepted means that there is no reason to reject.
+	// ProposalAccepted means that the proposal is not rejected.
 	ProposalAccepted ProposalRejection = iota
-	// ProposalUnderWay means that another change is not concluded and settled.
+	// ProposalChangePending means that the last change is not concluded or not
+	// settled yet.
 	ProposalChangePending
-	// ProposalStale means that the proposal does not follow the current set.
+	// ProposalStale means that the proposed version does not follow the current
+	// one.
 	ProposalStale
-	// ProposalManyVotes means that it changes more than one vote.
+	// ProposalTooManyVotes means that it changes more than MaxVotesChanged votes.
 	ProposalTooManyVotes
 )
 
-// SetRecord is where the replica set stands, as a majority holds it.
+// SetRecord is the committed record of the replica set and of its change.
 type SetRecord struct {
 	Current ReplicaSet
-	// NextVersion is that of the set that is being adopted, 0 where there is
+	// NextVersion is the version of the set that is being adopted, 0 if there is
 	// none.
 	NextVersion uint64
-	// Settled tells that each shard is whole on a majority of the current set.
+	// Settled tells that a majority of the current set has acknowledged every shard
+	// under it.
 	Settled bool
 }
 
-// CheckProposal says whether a set may follow the current one.
+// CheckProposal checks whether a set may follow the current one.
 func (r SetRecord) CheckProposal(next ReplicaSet) ProposalRejection {
 	switch {
 	case r.NextVersion != 0 || !r.Settled:
--- a/internal/founding/founding.go
+++ b/internal/founding/founding.go
@@ -1,11 +1,12 @@
-// Package founding forms the cluster at the very first start of a whole
-// system, by the processes themselves. The seeds vote on the first disk set,
-// each in the memory of its first life, by ballots (single-decree Paxos): a
-// set is decided once a majority of the seeds accepted it under one ballot,
-// and whoever goes on later takes up what was accepted before. So there is one
-// set, whoever proposes it and whatever is lost on the way. The disks are told
-// only of a set that is decided. A process that was not told that this is the
-// first start neither proposes nor votes.
+// Package founding bootstraps a cluster at the very first start of a whole system.
+//
+// The seeds vote on the first disk set with single-decree Paxos. A set is
+// decided once a majority of the seeds has accepted it under one ballot, and a
+// later proposer adopts a set that was accepted before. So exactly one set is
+// decided, whichever seed proposes it and whichever messages are lost. The
+// disks are sent only a decided set. The seeds keep their votes in memory only;
+// therefore a process takes part only if it was told that this is the first
+// start, and neither proposes nor votes after a restart.
 package founding
 
 import (
@@ -20,102 +21,107 @@
 	"fordseam/internal/register"
 )
 
-// least is how few disks a cluster is formed of.
-const least = 3
+// minDisks is the least number of disks that a cluster is formed of.
+const minDisks = 3
 
-// Bootstrapper is a seed's part in it.
+// Bootstrapper is a seed's part in the bootstrap of a cluster.
 type Bootstrapper struct {
-	clock    base.Clock
-	wire     base.Wire
-	view     *membership.View
-	bounds   *base.Table[base.Bounds]
-	counters *base.Counters
-	owner    *register.Server
-	seeds    []string
-	place    int
-	tolerate int
+	clock     base.Clock
+	wire      base.Wire
+	view      *membership.View
+	bounds    *base.Table[base.Bounds]
+	counters  *base.Counters
+	server    *register.Server
+	seeds     []string
+	seedIndex int
+	tolerate  int
 
-	mu   sync.Mutex
-	vote consensus.Acceptor[*register.DiskSet]
+	mu       sync.Mutex
+	acceptor consensus.Acceptor[*register.DiskSet]
 }
 
-// New makes a founder at an address; one that is no seed's neither proposes
-// nor is asked.
-func New(clock base.Clock, wire base.Wire, view *membership.View, bounds *base.Table[base.Bounds], counters *base.Counters, owner *register.Server, addr string, seeds []string, tolerate int) *Bootstrapper {
-	return &Bootstrapper{clock: clock, wire: wire, view: view, bounds: bounds, counters: counters, owner: owner,
-		seeds: seeds, place: slices.Index(seeds, addr), tolerate: tolerate}
+// New returns the bootstrapper of the process at an address. If that is not the
+// address of a seed, it neither proposes nor is asked to vote. The cluster is to
+// tolerate the loss of a number of machines at once.
+func New(clock base.Clock, wire base.Wire, view *membership.View, bounds *base.Table[base.Bounds], counters *base.Counters, server *register.Server, addr string, seeds []string, tolerate int) *Bootstrapper {
+	return &Bootstrapper{clock: clock, wire: wire, view: view, bounds: bounds, counters: counters, server: server,
+		seeds: seeds, seedIndex: slices.Index(seeds, addr), tolerate: tolerate}
 }
 
-// Run founds the cluster unless it is found to be formed. The first seed begins
-// once the storage machines it knows have been the same for a while; the others
-// step in later, each after the one before.
-func (f *Bootstrapper) Run() {
-	if f.place < 0 {
+// Run bootstraps the cluster, unless it turns out to exist already. The first
+// seed begins once the set of storage machines that it knows has not changed
+// for a twentieth of the recovery bound. Each further seed begins an eighth of
+// that bound later than the one before, in case those have failed.
+func (b *Bootstrapper) Run() {
+	if b.seedIndex < 0 {
 		return
 	}
-	var list []string
-	since := f.clock.Now()
-	for !f.view.Closed() && f.owner.KnownDiskSet() == nil {
-		bounds := f.bounds.Load()
-		now := f.present()
-		if !slices.Equal(list, now) {
-			list, since = now, f.clock.Now()
+	var addrs []string
+	unchangedSince := b.clock.Now()
+	for !b.view.Closed() && b.server.KnownDiskSet() == nil {
+		bounds := b.bounds.Load()
+		current := b.storageAddrs()
+		if !slices.Equal(addrs, current) {
+			addrs, unchangedSince = current, b.clock.Now()
 		}
-		steady := f.clock.Now() - since
-		begin := bounds.Recover/20 + time.Duration(f.place)*bounds.Recover/8
-		if len(list) >= max(least, 2*f.tolerate+1) && steady >= begin {
-			if f.found(list, steady >= begin+bounds.Recover/12) {
+		stableFor := b.clock.Now() - unchangedSince
+		startAfter := bounds.Recover/20 + time.Duration(b.seedIndex)*bounds.Recover/8
+		if len(addrs) >= max(minDisks, 2*b.tolerate+1) && stableFor >= startAfter {
+			if b.tryBootstrap(addrs, stableFor >= startAfter+bounds.Recover/12) {
 				return
 			}
-			f.clock.Sleep(time.Duration(f.clock.Int64N(int64(bounds.Beat()))))
+			b.clock.Sleep(time.Duration(b.clock.Int64N(int64(bounds.Beat()))))
 		}
-		f.clock.Sleep(bounds.Beat() / 5)
+		b.clock.Sleep(bounds.Beat() / 5)
 	}
 }
 
-// present lists the storage machines by their addresses.
-func (f *Bootstrapper) present() []string {
-	addrs := base.Map(f.view.Alive(membership.RoleStorage), func(m *membership.Member) string { return m.Addr })
+// storageAddrs returns the addresses of the live storage machines.
+func (b *Bootstrapper) storageAddrs() []string {
+	addrs := base.Map(b.view.Alive(membership.RoleStorage), func(m *membership.Member) string { return m.Addr })
 	slices.Sort(addrs)
 	return slices.Compact(addrs)
 }
 
-// found makes one try. Late tries go without machines that do not answer.
-func (f *Bootstrapper) found(addrs []string, late bool) bool {
-	fresh, formed := f.gather(addrs)
-	if formed != nil {
-		f.owner.LearnDiskSet(formed)
+// tryBootstrap makes one attempt and reports whether the cluster exists now. With
+// allowMissing it proceeds without machines that do not answer.
+func (b *Bootstrapper) tryBootstrap(addrs []string, allowMissing bool) bool {
+	newSet, existingSet := b.formatDisks(addrs)
+	if existingSet != nil {
+		b.server.LearnDiskSet(existingSet)
 		return true
 	}
-	if len(fresh.Disks) < max(least, 2*f.tolerate+1) || len(fresh.Disks) < len(addrs) && !late {
+	if len(newSet.Disks) < max(minDisks, 2*b.tolerate+1) || len(newSet.Disks) < len(addrs) && !allowMissing {
 		return false
 	}
-	set := f.decide(fresh)
+	set := b.decideDiskSet(newSet)
 	if set == nil {
 		return false
 	}
-	took := base.Ask(f.clock, set.Disks, consensus.Majority(len(set.Disks)), f.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *register.DiskEntry) bool {
-		ack, err := f.disk(entry.Addr).Adopt(ctx, &register.AdoptRequest{Set: set})
+	adopted := base.Ask(b.clock, set.Disks, consensus.Majority(len(set.Disks)), b.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *register.DiskEntry) bool {
+		ack, err := b.disk(entry.Addr).Adopt(ctx, &register.AdoptRequest{Set: set})
 		return err == nil && ack.Ok
 	})
-	if took {
-		f.owner.LearnDiskSet(set) // the cores bring it to the other disks
-		f.counters.Add("clusters_founded", 1)
+	if adopted {
+		b.server.LearnDiskSet(set) // the cores send it to the other disks
+		b.counters.Add("clusters_founded", 1)
 	}
-	return took
+	return adopted
 }
 
-func (f *Bootstrapper) disk(addr string) register.Disk {
-	return register.NewDiskProtobufClient("http://"+addr, f.wire)
+// disk returns a client of the disk at an address.
+func (b *Bootstrapper) disk(addr string) register.Disk {
+	return register.NewDiskProtobufClient("http://"+addr, b.wire)
 }
 
-// gather formats the disks and makes a set of them. Where one is in a set
-// already, the cluster was formed.
-func (f *Bootstrapper) gather(addrs []string) (fresh, formed *register.DiskSet) {
+// formatDisks formats the disks at the addresses and returns a new set of those
+// that answered. If one already has a disk set, the cluster exists, and that
+// set is returned as well.
+func (b *Bootstrapper) formatDisks(addrs []string) (newSet, existingSet *register.DiskSet) {
 	var mu sync.Mutex
 	states := map[string]*register.DiskState{}
-	base.AskAll(f.clock, addrs, f.bounds.Load().DiskLimit()/2, func(ctx *base.Ctx, addr string) {
-		state, err := f.disk(addr).Format(ctx, &register.FormatRequest{})
+	base.AskAll(b.clock, addrs, b.bounds.Load().DiskLimit()/2, func(ctx *base.Ctx, addr string) {
+		state, err := b.disk(addr).Format(ctx, &register.FormatRequest{})
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil {
@@ -123,42 +129,43 @@
 		}
 	})
 	zones := map[string]string{}
-	for _, member := range f.view.Known(membership.RoleStorage) {
+	for _, member := range b.view.Known(membership.RoleStorage) {
 		zones[member.Addr] = member.Zone
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	fresh = &register.DiskSet{Stamp: 1, Cluster: base.NewID(f.clock, "cluster-")}
+	newSet = &register.DiskSet{Stamp: 1, Cluster: base.NewID(b.clock, "cluster-")}
 	for _, addr := range base.SortedKeys(states) {
 		state := states[addr]
 		if len(state.Set.GetDisks()) > 0 {
-			formed = state.Set
+			existingSet = state.Set
 		}
-		fresh.Disks = append(fresh.Disks, &register.DiskEntry{Id: state.Id, Addr: addr, Zone: zones[addr], Node: state.Node})
+		newSet.Disks = append(newSet.Disks, &register.DiskEntry{Id: state.Id, Addr: addr, Zone: zones[addr], Node: state.Node})
 	}
-	return fresh, formed
+	return newSet, existingSet
 }
 
-// decide has a majority of the seeds accept one set under a ballot of this
-// seed's: the newest that any of a majority had accepted, else the fresh one.
-func (f *Bootstrapper) decide(fresh *register.DiskSet) *register.DiskSet {
-	f.mu.Lock()
-	ballot := consensus.NextBallot(f.vote.Promised, len(f.seeds), f.place)
-	f.vote.Promised = ballot // it is used once
-	f.mu.Unlock()
+// decideDiskSet has a majority of the seeds accept one set under a ballot of this
+// seed: the one that any of a majority accepted under the highest ballot before,
+// else the new one. It returns nil if no majority accepted.
+func (b *Bootstrapper) decideDiskSet(newSet *register.DiskSet) *register.DiskSet {
+	b.mu.Lock()
+	ballot := consensus.NextBallot(b.acceptor.Promised, len(b.seeds), b.seedIndex)
+	b.acceptor.Promised = ballot // no ballot is used twice
+	b.mu.Unlock()
 	var mu sync.Mutex
-	proposal := consensus.Proposal[*register.DiskSet]{Value: fresh}
+	proposal := consensus.Proposal[*register.DiskSet]{Value: newSet}
 	learn := func(vote *Vote) {
 		mu.Lock()
 		if vote.Ok {
 			proposal = proposal.Learn(vote.Accepted, vote.Set)
 		}
 		mu.Unlock()
-		f.mu.Lock()
-		f.vote.Promised = max(f.vote.Promised, vote.Promised) // the next ballot is higher
-		f.mu.Unlock()
+		b.mu.Lock()
+		b.acceptor.Promised = max(b.acceptor.Promised, vote.Promised) // makes the next ballot higher
+		b.mu.Unlock()
 	}
-	if !f.ask(func(ctx *base.Ctx, seed Founding) (*Vote, error) {
+	if !b.askSeeds(func(ctx *base.Ctx, seed Founding) (*Vote, error) {
 		return seed.Prepare(ctx, &PrepareRequest{Ballot: ballot})
 	}, learn) {
 		return nil
@@ -166,7 +173,7 @@
 	mu.Lock()
 	chosen := proposal.Value
 	mu.Unlock()
-	if !f.ask(func(ctx *base.Ctx, seed Founding) (*Vote, error) {
+	if !b.askSeeds(func(ctx *base.Ctx, seed Founding) (*Vote, error) {
 		return seed.Accept(ctx, &AcceptRequest{Ballot: ballot, Set: chosen})
 	}, learn) {
 		return nil
@@ -174,11 +181,13 @@
 	return chosen
 }
 
-func (f *Bootstrapper) ask(call func(ctx *base.Ctx, seed Founding) (*Vote, error), learn func(*Vote)) bool {
-	return base.Ask(f.clock, f.seeds, consensus.Majority(len(f.seeds)), f.bounds.Load().DiskLimit()/2, func(ctx *base.Ctx, addr string) bool {
-		var seed Founding = f
-		if addr != f.seeds[f.place] {
-			seed = NewFoundingProtobufClient("http://"+addr, f.wire)
+// askSeeds calls all seeds, this one directly, and reports whether a majority voted
+// yes. Each vote is passed to learn.
+func (b *Bootstrapper) askSeeds(call func(ctx *base.Ctx, seed Founding) (*Vote, error), learn func(*Vote)) bool {
+	return base.Ask(b.clock, b.seeds, consensus.Majority(len(b.seeds)), b.bounds.Load().DiskLimit()/2, func(ctx *base.Ctx, addr string) bool {
+		var seed Founding = b
+		if addr != b.seeds[b.seedIndex] {
+			seed = NewFoundingProtobufClient("http://"+addr, b.wire)
 		}
 		vote, err := call(ctx, seed)
 		if err != nil {
@@ -189,20 +198,21 @@
 	})
 }
 
-// Prepare promises to vote for no older ballot, and tells what was accepted.
-func (f *Bootstrapper) Prepare(_ context.Context, request *PrepareRequest) (*Vote, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	next, ok := f.vote.Prepare(request.Ballot)
-	f.vote = next
+// Prepare promises not to vote under a lower ballot, unless a higher one was
+// promised, and returns the set that this seed has accepted, if any.
+func (b *Bootstrapper) Prepare(_ context.Context, request *PrepareRequest) (*Vote, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	next, ok := b.acceptor.Prepare(request.Ballot)
+	b.acceptor = next
 	return &Vote{Ok: ok, Promised: next.Promised, Accepted: next.Accepted, Set: next.Value}, nil
 }
 
-// Accept votes for a set unless a later ballot was promised.
-func (f *Bootstrapper) Accept(_ context.Context, request *AcceptRequest) (*Vote, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	next, ok := f.vote.Accept(request.Ballot, request.Set)
-	f.vote = next
+// Accept votes for a set unless a higher ballot was promised.
+func (b *Bootstrapper) Accept(_ context.Context, request *AcceptRequest) (*Vote, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	next, ok := b.acceptor.Accept(request.Ballot, request.Set)
+	b.acceptor = next
 	return &Vote{Ok: ok, Promised: next.Promised}, nil
 }
--- a/internal/register/census.go
+++ b/internal/register/census.go
@@ -1,5 +1,3 @@
-// The census: how far each disk of a set is, asked of all cores.
-
 package register
 
 import (
@@ -12,21 +10,22 @@
 	"fordseam/internal/membership"
 )
 
-// census asks all cores how many slots are whole on a majority of the set,
-// and how many on each of its learners. It ends early once all are.
-func (o *Server) census(set *DiskSet) (settled int, filled map[string]int) {
+// collectCensus asks all cores how many shards a majority of the set's voters
+// holds, and how many each of its learners holds. It returns early once both
+// are complete.
+func (srv *Server) collectCensus(set *DiskSet) (settledCount int, filledShards map[string]int) {
 	var mu sync.Mutex
-	whole, learned := map[uint32]bool{}, map[string]map[uint32]bool{}
+	settledShards, learnerShards := map[uint32]bool{}, map[string]map[uint32]bool{}
 	for _, entry := range set.Disks {
 		if entry.Learner {
-			learned[entry.Id] = map[uint32]bool{}
+			learnerShards[entry.Id] = map[uint32]bool{}
 		}
 	}
-	present := o.view.Present(membership.RoleCore)
-	suspects := o.suspects(present)
+	present := srv.view.Present(membership.RoleCore)
+	suspects := srv.suspectedCores(present)
 	answered := map[string]bool{}
-	base.Ask(o.clock, present, 1, o.bounds.Load().DiskLimit()*6/10, func(ctx *base.Ctx, member *membership.Member) bool {
-		reply, err := NewRegisterProtobufClient("http://"+member.Addr, o.wire).Census(ctx, &CensusRequest{Set: set, Suspects: suspects})
+	base.Ask(srv.clock, present, 1, srv.bounds.Load().DiskLimit()*6/10, func(ctx *base.Ctx, member *membership.Member) bool {
+		reply, err := NewRegisterProtobufClient("http://"+member.Addr, srv.wire).Census(ctx, &CensusRequest{Set: set, Suspects: suspects})
 		mu.Lock()
 		defer mu.Unlock()
 		answered[member.Id] = err == nil
@@ -34,71 +33,72 @@
 			return false
 		}
 		for _, num := range reply.Settled {
-			whole[num] = true
+			settledShards[num] = true
 		}
-		for _, disk := range reply.Filled {
-			for _, num := range disk.Slots {
-				if learned[disk.Disk] != nil {
-					learned[disk.Disk][num] = true
+		for _, learner := range reply.Filled {
+			for _, num := range learner.Slots {
+				if learnerShards[learner.Disk] != nil {
+					learnerShards[learner.Disk][num] = true
 				}
 			}
 		}
-		all := len(whole) == ShardCount
-		for _, slots := range learned {
-			all = all && len(slots) == ShardCount
+		complete := len(settledShards) == ShardCount
+		for _, shards := range learnerShards {
+			complete = complete && len(shards) == ShardCount
 		}
-		return all
+		return complete
 	})
 	mu.Lock()
 	defer mu.Unlock()
-	o.mu.Lock()
-	o.mute = base.Filter(base.Map(present, func(member *membership.Member) string { return member.Id }), func(id string) bool { return !answered[id] })
-	o.mu.Unlock()
-	filled = map[string]int{}
-	for id, slots := range learned {
-		filled[id] = len(slots)
+	srv.mu.Lock()
+	srv.silentCores = base.Filter(base.Map(present, func(member *membership.Member) string { return member.Id }), func(id string) bool { return !answered[id] })
+	srv.mu.Unlock()
+	filledShards = map[string]int{}
+	for id, shards := range learnerShards {
+		filledShards[id] = len(shards)
 	}
-	return len(whole), filled
+	return len(settledShards), filledShards
 }
 
-// suspects are the cores that are not heard or gave the last census no answer.
-// The others are told, so that they look for themselves and take over their
-// slots sooner.
-func (o *Server) suspects(present []*membership.Member) []string {
-	o.mu.Lock()
-	found := slices.Clone(o.mute)
-	o.mu.Unlock()
-	for _, member := range o.view.Known(membership.RoleCore) {
-		if !slices.ContainsFunc(present, func(one *membership.Member) bool { return one.Id == member.Id }) {
-			found = append(found, member.Id)
+// suspectedCores lists the cores that are not present or did not answer the
+// last census. The other cores are told of them, so that they probe them
+// themselves and take over their shards sooner.
+func (srv *Server) suspectedCores(present []*membership.Member) []string {
+	srv.mu.Lock()
+	suspects := slices.Clone(srv.silentCores)
+	srv.mu.Unlock()
+	for _, member := range srv.view.Known(membership.RoleCore) {
+		if !slices.ContainsFunc(present, func(other *membership.Member) bool { return other.Id == member.Id }) {
+			suspects = append(suspects, member.Id)
 		}
 	}
-	return found
+	return suspects
 }
 
-// Census tells which slots this core owns, which of them are whole on a
-// majority of the set, and which are whole on each of its learners.
-func (o *Server) Census(_ context.Context, request *CensusRequest) (*CensusReply, error) {
-	o.LearnDiskSet(request.Set)
+// Census reports which shards this core leads, which of them a majority of the
+// set's voters holds completely, and which of them each learner holds
+// completely. It probes the suspects of the request.
+func (srv *Server) Census(_ context.Context, request *CensusRequest) (*CensusReply, error) {
+	srv.LearnDiskSet(request.Set)
 	for _, id := range request.Suspects {
-		if id != o.view.Me() {
-			o.view.Probe(id)
+		if id != srv.view.Me() {
+			srv.view.Probe(id)
 		}
 	}
-	set := o.knownSet()
+	set := srv.knownSet()
 	reply := &CensusReply{SetStamp: set.GetStamp()}
 	learners := base.Filter(set.GetDisks(), func(entry *DiskEntry) bool { return entry.Learner })
 	reply.Filled = base.Map(learners, func(entry *DiskEntry) *Filled { return &Filled{Disk: entry.Id} })
-	for _, s := range o.slots {
+	for _, s := range srv.shards {
 		s.mu.Lock()
-		if s.phase == serving {
+		if s.phase == phaseLeading {
 			reply.Owned = append(reply.Owned, s.num)
-			if consensus.MajorityAcked(s.commit, set.GetStamp(), s.voters(set)) {
+			if consensus.MajorityAcked(s.committed, set.GetStamp(), s.voterProgress(set)) {
 				reply.Settled = append(reply.Settled, s.num)
 			}
-			for place, entry := range learners {
-				if s.progressOf(entry.Id).AckedUnder(s.commit, set.GetStamp()) {
-					reply.Filled[place].Slots = append(reply.Filled[place].Slots, s.num)
+			for index, entry := range learners {
+				if s.progressOf(entry.Id).AckedUnder(s.committed, set.GetStamp()) {
+					reply.Filled[index].Slots = append(reply.Filled[index].Slots, s.num)
 				}
 			}
 		}
--- a/internal/register/client.go
+++ b/internal/register/client.go
@@ -1,7 +1,3 @@
-// The client finds the owner of a group's shard and asks it for a change. Ops
-// are safe to ask twice, so a lost reply is asked again until the call's time
-// is over; only then is the outcome unknown.
-
 package register
 
 import (
@@ -14,89 +10,96 @@
 	"fordseam/internal/membership"
 )
 
-// Client asks the owners of shards for changes.
+// Client finds the leader of a group's shard and calls operations on it.
+// Operations may be executed twice, so a call whose reply was lost is repeated
+// until its context is over; only then is its outcome unknown.
 type Client struct {
 	clock  base.Clock
 	wire   base.Wire
 	view   *membership.View
 	bounds *base.Table[base.Bounds]
 
-	mu       sync.Mutex
-	answered map[uint32]string // the core that answered for a slot last
+	mu          sync.Mutex
+	lastLeaders map[uint32]string // the core that last answered for a shard
 }
 
-// NewClient makes a client that finds cores by a view.
+// NewClient returns a client that finds cores in a membership view.
 func NewClient(clock base.Clock, wire base.Wire, view *membership.View, bounds *base.Table[base.Bounds]) *Client {
-	return &Client{clock: clock, wire: wire, view: view, bounds: bounds, answered: map[uint32]string{}}
+	return &Client{clock: clock, wire: wire, view: view, bounds: bounds, lastLeaders: map[uint32]string{}}
 }
 
-// LeaderCandidates orders the live cores for a slot.
-func (c *Client) LeaderCandidates(slot uint32) []string { return ownersFor(c.view, slot) }
+// LeaderCandidates lists the live cores that may lead a shard, the preferred one
+// first.
+func (c *Client) LeaderCandidates(shardNum uint32) []string {
+	return leaderCandidates(c.view, shardNum)
+}
 
-// Change asks for an op in a group and reads its result into into.
-func (c *Client) Change(ctx *base.Ctx, group, op string, args, into any) error {
-	return c.change(ctx, group, op, args, into)
+// Change executes an operation on a group's shard and decodes its result, unless
+// result is nil.
+func (c *Client) Change(ctx *base.Ctx, group, op string, args, result any) error {
+	return c.requestChange(ctx, group, op, args, result)
 }
 
-// Read asks for an op that changes nothing. Since it is all the same whether it
-// ran, a lost answer is a refusal that says when to come back.
-func (c *Client) Read(ctx *base.Ctx, group, op string, args, into any) error {
-	err := c.change(ctx, group, op, args, into)
+// Read executes an operation that changes nothing. Whether it ran makes no
+// difference, so an unknown outcome becomes an error that may be retried.
+func (c *Client) Read(ctx *base.Ctx, group, op string, args, result any) error {
+	err := c.requestChange(ctx, group, op, args, result)
 	if base.IsCode(err, "outcome_unknown") {
 		return base.Busy(503, "control_unreachable", 1, "%s", base.FromWire(err).Message)
 	}
 	return err
 }
 
-func (c *Client) change(ctx *base.Ctx, group, op string, args, into any) error {
+func (c *Client) requestChange(ctx *base.Ctx, group, op string, args, result any) error {
 	request := &ChangeRequest{Group: group, Op: op, Args: base.Encode(args)}
 	bounds := c.bounds.Load()
-	result, err := c.search(ctx, ShardOf(group), bounds.Call()/2, bounds.AnotherCore(), func(ctx *base.Ctx, addr string) answer {
+	encoded, err := c.findLeader(ctx, ShardOf(group), bounds.Call()/2, bounds.AnotherCore(), func(ctx *base.Ctx, addr string) coreReply {
 		reply, err := NewRegisterProtobufClient("http://"+addr, c.wire).Change(ctx, request)
 		if err != nil {
-			return answer{err: err}
+			return coreReply{err: err}
 		}
-		return answer{hint: reply.Owner, result: reply.Result}
+		return coreReply{hint: reply.Owner, result: reply.Result}
 	})
-	if err != nil || into == nil {
+	if err != nil || result == nil {
 		return err
 	}
-	return json.Unmarshal(result, into)
+	return json.Unmarshal(encoded, result)
 }
 
-// CallLeader calls the owner of a slot, following hints and trying again, until
-// it answers for itself. One call may take up to limit and no other is made
-// meanwhile; a core that gives no answer in that time is passed over until it
-// is heard to beat again.
-func (c *Client) CallLeader(ctx *base.Ctx, slot uint32, limit time.Duration, call func(ctx *base.Ctx, addr string) (hint string, err error)) error {
-	_, err := c.search(ctx, slot, limit, forEver, func(ctx *base.Ctx, addr string) answer {
+// CallLeader calls cores, following their hints and retrying, until the leader
+// of a shard answers for itself. Each call may take up to callTimeout, and no
+// other core is called at the same time. A core that does not answer in that
+// time is passed over until its heartbeat is heard again.
+func (c *Client) CallLeader(ctx *base.Ctx, shardNum uint32, callTimeout time.Duration, call func(ctx *base.Ctx, addr string) (hint string, err error)) error {
+	_, err := c.findLeader(ctx, shardNum, callTimeout, neverHedge, func(ctx *base.Ctx, addr string) coreReply {
 		hint, err := call(ctx, addr)
-		return answer{hint: hint, err: err}
+		return coreReply{hint: hint, err: err}
 	})
 	return err
 }
 
-// choose prefers the core that answered last, then the slot's order; a core
-// that gave no answer to this call comes after those that were not asked yet.
-// The owner may be one that others cannot reach, or that cannot reach the
-// disks, and still look alive from here.
-func (c *Client) choose(slot uint32, turned map[string]int) string {
-	order := c.LeaderCandidates(slot)
+// pickCore picks the core to call next: the one that answered last for the
+// shard, then the others in the order of the shard's candidates. Cores that
+// already failed in this search come after those that were not called yet,
+// because the leader may be unreachable for others, or cut off from the disks,
+// and still look alive from here.
+func (c *Client) pickCore(shardNum uint32, failures map[string]int) string {
+	ranked := c.LeaderCandidates(shardNum)
 	c.mu.Lock()
-	former := c.answered[slot]
+	lastLeader := c.lastLeaders[shardNum]
 	c.mu.Unlock()
-	if place := slices.Index(order, former); place > 0 {
-		order = slices.Insert(slices.Delete(order, place, place+1), 0, former)
+	if index := slices.Index(ranked, lastLeader); index > 0 {
+		ranked = slices.Insert(slices.Delete(ranked, index, index+1), 0, lastLeader)
 	}
-	slices.SortStableFunc(order, func(a, b string) int { return turned[a] - turned[b] })
-	if len(order) == 0 {
+	slices.SortStableFunc(ranked, func(a, b string) int { return failures[a] - failures[b] })
+	if len(ranked) == 0 {
 		return ""
 	}
-	return order[0]
+	return ranked[0]
 }
 
-func (c *Client) note(slot uint32, core string) {
+func (c *Client) recordLeader(shardNum uint32, core string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered[slot] = core
+	c.lastLeaders[shardNum] = core
 }
--- a/internal/register/confirm.go
+++ b/internal/register/confirm.go
@@ -1,6 +1,3 @@
-// Confirming an epoch: before an answer that changed nothing, a majority of
-// the disks says that no higher epoch was promised.
-
 package register
 
 import (
@@ -9,88 +6,93 @@
 	"fordseam/internal/base"
 )
 
-// confirm proves that the epoch still stood after the asker asked. All who
-// ask before a round starts share it.
-func (o *Server) confirm(ctx *base.Ctx, s *slot, epoch uint64) error {
+// confirmEpoch waits until a majority of the disks has confirmed, in a round that
+// started after this call, that it promised no higher epoch. It precedes each
+// answer to an operation that changed nothing, so that such an answer is never
+// stale. Calls that arrive before a round starts share it.
+func (srv *Server) confirmEpoch(ctx *base.Ctx, s *shard, epoch uint64) error {
 	s.mu.Lock()
-	if s.nextRound == nil {
-		s.nextRound = &round{done: o.clock.NewSignal()}
+	if s.nextConfirm == nil {
+		s.nextConfirm = &confirmRound{done: srv.clock.NewSignal()}
 	}
-	joined := s.nextRound
-	if !s.roundsBusy {
-		s.roundsBusy = true
-		o.clock.Go(func() { o.rounds(s) })
+	round := s.nextConfirm
+	if !s.confirming {
+		s.confirming = true
+		srv.clock.Go(func() { srv.runConfirmRounds(s) })
 	}
 	s.mu.Unlock()
-	if !joined.done.Wait(ctx.Left()) || joined.err != nil {
-		return base.Busy(503, "no_majority", 1, "no majority of disks confirms this owner")
+	if !round.done.Wait(ctx.Left()) || round.err != nil {
+		return base.Busy(503, "no_majority", 1, "no majority of disks confirmed this core as leader of shard %d", s.num)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.epoch != epoch {
-		return base.Busy(503, "slot_not_ready", 1, "the slot changed hands")
+		return base.Busy(503, "slot_not_ready", 1, "shard %d changed leaders", s.num)
 	}
 	return nil
 }
 
-func (o *Server) rounds(s *slot) {
+// runConfirmRounds confirms the shard's epoch in rounds until no call waits for
+// one.
+func (srv *Server) runConfirmRounds(s *shard) {
 	for {
 		s.mu.Lock()
-		current := s.nextRound
-		s.nextRound = nil
-		if current == nil {
-			s.roundsBusy = false
+		round := s.nextConfirm
+		s.nextConfirm = nil
+		if round == nil {
+			s.confirming = false
 			s.mu.Unlock()
 			return
 		}
 		epoch := s.epoch
 		s.mu.Unlock()
-		set := o.knownSet()
-		o.counters.Add("register_confirms", 1)
-		bounds := o.bounds.Load()
-		asked := o.clock.Now()
-		confirmed := base.AskFew(o.clock, o.promptFirst(voters(set)), majority(set), bounds.Confirm(), bounds.DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
-			began := o.clock.Now()
-			ack, err := o.disk(entry).Confirm(ctx, &ConfirmRequest{Claim: o.claim(s, epoch, set, entry)})
-			o.timed(entry, err == nil && o.clock.Now()-began < bounds.Confirm())
+		set := srv.knownSet()
+		srv.counters.Add("register_confirms", 1)
+		bounds := srv.bounds.Load()
+		startedAt := srv.clock.Now()
+		confirmed := base.AskFew(srv.clock, srv.fastestFirst(voters(set)), majority(set), bounds.Confirm(), bounds.DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
+			sentAt := srv.clock.Now()
+			ack, err := srv.disk(entry).Confirm(ctx, &ConfirmRequest{Claim: srv.claim(s, epoch, set, entry)})
+			srv.recordLatency(entry, err == nil && srv.clock.Now()-sentAt < bounds.Confirm())
 			if err == nil && ack.Why == "epoch" {
-				o.stepDown(s, epoch, ack.Epoch)
+				srv.stepDown(s, epoch, ack.Epoch)
 			}
 			if err == nil {
-				o.agreeOnSet(entry, ack)
+				srv.resolveSetMismatch(entry, ack)
 			}
 			return err == nil && ack.Ok
 		})
-		if s.owns(epoch) {
-			o.noteQuorum(confirmed, asked)
+		if s.leads(epoch) {
+			srv.recordQuorum(confirmed, startedAt)
 		}
 		if !confirmed {
-			current.err = base.Busy(503, "no_majority", 1, "no majority of disks")
+			round.err = base.Busy(503, "no_majority", 1, "no majority of disks confirmed the epoch of shard %d", s.num)
 		}
-		current.done.Fire()
+		round.done.Fire()
 	}
 }
 
-// timed notes whether a disk was prompt; promptFirst puts those that were not
-// last, and among the others those of this core's zone first.
-func (o *Server) timed(entry *DiskEntry, prompt bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if prompt {
-		delete(o.slow, entry.Id)
+// recordLatency records whether a disk answered a confirmation in time.
+func (srv *Server) recordLatency(entry *DiskEntry, fast bool) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if fast {
+		delete(srv.slowDisks, entry.Id)
 	} else {
-		o.slow[entry.Id] = o.clock.Now()
+		srv.slowDisks[entry.Id] = srv.clock.Now()
 	}
 }
 
-func (o *Server) promptFirst(entries []*DiskEntry) []*DiskEntry {
-	zone := o.view.Self().Zone
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// fastestFirst sorts the disks of this core's zone first and those that were slow
+// within the last recovery bound last.
+func (srv *Server) fastestFirst(entries []*DiskEntry) []*DiskEntry {
+	zone := srv.view.Self().Zone
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
 	rank := func(entry *DiskEntry) int {
-		at, slow := o.slow[entry.Id]
+		slowAt, slow := srv.slowDisks[entry.Id]
 		switch {
-		case slow && o.clock.Now()-at < o.bounds.Load().Recover:
+		case slow && srv.clock.Now()-slowAt < srv.bounds.Load().Recover:
 			return 2
 		case entry.Zone != zone:
 			return 1
--- a/internal/register/diskset.go
+++ b/internal/register/diskset.go
@@ -1,6 +1,3 @@
-// The disk set that a core goes by: learnt from other cores and from the
-// disks, replaced only by a newer one of the same cluster.
-
 package register
 
 import (
@@ -9,76 +6,82 @@
 	"fordseam/internal/membership"
 )
 
-// LookupDiskSet is the disk set this core goes by, looked up on the disks if need be.
-func (o *Server) LookupDiskSet() *DiskSet {
-	if known := o.knownSet(); known != nil {
+// LookupDiskSet returns the disk set that this core uses. If it knows none, it
+// asks the storage machines for theirs; nil if none has one.
+func (srv *Server) LookupDiskSet() *DiskSet {
+	if known := srv.knownSet(); known != nil {
 		return known
 	}
-	o.mu.Lock()
-	lookup := o.lookup
-	if lookup == nil { // all who ask at once share one round
-		lookup = o.clock.NewSignal()
-		o.lookup = lookup
-		o.clock.Go(func() {
-			o.findSet()
-			o.mu.Lock()
-			o.lookup = nil
-			o.mu.Unlock()
+	srv.mu.Lock()
+	lookup := srv.setLookup
+	if lookup == nil { // concurrent callers share one lookup
+		lookup = srv.clock.NewSignal()
+		srv.setLookup = lookup
+		srv.clock.Go(func() {
+			srv.queryDiskSet()
+			srv.mu.Lock()
+			srv.setLookup = nil
+			srv.mu.Unlock()
 			lookup.Fire()
 		})
 	}
-	o.mu.Unlock()
-	lookup.Wait(o.bounds.Load().Call())
-	return o.knownSet()
+	srv.mu.Unlock()
+	lookup.Wait(srv.bounds.Load().Call())
+	return srv.knownSet()
 }
 
-func (o *Server) findSet() {
-	base.Ask(o.clock, o.view.Known(membership.RoleStorage), 2, o.bounds.Load().DiskLimit(), func(ctx *base.Ctx, member *membership.Member) bool {
-		state, err := NewDiskProtobufClient("http://"+member.Addr, o.wire).Describe(ctx, &DescribeRequest{})
+// queryDiskSet learns the disk sets that the known storage machines hold, until
+// two have told theirs.
+func (srv *Server) queryDiskSet() {
+	base.Ask(srv.clock, srv.view.Known(membership.RoleStorage), 2, srv.bounds.Load().DiskLimit(), func(ctx *base.Ctx, member *membership.Member) bool {
+		state, err := NewDiskProtobufClient("http://"+member.Addr, srv.wire).Describe(ctx, &DescribeRequest{})
 		if err != nil || state.Set == nil || len(state.Set.Disks) == 0 {
 			return false
 		}
-		o.LearnDiskSet(state.Set)
+		srv.LearnDiskSet(state.Set)
 		return true
 	})
 }
 
-// Cluster is the cluster of the disk set this core goes by.
-func (o *Server) Cluster() string { return o.knownSet().GetCluster() }
+// Cluster returns the cluster of the disk set that this core knows, if any.
+func (srv *Server) Cluster() string { return srv.knownSet().GetCluster() }
 
-// KnownDiskSet is the disk set as this core has learnt it, without asking.
-func (o *Server) KnownDiskSet() *DiskSet { return o.knownSet() }
+// KnownDiskSet returns the disk set that this core has learned, without a lookup.
+func (srv *Server) KnownDiskSet() *DiskSet { return srv.knownSet() }
 
-func (o *Server) knownSet() *DiskSet {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.set
+func (srv *Server) knownSet() *DiskSet {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	return srv.diskSet
 }
 
-// LearnDiskSet takes in a newer disk set of this cluster.
-func (o *Server) LearnDiskSet(set *DiskSet) {
-	o.mu.Lock()
-	newer := set != nil && len(set.Disks) > 0 && (o.set == nil || set.Stamp > o.set.Stamp && set.Cluster == o.set.Cluster)
+// LearnDiskSet replaces the known disk set by a newer one of the same cluster, as
+// told by other cores and by disks. An older one, or one of another cluster, is
+// ignored.
+func (srv *Server) LearnDiskSet(set *DiskSet) {
+	srv.mu.Lock()
+	newer := set != nil && len(set.Disks) > 0 && (srv.diskSet == nil || set.Stamp > srv.diskSet.Stamp && set.Cluster == srv.diskSet.Cluster)
 	if newer {
-		o.set = set
+		srv.diskSet = set
 	}
-	o.mu.Unlock()
+	srv.mu.Unlock()
 	if newer {
-		for _, s := range o.slots {
-			o.refit(s)
-			s.bell.Ring()
+		for _, s := range srv.shards {
+			srv.startSenders(s)
+			s.changed.Ring()
 		}
 	}
 }
 
-// voters are the disks whose word counts; learners are only being filled.
+// voters lists the disks that count towards a majority; learners do not.
 func voters(set *DiskSet) []*DiskEntry {
 	return base.Filter(set.Disks, func(entry *DiskEntry) bool { return !entry.Learner })
 }
 
-// majority is how many voters of the set decide.
+// majority returns how many voters of the set make a majority.
 func majority(set *DiskSet) int { return consensus.Majority(len(voters(set))) }
 
+// inSet reports whether the set contains a disk.
 func inSet(set *DiskSet, id string) bool {
 	for _, entry := range set.Disks {
 		if entry.Id == id {
@@ -88,8 +91,9 @@
 	return false
 }
 
-// describeBeyond asks a disk for its state without a set that is known already:
-// a set names all disks, and an owner asks all of them.
-func describeBeyond(set *DiskSet) *DescribeRequest {
+// describeRequest asks for a disk's state, with its disk set only if that is not
+// this one. A set lists all disks and each leader asks all of them, so the
+// replies would otherwise carry many copies.
+func describeRequest(set *DiskSet) *DescribeRequest {
 	return &DescribeRequest{KnownCluster: set.GetCluster(), KnownStamp: set.GetStamp()}
 }
--- a/internal/register/messages.go
+++ b/internal/register/messages.go
@@ -1,5 +1,3 @@
-// What the wire's messages mean to the protocol's decisions.
-
 package register
 
 import (
@@ -7,12 +5,12 @@
 	"fordseam/internal/consensus"
 )
 
-// ToConsensus is the claim as the protocol's decisions take it.
+// ToConsensus converts the claim for package consensus.
 func (c *Claim) ToConsensus() consensus.Claim {
 	return consensus.Claim{Epoch: c.GetEpoch(), Leader: c.GetOwner(), SetVersion: c.GetSetStamp(), Replica: c.GetDisk()}
 }
 
-// FirstSeq is the number of the first entry, 0 where there is none.
+// FirstSeq returns the sequence number of the first entry, 0 if there is none.
 func (r *AppendRequest) FirstSeq() uint64 {
 	if len(r.GetEntries()) == 0 {
 		return 0
@@ -20,11 +18,12 @@
 	return r.Entries[0].Seq
 }
 
+// position returns the position of the content that the disk holds.
 func (r *PromiseReply) position() consensus.Position {
 	return consensus.Position{Installed: r.GetInstalled(), Seq: r.GetSeq()}
 }
 
-// ToConsensus is the set as the protocol's decisions take it; nil for none.
+// ToConsensus converts the set for package consensus; nil stays nil.
 func (s *DiskSet) ToConsensus() *consensus.ReplicaSet {
 	if s == nil {
 		return nil
@@ -38,7 +37,7 @@
 	}
 }
 
-// ToConsensus is the record as the protocol's decisions take it.
+// ToConsensus converts the record for package consensus.
 func (d *DiskSetRecord) ToConsensus() consensus.SetRecord {
 	return consensus.SetRecord{Current: *d.Current.ToConsensus(), NextVersion: d.Next.GetStamp(), Settled: d.Settled}
 }
--- a/internal/register/observe.go
+++ b/internal/register/observe.go
@@ -1,5 +1,3 @@
-// What the owner of the set observes of each machine, and concludes from it.
-
 package register
 
 import (
@@ -10,162 +8,169 @@
 	"fordseam/internal/membership"
 )
 
-// sighting is what the disk at an address last said.
-type sighting struct {
-	life    string
-	state   *DiskState
-	asOf    time.Duration // when it was asked for that
-	asked   time.Duration
-	busy    bool
-	silent  bool
-	silence time.Duration
+// observation is what the leader of shard 0 last learned from the disk at an
+// address.
+type observation struct {
+	memberID    string        // the member at the address; new at each start of the process
+	state       *DiskState    // its last answer; nil if this member has not answered yet
+	stateAsOf   time.Duration // when the request for state was sent
+	askedAt     time.Duration // when the last request was sent
+	inFlight    bool          // the last request has no answer yet
+	silent      bool          // the last request failed or is overdue
+	silentSince time.Duration
 }
 
-// condition is how a disk of the set stands.
-type condition struct {
-	known  bool
-	fresh  bool // it was asked since the set last changed
-	gone   bool // another disk answers at its address
-	silent time.Duration
-	alive  bool // membership hears its machine
-	// departed tells that its machine said that it leaves.
-	departed bool
+// diskCondition is the condition of a disk of the set, as observed.
+type diskCondition struct {
+	known          bool          // the disk's machine has answered
+	fresh          bool          // it was observed since the set last changed
+	replaced       bool          // another disk answers at its address
+	silentFor      time.Duration // 0 if it answers
+	alive          bool          // its machine is present in the membership view
+	announcedLeave bool          // its machine announced that it would stop
 }
 
-func (c condition) well() bool { return c.known && !c.gone && c.silent == 0 }
+// healthy reports whether the disk itself answers.
+func (c diskCondition) healthy() bool { return c.known && !c.replaced && c.silentFor == 0 }
 
-func (c condition) lost() bool { return c.gone || c.silent > 0 }
+// lost reports whether the disk is silent or another one has taken its place.
+func (c diskCondition) lost() bool { return c.replaced || c.silentFor > 0 }
 
-// outlook is all that a plan goes by.
-type outlook struct {
-	conditions map[string]condition
-	candidates []*DiskEntry
-	leaving    map[string]bool // machines being retired
-	asking     bool            // a machine was asked that had not answered yet
+// clusterView is all that a plan is based on.
+type clusterView struct {
+	conditions map[string]diskCondition // by disk id
+	candidates []*DiskEntry             // healthy disks outside the set that may join it
+	retiring   map[string]bool          // names of the machines being retired
+	pending    bool                     // a present machine has not answered for the first time yet
 }
 
-// look asks the disks that are due to be asked and gathers what is known. Where
-// nothing is amiss each is asked now and then only; membership tells of lives
-// that began or went silent.
-func (o *Server) look(found *recorded) *outlook {
-	m, now, beat := o.mending, o.clock.Now(), o.bounds.Load().Beat()
-	set := found.disks.Current
-	view := &outlook{conditions: map[string]condition{}, leaving: map[string]bool{}}
-	for _, retiring := range found.retiring {
-		view.leaving[retiring.Node] = true
+// observe requests the state of the disks that are due and returns what is known
+// of all. While all is well a disk is due only every quarter of the recovery
+// bound, since the membership view tells of machines that start or fall silent.
+// Unknown, silent and leaving machines, and all while a status is reported, are
+// due every half heartbeat interval.
+func (srv *Server) observe(records *feedRecords) *clusterView {
+	r, now, heartbeat := srv.reconciler, srv.clock.Now(), srv.bounds.Load().Beat()
+	set := records.diskSet.Current
+	view := &clusterView{conditions: map[string]diskCondition{}, retiring: map[string]bool{}}
+	for _, retirement := range records.retirements {
+		view.retiring[retirement.Node] = true
 	}
-	lives := map[string]*membership.Member{}
-	for _, member := range o.view.Present(membership.RoleStorage) {
-		lives[member.Addr] = member
+	members := map[string]*membership.Member{}
+	for _, member := range srv.view.Present(membership.RoleStorage) {
+		members[member.Addr] = member
 	}
-	departed := departedAddresses(o.view)
-	wanted := map[string]bool{}
+	announcedLeave := leavingAddresses(srv.view)
+	addresses := map[string]bool{}
 	for _, entry := range set.Disks {
-		wanted[entry.Addr] = true
+		addresses[entry.Addr] = true
 	}
-	for addr, life := range lives {
-		wanted[addr] = wanted[addr] || !life.Leaving
+	for addr, member := range members {
+		addresses[addr] = addresses[addr] || !member.Leaving
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.epoch != found.epoch {
-		m.epoch, m.stamp, m.seen = found.epoch, 0, map[string]*sighting{}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.epoch != records.epoch {
+		r.epoch, r.stamp, r.observations = records.epoch, 0, map[string]*observation{}
 	}
-	if m.stamp != set.Stamp {
-		m.stamp, m.since = set.Stamp, now
+	if r.stamp != set.Stamp {
+		r.stamp, r.setSince = set.Stamp, now
 	}
-	for addr := range m.seen {
-		if !wanted[addr] {
-			delete(m.seen, addr)
+	for addr := range r.observations {
+		if !addresses[addr] {
+			delete(r.observations, addr)
 		}
 	}
-	for _, addr := range base.SortedKeys(wanted) {
-		seen, life := m.seen[addr], lives[addr]
-		if seen == nil {
-			seen = &sighting{}
-			m.seen[addr] = seen
+	for _, addr := range base.SortedKeys(addresses) {
+		observed, member := r.observations[addr], members[addr]
+		if observed == nil {
+			observed = &observation{}
+			r.observations[addr] = observed
 		}
-		if life != nil && life.Id != seen.life {
-			seen.life, seen.state = life.Id, nil
+		if member != nil && member.Id != observed.memberID {
+			observed.memberID, observed.state = member.Id, nil
 		}
-		every := o.bounds.Load().Recover / 4
+		interval := srv.bounds.Load().Recover / 4
 		switch {
-		case seen.state == nil || seen.silent || life == nil || departed[addr]:
-			every = beat / 2
-		case seen.asked < m.since:
-			every = 0
-		case len(m.told) > 0:
-			every = beat / 2
+		case observed.state == nil || observed.silent || member == nil || announcedLeave[addr]:
+			interval = heartbeat / 2
+		case observed.askedAt < r.setSince:
+			interval = 0
+		case len(r.status) > 0:
+			interval = heartbeat / 2
 		}
-		if !seen.busy && (seen.asked == 0 || now-seen.asked >= every) {
-			seen.busy, seen.asked = true, now
-			asked := seen.life
-			o.clock.Go(func() { o.see(seen, asked, addr, life != nil && !life.Leaving, view.leaving, set) })
+		if !observed.inFlight && (observed.askedAt == 0 || now-observed.askedAt >= interval) {
+			observed.inFlight, observed.askedAt = true, now
+			memberID := observed.memberID
+			srv.clock.Go(func() {
+				srv.describeDisk(observed, memberID, addr, member != nil && !member.Leaving, view.retiring, set)
+			})
 		}
-		view.asking = view.asking || seen.busy && seen.state == nil && life != nil
-		if seen.busy && !seen.silent && now-seen.asked > beat/2 {
-			seen.silent, seen.silence = true, seen.asked
+		view.pending = view.pending || observed.inFlight && observed.state == nil && member != nil
+		if observed.inFlight && !observed.silent && now-observed.askedAt > heartbeat/2 {
+			observed.silent, observed.silentSince = true, observed.askedAt
 		}
 	}
 	for _, entry := range set.Disks {
-		seen := m.seen[entry.Addr]
-		stands := condition{known: seen.state != nil, alive: lives[entry.Addr] != nil, departed: departed[entry.Addr]}
-		stands.fresh = seen.silent || seen.state != nil && seen.asOf >= m.since
-		stands.gone = seen.state != nil && seen.asOf >= m.since && seen.state.Id != entry.Id
-		if seen.silent {
-			stands.silent = max(1, now-seen.silence)
+		observed := r.observations[entry.Addr]
+		condition := diskCondition{known: observed.state != nil, alive: members[entry.Addr] != nil, announcedLeave: announcedLeave[entry.Addr]}
+		condition.fresh = observed.silent || observed.state != nil && observed.stateAsOf >= r.setSince
+		condition.replaced = observed.state != nil && observed.stateAsOf >= r.setSince && observed.state.Id != entry.Id
+		if observed.silent {
+			condition.silentFor = max(1, now-observed.silentSince)
 		}
-		view.conditions[entry.Id] = stands
+		view.conditions[entry.Id] = condition
 	}
-	for _, addr := range base.SortedKeys(lives) {
-		life, seen := lives[addr], m.seen[addr]
-		if life.Leaving || seen == nil || seen.silent || seen.state == nil || seen.state.Id == "" || inSet(set, seen.state.Id) || view.leaving[seen.state.Node] {
+	for _, addr := range base.SortedKeys(members) {
+		member, observed := members[addr], r.observations[addr]
+		if member.Leaving || observed == nil || observed.silent || observed.state == nil || observed.state.Id == "" || inSet(set, observed.state.Id) || view.retiring[observed.state.Node] {
 			continue
 		}
-		state := seen.state
-		if state.Set != nil && state.Set.Cluster != set.Cluster || slices.Contains(found.disks.Retired, state.Id) {
+		state := observed.state
+		if state.Set != nil && state.Set.Cluster != set.Cluster || slices.Contains(records.diskSet.Retired, state.Id) {
 			continue
 		}
-		view.candidates = append(view.candidates, &DiskEntry{Id: state.Id, Addr: addr, Zone: life.Zone, Node: state.Node, Learner: true})
+		view.candidates = append(view.candidates, &DiskEntry{Id: state.Id, Addr: addr, Zone: member.Zone, Node: state.Node, Learner: true})
 	}
 	return view
 }
 
-// departedAddresses are those of storage machines that said that they leave and
-// at which no other life has begun.
-func departedAddresses(view *membership.View) map[string]bool {
-	departed := map[string]bool{}
+// leavingAddresses returns the addresses of storage machines that announced their
+// leave and at which no process has started since.
+func leavingAddresses(view *membership.View) map[string]bool {
+	leaving := map[string]bool{}
 	for _, member := range view.Known(membership.RoleStorage) {
-		departed[member.Addr] = departed[member.Addr] || member.Leaving
+		leaving[member.Addr] = leaving[member.Addr] || member.Leaving
 	}
 	for _, member := range view.Present(membership.RoleStorage) {
 		if !member.Leaving {
-			departed[member.Addr] = false
+			leaving[member.Addr] = false
 		}
 	}
-	return departed
+	return leaving
 }
 
-// see asks one disk how it stands and formats a blank one.
-func (o *Server) see(seen *sighting, life, addr string, present bool, leaving map[string]bool, set *DiskSet) {
-	ctx := base.NewCtx(o.clock, o.bounds.Load().DiskLimit())
-	disk := NewDiskProtobufClient("http://"+addr, o.wire)
-	state, err := disk.Describe(ctx, describeBeyond(set))
-	if err == nil && state.Id == "" && present && !leaving[state.Node] {
-		if formatted, failed := disk.Format(ctx, &FormatRequest{}); failed == nil {
+// describeDisk requests a disk's state and records it. A blank disk is formatted
+// if its machine is present and not being retired.
+func (srv *Server) describeDisk(observed *observation, memberID, addr string, present bool, retiring map[string]bool, set *DiskSet) {
+	ctx := base.NewCtx(srv.clock, srv.bounds.Load().DiskLimit())
+	disk := NewDiskProtobufClient("http://"+addr, srv.wire)
+	state, err := disk.Describe(ctx, describeRequest(set))
+	if err == nil && state.Id == "" && present && !retiring[state.Node] {
+		if formatted, formatErr := disk.Format(ctx, &FormatRequest{}); formatErr == nil {
 			state = formatted
-			o.counters.Add("disks_formatted", 1)
+			srv.counters.Add("disks_formatted", 1)
 		}
 	}
-	o.mending.mu.Lock()
-	defer o.mending.mu.Unlock()
-	seen.busy = false
+	srv.reconciler.mu.Lock()
+	defer srv.reconciler.mu.Unlock()
+	observed.inFlight = false
 	switch {
-	case err == nil && life != seen.life:
-		seen.asked = 0 // another life has begun there meanwhile
+	case err == nil && memberID != observed.memberID:
+		observed.askedAt = 0 // another process has started there meanwhile
 	case err == nil:
-		seen.state, seen.asOf, seen.silent = state, seen.asked, false
-	case !seen.silent:
-		seen.silent, seen.silence = true, seen.asked
+		observed.state, observed.stateAsOf, observed.silent = state, observed.askedAt, false
+	case !observed.silent:
+		observed.silent, observed.silentSince = true, observed.askedAt
 	}
 }
--- a/internal/register/operation.go
+++ b/internal/register/operation.go
@@ -1,6 +1,3 @@
-// Operations: decisions about a change of one slot, as the other packages
-// register them, and the view of the slot that a decision is made on.
-
 package register
 
 import (
@@ -9,48 +6,55 @@
 	"github.com/emirpasic/gods/maps/treemap"
 )
 
-// Op decides a change within one slot. It must be safe to ask twice: the
-// asker repeats it when a reply is lost.
+// Op is an operation that reads and changes keys of one shard. Executing it twice
+// must be safe, since clients repeat it when a reply is lost.
 type Op func(tx *Tx, args []byte) (any, error)
 
-// Tx is what an op sees: the slot's keys, and the puts it has made so far.
+// Tx is an operation's view of its shard: the keys, and the puts that it has
+// made so far. The puts are replicated together.
 type Tx struct {
-	// Now is the slot's own time, in milliseconds: it goes on with whoever
-	// keeps the slot, stands still while nobody does, and never goes back.
+	// Now is the shard's own time in milliseconds. It advances by the monotonic
+	// clock of the shard's leader, stands still while there is none, and never
+	// goes back.
 	Now    int64
 	Bounds *base.Bounds
-	Group  string
-	// Epoch is the one that the change is made under.
+	// Group is the group that the operation was called for.
+	Group string
+	// Epoch is the leader's epoch.
 	Epoch uint64
-	held  *treemap.Map
+	kv    *treemap.Map
 	puts  []*Put
 }
 
+// Get returns the value of a key, nil if there is none.
 func (t *Tx) Get(key string) []byte {
 	for last := len(t.puts) - 1; last >= 0; last-- {
 		if t.puts[last].Key == key {
 			return t.puts[last].Value
 		}
 	}
-	if value, ok := t.held.Get(key); ok {
+	if value, ok := t.kv.Get(key); ok {
 		return value.([]byte)
 	}
 	return nil
 }
 
+// Put sets the value of a key.
 func (t *Tx) Put(key string, value []byte) { t.puts = append(t.puts, &Put{Key: key, Value: value}) }
 
+// Delete removes a key.
 func (t *Tx) Delete(key string) { t.puts = append(t.puts, &Put{Key: key, Gone: true}) }
 
-// Walk visits the keys under a prefix in order, as they were before this
-// change, from after a key on; visit returns false to stop.
+// Walk visits the keys with a prefix in order, as they were before this operation,
+// and only those greater than after unless that is empty. It stops when visit
+// returns false.
 func (t *Tx) Walk(prefix, after string, visit func(key string, value []byte) bool) {
 	from := prefix
 	if after != "" {
 		from = after + "\x00"
 	}
 	for {
-		key, value := t.held.Ceiling(from)
+		key, value := t.kv.Ceiling(from)
 		if key == nil || len(key.(string)) < len(prefix) || key.(string)[:len(prefix)] != prefix {
 			return
 		}
@@ -61,26 +65,28 @@
 	}
 }
 
-// Handle names an op; Sweep adds a clean-up run over every slot now and
-// then. Both are called before Run.
-func (o *Server) Handle(name string, op Op) { o.ops[name] = op }
+// Handle registers an operation under a name. It is called before Run.
+func (srv *Server) Handle(name string, op Op) { srv.ops[name] = op }
 
-func (o *Server) AddSweep(clean func(tx *Tx)) { o.sweeps = append(o.sweeps, clean) }
+// AddSweep adds a function that cleans up a shard; it runs periodically on every
+// shard that this core leads. It is called before Run.
+func (srv *Server) AddSweep(sweep func(tx *Tx)) { srv.sweeps = append(srv.sweeps, sweep) }
 
-func (o *Server) sweepAll() {
-	for _, s := range o.slots {
+// runSweeps runs all sweeps on the shards that this core leads.
+func (srv *Server) runSweeps() {
+	for _, s := range srv.shards {
 		s.mu.Lock()
-		serves := s.phase == serving
+		leads := s.phase == phaseLeading
 		s.mu.Unlock()
-		if !serves {
+		if !leads {
 			continue
 		}
-		_, _ = o.decideUnsaid(base.NewCtx(o.clock, o.bounds.Load().Call()), s, func(tx *Tx) (any, error) {
-			for _, clean := range o.sweeps {
-				clean(tx)
+		_, _ = srv.applyInternal(base.NewCtx(srv.clock, srv.bounds.Load().Call()), s, func(tx *Tx) (any, error) {
+			for _, sweep := range srv.sweeps {
+				sweep(tx)
 			}
-			// The time that passed is kept even where nothing else happens.
-			if len(tx.puts) == 0 && tx.held.Size() > 1 {
+			// Stores the shard's time even if nothing else changes.
+			if len(tx.puts) == 0 && tx.kv.Size() > 1 {
 				tx.Put(TimeKey, nil)
 			}
 			return nil, nil
--- a/internal/register/plan.go
+++ b/internal/register/plan.go
@@ -1,5 +1,3 @@
-// The next set: at most one change, chosen from what was observed.
-
 package register
 
 import (
@@ -8,158 +6,166 @@
 	"fordseam/internal/base"
 )
 
-// allowance is which changes of the set may be made at the moment.
-type allowance int
+// changeScope limits which changes of the disk set may be planned.
+type changeScope int
 
 const (
-	// repairOnly is what a loss makes necessary.
-	repairOnly allowance = iota
-	// growth lets more disks in as well, which gives no copy up.
-	growth
-	// anyChange lets machines leave as well.
+	// repairOnly allows only what the loss of a disk makes necessary.
+	repairOnly changeScope = iota
+	// repairAndGrowth also allows to add disks, which removes no copy.
+	repairAndGrowth
+	// anyChange also allows to remove the disks of retiring machines.
 	anyChange
 )
 
-// restartShare is the part of the recovery bound that a planned restart of a
-// storage machine may take. It leaves enough of the time to catch up to fill
-// the disks that take over its copies.
-const restartShare = 8
+// restartDivisor gives the part of the recovery bound that a planned restart of a
+// storage machine may take. What remains of the bound suffices to fill the disks
+// that replace its copies.
+const restartDivisor = 8
 
-// setPlan is the next change of the set.
+// setPlan is the next change of the disk set.
 type setPlan struct {
-	// set is nil where nothing changes.
+	// set is the next set; nil if nothing changes.
 	set *DiskSet
-	// wanted is how many voters there should be then.
-	wanted int
-	// told says in words what is amiss.
-	told []string
-	// planned tells that there is a change that nothing forces.
-	planned bool
+	// targetVoters is how many voters there should be, once losses are replaced.
+	targetVoters int
+	// status describes in words what is wrong or in progress.
+	status []string
+	// deferred tells that a change was left out because of the scope.
+	deferred bool
+	// dropped counts the voters that the change removes.
 	dropped int
 }
 
-// planner chooses the next change. At most one vote comes or goes with it.
+// planner chooses the next change of the disk set. A change adds or removes at
+// most one voter.
 type planner struct {
 	*setPlan
-	view    *outlook
-	current *DiskSet
-	filled  map[string]int
-	allowed allowance
-	bounds  *base.Bounds
-
-	need  int // voters that must stay
-	votes int
-	lost  int // voters that are gone or silent
-	whole int // learners that may have a vote
-	spare bool
+	view         *clusterView
+	current      *DiskSet
+	filledShards map[string]int
+	scope        changeScope
+	bounds       *base.Bounds
+
+	requiredVoters int // how many voters must remain
+	voterCount     int
+	lostVoters     int // voters that are replaced or silent
+	filledLearners int // healthy learners that hold all shards
+	canDropVoter   bool
 
 	drop, promote *DiskEntry
 }
 
-// plan says what the next set should be, how many voters are wanted then, and
-// in words what is amiss.
-func (o *Server) plan(now *DiskSetRecord, view *outlook, filled map[string]int, allowed allowance) *setPlan {
-	p := &planner{setPlan: &setPlan{}, view: view, current: now.Current, filled: filled, allowed: allowed, bounds: o.bounds.Load(), need: o.mending.least()}
-	p.survey()
-	p.wanted = max(now.TargetVoters, p.need)
-	if now.TargetVoters == 0 || p.lost == 0 {
-		p.wanted = max(p.wanted, p.votes)
+// plan chooses the next change of the disk set from what was observed, and
+// describes what is wrong.
+func (srv *Server) plan(record *DiskSetRecord, view *clusterView, filledShards map[string]int, scope changeScope) *setPlan {
+	p := &planner{setPlan: &setPlan{}, view: view, current: record.Current, filledShards: filledShards, scope: scope, bounds: srv.bounds.Load(), requiredVoters: srv.reconciler.requiredVoters()}
+	p.assess()
+	p.targetVoters = max(record.TargetVoters, p.requiredVoters)
+	if record.TargetVoters == 0 || p.lostVoters == 0 {
+		p.targetVoters = max(p.targetVoters, p.voterCount)
 	}
-	p.choose()
-	p.build()
+	p.pickVoteChange()
+	p.buildSet()
 	return p.setPlan
 }
 
-// survey counts how the disks of the set stand, and says what is amiss.
-func (p *planner) survey() {
-	p.votes = len(voters(p.current))
-	p.spare = p.votes-1 >= p.need
+// assess counts the voters, lost voters and filled learners of the set, and
+// describes what is wrong.
+func (p *planner) assess() {
+	p.voterCount = len(voters(p.current))
+	p.canDropVoter = p.voterCount-1 >= p.requiredVoters
 	for _, entry := range p.current.Disks {
-		stands := p.view.conditions[entry.Id]
+		condition := p.view.conditions[entry.Id]
 		switch {
-		case stands.gone:
-			p.told = append(p.told, fmt.Sprintf("disk %s at %s was lost; another disk answers there", entry.Id, entry.Addr))
-		case stands.silent > 0:
-			p.told = append(p.told, fmt.Sprintf("disk %s at %s is silent", entry.Id, entry.Addr))
+		case condition.replaced:
+			p.status = append(p.status, fmt.Sprintf("disk %s at %s was lost; another disk answers there", entry.Id, entry.Addr))
+		case condition.silentFor > 0:
+			p.status = append(p.status, fmt.Sprintf("disk %s at %s is silent", entry.Id, entry.Addr))
 		case entry.Learner:
-			p.told = append(p.told, fmt.Sprintf("disk %s at %s is being filled: %d of %d slots", entry.Id, entry.Addr, p.filled[entry.Id], ShardCount))
+			p.status = append(p.status, fmt.Sprintf("disk %s at %s is being filled: %d of %d shards", entry.Id, entry.Addr, p.filledShards[entry.Id], ShardCount))
 		}
-		if !entry.Learner && stands.lost() {
-			p.lost++
+		if !entry.Learner && condition.lost() {
+			p.lostVoters++
 		}
-		if entry.Learner && p.filled[entry.Id] == ShardCount && stands.well() {
-			p.whole++
+		if entry.Learner && p.filledShards[entry.Id] == ShardCount && condition.healthy() {
+			p.filledLearners++
 		}
 	}
 }
 
-// choose picks the one vote that comes or goes: first what a loss makes
-// necessary, then machines that come, then those that leave.
-func (p *planner) choose() {
-	p.pickDrop(func(_ *DiskEntry, stands condition) bool { return stands.gone })
-	p.pickDrop(func(_ *DiskEntry, stands condition) bool { return p.stoppedForGood(stands) })
-	p.pickDrop(func(_ *DiskEntry, stands condition) bool {
-		return p.replaceable(stands) && p.votes-1+p.whole >= p.wanted
+// pickVoteChange picks the one voter to add or remove: first what a loss makes
+// necessary, then a filled learner, then the disks of retiring machines and those
+// that have been silent for the whole recovery bound.
+func (p *planner) pickVoteChange() {
+	p.pickDrop(func(_ *DiskEntry, condition diskCondition) bool { return condition.replaced })
+	p.pickDrop(func(_ *DiskEntry, condition diskCondition) bool { return p.stoppedPermanently(condition) })
+	p.pickDrop(func(_ *DiskEntry, condition diskCondition) bool {
+		return p.replaceable(condition) && p.voterCount-1+p.filledLearners >= p.targetVoters
 	})
 	p.pickPromotion()
-	p.pickDrop(func(entry *DiskEntry, stands condition) bool {
-		return p.view.leaving[entry.Node] && p.others(entry.Id) && (stands.lost() || p.may(anyChange))
+	p.pickDrop(func(entry *DiskEntry, condition diskCondition) bool {
+		return p.view.retiring[entry.Node] && p.othersHealthy(entry.Id) && (condition.lost() || p.inScope(anyChange))
 	})
-	p.pickDrop(func(entry *DiskEntry, stands condition) bool {
-		return !stands.alive && stands.silent >= p.bounds.Recover && p.others(entry.Id)
+	p.pickDrop(func(entry *DiskEntry, condition diskCondition) bool {
+		return !condition.alive && condition.silentFor >= p.bounds.Recover && p.othersHealthy(entry.Id)
 	})
 }
 
-// may tells whether a planned change is allowed; it is noted where it is not.
-func (p *planner) may(change allowance) bool {
-	if p.allowed < change {
-		p.planned = true
+// inScope reports whether a planned change is allowed, and marks the plan as
+// deferred if it is not.
+func (p *planner) inScope(change changeScope) bool {
+	if p.scope < change {
+		p.deferred = true
 		return false
 	}
 	return true
 }
 
-// replaceable tells that a disk has been silent for long enough to give its
-// place to a learner that is whole.
-func (p *planner) replaceable(stands condition) bool {
-	return stands.silent >= p.bounds.Recover/16 || !stands.alive && stands.silent >= p.bounds.Beat()
+// replaceable reports whether a disk has been silent for long enough to be
+// replaced by a filled learner.
+func (p *planner) replaceable(condition diskCondition) bool {
+	return condition.silentFor >= p.bounds.Recover/16 || !condition.alive && condition.silentFor >= p.bounds.Beat()
 }
 
-// stoppedForGood tells that a machine was told to stop and has not begun again
-// for longer than a restart takes. Its successor may have come before it went,
-// and then nothing else shows that its copies are missing.
-func (p *planner) stoppedForGood(stands condition) bool {
-	return stands.departed && stands.silent >= p.bounds.Recover/restartShare
+// stoppedPermanently reports whether a machine announced its leave and has been
+// silent for longer than a restart takes. Its replacement may have joined before
+// it stopped, and then nothing else shows that its copies are missing.
+func (p *planner) stoppedPermanently(condition diskCondition) bool {
+	return condition.announcedLeave && condition.silentFor >= p.bounds.Recover/restartDivisor
 }
 
-// others tells that all other voters are well.
-func (p *planner) others(id string) bool {
+// othersHealthy reports whether all other voters are healthy.
+func (p *planner) othersHealthy(id string) bool {
 	for _, entry := range voters(p.current) {
-		if entry.Id != id && !p.view.conditions[entry.Id].well() {
+		if entry.Id != id && !p.view.conditions[entry.Id].healthy() {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *planner) chosen() bool { return p.drop != nil || p.promote != nil }
+// hasVoteChange reports whether a voter to add or remove was already picked.
+func (p *planner) hasVoteChange() bool { return p.drop != nil || p.promote != nil }
 
-// pickDrop takes the first voter that fits out, where it can be spared.
-func (p *planner) pickDrop(fits func(entry *DiskEntry, stands condition) bool) {
-	if !p.spare {
+// pickDrop picks the first voter that fits for removal, if enough voters remain
+// without it.
+func (p *planner) pickDrop(fits func(entry *DiskEntry, condition diskCondition) bool) {
+	if !p.canDropVoter {
 		return
 	}
 	for _, entry := range voters(p.current) {
-		if !p.chosen() && fits(entry, p.view.conditions[entry.Id]) {
+		if !p.hasVoteChange() && fits(entry, p.view.conditions[entry.Id]) {
 			p.drop = entry
 		}
 	}
 }
 
-// pickPromotion gives a vote to a learner that is whole, once every voter was
-// asked since the set last changed. Where votes are missing that is a repair.
+// pickPromotion picks a filled learner to become a voter, once every voter was
+// observed since the set last changed. It is a repair if voters are missing and
+// growth otherwise.
 func (p *planner) pickPromotion() {
-	if p.chosen() {
+	if p.hasVoteChange() {
 		return
 	}
 	for _, entry := range voters(p.current) {
@@ -167,73 +173,74 @@
 			return
 		}
 	}
-	missing := p.votes-p.lost < p.wanted
+	missing := p.voterCount-p.lostVoters < p.targetVoters
 	for _, entry := range p.current.Disks {
-		ready := entry.Learner && p.filled[entry.Id] == ShardCount && p.view.conditions[entry.Id].well() && !p.view.leaving[entry.Node]
-		if ready && !p.chosen() && (missing || p.may(growth)) {
+		eligible := entry.Learner && p.filledShards[entry.Id] == ShardCount && p.view.conditions[entry.Id].healthy() && !p.view.retiring[entry.Node]
+		if eligible && !p.hasVoteChange() && (missing || p.inScope(repairAndGrowth)) {
 			p.promote = entry
-			p.wanted = max(p.wanted, p.votes+1-p.lost)
+			p.targetVoters = max(p.targetVoters, p.voterCount+1-p.lostVoters)
 		}
 	}
 }
 
-// build makes the next set, where anything changes.
-func (p *planner) build() {
+// buildSet builds the next set if anything changes.
+func (p *planner) buildSet() {
 	next := &DiskSet{Stamp: p.current.Stamp + 1, Cluster: p.current.Cluster}
-	changed, learners := p.chosen(), 0
+	changed, learnerCount := p.hasVoteChange(), 0
 	for _, entry := range p.current.Disks {
 		if entry == p.drop {
 			p.dropped++
-			if p.view.leaving[entry.Node] || p.stoppedForGood(p.view.conditions[entry.Id]) {
-				p.wanted = max(p.need, min(p.wanted, p.votes-1))
+			if p.view.retiring[entry.Node] || p.stoppedPermanently(p.view.conditions[entry.Id]) {
+				p.targetVoters = max(p.requiredVoters, min(p.targetVoters, p.voterCount-1))
 			}
 			continue
 		}
-		if entry.Learner && p.givesUp(entry) {
+		if entry.Learner && p.shouldDropLearner(entry) {
 			changed = true
 			continue
 		}
 		learner := entry.Learner && entry != p.promote
 		if learner {
-			learners++
+			learnerCount++
 		}
 		next.Disks = append(next.Disks, &DiskEntry{Id: entry.Id, Addr: entry.Addr, Zone: entry.Zone, Node: entry.Node, Learner: learner})
 	}
-	joining := p.joining(learners)
-	next.Disks = append(next.Disks, joining...)
-	if !changed && len(joining) == 0 {
+	added := p.newLearners(learnerCount)
+	next.Disks = append(next.Disks, added...)
+	if !changed && len(added) == 0 {
 		return
 	}
 	p.set = next
-	p.told = append(p.told, fmt.Sprintf("disk set %d is under way", next.Stamp))
+	p.status = append(p.status, fmt.Sprintf("the change to disk set %d is in progress", next.Stamp))
 }
 
-// givesUp tells that a learner goes: it is lost, or its machine leaves.
-func (p *planner) givesUp(entry *DiskEntry) bool {
-	stands := p.view.conditions[entry.Id]
-	if stands.gone || stands.silent >= p.bounds.Recover/8 {
+// shouldDropLearner reports whether a learner is removed: it is lost, or its
+// machine is being retired.
+func (p *planner) shouldDropLearner(entry *DiskEntry) bool {
+	condition := p.view.conditions[entry.Id]
+	if condition.replaced || condition.silentFor >= p.bounds.Recover/8 {
 		return true
 	}
-	return p.view.leaving[entry.Node] && p.may(anyChange)
+	return p.view.retiring[entry.Node] && p.inScope(anyChange)
 }
 
-// joining are the candidates that become learners with this change. As many
-// come at once as votes are missing; more of them are growth.
-func (p *planner) joining(learners int) []*DiskEntry {
-	votes := p.votes - p.lost
+// newLearners returns the candidates that become learners with this change: as
+// many as voters are missing, and more of them only as growth.
+func (p *planner) newLearners(learnerCount int) []*DiskEntry {
+	healthyVoters := p.voterCount - p.lostVoters
 	if p.promote != nil {
-		votes++
+		healthyVoters++
 	}
-	missing := max(0, p.wanted-votes-learners)
+	missing := max(0, p.targetVoters-healthyVoters-learnerCount)
 	if len(p.view.candidates) <= missing {
 		return p.view.candidates
 	}
-	if p.may(growth) {
-		missing = max(missing, p.budget()-learners)
+	if p.inScope(repairAndGrowth) {
+		missing = max(missing, p.faultBudget()-learnerCount)
 	}
 	return p.view.candidates[:min(max(0, missing), len(p.view.candidates))]
 }
 
-// budget is how many machines may be lost at once. As many may take places of
-// others at once, so that enough copies stay where they were.
-func (p *planner) budget() int { return max(1, (p.need-1)/2) }
+// faultBudget is how many machines may be lost at once. At most as many learners
+// are filled at once as growth, so that enough copies stay where they are.
+func (p *planner) faultBudget() int { return max(1, (p.requiredVoters-1)/2) }
--- a/internal/register/quorum.go
+++ b/internal/register/quorum.go
@@ -1,8 +1,3 @@
-// Contact with a majority of the disks. A core whose rounds get none for a
-// while says so in its membership entry, and the others prefer cores that say
-// nothing of the kind: it may be alive and heard by all, and still own nothing.
-// This steers who takes a slot; whether it may is for epochs alone.
-
 package register
 
 import (
@@ -14,90 +9,98 @@
 	"fordseam/internal/membership"
 )
 
-// NoQuorum is the word of a core that reaches no majority of the disks.
+// NoQuorum is what a core reports in its membership entry while it does not reach
+// a majority of the disks. Other cores are then preferred as leaders, because
+// such a core may be heard by all and still be unable to lead a shard. The report
+// only influences which core takes over a shard; epochs alone decide whether it
+// may.
 const NoQuorum = "no_quorum"
 
-// quorumContact is since when a core's rounds have got no majority.
+// quorumContact records whether this core's requests reach a majority of the
+// disks.
 type quorumContact struct {
 	mu sync.Mutex
-	// had is that this life reached a majority once.
-	had     bool
-	failing bool
-	since   time.Duration
-	asking  bool
+	// everReached tells that this process has reached a majority once.
+	everReached  bool
+	failing      bool
+	failingSince time.Duration
+	// probing tells that probeQuorum is running.
+	probing bool
 }
 
-// noteQuorum takes the end of a round that was begun at a moment.
-func (o *Server) noteQuorum(reached bool, began time.Duration) {
-	c := &o.contact
-	before := o.WithoutQuorum()
-	c.mu.Lock()
+// recordQuorum records whether a round of requests, or a change that waited, that
+// began at startedAt reached a majority of the disks.
+func (srv *Server) recordQuorum(reached bool, startedAt time.Duration) {
+	contact := &srv.quorum
+	wasWithout := srv.WithoutQuorum()
+	contact.mu.Lock()
 	switch {
 	case reached:
-		c.had, c.failing = true, false
-	case !c.failing:
-		c.failing, c.since = true, began
+		contact.everReached, contact.failing = true, false
+	case !contact.failing:
+		contact.failing, contact.failingSince = true, startedAt
 	}
-	c.mu.Unlock()
-	if o.WithoutQuorum() != before {
-		o.view.Refresh()
+	contact.mu.Unlock()
+	if srv.WithoutQuorum() != wasWithout {
+		srv.view.Refresh()
 	}
 	if !reached {
-		o.seekQuorum()
+		srv.probeQuorum()
 	}
 }
 
-// WithoutQuorum reports whether this core's rounds have got no majority for
-// longer than a message to a disk takes in a bad case. A core that has never
-// reached one has most likely just started with the others, and is given the
-// time in which a silent node is found.
-func (o *Server) WithoutQuorum() bool {
-	c := &o.contact
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	bounds := o.bounds.Load()
+// WithoutQuorum reports whether this core's rounds have reached no majority for a
+// heartbeat interval, which is longer than a message to a disk takes in a bad
+// case. A core that has never reached one has most likely just started together
+// with the disks, and is given the time after which a silent node is suspected.
+func (srv *Server) WithoutQuorum() bool {
+	contact := &srv.quorum
+	contact.mu.Lock()
+	defer contact.mu.Unlock()
+	bounds := srv.bounds.Load()
 	grace := bounds.Beat()
-	if !c.had {
+	if !contact.everReached {
 		grace = bounds.Suspect()
 	}
-	return c.failing && o.clock.Now()-c.since >= grace
+	return contact.failing && srv.clock.Now()-contact.failingSince >= grace
 }
 
-// seekQuorum asks the disks themselves after a round that got no majority: it may
-// have been short of time, and while this core is without one nobody turns to it,
-// so that no other round would tell.
-func (o *Server) seekQuorum() {
-	c := &o.contact
-	set := o.knownSet()
-	c.mu.Lock()
-	begins := set != nil && c.failing && !c.asking
-	c.asking = c.asking || begins
-	c.mu.Unlock()
-	if !begins {
+// probeQuorum asks the disks for their state after a round that reached no
+// majority. That round may just have been short of time, and while this core
+// reports NoQuorum it gets no requests, so no other round would end the report.
+func (srv *Server) probeQuorum() {
+	contact := &srv.quorum
+	set := srv.knownSet()
+	contact.mu.Lock()
+	starts := set != nil && contact.failing && !contact.probing
+	contact.probing = contact.probing || starts
+	contact.mu.Unlock()
+	if !starts {
 		return
 	}
-	o.clock.Go(func() {
-		reached := base.Ask(o.clock, voters(set), majority(set), o.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
-			state, err := o.disk(entry).Describe(ctx, describeBeyond(set))
+	srv.clock.Go(func() {
+		reached := base.Ask(srv.clock, voters(set), majority(set), srv.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
+			state, err := srv.disk(entry).Describe(ctx, describeRequest(set))
 			return err == nil && state.Id == entry.Id
 		})
 		if reached {
-			o.noteQuorum(true, o.clock.Now())
+			srv.recordQuorum(true, srv.clock.Now())
 		}
-		c.mu.Lock()
-		c.asking = false
-		c.mu.Unlock()
+		contact.mu.Lock()
+		contact.probing = false
+		contact.mu.Unlock()
 	})
 }
 
-// ownersFor orders the live cores for a slot. Those without a majority of the
-// disks are left out unless all are.
-func ownersFor(view *membership.View, slot uint32) []string {
+// leaderCandidates lists the live cores that may lead a shard in the order of
+// their rendezvous hashes, the preferred one first. Cores that report NoQuorum are
+// left out unless all do.
+func leaderCandidates(view *membership.View, shardNum uint32) []string {
 	alive := view.Alive(membership.RoleCore)
-	able := base.Filter(alive, func(m *membership.Member) bool { return m.Unwell != NoQuorum })
-	if len(able) == 0 {
-		able = alive
+	withQuorum := base.Filter(alive, func(m *membership.Member) bool { return m.Unwell != NoQuorum })
+	if len(withQuorum) == 0 {
+		withQuorum = alive
 	}
-	ids := base.Map(able, func(m *membership.Member) string { return m.Id })
-	return base.Rendezvous(fmt.Sprint("slot/", slot), ids)
+	ids := base.Map(withQuorum, func(m *membership.Member) string { return m.Id })
+	return base.Rendezvous(fmt.Sprint("slot/", shardNum), ids)
 }
--- a/internal/register/quorum_test.go
+++ b/internal/register/quorum_test.go
@@ -1,5 +1,3 @@
-// A core without a majority of the disks says so and is passed over, unless all
-// cores are without one.
 package register
 
 import (
@@ -13,7 +11,8 @@
 	"github.com/matryer/is"
 )
 
-func testOwner() *Server {
+// testServer returns the server of a core that knows no other member.
+func testServer() *Server {
 	clock, bounds := base.NewRealClock(), &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
 	counters := base.NewCounters()
@@ -21,53 +20,57 @@
 	return NewServer(clock, nil, membership.NewView(clock, nil, bounds, counters, self, nil, nil), bounds, counters)
 }
 
-func TestQuorumIsLostAfterAWhileAndFoundAtOnce(t *testing.T) {
+// A core reports that it has no quorum only after its requests have failed for a
+// while, and stops at the first success.
+func TestQuorumLossIsDelayedAndRecoveryImmediate(t *testing.T) {
 	bounds := base.DefaultBounds()
 	for _, row := range []struct {
-		name    string
-		had     bool
-		failing time.Duration
-		without bool
+		name          string
+		everReached   bool
+		failing       time.Duration
+		withoutQuorum bool
 	}{
 		{"just lost", true, bounds.Beat() / 2, false},
 		{"lost for a heartbeat interval", true, bounds.Beat() * 2, true},
-		{"never had, just started", false, bounds.Beat() * 2, false},
-		{"never had in the time that finds a silent node", false, bounds.Suspect() * 2, true},
+		{"never reached, just started", false, bounds.Beat() * 2, false},
+		{"never reached in the time that finds a silent node", false, bounds.Suspect() * 2, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			o := testOwner()
-			if row.had {
-				o.noteQuorum(true, o.clock.Now())
+			srv := testServer()
+			if row.everReached {
+				srv.recordQuorum(true, srv.clock.Now())
 			}
-			o.noteQuorum(false, o.clock.Now()-row.failing)
-			o.noteQuorum(false, o.clock.Now()) // the first failure counts
-			is.Equal(o.WithoutQuorum(), row.without)
-			o.noteQuorum(true, o.clock.Now())
-			is.True(!o.WithoutQuorum())
+			srv.recordQuorum(false, srv.clock.Now()-row.failing)
+			srv.recordQuorum(false, srv.clock.Now()) // the time counts from the first failure
+			is.Equal(srv.WithoutQuorum(), row.withoutQuorum)
+			srv.recordQuorum(true, srv.clock.Now())
+			is.True(!srv.WithoutQuorum())
 		})
 	}
 }
 
-func TestCoresWithoutQuorumArePassedOver(t *testing.T) {
+// A core that reports NoQuorum is no candidate to lead a shard, unless all cores
+// report it.
+func TestCoresWithoutQuorumAreNotCandidates(t *testing.T) {
 	is := is.New(t)
-	o := testOwner()
-	hear := func(id, addr, unwell string, incarnation uint64) {
-		_, err := o.view.Shuffle(context.Background(), &membership.ShuffleMessage{Members: []*membership.Member{
+	srv := testServer()
+	addCore := func(id, addr, unwell string, incarnation uint64) {
+		_, err := srv.view.Shuffle(context.Background(), &membership.ShuffleMessage{Members: []*membership.Member{
 			{Id: id, Addr: addr, Role: membership.RoleCore, Incarnation: incarnation, Unwell: unwell}}})
 		is.NoErr(err)
 	}
-	hear("b:1/b", "b:1", NoQuorum, 1)
-	hear("c:1/c", "c:1", "no_confirmed_state", 1)
-	for slot := range uint32(ShardCount) {
-		order := ownersFor(o.view, slot)
-		is.Equal(len(order), 2) // any other word keeps nobody out
-		for _, id := range order {
+	addCore("b:1/b", "b:1", NoQuorum, 1)
+	addCore("c:1/c", "c:1", "no_confirmed_state", 1)
+	for shardNum := range uint32(ShardCount) {
+		candidates := leaderCandidates(srv.view, shardNum)
+		is.Equal(len(candidates), 2) // other reasons to be unwell don't matter
+		for _, id := range candidates {
 			is.True(id != "b:1/b")
 		}
 	}
-	o.view.Unwell = func() string { return NoQuorum }
-	o.view.Refresh()
-	hear("c:1/c", "c:1", NoQuorum, 2)
-	is.Equal(len(ownersFor(o.view, 0)), 3)
+	srv.view.Unwell = func() string { return NoQuorum }
+	srv.view.Refresh()
+	addCore("c:1/c", "c:1", NoQuorum, 2)
+	is.Equal(len(leaderCandidates(srv.view, 0)), 3)
 }
--- a/internal/register/read.go
+++ b/internal/register/read.go
@@ -1,9 +1,3 @@
-// Reading the newest content at a take-over. Promises tell epochs and numbers
-// only, and the content along with them where it is small. A large one is read
-// in parts from a disk that has the newest; it cannot change meanwhile, since
-// that disk takes changes under no lower epoch any more. Where the disk is lost,
-// another with the same epoch and number goes on from the same place.
-
 package register
 
 import (
@@ -12,17 +6,18 @@
 	"fordseam/internal/base"
 )
 
-// promises gathers the disks that promised, and what is newest among them.
-type promises struct {
+// promiseSet collects the promises of a takeover and keeps the newest content
+// among them.
+type promiseSet struct {
 	mu      sync.Mutex
-	best    *PromiseReply
-	ageMs   int64
-	holders []*DiskEntry
+	best    *PromiseReply // the promise with the newest content
+	ageMs   int64         // how long a disk has held that content, at most
+	holders []*DiskEntry  // the disks that hold it
 }
 
-// add takes a promise in. No disk has held the content for longer than the
-// oldest of those that have it.
-func (p *promises) add(entry *DiskEntry, reply *PromiseReply) {
+// add adds a promise. If several disks hold the newest content, its age is that
+// at the disk that has held it the longest.
+func (p *promiseSet) add(entry *DiskEntry, reply *PromiseReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -34,40 +29,44 @@
 	}
 }
 
-// newest is the newest promise so far, how long a disk has held what it tells,
-// and the disks that do.
-func (p *promises) newest() (best *PromiseReply, ageMs int64, holders []*DiskEntry) {
+// newest returns the promise with the newest content so far, the age of that
+// content, and the disks that hold it.
+func (p *promiseSet) newest() (best *PromiseReply, ageMs int64, holders []*DiskEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.best, p.ageMs, p.holders
 }
 
-// readContent gives the content that a promise tells of.
-func (o *Server) readContent(s *slot, epoch uint64, set *DiskSet, newest *PromiseReply, holders []*DiskEntry) ([]*Put, error) {
+// readNewestContent returns the content that the newest promise describes. Small
+// content comes with the promise itself. Large content is read in parts from one
+// of its holders; it cannot change meanwhile, since the disk accepts changes
+// under no lower epoch any more. If a holder fails, another one with the same
+// epoch and sequence number continues at the same offset.
+func (srv *Server) readNewestContent(s *shard, epoch uint64, set *DiskSet, newest *PromiseReply, holders []*DiskEntry) ([]*Put, error) {
 	if !newest.Apart {
 		return newest.Puts, nil
 	}
 	var snapshot *Snapshot
 	var data []byte
-	for place, failed := 0, 0; failed < len(holders); {
-		entry := holders[place%len(holders)]
-		request := &ReadRequest{Claim: o.claim(s, epoch, set, entry), Installed: newest.Installed, Seq: newest.Seq, Offset: uint64(len(data))}
-		reply, err := o.disk(entry).Read(base.NewCtx(o.clock, o.bounds.Load().DiskLimit()), request)
+	for index, failures := 0, 0; failures < len(holders); {
+		entry := holders[index%len(holders)]
+		request := &ReadRequest{Claim: srv.claim(s, epoch, set, entry), Installed: newest.Installed, Seq: newest.Seq, Offset: uint64(len(data))}
+		reply, err := srv.disk(entry).Read(base.NewCtx(srv.clock, srv.bounds.Load().DiskLimit()), request)
 		if err != nil || !reply.Ack.Ok || len(reply.Data) == 0 || snapshot != nil && !snapshot.Equal(reply.Snapshot) {
-			o.counters.Add("content_reads_failed", 1)
-			place, failed = place+1, failed+1
+			srv.counters.Add("content_reads_failed", 1)
+			index, failures = index+1, failures+1
 			continue
 		}
 		snapshot, data = reply.Snapshot, append(data, reply.Data...)
 		if uint64(len(data)) < snapshot.Size {
-			failed = 0
+			failures = 0
 			continue
 		}
-		if puts, whole := snapshot.Decode(data); whole {
+		if puts, valid := snapshot.Decode(data); valid {
 			return puts, nil
 		}
 		snapshot, data = nil, nil
-		place, failed = place+1, failed+1
+		index, failures = index+1, failures+1
 	}
-	return nil, base.Busy(503, "content_unread", 1, "no disk gave the newest content whole")
+	return nil, base.Busy(503, "content_unread", 1, "the content of shard %d at epoch %d, change %d could not be read from any of %d disks", s.num, newest.Installed, newest.Seq, len(holders))
 }
--- a/internal/register/redundancy.go
+++ b/internal/register/redundancy.go
@@ -1,10 +1,3 @@
-// What storage machines keep beside the register has copies of its own. A
-// planned change of the disk set, which nothing forces, waits until every disk
-// of the set holds all that it should: a machine that leaves gives nothing up
-// before its content stands elsewhere, and machines that come do not push more
-// copies out of their places than the fault budget covers. The repair of a loss
-// does not wait.
-
 package register
 
 import (
@@ -15,62 +8,70 @@
 	"fordseam/internal/base"
 )
 
-// DiskGap says why a disk does not hold all that it should.
+// DiskGap is a disk that does not hold all the data it should, with the reason.
 type DiskGap struct {
 	Disk   string
 	Reason string
 }
 
-// RedundancyChecker is what the disks of a set keep beside the register.
+// RedundancyChecker checks the copies of other data that the storage machines keep
+// beside the control state. A planned change of the disk set, which no loss makes
+// necessary, waits until every disk of the set holds all the data it should. So a
+// leaving machine's data is elsewhere before it leaves, and new machines do not
+// displace more copies than the fault budget covers. The repair of a loss does
+// not wait.
 type RedundancyChecker interface {
-	// Gaps lists the disks of a set that do not hold all that they should, or do
-	// not answer. The content has its full number of copies where there is none.
+	// Gaps lists the disks of a set that do not hold all the data they should, or
+	// do not answer. If there are none, the data has its full number of copies.
 	Gaps(ctx *base.Ctx, set *DiskSet) []DiskGap
 }
 
-// SetRedundancyChecker has planned changes of the disk set wait for a content's copies. It is
-// called after Mend and before Run.
-func (o *Server) SetRedundancyChecker(content RedundancyChecker) { o.mending.content = content }
+// SetRedundancyChecker makes planned changes of the disk set wait until a checker
+// finds no gaps. It is called after EnableReconcile and before Run.
+func (srv *Server) SetRedundancyChecker(checker RedundancyChecker) {
+	srv.reconciler.redundancy = checker
+}
 
-// hold is how long a planned change of one set has waited.
-type hold struct {
+// changeDelay records since when planned changes of one disk set have waited.
+type changeDelay struct {
 	stamp uint64
 	since time.Duration
 }
 
-// redundancy is what is known of the content's copies under one set.
-type redundancy struct {
+// redundancyState is the result of a check of the copies under one disk set.
+type redundancyState struct {
 	gaps []DiskGap
-	// waited is how long a planned change of the set has been put off.
+	// waited is how long planned changes of the set have been delayed.
 	waited time.Duration
 }
 
-// full tells whether every copy is in its place.
-func (r redundancy) full() bool { return len(r.gaps) == 0 }
+// full reports whether every copy is in its place.
+func (r redundancyState) full() bool { return len(r.gaps) == 0 }
 
-// words name the disks that hold a planned change up.
-func (r redundancy) words() string {
+// describe lists the disks with gaps, which delay planned changes.
+func (r redundancyState) describe() string {
 	parts := base.Map(r.gaps, func(gap DiskGap) string { return fmt.Sprintf("disk %s %s", gap.Disk, gap.Reason) })
 	return strings.Join(parts, ", ")
 }
 
-// redundancyOf asks the disks of a set how their content stands.
-func (o *Server) redundancyOf(set *DiskSet) redundancy {
-	if o.mending.content == nil {
-		return redundancy{}
+// checkRedundancy checks the copies on the disks of a set, and records since when
+// they are incomplete.
+func (srv *Server) checkRedundancy(set *DiskSet) redundancyState {
+	if srv.reconciler.redundancy == nil {
+		return redundancyState{}
 	}
-	found := redundancy{gaps: o.mending.content.Gaps(base.NewCtx(o.clock, 2*o.bounds.Load().Beat()), set)}
-	o.mending.mu.Lock()
-	defer o.mending.mu.Unlock()
-	held := &o.mending.held
-	if found.full() {
-		*held = hold{}
-		return found
+	state := redundancyState{gaps: srv.reconciler.redundancy.Gaps(base.NewCtx(srv.clock, 2*srv.bounds.Load().Beat()), set)}
+	srv.reconciler.mu.Lock()
+	defer srv.reconciler.mu.Unlock()
+	delay := &srv.reconciler.delay
+	if state.full() {
+		*delay = changeDelay{}
+		return state
 	}
-	if held.stamp != set.Stamp {
-		*held = hold{stamp: set.Stamp, since: o.clock.Now()}
+	if delay.stamp != set.Stamp {
+		*delay = changeDelay{stamp: set.Stamp, since: srv.clock.Now()}
 	}
-	found.waited = o.clock.Now() - held.since
-	o.counters.Add("planned_changes_held", 1)
-	return found
+	state.waited = srv.clock.Now() - delay.since
+	srv.counters.Add("planned_changes_held", 1)
+	return state
 }
--- a/internal/register/replicate.go
+++ b/internal/register/replicate.go
@@ -1,6 +1,3 @@
-// Replication: one sender for each slot and disk brings the disk up to the
-// owner's content and keeps it there.
-
 package register
 
 import (
@@ -10,9 +7,10 @@
 	"fordseam/internal/consensus"
 )
 
-// refit starts a sender to each disk of the set that has none.
-func (o *Server) refit(s *slot) {
-	set := o.knownSet()
+// startSenders starts a sender for each disk of the set that has none yet. There
+// is one sender for each shard that this core leads and each disk.
+func (srv *Server) startSenders(s *shard) {
+	set := srv.knownSet()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.epoch == 0 || s.progress == nil {
@@ -22,146 +20,152 @@
 		if s.progress[entry.Id] == nil {
 			s.progress[entry.Id] = &consensus.Progress{}
 			epoch := s.epoch
-			o.clock.Go(func() { o.send(s, epoch, entry) })
+			srv.clock.Go(func() { srv.replicate(s, epoch, entry) })
 		}
 	}
 }
 
-// send keeps one disk up with one slot: its content first, then what follows.
-func (o *Server) send(s *slot, epoch uint64, entry *DiskEntry) {
+// replicate keeps one disk up to date with one shard while this core leads it and
+// the disk is in the set: it sends a snapshot if the disk needs one, then the
+// entries that follow.
+func (srv *Server) replicate(s *shard, epoch uint64, entry *DiskEntry) {
 	for {
-		next := s.bell.Next()
+		changed := s.changed.Next()
 		s.mu.Lock()
 		if s.epoch != epoch {
 			s.mu.Unlock()
 			return
 		}
-		set := o.knownSet()
+		set := srv.knownSet()
 		if !inSet(set, entry.Id) {
 			delete(s.progress, entry.Id)
 			delete(s.transfers, entry.Id)
 			s.mu.Unlock()
 			return
 		}
-		repair := s.based && s.needsFrame(entry.Id) && !s.progress[entry.Id].Unresponsive
+		repair := s.majorityInstalled && s.needsSnapshot(entry.Id) && !s.progress[entry.Id].Unresponsive
 		if repair {
-			if turn := o.beginRepair(entry.Id); turn != nil {
+			if ended := srv.beginRepair(entry.Id); ended != nil {
 				s.mu.Unlock()
-				turn.Wait(o.bounds.Load().Beat() / 2)
+				ended.Wait(srv.bounds.Load().Beat() / 2)
 				continue
 			}
 		}
-		sent := s.outstanding(o.claim(s, epoch, set, entry), entry.Id)
+		message := s.nextMessage(srv.claim(s, epoch, set, entry), entry.Id)
 		s.mu.Unlock()
-		if sent == nil {
-			next.Wait(-1)
+		if message == nil {
+			changed.Wait(-1)
 			continue
 		}
-		ack, pause, err := o.carry(s, epoch, entry, sent, set.Stamp)
+		ack, pause, err := srv.deliver(s, epoch, entry, message, set.Stamp)
 		if repair {
 			if pause > 0 {
-				o.clock.Sleep(pause)
+				srv.clock.Sleep(pause)
 			}
-			o.endRepair(entry.Id)
+			srv.endRepair(entry.Id)
 		}
 		if err != nil || !ack.Ok {
-			if !o.mend(s, epoch, entry, ack) {
+			if !srv.handleRejection(s, epoch, entry, ack) {
 				return
 			}
 		}
 	}
 }
 
-// carry delivers a message, notes what the disk has of it, and tells how long to
-// wait after it if it is a repair's.
-func (o *Server) carry(s *slot, epoch uint64, entry *DiskEntry, sent *delivery, setStamp uint64) (ack *Ack, pause time.Duration, err error) {
-	if ack, err = o.deliver(entry, sent); err != nil || !ack.Ok {
+// deliver sends a message and records what the disk acknowledged. pause is how
+// long the sender of a repair waits afterwards to stay within the repair rate.
+func (srv *Server) deliver(s *shard, epoch uint64, entry *DiskEntry, message *diskMessage, setStamp uint64) (ack *Ack, pause time.Duration, err error) {
+	if ack, err = srv.callDisk(entry, message); err != nil || !ack.Ok {
 		return ack, 0, err
 	}
 	s.mu.Lock()
-	staged := s.stagedPart(entry.Id, sent, ack)
-	pause = s.pauseAfter(entry.Id, sent)
+	partial := s.recordStaged(entry.Id, message, ack)
+	pause = s.repairDelay(entry.Id, message)
 	s.mu.Unlock()
-	if staged {
-		s.bell.Ring()
+	if partial {
+		s.changed.Ring()
 	} else {
-		o.acknowledge(s, epoch, entry.Id, ack.Seq, setStamp)
+		srv.recordAck(s, epoch, entry.Id, ack.Seq, setStamp)
 	}
 	return ack, pause, nil
 }
 
-// repairsAtOnce bounds the frames that one core sends to each disk that is
-// behind while its slots are served without it, so that repair stays below the
-// live traffic, and a disk that falls silent does not hold up another's. A take-over's own frames are not held back.
-const repairsAtOnce = 2
+// maxRepairsPerDisk bounds the snapshots that one core sends at the same time to
+// each disk that is behind while its shards are served without it. So repairs
+// stay below the live traffic, and a disk that falls silent does not delay
+// another one's repair. Snapshots that a takeover itself needs are not limited.
+const maxRepairsPerDisk = 2
 
-// beginRepair takes a place, or gives what to wait for until one is free.
-func (o *Server) beginRepair(disk string) base.Signal {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.repairs[disk] >= repairsAtOnce {
-		o.counters.Add("repairs_paced", 1)
-		return o.repaired
+// beginRepair reserves one of the disk's repairs, or returns a signal to wait
+// for if all are in use.
+func (srv *Server) beginRepair(diskID string) base.Signal {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.repairs[diskID] >= maxRepairsPerDisk {
+		srv.counters.Add("repairs_paced", 1)
+		return srv.repairEnded
 	}
-	o.repairs[disk]++
+	srv.repairs[diskID]++
 	return nil
 }
 
-func (o *Server) endRepair(disk string) {
-	o.mu.Lock()
-	if o.repairs[disk]--; o.repairs[disk] == 0 {
-		delete(o.repairs, disk)
+// endRepair releases a reservation of beginRepair.
+func (srv *Server) endRepair(diskID string) {
+	srv.mu.Lock()
+	if srv.repairs[diskID]--; srv.repairs[diskID] == 0 {
+		delete(srv.repairs, diskID)
 	}
-	freed := o.repaired
-	o.repaired = o.clock.NewSignal()
-	o.mu.Unlock()
-	freed.Fire()
+	ended := srv.repairEnded
+	srv.repairEnded = srv.clock.NewSignal()
+	srv.mu.Unlock()
+	ended.Fire()
 }
 
-func (o *Server) deliver(entry *DiskEntry, sent *delivery) (*Ack, error) {
-	ctx, disk := base.NewCtx(o.clock, o.bounds.Load().DiskLimit()), o.disk(entry)
+// callDisk sends a message to a disk and returns its answer.
+func (srv *Server) callDisk(entry *DiskEntry, message *diskMessage) (*Ack, error) {
+	ctx, disk := base.NewCtx(srv.clock, srv.bounds.Load().DiskLimit()), srv.disk(entry)
 	switch {
-	case sent.install != nil:
-		o.counters.Add("disk_installs_sent", 1)
-		return disk.Install(ctx, sent.install)
-	case sent.part != nil:
-		o.counters.Add("disk_parts_sent", 1)
-		return disk.InstallPart(ctx, sent.part)
+	case message.install != nil:
+		srv.counters.Add("disk_installs_sent", 1)
+		return disk.Install(ctx, message.install)
+	case message.part != nil:
+		srv.counters.Add("disk_parts_sent", 1)
+		return disk.InstallPart(ctx, message.part)
 	}
-	o.counters.Add("disk_appends_sent", 1)
-	return disk.Append(ctx, sent.appended)
+	srv.counters.Add("disk_appends_sent", 1)
+	return disk.Append(ctx, message.appendEntries)
 }
 
-// mend reacts to a disk that did not take what it was sent, and says whether
-// to go on sending.
-func (o *Server) mend(s *slot, epoch uint64, entry *DiskEntry, ack *Ack) bool {
-	pause := o.bounds.Load().Beat() / 2
+// handleRejection handles a disk's rejection of a message, or the lack of an
+// answer if ack is nil. It reports whether the sender should go on.
+func (srv *Server) handleRejection(s *shard, epoch uint64, entry *DiskEntry, ack *Ack) bool {
+	pause := srv.bounds.Load().Beat() / 2
 	if ack != nil {
 		switch ack.Why {
 		case "epoch":
-			o.stepDown(s, epoch, ack.Epoch)
+			srv.stepDown(s, epoch, ack.Epoch)
 			return false
 		case "set":
-			if o.agreeOnSet(entry, ack) {
+			if srv.resolveSetMismatch(entry, ack) {
 				return true
 			}
 		case "behind":
 			s.mu.Lock()
-			if mark := s.progress[entry.Id]; s.epoch == epoch && mark != nil {
-				mark.Installed, mark.Unresponsive = false, false
+			if progress := s.progress[entry.Id]; s.epoch == epoch && progress != nil {
+				progress.Installed, progress.Unresponsive = false, false
 			}
 			s.mu.Unlock()
 			return true
 		}
 	}
 	s.mu.Lock()
-	if mark := s.progress[entry.Id]; s.epoch == epoch && mark != nil {
-		mark.Unresponsive = ack == nil
+	if progress := s.progress[entry.Id]; s.epoch == epoch && progress != nil {
+		progress.Unresponsive = ack == nil
 		if ack != nil && ack.Why == "damaged" {
 			delete(s.transfers, entry.Id)
 		}
 	}
 	s.mu.Unlock()
-	o.clock.Sleep(pause + time.Duration(o.clock.Int64N(int64(pause))))
+	srv.clock.Sleep(pause + time.Duration(srv.clock.Int64N(int64(pause))))
 	return true
 }
--- a/internal/register/retire.go
+++ b/internal/register/retire.go
@@ -1,9 +1,3 @@
-// A machine is retired by its name. The wish is kept in the feed, so whoever
-// owns slot 0 carries it out, and mending does not take the machine back. It is
-// complete once the machine's disk is out of the set, every slot is whole
-// without it, and whatever else keeps data there says that it holds none; then
-// the machine may be taken away together with its disk.
-
 package register
 
 import (
@@ -12,18 +6,23 @@
 	"fordseam/internal/base"
 )
 
-// RetirementPrefix is where the feed tells of machines being retired.
+// RetirementPrefix is the prefix of the feed's keys of retirements.
 const RetirementPrefix = FeedGroup + "/retiring/"
 
-// Retirement is the record of one machine's retirement.
+// Retirement is the stored record of a machine's retirement. It is kept in the
+// feed's shard, so that each leader of that shard carries it on, and
+// reconciliation does not admit the machine again. It is complete once the
+// machine's disk is out of the disk set, a majority of the set holds every shard
+// without it, and no other data is left on the disk; then the machine may be
+// removed together with its disk.
 type Retirement struct {
 	Node string `json:"node"`
-	// Disk is what the machine held when it was asked for, if anything.
+	// Disk is the machine's disk when the retirement began, if it had one.
 	Disk     string `json:"disk,omitempty"`
 	Complete bool   `json:"complete"`
 }
 
-// State is the word for how far it has come.
+// State returns the state that operators are shown.
 func (r *Retirement) State() string {
 	if r.Complete {
 		return "complete"
@@ -31,92 +30,93 @@
 	return "active"
 }
 
-func loadRetiring(raw []byte) *Retirement {
-	var found Retirement
-	if raw == nil || json.Unmarshal(raw, &found) != nil {
+func decodeRetirement(raw []byte) *Retirement {
+	var retirement Retirement
+	if raw == nil || json.Unmarshal(raw, &retirement) != nil {
 		return nil
 	}
-	return &found
+	return &retirement
 }
 
-// RetireNode has a machine emptied. It may be asked again at any time.
+// RetireNode begins the retirement of a machine. It may be repeated at any time.
 func RetireNode(ctx *base.Ctx, client *Client, node string) (*Retirement, error) {
-	var found Retirement
-	return &found, client.Change(ctx, FeedGroup, "retiring.begin", Retirement{Node: node}, &found)
+	var retirement Retirement
+	return &retirement, client.Change(ctx, FeedGroup, "retiring.begin", Retirement{Node: node}, &retirement)
 }
 
-// GetRetirement tells how far a machine's retirement has come.
+// GetRetirement returns the record of a machine's retirement.
 func GetRetirement(ctx *base.Ctx, client *Client, node string) (*Retirement, error) {
-	var found Retirement
-	return &found, client.Read(ctx, FeedGroup, "retiring.get", Retirement{Node: node}, &found)
+	var retirement Retirement
+	return &retirement, client.Read(ctx, FeedGroup, "retiring.get", Retirement{Node: node}, &retirement)
 }
 
-func (o *Server) handleRetiring() {
-	handle := func(name string, op func(tx *Tx, asked, now *Retirement) (any, error)) {
-		o.Handle(name, func(tx *Tx, args []byte) (any, error) {
-			var asked Retirement
-			if json.Unmarshal(args, &asked) != nil || asked.Node == "" {
-				return nil, base.DeclineField("node", "must be a machine's name")
+// registerRetirementOps registers the operations that read and change retirements.
+func (srv *Server) registerRetirementOps() {
+	handle := func(name string, op func(tx *Tx, request, existing *Retirement) (any, error)) {
+		srv.Handle(name, func(tx *Tx, args []byte) (any, error) {
+			var request Retirement
+			if json.Unmarshal(args, &request) != nil || request.Node == "" {
+				return nil, base.DeclineField("node", "must be the name of a storage machine")
 			}
-			return op(tx, &asked, loadRetiring(tx.Get(RetirementPrefix+asked.Node)))
+			return op(tx, &request, decodeRetirement(tx.Get(RetirementPrefix+request.Node)))
 		})
 	}
-	unknown := func(node string) error {
-		return base.Decline(404, "unknown_node", "no storage machine is called %q", node)
+	unknownNode := func(node string) error {
+		return base.Decline(404, "unknown_node", "no storage machine is named %q", node)
 	}
-	handle("retiring.get", func(_ *Tx, asked, now *Retirement) (any, error) {
-		if now == nil {
-			return nil, unknown(asked.Node)
+	handle("retiring.get", func(_ *Tx, request, existing *Retirement) (any, error) {
+		if existing == nil {
+			return nil, unknownNode(request.Node)
 		}
-		return now, nil
+		return existing, nil
 	})
-	handle("retiring.begin", func(tx *Tx, asked, now *Retirement) (any, error) {
-		if now != nil {
-			return now, nil
+	handle("retiring.begin", func(tx *Tx, request, existing *Retirement) (any, error) {
+		if existing != nil {
+			return existing, nil
 		}
-		if o.mending == nil {
-			return nil, base.Decline(409, "not_mending", "machines are retired by name only where the disk set mends itself; retire the disk")
+		if srv.reconciler == nil {
+			return nil, base.Decline(409, "not_mending", "machine %q cannot be retired by name, because the disk set is not reconciled automatically; retire its disk instead", request.Node)
 		}
-		disks := loadDisks(tx.Get(DiskSetKey))
-		if disks == nil {
-			return nil, base.Busy(503, "slot_not_ready", 1, "the disk set is not recorded yet")
+		record := decodeDiskSetRecord(tx.Get(DiskSetKey))
+		if record == nil {
+			return nil, base.Busy(503, "slot_not_ready", 1, "the disk set has not been recorded yet")
 		}
-		id, known := o.mending.diskOf(asked.Node)
-		leaving := map[string]bool{asked.Node: true}
+		diskID, known := srv.reconciler.diskOfNode(request.Node)
+		retiring := map[string]bool{request.Node: true}
 		tx.Walk(RetirementPrefix, "", func(_ string, value []byte) bool {
-			if other := loadRetiring(value); other != nil {
-				leaving[other.Node] = true
+			if other := decodeRetirement(value); other != nil {
+				retiring[other.Node] = true
 			}
 			return true
 		})
-		set := disks.Current
-		if disks.Next != nil {
-			set = disks.Next
+		set := record.Current
+		if record.Next != nil {
+			set = record.Next
 		}
-		left := 0
+		remaining := 0
 		for _, entry := range set.Disks {
-			if entry.Node == asked.Node {
-				id, known = entry.Id, true
+			if entry.Node == request.Node {
+				diskID, known = entry.Id, true
 			}
-			if !entry.Learner && !leaving[entry.Node] {
-				left++
+			if !entry.Learner && !retiring[entry.Node] {
+				remaining++
 			}
 		}
 		if !known {
-			return nil, unknown(asked.Node)
+			return nil, unknownNode(request.Node)
 		}
-		if need := o.mending.least(); left < need {
-			return nil, base.Decline(409, "too_few_disks", "%d disks would remain; at least %d must", left, need)
+		if required := srv.reconciler.requiredVoters(); remaining < required {
+			return nil, base.Decline(409, "too_few_disks", "without machine %q only %d voting disks would remain; at least %d are required", request.Node, remaining, required)
 		}
-		begun := &Retirement{Node: asked.Node, Disk: id}
-		tx.Put(RetirementPrefix+asked.Node, base.Encode(begun))
-		return begun, nil
+		retirement := &Retirement{Node: request.Node, Disk: diskID}
+		tx.Put(RetirementPrefix+request.Node, base.Encode(retirement))
+		return retirement, nil
 	})
-	handle("retiring.conclude", func(tx *Tx, _, now *Retirement) (any, error) {
-		if now != nil && !now.Complete {
-			now.Complete = true
-			tx.Put(RetirementPrefix+now.Node, base.Encode(now))
+	handle("retiring.conclude", func(tx *Tx, _, existing *Retirement) (any, error) {
+		if existing != nil && !existing.Complete {
+			existing.Complete = true
+			tx.Put(RetirementPrefix+existing.Node, base.Encode(existing))
 		}
-		return now, nil
+		return existing, nil
 	})
 }
--- a/internal/register/retirements.go
+++ b/internal/register/retirements.go
@@ -1,5 +1,3 @@
-// Retirements under way, and what they wait for.
-
 package register
 
 import (
@@ -9,44 +7,46 @@
 	"fordseam/internal/base"
 )
 
-// retirements is what became of the machines being retired.
-type retirements struct {
-	finished bool
-	told     []string
+// retirementProgress is the result of a pass over the retirements: whether one was
+// concluded, and what the others wait for.
+type retirementProgress struct {
+	concluded bool
+	status    []string
 }
 
-// finishRetiring concludes retirements whose disk is out of the set, which is
-// settled, whose content has its full number of copies without it, and of which
-// nothing else is kept.
-func (o *Server) finishRetiring(found *recorded) (result retirements) {
-	set := found.disks.Current
-	for _, retiring := range found.retiring {
-		if retiring.Complete {
+// concludeRetirements marks those retirements complete that nothing blocks any
+// more. The disk set must be settled.
+func (srv *Server) concludeRetirements(records *feedRecords) (result retirementProgress) {
+	set := records.diskSet.Current
+	for _, retirement := range records.retirements {
+		if retirement.Complete {
 			continue
 		}
-		if waits := o.retirementWaits(set, retiring); waits != "" {
-			result.told = append(result.told, fmt.Sprintf("machine %s is being retired: %s", retiring.Node, waits))
+		if blocker := srv.retirementBlocker(set, retirement); blocker != "" {
+			result.status = append(result.status, fmt.Sprintf("machine %s is being retired: %s", retirement.Node, blocker))
 			continue
 		}
-		result.finished = o.own("retiring.conclude", retiring) == nil || result.finished
+		result.concluded = srv.applyToFeed("retiring.conclude", retirement) == nil || result.concluded
 	}
 	return result
 }
 
-// retirementWaits says what keeps a machine from being given up.
-func (o *Server) retirementWaits(set *DiskSet, retiring *Retirement) string {
-	stays := slices.ContainsFunc(set.Disks, func(entry *DiskEntry) bool {
-		return entry.Node == retiring.Node || entry.Id == retiring.Disk
+// retirementBlocker describes what a retirement waits for: the removal of its disk
+// from the set, the full number of copies of other data without it, or the disk
+// to be empty. It returns "" if nothing is left to wait for.
+func (srv *Server) retirementBlocker(set *DiskSet, retirement *Retirement) string {
+	diskInSet := slices.ContainsFunc(set.Disks, func(entry *DiskEntry) bool {
+		return entry.Node == retirement.Node || entry.Id == retirement.Disk
 	})
-	if stays {
-		return "its disk is in the set"
+	if diskInSet {
+		return "its disk is still in the disk set"
 	}
-	if copies := o.redundancyOf(set); !copies.full() {
-		return copies.words()
+	if redundancy := srv.checkRedundancy(set); !redundancy.full() {
+		return redundancy.describe()
 	}
-	if emptied := o.mending.emptied; emptied != nil && retiring.Disk != "" {
-		if empty, err := emptied(base.NewCtx(o.clock, o.bounds.Load().Call()), retiring.Disk); err != nil || !empty {
-			return "data is kept there"
+	if isEmpty := srv.reconciler.isEmpty; isEmpty != nil && retirement.Disk != "" {
+		if empty, err := isEmpty(base.NewCtx(srv.clock, srv.bounds.Load().Call()), retirement.Disk); err != nil || !empty {
+			return fmt.Sprintf("disk %s still holds other data, or could not be asked", retirement.Disk)
 		}
 	}
 	return ""
--- a/internal/register/search.go
+++ b/internal/register/search.go
@@ -1,6 +1,3 @@
-// A search for the owner of a slot: cores are called one after the other, and
-// another one while the first gives no answer, until one answers for itself.
-
 package register
 
 import (
@@ -10,231 +7,232 @@
 	"fordseam/internal/base"
 )
 
-// forEver is the patience of a search that never calls two cores at once.
-const forEver time.Duration = -1
+// neverHedge is the hedgeAfter of a search that never calls two cores at once.
+const neverHedge time.Duration = -1
 
-// answer is what one core said to a call: the result, who else to ask, or why
-// there is none.
-type answer struct {
+// coreReply is what a call to a core returned: the result if it leads the shard,
+// another core to call, or an error.
+type coreReply struct {
 	core   string
-	hint   string
+	hint   string // the core to call instead
 	result []byte
 	err    error
 }
 
-// search is one call's way to the owner.
-type search struct {
-	client   *Client
-	ctx      *base.Ctx
-	slot     uint32
-	limit    time.Duration
-	patience time.Duration
-	call     func(ctx *base.Ctx, addr string) answer
-
-	// turned counts the calls that brought no core nearer to answering.
-	turned map[string]int
-	// last is the newest refusal; lost that some call may have run.
-	last error
-	lost bool
-	hops int
-
-	mu      sync.Mutex
-	pending map[string]bool
-	answers []answer
-	arrived *base.Bell
+// leaderSearch calls cores until the leader of a shard answers for itself. It
+// calls one core after the other, and a further one while a call has no answer
+// yet.
+type leaderSearch struct {
+	client      *Client
+	ctx         *base.Ctx
+	shardNum    uint32
+	callTimeout time.Duration
+	hedgeAfter  time.Duration
+	call        func(ctx *base.Ctx, addr string) coreReply
+
+	// failures counts for each core the calls that brought the search no further.
+	failures map[string]int
+	lastErr  error
+	// mayHaveRun tells that a call that failed may have been executed.
+	mayHaveRun bool
+	attempts   int
+
+	mu       sync.Mutex
+	inFlight map[string]bool
+	replies  []coreReply // not handled yet
+	replied  *base.Bell  // rung at each reply
 }
 
-// search asks until a core answers for itself or the context is over. A call
-// may take up to limit; after patience without any answer another core is asked
-// as well, so call must bear being made twice at once unless patience is
-// forEver.
-func (c *Client) search(ctx *base.Ctx, slot uint32, limit, patience time.Duration, call func(ctx *base.Ctx, addr string) answer) ([]byte, error) {
-	s := &search{client: c, ctx: ctx, slot: slot, limit: limit, patience: patience, call: call,
-		turned: map[string]int{}, pending: map[string]bool{}, arrived: base.NewBell(c.clock)}
+// findLeader calls cores until one answers for itself or the context is over, and
+// returns that core's result. Each call may take up to callTimeout. After
+// hedgeAfter without an answer another core is called as well, so call must be
+// safe for concurrent use unless hedgeAfter is neverHedge.
+func (c *Client) findLeader(ctx *base.Ctx, shardNum uint32, callTimeout, hedgeAfter time.Duration, call func(ctx *base.Ctx, addr string) coreReply) ([]byte, error) {
+	s := &leaderSearch{client: c, ctx: ctx, shardNum: shardNum, callTimeout: callTimeout, hedgeAfter: hedgeAfter, call: call,
+		failures: map[string]int{}, inFlight: map[string]bool{}, replied: base.NewBell(c.clock)}
 	hint := ""
-	for ; !ctx.Over(); s.hops++ {
-		chosen := hint
-		if chosen == "" || s.turned[chosen] > 0 {
-			chosen = c.choose(slot, s.turned)
+	for ; !ctx.Over(); s.attempts++ {
+		core := hint
+		if core == "" || s.failures[core] > 0 {
+			core = c.pickCore(shardNum, s.failures)
 		}
 		hint = ""
-		if chosen == "" && !s.waits() {
+		if core == "" && !s.hasCalls() {
 			s.awaitCore()
 			continue
 		}
-		if s.begin(chosen) {
-			got, ok := s.next()
+		if s.startCall(core) {
+			reply, ok := s.nextReply()
 			if !ok {
-				s.passOver(chosen)
+				s.passOver(core)
 				continue
 			}
-			over, err := s.take(got)
-			if over {
-				return got.result, err
+			done, err := s.handleReply(reply)
+			if done {
+				return reply.result, err
 			}
-			hint = s.follow(got)
+			hint = s.followHint(reply)
 		}
-		if s.hops > 0 || hint == "" {
-			s.pause()
+		if s.attempts > 0 || hint == "" {
+			s.backoff()
 		}
 	}
-	return nil, s.unanswered()
+	return nil, s.timeoutError()
 }
 
-// waits tells that some call is under way or an answer has come.
-func (s *search) waits() bool {
+// hasCalls reports whether a call is in flight or a reply is not handled yet.
+func (s *leaderSearch) hasCalls() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.pending)+len(s.answers) > 0
+	return len(s.inFlight)+len(s.replies) > 0
 }
 
-// awaitCore waits until this node hears of others while it knows no core: it has
-// just started, and asks nobody meanwhile.
-func (s *search) awaitCore() {
+// awaitCore waits for a change of the membership view while no core is known, as
+// on a node that has just started. Such a wait is no attempt.
+func (s *leaderSearch) awaitCore() {
 	changed := s.client.view.Changed()
-	if s.client.choose(s.slot, s.turned) == "" {
+	if s.client.pickCore(s.shardNum, s.failures) == "" {
 		changed.Wait(min(s.ctx.Left(), s.client.bounds.Load().Beat()/4))
 	}
-	s.hops = -1
+	s.attempts = -1
 }
 
-// begin calls a core, unless a call to it is under way or it is not known, and
-// tells whether there is an answer to wait for.
-func (s *search) begin(core string) bool {
+// startCall calls a core unless it is unknown or already being called. It reports
+// whether there is a reply to wait for.
+func (s *leaderSearch) startCall(core string) bool {
 	member, _ := s.client.view.Find(core)
 	s.mu.Lock()
-	waiting := len(s.pending)+len(s.answers) > 0
-	calls := member != nil && !s.pending[core]
-	if calls {
-		s.pending[core] = true
+	waiting := len(s.inFlight)+len(s.replies) > 0
+	callable := member != nil && !s.inFlight[core]
+	if callable {
+		s.inFlight[core] = true
 	}
 	s.mu.Unlock()
 	switch {
-	case !calls:
+	case !callable:
 		return waiting
-	case s.patience == forEver:
-		s.arrive(core, s.call(s.ctx.Within(s.limit), member.Addr))
+	case s.hedgeAfter == neverHedge:
+		s.addReply(core, s.call(s.ctx.Within(s.callTimeout), member.Addr))
 	default:
-		s.client.clock.Go(func() { s.arrive(core, s.call(s.ctx.Within(s.limit), member.Addr)) })
+		s.client.clock.Go(func() { s.addReply(core, s.call(s.ctx.Within(s.callTimeout), member.Addr)) })
 	}
 	return true
 }
 
-// arrive keeps an answer.
-func (s *search) arrive(core string, got answer) {
-	got.core = core
+// addReply queues a core's reply.
+func (s *leaderSearch) addReply(core string, reply coreReply) {
+	reply.core = core
 	s.mu.Lock()
-	delete(s.pending, core)
-	s.answers = append(s.answers, got)
+	delete(s.inFlight, core)
+	s.replies = append(s.replies, reply)
 	s.mu.Unlock()
-	s.arrived.Ring()
+	s.replied.Ring()
 }
 
-// next waits for an answer of any core that was called, for as long as the
-// search is patient.
-func (s *search) next() (answer, bool) {
+// nextReply waits for a reply of any called core, for up to hedgeAfter.
+func (s *leaderSearch) nextReply() (coreReply, bool) {
 	clock := s.client.clock
-	end := clock.Now() + s.ctx.Left()
-	if s.patience != forEver {
-		end = min(end, clock.Now()+s.patience)
+	deadline := clock.Now() + s.ctx.Left()
+	if s.hedgeAfter != neverHedge {
+		deadline = min(deadline, clock.Now()+s.hedgeAfter)
 	}
 	for {
-		news := s.arrived.Next()
+		replied := s.replied.Next()
 		s.mu.Lock()
-		if len(s.answers) > 0 {
-			got := s.answers[0]
-			s.answers = s.answers[1:]
+		if len(s.replies) > 0 {
+			reply := s.replies[0]
+			s.replies = s.replies[1:]
 			s.mu.Unlock()
-			return got, true
+			return reply, true
 		}
 		s.mu.Unlock()
-		if clock.Now() >= end {
-			return answer{}, false
+		if clock.Now() >= deadline {
+			return coreReply{}, false
 		}
-		news.Wait(end - clock.Now())
+		replied.Wait(deadline - clock.Now())
 	}
 }
 
-// passOver goes on without a core that is silent so far; the view looks
-// whether it still lives.
-func (s *search) passOver(core string) {
-	s.turned[core]++
+// passOver lets the search go on without a core that has not answered yet, and
+// has the membership view probe it.
+func (s *leaderSearch) passOver(core string) {
+	s.failures[core]++
 	s.client.view.Probe(core)
 }
 
-// take learns from an answer and tells whether it ends the search.
-func (s *search) take(got answer) (over bool, err error) {
-	if got.err == nil {
-		if got.hint == "" {
-			s.client.note(s.slot, got.core)
+// handleReply records what a reply tells and reports whether it ends the search.
+func (s *leaderSearch) handleReply(reply coreReply) (done bool, err error) {
+	if reply.err == nil {
+		if reply.hint == "" {
+			s.client.recordLeader(s.shardNum, reply.core)
 		}
-		return got.hint == "", nil
+		return reply.hint == "", nil
 	}
-	refused := base.FromWire(got.err)
-	s.last = refused
-	switch refused.Code {
+	failure := base.FromWire(reply.err)
+	s.lastErr = failure
+	switch failure.Code {
 	case "unreachable":
-		s.turned[got.core]++
-		s.client.view.Suspect(got.core)
+		s.failures[reply.core]++
+		s.client.view.Suspect(reply.core)
 	case "reply_lost":
-		s.turned[got.core]++
-		s.lost = true
-		s.client.view.Suspect(got.core)
+		s.failures[reply.core]++
+		s.mayHaveRun = true
+		s.client.view.Suspect(reply.core)
 	case "no_majority":
-		s.turned[got.core]++
-		s.lost = s.lost || refused.Ran != base.NotRun
+		s.failures[reply.core]++
+		s.mayHaveRun = s.mayHaveRun || failure.Ran != base.NotRun
 	case "slot_moved", "slot_not_ready", "no_disks":
-		s.lost = s.lost || refused.Ran != base.NotRun
+		s.mayHaveRun = s.mayHaveRun || failure.Ran != base.NotRun
 	default:
-		return true, refused
+		return true, failure
 	}
 	return false, nil
 }
 
-// follow gives the core that an answer names, if it is taken for alive here:
-// the one that was asked looks after it meanwhile, and is asked again. A core
-// that names one which was called in vain brings nothing nearer either, and
-// counts as called in vain itself; else it would be asked for ever, and the one
-// that it names never again.
-func (s *search) follow(got answer) string {
-	if _, alive := s.client.view.Find(got.hint); !alive {
+// followHint returns the core that a reply names if this node believes it alive.
+// If not, the core that named it is called again; it probes the named core
+// meanwhile. If calls to the named core have failed, the hint counts as a failure
+// of the core that gave it; otherwise that core would be called again and again,
+// and the one that it names never.
+func (s *leaderSearch) followHint(reply coreReply) string {
+	if _, alive := s.client.view.Find(reply.hint); !alive {
 		return ""
 	}
-	if s.turned[got.hint] > 0 {
-		s.turned[got.core]++
+	if s.failures[reply.hint] > 0 {
+		s.failures[reply.core]++
 		return ""
 	}
-	return got.hint
+	return reply.hint
 }
 
-// pause keeps a search that finds nobody from asking in a tight loop; an answer
-// that arrives ends it.
-func (s *search) pause() {
-	const doublings = 3
-	pause := s.client.bounds.Load().Beat() / 10 << min(s.hops, doublings)
-	pause += time.Duration(s.client.clock.Int64N(int64(pause)))
-	news := s.arrived.Next()
+// backoff waits before the next attempt, for a randomized time that grows with
+// the attempts, or until a reply arrives.
+func (s *leaderSearch) backoff() {
+	const maxDoublings = 3
+	delay := s.client.bounds.Load().Beat() / 10 << min(s.attempts, maxDoublings)
+	delay += time.Duration(s.client.clock.Int64N(int64(delay)))
+	replied := s.replied.Next()
 	s.mu.Lock()
-	arrived := len(s.answers) > 0
+	hasReply := len(s.replies) > 0
 	s.mu.Unlock()
-	if !arrived {
-		news.Wait(min(s.ctx.Left(), pause))
+	if !hasReply {
+		replied.Wait(min(s.ctx.Left(), delay))
 	}
 }
 
-// unanswered is what the caller is told when the time is over.
-func (s *search) unanswered() error {
+// timeoutError returns the error of a search whose context is over.
+func (s *leaderSearch) timeoutError() error {
 	s.mu.Lock()
-	lost := s.lost || len(s.pending) > 0
-	for _, got := range s.answers {
-		lost = lost || base.FromWire(got.err) != nil && base.FromWire(got.err).Ran != base.NotRun
+	mayHaveRun := s.mayHaveRun || len(s.inFlight) > 0
+	for _, reply := range s.replies {
+		mayHaveRun = mayHaveRun || base.FromWire(reply.err) != nil && base.FromWire(reply.err).Ran != base.NotRun
 	}
 	s.mu.Unlock()
-	if s.last == nil {
-		s.last = base.Busy(503, "silent", 1, "no core has answered")
+	if s.lastErr == nil {
+		s.lastErr = base.Busy(503, "silent", 1, "no core has answered")
 	}
-	if lost {
-		return base.Unsure(503, "outcome_unknown", "the control state did not answer in time: %v", s.last)
+	if mayHaveRun {
+		return base.Unsure(503, "outcome_unknown", "shard %d of the control state did not answer in time: %v", s.shardNum, s.lastErr)
 	}
-	return base.Busy(503, "control_unreachable", 1, "the control state could not be reached: %v", s.last)
+	return base.Busy(503, "control_unreachable", 1, "shard %d of the control state could not be reached: %v", s.shardNum, s.lastErr)
 }
--- a/internal/register/search_test.go
+++ b/internal/register/search_test.go
@@ -1,5 +1,3 @@
-// A search for the owner of a slot ends at a core that refused once and is ready
-// since.
 package register
 
 import (
@@ -13,44 +11,47 @@
 	"github.com/matryer/is"
 )
 
-// ownerReadyLater is two cores: the owner has no majority at the first call and
-// answers from then on; the other one names the owner.
-type ownerReadyLater struct {
-	owner   string
+// leaderReadyLater simulates cores of which one leads the shard. It fails the
+// first call for lack of a majority and answers the later ones; the other cores
+// name it.
+type leaderReadyLater struct {
+	leader  string
 	refused bool
 }
 
-func (c *ownerReadyLater) call(core string) answer {
-	if core != c.owner {
-		return answer{hint: c.owner}
+func (c *leaderReadyLater) call(core string) coreReply {
+	if core != c.leader {
+		return coreReply{hint: c.leader}
 	}
 	if !c.refused {
 		c.refused = true
-		return answer{err: base.Busy(503, "no_majority", 1, "no majority of disks")}
+		return coreReply{err: base.Busy(503, "no_majority", 1, "no majority of disks")}
 	}
-	return answer{result: []byte("done")}
+	return coreReply{result: []byte("done")}
 }
 
+// A search returns to a leader that failed one call and is ready since. The other
+// cores only name it, and a failed core must not be avoided for good.
 func TestASearchReturnsToAnOwnerThatRefusedOnce(t *testing.T) {
 	is := is.New(t)
-	o := testOwner()
+	srv := testServer()
 	for _, id := range []string{"b:1/b", "c:1/c"} {
-		_, err := o.view.Shuffle(context.Background(), &membership.ShuffleMessage{Members: []*membership.Member{
+		_, err := srv.view.Shuffle(context.Background(), &membership.ShuffleMessage{Members: []*membership.Member{
 			{Id: id, Addr: id[:3], Role: membership.RoleCore, Incarnation: 1}}})
 		is.NoErr(err)
 	}
-	client := NewClient(o.clock, nil, o.view, o.bounds)
-	order := client.LeaderCandidates(1)
-	cores := &ownerReadyLater{owner: order[0]}
-	limit := o.bounds.Load().Call()
-	got, err := client.search(base.NewCtx(o.clock, limit), 1, time.Second, forEver, func(_ *base.Ctx, addr string) answer {
-		for _, member := range o.view.Known(membership.RoleCore) {
+	client := NewClient(srv.clock, nil, srv.view, srv.bounds)
+	candidates := client.LeaderCandidates(1)
+	cores := &leaderReadyLater{leader: candidates[0]}
+	timeout := srv.bounds.Load().Call()
+	result, err := client.findLeader(base.NewCtx(srv.clock, timeout), 1, time.Second, neverHedge, func(_ *base.Ctx, addr string) coreReply {
+		for _, member := range srv.view.Known(membership.RoleCore) {
 			if member.Addr == addr {
 				return cores.call(member.Id)
 			}
 		}
-		return cores.call(order[len(order)-1])
+		return cores.call(candidates[len(candidates)-1])
 	})
-	is.NoErr(err) // it was asked again, though the others name it and it had refused
-	is.Equal(string(got), "done")
+	is.NoErr(err) // the leader was called again after its failure
+	is.Equal(string(result), "done")
 }
--- a/internal/register/snapshot.go
+++ b/internal/register/snapshot.go
@@ -1,8 +1,3 @@
-// A snapshot is a slot's content, encoded at one number. One that is larger than
-// a message goes in parts; its digest tells that all parts belong together, from
-// whichever disk or owner they came, so that a transfer goes on where another
-// broke off.
-
 package register
 
 import (
@@ -13,14 +8,17 @@
 )
 
 const (
-	// PartBytes is the most that one message carries of a snapshot.
+	// PartBytes is the largest part of a snapshot that one message carries.
 	PartBytes = 256 << 10
-	// SnapshotLimit is the largest snapshot that a disk takes.
+	// MaxSnapshotBytes is the size of the largest snapshot that a disk accepts.
 	MaxSnapshotBytes = 1 << 30
 )
 
-// EncodeSnapshot gives a slot's content, in the order of its keys, as a snapshot and
-// its bytes. The same content gives the same bytes everywhere.
+// EncodeSnapshot encodes a shard's content at one sequence number; puts are in the
+// order of their keys. The encoding is deterministic: the same content has the
+// same bytes and digest on every disk and leader. So the parts of a snapshot may
+// come from different senders, and an interrupted transfer is resumed by another
+// one.
 func EncodeSnapshot(seq uint64, puts []*Put) (*Snapshot, []byte) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(&SlotContent{Puts: puts})
 	if err != nil {
@@ -30,10 +28,11 @@
 	return &Snapshot{Seq: seq, Size: uint64(len(data)), Digest: digest[:]}, data
 }
 
-// Decode gives the content back; it fails unless the data is the snapshot's.
-func (x *Snapshot) Decode(data []byte) (puts []*Put, whole bool) {
+// Decode decodes the content from its bytes. It is not valid unless the bytes have
+// the snapshot's size and digest.
+func (s *Snapshot) Decode(data []byte) (puts []*Put, valid bool) {
 	digest := sha256.Sum256(data)
-	if uint64(len(data)) != x.Size || !bytes.Equal(digest[:], x.Digest) {
+	if uint64(len(data)) != s.Size || !bytes.Equal(digest[:], s.Digest) {
 		return nil, false
 	}
 	var content SlotContent
@@ -43,19 +42,19 @@
 	return content.Puts, true
 }
 
-// Equal tells whether two snapshots have the same content and number.
-func (x *Snapshot) Equal(other *Snapshot) bool {
-	return x.GetSeq() == other.GetSeq() && x.GetSize() == other.GetSize() && bytes.Equal(x.GetDigest(), other.GetDigest())
+// Equal reports whether two snapshots have the same sequence number and content.
+func (s *Snapshot) Equal(other *Snapshot) bool {
+	return s.GetSeq() == other.GetSeq() && s.GetSize() == other.GetSize() && bytes.Equal(s.GetDigest(), other.GetDigest())
 }
 
-// Valid tells whether a part lies within its snapshot and the limits.
-func (x *InstallPartRequest) Valid() bool {
-	end := x.Offset + uint64(len(x.Data))
-	return x.Claim != nil && x.Snapshot != nil && len(x.Snapshot.Digest) == sha256.Size && x.Snapshot.Size <= MaxSnapshotBytes &&
-		len(x.Data) <= PartBytes && x.Offset <= x.Snapshot.Size && end <= x.Snapshot.Size
+// Valid reports whether the part lies within its snapshot and the limits.
+func (r *InstallPartRequest) Valid() bool {
+	end := r.Offset + uint64(len(r.Data))
+	return r.Claim != nil && r.Snapshot != nil && len(r.Snapshot.Digest) == sha256.Size && r.Snapshot.Size <= MaxSnapshotBytes &&
+		len(r.Data) <= PartBytes && r.Offset <= r.Snapshot.Size && end <= r.Snapshot.Size
 }
 
-// ApproxSize is about how many bytes puts have when they are encoded.
+// ApproxSize returns about how many bytes puts have when they are encoded.
 func ApproxSize(puts []*Put) int {
 	sum := 0
 	for _, put := range puts {
@@ -64,35 +63,37 @@
 	return sum
 }
 
-// content lists what a slot holds; the caller holds the lock.
-func (s *slot) content() []*Put {
-	puts := make([]*Put, 0, s.held.Size())
-	s.held.Each(func(key, value any) {
+// contentPuts lists the shard's content in the order of its keys; the caller holds
+// the lock.
+func (s *shard) contentPuts() []*Put {
+	puts := make([]*Put, 0, s.kv.Size())
+	s.kv.Each(func(key, value any) {
 		puts = append(puts, &Put{Key: key.(string), Value: value.([]byte)})
 	})
 	return puts
 }
 
-// MemoryBytes is about what this core holds in memory of the slots that it owns: their
-// content, the changes that a disk or a follower may still need, and snapshots
-// that are being sent.
-func (o *Server) MemoryBytes() int {
+// MemoryBytes returns about how much memory the shards take that this core leads:
+// their content, the changes that a disk or a follower may still need, and
+// snapshots that are being sent.
+func (srv *Server) MemoryBytes() int {
 	sum := 0
-	for _, s := range o.slots {
+	for _, s := range srv.shards {
 		s.mu.Lock()
-		sum += s.kept()
+		sum += s.memoryBytes()
 		s.mu.Unlock()
 	}
 	return sum
 }
 
-func (s *slot) kept() int {
+// memoryBytes is MemoryBytes of one shard; the caller holds the lock.
+func (s *shard) memoryBytes() int {
 	sum := 0
-	if s.held != nil {
-		sum += ApproxSize(s.content())
+	if s.kv != nil {
+		sum += ApproxSize(s.contentPuts())
 	}
-	for _, entry := range s.buffer {
-		sum += entry.weight()
+	for _, entry := range s.entries {
+		sum += entry.memoryBytes()
 	}
 	counted := map[*snapshotCopy]bool{}
 	for _, t := range s.transfers {
--- a/internal/register/tail.go
+++ b/internal/register/tail.go
@@ -1,71 +1,70 @@
-// The tail of a slot: the changes that its owner keeps because a disk, or a
-// follower of the feed, may still need them. What no majority has yet stays.
-// Of the committed changes those stay that a disk lacks, and for the feed the
-// newest ones, each within a bound of number and bytes. Nothing is kept for who
-// is further behind, since that one is given the whole content.
-
 package register
 
 const (
-	// tailEntries bounds how many committed changes are kept.
-	tailEntries = 4096
-	// tailBytes bounds their weight while no disk is being sent a large content.
-	tailBytes = 4 << 20
-	// waitingBytes and waitingEntries bound the changes that no majority has yet.
-	waitingBytes   = 32 << 20
-	waitingEntries = 1 << 12
-	// feedBytes bounds the committed changes kept for followers of the feed; who
-	// is further behind is given the frame.
-	feedBytes = 4 << 20
+	// maxRetainedEntries bounds how many committed changes are retained.
+	maxRetainedEntries = 4096
+	// maxRetainedBytes bounds their size while no large snapshot is being sent.
+	maxRetainedBytes = 4 << 20
+	// maxPendingBytes and maxPendingEntries bound the changes that are not
+	// committed yet.
+	maxPendingBytes   = 32 << 20
+	maxPendingEntries = 1 << 12
+	// maxFeedBytes bounds the committed changes retained for followers of the
+	// feed; a follower that is further behind is sent a snapshot.
+	maxFeedBytes = 4 << 20
 )
 
-// crowded tells that too much waits for a majority of the disks to take more;
-// the caller holds the lock.
-func (s *slot) crowded() bool {
-	waiting := s.buffer[s.uncommitted()-s.first():]
-	sum := 0
-	for place := 0; place < len(waiting) && sum <= waitingBytes; place++ {
-		sum += waiting[place].weight()
+// backlogFull reports whether so many changes wait for a majority of the disks
+// that no further one is accepted; the caller holds the lock.
+func (s *shard) backlogFull() bool {
+	pending := s.entries[s.firstUncommitted()-s.firstSeq():]
+	bytes := 0
+	for index := 0; index < len(pending) && bytes <= maxPendingBytes; index++ {
+		bytes += pending[index].memoryBytes()
 	}
-	return sum > waitingBytes || len(waiting) > waitingEntries
+	return bytes > maxPendingBytes || len(pending) > maxPendingEntries
 }
 
-// trim drops the changes that nobody needs any more, or that are too many; the
-// caller holds the lock.
-func (s *slot) trim() {
-	first, keep := s.first(), s.uncommitted()
-	reach := s.newest(s.tailLimit())
+// trimEntries drops the entries that need not be retained; the caller holds the
+// lock. Entries that are not committed stay. Committed entries stay if a disk lacks
+// them, or, in the feed's shard, if they are among the newest, each within a bound
+// of number and size. Nothing is retained for a disk or follower that is further
+// behind, since it is sent a snapshot.
+func (s *shard) trimEntries() {
+	firstSeq, keepFrom := s.firstSeq(), s.firstUncommitted()
+	oldest := s.retainFrom(s.retainLimit())
 	for diskID := range s.progress {
-		if from, known := s.tailFrom(diskID); known && from >= reach {
-			keep = min(keep, from)
+		if next, known := s.nextSeqFor(diskID); known && next >= oldest {
+			keepFrom = min(keepFrom, next)
 		}
 	}
 	if s.num == 0 {
-		keep = min(keep, s.newest(feedBytes))
+		keepFrom = min(keepFrom, s.retainFrom(maxFeedBytes))
 	}
-	clear(s.buffer[:keep-first]) // what is dropped must not stay reachable
-	s.buffer = s.buffer[keep-first:]
+	clear(s.entries[:keepFrom-firstSeq]) // lets the dropped entries be garbage-collected
+	s.entries = s.entries[keepFrom-firstSeq:]
 }
 
-// uncommitted is the first change that no majority is known to have, or the
-// first that is kept; the caller holds the lock.
-func (s *slot) uncommitted() uint64 { return max(s.commit+1, s.first()) }
+// firstUncommitted returns the sequence number of the first change that no
+// majority is known to have, or of the first retained entry if that is later; the
+// caller holds the lock.
+func (s *shard) firstUncommitted() uint64 { return max(s.committed+1, s.firstSeq()) }
 
-// newest is the first of the newest committed changes that stay within a
-// weight; the caller holds the lock.
-func (s *slot) newest(bytes int) uint64 {
-	first, keep := s.first(), s.uncommitted()
-	for keep > first && s.tail-keep+1 < tailEntries {
-		if bytes -= s.buffer[keep-1-first].weight(); bytes < 0 {
+// retainFrom returns the sequence number of the first of the newest committed
+// changes that fit into maxBytes and maxRetainedEntries; the caller holds the lock.
+func (s *shard) retainFrom(maxBytes int) uint64 {
+	firstSeq, keepFrom := s.firstSeq(), s.firstUncommitted()
+	for keepFrom > firstSeq && s.lastSeq-keepFrom+1 < maxRetainedEntries {
+		if maxBytes -= s.entries[keepFrom-1-firstSeq].memoryBytes(); maxBytes < 0 {
 			break
 		}
-		keep--
+		keepFrom--
 	}
-	return keep
+	return keepFrom
 }
 
-// weight is about what an entry holds in memory.
-func (e *Entry) weight() int {
+// memoryBytes returns about how much memory an entry takes.
+func (e *Entry) memoryBytes() int {
 	sum := 64
 	for _, put := range e.Puts {
 		sum += len(put.Key) + len(put.Value) + 64
--- a/internal/register/takeover.go
+++ b/internal/register/takeover.go
@@ -1,6 +1,3 @@
-// Taking over a slot: promises by a majority of the disks under a higher
-// epoch, the newest content among them, and its installation before serving.
-
 package register
 
 import (
@@ -14,201 +11,215 @@
 	"github.com/emirpasic/gods/maps/treemap"
 )
 
-func (o *Server) preferred(s *slot) string {
-	order := ownersFor(o.view, s.num)
-	if len(order) == 0 {
+// preferredLeader returns the first candidate to lead a shard.
+func (srv *Server) preferredLeader(s *shard) string {
+	candidates := leaderCandidates(srv.view, s.num)
+	if len(candidates) == 0 {
 		return ""
 	}
-	return order[0]
+	return candidates[0]
 }
 
-// probedAhead is how many cores that go before this one in a slot's order are
-// looked after at once when this one is asked.
-const probedAhead = 3
+// maxProbedCores is how many of the candidates that rank before this core are
+// probed at once.
+const maxProbedCores = 3
 
-// ahead names the core that should take a slot before this one: the first in
-// the slot's order that answers this core, whatever others find. What a silent
-// one owns is taken from it by a higher epoch.
-func (o *Server) ahead(s *slot) string {
-	for _, id := range ownersFor(o.view, s.num) {
+// higherRanked returns the core that should lead a shard instead of this one: the
+// first candidate that answers this core, whether it answers others or not. It
+// returns "" if this core should, and the preferred leader if this core is no
+// candidate and none of them answers it. A shard that a silent core leads is taken
+// from it under a higher epoch.
+func (srv *Server) higherRanked(s *shard) string {
+	for _, id := range leaderCandidates(srv.view, s.num) {
 		switch {
-		case id == o.view.Me():
+		case id == srv.view.Me():
 			return ""
-		case !o.unheard(id):
+		case !srv.unresponsive(id):
 			return id
 		}
 	}
-	return o.preferred(s)
+	return srv.preferredLeader(s)
 }
 
-// unheard tells that a core has lately given this one no answer.
-func (o *Server) unheard(core string) bool {
-	return o.view.Unheard(core, 2*o.bounds.Load().Beat())
+// unresponsive reports whether a core has not answered this one within the last two
+// heartbeat intervals.
+func (srv *Server) unresponsive(coreID string) bool {
+	return srv.view.Unheard(coreID, 2*srv.bounds.Load().Beat())
 }
 
-// lookAhead probes the cores that go before this one in a slot's order, since
-// whoever asks here may have found them silent, and what this core found of them
-// may be old. It waits until the first has answered, or has had a heartbeat
-// interval to do so.
-func (o *Server) lookAhead(ctx *base.Ctx, s *slot) {
+// probeHigherRanked probes the candidates that rank before this core, since a
+// client that calls this core may have found them silent, and what this core
+// knows of them may be old. It waits until the first one has answered, or has had
+// a heartbeat interval to do so.
+func (srv *Server) probeHigherRanked(ctx *base.Ctx, s *shard) {
 	var first base.Signal
-	for place, id := range ownersFor(o.view, s.num) {
-		if id == o.view.Me() || place >= probedAhead {
+	for rank, id := range leaderCandidates(srv.view, s.num) {
+		if id == srv.view.Me() || rank >= maxProbedCores {
 			break
 		}
-		if probe := o.view.Probe(id); place == 0 && !o.unheard(id) {
+		if probe := srv.view.Probe(id); rank == 0 && !srv.unresponsive(id) {
 			first = probe
 		}
 	}
 	if first != nil {
-		first.Wait(min(ctx.Left()/2, o.bounds.Load().Beat()*11/10))
+		first.Wait(min(ctx.Left()/2, srv.bounds.Load().Beat()*11/10))
 	}
 }
 
-func (o *Server) start(s *slot) {
+// startTakeover starts a task that takes a shard over, unless this core leads it,
+// is taking it over already, or is closed. A takeover that fails because the disks
+// have promised a higher epoch is repeated at once above that epoch.
+func (srv *Server) startTakeover(s *shard) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.phase != idle || o.isClosed() {
+	if s.phase != phaseIdle || srv.isClosed() {
 		return
 	}
-	s.phase = taking
-	o.clock.Go(func() {
-		err := o.take(s)
+	s.phase = phaseTakeover
+	srv.clock.Go(func() {
+		err := srv.takeOver(s)
 		if base.IsCode(err, "older_epoch") {
-			err = o.take(s) // the disks told which epoch they are at
+			err = srv.takeOver(s) // the disks have told their epoch
 		}
 		if err != nil {
-			o.counters.Add("slot_takes_failed", 1)
-			o.pauseTaking(err)
+			srv.counters.Add("slot_takes_failed", 1)
+			srv.takeoverBackoff(err)
 			s.mu.Lock()
-			s.phase = idle
+			s.phase = phaseIdle
 			s.mu.Unlock()
-			s.bell.Ring()
+			s.changed.Ring()
 		}
 	})
 }
 
-// pauseTaking waits before a shard is taken again. Without a disk set only news
-// of storage machines can help.
-func (o *Server) pauseTaking(failed error) {
-	pause := o.bounds.Load().Beat() / 4
-	if base.IsCode(failed, "no_disks") {
-		o.view.Changed().Wait(pause)
+// takeoverBackoff waits before a shard's takeover may be tried again. Without a
+// disk set it waits for a change of the membership view, since only storage
+// machines can tell the set.
+func (srv *Server) takeoverBackoff(cause error) {
+	pause := srv.bounds.Load().Beat() / 4
+	if base.IsCode(cause, "no_disks") {
+		srv.view.Changed().Wait(pause)
 		return
 	}
-	o.clock.Sleep(pause + time.Duration(o.clock.Int64N(int64(pause))))
+	srv.clock.Sleep(pause + time.Duration(srv.clock.Int64N(int64(pause))))
 }
 
-func (o *Server) take(s *slot) error {
-	set := o.LookupDiskSet()
+// takeOver takes a shard over. A majority of the disks must promise a higher
+// epoch; the newest content among theirs is read and sent to all disks under that
+// epoch, and the core leads the shard once a majority has installed it. This may
+// take one call's time, which begins anew whenever a disk accepts a part of a
+// large snapshot.
+func (srv *Server) takeOver(s *shard) error {
+	set := srv.LookupDiskSet()
 	if set == nil {
-		return base.Busy(503, "no_disks", 1, "no disk set is known")
+		return base.Busy(503, "no_disks", 1, "shard %d cannot be taken over: no disk set is known", s.num)
 	}
 	s.mu.Lock()
-	s.highest++
-	epoch := s.highest
+	s.highestEpoch++
+	epoch := s.highestEpoch
 	s.mu.Unlock()
-	began := o.clock.Now()
-	var promises promises
+	startedAt := srv.clock.Now()
+	var promises promiseSet
 	var mu sync.Mutex
-	taken := false // a disk has promised this epoch or a higher one to another core
-	promised := base.Ask(o.clock, voters(set), majority(set), o.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
-		reply, err := o.promise(ctx, entry, &PromiseRequest{Claim: o.claim(s, epoch, set, entry)})
+	superseded := false // a disk has promised this epoch or a higher one to another core
+	majorityPromised := base.Ask(srv.clock, voters(set), majority(set), srv.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
+		reply, err := srv.requestPromise(ctx, entry, &PromiseRequest{Claim: srv.claim(s, epoch, set, entry)})
 		if err != nil {
 			return false
 		}
 		if !reply.Ack.Ok {
-			o.agreeOnSet(entry, reply.Ack)
+			srv.resolveSetMismatch(entry, reply.Ack)
 			s.mu.Lock()
-			s.highest = max(s.highest, reply.Ack.Epoch)
+			s.highestEpoch = max(s.highestEpoch, reply.Ack.Epoch)
 			s.mu.Unlock()
 			mu.Lock()
-			taken = taken || reply.Ack.Epoch >= epoch
+			superseded = superseded || reply.Ack.Epoch >= epoch
 			mu.Unlock()
 			return false
 		}
 		promises.add(entry, reply)
 		return true
 	})
-	if !promised {
+	if !majorityPromised {
 		mu.Lock()
-		learnt := taken
+		retry := superseded
 		mu.Unlock()
-		if learnt {
-			return base.Busy(503, "older_epoch", 1, "the disks have promised a higher epoch")
+		if retry {
+			return base.Busy(503, "older_epoch", 1, "the disks have promised a higher epoch of shard %d than %d", s.num, epoch)
 		}
-		o.noteQuorum(false, began)
-		return base.Busy(503, "no_majority", 1, "no majority of disks")
+		srv.recordQuorum(false, startedAt)
+		return base.Busy(503, "no_majority", 1, "no majority of disks promised epoch %d of shard %d", epoch, s.num)
 	}
-	o.noteQuorum(true, began)
-	content, age, holders := promises.newest()
-	puts, err := o.readContent(s, epoch, set, content, holders)
+	srv.recordQuorum(true, startedAt)
+	newest, ageMs, holders := promises.newest()
+	puts, err := srv.readNewestContent(s, epoch, set, newest, holders)
 	if err != nil {
 		return err
 	}
-	held := treemap.NewWithStringComparator()
+	kv := treemap.NewWithStringComparator()
 	for _, put := range puts {
-		held.Put(put.Key, put.Value)
+		kv.Put(put.Key, put.Value)
 	}
 	s.mu.Lock()
-	s.epoch, s.held, s.tail, s.commit, s.based, s.buffer = epoch, held, content.Seq, 0, false, nil
-	s.time, s.timeFrom = 0, o.clock.Now()
-	if raw, ok := held.Get(TimeKey); ok {
-		kept, _ := binary.Varint(raw.([]byte))
-		s.time = kept + age // no disk has held it for longer than it is old
+	s.epoch, s.kv, s.lastSeq, s.committed, s.majorityInstalled, s.entries = epoch, kv, newest.Seq, 0, false, nil
+	s.timeMs, s.timeSetAt = 0, srv.clock.Now()
+	if raw, ok := kv.Get(TimeKey); ok {
+		storedMs, _ := binary.Varint(raw.([]byte))
+		s.timeMs = storedMs + ageMs // time that passed since then; no disk has held the change for longer
 	}
 	s.progress, s.transfers = map[string]*consensus.Progress{}, map[string]*transfer{}
 	s.mu.Unlock()
-	o.refit(s)
-	end, partsTaken := o.clock.Now()+o.bounds.Load().Call(), 0
+	srv.startSenders(s)
+	deadline, partsAccepted := srv.clock.Now()+srv.bounds.Load().Call(), 0
 	for {
-		next := s.bell.Next()
+		changed := s.changed.Next()
 		s.mu.Lock()
-		if s.partsTaken != partsTaken {
-			end, partsTaken = o.clock.Now()+o.bounds.Load().Call(), s.partsTaken
+		if s.partsAccepted != partsAccepted {
+			deadline, partsAccepted = srv.clock.Now()+srv.bounds.Load().Call(), s.partsAccepted
 		}
 		if s.epoch != epoch {
 			s.mu.Unlock()
-			return base.Busy(503, "fenced", 1, "another core took the slot")
+			return base.Busy(503, "fenced", 1, "another core took shard %d over under a higher epoch", s.num)
 		}
-		if s.based {
-			s.phase = serving
+		if s.majorityInstalled {
+			s.phase = phaseLeading
 			s.mu.Unlock()
-			s.bell.Ring()
-			o.counters.Add("slots_taken", 1)
+			s.changed.Ring()
+			srv.counters.Add("slots_taken", 1)
 			return nil
 		}
 		s.mu.Unlock()
-		if !next.Wait(max(0, end-o.clock.Now())) {
-			//NOSTEP
-			return base.Busy(503, "no_majority", 1, "no majority of disks")
+		if !changed.Wait(max(0, deadline-srv.clock.Now())) {
+			return base.Busy(503, "no_majority", 1, "no majority of disks installed shard %d under epoch %d in time", s.num, epoch)
 		}
 	}
 }
 
-// promise asks a disk again while it cannot be reached: after an outage disks
-// come back one by one, and the last that a majority needs is not to be missed.
-func (o *Server) promise(ctx *base.Ctx, entry *DiskEntry, request *PromiseRequest) (*PromiseReply, error) {
+// requestPromise requests a disk's promise and repeats the request while the disk
+// cannot be reached. After an outage disks come back one by one, and the takeover
+// must not miss the last one that a majority needs.
+func (srv *Server) requestPromise(ctx *base.Ctx, entry *DiskEntry, request *PromiseRequest) (*PromiseReply, error) {
 	for {
-		reply, err := o.disk(entry).Promise(ctx, request)
-		pause := o.bounds.Load().Beat() / 12
-		if err == nil || !base.WasNotSent(err) || ctx.Left() < pause || o.isClosed() {
+		reply, err := srv.disk(entry).Promise(ctx, request)
+		pause := srv.bounds.Load().Beat() / 12
+		if err == nil || !base.WasNotSent(err) || ctx.Left() < pause || srv.isClosed() {
 			return reply, err
 		}
-		o.clock.Sleep(pause/2 + time.Duration(o.clock.Int64N(int64(pause))))
+		srv.clock.Sleep(pause/2 + time.Duration(srv.clock.Int64N(int64(pause))))
 	}
 }
 
-func (o *Server) stepDown(s *slot, epoch, higher uint64) {
+// stepDown stops leading a shard under an epoch, because a higher one was promised.
+func (srv *Server) stepDown(s *shard, epoch, higher uint64) {
 	s.mu.Lock()
-	s.highest = max(s.highest, higher)
+	s.highestEpoch = max(s.highestEpoch, higher)
 	if s.epoch == epoch {
-		if s.phase == serving {
-			s.phase = idle
-			o.counters.Add("slots_lost", 1)
+		if s.phase == phaseLeading {
+			s.phase = phaseIdle
+			srv.counters.Add("slots_lost", 1)
 		}
-		s.epoch, s.held, s.buffer, s.progress, s.transfers = 0, nil, nil, nil, nil
+		s.epoch, s.kv, s.entries, s.progress, s.transfers = 0, nil, nil, nil, nil
 	}
 	s.mu.Unlock()
-	s.bell.Ring()
+	s.changed.Ring()
 }
--- a/internal/register/transfer.go
+++ b/internal/register/transfer.go
@@ -1,10 +1,3 @@
-// Sending a slot's content to a disk that cannot go on from the tail. The copy
-// that is sent never changes, the changes after it are kept for the time, and a
-// disk counts only once it has all of it. The copy is taken anew where more
-// changes came meanwhile than may be kept. Changes of the weight of twice the
-// copy may be kept, and the rate is not bounded from the second copy on, so a
-// disk that takes changes as fast as they come gets there.
-
 package register
 
 import (
@@ -13,66 +6,72 @@
 	"fordseam/internal/consensus"
 )
 
-// transferRate bounds the bytes a second of each of the transfers that repair a
-// disk while its slots are served without it.
-const transferRate = 16 << 20
+// repairBytesPerSecond bounds the rate of each transfer that repairs a disk while
+// its shard is served without it.
+const repairBytesPerSecond = 16 << 20
 
-// appendBytes is the most that one message carries of changes, unless a single
-// one is larger.
-const appendBytes = 1 << 20
+// maxAppendBytes bounds the entries that one message carries, unless a single one
+// is larger.
+const maxAppendBytes = 1 << 20
 
-// snapshotCopy is a slot's content at one number. What fits one message is sent
-// as puts; data is then empty.
+// snapshotCopy is an immutable copy of a shard's content at one sequence number.
+// Content that fits into one message is sent as puts, and data is nil; larger
+// content is sent as parts of data.
 type snapshotCopy struct {
 	snapshot *Snapshot
 	puts     []*Put
 	data     []byte
 }
 
-// transfer is a copy on its way to one disk. Once the disk has all of it, the
-// copy is let go of.
+// transfer is the sending of a shard's content to a disk that cannot continue from
+// the retained entries.
+//
+// The copy that is sent never changes, and the disk counts towards a majority only
+// once it has all of it; then the copy is released. The changes after the copy are
+// retained meanwhile, up to twice its size or maxRetainedBytes. If more changes
+// come, a new copy is sent, and from this second copy on the rate is not limited.
+// So every disk that accepts changes as fast as they come catches up.
 type transfer struct {
 	*snapshotCopy
-	// asked is set once the disk has told how much of it is there.
-	asked  bool
-	offset uint64
-	// again counts the copies before this one that were outgrown.
-	again int
-	// allowance is how much of the tail may be kept for the disk until it has
-	// caught up.
-	allowance int
+	// offsetKnown is set once the disk has told how much of the copy it has.
+	offsetKnown bool
+	offset      uint64
+	// restarts counts the earlier copies after which too many changes came.
+	restarts int
+	// retainBytes bounds the entries retained for the disk until it has caught up.
+	retainBytes int
 }
 
-// delivery is the next message to a disk: one of the three.
-type delivery struct {
-	install  *InstallRequest
-	part     *InstallPartRequest
-	appended *AppendRequest
+// diskMessage is a message to a disk; exactly one of its fields is set.
+type diskMessage struct {
+	install       *InstallRequest
+	part          *InstallPartRequest
+	appendEntries *AppendRequest
 }
 
-// outstanding builds what a disk lacks, nil if nothing; the caller holds the
-// lock.
-func (s *slot) outstanding(claim *Claim, diskID string) *delivery {
-	known := s.progress[diskID]
-	switch known.Next(s.first(), s.tail, claim.SetStamp) {
+// nextMessage builds the next message to a disk, nil if there is none to send; the
+// caller holds the lock.
+func (s *shard) nextMessage(claim *Claim, diskID string) *diskMessage {
+	progress := s.progress[diskID]
+	switch progress.Next(s.firstSeq(), s.lastSeq, claim.SetStamp) {
 	case consensus.SendProbe:
-		return &delivery{appended: &AppendRequest{Claim: claim}}
+		return &diskMessage{appendEntries: &AppendRequest{Claim: claim}}
 	case consensus.SendSnapshot:
-		known.Installed = false
-		return s.nextOfContent(claim, diskID)
+		progress.Installed = false
+		return s.nextSnapshotMessage(claim, diskID)
 	case consensus.SendEntries:
-		return &delivery{appended: &AppendRequest{Claim: claim, Entries: s.nextEntries(known.Acked + 1)}}
+		return &diskMessage{appendEntries: &AppendRequest{Claim: claim, Entries: s.nextEntries(progress.Acked + 1)}}
 	}
 	return nil
 }
 
-// nextEntries lists the changes from a number on that fit one message, at least
-// one.
-func (s *slot) nextEntries(from uint64) []*Entry {
+// nextEntries returns the retained entries from a sequence number on that fit into
+// one message, at least one; the caller holds the lock.
+func (s *shard) nextEntries(from uint64) []*Entry {
 	var entries []*Entry
-	for sum, rest := 0, s.buffer[from-s.first():]; len(entries) < len(rest); {
-		next := rest[len(entries)]
-		if sum += next.weight(); sum > appendBytes && len(entries) > 0 {
+	for bytes, available := 0, s.entries[from-s.firstSeq():]; len(entries) < len(available); {
+		next := available[len(entries)]
+		if bytes += next.memoryBytes(); bytes > maxAppendBytes && len(entries) > 0 {
 			break
 		}
 		entries = append(entries, next)
@@ -80,65 +79,68 @@
 	return entries
 }
 
-// nextOfContent builds the next message of a transfer, which begins if none is
-// under way or what followed its copy was dropped.
-func (s *slot) nextOfContent(claim *Claim, diskID string) *delivery {
+// nextSnapshotMessage builds the next message of a disk's transfer. A new transfer
+// begins if there is none, or if entries after its copy were dropped; the caller
+// holds the lock.
+func (s *shard) nextSnapshotMessage(claim *Claim, diskID string) *diskMessage {
 	t := s.transfers[diskID]
 	switch {
 	case t == nil:
-		t = &transfer{snapshotCopy: s.copied()}
-	case t.snapshotCopy == nil || s.outgrew(t.snapshot.Seq):
-		t = &transfer{snapshotCopy: s.copied(), again: t.again + 1}
+		t = &transfer{snapshotCopy: s.snapshotToSend()}
+	case t.snapshotCopy == nil || s.trimmedPast(t.snapshot.Seq):
+		t = &transfer{snapshotCopy: s.snapshotToSend(), restarts: t.restarts + 1}
 	}
 	if s.transfers == nil {
 		s.transfers = map[string]*transfer{}
 	}
 	s.transfers[diskID] = t
-	t.allowance = 2 * len(t.data)
+	t.retainBytes = 2 * len(t.data)
 	if t.data == nil {
-		return &delivery{install: &InstallRequest{Claim: claim, Seq: t.snapshot.Seq, Puts: t.puts}}
+		return &diskMessage{install: &InstallRequest{Claim: claim, Seq: t.snapshot.Seq, Puts: t.puts}}
 	}
 	part := &InstallPartRequest{Claim: claim, Snapshot: t.snapshot, Offset: t.offset}
-	if t.asked {
+	if t.offsetKnown {
 		part.Data = t.data[t.offset:min(t.offset+PartBytes, t.snapshot.Size)]
 	}
-	return &delivery{part: part}
+	return &diskMessage{part: part}
 }
 
-// outgrew tells that changes right after a number were dropped.
-func (s *slot) outgrew(seq uint64) bool { return seq+1 < s.first() }
+// trimmedPast reports whether the entry after a sequence number was dropped; the
+// caller holds the lock.
+func (s *shard) trimmedPast(seq uint64) bool { return seq+1 < s.firstSeq() }
 
-// copied gives a copy of the content from which a disk can go on, one that is
-// being sent to another disk if there is such.
-func (s *slot) copied() *snapshotCopy {
+// snapshotToSend returns a copy of the content after which no entry is missing: one
+// that is being sent to another disk if possible, else a new one. The caller holds
+// the lock.
+func (s *shard) snapshotToSend() *snapshotCopy {
 	for _, t := range s.transfers {
-		if t.snapshotCopy != nil && t.data != nil && !s.outgrew(t.snapshot.Seq) {
+		if t.snapshotCopy != nil && t.data != nil && !s.trimmedPast(t.snapshot.Seq) {
 			return t.snapshotCopy
 		}
 	}
-	puts := s.content()
+	puts := s.contentPuts()
 	if ApproxSize(puts) <= PartBytes {
-		return &snapshotCopy{snapshot: &Snapshot{Seq: s.tail}, puts: puts}
+		return &snapshotCopy{snapshot: &Snapshot{Seq: s.lastSeq}, puts: puts}
 	}
-	snapshot, data := EncodeSnapshot(s.tail, puts)
+	snapshot, data := EncodeSnapshot(s.lastSeq, puts)
 	return &snapshotCopy{snapshot: snapshot, data: data}
 }
 
-// tailLimit is how much the committed changes may weigh that are kept for
-// disks; the caller holds the lock.
-func (s *slot) tailLimit() int {
-	limit := tailBytes
+// retainLimit returns the bound on the size of the committed entries that are
+// retained for disks; the caller holds the lock.
+func (s *shard) retainLimit() int {
+	limit := maxRetainedBytes
 	for _, t := range s.transfers {
-		limit = max(limit, t.allowance)
+		limit = max(limit, t.retainBytes)
 	}
 	return limit
 }
 
-// tailFrom is the first change that a disk will need, if that is known; the
-// caller holds the lock.
-func (s *slot) tailFrom(diskID string) (from uint64, known bool) {
-	if mark := s.progressOf(diskID); mark.Installed {
-		return mark.Acked + 1, true
+// nextSeqFor returns the sequence number of the first entry that a disk will need,
+// if that is known; the caller holds the lock.
+func (s *shard) nextSeqFor(diskID string) (seq uint64, known bool) {
+	if progress := s.progressOf(diskID); progress.Installed {
+		return progress.Acked + 1, true
 	}
 	if t := s.transfers[diskID]; t != nil && t.snapshotCopy != nil {
 		return t.snapshot.Seq + 1, true
@@ -146,38 +148,38 @@
 	return 0, false
 }
 
-// stagedPart notes that a disk has a part, and tells whether more are to come;
-// the caller holds the lock.
-func (s *slot) stagedPart(diskID string, sent *delivery, ack *Ack) bool {
-	if sent.part == nil || ack.Staged >= sent.part.Snapshot.Size {
+// recordStaged records that a disk has accepted a part of a snapshot, and reports
+// whether more parts are to follow; the caller holds the lock.
+func (s *shard) recordStaged(diskID string, message *diskMessage, ack *Ack) bool {
+	if message.part == nil || ack.Staged >= message.part.Snapshot.Size {
 		return false
 	}
-	if t := s.transfers[diskID]; t != nil && t.snapshotCopy != nil && t.snapshot.Equal(sent.part.Snapshot) {
-		t.asked, t.offset = true, ack.Staged
+	if t := s.transfers[diskID]; t != nil && t.snapshotCopy != nil && t.snapshot.Equal(message.part.Snapshot) {
+		t.offsetKnown, t.offset = true, ack.Staged
 	}
-	s.partsTaken++
+	s.partsAccepted++
 	return true
 }
 
-// endTransfer lets go of the copy that a disk has all of, and once the disk has
-// caught up, of what was kept for it beyond the usual; the caller holds the
-// lock.
-func (s *slot) endTransfer(diskID string) {
+// finishTransfer releases the copy that a disk has installed. Once the disk has all
+// committed changes, it also ends the transfer and with it the higher bound on
+// retained entries. The caller holds the lock.
+func (s *shard) finishTransfer(diskID string) {
 	t := s.transfers[diskID]
 	if t == nil {
 		return
 	}
 	t.snapshotCopy = nil
-	if s.progressOf(diskID).Has(s.commit) {
+	if s.progressOf(diskID).Has(s.committed) {
 		delete(s.transfers, diskID)
 	}
 }
 
-// pauseAfter is how long to wait after a message so that repair stays within its
+// repairDelay returns how long to wait after a message to stay within the repair
 // rate; the caller holds the lock.
-func (s *slot) pauseAfter(diskID string, sent *delivery) time.Duration {
-	if t := s.transfers[diskID]; sent.part == nil || t == nil || t.again > 0 {
+func (s *shard) repairDelay(diskID string, message *diskMessage) time.Duration {
+	if t := s.transfers[diskID]; message.part == nil || t == nil || t.restarts > 0 {
 		return 0
 	}
-	return time.Duration(len(sent.part.Data)) * time.Second / transferRate
+	return time.Duration(len(message.part.Data)) * time.Second / repairBytesPerSecond
 }
