--- a/internal/register/transfer_test.go
+++ b/internal/register/transfer_test.go
@@ -1,6 +1,3 @@
-// A content that is sent while changes go on: the copy stays as it is, what
-// follows it is kept, and whatever the changes are, the disk gets there.
-
 package register
 
 import (
@@ -15,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// replicaDisk takes what an owner sends, as a disk does.
+// replicaDisk handles a leader's messages as a disk does.
 type replicaDisk struct {
 	installed bool
 	seq       uint64
@@ -24,6 +21,7 @@
 	snapshot  *Snapshot
 }
 
+// replace installs a snapshot.
 func (d *replicaDisk) replace(seq uint64, puts []*Put) {
 	d.installed, d.seq, d.values, d.staged = true, seq, map[string]string{}, nil
 	for _, put := range puts {
@@ -31,30 +29,31 @@
 	}
 }
 
-func (d *replicaDisk) take(is *is.I, sent *delivery) *Ack {
+// handle executes a message and returns the answer.
+func (d *replicaDisk) handle(is *is.I, message *diskMessage) *Ack {
 	switch {
-	case sent.install != nil:
-		d.replace(sent.install.Seq, sent.install.Puts)
-	case sent.part != nil:
-		is.True(sent.part.Valid() || sent.part.Claim == nil)
-		if !d.snapshot.Equal(sent.part.Snapshot) {
-			d.snapshot, d.staged = sent.part.Snapshot, nil
+	case message.install != nil:
+		d.replace(message.install.Seq, message.install.Puts)
+	case message.part != nil:
+		is.True(message.part.Valid() || message.part.Claim == nil)
+		if !d.snapshot.Equal(message.part.Snapshot) {
+			d.snapshot, d.staged = message.part.Snapshot, nil
 		}
-		if sent.part.Offset == uint64(len(d.staged)) {
-			d.staged = append(d.staged, sent.part.Data...)
+		if message.part.Offset == uint64(len(d.staged)) {
+			d.staged = append(d.staged, message.part.Data...)
 		}
 		staged := uint64(len(d.staged))
 		if staged == d.snapshot.Size {
-			puts, whole := d.snapshot.Decode(d.staged)
-			is.True(whole)
+			puts, valid := d.snapshot.Decode(d.staged)
+			is.True(valid)
 			d.replace(d.snapshot.Seq, puts)
 		}
 		return &Ack{Ok: true, Seq: d.seq, Staged: staged}
 	case !d.installed:
 		return &Ack{Why: "behind"}
 	}
-	if sent.appended != nil {
-		for _, entry := range sent.appended.Entries {
+	if message.appendEntries != nil {
+		for _, entry := range message.appendEntries.Entries {
 			is.Equal(entry.Seq, d.seq+1)
 			d.seq = entry.Seq
 			for _, put := range entry.Puts {
@@ -65,184 +64,192 @@
 	return &Ack{Ok: true, Seq: d.seq}
 }
 
-// transferSlot is a slot whose two other disks follow at once.
-type transferSlot struct {
-	*slot
+// transferShard is a shard of three disks. Disks a and b acknowledge each change at
+// once, and disk c is behind.
+type transferShard struct {
+	*shard
 	set *DiskSet
 }
 
-func newTransferSlot(num uint32, keys, size int) *transferSlot {
-	x := &transferSlot{slot: &slot{num: num, held: treemap.NewWithStringComparator(), tail: 1, commit: 1, based: true},
+// newTransferShard returns a shard with a number of keys of a size.
+func newTransferShard(num uint32, keys, size int) *transferShard {
+	ts := &transferShard{shard: &shard{num: num, kv: treemap.NewWithStringComparator(), lastSeq: 1, committed: 1, majorityInstalled: true},
 		set: &DiskSet{Stamp: 1, Disks: []*DiskEntry{{Id: "a"}, {Id: "b"}, {Id: "c"}}}}
-	for place := range keys {
-		x.held.Put(fmt.Sprintf("k%04d", place), make([]byte, size))
+	for index := range keys {
+		ts.kv.Put(fmt.Sprintf("k%04d", index), make([]byte, size))
 	}
-	x.progress = map[string]*consensus.Progress{"a": {Installed: true, Acked: 1, SetVersion: 1}, "b": {Installed: true, Acked: 1, SetVersion: 1}, "c": {}}
-	return x
+	ts.progress = map[string]*consensus.Progress{"a": {Installed: true, Acked: 1, SetVersion: 1}, "b": {Installed: true, Acked: 1, SetVersion: 1}, "c": {}}
+	return ts
 }
 
-// change commits a change by the two disks that follow.
-func (x *transferSlot) change(key string, size int) {
+// change adds a change that disks a and b acknowledge.
+func (ts *transferShard) change(key string, size int) {
 	value := make([]byte, size)
-	copy(value, fmt.Sprint(x.tail+1))
-	x.tail++
-	x.buffer = append(x.buffer, &Entry{Seq: x.tail, Puts: []*Put{{Key: key, Value: value}}})
-	x.held.Put(key, value)
+	copy(value, fmt.Sprint(ts.lastSeq+1))
+	ts.lastSeq++
+	ts.entries = append(ts.entries, &Entry{Seq: ts.lastSeq, Puts: []*Put{{Key: key, Value: value}}})
+	ts.kv.Put(key, value)
 	for _, id := range []string{"a", "b"} {
-		x.progress[id].Acked = x.tail
+		ts.progress[id].Acked = ts.lastSeq
 	}
-	x.recount(x.set)
+	ts.updateCommitted(ts.set)
 }
 
-// took notes the answer of the disk that is behind, as a sender does.
-func (x *transferSlot) took(sent *delivery, ack *Ack) {
-	if x.stagedPart("c", sent, ack) {
+// recordReply records the answer of disk c, as a sender does.
+func (ts *transferShard) recordReply(message *diskMessage, ack *Ack) {
+	if ts.recordStaged("c", message, ack) {
 		return
 	}
-	*x.progress["c"] = x.progress["c"].Acknowledge(ack.Seq, x.set.Stamp)
-	x.endTransfer("c")
-	x.recount(x.set)
+	*ts.progress["c"] = ts.progress["c"].Acknowledge(ack.Seq, ts.set.Stamp)
+	ts.finishTransfer("c")
+	ts.updateCommitted(ts.set)
 }
 
-// step sends the next message to the disk that is behind.
-func (x *transferSlot) step(is *is.I, d *replicaDisk) (moved bool) {
-	sent := x.outstanding(&Claim{Disk: "c", SetStamp: 1}, "c")
-	if sent == nil {
+// sendNext sends the next message to disk c, if there is one.
+func (ts *transferShard) sendNext(is *is.I, d *replicaDisk) (sent bool) {
+	message := ts.nextMessage(&Claim{Disk: "c", SetStamp: 1}, "c")
+	if message == nil {
 		return false
 	}
-	if ack := d.take(is, sent); ack.Ok {
-		x.took(sent, ack)
+	if ack := d.handle(is, message); ack.Ok {
+		ts.recordReply(message, ack)
 	} else {
-		x.progress["c"].Installed = false
+		ts.progress["c"].Installed = false
 	}
 	return true
 }
 
-// A disk whose content takes many messages gets there while changes of any
-// weight go on, as long as it takes a message's worth for each of them.
+// A disk that is sent content in many messages catches up while changes of any size
+// go on, as long as it handles a message between two of them. The copy that is sent
+// stays as it is, the changes after it are retained, and the retained entries stay
+// within their bound.
 func TestATransferEndsUnderASteadyStreamOfChanges(t *testing.T) {
 	for _, row := range []struct {
-		name       string
-		num        uint32
-		keys, size int // of the content
-		change     int // the weight of each change
-		messages   int // between changes
-		most       int // messages until the disk has all
+		name        string
+		num         uint32
+		keys, size  int // of the content
+		change      int // the size of each change
+		messages    int // the messages between two changes
+		maxMessages int // the messages until the disk has all changes
 	}{
-		{"a small content, small changes", 1, 10, 100, 100, 1, 3},
-		{"a small content, changes of some weight", 1, 10, 20 << 10, 20 << 10, 1, 3},
-		{"a large content, small changes", 1, 3000, 1 << 10, 100, 1, 30},
+		{"small content, small changes", 1, 10, 100, 100, 1, 3},
+		{"small content, medium changes", 1, 10, 20 << 10, 20 << 10, 1, 3},
+		{"large content, small changes", 1, 3000, 1 << 10, 100, 1, 30},
 		{"a document that is replaced", 0, 1, 2 << 20, 2 << 20, 10, 60},
-		{"a large content, changes almost as heavy as messages", 1, 400, 32 << 10, 200 << 10, 1, 400},
-		{"a content far larger than the bound", 1, 1000, 16 << 10, 200 << 10, 1, 400},
+		{"large content, changes almost as large as a message", 1, 400, 32 << 10, 200 << 10, 1, 400},
+		{"content far larger than the bound", 1, 1000, 16 << 10, 200 << 10, 1, 400},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			x, d := newTransferSlot(row.num, row.keys, row.size), &replicaDisk{}
-			messages, heaviest := 0, 0
-			for ; messages < row.most && (!d.installed || d.seq < x.tail); messages++ {
+			ts, d := newTransferShard(row.num, row.keys, row.size), &replicaDisk{}
+			messages, maxTailSize := 0, 0
+			for ; messages < row.maxMessages && (!d.installed || d.seq < ts.lastSeq); messages++ {
 				if messages%row.messages == 0 {
-					x.change(fmt.Sprintf("k%04d", messages%row.keys), row.change)
+					ts.change(fmt.Sprintf("k%04d", messages%row.keys), row.change)
 				}
-				x.step(is, d)
-				heaviest = max(heaviest, tailWeight(x.slot))
+				ts.sendNext(is, d)
+				maxTailSize = max(maxTailSize, tailSize(ts.shard))
 			}
-			is.True(d.installed && d.seq == x.tail)
-			is.True(heaviest <= x.tailLimitFor(ApproxSize(x.content()))+row.change+1024)
-			for x.step(is, d) {
+			is.True(d.installed && d.seq == ts.lastSeq)
+			is.True(maxTailSize <= ts.retainLimitFor(ApproxSize(ts.contentPuts()))+row.change+1024)
+			for ts.sendNext(is, d) {
 			}
-			for place := range row.keys {
-				key := fmt.Sprintf("k%04d", place)
-				value, _ := x.held.Get(key)
+			for index := range row.keys {
+				key := fmt.Sprintf("k%04d", index)
+				value, _ := ts.kv.Get(key)
 				is.Equal(d.values[key], string(value.([]byte)))
 			}
-			is.True(x.transfers["c"] == nil)
-			t.Logf("whole after %d messages, the tail weighed at most %d", messages, heaviest)
+			is.True(ts.transfers["c"] == nil)
+			t.Logf("caught up after %d messages, with at most %d bytes retained", messages, maxTailSize)
 		})
 	}
 }
 
-func (x *transferSlot) tailLimitFor(size int) int { return max(tailBytes, 2*size) }
+// retainLimitFor returns the bound on retained entries while content of a size is
+// being sent.
+func (ts *transferShard) retainLimitFor(size int) int { return max(maxRetainedBytes, 2*size) }
 
-func tailWeight(s *slot) int {
+// tailSize returns the size of a shard's retained entries.
+func tailSize(s *shard) int {
 	sum := 0
-	for _, entry := range s.buffer {
-		sum += entry.weight()
+	for _, entry := range s.entries {
+		sum += entry.memoryBytes()
 	}
 	return sum
 }
 
-// Where more comes than may be kept, the copy is taken anew, and its rate is no
-// longer bounded.
+// If more changes come during a transfer than may be retained, the transfer begins
+// again with a new copy, and its rate is no longer limited.
 func TestAnOutgrownTransferBeginsAgain(t *testing.T) {
 	is := is.New(t)
-	x, d := newTransferSlot(1, 100, 8<<10), &replicaDisk{}
-	x.step(is, d)
-	x.step(is, d)
-	first := x.transfers["c"]
+	ts, d := newTransferShard(1, 100, 8<<10), &replicaDisk{}
+	ts.sendNext(is, d)
+	ts.sendNext(is, d)
+	first := ts.transfers["c"]
 	is.Equal(first.offset, uint64(PartBytes))
-	sent := &delivery{part: &InstallPartRequest{Data: make([]byte, PartBytes)}}
-	is.True(x.pauseAfter("c", sent) > 0)
-	x.change("k0000", 64)
-	x.step(is, d)
-	is.True(x.transfers["c"] == first) // what follows the copy is kept
+	message := &diskMessage{part: &InstallPartRequest{Data: make([]byte, PartBytes)}}
+	is.True(ts.repairDelay("c", message) > 0)
+	ts.change("k0000", 64)
+	ts.sendNext(is, d)
+	is.True(ts.transfers["c"] == first) // the changes after the copy are retained
 	for range 80 {
-		x.change("k0001", 100<<10)
+		ts.change("k0001", 100<<10)
 	}
-	x.step(is, d)
-	is.True(x.transfers["c"] != first && x.transfers["c"].snapshot.Seq == x.tail)
-	is.Equal(x.transfers["c"].again, 1)
-	is.Equal(x.pauseAfter("c", sent), time.Duration(0))
-	for x.step(is, d) {
+	ts.sendNext(is, d)
+	is.True(ts.transfers["c"] != first && ts.transfers["c"].snapshot.Seq == ts.lastSeq)
+	is.Equal(ts.transfers["c"].restarts, 1)
+	is.Equal(ts.repairDelay("c", message), time.Duration(0))
+	for ts.sendNext(is, d) {
 	}
-	is.Equal(d.seq, x.tail)
+	is.Equal(d.seq, ts.lastSeq)
 }
 
-// Disks that are filled at once are sent one copy.
-func TestDisksShareACopy(t *testing.T) {
+// Disks that are sent the content at the same time share one copy.
+func TestDisksShareASnapshot(t *testing.T) {
 	is := is.New(t)
-	x := newTransferSlot(1, 100, 8<<10)
-	x.progress["b"] = &consensus.Progress{}
+	ts := newTransferShard(1, 100, 8<<10)
+	ts.progress["b"] = &consensus.Progress{}
 	claim := &Claim{SetStamp: 1}
-	x.outstanding(claim, "b")
-	x.change("k0000", 64)
-	x.outstanding(claim, "c")
-	is.True(x.transfers["b"].snapshotCopy == x.transfers["c"].snapshotCopy)
+	ts.nextMessage(claim, "b")
+	ts.change("k0000", 64)
+	ts.nextMessage(claim, "c")
+	is.True(ts.transfers["b"].snapshotCopy == ts.transfers["c"].snapshotCopy)
 }
 
-// What a majority of the disks lacks goes to them in messages of a bounded size.
-func TestChangesThatQueuedGoInBoundedMessages(t *testing.T) {
+// Entries that a disk lacks are sent in messages of a bounded size.
+func TestAppendMessagesAreBounded(t *testing.T) {
 	is := is.New(t)
-	x, d := newTransferSlot(1, 1, 10), &replicaDisk{}
-	x.step(is, d)
+	ts, d := newTransferShard(1, 1, 10), &replicaDisk{}
+	ts.sendNext(is, d)
 	for range 50 {
-		x.change("k0000", 40<<10)
+		ts.change("k0000", 40<<10)
 	}
-	x.change("k0000", 2*appendBytes) // one that is larger goes alone
+	ts.change("k0000", 2*maxAppendBytes) // a larger one is sent alone
 	messages := 0
 	for {
-		sent := x.outstanding(&Claim{SetStamp: 1}, "c")
-		if sent == nil {
+		message := ts.nextMessage(&Claim{SetStamp: 1}, "c")
+		if message == nil {
 			break
 		}
-		weight := 0
-		for _, entry := range sent.appended.Entries {
-			weight += entry.weight()
+		size := 0
+		for _, entry := range message.appendEntries.Entries {
+			size += entry.memoryBytes()
 		}
-		is.True(weight <= appendBytes || len(sent.appended.Entries) == 1)
+		is.True(size <= maxAppendBytes || len(message.appendEntries.Entries) == 1)
 		messages++
-		x.took(sent, d.take(is, sent))
+		ts.recordReply(message, d.handle(is, message))
 	}
 	is.True(messages >= 3)
-	is.Equal(d.seq, x.tail)
+	is.Equal(d.seq, ts.lastSeq)
 }
 
-// Promises that tell the same are held by several disks.
-func TestTheNewestPromiseCounts(t *testing.T) {
+// The newest promise is the one with the highest epoch and sequence number. Disks
+// that promised the same are all its holders, and the highest age counts.
+func TestNewestPromiseWins(t *testing.T) {
 	is := is.New(t)
-	var p promises
-	for place, reply := range []*PromiseReply{{Installed: 2, Seq: 7, AgeMs: 5}, {Installed: 3, Seq: 4, AgeMs: 1}, {Installed: 3, Seq: 5, AgeMs: 2}, {Installed: 3, Seq: 5, AgeMs: 9}, {Installed: 1, Seq: 90}} {
-		p.add(&DiskEntry{Id: fmt.Sprint(place)}, reply)
+	var p promiseSet
+	for index, reply := range []*PromiseReply{{Installed: 2, Seq: 7, AgeMs: 5}, {Installed: 3, Seq: 4, AgeMs: 1}, {Installed: 3, Seq: 5, AgeMs: 2}, {Installed: 3, Seq: 5, AgeMs: 9}, {Installed: 1, Seq: 90}} {
+		p.add(&DiskEntry{Id: fmt.Sprint(index)}, reply)
 	}
 	best, ageMs, holders := p.newest()
 	is.Equal(fmt.Sprint(best.Installed, best.Seq, ageMs), "3 5 9")
--- a/internal/register/watch.go
+++ b/internal/register/watch.go
@@ -1,6 +1,3 @@
-// The feed: followers of slot 0 are given what was committed after the
-// revision they have.
-
 package register
 
 import (
@@ -9,68 +6,69 @@
 	"fordseam/internal/base"
 )
 
-// Watch gives a follower of the feed what is committed after a place: the
-// changes if they are still at hand, else the whole frame. It waits up to
-// hold for news if the follower has begun, and confirms its epoch last, so that the answer is as fresh
-// as the moment it was asked for.
-func (o *Server) Watch(ctx *base.Ctx, place uint64, begun bool, hold time.Duration) (now uint64, frame bool, puts []*Put, hint string, err error) {
-	s := o.slots[0]
-	if hint, err = o.await(ctx, s); hint != "" || err != nil {
+// Watch returns to a follower of the feed what was committed after a revision: the
+// changes if they are still retained, else the whole content (full). If the
+// follower has nothing to learn it waits up to maxWait for a change. The epoch is
+// confirmed last, so that the result is no older than the call. If another core
+// leads the feed's shard, only hint is set.
+func (srv *Server) Watch(ctx *base.Ctx, since uint64, hasSnapshot bool, maxWait time.Duration) (revision uint64, full bool, puts []*Put, hint string, err error) {
+	s := srv.shards[0]
+	if hint, err = srv.ensureLeading(ctx, s); hint != "" || err != nil {
 		return 0, false, nil, hint, err
 	}
-	// Quiet followers are answered at common ticks, so that one confirmation
-	// serves them all.
-	end := o.clock.Now() + hold
-	if hold > 0 {
-		end = (o.clock.Now() + hold*5/4) / hold * hold
+	// Waits end at common ticks, so that one confirmation of the epoch serves all
+	// followers that waited.
+	deadline := srv.clock.Now() + maxWait
+	if maxWait > 0 {
+		deadline = (srv.clock.Now() + maxWait*5/4) / maxWait * maxWait
 	}
 	for {
-		next := s.bell.Next()
+		changed := s.changed.Next()
 		s.mu.Lock()
-		quiet := s.phase == serving && begun && s.commit == place
+		unchanged := s.phase == phaseLeading && hasSnapshot && s.committed == since
 		s.mu.Unlock()
-		if !quiet || !next.Wait(max(0, end-o.clock.Now())) {
+		if !unchanged || !changed.Wait(max(0, deadline-srv.clock.Now())) {
 			break
 		}
 	}
 	s.mu.Lock()
-	if s.phase != serving {
+	if s.phase != phaseLeading {
 		s.mu.Unlock()
-		return 0, false, nil, "", base.Busy(503, "slot_not_ready", 1, "the feed is changing hands")
+		return 0, false, nil, "", base.Busy(503, "slot_not_ready", 1, "this core does not lead the feed's shard any more")
 	}
-	epoch, target := s.epoch, s.tail
-	first := s.first()
-	frame = !begun || place+1 < first || place > target
-	if frame {
-		s.held.Each(func(key, value any) { puts = append(puts, &Put{Key: key.(string), Value: value.([]byte)}) })
+	epoch, targetSeq := s.epoch, s.lastSeq
+	firstSeq := s.firstSeq()
+	full = !hasSnapshot || since+1 < firstSeq || since > targetSeq
+	if full {
+		s.kv.Each(func(key, value any) { puts = append(puts, &Put{Key: key.(string), Value: value.([]byte)}) })
 	} else {
-		for _, entry := range s.buffer[place+1-first:] {
+		for _, entry := range s.entries[since+1-firstSeq:] {
 			puts = append(puts, entry.Puts...)
 		}
 	}
 	s.mu.Unlock()
-	if err = o.settled(ctx, s, epoch, target); err != nil {
+	if err = srv.waitCommitted(ctx, s, epoch, targetSeq); err != nil {
 		return 0, false, nil, "", err
 	}
-	return target, frame, puts, "", o.confirm(ctx, s, epoch)
+	return targetSeq, full, puts, "", srv.confirmEpoch(ctx, s, epoch)
 }
 
-// FeedEpoch is the epoch under which this core owns the feed's slot, 0 when it
+// FeedEpoch returns the epoch under which this core leads the feed's shard, 0 if it
 // does not.
-func (o *Server) FeedEpoch() uint64 {
-	s := o.slots[0]
+func (srv *Server) FeedEpoch() uint64 {
+	s := srv.shards[0]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.phase != serving {
+	if s.phase != phaseLeading {
 		return 0
 	}
 	return s.epoch
 }
 
-// LeadsFeed tells whether this core owns the feed's slot.
-func (o *Server) LeadsFeed() bool {
-	s := o.slots[0]
+// LeadsFeed reports whether this core leads the feed's shard.
+func (srv *Server) LeadsFeed() bool {
+	s := srv.shards[0]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.phase == serving
+	return s.phase == phaseLeading
 }
