--- a/internal/founding/founding.go
+++ b/internal/founding/founding.go
@@ -78,7 +78,7 @@
 
 // storageAddrs returns the addresses of the live storage machines.
 func (b *Bootstrapper) storageAddrs() []string {
-	addrs := base.Map(b.view.Alive(membership.RoleStorage), func(m *membership.Member) string { return m.Addr })
+	addrs := base.Map(b.view.Available(membership.RoleStorage), func(m *membership.Member) string { return m.Addr })
 	slices.Sort(addrs)
 	return slices.Compact(addrs)
 }
--- a/internal/register/apply.go
+++ b/internal/register/apply.go
@@ -38,7 +38,7 @@
 		if leads {
 			return "", nil
 		}
-		if srv.preferredLeader(s) != srv.view.Me() {
+		if srv.preferredLeader(s) != srv.view.SelfID() {
 			srv.probeHigherRanked(ctx, s)
 			if candidate := srv.higherRanked(s); candidate != "" {
 				return candidate, nil
--- a/internal/register/census.go
+++ b/internal/register/census.go
@@ -21,7 +21,7 @@
 			learnerShards[entry.Id] = map[uint32]bool{}
 		}
 	}
-	present := srv.view.Present(membership.RoleCore)
+	present := srv.view.Live(membership.RoleCore)
 	suspects := srv.suspectedCores(present)
 	answered := map[string]bool{}
 	base.Ask(srv.clock, present, 1, srv.bounds.Load().DiskLimit()*6/10, func(ctx *base.Ctx, member *membership.Member) bool {
@@ -81,7 +81,7 @@
 func (srv *Server) Census(_ context.Context, request *CensusRequest) (*CensusReply, error) {
 	srv.LearnDiskSet(request.Set)
 	for _, id := range request.Suspects {
-		if id != srv.view.Me() {
+		if id != srv.view.SelfID() {
 			srv.view.Probe(id)
 		}
 	}
--- a/internal/register/observe.go
+++ b/internal/register/observe.go
@@ -57,7 +57,7 @@
 		view.retiring[retirement.Node] = true
 	}
 	members := map[string]*membership.Member{}
-	for _, member := range srv.view.Present(membership.RoleStorage) {
+	for _, member := range srv.view.Live(membership.RoleStorage) {
 		members[member.Addr] = member
 	}
 	announcedLeave := leavingAddresses(srv.view)
@@ -142,7 +142,7 @@
 	for _, member := range view.Known(membership.RoleStorage) {
 		leaving[member.Addr] = leaving[member.Addr] || member.Leaving
 	}
-	for _, member := range view.Present(membership.RoleStorage) {
+	for _, member := range view.Live(membership.RoleStorage) {
 		if !member.Leaving {
 			leaving[member.Addr] = false
 		}
--- a/internal/register/quorum.go
+++ b/internal/register/quorum.go
@@ -42,7 +42,7 @@
 	}
 	contact.mu.Unlock()
 	if srv.WithoutQuorum() != wasWithout {
-		srv.view.Refresh()
+		srv.view.RefreshHealth()
 	}
 	if !reached {
 		srv.probeQuorum()
@@ -96,7 +96,7 @@
 // their rendezvous hashes, the preferred one first. Cores that report NoQuorum are
 // left out unless all do.
 func leaderCandidates(view *membership.View, shardNum uint32) []string {
-	alive := view.Alive(membership.RoleCore)
+	alive := view.Available(membership.RoleCore)
 	withQuorum := base.Filter(alive, func(m *membership.Member) bool { return m.Unwell != NoQuorum })
 	if len(withQuorum) == 0 {
 		withQuorum = alive
--- a/internal/register/quorum_test.go
+++ b/internal/register/quorum_test.go
@@ -69,8 +69,8 @@
 			is.True(id != "b:1/b")
 		}
 	}
-	srv.view.Unwell = func() string { return NoQuorum }
-	srv.view.Refresh()
+	srv.view.UnwellReason = func() string { return NoQuorum }
+	srv.view.RefreshHealth()
 	addCore("c:1/c", "c:1", NoQuorum, 2)
 	is.Equal(len(leaderCandidates(srv.view, 0)), 3)
 }
--- a/internal/register/search.go
+++ b/internal/register/search.go
@@ -90,7 +90,7 @@
 // awaitCore waits for a change of the membership view while no core is known, as
 // on a node that has just started. Such a wait is no attempt.
 func (s *leaderSearch) awaitCore() {
-	changed := s.client.view.Changed()
+	changed := s.client.view.NextChange()
 	if s.client.pickCore(s.shardNum, s.failures) == "" {
 		changed.Wait(min(s.ctx.Left(), s.client.bounds.Load().Beat()/4))
 	}
--- a/internal/register/server.go
+++ b/internal/register/server.go
@@ -84,7 +84,7 @@
 
 // claim returns the header of a message to one disk of a set.
 func (srv *Server) claim(s *shard, epoch uint64, set *DiskSet, entry *DiskEntry) *Claim {
-	return &Claim{Slot: s.num, Epoch: epoch, Owner: srv.view.Me(), SetStamp: set.Stamp, Disk: entry.Id}
+	return &Claim{Slot: s.num, Epoch: epoch, Owner: srv.view.SelfID(), SetStamp: set.Stamp, Disk: entry.Id}
 }
 
 // Run takes over the shards that this core is the preferred leader of, drives
@@ -93,7 +93,7 @@
 	lastSweep := srv.clock.Now()
 	for !srv.isClosed() {
 		for _, s := range srv.shards {
-			if srv.preferredLeader(s) == srv.view.Me() {
+			if srv.preferredLeader(s) == srv.view.SelfID() {
 				srv.startTakeover(s)
 			}
 		}
--- a/internal/register/takeover.go
+++ b/internal/register/takeover.go
@@ -32,7 +32,7 @@
 func (srv *Server) higherRanked(s *shard) string {
 	for _, id := range leaderCandidates(srv.view, s.num) {
 		switch {
-		case id == srv.view.Me():
+		case id == srv.view.SelfID():
 			return ""
 		case !srv.unresponsive(id):
 			return id
@@ -44,7 +44,7 @@
 // unresponsive reports whether a core has not answered this one within the last two
 // heartbeat intervals.
 func (srv *Server) unresponsive(coreID string) bool {
-	return srv.view.Unheard(coreID, 2*srv.bounds.Load().Beat())
+	return srv.view.Unanswered(coreID, 2*srv.bounds.Load().Beat())
 }
 
 // probeHigherRanked probes the candidates that rank before this core, since a
@@ -54,7 +54,7 @@
 func (srv *Server) probeHigherRanked(ctx *base.Ctx, s *shard) {
 	var first base.Signal
 	for rank, id := range leaderCandidates(srv.view, s.num) {
-		if id == srv.view.Me() || rank >= maxProbedCores {
+		if id == srv.view.SelfID() || rank >= maxProbedCores {
 			break
 		}
 		if probe := srv.view.Probe(id); rank == 0 && !srv.unresponsive(id) {
@@ -98,7 +98,7 @@
 func (srv *Server) takeoverBackoff(cause error) {
 	pause := srv.bounds.Load().Beat() / 4
 	if base.IsCode(cause, "no_disks") {
-		srv.view.Changed().Wait(pause)
+		srv.view.NextChange().Wait(pause)
 		return
 	}
 	srv.clock.Sleep(pause + time.Duration(srv.clock.Int64N(int64(pause))))
--- a/internal/simulate/manychanges.go
+++ b/internal/simulate/manychanges.go
@@ -243,13 +243,13 @@
 		return false
 	}
 	document := append([]byte(fmt.Sprintf("%s%d", documentHead, r.version+1)), r.tail...)
-	change, malformed := route.ChangeOf(r.version, &route.Table{Version: r.version + 1}, document)
+	change, malformed := route.NewChange(r.version, &route.Table{Version: r.version + 1}, document)
 	if malformed != nil {
 		r.breach("change %d is malformed: %v", r.changes, malformed)
 		return false
 	}
 	err, answered := r.ask(m, func(ctx *base.Ctx, core *node.Core) error {
-		return route.Put(ctx, core.Register, change)
+		return route.SubmitChange(ctx, core.Register, change)
 	})
 	switch verdict := base.FromWire(err); {
 	case answered && err == nil:
@@ -297,7 +297,7 @@
 		}
 		var found *route.Document
 		err, answered := r.ask(m, func(ctx *base.Ctx, core *node.Core) (err error) {
-			found, err = route.Read(ctx, core.Register)
+			found, err = route.ReadDocument(ctx, core.Register)
 			return err
 		})
 		if answered && err == nil && found.Version < before {
@@ -406,7 +406,7 @@
 func (r *changesRun) place() (newest uint64) {
 	for _, m := range r.fleet.All() {
 		if follower := m.feedFollower(); follower != nil {
-			newest = max(newest, follower.Frame().Place)
+			newest = max(newest, follower.Snapshot().Revision)
 		}
 	}
 	return newest
@@ -417,7 +417,7 @@
 func (r *changesRun) current(m *Machine, version, place uint64) bool {
 	if m.Role != "storage" {
 		follower := m.feedFollower()
-		return follower != nil && follower.Permitted() && follower.Frame().Place >= place && versionOf(follower.Frame().Values) >= version
+		return follower != nil && follower.HasLease() && follower.Snapshot().Revision >= place && versionOf(follower.Snapshot().Values) >= version
 	}
 	if m.storage == nil || m.storage.Store.Ready() != nil || m.storage.Store.Held(0) < place {
 		return false
@@ -432,7 +432,7 @@
 }
 
 func versionOf(values map[string][]byte) uint64 {
-	if found := route.DocumentOf(values); found != nil {
+	if found := route.DocumentFromFeed(values); found != nil {
 		return found.Version
 	}
 	return 0
@@ -465,7 +465,7 @@
 	now.KeptBytes, r.kept = r.kept, 0
 	for _, m := range f.Edges {
 		if follower := m.feedFollower(); follower != nil {
-			now.Keys = max(now.Keys, len(follower.Frame().Values))
+			now.Keys = max(now.Keys, len(follower.Snapshot().Values))
 		}
 	}
 	r.report.Figures = append(r.report.Figures, now)
