--- a/cmd/fordseam-controller/access.go
+++ b/cmd/fordseam-controller/access.go
@@ -48,7 +48,7 @@
 	}
 	rows := [][]string{{"NODE", "HOLDS", "ASKED MS AGO"}}
 	for _, one := range state.Holders {
-		rows = append(rows, []string{one.Node, fmt.Sprint(one.Stamp), fmt.Sprint(one.AgoMs)})
+		rows = append(rows, []string{one.Node, fmt.Sprint(one.Version), fmt.Sprint(one.AgoMs)})
 	}
 	if len(state.Holders) > 0 {
 		table(rows)
--- a/cmd/fordseam-controller/client.go
+++ b/cmd/fordseam-controller/client.go
@@ -168,7 +168,7 @@
 	var record settings.Record
 	err := c.call("GET", "/v1/operator/settings", nil, &record)
 	if err == nil && !c.quiet() {
-		fmt.Printf("stamp %d\n%s\n", record.Stamp, record.Document)
+		fmt.Printf("stamp %d\n%s\n", record.Version, record.Document)
 	}
 	return err
 }
@@ -253,7 +253,7 @@
 
 func showOutcome(c *caller, outcome settings.Outcome, err error) error {
 	if err == nil && !c.quiet() {
-		fmt.Printf("%s, the settings stand at stamp %d\n", outcome.Outcome, outcome.Stamp)
+		fmt.Printf("%s, the settings stand at stamp %d\n", outcome.Outcome, outcome.Version)
 	}
 	return err
 }
--- a/internal/access/activator.go
+++ b/internal/access/activator.go
@@ -1,9 +1,3 @@
-// The duty brings changes into force, on whichever core has the feed's slot.
-// It needs no memory of the core that began a change: the time of a permit,
-// counted from when this core first saw the change, always suffices, since
-// every answer of the feed after that carries the change with it. Where all who
-// asked lately have acknowledged the new settings it need not wait.
-
 package access
 
 import (
@@ -14,60 +8,64 @@
 	"fordseam/internal/register"
 )
 
-// Activator is a core's part.
+// Activator completes pending changes on the core that leads the feed's shard.
+// It does not depend on the core that began a change: it is always enough to
+// wait for the length of a lease after it first saw the change, because every
+// answer of the feed since then includes the change. It need not wait if all
+// nodes that have asked lately have acknowledged the new settings.
 type Activator struct {
 	Clock        base.Clock
 	Bounds       *base.Table[base.Bounds]
 	Counters     *base.Counters
 	Register     *register.Client
 	Follower     *feed.Follower
-	Epoch        func() uint64 // under which this core owns the feed's slot, or 0
-	AllNodesHave func(epoch, stamp uint64, permit time.Duration) bool
+	FeedEpoch    func() uint64 // under which this core leads the feed's shard, or 0
+	AllNodesHave func(epoch, version uint64, lease time.Duration) bool
 
-	target uint64
-	until  time.Duration
+	target         uint64
+	leasesExpireAt time.Duration
 }
 
-// Run goes on until the follower is closed.
-func (d *Activator) Run() {
-	for !d.Follower.Closed() {
-		next := d.Follower.NextConfirmation()
-		pending := PendingFromFeed(d.Follower.Snapshot().Values)
-		if pending == nil || d.Epoch() == 0 {
-			next.Wait(d.Bounds.Load().Beat())
+// Run completes changes until the follower is closed.
+func (a *Activator) Run() {
+	for !a.Follower.Closed() {
+		next := a.Follower.NextConfirmation()
+		pending := PendingFromFeed(a.Follower.Snapshot().Values)
+		if pending == nil || a.FeedEpoch() == 0 {
+			next.Wait(a.Bounds.Load().Beat())
 			if pending == nil {
-				d.target = 0
+				a.target = 0
 			}
 			continue
 		}
-		d.step(pending)
+		a.advance(pending)
 	}
 }
 
-// step brings one change nearer.
-func (d *Activator) step(pending *Pending) {
-	bounds := d.Bounds.Load()
-	if d.target != pending.Target {
-		d.target, d.until = pending.Target, d.Clock.Now()+pending.permit(bounds)
+// advance waits a while for a change, or asks for its second step.
+func (a *Activator) advance(pending *Pending) {
+	bounds := a.Bounds.Load()
+	if a.target != pending.Target {
+		a.target, a.leasesExpireAt = pending.Target, a.Clock.Now()+pending.lease(bounds)
 	}
-	waited := d.Clock.Now() >= d.until
-	if !waited && !d.AllNodesHave(d.Epoch(), pending.Target, pending.permit(bounds)) {
-		d.Clock.Sleep(min(bounds.AccessHold()/2, max(1, d.until-d.Clock.Now())))
+	leasesExpired := a.Clock.Now() >= a.leasesExpireAt
+	if !leasesExpired && !a.AllNodesHave(a.FeedEpoch(), pending.Target, pending.lease(bounds)) {
+		a.Clock.Sleep(min(bounds.AccessHold()/2, max(1, a.leasesExpireAt-a.Clock.Now())))
 		return
 	}
 	var settled bool
-	err := d.Register.Change(base.NewCtx(d.Clock, bounds.Call()), register.FeedGroup, "access.settle", settling{pending.Target, waited}, &settled)
+	err := a.Register.Change(base.NewCtx(a.Clock, bounds.Call()), register.FeedGroup, "access.settle", settleRequest{pending.Target, leasesExpired}, &settled)
 	if err != nil || !settled {
-		d.Clock.Sleep(bounds.AccessHold() / 2)
+		a.Clock.Sleep(bounds.AccessHold() / 2)
 		return
 	}
-	d.Counters.Add("access_changes_settled", 1)
-	// The mark is gone where all can see it; this core's follower hears soon.
-	for end := d.Clock.Now() + bounds.Beat(); d.Clock.Now() < end; {
-		next := d.Follower.NextConfirmation()
-		if now := PendingFromFeed(d.Follower.Snapshot().Values); now == nil || now.Target != pending.Target {
+	a.Counters.Add("access_changes_settled", 1)
+	// The change is removed from the feed; wait until the follower sees that.
+	for deadline := a.Clock.Now() + bounds.Beat(); a.Clock.Now() < deadline; {
+		next := a.Follower.NextConfirmation()
+		if current := PendingFromFeed(a.Follower.Snapshot().Values); current == nil || current.Target != pending.Target {
 			return
 		}
-		next.Wait(max(0, end-d.Clock.Now()))
+		next.Wait(max(0, deadline-a.Clock.Now()))
 	}
 }
--- a/internal/access/explain.go
+++ b/internal/access/explain.go
@@ -1,6 +1,3 @@
-// What the rules come to, for operators: what each team may call, why at each
-// place, and what another tree would give or take.
-
 package access
 
 import (
@@ -9,7 +6,8 @@
 	"fordseam/internal/base"
 )
 
-// TeamView is a team with what its group gives it.
+// TeamView is a team with the models that its group lists and denies, for
+// operators.
 type TeamView struct {
 	Team   string   `json:"team"`
 	Group  string   `json:"group"`
@@ -18,20 +16,21 @@
 	Denied []string `json:"denied,omitempty"`
 }
 
-// Teams lists every team.
+// Teams returns every team.
 func (t *Table) Teams() []TeamView {
-	shown := []TeamView{}
+	teams := []TeamView{}
 	if t == nil {
-		return shown
+		return teams
 	}
 	for _, name := range base.SortedKeys(t.teams) {
 		team := t.teams[name]
-		shown = append(shown, TeamView{name, team.Group, team.Parent, t.names(team.Listed &^ team.Denied), t.names(team.Listed & team.Denied)})
+		teams = append(teams, TeamView{name, team.Group, team.Parent, t.names(team.Listed &^ team.Denied), t.names(team.Listed & team.Denied)})
 	}
-	return shown
+	return teams
 }
 
-// Reason is what holds for a team and a model at one place.
+// Reason says whether a team may call a model at one level, and which setting
+// decides that.
 type Reason struct {
 	Path    string `json:"place"`
 	Team    string `json:"team"`
@@ -39,56 +38,58 @@
 	Why     string `json:"why"`
 }
 
-// Explain tells whether a team may call a model, at its group and wherever its
-// requests come from or a lower level says otherwise.
+// Explain reports whether a team may call a model: at its group, and at each
+// site and route whose requests belong to the team or a team below it.
 func (t *Table) Explain(team, model string) ([]Reason, error) {
 	if t == nil {
 		return []Reason{{Path: "$", Team: team, Allowed: true, Why: "no teams are set: everything is allowed"}}, nil
 	}
-	found := t.teams[team]
-	if found == nil {
+	info := t.teams[team]
+	if info == nil {
 		return nil, base.DeclineField("team", "no team is named %q", team)
 	}
-	at, known := t.index[model]
+	modelIndex, known := t.modelIndex[model]
 	if !known {
 		return nil, base.DeclineField("model", "no model is named %q", model)
 	}
-	c := &checker{rules: t.rules, index: t.index}
-	group := t.rules.Groups[found.Group]
-	reasons := []Reason{c.reason(group.Teams[team].Path, team, at, group)}
-	for _, place := range sortedPlaces(t.places) {
-		if r := t.places[place]; place.Group == found.Group && slices.Contains(lineage(group, r.team.Name), team) {
-			chain := []*Level{group, group.Children[place.Site]}
-			if place.Route != "" {
-				chain = append(chain, group.Children[place.Site].Children[place.Route])
+	c := &compiler{rules: t.rules, modelIndex: t.modelIndex}
+	group := t.rules.Groups[info.Group]
+	reasons := []Reason{c.explainAt(group.Teams[team].Path, team, modelIndex, group)}
+	for _, scope := range sortedScopes(t.scopes) {
+		if rule := t.scopes[scope]; scope.Group == info.Group && slices.Contains(lineage(group, rule.team.Name), team) {
+			chain := []*Level{group, group.Children[scope.Site]}
+			if scope.Route != "" {
+				chain = append(chain, group.Children[scope.Site].Children[scope.Route])
 			}
-			reasons = append(reasons, c.reason(r.path, r.team.Name, at, chain...))
+			reasons = append(reasons, c.explainAt(rule.path, rule.team.Name, modelIndex, chain...))
 		}
 	}
 	return reasons, nil
 }
 
-// reason finds the level that takes a model away, or the one that gives it.
-func (c *checker) reason(path, team string, at int, chain ...*Level) Reason {
-	said := Reason{Path: path, Team: team, Allowed: true}
-	for _, one := range lineage(chain[0], team) {
+// explainAt finds the setting that takes a model away at a level, or the one
+// that allows it. chain leads from the group to the level.
+func (c *compiler) explainAt(path, team string, modelIndex int, chain ...*Level) Reason {
+	result := Reason{Path: path, Team: team, Allowed: true}
+	for _, ancestor := range lineage(chain[0], team) {
 		for _, level := range chain {
-			entry := level.Teams[one]
+			rules := level.Teams[ancestor]
 			switch {
-			case entry == nil:
-			case c.set(entry.Deny).has(at):
-				return Reason{path, team, false, "denied by " + entry.Path + ".deny"}
-			case entry.Models != nil && !c.set(entry.Models).has(at):
-				said = Reason{path, team, false, "not listed in " + entry.Path + ".models"}
-			case entry.Models != nil && said.Allowed:
-				said.Why = "listed in " + entry.Path + ".models"
+			case rules == nil:
+			case c.modelSet(rules.Deny).has(modelIndex):
+				return Reason{path, team, false, "denied by " + rules.Path + ".deny"}
+			case rules.Models != nil && !c.modelSet(rules.Models).has(modelIndex):
+				result = Reason{path, team, false, "not listed in " + rules.Path + ".models"}
+			case rules.Models != nil && result.Allowed:
+				result.Why = "listed in " + rules.Path + ".models"
 			}
 		}
 	}
-	return said
+	return result
 }
 
-// Difference is what another tree gives a team, or takes from it, at a place.
+// Difference is a model that another tree allows or refuses to a team at a
+// level.
 type Difference struct {
 	Path   string `json:"place"`
 	Team   string `json:"team"`
@@ -96,66 +97,68 @@
 	Effect string `json:"change"`
 }
 
-// Diff tells what a table would change; no table allows everything, and stands
-// in the list as such.
-func Diff(was, now *Table) []Difference {
-	changes := []Difference{}
+// Diff compares two tables. A nil table allows everything, and a change from or
+// to one is an entry of its own.
+func Diff(before, after *Table) []Difference {
+	differences := []Difference{}
 	switch {
-	case was == nil && now == nil:
-		return changes
-	case was == nil:
-		changes = append(changes, Difference{"$", "", "", "only teams may call models from now on"})
-	case now == nil:
-		return append(changes, Difference{"$", "", "", "everything is allowed from now on"})
-	}
-	former, next := was.allowed(), now.allowed()
-	keys := map[allowance]bool{}
-	for key := range former {
+	case before == nil && after == nil:
+		return differences
+	case before == nil:
+		differences = append(differences, Difference{"$", "", "", "only teams may call models from now on"})
+	case after == nil:
+		return append(differences, Difference{"$", "", "", "everything is allowed from now on"})
+	}
+	oldGrants, newGrants := before.grants(), after.grants()
+	keys := map[grant]bool{}
+	for key := range oldGrants {
 		keys[key] = true
 	}
-	for key := range next {
+	for key := range newGrants {
 		keys[key] = true
 	}
-	all := make([]allowance, 0, len(keys))
+	all := make([]grant, 0, len(keys))
 	for key := range keys {
 		all = append(all, key)
 	}
-	slices.SortFunc(all, func(a, b allowance) int { return slices.Compare(a[:], b[:]) })
+	slices.SortFunc(all, func(a, b grant) int { return slices.Compare(a[:], b[:]) })
 	for _, key := range all {
 		switch {
-		case next[key] && !former[key]:
-			changes = append(changes, Difference{key[0], key[1], key[2], "allowed"})
-		case former[key] && !next[key]:
-			changes = append(changes, Difference{key[0], key[1], key[2], "refused"})
+		case newGrants[key] && !oldGrants[key]:
+			differences = append(differences, Difference{key[0], key[1], key[2], "allowed"})
+		case oldGrants[key] && !newGrants[key]:
+			differences = append(differences, Difference{key[0], key[1], key[2], "refused"})
 		}
 	}
-	return changes
+	return differences
 }
 
-type allowance [3]string
+// grant is the path of a level, a team and a model that it may call there.
+type grant [3]string
 
-func (t *Table) allowed() map[allowance]bool {
-	found := map[allowance]bool{}
+// grants returns everything that the table allows.
+func (t *Table) grants() map[grant]bool {
+	granted := map[grant]bool{}
 	if t == nil {
-		return found
+		return granted
 	}
-	for _, r := range t.places {
-		for _, model := range t.names(r.listed &^ r.denied) {
-			found[allowance{r.path, r.team.Name, model}] = true
+	for _, rule := range t.scopes {
+		for _, model := range t.names(rule.listed &^ rule.denied) {
+			granted[grant{rule.path, rule.team.Name, model}] = true
 		}
 	}
 	for _, team := range t.teams {
 		for _, model := range t.names(team.Listed &^ team.Denied) {
-			found[allowance{t.rules.Groups[team.Group].Teams[team.Name].Path, team.Name, model}] = true
+			granted[grant{t.rules.Groups[team.Group].Teams[team.Name].Path, team.Name, model}] = true
 		}
 	}
-	return found
+	return granted
 }
 
-func sortedPlaces(places map[Scope]*rule) []Scope {
-	sorted := make([]Scope, 0, len(places))
-	for place := range places {
-		sorted = append(sorted, place)
+func sortedScopes(rules map[Scope]*scopeRule) []Scope {
+	sorted := make([]Scope, 0, len(rules))
+	for scope := range rules {
+		sorted = append(sorted, scope)
 	}
 	slices.SortFunc(sorted, func(a, b Scope) int {
 		return slices.Compare([]string{a.Group, a.Site, a.Route}, []string{b.Group, b.Site, b.Route})
--- a/internal/access/guard.go
+++ b/internal/access/guard.go
@@ -1,11 +1,3 @@
-// The guard decides at the first gateway, before anything else is done for a
-// request. It goes by the rules in force; while a change is under way it knows
-// the next ones too, and where the two agree it answers at once. Where they do
-// not, only a fresh confirmation that the change is not in force yet lets the
-// former rules decide, so that an older gateway falls silent shortly after the
-// change and none decides by what it held before a freeze. A deployment without
-// rules pays one load.
-
 package access
 
 import (
@@ -15,208 +7,226 @@
 	"fordseam/internal/base"
 )
 
-// StampedTable is a table with the stamp of its settings; no table allows all.
-type StampedTable struct {
-	Stamp uint64
-	Table *Table
+// VersionedTable is a table with the version of its settings. A nil table
+// allows everything.
+type VersionedTable struct {
+	Version uint64
+	Table   *Table
 }
 
-// pair counts what was decided for a team and a model.
-type pair struct{ allowed, refused atomic.Int64 }
+// decisionCount counts the decisions for a pair of team and model.
+type decisionCount struct{ allowed, refused atomic.Int64 }
 
-type view struct {
-	now, next StampedTable
-	under     bool // a change is under way
-	pairs     []*pair
+// ruleState is what a guard decides by. It is immutable but for the counts.
+type ruleState struct {
+	current, next VersionedTable
+	pending       bool // whether next is to replace current
+	counts        []*decisionCount
 }
 
-// FeedStatus tells how lately a node's state was confirmed.
+// FeedStatus reports how recently a node's state was confirmed. feed.Follower
+// implements it.
 type FeedStatus interface {
 	HasLease() bool
 	ConfirmedWithin(within time.Duration) bool
 	NextConfirmation() base.Signal
 }
 
-// Guard is a gateway's part.
+// Guard authorizes requests on the gateway that they reach first, before
+// anything else is done for them. It goes by the rules in force. While a change
+// is pending it also knows the next rules, and where both agree it answers at
+// once. Where they differ, the previous rules only decide if it was freshly
+// confirmed that the change has not taken effect yet. So a gateway that lags
+// behind rejects such requests soon after the change, and none decides by what
+// it knew before its process was suspended. Without rules a request costs one
+// atomic load.
 type Guard struct {
-	// Told, when set, hears of each change of the rules in force.
-	OnChange func(stamp uint64, teams int)
-
-	clock    base.Clock
-	bounds   *base.Table[base.Bounds]
-	counters *base.Counters
-	follower FeedStatus
-	view     base.Table[view]
-	others   pair
+	// OnRulesChange, when set, is called at each change of the rules in force.
+	OnRulesChange func(version uint64, teams int)
+
+	clock        base.Clock
+	bounds       *base.Table[base.Bounds]
+	counters     *base.Counters
+	feedStatus   FeedStatus
+	state        base.Table[ruleState]
+	unknownPairs decisionCount
 }
 
+// NewGuard returns a guard that allows everything until SetRules.
 func NewGuard(clock base.Clock, bounds *base.Table[base.Bounds], counters *base.Counters) *Guard {
 	g := &Guard{clock: clock, bounds: bounds, counters: counters}
-	g.view.Swap(&view{})
+	g.state.Swap(&ruleState{})
 	return g
 }
 
-// SetFeedStatus names the follower whose permits the guard decides under; it is called
-// once, before any request.
-func (g *Guard) SetFeedStatus(follower FeedStatus) { g.follower = follower }
+// SetFeedStatus sets the source of leases and confirmations. It is called once,
+// before any request.
+func (g *Guard) SetFeedStatus(status FeedStatus) { g.feedStatus = status }
 
-// SetRules takes the rules that decide and, under a change, those that come next.
-// It is called with each frame of the feed before its permit counts.
-func (g *Guard) SetRules(now StampedTable, next *StampedTable) {
-	former := g.view.Load()
-	made := &view{now: now, next: now, under: next != nil}
+// SetRules sets the rules in force and, while a change is pending, the next
+// ones. It is called with each snapshot of the feed, before the lease that came
+// with it takes effect.
+func (g *Guard) SetRules(current VersionedTable, next *VersionedTable) {
+	previous := g.state.Load()
+	state := &ruleState{current: current, next: current, pending: next != nil}
 	if next != nil {
-		made.next = *next
+		state.next = *next
 	}
-	if former.now == made.now && former.next == made.next && former.under == made.under {
+	if previous.current == state.current && previous.next == state.next && previous.pending == state.pending {
 		return
 	}
-	made.pairs = former.pairs
-	if former.now.Table != now.Table {
-		made.pairs = carried(former, now.Table)
+	state.counts = previous.counts
+	if previous.current.Table != current.Table {
+		state.counts = carryOverCounts(previous, current.Table)
 	}
-	g.view.Swap(made)
-	if now.Table.Digest() != former.now.Table.Digest() {
+	g.state.Swap(state)
+	if current.Table.Digest() != previous.current.Table.Digest() {
 		g.counters.Add("access_changes", 1)
-		if g.OnChange != nil {
+		if g.OnRulesChange != nil {
 			teams := 0
-			if now.Table != nil {
-				teams = len(now.Table.teams)
+			if current.Table != nil {
+				teams = len(current.Table.teams)
 			}
-			g.OnChange(now.Stamp, teams)
+			g.OnRulesChange(current.Version, teams)
 		}
 	}
 }
 
-// carried keeps the counts of the pairs that are still there.
-func carried(former *view, table *Table) []*pair {
+// carryOverCounts returns the counts for a new table, which keeps those of
+// pairs that it shares with the previous one.
+func carryOverCounts(previous *ruleState, table *Table) []*decisionCount {
 	if table == nil {
 		return nil
 	}
-	pairs := make([]*pair, len(table.teams)*len(table.models))
-	fresh := make([]pair, len(pairs))
-	for at := range pairs {
-		pairs[at] = &fresh[at]
+	counts := make([]*decisionCount, len(table.teams)*len(table.models))
+	allocated := make([]decisionCount, len(counts))
+	for i := range counts {
+		counts[i] = &allocated[i]
 	}
-	if was := former.now.Table; was != nil {
+	if old := previous.current.Table; old != nil {
 		for name, team := range table.teams {
-			other := was.teams[name]
-			for at, model := range table.models {
-				if place, known := was.index[model]; known && other != nil {
-					pairs[team.num*len(table.models)+at] = former.pairs[other.num*len(was.models)+place]
+			oldTeam := old.teams[name]
+			for i, model := range table.models {
+				if oldModel, known := old.modelIndex[model]; known && oldTeam != nil {
+					counts[team.index*len(table.models)+i] = previous.counts[oldTeam.index*len(old.models)+oldModel]
 				}
 			}
 		}
 	}
-	return pairs
+	return counts
 }
 
-// HasRules tells whether any rules are in force or on their way.
+// HasRules reports whether any rules are in force or pending.
 func (g *Guard) HasRules() bool {
-	held := g.view.Load()
-	return held.now.Table != nil || held.next.Table != nil
+	state := g.state.Load()
+	return state.current.Table != nil || state.next.Table != nil
 }
 
-// Stamps are of the settings whose rules decide, and of those that come next.
-func (g *Guard) Stamps() (now, next uint64) {
-	held := g.view.Load()
-	return held.now.Stamp, held.next.Stamp
+// Versions returns the versions of the settings whose rules are in force and of
+// those that come next.
+func (g *Guard) Versions() (current, next uint64) {
+	state := g.state.Load()
+	return state.current.Version, state.next.Version
 }
 
-// ChangePending tells whether a change is under way.
-func (g *Guard) ChangePending() bool { return g.view.Load().under }
+// ChangePending reports whether a change of the rules is pending.
+func (g *Guard) ChangePending() bool { return g.state.Load().pending }
 
-// Authorize answers at once, or after a short wait for a confirmation; its error
-// is the refusal.
-func (g *Guard) Authorize(ctx *base.Ctx, q *Request) error {
-	held := g.view.Load()
-	if held.now.Table == nil && held.next.Table == nil {
+// Authorize returns nil if a request is allowed, and otherwise an error that
+// says why not. It may wait briefly for a confirmation.
+func (g *Guard) Authorize(ctx *base.Ctx, request *Request) error {
+	state := g.state.Load()
+	if state.current.Table == nil && state.next.Table == nil {
 		return nil
 	}
-	end := time.Duration(-1)
+	deadline := time.Duration(-1)
 	for {
-		found := held.now.Table.find(q)
-		fresh := false
-		if held.under {
-			if next := held.next.Table.find(q); held.now.Table != nil && found.unknown && q.Host == "" {
-				found = next // a place that the change brings
+		decision := state.current.Table.lookup(request)
+		needsFresh := false
+		if state.pending {
+			if next := state.next.Table.lookup(request); state.current.Table != nil && decision.unknownTeam && request.Host == "" {
+				decision = next // the change adds this scope
 			} else {
-				fresh = next.Allowed != found.Allowed
+				needsFresh = next.Allowed != decision.Allowed
 			}
 		}
-		if g.confirmed(fresh) {
-			// What was decided on must have been confirmed, not something older.
-			if now := g.view.Load(); now != held {
-				held = now
+		if g.confirmed(needsFresh) {
+			// The confirmation must be about the rules that decided: if they
+			// changed meanwhile, decide again.
+			if newest := g.state.Load(); newest != state {
+				state = newest
 				continue
 			}
-			return g.say(held, &found)
+			return g.recordDecision(state, &decision)
 		}
-		if end < 0 {
-			end = g.clock.Now() + min(g.bounds.Load().Hold(), ctx.Left())
+		if deadline < 0 {
+			deadline = g.clock.Now() + min(g.bounds.Load().Hold(), ctx.Left())
 			g.counters.Add("access_held", 1)
 		}
-		bell := g.follower.NextConfirmation()
-		if !g.confirmed(fresh) && !bell.Wait(max(0, end-g.clock.Now())) && g.clock.Now() >= end {
+		next := g.feedStatus.NextConfirmation()
+		if !g.confirmed(needsFresh) && !next.Wait(max(0, deadline-g.clock.Now())) && g.clock.Now() >= deadline {
 			g.counters.Add("access_unconfirmed", 1)
 			return base.Busy(503, "no_confirmed_settings", 1, "this node cannot confirm which models the team may call")
 		}
-		held = g.view.Load()
+		state = g.state.Load()
 	}
 }
 
-func (g *Guard) confirmed(fresh bool) bool {
-	if fresh {
-		return g.follower.ConfirmedWithin(g.bounds.Load().AccessFresh())
+// confirmed reports whether the node's state was confirmed recently enough to
+// decide.
+func (g *Guard) confirmed(needsFresh bool) bool {
+	if needsFresh {
+		return g.feedStatus.ConfirmedWithin(g.bounds.Load().AccessFresh())
 	}
-	return g.follower.HasLease()
+	return g.feedStatus.HasLease()
 }
 
-func (g *Guard) say(held *view, found *Decision) error {
-	count := &g.others
-	if found.pair >= 0 && found.pair < len(held.pairs) {
-		count = held.pairs[found.pair]
+// recordDecision counts a decision and returns the error for a refusal.
+func (g *Guard) recordDecision(state *ruleState, decision *Decision) error {
+	count := &g.unknownPairs
+	if decision.countIndex >= 0 && decision.countIndex < len(state.counts) {
+		count = state.counts[decision.countIndex]
 	}
-	if found.Allowed {
+	if decision.Allowed {
 		count.allowed.Add(1)
 		return nil
 	}
 	count.refused.Add(1)
 	var v *base.Verdict
-	if found.unknown {
-		v = base.Decline(403, "unknown_team", "the request shows no team, and settings %d allow models to teams only", held.now.Stamp)
+	if decision.unknownTeam {
+		v = base.Decline(403, "unknown_team", "the request belongs to no known team, and settings %d allow only teams to call models", state.current.Version)
 	} else {
-		v = base.Decline(403, "model_not_allowed", "team %q may not call model %q by settings %d", found.Team, found.Model, held.now.Stamp)
+		v = base.Decline(403, "model_not_allowed", "team %q may not call model %q under settings %d", decision.Team, decision.Model, state.current.Version)
 	}
-	v.Team, v.Model, v.Stamp = found.Team, found.Model, held.now.Stamp
+	v.Team, v.Model, v.Stamp = decision.Team, decision.Model, state.current.Version
 	return v
 }
 
-// shownPairs bounds how many pairs of team and model are counted by name.
-const shownPairs = 256
+// maxNamedPairs is how many pairs of team and model have counters of their own.
+const maxNamedPairs = 256
 
-// AddCounts adds the audit's counts by team and model, the first by name and the
-// others summed.
-func (g *Guard) AddCounts(into map[string]int64) {
-	held := g.view.Load()
-	if held.now.Table == nil {
+// AddCounts adds the counts of decisions by team and model, with those beyond
+// maxNamedPairs summed up.
+func (g *Guard) AddCounts(counters map[string]int64) {
+	state := g.state.Load()
+	if state.current.Table == nil {
 		return
 	}
-	allowed, refused, shown := g.others.allowed.Load(), g.others.refused.Load(), 0
-	table := held.now.Table
+	allowed, refused, named := g.unknownPairs.allowed.Load(), g.unknownPairs.refused.Load(), 0
+	table := state.current.Table
 	for _, name := range base.SortedKeys(table.teams) {
-		for at, model := range table.models {
-			count := held.pairs[table.teams[name].num*len(table.models)+at]
+		for i, model := range table.models {
+			count := state.counts[table.teams[name].index*len(table.models)+i]
 			yes, no := count.allowed.Load(), count.refused.Load()
 			if yes == 0 && no == 0 {
 				continue
 			}
-			if shown++; shown > shownPairs {
+			if named++; named > maxNamedPairs {
 				allowed, refused = allowed+yes, refused+no
 				continue
 			}
-			into["access_allowed/"+name+"/"+model], into["access_refused/"+name+"/"+model] = yes, no
+			counters["access_allowed/"+name+"/"+model], counters["access_refused/"+name+"/"+model] = yes, no
 		}
 	}
-	into["access_allowed_others"], into["access_refused_others"] = allowed, refused
+	counters["access_allowed_others"], counters["access_refused_others"] = allowed, refused
 }
--- a/internal/access/guard_test.go
+++ b/internal/access/guard_test.go
@@ -1,5 +1,3 @@
-// The guard by itself: who decides at each step of a change, what it needs for
-// that, and what a check costs at the size of a whole deployment.
 package access_test
 
 import (
@@ -16,62 +14,66 @@
 	"github.com/matryer/is"
 )
 
-// hand is a clock that a test moves by hand.
-type hand struct {
+// manualClock is a clock that a test sets.
+type manualClock struct {
 	base.Clock
 	now time.Duration
 }
 
-func (h *hand) Now() time.Duration { return h.now }
+func (c *manualClock) Now() time.Duration { return c.now }
 
-// confirming is a follower that a test moves by hand; a wait for news passes
-// the time that it was given.
-type confirming struct {
-	clock *hand
+// fakeFeedStatus is a feed status that a test sets. Waiting for a confirmation
+// advances the clock by the full timeout.
+type fakeFeedStatus struct {
+	clock *manualClock
 	asked time.Duration
 	until time.Duration
 }
 
-func (c *confirming) HasLease() bool                            { return c.clock.now < c.until }
-func (c *confirming) ConfirmedWithin(within time.Duration) bool { return c.clock.now < c.asked+within }
-func (c *confirming) NextConfirmation() base.Signal             { return passing{c.clock} }
+func (c *fakeFeedStatus) HasLease() bool { return c.clock.now < c.until }
+func (c *fakeFeedStatus) ConfirmedWithin(within time.Duration) bool {
+	return c.clock.now < c.asked+within
+}
+func (c *fakeFeedStatus) NextConfirmation() base.Signal { return elapsingSignal{c.clock} }
 
-type passing struct{ clock *hand }
+type elapsingSignal struct{ clock *manualClock }
 
-func (p passing) Fire()       {}
-func (p passing) Fired() bool { return false }
-func (p passing) Wait(limit time.Duration) bool {
+func (p elapsingSignal) Fire()       {}
+func (p elapsingSignal) Fired() bool { return false }
+func (p elapsingSignal) Wait(limit time.Duration) bool {
 	p.clock.now += limit
 	return false
 }
 
-type bench struct {
-	clock    *hand
-	follower *confirming
+type fixture struct {
+	clock    *manualClock
+	follower *fakeFeedStatus
 	guard    *access.Guard
 	counters *base.Counters
 	bounds   *base.Bounds
 }
 
-func newBench() *bench {
-	clock := &hand{Clock: base.NewRealClock(), now: time.Minute}
-	follower := &confirming{clock: clock, asked: clock.now, until: clock.now + time.Second}
+func newFixture() *fixture {
+	clock := &manualClock{Clock: base.NewRealClock(), now: time.Minute}
+	follower := &fakeFeedStatus{clock: clock, asked: clock.now, until: clock.now + time.Second}
 	table, bounds, counters := &base.Table[base.Bounds]{}, base.DefaultBounds(), base.NewCounters()
 	table.Swap(bounds)
 	guard := access.NewGuard(clock, table, counters)
 	guard.SetFeedStatus(follower)
-	return &bench{clock, follower, guard, counters, bounds}
+	return &fixture{clock, follower, guard, counters, bounds}
 }
 
-func (b *bench) ask(q *access.Request) *base.Verdict {
+func (b *fixture) authorize(q *access.Request) *base.Verdict {
 	if err := b.guard.Authorize(base.NewCtx(b.clock, time.Minute), q); err != nil {
 		return base.FromWire(err)
 	}
 	return nil
 }
 
-// tenants writes a tree of so many teams, each with a site and a host of its own.
-func tenants(teams, models int, deny string) []byte {
+// treeDocument returns a settings document with the given number of teams, each
+// with a site and a host of its own. deny adds a denied model to the first
+// team.
+func treeDocument(teams, models int, deny string) []byte {
 	names := []string{}
 	for at := range models {
 		names = append(names, fmt.Sprintf("%q", fmt.Sprint("model-", at)))
@@ -103,92 +105,95 @@
 }
 
 var (
-	first  = &access.Request{Scope: access.Scope{Group: "group-0", Site: "main", Route: "chat"}}
-	second = &access.Request{Scope: access.Scope{Group: "group-1", Site: "main", Route: "chat"}}
+	firstTeam  = &access.Request{Scope: access.Scope{Group: "group-0", Site: "main", Route: "chat"}}
+	secondTeam = &access.Request{Scope: access.Scope{Group: "group-1", Site: "main", Route: "chat"}}
 )
 
 func TestAGuardWithoutRulesAllowsEverything(t *testing.T) {
 	is := is.New(t)
-	b := newBench()
-	b.follower.until = 0 // and asks for no permit
+	b := newFixture()
+	b.follower.until = 0 // it needs no lease either
 	is.True(!b.guard.HasRules())
-	is.True(b.ask(first) == nil)
-	b.guard.SetRules(access.StampedTable{Stamp: 1}, nil)
-	is.True(b.ask(first) == nil)
+	is.True(b.authorize(firstTeam) == nil)
+	b.guard.SetRules(access.VersionedTable{Version: 1}, nil)
+	is.True(b.authorize(firstTeam) == nil)
 	is.Equal(len(b.counters.Frame()), 0)
 }
 
-func TestARefusalSaysWhatDecided(t *testing.T) {
+func TestRefusalNamesTeamModelAndVersion(t *testing.T) {
 	is := is.New(t)
-	b := newBench()
-	b.guard.SetRules(access.StampedTable{Stamp: 7, Table: tableOf(t, tenants(2, 2, "deny"))}, nil)
-	v := b.ask(first)
+	b := newFixture()
+	b.guard.SetRules(access.VersionedTable{Version: 7, Table: tableOf(t, treeDocument(2, 2, "deny"))}, nil)
+	v := b.authorize(firstTeam)
 	is.Equal(v.Status, 403)
 	is.Equal(v.Code, "model_not_allowed")
 	is.Equal(v.Ran, base.NotRun)
 	is.Equal(v.Team, "team-0")
 	is.Equal(v.Model, "model-0")
 	is.Equal(v.Stamp, uint64(7))
-	is.True(b.ask(second) == nil)
-	v = b.ask(&access.Request{Host: "host-1.example", Model: "model-0"})
+	is.True(b.authorize(secondTeam) == nil)
+	v = b.authorize(&access.Request{Host: "host-1.example", Model: "model-0"})
 	is.Equal(v.Team, "team-1")
-	v = b.ask(&access.Request{Host: "elsewhere.example", Model: "model-0"})
+	v = b.authorize(&access.Request{Host: "elsewhere.example", Model: "model-0"})
 	is.Equal(v.Code, "unknown_team")
 	is.Equal(v.Status, 403)
 }
 
-func TestWhoDecidesWhileAChangeIsUnderWay(t *testing.T) {
+// While a change is pending the previous rules only decide under a fresh
+// confirmation. A node without one must reject a request on which the two
+// tables differ: the change may have taken effect elsewhere.
+func TestDecisionsDuringAChange(t *testing.T) {
 	is := is.New(t)
-	b := newBench()
-	was, next := tableOf(t, tenants(2, 2, "")), tableOf(t, tenants(2, 2, "deny"))
-	b.guard.SetRules(access.StampedTable{Stamp: 1, Table: was}, &access.StampedTable{Stamp: 2, Table: next})
-	is.True(b.ask(first) == nil) // freshly confirmed: the former rules decide
+	b := newFixture()
+	was, next := tableOf(t, treeDocument(2, 2, "")), tableOf(t, treeDocument(2, 2, "deny"))
+	b.guard.SetRules(access.VersionedTable{Version: 1, Table: was}, &access.VersionedTable{Version: 2, Table: next})
+	is.True(b.authorize(firstTeam) == nil) // freshly confirmed: the previous rules decide
 	b.clock.now += b.bounds.AccessFresh()
-	is.True(b.ask(second) == nil) // both say the same: a permit is enough
+	is.True(b.authorize(secondTeam) == nil) // both tables agree: a lease is enough
 	began := b.clock.now
-	v := b.ask(first)
-	is.Equal(v.Code, "no_confirmed_settings") // held briefly, then refused as not run
+	v := b.authorize(firstTeam)
+	is.Equal(v.Code, "no_confirmed_settings") // held briefly, then rejected as not run
 	is.Equal(v.Status, 503)
 	is.Equal(v.Ran, base.NotRun)
 	is.Equal(b.clock.now-began, b.bounds.Hold())
 	b.follower.asked = b.clock.now
-	is.True(b.ask(first) == nil)
-	b.guard.SetRules(access.StampedTable{Stamp: 2, Table: next}, nil)
+	is.True(b.authorize(firstTeam) == nil)
+	b.guard.SetRules(access.VersionedTable{Version: 2, Table: next}, nil)
 	b.follower.until = b.clock.now + time.Second
-	is.Equal(b.ask(first).Stamp, uint64(2))
-	b.clock.now += 2 * time.Second // as after a freeze
-	is.Equal(b.ask(second).Code, "no_confirmed_settings")
+	is.Equal(b.authorize(firstTeam).Stamp, uint64(2))
+	b.clock.now += 2 * time.Second // as after the process was suspended
+	is.Equal(b.authorize(secondTeam).Code, "no_confirmed_settings")
 }
 
-func TestTheFirstRulesAndTheLast(t *testing.T) {
+func TestRulesAreAddedAndRemoved(t *testing.T) {
 	is := is.New(t)
-	b := newBench()
-	rules := tableOf(t, tenants(2, 2, "deny"))
-	b.guard.SetRules(access.StampedTable{Stamp: 1}, &access.StampedTable{Stamp: 2, Table: rules})
-	is.True(b.ask(first) == nil)
-	b.guard.SetRules(access.StampedTable{Stamp: 2, Table: rules}, nil)
-	is.Equal(b.ask(first).Status, 403)
-	b.guard.SetRules(access.StampedTable{Stamp: 2, Table: rules}, &access.StampedTable{Stamp: 3})
-	is.Equal(b.ask(first).Status, 403)
-	b.guard.SetRules(access.StampedTable{Stamp: 3}, nil)
-	is.True(b.ask(first) == nil)
+	b := newFixture()
+	rules := tableOf(t, treeDocument(2, 2, "deny"))
+	b.guard.SetRules(access.VersionedTable{Version: 1}, &access.VersionedTable{Version: 2, Table: rules})
+	is.True(b.authorize(firstTeam) == nil)
+	b.guard.SetRules(access.VersionedTable{Version: 2, Table: rules}, nil)
+	is.Equal(b.authorize(firstTeam).Status, 403)
+	b.guard.SetRules(access.VersionedTable{Version: 2, Table: rules}, &access.VersionedTable{Version: 3})
+	is.Equal(b.authorize(firstTeam).Status, 403)
+	b.guard.SetRules(access.VersionedTable{Version: 3}, nil)
+	is.True(b.authorize(firstTeam) == nil)
 }
 
-func TestAPlaceThatAChangeBrings(t *testing.T) {
+func TestRouteAddedByAPendingChange(t *testing.T) {
 	is := is.New(t)
-	b := newBench()
-	b.guard.SetRules(access.StampedTable{Stamp: 1, Table: tableOf(t, tenants(1, 2, ""))}, &access.StampedTable{Stamp: 2, Table: tableOf(t, tenants(2, 2, ""))})
-	is.True(b.ask(second) == nil) // no former rule speaks of it
+	b := newFixture()
+	b.guard.SetRules(access.VersionedTable{Version: 1, Table: tableOf(t, treeDocument(1, 2, ""))}, &access.VersionedTable{Version: 2, Table: tableOf(t, treeDocument(2, 2, ""))})
+	is.True(b.authorize(secondTeam) == nil) // the previous rules have no such route
 }
 
 func TestCountsByTeamAndModelAreBounded(t *testing.T) {
 	is := is.New(t)
-	b := newBench()
-	b.guard.SetRules(access.StampedTable{Stamp: 1, Table: tableOf(t, tenants(600, 4, "deny"))}, nil)
+	b := newFixture()
+	b.guard.SetRules(access.VersionedTable{Version: 1, Table: tableOf(t, treeDocument(600, 4, "deny"))}, nil)
 	for at := range 600 {
-		b.ask(&access.Request{Scope: access.Scope{Group: fmt.Sprint("group-", at), Site: "main", Route: "chat"}})
+		b.authorize(&access.Request{Scope: access.Scope{Group: fmt.Sprint("group-", at), Site: "main", Route: "chat"}})
 	}
-	b.ask(&access.Request{Host: "elsewhere.example", Model: "model-0"})
+	b.authorize(&access.Request{Host: "elsewhere.example", Model: "model-0"})
 	frame := map[string]int64{}
 	b.guard.AddCounts(frame)
 	is.Equal(len(frame), 2*256+2)
@@ -199,13 +204,15 @@
 		total += count
 	}
 	is.Equal(total, int64(601))
-	b.guard.SetRules(access.StampedTable{Stamp: 2, Table: tableOf(t, tenants(601, 4, "deny"))}, nil)
+	b.guard.SetRules(access.VersionedTable{Version: 2, Table: tableOf(t, treeDocument(601, 4, "deny"))}, nil)
 	frame = map[string]int64{}
 	b.guard.AddCounts(frame)
-	is.Equal(frame["access_refused/team-0/model-0"], int64(1)) // carried over a change
+	is.Equal(frame["access_refused/team-0/model-0"], int64(1)) // counts are kept across a change
 }
 
-func BenchmarkAllows(b *testing.B) {
+// BenchmarkAuthorize measures one decision with 2600 teams, and the memory of
+// their table.
+func BenchmarkAuthorize(b *testing.B) {
 	for _, row := range []struct {
 		name string
 		made func(at int) *access.Request
@@ -218,13 +225,13 @@
 		}},
 	} {
 		b.Run(row.name, func(b *testing.B) {
-			one := newBench()
+			one := newFixture()
 			one.follower.until = 1 << 60
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			tree, _ := settings.Parse(tenants(2600, 4, ""))
-			one.guard.SetRules(access.StampedTable{Stamp: 1, Table: tree.Access()}, nil)
+			tree, _ := settings.Parse(treeDocument(2600, 4, ""))
+			one.guard.SetRules(access.VersionedTable{Version: 1, Table: tree.Access()}, nil)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			treeWith := float64(after.HeapAlloc - before.HeapAlloc)
@@ -250,19 +257,19 @@
 		})
 	}
 	b.Run("no rules", func(b *testing.B) {
-		one := newBench()
+		one := newFixture()
 		ctx := base.NewCtx(one.clock, time.Minute)
 		b.ReportAllocs()
 		for range b.N {
-			_ = one.guard.Authorize(ctx, first)
+			_ = one.guard.Authorize(ctx, firstTeam)
 		}
 	})
 }
 
-// Reading the tree of a whole deployment happens once a change, off the
-// request path.
-func BenchmarkRead(b *testing.B) {
-	document := tenants(2600, 4, "")
+// BenchmarkParse measures parsing the tree of a large deployment, which happens
+// once for each change and not on the request path.
+func BenchmarkParse(b *testing.B) {
+	document := treeDocument(2600, 4, "")
 	b.ReportMetric(float64(len(document))/1e3, "document-KB")
 	for range b.N {
 		tableOf(b, document)
--- a/internal/access/table.go
+++ b/internal/access/table.go
@@ -1,7 +1,3 @@
-// The table of one tree's rules: immutable, swapped whole, and asked without a
-// lock. A question is a place of the tree, or a host with a route of the
-// operator's; the answer names the team and the model that it was decided on.
-
 package access
 
 import (
@@ -11,72 +7,77 @@
 	"fordseam/internal/base"
 )
 
-// ModelSet is some of the models, by their place in the catalogue.
+// ModelSet is a set of models, as bits at their positions in the tree's list.
 type ModelSet uint64
 
-func (s ModelSet) has(at int) bool { return s&(1<<at) != 0 }
+func (s ModelSet) has(modelIndex int) bool { return s&(1<<modelIndex) != 0 }
 
-func full(count int) ModelSet { return ModelSet(1)<<count - 1 }
+func allModels(count int) ModelSet { return ModelSet(1)<<count - 1 }
 
-// Scope is a site, or one of its routes.
+// Scope names a site, or one of its routes.
 type Scope struct{ Group, Site, Route string }
 
-// Team is a tenant, with what its group lists and denies.
+// Team is a tenant, with the models that its group lists and denies.
 type Team struct {
 	Name, Group, Parent string
 	Listed, Denied      ModelSet
 
-	num int
+	index int
 }
 
-type rule struct {
+// scopeRule is what applies to the requests of a scope: their team, its models
+// there, and the model that the scope sets.
+type scopeRule struct {
 	path           string
 	team           *Team
 	listed, denied ModelSet
 	model          string
 }
 
-// Table is what one tree allows.
+// Table is the compiled rules of one tree. It is immutable, so it is read
+// without a lock and replaced as a whole.
 type Table struct {
-	models []string
-	index  map[string]int
-	teams  map[string]*Team
-	places map[Scope]*rule
-	hosts  map[string]Scope
-	digest string
-	rules  *Rules
+	models     []string
+	modelIndex map[string]int
+	teams      map[string]*Team
+	scopes     map[Scope]*scopeRule
+	hosts      map[string]Scope
+	digest     string
+	rules      *Rules
 }
 
-func newTable(rules *Rules, index map[string]int) *Table {
-	return &Table{rules: rules, models: rules.Models, index: index, teams: map[string]*Team{}, places: map[Scope]*rule{}, hosts: map[string]Scope{}}
+func newTable(rules *Rules, modelIndex map[string]int) *Table {
+	return &Table{rules: rules, models: rules.Models, modelIndex: modelIndex, teams: map[string]*Team{}, scopes: map[Scope]*scopeRule{}, hosts: map[string]Scope{}}
 }
 
 func (t *Table) addTeam(name, group, parent string, listed, denied ModelSet) {
-	t.teams[name] = &Team{Name: name, Group: group, Parent: parent, Listed: listed, Denied: denied, num: len(t.teams)}
+	t.teams[name] = &Team{Name: name, Group: group, Parent: parent, Listed: listed, Denied: denied, index: len(t.teams)}
 }
 
-func (t *Table) addPlace(at Scope, path, team string, listed, denied ModelSet, model string) {
-	t.places[at] = &rule{path, t.teams[team], listed, denied, model}
+func (t *Table) addScope(scope Scope, path, team string, listed, denied ModelSet, model string) {
+	t.scopes[scope] = &scopeRule{path, t.teams[team], listed, denied, model}
 }
 
-// seal names the table by what it decides.
-func (t *Table) seal() {
+// computeDigest sets the digest, which covers everything that decisions depend
+// on.
+func (t *Table) computeDigest() {
 	text := &strings.Builder{}
-	say := func(parts ...string) { text.WriteString(strings.Join(parts, "\x00") + "\n") }
-	for _, path := range sortedPlaces(t.places) {
-		r := t.places[path]
-		say(append([]string{path.Group, path.Site, path.Route, r.team.Name, r.model}, t.names(r.listed&^r.denied)...)...)
+	writeLine := func(parts ...string) { text.WriteString(strings.Join(parts, "\x00") + "\n") }
+	for _, scope := range sortedScopes(t.scopes) {
+		rule := t.scopes[scope]
+		writeLine(append([]string{scope.Group, scope.Site, scope.Route, rule.team.Name, rule.model}, t.names(rule.listed&^rule.denied)...)...)
 	}
 	for _, host := range base.SortedKeys(t.hosts) {
-		say(host, t.hosts[host].Group, t.hosts[host].Site)
+		writeLine(host, t.hosts[host].Group, t.hosts[host].Site)
 	}
 	for _, name := range base.SortedKeys(t.teams) {
-		say(append([]string{name}, t.names(t.teams[name].Listed&^t.teams[name].Denied)...)...)
+		writeLine(append([]string{name}, t.names(t.teams[name].Listed&^t.teams[name].Denied)...)...)
 	}
 	t.digest = base.Digest([]byte(text.String()))
 }
 
-// Digest tells tables apart that decide differently; empty for none.
+// Digest returns a digest that differs for tables that decide differently, or
+// "" for a nil table.
 func (t *Table) Digest() string {
 	if t == nil {
 		return ""
@@ -84,64 +85,66 @@
 	return t.digest
 }
 
+// names returns the names of the models in a set, in the order of the tree's
+// list.
 func (t *Table) names(set ModelSet) []string {
-	named := make([]string, 0, bits.OnesCount64(uint64(set)))
-	for at, name := range t.models {
-		if set.has(at) {
-			named = append(named, name)
+	names := make([]string, 0, bits.OnesCount64(uint64(set)))
+	for i, name := range t.models {
+		if set.has(i) {
+			names = append(names, name)
 		}
 	}
-	return named
+	return names
 }
 
-// Request is what a request carries: its place in the tree, or the host it
-// names with the operator's route that took it; and the model, which a place
-// may know by itself.
+// Request describes a call to authorize: a scope of the tree, or a host
+// together with the platform operator's route that matched; and a model, which
+// the scope may set itself.
 type Request struct {
 	Scope Scope
 	Host  string
 	Model string
 }
 
-// Decision is what a table says to a question.
+// Decision is a table's answer to a request.
 type Decision struct {
-	Allowed bool
-	Team    string
-	Model   string
-	pair    int // of team and model; below 0 when one is not known
-	unknown bool
+	Allowed     bool
+	Team        string
+	Model       string
+	countIndex  int // of the pair of team and model; -1 if one is unknown
+	unknownTeam bool
 }
 
-// Decide answers a question.
-func (t *Table) Decide(q *Request) Decision { return t.find(q) }
+// Decide decides a request.
+func (t *Table) Decide(request *Request) Decision { return t.lookup(request) }
 
-// find answers a question; a table of no rules allows everything.
-func (t *Table) find(q *Request) Decision {
+// lookup decides a request. A nil table allows everything.
+func (t *Table) lookup(request *Request) Decision {
 	if t == nil {
-		return Decision{Allowed: true, Model: q.Model, pair: -1}
+		return Decision{Allowed: true, Model: request.Model, countIndex: -1}
 	}
-	at := q.Scope
-	if q.Host != "" {
-		site, ok := t.hosts[q.Host]
+	scope := request.Scope
+	if request.Host != "" {
+		site, ok := t.hosts[request.Host]
 		if !ok {
 			site, ok = t.hosts[AnyHost]
 		}
 		if !ok {
-			return Decision{Model: q.Model, pair: -1, unknown: true}
+			return Decision{Model: request.Model, countIndex: -1, unknownTeam: true}
 		}
-		at = Scope{site.Group, site.Site, at.Route}
+		scope = Scope{site.Group, site.Site, scope.Route}
 	}
-	found := t.places[at]
-	if found == nil && q.Host != "" {
-		found = t.places[Scope{at.Group, at.Site, ""}]
+	rule := t.scopes[scope]
+	if rule == nil && request.Host != "" {
+		rule = t.scopes[Scope{scope.Group, scope.Site, ""}]
 	}
-	if found == nil {
-		return Decision{Model: q.Model, pair: -1, unknown: true}
+	if rule == nil {
+		return Decision{Model: request.Model, countIndex: -1, unknownTeam: true}
 	}
-	model := orElse(q.Model, found.model)
-	num, known := t.index[model]
+	model := firstNonEmpty(request.Model, rule.model)
+	index, known := t.modelIndex[model]
 	if !known {
-		return Decision{Team: found.team.Name, Model: model, pair: -1}
+		return Decision{Team: rule.team.Name, Model: model, countIndex: -1}
 	}
-	return Decision{Allowed: (found.listed &^ found.denied).has(num), Team: found.team.Name, Model: model, pair: found.team.num*len(t.models) + num}
+	return Decision{Allowed: (rule.listed &^ rule.denied).has(index), Team: rule.team.Name, Model: model, countIndex: rule.team.index*len(t.models) + index}
 }
--- a/internal/feed/bench_test.go
+++ b/internal/feed/bench_test.go
@@ -1,4 +1,3 @@
-// Taking one change of the feed, by the number of keys.
 package feed
 
 import (
@@ -9,22 +8,24 @@
 	"fordseam/internal/register"
 )
 
-func BenchmarkTakeOneChange(b *testing.B) {
+// BenchmarkApplyOneChange measures applying one changed key, by the number of
+// keys.
+func BenchmarkApplyOneChange(b *testing.B) {
 	for _, keys := range []int{72, 650, 2600} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			bounds := &base.Table[base.Bounds]{}
 			bounds.Swap(base.DefaultBounds())
 			f := NewFollower(base.NewRealClock(), nil, nil, nil, bounds, base.NewCounters(), func(*Snapshot) {})
 			first := &FollowReply{Place: 1, Frame: true}
-			for place := range keys {
-				first.Puts = append(first.Puts, &register.Put{Key: fmt.Sprintf("feed/roster/instance-%05d", place), Value: make([]byte, 70)})
+			for i := range keys {
+				first.Puts = append(first.Puts, &register.Put{Key: fmt.Sprintf("feed/roster/instance-%05d", i), Value: make([]byte, 70)})
 			}
-			f.take(first, 0)
-			place := uint64(1)
+			f.applyReply(first, 0)
+			i := uint64(1)
 			b.ReportAllocs()
 			for b.Loop() {
-				place++
-				f.take(&FollowReply{Place: place, Puts: first.Puts[:1]}, 0)
+				i++
+				f.applyReply(&FollowReply{Place: i, Puts: first.Puts[:1]}, 0)
 			}
 		})
 	}
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,10 +1,23 @@
-// Package feed brings control state to the nodes. A follower starts from a
-// frame and goes on with numbered changes; each answer is as fresh as the
-// moment it was asked for, which gives the follower a permit counted from
-// before it asked. A node serves only under a permit. When it lapses, visits
-// are held briefly and then declined as not run. The place a follower has
-// reached never falls: an answer from before it is dropped and renews
+// Package feed distributes control state to the nodes: a watch on the register
+// keys under KeyPrefix. A Follower starts from a snapshot and then receives
+// changes by revision. Each answer is at least as fresh as the moment its
+// request was sent, so it grants the follower a lease counted from before that
+// request. A node serves only while it has a lease; when the lease expires,
+// requests are held briefly and then rejected as not run. A follower's revision
+// never goes back: an answer from an earlier revision is dropped and renews
 // nothing.
+//
+// In a large fleet the followers form a tree, so that the leader of the feed's
+// shard (register calls it the owner) answers a bounded number of nodes. Cores
+// ask the leader and gateways ask a core. Each node answers a bounded number of
+// gateways; once it has that many it redirects others to some of them, so the
+// tree grows with the fleet and no node needs to know every gateway. A node
+// stays with its parent as long as the parent's answers are fresh. A relayed
+// answer states how long before the request it was confirmed, and the lease is
+// shorter by that time. Ordering is unaffected, because no follower's revision
+// goes back. In a cycle of followers nobody's confirmation is renewed, so the
+// cycle breaks when the confirmation gets too old. A node asks the leader
+// itself when no relay answers.
 package feed
 
 import (
@@ -22,74 +35,78 @@
 	"fordseam/internal/register"
 )
 
-// KeyPrefix marks the keys that are told to every node.
+// KeyPrefix is the prefix of the register keys that are distributed to every
+// node.
 const KeyPrefix = "feed/"
 
-// Service answers followers: the owner's part on a core, and any node's towards
-// those that it tells at second hand.
+// Service answers followers: as the leader on a core that leads the feed's
+// shard, and as a relay on any other node.
 type Service struct {
 	clock    base.Clock
-	owner    *register.Owner
+	leader   *register.Owner
 	follower *Follower
-	polls    polls
+	reports  settingsReports
 }
 
-// NewService takes no owner on a gateway.
-func NewService(clock base.Clock, owner *register.Owner, follower *Follower) *Service {
-	return &Service{clock: clock, owner: owner, follower: follower, polls: polls{holders: map[string]poll{}}}
+// NewService returns the feed service of a node. owner is nil on a gateway.
+func NewService(clock base.Clock, leader *register.Owner, follower *Follower) *Service {
+	return &Service{clock: clock, leader: leader, follower: follower, reports: settingsReports{byNode: map[string]settingsReport{}}}
 }
 
-func (v *Service) Follow(plain context.Context, request *FollowRequest) (*FollowReply, error) {
-	ctx := base.CtxOf(plain, v.clock)
-	if v.follower.crowded(request, v.most(request)) {
-		v.follower.counters.Add("feed_relays_crowded", 1)
-		return &FollowReply{Crowded: true, Relays: v.follower.asking.relays(request.From, request.Zone)}, nil
+// Follow answers one long poll of a follower, or redirects it to other nodes.
+func (s *Service) Follow(parent context.Context, request *FollowRequest) (*FollowReply, error) {
+	ctx := base.CtxOf(parent, s.clock)
+	if s.follower.shouldRedirect(request, s.followerLimit(request)) {
+		s.follower.counters.Add("feed_relays_crowded", 1)
+		return &FollowReply{Crowded: true, Relays: s.follower.followers.relayHints(request.From, request.Zone)}, nil
 	}
-	gateways := v.follower.below(request)
-	if v.owner == nil || request.Relayed && !v.owner.ServesFeed() {
-		return v.follower.AnswerFollower(ctx, request)
+	gateways := s.follower.countGateways(request)
+	if s.leader == nil || request.Relayed && !s.leader.ServesFeed() {
+		return s.follower.AnswerFollower(ctx, request)
 	}
-	v.note(request)
-	hold := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Left()/2)
-	place, frame, puts, hint, err := v.owner.News(ctx, request.Place, request.Begun, hold)
+	s.recordReport(request)
+	wait := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Left()/2)
+	revision, whole, puts, leaderHint, err := s.leader.News(ctx, request.Place, request.Begun, wait)
 	if err != nil {
 		return nil, base.ToWire(err)
 	}
-	told := base.Filter(puts, func(put *register.Put) bool { return strings.HasPrefix(put.Key, KeyPrefix) })
-	reply := &FollowReply{Place: place, Frame: frame, Puts: told, Owner: hint}
+	visible := base.Filter(puts, func(put *register.Put) bool { return strings.HasPrefix(put.Key, KeyPrefix) })
+	reply := &FollowReply{Place: revision, Frame: whole, Puts: visible, Owner: leaderHint}
 	if request.From != "" {
 		reply.Gateways = gateways
 	}
 	return reply, nil
 }
 
-// most is how many gateways this node answers. What a node holds under rules of
-// access is told to the owner itself, by however many.
-func (v *Service) most(request *FollowRequest) int {
+// followerLimit returns how many gateways this node answers. A follower that
+// reports which settings it has must be answered by the leader itself, so the
+// leader does not limit those.
+func (s *Service) followerLimit(request *FollowRequest) int {
 	switch {
-	case v.owner == nil:
-		return relayFollowers
+	case s.leader == nil:
+		return maxGatewayFollowers
 	case request.Node != "":
 		return math.MaxInt
 	case !request.Relayed:
-		return ownerFollowers
+		return maxLeaderFollowers
 	}
-	return coreFollowers
+	return maxCoreFollowers
 }
 
-// Snapshot is what a follower knows, swapped whole at each change. Begun tells it
-// from the frame of a follower that was told nothing yet.
+// Snapshot is the control state that a follower has. It is immutable and
+// replaced as a whole at each change. Initialized is false before the first
+// answer, which tells that state from one at revision 0.
 type Snapshot struct {
 	Initialized bool
 	Revision    uint64
 	Values      map[string][]byte
 }
 
-// with gives the frame that a reply makes of this one.
-func (f *Snapshot) with(reply *FollowReply) *Snapshot {
+// apply returns the snapshot that results from applying a reply to this one.
+func (s *Snapshot) apply(reply *FollowReply) *Snapshot {
 	values := map[string][]byte{}
 	if !reply.Frame {
-		values = maps.Clone(f.Values)
+		values = maps.Clone(s.Values)
 	}
 	for _, put := range reply.Puts {
 		if put.Gone {
@@ -101,270 +118,281 @@
 	return &Snapshot{Initialized: true, Revision: reply.Place, Values: values}
 }
 
-// puts are the changes that make another frame of this one: whoever has this one
-// need not be told the whole of the other.
-func (f *Snapshot) puts(next *Snapshot) (puts []*register.Put) {
-	for _, key := range base.SortedKeys(f.Values) {
-		if _, stays := next.Values[key]; !stays {
+// diff returns the changes that lead from this snapshot to next, so that a
+// follower that has this one need not get all of next.
+func (s *Snapshot) diff(next *Snapshot) (puts []*register.Put) {
+	for _, key := range base.SortedKeys(s.Values) {
+		if _, kept := next.Values[key]; !kept {
 			puts = append(puts, &register.Put{Key: key, Gone: true})
 		}
 	}
 	for _, key := range base.SortedKeys(next.Values) {
 		value := next.Values[key]
-		if before, known := f.Values[key]; !known || string(before) != string(value) {
+		if old, known := s.Values[key]; !known || string(old) != string(value) {
 			puts = append(puts, &register.Put{Key: key, Value: value})
 		}
 	}
 	return puts
 }
 
-// Follower keeps a node's frame and its permit.
+// Follower keeps a node's snapshot of the control state and its lease.
 type Follower struct {
-	clock    base.Clock
-	wire     base.Wire
-	client   *register.Client
-	bounds   *base.Table[base.Bounds]
-	counters *base.Counters
-	frame    base.Table[Snapshot]
-	changed  func(*Snapshot)
-	bell     *base.Bell
-	view     *membership.View
-	asking   followers
-	parent   string                 // the address that answered at second hand last; only Run has it
-	followed atomic.Pointer[string] // the same, for those who ask
+	clock           base.Clock
+	wire            base.Wire
+	client          *register.Client
+	bounds          *base.Table[base.Bounds]
+	counters        *base.Counters
+	snapshot        base.Table[Snapshot]
+	onChange        func(*Snapshot)
+	confirmedBell   *base.Bell
+	view            *membership.View
+	followers       followerTable
+	parent          string                 // the relay that answered last; used by Run only
+	publishedParent atomic.Pointer[string] // the value of parent, for other goroutines
 
-	// Tell, when set before Run, adds to a question what the node tells of itself.
+	// AddNodeInfo, when set before Run, adds what this node reports about
+	// itself to each request.
 	AddNodeInfo func(request *FollowRequest)
 
-	until atomic.Int64 // a permit's end, by the node's clock
-	asked atomic.Int64 // when the newest confirmation was asked for, and 1
+	leaseEnd         atomic.Int64 // by the node's clock
+	confirmedPlusOne atomic.Int64 // when the newest confirmation was requested, plus 1; 0 for none
 
-	mu        sync.Mutex
-	confirmed time.Duration
-	steps     steps
-	gateways  int64
-	lapses    uint64
-	closed    bool
+	mu               sync.Mutex
+	confirmed        time.Duration
+	recent           changeLog
+	gatewayCount     int64
+	leaseExpirations uint64
+	closed           bool
 }
 
-// NewFollower calls changed with each new frame, before the permit that
-// came with it counts.
-func NewFollower(clock base.Clock, wire base.Wire, view *membership.View, client *register.Client, bounds *base.Table[base.Bounds], counters *base.Counters, changed func(*Snapshot)) *Follower {
-	f := &Follower{clock: clock, wire: wire, view: view, client: client, bounds: bounds, counters: counters, changed: changed, bell: base.NewBell(clock)}
-	f.frame.Swap(&Snapshot{Values: map[string][]byte{}})
+// NewFollower returns a follower that calls onChange with each new snapshot,
+// before the lease that came with it takes effect.
+func NewFollower(clock base.Clock, wire base.Wire, view *membership.View, client *register.Client, bounds *base.Table[base.Bounds], counters *base.Counters, onChange func(*Snapshot)) *Follower {
+	f := &Follower{clock: clock, wire: wire, view: view, client: client, bounds: bounds, counters: counters, onChange: onChange, confirmedBell: base.NewBell(clock)}
+	f.snapshot.Swap(&Snapshot{Values: map[string][]byte{}})
 	return f
 }
 
-// Snapshot is the newest state this node has shown.
-func (f *Follower) Snapshot() *Snapshot { return f.frame.Load() }
+// Snapshot returns the newest state that this node has received.
+func (f *Follower) Snapshot() *Snapshot { return f.snapshot.Load() }
 
-// Run follows until closed.
+// Run follows the feed until Close.
 func (f *Follower) Run() {
 	for !f.Closed() {
-		frame, bounds := f.Snapshot(), f.bounds.Load()
-		request := &FollowRequest{Begun: frame.Initialized, Place: frame.Revision, HoldMs: bounds.FeedHold().Milliseconds()}
-		if !frame.Initialized || large(f.view) {
+		snapshot, bounds := f.Snapshot(), f.bounds.Load()
+		request := &FollowRequest{Begun: snapshot.Initialized, Place: snapshot.Revision, HoldMs: bounds.FeedHold().Milliseconds()}
+		if !snapshot.Initialized || usesRelays(f.view) {
 			self := f.view.Self()
 			request.From, request.Zone = self.Id, self.Zone
 			request.Core = self.Role == membership.RoleCore
-			request.Gateways = f.below(&FollowRequest{})
+			request.Gateways = f.countGateways(&FollowRequest{})
 		}
 		if f.AddNodeInfo != nil {
 			f.AddNodeInfo(request)
 		}
-		reply, asked, err := f.ask(request)
+		reply, askedAt, err := f.ask(request)
 		if err != nil {
 			f.counters.Add("feed_failures", 1)
 			f.clock.Sleep(bounds.FeedHold() / 4)
 			continue
 		}
-		f.take(reply, asked)
+		f.applyReply(reply, askedAt)
 	}
 }
 
-// below counts the gateways that follow through this node, itself and the asker
-// included. A core that asks itself is not its own follower.
-func (f *Follower) below(request *FollowRequest) int64 {
+// countGateways records the sender of a request as a follower and returns how
+// many gateways follow through this node, counting itself and the sender. A
+// core that sends requests to itself is not its own follower.
+func (f *Follower) countGateways(request *FollowRequest) int64 {
 	from := request.From
 	if from == f.view.SelfID() {
 		from = ""
 	}
-	asked := heard{gateways: request.Gateways, zone: request.Zone, core: request.Core, at: f.clock.Now()}
-	sum := f.asking.note(from, asked, f.remembers())
+	info := followerInfo{gateways: request.Gateways, zone: request.Zone, core: request.Core, lastSeen: f.clock.Now()}
+	sum := f.followers.record(from, info, f.followerTTL())
 	if f.view.Self().Role == membership.RoleGateway {
 		sum++
 	}
 	return sum
 }
 
-// ask asks those who tell at second hand, if there are any, and then the owner.
-func (f *Follower) ask(request *FollowRequest) (reply *FollowReply, asked time.Duration, err error) {
-	addresses := f.relays()
+// ask sends a request to the relay candidates, if there are any, and then to
+// the leader. It also returns when the answered request was sent.
+func (f *Follower) ask(request *FollowRequest) (reply *FollowReply, askedAt time.Duration, err error) {
+	addresses := f.relayCandidates()
 	if request.Node != "" {
-		addresses = nil // what this node holds is told to the owner itself
+		addresses = nil // the leader itself must learn which settings this node has
 	}
-	if reply, asked = f.askRelays(request, addresses); reply != nil {
-		return reply, asked, nil
+	if reply, askedAt = f.askRelays(request, addresses); reply != nil {
+		return reply, askedAt, nil
 	}
-	return f.askOwner(request)
+	return f.askLeader(request)
 }
 
-// askRelays asks one address after another, and whom those name; it gives nothing
-// where none of a few had a fresh answer.
-func (f *Follower) askRelays(request *FollowRequest, addresses []string) (reply *FollowReply, asked time.Duration) {
+// askRelays asks one address after another, and the nodes that they redirect
+// to. It returns nil when none of at most maxRelayAttempts gave an answer to
+// use.
+func (f *Follower) askRelays(request *FollowRequest, addresses []string) (reply *FollowReply, askedAt time.Duration) {
 	request.Relayed = true
-	lost, tried := false, map[string]bool{f.view.Self().Addr: true}
-	for tries := 0; tries < relayTries && len(addresses) > 0; {
+	replyLost, tried := false, map[string]bool{f.view.Self().Addr: true}
+	for attempts := 0; attempts < maxRelayAttempts && len(addresses) > 0; {
 		address := addresses[0]
 		addresses = addresses[1:]
-		member := f.memberAt(address)
+		member := f.memberAtAddress(address)
 		isCore := member != nil && member.Role == membership.RoleCore
-		if tried[address] || lost && !isCore {
-			continue // after a lost answer time is short; the cores are well known
+		if tried[address] || replyLost && !isCore {
+			continue // little of the lease is left after a lost reply: only ask cores
 		}
 		tried[address] = true
-		tries++
-		asked = f.clock.Now()
-		answered, err := NewFeedProtobufClient("http://"+address, f.wire).Follow(base.NewCtx(f.clock, f.bounds.Load().Follow()), request)
+		attempts++
+		askedAt = f.clock.Now()
+		answer, err := NewFeedProtobufClient("http://"+address, f.wire).Follow(base.NewCtx(f.clock, f.bounds.Load().Follow()), request)
 		switch {
-		case err == nil && answered.Crowded:
-			addresses = prepend(addresses, answered.Relays...)
-			f.leave(address)
-		case err == nil && answered.Owner == "":
+		case err == nil && answer.Crowded:
+			addresses = prepend(addresses, answer.Relays...)
+			f.dropParent(address)
+		case err == nil && answer.Owner == "":
 			f.parent = address
-			f.followed.Store(&address)
-			return answered, asked
+			f.publishedParent.Store(&address)
+			return answer, askedAt
 		default:
-			request.HoldMs = 0 // another try must not wait: the permit runs out
+			request.HoldMs = 0 // another attempt must not wait: the lease is running out
 			f.counters.Add("feed_relays_failed", 1)
-			f.leave(address)
+			f.dropParent(address)
 			if v := base.FromWire(err); v != nil && (v.Code == "unreachable" || v.Code == "reply_lost") {
-				lost = lost || v.Code == "reply_lost"
+				replyLost = replyLost || v.Code == "reply_lost"
 				if member != nil {
 					f.view.Suspect(member.Id)
 				}
 			}
 		}
 	}
-	return nil, asked
+	return nil, askedAt
 }
 
-// leave ends following a node.
-func (f *Follower) leave(address string) {
+// dropParent stops preferring address as the node's parent.
+func (f *Follower) dropParent(address string) {
 	if f.parent == address {
 		f.parent = ""
-		f.followed.Store(nil)
+		f.publishedParent.Store(nil)
 	}
 }
 
-// askOwner asks the owner itself.
-func (f *Follower) askOwner(request *FollowRequest) (reply *FollowReply, asked time.Duration, err error) {
+// askLeader asks the leader of the feed's shard, and the relays that it
+// redirects to.
+func (f *Follower) askLeader(request *FollowRequest) (reply *FollowReply, askedAt time.Duration, err error) {
 	request.Relayed = false
 	bounds := f.bounds.Load()
 	err = f.client.Reach(base.NewCtx(f.clock, bounds.Permit()), 0, bounds.Follow(), func(ctx *base.Ctx, addr string) (string, error) {
-		asked = f.clock.Now()
-		answered, err := NewFeedProtobufClient("http://"+addr, f.wire).Follow(ctx, request)
+		askedAt = f.clock.Now()
+		answer, err := NewFeedProtobufClient("http://"+addr, f.wire).Follow(ctx, request)
 		request.HoldMs = 0
 		if err != nil {
 			return "", err
 		}
-		reply = answered
-		return answered.Owner, nil
+		reply = answer
+		return answer.Owner, nil
 	})
 	if err == nil && reply.Crowded {
 		request.HoldMs = 0
-		if reply, asked = f.askRelays(request, reply.Relays); reply == nil {
-			err = base.Busy(503, "feed_crowded", 1, "nobody that was asked takes another follower")
+		if reply, askedAt = f.askRelays(request, reply.Relays); reply == nil {
+			err = base.Busy(503, "feed_crowded", 1, "none of the nodes asked accepts another follower")
 		}
 	}
-	return reply, asked, err
+	return reply, askedAt, err
 }
 
-// Closed reports whether the follower was ended.
+// Closed reports whether Close was called.
 func (f *Follower) Closed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.closed
 }
 
+// Close ends Run after its current request.
 func (f *Follower) Close() {
 	f.mu.Lock()
 	f.closed = true
 	f.mu.Unlock()
 }
 
-func (f *Follower) take(reply *FollowReply, asked time.Duration) {
+// applyReply takes in an answer to a request that was sent at askedAt: it
+// updates the snapshot, then extends the lease.
+func (f *Follower) applyReply(reply *FollowReply, askedAt time.Duration) {
 	current := f.Snapshot()
 	if !consensus.TakesAnswer(reply.Place, current.Revision) {
 		f.counters.Add("feed_older_dropped", 1)
 		return
 	}
 	if reply.Place > current.Revision || !current.Initialized {
-		next := current.with(reply)
-		f.changed(next)
+		next := current.apply(reply)
+		f.onChange(next)
 		f.mu.Lock()
 		if current.Initialized {
 			puts := reply.Puts
 			if reply.Frame {
-				puts = current.puts(next)
+				puts = current.diff(next)
 			}
-			f.steps.add(step{from: current.Revision, to: next.Revision, puts: puts})
+			f.recent.add(change{from: current.Revision, to: next.Revision, puts: puts})
 		}
-		f.frame.Swap(next)
+		f.snapshot.Swap(next)
 		f.mu.Unlock()
 		f.counters.Add("feed_changes", 1)
 	}
-	permit := f.bounds.Load().Permit()
+	lease := f.bounds.Load().Permit()
 	behind := time.Duration(reply.BehindMs) * time.Millisecond
-	leaseEnd := consensus.LeaseEnd(asked, behind, permit)
-	asked -= behind
+	leaseEnd := consensus.LeaseEnd(askedAt, behind, lease)
+	askedAt -= behind
 	f.mu.Lock()
-	f.gateways, f.confirmed = reply.Gateways, max(f.confirmed, asked)
-	until := time.Duration(f.until.Load())
-	if until > 0 && f.clock.Now() >= until {
-		f.lapses++
+	f.gatewayCount, f.confirmed = reply.Gateways, max(f.confirmed, askedAt)
+	previousEnd := time.Duration(f.leaseEnd.Load())
+	if previousEnd > 0 && f.clock.Now() >= previousEnd {
+		f.leaseExpirations++
 	}
-	f.until.Store(int64(max(until, leaseEnd)))
-	f.asked.Store(max(f.asked.Load(), int64(asked)+1))
+	f.leaseEnd.Store(int64(max(previousEnd, leaseEnd)))
+	f.confirmedPlusOne.Store(max(f.confirmedPlusOne.Load(), int64(askedAt)+1))
 	f.mu.Unlock()
-	f.bell.Ring()
+	f.confirmedBell.Ring()
 }
 
-// NextConfirmation rings at the next confirmation.
-func (f *Follower) NextConfirmation() base.Signal { return f.bell.Next() }
+// NextConfirmation returns a signal that fires at the next confirmation.
+func (f *Follower) NextConfirmation() base.Signal { return f.confirmedBell.Next() }
 
-// ConfirmedWithin reports whether the newest confirmation was asked for so lately.
+// ConfirmedWithin reports whether the newest confirmation was requested less
+// than within ago.
 func (f *Follower) ConfirmedWithin(within time.Duration) bool {
-	asked := f.asked.Load()
-	return asked > 0 && f.clock.Now() < time.Duration(asked)+within
+	confirmedPlusOne := f.confirmedPlusOne.Load()
+	return confirmedPlusOne > 0 && f.clock.Now() < time.Duration(confirmedPlusOne)+within
 }
 
-// HasLease reports whether this node may serve at this moment.
-func (f *Follower) HasLease() bool { return f.clock.Now() < time.Duration(f.until.Load()) }
+// HasLease reports whether this node may serve now.
+func (f *Follower) HasLease() bool { return f.clock.Now() < time.Duration(f.leaseEnd.Load()) }
 
-// GatewayCount is how many follow the feed in all, as last told.
+// GatewayCount returns how many gateways follow the feed in the whole fleet, as
+// of the last answer.
 func (f *Follower) GatewayCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return int(f.gateways)
+	return int(f.gatewayCount)
 }
 
-// LeaseExpirations counts how often the permit ran out before it was renewed.
+// LeaseExpirations returns how often the lease expired before it was renewed.
 func (f *Follower) LeaseExpirations() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lapses
+	return f.leaseExpirations
 }
 
-// WaitForLease waits a little for a lapsed permit, then declines.
+// WaitForLease returns at once under a lease. Otherwise it waits up to the
+// configured hold time for a new one and then rejects the request as not run.
 func (f *Follower) WaitForLease(ctx *base.Ctx) error {
-	end := f.clock.Now() + min(f.bounds.Load().Hold(), ctx.Left())
+	deadline := f.clock.Now() + min(f.bounds.Load().Hold(), ctx.Left())
 	for {
-		next := f.bell.Next()
+		next := f.confirmedBell.Next()
 		if f.HasLease() {
 			return nil
 		}
-		if !next.Wait(max(0, end-f.clock.Now())) {
+		if !next.Wait(max(0, deadline-f.clock.Now())) {
 			f.counters.Add("visits_declined_no_permit", 1)
 			return base.Busy(503, "no_confirmed_settings", 1, "this node cannot confirm its settings")
 		}
--- a/internal/feed/followers.go
+++ b/internal/feed/followers.go
@@ -1,5 +1,3 @@
-// The followers that a node answers, and those of them that can take more.
-
 package feed
 
 import (
@@ -12,97 +10,99 @@
 	"fordseam/internal/base"
 )
 
-// followers are those that a node answers, by their ids.
-type followers struct {
-	mu  sync.Mutex
-	all map[string]heard
+// followerTable holds the followers that a node answers, by node id.
+type followerTable struct {
+	mu   sync.Mutex
+	byID map[string]followerInfo
 }
 
-// heard is what a follower's newest question told.
-type heard struct {
-	gateways int64 // that follow through it, itself included
+// followerInfo is what a follower's newest request said about it.
+type followerInfo struct {
+	gateways int64 // those that follow through it, itself included
 	zone     string
 	core     bool
-	at       time.Duration
+	lastSeen time.Duration
 }
 
-// full tells that a node has as many gateways as it takes, the asker not being
-// one of them.
-func (c *followers) full(from string, most int, now, span time.Duration) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.forget(now, span)
-	if _, known := c.all[from]; known {
+// atCapacity reports whether limit gateways follow this node already and from
+// is not one of them.
+func (t *followerTable) atCapacity(from string, limit int, now, ttl time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now, ttl)
+	if _, known := t.byID[from]; known {
 		return false
 	}
 	count := 0
-	for _, one := range c.all {
-		if !one.core {
+	for _, info := range t.byID {
+		if !info.core {
 			count++
 		}
 	}
-	return count >= most
+	return count >= limit
 }
 
-// note takes an asker in, and gives the sum of those heard within a span.
-func (c *followers) note(from string, asked heard, span time.Duration) (sum int64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.all == nil {
-		c.all = map[string]heard{}
+// record adds or renews a follower, and returns the sum of the gateways that
+// follow through those seen within ttl.
+func (t *followerTable) record(from string, info followerInfo, ttl time.Duration) (sum int64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.byID == nil {
+		t.byID = map[string]followerInfo{}
 	}
 	if from != "" {
-		c.all[from] = asked
+		t.byID[from] = info
 	}
-	c.forget(asked.at, span)
-	for _, one := range c.all {
-		sum += one.gateways
+	t.expire(info.lastSeen, ttl)
+	for _, follower := range t.byID {
+		sum += follower.gateways
 	}
 	return sum
 }
 
-// forget drops those not heard within a span; the caller holds the lock.
-func (c *followers) forget(now, span time.Duration) {
-	for id, one := range c.all {
-		if now-one.at > span {
-			delete(c.all, id)
+// expire drops the followers not seen within ttl. The caller holds the lock.
+func (t *followerTable) expire(now, ttl time.Duration) {
+	for id, info := range t.byID {
+		if now-info.lastSeen > ttl {
+			delete(t.byID, id)
 		}
 	}
 }
 
-// relays gives the addresses of some gateways for a follower to ask in place of
-// this node: those with room before the others, those of its zone first, and
-// else in an order of its own, so that many that come at once spread out.
-func (c *followers) relays(from, zone string) []string {
+// relayHints returns the addresses of some gateways that a follower may ask
+// instead of this node: those with room first, then those of its zone. Ties are
+// ordered by a hash that differs by follower, so that many that arrive at once
+// spread out.
+func (t *followerTable) relayHints(from, zone string) []string {
 	type choice struct {
 		id   string
 		rank int
 		hash uint64
 	}
-	c.mu.Lock()
-	choices := []choice{}
-	for id, one := range c.all {
-		if one.core || id == from {
+	t.mu.Lock()
+	candidates := []choice{}
+	for id, info := range t.byID {
+		if info.core || id == from {
 			continue
 		}
 		rank := 0
-		if one.gateways > relayFollowers {
+		if info.gateways > maxGatewayFollowers {
 			rank += 2
 		}
-		if one.zone != zone {
+		if info.zone != zone {
 			rank++
 		}
-		choices = append(choices, choice{id, rank, base.Hash64(from, id)})
+		candidates = append(candidates, choice{id, rank, base.Hash64(from, id)})
 	}
-	c.mu.Unlock()
-	slices.SortFunc(choices, func(a, b choice) int {
+	t.mu.Unlock()
+	slices.SortFunc(candidates, func(a, b choice) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.hash, b.hash))
 	})
-	return base.Map(choices[:min(len(choices), relaysTold)], func(one choice) string { return addressOf(one.id) })
+	return base.Map(candidates[:min(len(candidates), maxRelayHints)], func(info choice) string { return addressFromID(info.id) })
 }
 
-// addressOf is where a node listens: its id begins with that.
-func addressOf(id string) string {
+// addressFromID returns the listen address of a node, with which its id begins.
+func addressFromID(id string) string {
 	address, _, _ := strings.Cut(id, "/")
 	return address
 }
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -1,13 +1,3 @@
-// In a large fleet the feed is told through a tree of followers, so that its
-// owner answers a bounded number. Cores ask the owner, gateways ask a core. Each
-// node answers a bounded number of gateways; one that has as many names some of
-// them to whoever else asks, who turns to those. So the tree grows with the fleet
-// by itself, and nobody needs to know all gateways. A node stays with whom it
-// found while that gives fresh answers. An answer at second hand says how long
-// before the question it was confirmed, which the permit is shorter by; order is
-// kept as ever, since no follower's place falls. In a circle nobody's
-// confirmation is renewed, so it ends when that is too old. The owner is asked last.
-
 package feed
 
 import (
@@ -22,62 +12,63 @@
 )
 
 const (
-	// directMost is how many nodes all ask the owner.
-	directMost = 24
-	// coreFollowers and relayFollowers are how many gateways a core and a gateway
-	// answer at second hand; ownerFollowers is how many the owner answers that
-	// found nobody else.
-	coreFollowers  = 16
-	relayFollowers = 10
-	ownerFollowers = 32
-	// relaysTold is how many relays a crowded node names.
-	relaysTold = 6
-	// relayTries is how many are asked at second hand before the owner.
-	relayTries = 4
-	// stepBytes bounds the changes that a follower keeps to tell others.
-	stepBytes = 1 << 20
+	// maxDirectFollowers is up to how many nodes all of them ask the leader.
+	maxDirectFollowers = 24
+	// maxCoreFollowers and maxGatewayFollowers are how many gateways a core and
+	// a gateway answer as relays. maxLeaderFollowers is how many the leader
+	// answers that found no relay.
+	maxCoreFollowers    = 16
+	maxGatewayFollowers = 10
+	maxLeaderFollowers  = 32
+	// maxRelayHints is how many other nodes a redirect names.
+	maxRelayHints = 6
+	// maxRelayAttempts is how many relays are asked before the leader.
+	maxRelayAttempts = 4
+	// maxRecentBytes limits the changes that a follower keeps for its own
+	// followers.
+	maxRecentBytes = 1 << 20
 )
 
-// large tells that there are too many nodes for all to ask the owner. A view that
-// leaves members out may show few gateways, or none.
-func large(view *membership.View) bool {
-	return view.Partial() || len(view.Known(membership.RoleCore))+len(view.Known(membership.RoleGateway)) > directMost
+// usesRelays reports whether the fleet is too large for every node to ask the
+// leader. A partial view may show few gateways or none, so it counts as large.
+func usesRelays(view *membership.View) bool {
+	return view.Partial() || len(view.Known(membership.RoleCore))+len(view.Known(membership.RoleGateway)) > maxDirectFollowers
 }
 
-// relays lists the addresses that a node asks at second hand, in turn: the one
-// that answered last, then the cores in an order of its own; none where it asks
-// the owner.
-func (f *Follower) relays() []string {
+// relayCandidates returns the addresses to ask as relays, in order: the current
+// parent, then the cores in an order that differs by node. It returns nil for a
+// node that asks the leader directly.
+func (f *Follower) relayCandidates() []string {
 	self := f.view.Self()
-	if self.Role == membership.RoleCore || !large(f.view) {
+	if self.Role == membership.RoleCore || !usesRelays(f.view) {
 		return nil
 	}
 	cores := slices.Clone(f.view.Available(membership.RoleCore))
 	slices.SortFunc(cores, func(a, b *membership.Member) int {
 		return cmp.Compare(base.Hash64(self.Id, b.Id), base.Hash64(self.Id, a.Id))
 	})
-	found := base.Map(cores, func(m *membership.Member) string { return m.Addr })
+	addresses := base.Map(cores, func(m *membership.Member) string { return m.Addr })
 	if f.parent == "" {
-		return found
+		return addresses
 	}
-	if known := f.memberAt(f.parent); known != nil {
+	if known := f.memberAtAddress(f.parent); known != nil {
 		if _, alive := f.view.Find(known.Id); !alive || known.Leaving {
 			f.parent = ""
-			return found
+			return addresses
 		}
 	}
-	return prepend(found, f.parent)
+	return prepend(addresses, f.parent)
 }
 
-// prepend puts addresses before others, and each there once.
+// prepend returns first followed by the others that are not in first.
 func prepend(others []string, first ...string) []string {
 	rest := base.Filter(others, func(address string) bool { return !slices.Contains(first, address) })
 	return append(slices.Clone(first), rest...)
 }
 
-// memberAt finds who is known to listen at an address, nobody where the view is
-// partial and leaves it out.
-func (f *Follower) memberAt(address string) *membership.Member {
+// memberAtAddress returns the core or gateway known at an address. It returns
+// nil when a partial view leaves that member out.
+func (f *Follower) memberAtAddress(address string) *membership.Member {
 	for _, role := range []string{membership.RoleCore, membership.RoleGateway} {
 		for _, member := range f.view.Known(role) {
 			if member.Addr == address {
@@ -88,106 +79,111 @@
 	return nil
 }
 
-// crowded tells that a question is left to other nodes, since this one answers
-// as many followers as it takes, or is leaving, or follows the asker itself.
-func (f *Follower) crowded(request *FollowRequest, most int) bool {
+// shouldRedirect reports whether a follower is sent to other nodes: this one
+// answers as many as it accepts, is leaving, or follows the sender itself.
+func (f *Follower) shouldRedirect(request *FollowRequest, limit int) bool {
 	if request.From == "" || request.From == f.view.SelfID() || request.Core {
 		return false
 	}
 	if f.view.Self().Leaving && f.view.Self().Role == membership.RoleGateway {
 		return true
 	}
-	if parent := f.followed.Load(); parent != nil && *parent == addressOf(request.From) {
+	if parent := f.publishedParent.Load(); parent != nil && *parent == addressFromID(request.From) {
 		return true
 	}
-	return f.asking.full(request.From, most, f.clock.Now(), f.remembers())
+	return f.followers.atCapacity(request.From, limit, f.clock.Now(), f.followerTTL())
 }
 
-// remembers is how long a follower counts after its newest question.
-func (f *Follower) remembers() time.Duration { return 2 * f.bounds.Load().Permit() }
+// followerTTL is how long a follower counts after its newest request.
+func (f *Follower) followerTTL() time.Duration { return 2 * f.bounds.Load().Permit() }
 
-// step is a change of a follower's frame.
-type step struct {
+// change is one change of a follower's snapshot.
+type change struct {
 	from, to uint64
 	puts     []*register.Put
 	bytes    int
 }
 
-// steps are the newest changes, each where the one before ends.
-type steps struct {
-	list  []step
-	bytes int
+// changeLog holds the newest changes. Each begins at the revision at which the
+// one before ends.
+type changeLog struct {
+	changes []change
+	bytes   int
 }
 
-func (s *steps) add(next step) {
+// add appends a change and drops the oldest ones beyond maxRecentBytes.
+func (l *changeLog) add(next change) {
 	for _, put := range next.puts {
 		next.bytes += len(put.Key) + len(put.Value) + 64
 	}
-	s.list, s.bytes = append(s.list, next), s.bytes+next.bytes
-	for len(s.list) > 0 && s.bytes > stepBytes {
-		s.bytes -= s.list[0].bytes
-		s.list = slices.Delete(s.list, 0, 1)
+	l.changes, l.bytes = append(l.changes, next), l.bytes+next.bytes
+	for len(l.changes) > 0 && l.bytes > maxRecentBytes {
+		l.bytes -= l.changes[0].bytes
+		l.changes = slices.Delete(l.changes, 0, 1)
 	}
 }
 
-// since gives the puts from a place on, if all are at hand. A step that begins
-// before the place is given whole: its puts come in order, so the last counts.
-func (s *steps) since(place uint64) (puts []*register.Put, ok bool) {
-	for at, one := range s.list {
-		if one.to <= place {
+// since returns the puts after a revision; ok is false when some were dropped.
+// A change that begins before the revision is returned whole, which is
+// harmless: puts are applied in order, so the last one counts.
+func (l *changeLog) since(revision uint64) (puts []*register.Put, ok bool) {
+	for at, entry := range l.changes {
+		if entry.to <= revision {
 			continue
 		}
-		if at == 0 && one.from > place {
+		if at == 0 && entry.from > revision {
 			return nil, false
 		}
-		puts = append(puts, one.puts...)
+		puts = append(puts, entry.puts...)
 	}
-	return puts, len(s.list) > 0
+	return puts, len(l.changes) > 0
 }
 
-// AnswerFollower answers another follower from this one's frame.
+// AnswerFollower answers another follower's long poll from this node's
+// snapshot. It waits until there is something newer, or a renewed confirmation
+// after half the wait, or the wait plus a quarter is over.
 func (f *Follower) AnswerFollower(ctx *base.Ctx, request *FollowRequest) (*FollowReply, error) {
-	hold := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Left()/2)
-	arrived := f.clock.Now()
-	first := f.confirmedAt()
+	wait := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Left()/2)
+	receivedAt := f.clock.Now()
+	firstConfirmed := f.lastConfirmed()
 	for {
-		next := f.bell.Next()
-		confirmed, now := f.confirmedAt(), f.clock.Now()
-		frame := f.Snapshot()
-		renewed := confirmed > first && now-arrived >= hold/2
-		if frame.Initialized && (!request.Begun || frame.Revision > request.Place) || renewed || now >= arrived+hold*5/4 {
-			return f.tell(request, arrived)
+		next := f.confirmedBell.Next()
+		confirmed, now := f.lastConfirmed(), f.clock.Now()
+		snapshot := f.Snapshot()
+		renewed := confirmed > firstConfirmed && now-receivedAt >= wait/2
+		if snapshot.Initialized && (!request.Begun || snapshot.Revision > request.Place) || renewed || now >= receivedAt+wait*5/4 {
+			return f.reply(request, receivedAt)
 		}
-		next.Wait(arrived + hold*5/4 - now)
+		next.Wait(receivedAt + wait*5/4 - now)
 	}
 }
 
-// tell answers with what this follower has, unless that is older than two
-// thirds of a permit or than what the other has.
-func (f *Follower) tell(request *FollowRequest, arrived time.Duration) (*FollowReply, error) {
+// reply answers with this node's state. It fails when that was confirmed too
+// long ago (see consensus.MayRelay) or is older than what the follower has.
+func (f *Follower) reply(request *FollowRequest, receivedAt time.Duration) (*FollowReply, error) {
 	f.mu.Lock()
-	confirmed, frame, gateways := f.confirmed, f.Snapshot(), f.gateways
-	puts, ok := f.steps.since(request.Place)
+	confirmed, snapshot, gatewayCount := f.confirmed, f.Snapshot(), f.gatewayCount
+	puts, ok := f.recent.since(request.Place)
 	f.mu.Unlock()
-	if !frame.Initialized || !consensus.TakesAnswer(frame.Revision, request.Place) || !consensus.MayRelay(f.clock.Now(), confirmed, f.bounds.Load().Permit()) {
+	if !snapshot.Initialized || !consensus.TakesAnswer(snapshot.Revision, request.Place) || !consensus.MayRelay(f.clock.Now(), confirmed, f.bounds.Load().Permit()) {
 		f.counters.Add("feed_relays_declined", 1)
-		return nil, base.ToWire(base.Busy(503, "feed_stale", 1, "this node is behind the feed itself"))
+		return nil, base.ToWire(base.Busy(503, "feed_stale", 1, "this node's own snapshot of the feed is out of date"))
 	}
-	reply := &FollowReply{Place: frame.Revision, Gateways: gateways, BehindMs: consensus.Behind(arrived, confirmed).Milliseconds()}
+	reply := &FollowReply{Place: snapshot.Revision, Gateways: gatewayCount, BehindMs: consensus.Behind(receivedAt, confirmed).Milliseconds()}
 	switch {
-	case !request.Begun || frame.Revision > request.Place && !ok:
+	case !request.Begun || snapshot.Revision > request.Place && !ok:
 		reply.Frame = true
-		for _, key := range base.SortedKeys(frame.Values) {
-			reply.Puts = append(reply.Puts, &register.Put{Key: key, Value: frame.Values[key]})
+		for _, key := range base.SortedKeys(snapshot.Values) {
+			reply.Puts = append(reply.Puts, &register.Put{Key: key, Value: snapshot.Values[key]})
 		}
-	case frame.Revision > request.Place:
+	case snapshot.Revision > request.Place:
 		reply.Puts = puts
 	}
 	return reply, nil
 }
 
-// confirmedAt is a moment from which on this node's frame held all there was.
-func (f *Follower) confirmedAt() time.Duration {
+// lastConfirmed returns a time at which this node's snapshot was up to date.
+func (f *Follower) lastConfirmed() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.confirmed
--- a/internal/fleet/chaos.go
+++ b/internal/fleet/chaos.go
@@ -219,7 +219,7 @@
 	if mark == "stand-in" {
 		mark = ""
 	}
-	d.tally.Stands(now.Stamp, mark)
+	d.tally.Stands(now.Version, mark)
 	return nil
 }
 
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -26,7 +26,7 @@
 		}}, nil
 	case "GET settings":
 		return &plan{func(*base.Ctx) (*Response, error) {
-			return answer(200, map[string]uint64{"stamp": settings.StampFromFeed(f.Follower.Snapshot().Values)}), nil
+			return answer(200, map[string]uint64{"stamp": settings.VersionFromFeed(f.Follower.Snapshot().Values)}), nil
 		}}, nil
 	case "PUT workers":
 		return f.planReplace(r)
--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -84,7 +84,7 @@
 		if err == nil {
 			return show(given, false), nil
 		}
-		if v := base.FromWire(err); v.Ran == base.NotRun || leg >= t.route.Legs || t.ctx.Over() {
+		if v := base.FromWire(err); v.Ran == base.NotRun || leg >= t.route.MaxAttempts || t.ctx.Over() {
 			return nil, err
 		}
 		t.front.Counters.Add("tool_legs_repeated", 1)
@@ -138,7 +138,7 @@
 func (t *toolVisit) send(tried map[string]bool) (*toolcall.Answer, error) {
 	f := t.front
 	need := &worker.Need{Pool: t.route.Pool, Affinity: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
-		Waiting: t.route.Waiting, Tried: tried, Policy: t.route.Policy}
+		Waiting: t.route.MaxWaiting, Tried: tried, Policy: t.route.Policy}
 	for {
 		given, err, another := t.sendOnce(need)
 		if !another || t.ctx.Over() {
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -1,5 +1,3 @@
-// The exchange between two neighbours: what is said, and what is taken in.
-
 package membership
 
 import (
@@ -11,21 +9,22 @@
 	"fordseam/internal/base"
 )
 
-// exchange speaks with whoever lives at an address, tells who that is, and
-// sees to it that views which differ are compared whole.
-func (v *View) exchange(addr string, limit time.Duration, askView bool) (id string, err error) {
-	message := v.message(v.at(addr), askView, nil)
-	reply, err := NewMembershipProtobufClient("http://"+addr, v.wire).Shuffle(base.NewCtx(v.clock, limit), message)
+// exchange sends a message to the member at an address and takes in the reply.
+// It returns the id of the member that answered. If the two views differ, it
+// asks for the other's whole view.
+func (v *View) exchange(addr string, timeout time.Duration, askView bool) (id string, err error) {
+	message := v.buildMessage(v.idAtAddr(addr), askView, nil)
+	reply, err := NewMembershipProtobufClient("http://"+addr, v.wire).Shuffle(base.NewCtx(v.clock, timeout), message)
 	if err != nil {
-		v.hear(v.at(addr), false)
+		v.recordAnswer(v.idAtAddr(addr), false)
 		if base.WasNotSent(err) {
-			v.doubtAt(addr)
+			v.suspectLocallyAtAddr(addr)
 		}
 		return "", err
 	}
 	if len(reply.Members) > 0 {
 		id = reply.Members[0].Id
-		v.hear(id, true)
+		v.recordAnswer(id, true)
 	}
 	if differs := v.merge(reply, addr); differs && !askView {
 		v.counters.Add("views_compared", 1)
@@ -34,173 +33,177 @@
 	return id, nil
 }
 
-// message builds what is said to a neighbour, "" when it is not known who that
-// is; heard are ids that the other side has just told of itself.
-func (v *View) message(to string, askView bool, heard map[string]bool) *ShuffleMessage {
+// buildMessage builds a message to a member; the id is "" when it is not known
+// who is at the address. senderKnows lists ids that the other side has just
+// sent entries of.
+func (v *View) buildMessage(to string, askView bool, senderKnows map[string]bool) *ShuffleMessage {
 	v.mu.Lock()
-	message := &ShuffleMessage{Cluster: v.cluster, AskView: askView, Members: []*Member{pack(v.self)}, Digest: v.digest()}
-	held := v.known[to]
-	if held != nil {
-		message.Holds = held.member.Incarnation
-		if held.holds >= v.self.Incarnation {
+	message := &ShuffleMessage{Cluster: v.cluster, AskView: askView, Members: []*Member{compact(v.self)}, Digest: v.digest()}
+	p := v.known[to]
+	if p != nil {
+		message.Holds = p.member.Incarnation
+		if p.knownSelfIncarnation >= v.self.Incarnation {
 			message.Members[0] = &Member{Id: v.self.Id, Incarnation: v.self.Incarnation}
 		}
-		if held.accused >= held.member.Incarnation {
-			message.Members = append(message.Members, &Member{Id: to, Incarnation: held.accused, State: State_SUSPECTED})
+		if p.sharedSuspicion >= p.member.Incarnation {
+			message.Members = append(message.Members, &Member{Id: to, Incarnation: p.sharedSuspicion, State: State_SUSPECTED})
 		}
 	}
-	waiting := base.SortedKeys(v.news)
-	slices.SortStableFunc(waiting, func(a, b string) int { return v.news[b].left - v.news[a].left })
-	for _, id := range waiting[:min(newsLimit, len(waiting))] {
-		item := v.news[id]
-		if id == to || heard[id] {
+	queued := base.SortedKeys(v.pendingUpdates)
+	slices.SortStableFunc(queued, func(a, b string) int { return v.pendingUpdates[b].sendsLeft - v.pendingUpdates[a].sendsLeft })
+	for _, id := range queued[:min(maxUpdatesPerMessage, len(queued))] {
+		item := v.pendingUpdates[id]
+		if id == to || senderKnows[id] {
 			continue
 		}
 		if id != v.self.Id {
-			message.Members = append(message.Members, pack(item.member))
+			message.Members = append(message.Members, compact(item.member))
 		}
-		if item.left--; item.left <= 0 {
-			delete(v.news, id)
+		if item.sendsLeft--; item.sendsLeft <= 0 {
+			delete(v.pendingUpdates, id)
 		}
 	}
 	if askView {
-		message.View = v.sample(viewLimit)
-	} else if message.Digest == 0 && v.turn%sampleEvery == 0 {
-		message.View = v.sample(sampleLimit)
+		message.View = v.sampleMembers(maxViewMembers)
+	} else if message.Digest == 0 && v.round%sampleEvery == 0 {
+		message.View = v.sampleMembers(maxSampleMembers)
 	}
-	times, uses := v.times(), held == nil || held.member.Role == RoleGateway
+	maxSends, wantsUsages := v.maxSends(), p == nil || p.member.Role == RoleGateway
 	v.mu.Unlock()
-	if v.usages != nil && uses {
-		message.Usages = v.usages.Sample(usageLimit, times)
+	if v.usages != nil && wantsUsages {
+		message.Usages = v.usages.Sample(maxUsagesPerMessage, maxSends)
 	}
 	return message
 }
 
-// sample is part of the view, half of it cores and storage machines; the caller
-// holds the lock.
-func (v *View) sample(limit int) []*Member {
-	duties, edges := []string{}, []string{}
+// sampleMembers returns part of the view, half of it cores and storage
+// machines. The caller holds the lock.
+func (v *View) sampleMembers(limit int) []*Member {
+	servers, gateways := []string{}, []string{}
 	for _, id := range base.SortedKeys(v.known) {
-		if held := v.known[id]; v.alive(held) && held.accused < held.member.Incarnation {
-			if held.member.Role == RoleGateway {
-				edges = append(edges, id)
+		if p := v.known[id]; v.isAlive(p) && p.sharedSuspicion < p.member.Incarnation {
+			if p.member.Role == RoleGateway {
+				gateways = append(gateways, id)
 			} else {
-				duties = append(duties, id)
+				servers = append(servers, id)
 			}
 		}
 	}
-	v.mix(duties)
-	v.mix(edges)
-	chosen := duties[:min(max(limit/2, limit-len(edges)), len(duties))]
-	chosen = append(chosen, edges[:min(limit-len(chosen), len(edges))]...)
-	return base.Map(chosen, func(id string) *Member { return pack(v.known[id].member) })
+	v.shuffle(servers)
+	v.shuffle(gateways)
+	sample := servers[:min(max(limit/2, limit-len(gateways)), len(servers))]
+	sample = append(sample, gateways[:min(limit-len(sample), len(gateways))]...)
+	return base.Map(sample, func(id string) *Member { return compact(v.known[id].member) })
 }
 
-func copyMember(m *Member) *Member {
+func cloneMember(m *Member) *Member {
 	return &Member{Id: m.Id, Addr: m.Addr, PublicAddr: m.PublicAddr, Role: m.Role, Zone: m.Zone, Incarnation: m.Incarnation, Leaving: m.Leaving, Unwell: m.Unwell, State: m.State}
 }
 
-// pack leaves out an address that the id begins with; unpack puts it back.
-func pack(m *Member) *Member {
-	packed := copyMember(m)
-	if addrIn(m.Id) == m.Addr {
-		packed.Addr = ""
-	}
-	return packed
+// compact returns an entry without its address if the id begins with that;
+// expand adds it again.
+func compact(m *Member) *Member {
+	short := cloneMember(m)
+	if addrFromID(m.Id) == m.Addr {
+		short.Addr = ""
+	}
+	return short
 }
 
-func unpack(m *Member) *Member {
+func expand(m *Member) *Member {
 	if m.Addr == "" {
-		m.Addr = addrIn(m.Id)
+		m.Addr = addrFromID(m.Id)
 	}
 	return m
 }
 
-func addrIn(id string) string {
-	if place := strings.LastIndexByte(id, '/'); place > 0 {
-		return id[:place]
+func addrFromID(id string) string {
+	if slash := strings.LastIndexByte(id, '/'); slash > 0 {
+		return id[:slash]
 	}
 	return ""
 }
 
-// Shuffle answers a neighbour's exchange, in the name of the cluster that this
-// node was of before it heard.
+// Shuffle answers another node's message. The reply names the cluster that this
+// node belonged to before the message arrived.
 func (v *View) Shuffle(_ context.Context, message *ShuffleMessage) (*ShuffleMessage, error) {
 	v.mu.Lock()
 	cluster := v.cluster
 	v.mu.Unlock()
-	same := message.Cluster == "" || cluster == "" || message.Cluster == cluster
+	sameCluster := message.Cluster == "" || cluster == "" || message.Cluster == cluster
 	v.merge(message, "")
-	heard, from := map[string]bool{}, ""
-	for place, member := range message.Members {
-		heard[member.Id] = true
-		if place == 0 {
+	senderKnows, from := map[string]bool{}, ""
+	for i, member := range message.Members {
+		senderKnows[member.Id] = true
+		if i == 0 {
 			from = member.Id
 		}
 	}
-	reply := v.message(from, message.AskView && same, heard)
+	reply := v.buildMessage(from, message.AskView && sameCluster, senderKnows)
 	reply.Cluster = cluster
 	return reply, nil
 }
 
-// merge takes news in and tells whether the views differ while neither side
-// has news. The first member of a message is its sender, whose word on who
-// lives at its address ends any former life there.
-func (v *View) merge(message *ShuffleMessage, asked string) (differs bool) {
+// merge takes in a message and reports whether the two views differ although
+// neither side has updates. The first member of a message is its sender, whose
+// entry ends any previous incarnation at its address. askedAddr is the address
+// that was asked if the message is a reply, or "".
+func (v *View) merge(message *ShuffleMessage, askedAddr string) (differs bool) {
 	v.mu.Lock()
-	if !v.sameCluster(message.Cluster) {
+	if !v.acceptCluster(message.Cluster) {
 		v.mu.Unlock()
 		v.counters.Add("foreign_members_dropped", 1)
 		return false
 	}
 	now := v.clock.Now()
-	joining := v.alone()
-	look := []string{}
+	joining := v.isolated()
+	toProbe := []string{}
 	for _, member := range message.Members {
 		if member.State == State_GONE && member.Id != v.self.Id {
-			v.endLife(member.Id, member.Incarnation)
+			v.markGone(member.Id, member.Incarnation)
 		}
 	}
-	for place, member := range message.Members {
-		unpack(member)
+	for i, member := range message.Members {
+		expand(member)
 		switch {
 		case member.Id == v.self.Id:
 			if member.State != State_ALIVE && member.Incarnation >= v.self.Incarnation {
 				v.self.Incarnation = member.Incarnation
 				v.counters.Add("suspicions_refuted", 1)
-				v.announce()
+				v.announceSelf()
 			}
 		case member.State == State_GONE:
 		case member.State == State_SUSPECTED:
-			if v.suspected(member) {
-				look = append(look, member.Id)
+			if v.applySuspicion(member) {
+				toProbe = append(toProbe, member.Id)
 			}
-		case place == 0 && member.Role == "":
-			if held, ok := v.known[member.Id]; ok {
-				held.holds = message.Holds
+		case i == 0 && member.Role == "":
+			if p, ok := v.known[member.Id]; ok {
+				p.knownSelfIncarnation = message.Holds
 			}
 		default:
-			first := place == 0 && (asked == "" || asked == member.Addr)
-			// To a partial view a stranger is no news, unless it joins.
-			look = append(look, v.admit(member, first, place > 0 || message.AskView || v.whole())...)
-			if held, ok := v.known[member.Id]; ok && place == 0 {
-				held.holds = message.Holds
+			authoritative := i == 0 && (askedAddr == "" || askedAddr == member.Addr)
+			// A partial view does not forward the sender's entry, which may be
+			// new to this node only, unless the sender is joining.
+			toProbe = append(toProbe, v.applyEntry(member, authoritative, i > 0 || message.AskView || v.complete())...)
+			if p, ok := v.known[member.Id]; ok && i == 0 {
+				p.knownSelfIncarnation = message.Holds
 			}
 		}
 	}
 	for _, member := range message.View {
-		if unpack(member).Id != v.self.Id && member.State == State_ALIVE {
-			look = append(look, v.admit(member, false, !joining && v.whole())...)
+		if expand(member).Id != v.self.Id && member.State == State_ALIVE {
+			toProbe = append(toProbe, v.applyEntry(member, false, !joining && v.complete())...)
 		}
 	}
-	v.forget(now)
-	mine := v.digest()
-	if differs = asked != "" && mine != 0 && message.Digest != 0 && mine != message.Digest && len(v.news) == 0 &&
-		len(message.Members) == 1 && now-v.synced > v.bounds.Load().Suspect()/2; differs {
-		v.synced = now
+	v.prune(now)
+	ownDigest := v.digest()
+	if differs = askedAddr != "" && ownDigest != 0 && message.Digest != 0 && ownDigest != message.Digest && len(v.pendingUpdates) == 0 &&
+		len(message.Members) == 1 && now-v.lastCompared > v.bounds.Load().Suspect()/2; differs {
+		v.lastCompared = now
 	}
 	v.mu.Unlock()
-	for _, id := range look {
+	for _, id := range toProbe {
 		v.probe(id)
 	}
 	if v.usages != nil {
@@ -209,11 +212,12 @@
 	return differs
 }
 
-// sameCluster keeps clusters apart whose machines reach each other at addresses that
-// one of them has given up. A node that does not know its cluster learns it
-// from the first it hears, so one whose place names it is safer. The caller
-// holds the lock.
-func (v *View) sameCluster(cluster string) bool {
+// acceptCluster reports whether a message is from this node's cluster. It keeps
+// clusters apart whose machines get each other's former addresses. A node that
+// does not know its cluster learns it from the first message it gets, so it is
+// safer to name the cluster in the process's settings. The caller holds the
+// lock.
+func (v *View) acceptCluster(cluster string) bool {
 	switch {
 	case cluster == "" || cluster == v.cluster:
 		return true
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -1,6 +1,3 @@
-// The members that this node holds: how entries come in, end and are dropped, and
-// the news of them that is passed on.
-
 package membership
 
 import (
@@ -11,70 +8,74 @@
 	"fordseam/internal/base"
 )
 
-// neighbour is what this node holds of another. Doubt is its own finding;
-// an accusation is public and stands until a higher incarnation refutes it.
-type neighbour struct {
-	member    *Member
-	hash      uint64
-	holds     uint64
-	doubted   uint64
-	accused   uint64
-	accusedAt time.Duration
-	lost      time.Duration
-	// probe fires at the end of the probe that is under way, nil if none is.
-	probe base.Signal
-	// unheard is that it gave this node's own last question no answer, whether or
-	// not others hear it, as was found at a moment.
-	unheard   bool
-	unheardAt time.Duration
+// peer is what this node knows about another member. Incarnations compare as in
+// SWIM: a suspicion holds for the incarnation it names and lower ones.
+type peer struct {
+	member               *Member
+	memberDigest         uint64
+	knownSelfIncarnation uint64 // the incarnation of this node that the peer holds
+	localSuspicion       uint64 // the incarnation this node itself suspects, not announced; 0 for none
+	sharedSuspicion      uint64 // the announced one, until a higher incarnation refutes it
+	sharedSuspicionAt    time.Duration
+	suspectedAt          time.Duration
+	// probeDone fires at the end of the probe that is under way; nil if there
+	// is none.
+	probeDone base.Signal
+	// unanswered is whether the peer left this node's own last message
+	// unanswered, regardless of what others report; unansweredAt is when that
+	// was found.
+	unanswered   bool
+	unansweredAt time.Duration
 }
 
-// update is an item of news and how often it is still passed on.
+// update is an entry to pass on, and how many more times.
 type update struct {
-	member *Member
-	left   int
+	member    *Member
+	sendsLeft int
 }
 
-// tombstone marks a life that ended, or news already passed on.
-type tombstone struct {
+// incarnationMark records up to which incarnation a member is gone, or an
+// update about it was queued, and when.
+type incarnationMark struct {
 	incarnation uint64
 	at          time.Duration
 }
 
-// announce makes this node's own entry news; the caller holds the lock.
-func (v *View) announce() {
+// announceSelf queues this node's own entry with a new incarnation. The caller
+// holds the lock.
+func (v *View) announceSelf() {
 	v.self.Incarnation++
-	v.changed()
-	v.spread(v.self, false)
+	v.invalidateSnapshot()
+	v.enqueueUpdate(v.self, false)
 }
 
-// times is how often a node passes an item of news on; the caller holds the lock.
-func (v *View) times() int { return 2 + bits.Len(uint(len(v.known))) }
+// maxSends is how often a node passes an update on. The caller holds the lock.
+func (v *View) maxSends() int { return 2 + bits.Len(uint(len(v.known))) }
 
-// spread makes an entry news, once for each incarnation and state; the caller
-// holds the lock.
-func (v *View) spread(member *Member, again bool) {
+// enqueueUpdate queues an entry to pass on, once for each incarnation and state
+// unless force is set. The caller holds the lock.
+func (v *View) enqueueUpdate(member *Member, force bool) {
 	key := member.Id + "/" + strconv.Itoa(int(member.State))
-	if before, ok := v.passed[key]; ok && before.incarnation >= member.Incarnation && !again {
+	if queued, ok := v.lastQueued[key]; ok && queued.incarnation >= member.Incarnation && !force {
 		return
 	}
-	v.passed[key] = tombstone{member.Incarnation, v.clock.Now()}
-	v.news[member.Id] = &update{copyMember(member), v.times()}
-	v.notify.Ring()
+	v.lastQueued[key] = incarnationMark{member.Incarnation, v.clock.Now()}
+	v.pendingUpdates[member.Id] = &update{cloneMember(member), v.maxSends()}
+	v.changeBell.Ring()
 }
 
-// alone tells that no neighbour is alive; the caller holds the lock.
-func (v *View) alone() bool {
-	for _, held := range v.known {
-		if v.alive(held) {
+// isolated reports whether no other member is alive. The caller holds the lock.
+func (v *View) isolated() bool {
+	for _, p := range v.known {
+		if v.isAlive(p) {
 			return false
 		}
 	}
 	return true
 }
 
-// at finds who lives at an address.
-func (v *View) at(addr string) string {
+// idAtAddr returns the id of the member at an address, or "".
+func (v *View) idAtAddr(addr string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, id := range base.SortedKeys(v.known) {
@@ -85,143 +86,150 @@
 	return ""
 }
 
-// whole tells that this view leaves nobody out; the caller holds the lock.
-func (v *View) whole() bool { return v.clock.Now() >= v.partial }
-
-// digest is what a whole view comes to, 0 for a partial one; the caller holds
+// complete reports whether this view lists the whole fleet. The caller holds
 // the lock.
+func (v *View) complete() bool { return v.clock.Now() >= v.partialUntil }
+
+// digest returns a digest of a complete view, or 0 for a partial one. The
+// caller holds the lock.
 func (v *View) digest() uint64 {
-	if !v.whole() {
+	if !v.complete() {
 		return 0
 	}
-	sum := entryHash(v.self)
-	for _, held := range v.known {
-		if v.alive(held) {
-			sum ^= held.hash
+	sum := memberDigest(v.self)
+	for _, p := range v.known {
+		if v.isAlive(p) {
+			sum ^= p.memberDigest
 		}
 	}
 	return sum | 1
 }
 
-func entryHash(m *Member) uint64 {
+func memberDigest(m *Member) uint64 {
 	return base.Hash64(m.Id, strconv.FormatUint(m.Incarnation, 10))
 }
 
-// admit takes an entry of one who lives in, and gives back whom to look at:
-// one that others take for alive and that was suspected here. The caller holds
-// the lock.
-func (v *View) admit(member *Member, first, news bool) (look []string) {
+// applyEntry takes in an entry of a member that its sender takes for alive. It
+// is authoritative if it comes from the member itself; then it ends any
+// previous incarnation at that address. forward queues it for others. A member
+// that is suspected here is returned to be probed. The caller holds the lock.
+func (v *View) applyEntry(member *Member, authoritative, forward bool) (toProbe []string) {
 	if ended, ok := v.tombstones[member.Id]; ok && member.Incarnation <= ended.incarnation || member.Addr == v.self.Addr {
 		return nil
 	}
-	if first {
+	if authoritative {
 		for _, id := range base.SortedKeys(v.known) {
-			if former := v.known[id].member; former.Addr == member.Addr && id != member.Id {
-				v.endLife(id, former.Incarnation)
+			if previous := v.known[id].member; previous.Addr == member.Addr && id != member.Id {
+				v.markGone(id, previous.Incarnation)
 			}
 		}
 	}
-	held, ok := v.known[member.Id]
+	p, ok := v.known[member.Id]
 	switch {
-	case !ok && (first || !v.superseded(member)):
-		held = &neighbour{}
-		v.known[member.Id] = held
-	case !ok || member.Incarnation < held.member.Incarnation:
+	case !ok && (authoritative || !v.addressTaken(member)):
+		p = &peer{}
+		v.known[member.Id] = p
+	case !ok || member.Incarnation < p.member.Incarnation:
 		return nil
-	case member.Incarnation == held.member.Incarnation:
-		if !v.alive(held) {
-			look = append(look, member.Id)
+	case member.Incarnation == p.member.Incarnation:
+		if !v.isAlive(p) {
+			toProbe = append(toProbe, member.Id)
 		}
-		return look
+		return toProbe
 	}
-	held.member, held.hash = member, entryHash(member)
-	v.changed()
+	p.member, p.memberDigest = member, memberDigest(member)
+	v.invalidateSnapshot()
 	delete(v.tombstones, member.Id)
-	if news {
-		v.spread(member, false)
+	if forward {
+		v.enqueueUpdate(member, false)
 	}
 	return nil
 }
 
-// suspected takes another's suspicion in and tells whether to look for oneself.
-// The caller holds the lock.
-func (v *View) suspected(member *Member) bool {
-	held, ok := v.known[member.Id]
-	if ok && (held.member.Incarnation > member.Incarnation || held.accused >= member.Incarnation) {
+// applySuspicion takes in another node's suspicion and reports whether this
+// node should probe the member too. The caller holds the lock.
+func (v *View) applySuspicion(member *Member) bool {
+	p, ok := v.known[member.Id]
+	if ok && (p.member.Incarnation > member.Incarnation || p.sharedSuspicion >= member.Incarnation) {
 		return false
 	}
 	if ended, dead := v.tombstones[member.Id]; dead && ended.incarnation >= member.Incarnation {
 		return false
 	}
-	v.spread(member, false)
+	v.enqueueUpdate(member, false)
 	if !ok {
 		return false
 	}
-	v.suspectPublicly(held, member.Incarnation)
-	return v.clock.Int64N(int64(len(v.known))) < verifiers
+	v.recordSharedSuspicion(p, member.Incarnation)
+	return v.clock.Int64N(int64(len(v.known))) < expectedVerifiers
 }
 
-// endLife ends a life for good; the caller holds the lock.
-func (v *View) endLife(id string, incarnation uint64) {
-	held, ok := v.known[id]
-	if ended, dead := v.tombstones[id]; dead && ended.incarnation >= incarnation || ok && held.member.Incarnation > incarnation {
+// markGone removes a member for good, up to the given incarnation. The caller
+// holds the lock.
+func (v *View) markGone(id string, incarnation uint64) {
+	p, ok := v.known[id]
+	if ended, dead := v.tombstones[id]; dead && ended.incarnation >= incarnation || ok && p.member.Incarnation > incarnation {
 		return
 	}
 	delete(v.known, id)
-	v.changed()
-	v.tombstones[id] = tombstone{incarnation, v.clock.Now()}
-	v.spread(&Member{Id: id, Incarnation: incarnation, State: State_GONE}, false)
+	v.invalidateSnapshot()
+	v.tombstones[id] = incarnationMark{incarnation, v.clock.Now()}
+	v.enqueueUpdate(&Member{Id: id, Incarnation: incarnation, State: State_GONE}, false)
 }
 
-// superseded keeps hearsay about an address from displacing a life there
-// that this node knows to be alive.
-func (v *View) superseded(member *Member) bool {
+// addressTaken reports whether another member is alive at the entry's address,
+// so that second-hand information must not replace it. The caller holds the
+// lock.
+func (v *View) addressTaken(member *Member) bool {
 	if member.Addr == v.self.Addr {
 		return true
 	}
-	for id, held := range v.known {
-		if held.member.Addr == member.Addr && id != member.Id && v.alive(held) {
+	for id, p := range v.known {
+		if p.member.Addr == member.Addr && id != member.Id && v.isAlive(p) {
 			return true
 		}
 	}
 	return false
 }
 
-// forget drops the long lost, and bounds the view: gateways go by chance before
-// the few cores and disks that duties need. The caller holds the lock.
-func (v *View) forget(now time.Duration) {
-	long := 10 * v.bounds.Load().Suspect()
-	for id, held := range v.known {
-		if !v.alive(held) && now-held.lost > long {
+// prune drops members that have been suspected for long, and limits the size of
+// the view: random gateways are dropped rather than the few cores and storage
+// machines that other packages need. The caller holds the lock.
+func (v *View) prune(now time.Duration) {
+	retention := 10 * v.bounds.Load().Suspect()
+	for id, p := range v.known {
+		if !v.isAlive(p) && now-p.suspectedAt > retention {
 			delete(v.known, id)
-			v.changed()
+			v.invalidateSnapshot()
 		}
 	}
-	for _, marks := range []map[string]tombstone{v.tombstones, v.passed} {
+	for _, marks := range []map[string]incarnationMark{v.tombstones, v.lastQueued} {
 		for id, mark := range marks {
-			if now-mark.at > long {
+			if now-mark.at > retention {
 				delete(marks, id)
 			}
 		}
 	}
-	if len(v.known) <= viewLimit {
+	if len(v.known) <= maxViewMembers {
 		return
 	}
-	v.partial = now + long
-	edges := base.Filter(base.SortedKeys(v.known), func(id string) bool { return v.known[id].member.Role == RoleGateway })
-	v.mix(edges)
-	v.changed()
-	for _, id := range edges[:min(len(edges), len(v.known)-viewLimit)] {
+	v.partialUntil = now + retention
+	gateways := base.Filter(base.SortedKeys(v.known), func(id string) bool { return v.known[id].member.Role == RoleGateway })
+	v.shuffle(gateways)
+	v.invalidateSnapshot()
+	for _, id := range gateways[:min(len(gateways), len(v.known)-maxViewMembers)] {
 		delete(v.known, id)
 	}
 }
 
-// alive tells whether a neighbour is taken for alive: this node does not doubt
-// it, and nobody's suspicion has stood unrefuted for two beats.
-func (v *View) alive(held *neighbour) bool {
-	accused := held.accused >= held.member.Incarnation && v.clock.Now()-held.accusedAt > v.suspicionHolds()
-	return held.doubted < held.member.Incarnation && !accused
+// isAlive reports whether a member is taken for alive: this node does not
+// suspect it, and no announced suspicion has gone unrefuted for
+// suspicionTimeout.
+func (v *View) isAlive(p *peer) bool {
+	sharedlySuspected := p.sharedSuspicion >= p.member.Incarnation && v.clock.Now()-p.sharedSuspicionAt > v.suspicionTimeout()
+	return p.localSuspicion < p.member.Incarnation && !sharedlySuspected
 }
 
-// suspicionHolds is how long a suspicion stands before it counts.
-func (v *View) suspicionHolds() time.Duration { return 2 * v.bounds.Load().Beat() }
+// suspicionTimeout is how long an announced suspicion can be refuted before it
+// takes effect.
+func (v *View) suspicionTimeout() time.Duration { return 2 * v.bounds.Load().Beat() }
--- a/internal/membership/partners.go
+++ b/internal/membership/partners.go
@@ -1,5 +1,3 @@
-// Choosing whom to turn to next.
-
 package membership
 
 import (
@@ -8,61 +6,64 @@
 	"fordseam/internal/base"
 )
 
-// pickPartners chooses whom to turn to. Two of three partners are of this node's
-// zone: one the next in the ring of its ids, so that each is looked after by
-// one other in turn, and one by chance; the third is of another zone. Now and
-// then a silent neighbour or an unmet seed is tried too; a node that knows
-// nobody alive tries several of them, and asks for their views.
-func (v *View) pickPartners() (partner string, addrs []string, joins bool) {
+// pickPartner picks the member to exchange a message with next. Two of three
+// partners are in this node's zone: one is the next on the ring of its ids, so
+// that each member has a regular prober, and one is random. The third is in
+// another zone. Every retryEvery rounds addrs adds an unresponsive member or an
+// unknown seed. For a node that knows no live member, joining is true and addrs
+// lists several of these, to ask for their views.
+func (v *View) pickPartner() (partner string, addrs []string, joining bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.forget(v.clock.Now())
-	near, far, silent := []string{}, []string{}, []string{}
-	met := map[string]bool{v.self.Addr: true}
+	v.prune(v.clock.Now())
+	sameZone, otherZones, unresponsive := []string{}, []string{}, []string{}
+	known := map[string]bool{v.self.Addr: true}
 	for _, id := range base.SortedKeys(v.known) {
-		held := v.known[id]
-		met[held.member.Addr] = true
+		p := v.known[id]
+		known[p.member.Addr] = true
 		switch {
-		case !v.alive(held):
-			silent = append(silent, held.member.Addr)
-		case held.member.Zone == v.self.Zone:
-			near = append(near, id)
+		case !v.isAlive(p):
+			unresponsive = append(unresponsive, p.member.Addr)
+		case p.member.Zone == v.self.Zone:
+			sameZone = append(sameZone, id)
 		default:
-			far = append(far, id)
+			otherZones = append(otherZones, id)
 		}
 	}
 	for _, seed := range v.seeds {
-		if !met[seed] {
-			silent = append(silent, seed)
+		if !known[seed] {
+			unresponsive = append(unresponsive, seed)
 		}
 	}
-	v.mix(silent)
-	if len(near)+len(far) == 0 {
-		return "", silent[:min(joinWidth, len(silent))], true
+	v.shuffle(unresponsive)
+	if len(sameZone)+len(otherZones) == 0 {
+		return "", unresponsive[:min(maxJoinAddrs, len(unresponsive))], true
 	}
-	v.turn++
-	if v.turn%silentEvery == 0 && len(silent) > 0 {
-		addrs = silent[:1]
+	v.round++
+	if v.round%retryEvery == 0 && len(unresponsive) > 0 {
+		addrs = unresponsive[:1]
 	}
-	from := near
-	if v.turn%3 == 0 && len(far) > 0 || len(near) == 0 {
-		from = far
+	candidates := sameZone
+	if v.round%3 == 0 && len(otherZones) > 0 || len(sameZone) == 0 {
+		candidates = otherZones
 	}
-	if v.turn%3 == 1 {
-		return v.successor(from), addrs, false
+	if v.round%3 == 1 {
+		return v.successor(candidates), addrs, false
 	}
-	return from[v.clock.Int64N(int64(len(from)))], addrs, false
+	return candidates[v.clock.Int64N(int64(len(candidates)))], addrs, false
 }
 
-// successor is the next in the ring of ids after this node.
+// successor returns the id that follows this node's on the ring of the sorted
+// ids.
 func (v *View) successor(ids []string) string {
-	place, _ := slices.BinarySearch(ids, v.self.Id)
-	return ids[place%len(ids)]
+	i, _ := slices.BinarySearch(ids, v.self.Id)
+	return ids[i%len(ids)]
 }
 
-func (v *View) mix(list []string) {
-	for last := len(list) - 1; last > 0; last-- {
-		other := v.clock.Int64N(int64(last + 1))
-		list[last], list[other] = list[other], list[last]
+// shuffle reorders a list at random, with the clock's random numbers.
+func (v *View) shuffle(list []string) {
+	for i := len(list) - 1; i > 0; i-- {
+		j := v.clock.Int64N(int64(i + 1))
+		list[i], list[j] = list[j], list[i]
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,6 +1,3 @@
-// Probing: looking after members, by oneself and through others, and what this
-// node suspects in consequence.
-
 package membership
 
 import (
@@ -11,227 +8,236 @@
 	"fordseam/internal/base"
 )
 
-// Unanswered reports whether a member gave this node's own last question no answer,
-// as was found within a span. It may live: others may hear it.
+// Unanswered reports whether a member left this node's own last message
+// unanswered, and that was found no longer than within ago. The member may be
+// alive and answer others.
 func (v *View) Unanswered(id string, within time.Duration) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	held, ok := v.known[id]
-	return ok && held.unheard && v.clock.Now()-held.unheardAt <= within
+	p, ok := v.known[id]
+	return ok && p.unanswered && v.clock.Now()-p.unansweredAt <= within
 }
 
-// hear notes whether a member answered this node's own question.
-func (v *View) hear(id string, answered bool) {
+// recordAnswer records whether a member answered this node's own message.
+func (v *View) recordAnswer(id string, answered bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if held, ok := v.known[id]; ok {
-		held.unheard, held.unheardAt = !answered, v.clock.Now()
+	if p, ok := v.known[id]; ok {
+		p.unanswered, p.unansweredAt = !answered, v.clock.Now()
 	}
 }
 
-// Probe looks after a member that another node found silent, and doubts it
-// when no sign of life comes in two beats, until others say that it lives. The
-// signal fires at the end of the probe; nil where there is nobody to probe.
+// Probe probes a member that another node found unresponsive, and suspects it
+// if the probe has no outcome after two heartbeat intervals. Word from other
+// nodes that the member is alive clears that suspicion. The returned signal
+// fires at the end of the probe; it is nil if the member is unknown or the view
+// is closed.
 func (v *View) Probe(id string) base.Signal {
-	over, fresh := v.probe(id)
-	if fresh {
+	done, started := v.probe(id)
+	if started {
 		v.clock.Go(func() {
-			if !over.Wait(2 * v.bounds.Load().Beat()) {
-				v.doubt(id)
+			if !done.Wait(2 * v.bounds.Load().Beat()) {
+				v.suspectLocally(id)
 			}
 		})
 	}
-	return over
+	return done
 }
 
-// probe asks a member for a sign of life; when none comes soon, others are
-// asked to look, and it is suspected when they find it silent too. One probe
-// at a time goes to each member. The signal fires once there is an outcome;
-// fresh tells that this call began the probe.
-func (v *View) probe(id string) (over base.Signal, fresh bool) {
+// probe starts a probe of a member unless one is under way, and returns the
+// signal that fires at its end. started reports whether this call began the
+// probe. See verify for what a probe does.
+func (v *View) probe(id string) (done base.Signal, started bool) {
 	v.mu.Lock()
-	held, ok := v.known[id]
+	p, ok := v.known[id]
 	if !ok || v.closed {
 		v.mu.Unlock()
 		return nil, false
 	}
-	if held.probe != nil {
+	if p.probeDone != nil {
 		defer v.mu.Unlock()
-		return held.probe, false
+		return p.probeDone, false
 	}
-	over = v.clock.NewSignal()
-	held.probe = over
-	member := copyMember(held.member)
+	done = v.clock.NewSignal()
+	p.probeDone = done
+	member := cloneMember(p.member)
 	v.mu.Unlock()
 	v.clock.Go(func() {
 		v.verify(member)
 		v.mu.Lock()
-		held.probe = nil
+		p.probeDone = nil
 		v.mu.Unlock()
-		over.Fire()
+		done.Fire()
 	})
-	return over, true
+	return done, true
 }
 
-// verify waits a beat for an answer before it asks others; an answer that comes
-// while they look still counts, so that a slow node is not taken for a lost one.
+// verify sends a member a message and waits a heartbeat interval for the reply
+// before it asks other nodes to probe the member. A reply that comes meanwhile
+// still counts, so that a slow node is not taken for a lost one.
 func (v *View) verify(member *Member) {
 	beat, began := v.bounds.Load().Beat(), v.clock.Now()
-	answered, heard := v.clock.NewSignal(), v.clock.NewSignal()
+	exchangeDone, replied := v.clock.NewSignal(), v.clock.NewSignal()
 	v.clock.Go(func() {
-		defer answered.Fire()
-		found, err := v.exchange(member.Addr, beat*15/4, false)
+		defer exchangeDone.Fire()
+		id, err := v.exchange(member.Addr, beat*15/4, false)
 		if err != nil {
 			return
 		}
-		heard.Fire()
-		if found == member.Id {
-			v.trust(found)
+		replied.Fire()
+		if id == member.Id {
+			v.clearLocalSuspicion(id)
 		}
 	})
-	answered.Wait(beat)
-	if heard.Fired() || v.clock.Now()-began > 3*beat {
-		return // it lives, or this node slept and is no judge
+	exchangeDone.Wait(beat)
+	if replied.Fired() || v.clock.Now()-began > 3*beat {
+		return // it is alive, or this process was suspended and cannot tell
 	}
-	v.hear(member.Id, false)
-	yes, no := v.askOthers(member)
+	v.recordAnswer(member.Id, false)
+	alive, unresponsive := v.probeIndirectly(member)
 	switch {
-	case heard.Fired() || v.clock.Now()-began > 6*beat:
-	case yes:
-		v.trust(member.Id)
-	case no:
-		v.declareLost(member)
+	case replied.Fired() || v.clock.Now()-began > 6*beat:
+	case alive:
+		v.clearLocalSuspicion(member.Id)
+	case unresponsive:
+		v.shareSuspicion(member)
 	default:
-		v.doubt(member.Id)
+		v.suspectLocally(member.Id)
 	}
 }
 
-// askOthers has a few others look for a member, one of its own zone among them
-// if there is one.
-func (v *View) askOthers(member *Member) (yes, no bool) {
+// probeIndirectly has a few other nodes probe a member, including one of its
+// own zone if there is one. alive means that one of them got a reply,
+// unresponsive that one of them reported none.
+func (v *View) probeIndirectly(member *Member) (alive, unresponsive bool) {
 	v.mu.Lock()
-	its, others := []string{}, []string{}
+	sameZone, others := []string{}, []string{}
 	for _, id := range base.SortedKeys(v.known) {
-		held := v.known[id]
+		p := v.known[id]
 		switch {
-		case id == member.Id || !v.alive(held):
-		case held.member.Zone == member.Zone:
-			its = append(its, held.member.Addr)
+		case id == member.Id || !v.isAlive(p):
+		case p.member.Zone == member.Zone:
+			sameZone = append(sameZone, p.member.Addr)
 		default:
-			others = append(others, held.member.Addr)
+			others = append(others, p.member.Addr)
 		}
 	}
-	v.mix(its)
-	v.mix(others)
-	asked := append(its[:min(1, len(its))], others...)
-	if len(asked) < relays && len(its) > 1 {
-		asked = append(asked, its[1:]...)
+	v.shuffle(sameZone)
+	v.shuffle(others)
+	helpers := append(sameZone[:min(1, len(sameZone))], others...)
+	if len(helpers) < indirectProbers && len(sameZone) > 1 {
+		helpers = append(helpers, sameZone[1:]...)
 	}
 	v.mu.Unlock()
 	var mu sync.Mutex
-	answers := 0
-	yes = base.Ask(v.clock, asked[:min(relays, len(asked))], 1, v.bounds.Load().Beat()*11/4, func(ctx *base.Ctx, addr string) bool {
+	negatives := 0
+	alive = base.Ask(v.clock, helpers[:min(indirectProbers, len(helpers))], 1, v.bounds.Load().Beat()*11/4, func(ctx *base.Ctx, addr string) bool {
 		reply, err := NewMembershipProtobufClient("http://"+addr, v.wire).PingReq(ctx, &PingRequest{Addr: member.Addr, Id: member.Id})
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil && !reply.Alive {
-			answers++
+			negatives++
 		}
 		return err == nil && reply.Alive
 	})
 	mu.Lock()
 	defer mu.Unlock()
-	return yes, answers > 0
+	return alive, negatives > 0
 }
 
-// PingReq looks for a member on behalf of another node.
+// PingReq probes a member on behalf of another node.
 func (v *View) PingReq(_ context.Context, request *PingRequest) (*PingReply, error) {
-	found, err := v.exchange(request.Addr, v.bounds.Load().Beat()*9/4, false)
-	return &PingReply{Alive: err == nil && found == request.Id}, nil
+	id, err := v.exchange(request.Addr, v.bounds.Load().Beat()*9/4, false)
+	return &PingReply{Alive: err == nil && id == request.Id}, nil
 }
 
-// trust takes a doubt of this node's own back.
-func (v *View) trust(id string) {
+// clearLocalSuspicion ends this node's own suspicion of a member.
+func (v *View) clearLocalSuspicion(id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if held, ok := v.known[id]; ok {
-		held.doubted = 0
-		v.changed()
+	if p, ok := v.known[id]; ok {
+		p.localSuspicion = 0
+		v.invalidateSnapshot()
 	}
 }
 
-// declareLost takes a member for lost, tells all, and looks at others of its
-// zone when that is not this node's own: a zone may have been cut off whole.
-func (v *View) declareLost(member *Member) {
-	v.doubt(member.Id)
+// shareSuspicion suspects a member and announces it. If the member is in
+// another zone, it also probes others there, because the whole zone may be cut
+// off.
+func (v *View) shareSuspicion(member *Member) {
+	v.suspectLocally(member.Id)
 	v.mu.Lock()
-	held, ok := v.known[member.Id]
-	if !ok || held.member.Incarnation > member.Incarnation {
+	p, ok := v.known[member.Id]
+	if !ok || p.member.Incarnation > member.Incarnation {
 		v.mu.Unlock()
 		return
 	}
-	fresh := held.accused < member.Incarnation
-	v.suspectPublicly(held, member.Incarnation)
-	v.spread(&Member{Id: member.Id, Incarnation: member.Incarnation, State: State_SUSPECTED}, true)
-	also := []string{}
+	newlySuspected := p.sharedSuspicion < member.Incarnation
+	v.recordSharedSuspicion(p, member.Incarnation)
+	v.enqueueUpdate(&Member{Id: member.Id, Incarnation: member.Incarnation, State: State_SUSPECTED}, true)
+	sameZone := []string{}
 	for _, id := range base.SortedKeys(v.known) {
-		if other := v.known[id]; fresh && member.Zone != v.self.Zone && other.member.Zone == member.Zone && v.alive(other) {
-			also = append(also, id)
+		if other := v.known[id]; newlySuspected && member.Zone != v.self.Zone && other.member.Zone == member.Zone && v.isAlive(other) {
+			sameZone = append(sameZone, id)
 		}
 	}
-	v.mix(also)
+	v.shuffle(sameZone)
 	v.mu.Unlock()
-	for _, id := range also[:min(relays, len(also))] {
+	for _, id := range sameZone[:min(indirectProbers, len(sameZone))] {
 		v.probe(id)
 	}
 }
 
-// suspectPublicly marks a suspicion that is public; the caller holds the lock.
-func (v *View) suspectPublicly(held *neighbour, incarnation uint64) {
-	if held.accused >= incarnation {
+// recordSharedSuspicion marks a member as suspected by announcement. The caller
+// holds the lock.
+func (v *View) recordSharedSuspicion(p *peer, incarnation uint64) {
+	if p.sharedSuspicion >= incarnation {
 		return
 	}
-	if v.alive(held) {
+	if v.isAlive(p) {
 		v.counters.Add("members_suspected", 1)
 	}
-	held.accused, held.accusedAt, held.lost = incarnation, v.clock.Now(), v.clock.Now()
-	v.changed()
+	p.sharedSuspicion, p.sharedSuspicionAt, p.suspectedAt = incarnation, v.clock.Now(), v.clock.Now()
+	v.invalidateSnapshot()
 }
 
-// Suspect doubts a member until it or another gives a sign of its life.
+// Suspect marks a member as suspected by this node and probes it. A sign of
+// life, to this node or another, ends the suspicion.
 func (v *View) Suspect(id string) {
-	if v.doubt(id) {
+	if v.suspectLocally(id) {
 		v.probe(id)
 	}
 }
 
-// doubt marks this node's own suspicion, and tells whether that is new.
-func (v *View) doubt(id string) bool {
+// suspectLocally marks a member as suspected by this node only, and reports
+// whether that is new.
+func (v *View) suspectLocally(id string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	held, ok := v.known[id]
-	if !ok || held.doubted >= held.member.Incarnation {
+	p, ok := v.known[id]
+	if !ok || p.localSuspicion >= p.member.Incarnation {
 		return false
 	}
-	if v.alive(held) {
+	if v.isAlive(p) {
 		v.counters.Add("members_suspected", 1)
-		held.lost = v.clock.Now()
+		p.suspectedAt = v.clock.Now()
 	}
-	held.doubted = held.member.Incarnation
-	v.changed()
+	p.localSuspicion = p.member.Incarnation
+	v.invalidateSnapshot()
 	return true
 }
 
-// SuspectAddr doubts whoever lives at an address.
+// SuspectAddr calls Suspect for the member at an address.
 func (v *View) SuspectAddr(addr string) {
-	if id := v.at(addr); id != "" {
+	if id := v.idAtAddr(addr); id != "" {
 		v.Suspect(id)
 	}
 }
 
-// doubtAt doubts whoever lives at an address that refuses connections.
-func (v *View) doubtAt(addr string) {
-	if id := v.at(addr); id != "" {
-		v.doubt(id)
+// suspectLocallyAtAddr suspects the member at an address that refuses
+// connections.
+func (v *View) suspectLocallyAtAddr(addr string) {
+	if id := v.idAtAddr(addr); id != "" {
+		v.suspectLocally(id)
 	}
 }
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -1,5 +1,3 @@
-// The view as readers have it, made anew after a change.
-
 package membership
 
 import (
@@ -9,42 +7,44 @@
 	"time"
 )
 
-// snapshot is the view as readers have it, made anew after a change. It holds
-// until a suspicion that stands unrefuted takes effect by itself.
+// snapshot is an immutable copy of the view for readers, rebuilt after a
+// change. It is valid until a shared suspicion takes effect with time.
 type snapshot struct {
-	until time.Duration
-	all   []*Member
-	alive map[string]bool
-	byID  map[string]*Member
-	roles map[string]*roleMembers
+	validUntil time.Duration
+	all        []*Member
+	alive      map[string]bool
+	byID       map[string]*Member
+	roles      map[string]*roleMembers
 }
 
-// roleMembers are a role's members: all, those alive, and those not leaving.
-type roleMembers struct{ known, present, staying []*Member }
+// roleMembers lists the members of a role: all, those not suspected, and of
+// these those not leaving.
+type roleMembers struct{ known, live, available []*Member }
 
-// changed has readers look anew; the caller holds the lock.
-func (v *View) changed() { v.published.Store(nil) }
+// invalidateSnapshot makes the next reader rebuild the snapshot. The caller
+// holds the lock.
+func (v *View) invalidateSnapshot() { v.published.Store(nil) }
 
-// current gives the view to read. What it holds is shared and never changed.
-func (v *View) current() *snapshot {
-	if now := v.published.Load(); now != nil && v.clock.Now() < now.until {
+// currentSnapshot returns the snapshot for readers, who must not modify it.
+func (v *View) currentSnapshot() *snapshot {
+	if now := v.published.Load(); now != nil && v.clock.Now() < now.validUntil {
 		return now
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.clock.Now()
-	next := &snapshot{until: math.MaxInt64, alive: make(map[string]bool, len(v.known)+1), byID: make(map[string]*Member, len(v.known)+1), roles: map[string]*roleMembers{}}
+	next := &snapshot{validUntil: math.MaxInt64, alive: make(map[string]bool, len(v.known)+1), byID: make(map[string]*Member, len(v.known)+1), roles: map[string]*roleMembers{}}
 	add := func(m *Member, alive bool) {
 		next.byID[m.Id], next.alive[m.Id] = m, alive
 		next.all = append(next.all, m)
 	}
-	for _, held := range v.known {
-		add(held.member, v.alive(held))
-		if ripe := held.accusedAt + v.suspicionHolds(); held.accused >= held.member.Incarnation && now <= ripe {
-			next.until = min(next.until, ripe+1)
+	for _, p := range v.known {
+		add(p.member, v.isAlive(p))
+		if effectiveAt := p.sharedSuspicionAt + v.suspicionTimeout(); p.sharedSuspicion >= p.member.Incarnation && now <= effectiveAt {
+			next.validUntil = min(next.validUntil, effectiveAt+1)
 		}
 	}
-	add(copyMember(v.self), true)
+	add(cloneMember(v.self), true)
 	slices.SortFunc(next.all, func(a, b *Member) int { return strings.Compare(a.Id, b.Id) })
 	for _, m := range next.all {
 		role := next.roles[m.Role]
@@ -54,9 +54,9 @@
 		}
 		role.known = append(role.known, m)
 		if next.alive[m.Id] {
-			role.present = append(role.present, m)
+			role.live = append(role.live, m)
 			if !m.Leaving {
-				role.staying = append(role.staying, m)
+				role.available = append(role.available, m)
 			}
 		}
 	}
@@ -64,26 +64,33 @@
 	return next
 }
 
-func (s *snapshot) role(name string) roleMembers {
+func (s *snapshot) members(name string) roleMembers {
 	if found := s.roles[name]; found != nil {
 		return *found
 	}
 	return roleMembers{}
 }
 
-// Available lists the members of a role that are not suspected and not leaving,
-// this node included, by id. What the lists hold is shared: readers leave it
-// as it is.
-func (v *View) Available(role string) []*Member { return slices.Clip(v.current().role(role).staying) }
+// Available returns the members of a role that are neither suspected nor
+// leaving, this node included, ordered by id. The members are shared; callers
+// must not modify them.
+func (v *View) Available(role string) []*Member {
+	return slices.Clip(v.currentSnapshot().members(role).available)
+}
 
-// Live lists all of a role that are not suspected, leaving or not.
-func (v *View) Live(role string) []*Member { return slices.Clip(v.current().role(role).present) }
+// Live returns the members of a role that are not suspected, including leaving
+// ones.
+func (v *View) Live(role string) []*Member {
+	return slices.Clip(v.currentSnapshot().members(role).live)
+}
 
-// Known lists every member of a role, suspected or not.
-func (v *View) Known(role string) []*Member { return slices.Clip(v.current().role(role).known) }
+// Known returns all members of a role, suspected or not.
+func (v *View) Known(role string) []*Member {
+	return slices.Clip(v.currentSnapshot().members(role).known)
+}
 
-// Find gives a member by id.
+// Find returns a member by id, and whether it is alive, that is not suspected.
 func (v *View) Find(id string) (member *Member, alive bool) {
-	now := v.current()
-	return now.byID[id], now.alive[id]
+	current := v.currentSnapshot()
+	return current.byID[id], current.alive[id]
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,13 +1,19 @@
-// Package membership is how nodes know each other: each holds a view of the
-// fleet, partial in a large one, and exchanges a few words with one neighbour
-// at a time, in the manner of SWIM. An exchange is the sign of life; who gives
-// none is asked for through two others, and is suspected when they find it
-// silent too. What changed (joined, leaves, unwell, suspected, refuted, gone) is
-// news, which each node passes on a number of times that grows with the
-// logarithm of the fleet; nothing else rides along, but a digest by which two
-// neighbours find that their views differ. Suspicion only steers messages and
-// rendezvous; it never grants ownership, which epochs alone do. Usage reports
-// of workers spread as news too, since they are as soft as the view itself.
+// Package membership maintains each node's view of the fleet with a gossip
+// protocol in the manner of SWIM. A view lists the other nodes; in a large
+// fleet it is partial. A node exchanges one small message at a time with one
+// other node. The reply is the sign of life: when none comes, two other nodes
+// are asked to probe the member, and it is suspected when they get no reply
+// either.
+//
+// A change (a member joined, leaves, became unwell or well, is suspected, has
+// refuted a suspicion, or is gone) spreads as an update that each node passes
+// on a number of times that grows with the logarithm of the fleet's size. Apart
+// from updates a message carries only a digest of the view, by which two nodes
+// find that their views differ. Load reports of workers spread in the same way,
+// because they are as provisional as the view itself.
+//
+// Suspicion only decides whom nodes send messages to and which node a
+// rendezvous hash selects. It never grants ownership; only epochs do.
 package membership
 
 import (
@@ -19,176 +25,192 @@
 )
 
 const (
+	// The roles of members.
 	RoleGateway = "edge"
 	RoleCore    = "core"
 	RoleStorage = "storage"
 
-	viewLimit   = 96
-	newsLimit   = 24
-	usageLimit  = 16
-	sampleLimit = 4
-	// sampleEvery is how many turns pass between samples of a partial view, and
-	// silentEvery between tries at a silent neighbour or an unmet seed.
+	// Limits on the members of a view, and on what one message carries.
+	maxViewMembers       = 96
+	maxUpdatesPerMessage = 24
+	maxUsagesPerMessage  = 16
+	maxSampleMembers     = 4
+	// sampleEvery is how many rounds pass between samples of a partial view.
+	// retryEvery is how many pass between tries of an unresponsive member or an
+	// unknown seed.
 	sampleEvery = 8
-	silentEvery = 4
-	// joinWidth is how many addresses a node that knows nobody alive tries at once.
-	joinWidth = 6
-	// lonelyTurns is after how many turns alone the pause between them doubles.
-	lonelyTurns = 16
-	// verifiers is how many of the fleet look for themselves when a suspicion spreads.
-	verifiers = 3
-	// relays is how many others are asked to look for a silent neighbour.
-	relays = 2
+	retryEvery  = 4
+	// maxJoinAddrs is how many addresses a node that knows no live member tries
+	// at once.
+	maxJoinAddrs = 6
+	// isolatedRoundsPerDoubling is after how many rounds without a live member
+	// the delay between rounds doubles.
+	isolatedRoundsPerDoubling = 16
+	// expectedVerifiers is how many nodes, on average, probe a member
+	// themselves when a suspicion of it spreads.
+	expectedVerifiers = 3
+	// indirectProbers is how many other nodes are asked to probe an
+	// unresponsive member.
+	indirectProbers = 2
 )
 
-// View is this node's view of the fleet.
+// View is one node's view of the fleet.
 type View struct {
-	clock    base.Clock
-	wire     base.Wire
-	bounds   *base.Table[base.Bounds]
-	counters *base.Counters
-	seeds    []string
-	usages   UsageStore
-	notify   *base.Bell
-	// Cluster tells the cluster this node knows itself to be of, from its disk
-	// or the control state; "" while it does not know. It is set before Run.
+	clock      base.Clock
+	wire       base.Wire
+	bounds     *base.Table[base.Bounds]
+	counters   *base.Counters
+	seeds      []string
+	usages     UsageStore
+	changeBell *base.Bell
+	// KnownCluster returns the cluster that this node belongs to, as its disk
+	// or the control state says, or "" while that is unknown. It is set before
+	// Run.
 	KnownCluster func() string
-	// Unwell says in a word what keeps this node from serving, if anything; it
-	// is set before Run.
+	// UnwellReason returns in a word what keeps this node from serving, or "".
+	// It is set before Run.
 	UnwellReason func() string
 
-	published atomic.Pointer[snapshot]
-
-	mu         sync.Mutex
-	self       *Member
-	cluster    string
-	known      map[string]*neighbour
-	news       map[string]*update
-	passed     map[string]tombstone
-	tombstones map[string]tombstone
-	turn       uint64
-	synced     time.Duration
-	// lonely counts the turns in a row in which this node knew nobody alive.
-	lonely int
-	// partial is until when the view counts as partial, since it had to drop
-	// members.
-	partial time.Duration
-	closed  bool
+	published atomic.Pointer[snapshot] // nil after a change
+
+	mu             sync.Mutex
+	self           *Member
+	cluster        string
+	known          map[string]*peer
+	pendingUpdates map[string]*update         // by member id
+	lastQueued     map[string]incarnationMark // by member id and state
+	tombstones     map[string]incarnationMark // by member id
+	round          uint64
+	lastCompared   time.Duration // when another whole view was last asked for
+	// isolatedRounds counts the consecutive rounds without a live member.
+	isolatedRounds int
+	// partialUntil is until when the view counts as partial, because it had to
+	// drop members.
+	partialUntil time.Duration
+	closed       bool
 }
 
-// UsageStore is the worker slice's soft state that exchanges carry. Sample gives
-// reports that were given fewer than times before, the least given first.
+// UsageStore holds the load reports of workers that messages carry. Sample
+// returns up to limit reports that it has returned fewer than times before, the
+// least returned first. HasUnsent reports whether Sample would return any.
 type UsageStore interface {
 	Sample(limit, times int) []*Usage
 	HasUnsent(times int) bool
 	Merge([]*Usage)
 }
 
+// NewView returns the view of the node that self describes. The seeds are the
+// addresses at which it looks for the fleet. usages is nil on nodes that do not
+// use load reports.
 func NewView(clock base.Clock, wire base.Wire, bounds *base.Table[base.Bounds], counters *base.Counters, self *Member, seeds []string, usages UsageStore) *View {
 	self.Incarnation = max(self.Incarnation, 1)
-	return &View{clock: clock, wire: wire, bounds: bounds, counters: counters, self: self, seeds: seeds, notify: base.NewBell(clock),
-		usages: usages, known: map[string]*neighbour{}, news: map[string]*update{}, passed: map[string]tombstone{}, tombstones: map[string]tombstone{}}
+	return &View{clock: clock, wire: wire, bounds: bounds, counters: counters, self: self, seeds: seeds, changeBell: base.NewBell(clock),
+		usages: usages, known: map[string]*peer{}, pendingUpdates: map[string]*update{}, lastQueued: map[string]incarnationMark{}, tombstones: map[string]incarnationMark{}}
 }
 
-// Self is this node's own entry.
-func (v *View) Self() *Member { return v.current().byID[v.self.Id] }
+// Self returns this node's own entry.
+func (v *View) Self() *Member { return v.currentSnapshot().byID[v.self.Id] }
 
-// SelfID is this node's id, which never changes within a life.
+// SelfID returns this node's id, which is fixed until the process restarts.
 func (v *View) SelfID() string { return v.self.Id }
 
-// Run exchanges with neighbours until the view is closed: every two beats, and
-// faster while there is news to pass on.
+// Run exchanges messages with other nodes until Close: every two heartbeat
+// intervals (base.Bounds.Beat), and more often while there are updates to pass
+// on.
 func (v *View) Run() {
 	for !v.Closed() {
 		if v.KnownCluster != nil {
-			v.joinCluster(v.KnownCluster())
+			v.learnCluster(v.KnownCluster())
 		}
 		v.RefreshHealth()
-		began := v.clock.Now()
-		partner, addrs, joins := v.pickPartners()
+		roundStart := v.clock.Now()
+		partner, addrs, joining := v.pickPartner()
 		if partner != "" {
 			v.probe(partner)
 		}
 		for _, addr := range addrs {
-			v.clock.Go(func() { _, _ = v.exchange(addr, v.bounds.Load().Beat()*4, joins) })
+			v.clock.Go(func() { _, _ = v.exchange(addr, v.bounds.Load().Beat()*4, joining) })
 		}
-		v.pause()
-		if asleep := v.clock.Now() - began; asleep > v.bounds.Load().Suspect() {
-			v.wake()
+		v.waitForNextRound()
+		if elapsed := v.clock.Now() - roundStart; elapsed > v.bounds.Load().Suspect() {
+			v.discardStaleUpdates()
 		}
 	}
 }
 
-// pause waits for the next turn: as long as nothing is new, else just long
-// enough to gather what comes in.
-func (v *View) pause() {
+// waitForNextRound waits one and a half to two and a half heartbeat intervals.
+// With pending updates it waits only long enough to gather more of them.
+func (v *View) waitForNextRound() {
 	beat := v.bounds.Load().Beat()
-	end := v.clock.Now() + beat*3/2 + time.Duration(v.clock.Int64N(int64(beat)))
+	deadline := v.clock.Now() + beat*3/2 + time.Duration(v.clock.Int64N(int64(beat)))
 	for {
-		next := v.notify.Next()
+		next := v.changeBell.Next()
 		v.mu.Lock()
-		hurry, alone, gossip := len(v.news) > 0, v.alone(), v.usages != nil && v.usages.HasUnsent(v.times())
-		if !alone {
-			v.lonely = 0
+		hasUpdates, isolated, hasUsages := len(v.pendingUpdates) > 0, v.isolated(), v.usages != nil && v.usages.HasUnsent(v.maxSends())
+		if !isolated {
+			v.isolatedRounds = 0
 		}
 		v.mu.Unlock()
 		switch {
-		case hurry:
-			v.clock.Sleep(min(max(0, end-v.clock.Now()), beat/8+time.Duration(v.clock.Int64N(int64(beat/4)))))
+		case hasUpdates:
+			v.clock.Sleep(min(max(0, deadline-v.clock.Now()), beat/8+time.Duration(v.clock.Int64N(int64(beat/4)))))
 			return
-		case alone:
-			end = min(end, v.clock.Now()+v.lonelyPause())
-		case gossip:
-			end = min(end, v.clock.Now()+beat)
+		case isolated:
+			deadline = min(deadline, v.clock.Now()+v.isolatedDelay())
+		case hasUsages:
+			deadline = min(deadline, v.clock.Now()+beat)
 		}
-		if !next.Wait(max(0, end-v.clock.Now())) {
+		if !next.Wait(max(0, deadline-v.clock.Now())) {
 			return
 		}
 	}
 }
 
-// lonelyPause is how long a node that knows nobody alive waits before it tries
-// again: after an outage those whom it asks start in the same moment as itself.
-func (v *View) lonelyPause() time.Duration {
+// isolatedDelay returns how long a node without a live member waits before it
+// tries again. The delay starts short, because after an outage the nodes that
+// it asks start at the same time as itself.
+func (v *View) isolatedDelay() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	beat := v.bounds.Load().Beat()
-	pause := min(beat, beat/8<<min(v.lonely/lonelyTurns, 3))
-	v.lonely++
-	return pause/2 + time.Duration(v.clock.Int64N(int64(pause/2)+1))
+	delay := min(beat, beat/8<<min(v.isolatedRounds/isolatedRoundsPerDoubling, 3))
+	v.isolatedRounds++
+	return delay/2 + time.Duration(v.clock.Int64N(int64(delay/2)+1))
 }
 
-// NextChange fires when this node hears something new of the others.
-func (v *View) NextChange() base.Signal { return v.notify.Next() }
+// NextChange returns a signal that fires when there is another update about a
+// member.
+func (v *View) NextChange() base.Signal { return v.changeBell.Next() }
 
-// wake forgets the news of before a long sleep, which are old.
-func (v *View) wake() {
+// discardStaleUpdates drops pending updates after the process was suspended for
+// long, because they are out of date.
+func (v *View) discardStaleUpdates() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.news, v.synced = map[string]*update{}, 0
+	v.pendingUpdates, v.lastCompared = map[string]*update{}, 0
 	v.counters.Add("views_woken", 1)
 }
 
-// RefreshHealth takes the word on what keeps this node from serving at once, and
-// tells the neighbours if it has changed.
+// RefreshHealth asks UnwellReason again and announces a change to the other
+// nodes.
 func (v *View) RefreshHealth() {
 	if v.UnwellReason != nil {
 		v.setUnwell(v.UnwellReason())
 	}
 }
 
-// setUnwell takes the word on what keeps this node from serving.
-func (v *View) setUnwell(word string) {
+// setUnwell records what keeps this node from serving and announces a change.
+func (v *View) setUnwell(reason string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.self.Unwell != word {
-		v.self.Unwell = word
-		v.announce()
+	if v.self.Unwell != reason {
+		v.self.Unwell = reason
+		v.announceSelf()
 	}
 }
 
-// joinCluster takes the name of this node's cluster, once.
-func (v *View) joinCluster(cluster string) {
+// learnCluster sets the name of this node's cluster if it is not set yet.
+func (v *View) learnCluster(cluster string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.cluster == "" {
@@ -196,48 +218,50 @@
 	}
 }
 
-// SetCluster names the cluster from the settings file, before Run.
-func (v *View) SetCluster(cluster string) { v.joinCluster(cluster) }
+// SetCluster sets the cluster that the process's settings name, before Run.
+func (v *View) SetCluster(cluster string) { v.learnCluster(cluster) }
 
-// Partial tells that the view holds as much as it may, so that there may be
-// more gateways than it knows of.
-func (v *View) Partial() bool { return len(v.current().all) > viewLimit }
+// Partial reports whether the view holds as many members as it may, so that
+// there may be gateways that it does not list.
+func (v *View) Partial() bool { return len(v.currentSnapshot().all) > maxViewMembers }
 
-// LiveAddresses lists where live neighbours are.
+// LiveAddresses returns the addresses of the other members that are not
+// suspected.
 func (v *View) LiveAddresses() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	found := map[string]bool{}
-	for _, held := range v.known {
-		if v.alive(held) {
-			found[held.member.Addr] = true
+	addrs := map[string]bool{}
+	for _, p := range v.known {
+		if v.isAlive(p) {
+			addrs[p.member.Addr] = true
 		}
 	}
-	return base.SortedKeys(found)
+	return base.SortedKeys(addrs)
 }
 
-// Leave tells neighbours that this node takes no more duties, and is over
-// when most have heard or the limit passed.
-func (v *View) Leave(limit time.Duration) {
+// Leave announces that this node takes no more work. It returns when every
+// known member has replied or failed to, or the timeout is over.
+func (v *View) Leave(timeout time.Duration) {
 	v.mu.Lock()
 	v.self.Leaving = true
-	v.announce()
+	v.announceSelf()
 	addrs := []string{}
 	for _, id := range base.SortedKeys(v.known) {
 		addrs = append(addrs, v.known[id].member.Addr)
 	}
 	v.mu.Unlock()
-	base.AskAll(v.clock, addrs, limit, func(_ *base.Ctx, addr string) { _, _ = v.exchange(addr, limit, false) })
+	base.AskAll(v.clock, addrs, timeout, func(_ *base.Ctx, addr string) { _, _ = v.exchange(addr, timeout, false) })
 }
 
+// Close ends Run and starts no more probes.
 func (v *View) Close() {
 	v.mu.Lock()
 	v.closed = true
 	v.mu.Unlock()
-	v.notify.Ring()
+	v.changeBell.Ring()
 }
 
-// Closed reports whether the view was ended.
+// Closed reports whether Close was called.
 func (v *View) Closed() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -1,4 +1,3 @@
-// Clusters stay apart whose machines come to each other's addresses.
 package membership
 
 import (
@@ -13,67 +12,70 @@
 	"google.golang.org/protobuf/proto"
 )
 
+// Machines of different clusters may get each other's former addresses. A node
+// that knows its cluster must drop messages of another one.
 func TestClustersStayApart(t *testing.T) {
 	for _, row := range []struct {
-		name, mine, theirs string
-		asked              bool
-		known              bool
-		after              string
+		name, own, sender string
+		isReply           bool
+		accepted          bool
+		ownAfter          string
 	}{
-		{"of one cluster", "a", "a", false, true, "a"},
-		{"a new machine that knows none", "a", "", false, true, "a"},
-		{"another cluster comes", "a", "b", false, false, "a"},
-		{"another cluster answers", "a", "b", true, false, "a"},
-		{"a cluster comes to one that knows none", "", "b", false, true, "b"},
-		{"a cluster answers one that knows none", "", "b", true, true, "b"},
-		{"before there is a cluster", "", "", false, true, ""},
+		{"same cluster", "a", "a", false, true, "a"},
+		{"from a node without a cluster yet", "a", "", false, true, "a"},
+		{"message from another cluster", "a", "b", false, false, "a"},
+		{"reply from another cluster", "a", "b", true, false, "a"},
+		{"message to a node without a cluster yet", "", "b", false, true, "b"},
+		{"reply to a node without a cluster yet", "", "b", true, true, "b"},
+		{"neither has a cluster yet", "", "", false, true, ""},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			bounds := &base.Table[base.Bounds]{}
 			bounds.Swap(base.DefaultBounds())
 			v := NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "me", Addr: "me:1", Role: RoleGateway}, nil, nil)
-			v.SetCluster(row.mine)
-			message := &ShuffleMessage{Cluster: row.theirs, Members: []*Member{{Id: "other", Addr: "other:1", Role: RoleCore, Incarnation: 1}}}
-			if row.asked {
+			v.SetCluster(row.own)
+			message := &ShuffleMessage{Cluster: row.sender, Members: []*Member{{Id: "other", Addr: "other:1", Role: RoleCore, Incarnation: 1}}}
+			if row.isReply {
 				v.merge(message, "other:1")
 			} else {
 				reply, err := v.Shuffle(context.Background(), message)
 				is.NoErr(err)
-				is.Equal(reply.Cluster, row.mine)
+				is.Equal(reply.Cluster, row.own)
 			}
 			_, alive := v.Find("other")
-			is.Equal(alive, row.known)
-			is.Equal(v.message("", false, nil).Cluster, row.after)
+			is.Equal(alive, row.accepted)
+			is.Equal(v.buildMessage("", false, nil).Cluster, row.ownAfter)
 		})
 	}
 }
 
-// TestReadersSeeEachChange: what readers are shown follows every change at
-// once, and a suspicion that nobody refutes counts by itself after a while.
-func TestReadersSeeEachChange(t *testing.T) {
+// TestSnapshotReflectsEachChange: readers see every change at once, and a
+// shared suspicion that is not refuted takes effect with time, without another
+// event.
+func TestSnapshotReflectsEachChange(t *testing.T) {
 	is := is.New(t)
-	v := viewOf(40)
+	v := newViewWithMembers(40)
 	id := "10.0.0.5:1/one"
 	count := func() int { return len(v.Live(RoleGateway)) }
-	all := count()
-	v.doubt(id)
+	total := count()
+	v.suspectLocally(id)
 	_, alive := v.Find(id)
 	is.Equal(alive, false)
-	is.Equal(count(), all-1)
-	is.Equal(len(v.Known(RoleGateway)), all)
-	v.trust(id)
-	is.Equal(count(), all)
+	is.Equal(count(), total-1)
+	is.Equal(len(v.Known(RoleGateway)), total)
+	v.clearLocalSuspicion(id)
+	is.Equal(count(), total)
 	v.mu.Lock()
-	v.suspectPublicly(v.known[id], 1)
+	v.recordSharedSuspicion(v.known[id], 1)
 	v.mu.Unlock()
-	is.Equal(count(), all)
-	v.clock.Sleep(v.suspicionHolds() + v.suspicionHolds()/10)
-	is.Equal(count(), all-1)
+	is.Equal(count(), total)
+	v.clock.Sleep(v.suspicionTimeout() + v.suspicionTimeout()/10)
+	is.Equal(count(), total-1)
 	v.mu.Lock()
-	v.endLife(id, 1)
+	v.markGone(id, 1)
 	v.mu.Unlock()
-	is.Equal(len(v.Known(RoleGateway)), all-1)
+	is.Equal(len(v.Known(RoleGateway)), total-1)
 	v.setUnwell("busy")
 	is.Equal(v.Self().Unwell, "busy")
 }
@@ -85,7 +87,7 @@
 	return NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "me:1/a", Addr: "me:1", Role: RoleGateway, Zone: zone}, nil, nil)
 }
 
-func said(t *testing.T, v *View, members ...*Member) *ShuffleMessage {
+func shuffle(t *testing.T, v *View, members ...*Member) *ShuffleMessage {
 	t.Helper()
 	reply, err := v.Shuffle(context.Background(), &ShuffleMessage{Members: members})
 	if err != nil {
@@ -94,27 +96,28 @@
 	return reply
 }
 
-// The word of whoever lives at an address ends the former life there, and a
-// late message of that life brings it back nowhere.
-func TestFormerLifeEndsAtOnce(t *testing.T) {
+// A node gets a new id when it restarts. Its first message must end the
+// previous id at its address, here and at others, and a late message of the
+// previous id must not bring that back.
+func TestRestartEndsPreviousID(t *testing.T) {
 	is := is.New(t)
 	v := newView(t, "z")
-	former := func() *Member { return &Member{Id: "other:1/a", Role: RoleCore, Incarnation: 3} }
-	said(t, v, former())
-	said(t, v, &Member{Id: "other:1/b", Role: RoleCore, Incarnation: 1})
+	previous := func() *Member { return &Member{Id: "other:1/a", Role: RoleCore, Incarnation: 3} }
+	shuffle(t, v, previous())
+	shuffle(t, v, &Member{Id: "other:1/b", Role: RoleCore, Incarnation: 1})
 	_, alive := v.Find("other:1/a")
 	is.True(!alive)
 	_, alive = v.Find("other:1/b")
 	is.True(alive)
-	said(t, v, former())
+	shuffle(t, v, previous())
 	_, alive = v.Find("other:1/a")
 	is.True(!alive)
 	_, alive = v.Find("other:1/b")
 	is.True(alive)
 
 	third := newView(t, "z")
-	said(t, third, former())
-	reply := said(t, v, &Member{Id: "third:1/a", Role: RoleGateway, Incarnation: 1})
+	shuffle(t, third, previous())
+	reply := shuffle(t, v, &Member{Id: "third:1/a", Role: RoleGateway, Incarnation: 1})
 	third.merge(reply, "")
 	_, alive = third.Find("other:1/a")
 	is.True(!alive)
@@ -122,70 +125,72 @@
 	is.True(alive)
 }
 
-// A suspicion is refuted by a higher incarnation only, and is told to the one
-// it is about.
+// Only a higher incarnation refutes a suspicion, and the suspected member is
+// told of it so that it can do so.
 func TestSuspicionIsRefuted(t *testing.T) {
 	is := is.New(t)
 	v := newView(t, "z")
-	said(t, v, &Member{Id: "other:1/a", Role: RoleGateway, Incarnation: 1}, &Member{Id: "me:1/a", Incarnation: 1, State: State_SUSPECTED})
+	shuffle(t, v, &Member{Id: "other:1/a", Role: RoleGateway, Incarnation: 1}, &Member{Id: "me:1/a", Incarnation: 1, State: State_SUSPECTED})
 	is.Equal(v.Self().Incarnation, uint64(2))
-	v.doubt("other:1/a")
+	v.suspectLocally("other:1/a")
 	_, alive := v.Find("other:1/a")
 	is.True(!alive)
 	v.mu.Lock()
-	v.suspectPublicly(v.known["other:1/a"], 1)
+	v.recordSharedSuspicion(v.known["other:1/a"], 1)
 	v.mu.Unlock()
-	reply := said(t, v, &Member{Id: "other:1/a", Incarnation: 1})
+	reply := shuffle(t, v, &Member{Id: "other:1/a", Incarnation: 1})
 	is.Equal(reply.Members[1].Id, "other:1/a")
 	is.Equal(reply.Members[1].State, State_SUSPECTED)
-	said(t, v, &Member{Id: "other:1/a", Role: RoleGateway, Incarnation: 2})
+	shuffle(t, v, &Member{Id: "other:1/a", Role: RoleGateway, Incarnation: 2})
 	_, alive = v.Find("other:1/a")
 	is.True(alive)
 }
 
-// News is passed on a bounded number of times, and an idle message is small.
-func TestNewsEnds(t *testing.T) {
+// An update is passed on a bounded number of times, and a message without any
+// is small.
+func TestUpdatesAreSentBoundedTimes(t *testing.T) {
 	is := is.New(t)
 	v := newView(t, "z")
-	said(t, v, &Member{Id: "other:1/a", Role: RoleGateway, Incarnation: 1})
-	told := 0
+	shuffle(t, v, &Member{Id: "other:1/a", Role: RoleGateway, Incarnation: 1})
+	sent := 0
 	for range 100 {
-		for _, member := range v.message("", false, nil).Members {
+		for _, member := range v.buildMessage("", false, nil).Members {
 			if member.Id == "other:1/a" {
-				told++
+				sent++
 			}
 		}
 	}
-	is.True(told > 0)
-	is.True(told <= v.times())
-	v.known["other:1/a"].holds = 1
-	is.True(proto.Size(v.message("other:1/a", false, nil)) < 40)
+	is.True(sent > 0)
+	is.True(sent <= v.maxSends())
+	v.known["other:1/a"].knownSelfIncarnation = 1
+	is.True(proto.Size(v.buildMessage("other:1/a", false, nil)) < 40)
 }
 
-// Two of three partners are of the own zone, and all others are met too.
-func TestPartnersAreMostlyNear(t *testing.T) {
+// Two of three partners are in the node's own zone, and every member is picked
+// some time.
+func TestPartnersAreMostlyInSameZone(t *testing.T) {
 	is := is.New(t)
 	v := newView(t, "z0")
 	for place := range 12 {
 		addr := fmt.Sprintf("other-%d:1", place)
-		said(t, v, &Member{Id: addr + "/a", Addr: addr, Role: RoleGateway, Zone: fmt.Sprint("z", place%3), Incarnation: 1})
+		shuffle(t, v, &Member{Id: addr + "/a", Addr: addr, Role: RoleGateway, Zone: fmt.Sprint("z", place%3), Incarnation: 1})
 	}
-	near, met := 0, map[string]bool{}
+	sameZone, picked := 0, map[string]bool{}
 	for range 300 {
-		partner, _, _ := v.pickPartners()
+		partner, _, _ := v.pickPartner()
 		member, _ := v.Find(partner)
-		met[partner] = true
+		picked[partner] = true
 		if member.Zone == "z0" {
-			near++
+			sameZone++
 		}
 	}
-	is.Equal(near, 200)
-	is.Equal(len(met), 12)
+	is.Equal(sameZone, 200)
+	is.Equal(len(picked), 12)
 }
 
-// Whether a member answered this node is this node's own finding: the word of
-// others that it lives takes back a doubt, not this.
-func TestUnheardIsANodesOwnFinding(t *testing.T) {
+// Whether a member answered this node is this node's own finding: word from
+// others that the member is alive clears the suspicion, but not this.
+func TestUnansweredIsThisNodesOwnFinding(t *testing.T) {
 	is := is.New(t)
 	bounds := &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
@@ -194,14 +199,14 @@
 	_, err := v.Shuffle(context.Background(), &ShuffleMessage{Members: []*Member{{Id: id, Addr: "other:1", Role: RoleCore, Incarnation: 1}}})
 	is.NoErr(err)
 	is.True(!v.Unanswered(id, time.Hour))
-	v.hear(id, false)
-	v.doubt(id)
-	v.trust(id)
+	v.recordAnswer(id, false)
+	v.suspectLocally(id)
+	v.clearLocalSuspicion(id)
 	_, alive := v.Find(id)
 	is.True(alive)
 	is.True(v.Unanswered(id, time.Hour))
-	is.True(!v.Unanswered(id, -1)) // found longer ago than that
-	v.hear(id, true)
+	is.True(!v.Unanswered(id, -1)) // it was found longer ago than that
+	v.recordAnswer(id, true)
 	is.True(!v.Unanswered(id, time.Hour))
 	is.True(!v.Unanswered("nobody", time.Hour))
 }
--- a/internal/node/daemon.go
+++ b/internal/node/daemon.go
@@ -195,7 +195,7 @@
 	switch place.Role {
 	case "edge":
 		gateway := NewGateway(env, *place)
-		gateway.Access.OnChange = func(stamp uint64, teams int) {
+		gateway.Access.OnRulesChange = func(stamp uint64, teams int) {
 			log.WithFields(log.Fields{"stamp": stamp, "teams": teams}).Info("rules of access are in force")
 		}
 		return gateway, gateway.Front.Handle, nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -225,7 +225,7 @@
 
 // Stamp is the settings' stamp this gateway goes by.
 func (g *Gateway) Stamp() uint64 {
-	return settings.StampFromFeed(g.Follower.Snapshot().Values)
+	return settings.VersionFromFeed(g.Follower.Snapshot().Values)
 }
 
 // Ready says whether the platform may send callers here.
@@ -298,7 +298,7 @@
 	told := feed.NewService(env.Clock, owner, follower)
 	c.mount(feed.NewFeedServer(told))
 	access.RegisterHandlers(owner, told.AllNodesHave, func() any { return told.ReportedSettings(2 * bounds.Load().Recover) })
-	core.settles = &access.Activator{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Register: client, Follower: follower, Epoch: owner.FeedEpoch, AllNodesHave: told.AllNodesHave}
+	core.settles = &access.Activator{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Register: client, Follower: follower, FeedEpoch: owner.FeedEpoch, AllNodesHave: told.AllNodesHave}
 	core.Operate = &operate.Operate{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Register: client, Owner: owner, Counters: env.Counters,
 		Frame: func() map[string][]byte { return follower.Snapshot().Values }}
 	return core
--- a/internal/operate/access.go
+++ b/internal/operate/access.go
@@ -45,7 +45,7 @@
 }
 
 func (o *Operate) stateOf(ctx *base.Ctx, record *settings.Record) (AccessState, error) {
-	state := AccessState{Stamp: record.Stamp, InForce: record.Stamp}
+	state := AccessState{Stamp: record.Version, InForce: record.Version}
 	pending, err := access.ReadPending(ctx, o.Register)
 	if err != nil {
 		return state, err
@@ -73,7 +73,7 @@
 	if pending == nil && !settings.HasTeams(values) {
 		return nil
 	}
-	state := &AccessState{Stamp: settings.StampFromFeed(values), Holders: []feed.NodeSettings{}}
+	state := &AccessState{Stamp: settings.VersionFromFeed(values), Holders: []feed.NodeSettings{}}
 	state.InForce = state.Stamp
 	if pending != nil {
 		state.InForce = pending.InForce
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return map[string]any{"stamp": record.Stamp, "reasons": reasons}, nil
+	return map[string]any{"stamp": record.Version, "reasons": reasons}, nil
 }
 
 func (o *Operate) accessDiff(ctx *base.Ctx, document []byte) (any, error) {
@@ -112,5 +112,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return map[string]any{"stamp": record.Stamp, "changes": access.Diff(table, tree.Access())}, nil
+	return map[string]any{"stamp": record.Version, "changes": access.Diff(table, tree.Access())}, nil
 }
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -175,7 +175,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return map[string]any{"stamp": record.Stamp, "values": origins}, nil
+	return map[string]any{"stamp": record.Version, "values": origins}, nil
 }
 
 // MemberView is a node in the status.
@@ -306,7 +306,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return map[string]any{"stamp": now.Stamp, "differences": settings.Diff(now.Document, document)}, nil
+	return map[string]any{"stamp": now.Version, "differences": settings.Diff(now.Document, document)}, nil
 }
 
 func (o *Operate) terminate(ctx *base.Ctx, r *front.Request) (any, error) {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -1,4 +1,3 @@
-// What a policy may and may not do.
 package policy
 
 import (
@@ -7,8 +6,10 @@
 	"github.com/matryer/is"
 )
 
+// Programs that cannot be compiled, have other inputs, do not end or return
+// invalid results must be rejected before they are stored.
 func TestBadPoliciesAreRejected(t *testing.T) {
-	rows := map[string]string{
+	sources := map[string]string{
 		"syntax":            "def nominate(",
 		"nothing defined":   "x = 1",
 		"wrong parameters":  "def nominate(a): return None",
@@ -21,7 +22,7 @@
 		"names no worker":   `def nominate(leg, workers): return "other"`,
 		"changes its input": "def nominate(leg, workers):\n  workers.clear()\n  return None",
 	}
-	for name, source := range rows {
+	for name, source := range sources {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, err := Compile(source)
@@ -42,10 +43,10 @@
 `)
 	is.NoErr(err)
 	workers := []Candidate{{"a", "x", 0, 1, true}, {"b", "y", 0, 1, false}}
-	id, err := p.Nominate("normal", "y", workers)
+	id, err := p.Pick("normal", "y", workers)
 	is.NoErr(err)
 	is.Equal(id, "b")
-	id, err = p.Nominate("normal", "z", workers)
+	id, err = p.Pick("normal", "z", workers)
 	is.NoErr(err)
 	is.Equal(id, "") // left to the built-in rule
 	for _, row := range []struct {
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, base.FromWire(err)
 	}
-	made := &plan{route: route, chain: chain, wanted: route.MaxOutputTokens, attempts: route.Legs}
+	made := &plan{route: route, chain: chain, wanted: route.MaxOutputTokens, attempts: route.MaxAttempts}
 	if op.visit.MaxTokens > 0 {
 		made.wanted = min(made.wanted, op.visit.MaxTokens)
 	}
@@ -53,7 +53,7 @@
 	former := h.worker
 	h.mu.Unlock()
 	made.need = &worker.Need{Pool: route.Pool, Affinity: record.ID, Former: former, Program: record.Program, Site: record.Group + "/" + record.Site,
-		Urgency: record.Urgency, Waiting: route.Waiting, Tried: map[string]bool{}, Policy: route.Policy}
+		Urgency: record.Urgency, Waiting: route.MaxWaiting, Tried: map[string]bool{}, Policy: route.Policy}
 	return made, nil
 }
 
--- a/internal/settings/access_test.go
+++ b/internal/settings/access_test.go
@@ -1,5 +1,3 @@
-// The tables of the rule of access: which documents are refused and by which
-// field, and what those that are taken allow.
 package settings
 
 import (
@@ -16,8 +14,9 @@
 	"github.com/matryer/is"
 )
 
-// duka has tills that call the checkout model, and a pay office's assistants.
-const duka = `{"models":["checkout","produce","payslip"],"pools":{"m":{"kind":"model"}},"groups":{
+// groceryDocument has a grocery's tills, which call the checkout model, and a
+// pay office whose clerks call another one.
+const groceryDocument = `{"models":["checkout","produce","payslip"],"pools":{"m":{"kind":"model"}},"groups":{
 "duka":{"teams":{"duka-bora":{"models":["checkout","produce"]},"tills":{"parent":"duka-bora"},"night":{"parent":"tills","deny":["produce"]}},"team":"duka-bora",
  "sites":{"westlands":{"team":"tills","pool":"m","hosts":["tills.example"],"routes":{
    "chat":{"kind":"model","model":"checkout","fallback":"help"},
@@ -26,10 +25,11 @@
    "late":{"kind":"model","model":"checkout","team":"night"}}}}},
 "plc":{"teams":{"clerks":{"models":["payslip"]}},"team":"clerks","sites":{"main":{"pool":"m","hosts":["pay.example"],"routes":{"ask":{"kind":"model","model":"payslip"}}}}}}}`
 
-func TestFaultyAccessIsRefusedByItsField(t *testing.T) {
+// Each invalid rule of access is rejected with the path of its field.
+func TestInvalidAccessRulesAreRejectedByField(t *testing.T) {
 	is := is.New(t)
-	_, faults := Parse([]byte(duka))
-	is.Equal(len(faults), 0)
+	_, violations := Parse([]byte(groceryDocument))
+	is.Equal(len(violations), 0)
 	const site = "$.groups.duka.sites.westlands"
 	rows := []struct{ name, old, new, path string }{
 		{"unknown model of a team", `"models":["payslip"]`, `"models":["payslips"]`, "$.groups.plc.teams.clerks.models[0]"},
@@ -75,37 +75,37 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			document := strings.Replace(duka, row.old, row.new, 1)
-			is.True(document != duka)
-			tree, faults := Parse([]byte(document))
+			document := strings.Replace(groceryDocument, row.old, row.new, 1)
+			is.True(document != groceryDocument)
+			tree, violations := Parse([]byte(document))
 			is.True(tree == nil)
-			is.True(len(faults) > 0)
-			is.Equal(faults[0].Path, row.path)
+			is.True(len(violations) > 0)
+			is.Equal(violations[0].Path, row.path)
 		})
 	}
 }
 
 func TestATreeWithoutTeamsAllowsEverything(t *testing.T) {
 	is := is.New(t)
-	tree, faults := Parse([]byte(whole))
-	is.Equal(len(faults), 0)
+	tree, violations := Parse([]byte(validDocument))
+	is.Equal(len(violations), 0)
 	is.True(tree.Access() == nil)
 	is.Equal(tree.Access().Digest(), "")
-	_, faults = Parse([]byte(`{"models":["a"],"pools":{"m":{"kind":"model"}},"groups":{"g":{"sites":{"s":{"pool":"m","routes":{"r":{"kind":"model","model":"b"}}}}}}}`))
-	is.Equal(len(faults), 1)
-	is.Equal(faults[0].Path, "$.groups.g.sites.s.routes.r.model") // where models are named, routes may name no other
+	_, violations = Parse([]byte(`{"models":["a"],"pools":{"m":{"kind":"model"}},"groups":{"g":{"sites":{"s":{"pool":"m","routes":{"r":{"kind":"model","model":"b"}}}}}}}`))
+	is.Equal(len(violations), 1)
+	is.Equal(violations[0].Path, "$.groups.g.sites.s.routes.r.model") // where the tree lists models, routes may only name these
 }
 
-func TestWhatATeamMayCall(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	is := is.New(t)
-	tree, faults := Parse([]byte(duka))
-	is.Equal(len(faults), 0)
+	tree, violations := Parse([]byte(groceryDocument))
+	is.Equal(len(violations), 0)
 	table := tree.Access()
-	own := func(site, route string) access.Request {
+	routeRequest := func(site, route string) access.Request {
 		group, name, _ := strings.Cut(site, "/")
 		return access.Request{Scope: access.Scope{Group: group, Site: name, Route: route}}
 	}
-	call := func(host, route, model string) access.Request {
+	hostRequest := func(host, route, model string) access.Request {
 		return access.Request{Host: host, Scope: access.Scope{Route: route}, Model: model}
 	}
 	rows := []struct {
@@ -113,50 +113,50 @@
 		team    string
 		allowed bool
 	}{
-		{own("duka/westlands", "chat"), "tills", true},
-		{own("duka/westlands", "weigh"), "tills", false},
-		{own("duka/westlands", "late"), "night", true},
-		{own("plc/main", "ask"), "clerks", true},
-		{own("plc/main", "none"), "", false},
-		{call("tills.example", "till-dispute", "checkout"), "tills", true},
-		{call("tills.example", "till-dispute", "produce"), "tills", true},
-		{call("tills.example", "till-dispute", "payslip"), "tills", false},
-		{call("tills.example", "till-dispute", "never-heard-of"), "tills", false},
-		{call("tills.example", "till-dispute", ""), "tills", false},
-		{call("tills.example", "chat", ""), "tills", true},
-		{call("tills.example", "weigh", "produce"), "tills", false},
-		{call("tills.example", "late", "produce"), "night", false},
-		{call("pay.example", "x", "payslip"), "clerks", true},
-		{call("pay.example", "x", "checkout"), "clerks", false},
-		{call("other.example", "x", "checkout"), "", false},
+		{routeRequest("duka/westlands", "chat"), "tills", true},
+		{routeRequest("duka/westlands", "weigh"), "tills", false},
+		{routeRequest("duka/westlands", "late"), "night", true},
+		{routeRequest("plc/main", "ask"), "clerks", true},
+		{routeRequest("plc/main", "none"), "", false},
+		{hostRequest("tills.example", "till-dispute", "checkout"), "tills", true},
+		{hostRequest("tills.example", "till-dispute", "produce"), "tills", true},
+		{hostRequest("tills.example", "till-dispute", "payslip"), "tills", false},
+		{hostRequest("tills.example", "till-dispute", "never-heard-of"), "tills", false},
+		{hostRequest("tills.example", "till-dispute", ""), "tills", false},
+		{hostRequest("tills.example", "chat", ""), "tills", true},
+		{hostRequest("tills.example", "weigh", "produce"), "tills", false},
+		{hostRequest("tills.example", "late", "produce"), "night", false},
+		{hostRequest("pay.example", "x", "payslip"), "clerks", true},
+		{hostRequest("pay.example", "x", "checkout"), "clerks", false},
+		{hostRequest("other.example", "x", "checkout"), "", false},
 	}
 	for _, row := range rows {
 		t.Run(fmt.Sprint(row.asked), func(t *testing.T) {
 			is := is.New(t)
-			found := table.Decide(&row.asked)
-			is.Equal(found.Team, row.team)
-			is.Equal(found.Allowed, row.allowed)
+			decision := table.Decide(&row.asked)
+			is.Equal(decision.Team, row.team)
+			is.Equal(decision.Allowed, row.allowed)
 		})
 	}
-	open, faults := Parse([]byte(strings.Replace(duka, `"hosts":["pay.example"]`, `"hosts":["pay.example","*"]`, 1)))
-	is.Equal(len(faults), 0)
-	asked := call("other.example", "x", "payslip")
-	is.Equal(open.Access().Decide(&asked).Team, "clerks")
+	open, violations := Parse([]byte(strings.Replace(groceryDocument, `"hosts":["pay.example"]`, `"hosts":["pay.example","*"]`, 1)))
+	is.Equal(len(violations), 0)
+	request := hostRequest("other.example", "x", "payslip")
+	is.Equal(open.Access().Decide(&request).Team, "clerks")
 }
 
-func TestCheckSaysWhy(t *testing.T) {
+func TestExplainGivesReasons(t *testing.T) {
 	is := is.New(t)
-	tree, _ := Parse([]byte(duka))
+	tree, _ := Parse([]byte(groceryDocument))
 	reasons, err := tree.Access().Explain("tills", "produce")
 	is.NoErr(err)
-	why := map[string]access.Reason{}
-	for _, one := range reasons {
-		why[one.Path] = one
+	reasonByPath := map[string]access.Reason{}
+	for _, reason := range reasons {
+		reasonByPath[reason.Path] = reason
 	}
-	is.Equal(why["$.groups.duka.teams.tills"].Allowed, true)
-	is.Equal(why["$.groups.duka.teams.tills"].Why, "listed in $.groups.duka.teams.duka-bora.models")
-	is.Equal(why["$.groups.duka.sites.westlands.routes.weigh"].Why, "denied by $.groups.duka.sites.westlands.routes.weigh.teams.tills.deny")
-	is.Equal(why["$.groups.duka.sites.westlands.routes.late"].Why, "denied by $.groups.duka.teams.night.deny")
+	is.Equal(reasonByPath["$.groups.duka.teams.tills"].Allowed, true)
+	is.Equal(reasonByPath["$.groups.duka.teams.tills"].Why, "listed in $.groups.duka.teams.duka-bora.models")
+	is.Equal(reasonByPath["$.groups.duka.sites.westlands.routes.weigh"].Why, "denied by $.groups.duka.sites.westlands.routes.weigh.teams.tills.deny")
+	is.Equal(reasonByPath["$.groups.duka.sites.westlands.routes.late"].Why, "denied by $.groups.duka.teams.night.deny")
 	reasons, err = tree.Access().Explain("clerks", "checkout")
 	is.NoErr(err)
 	is.Equal(reasons[0].Why, "not listed in $.groups.plc.teams.clerks.models")
@@ -166,70 +166,70 @@
 	is.True(strings.Contains(err.Error(), "nothing"))
 }
 
-func TestDiffOfAccess(t *testing.T) {
+func TestAccessDiff(t *testing.T) {
 	is := is.New(t)
-	was, _ := Parse([]byte(duka))
-	now, faults := Parse([]byte(strings.Replace(duka, `"duka-bora":{"models"`, `"duka-bora":{"deny":["produce"],"models"`, 1)))
-	is.Equal(len(faults), 0)
-	is.True(was.Access().Digest() != now.Access().Digest())
-	changes := access.Diff(was.Access(), now.Access())
-	is.True(len(changes) > 0)
-	for _, one := range changes {
-		is.Equal(one.Model, "produce")
-		is.Equal(one.Effect, "refused")
+	before, _ := Parse([]byte(groceryDocument))
+	after, violations := Parse([]byte(strings.Replace(groceryDocument, `"duka-bora":{"models"`, `"duka-bora":{"deny":["produce"],"models"`, 1)))
+	is.Equal(len(violations), 0)
+	is.True(before.Access().Digest() != after.Access().Digest())
+	differences := access.Diff(before.Access(), after.Access())
+	is.True(len(differences) > 0)
+	for _, difference := range differences {
+		is.Equal(difference.Model, "produce")
+		is.Equal(difference.Effect, "refused")
 	}
-	is.Equal(len(access.Diff(was.Access(), was.Access())), 0)
-	same, _ := Parse([]byte(strings.Replace(duka, `"groups"`, `"queue_size":4,"groups"`, 1)))
-	is.Equal(same.Access().Digest(), was.Access().Digest()) // other values do not change what teams may call
+	is.Equal(len(access.Diff(before.Access(), before.Access())), 0)
+	unrelated, _ := Parse([]byte(strings.Replace(groceryDocument, `"groups"`, `"queue_size":4,"groups"`, 1)))
+	is.Equal(unrelated.Access().Digest(), before.Access().Digest()) // other values do not change what teams may call
 }
 
-func TestAPlaceKeepsTheBoundsThatADocumentDoesNotSet(t *testing.T) {
+func TestBoundsWithDefaults(t *testing.T) {
 	is := is.New(t)
-	place := &base.Bounds{Settings: 3 * time.Second, Leave: 4 * time.Second, Recover: 20 * time.Second, Retain: time.Minute}
-	tree, faults := Parse([]byte(`{"bounds":{"leave_bound_s":2}}`))
-	is.Equal(len(faults), 0)
-	is.Equal(tree.BoundsWithDefaults(place), base.Bounds{Settings: 3 * time.Second, Leave: 2 * time.Second, Recover: 20 * time.Second, Retain: time.Minute})
+	defaults := &base.Bounds{Settings: 3 * time.Second, Leave: 4 * time.Second, Recover: 20 * time.Second, Retain: time.Minute}
+	tree, violations := Parse([]byte(`{"bounds":{"leave_bound_s":2}}`))
+	is.Equal(len(violations), 0)
+	is.Equal(tree.BoundsWithDefaults(defaults), base.Bounds{Settings: 3 * time.Second, Leave: 2 * time.Second, Recover: 20 * time.Second, Retain: time.Minute})
 	is.Equal(tree.BoundsWithDefaults(nil), tree.Bounds())
 }
 
-// A frame of the feed is read once for each tree, and a change under way gives
-// both tables, also to a node that has only just begun.
-func TestANodeKnowsWhatIsInForceAndWhatIsNext(t *testing.T) {
+// A document is parsed once for each version, and a snapshot with a pending
+// change gives both tables, also to a node that starts during the change.
+func TestFeedCacheDuringAChange(t *testing.T) {
 	is := is.New(t)
-	was, next := []byte(duka), []byte(strings.Replace(duka, `"tills":{"parent":"duka-bora"}`, `"tills":{"parent":"duka-bora","deny":["checkout"]}`, 1))
-	next = []byte(strings.Replace(string(next), `"chat":{"kind":"model","model":"checkout","fallback":"help"}`, `"chat":{"kind":"model","model":"checkout"}`, 1))
-	asked := &access.Request{Scope: access.Scope{Group: "duka", Site: "westlands", Route: "chat"}}
-	key := func(stamp uint64, document []byte) []byte {
-		return base.Encode(Record{Stamp: stamp, Document: document, Access: "x"})
+	oldDocument, newDocument := []byte(groceryDocument), []byte(strings.Replace(groceryDocument, `"tills":{"parent":"duka-bora"}`, `"tills":{"parent":"duka-bora","deny":["checkout"]}`, 1))
+	newDocument = []byte(strings.Replace(string(newDocument), `"chat":{"kind":"model","model":"checkout","fallback":"help"}`, `"chat":{"kind":"model","model":"checkout"}`, 1))
+	request := &access.Request{Scope: access.Scope{Group: "duka", Site: "westlands", Route: "chat"}}
+	encodeRecord := func(version uint64, document []byte) []byte {
+		return base.Encode(Record{Version: version, Document: document, Access: "x"})
 	}
-	packed := func() []byte {
-		var into bytes.Buffer
-		writer, _ := flate.NewWriter(&into, flate.BestSpeed)
-		_, _ = writer.Write(was)
+	compressed := func() []byte {
+		var buffer bytes.Buffer
+		writer, _ := flate.NewWriter(&buffer, flate.BestSpeed)
+		_, _ = writer.Write(oldDocument)
 		_ = writer.Close()
-		return into.Bytes()
+		return buffer.Bytes()
 	}()
-	under := base.Encode(access.Pending{InForce: 1, Target: 2, CompressedDocument: packed})
-	before, during, after := map[string][]byte{Key: key(1, was)}, map[string][]byte{Key: key(2, next), access.PendingKey: under}, map[string][]byte{Key: key(2, next)}
-	for _, frames := range [][]map[string][]byte{{before, during, after}, {during, after}, {before, after}} {
-		known := &FeedCache{}
-		for _, frame := range frames {
-			_, tree, _ := known.Update(frame)
+	pending := base.Encode(access.Pending{InForce: 1, Target: 2, CompressedDocument: compressed})
+	before, during, after := map[string][]byte{Key: encodeRecord(1, oldDocument)}, map[string][]byte{Key: encodeRecord(2, newDocument), access.PendingKey: pending}, map[string][]byte{Key: encodeRecord(2, newDocument)}
+	for _, snapshots := range [][]map[string][]byte{{before, during, after}, {during, after}, {before, after}} {
+		cache := &FeedCache{}
+		for _, values := range snapshots {
+			_, tree, _ := cache.Update(values)
 			is.True(tree != nil)
-			force, coming := known.AccessTables()
-			_, changing := frame[access.PendingKey]
-			is.Equal(coming != nil, changing)
-			is.Equal(force.Stamp == 1, changing || string(frame[Key]) == string(before[Key]))
-			is.Equal(force.Table.Decide(asked).Allowed, force.Stamp == 1)
-			if coming != nil {
-				is.Equal(coming.Stamp, uint64(2))
-				is.True(!coming.Table.Decide(asked).Allowed)
+			inForce, next := cache.AccessTables()
+			_, pendingChange := values[access.PendingKey]
+			is.Equal(next != nil, pendingChange)
+			is.Equal(inForce.Version == 1, pendingChange || string(values[Key]) == string(before[Key]))
+			is.Equal(inForce.Table.Decide(request).Allowed, inForce.Version == 1)
+			if next != nil {
+				is.Equal(next.Version, uint64(2))
+				is.True(!next.Table.Decide(request).Allowed)
 			}
-			_, again, fresh := known.Update(frame)
-			is.True(again == tree && !fresh)
+			_, again, changed := cache.Update(values)
+			is.True(again == tree && !changed)
 		}
 	}
-	known := &FeedCache{}
-	_, tree, fresh := known.Update(map[string][]byte{})
-	is.True(tree == nil && !fresh)
+	cache := &FeedCache{}
+	_, tree, changed := cache.Update(map[string][]byte{})
+	is.True(tree == nil && !changed)
 }
