--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -1,9 +1,3 @@
-// A change of the settings is taken or refused by the slot's owner, by
-// compare-and-set on the stamp it was based on. Every change has an id. One
-// whose outcome its sender does not know is asked for by that id: either it
-// is found taken, or its id is first fenced on a majority and only then
-// called refused, so that a late copy can never come into force.
-
 package settings
 
 import (
@@ -16,38 +10,47 @@
 	"fordseam/internal/register"
 )
 
-// Key is where the feed carries the settings.
+// Key is the feed key that holds the settings.
 const Key = "feed/settings"
 
-const logPrefix = "settings-change/"
+// changeKeyPrefix is the prefix of the register keys that hold the outcome of
+// each change, by its id.
+const changeKeyPrefix = "settings-change/"
 
-// Record is what is stored and told.
+// Record is a version of the settings as it is stored and distributed.
+// Operators know the version as the stamp.
 type Record struct {
-	Stamp    uint64          `json:"stamp"`
+	Version  uint64          `json:"stamp"`
 	Document json.RawMessage `json:"document"`
-	// Access names what the document allows teams; empty where it sets none.
+	// Access is the digest of the document's access rules; "" if it sets no teams.
 	Access string `json:"access,omitempty"`
 }
 
-// Change asks for new settings.
+// Change is a request to replace the settings of version BasedOn. Every change
+// has an id that its sender chose, by which it can ask for an outcome that it
+// does not know.
 type Change struct {
 	ID       string          `json:"change"`
 	BasedOn  uint64          `json:"based_on"`
 	Document json.RawMessage `json:"document"`
 }
 
-// Outcome is taken or refused, with the stamp that now stands.
+// Outcome is "taken" or "refused". Version is the version that the change
+// created, or the current one when it was refused.
 type Outcome struct {
 	Outcome string `json:"outcome"`
-	Stamp   uint64 `json:"stamp"`
+	Version uint64 `json:"stamp"`
 }
 
-type logged struct {
+// loggedOutcome is the stored outcome of a change, with its time in
+// milliseconds.
+type loggedOutcome struct {
 	Outcome Outcome `json:"outcome"`
 	At      int64   `json:"at"`
 }
 
-func current(tx *register.Tx) Record {
+// currentRecord returns the current settings; version 0 if there are none.
+func currentRecord(tx *register.Tx) Record {
 	var record Record
 	if raw := tx.Get(Key); raw != nil {
 		_ = json.Unmarshal(raw, &record)
@@ -55,25 +58,27 @@
 	return record
 }
 
-func known(tx *register.Tx, id string) *logged {
-	raw := tx.Get(logPrefix + id)
+// findOutcome returns the stored outcome of a change, or nil.
+func findOutcome(tx *register.Tx, id string) *loggedOutcome {
+	raw := tx.Get(changeKeyPrefix + id)
 	if raw == nil {
 		return nil
 	}
-	var found logged
-	_ = json.Unmarshal(raw, &found)
-	return &found
+	var logged loggedOutcome
+	_ = json.Unmarshal(raw, &logged)
+	return &logged
 }
 
-// RegisterHandlers adds the settings' ops to a core.
+// RegisterHandlers adds the operations on settings to a core. Stored outcomes
+// expire after four times the retention bound.
 func RegisterHandlers(owner *register.Owner) {
-	owner.Handle("settings.apply", apply)
-	owner.Handle("settings.outcome", outcome)
-	owner.Handle("settings.get", func(tx *register.Tx, _ []byte) (any, error) { return current(tx), nil })
+	owner.Handle("settings.apply", applyChange)
+	owner.Handle("settings.outcome", changeOutcome)
+	owner.Handle("settings.get", func(tx *register.Tx, _ []byte) (any, error) { return currentRecord(tx), nil })
 	owner.Sweep(func(tx *register.Tx) {
-		tx.Walk(logPrefix, "", func(key string, value []byte) bool {
-			var found logged
-			if json.Unmarshal(value, &found) == nil && tx.Now-found.At > 4*tx.Bounds.Retain.Milliseconds() {
+		tx.Walk(changeKeyPrefix, "", func(key string, value []byte) bool {
+			var logged loggedOutcome
+			if json.Unmarshal(value, &logged) == nil && tx.Now-logged.At > 4*tx.Bounds.Retain.Milliseconds() {
 				tx.Gone(key)
 			}
 			return true
@@ -81,112 +86,119 @@
 	})
 }
 
-func apply(tx *register.Tx, args []byte) (any, error) {
-	var asked Change
-	if err := json.Unmarshal(args, &asked); err != nil {
-		return nil, base.DeclineField("change", "not a change: %v", err)
+// applyChange replaces the settings if they are still those that the change was
+// based on. A change that was applied before gets the same answer again.
+func applyChange(tx *register.Tx, args []byte) (any, error) {
+	var request Change
+	if err := json.Unmarshal(args, &request); err != nil {
+		return nil, base.DeclineField("change", "not a valid change: %v", err)
 	}
-	now := current(tx)
-	if found := known(tx, asked.ID); found != nil {
-		if found.Outcome.Outcome == "taken" {
-			return found.Outcome, nil
+	current := currentRecord(tx)
+	if logged := findOutcome(tx, request.ID); logged != nil {
+		if logged.Outcome.Outcome == "taken" {
+			return logged.Outcome, nil
 		}
-		v := base.Decline(409, "change_refused", "this change was refused and stays so")
-		v.Stamp = now.Stamp
+		v := base.Decline(409, "change_refused", "change %q was refused and can no longer be applied", request.ID)
+		v.Stamp = current.Version
 		return nil, v
 	}
-	if asked.BasedOn != now.Stamp {
-		v := base.Decline(409, "stale_stamp", "the change was based on stamp %d, the settings stand at %d", asked.BasedOn, now.Stamp)
-		v.Stamp = now.Stamp
+	if request.BasedOn != current.Version {
+		v := base.Decline(409, "stale_stamp", "the change is based on stamp %d, but the settings are at stamp %d", request.BasedOn, current.Version)
+		v.Stamp = current.Version
 		return nil, v
 	}
-	tree, faults := Parse(asked.Document)
-	if len(faults) > 0 {
-		return nil, InvalidDocument(faults)
+	tree, violations := Parse(request.Document)
+	if len(violations) > 0 {
+		return nil, InvalidDocument(violations)
 	}
-	next := Record{Stamp: now.Stamp + 1, Document: asked.Document, Access: tree.Access().Digest()}
-	if err := access.BeginChange(tx, now.Stamp, next.Stamp, now.Document, now.Access, next.Access); err != nil {
+	next := Record{Version: current.Version + 1, Document: request.Document, Access: tree.Access().Digest()}
+	if err := access.BeginChange(tx, current.Version, next.Version, current.Document, current.Access, next.Access); err != nil {
 		return nil, err
 	}
-	taken := Outcome{Outcome: "taken", Stamp: next.Stamp}
+	accepted := Outcome{Outcome: "taken", Version: next.Version}
 	tx.Put(Key, base.Encode(next))
-	tx.Put(logPrefix+asked.ID, base.Encode(logged{taken, tx.Now}))
-	return taken, nil
+	tx.Put(changeKeyPrefix+request.ID, base.Encode(loggedOutcome{accepted, tx.Now}))
+	return accepted, nil
 }
 
-func outcome(tx *register.Tx, args []byte) (any, error) {
-	var asked Change
-	if err := json.Unmarshal(args, &asked); err != nil || asked.ID == "" {
-		return nil, base.DeclineField("change", "must name a change")
+// changeOutcome returns the outcome of a change. If there is none, it stores
+// that the change is refused, so that a late copy of it is never applied.
+func changeOutcome(tx *register.Tx, args []byte) (any, error) {
+	var request Change
+	if err := json.Unmarshal(args, &request); err != nil || request.ID == "" {
+		return nil, base.DeclineField("change", "must be the id of a change")
 	}
-	if found := known(tx, asked.ID); found != nil {
-		return found.Outcome, nil
+	if logged := findOutcome(tx, request.ID); logged != nil {
+		return logged.Outcome, nil
 	}
-	refused := Outcome{Outcome: "refused", Stamp: current(tx).Stamp}
-	tx.Put(logPrefix+asked.ID, base.Encode(logged{refused, tx.Now}))
+	refused := Outcome{Outcome: "refused", Version: currentRecord(tx).Version}
+	tx.Put(changeKeyPrefix+request.ID, base.Encode(loggedOutcome{refused, tx.Now}))
 	return refused, nil
 }
 
-// InvalidDocument lists every fault of a document in one verdict.
-func InvalidDocument(faults []Violation) *base.Verdict {
-	lines := base.Map(faults, func(f Violation) string { return f.Path + ": " + f.Message })
-	return base.DeclineField(faults[0].Path, "%s", strings.Join(lines, "\n"))
+// InvalidDocument returns an error that lists every violation in a document.
+func InvalidDocument(violations []Violation) *base.Verdict {
+	lines := base.Map(violations, func(violation Violation) string { return violation.Path + ": " + violation.Message })
+	return base.DeclineField(violations[0].Path, "%s", strings.Join(lines, "\n"))
 }
 
-// FeedCache keeps what a node has read of the feed's settings, so that a document
-// is read once and not at each change of the feed. One task at a time uses it.
+// FeedCache keeps the settings that a node parsed last, so that a document is
+// not parsed again at every change of the feed. It is not safe for concurrent
+// use.
 type FeedCache struct {
-	raw, under []byte
-	record     Record
-	tree       *Tree
-	force      access.StampedTable
-	next       *access.StampedTable
-}
-
-// Update reads a frame; the tree is nil when none was ever applied, or cannot
-// be read here.
-func (k *FeedCache) Update(values map[string][]byte) (stamp uint64, tree *Tree, fresh bool) {
-	raw, under := values[Key], values[access.PendingKey]
-	if k.tree != nil && bytes.Equal(raw, k.raw) && bytes.Equal(under, k.under) {
-		return k.record.Stamp, k.tree, false
-	}
-	if k.tree == nil || !bytes.Equal(raw, k.raw) {
+	rawSettings, rawPending []byte
+	record                  Record
+	tree                    *Tree
+	inForce                 access.VersionedTable
+	next                    *access.VersionedTable
+}
+
+// Update reads the settings in a feed snapshot. The tree is nil if none were
+// ever applied, or if this node cannot parse them. changed reports whether the
+// tree is a new one.
+func (c *FeedCache) Update(values map[string][]byte) (version uint64, tree *Tree, changed bool) {
+	rawSettings, rawPending := values[Key], values[access.PendingKey]
+	if c.tree != nil && bytes.Equal(rawSettings, c.rawSettings) && bytes.Equal(rawPending, c.rawPending) {
+		return c.record.Version, c.tree, false
+	}
+	if c.tree == nil || !bytes.Equal(rawSettings, c.rawSettings) {
 		var record Record
-		if raw == nil || json.Unmarshal(raw, &record) != nil {
+		if rawSettings == nil || json.Unmarshal(rawSettings, &record) != nil {
 			return 0, nil, false
 		}
-		read, _ := Parse(record.Document)
-		k.record, k.tree, fresh = record, read, read != nil
-		k.raw = raw
+		parsed, _ := Parse(record.Document)
+		c.record, c.tree, changed = record, parsed, parsed != nil
+		c.rawSettings = rawSettings
 	}
-	if k.tree == nil {
-		return k.record.Stamp, nil, false
+	if c.tree == nil {
+		return c.record.Version, nil, false
 	}
-	k.under = under
-	own := access.StampedTable{Stamp: k.record.Stamp, Table: k.tree.Access()}
+	c.rawPending = rawPending
+	newest := access.VersionedTable{Version: c.record.Version, Table: c.tree.Access()}
 	pending := access.PendingFromFeed(values)
 	switch {
-	case pending == nil && k.next != nil && k.next.Table.Digest() == own.Table.Digest():
-		own.Table = k.next.Table
-		k.force, k.next = own, nil
+	case pending == nil && c.next != nil && c.next.Table.Digest() == newest.Table.Digest():
+		newest.Table = c.next.Table
+		c.inForce, c.next = newest, nil
 	case pending == nil:
-		k.force, k.next = own, nil
-	case k.next == nil || k.force.Stamp != pending.InForce:
-		former, _ := Parse(pending.Document())
-		k.force, k.next = access.StampedTable{Stamp: pending.InForce, Table: former.Access()}, &own
+		c.inForce, c.next = newest, nil
+	case c.next == nil || c.inForce.Version != pending.InForce:
+		previous, _ := Parse(pending.Document())
+		c.inForce, c.next = access.VersionedTable{Version: pending.InForce, Table: previous.Access()}, &newest
 	default:
-		k.next = &own
+		c.next = &newest
 	}
-	return k.record.Stamp, k.tree, fresh
+	return c.record.Version, c.tree, changed
 }
 
-// AccessTables gives the rules in force and, under a change, those that come next.
-func (k *FeedCache) AccessTables() (force access.StampedTable, next *access.StampedTable) {
-	return k.force, k.next
+// AccessTables returns the access rules in force and, while a change of them is
+// pending, the next ones.
+func (c *FeedCache) AccessTables() (inForce access.VersionedTable, next *access.VersionedTable) {
+	return c.inForce, c.next
 }
 
-// FromFeed reads the settings that a feed frame carries; nil when none
-// were ever applied.
+// FromFeed parses the settings in a feed snapshot and returns their version.
+// The tree is nil if none were ever applied.
 func FromFeed(values map[string][]byte) (uint64, *Tree) {
 	raw, ok := values[Key]
 	if !ok {
@@ -197,10 +209,10 @@
 		return 0, nil
 	}
 	tree, _ := Parse(record.Document)
-	return record.Stamp, tree
+	return record.Version, tree
 }
 
-// HasTeams tells whether the settings that a frame carries set teams.
+// HasTeams reports whether the settings in a feed snapshot set teams.
 func HasTeams(values map[string][]byte) bool {
 	var record struct {
 		Access string `json:"access"`
@@ -209,11 +221,11 @@
 	return record.Access != ""
 }
 
-// StampFromFeed is the stamp of the settings that a feed frame carries.
-func StampFromFeed(values map[string][]byte) uint64 {
+// VersionFromFeed returns the version of the settings in a feed snapshot.
+func VersionFromFeed(values map[string][]byte) uint64 {
 	var record struct {
-		Stamp uint64 `json:"stamp"`
+		Version uint64 `json:"stamp"`
 	}
 	_ = json.Unmarshal(values[Key], &record)
-	return record.Stamp
+	return record.Version
 }
--- a/internal/settings/diff.go
+++ b/internal/settings/diff.go
@@ -1,5 +1,3 @@
-// What a document would change: the values that differ, by path.
-
 package settings
 
 import (
@@ -8,45 +6,46 @@
 	"fordseam/internal/base"
 )
 
-// Difference is one value that differs; Was or Now is empty where the path is
-// only in the other document.
+// Difference is one value that differs. Old or New is empty if only the other
+// document has the path.
 type Difference struct {
 	Path string `json:"path"`
 	Old  string `json:"was,omitempty"`
 	New  string `json:"now,omitempty"`
 }
 
-// Diff compares two documents that were checked before.
-func Diff(was, now []byte) []Difference {
-	former, next := map[string]string{}, map[string]string{}
-	flatten("$", was, former)
-	flatten("$", now, next)
+// Diff returns the values that differ between two valid documents, by path.
+func Diff(oldDocument, newDocument []byte) []Difference {
+	oldValues, newValues := map[string]string{}, map[string]string{}
+	flatten("$", oldDocument, oldValues)
+	flatten("$", newDocument, newValues)
 	paths := map[string]bool{}
-	for path := range former {
+	for path := range oldValues {
 		paths[path] = true
 	}
-	for path := range next {
+	for path := range newValues {
 		paths[path] = true
 	}
-	found := []Difference{}
+	differences := []Difference{}
 	for _, path := range base.SortedKeys(paths) {
-		if former[path] != next[path] {
-			found = append(found, Difference{path, former[path], next[path]})
+		if oldValues[path] != newValues[path] {
+			differences = append(differences, Difference{path, oldValues[path], newValues[path]})
 		}
 	}
-	return found
+	return differences
 }
 
-func flatten(path string, raw []byte, into map[string]string) {
-	var inner map[string]json.RawMessage
-	if json.Unmarshal(raw, &inner) == nil && len(inner) > 0 {
-		for name, value := range inner {
-			flatten(path+"."+name, value, into)
+// flatten adds the values of a document to values, by path.
+func flatten(path string, raw []byte, values map[string]string) {
+	var members map[string]json.RawMessage
+	if json.Unmarshal(raw, &members) == nil && len(members) > 0 {
+		for name, value := range members {
+			flatten(path+"."+name, value, values)
 		}
 		return
 	}
 	var value any
 	if json.Unmarshal(raw, &value) == nil && value != nil {
-		into[path] = string(base.Encode(value))
+		values[path] = string(base.Encode(value))
 	}
 }
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -1,8 +1,15 @@
-// Package settings is the operators' tree: defaults, then group, site and
-// route, each changing only what differs. A document is read field by field
-// and judged whole: every fault is listed with its path, and a document with
-// any fault is never stored. A lower level may tighten a bounded value and
-// not exceed the level above.
+// Package settings holds the operators' configuration: a tree of default
+// values, groups, sites and routes, in which each level only sets what differs
+// from the level above. Some values are limits that a lower level may only
+// tighten. Parse validates a document as a whole and reports every violation
+// with its path; a document with a violation is never stored.
+//
+// A change of the settings is accepted or refused by the leader of the feed's
+// shard, by compare-and-set on the version that it was based on. A sender that
+// does not know the outcome of a change asks for it by the change's id. The
+// change either turns out to be accepted, or its id is stored as refused on a
+// majority before that answer is given, so that a late copy can never take
+// effect.
 package settings
 
 import (
@@ -15,12 +22,13 @@
 	"fordseam/internal/policy"
 )
 
-// Violation is one thing wrong with a document.
+// Violation is one error in a document, with the path of the value.
 type Violation struct {
 	Path    string `json:"path"`
 	Message string `json:"message"`
 }
 
+// valueKind is the type of a value.
 type valueKind int
 
 const (
@@ -30,154 +38,165 @@
 	kindText
 )
 
-type spec struct {
-	name      string
-	kind      valueKind
-	low       float64
-	high      float64
-	initial   any
-	capped    bool
-	routeOnly bool
-	below     int // the highest level that may set it
+// fieldSpec describes a value that a document may set.
+type fieldSpec struct {
+	name         string
+	kind         valueKind
+	min          float64
+	max          float64
+	defaultValue any
+	capped       bool // a level may not exceed the levels above
+	routeOnly    bool
+	minDepth     int // 0 if the root may set it, 1 for groups, 2 for sites
 }
 
-var specs = []spec{
-	{name: "queue_size", kind: kindInt, low: 1, high: 1024, initial: 32.0, capped: true},
-	{name: "operation_timeout_s", kind: kindSeconds, low: 0.1, high: 3600, initial: 300.0, capped: true},
-	{name: "tool_timeout_s", kind: kindSeconds, low: 0.1, high: 600, initial: 30.0, capped: true},
-	{name: "max_output_tokens", kind: kindInt, low: 1, high: 1 << 20, initial: 1024.0, capped: true},
-	{name: "max_body_bytes", kind: kindInt, low: 256, high: 16 << 20, initial: float64(1 << 20), capped: true},
-	{name: "legs", kind: kindInt, low: 1, high: 8, initial: 2.0, capped: true},
-	{name: "waiting", kind: kindInt, low: 0, high: 65536, initial: 256.0, capped: true},
-	{name: "model", kind: kindText, initial: ""},
-	{name: "pool", kind: kindText, initial: ""},
-	{name: "policy", kind: kindText, initial: ""},
-	{name: "team", kind: kindText, initial: "", below: 1},
-	{name: "kind", kind: kindText, initial: "", routeOnly: true},
-	{name: "repeatable", kind: kindBool, initial: false, routeOnly: true},
-	{name: "path", kind: kindText, initial: "", routeOnly: true},
-	{name: "fallback", kind: kindText, initial: "", routeOnly: true},
+// levelSpecs describes the values of groups, sites and routes, and of the root.
+var levelSpecs = []fieldSpec{
+	{name: "queue_size", kind: kindInt, min: 1, max: 1024, defaultValue: 32.0, capped: true},
+	{name: "operation_timeout_s", kind: kindSeconds, min: 0.1, max: 3600, defaultValue: 300.0, capped: true},
+	{name: "tool_timeout_s", kind: kindSeconds, min: 0.1, max: 600, defaultValue: 30.0, capped: true},
+	{name: "max_output_tokens", kind: kindInt, min: 1, max: 1 << 20, defaultValue: 1024.0, capped: true},
+	{name: "max_body_bytes", kind: kindInt, min: 256, max: 16 << 20, defaultValue: float64(1 << 20), capped: true},
+	{name: "legs", kind: kindInt, min: 1, max: 8, defaultValue: 2.0, capped: true},
+	{name: "waiting", kind: kindInt, min: 0, max: 65536, defaultValue: 256.0, capped: true},
+	{name: "model", kind: kindText, defaultValue: ""},
+	{name: "pool", kind: kindText, defaultValue: ""},
+	{name: "policy", kind: kindText, defaultValue: ""},
+	{name: "team", kind: kindText, defaultValue: "", minDepth: 1},
+	{name: "kind", kind: kindText, defaultValue: "", routeOnly: true},
+	{name: "repeatable", kind: kindBool, defaultValue: false, routeOnly: true},
+	{name: "path", kind: kindText, defaultValue: "", routeOnly: true},
+	{name: "fallback", kind: kindText, defaultValue: "", routeOnly: true},
 }
 
-var boundSpecs = []spec{
-	{name: "settings_bound_s", kind: kindSeconds, low: 0.5, high: 60, initial: 2.0},
-	{name: "leave_bound_s", kind: kindSeconds, low: 0.5, high: 60, initial: 3.0},
-	{name: "recover_bound_s", kind: kindSeconds, low: 2, high: 600, initial: 12.0},
-	{name: "retain_s", kind: kindSeconds, low: 1, high: 7 * 86400, initial: 600.0},
+// boundSpecs describes the bounds, which only the root sets.
+var boundSpecs = []fieldSpec{
+	{name: "settings_bound_s", kind: kindSeconds, min: 0.5, max: 60, defaultValue: 2.0},
+	{name: "leave_bound_s", kind: kindSeconds, min: 0.5, max: 60, defaultValue: 3.0},
+	{name: "recover_bound_s", kind: kindSeconds, min: 2, max: 600, defaultValue: 12.0},
+	{name: "retain_s", kind: kindSeconds, min: 1, max: 7 * 86400, defaultValue: 600.0},
 }
 
-func specOf(list []spec, name string) *spec {
-	for place := range list {
-		if list[place].name == name {
-			return &list[place]
+// findSpec returns the description of a value, or nil.
+func findSpec(specs []fieldSpec, name string) *fieldSpec {
+	for i := range specs {
+		if specs[i].name == name {
+			return &specs[i]
 		}
 	}
 	return nil
 }
 
-type level struct {
+// treeLevel is the root, a group, a site or a route as the document sets it.
+type treeLevel struct {
 	path     string
 	values   map[string]any
-	children map[string]*level
+	children map[string]*treeLevel
 	teams    map[string]*access.TeamRules
 	hosts    []string
 }
 
-// Tree is one whole, valid set of settings.
+// Tree is one complete and valid set of settings.
 type Tree struct {
-	root     *level
-	pools    map[string]string
-	policies map[string]*policy.Policy
-	bounds   base.Bounds
-	limits   map[string]any
-	models   []string
-	access   *access.Table
+	root        *treeLevel
+	pools       map[string]string
+	policies    map[string]*policy.Policy
+	bounds      base.Bounds
+	boundValues map[string]any
+	models      []string
+	access      *access.Table
 }
 
-// check looks at what only the whole document can show.
-func (r *reader) check(tree *Tree, limits map[string]any) {
-	r.descend(tree, tree.root, map[string]any{}, 0)
+// checkDocument validates what depends on several parts of the document.
+func (p *parser) checkDocument(tree *Tree, boundValues map[string]any) {
+	p.checkLevel(tree, tree.root, map[string]any{}, 0)
 	for _, groupName := range base.SortedKeys(tree.root.children) {
 		for _, siteName := range base.SortedKeys(tree.root.children[groupName].children) {
 			site := tree.root.children[groupName].children[siteName]
 			for _, routeName := range base.SortedKeys(site.children) {
-				r.checkRoute(tree, groupName, siteName, site, routeName)
+				p.checkRoute(tree, groupName, siteName, site, routeName)
 			}
 		}
 	}
-	if len(r.faults) == 0 {
-		r.checkAccess(tree)
+	if len(p.violations) == 0 {
+		p.checkAccess(tree)
 	}
 }
 
-func (r *reader) descend(tree *Tree, at *level, above map[string]any, depth int) {
-	merged := map[string]any{}
-	for name, value := range above {
-		merged[name] = value
+// checkLevel validates the values of a level against those it inherits, and
+// then the levels below. It also compiles the policies.
+func (p *parser) checkLevel(tree *Tree, level *treeLevel, inherited map[string]any, depth int) {
+	effective := map[string]any{}
+	for name, value := range inherited {
+		effective[name] = value
 	}
-	for _, name := range base.SortedKeys(at.values) {
-		value := at.values[name]
-		if found := specOf(specs, name); found.capped {
-			if limit, ok := above[name].(float64); ok && value.(float64) > limit {
-				r.fault(at.path+"."+name, "%v is more than the %v of the level above", value, limit)
+	for _, name := range base.SortedKeys(level.values) {
+		value := level.values[name]
+		if spec := findSpec(levelSpecs, name); spec.capped {
+			if limit, ok := inherited[name].(float64); ok && value.(float64) > limit {
+				p.reject(level.path+"."+name, "%v exceeds the %v of the level above", value, limit)
 			}
 		}
-		merged[name] = value
+		effective[name] = value
 	}
-	if pool, ok := at.values["pool"].(string); ok && tree.pools[pool] == "" {
-		r.fault(at.path+".pool", "no pool is named %q", pool)
+	if pool, ok := level.values["pool"].(string); ok && tree.pools[pool] == "" {
+		p.reject(level.path+".pool", "no pool is named %q", pool)
 	}
-	if source, ok := at.values["policy"].(string); ok && source != "" && tree.policies[source] == nil {
+	if source, ok := level.values["policy"].(string); ok && source != "" && tree.policies[source] == nil {
 		compiled, err := policy.Compile(source)
 		if err != nil {
-			r.fault(at.path+".policy", "%v", err)
+			p.reject(level.path+".policy", "%v", err)
 		}
 		tree.policies[source] = compiled
 	}
-	for _, name := range base.SortedKeys(at.children) {
-		r.descend(tree, at.children[name], merged, depth+1)
+	for _, name := range base.SortedKeys(level.children) {
+		p.checkLevel(tree, level.children[name], effective, depth+1)
 	}
 }
 
-func (r *reader) checkRoute(tree *Tree, groupName, siteName string, site *level, routeName string) {
+// checkRoute validates the kind, pool and fallbacks of a route.
+func (p *parser) checkRoute(tree *Tree, groupName, siteName string, site *treeLevel, routeName string) {
 	path := site.children[routeName].path
 	route, err := tree.Route(groupName, siteName, routeName)
 	if err != nil {
-		r.fault(path, "%v", err)
+		p.reject(path, "%v", err)
 		return
 	}
 	if route.Kind != "model" && route.Kind != "tool" {
-		r.fault(path+".kind", `must be "model" or "tool"`)
+		p.reject(path+".kind", `must be "model" or "tool"`)
 	}
 	if route.Pool == "" {
-		r.fault(path+".pool", "no pool is set here or above")
+		p.reject(path+".pool", "no pool is set here or at a level above")
 	} else if tree.pools[route.Pool] != route.Kind {
-		r.fault(path+".pool", "pool %q is of kind %q, the route of kind %q", route.Pool, tree.pools[route.Pool], route.Kind)
+		p.reject(path+".pool", "pool %q is of kind %q, the route of kind %q", route.Pool, tree.pools[route.Pool], route.Kind)
 	}
-	visited := []string{routeName}
-	for at := route; at.Fallback != ""; {
-		if slices.Contains(visited, at.Fallback) {
-			r.fault(path+".fallback", "cycle: %s", strings.Join(append(visited, at.Fallback), " > "))
+	chain := []string{routeName}
+	for current := route; current.Fallback != ""; {
+		if slices.Contains(chain, current.Fallback) {
+			p.reject(path+".fallback", "cycle: %s", strings.Join(append(chain, current.Fallback), " > "))
 			return
 		}
-		next, ok := site.children[at.Fallback]
+		next, ok := site.children[current.Fallback]
 		if !ok {
-			r.fault(path+".fallback", "no route is named %q in this site", at.Fallback)
+			p.reject(path+".fallback", "no route is named %q in this site", current.Fallback)
 			return
 		}
-		visited = append(visited, at.Fallback)
+		chain = append(chain, current.Fallback)
 		if kind, _ := next.values["kind"].(string); kind != route.Kind {
-			r.fault(path+".fallback", "route %q is of another kind", at.Fallback)
+			p.reject(path+".fallback", "route %q is of another kind", current.Fallback)
 			return
 		}
-		at, err = tree.Route(groupName, siteName, visited[len(visited)-1])
+		current, err = tree.Route(groupName, siteName, chain[len(chain)-1])
 		if err != nil {
 			return
 		}
 	}
 }
 
-// Route is one route's settings with everything inherited.
+// Route is the settings of one route, including the values that it inherits.
+// MaxAttempts (the setting legs) limits the calls to workers for one turn or
+// tool call, and MaxWaiting (the setting waiting) the attempts that may wait
+// for a worker on one gateway.
 type Route struct {
 	Group, Site, Name string
 	QueueSize         int
@@ -185,8 +204,8 @@
 	ToolTimeout       time.Duration
 	MaxOutputTokens   int64
 	MaxBodyBytes      int
-	Legs              int
-	Waiting           int
+	MaxAttempts       int
+	MaxWaiting        int
 	Model             string
 	Pool              string
 	Kind              string
@@ -196,52 +215,52 @@
 	Policy            *policy.Policy
 }
 
-// EffectiveValue is one value in force and the level it came from.
+// EffectiveValue is a value in force, and the path of the level that sets it.
 type EffectiveValue struct {
 	Key   string `json:"key"`
 	Value any    `json:"value"`
 	From  string `json:"from"`
 }
 
-// Effective lists the values in force at a level: a group, a site or a
-// route; empty names stop higher up.
+// Effective returns the values in force at the level that the names of a group,
+// a site and a route lead to. An empty name stops at the level above.
 func (t *Tree) Effective(names ...string) ([]EffectiveValue, error) {
-	chain := []*level{t.root}
+	path := []*treeLevel{t.root}
 	for depth, name := range names {
 		if name == "" {
 			break
 		}
-		child, ok := chain[len(chain)-1].children[name]
+		child, ok := path[len(path)-1].children[name]
 		if !ok {
-			return nil, base.Decline(404, "unknown_"+strings.TrimSuffix(depths[depth], "s"), "no %s is named %q", strings.TrimSuffix(depths[depth], "s"), name)
+			return nil, base.Decline(404, "unknown_"+strings.TrimSuffix(childKeys[depth], "s"), "no %s is named %q", strings.TrimSuffix(childKeys[depth], "s"), name)
 		}
-		chain = append(chain, child)
+		path = append(path, child)
 	}
-	found := []EffectiveValue{}
-	for _, one := range specs {
-		if one.routeOnly && len(chain) < 4 {
+	effective := []EffectiveValue{}
+	for _, spec := range levelSpecs {
+		if spec.routeOnly && len(path) < 4 {
 			continue
 		}
-		origin := EffectiveValue{Key: one.name, Value: one.initial, From: "default"}
-		for _, at := range chain {
-			if value, ok := at.values[one.name]; ok {
-				origin.Value, origin.From = value, at.path
+		entry := EffectiveValue{Key: spec.name, Value: spec.defaultValue, From: "default"}
+		for _, level := range path {
+			if value, ok := level.values[spec.name]; ok {
+				entry.Value, entry.From = value, level.path
 			}
 		}
-		found = append(found, origin)
+		effective = append(effective, entry)
 	}
-	return found, nil
+	return effective, nil
 }
 
-// Route gives a route's settings.
+// Route returns the settings of a route.
 func (t *Tree) Route(group, site, name string) (*Route, error) {
-	found, err := t.Effective(group, site, name)
+	effective, err := t.Effective(group, site, name)
 	if err != nil {
 		return nil, err
 	}
 	values := map[string]any{}
-	for _, origin := range found {
-		values[origin.Key] = origin.Value
+	for _, field := range effective {
+		values[field.Key] = field.Value
 	}
 	number := func(key string) float64 { value, _ := values[key].(float64); return value }
 	text := func(key string) string { value, _ := values[key].(string); return value }
@@ -250,21 +269,23 @@
 	return &Route{Group: group, Site: site, Name: name, QueueSize: int(number("queue_size")),
 		OperationTimeout: seconds("operation_timeout_s"), ToolTimeout: seconds("tool_timeout_s"),
 		MaxOutputTokens: int64(number("max_output_tokens")), MaxBodyBytes: int(number("max_body_bytes")),
-		Legs: int(number("legs")), Waiting: int(number("waiting")), Model: text("model"), Pool: text("pool"), Kind: text("kind"),
+		MaxAttempts: int(number("legs")), MaxWaiting: int(number("waiting")), Model: text("model"), Pool: text("pool"), Kind: text("kind"),
 		Repeatable: repeatable, Path: text("path"), Fallback: text("fallback"),
 		Policy: t.policies[text("policy")]}, nil
 }
 
-// Bounds are the promised times in the tree.
+// Bounds returns the bounds that the document sets, and the default ones for
+// the rest.
 func (t *Tree) Bounds() base.Bounds { return t.bounds }
 
-// PoolKind tells what a pool is for, or nothing when there is none.
+// PoolKind returns the kind of a pool, or "" if there is no such pool.
 func (t *Tree) PoolKind(name string) string { return t.pools[name] }
 
-// BodyLimit is the largest request body taken anywhere in the tree.
+// BodyLimit returns the size of the largest request body that any route
+// accepts.
 func (t *Tree) BodyLimit() int {
 	if value, ok := t.root.values["max_body_bytes"].(float64); ok {
 		return int(value)
 	}
-	return int(specOf(specs, "max_body_bytes").initial.(float64))
+	return int(findSpec(levelSpecs, "max_body_bytes").defaultValue.(float64))
 }
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -1,5 +1,3 @@
-// The settings' table of faults: each document is rejected whole, with the
-// path of what is wrong; and what a level inherits.
 package settings
 
 import (
@@ -9,11 +7,13 @@
 	"github.com/matryer/is"
 )
 
-const whole = `{"pools":{"m":{"kind":"model"},"a":{"kind":"tool"}},"queue_size":16,
+const validDocument = `{"pools":{"m":{"kind":"model"},"a":{"kind":"tool"}},"queue_size":16,
 "groups":{"g":{"queue_size":8,"sites":{"s":{"pool":"m","routes":{
 "chat":{"kind":"model","queue_size":4},"pay":{"kind":"tool","pool":"a","path":"/pay"}}}}}}}`
 
-func TestFaultsAreRejectedWithTheirPath(t *testing.T) {
+// Each invalid document is rejected as a whole, and the first violation has the
+// path of what is wrong.
+func TestViolationsAreReportedWithTheirPath(t *testing.T) {
 	rows := []struct{ name, document, path string }{
 		{"not an object", `[]`, "$"},
 		{"broken", `{"queue_size":`, "$"},
@@ -42,24 +42,25 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			tree, faults := Parse([]byte(row.document))
+			tree, violations := Parse([]byte(row.document))
 			is.True(tree == nil)
-			is.True(len(faults) > 0)
-			is.Equal(faults[0].Path, row.path)
+			is.True(len(violations) > 0)
+			is.Equal(violations[0].Path, row.path)
 		})
 	}
 }
 
-func TestEveryFaultIsListed(t *testing.T) {
+func TestEveryViolationIsListed(t *testing.T) {
 	is := is.New(t)
-	_, faults := Parse([]byte(`{"queue_size":0,"nonsense":1,"pools":{"m":{"kind":"x"}}}`))
-	is.Equal(len(faults), 3)
+	_, violations := Parse([]byte(`{"queue_size":0,"nonsense":1,"pools":{"m":{"kind":"x"}}}`))
+	is.Equal(len(violations), 3)
 }
 
-func TestALevelChangesOnlyWhatDiffers(t *testing.T) {
+// A level inherits what it does not set from the levels above.
+func TestLevelsInheritValues(t *testing.T) {
 	is := is.New(t)
-	tree, faults := Parse([]byte(whole))
-	is.Equal(len(faults), 0)
+	tree, violations := Parse([]byte(validDocument))
+	is.Equal(len(violations), 0)
 	chat, err := tree.Route("g", "s", "chat")
 	is.NoErr(err)
 	is.Equal(chat.QueueSize, 4)
@@ -70,26 +71,26 @@
 	is.Equal(pay.QueueSize, 8)
 	is.Equal(pay.Pool, "a")
 	is.True(!pay.Repeatable)
-	origins, err := tree.Effective("g", "s", "chat")
+	values, err := tree.Effective("g", "s", "chat")
 	is.NoErr(err)
-	from := map[string]string{}
-	for _, origin := range origins {
-		from[origin.Key] = origin.From
+	fromLevel := map[string]string{}
+	for _, value := range values {
+		fromLevel[value.Key] = value.From
 	}
-	is.Equal(from["queue_size"], "$.groups.g.sites.s.routes.chat")
-	is.Equal(from["pool"], "$.groups.g.sites.s")
-	is.Equal(from["tool_timeout_s"], "default")
+	is.Equal(fromLevel["queue_size"], "$.groups.g.sites.s.routes.chat")
+	is.Equal(fromLevel["pool"], "$.groups.g.sites.s")
+	is.Equal(fromLevel["tool_timeout_s"], "default")
 	_, err = tree.Route("g", "s", "none")
 	is.True(strings.Contains(err.Error(), "unknown_route"))
 }
 
-func FuzzRead(f *testing.F) {
-	f.Add([]byte(whole))
+func FuzzParse(f *testing.F) {
+	f.Add([]byte(validDocument))
 	f.Add([]byte(`{"groups":{"g":{"sites":{}}}}`))
 	f.Fuzz(func(t *testing.T, document []byte) {
-		tree, faults := Parse(document)
-		if (tree == nil) == (len(faults) == 0) {
-			t.Fatalf("a document is either a tree or has faults: %v", faults)
+		tree, violations := Parse(document)
+		if (tree == nil) == (len(violations) == 0) {
+			t.Fatalf("a document is either a tree or has faults: %v", violations)
 		}
 	})
 }
--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -52,7 +52,7 @@
 		is.Equal(len(shown.Teams), 3)
 		is.Equal(len(shown.Holders), len(f.Edges)+len(f.Cores)) // who holds which stamp
 		for _, one := range shown.Holders {
-			is.Equal(one.Stamp, uint64(1))
+			is.Equal(one.Version, uint64(1))
 		}
 		var state operate.StatusView
 		_, raw := f.Operate(f.Cores[0], "GET", "/v1/operator/status", nil)
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -100,7 +100,7 @@
 			if m.Serving() {
 				var record settings.Record
 				_ = json.Unmarshal(m.gateway.Follower.Snapshot().Values[settings.Key], &record)
-				f.Tally.Showed(m.Host.Name, record.Stamp, markOf(record.Document), f.World.Now())
+				f.Tally.Showed(m.Host.Name, record.Version, markOf(record.Document), f.World.Now())
 			}
 		}
 		f.Callers.Clock().Sleep(40 * time.Millisecond)
@@ -113,7 +113,7 @@
 		status, answer := f.Operate(f.Cores[tries%len(f.Cores)], "GET", "/v1/operator/settings", nil)
 		var record settings.Record
 		if status == 200 && json.Unmarshal(answer, &record) == nil {
-			f.Tally.Stands(record.Stamp, markOf(record.Document))
+			f.Tally.Stands(record.Version, markOf(record.Document))
 			return
 		}
 		f.Callers.Clock().Sleep(100 * time.Millisecond)
--- a/internal/worker/picker.go
+++ b/internal/worker/picker.go
@@ -334,7 +334,7 @@
 		one := candidates[id]
 		return policy.Candidate{ID: id, Zone: one.Zone, Load: p.usage(one), Capacity: one.Capacity, Previous: id == need.Former}
 	})
-	id, err := need.Policy.Nominate(need.Urgency, p.zone, offered)
+	id, err := need.Policy.Pick(need.Urgency, p.zone, offered)
 	if err != nil {
 		p.counters.Add("policy_faults", 1)
 		return nil
