--- a/internal/access/pending.go
+++ b/internal/access/pending.go
@@ -88,7 +88,7 @@
 // allNodesHave reports whether every node that may authorize requests has the
 // settings of a version, as the shard's leader knows from the followers'
 // requests; holders lists what they have.
-func RegisterHandlers(owner *register.Owner, allNodesHave func(epoch, version uint64, lease time.Duration) bool, holders func() any) {
+func RegisterHandlers(owner *register.Server, allNodesHave func(epoch, version uint64, lease time.Duration) bool, holders func() any) {
 	owner.Handle("access.settle", func(tx *register.Tx, args []byte) (any, error) {
 		var request settleRequest
 		if err := json.Unmarshal(args, &request); err != nil {
@@ -97,7 +97,7 @@
 		pending := decodePending(tx.Get(PendingKey))
 		settled := pending == nil || pending.Target != request.Target
 		if !settled && (request.Waited || allNodesHave(tx.Epoch, request.Target, pending.lease(tx.Bounds))) {
-			tx.Gone(PendingKey)
+			tx.Delete(PendingKey)
 			settled = true
 		}
 		return settled, nil
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -8,7 +8,7 @@
 // nothing.
 //
 // In a large fleet the followers form a tree, so that the leader of the feed's
-// shard (register calls it the owner) answers a bounded number of nodes. Cores
+// shard answers a bounded number of nodes. Cores
 // ask the leader and gateways ask a core. Each node answers a bounded number of
 // gateways; once it has that many it redirects others to some of them, so the
 // tree grows with the fleet and no node needs to know every gateway. A node
@@ -43,13 +43,13 @@
 // shard, and as a relay on any other node.
 type Service struct {
 	clock    base.Clock
-	leader   *register.Owner
+	leader   *register.Server
 	follower *Follower
 	reports  settingsReports
 }
 
 // NewService returns the feed service of a node. owner is nil on a gateway.
-func NewService(clock base.Clock, leader *register.Owner, follower *Follower) *Service {
+func NewService(clock base.Clock, leader *register.Server, follower *Follower) *Service {
 	return &Service{clock: clock, leader: leader, follower: follower, reports: settingsReports{byNode: map[string]settingsReport{}}}
 }
 
@@ -61,12 +61,12 @@
 		return &FollowReply{Crowded: true, Relays: s.follower.followers.relayHints(request.From, request.Zone)}, nil
 	}
 	gateways := s.follower.countGateways(request)
-	if s.leader == nil || request.Relayed && !s.leader.ServesFeed() {
+	if s.leader == nil || request.Relayed && !s.leader.LeadsFeed() {
 		return s.follower.AnswerFollower(ctx, request)
 	}
 	s.recordReport(request)
 	wait := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Left()/2)
-	revision, whole, puts, leaderHint, err := s.leader.News(ctx, request.Place, request.Begun, wait)
+	revision, whole, puts, leaderHint, err := s.leader.Watch(ctx, request.Place, request.Begun, wait)
 	if err != nil {
 		return nil, base.ToWire(err)
 	}
@@ -283,7 +283,7 @@
 func (f *Follower) askLeader(request *FollowRequest) (reply *FollowReply, askedAt time.Duration, err error) {
 	request.Relayed = false
 	bounds := f.bounds.Load()
-	err = f.client.Reach(base.NewCtx(f.clock, bounds.Permit()), 0, bounds.Follow(), func(ctx *base.Ctx, addr string) (string, error) {
+	err = f.client.CallLeader(base.NewCtx(f.clock, bounds.Permit()), 0, bounds.Follow(), func(ctx *base.Ctx, addr string) (string, error) {
 		askedAt = f.clock.Now()
 		answer, err := NewFeedProtobufClient("http://"+addr, f.wire).Follow(ctx, request)
 		request.HoldMs = 0
@@ -320,7 +320,7 @@
 // updates the snapshot, then extends the lease.
 func (f *Follower) applyReply(reply *FollowReply, askedAt time.Duration) {
 	current := f.Snapshot()
-	if !consensus.TakesAnswer(reply.Place, current.Revision) {
+	if !consensus.AcceptsRevision(reply.Place, current.Revision) {
 		f.counters.Add("feed_older_dropped", 1)
 		return
 	}
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -165,11 +165,11 @@
 	confirmed, snapshot, gatewayCount := f.confirmed, f.Snapshot(), f.gatewayCount
 	puts, ok := f.recent.since(request.Place)
 	f.mu.Unlock()
-	if !snapshot.Initialized || !consensus.TakesAnswer(snapshot.Revision, request.Place) || !consensus.MayRelay(f.clock.Now(), confirmed, f.bounds.Load().Permit()) {
+	if !snapshot.Initialized || !consensus.AcceptsRevision(snapshot.Revision, request.Place) || !consensus.MayRelay(f.clock.Now(), confirmed, f.bounds.Load().Permit()) {
 		f.counters.Add("feed_relays_declined", 1)
 		return nil, base.ToWire(base.Busy(503, "feed_stale", 1, "this node's own snapshot of the feed is out of date"))
 	}
-	reply := &FollowReply{Place: snapshot.Revision, Gateways: gatewayCount, BehindMs: consensus.Behind(receivedAt, confirmed).Milliseconds()}
+	reply := &FollowReply{Place: snapshot.Revision, Gateways: gatewayCount, BehindMs: consensus.ConfirmationAge(receivedAt, confirmed).Milliseconds()}
 	switch {
 	case !request.Begun || snapshot.Revision > request.Place && !ok:
 		reply.Frame = true
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/jx"
 )
 
-func (f *Front) planPlatform(r *Request, parts []string) (*plan, error) {
+func (f *Handler) planPlatform(r *Request, parts []string) (*plan, error) {
 	switch r.Method + " " + shape(parts) {
 	case "GET workers":
 		return &plan{func(ctx *base.Ctx) (*Response, error) {
@@ -67,7 +67,7 @@
 	}
 }
 
-func (f *Front) planReplace(r *Request) (*plan, error) {
+func (f *Handler) planReplace(r *Request) (*plan, error) {
 	var stamp float64
 	var workers []worker.Worker
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{"stamp": base.Number(&stamp, 1, 1<<52, true), "workers": readWorkers(&workers)})
@@ -79,7 +79,7 @@
 	case workers == nil:
 		return nil, base.DeclineField("workers", "must be given")
 	}
-	if err := worker.CheckList("workers", workers); err != nil {
+	if err := worker.ValidateWorkers("workers", workers); err != nil {
 		return nil, err
 	}
 	return f.changeList(func(ctx *base.Ctx) (*worker.List, error) {
@@ -87,7 +87,7 @@
 	}), nil
 }
 
-func (f *Front) planPatch(r *Request) (*plan, error) {
+func (f *Handler) planPatch(r *Request) (*plan, error) {
 	var stamp float64
 	var put []worker.Worker
 	var remove []string
@@ -110,7 +110,7 @@
 	if stamp == 0 {
 		return nil, base.DeclineField("stamp", "must be given")
 	}
-	if err := worker.CheckList("put", put); err != nil {
+	if err := worker.ValidateWorkers("put", put); err != nil {
 		return nil, err
 	}
 	return f.changeList(func(ctx *base.Ctx) (*worker.List, error) {
@@ -118,7 +118,7 @@
 	}), nil
 }
 
-func (f *Front) changeList(change func(ctx *base.Ctx) (*worker.List, error)) *plan {
+func (f *Handler) changeList(change func(ctx *base.Ctx) (*worker.List, error)) *plan {
 	return &plan{func(ctx *base.Ctx) (*Response, error) {
 		now, err := change(ctx.Within(f.Bounds.Load().Recover))
 		if err != nil {
@@ -128,7 +128,7 @@
 	}}
 }
 
-func (f *Front) planUsage(r *Request, id string) (*plan, error) {
+func (f *Handler) planUsage(r *Request, id string) (*plan, error) {
 	var load, count float64
 	usage := &membership.Usage{Worker: id}
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
@@ -143,16 +143,16 @@
 	}
 	usage.Number, usage.Load = uint64(count), int64(load)
 	return &plan{func(ctx *base.Ctx) (*Response, error) {
-		if !f.Book.Tell(usage) {
+		if !f.UsageReports.Record(usage) {
 			f.Counters.Add("usage_stale", 1)
 			return answer(200, map[string]any{"taken": false}), nil
 		}
 		notice, marked := f.Picker.Roster().Leaving[id]
 		if !usage.Leaving {
-			f.Picker.Back(id)
+			f.Picker.ClearLeaving(id)
 		}
 		if usage.Leaving != marked || (marked && notice.Incarnation != usage.Incarnation) {
-			err := f.Workers.Notice(ctx.Within(f.Bounds.Load().Recover), worker.Notice{Worker: id, Incarnation: usage.Incarnation,
+			err := f.Workers.SubmitNotice(ctx.Within(f.Bounds.Load().Recover), worker.Notice{Worker: id, Incarnation: usage.Incarnation,
 				Leaving: usage.Leaving, Source: "report", Number: usage.Number})
 			if err != nil {
 				return nil, err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,7 +37,7 @@
 	Backends base.Backends
 	Counters *base.Counters
 	// Names are what clients and workers of an operator's routes call things.
-	Names *relay.Names
+	Names *relay.WireNames
 }
 
 // Place is where a process stands in the fleet.
@@ -140,12 +140,12 @@
 // Gateway is the data plane's process.
 type Gateway struct {
 	*common
-	Front    *front.Front
-	Keeper   *session.Keeper
+	Front    *front.Handler
+	Keeper   *session.Manager
 	Follower *feed.Follower
 	Routes   *base.Table[route.Table]
 	Relay    *relay.Relay
-	Lines    *line.Keeper
+	Lines    *line.Manager
 	Access   *access.Guard
 	// Table reads the operator's document; it is set before Start where this
 	// gateway serves routes.
@@ -154,35 +154,35 @@
 	disks  base.Table[register.DiskSet]
 	routed *base.Bell
 	// roster and written are what the feed told last; only learn has them.
-	roster  relay.Roster
+	roster  relay.RosterDecoder
 	written []byte
 }
 
 func NewGateway(env Env, place Place) *Gateway {
 	place.Role = membership.RoleGateway
 	bounds, tree := newBounds(place), &base.Table[settings.Tree]{}
-	book := worker.NewBook(env.Clock, bounds)
+	book := worker.NewUsageReports(env.Clock, bounds)
 	picker := worker.NewPicker(env.Clock, bounds, env.Counters, book, place.Zone)
 	c := newCommon(env, place, book, bounds)
 	g := &Gateway{common: c, Access: access.NewGuard(env.Clock, bounds, env.Counters)}
 	env.Counters.Also(g.Access.AddCounts)
 	client, follower := c.follow(tree, g.Access, func(frame *feed.Snapshot) {
-		picker.Swap(worker.RosterOf(frame.Values))
-		g.Keeper.Ended(endedIn(frame.Values))
+		picker.SetRoster(worker.DecodeRoster(frame.Values))
+		g.Keeper.SetTerminations(endedIn(frame.Values))
 		g.learn(frame)
 	})
 	g.Follower = follower
 	c.mount(feed.NewFeedServer(feed.NewService(env.Clock, nil, follower)))
-	g.Keeper = session.NewKeeper(session.Parts{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
+	g.Keeper = session.NewManager(session.Dependencies{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
 		Register: client, Follower: follower, Picker: picker, Backends: env.Backends, Tree: tree})
-	g.Front = &front.Front{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Follower: follower, Tree: tree,
-		Budget: &budget.Client{Register: client}, Keeper: g.Keeper, Tools: &toolcall.Client{Register: client},
-		Workers: &worker.Client{Register: client}, Book: book, Picker: picker, Backends: env.Backends, Access: g.Access}
+	g.Front = &front.Handler{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Follower: follower, Settings: tree,
+		Budget: &budget.Client{Register: client}, Sessions: g.Keeper, Tools: &toolcall.Client{Register: client},
+		Workers: &worker.Client{Register: client}, UsageReports: book, Picker: picker, Backends: env.Backends, Access: g.Access}
 	c.mount(session.NewOwnerServer(g.Keeper))
 	g.Routes, g.routed = &base.Table[route.Table]{}, base.NewBell(env.Clock)
-	g.Relay = relay.New(relay.Parts{Clock: env.Clock, Backends: env.Backends, Bounds: bounds, Counters: env.Counters, Names: env.Names, Zone: place.Zone, ConnShare: g.connShare, AnswerLimit: answerLimit})
+	g.Relay = relay.New(relay.Config{Clock: env.Clock, Backends: env.Backends, Bounds: bounds, Counters: env.Counters, Names: env.Names, Zone: place.Zone, MaxConnsPerWorker: g.connShare, MaxResponseBytes: answerLimit})
 	kept := ledger.NewClient(env.Clock, env.Wire, g.disks.Load, place.Zone, place.Tolerate, bounds, env.Counters, nil)
-	g.Lines = line.NewKeeper(line.Parts{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
+	g.Lines = line.NewManager(line.Dependencies{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
 		Routes: g.Routes, Ledger: keeping{kept}, Workers: offering{g}})
 	c.mount(line.NewOwnerServer(g.Lines))
 	return g
@@ -191,8 +191,8 @@
 func endedIn(values map[string][]byte) map[string]budget.Termination {
 	ended := map[string]budget.Termination{}
 	for key, raw := range values {
-		if id, ok := strings.CutPrefix(key, budget.EndedPrefix); ok {
-			ended[id] = budget.EndedMode(raw)
+		if id, ok := strings.CutPrefix(key, budget.TerminationPrefix); ok {
+			ended[id] = budget.DecodeTermination(raw)
 		}
 	}
 	return ended
@@ -218,7 +218,7 @@
 	g.env.Clock.Go(func() {
 		for !g.Follower.Closed() {
 			g.env.Clock.Sleep(g.bounds.Load().Recover)
-			g.Front.Forget()
+			g.Front.EvictExpired()
 		}
 	})
 }
@@ -230,7 +230,7 @@
 
 // Ready says whether the platform may send callers here.
 func (g *Gateway) Ready() error {
-	if g.Front.Tree.Load() == nil {
+	if g.Front.Settings.Load() == nil {
 		return base.Busy(503, "no_settings", 1, "no settings have been applied")
 	}
 	if !g.Follower.HasLease() {
@@ -259,7 +259,7 @@
 // Core is the control plane's process that owns keys.
 type Core struct {
 	*common
-	Owner    *register.Owner
+	Owner    *register.Server
 	Follower *feed.Follower
 	Operate  *operate.Operate
 	Register *register.Client
@@ -267,27 +267,27 @@
 	// Lister asks for the list of workers; it is set before Start where this
 	// core keeps a roster.
 	Lister  relay.Lister
-	founder *founding.Founder
+	founder *founding.Bootstrapper
 }
 
 func NewCore(env Env, place Place) *Core {
 	place.Role = membership.RoleCore
 	bounds, tree := newBounds(place), &base.Table[settings.Tree]{}
 	c := newCommon(env, place, nil, bounds)
-	owner := register.NewOwner(env.Clock, env.Wire, c.view, bounds, env.Counters)
+	owner := register.NewServer(env.Clock, env.Wire, c.view, bounds, env.Counters)
 	settings.RegisterHandlers(owner)
-	budget.Serve(owner)
-	session.Serve(owner)
-	toolcall.Serve(owner)
+	budget.RegisterHandlers(owner)
+	session.RegisterHandlers(owner)
+	toolcall.RegisterHandlers(owner)
 	worker.Serve(owner)
-	route.Serve(owner)
+	route.RegisterOperations(owner)
 	relay.Serve(owner)
 	guard := access.NewGuard(env.Clock, bounds, env.Counters)
 	client, follower := c.follow(tree, guard, func(*feed.Snapshot) {})
 	if place.Tolerate > 0 {
-		owner.Mend(place.Tolerate)
-		kept := ledger.NewClient(env.Clock, env.Wire, func() *register.DiskSet { return register.DisksOf(follower.Snapshot().Values) }, place.Zone, place.Tolerate, bounds, env.Counters, nil)
-		owner.Keeps(kept)
+		owner.EnableReconcile(place.Tolerate)
+		kept := ledger.NewClient(env.Clock, env.Wire, func() *register.DiskSet { return register.DiskSetIn(follower.Snapshot().Values) }, place.Zone, place.Tolerate, bounds, env.Counters, nil)
+		owner.SetRedundancyChecker(kept)
 	}
 	core := &Core{common: c, Owner: owner, Follower: follower, Register: client}
 	if place.Found {
@@ -314,8 +314,8 @@
 	c.env.Clock.Go(c.Follower.Run)
 	c.env.Clock.Go(c.settles.Run)
 	if c.Lister != nil {
-		duty := &relay.Duty{Clock: c.env.Clock, Bounds: c.bounds, Counters: c.env.Counters, Register: c.Register, Follower: c.Follower, Lister: c.Lister,
-			Holds: c.Owner.ServesFeed, Needed: func() bool { return len(c.Follower.Snapshot().Values[route.DocumentKey]) > 0 }}
+		duty := &relay.RosterSyncer{Clock: c.env.Clock, Bounds: c.bounds, Counters: c.env.Counters, Register: c.Register, Follower: c.Follower, Lister: c.Lister,
+			OwnsFeed: c.Owner.LeadsFeed, Needed: func() bool { return len(c.Follower.Snapshot().Values[route.FeedKey]) > 0 }}
 		c.env.Clock.Go(duty.Run)
 	}
 }
@@ -343,7 +343,7 @@
 // Leave tells the fleet, so that others take this core's slots.
 func (c *Core) Leave(time.Duration) {
 	c.view.Leave(c.bounds.Load().Beat() * 4)
-	c.Owner.Yield(c.bounds.Load().Call())
+	c.Owner.AwaitHandover(c.bounds.Load().Call())
 }
 
 func (c *Core) Stop() {
@@ -367,13 +367,13 @@
 	if err != nil {
 		return nil, err
 	}
-	kept, err := ledger.OpenStore(ledger.Parts{Clock: env.Clock, Wire: env.Wire, Files: env.Files, Bounds: bounds, Counters: env.Counters,
-		Tolerate: place.Tolerate, Local: store.Identity})
+	kept, err := ledger.OpenStore(ledger.StoreConfig{Clock: env.Clock, Wire: env.Wire, Files: env.Files, Bounds: bounds, Counters: env.Counters,
+		FaultTolerance: place.Tolerate, LocalDisk: store.Identity})
 	if err != nil {
 		store.Close()
 		return nil, err
 	}
-	store.Tell(kept.News)
+	store.Tell(kept.NotifySetChange)
 	service := disk.NewService(store, bounds.Load().DiskLimit())
 	service.Node = place.Node
 	c.mount(register.NewDiskServer(service))
--- a/internal/node/tier.go
+++ b/internal/node/tier.go
@@ -20,16 +20,16 @@
 
 // learn takes what a frame of the feed says of routes, workers and disks.
 func (g *Gateway) learn(frame *feed.Snapshot) {
-	if disks := register.DisksOf(frame.Values); disks != nil {
+	if disks := register.DiskSetIn(frame.Values); disks != nil {
 		g.disks.Swap(disks)
 	}
-	written := frame.Values[route.DocumentKey]
+	written := frame.Values[route.FeedKey]
 	if len(written) == len(g.written) && (len(written) == 0 || &written[0] == &g.written[0]) {
 		// the very same as in the frame before
-	} else if document := route.DocumentOf(frame.Values); document != nil && g.Table != nil {
+	} else if document := route.DocumentFromFeed(frame.Values); document != nil && g.Table != nil {
 		g.written = written
 		if now := g.Routes.Load(); now == nil || now.Version != document.Version {
-			written, err := document.Written()
+			written, err := document.Source()
 			if err == nil {
 				var table *route.Table
 				if table, err = g.Table(written); err == nil {
@@ -44,8 +44,8 @@
 			}
 		}
 	}
-	if workers, changed := g.roster.Read(frame.Values); changed {
-		g.Relay.Swap(workers)
+	if workers, changed := g.roster.Decode(frame.Values); changed {
+		g.Relay.SetWorkers(workers)
 	}
 }
 
@@ -65,7 +65,7 @@
 // Allows says whether a client's request may call the model it names. It goes
 // before anything else is done for the request.
 func (g *Gateway) Allows(ctx *base.Ctx, matched *route.Route, call *relay.Call) error {
-	if !g.Access.HasRules() || !matched.Models() {
+	if !g.Access.HasRules() || !matched.CallsModel() {
 		return nil
 	}
 	host, _, _ := strings.Cut(call.Host, ":")
@@ -126,16 +126,16 @@
 		return nil, err
 	}
 	switch {
-	case matched.Kind == route.Stream && line.IsTurn(matched, call):
-		stream, err := g.Lines.Turn(ctx, call)
+	case matched.Kind == route.KindStream && line.IsTurn(matched, call):
+		stream, err := g.Lines.SubmitTurn(ctx, call)
 		if err != nil {
 			return nil, err
 		}
 		return passOn(stream, ctx)
-	case matched.Kind == route.Stream:
-		return passOn(g.Lines.Pass(ctx, matched, call), ctx)
+	case matched.Kind == route.KindStream:
+		return passOn(g.Lines.PassThrough(ctx, matched, call), ctx)
 	}
-	reply, err := g.Relay.Offer(ctx, matched, table.Services[matched.Pick(clock.Int64N)], call, call.Body)
+	reply, err := g.Relay.Dispatch(ctx, matched, table.Services[matched.PickService(clock.Int64N)], call, call.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -183,15 +183,15 @@
 
 type offered struct{ *relay.Reply }
 
-func (o offered) Status() int   { return o.Reply.Status }
-func (o offered) Streams() bool { return !o.Whole() }
+func (o offered) Status() int    { return o.Reply.Status }
+func (o offered) IsStream() bool { return !o.Buffered() }
 
-func (o offering) Offer(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (line.Reply, error) {
+func (o offering) Send(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (line.Reply, error) {
 	known := o.gateway.Routes.Load().Services[service]
 	if known == nil {
 		return nil, base.Busy(503, "no_service", 1, "the service is not configured any more")
 	}
-	reply, err := o.gateway.Relay.Offer(ctx, matched, known, call, body)
+	reply, err := o.gateway.Relay.Dispatch(ctx, matched, known, call, body)
 	if err != nil {
 		return nil, err
 	}
