--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -25,7 +25,7 @@
 		}}, nil
 	case "GET settings":
 		return &action{func(*base.Ctx) (*Response, error) {
-			return jsonResponse(200, map[string]uint64{"stamp": settings.StampFromFeed(h.Follower.Snapshot().Values)}), nil
+			return jsonResponse(200, map[string]uint64{"stamp": settings.VersionFromFeed(h.Follower.Snapshot().Values)}), nil
 		}}, nil
 	case "PUT workers":
 		return h.parseReplaceWorkers(r)
