--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -1,7 +1,7 @@
-// Package front is the face of the data plane to callers and the platform:
-// it reads a request into a plan, made whole as data and checked before
-// anything is done, and then carries the plan out. It knows no transport; the
-// daemons put fasthttp in front of it and the simulator calls it as it is.
+// Package front implements the gateway's HTTP API for callers and the platform. A
+// request is first parsed and validated completely, and then carried out. The
+// package does not depend on a transport: the daemons serve it with fasthttp, and
+// the simulator calls it directly.
 package front
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/go-faster/jx"
 )
 
-// Request is one HTTP request, its header names in lower case.
+// Request is one HTTP request. The names in Header are in lower case.
 type Request struct {
 	Method string
 	Path   string
@@ -26,7 +26,7 @@
 	Body   []byte
 }
 
-// Response is whole, or carries a stream of events.
+// Response is an HTTP response with either a complete body or a stream of events.
 type Response struct {
 	Status int
 	Header map[string]string
@@ -34,25 +34,27 @@
 	Stream *session.Reader
 }
 
-func answer(status int, body any) *Response {
+// jsonResponse is a response with a JSON body.
+func jsonResponse(status int, body any) *Response {
 	return &Response{Status: status, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.Encode(body), '\n')}
 }
 
-// ErrorResponse shows a verdict to a caller.
+// ErrorResponse converts an error to the response that a caller gets.
 func ErrorResponse(err error) *Response {
-	v := base.FromWire(err)
-	status := v.Status
+	verdict := base.FromWire(err)
+	status := verdict.Status
 	if status == 0 {
 		status = 500
 	}
-	response := answer(status, map[string]any{"error": v})
-	if v.RetryAfter > 0 {
-		response.Header["Retry-After"] = strconv.Itoa(v.RetryAfter)
+	response := jsonResponse(status, map[string]any{"error": verdict})
+	if verdict.RetryAfter > 0 {
+		response.Header["Retry-After"] = strconv.Itoa(verdict.RetryAfter)
 	}
 	return response
 }
 
-func bearer(r *Request) string {
+// bearerDigest returns the digest of the request's bearer token, or "" without one.
+func bearerDigest(r *Request) string {
 	token, ok := strings.CutPrefix(r.Header["authorization"], "Bearer ")
 	if !ok || token == "" {
 		return ""
@@ -60,8 +62,9 @@
 	return base.Digest([]byte(token))
 }
 
-// messages reads a list of role and content and keeps it in one form.
-func messages(into *json.RawMessage) base.FieldReader {
+// readMessages reads a list of messages, each with a role and content, and stores it
+// in normalized JSON.
+func readMessages(dst *json.RawMessage) base.FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.Array {
 			return base.DeclineField(path, "must be a list")
@@ -72,27 +75,27 @@
 		}
 		list := []message{}
 		err := d.Arr(func(d *jx.Decoder) error {
-			at := fmt.Sprintf("%s[%d]", path, len(list))
+			itemPath := fmt.Sprintf("%s[%d]", path, len(list))
 			if d.Next() != jx.Object {
-				return base.DeclineField(at, "must be an object")
+				return base.DeclineField(itemPath, "must be an object")
 			}
-			var one message
+			var item message
 			err := d.ObjBytes(func(d *jx.Decoder, key []byte) error {
 				switch string(key) {
 				case "role":
-					return base.Text(&one.Role, 64)(at+".role", d)
+					return base.Text(&item.Role, 64)(itemPath+".role", d)
 				case "content":
-					return base.Text(&one.Content, 1<<24)(at+".content", d)
+					return base.Text(&item.Content, 1<<24)(itemPath+".content", d)
 				}
-				return base.DeclineField(at+"."+string(key), "unknown field")
+				return base.DeclineField(itemPath+"."+string(key), "unknown field")
 			})
 			if err != nil {
 				return err
 			}
-			if one.Role != "system" && one.Role != "user" && one.Role != "assistant" && one.Role != "tool" {
-				return base.DeclineField(at+".role", `must be "system", "user", "assistant" or "tool"`)
+			if item.Role != "system" && item.Role != "user" && item.Role != "assistant" && item.Role != "tool" {
+				return base.DeclineField(itemPath+".role", `must be "system", "user", "assistant" or "tool"`)
 			}
-			list = append(list, one)
+			list = append(list, item)
 			return nil
 		})
 		if err != nil {
@@ -101,59 +104,64 @@
 		if len(list) == 0 {
 			return base.DeclineField(path, "must not be empty")
 		}
-		*into = base.Encode(list)
+		*dst = base.Encode(list)
 		return nil
 	}
 }
 
-const cursorMark = "v1:"
+// cursorPrefix is the version of the cursor format.
+const cursorPrefix = "v1:"
 
-// cursor is opaque to callers: a version, the session and the last place.
-func makeCursor(sessionID string, place uint64) string {
-	if place == 0 {
+// encodeCursor returns a cursor, which is opaque to callers: the version of its
+// format, the session and the last position listed. The cursor of position 0 is "".
+func encodeCursor(sessionID string, position uint64) string {
+	if position == 0 {
 		return ""
 	}
-	return base64.RawURLEncoding.EncodeToString([]byte(cursorMark + sessionID + ":" + strconv.FormatUint(place, 10)))
+	return base64.RawURLEncoding.EncodeToString([]byte(cursorPrefix + sessionID + ":" + strconv.FormatUint(position, 10)))
 }
 
-func readCursor(sessionID, given string) (uint64, error) {
-	if given == "" {
+// decodeCursor returns the position in a cursor of the session's listing.
+func decodeCursor(sessionID, encoded string) (uint64, error) {
+	if encoded == "" {
 		return 0, nil
 	}
-	raw, err := base64.RawURLEncoding.DecodeString(given)
-	bad := base.DeclineField("cursor", "not a cursor of this listing")
+	raw, err := base64.RawURLEncoding.DecodeString(encoded)
+	invalid := base.DeclineField("cursor", "not a valid cursor for this listing")
 	if err != nil {
-		return 0, bad
+		return 0, invalid
 	}
-	rest, ok := strings.CutPrefix(string(raw), cursorMark+sessionID+":")
+	rest, ok := strings.CutPrefix(string(raw), cursorPrefix+sessionID+":")
 	if !ok {
-		return 0, bad
+		return 0, invalid
 	}
-	place, err := strconv.ParseUint(rest, 10, 64)
-	if err != nil || place == 0 {
-		return 0, bad
+	position, err := strconv.ParseUint(rest, 10, 64)
+	if err != nil || position == 0 {
+		return 0, invalid
 	}
-	return place, nil
+	return position, nil
 }
 
-func readLimit(given string) (int, error) {
-	if given == "" {
+// parseLimit returns the page size, by default 100.
+func parseLimit(text string) (int, error) {
+	if text == "" {
 		return 100, nil
 	}
-	limit, err := strconv.Atoi(given)
+	limit, err := strconv.Atoi(text)
 	if err != nil || limit < 1 || limit > 1000 {
 		return 0, base.DeclineField("limit", "must be between 1 and 1000")
 	}
 	return limit, nil
 }
 
-func checkName(field, given string) error {
-	if given == "" || len(given) > 128 {
+// validateName checks a name or id that a caller chose.
+func validateName(field, name string) error {
+	if name == "" || len(name) > 128 {
 		return base.DeclineField(field, "must be 1 to 128 characters")
 	}
-	for _, c := range given {
+	for _, c := range name {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.' || c == ':') {
-			return base.DeclineField(field, "may hold letters, digits and -_.: only")
+			return base.DeclineField(field, "may contain only letters, digits and -_.:")
 		}
 	}
 	return nil
