--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -34,9 +34,9 @@
 func (t Termination) Valid() bool { return terminationRanks[t] > 0 }
 
 // Escalate returns the stronger of two terminations.
-func (t Termination) Escalate(asked Termination) Termination {
-	if terminationRanks[asked] > terminationRanks[t] {
-		return asked
+func (t Termination) Escalate(requested Termination) Termination {
+	if terminationRanks[requested] > terminationRanks[t] {
+		return requested
 	}
 	return t
 }
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -172,19 +172,20 @@
 	return recorder.Result(), nil
 }
 
+// testCluster is a set of gateways with one fake ledger and the same fake workers.
 type testCluster struct {
-	is      *is.I
-	clock   base.Clock
-	wire    *fakeWire
-	ledger  *fakeLedger
-	workers *fakeWorkers
-	bounds  *base.Table[base.Bounds]
-	keepers map[string]*Manager
+	is       *is.I
+	clock    base.Clock
+	wire     *fakeWire
+	ledger   *fakeLedger
+	workers  *fakeWorkers
+	bounds   *base.Table[base.Bounds]
+	managers map[string]*Manager
 }
 
 func newTestCluster(t *testing.T) *testCluster {
 	c := &testCluster{is: is.New(t), clock: base.NewRealClock(), wire: &fakeWire{nodes: map[string]http.Handler{}}, ledger: newFakeLedger(), workers: newFakeWorkers(),
-		bounds: &base.Table[base.Bounds]{}, keepers: map[string]*Manager{}}
+		bounds: &base.Table[base.Bounds]{}, managers: map[string]*Manager{}}
 	c.bounds.Swap(base.DefaultBounds())
 	return c
 }
@@ -205,7 +206,7 @@
 	owner := NewOwnerServer(m)
 	mux.Handle(owner.PathPrefix(), owner)
 	c.wire.nodes[name] = base.Receive(c.clock, mux)
-	c.keepers[name] = m
+	c.managers[name] = m
 	return m
 }
 
@@ -213,6 +214,7 @@
 	return &relay.Call{ID: turn, Host: "h", Method: "POST", Target: "/t", Body: []byte("in-" + turn), Program: "p", Session: session, PreviousTurn: previous, MaxOutputTokens: 10, Deadline: 10 * time.Second}
 }
 
+// submitAndRead submits a turn to a gateway and returns its whole answer.
 func (c *testCluster) submitAndRead(m *Manager, call *relay.Call) (string, error) {
 	ctx := base.NewCtx(c.clock, 10*time.Second)
 	stream, err := m.SubmitTurn(ctx, call)
--- a/internal/session/accept.go
+++ b/internal/session/accept.go
@@ -31,7 +31,7 @@
 // newReader returns a reader of a turn's stream, from the position that the client has
 // reached when it read some of the same attempt before.
 func (m *Manager) newReader(stream *Stream, req *Request) (*Reply, error) {
-	reader := &Reader{keeper: m, turn: req.Turn, local: stream}
+	reader := &Reader{manager: m, turn: req.Turn, local: stream}
 	if req.LastAttempt != "" {
 		if attempt := stream.attemptID(); attempt != req.LastAttempt {
 			return nil, base.Unsure(409, "leg_changed", "the pieces received belong to another attempt of this turn; read the turn from the start")
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -20,8 +20,9 @@
 	fallbackRoute *settings.Route // nil when there is none or it is in use
 }
 
+// planTurn looks up the turn's route in the current settings and builds its prompt.
 func (m *Manager) planTurn(s *ownedSession, op *operation) (*turnPlan, *base.Verdict) {
-	chain, verdict := s.prompt(op)
+	messages, verdict := s.prompt(op)
 	if verdict != nil {
 		return nil, verdict
 	}
@@ -34,7 +35,7 @@
 	if err != nil {
 		return nil, base.FromWire(err)
 	}
-	plan := &turnPlan{route: route, messages: chain, maxTokens: route.MaxOutputTokens, maxAttempts: route.Legs}
+	plan := &turnPlan{route: route, messages: messages, maxTokens: route.MaxOutputTokens, maxAttempts: route.Legs}
 	if op.request.MaxTokens > 0 {
 		plan.maxTokens = min(plan.maxTokens, op.request.MaxTokens)
 	}
@@ -154,7 +155,7 @@
 const (
 	noRetry        retryDecision = iota // no other attempt
 	countedRetry                        // another attempt, counted
-	uncountedRetry                      // never left: another worker, not counted
+	uncountedRetry                      // another attempt at another worker, not counted: this one did not run
 )
 
 // attemptOutcome is the result of one attempt; verdict is nil on success.
@@ -187,7 +188,7 @@
 	s.mu.Unlock()
 	attemptID := record.Run + "/" + op.id + "/" + strconv.FormatUint(attemptNumber, 10)
 	reserveCtx := base.NewCtx(m.clock, max(ctx.Left(), m.bounds.Load().Call()))
-	answer, err := m.changeRegister(reserveCtx, record.Program, "session.reserve", changeArgs{Session: record.ID, Run: record.Run, Attempt: attemptID, AttemptNumber: attemptNumber, Tokens: plan.maxTokens})
+	result, err := m.changeRegister(reserveCtx, record.Program, "session.reserve", changeArgs{Session: record.ID, Run: record.Run, Attempt: attemptID, AttemptNumber: attemptNumber, Tokens: plan.maxTokens})
 	if err != nil {
 		verdict := base.FromWire(err)
 		if verdict.Ran != base.NotRun {
@@ -197,13 +198,13 @@
 		return attemptOutcome{verdict, noRetry}
 	}
 	settle := func(used int64) {
-		answer, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recover), record.Program, "session.settle",
+		result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recover), record.Program, "session.settle",
 			changeArgs{Session: record.ID, Run: record.Run, Attempt: attemptID, Tokens: used})
 		if err != nil {
 			m.counters.Add("settles_lost", 1)
 			return
 		}
-		s.updateRecord(answer.Record)
+		s.updateRecord(result.Record)
 	}
 	if err := m.confirmOwnership(ctx, s, record.Run); err != nil {
 		settle(0)
@@ -216,7 +217,7 @@
 	}
 	m.counters.Add("legs_sent", 1)
 	m.earnRetry()
-	reply, err := m.backends.Call(ctx, chosenWorker.Addr, newCompletionRequest(plan, answer.GrantedTokens))
+	reply, err := m.backends.Call(ctx, chosenWorker.Addr, newCompletionRequest(plan, result.GrantedTokens))
 	if err != nil {
 		plan.need.Tried[chosenWorker.ID] = true
 		m.picker.Avoid(chosenWorker.ID)
@@ -241,7 +242,7 @@
 		settle(-1)
 		return attemptOutcome{staleAssignment(), noRetry}
 	}
-	output, verdict := m.receive(ctx, op, reply, answer.GrantedTokens)
+	output, verdict := m.receive(ctx, op, reply, result.GrantedTokens)
 	if verdict != nil {
 		plan.need.Tried[chosenWorker.ID] = true
 		settle(-1)
@@ -319,7 +320,7 @@
 		m.offerToStandby(s, record, turn)
 		copied.Fire()
 	})
-	answer, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recover), record.Program, "session.finish",
+	result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recover), record.Program, "session.finish",
 		changeArgs{Session: record.ID, Run: record.Run, Attempt: turn.Attempt, Tokens: turn.OutputTokens, Turn: turn})
 	if err != nil {
 		verdict := base.FromWire(err)
@@ -332,9 +333,9 @@
 		return attemptOutcome{base.Unsure(502, "cut", "the answer could not be stored: %s", verdict.Message), noRetry}
 	}
 	copied.Wait(m.bounds.Load().Beat() * 2)
-	s.updateRecord(answer.Record)
+	s.updateRecord(result.Record)
 	s.mu.Lock()
-	turn.FinishedAt = answer.Record.LastTurnAt
+	turn.FinishedAt = result.Record.LastTurnAt
 	if s.completedTurn(turn.ID) == nil { // revalidate may have reloaded the chain meanwhile
 		s.turns = append(s.turns, *turn)
 	}
--- a/internal/session/forward.go
+++ b/internal/session/forward.go
@@ -26,7 +26,7 @@
 		return nil, verdict
 	}
 	if reply.Stream != "" {
-		return &Reply{Status: 200, Stream: &Reader{keeper: m, turn: req.Turn, attempt: reply.Leg, position: reply.Place,
+		return &Reply{Status: 200, Stream: &Reader{manager: m, turn: req.Turn, attempt: reply.Leg, position: reply.Place,
 			remote: &remoteStream{id: reply.Stream, run: record.Run, owner: record.Owner}}}, nil
 	}
 	return &Reply{Status: 200, Body: json.RawMessage(reply.Reply)}, nil
--- a/internal/session/housekeeping.go
+++ b/internal/session/housekeeping.go
@@ -54,8 +54,8 @@
 			delete(m.outcomes, id)
 		}
 	}
-	for id, copied := range m.standbyCopies {
-		if now-copied.updatedAt > bounds.Retain*5/4 {
+	for id, standby := range m.standbyCopies {
+		if now-standby.updatedAt > bounds.Retain*5/4 {
 			delete(m.standbyCopies, id)
 		}
 	}
--- a/internal/session/manager.go
+++ b/internal/session/manager.go
@@ -56,8 +56,9 @@
 	ownedSessionLimit = 16384
 )
 
-// Request is one call to a session, as a client sent it. It crosses to the owner
-// as JSON inside ForwardRequest.
+// Request is one call to a session, as a client sent it. It is sent to the owner as
+// JSON inside ForwardRequest. LastAttempt and LastPiece say how far the client has read
+// the answer of the turn; After and Limit select the page of a listing.
 type Request struct {
 	ID          string          `json:"id"`
 	Kind        string          `json:"kind"`
@@ -144,11 +145,11 @@
 
 // changeRegister runs a session operation on the register shard of the program.
 func (m *Manager) changeRegister(ctx *base.Ctx, program, op string, args changeArgs) (*changeResult, error) {
-	var answer changeResult
-	if err := m.register.Change(ctx, budget.RegisterGroup(program), op, args, &answer); err != nil {
+	var result changeResult
+	if err := m.register.Change(ctx, budget.RegisterGroup(program), op, args, &result); err != nil {
 		return nil, err
 	}
-	return &answer, nil
+	return &result, nil
 }
 
 // Create registers a new session with this node as its owner. The Run passes
@@ -165,13 +166,13 @@
 	if m.OwnedCount() >= ownedSessionLimit {
 		return nil, base.Busy(429, "too_many_sessions", 5, "this node already owns its maximum of %d sessions", ownedSessionLimit)
 	}
-	answer, err := m.changeRegister(ctx, record.Program, "session.acquire", changeArgs{Session: record.ID, Record: record})
+	result, err := m.changeRegister(ctx, record.Program, "session.acquire", changeArgs{Session: record.ID, Record: record})
 	if err != nil {
 		return nil, err
 	}
-	m.addOwned(answer.Record, nil)
+	m.addOwned(result.Record, nil)
 	m.counters.Add("sessions_acquired", 1)
-	return answer.Record, nil
+	return result.Record, nil
 }
 
 // OwnedCount returns the number of sessions in this node's memory.
@@ -230,15 +231,15 @@
 	if cached != nil && !refresh {
 		return cached, nil
 	}
-	answer, err := m.changeRegister(ctx, req.Program, "session.get", changeArgs{Session: req.Session})
+	result, err := m.changeRegister(ctx, req.Program, "session.get", changeArgs{Session: req.Session})
 	if err != nil {
 		return nil, err
 	}
-	if answer.Record.Program != req.Program {
+	if result.Record.Program != req.Program {
 		return nil, unknownSession()
 	}
-	m.cacheRecord(answer.Record)
-	return answer.Record, nil
+	m.cacheRecord(result.Record)
+	return result.Record, nil
 }
 
 // Lookup returns the record of a request's session, which may be a cached one.
--- a/internal/session/owned.go
+++ b/internal/session/owned.go
@@ -44,7 +44,7 @@
 	uncertainAttempt     string                     // the attempt whose finish has an unknown outcome, or ""
 	lastAttempt          uint64                     // number of the last attempt
 	feedLeaseExpirations uint64                     // the follower's count when the Run was last confirmed
-	lastUsed             time.Duration              // when a client last used the session
+	lastUsed             time.Duration              // when a client last used the session, or a turn ran
 	standbyTurns         map[string]uint64          // turns of the chain that each standby has
 	refusals             map[string]*requestOutcome // by turn id
 	maintaining          bool                       // maintain has a task under way
@@ -210,15 +210,15 @@
 // memory: one taken without receiving the reply, or one that ended and was removed.
 // A node's id differs from process to process, so the owner named is this process.
 func (m *Manager) restoreRun(ctx *base.Ctx, record *Record, req *Request) (*ownedSession, error) {
-	answer, err := m.changeRegister(ctx, req.Program, "session.get", changeArgs{Session: record.ID})
+	result, err := m.changeRegister(ctx, req.Program, "session.get", changeArgs{Session: record.ID})
 	if err != nil {
 		return nil, err
 	}
-	if answer.Record.Run != record.Run || answer.Record.Owner != m.nodeID() || answer.Record.Program != req.Program {
-		m.cacheRecord(answer.Record)
+	if result.Record.Run != record.Run || result.Record.Owner != m.nodeID() || result.Record.Program != req.Program {
+		m.cacheRecord(result.Record)
 		return nil, staleAssignment()
 	}
-	return m.loadRun(ctx, answer.Record)
+	return m.loadRun(ctx, result.Record)
 }
 
 // revalidate asks the register whether the Run is still this node's, after the node's
@@ -239,25 +239,25 @@
 	if uncertainAttempt != "" {
 		args.Attempt, args.Tokens, op = uncertainAttempt, -1, "session.settle"
 	}
-	answer, err := m.changeRegister(ctx, s.program, op, args)
+	result, err := m.changeRegister(ctx, s.program, op, args)
 	if err != nil {
 		return err
 	}
-	if answer.Record.Run != run {
-		m.cacheRecord(answer.Record)
+	if result.Record.Run != run {
+		m.cacheRecord(result.Record)
 		s.loseRun()
 		return staleAssignment()
 	}
 	var turns []Turn
-	if answer.Record.TurnCount != knownTurns {
-		if turns, err = m.readChain(ctx, answer.Record); err != nil {
+	if result.Record.TurnCount != knownTurns {
+		if turns, err = m.readChain(ctx, result.Record); err != nil {
 			return err
 		}
 	}
 	s.mu.Lock()
 	s.feedLeaseExpirations, s.uncertainAttempt = leaseExpirations, ""
-	if answer.Record.Version > s.record.Version {
-		s.record = answer.Record
+	if result.Record.Version > s.record.Version {
+		s.record = result.Record
 	}
 	if turns != nil && uint64(len(s.turns)) == knownTurns {
 		s.turns = turns
@@ -300,10 +300,10 @@
 		s.mu.Unlock()
 	}
 	if standby != record.Standby && !ctx.Over() {
-		answer, err := m.changeRegister(ctx, record.Program, "session.move", changeArgs{Session: record.ID, Run: record.Run, Standby: standby})
+		result, err := m.changeRegister(ctx, record.Program, "session.move", changeArgs{Session: record.ID, Run: record.Run, Standby: standby})
 		if err == nil {
-			s.updateRecord(answer.Record)
-			m.cacheRecord(answer.Record)
+			s.updateRecord(result.Record)
+			m.cacheRecord(result.Record)
 			m.counters.Add("understudies_replaced", 1)
 		}
 	}
--- a/internal/session/record.go
+++ b/internal/session/record.go
@@ -111,7 +111,8 @@
 	return &Assignment{Run: r.Run, Owner: r.Owner, Epoch: r.Epoch}
 }
 
-// Turn is one completely answered turn of a session's chain.
+// Turn is one completely answered turn of a session's chain. Digest is of the request
+// that it answered, and Attempt the id of the attempt that succeeded.
 type Turn struct {
 	ID           string          `json:"id"`
 	Number       uint64          `json:"num"`
@@ -128,7 +129,7 @@
 
 func recordKey(id string) string { return "session/" + id }
 
-func turnKey(id string, num uint64) string { return fmt.Sprintf("turn/%s/%016x", id, num) }
+func turnKey(id string, number uint64) string { return fmt.Sprintf("turn/%s/%016x", id, number) }
 
 func loadRecord(tx *register.Tx, id string) *Record {
 	raw := tx.Get(recordKey(id))
--- a/internal/session/stream.go
+++ b/internal/session/stream.go
@@ -160,7 +160,7 @@
 
 // Reader reads a stream's pieces in order, from this node or from the owner's.
 type Reader struct {
-	keeper    *Manager
+	manager   *Manager
 	turn      string
 	attempt   string
 	position  uint64
@@ -193,8 +193,8 @@
 // that ended without success before any piece, so that it can be answered with a
 // plain status, or else nil. Next returns the pieces that were read here first.
 func (r *Reader) EarlyFailure(limit time.Duration) *base.Verdict {
-	end := r.keeper.clock.Now() + limit
-	for len(r.buffered) == 0 && !r.done && r.keeper.clock.Now() < end {
+	end := r.manager.clock.Now() + limit
+	for len(r.buffered) == 0 && !r.done && r.manager.clock.Now() < end {
 		r.buffered, _, _ = r.Next()
 	}
 	if len(r.buffered) != 1 || !r.buffered[0].Final || r.buffered[0].Place != 1 {
@@ -222,7 +222,7 @@
 	if err != nil && r.delivered == 0 && r.reopen != nil {
 		err = r.reopenStream(err)
 	}
-	if err == nil && len(pulled) == 0 && r.keeper.stopping.Fired() {
+	if err == nil && len(pulled) == 0 && r.manager.stopping.Fired() {
 		err = base.Unsure(502, "node_stopping", "this node is stopping")
 	}
 	if err != nil {
@@ -242,7 +242,7 @@
 // reopenStream looks for the stream with the session's next owner and continues there.
 // It returns nil when the stream was found or the search is still under way.
 func (r *Reader) reopenStream(cause error) error {
-	clock := r.keeper.clock
+	clock := r.manager.clock
 	if r.search == nil {
 		search := &streamSearch{ended: clock.NewSignal()}
 		r.search = search
@@ -251,7 +251,7 @@
 			search.ended.Fire()
 		})
 	}
-	if !r.search.ended.Wait(r.keeper.bounds.Load().Pull()) {
+	if !r.search.ended.Wait(r.manager.bounds.Load().Pull()) {
 		return nil
 	}
 	next, err := r.search.reader, r.search.err
@@ -271,16 +271,16 @@
 	if r.search != nil {
 		return nil, staleAssignment()
 	}
-	wait := r.keeper.bounds.Load().Pull()
+	wait := r.manager.bounds.Load().Pull()
 	if r.local != nil {
-		pieces := r.local.piecesAfter(r.position, wait, r.keeper.clock.Now)
+		pieces := r.local.piecesAfter(r.position, wait, r.manager.clock.Now)
 		r.attempt = r.local.attemptID()
 		if r.local.hasMoved() {
 			return nil, staleAssignment()
 		}
 		return pieces, nil
 	}
-	return r.keeper.pullRemote(r.remote, r)
+	return r.manager.pullRemote(r.remote, r)
 }
 
 // pullRemote pulls pieces from the owner. After a lost reply the next call pulls from
--- a/internal/session/takeover.go
+++ b/internal/session/takeover.go
@@ -79,20 +79,20 @@
 		return nil, base.Busy(503, "draining", 1, "this node is draining and takes over no sessions")
 	}
 	began := m.clock.Now()
-	answer, err := m.changeRegister(ctx, request.Program, "session.succeed", changeArgs{Session: request.Session, Run: request.Assignment.Run,
+	result, err := m.changeRegister(ctx, request.Program, "session.succeed", changeArgs{Session: request.Session, Run: request.Assignment.Run,
 		NewRun: base.NewID(m.clock, "run-"), Owner: m.nodeID(), Standby: m.pickStandby(request.Session, request.Assignment.Owner), Reason: request.Why})
 	if err != nil {
 		return nil, err
 	}
-	m.cacheRecord(answer.Record)
-	if answer.Record.Owner == m.nodeID() {
-		if _, err := m.loadRun(ctx, answer.Record); err != nil {
+	m.cacheRecord(result.Record)
+	if result.Record.Owner == m.nodeID() {
+		if _, err := m.loadRun(ctx, result.Record); err != nil {
 			return nil, err
 		}
 		m.counters.Add("runs_succeeded", 1)
 		m.counters.Add("takeover_ms", (m.clock.Now() - began).Milliseconds())
 	}
-	return answer.Record, nil
+	return result.Record, nil
 }
 
 // loadRun loads the chain of a Run that this node owns into memory: from its standby
@@ -104,8 +104,8 @@
 		return existing, nil
 	}
 	var turns []Turn
-	if copied := m.standbyCopies[record.ID]; copied != nil && uint64(len(copied.turns)) >= record.TurnCount {
-		if completed := copied.turns[:record.TurnCount]; record.TurnCount == 0 || completed[record.TurnCount-1].ID == record.LastTurn {
+	if standby := m.standbyCopies[record.ID]; standby != nil && uint64(len(standby.turns)) >= record.TurnCount {
+		if completed := standby.turns[:record.TurnCount]; record.TurnCount == 0 || completed[record.TurnCount-1].ID == record.LastTurn {
 			turns = slices.Clone(completed)
 		}
 	}
@@ -125,14 +125,14 @@
 func (m *Manager) readChain(ctx *base.Ctx, record *Record) ([]Turn, error) {
 	turns := []Turn{}
 	for uint64(len(turns)) < record.TurnCount {
-		answer, err := m.changeRegister(ctx, record.Program, "session.turns", changeArgs{Session: record.ID, After: uint64(len(turns)), Limit: 64})
+		result, err := m.changeRegister(ctx, record.Program, "session.turns", changeArgs{Session: record.ID, After: uint64(len(turns)), Limit: 64})
 		if err != nil {
 			return nil, err
 		}
-		if len(answer.Turns) == 0 {
+		if len(result.Turns) == 0 {
 			return nil, base.Decline(410, "history_gone", "the session's history is no longer retained")
 		}
-		turns = append(turns, answer.Turns...)
+		turns = append(turns, result.Turns...)
 	}
 	return turns[:record.TurnCount], nil
 }
@@ -142,19 +142,19 @@
 func (m *Manager) Offer(_ context.Context, request *OfferRequest) (*OfferReply, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	copied := m.standbyCopies[request.Session]
-	if copied == nil {
-		copied = &standbyCopy{}
-		m.standbyCopies[request.Session] = copied
+	standby := m.standbyCopies[request.Session]
+	if standby == nil {
+		standby = &standbyCopy{}
+		m.standbyCopies[request.Session] = standby
 	}
-	copied.updatedAt = m.clock.Now()
+	standby.updatedAt = m.clock.Now()
 	var turn Turn
 	if len(request.Turn) > 0 && json.Unmarshal(request.Turn, &turn) == nil && request.Turns >= 1 {
-		if uint64(len(copied.turns)) >= request.Turns-1 {
-			copied.turns = append(copied.turns[:request.Turns-1:request.Turns-1], turn)
+		if uint64(len(standby.turns)) >= request.Turns-1 {
+			standby.turns = append(standby.turns[:request.Turns-1:request.Turns-1], turn)
 		}
 	}
-	return &OfferReply{Turns: uint64(len(copied.turns))}, nil
+	return &OfferReply{Turns: uint64(len(standby.turns))}, nil
 }
 
 // handOver waits until a session is idle, or until deadline, and has its standby or
--- a/internal/session/termination.go
+++ b/internal/session/termination.go
@@ -72,8 +72,8 @@
 // soon, the verdict is that the outcome is unknown; the client may retry by the id.
 func (m *Manager) recordRefusal(s *ownedSession, turn string, verdict *base.Verdict) *base.Verdict {
 	record := s.recordCopy()
-	answer, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Beat()), record.Program, "session.refuse", changeArgs{Session: record.ID, Run: record.Run, RefusedTurn: turn})
-	if err == nil && answer.Refused {
+	result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Beat()), record.Program, "session.refuse", changeArgs{Session: record.ID, Run: record.Run, RefusedTurn: turn})
+	if err == nil && result.Refused {
 		return verdict
 	}
 	m.counters.Add("refusals_unkept", 1)
@@ -121,15 +121,15 @@
 	s.mu.Lock()
 	id, run := s.record.ID, s.record.Run
 	s.mu.Unlock()
-	answer, err := m.changeRegister(ctx, s.program, "session.move", changeArgs{Session: id, Run: run, Phase: phase, Termination: mode, Reason: reason})
+	result, err := m.changeRegister(ctx, s.program, "session.move", changeArgs{Session: id, Run: run, Phase: phase, Termination: mode, Reason: reason})
 	if err != nil {
 		if base.IsCode(err, "stale_assignment") {
 			s.loseRun()
 		}
 		return err
 	}
-	s.updateRecord(answer.Record)
-	m.cacheRecord(answer.Record)
+	s.updateRecord(result.Record)
+	m.cacheRecord(result.Record)
 	s.changed.Ring()
 	return nil
 }
