--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, base.FromWire(err)
 	}
-	plan := &turnPlan{route: route, messages: messages, maxTokens: route.MaxOutputTokens, maxAttempts: route.Legs}
+	plan := &turnPlan{route: route, messages: messages, maxTokens: route.MaxOutputTokens, maxAttempts: route.MaxAttempts}
 	if op.request.MaxTokens > 0 {
 		plan.maxTokens = min(plan.maxTokens, op.request.MaxTokens)
 	}
@@ -46,7 +46,7 @@
 	previousWorker := s.lastWorker
 	s.mu.Unlock()
 	plan.need = &worker.Requirements{Pool: route.Pool, AffinityKey: record.ID, LastWorker: previousWorker, Program: record.Program, Site: record.Group + "/" + record.Site,
-		Urgency: record.Urgency, MaxQueue: route.Waiting, Tried: map[string]bool{}, Policy: route.Policy}
+		Urgency: record.Urgency, MaxQueue: route.MaxWaiting, Tried: map[string]bool{}, Policy: route.Policy}
 	return plan, nil
 }
 
