--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -348,22 +348,22 @@
 	}}, nil
 }
 
-func (h *Handler) parseSessionRequest(r *Request, program, id string, rest []string) (*action, error) {
+func (h *Handler) parseSessionRequest(r *Request, program, id string, parts []string) (*action, error) {
 	request := &session.Request{Program: program, Session: id, Bearer: bearerDigest(r)}
 	if err := validateName("session", id); err != nil {
 		return nil, err
 	}
 	var err error
-	switch r.Method + " " + pathPattern(rest) {
+	switch r.Method + " " + pathPattern(parts) {
 	case "GET ":
 		request.Kind = session.KindStatus
 	case "GET turns":
 		err = readTurnListing(r, request)
 	case "GET turns/*":
-		request.Kind, request.Turn = session.KindReadTurn, rest[1]
+		request.Kind, request.Turn = session.KindReadTurn, parts[1]
 		err = validateName("turn", request.Turn)
 	case "POST turns/*/cancel":
-		request.Kind, request.Turn = session.KindCancelTurn, rest[1]
+		request.Kind, request.Turn = session.KindCancelTurn, parts[1]
 		err = validateName("turn", request.Turn)
 	case "POST renew":
 		request.Kind = session.KindRenewLease
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -132,29 +132,29 @@
 // parseUsageReport parses a worker's usage report. A report that changes whether the
 // worker is leaving also submits a notice to the worker list.
 func (h *Handler) parseUsageReport(r *Request, id string) (*action, error) {
-	var load, number float64
+	var load, reportNumber float64
 	usage := &membership.Usage{Worker: id}
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"load": base.Number(&load, 0, 1<<20, true), "number": base.Number(&number, 1, 1<<52, true),
+		"load": base.Number(&load, 0, 1<<20, true), "number": base.Number(&reportNumber, 1, 1<<52, true),
 		"incarnation": base.Text(&usage.Incarnation, 128), "leaving": base.Truth(&usage.Leaving),
 	})
 	if err != nil {
 		return nil, err
 	}
-	if number == 0 {
+	if reportNumber == 0 {
 		return nil, base.DeclineField("number", "must be given and increase with each report")
 	}
-	usage.Number, usage.Load = uint64(number), int64(load)
+	usage.Number, usage.Load = uint64(reportNumber), int64(load)
 	return &action{func(ctx *base.Ctx) (*Response, error) {
 		if !h.UsageReports.Record(usage) {
 			h.Counters.Add("usage_stale", 1)
 			return jsonResponse(200, map[string]any{"taken": false}), nil
 		}
-		notice, marked := h.Picker.Roster().Leaving[id]
+		notice, markedLeaving := h.Picker.Roster().Leaving[id]
 		if !usage.Leaving {
 			h.Picker.ClearLeaving(id)
 		}
-		if usage.Leaving != marked || (marked && notice.Incarnation != usage.Incarnation) {
+		if usage.Leaving != markedLeaving || (markedLeaving && notice.Incarnation != usage.Incarnation) {
 			err := h.Workers.SubmitNotice(ctx.Within(h.Bounds.Load().Recover), worker.Notice{Worker: id, Incarnation: usage.Incarnation,
 				Leaving: usage.Leaving, Source: "report", Number: usage.Number})
 			if err != nil {
--- a/internal/ledger/begin.go
+++ b/internal/ledger/begin.go
@@ -82,7 +82,7 @@
 			again.merge(round)
 			round = again
 		}
-		settled, reserved := round.sums()
+		settled, reserved := round.totals()
 		if settled+reserved < params.Budget {
 			return nil
 		}
--- a/internal/ledger/chaos_test.go
+++ b/internal/ledger/chaos_test.go
@@ -236,9 +236,9 @@
 	}
 }
 
-// TestNothingAcknowledgedIsLost runs sessions while random faults hit up to the
-// tolerated number of machines: every acknowledged turn must be found with its
-// whole chain, and no stale Run may begin or finish a turn.
+// TestNothingAcknowledgedIsLost runs sessions under random faults, with at most the
+// tolerated number of disks lost at once: every acknowledged turn must be found with
+// its whole chain, and no stale Run may begin or finish a turn.
 func TestNothingAcknowledgedIsLost(t *testing.T) {
 	sizes := []struct{ stores, tolerate int }{{4, 1}, {3, 1}, {7, 2}}
 	for seed := uint64(1); seed <= seedCount(30); seed++ {
--- a/internal/ledger/claim.go
+++ b/internal/ledger/claim.go
@@ -117,7 +117,7 @@
 }
 
 // sums returns the settled and the reserved tokens.
-func (r *claimRound) sums() (settled, reserved int64) {
+func (r *claimRound) totals() (settled, reserved int64) {
 	for _, s := range r.spends {
 		if s.Settled {
 			settled += s.Tokens
--- a/internal/ledger/placement.go
+++ b/internal/ledger/placement.go
@@ -1,6 +1,7 @@
 // Package ledger stores programs and their turns on the storage machines: the
 // Run that each session is assigned to, the tokens that its turns have reserved
-// and spent, and the turns that were answered completely. Gateways write
+// and spent, and the turns that were answered completely. A Run is the time for
+// which one owner serves a session. Gateways write
 // directly to the storage machines, without a leader: any two quorums of a
 // program's replicas intersect, so a later request sees every acknowledged
 // write and every granted claim. The replicas of a program are chosen by
--- a/internal/ledger/pull.go
+++ b/internal/ledger/pull.go
@@ -65,7 +65,7 @@
 		p := element.Value.(*program)
 		reply.Next = p.arrival
 		if slices.Contains(s.replicasOf(p), request.Disk) {
-			reply.Programs = append(reply.Programs, &Offered{Program: p.id, Digest: p.digest(), Turns: base.Map(p.turns, func(held *turn) string { return held.id })})
+			reply.Programs = append(reply.Programs, &Offered{Program: p.id, Digest: p.digest(), Turns: base.Map(p.turns, func(t *turn) string { return t.id })})
 		}
 	}
 	reply.Ack = s.unlockAndSync(ack)
@@ -81,19 +81,19 @@
 	}
 	reply := &FetchReply{Ack: &Ack{}}
 	now, size := s.storeTime(), 0
-	for _, want := range request.Programs {
-		p := s.programs[want.Program]
+	for _, wanted := range request.Programs {
+		p := s.programs[wanted.Program]
 		if p == nil {
 			continue
 		}
 		record := &Record{Program: p.id, UntilMs: p.retainUntil - now}
-		if want.State {
+		if wanted.State {
 			record = p.stateRecord(p.retainUntil - now)
 		}
-		for _, id := range want.Turns {
-			if held := p.findTurn(id); held != nil && size < maxFetchBytes {
-				record.Turns = append(record.Turns, held.toProto(held.retainUntil-now))
-				size += len(held.input) + len(held.output)
+		for _, id := range wanted.Turns {
+			if t := p.findTurn(id); t != nil && size < maxFetchBytes {
+				record.Turns = append(record.Turns, t.toProto(t.retainUntil-now))
+				size += len(t.input) + len(t.output)
 			}
 		}
 		reply.Records = append(reply.Records, record)
@@ -191,17 +191,17 @@
 	if findEntry(set, s.diskID) == nil {
 		return nil
 	}
-	found := map[string]*register.DiskEntry{}
+	peers := map[string]*register.DiskEntry{}
 	for _, known := range s.knownSets() {
 		for _, entry := range known.Disks {
 			state := s.peers[entry.Id]
 			retry := state != nil && s.completeStamp < set.Stamp && state.completeStamp < set.Stamp && s.clock.Now()-state.pulledAt > s.bounds.Load().Beat()/2
 			if entry.Id != s.diskID && (state == nil || retry) && s.pulling[entry.Id] != set.Stamp {
-				found[entry.Id] = entry
+				peers[entry.Id] = entry
 			}
 		}
 	}
-	return base.Map(base.SortedKeys(found), func(id string) *register.DiskEntry { return found[id] })
+	return base.Map(base.SortedKeys(peers), func(id string) *register.DiskEntry { return peers[id] })
 }
 
 // coversOlderSets reports whether this store has seen everything acknowledged under
@@ -224,8 +224,8 @@
 		return len(base.Filter(set.Disks, func(entry *register.DiskEntry) bool { return matches(stateOf(entry.Id)) }))
 	}
 	mayHideWrite := func(stamp uint64) bool {
-		_, need := quorumSize(len(known[stamp].Disks), s.faultTolerance)
-		return count(known[stamp], func(state *peerState) bool { return state == nil || state.damaged }) >= need
+		_, quorum := quorumSize(len(known[stamp].Disks), s.faultTolerance)
+		return count(known[stamp], func(state *peerState) bool { return state == nil || state.damaged }) >= quorum
 	}
 	lastRequired := set.Stamp
 	if !s.damaged {
@@ -249,11 +249,11 @@
 			return true
 		}
 	}
-	return s.isInitialSet(set)
+	return s.isUnusedSet(set)
 }
 
 // isInitialSet reports whether no store of the set ever held anything.
-func (s *Store) isInitialSet(set *register.DiskSet) bool {
+func (s *Store) isUnusedSet(set *register.DiskSet) bool {
 	if s.damaged || s.completeStamp > 0 {
 		return false
 	}
@@ -284,10 +284,10 @@
 		state.completeStamp, state.damaged, state.sets = reply.Whole, reply.Damaged, reply.Sets
 		state.empty = state.empty && reply.Next == 0
 		s.mu.Lock()
-		wants, busy := s.selectMissing(reply.Programs)
+		wantedPrograms, busy := s.selectMissing(reply.Programs)
 		s.mu.Unlock()
 		inFlight = append(inFlight, busy...)
-		if err := s.fetch(ctx, entry, wants); err != nil {
+		if err := s.fetch(ctx, entry, wantedPrograms); err != nil {
 			return nil, err
 		}
 		after = reply.Next
@@ -301,10 +301,10 @@
 // selectMissing selects what this store lacks of an offer and marks those turns as
 // being fetched. Turns that are already being fetched from another store are
 // returned in busy.
-func (s *Store) selectMissing(offered []*Offered) (wants []*Wanted, busy []turnKey) {
+func (s *Store) selectMissing(offered []*Offered) (wantedPrograms []*Wanted, busy []turnKey) {
 	for _, offer := range offered {
 		p := s.programs[offer.Program]
-		want := &Wanted{Program: offer.Program, State: p == nil || p.digest() != offer.Digest}
+		wanted := &Wanted{Program: offer.Program, State: p == nil || p.digest() != offer.Digest}
 		for _, id := range offer.Turns {
 			key := turnKey{offer.Program, id}
 			switch {
@@ -313,32 +313,32 @@
 				busy = append(busy, key)
 			default:
 				s.fetching[key] = true
-				want.Turns = append(want.Turns, id)
+				wanted.Turns = append(wanted.Turns, id)
 			}
 		}
-		if want.State || len(want.Turns) > 0 {
-			wants = append(wants, want)
+		if wanted.State || len(wanted.Turns) > 0 {
+			wantedPrograms = append(wantedPrograms, wanted)
 		}
 	}
-	return wants, busy
+	return wantedPrograms, busy
 }
 
 // fetch fetches and merges the selected parts. At the end it unmarks all selected
 // turns, so that those it could not get may be fetched from another store.
-func (s *Store) fetch(ctx *base.Ctx, entry *register.DiskEntry, wants []*Wanted) (err error) {
-	requested := wants
+func (s *Store) fetch(ctx *base.Ctx, entry *register.DiskEntry, wantedPrograms []*Wanted) (err error) {
+	requested := wantedPrograms
 	defer func() {
 		s.mu.Lock()
-		for _, want := range requested {
-			for _, id := range want.Turns {
-				delete(s.fetching, turnKey{want.Program, id})
+		for _, wanted := range requested {
+			for _, id := range wanted.Turns {
+				delete(s.fetching, turnKey{wanted.Program, id})
 			}
 		}
 		s.mu.Unlock()
 	}()
-	for len(wants) > 0 {
-		count := min(len(wants), maxFetchPrograms)
-		reply, err := s.peerClient(entry).Fetch(ctx.Within(s.bounds.Load().DiskLimit()), &FetchRequest{Target: &Target{Disk: entry.Id}, Programs: wants[:count]})
+	for len(wantedPrograms) > 0 {
+		count := min(len(wantedPrograms), maxFetchPrograms)
+		reply, err := s.peerClient(entry).Fetch(ctx.Within(s.bounds.Load().DiskLimit()), &FetchRequest{Target: &Target{Disk: entry.Id}, Programs: wantedPrograms[:count]})
 		if err != nil {
 			return err
 		}
@@ -352,18 +352,18 @@
 			s.mergePulled(record)
 		}
 		rest := []*Wanted{}
-		for _, want := range wants[:count] {
-			p := s.programs[want.Program]
-			turns := base.Filter(want.Turns, func(id string) bool { return p == nil || p.findTurn(id) == nil })
+		for _, wanted := range wantedPrograms[:count] {
+			p := s.programs[wanted.Program]
+			turns := base.Filter(wanted.Turns, func(id string) bool { return p == nil || p.findTurn(id) == nil })
 			if len(turns) > 0 && received > 0 {
-				rest = append(rest, &Wanted{Program: want.Program, Turns: turns})
+				rest = append(rest, &Wanted{Program: wanted.Program, Turns: turns})
 			}
 		}
 		s.counters.Add("ledger_turns_pulled", int64(received))
 		if err := s.unlockAndThrottle(); err != nil {
 			return err
 		}
-		wants = append(rest, wants[count:]...)
+		wantedPrograms = append(rest, wantedPrograms[count:]...)
 	}
 	return nil
 }
@@ -372,7 +372,7 @@
 // Pulled records need no sync of their own: the marks that declare this store
 // complete follow them in the log.
 func (s *Store) unlockAndThrottle() error {
-	if len(s.next.payload) < maxQueuedBytes/4 {
+	if len(s.nextBatch.payload) < maxQueuedBytes/4 {
 		s.mu.Unlock()
 		s.commitBell.Ring()
 		return nil
@@ -415,10 +415,10 @@
 			}
 			offers = append(offers, &Offered{Program: key.program, Turns: []string{key.turn}})
 		}
-		wants, busy := s.selectMissing(offers)
+		wantedPrograms, busy := s.selectMissing(offers)
 		s.mu.Unlock()
 		pending = append(waiting, busy...)
-		if err := s.fetch(ctx, entry, wants); err != nil {
+		if err := s.fetch(ctx, entry, wantedPrograms); err != nil {
 			return err
 		}
 		if len(pending) > 0 {
@@ -438,16 +438,16 @@
 		s.mu.Unlock()
 		s.clock.Sleep(pause)
 		s.mu.Lock()
-		due := []turnKey{}
+		dueKeys := []turnKey{}
 		for key, wanted := range s.missing {
 			if s.clock.Now() >= wanted.retryAt {
-				due = append(due, key)
+				dueKeys = append(dueKeys, key)
 			}
 		}
 		set := s.currentSet()
 		s.mu.Unlock()
-		slices.SortFunc(due, func(a, b turnKey) int { return compareTurnKeys(a, b) })
-		for _, key := range due[:min(len(due), maxFetchPrograms)] {
+		slices.SortFunc(dueKeys, func(a, b turnKey) int { return compareTurnKeys(a, b) })
+		for _, key := range dueKeys[:min(len(dueKeys), maxFetchPrograms)] {
 			s.findMissing(set, key)
 		}
 	}
@@ -469,13 +469,13 @@
 func (s *Store) findMissing(set *register.DiskSet, key turnKey) {
 	s.mu.Lock()
 	wanted, stillMissing := s.missing[key]
-	found := s.localChain(key.turn)
+	chain := s.localChain(key.turn)
 	s.mu.Unlock()
 	if !stillMissing {
 		return
 	}
 	confirmedAbsent := 1
-	if len(found) == 0 {
+	if len(chain) == 0 {
 		for _, entry := range placeReplicas(set, key.program, len(set.GetDisks())) {
 			if entry.Id == s.diskID {
 				continue
@@ -484,7 +484,7 @@
 			if err != nil || reply.Ack.GetWhy() != "" {
 				continue
 			}
-			if found = reply.Turns; len(found) > 0 {
+			if chain = reply.Turns; len(chain) > 0 {
 				break
 			}
 			if reply.Ack.Whole {
@@ -495,31 +495,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.programs[key.program] == nil || len(found) == 0 && confirmedAbsent == len(set.GetDisks()):
+	case s.programs[key.program] == nil || len(chain) == 0 && confirmedAbsent == len(set.GetDisks()):
 		delete(s.missing, key)
-	case len(found) == 0:
+	case len(chain) == 0:
 		wanted.retryAt = s.clock.Now() + s.bounds.Load().Suspect()
 		s.missing[key] = wanted
 	default:
-		s.mergePulled(&Record{Program: key.program, Turns: found})
+		s.mergePulled(&Record{Program: key.program, Turns: chain})
 		s.commitBell.Ring()
-		s.counters.Add("ledger_turns_copied", int64(len(found)))
+		s.counters.Add("ledger_turns_copied", int64(len(chain)))
 	}
 }
 
 // localChain lists a held turn and its held ancestors, oldest first, with their
 // remaining time.
 func (s *Store) localChain(id string) []*Turn {
-	found, now := []*Turn{}, s.storeTime()
+	chain, now := []*Turn{}, s.storeTime()
 	for size := 0; id != "" && size < maxChainBytes; {
-		t := s.longestKept(id)
+		t := s.longestRetained(id)
 		if t == nil {
 			break
 		}
 		size += len(t.input) + len(t.output)
-		found = append(found, t.toProto(t.retainUntil-now))
+		chain = append(chain, t.toProto(t.retainUntil-now))
 		id = t.previous
 	}
-	slices.Reverse(found)
-	return found
+	slices.Reverse(chain)
+	return chain
 }
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -173,17 +173,17 @@
 }
 
 // longestKept returns the copy of a turn with the longest retention, or nil.
-func (s *Store) longestKept(id string) *turn {
-	found := s.turns[id]
-	if found == nil {
+func (s *Store) longestRetained(id string) *turn {
+	longest := s.turns[id]
+	if longest == nil {
 		return nil
 	}
-	for copied := found.nextCopy; copied != nil; copied = copied.nextCopy {
-		if copied.retainUntil > found.retainUntil {
-			found = copied
+	for other := longest.nextCopy; other != nil; other = other.nextCopy {
+		if other.retainUntil > longest.retainUntil {
+			longest = other
 		}
 	}
-	return found
+	return longest
 }
 
 // Learn adopts a newer disk set.
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -47,8 +47,8 @@
 	retainUntil int64
 	// oldestSegment is the oldest log segment that holds a part of the state.
 	oldestSegment uint64
-	arrival       uint64
-	element       *list.Element
+	arrival       uint64        // position in the order of changes
+	element       *list.Element // in Store.byArrival
 	removed       bool
 	// replicas caches the program's replicas in the disk set with the stamp
 	// replicasStamp.
@@ -179,11 +179,11 @@
 // stateRecord returns the program's assignments and spends without its turns.
 func (p *program) stateRecord(until int64) *Record {
 	record := &Record{Program: p.id, UntilMs: until}
-	for _, held := range p.sessions {
-		record.Sessions = append(record.Sessions, held.toProto())
+	for _, entry := range p.sessions {
+		record.Sessions = append(record.Sessions, entry.toProto())
 	}
-	for _, held := range p.spends {
-		record.Spends = append(record.Spends, &Spend{Turn: held.turn, Run: held.run, Tokens: held.tokens, Settled: held.settled})
+	for _, entry := range p.spends {
+		record.Spends = append(record.Spends, &Spend{Turn: entry.turn, Run: entry.run, Tokens: entry.tokens, Settled: entry.settled})
 	}
 	return record
 }
@@ -399,8 +399,8 @@
 		return false
 	}
 	for stamp := s.completeStamp; stamp <= set.Stamp; stamp++ {
-		at := slices.IndexFunc(s.sets, func(known *register.DiskSet) bool { return known.Stamp == stamp })
-		if at < 0 || !isReplica(s.sets[at], id, s.diskID, s.faultTolerance) {
+		i := slices.IndexFunc(s.sets, func(known *register.DiskSet) bool { return known.Stamp == stamp })
+		if i < 0 || !isReplica(s.sets[i], id, s.diskID, s.faultTolerance) {
 			return false
 		}
 	}
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -55,8 +55,10 @@
 	retryAt     time.Duration
 }
 
-// StoreConfig holds the dependencies of a store. LocalDisk returns the id of the
-// disk that the store is on and the disk set that this disk knows.
+// StoreConfig holds the settings and dependencies of a store. FaultTolerance is the
+// number of machines that may be lost at once, disks included; it must be the same
+// on all nodes. LocalDisk returns the id of the disk that the store is on and the
+// disk set that this disk knows.
 type StoreConfig struct {
 	Clock          base.Clock
 	Wire           base.Wire
@@ -97,7 +99,7 @@
 	missing       map[turnKey]missingTurn
 	byArrival     *list.List // programs in ascending order of arrival
 	lastArrival   uint64
-	heldBytes     int
+	heldBytes     int                   // approximate memory used
 	openedTimeMs  int64                 // store time when the log was opened
 	openedAt      time.Duration         // clock reading at that time
 	peers         map[string]*peerState // disks pulled from completely under the current stamp
@@ -108,13 +110,13 @@
 	segments            map[uint64]*segmentContents
 	rewriteThrough      uint64 // segments up to this one must be rewritten
 	logBytes            int
-	next                *batch
-	writing             *batch
-	commitBell          *base.Bell
-	setBell             *base.Bell
-	full                bool
-	bytesSinceFreeCheck int // bytes written since free space was last checked
-	logErr              error
+	nextBatch           *batch     // takes new records
+	writingBatch        *batch     // being written, or nil
+	commitBell          *base.Bell // wakes the committer
+	setBell             *base.Bell // wakes pullLoop
+	full                bool       // the disk had too little free space when last checked
+	bytesSinceFreeCheck int        // bytes written since free space was last checked
+	logErr              error      // the failure that ended the committer
 	closed              bool
 	committerDone       base.Signal
 }
@@ -125,7 +127,7 @@
 		localDisk: config.LocalDisk, files: config.Files, programs: map[string]*program{}, turns: map[string]*turn{}, missing: map[turnKey]missingTurn{},
 		byArrival: list.New(), openedAt: config.Clock.Now(), peers: map[string]*peerState{}, pulling: map[string]uint64{}, fetching: map[turnKey]bool{}, segments: map[uint64]*segmentContents{},
 		bytesSinceFreeCheck: minFreeBytes, commitBell: base.NewBell(config.Clock), setBell: base.NewBell(config.Clock), committerDone: config.Clock.NewSignal()}
-	s.next = &batch{done: s.clock.NewSignal()}
+	s.nextBatch = &batch{done: s.clock.NewSignal()}
 	log, damaged, err := disk.OpenSegments(config.Files, minSegmentBytes, s.replayBatch)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -217,19 +219,19 @@
 // appendRecord appends a record to the next batch. The caller holds the lock and
 // must not acknowledge anything that depends on it before the batch is done.
 func (s *Store) appendRecord(record *Record, p *program, turns []*turn) {
-	if len(s.next.payload) == 0 {
+	if len(s.nextBatch.payload) == 0 {
 		record.NowMs = s.storeTime()
 	}
-	s.next.payload = binary.AppendUvarint(s.next.payload, uint64(proto.Size(record)))
-	payload, err := proto.MarshalOptions{}.MarshalAppend(s.next.payload, record)
+	s.nextBatch.payload = binary.AppendUvarint(s.nextBatch.payload, uint64(proto.Size(record)))
+	payload, err := proto.MarshalOptions{}.MarshalAppend(s.nextBatch.payload, record)
 	if err != nil {
 		panic(err)
 	}
-	s.next.payload = payload
+	s.nextBatch.payload = payload
 	if p != nil {
-		s.next.programs = append(s.next.programs, p)
+		s.nextBatch.programs = append(s.nextBatch.programs, p)
 	}
-	s.next.turns = append(s.next.turns, turns...)
+	s.nextBatch.turns = append(s.nextBatch.turns, turns...)
 }
 
 // appendMarks appends the disk's identity, its sets and what it is complete for.
@@ -239,10 +241,10 @@
 
 // lastPending returns the newest batch that is not synced yet, or nil.
 func (s *Store) lastPending() *batch {
-	if len(s.next.payload) > 0 {
-		return s.next
+	if len(s.nextBatch.payload) > 0 {
+		return s.nextBatch
 	}
-	return s.writing
+	return s.writingBatch
 }
 
 // unlockAndSync releases the lock and waits until everything applied so far is on
@@ -271,7 +273,7 @@
 		s.mu.Lock()
 		ring := s.commitBell.Next()
 		dropping := s.rewriteOldest()
-		current := s.next
+		current := s.nextBatch
 		if len(current.payload) == 0 && !dropping {
 			closed := s.closed
 			s.mu.Unlock()
@@ -281,7 +283,7 @@
 			ring.Wait(-1)
 			continue
 		}
-		s.writing, s.next = current, &batch{done: s.clock.NewSignal()}
+		s.writingBatch, s.nextBatch = current, &batch{done: s.clock.NewSignal()}
 		liveBytes := s.heldBytes
 		s.mu.Unlock()
 		var err error
@@ -297,7 +299,7 @@
 			}
 		}
 		s.mu.Lock()
-		s.writing, s.logBytes = nil, s.log.Bytes()
+		s.writingBatch, s.logBytes = nil, s.log.Bytes()
 		if err != nil {
 			s.logErr = err
 		}
@@ -309,8 +311,8 @@
 		current.done.Fire()
 		if err != nil {
 			s.mu.Lock()
-			s.next.err = err
-			s.next.done.Fire()
+			s.nextBatch.err = err
+			s.nextBatch.done.Fire()
 			s.mu.Unlock()
 			return
 		}
@@ -378,15 +380,15 @@
 	if !ok {
 		segment = &segmentContents{}
 	}
-	for len(segment.programs) > 0 && len(s.next.payload) < rewriteBatchBytes {
+	for len(segment.programs) > 0 && len(s.nextBatch.payload) < rewriteBatchBytes {
 		p := segment.programs[0]
 		segment.programs = segment.programs[1:]
 		if !p.removed && p.oldestSegment == oldest {
 			s.appendRecord(p.stateRecord(p.retainUntil), nil, nil)
-			s.next.rewritten = append(s.next.rewritten, p)
+			s.nextBatch.rewritten = append(s.nextBatch.rewritten, p)
 		}
 	}
-	for len(segment.turns) > 0 && len(s.next.payload) < rewriteBatchBytes {
+	for len(segment.turns) > 0 && len(s.nextBatch.payload) < rewriteBatchBytes {
 		t := segment.turns[0]
 		segment.turns = segment.turns[1:]
 		if !t.removed && t.segment == oldest {
@@ -478,7 +480,7 @@
 	case s.full && s.files.Free() < minFreeBytes:
 		s.counters.Add("ledger_declined_full", 1)
 		return "full"
-	case len(s.next.payload) > maxQueuedBytes:
+	case len(s.nextBatch.payload) > maxQueuedBytes:
 		s.counters.Add("ledger_declined_stalled", 1)
 		return "stalled"
 	}
