--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -88,7 +88,7 @@
 		if err == nil {
 			return toolResponse(answer, false), nil
 		}
-		if v := base.FromWire(err); v.Ran == base.NotRun || attempt >= t.route.Legs || t.ctx.Over() {
+		if v := base.FromWire(err); v.Ran == base.NotRun || attempt >= t.route.MaxAttempts || t.ctx.Over() {
 			return nil, err
 		}
 		t.handler.Counters.Add("tool_legs_repeated", 1)
@@ -144,7 +144,7 @@
 func (t *toolCall) send(tried map[string]bool) (*toolcall.Response, error) {
 	h := t.handler
 	requirements := &worker.Requirements{Pool: t.route.Pool, AffinityKey: t.claim.Program, Program: t.claim.Program, Site: t.route.Group + "/" + t.route.Site, Urgency: t.urgency,
-		MaxQueue: t.route.Waiting, Tried: tried, Policy: t.route.Policy}
+		MaxQueue: t.route.MaxWaiting, Tried: tried, Policy: t.route.Policy}
 	for {
 		answer, err, tryNext := t.sendOnce(requirements)
 		if !tryNext || t.ctx.Over() {
--- a/internal/session/record_test.go
+++ b/internal/session/record_test.go
@@ -1,4 +1,4 @@
-// Conformance tables taken from the design page: the Run's phases, the
+// Conformance tests for the tables of the design page: the phases of a Run, the
 // operation states, and how limits are bounded.
 package session
 
@@ -12,30 +12,30 @@
 	"github.com/matryer/is"
 )
 
-func TestPhasesFollowTheDesign(t *testing.T) {
-	order := []Phase{Pending, Scheduled, Running, Ready, Finalizing}
-	ends := []Phase{Succeeded, Failed, Cancelled}
+func TestPhaseTransitions(t *testing.T) {
+	active := []Phase{Pending, Scheduled, Running, Ready, Finalizing}
+	terminal := []Phase{Succeeded, Failed, Cancelled}
 	is := is.New(t)
-	for from, phase := range order {
+	for from, phase := range active {
 		is.True(!phase.Terminal())
-		for to, next := range order {
-			is.Equal(phase.CanBecome(next), to > from) // only onward
+		for to, next := range active {
+			is.Equal(phase.CanBecome(next), to > from) // only to a later phase
 		}
-		for _, end := range ends {
-			is.True(phase.CanBecome(end)) // any active Run may end
+		for _, terminalPhase := range terminal {
+			is.True(phase.CanBecome(terminalPhase)) // any active Run may end
 		}
 	}
-	for _, end := range ends {
-		is.True(end.Terminal())
-		for _, next := range append(order, ends...) {
-			is.True(!end.CanBecome(next)) // a terminal Run stays so
+	for _, terminalPhase := range terminal {
+		is.True(terminalPhase.Terminal())
+		for _, next := range append(active, terminal...) {
+			is.True(!terminalPhase.CanBecome(next)) // a terminal phase never changes
 		}
 	}
 }
 
-func TestOperationStatesFollowTheDesign(t *testing.T) {
+func TestOperationStateTransitions(t *testing.T) {
 	is := is.New(t)
-	allowed := map[OperationState][]OperationState{
+	transitions := map[OperationState][]OperationState{
 		OpQueued:  {OpRunning, OpFailed, OpCancelled, OpTimedOut},
 		OpRunning: {OpSucceeded, OpFailed, OpCancelled, OpTimedOut},
 	}
@@ -43,7 +43,7 @@
 	for _, from := range all {
 		for _, to := range all {
 			want := false
-			for _, next := range allowed[from] {
+			for _, next := range transitions[from] {
 				want = want || next == to
 			}
 			is.Equal(from.CanBecome(to), want)
@@ -51,19 +51,19 @@
 	}
 }
 
-func TestTerminationEscalates(t *testing.T) {
+func TestTerminationOnlyEscalates(t *testing.T) {
 	is := is.New(t)
-	rows := []struct{ now, asked, after budget.Termination }{
+	rows := []struct{ current, requested, want budget.Termination }{
 		{"", "", ""}, {"", budget.Drain, budget.Drain}, {"", budget.Immediate, budget.Immediate},
 		{budget.Drain, budget.Immediate, budget.Immediate}, {budget.Drain, "", budget.Drain}, {budget.Drain, budget.Drain, budget.Drain},
 		{budget.Immediate, budget.Drain, budget.Immediate}, {budget.Immediate, "", budget.Immediate},
 	}
 	for _, row := range rows {
-		is.Equal(row.now.Escalate(row.asked), row.after)
+		is.Equal(row.current.Escalate(row.requested), row.want)
 	}
 }
 
-func TestLimitsAreTheLeastOfRunSiteAndGlobal(t *testing.T) {
+func TestEffectiveLimitsAreTheMinimumOfRequestSiteAndGlobal(t *testing.T) {
 	rows := []struct {
 		document string
 		queue    int
