--- a/internal/founding/founding.go
+++ b/internal/founding/founding.go
@@ -99,7 +99,7 @@
 		return false
 	}
 	adopted := base.Ask(b.clock, set.Disks, consensus.Majority(len(set.Disks)), b.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *register.DiskEntry) bool {
-		ack, err := b.disk(entry.Addr).Adopt(ctx, &register.AdoptRequest{Set: set})
+		ack, err := b.diskClient(entry.Addr).Adopt(ctx, &register.AdoptRequest{Set: set})
 		return err == nil && ack.Ok
 	})
 	if adopted {
@@ -109,8 +109,8 @@
 	return adopted
 }
 
-// disk returns a client of the disk at an address.
-func (b *Bootstrapper) disk(addr string) register.Disk {
+// diskClient returns a client of the disk at an address.
+func (b *Bootstrapper) diskClient(addr string) register.Disk {
 	return register.NewDiskProtobufClient("http://"+addr, b.wire)
 }
 
@@ -121,7 +121,7 @@
 	var mu sync.Mutex
 	states := map[string]*register.DiskState{}
 	base.AskAll(b.clock, addrs, b.bounds.Load().DiskLimit()/2, func(ctx *base.Ctx, addr string) {
-		state, err := b.disk(addr).Format(ctx, &register.FormatRequest{})
+		state, err := b.diskClient(addr).Format(ctx, &register.FormatRequest{})
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil {
--- a/internal/register/confirm.go
+++ b/internal/register/confirm.go
@@ -52,7 +52,7 @@
 		startedAt := srv.clock.Now()
 		confirmed := base.AskFew(srv.clock, srv.fastestFirst(voters(set)), majority(set), bounds.Confirm(), bounds.DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
 			sentAt := srv.clock.Now()
-			ack, err := srv.disk(entry).Confirm(ctx, &ConfirmRequest{Claim: srv.claim(s, epoch, set, entry)})
+			ack, err := srv.diskClient(entry).Confirm(ctx, &ConfirmRequest{Claim: srv.claim(s, epoch, set, entry)})
 			srv.recordLatency(entry, err == nil && srv.clock.Now()-sentAt < bounds.Confirm())
 			if err == nil && ack.Why == "epoch" {
 				srv.stepDown(s, epoch, ack.Epoch)
--- a/internal/register/observe.go
+++ b/internal/register/observe.go
@@ -135,8 +135,8 @@
 	return view
 }
 
-// leavingAddresses returns the addresses of storage machines that announced their
-// leave and at which no process has started since.
+// leavingAddresses returns the addresses of storage machines that announced that
+// they would stop and at which no process has started since.
 func leavingAddresses(view *membership.View) map[string]bool {
 	leaving := map[string]bool{}
 	for _, member := range view.Known(membership.RoleStorage) {
--- a/internal/register/plan.go
+++ b/internal/register/plan.go
@@ -12,15 +12,15 @@
 const (
 	// repairOnly allows only what the loss of a disk makes necessary.
 	repairOnly changeScope = iota
-	// repairAndGrowth also allows to add disks, which removes no copy.
+	// repairAndGrowth also allows adding disks, which removes no copy.
 	repairAndGrowth
-	// anyChange also allows to remove the disks of retiring machines.
+	// anyChange also allows removing the disks of retiring machines.
 	anyChange
 )
 
 // restartDivisor gives the part of the recovery bound that a planned restart of a
-// storage machine may take. What remains of the bound suffices to fill the disks
-// that replace its copies.
+// storage machine may take. It leaves enough of the catch-up time to fill the
+// disks that replace its copies.
 const restartDivisor = 8
 
 // setPlan is the next change of the disk set.
@@ -128,9 +128,9 @@
 	return condition.silentFor >= p.bounds.Recover/16 || !condition.alive && condition.silentFor >= p.bounds.Beat()
 }
 
-// stoppedPermanently reports whether a machine announced its leave and has been
-// silent for longer than a restart takes. Its replacement may have joined before
-// it stopped, and then nothing else shows that its copies are missing.
+// stoppedPermanently reports whether a machine announced that it would stop and
+// has been silent for longer than a restart takes. Its replacement may have joined
+// before it stopped, and then nothing else shows that its copies are missing.
 func (p *planner) stoppedPermanently(condition diskCondition) bool {
 	return condition.announcedLeave && condition.silentFor >= p.bounds.Recover/restartDivisor
 }
--- a/internal/register/quorum.go
+++ b/internal/register/quorum.go
@@ -80,7 +80,7 @@
 	}
 	srv.clock.Go(func() {
 		reached := base.Ask(srv.clock, voters(set), majority(set), srv.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
-			state, err := srv.disk(entry).Describe(ctx, describeRequest(set))
+			state, err := srv.diskClient(entry).Describe(ctx, describeRequest(set))
 			return err == nil && state.Id == entry.Id
 		})
 		if reached {
--- a/internal/register/reconfigure.go
+++ b/internal/register/reconfigure.go
@@ -188,7 +188,7 @@
 	srv.LearnDiskSet(ack.Set)
 	set := srv.knownSet()
 	if ack.Set.GetStamp() < set.Stamp && inSet(set, entry.Id) {
-		adopted, err := srv.disk(entry).Adopt(base.NewCtx(srv.clock, srv.bounds.Load().DiskLimit()), &AdoptRequest{Set: set})
+		adopted, err := srv.diskClient(entry).Adopt(base.NewCtx(srv.clock, srv.bounds.Load().DiskLimit()), &AdoptRequest{Set: set})
 		return err == nil && adopted.Ok
 	}
 	return set.Stamp > knownStamp
@@ -332,11 +332,11 @@
 	before, after := *current.ToConsensus(), *next.ToConsensus()
 	entries := base.Map(base.SortedKeys(byID), func(id string) *DiskEntry { return byID[id] })
 	return base.Ask(srv.clock, entries, 1, srv.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
-		state, err := srv.disk(entry).Describe(ctx, &DescribeRequest{})
+		state, err := srv.diskClient(entry).Describe(ctx, &DescribeRequest{})
 		if err != nil || state.Id != entry.Id {
 			return false
 		}
-		ack, err := srv.disk(entry).Adopt(ctx, &AdoptRequest{Set: next})
+		ack, err := srv.diskClient(entry).Adopt(ctx, &AdoptRequest{Set: next})
 		mu.Lock()
 		defer mu.Unlock()
 		adopted[entry.Id] = err == nil && ack.Ok
--- a/internal/register/replicate.go
+++ b/internal/register/replicate.go
@@ -123,7 +123,7 @@
 
 // callDisk sends a message to a disk and returns its answer.
 func (srv *Server) callDisk(entry *DiskEntry, message *diskMessage) (*Ack, error) {
-	ctx, disk := base.NewCtx(srv.clock, srv.bounds.Load().DiskLimit()), srv.disk(entry)
+	ctx, disk := base.NewCtx(srv.clock, srv.bounds.Load().DiskLimit()), srv.diskClient(entry)
 	switch {
 	case message.install != nil:
 		srv.counters.Add("disk_installs_sent", 1)
--- a/internal/register/server.go
+++ b/internal/register/server.go
@@ -77,8 +77,8 @@
 	return srv
 }
 
-// disk returns a client of a disk.
-func (srv *Server) disk(entry *DiskEntry) Disk {
+// diskClient returns a client of a disk.
+func (srv *Server) diskClient(entry *DiskEntry) Disk {
 	return NewDiskProtobufClient("http://"+entry.Addr, srv.wire)
 }
 
--- a/internal/register/takeover.go
+++ b/internal/register/takeover.go
@@ -200,7 +200,7 @@
 // must not miss the last one that a majority needs.
 func (srv *Server) requestPromise(ctx *base.Ctx, entry *DiskEntry, request *PromiseRequest) (*PromiseReply, error) {
 	for {
-		reply, err := srv.disk(entry).Promise(ctx, request)
+		reply, err := srv.diskClient(entry).Promise(ctx, request)
 		pause := srv.bounds.Load().Beat() / 12
 		if err == nil || !base.WasNotSent(err) || ctx.Left() < pause || srv.isClosed() {
 			return reply, err
