--- a/internal/access/guard_test.go
+++ b/internal/access/guard_test.go
@@ -25,23 +25,23 @@
 // fakeFeedStatus is a feed status that a test sets. Waiting for a confirmation
 // advances the clock by the full timeout.
 type fakeFeedStatus struct {
-	clock *manualClock
-	asked time.Duration
-	until time.Duration
+	clock       *manualClock
+	confirmedAt time.Duration
+	leaseEnd    time.Duration
 }
 
-func (c *fakeFeedStatus) HasLease() bool { return c.clock.now < c.until }
+func (c *fakeFeedStatus) HasLease() bool { return c.clock.now < c.leaseEnd }
 func (c *fakeFeedStatus) ConfirmedWithin(within time.Duration) bool {
-	return c.clock.now < c.asked+within
+	return c.clock.now < c.confirmedAt+within
 }
 func (c *fakeFeedStatus) NextConfirmation() base.Signal { return elapsingSignal{c.clock} }
 
 type elapsingSignal struct{ clock *manualClock }
 
-func (p elapsingSignal) Fire()       {}
-func (p elapsingSignal) Fired() bool { return false }
-func (p elapsingSignal) Wait(limit time.Duration) bool {
-	p.clock.now += limit
+func (s elapsingSignal) Fire()       {}
+func (s elapsingSignal) Fired() bool { return false }
+func (s elapsingSignal) Wait(limit time.Duration) bool {
+	s.clock.now += limit
 	return false
 }
 
@@ -55,7 +55,7 @@
 
 func newFixture() *fixture {
 	clock := &manualClock{Clock: base.NewRealClock(), now: time.Minute}
-	follower := &fakeFeedStatus{clock: clock, asked: clock.now, until: clock.now + time.Second}
+	follower := &fakeFeedStatus{clock: clock, confirmedAt: clock.now, leaseEnd: clock.now + time.Second}
 	table, bounds, counters := &base.Table[base.Bounds]{}, base.DefaultBounds(), base.NewCounters()
 	table.Swap(bounds)
 	guard := access.NewGuard(clock, table, counters)
@@ -63,8 +63,8 @@
 	return &fixture{clock, follower, guard, counters, bounds}
 }
 
-func (b *fixture) authorize(q *access.Request) *base.Verdict {
-	if err := b.guard.Authorize(base.NewCtx(b.clock, time.Minute), q); err != nil {
+func (f *fixture) authorize(q *access.Request) *base.Verdict {
+	if err := f.guard.Authorize(base.NewCtx(f.clock, time.Minute), q); err != nil {
 		return base.FromWire(err)
 	}
 	return nil
@@ -75,21 +75,21 @@
 // team.
 func treeDocument(teams, models int, deny string) []byte {
 	names := []string{}
-	for at := range models {
-		names = append(names, fmt.Sprintf("%q", fmt.Sprint("model-", at)))
+	for i := range models {
+		names = append(names, fmt.Sprintf("%q", fmt.Sprint("model-", i)))
 	}
 	text := &strings.Builder{}
 	fmt.Fprintf(text, `{"models":[%s],"pools":{"m":{"kind":"model"}},"groups":{`, strings.Join(names, ","))
-	for at := range teams {
-		if at > 0 {
+	for i := range teams {
+		if i > 0 {
 			text.WriteString(",")
 		}
-		own := fmt.Sprintf(`"models":[%s]`, names[at%len(names)])
-		if at == 0 && deny != "" {
-			own += `,"deny":[` + names[0] + `]`
+		rules := fmt.Sprintf(`"models":[%s]`, names[i%len(names)])
+		if i == 0 && deny != "" {
+			rules += `,"deny":[` + names[0] + `]`
 		}
 		fmt.Fprintf(text, `"group-%d":{"teams":{"team-%d":{%s}},"team":"team-%d","sites":{"main":{"pool":"m","hosts":["host-%d.example"],"routes":{"chat":{"kind":"model","model":%s}}}}}`,
-			at, at, own, at, at, names[at%len(names)])
+			i, i, rules, i, i, names[i%len(names)])
 	}
 	text.WriteString("}}")
 	return []byte(text.String())
@@ -97,9 +97,9 @@
 
 func tableOf(t testing.TB, document []byte) *access.Table {
 	t.Helper()
-	tree, faults := settings.Parse(document)
-	if len(faults) > 0 {
-		t.Fatal(faults[0])
+	tree, violations := settings.Parse(document)
+	if len(violations) > 0 {
+		t.Fatal(violations[0])
 	}
 	return tree.Access()
 }
@@ -111,30 +111,30 @@
 
 func TestAGuardWithoutRulesAllowsEverything(t *testing.T) {
 	is := is.New(t)
-	b := newFixture()
-	b.follower.until = 0 // it needs no lease either
-	is.True(!b.guard.HasRules())
-	is.True(b.authorize(firstTeam) == nil)
-	b.guard.SetRules(access.VersionedTable{Version: 1}, nil)
-	is.True(b.authorize(firstTeam) == nil)
-	is.Equal(len(b.counters.Frame()), 0)
+	f := newFixture()
+	f.follower.leaseEnd = 0 // it needs no lease either
+	is.True(!f.guard.HasRules())
+	is.True(f.authorize(firstTeam) == nil)
+	f.guard.SetRules(access.VersionedTable{Version: 1}, nil)
+	is.True(f.authorize(firstTeam) == nil)
+	is.Equal(len(f.counters.Frame()), 0)
 }
 
 func TestRefusalNamesTeamModelAndVersion(t *testing.T) {
 	is := is.New(t)
-	b := newFixture()
-	b.guard.SetRules(access.VersionedTable{Version: 7, Table: tableOf(t, treeDocument(2, 2, "deny"))}, nil)
-	v := b.authorize(firstTeam)
+	f := newFixture()
+	f.guard.SetRules(access.VersionedTable{Version: 7, Table: tableOf(t, treeDocument(2, 2, "deny"))}, nil)
+	v := f.authorize(firstTeam)
 	is.Equal(v.Status, 403)
 	is.Equal(v.Code, "model_not_allowed")
 	is.Equal(v.Ran, base.NotRun)
 	is.Equal(v.Team, "team-0")
 	is.Equal(v.Model, "model-0")
 	is.Equal(v.Stamp, uint64(7))
-	is.True(b.authorize(secondTeam) == nil)
-	v = b.authorize(&access.Request{Host: "host-1.example", Model: "model-0"})
+	is.True(f.authorize(secondTeam) == nil)
+	v = f.authorize(&access.Request{Host: "host-1.example", Model: "model-0"})
 	is.Equal(v.Team, "team-1")
-	v = b.authorize(&access.Request{Host: "elsewhere.example", Model: "model-0"})
+	v = f.authorize(&access.Request{Host: "elsewhere.example", Model: "model-0"})
 	is.Equal(v.Code, "unknown_team")
 	is.Equal(v.Status, 403)
 }
@@ -144,124 +144,124 @@
 // tables differ: the change may have taken effect elsewhere.
 func TestDecisionsDuringAChange(t *testing.T) {
 	is := is.New(t)
-	b := newFixture()
-	was, next := tableOf(t, treeDocument(2, 2, "")), tableOf(t, treeDocument(2, 2, "deny"))
-	b.guard.SetRules(access.VersionedTable{Version: 1, Table: was}, &access.VersionedTable{Version: 2, Table: next})
-	is.True(b.authorize(firstTeam) == nil) // freshly confirmed: the previous rules decide
-	b.clock.now += b.bounds.AccessFresh()
-	is.True(b.authorize(secondTeam) == nil) // both tables agree: a lease is enough
-	began := b.clock.now
-	v := b.authorize(firstTeam)
+	f := newFixture()
+	current, next := tableOf(t, treeDocument(2, 2, "")), tableOf(t, treeDocument(2, 2, "deny"))
+	f.guard.SetRules(access.VersionedTable{Version: 1, Table: current}, &access.VersionedTable{Version: 2, Table: next})
+	is.True(f.authorize(firstTeam) == nil) // freshly confirmed: the previous rules decide
+	f.clock.now += f.bounds.AccessFresh()
+	is.True(f.authorize(secondTeam) == nil) // both tables agree: a lease is enough
+	began := f.clock.now
+	v := f.authorize(firstTeam)
 	is.Equal(v.Code, "no_confirmed_settings") // held briefly, then rejected as not run
 	is.Equal(v.Status, 503)
 	is.Equal(v.Ran, base.NotRun)
-	is.Equal(b.clock.now-began, b.bounds.Hold())
-	b.follower.asked = b.clock.now
-	is.True(b.authorize(firstTeam) == nil)
-	b.guard.SetRules(access.VersionedTable{Version: 2, Table: next}, nil)
-	b.follower.until = b.clock.now + time.Second
-	is.Equal(b.authorize(firstTeam).Stamp, uint64(2))
-	b.clock.now += 2 * time.Second // as after the process was suspended
-	is.Equal(b.authorize(secondTeam).Code, "no_confirmed_settings")
+	is.Equal(f.clock.now-began, f.bounds.Hold())
+	f.follower.confirmedAt = f.clock.now
+	is.True(f.authorize(firstTeam) == nil)
+	f.guard.SetRules(access.VersionedTable{Version: 2, Table: next}, nil)
+	f.follower.leaseEnd = f.clock.now + time.Second
+	is.Equal(f.authorize(firstTeam).Stamp, uint64(2))
+	f.clock.now += 2 * time.Second // as after the process was suspended
+	is.Equal(f.authorize(secondTeam).Code, "no_confirmed_settings")
 }
 
 func TestRulesAreAddedAndRemoved(t *testing.T) {
 	is := is.New(t)
-	b := newFixture()
+	f := newFixture()
 	rules := tableOf(t, treeDocument(2, 2, "deny"))
-	b.guard.SetRules(access.VersionedTable{Version: 1}, &access.VersionedTable{Version: 2, Table: rules})
-	is.True(b.authorize(firstTeam) == nil)
-	b.guard.SetRules(access.VersionedTable{Version: 2, Table: rules}, nil)
-	is.Equal(b.authorize(firstTeam).Status, 403)
-	b.guard.SetRules(access.VersionedTable{Version: 2, Table: rules}, &access.VersionedTable{Version: 3})
-	is.Equal(b.authorize(firstTeam).Status, 403)
-	b.guard.SetRules(access.VersionedTable{Version: 3}, nil)
-	is.True(b.authorize(firstTeam) == nil)
+	f.guard.SetRules(access.VersionedTable{Version: 1}, &access.VersionedTable{Version: 2, Table: rules})
+	is.True(f.authorize(firstTeam) == nil)
+	f.guard.SetRules(access.VersionedTable{Version: 2, Table: rules}, nil)
+	is.Equal(f.authorize(firstTeam).Status, 403)
+	f.guard.SetRules(access.VersionedTable{Version: 2, Table: rules}, &access.VersionedTable{Version: 3})
+	is.Equal(f.authorize(firstTeam).Status, 403)
+	f.guard.SetRules(access.VersionedTable{Version: 3}, nil)
+	is.True(f.authorize(firstTeam) == nil)
 }
 
 func TestRouteAddedByAPendingChange(t *testing.T) {
 	is := is.New(t)
-	b := newFixture()
-	b.guard.SetRules(access.VersionedTable{Version: 1, Table: tableOf(t, treeDocument(1, 2, ""))}, &access.VersionedTable{Version: 2, Table: tableOf(t, treeDocument(2, 2, ""))})
-	is.True(b.authorize(secondTeam) == nil) // the previous rules have no such route
+	f := newFixture()
+	f.guard.SetRules(access.VersionedTable{Version: 1, Table: tableOf(t, treeDocument(1, 2, ""))}, &access.VersionedTable{Version: 2, Table: tableOf(t, treeDocument(2, 2, ""))})
+	is.True(f.authorize(secondTeam) == nil) // the previous rules have no such route
 }
 
 func TestCountsByTeamAndModelAreBounded(t *testing.T) {
 	is := is.New(t)
-	b := newFixture()
-	b.guard.SetRules(access.VersionedTable{Version: 1, Table: tableOf(t, treeDocument(600, 4, "deny"))}, nil)
-	for at := range 600 {
-		b.authorize(&access.Request{Scope: access.Scope{Group: fmt.Sprint("group-", at), Site: "main", Route: "chat"}})
+	f := newFixture()
+	f.guard.SetRules(access.VersionedTable{Version: 1, Table: tableOf(t, treeDocument(600, 4, "deny"))}, nil)
+	for i := range 600 {
+		f.authorize(&access.Request{Scope: access.Scope{Group: fmt.Sprint("group-", i), Site: "main", Route: "chat"}})
 	}
-	b.authorize(&access.Request{Host: "elsewhere.example", Model: "model-0"})
-	frame := map[string]int64{}
-	b.guard.AddCounts(frame)
-	is.Equal(len(frame), 2*256+2)
-	is.Equal(frame["access_refused/team-0/model-0"], int64(1))
-	is.Equal(frame["access_allowed/team-1/model-1"], int64(1))
+	f.authorize(&access.Request{Host: "elsewhere.example", Model: "model-0"})
+	counters := map[string]int64{}
+	f.guard.AddCounts(counters)
+	is.Equal(len(counters), 2*256+2)
+	is.Equal(counters["access_refused/team-0/model-0"], int64(1))
+	is.Equal(counters["access_allowed/team-1/model-1"], int64(1))
 	total := int64(0)
-	for _, count := range frame {
+	for _, count := range counters {
 		total += count
 	}
 	is.Equal(total, int64(601))
-	b.guard.SetRules(access.VersionedTable{Version: 2, Table: tableOf(t, treeDocument(601, 4, "deny"))}, nil)
-	frame = map[string]int64{}
-	b.guard.AddCounts(frame)
-	is.Equal(frame["access_refused/team-0/model-0"], int64(1)) // counts are kept across a change
+	f.guard.SetRules(access.VersionedTable{Version: 2, Table: tableOf(t, treeDocument(601, 4, "deny"))}, nil)
+	counters = map[string]int64{}
+	f.guard.AddCounts(counters)
+	is.Equal(counters["access_refused/team-0/model-0"], int64(1)) // counts are kept across a change
 }
 
 // BenchmarkAuthorize measures one decision with 2600 teams, and the memory of
 // their table.
 func BenchmarkAuthorize(b *testing.B) {
 	for _, row := range []struct {
-		name string
-		made func(at int) *access.Request
+		name    string
+		request func(i int) *access.Request
 	}{
-		{"own interface", func(at int) *access.Request {
-			return &access.Request{Scope: access.Scope{Group: fmt.Sprint("group-", at), Site: "main", Route: "chat"}}
+		{"own interface", func(i int) *access.Request {
+			return &access.Request{Scope: access.Scope{Group: fmt.Sprint("group-", i), Site: "main", Route: "chat"}}
 		}},
-		{"operator's route", func(at int) *access.Request {
-			return &access.Request{Host: fmt.Sprintf("host-%d.example", at), Scope: access.Scope{Route: "till-dispute"}, Model: fmt.Sprint("model-", at%4)}
+		{"operator's route", func(i int) *access.Request {
+			return &access.Request{Host: fmt.Sprintf("host-%d.example", i), Scope: access.Scope{Route: "till-dispute"}, Model: fmt.Sprint("model-", i%4)}
 		}},
 	} {
 		b.Run(row.name, func(b *testing.B) {
-			one := newFixture()
-			one.follower.until = 1 << 60
+			f := newFixture()
+			f.follower.leaseEnd = 1 << 60
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			tree, _ := settings.Parse(treeDocument(2600, 4, ""))
-			one.guard.SetRules(access.VersionedTable{Version: 1, Table: tree.Access()}, nil)
+			f.guard.SetRules(access.VersionedTable{Version: 1, Table: tree.Access()}, nil)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			treeWith := float64(after.HeapAlloc - before.HeapAlloc)
+			withTree := float64(after.HeapAlloc - before.HeapAlloc)
 			runtime.KeepAlive(tree)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			asked := make([]*access.Request, 2600)
-			for at := range asked {
-				asked[at] = row.made(at)
+			requests := make([]*access.Request, 2600)
+			for i := range requests {
+				requests[i] = row.request(i)
 			}
-			ctx := base.NewCtx(one.clock, time.Minute)
+			ctx := base.NewCtx(f.clock, time.Minute)
 			b.ReportAllocs()
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
-				for at := 0; pb.Next(); at++ {
-					if err := one.guard.Authorize(ctx, asked[at%len(asked)]); err != nil {
+				for i := 0; pb.Next(); i++ {
+					if err := f.guard.Authorize(ctx, requests[i%len(requests)]); err != nil {
 						b.Error(err)
 					}
 				}
 			})
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "table-MB")
-			b.ReportMetric(treeWith/1e6, "with-tree-MB")
+			b.ReportMetric(withTree/1e6, "with-tree-MB")
 		})
 	}
 	b.Run("no rules", func(b *testing.B) {
-		one := newFixture()
-		ctx := base.NewCtx(one.clock, time.Minute)
+		f := newFixture()
+		ctx := base.NewCtx(f.clock, time.Minute)
 		b.ReportAllocs()
 		for range b.N {
-			_ = one.guard.Authorize(ctx, firstTeam)
+			_ = f.guard.Authorize(ctx, firstTeam)
 		}
 	})
 }
--- a/internal/access/pending.go
+++ b/internal/access/pending.go
@@ -88,8 +88,8 @@
 // allNodesHave reports whether every node that may authorize requests has the
 // settings of a version, as the shard's leader knows from the followers'
 // requests; holders lists what they have.
-func RegisterHandlers(owner *register.Server, allNodesHave func(epoch, version uint64, lease time.Duration) bool, holders func() any) {
-	owner.Handle("access.settle", func(tx *register.Tx, args []byte) (any, error) {
+func RegisterHandlers(server *register.Server, allNodesHave func(epoch, version uint64, lease time.Duration) bool, holders func() any) {
+	server.Handle("access.settle", func(tx *register.Tx, args []byte) (any, error) {
 		var request settleRequest
 		if err := json.Unmarshal(args, &request); err != nil {
 			return nil, base.DeclineField("target", "%v", err)
@@ -102,8 +102,8 @@
 		}
 		return settled, nil
 	})
-	owner.Handle("access.read", func(tx *register.Tx, _ []byte) (any, error) { return decodePending(tx.Get(PendingKey)), nil })
-	owner.Handle("access.holders", func(*register.Tx, []byte) (any, error) { return holders(), nil })
+	server.Handle("access.read", func(tx *register.Tx, _ []byte) (any, error) { return decodePending(tx.Get(PendingKey)), nil })
+	server.Handle("access.holders", func(*register.Tx, []byte) (any, error) { return holders(), nil })
 }
 
 // ReadPending asks the shard's leader for the pending change; nil if there is
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,23 +1,23 @@
 // Package feed distributes control state to the nodes: a watch on the register
 // keys under KeyPrefix. A Follower starts from a snapshot and then receives
-// changes by revision. Each answer is at least as fresh as the moment its
-// request was sent, so it grants the follower a lease counted from before that
+// changes by revision. An answer of the leader is at least as fresh as the time
+// its request was sent, so it grants the follower a lease counted from before that
 // request. A node serves only while it has a lease; when the lease expires,
 // requests are held briefly and then rejected as not run. A follower's revision
 // never goes back: an answer from an earlier revision is dropped and renews
 // nothing.
 //
 // In a large fleet the followers form a tree, so that the leader of the feed's
-// shard answers a bounded number of nodes. Cores
-// ask the leader and gateways ask a core. Each node answers a bounded number of
-// gateways; once it has that many it redirects others to some of them, so the
-// tree grows with the fleet and no node needs to know every gateway. A node
-// stays with its parent as long as the parent's answers are fresh. A relayed
-// answer states how long before the request it was confirmed, and the lease is
-// shorter by that time. Ordering is unaffected, because no follower's revision
-// goes back. In a cycle of followers nobody's confirmation is renewed, so the
-// cycle breaks when the confirmation gets too old. A node asks the leader
-// itself when no relay answers.
+// shard answers a bounded number of nodes. Cores ask the leader and gateways
+// ask a core. Each node answers a bounded number of gateways; once it has that
+// many it redirects others to some of them, so the tree grows with the fleet
+// and no node needs to know every gateway. A node stays with its parent as long
+// as the parent's answers are fresh. A relayed answer states how long before
+// the request it was confirmed, and the lease is shorter by that time. Ordering
+// is unaffected, because no follower's revision goes back. In a cycle of
+// followers nobody's confirmation is renewed, so the cycle breaks when the
+// confirmation gets too old. A node asks the leader itself when no relay
+// answers.
 package feed
 
 import (
@@ -43,14 +43,14 @@
 // shard, and as a relay on any other node.
 type Service struct {
 	clock    base.Clock
-	leader   *register.Server
+	server   *register.Server
 	follower *Follower
 	reports  settingsReports
 }
 
-// NewService returns the feed service of a node. owner is nil on a gateway.
-func NewService(clock base.Clock, leader *register.Server, follower *Follower) *Service {
-	return &Service{clock: clock, leader: leader, follower: follower, reports: settingsReports{byNode: map[string]settingsReport{}}}
+// NewService returns the feed service of a node. server is nil on a gateway.
+func NewService(clock base.Clock, server *register.Server, follower *Follower) *Service {
+	return &Service{clock: clock, server: server, follower: follower, reports: settingsReports{byNode: map[string]settingsReport{}}}
 }
 
 // Follow answers one long poll of a follower, or redirects it to other nodes.
@@ -61,12 +61,12 @@
 		return &FollowReply{Crowded: true, Relays: s.follower.followers.relayHints(request.From, request.Zone)}, nil
 	}
 	gateways := s.follower.countGateways(request)
-	if s.leader == nil || request.Relayed && !s.leader.LeadsFeed() {
+	if s.server == nil || request.Relayed && !s.server.LeadsFeed() {
 		return s.follower.AnswerFollower(ctx, request)
 	}
 	s.recordReport(request)
 	wait := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Left()/2)
-	revision, whole, puts, leaderHint, err := s.leader.Watch(ctx, request.Place, request.Begun, wait)
+	revision, whole, puts, leaderHint, err := s.server.Watch(ctx, request.Place, request.Begun, wait)
 	if err != nil {
 		return nil, base.ToWire(err)
 	}
@@ -83,7 +83,7 @@
 // leader does not limit those.
 func (s *Service) followerLimit(request *FollowRequest) int {
 	switch {
-	case s.leader == nil:
+	case s.server == nil:
 		return maxGatewayFollowers
 	case request.Node != "":
 		return math.MaxInt
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -61,8 +61,8 @@
 }
 
 // prepend returns first followed by the others that are not in first.
-func prepend(others []string, first ...string) []string {
-	rest := base.Filter(others, func(address string) bool { return !slices.Contains(first, address) })
+func prepend(addresses []string, first ...string) []string {
+	rest := base.Filter(addresses, func(address string) bool { return !slices.Contains(first, address) })
 	return append(slices.Clone(first), rest...)
 }
 
@@ -127,11 +127,11 @@
 // A change that begins before the revision is returned whole, which is
 // harmless: puts are applied in order, so the last one counts.
 func (l *changeLog) since(revision uint64) (puts []*register.Put, ok bool) {
-	for at, entry := range l.changes {
+	for i, entry := range l.changes {
 		if entry.to <= revision {
 			continue
 		}
-		if at == 0 && entry.from > revision {
+		if i == 0 && entry.from > revision {
 			return nil, false
 		}
 		puts = append(puts, entry.puts...)
--- a/internal/feed/reports.go
+++ b/internal/feed/reports.go
@@ -30,7 +30,7 @@
 // answer grants counts from before. A request that arrives while this core is
 // not the leader belongs to the time before leaderSince.
 func (s *Service) recordReport(request *FollowRequest) {
-	epoch, now := s.leader.FeedEpoch(), s.clock.Now()
+	epoch, now := s.server.FeedEpoch(), s.clock.Now()
 	if epoch == 0 {
 		return
 	}
@@ -79,14 +79,14 @@
 	now := s.clock.Now()
 	s.reports.mu.Lock()
 	defer s.reports.mu.Unlock()
-	found := []NodeSettings{}
+	reported := []NodeSettings{}
 	for _, node := range base.SortedKeys(s.reports.byNode) {
 		report := s.reports.byNode[node]
 		if now > report.receivedAt+within {
 			delete(s.reports.byNode, node)
 			continue
 		}
-		found = append(found, NodeSettings{node, report.version, (now - report.receivedAt).Milliseconds()})
+		reported = append(reported, NodeSettings{node, report.version, (now - report.receivedAt).Milliseconds()})
 	}
-	return found
+	return reported
 }
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -146,7 +146,7 @@
 
 // merge takes in a message and reports whether the two views differ although
 // neither side has updates. The first member of a message is its sender, whose
-// entry ends any previous incarnation at its address. askedAddr is the address
+// entry ends any previous id at its address. askedAddr is the address
 // that was asked if the message is a reply, or "".
 func (v *View) merge(message *ShuffleMessage, askedAddr string) (differs bool) {
 	v.mu.Lock()
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -111,7 +111,7 @@
 
 // applyEntry takes in an entry of a member that its sender takes for alive. It
 // is authoritative if it comes from the member itself; then it ends any
-// previous incarnation at that address. forward queues it for others. A member
+// previous id at that address. forward queues it for others. A member
 // that is suspected here is returned to be probed. The caller holds the lock.
 func (v *View) applyEntry(member *Member, authoritative, forward bool) (toProbe []string) {
 	if ended, ok := v.tombstones[member.Id]; ok && member.Incarnation <= ended.incarnation || member.Addr == v.self.Addr {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,10 +7,10 @@
 //
 // A change (a member joined, leaves, became unwell or well, is suspected, has
 // refuted a suspicion, or is gone) spreads as an update that each node passes
-// on a number of times that grows with the logarithm of the fleet's size. Apart
-// from updates a message carries only a digest of the view, by which two nodes
-// find that their views differ. Load reports of workers spread in the same way,
-// because they are as provisional as the view itself.
+// on a number of times that grows with the logarithm of the fleet's size. Besides
+// updates a message carries a digest of the view, by which two nodes find that
+// their views differ, or a small sample of a partial view. Load reports of workers
+// spread in the same way, because they are as provisional as the view itself.
 //
 // Suspicion only decides whom nodes send messages to and which node a
 // rendezvous hash selects. It never grants ownership; only epochs do.
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -115,13 +115,13 @@
 	_, alive = v.Find("other:1/b")
 	is.True(alive)
 
-	third := newView(t, "z")
-	shuffle(t, third, previous())
+	other := newView(t, "z")
+	shuffle(t, other, previous())
 	reply := shuffle(t, v, &Member{Id: "third:1/a", Role: RoleGateway, Incarnation: 1})
-	third.merge(reply, "")
-	_, alive = third.Find("other:1/a")
+	other.merge(reply, "")
+	_, alive = other.Find("other:1/a")
 	is.True(!alive)
-	_, alive = third.Find("other:1/b")
+	_, alive = other.Find("other:1/b")
 	is.True(alive)
 }
 
@@ -171,9 +171,9 @@
 func TestPartnersAreMostlyInSameZone(t *testing.T) {
 	is := is.New(t)
 	v := newView(t, "z0")
-	for place := range 12 {
-		addr := fmt.Sprintf("other-%d:1", place)
-		shuffle(t, v, &Member{Id: addr + "/a", Addr: addr, Role: RoleGateway, Zone: fmt.Sprint("z", place%3), Incarnation: 1})
+	for i := range 12 {
+		addr := fmt.Sprintf("other-%d:1", i)
+		shuffle(t, v, &Member{Id: addr + "/a", Addr: addr, Role: RoleGateway, Zone: fmt.Sprint("z", i%3), Incarnation: 1})
 	}
 	sameZone, picked := 0, map[string]bool{}
 	for range 300 {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -14,12 +14,12 @@
 		"nothing defined":   "x = 1",
 		"wrong parameters":  "def nominate(a): return None",
 		"not a function":    "admit = 3",
-		"loads":             `load("file", "x")` + "\ndef admit(s): return True",
+		"loads a module":    `load("file", "x")` + "\ndef admit(s): return True",
 		"opens files":       `def admit(s): return open("/etc/passwd")`,
-		"endless top":       "x = [i for i in range(1000000000)]\ndef admit(s): return True",
+		"endless top level": "x = [i for i in range(1000000000)]\ndef admit(s): return True",
 		"endless call":      "def admit(s):\n  for i in range(1000000000): pass\n  return True",
-		"wrong kind given":  "def admit(s): return 1",
-		"names no worker":   `def nominate(leg, workers): return "other"`,
+		"wrong result type": "def admit(s): return 1",
+		"unknown worker":    `def nominate(leg, workers): return "other"`,
 		"changes its input": "def nominate(leg, workers):\n  workers.clear()\n  return None",
 	}
 	for name, source := range sources {
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -71,11 +71,11 @@
 
 // RegisterHandlers adds the operations on settings to a core. Stored outcomes
 // expire after four times the retention bound.
-func RegisterHandlers(owner *register.Server) {
-	owner.Handle("settings.apply", applyChange)
-	owner.Handle("settings.outcome", changeOutcome)
-	owner.Handle("settings.get", func(tx *register.Tx, _ []byte) (any, error) { return currentRecord(tx), nil })
-	owner.AddSweep(func(tx *register.Tx) {
+func RegisterHandlers(server *register.Server) {
+	server.Handle("settings.apply", applyChange)
+	server.Handle("settings.outcome", changeOutcome)
+	server.Handle("settings.get", func(tx *register.Tx, _ []byte) (any, error) { return currentRecord(tx), nil })
+	server.AddSweep(func(tx *register.Tx) {
 		tx.Walk(changeKeyPrefix, "", func(key string, value []byte) bool {
 			var logged loggedOutcome
 			if json.Unmarshal(value, &logged) == nil && tx.Now-logged.At > 4*tx.Bounds.Retain.Milliseconds() {
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -176,13 +176,13 @@
 			p.reject(path+".fallback", "cycle: %s", strings.Join(append(chain, current.Fallback), " > "))
 			return
 		}
-		next, ok := site.children[current.Fallback]
+		fallback, ok := site.children[current.Fallback]
 		if !ok {
 			p.reject(path+".fallback", "no route is named %q in this site", current.Fallback)
 			return
 		}
 		chain = append(chain, current.Fallback)
-		if kind, _ := next.values["kind"].(string); kind != route.Kind {
+		if kind, _ := fallback.values["kind"].(string); kind != route.Kind {
 			p.reject(path+".fallback", "route %q is of another kind", current.Fallback)
 			return
 		}
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -20,7 +20,7 @@
 		{"two values", `{} {}`, "$"},
 		{"unknown key", `{"queue_sise":1}`, "$.queue_sise"},
 		{"wrong type", `{"queue_size":"8"}`, "$.queue_size"},
-		{"not whole", `{"queue_size":1.5}`, "$.queue_size"},
+		{"not a whole number", `{"queue_size":1.5}`, "$.queue_size"},
 		{"out of range", `{"queue_size":0}`, "$.queue_size"},
 		{"given twice", `{"queue_size":1,"queue_size":2}`, "$.queue_size"},
 		{"level given twice", `{"groups":{"g":{},"g":{}}}`, "$.groups.g"},
@@ -34,9 +34,9 @@
 		{"cycle", `{"pools":{"m":{"kind":"model"}},"groups":{"g":{"sites":{"s":{"routes":{"r":{"pool":"m","kind":"model","fallback":"q"},"q":{"pool":"m","kind":"model","fallback":"r"}}}}}}}`, "$.groups.g.sites.s.routes.q.fallback"},
 		{"bounds do not fit", `{"bounds":{"settings_bound_s":10,"recover_bound_s":12}}`, "$.bounds.recover_bound_s"},
 		{"faulty policy", `{"policy":"def admit(s): return 1"}`, "$.policy"},
-		{"one try outlasts a permit", `{"bounds":{"settings_bound_s":0.5}}`, "$.bounds.settings_bound_s"},
-		{"suspected between beats", `{"bounds":{"leave_bound_s":3,"recover_bound_s":4}}`, "$.bounds.recover_bound_s"},
-		{"nothing kept long enough", `{"bounds":{"retain_s":5}}`, "$.bounds.retain_s"},
+		{"feed request longer than a lease", `{"bounds":{"settings_bound_s":0.5}}`, "$.bounds.settings_bound_s"},
+		{"suspected between heartbeats", `{"bounds":{"leave_bound_s":3,"recover_bound_s":4}}`, "$.bounds.recover_bound_s"},
+		{"retention too short", `{"bounds":{"retain_s":5}}`, "$.bounds.retain_s"},
 		{"bad name", `{"groups":{"a/b":{}}}`, "$.groups"},
 	}
 	for _, row := range rows {
