--- a/internal/front/access.go
+++ b/internal/front/access.go
@@ -1,6 +1,3 @@
-// Which models a program may call follows from its group, its site and the
-// route of its session. A turn is looked at here, before it is carried anywhere.
-
 package front
 
 import (
@@ -9,29 +6,30 @@
 	"fordseam/internal/session"
 )
 
-// allowed refuses a turn whose model its team may not call. A turn that was
-// accepted before, and is asked for again by its own id, is no new one: it ends
-// as it was accepted.
-func (f *Handler) allowed(ctx *base.Ctx, v *session.Request, named bool) error {
-	if v.Kind != session.KindSubmitTurn || !f.Access.HasRules() {
+// checkModelAccess refuses a turn whose model the session's team may not call,
+// before the turn is forwarded to any node. The models follow from the group, the
+// site and the route of the session. A turn that was accepted before, and is
+// requested again by the id that the client gave it, may proceed.
+func (h *Handler) checkModelAccess(ctx *base.Ctx, request *session.Request, clientNamed bool) error {
+	if request.Kind != session.KindSubmitTurn || !h.Access.HasRules() {
 		return nil
 	}
-	record, err := f.Sessions.Lookup(ctx.Within(f.Bounds.Load().Recover), v)
-	if err != nil || !record.Authorizes(v.Bearer) {
-		return err // wrong credentials are the owner's to decline
+	record, err := h.Sessions.Lookup(ctx.Within(h.Bounds.Load().Recover), request)
+	if err != nil || !record.Authorizes(request.Bearer) {
+		return err // the session's owner declines wrong credentials
 	}
-	refusal := f.Access.Authorize(ctx, &access.Request{Scope: access.Scope{Group: record.Group, Site: record.Site, Route: record.Route}})
-	if refusal == nil || !named || base.FromWire(refusal).Status != 403 {
+	refusal := h.Access.Authorize(ctx, &access.Request{Scope: access.Scope{Group: record.Group, Site: record.Site, Route: record.Route}})
+	if refusal == nil || !clientNamed || base.FromWire(refusal).Status != 403 {
 		return refusal
 	}
-	read := *v
-	read.Kind, read.ID = session.KindReadTurn, base.NewID(f.Clock, "v")
-	found, err := f.Sessions.Handle(ctx.Within(f.Bounds.Load().Call()), &read)
+	lookup := *request
+	lookup.Kind, lookup.ID = session.KindReadTurn, base.NewID(h.Clock, "v")
+	reply, err := h.Sessions.Handle(ctx.Within(h.Bounds.Load().Call()), &lookup)
 	if err != nil {
 		return refusal
 	}
-	if state := session.TurnStateOf(found.Body); state == session.OpQueued || state == session.OpRunning || state == session.OpSucceeded {
-		f.Counters.Add("access_accepted_before", 1)
+	if state := session.TurnStateOf(reply.Body); state == session.OpQueued || state == session.OpRunning || state == session.OpSucceeded {
+		h.Counters.Add("access_accepted_before", 1)
 		return nil
 	}
 	return refusal
--- a/internal/toolcall/toolcall.go
+++ b/internal/toolcall/toolcall.go
@@ -1,10 +1,11 @@
-// Package toolcall keeps outside effects from happening twice. A call with
-// an Idempotency-Key is claimed on a majority before it goes out, under the
-// name of the leg that will carry it. Once a byte may have left there is no
-// other leg: the recorded answer is given again, or "may have run" when it
-// never came. A leg that provably did not leave may go to another worker
-// under the same claim, or gives the claim back; what was given back by one
-// leg can be claimed by another, never by a late copy of the same.
+// Package toolcall keeps the external effects of a tool call from happening twice.
+//
+// A call with an Idempotency-Key is claimed on a majority of disks before it is sent,
+// with the id of the attempt that will send it. Once a byte of it may have been sent
+// there is no other attempt: a repeated call gets the recorded response, or "may have
+// run" when there was none. An attempt that provably sent nothing may use another
+// worker under the same claim, or release the claim. A released claim can be taken by
+// another attempt, but never by a late copy of the one that released it.
 package toolcall
 
 import (
@@ -15,30 +16,32 @@
 	"fordseam/internal/register"
 )
 
+// state is the state of a claim.
 type state string
 
 const (
-	claimed  state = "claimed"
-	answered state = "answered"
-	released state = "released"
+	claimed  state = "claimed"  // an attempt may have sent the call
+	answered state = "answered" // the response is recorded
+	released state = "released" // the attempt sent nothing and gave the claim back
 )
 
-// Response is what a worker gave.
+// Response is a worker's response to a call.
 type Response struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
 	Body        []byte `json:"body"`
 }
 
-type record struct {
-	State  state     `json:"state"`
-	Digest string    `json:"digest"`
-	Leg    string    `json:"leg"`
-	Answer *Response `json:"answer,omitempty"`
-	At     int64     `json:"at"`
+// claimRecord is the stored state of a claim; At is when it last changed.
+type claimRecord struct {
+	State    state     `json:"state"`
+	Digest   string    `json:"digest"`
+	Attempt  string    `json:"leg"`
+	Response *Response `json:"answer,omitempty"`
+	At       int64     `json:"at"`
 }
 
-// Claim asks for the right to carry a call out once.
+// Claim requests the right to send a call. Digest is of the call's route and body.
 type Claim struct {
 	Program string `json:"program"`
 	Key     string `json:"key"`
@@ -46,55 +49,57 @@
 	Attempt string `json:"leg"`
 }
 
-// Outcome of a claim: go ahead, the recorded answer, or another leg has it.
+// Outcome is the result of a claim: the attempt may proceed, or there is a recorded
+// response, or, when neither is set, another attempt has the claim.
 type Outcome struct {
 	Proceed  bool      `json:"go"`
 	Response *Response `json:"answer,omitempty"`
 }
 
-type finish struct {
+type finishArgs struct {
 	Claim
-	Answer *Response `json:"answer,omitempty"`
+	Response *Response `json:"answer,omitempty"`
 }
 
-func key(program, callKey string) string { return "claim/" + program + "/" + callKey }
+func claimKey(program, callKey string) string { return "claim/" + program + "/" + callKey }
 
-func load(tx *register.Tx, c *Claim) *record {
-	raw := tx.Get(key(c.Program, c.Key))
+func loadClaim(tx *register.Tx, claim *Claim) *claimRecord {
+	raw := tx.Get(claimKey(claim.Program, claim.Key))
 	if raw == nil {
 		return nil
 	}
-	var found record
-	_ = json.Unmarshal(raw, &found)
-	return &found
+	var record claimRecord
+	_ = json.Unmarshal(raw, &record)
+	return &record
 }
 
-func (r *record) store(tx *register.Tx, c *Claim) {
+func (r *claimRecord) store(tx *register.Tx, claim *Claim) {
 	r.At = tx.Now
-	tx.Put(key(c.Program, c.Key), base.Encode(r))
+	tx.Put(claimKey(claim.Program, claim.Key), base.Encode(r))
 }
 
-// RegisterHandlers adds the claims' ops to a core.
+// RegisterHandlers adds the operations on claims to a core's register, and the periodic
+// deletion of old claims.
 func RegisterHandlers(owner *register.Server) {
-	owner.Handle("toolcall.claim", claim)
-	owner.Handle("toolcall.finish", func(tx *register.Tx, args []byte) (any, error) {
-		var asked finish
-		_ = json.Unmarshal(args, &asked)
-		found := load(tx, &asked.Claim)
-		if found == nil || found.Leg != asked.Attempt || found.State != claimed {
+	owner.Handle("toolcall.claim", handleClaim)
+	owner.Handle("toolcall.finish", func(tx *register.Tx, raw []byte) (any, error) {
+		var args finishArgs
+		_ = json.Unmarshal(raw, &args)
+		stored := loadClaim(tx, &args.Claim)
+		if stored == nil || stored.Attempt != args.Attempt || stored.State != claimed {
 			return struct{}{}, nil
 		}
-		found.State = released
-		if asked.Answer != nil {
-			found.State, found.Answer = answered, asked.Answer
+		stored.State = released
+		if args.Response != nil {
+			stored.State, stored.Response = answered, args.Response
 		}
-		found.store(tx, &asked.Claim)
+		stored.store(tx, &args.Claim)
 		return struct{}{}, nil
 	})
 	owner.AddSweep(func(tx *register.Tx) {
 		tx.Walk("claim/", "", func(storedKey string, value []byte) bool {
-			var found record
-			if json.Unmarshal(value, &found) == nil && tx.Now-found.At > tx.Bounds.Retain.Milliseconds()*5/4 {
+			var stored claimRecord
+			if json.Unmarshal(value, &stored) == nil && tx.Now-stored.At > tx.Bounds.Retain.Milliseconds()*5/4 {
 				tx.Delete(storedKey)
 			}
 			return true
@@ -102,43 +107,46 @@
 	})
 }
 
-func claim(tx *register.Tx, args []byte) (any, error) {
-	var asked Claim
-	_ = json.Unmarshal(args, &asked)
-	found := load(tx, &asked)
-	if found != nil && found.Digest != asked.Digest {
-		return nil, base.Decline(409, "key_reused", "this Idempotency-Key was used with another call")
+// handleClaim grants a claim unless another attempt has it or the call was answered. It
+// may be repeated by the attempt that has it.
+func handleClaim(tx *register.Tx, raw []byte) (any, error) {
+	var request Claim
+	_ = json.Unmarshal(raw, &request)
+	stored := loadClaim(tx, &request)
+	if stored != nil && stored.Digest != request.Digest {
+		return nil, base.Decline(409, "key_reused", "this Idempotency-Key was already used with a different call")
 	}
-	if found != nil && found.State == answered {
-		return Outcome{Response: found.Answer}, nil
+	if stored != nil && stored.State == answered {
+		return Outcome{Response: stored.Response}, nil
 	}
-	if found != nil && found.State == claimed {
-		return Outcome{Proceed: found.Leg == asked.Attempt}, nil
+	if stored != nil && stored.State == claimed {
+		return Outcome{Proceed: stored.Attempt == request.Attempt}, nil
 	}
-	if found != nil && found.Leg == asked.Attempt {
-		return nil, base.Decline(409, "leg_over", "this leg was given up")
+	if stored != nil && stored.Attempt == request.Attempt {
+		return nil, base.Decline(409, "leg_over", "the attempt released its claim; this request is a late copy")
 	}
-	program := budget.Load(tx, asked.Program)
+	program := budget.Load(tx, request.Program)
 	if program == nil {
 		return nil, budget.UnknownProgram()
 	}
 	if err := budget.CheckActive(tx, program, false); err != nil {
 		return nil, err
 	}
-	fresh := &record{State: claimed, Digest: asked.Digest, Leg: asked.Attempt}
-	fresh.store(tx, &asked)
+	added := &claimRecord{State: claimed, Digest: request.Digest, Attempt: request.Attempt}
+	added.store(tx, &request)
 	return Outcome{Proceed: true}, nil
 }
 
-// Client claims and finishes calls.
+// Client calls the operations on claims.
 type Client struct{ Register *register.Client }
 
-func (c *Client) Claim(ctx *base.Ctx, asked Claim) (*Outcome, error) {
+// Claim requests the claim.
+func (c *Client) Claim(ctx *base.Ctx, claim Claim) (*Outcome, error) {
 	var outcome Outcome
-	return &outcome, c.Register.Change(ctx, budget.RegisterGroup(asked.Program), "toolcall.claim", asked, &outcome)
+	return &outcome, c.Register.Change(ctx, budget.RegisterGroup(claim.Program), "toolcall.claim", claim, &outcome)
 }
 
-// Finish records the answer, or gives the claim back when there is none.
-func (c *Client) Finish(ctx *base.Ctx, asked Claim, answer *Response) error {
-	return c.Register.Change(ctx, budget.RegisterGroup(asked.Program), "toolcall.finish", finish{asked, answer}, nil)
+// Finish records the response, or releases the claim when response is nil.
+func (c *Client) Finish(ctx *base.Ctx, claim Claim, response *Response) error {
+	return c.Register.Change(ctx, budget.RegisterGroup(claim.Program), "toolcall.finish", finishArgs{claim, response}, nil)
 }
