--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -241,7 +241,7 @@
 		member := f.memberAtAddress(address)
 		isCore := member != nil && member.Role == membership.RoleCore
 		if tried[address] || replyLost && !isCore {
-			continue // little of the lease is left after a lost reply: only ask cores
+			continue // a lost reply leaves little of the lease: ask only the cores, which are well known
 		}
 		tried[address] = true
 		attempts++
