--- a/cmd/fordseam-controller/client.go
+++ b/cmd/fordseam-controller/client.go
@@ -93,7 +93,7 @@
 	case []byte:
 		request.SetBody(held)
 	default:
-		request.SetBody(base.Encode(held))
+		request.SetBody(base.MustMarshal(held))
 	}
 	if err := fasthttp.DoTimeout(request, response, 30*time.Second); err != nil {
 		code := node.ExitFailed
@@ -104,7 +104,7 @@
 	}
 	if response.StatusCode() != 200 {
 		var failed struct {
-			Error base.Verdict `json:"error"`
+			Error base.RequestError `json:"error"`
 		}
 		if json.Unmarshal(response.Body(), &failed) != nil || failed.Error.Code == "" {
 			return cli.Exit(fmt.Sprintf("%s answered %d", c.core, response.StatusCode()), node.ExitFailed)
@@ -121,7 +121,7 @@
 	return json.Unmarshal(response.Body(), into)
 }
 
-func describe(v *base.Verdict) string {
+func describe(v *base.RequestError) string {
 	line := v.Message
 	if v.Field != "" && !strings.HasPrefix(line, v.Field) {
 		line = v.Field + ": " + line
@@ -132,7 +132,7 @@
 	return "refused (" + v.Code + "): " + line
 }
 
-func exitCode(v *base.Verdict) int {
+func exitCode(v *base.RequestError) int {
 	switch {
 	case v.Code == "unknown":
 		return node.ExitUnknown
--- a/cmd/fordseam-sim/campaign.go
+++ b/cmd/fordseam-sim/campaign.go
@@ -85,7 +85,7 @@
 	})
 	failed := 0
 	if command.Bool("json") {
-		fmt.Println(string(base.Encode(rows)))
+		fmt.Println(string(base.MustMarshal(rows)))
 		for _, row := range rows {
 			failed += len(row.Failing)
 		}
--- a/cmd/fordseam-sim/main.go
+++ b/cmd/fordseam-sim/main.go
@@ -77,7 +77,7 @@
 		names, reports = append(names, "against"), append(reports, report)
 	}
 	if command.Bool("json") {
-		fmt.Println(string(base.Encode(reports)))
+		fmt.Println(string(base.MustMarshal(reports)))
 	} else {
 		whatif.Write(os.Stdout, names, reports)
 	}
--- a/internal/access/activator.go
+++ b/internal/access/activator.go
@@ -15,7 +15,7 @@
 // nodes that have asked lately have acknowledged the new settings.
 type Activator struct {
 	Clock        base.Clock
-	Bounds       *base.Table[base.Bounds]
+	Bounds       *base.AtomicPointer[base.Bounds]
 	Counters     *base.Counters
 	Register     *register.Client
 	Follower     *feed.Follower
@@ -32,7 +32,7 @@
 		next := a.Follower.NextConfirmation()
 		pending := PendingFromFeed(a.Follower.Snapshot().Values)
 		if pending == nil || a.FeedEpoch() == 0 {
-			next.Wait(a.Bounds.Load().Beat())
+			next.Wait(a.Bounds.Load().HeartbeatInterval())
 			if pending == nil {
 				a.target = 0
 			}
@@ -50,18 +50,18 @@
 	}
 	leasesExpired := a.Clock.Now() >= a.leasesExpireAt
 	if !leasesExpired && !a.AllNodesHave(a.FeedEpoch(), pending.Target, pending.lease(bounds)) {
-		a.Clock.Sleep(min(bounds.AccessHold()/2, max(1, a.leasesExpireAt-a.Clock.Now())))
+		a.Clock.Sleep(min(bounds.AccessPollWait()/2, max(1, a.leasesExpireAt-a.Clock.Now())))
 		return
 	}
 	var settled bool
-	err := a.Register.Change(base.NewCtx(a.Clock, bounds.Call()), register.FeedGroup, "access.settle", settleRequest{pending.Target, leasesExpired}, &settled)
+	err := a.Register.Change(base.NewCtx(a.Clock, bounds.CoreCallTimeout()), register.FeedGroup, "access.settle", settleRequest{pending.Target, leasesExpired}, &settled)
 	if err != nil || !settled {
-		a.Clock.Sleep(bounds.AccessHold() / 2)
+		a.Clock.Sleep(bounds.AccessPollWait() / 2)
 		return
 	}
 	a.Counters.Add("access_changes_settled", 1)
 	// The change is removed from the feed; wait until the follower sees that.
-	for deadline := a.Clock.Now() + bounds.Beat(); a.Clock.Now() < deadline; {
+	for deadline := a.Clock.Now() + bounds.HeartbeatInterval(); a.Clock.Now() < deadline; {
 		next := a.Follower.NextConfirmation()
 		if current := PendingFromFeed(a.Follower.Snapshot().Values); current == nil || current.Target != pending.Target {
 			return
--- a/internal/access/guard.go
+++ b/internal/access/guard.go
@@ -45,17 +45,17 @@
 	OnRulesChange func(version uint64, teams int)
 
 	clock        base.Clock
-	bounds       *base.Table[base.Bounds]
+	bounds       *base.AtomicPointer[base.Bounds]
 	counters     *base.Counters
 	feedStatus   FeedStatus
-	state        base.Table[ruleState]
+	state        base.AtomicPointer[ruleState]
 	unknownPairs decisionCount
 }
 
 // NewGuard returns a guard that allows everything until SetRules.
-func NewGuard(clock base.Clock, bounds *base.Table[base.Bounds], counters *base.Counters) *Guard {
+func NewGuard(clock base.Clock, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters) *Guard {
 	g := &Guard{clock: clock, bounds: bounds, counters: counters}
-	g.state.Swap(&ruleState{})
+	g.state.Store(&ruleState{})
 	return g
 }
 
@@ -79,7 +79,7 @@
 	if previous.current.Table != current.Table {
 		state.counts = carryOverCounts(previous, current.Table)
 	}
-	g.state.Swap(state)
+	g.state.Store(state)
 	if current.Table.Digest() != previous.current.Table.Digest() {
 		g.counters.Add("access_changes", 1)
 		if g.OnRulesChange != nil {
@@ -160,7 +160,7 @@
 			return g.recordDecision(state, &decision)
 		}
 		if deadline < 0 {
-			deadline = g.clock.Now() + min(g.bounds.Load().Hold(), ctx.Left())
+			deadline = g.clock.Now() + min(g.bounds.Load().LeaseWait(), ctx.Remaining())
 			g.counters.Add("access_held", 1)
 		}
 		next := g.feedStatus.NextConfirmation()
@@ -176,7 +176,7 @@
 // decide.
 func (g *Guard) confirmed(needsFresh bool) bool {
 	if needsFresh {
-		return g.feedStatus.ConfirmedWithin(g.bounds.Load().AccessFresh())
+		return g.feedStatus.ConfirmedWithin(g.bounds.Load().AccessFreshness())
 	}
 	return g.feedStatus.HasLease()
 }
@@ -192,13 +192,13 @@
 		return nil
 	}
 	count.refused.Add(1)
-	var v *base.Verdict
+	var v *base.RequestError
 	if decision.unknownTeam {
 		v = base.Decline(403, "unknown_team", "the request belongs to no known team, and settings %d allow only teams to call models", state.current.Version)
 	} else {
 		v = base.Decline(403, "model_not_allowed", "team %q may not call model %q under settings %d", decision.Team, decision.Model, state.current.Version)
 	}
-	v.Team, v.Model, v.Stamp = decision.Team, decision.Model, state.current.Version
+	v.Team, v.Model, v.CurrentVersion = decision.Team, decision.Model, state.current.Version
 	return v
 }
 
--- a/internal/access/guard_test.go
+++ b/internal/access/guard_test.go
@@ -56,16 +56,16 @@
 func newFixture() *fixture {
 	clock := &manualClock{Clock: base.NewRealClock(), now: time.Minute}
 	follower := &fakeFeedStatus{clock: clock, confirmedAt: clock.now, leaseEnd: clock.now + time.Second}
-	table, bounds, counters := &base.Table[base.Bounds]{}, base.DefaultBounds(), base.NewCounters()
-	table.Swap(bounds)
+	table, bounds, counters := &base.AtomicPointer[base.Bounds]{}, base.DefaultBounds(), base.NewCounters()
+	table.Store(bounds)
 	guard := access.NewGuard(clock, table, counters)
 	guard.SetFeedStatus(follower)
 	return &fixture{clock, follower, guard, counters, bounds}
 }
 
-func (f *fixture) authorize(q *access.Request) *base.Verdict {
+func (f *fixture) authorize(q *access.Request) *base.RequestError {
 	if err := f.guard.Authorize(base.NewCtx(f.clock, time.Minute), q); err != nil {
-		return base.FromWire(err)
+		return base.ToRequestError(err)
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 	is.True(f.authorize(firstTeam) == nil)
 	f.guard.SetRules(access.VersionedTable{Version: 1}, nil)
 	is.True(f.authorize(firstTeam) == nil)
-	is.Equal(len(f.counters.Frame()), 0)
+	is.Equal(len(f.counters.Snapshot()), 0)
 }
 
 func TestRefusalNamesTeamModelAndVersion(t *testing.T) {
@@ -127,10 +127,10 @@
 	v := f.authorize(firstTeam)
 	is.Equal(v.Status, 403)
 	is.Equal(v.Code, "model_not_allowed")
-	is.Equal(v.Ran, base.NotRun)
+	is.Equal(v.Execution, base.NotRun)
 	is.Equal(v.Team, "team-0")
 	is.Equal(v.Model, "model-0")
-	is.Equal(v.Stamp, uint64(7))
+	is.Equal(v.CurrentVersion, uint64(7))
 	is.True(f.authorize(secondTeam) == nil)
 	v = f.authorize(&access.Request{Host: "host-1.example", Model: "model-0"})
 	is.Equal(v.Team, "team-1")
@@ -148,19 +148,19 @@
 	current, next := tableOf(t, treeDocument(2, 2, "")), tableOf(t, treeDocument(2, 2, "deny"))
 	f.guard.SetRules(access.VersionedTable{Version: 1, Table: current}, &access.VersionedTable{Version: 2, Table: next})
 	is.True(f.authorize(firstTeam) == nil) // freshly confirmed: the previous rules decide
-	f.clock.now += f.bounds.AccessFresh()
+	f.clock.now += f.bounds.AccessFreshness()
 	is.True(f.authorize(secondTeam) == nil) // both tables agree: a lease is enough
 	began := f.clock.now
 	v := f.authorize(firstTeam)
 	is.Equal(v.Code, "no_confirmed_settings") // held briefly, then rejected as not run
 	is.Equal(v.Status, 503)
-	is.Equal(v.Ran, base.NotRun)
-	is.Equal(f.clock.now-began, f.bounds.Hold())
+	is.Equal(v.Execution, base.NotRun)
+	is.Equal(f.clock.now-began, f.bounds.LeaseWait())
 	f.follower.confirmedAt = f.clock.now
 	is.True(f.authorize(firstTeam) == nil)
 	f.guard.SetRules(access.VersionedTable{Version: 2, Table: next}, nil)
 	f.follower.leaseEnd = f.clock.now + time.Second
-	is.Equal(f.authorize(firstTeam).Stamp, uint64(2))
+	is.Equal(f.authorize(firstTeam).CurrentVersion, uint64(2))
 	f.clock.now += 2 * time.Second // as after the process was suspended
 	is.Equal(f.authorize(secondTeam).Code, "no_confirmed_settings")
 }
--- a/internal/access/pending.go
+++ b/internal/access/pending.go
@@ -37,7 +37,7 @@
 // lease returns the longest lease that any node may have. The new settings may
 // change the length of leases.
 func (p *Pending) lease(bounds *base.Bounds) time.Duration {
-	return max(bounds.Permit(), time.Duration(p.LeaseMs)*time.Millisecond)
+	return max(bounds.Lease(), time.Duration(p.LeaseMs)*time.Millisecond)
 }
 
 // PendingFromFeed returns the pending change in a feed snapshot, or nil.
@@ -62,10 +62,10 @@
 	}
 	if current := decodePending(tx.Get(PendingKey)); current != nil {
 		v := base.Busy(409, "access_changing", 1, "settings %d change what teams may call and have not taken effect yet", current.Target)
-		v.Stamp = inForce
+		v.CurrentVersion = inForce
 		return v
 	}
-	pending := Pending{InForce: inForce, Target: target, LeaseMs: tx.Bounds.Permit().Milliseconds()}
+	pending := Pending{InForce: inForce, Target: target, LeaseMs: tx.Bounds.Lease().Milliseconds()}
 	if oldDigest != "" {
 		var compressed bytes.Buffer
 		writer, _ := flate.NewWriter(&compressed, flate.BestSpeed)
@@ -73,7 +73,7 @@
 		_ = writer.Close()
 		pending.CompressedDocument = compressed.Bytes()
 	}
-	tx.Put(PendingKey, base.Encode(pending))
+	tx.Put(PendingKey, base.MustMarshal(pending))
 	return nil
 }
 
--- a/internal/base/ask.go
+++ b/internal/base/ask.go
@@ -1,4 +1,4 @@
-// Ask puts a question to many at once, each in a task of its own.
+// CallQuorum puts a question to many at once, each in a task of its own.
 
 package base
 
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Ask calls all and returns once enough said yes, too many said no for that,
+// CallQuorum calls all and returns once enough said yes, too many said no for that,
 // all have answered, or the limit passed; it tells whether enough said yes.
-func Ask[T any](clock Clock, all []T, enough int, limit time.Duration, call func(*Ctx, T) bool) bool {
+func CallQuorum[T any](clock Clock, all []T, enough int, limit time.Duration, call func(*Ctx, T) bool) bool {
 	var mu sync.Mutex
-	bell := NewBell(clock)
+	bell := NewNotifier(clock)
 	said, yes := 0, 0
 	for _, one := range all {
 		clock.Go(func() {
@@ -22,7 +22,7 @@
 				yes++
 			}
 			mu.Unlock()
-			bell.Ring()
+			bell.Notify()
 		})
 	}
 	end := clock.Now() + limit
@@ -40,11 +40,11 @@
 	}
 }
 
-// AskFew calls only as many as must say yes. One more is called for each that
+// CallQuorumHedged calls only as many as must say yes. One more is called for each that
 // says no, and all the others once patience is over.
-func AskFew[T any](clock Clock, all []T, enough int, patience, limit time.Duration, call func(*Ctx, T) bool) bool {
+func CallQuorumHedged[T any](clock Clock, all []T, enough int, patience, limit time.Duration, call func(*Ctx, T) bool) bool {
 	var mu sync.Mutex
-	bell := NewBell(clock)
+	bell := NewNotifier(clock)
 	begun, no, yes := 0, 0, 0
 	begin := func(upTo int) {
 		for ; begun < min(upTo, len(all)); begun++ {
@@ -58,7 +58,7 @@
 					no++
 				}
 				mu.Unlock()
-				bell.Ring()
+				bell.Notify()
 			})
 		}
 	}
@@ -83,9 +83,9 @@
 	}
 }
 
-// AskAll calls all and returns once each has ended, or the limit passed.
-func AskAll[T any](clock Clock, all []T, limit time.Duration, call func(*Ctx, T)) {
-	Ask(clock, all, len(all)+1, limit, func(ctx *Ctx, one T) bool {
+// CallAll calls all and returns once each has ended, or the limit passed.
+func CallAll[T any](clock Clock, all []T, limit time.Duration, call func(*Ctx, T)) {
+	CallQuorum(clock, all, len(all)+1, limit, func(ctx *Ctx, one T) bool {
 		call(ctx, one)
 		return true
 	})
--- a/internal/base/ask_test.go
+++ b/internal/base/ask_test.go
@@ -32,7 +32,7 @@
 			if row.answer[1] != "silent" {
 				patience = time.Hour
 			}
-			ok := AskFew(clock, []int{0, 1, 2, 3}, 2, patience, time.Hour, func(_ *Ctx, one int) bool {
+			ok := CallQuorumHedged(clock, []int{0, 1, 2, 3}, 2, patience, time.Hour, func(_ *Ctx, one int) bool {
 				mu.Lock()
 				asked++
 				mu.Unlock()
--- a/internal/base/clock.go
+++ b/internal/base/clock.go
@@ -81,23 +81,23 @@
 	}
 }
 
-// Bell is a signal that can ring many times: a waiter takes the current
+// Notifier is a signal that can ring many times: a waiter takes the current
 // signal before it looks at the state, and waits on that.
-type Bell struct {
+type Notifier struct {
 	clock Clock
 	mu    sync.Mutex
 	next  Signal
 }
 
-func NewBell(clock Clock) *Bell { return &Bell{clock: clock, next: clock.NewSignal()} }
+func NewNotifier(clock Clock) *Notifier { return &Notifier{clock: clock, next: clock.NewSignal()} }
 
-func (b *Bell) Next() Signal {
+func (b *Notifier) Next() Signal {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.next
 }
 
-func (b *Bell) Ring() {
+func (b *Notifier) Notify() {
 	b.mu.Lock()
 	rung := b.next
 	b.next = b.clock.NewSignal()
--- a/internal/base/containers.go
+++ b/internal/base/containers.go
@@ -17,11 +17,11 @@
 	"sync/atomic"
 )
 
-// Table is an immutable snapshot that readers load and a writer swaps whole.
-type Table[T any] struct{ held atomic.Pointer[T] }
+// AtomicPointer is an immutable snapshot that readers load and a writer swaps whole.
+type AtomicPointer[T any] struct{ held atomic.Pointer[T] }
 
-func (t *Table[T]) Load() *T      { return t.held.Load() }
-func (t *Table[T]) Swap(frame *T) { t.held.Store(frame) }
+func (t *AtomicPointer[T]) Load() *T       { return t.held.Load() }
+func (t *AtomicPointer[T]) Store(frame *T) { t.held.Store(frame) }
 
 // SortedKeys walks a map in a fixed order.
 func SortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
@@ -62,8 +62,8 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// Rendezvous orders candidates for a key, first the one that should have it.
-func Rendezvous(key string, candidates []string) []string {
+// RendezvousOrder orders candidates for a key, first the one that should have it.
+func RendezvousOrder(key string, candidates []string) []string {
 	ordered := slices.Clone(candidates)
 	slices.SortFunc(ordered, func(a, b string) int {
 		if order := cmp.Compare(Hash64(key, b), Hash64(key, a)); order != 0 {
@@ -79,8 +79,8 @@
 	return fmt.Sprintf("%s%08x%08x", prefix, clock.Int64N(1<<32), clock.Int64N(1<<32))
 }
 
-// Encode writes a record of the project's own; such records always encode.
-func Encode(record any) []byte {
+// MustMarshal writes a record of the project's own; such records always encode.
+func MustMarshal(record any) []byte {
 	raw, err := json.Marshal(record)
 	if err != nil {
 		panic(err)
@@ -97,8 +97,8 @@
 
 func NewCounters() *Counters { return &Counters{} }
 
-// Also adds counts that are kept elsewhere to each frame.
-func (c *Counters) Also(source func(into map[string]int64)) {
+// AddSource adds counts that are kept elsewhere to each frame.
+func (c *Counters) AddSource(source func(into map[string]int64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.also = append(c.also, source)
@@ -112,8 +112,8 @@
 	count.(*atomic.Int64).Add(n)
 }
 
-// Frame is all counts as they stand.
-func (c *Counters) Frame() map[string]int64 {
+// Snapshot is all counts as they stand.
+func (c *Counters) Snapshot() map[string]int64 {
 	out := map[string]int64{}
 	c.counts.Range(func(name, count any) bool {
 		out[name.(string)] = count.(*atomic.Int64).Load()
--- a/internal/base/ctx.go
+++ b/internal/base/ctx.go
@@ -19,24 +19,24 @@
 
 type Ctx struct {
 	context.Context
-	Clock Clock
-	Until time.Duration
+	Clock     Clock
+	ExpiresAt time.Duration
 }
 
 // NewCtx starts a context that ends after limit.
 func NewCtx(clock Clock, limit time.Duration) *Ctx {
-	return &Ctx{Context: context.Background(), Clock: clock, Until: clock.Now() + limit}
+	return &Ctx{Context: context.Background(), Clock: clock, ExpiresAt: clock.Now() + limit}
 }
 
-// Within narrows the context to at most limit from now.
-func (c *Ctx) Within(limit time.Duration) *Ctx {
+// WithTimeout narrows the context to at most limit from now.
+func (c *Ctx) WithTimeout(limit time.Duration) *Ctx {
 	narrowed := *c
-	narrowed.Until = min(c.Until, c.Clock.Now()+limit)
+	narrowed.ExpiresAt = min(c.ExpiresAt, c.Clock.Now()+limit)
 	return &narrowed
 }
 
-func (c *Ctx) Left() time.Duration { return max(0, c.Until-c.Clock.Now()) }
-func (c *Ctx) Over() bool          { return c.Left() == 0 }
+func (c *Ctx) Remaining() time.Duration { return max(0, c.ExpiresAt-c.Clock.Now()) }
+func (c *Ctx) Expired() bool            { return c.Remaining() == 0 }
 
 func (c *Ctx) Value(key any) any {
 	if _, ok := key.(ctxKey); ok {
@@ -55,17 +55,17 @@
 	messageType  = "application/protobuf"
 )
 
-// CtxOf finds our context inside a plain one, or makes a short one.
-func CtxOf(plain context.Context, clock Clock) *Ctx {
+// CtxFromContext finds our context inside a plain one, or makes a short one.
+func CtxFromContext(plain context.Context, clock Clock) *Ctx {
 	if found, ok := plain.Value(ctxKey{}).(*Ctx); ok {
 		return found
 	}
-	return &Ctx{Context: plain, Clock: clock, Until: clock.Now() + 10*time.Second}
+	return &Ctx{Context: plain, Clock: clock, ExpiresAt: clock.Now() + 10*time.Second}
 }
 
-// StampRequest writes the time left on a message to a partner, and takes off
+// SetMessageHeaders writes the time left on a message to a partner, and takes off
 // the headers that say the same on every message.
-func StampRequest(r *http.Request, left time.Duration) {
+func SetMessageHeaders(r *http.Request, left time.Duration) {
 	for _, name := range []string{"Accept", "Twirp-Version"} {
 		r.Header.Del(name)
 	}
@@ -87,9 +87,9 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Receive wraps a handler so that its context is ours again, and its messages
+// HandleMessages wraps a handler so that its context is ours again, and its messages
 // have the type that partners leave out.
-func Receive(clock Clock, next http.Handler) http.Handler {
+func HandleMessages(clock Clock, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		limit := 10 * time.Second
 		if ms, err := strconv.ParseInt(r.Header.Get(withinHeader), 10, 64); err == nil && ms > 0 {
@@ -101,7 +101,7 @@
 		if id := r.Header.Get(MessageIDHeader); id != "" {
 			w.Header().Set(MessageIDHeader, id)
 		}
-		received := &Ctx{Context: r.Context(), Clock: clock, Until: clock.Now() + limit}
+		received := &Ctx{Context: r.Context(), Clock: clock, ExpiresAt: clock.Now() + limit}
 		next.ServeHTTP(lean{w}, r.WithContext(received))
 	})
 }
@@ -118,8 +118,8 @@
 	c.steps = nil
 }
 
-// Wire is the way to partners: one HTTP exchange. Its errors wrap NotSent
+// HTTPClient is the way to partners: one HTTP exchange. Its errors wrap NotSent
 // when no byte left this node.
-type Wire interface {
+type HTTPClient interface {
 	Do(*http.Request) (*http.Response, error)
 }
--- a/internal/base/fields.go
+++ b/internal/base/fields.go
@@ -34,7 +34,7 @@
 		return read(key, decoder)
 	})
 	if err != nil {
-		if v := VerdictIn(err); v != nil {
+		if v := FindRequestError(err); v != nil {
 			return v
 		}
 		return DeclineField("body", "not valid JSON")
@@ -45,10 +45,10 @@
 	return nil
 }
 
-// VerdictIn finds a verdict inside a wrapped error.
-func VerdictIn(err error) *Verdict {
+// FindRequestError finds a verdict inside a wrapped error.
+func FindRequestError(err error) *RequestError {
 	for err != nil {
-		if v, ok := err.(*Verdict); ok {
+		if v, ok := err.(*RequestError); ok {
 			return v
 		}
 		wrapped, ok := err.(interface{ Unwrap() error })
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Text reads a string of bounded length.
-func Text(into *string, most int) FieldReader {
+// StringField reads a string of bounded length.
+func StringField(into *string, most int) FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.String {
 			return DeclineField(path, "must be a string")
@@ -75,8 +75,8 @@
 	}
 }
 
-// Number reads a number within a range.
-func Number(into *float64, low, high float64, whole bool) FieldReader {
+// NumberField reads a number within a range.
+func NumberField(into *float64, low, high float64, whole bool) FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.Number {
 			return DeclineField(path, "must be a number")
@@ -93,8 +93,8 @@
 	}
 }
 
-// Truth reads a boolean.
-func Truth(into *bool) FieldReader {
+// BoolField reads a boolean.
+func BoolField(into *bool) FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.Bool {
 			return DeclineField(path, "must be true or false")
--- a/internal/base/verdict.go
+++ b/internal/base/verdict.go
@@ -15,60 +15,62 @@
 	"github.com/twitchtv/twirp"
 )
 
-type Ran string
+type Execution string
 
 const (
-	NotRun     Ran = "not_run"
-	MayHaveRun Ran = "may_have_run"
-	DidRun     Ran = "ran"
+	NotRun     Execution = "not_run"
+	MayHaveRun Execution = "may_have_run"
+	DidRun     Execution = "ran"
 )
 
-type Verdict struct {
-	Status     int    `json:"status,omitempty"`
-	Code       string `json:"code"`
-	Message    string `json:"message"`
-	Ran        Ran    `json:"request"`
-	Field      string `json:"field,omitempty"`
-	RetryAfter int    `json:"retry_after_s,omitempty"`
+type RequestError struct {
+	Status     int       `json:"status,omitempty"`
+	Code       string    `json:"code"`
+	Message    string    `json:"message"`
+	Execution  Execution `json:"request"`
+	Field      string    `json:"field,omitempty"`
+	RetryAfter int       `json:"retry_after_s,omitempty"`
 	// RetryAfterMs is the same to the millisecond, where it is known so well.
-	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
-	Stamp        uint64 `json:"current_stamp,omitempty"`
+	RetryAfterMs   int64  `json:"retry_after_ms,omitempty"`
+	CurrentVersion uint64 `json:"current_stamp,omitempty"`
 	// Team and Model are what a refusal of access was decided on.
 	Team  string `json:"team,omitempty"`
 	Model string `json:"model,omitempty"`
 }
 
-func (v *Verdict) Error() string { return fmt.Sprintf("%s: %s (%s)", v.Code, v.Message, v.Ran) }
+func (v *RequestError) Error() string {
+	return fmt.Sprintf("%s: %s (%s)", v.Code, v.Message, v.Execution)
+}
 
 // Decline is a verdict that nothing ran and nothing will.
-func Decline(status int, code, format string, args ...any) *Verdict {
-	return &Verdict{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Ran: NotRun}
+func Decline(status int, code, format string, args ...any) *RequestError {
+	return &RequestError{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Execution: NotRun}
 }
 
 // DeclineField declines bad input and names the field at fault.
-func DeclineField(field, format string, args ...any) *Verdict {
+func DeclineField(field, format string, args ...any) *RequestError {
 	v := Decline(400, "bad_request", format, args...)
 	v.Field = field
 	return v
 }
 
 // Busy declines for now and says when to come back.
-func Busy(status int, code string, after int, format string, args ...any) *Verdict {
+func Busy(status int, code string, after int, format string, args ...any) *RequestError {
 	v := Decline(status, code, format, args...)
 	v.RetryAfter = max(after, 1)
 	return v
 }
 
 // BusyFor is Busy for a span known to the millisecond.
-func BusyFor(status int, code string, after time.Duration, format string, args ...any) *Verdict {
+func BusyFor(status int, code string, after time.Duration, format string, args ...any) *RequestError {
 	v := Busy(status, code, int((after+time.Second-1)/time.Second), format, args...)
 	v.RetryAfterMs = max(1, after.Milliseconds())
 	return v
 }
 
-// Unsure is a verdict that the request may have run.
-func Unsure(status int, code, format string, args ...any) *Verdict {
-	return &Verdict{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Ran: MayHaveRun}
+// Indeterminate is a verdict that the request may have run.
+func Indeterminate(status int, code, format string, args ...any) *RequestError {
+	return &RequestError{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Execution: MayHaveRun}
 }
 
 // NotSent marks a wire error raised before any byte left this node.
@@ -86,19 +88,19 @@
 
 const verdictMark = "fordseam"
 
-// ToWire turns an error into a twirp error that keeps the verdict's parts.
-func ToWire(err error) error {
+// ToTwirpError turns an error into a twirp error that keeps the verdict's parts.
+func ToTwirpError(err error) error {
 	if err == nil {
 		return nil
 	}
-	v, ok := errors.Cause(err).(*Verdict)
+	v, ok := errors.Cause(err).(*RequestError)
 	if !ok {
 		return twirp.InternalErrorWith(err)
 	}
 	te := twirp.NewError(twirp.FailedPrecondition, v.Message)
 	for key, value := range map[string]string{
-		verdictMark: v.Code, "ran": string(v.Ran), "status": strconv.Itoa(v.Status), "field": v.Field,
-		"retry": strconv.Itoa(v.RetryAfter), "stamp": strconv.FormatUint(v.Stamp, 10),
+		verdictMark: v.Code, "ran": string(v.Execution), "status": strconv.Itoa(v.Status), "field": v.Field,
+		"retry": strconv.Itoa(v.RetryAfter), "stamp": strconv.FormatUint(v.CurrentVersion, 10),
 		"retry_ms": strconv.FormatInt(v.RetryAfterMs, 10),
 	} {
 		te = te.WithMeta(key, value)
@@ -106,13 +108,13 @@
 	return te
 }
 
-// FromWire gives back the verdict a partner sent. Any other failure is told
+// ToRequestError gives back the verdict a partner sent. Any other failure is told
 // apart only by whether a byte may have left.
-func FromWire(err error) *Verdict {
+func ToRequestError(err error) *RequestError {
 	if err == nil {
 		return nil
 	}
-	var v *Verdict
+	var v *RequestError
 	if stderrors.As(err, &v) {
 		return v
 	}
@@ -122,13 +124,13 @@
 		retry, _ := strconv.Atoi(te.Meta("retry"))
 		retryMs, _ := strconv.ParseInt(te.Meta("retry_ms"), 10, 64)
 		stamp, _ := strconv.ParseUint(te.Meta("stamp"), 10, 64)
-		return &Verdict{Status: status, Code: te.Meta(verdictMark), Message: te.Msg(), Ran: Ran(te.Meta("ran")),
-			Field: te.Meta("field"), RetryAfter: retry, RetryAfterMs: retryMs, Stamp: stamp}
+		return &RequestError{Status: status, Code: te.Meta(verdictMark), Message: te.Msg(), Execution: Execution(te.Meta("ran")),
+			Field: te.Meta("field"), RetryAfter: retry, RetryAfterMs: retryMs, CurrentVersion: stamp}
 	}
 	if WasNotSent(err) {
 		return Busy(503, "unreachable", 1, "the node could not be reached")
 	}
-	return Unsure(502, "reply_lost", "the reply was lost")
+	return Indeterminate(502, "reply_lost", "the reply was lost")
 }
 
 // IsCode reports whether the error is a verdict with that code.
@@ -136,5 +138,5 @@
 	if err == nil {
 		return false
 	}
-	return FromWire(err).Code == code
+	return ToRequestError(err).Code == code
 }
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -97,11 +97,11 @@
 
 func (p *Program) store(tx *register.Tx) {
 	p.UpdatedAt = tx.Now
-	tx.Put(programKey(p.ID), base.Encode(p))
+	tx.Put(programKey(p.ID), base.MustMarshal(p))
 }
 
 // UnknownProgram returns the verdict for a program that does not exist.
-func UnknownProgram() *base.Verdict {
+func UnknownProgram() *base.RequestError {
 	return base.Decline(404, "unknown_program", "the program does not exist")
 }
 
@@ -305,14 +305,14 @@
 			_ = json.Unmarshal(stored, &notice)
 		}
 		if escalated := notice.Mode.Escalate(args.Mode); escalated != notice.Mode {
-			tx.Put(TerminationPrefix+args.Program, base.Encode(TerminationNotice{escalated, tx.Now}))
+			tx.Put(TerminationPrefix+args.Program, base.MustMarshal(TerminationNotice{escalated, tx.Now}))
 		}
 		return struct{}{}, nil
 	})
 	owner.AddSweep(func(tx *register.Tx) {
 		tx.Walk(TerminationPrefix, "", func(storedKey string, value []byte) bool {
 			var notice TerminationNotice
-			if json.Unmarshal(value, &notice) == nil && tx.Now-notice.At > tx.Bounds.Retain.Milliseconds() {
+			if json.Unmarshal(value, &notice) == nil && tx.Now-notice.At > tx.Bounds.Retention.Milliseconds() {
 				tx.Delete(storedKey)
 			}
 			return true
@@ -322,7 +322,7 @@
 		now := tx.Now
 		tx.Walk("program/", "", func(storedKey string, value []byte) bool {
 			var found Program
-			if json.Unmarshal(value, &found) == nil && now > max(found.Deadline, found.UpdatedAt)+4*tx.Bounds.Retain.Milliseconds() {
+			if json.Unmarshal(value, &found) == nil && now > max(found.Deadline, found.UpdatedAt)+4*tx.Bounds.Retention.Milliseconds() {
 				tx.Delete(storedKey)
 			}
 			return true
--- a/internal/conn/wire.go
+++ b/internal/conn/wire.go
@@ -96,7 +96,7 @@
 
 // connectLimit bounds the making of a connection: a machine without power says
 // nothing, and whoever waits for it is better told so soon.
-var connectLimit = base.DefaultBounds().Recover / 48
+var connectLimit = base.DefaultBounds().Recovery / 48
 
 // Wire is the HTTP client that twirp's clients use between nodes.
 type Wire struct {
@@ -150,12 +150,12 @@
 	ctx, ok := request.Context().Value(base.CtxKey).(*base.Ctx)
 	left := 10 * time.Second
 	if ok {
-		left = ctx.Left()
+		left = ctx.Remaining()
 	}
 	if left <= 0 {
 		return nil, &base.NotSent{Cause: context.DeadlineExceeded}
 	}
-	base.StampRequest(request, left)
+	base.SetMessageHeaders(request, left)
 	id := strconv.FormatUint(w.messages.Add(1), 36)
 	request.Header.Set(base.MessageIDHeader, id)
 	w.sent()
--- a/internal/disk/commit.go
+++ b/internal/disk/commit.go
@@ -33,7 +33,7 @@
 		s.counters.Add("disk_declined_full", 1)
 		if s.logBytes+s.formerLog > s.frameBytes/4+16*sector && !s.squeeze {
 			s.squeeze = true // a new frame may need less than the logs
-			s.bell.Ring()
+			s.bell.Notify()
 		}
 		return nil, "full"
 	}
@@ -47,7 +47,7 @@
 	put := &pending{entry: entryOf(kind, payload), done: s.clock.NewSignal()}
 	s.queue = append(s.queue, put)
 	s.queued += len(put.entry)
-	s.bell.Ring()
+	s.bell.Notify()
 	return put, ""
 }
 
@@ -152,7 +152,7 @@
 			if !isFull(err) {
 				return err
 			}
-			s.clock.Sleep(base.DefaultBounds().DiskLimit() / 10)
+			s.clock.Sleep(base.DefaultBounds().DiskTimeout() / 10)
 		}
 	}
 }
--- a/internal/disk/install.go
+++ b/internal/disk/install.go
@@ -113,7 +113,7 @@
 // data, only asks.
 func (v *Service) InstallPart(_ context.Context, request *register.InstallPartRequest) (*register.Ack, error) {
 	if !request.Valid() {
-		return nil, base.ToWire(base.Decline(400, "bad_part", "the part does not lie within its snapshot"))
+		return nil, base.ToTwirpError(base.Decline(400, "bad_part", "the part does not lie within its snapshot"))
 	}
 	s, claim, snapshot := v.store, request.Claim, request.Snapshot
 	s.mu.Lock()
--- a/internal/disk/install_test.go
+++ b/internal/disk/install_test.go
@@ -244,7 +244,7 @@
 				is.Equal(fmt.Sprintf("%d %d %s", held.Installed, held.Seq, held.values["former"]), "1 1 value")
 				is.True(held.stagedOf(x.snapshot) >= answered.Load())
 			}
-			cut += counters.Frame()["disk_tails_cut"]
+			cut += counters.Snapshot()["disk_tails_cut"]
 			other := *x
 			other.bench = &bench{is: is, files: lost, store: store, service: NewService(store, b.service.limit), set: b.set, id: b.id}
 			other.rest()
@@ -260,9 +260,9 @@
 		whole.Store(offset == x.snapshot.Size)
 	}
 	b.finish()
-	t.Logf("%d losses of power, %d torn tails cut, ends %v, %d turns", tries, cut, ends, b.store.counters.Frame()["disk_frames"])
+	t.Logf("%d losses of power, %d torn tails cut, ends %v, %d turns", tries, cut, ends, b.store.counters.Snapshot()["disk_frames"])
 	// how often slots turn depends on the disk's random id: once at the least
-	is.True(cut > 0 && b.store.counters.Frame()["disk_frames"] >= 1)
+	is.True(cut > 0 && b.store.counters.Snapshot()["disk_frames"] >= 1)
 }
 
 // A log may hold parts again that its slot covers.
--- a/internal/disk/neighbours.go
+++ b/internal/disk/neighbours.go
@@ -28,7 +28,7 @@
 
 // KeepNeighbours writes them down.
 func KeepNeighbours(files Files, addresses []string) error {
-	if err := files.Replace(neighboursName, seal(0, 0, 0, base.Encode(addresses))); err != nil {
+	if err := files.Replace(neighboursName, seal(0, 0, 0, base.MustMarshal(addresses))); err != nil {
 		return errors.Trace(err)
 	}
 	return errors.Trace(files.Sync(neighboursName))
--- a/internal/disk/service.go
+++ b/internal/disk/service.go
@@ -69,7 +69,7 @@
 	if s.id != "" {
 		defer s.mu.Unlock()
 		if request.Set.GetCluster() != "" && s.set != nil && s.set.Cluster != "" && s.set.Cluster != request.Set.Cluster {
-			return nil, base.ToWire(base.Decline(409, "other_cluster", "this disk belongs to another cluster"))
+			return nil, base.ToTwirpError(base.Decline(409, "other_cluster", "this disk belongs to another cluster"))
 		}
 		return v.describe(), nil
 	}
@@ -80,7 +80,7 @@
 		why = s.wait(put, v.limit)
 	}
 	if why != "" {
-		return nil, base.ToWire(base.Unsure(503, "disk_"+why, "the disk could not be formatted: %s", why))
+		return nil, base.ToTwirpError(base.Indeterminate(503, "disk_"+why, "the disk could not be formatted: %s", why))
 	}
 	return state, nil
 }
--- a/internal/disk/store.go
+++ b/internal/disk/store.go
@@ -51,7 +51,7 @@
 	formerLog  int
 	queue      []*pending
 	queued     int
-	bell       *base.Bell
+	bell       *base.Notifier
 	squeeze    bool
 	full       bool
 	broken     error
@@ -64,7 +64,7 @@
 
 // Open reads what the files hold and starts the committer.
 func Open(clock base.Clock, files Files, counters *base.Counters) (*Store, error) {
-	s := &Store{clock: clock, files: files, counters: counters, replicas: map[uint32]*replica{}, bell: base.NewBell(clock), ended: clock.NewSignal(), floor: logFloor}
+	s := &Store{clock: clock, files: files, counters: counters, replicas: map[uint32]*replica{}, bell: base.NewNotifier(clock), ended: clock.NewSignal(), floor: logFloor}
 	if err := s.load(); err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.bell.Ring()
+	s.bell.Notify()
 }
 
 // Ready reports whether the disk has a vote.
--- a/internal/disk/store_test.go
+++ b/internal/disk/store_test.go
@@ -235,7 +235,7 @@
 			for seq := held.Seq; seq > 0 && seq+4 > held.Seq; seq-- {
 				is.Equal(len(held.values[fmt.Sprint("k", seq%4)]), 2000+int(seq))
 			}
-			cut += counters.Frame()["disk_tails_cut"]
+			cut += counters.Snapshot()["disk_tails_cut"]
 			store.Close()
 		}
 	}
@@ -245,7 +245,7 @@
 		answered.Store(seq)
 	}
 	b.finish()
-	frames := b.store.counters.Frame()["disk_frames"]
+	frames := b.store.counters.Snapshot()["disk_frames"]
 	t.Logf("%d losses of power, %d torn tails cut, %d turns of the slots", tries, cut, frames)
 	is.True(cut > 100 && frames >= 2)
 }
@@ -291,7 +291,7 @@
 	is.True(b.install(1, 0).Ok)
 	b.shorten(64 << 10)
 	seq := uint64(0)
-	for ; b.store.counters.Frame()["disk_frames"] < 2 || seq%5 != 0; seq++ {
+	for ; b.store.counters.Snapshot()["disk_frames"] < 2 || seq%5 != 0; seq++ {
 		is.True(b.put(1, seq+1, fmt.Sprint("k", seq%50), string(make([]byte, 3000))).Ok)
 	}
 	for range 5 {
@@ -374,7 +374,7 @@
 	b.shorten(1 << 20)
 	big := string(make([]byte, 100<<10))
 	seq := uint64(0)
-	for b.store.counters.Frame()["disk_frames"] < 3 {
+	for b.store.counters.Snapshot()["disk_frames"] < 3 {
 		seq++
 		is.True(b.put(1, seq, fmt.Sprint("k", seq%4), big).Ok)
 		is.True(seq < 500)
@@ -443,10 +443,10 @@
 	files.fail = nil
 	is.Equal(b.take(2, "o").Ack.Why, "broken") // what memory holds may not be on the disk
 	is.True(strings.Contains(b.store.Ready().Error(), "restart"))
-	frames := b.store.counters.Frame()["disk_frames"]
+	frames := b.store.counters.Snapshot()["disk_frames"]
 	again, err := Open(base.NewRealClock(), files, b.store.counters)
 	is.NoErr(err)
-	is.Equal(b.store.counters.Frame()["disk_frames"], frames+1)
+	is.Equal(b.store.counters.Snapshot()["disk_frames"], frames+1)
 	is.True(again.replicas[3].Promised >= 1)
 	again.Close()
 }
@@ -483,7 +483,7 @@
 	b.service.limit = 5 * time.Second
 	is.True(b.take(1, "o").Ack.Ok) // room again: what waited is written, in order
 	is.True(b.put(1, 3, "k3", "v3").Ok)
-	is.True(store.counters.Frame()["disk_met_full"] > 0)
+	is.True(store.counters.Snapshot()["disk_met_full"] > 0)
 	is.NoErr(store.Ready())
 	store.Close()
 	files, err = OpenFolder(path, 0)
--- a/internal/feed/bench_test.go
+++ b/internal/feed/bench_test.go
@@ -13,8 +13,8 @@
 func BenchmarkApplyOneChange(b *testing.B) {
 	for _, keys := range []int{72, 650, 2600} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
-			bounds := &base.Table[base.Bounds]{}
-			bounds.Swap(base.DefaultBounds())
+			bounds := &base.AtomicPointer[base.Bounds]{}
+			bounds.Store(base.DefaultBounds())
 			f := NewFollower(base.NewRealClock(), nil, nil, nil, bounds, base.NewCounters(), func(*Snapshot) {})
 			first := &FollowReply{Place: 1, Frame: true}
 			for i := range keys {
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -55,7 +55,7 @@
 
 // Follow answers one long poll of a follower, or redirects it to other nodes.
 func (s *Service) Follow(parent context.Context, request *FollowRequest) (*FollowReply, error) {
-	ctx := base.CtxOf(parent, s.clock)
+	ctx := base.CtxFromContext(parent, s.clock)
 	if s.follower.shouldRedirect(request, s.followerLimit(request)) {
 		s.follower.counters.Add("feed_relays_crowded", 1)
 		return &FollowReply{Crowded: true, Relays: s.follower.followers.relayHints(request.From, request.Zone)}, nil
@@ -65,10 +65,10 @@
 		return s.follower.AnswerFollower(ctx, request)
 	}
 	s.recordReport(request)
-	wait := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Left()/2)
+	wait := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Remaining()/2)
 	revision, whole, puts, leaderHint, err := s.server.Watch(ctx, request.Place, request.Begun, wait)
 	if err != nil {
-		return nil, base.ToWire(err)
+		return nil, base.ToTwirpError(err)
 	}
 	visible := base.Filter(puts, func(put *register.Put) bool { return strings.HasPrefix(put.Key, KeyPrefix) })
 	reply := &FollowReply{Place: revision, Frame: whole, Puts: visible, Owner: leaderHint}
@@ -138,13 +138,13 @@
 // Follower keeps a node's snapshot of the control state and its lease.
 type Follower struct {
 	clock           base.Clock
-	wire            base.Wire
+	wire            base.HTTPClient
 	client          *register.Client
-	bounds          *base.Table[base.Bounds]
+	bounds          *base.AtomicPointer[base.Bounds]
 	counters        *base.Counters
-	snapshot        base.Table[Snapshot]
+	snapshot        base.AtomicPointer[Snapshot]
 	onChange        func(*Snapshot)
-	confirmedBell   *base.Bell
+	confirmedBell   *base.Notifier
 	view            *membership.View
 	followers       followerTable
 	parent          string                 // the relay that answered last; used by Run only
@@ -167,9 +167,9 @@
 
 // NewFollower returns a follower that calls onChange with each new snapshot,
 // before the lease that came with it takes effect.
-func NewFollower(clock base.Clock, wire base.Wire, view *membership.View, client *register.Client, bounds *base.Table[base.Bounds], counters *base.Counters, onChange func(*Snapshot)) *Follower {
-	f := &Follower{clock: clock, wire: wire, view: view, client: client, bounds: bounds, counters: counters, onChange: onChange, confirmedBell: base.NewBell(clock)}
-	f.snapshot.Swap(&Snapshot{Values: map[string][]byte{}})
+func NewFollower(clock base.Clock, wire base.HTTPClient, view *membership.View, client *register.Client, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, onChange func(*Snapshot)) *Follower {
+	f := &Follower{clock: clock, wire: wire, view: view, client: client, bounds: bounds, counters: counters, onChange: onChange, confirmedBell: base.NewNotifier(clock)}
+	f.snapshot.Store(&Snapshot{Values: map[string][]byte{}})
 	return f
 }
 
@@ -180,7 +180,7 @@
 func (f *Follower) Run() {
 	for !f.Closed() {
 		snapshot, bounds := f.Snapshot(), f.bounds.Load()
-		request := &FollowRequest{Begun: snapshot.Initialized, Place: snapshot.Revision, HoldMs: bounds.FeedHold().Milliseconds()}
+		request := &FollowRequest{Begun: snapshot.Initialized, Place: snapshot.Revision, HoldMs: bounds.FeedPollWait().Milliseconds()}
 		if !snapshot.Initialized || usesRelays(f.view) {
 			self := f.view.Self()
 			request.From, request.Zone = self.Id, self.Zone
@@ -193,7 +193,7 @@
 		reply, askedAt, err := f.ask(request)
 		if err != nil {
 			f.counters.Add("feed_failures", 1)
-			f.clock.Sleep(bounds.FeedHold() / 4)
+			f.clock.Sleep(bounds.FeedPollWait() / 4)
 			continue
 		}
 		f.applyReply(reply, askedAt)
@@ -246,7 +246,7 @@
 		tried[address] = true
 		attempts++
 		askedAt = f.clock.Now()
-		answer, err := NewFeedProtobufClient("http://"+address, f.wire).Follow(base.NewCtx(f.clock, f.bounds.Load().Follow()), request)
+		answer, err := NewFeedProtobufClient("http://"+address, f.wire).Follow(base.NewCtx(f.clock, f.bounds.Load().FollowTimeout()), request)
 		switch {
 		case err == nil && answer.Crowded:
 			addresses = prepend(addresses, answer.Relays...)
@@ -259,7 +259,7 @@
 			request.HoldMs = 0 // another attempt must not wait: the lease is running out
 			f.counters.Add("feed_relays_failed", 1)
 			f.dropParent(address)
-			if v := base.FromWire(err); v != nil && (v.Code == "unreachable" || v.Code == "reply_lost") {
+			if v := base.ToRequestError(err); v != nil && (v.Code == "unreachable" || v.Code == "reply_lost") {
 				replyLost = replyLost || v.Code == "reply_lost"
 				if member != nil {
 					f.view.Suspect(member.Id)
@@ -283,7 +283,7 @@
 func (f *Follower) askLeader(request *FollowRequest) (reply *FollowReply, askedAt time.Duration, err error) {
 	request.Relayed = false
 	bounds := f.bounds.Load()
-	err = f.client.CallLeader(base.NewCtx(f.clock, bounds.Permit()), 0, bounds.Follow(), func(ctx *base.Ctx, addr string) (string, error) {
+	err = f.client.CallLeader(base.NewCtx(f.clock, bounds.Lease()), 0, bounds.FollowTimeout(), func(ctx *base.Ctx, addr string) (string, error) {
 		askedAt = f.clock.Now()
 		answer, err := NewFeedProtobufClient("http://"+addr, f.wire).Follow(ctx, request)
 		request.HoldMs = 0
@@ -335,11 +335,11 @@
 			}
 			f.recent.add(change{from: current.Revision, to: next.Revision, puts: puts})
 		}
-		f.snapshot.Swap(next)
+		f.snapshot.Store(next)
 		f.mu.Unlock()
 		f.counters.Add("feed_changes", 1)
 	}
-	lease := f.bounds.Load().Permit()
+	lease := f.bounds.Load().Lease()
 	behind := time.Duration(reply.BehindMs) * time.Millisecond
 	leaseEnd := consensus.LeaseEnd(askedAt, behind, lease)
 	askedAt -= behind
@@ -352,7 +352,7 @@
 	f.leaseEnd.Store(int64(max(previousEnd, leaseEnd)))
 	f.confirmedPlusOne.Store(max(f.confirmedPlusOne.Load(), int64(askedAt)+1))
 	f.mu.Unlock()
-	f.confirmedBell.Ring()
+	f.confirmedBell.Notify()
 }
 
 // NextConfirmation returns a signal that fires at the next confirmation.
@@ -386,7 +386,7 @@
 // WaitForLease returns at once under a lease. Otherwise it waits up to the
 // configured hold time for a new one and then rejects the request as not run.
 func (f *Follower) WaitForLease(ctx *base.Ctx) error {
-	deadline := f.clock.Now() + min(f.bounds.Load().Hold(), ctx.Left())
+	deadline := f.clock.Now() + min(f.bounds.Load().LeaseWait(), ctx.Remaining())
 	for {
 		next := f.confirmedBell.Next()
 		if f.HasLease() {
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -95,7 +95,7 @@
 }
 
 // followerTTL is how long a follower counts after its newest request.
-func (f *Follower) followerTTL() time.Duration { return 2 * f.bounds.Load().Permit() }
+func (f *Follower) followerTTL() time.Duration { return 2 * f.bounds.Load().Lease() }
 
 // change is one change of a follower's snapshot.
 type change struct {
@@ -143,7 +143,7 @@
 // snapshot. It waits until there is something newer, or a renewed confirmation
 // after half the wait, or the wait plus a quarter is over.
 func (f *Follower) AnswerFollower(ctx *base.Ctx, request *FollowRequest) (*FollowReply, error) {
-	wait := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Left()/2)
+	wait := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Remaining()/2)
 	receivedAt := f.clock.Now()
 	firstConfirmed := f.lastConfirmed()
 	for {
@@ -165,9 +165,9 @@
 	confirmed, snapshot, gatewayCount := f.confirmed, f.Snapshot(), f.gatewayCount
 	puts, ok := f.recent.since(request.Place)
 	f.mu.Unlock()
-	if !snapshot.Initialized || !consensus.AcceptsRevision(snapshot.Revision, request.Place) || !consensus.MayRelay(f.clock.Now(), confirmed, f.bounds.Load().Permit()) {
+	if !snapshot.Initialized || !consensus.AcceptsRevision(snapshot.Revision, request.Place) || !consensus.MayRelay(f.clock.Now(), confirmed, f.bounds.Load().Lease()) {
 		f.counters.Add("feed_relays_declined", 1)
-		return nil, base.ToWire(base.Busy(503, "feed_stale", 1, "this node's own snapshot of the feed is out of date"))
+		return nil, base.ToTwirpError(base.Busy(503, "feed_stale", 1, "this node's own snapshot of the feed is out of date"))
 	}
 	reply := &FollowReply{Place: snapshot.Revision, Gateways: gatewayCount, BehindMs: consensus.ConfirmationAge(receivedAt, confirmed).Milliseconds()}
 	switch {
--- a/internal/fleet/chaos.go
+++ b/internal/fleet/chaos.go
@@ -229,9 +229,9 @@
 	body := map[string]any{"change": change, "based_on": stamp, "document": json.RawMessage(document)}
 	path := "/v1/operator/settings/apply"
 	var told struct {
-		Outcome string       `json:"outcome"`
-		Stamp   uint64       `json:"stamp"`
-		Error   base.Verdict `json:"error"`
+		Outcome string            `json:"outcome"`
+		Stamp   uint64            `json:"stamp"`
+		Error   base.RequestError `json:"error"`
 	}
 	for tries := 0; tries < 100; tries++ {
 		status, answer, err := Exchange("POST", d.fleet.Cores[rand.IntN(len(d.fleet.Cores))].Public, path, body)
@@ -242,7 +242,7 @@
 			return told.Stamp
 		case err == nil && (status == 200 || status == 409):
 			d.tally.ChangeRefused(change)
-			return max(stamp, told.Stamp, told.Error.Stamp)
+			return max(stamp, told.Stamp, told.Error.CurrentVersion)
 		}
 		d.tally.Count("settings_unknown")
 		path, body = "/v1/operator/settings/outcome", map[string]any{"change": change}
--- a/internal/fleet/parties.go
+++ b/internal/fleet/parties.go
@@ -184,7 +184,7 @@
 	request.Header.SetMethod(method)
 	request.SetRequestURI("http://" + addr + path)
 	if body != nil {
-		request.SetBody(base.Encode(body))
+		request.SetBody(base.MustMarshal(body))
 	}
 	err = fasthttp.DoTimeout(request, response, 20*time.Second)
 	return response.StatusCode(), append([]byte(nil), response.Body()...), errors.Trace(err)
--- a/internal/fleet/platform_run.go
+++ b/internal/fleet/platform_run.go
@@ -301,7 +301,7 @@
 	}
 	record.Print(out, breaches)
 	if plan.RecordFile != "" {
-		if err := os.WriteFile(plan.RecordFile, base.Encode(record), 0o644); err != nil {
+		if err := os.WriteFile(plan.RecordFile, base.MustMarshal(record), 0o644); err != nil {
 			return breaches, errors.Trace(err)
 		}
 	}
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -55,7 +55,7 @@
 	shown := map[string]any{"seconds": took.Seconds(), "callers": tally.Counts, "per_turn": perTurn, "model_runs": count, "prefix_hits": hits,
 		"slowest_turn_s": tally.Slowest.Seconds(), "breaches": tally.Breaches, "counters": after}
 	if asJSON {
-		_, _ = fmt.Fprintln(out, string(base.Encode(shown)))
+		_, _ = fmt.Fprintln(out, string(base.MustMarshal(shown)))
 	} else {
 		_, _ = fmt.Fprintf(out, "%.1f s, %d model runs, %d found their prefix cached, slowest turn %.2f s\n", took.Seconds(), count, hits, tally.Slowest.Seconds())
 		for _, name := range base.SortedKeys(tally.Counts) {
--- a/internal/founding/founding.go
+++ b/internal/founding/founding.go
@@ -27,9 +27,9 @@
 // Bootstrapper is a seed's part in the bootstrap of a cluster.
 type Bootstrapper struct {
 	clock     base.Clock
-	wire      base.Wire
+	wire      base.HTTPClient
 	view      *membership.View
-	bounds    *base.Table[base.Bounds]
+	bounds    *base.AtomicPointer[base.Bounds]
 	counters  *base.Counters
 	server    *register.Server
 	seeds     []string
@@ -43,7 +43,7 @@
 // New returns the bootstrapper of the process at an address. If that is not the
 // address of a seed, it neither proposes nor is asked to vote. The cluster is to
 // tolerate the loss of a number of machines at once.
-func New(clock base.Clock, wire base.Wire, view *membership.View, bounds *base.Table[base.Bounds], counters *base.Counters, server *register.Server, addr string, seeds []string, tolerate int) *Bootstrapper {
+func New(clock base.Clock, wire base.HTTPClient, view *membership.View, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, server *register.Server, addr string, seeds []string, tolerate int) *Bootstrapper {
 	return &Bootstrapper{clock: clock, wire: wire, view: view, bounds: bounds, counters: counters, server: server,
 		seeds: seeds, seedIndex: slices.Index(seeds, addr), tolerate: tolerate}
 }
@@ -65,14 +65,14 @@
 			addrs, unchangedSince = current, b.clock.Now()
 		}
 		stableFor := b.clock.Now() - unchangedSince
-		startAfter := bounds.Recover/20 + time.Duration(b.seedIndex)*bounds.Recover/8
+		startAfter := bounds.Recovery/20 + time.Duration(b.seedIndex)*bounds.Recovery/8
 		if len(addrs) >= max(minDisks, 2*b.tolerate+1) && stableFor >= startAfter {
-			if b.tryBootstrap(addrs, stableFor >= startAfter+bounds.Recover/12) {
+			if b.tryBootstrap(addrs, stableFor >= startAfter+bounds.Recovery/12) {
 				return
 			}
-			b.clock.Sleep(time.Duration(b.clock.Int64N(int64(bounds.Beat()))))
+			b.clock.Sleep(time.Duration(b.clock.Int64N(int64(bounds.HeartbeatInterval()))))
 		}
-		b.clock.Sleep(bounds.Beat() / 5)
+		b.clock.Sleep(bounds.HeartbeatInterval() / 5)
 	}
 }
 
@@ -98,7 +98,7 @@
 	if set == nil {
 		return false
 	}
-	adopted := base.Ask(b.clock, set.Disks, consensus.Majority(len(set.Disks)), b.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *register.DiskEntry) bool {
+	adopted := base.CallQuorum(b.clock, set.Disks, consensus.Majority(len(set.Disks)), b.bounds.Load().DiskTimeout(), func(ctx *base.Ctx, entry *register.DiskEntry) bool {
 		ack, err := b.diskClient(entry.Addr).Adopt(ctx, &register.AdoptRequest{Set: set})
 		return err == nil && ack.Ok
 	})
@@ -120,7 +120,7 @@
 func (b *Bootstrapper) formatDisks(addrs []string) (newSet, existingSet *register.DiskSet) {
 	var mu sync.Mutex
 	states := map[string]*register.DiskState{}
-	base.AskAll(b.clock, addrs, b.bounds.Load().DiskLimit()/2, func(ctx *base.Ctx, addr string) {
+	base.CallAll(b.clock, addrs, b.bounds.Load().DiskTimeout()/2, func(ctx *base.Ctx, addr string) {
 		state, err := b.diskClient(addr).Format(ctx, &register.FormatRequest{})
 		mu.Lock()
 		defer mu.Unlock()
@@ -184,7 +184,7 @@
 // askSeeds calls all seeds, this one directly, and reports whether a majority voted
 // yes. Each vote is passed to learn.
 func (b *Bootstrapper) askSeeds(call func(ctx *base.Ctx, seed Founding) (*Vote, error), learn func(*Vote)) bool {
-	return base.Ask(b.clock, b.seeds, consensus.Majority(len(b.seeds)), b.bounds.Load().DiskLimit()/2, func(ctx *base.Ctx, addr string) bool {
+	return base.CallQuorum(b.clock, b.seeds, consensus.Majority(len(b.seeds)), b.bounds.Load().DiskTimeout()/2, func(ctx *base.Ctx, addr string) bool {
 		var seed Founding = b
 		if addr != b.seeds[b.seedIndex] {
 			seed = NewFoundingProtobufClient("http://"+addr, b.wire)
--- a/internal/front/access.go
+++ b/internal/front/access.go
@@ -14,17 +14,17 @@
 	if request.Kind != session.KindSubmitTurn || !h.Access.HasRules() {
 		return nil
 	}
-	record, err := h.Sessions.Lookup(ctx.Within(h.Bounds.Load().Recover), request)
+	record, err := h.Sessions.Lookup(ctx.WithTimeout(h.Bounds.Load().Recovery), request)
 	if err != nil || !record.Authorizes(request.Bearer) {
 		return err // the session's owner declines wrong credentials
 	}
 	refusal := h.Access.Authorize(ctx, &access.Request{Scope: access.Scope{Group: record.Group, Site: record.Site, Route: record.Route}})
-	if refusal == nil || !clientNamed || base.FromWire(refusal).Status != 403 {
+	if refusal == nil || !clientNamed || base.ToRequestError(refusal).Status != 403 {
 		return refusal
 	}
 	lookup := *request
 	lookup.Kind, lookup.ID = session.KindReadTurn, base.NewID(h.Clock, "v")
-	reply, err := h.Sessions.Handle(ctx.Within(h.Bounds.Load().Call()), &lookup)
+	reply, err := h.Sessions.Handle(ctx.WithTimeout(h.Bounds.Load().CoreCallTimeout()), &lookup)
 	if err != nil {
 		return refusal
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -23,17 +23,17 @@
 // for the platform (platform.go).
 type Handler struct {
 	Clock        base.Clock
-	Bounds       *base.Table[base.Bounds]
+	Bounds       *base.AtomicPointer[base.Bounds]
 	Counters     *base.Counters
 	Follower     *feed.Follower
-	Settings     *base.Table[settings.Tree]
+	Settings     *base.AtomicPointer[settings.Tree]
 	Budget       *budget.Client
 	Sessions     *session.Manager
 	Tools        *toolcall.Client
 	Workers      *worker.Client
 	UsageReports *worker.UsageReports
 	Picker       *worker.Picker
-	Backends     base.Backends
+	Backends     base.BackendClient
 	Access       *access.Guard
 
 	credentialCache sync.Map
@@ -148,9 +148,9 @@
 	var name, group, site, parent, urgency string
 	var tokens, deadline float64
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"program": base.Text(&name, 64), "group": base.Text(&group, 128), "site": base.Text(&site, 128), "parent": base.Text(&parent, 128),
-		"urgency": base.Text(&urgency, 16), "budget_tokens": base.Number(&tokens, 1, 1<<40, true),
-		"deadline_s": base.Number(&deadline, 0.1, 30*86400, false),
+		"program": base.StringField(&name, 64), "group": base.StringField(&group, 128), "site": base.StringField(&site, 128), "parent": base.StringField(&parent, 128),
+		"urgency": base.StringField(&urgency, 16), "budget_tokens": base.NumberField(&tokens, 1, 1<<40, true),
+		"deadline_s": base.NumberField(&deadline, 0.1, 30*86400, false),
 	})
 	if err != nil {
 		return nil, err
@@ -197,7 +197,7 @@
 	}
 	secret, digest := h.newSecret()
 	program.SecretDigest = digest
-	created, err := h.Budget.Create(ctx.Within(h.Bounds.Load().Recover), program)
+	created, err := h.Budget.Create(ctx.WithTimeout(h.Bounds.Load().Recovery), program)
 	if err != nil {
 		return nil, err
 	}
@@ -232,10 +232,10 @@
 // for a while, so that not every call reads the register; a failed one is not.
 func (h *Handler) authorize(ctx *base.Ctx, r *Request, id string) (*budget.Program, error) {
 	tokenDigest := bearerDigest(r)
-	if cached, ok := h.credentialCache.Load(id + " " + tokenDigest); ok && h.Clock.Now()-cached.(*authorizedProgram).checkedAt < h.Bounds.Load().Recover*5/2 {
+	if cached, ok := h.credentialCache.Load(id + " " + tokenDigest); ok && h.Clock.Now()-cached.(*authorizedProgram).checkedAt < h.Bounds.Load().Recovery*5/2 {
 		return cached.(*authorizedProgram).program, nil
 	}
-	program, err := h.Budget.Get(ctx.Within(h.Bounds.Load().Recover), id)
+	program, err := h.Budget.Get(ctx.WithTimeout(h.Bounds.Load().Recovery), id)
 	if err != nil {
 		return nil, err
 	}
@@ -249,7 +249,7 @@
 // EvictExpired removes expired entries from the cache of authorize.
 func (h *Handler) EvictExpired() {
 	h.credentialCache.Range(func(key, cached any) bool {
-		if h.Clock.Now()-cached.(*authorizedProgram).checkedAt > h.Bounds.Load().Recover*5/2 {
+		if h.Clock.Now()-cached.(*authorizedProgram).checkedAt > h.Bounds.Load().Recovery*5/2 {
 			h.credentialCache.Delete(key)
 		}
 		return true
@@ -258,7 +258,7 @@
 
 // getProgram returns a program's state, for which it always reads the register.
 func (h *Handler) getProgram(ctx *base.Ctx, r *Request, id string) (*Response, error) {
-	program, err := h.Budget.Get(ctx.Within(h.Bounds.Load().Recover), id)
+	program, err := h.Budget.Get(ctx.WithTimeout(h.Bounds.Load().Recovery), id)
 	if err != nil {
 		return nil, err
 	}
@@ -270,7 +270,7 @@
 
 func readTerminationMode(r *Request) (budget.Termination, error) {
 	var mode string
-	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"mode": base.Text(&mode, 16)}); err != nil {
+	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"mode": base.StringField(&mode, 16)}); err != nil {
 		return "", err
 	}
 	if !budget.Termination(mode).Valid() {
@@ -288,7 +288,7 @@
 		if _, err := h.authorize(ctx, r, id); err != nil {
 			return nil, err
 		}
-		program, err := h.Budget.Terminate(ctx.Within(h.Bounds.Load().Recover), id, mode)
+		program, err := h.Budget.Terminate(ctx.WithTimeout(h.Bounds.Load().Recovery), id, mode)
 		if err != nil {
 			return nil, err
 		}
@@ -300,8 +300,8 @@
 	var route string
 	var queueSize, timeout, lease float64
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"route": base.Text(&route, 128), "queue_size": base.Number(&queueSize, 1, 1<<20, true),
-		"operation_timeout_s": base.Number(&timeout, 0.1, 86400, false), "lease_s": base.Number(&lease, 0.1, 86400, false),
+		"route": base.StringField(&route, 128), "queue_size": base.NumberField(&queueSize, 1, 1<<20, true),
+		"operation_timeout_s": base.NumberField(&timeout, 0.1, 86400, false), "lease_s": base.NumberField(&lease, 0.1, 86400, false),
 	})
 	if err != nil {
 		return nil, err
@@ -337,7 +337,7 @@
 		record := &session.Record{ID: id + ":" + base.NewID(h.Clock, "s"), Program: id, ProgramSecretDigest: program.SecretDigest, SecretDigest: digest,
 			Group: program.Group, Site: program.Site, Route: route, Urgency: program.Urgency, LeaseMs: int64(lease * 1000)}
 		record.QueueSize, record.TimeoutMs = session.EffectiveLimits(matched, int(queueSize), time.Duration(timeout*float64(time.Second)))
-		acquired, err := h.Sessions.Create(ctx.Within(h.Bounds.Load().Recover), record)
+		acquired, err := h.Sessions.Create(ctx.WithTimeout(h.Bounds.Load().Recovery), record)
 		if err != nil {
 			return nil, err
 		}
@@ -396,12 +396,12 @@
 	if err := h.checkModelAccess(ctx, request, clientNamed); err != nil {
 		return nil, err
 	}
-	reply, err := h.Sessions.Handle(ctx.Within(2*h.Bounds.Load().Recover), request)
+	reply, err := h.Sessions.Handle(ctx.WithTimeout(2*h.Bounds.Load().Recovery), request)
 	if err != nil {
 		return nil, err
 	}
 	if reply.Stream != nil {
-		if refused := reply.Stream.EarlyFailure(h.Bounds.Load().Call()); refused != nil {
+		if refused := reply.Stream.EarlyFailure(h.Bounds.Load().CoreCallTimeout()); refused != nil {
 			return nil, refused
 		}
 		header := map[string]string{"Content-Type": "text/event-stream", "Cache-Control": "no-store", "Turn-Id": request.Turn}
@@ -446,7 +446,7 @@
 	}
 	var maxTokens float64
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"messages": readMessages(&request.Messages), "max_output_tokens": base.Number(&maxTokens, 1, 1<<20, true),
+		"messages": readMessages(&request.Messages), "max_output_tokens": base.NumberField(&maxTokens, 1, 1<<20, true),
 	}); err != nil {
 		return err
 	}
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -17,7 +17,7 @@
 	switch r.Method + " " + pathPattern(parts) {
 	case "GET workers":
 		return &action{func(ctx *base.Ctx) (*Response, error) {
-			list, err := h.Workers.List(ctx.Within(h.Bounds.Load().Recover))
+			list, err := h.Workers.List(ctx.WithTimeout(h.Bounds.Load().Recovery))
 			if err != nil {
 				return nil, err
 			}
@@ -53,10 +53,10 @@
 			var parsed worker.Worker
 			capacity := 1.0
 			err = base.ReadFields(raw, map[string]base.FieldReader{
-				"id": base.Text(&parsed.ID, 128), "addr": base.Text(&parsed.Addr, 64), "pool": base.Text(&parsed.Pool, 128),
-				"zone": base.Text(&parsed.Zone, 128), "incarnation": base.Text(&parsed.Incarnation, 128), "capacity": base.Number(&capacity, 1, 4096, true),
+				"id": base.StringField(&parsed.ID, 128), "addr": base.StringField(&parsed.Addr, 64), "pool": base.StringField(&parsed.Pool, 128),
+				"zone": base.StringField(&parsed.Zone, 128), "incarnation": base.StringField(&parsed.Incarnation, 128), "capacity": base.NumberField(&capacity, 1, 4096, true),
 			})
-			if verdict := base.VerdictIn(err); verdict != nil {
+			if verdict := base.FindRequestError(err); verdict != nil {
 				verdict.Field = elementPath + "." + verdict.Field
 				return verdict
 			}
@@ -70,7 +70,7 @@
 func (h *Handler) parseReplaceWorkers(r *Request) (*action, error) {
 	var stamp float64
 	var workers []worker.Worker
-	err := base.ReadFields(r.Body, map[string]base.FieldReader{"stamp": base.Number(&stamp, 1, 1<<52, true), "workers": readWorkers(&workers)})
+	err := base.ReadFields(r.Body, map[string]base.FieldReader{"stamp": base.NumberField(&stamp, 1, 1<<52, true), "workers": readWorkers(&workers)})
 	switch {
 	case err != nil:
 		return nil, err
@@ -92,14 +92,14 @@
 	var put []worker.Worker
 	var remove []string
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"stamp": base.Number(&stamp, 1, 1<<52, true), "put": readWorkers(&put),
+		"stamp": base.NumberField(&stamp, 1, 1<<52, true), "put": readWorkers(&put),
 		"remove": func(path string, d *jx.Decoder) error {
 			if d.Next() != jx.Array {
 				return base.DeclineField(path, "must be a list")
 			}
 			return d.Arr(func(d *jx.Decoder) error {
 				var id string
-				err := base.Text(&id, 128)(path+"["+strconv.Itoa(len(remove))+"]", d)
+				err := base.StringField(&id, 128)(path+"["+strconv.Itoa(len(remove))+"]", d)
 				remove = append(remove, id)
 				return err
 			})
@@ -121,7 +121,7 @@
 // changeWorkers is the action of a change of the worker list.
 func (h *Handler) changeWorkers(change func(ctx *base.Ctx) (*worker.List, error)) *action {
 	return &action{func(ctx *base.Ctx) (*Response, error) {
-		list, err := change(ctx.Within(h.Bounds.Load().Recover))
+		list, err := change(ctx.WithTimeout(h.Bounds.Load().Recovery))
 		if err != nil {
 			return nil, err
 		}
@@ -135,8 +135,8 @@
 	var load, reportNumber float64
 	usage := &membership.Usage{Worker: id}
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"load": base.Number(&load, 0, 1<<20, true), "number": base.Number(&reportNumber, 1, 1<<52, true),
-		"incarnation": base.Text(&usage.Incarnation, 128), "leaving": base.Truth(&usage.Leaving),
+		"load": base.NumberField(&load, 0, 1<<20, true), "number": base.NumberField(&reportNumber, 1, 1<<52, true),
+		"incarnation": base.StringField(&usage.Incarnation, 128), "leaving": base.BoolField(&usage.Leaving),
 	})
 	if err != nil {
 		return nil, err
@@ -155,7 +155,7 @@
 			h.Picker.ClearLeaving(id)
 		}
 		if usage.Leaving != markedLeaving || (markedLeaving && notice.Incarnation != usage.Incarnation) {
-			err := h.Workers.SubmitNotice(ctx.Within(h.Bounds.Load().Recover), worker.Notice{Worker: id, Incarnation: usage.Incarnation,
+			err := h.Workers.SubmitNotice(ctx.WithTimeout(h.Bounds.Load().Recovery), worker.Notice{Worker: id, Incarnation: usage.Incarnation,
 				Leaving: usage.Leaving, Source: "report", Number: usage.Number})
 			if err != nil {
 				return nil, err
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -36,12 +36,12 @@
 
 // jsonResponse is a response with a JSON body.
 func jsonResponse(status int, body any) *Response {
-	return &Response{Status: status, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.Encode(body), '\n')}
+	return &Response{Status: status, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.MustMarshal(body), '\n')}
 }
 
 // ErrorResponse converts an error to the response that a caller gets.
 func ErrorResponse(err error) *Response {
-	verdict := base.FromWire(err)
+	verdict := base.ToRequestError(err)
 	status := verdict.Status
 	if status == 0 {
 		status = 500
@@ -83,9 +83,9 @@
 			err := d.ObjBytes(func(d *jx.Decoder, key []byte) error {
 				switch string(key) {
 				case "role":
-					return base.Text(&item.Role, 64)(itemPath+".role", d)
+					return base.StringField(&item.Role, 64)(itemPath+".role", d)
 				case "content":
-					return base.Text(&item.Content, 1<<24)(itemPath+".content", d)
+					return base.StringField(&item.Content, 1<<24)(itemPath+".content", d)
 				}
 				return base.DeclineField(itemPath+"."+string(key), "unknown field")
 			})
@@ -104,7 +104,7 @@
 		if len(list) == 0 {
 			return base.DeclineField(path, "must not be empty")
 		}
-		*dst = base.Encode(list)
+		*dst = base.MustMarshal(list)
 		return nil
 	}
 }
--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -46,7 +46,7 @@
 		if h.Sessions.ProgramTermination(budget.RegisterGroup(programID)) != "" || h.Sessions.ProgramTermination(programID) != "" {
 			return nil, base.Decline(503, "program_terminating", "program %q is being terminated", programID)
 		}
-		ctx = ctx.Within(route.ToolTimeout)
+		ctx = ctx.WithTimeout(route.ToolTimeout)
 		call := &toolCall{handler: h, ctx: ctx, request: r, route: route, urgency: program.Urgency,
 			claim: toolcall.Claim{Program: programID, Key: key, Attempt: base.NewID(h.Clock, "c"), Digest: base.Digest(append([]byte(routeName+"\n"), r.Body...))}}
 		if key == "" {
@@ -70,7 +70,7 @@
 // an error of the gateway.
 func toolResponse(answer *toolcall.Response, replayed bool) *Response {
 	if answer.Status >= 500 {
-		return ErrorResponse(base.Unsure(502, "worker_failed", "the worker failed with status %d", answer.Status))
+		return ErrorResponse(base.Indeterminate(502, "worker_failed", "the worker failed with status %d", answer.Status))
 	}
 	response := &Response{Status: answer.Status, Header: map[string]string{"Content-Type": answer.ContentType}, Body: answer.Body}
 	if replayed {
@@ -88,7 +88,7 @@
 		if err == nil {
 			return toolResponse(answer, false), nil
 		}
-		if v := base.FromWire(err); v.Ran == base.NotRun || attempt >= t.route.MaxAttempts || t.ctx.Over() {
+		if v := base.ToRequestError(err); v.Execution == base.NotRun || attempt >= t.route.MaxAttempts || t.ctx.Expired() {
 			return nil, err
 		}
 		t.handler.Counters.Add("tool_legs_repeated", 1)
@@ -99,14 +99,14 @@
 // it is requested.
 func (t *toolCall) callClaimed() (*Response, error) {
 	h := t.handler
-	pause := h.Bounds.Load().Beat()
+	pause := h.Bounds.Load().HeartbeatInterval()
 	for {
 		outcome, err := h.Tools.Claim(t.ctx, t.claim)
 		if err != nil {
-			if v := base.FromWire(err); v.Ran != base.NotRun {
+			if v := base.ToRequestError(err); v.Execution != base.NotRun {
 				// The claim may have been recorded for this attempt, but the attempt
 				// was not sent and is given up, so the call did not run.
-				h.Clock.Go(func() { _ = h.Tools.Finish(base.NewCtx(h.Clock, h.Bounds.Load().Recover), t.claim, nil) })
+				h.Clock.Go(func() { _ = h.Tools.Finish(base.NewCtx(h.Clock, h.Bounds.Load().Recovery), t.claim, nil) })
 				return nil, base.Busy(503, "claim_unconfirmed", 1, "the idempotency key could not be claimed in time")
 			}
 			return nil, err
@@ -118,15 +118,15 @@
 		if outcome.Proceed {
 			break
 		}
-		if t.ctx.Left() <= pause {
-			return nil, base.Unsure(409, "call_unfinished", "an earlier call with this key was sent and has not been answered")
+		if t.ctx.Remaining() <= pause {
+			return nil, base.Indeterminate(409, "call_unfinished", "an earlier call with this key was sent and has not been answered")
 		}
 		h.Clock.Sleep(pause)
 	}
 	answer, err := t.send(map[string]bool{})
-	recordCtx := base.NewCtx(h.Clock, h.Bounds.Load().Recover)
+	recordCtx := base.NewCtx(h.Clock, h.Bounds.Load().Recovery)
 	if err != nil {
-		if base.FromWire(err).Ran == base.NotRun {
+		if base.ToRequestError(err).Execution == base.NotRun {
 			if finishErr := h.Tools.Finish(recordCtx, t.claim, nil); finishErr != nil {
 				h.Counters.Add("tool_claims_stuck", 1)
 			}
@@ -147,7 +147,7 @@
 		MaxQueue: t.route.MaxWaiting, Tried: tried, Policy: t.route.Policy}
 	for {
 		answer, err, tryNext := t.sendOnce(requirements)
-		if !tryNext || t.ctx.Over() {
+		if !tryNext || t.ctx.Expired() {
 			return answer, err
 		}
 		h.Counters.Add("tool_legs_not_sent", 1)
@@ -173,7 +173,7 @@
 		h.Counters.Add("legs_turned_back", 1)
 		return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 	}
-	if t.ctx.Over() {
+	if t.ctx.Expired() {
 		return nil, base.Decline(504, "timed_out", "the call timed out before it was sent to a worker"), false
 	}
 	path := t.route.Path
@@ -185,14 +185,14 @@
 		header["Idempotency-Key"] = t.claim.Program + "/" + t.claim.Key
 	}
 	h.Counters.Add("tool_legs_sent", 1)
-	reply, err := h.Backends.Call(t.ctx, chosen.Addr, &base.BackRequest{Method: "POST", Path: path, Header: header, Body: t.request.Body})
+	reply, err := h.Backends.Call(t.ctx, chosen.Addr, &base.BackendRequest{Method: "POST", Path: path, Header: header, Body: t.request.Body})
 	requirements.Tried[chosen.ID] = true
 	if err != nil {
 		h.Picker.Avoid(chosen.ID)
 		if base.WasNotSent(err) {
 			return nil, base.Busy(503, "worker_unreachable", 1, "no worker could be reached"), true
 		}
-		return nil, base.Unsure(502, "worker_lost", "the worker's answer was lost"), false
+		return nil, base.Indeterminate(502, "worker_lost", "the worker's answer was lost"), false
 	}
 	cleanup.Push(reply.Close)
 	if reply.Status() == 503 {
@@ -200,17 +200,17 @@
 		if t.route.Repeatable {
 			return nil, base.Busy(503, "worker_leaving", 1, "the worker is leaving"), true
 		}
-		return nil, base.Unsure(502, "worker_leaving", "the worker refused the call because it is leaving, but the request had been sent"), false
+		return nil, base.Indeterminate(502, "worker_leaving", "the worker refused the call because it is leaving, but the request had been sent"), false
 	}
-	if h.Picker.ObserveResponse(chosen, reply.Closes()) {
+	if h.Picker.ObserveResponse(chosen, reply.ClosesConnection()) {
 		h.Sessions.MarkWorkerLeaving(chosen)
 	}
-	body, err := reply.Body(t.ctx.Left(), maxToolResponseBytes)
+	body, err := reply.ReadBody(t.ctx.Remaining(), maxToolResponseBytes)
 	if err != nil {
-		return nil, base.Unsure(502, "worker_cut", "the worker's answer was cut short"), false
+		return nil, base.Indeterminate(502, "worker_cut", "the worker's answer was cut short"), false
 	}
 	if reply.Status() >= 500 && t.claim.Key == "" {
-		return nil, base.Unsure(502, "worker_failed", "the worker failed with status %d", reply.Status()), false
+		return nil, base.Indeterminate(502, "worker_failed", "the worker failed with status %d", reply.Status()), false
 	}
 	contentType := reply.Header("Content-Type")
 	if contentType == "" {
--- a/internal/ledger/begin.go
+++ b/internal/ledger/begin.go
@@ -86,10 +86,10 @@
 		if settled+reserved < params.Budget {
 			return nil
 		}
-		if settled+round.reservedBefore(params.Turn+"/"+params.Run) >= params.Budget || retries == 3 || ctx.Over() {
+		if settled+round.reservedBefore(params.Turn+"/"+params.Run) >= params.Budget || retries == 3 || ctx.Expired() {
 			return base.Decline(402, "over_budget", "the program's token budget is used up")
 		}
-		c.clock.Sleep(min(ctx.Left(), c.bounds.Load().Hedge()/8<<retries))
+		c.clock.Sleep(min(ctx.Remaining(), c.bounds.Load().DiskHedgeDelay()/8<<retries))
 	}
 }
 
@@ -100,7 +100,7 @@
 		return
 	}
 	c.clock.Go(func() {
-		_ = c.Settle(base.NewCtx(c.clock, c.bounds.Load().Call()), &SettleParams{Program: params.Program, Run: params.Run, Turn: params.Turn, Retention: params.Retention})
+		_ = c.Settle(base.NewCtx(c.clock, c.bounds.Load().CoreCallTimeout()), &SettleParams{Program: params.Program, Run: params.Run, Turn: params.Turn, Retention: params.Retention})
 	})
 }
 
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -22,7 +22,7 @@
 
 // countingWire counts messages, and the bytes of requests and replies.
 type countingWire struct {
-	base.Wire
+	base.HTTPClient
 	bytes atomic.Int64
 	calls atomic.Int64
 }
@@ -30,7 +30,7 @@
 func (w *countingWire) Do(request *http.Request) (*http.Response, error) {
 	w.calls.Add(1)
 	w.bytes.Add(request.ContentLength)
-	response, err := w.Wire.Do(request)
+	response, err := w.HTTPClient.Do(request)
 	if err == nil {
 		body, _ := io.ReadAll(response.Body)
 		w.bytes.Add(int64(len(body)))
@@ -56,7 +56,7 @@
 	b      testing.TB
 	clock  base.Clock
 	wire   *countingWire
-	bounds *base.Table[base.Bounds]
+	bounds *base.AtomicPointer[base.Bounds]
 	set    atomic.Pointer[register.DiskSet]
 	stores []*ledger.Store
 	addrs  []string
@@ -74,8 +74,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	x := &benchCluster{b: b, clock: base.NewRealClock(), wire: &countingWire{Wire: wire}, bounds: &base.Table[base.Bounds]{}}
-	x.bounds.Swap(base.DefaultBounds())
+	x := &benchCluster{b: b, clock: base.NewRealClock(), wire: &countingWire{HTTPClient: wire}, bounds: &base.AtomicPointer[base.Bounds]{}}
+	x.bounds.Store(base.DefaultBounds())
 	b.Cleanup(wire.Close)
 	return x
 }
@@ -93,7 +93,7 @@
 func (x *benchCluster) openStore(files disk.Files) {
 	i := len(x.stores)
 	addr := fmt.Sprintf("127.%d.%d.%d:21840", 220+os.Getpid()%30, 1+os.Getpid()/30%250, i+1)
-	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: x.clock, Wire: x.wire.Wire, Files: files, Bounds: x.bounds, Counters: base.NewCounters(), FaultTolerance: 1,
+	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: x.clock, Wire: x.wire.HTTPClient, Files: files, Bounds: x.bounds, Counters: base.NewCounters(), FaultTolerance: 1,
 		LocalDisk: func() (string, *register.DiskSet) { return fmt.Sprintf("d%d", i), x.set.Load() }})
 	if err != nil {
 		x.b.Fatal(err)
@@ -105,7 +105,7 @@
 	server := ledger.NewLedgerServer(store)
 	mux := http.NewServeMux()
 	mux.Handle(server.PathPrefix(), server)
-	go func() { _ = http.Serve(listener, base.Receive(x.clock, mux)) }()
+	go func() { _ = http.Serve(listener, base.HandleMessages(x.clock, mux)) }()
 	go store.Run()
 	x.b.Cleanup(func() {
 		store.Close()
@@ -223,8 +223,8 @@
 
 // BenchmarkStore measures one store's part of a turn, without network or disk.
 func BenchmarkStore(b *testing.B) {
-	bounds := &base.Table[base.Bounds]{}
-	bounds.Swap(base.DefaultBounds())
+	bounds := &base.AtomicPointer[base.Bounds]{}
+	bounds.Store(base.DefaultBounds())
 	set := &register.DiskSet{Stamp: 1, Cluster: "c", Disks: []*register.DiskEntry{{Id: "d0"}}}
 	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: base.NewRealClock(), Files: &discardingFiles{}, Bounds: bounds, Counters: base.NewCounters(),
 		FaultTolerance: 1, LocalDisk: func() (string, *register.DiskSet) { return "d0", set }})
--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -15,11 +15,11 @@
 // when one is slow. A store that was slow or unreachable is asked last for a while.
 type Client struct {
 	clock          base.Clock
-	wire           base.Wire
+	wire           base.HTTPClient
 	toldSet        func() *register.DiskSet
 	zone           string
 	faultTolerance int
-	bounds         *base.Table[base.Bounds]
+	bounds         *base.AtomicPointer[base.Bounds]
 	counters       *base.Counters
 	alive          func(addr string) bool
 
@@ -31,7 +31,7 @@
 // NewClient returns a client that calls set for the newest disk set that this node
 // was told of, and alive to skip nodes that membership considers dead. alive may
 // be nil.
-func NewClient(clock base.Clock, wire base.Wire, set func() *register.DiskSet, zone string, faultTolerance int, bounds *base.Table[base.Bounds], counters *base.Counters, alive func(addr string) bool) *Client {
+func NewClient(clock base.Clock, wire base.HTTPClient, set func() *register.DiskSet, zone string, faultTolerance int, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, alive func(addr string) bool) *Client {
 	if alive == nil {
 		alive = func(string) bool { return true }
 	}
@@ -64,7 +64,7 @@
 func (c *Client) markSuspect(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.suspectUntil[addr] = c.clock.Now() + c.bounds.Load().Suspect()/2
+	c.suspectUntil[addr] = c.clock.Now() + c.bounds.Load().SuspectTimeout()/2
 }
 
 // isSuspect reports whether a store is to be asked last.
--- a/internal/ledger/finish.go
+++ b/internal/ledger/finish.go
@@ -36,7 +36,7 @@
 // to the caller before Finish has returned without error.
 func (c *Client) Finish(ctx *base.Ctx, params *FinishParams) error {
 	claim := &Assignment{Session: params.Session, Owner: params.Owner, Run: params.Run, Epoch: params.Epoch, Confirmed: true}
-	for !ctx.Over() {
+	for !ctx.Expired() {
 		set, replicas, quorum := c.replicas(params.Program)
 		if set == nil {
 			c.backOff(ctx)
@@ -60,13 +60,13 @@
 			c.backOff(ctx)
 		}
 	}
-	return base.Unsure(503, "outcome_unknown", "too few storage machines answered to confirm the end of turn %q", params.Turn)
+	return base.Indeterminate(503, "outcome_unknown", "too few storage machines answered to confirm the end of turn %q", params.Turn)
 }
 
 // Settle replaces the reservation of a turn that was not answered completely by
 // the tokens that it used: 0 if it certainly delivered none.
 func (c *Client) Settle(ctx *base.Ctx, params *SettleParams) error {
-	for !ctx.Over() {
+	for !ctx.Expired() {
 		set, replicas, quorum := c.replicas(params.Program)
 		if set == nil {
 			c.backOff(ctx)
@@ -83,5 +83,5 @@
 			c.backOff(ctx)
 		}
 	}
-	return base.Unsure(503, "outcome_unknown", "too few storage machines answered to settle turn %q", params.Turn)
+	return base.Indeterminate(503, "outcome_unknown", "too few storage machines answered to settle turn %q", params.Turn)
 }
--- a/internal/ledger/gaps.go
+++ b/internal/ledger/gaps.go
@@ -16,7 +16,7 @@
 	for _, entry := range set.GetDisks() {
 		reasons[entry.Id] = "does not report its turn history"
 	}
-	base.AskAll(c.clock, set.GetDisks(), ctx.Left(), func(ctx *base.Ctx, entry *register.DiskEntry) {
+	base.CallAll(c.clock, set.GetDisks(), ctx.Remaining(), func(ctx *base.Ctx, entry *register.DiskEntry) {
 		reason := c.gapReason(ctx, set, entry)
 		mu.Lock()
 		defer mu.Unlock()
@@ -57,7 +57,7 @@
 // AllComplete reports whether every store of the newest set is complete.
 func (c *Client) AllComplete(ctx *base.Ctx) bool {
 	set := c.newestSet()
-	return set != nil && len(c.Gaps(ctx.Within(c.bounds.Load().DiskLimit()), set)) == 0
+	return set != nil && len(c.Gaps(ctx.WithTimeout(c.bounds.Load().DiskTimeout()), set)) == 0
 }
 
 // IsEmptied reports whether a disk is out of the newest set and no longer needed,
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -41,7 +41,7 @@
 	t              *testing.T
 	world          *simulate.World
 	net            *simulate.Net
-	bounds         *base.Table[base.Bounds]
+	bounds         *base.AtomicPointer[base.Bounds]
 	faultTolerance int
 	machines       []*machine
 	set            *register.DiskSet
@@ -53,9 +53,9 @@
 // runFleet builds a fleet and runs a test as a task on a host of its own.
 func runFleet(t *testing.T, seed uint64, storeCount, faultTolerance int, test func(f *fleet)) {
 	t.Helper()
-	f := &fleet{is: is.New(t), t: t, world: simulate.NewWorld(seed), faultTolerance: faultTolerance, bounds: &base.Table[base.Bounds]{}}
+	f := &fleet{is: is.New(t), t: t, world: simulate.NewWorld(seed), faultTolerance: faultTolerance, bounds: &base.AtomicPointer[base.Bounds]{}}
 	f.net = simulate.NewNet(f.world)
-	f.bounds.Swap(base.DefaultBounds())
+	f.bounds.Store(base.DefaultBounds())
 	f.testHost = f.world.NewHost("test", "zone-0")
 	f.set = &register.DiskSet{Stamp: 1, Cluster: "c"}
 	for i := 0; i < storeCount; i++ {
@@ -92,7 +92,7 @@
 		report += fmt.Sprintf("\n%s %s up %v", m.host.Name, m.diskID, m.running)
 		if m.store != nil {
 			state, _ := m.store.Describe(context.Background(), nil)
-			report += fmt.Sprintf(" %v %v", state, m.counters.Frame())
+			report += fmt.Sprintf(" %v %v", state, m.counters.Snapshot())
 		}
 	}
 	return report
@@ -119,7 +119,7 @@
 		server := ledger.NewLedgerServer(opened)
 		mux := http.NewServeMux()
 		mux.Handle(server.PathPrefix(), server)
-		m.host.Serve(base.Receive(m.host.Clock(), mux))
+		m.host.Serve(base.HandleMessages(m.host.Clock(), mux))
 		opened.Run()
 	})
 }
--- a/internal/ledger/pull.go
+++ b/internal/ledger/pull.go
@@ -136,15 +136,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.diskID == "" || s.completeStamp < s.currentSet().GetStamp() {
-		return s.bounds.Load().Beat() / 4
+		return s.bounds.Load().HeartbeatInterval() / 4
 	}
-	return s.bounds.Load().Suspect()
+	return s.bounds.Load().SuspectTimeout()
 }
 
 // pull pulls everything from another store and then checks whether this one is
 // complete.
 func (s *Store) pull(set *register.DiskSet, entry *register.DiskEntry) {
-	state, err := s.pullPrograms(base.NewCtx(s.clock, s.bounds.Load().Recover), set, entry)
+	state, err := s.pullPrograms(base.NewCtx(s.clock, s.bounds.Load().Recovery), set, entry)
 	if err != nil {
 		s.counters.Add("ledger_pulls_failed", 1)
 		s.clock.Sleep(s.retryInterval())
@@ -163,9 +163,9 @@
 		s.completeStamp, s.damaged = set.Stamp, false
 		s.appendMarks()
 		s.counters.Add("ledger_whole", 1)
-		s.commitBell.Ring()
+		s.commitBell.Notify()
 	}
-	s.setBell.Ring()
+	s.setBell.Notify()
 }
 
 // knownSets returns all sets that this store or the peers it has pulled from know,
@@ -195,7 +195,7 @@
 	for _, known := range s.knownSets() {
 		for _, entry := range known.Disks {
 			state := s.peers[entry.Id]
-			retry := state != nil && s.completeStamp < set.Stamp && state.completeStamp < set.Stamp && s.clock.Now()-state.pulledAt > s.bounds.Load().Beat()/2
+			retry := state != nil && s.completeStamp < set.Stamp && state.completeStamp < set.Stamp && s.clock.Now()-state.pulledAt > s.bounds.Load().HeartbeatInterval()/2
 			if entry.Id != s.diskID && (state == nil || retry) && s.pulling[entry.Id] != set.Stamp {
 				peers[entry.Id] = entry
 			}
@@ -271,7 +271,7 @@
 	state := &peerState{empty: true}
 	inFlight := []turnKey{}
 	for after := uint64(0); ; {
-		reply, err := s.peerClient(entry).Offer(ctx.Within(s.bounds.Load().DiskLimit()), &OfferRequest{Target: &Target{Disk: entry.Id, Stamp: set.Stamp}, Set: set, Disk: s.diskID, After: after})
+		reply, err := s.peerClient(entry).Offer(ctx.WithTimeout(s.bounds.Load().DiskTimeout()), &OfferRequest{Target: &Target{Disk: entry.Id, Stamp: set.Stamp}, Set: set, Disk: s.diskID, After: after})
 		if err != nil {
 			return nil, err
 		}
@@ -338,7 +338,7 @@
 	}()
 	for len(wantedPrograms) > 0 {
 		count := min(len(wantedPrograms), maxFetchPrograms)
-		reply, err := s.peerClient(entry).Fetch(ctx.Within(s.bounds.Load().DiskLimit()), &FetchRequest{Target: &Target{Disk: entry.Id}, Programs: wantedPrograms[:count]})
+		reply, err := s.peerClient(entry).Fetch(ctx.WithTimeout(s.bounds.Load().DiskTimeout()), &FetchRequest{Target: &Target{Disk: entry.Id}, Programs: wantedPrograms[:count]})
 		if err != nil {
 			return err
 		}
@@ -374,7 +374,7 @@
 func (s *Store) unlockAndThrottle() error {
 	if len(s.nextBatch.payload) < maxQueuedBytes/4 {
 		s.mu.Unlock()
-		s.commitBell.Ring()
+		s.commitBell.Notify()
 		return nil
 	}
 	if ack := s.unlockAndSync(&Ack{}); ack.Why != "" {
@@ -399,7 +399,7 @@
 // arrived, and fetches those that were not obtained there.
 func (s *Store) awaitFetches(ctx *base.Ctx, entry *register.DiskEntry, pending []turnKey) error {
 	for len(pending) > 0 {
-		if ctx.Over() {
+		if ctx.Expired() {
 			return base.Busy(503, "pull_late", 1, "%d turns are still being fetched from other stores", len(pending))
 		}
 		waiting, offers := []turnKey{}, []*Offered{}
@@ -422,7 +422,7 @@
 			return err
 		}
 		if len(pending) > 0 {
-			s.clock.Sleep(s.bounds.Load().Hedge() / 8)
+			s.clock.Sleep(s.bounds.Load().DiskHedgeDelay() / 8)
 		}
 	}
 	return nil
@@ -434,7 +434,7 @@
 func (s *Store) findMissingLoop() {
 	for !s.isClosed() {
 		s.mu.Lock()
-		pause := choose(len(s.missing) > 0, 2*s.bounds.Load().Beat(), s.bounds.Load().Suspect())
+		pause := choose(len(s.missing) > 0, 2*s.bounds.Load().HeartbeatInterval(), s.bounds.Load().SuspectTimeout())
 		s.mu.Unlock()
 		s.clock.Sleep(pause)
 		s.mu.Lock()
@@ -480,7 +480,7 @@
 			if entry.Id == s.diskID {
 				continue
 			}
-			reply, err := s.peerClient(entry).Chain(base.NewCtx(s.clock, s.bounds.Load().DiskLimit()), &ChainRequest{Target: &Target{Disk: entry.Id, Stamp: set.Stamp}, Turn: key.turn})
+			reply, err := s.peerClient(entry).Chain(base.NewCtx(s.clock, s.bounds.Load().DiskTimeout()), &ChainRequest{Target: &Target{Disk: entry.Id, Stamp: set.Stamp}, Turn: key.turn})
 			if err != nil || reply.Ack.GetWhy() != "" {
 				continue
 			}
@@ -498,11 +498,11 @@
 	case s.programs[key.program] == nil || len(chain) == 0 && confirmedAbsent == len(set.GetDisks()):
 		delete(s.missing, key)
 	case len(chain) == 0:
-		wanted.retryAt = s.clock.Now() + s.bounds.Load().Suspect()
+		wanted.retryAt = s.clock.Now() + s.bounds.Load().SuspectTimeout()
 		s.missing[key] = wanted
 	default:
 		s.mergePulled(&Record{Program: key.program, Turns: chain})
-		s.commitBell.Ring()
+		s.commitBell.Notify()
 		s.counters.Add("ledger_turns_copied", int64(len(chain)))
 	}
 }
--- a/internal/ledger/quorum_call.go
+++ b/internal/ledger/quorum_call.go
@@ -34,14 +34,14 @@
 // with a newer set.
 func callQuorum[R interface{ GetAck() *Ack }](c *Client, ctx *base.Ctx, call quorumCall[R]) (responses []storeResponse[R], setChanged bool) {
 	var mu sync.Mutex
-	bell := base.NewBell(c.clock)
+	bell := base.NewNotifier(c.clock)
 	set, stores, asked := call.set, call.stores, 0
 	received := []storeResponse[R]{}
 	outstanding := map[string]bool{}
 	ask := func(entry *register.DiskEntry) {
 		response := storeResponse[R]{entry: entry}
 		for tries := 0; tries < 2; tries++ {
-			reply, err := call.send(ctx.Within(c.bounds.Load().DiskLimit()), c.storeClient(entry), &Target{Disk: entry.Id, Stamp: set.Stamp})
+			reply, err := call.send(ctx.WithTimeout(c.bounds.Load().DiskTimeout()), c.storeClient(entry), &Target{Disk: entry.Id, Stamp: set.Stamp})
 			if err != nil {
 				c.counters.Add("ledger_unreached", 1)
 				c.markSuspect(entry.Addr)
@@ -51,7 +51,7 @@
 			if response.ack.GetWhy() != "behind" {
 				break
 			}
-			if _, err := c.storeClient(entry).Learn(ctx.Within(c.bounds.Load().DiskLimit()), &LearnRequest{Set: set}); err != nil {
+			if _, err := c.storeClient(entry).Learn(ctx.WithTimeout(c.bounds.Load().DiskTimeout()), &LearnRequest{Set: set}); err != nil {
 				break
 			}
 		}
@@ -65,9 +65,9 @@
 		received = append(received, response)
 		delete(outstanding, entry.Addr)
 		mu.Unlock()
-		bell.Ring()
+		bell.Notify()
 	}
-	hedge := c.bounds.Load().Hedge()
+	hedge := c.bounds.Load().DiskHedgeDelay()
 	hedgeAt := c.clock.Now() + hedge
 	for {
 		ring := bell.Next()
@@ -80,7 +80,7 @@
 				accepted++
 			}
 		}
-		if setChanged || accepted >= call.required || responded == len(stores) || call.decided != nil && call.decided(responses) || ctx.Over() {
+		if setChanged || accepted >= call.required || responded == len(stores) || call.decided != nil && call.decided(responses) || ctx.Expired() {
 			mu.Unlock()
 			return responses, setChanged
 		}
@@ -106,7 +106,7 @@
 		for _, entry := range targets {
 			c.clock.Go(func() { ask(entry) })
 		}
-		wait := ctx.Left()
+		wait := ctx.Remaining()
 		if asked < len(stores) {
 			wait = min(wait, max(hedgeAt-c.clock.Now(), hedge/16))
 		}
--- a/internal/ledger/refusal_test.go
+++ b/internal/ledger/refusal_test.go
@@ -14,7 +14,7 @@
 // it.
 func TestUnconfirmableRequestIsRefusedEarly(t *testing.T) {
 	const deadline = 30 * time.Second
-	diskLimit := base.DefaultBounds().DiskLimit()
+	diskLimit := base.DefaultBounds().DiskTimeout()
 	cases := map[string]struct {
 		lose  func(f *fleet)
 		limit time.Duration
@@ -61,10 +61,10 @@
 					err := requests[name](base.NewCtx(f.testHost.Clock(), deadline))
 					took := f.now() - began
 					t.Logf("%s: refused after %v: %v", name, took, err)
-					var verdict *base.Verdict
+					var verdict *base.RequestError
 					f.is.True(errors.As(err, &verdict))
 					f.is.Equal(verdict.Status, 503)
-					f.is.Equal(verdict.Ran, base.NotRun)
+					f.is.Equal(verdict.Execution, base.NotRun)
 					f.is.True(verdict.RetryAfter > 0)
 					f.is.True(took <= tc.limit+50*time.Millisecond)
 				}
--- a/internal/ledger/retention_test.go
+++ b/internal/ledger/retention_test.go
@@ -141,7 +141,7 @@
 			f.is.True(f.waitComplete(c))
 			f.restart(m)
 			f.is.True(f.waitComplete(c)) // the damaged segment was rewritten
-			f.is.Equal(m.counters.Frame()["ledger_damaged"], int64(0))
+			f.is.Equal(m.counters.Snapshot()["ledger_damaged"], int64(0))
 			f.wipe(f.machines[(seed+1)%4])
 			for _, s := range sessions {
 				s.checkChain(c, s.program)
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -11,7 +11,7 @@
 // nothing.
 func (s *Store) Begin(_ context.Context, request *BeginRequest) (*BeginReply, error) {
 	if request.Claim.GetRun() == "" || request.Claim.Epoch == 0 || request.Program == "" {
-		return nil, base.ToWire(base.DeclineField("claim", "a claim must name a program, a run and an epoch"))
+		return nil, base.ToTwirpError(base.DeclineField("claim", "a claim must name a program, a run and an epoch"))
 	}
 	s.mu.Lock()
 	ack := s.checkTarget(request.Target)
@@ -84,7 +84,7 @@
 // session has been taken over from its Run.
 func (s *Store) Finish(_ context.Context, request *FinishRequest) (*WriteReply, error) {
 	if request.Claim.GetRun() == "" || request.Claim.Epoch == 0 || request.Program == "" || request.Turn == "" {
-		return nil, base.ToWire(base.DeclineField("claim", "a turn must name its program, run and epoch"))
+		return nil, base.ToTwirpError(base.DeclineField("claim", "a turn must name its program, run and epoch"))
 	}
 	s.mu.Lock()
 	ack := s.checkTarget(request.Target)
--- a/internal/ledger/set_change_test.go
+++ b/internal/ledger/set_change_test.go
@@ -75,7 +75,7 @@
 				byID[m.diskID] = m
 			}
 			program := fmt.Sprintf("p%d", seed)
-			order := base.Rendezvous(program, base.SortedKeys(byID))
+			order := base.RendezvousOrder(program, base.SortedKeys(byID))
 			a, b, c, d := byID[order[0]], byID[order[1]], byID[order[2]], byID[order[3]]
 			writer := f.world.NewHost("edge-former", a.host.Zone)
 			f.partition(writer, b.host)
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -305,7 +305,7 @@
 			key := turnKey{p.id, descendant.previous}
 			missing, ok := s.missing[key]
 			if !ok {
-				missing.retryAt = s.clock.Now() + s.bounds.Load().Beat()
+				missing.retryAt = s.clock.Now() + s.bounds.Load().HeartbeatInterval()
 			}
 			missing.retainUntil = max(missing.retainUntil, retainUntil)
 			s.missing[key] = missing
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -61,9 +61,9 @@
 // disk set that this disk knows.
 type StoreConfig struct {
 	Clock          base.Clock
-	Wire           base.Wire
+	Wire           base.HTTPClient
 	Files          disk.Files
-	Bounds         *base.Table[base.Bounds]
+	Bounds         *base.AtomicPointer[base.Bounds]
 	Counters       *base.Counters
 	FaultTolerance int
 	LocalDisk      func() (id string, set *register.DiskSet)
@@ -82,8 +82,8 @@
 // until the state that it is based on is synced.
 type Store struct {
 	clock          base.Clock
-	wire           base.Wire
-	bounds         *base.Table[base.Bounds]
+	wire           base.HTTPClient
+	bounds         *base.AtomicPointer[base.Bounds]
 	counters       *base.Counters
 	faultTolerance int
 	localDisk      func() (string, *register.DiskSet)
@@ -110,13 +110,13 @@
 	segments            map[uint64]*segmentContents
 	rewriteThrough      uint64 // segments up to this one must be rewritten
 	logBytes            int
-	nextBatch           *batch     // takes new records
-	writingBatch        *batch     // being written, or nil
-	commitBell          *base.Bell // wakes the committer
-	setBell             *base.Bell // wakes pullLoop
-	full                bool       // the disk had too little free space when last checked
-	bytesSinceFreeCheck int        // bytes written since free space was last checked
-	logErr              error      // the failure that ended the committer
+	nextBatch           *batch         // takes new records
+	writingBatch        *batch         // being written, or nil
+	commitBell          *base.Notifier // wakes the committer
+	setBell             *base.Notifier // wakes pullLoop
+	full                bool           // the disk had too little free space when last checked
+	bytesSinceFreeCheck int            // bytes written since free space was last checked
+	logErr              error          // the failure that ended the committer
 	closed              bool
 	committerDone       base.Signal
 }
@@ -126,7 +126,7 @@
 	s := &Store{clock: config.Clock, wire: config.Wire, bounds: config.Bounds, counters: config.Counters, faultTolerance: max(1, config.FaultTolerance),
 		localDisk: config.LocalDisk, files: config.Files, programs: map[string]*program{}, turns: map[string]*turn{}, missing: map[turnKey]missingTurn{},
 		byArrival: list.New(), openedAt: config.Clock.Now(), peers: map[string]*peerState{}, pulling: map[string]uint64{}, fetching: map[turnKey]bool{}, segments: map[uint64]*segmentContents{},
-		bytesSinceFreeCheck: minFreeBytes, commitBell: base.NewBell(config.Clock), setBell: base.NewBell(config.Clock), committerDone: config.Clock.NewSignal()}
+		bytesSinceFreeCheck: minFreeBytes, commitBell: base.NewNotifier(config.Clock), setBell: base.NewNotifier(config.Clock), committerDone: config.Clock.NewSignal()}
 	s.nextBatch = &batch{done: s.clock.NewSignal()}
 	log, damaged, err := disk.OpenSegments(config.Files, minSegmentBytes, s.replayBatch)
 	if err != nil {
@@ -203,9 +203,9 @@
 func (s *Store) retainUntil(keepMs int64) int64 {
 	bounds := s.bounds.Load()
 	if keepMs <= 0 {
-		keepMs = bounds.Retain.Milliseconds()
+		keepMs = bounds.Retention.Milliseconds()
 	}
-	return s.storeTime() + keepMs*5/4 + 2*bounds.Recover.Milliseconds()
+	return s.storeTime() + keepMs*5/4 + 2*bounds.Recovery.Milliseconds()
 }
 
 // currentSet returns the newest disk set that the store uses, or nil.
@@ -252,11 +252,11 @@
 func (s *Store) unlockAndSync(ack *Ack) *Ack {
 	pending := s.lastPending()
 	s.mu.Unlock()
-	s.commitBell.Ring()
+	s.commitBell.Notify()
 	if pending == nil {
 		return ack
 	}
-	if !pending.done.Wait(s.bounds.Load().DiskLimit()) {
+	if !pending.done.Wait(s.bounds.Load().DiskTimeout()) {
 		s.counters.Add("ledger_declined_stalled", 1)
 		return &Ack{Why: "stalled"}
 	}
@@ -344,7 +344,7 @@
 		if s.dropDeadSegment() {
 			continue
 		}
-		s.clock.Sleep(s.bounds.Load().DiskLimit() / 10)
+		s.clock.Sleep(s.bounds.Load().DiskTimeout() / 10)
 	}
 }
 
@@ -396,7 +396,7 @@
 		}
 	}
 	if len(segment.programs) > 0 || len(segment.turns) > 0 {
-		s.commitBell.Ring()
+		s.commitBell.Notify()
 		return false
 	}
 	s.appendMarks()
@@ -408,8 +408,8 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.commitBell.Ring()
-	s.setBell.Ring()
+	s.commitBell.Notify()
+	s.setBell.Notify()
 }
 
 func (s *Store) isClosed() bool {
@@ -431,7 +431,7 @@
 			s.completeStamp = 1 // nothing was written before the first set
 		}
 		s.appendMarks()
-		s.setBell.Ring()
+		s.setBell.Notify()
 		return
 	}
 	s.adoptSet(set)
@@ -448,7 +448,7 @@
 	}
 	s.peers = map[string]*peerState{}
 	s.appendMarks()
-	s.setBell.Ring()
+	s.setBell.Notify()
 	s.counters.Add("ledger_sets", 1)
 }
 
@@ -501,7 +501,7 @@
 }
 
 // NotifySetChange tells the store that its disk may know a newer set.
-func (s *Store) NotifySetChange() { s.setBell.Ring() }
+func (s *Store) NotifySetChange() { s.setBell.Notify() }
 
 // Run pulls what the store lacks and expires old data until the store is closed.
 func (s *Store) Run() {
@@ -513,7 +513,7 @@
 // expireLoop removes expired programs and turns until the store is closed.
 func (s *Store) expireLoop() {
 	for !s.isClosed() {
-		s.clock.Sleep(s.bounds.Load().Recover / 2)
+		s.clock.Sleep(s.bounds.Load().Recovery / 2)
 		s.mu.Lock()
 		programs, turns := s.expire(s.storeTime())
 		s.mu.Unlock()
--- a/internal/ledger/turn_bench_test.go
+++ b/internal/ledger/turn_bench_test.go
@@ -28,8 +28,8 @@
 			is := is.New(b)
 			files, err := disk.OpenFolder(b.TempDir(), 4<<30)
 			is.NoErr(err)
-			bounds := &base.Table[base.Bounds]{}
-			bounds.Swap(base.DefaultBounds())
+			bounds := &base.AtomicPointer[base.Bounds]{}
+			bounds.Store(base.DefaultBounds())
 			set := &register.DiskSet{Stamp: 1, Cluster: "c", Disks: []*register.DiskEntry{{Id: "d0", Addr: "a:1"}, {Id: "d1", Addr: "b:1"}, {Id: "d2", Addr: "c:1"}}}
 			store, err := ledger.OpenStore(ledger.StoreConfig{Clock: base.NewRealClock(), Files: files, Bounds: bounds, Counters: base.NewCounters(), FaultTolerance: 1,
 				LocalDisk: func() (string, *register.DiskSet) { return "d0", set }})
--- a/internal/line/execute.go
+++ b/internal/line/execute.go
@@ -21,7 +21,7 @@
 		op.stream.fail(base.Decline(404, "no_route", "no route matches this request"))
 		return false
 	}
-	if op.isCancelled() || ctx.Over() {
+	if op.isCancelled() || ctx.Expired() {
 		onClaim(nil)
 		op.stream.fail(base.Decline(408, "cancelled", "the turn was cancelled or timed out before it ran"))
 		return false
@@ -45,7 +45,7 @@
 	result, err := m.claim(s, op, replaces)
 	if err != nil {
 		onClaim(nil)
-		op.stream.fail(base.FromWire(err))
+		op.stream.fail(base.ToRequestError(err))
 		return false
 	}
 	if !result.Granted {
@@ -62,13 +62,13 @@
 		return true
 	}
 	onClaim(nil)
-	chainReady.Wait(max(0, ctx.Left()))
+	chainReady.Wait(max(0, ctx.Remaining()))
 	if chainErr == nil && !chainReady.Fired() {
 		chainErr = m.retrySoon("history_late", "the conversation's history could not be loaded in time")
 	}
 	if chainErr != nil {
 		m.settle(s, op, 0)
-		op.stream.fail(base.FromWire(chainErr))
+		op.stream.fail(base.ToRequestError(chainErr))
 		return false
 	}
 	m.sendToWorker(s, op, matched, chain)
@@ -152,7 +152,7 @@
 	m.pendingSettlements.Add(1)
 	m.Clock.Go(func() {
 		defer m.pendingSettlements.Add(-1)
-		recoverBound := m.Bounds.Load().Recover
+		recoverBound := m.Bounds.Load().Recovery
 		for end := m.Clock.Now() + recoverBound; m.Clock.Now() < end; m.Clock.Sleep(recoverBound / 48) {
 			if m.Ledger.Settle(base.NewCtx(m.Clock, recoverBound/6), settlement) == nil {
 				return
@@ -173,7 +173,7 @@
 	service := matched.PickService(m.servicePicker(matched, call))
 	reply, err := m.Workers.Send(ctx, matched, service, call, body)
 	if err != nil {
-		verdict := base.FromWire(err)
+		verdict := base.ToRequestError(err)
 		delivered := int64(0)
 		op.state = session.OpFailed
 		m.settle(s, op, delivered)
@@ -184,7 +184,7 @@
 	if !op.setReply(reply) {
 		m.settle(s, op, 0)
 		op.state = session.OpCancelled
-		op.stream.fail(base.Unsure(502, "cancelled", "the turn was cancelled"))
+		op.stream.fail(base.Indeterminate(502, "cancelled", "the turn was cancelled"))
 		return
 	}
 	if !reply.IsStream() {
@@ -202,7 +202,7 @@
 		m.settle(s, op, events*stride)
 		op.state = session.OpFailed
 		m.Counters.Add("turns_cut", 1)
-		op.stream.fail(base.Unsure(502, "cut", "the worker's answer ended before it was complete"))
+		op.stream.fail(base.Indeterminate(502, "cut", "the worker's answer ended before it was complete"))
 		return
 	}
 	if !matched.RetainTurns {
@@ -245,7 +245,7 @@
 func (m *Manager) relayEvents(op *operation, reply Reply) (output []byte, events int64, complete bool) {
 	op.stream.setHead(&Head{Status: reply.Status(), Headers: reply.Headers()})
 	for {
-		event, err := reply.Event(op.ctx.Left())
+		event, err := reply.Event(op.ctx.Remaining())
 		if err != nil {
 			return output, events, isEOF(err) && !op.isCancelled()
 		}
@@ -264,18 +264,18 @@
 	m.Clock.Go(func() {
 		reply, err := m.Workers.Send(ctx, matched, matched.PickService(m.Clock.Int64N), call, call.Body)
 		if err != nil {
-			op.stream.fail(base.FromWire(err))
+			op.stream.fail(base.ToRequestError(err))
 			return
 		}
 		defer reply.Close()
 		switch {
 		case !op.setReply(reply):
-			op.stream.fail(base.Unsure(502, "cancelled", "the call was cancelled"))
+			op.stream.fail(base.Indeterminate(502, "cancelled", "the call was cancelled"))
 		case !reply.IsStream():
 			m.relayPlain(op, reply)
 		default:
 			if _, _, complete := m.relayEvents(op, reply); !complete {
-				op.stream.fail(base.Unsure(502, "cut", "the worker's answer ended before it was complete"))
+				op.stream.fail(base.Indeterminate(502, "cut", "the worker's answer ended before it was complete"))
 				return
 			}
 			op.stream.finish()
@@ -292,12 +292,12 @@
 	s.mu.Unlock()
 	turn := CompletedTurn{Turn: call.ID, Previous: call.PreviousTurn, Input: call.Body, Output: output}
 	completion := &Completion{Program: call.Program, Session: call.Session, Run: assignment.Run, Owner: assignment.Owner, Epoch: assignment.Epoch, CompletedTurn: turn, Budgeted: call.HasTokenBudget, Tokens: tokens, Retain: matched.Retention}
-	ctx := base.NewCtx(m.Clock, m.commitTimeout(op.ctx.Left()))
+	ctx := base.NewCtx(m.Clock, m.commitTimeout(op.ctx.Remaining()))
 	if err := m.Ledger.Finish(ctx, completion); err != nil {
 		m.Counters.Add("turns_not_kept", 1)
 		m.settle(s, op, tokens)
 		op.state = session.OpFailed
-		op.stream.fail(base.FromWire(err))
+		op.stream.fail(base.ToRequestError(err))
 		return
 	}
 	m.history.add(turn, matched.Retention)
@@ -306,9 +306,9 @@
 
 // relayPlain passes on a response that is not a stream.
 func (m *Manager) relayPlain(op *operation, reply Reply) {
-	body, err := reply.Body(op.ctx.Left())
+	body, err := reply.Body(op.ctx.Remaining())
 	if err != nil {
-		op.stream.fail(base.Unsure(502, "worker_cut", "the worker's answer ended before it was complete"))
+		op.stream.fail(base.Indeterminate(502, "worker_cut", "the worker's answer ended before it was complete"))
 		return
 	}
 	op.stream.setHead(&Head{Status: reply.Status(), Headers: reply.Headers()})
--- a/internal/line/forward.go
+++ b/internal/line/forward.go
@@ -18,10 +18,10 @@
 	}
 	m.Counters.Add("turns_forwarded", 1)
 	owner := NewOwnerProtobufClient("http://"+member.Addr, m.Wire)
-	wait := m.Bounds.Load().Recover / 24
-	reply, err := owner.Forward(ctx.Within(wait*5/2), &ForwardRequest{From: m.nodeID(), Forwarded: true, Assignment: assignment, Call: callToProto(call, ctx)})
+	wait := m.Bounds.Load().Recovery / 24
+	reply, err := owner.Forward(ctx.WithTimeout(wait*5/2), &ForwardRequest{From: m.nodeID(), Forwarded: true, Assignment: assignment, Call: callToProto(call, ctx)})
 	if err != nil {
-		verdict := base.FromWire(err)
+		verdict := base.ToRequestError(err)
 		if verdict.Code == "unreachable" || verdict.Code == "owner_lost" || verdict.Code == "reply_lost" {
 			m.View.Suspect(assignment.Owner)
 		}
@@ -43,13 +43,13 @@
 			position += uint64(len(reply.Pieces))
 			switch {
 			case reply.Cut:
-				stream.fail(base.Unsure(502, "cut", "the answer ended before it was complete"))
+				stream.fail(base.Indeterminate(502, "cut", "the answer ended before it was complete"))
 				return
 			case reply.Done:
 				stream.finish()
 				return
-			case ctx.Over() || stream.isAbandoned():
-				stream.fail(base.Unsure(504, "timed_out", "no answer arrived in time"))
+			case ctx.Expired() || stream.isAbandoned():
+				stream.fail(base.Indeterminate(504, "timed_out", "no answer arrived in time"))
 				return
 			}
 			if reply, err = pull(false, position, 3*wait); err != nil {
@@ -64,50 +64,50 @@
 // Forward accepts a turn that another gateway forwarded to this node as the session's
 // owner. It never forwards the turn again.
 func (m *Manager) Forward(rawCtx context.Context, request *ForwardRequest) (*PullReply, error) {
-	replyCtx := base.CtxOf(rawCtx, m.Clock)
+	replyCtx := base.CtxFromContext(rawCtx, m.Clock)
 	call := callFromProto(request.GetCall())
 	if !request.Forwarded || call.Session == "" || request.Assignment == nil {
-		return nil, base.ToWire(base.Decline(400, "bad_request", "not a valid forwarded turn"))
+		return nil, base.ToTwirpError(base.Decline(400, "bad_request", "not a valid forwarded turn"))
 	}
 	if request.Assignment.Owner != m.nodeID() {
-		return nil, base.ToWire(base.Busy(503, "owner_lost", 1, "the owner was an earlier process at this address"))
+		return nil, base.ToTwirpError(base.Busy(503, "owner_lost", 1, "the owner was an earlier process at this address"))
 	}
 	m.mu.Lock()
 	s := m.owned[sessionKey(call)]
 	m.mu.Unlock()
 	if s == nil {
-		return nil, base.ToWire(base.Decline(409, "stale_assignment", "this node no longer owns the session"))
+		return nil, base.ToTwirpError(base.Decline(409, "stale_assignment", "this node no longer owns the session"))
 	}
 	s.mu.Lock()
 	sameRun, closing := s.assignment != nil && s.assignment.Run == request.Assignment.Run && s.assignment.Epoch == request.Assignment.Epoch, s.phase == session.Finalizing
 	s.mu.Unlock()
 	switch {
 	case !sameRun:
-		return nil, base.ToWire(base.Decline(409, "stale_assignment", "the session is assigned to another Run"))
+		return nil, base.ToTwirpError(base.Decline(409, "stale_assignment", "the session is assigned to another Run"))
 	case closing:
-		return nil, base.ToWire(base.Busy(503, "handing_over", 1, "the session is closing on this node"))
+		return nil, base.ToTwirpError(base.Busy(503, "handing_over", 1, "the session is closing on this node"))
 	}
 	if existing := m.forwardedStream(call); existing != nil { // a duplicate of the message
-		return m.pullReply(replyCtx, existing, 0, m.Bounds.Load().Recover/24)
+		return m.pullReply(replyCtx, existing, 0, m.Bounds.Load().Recovery/24)
 	}
 	ctx := base.NewCtx(m.Clock, call.Deadline)
 	stream, _, err := m.accept(ctx, call, s, nil, true)
 	if err != nil {
-		return nil, base.ToWire(err)
+		return nil, base.ToTwirpError(err)
 	}
 	m.mu.Lock()
 	m.keepForwarded(call, stream)
 	m.mu.Unlock()
-	return m.pullReply(replyCtx, stream, 0, m.Bounds.Load().Recover/24)
+	return m.pullReply(replyCtx, stream, 0, m.Bounds.Load().Recovery/24)
 }
 
 // pullError returns the verdict for a failed pull. That the pull was not sent proves
 // nothing about the turn, which the owner already has, so the turn may have run. A
 // verdict that the owner itself sent is passed on.
-func pullError(err error) *base.Verdict {
-	verdict := base.FromWire(err)
+func pullError(err error) *base.RequestError {
+	verdict := base.ToRequestError(err)
 	if base.WasNotSent(err) {
-		return base.Unsure(502, "owner_lost", "the session's owner was lost: %s", verdict.Message)
+		return base.Indeterminate(502, "owner_lost", "the session's owner was lost: %s", verdict.Message)
 	}
 	return verdict
 }
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -165,7 +165,7 @@
 		return nil, &base.NotSent{Cause: io.ErrClosedPipe}
 	}
 	if ctx, ok := request.Context().Value(base.CtxKey).(*base.Ctx); ok {
-		base.StampRequest(request, ctx.Left())
+		base.SetMessageHeaders(request, ctx.Remaining())
 	}
 	recorder := httptest.NewRecorder()
 	node.ServeHTTP(recorder, request)
@@ -179,14 +179,14 @@
 	wire     *fakeWire
 	ledger   *fakeLedger
 	workers  *fakeWorkers
-	bounds   *base.Table[base.Bounds]
+	bounds   *base.AtomicPointer[base.Bounds]
 	managers map[string]*Manager
 }
 
 func newTestCluster(t *testing.T) *testCluster {
 	c := &testCluster{is: is.New(t), clock: base.NewRealClock(), wire: &fakeWire{nodes: map[string]http.Handler{}}, ledger: newFakeLedger(), workers: newFakeWorkers(),
-		bounds: &base.Table[base.Bounds]{}, managers: map[string]*Manager{}}
-	c.bounds.Swap(base.DefaultBounds())
+		bounds: &base.AtomicPointer[base.Bounds]{}, managers: map[string]*Manager{}}
+	c.bounds.Store(base.DefaultBounds())
 	return c
 }
 
@@ -197,15 +197,15 @@
 		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Kind: route.KindStream, Timeout: 10 * time.Second, RetainTurns: true, Retention: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}},
 			{Name: "loose", Host: "h", Prefix: "/loose/", Kind: route.KindStream, Timeout: 10 * time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}}}}
 	c.is.NoErr(table.BuildIndex())
-	routes := &base.Table[route.Table]{}
-	routes.Swap(table)
+	routes := &base.AtomicPointer[route.Table]{}
+	routes.Store(table)
 	m := NewManager(Dependencies{Clock: c.clock, Wire: c.wire, View: view, Bounds: c.bounds, Counters: counters, Routes: routes, Ledger: c.ledger, Workers: c.workers})
 	mux := http.NewServeMux()
 	member := membership.NewMembershipServer(view)
 	mux.Handle(member.PathPrefix(), member)
 	owner := NewOwnerServer(m)
 	mux.Handle(owner.PathPrefix(), owner)
-	c.wire.nodes[name] = base.Receive(c.clock, mux)
+	c.wire.nodes[name] = base.HandleMessages(c.clock, mux)
 	c.managers[name] = m
 	return m
 }
@@ -263,7 +263,7 @@
 func TestUnknownPreviousTurnIsDeclinedWithoutRunning(t *testing.T) {
 	c := newTestCluster(t)
 	_, err := c.submitAndRead(c.addNode("a"), c.call("s1", "t1", "never"))
-	c.is.Equal(base.FromWire(err).Status, 404)
+	c.is.Equal(base.ToRequestError(err).Status, 404)
 	c.is.Equal(len(c.workers.started), 0)
 }
 
@@ -271,8 +271,8 @@
 	c := newTestCluster(t)
 	c.ledger.beginErr = base.Decline(402, "over_budget", "spent")
 	_, err := c.submitAndRead(c.addNode("a"), c.call("s1", "t1", ""))
-	c.is.Equal(base.FromWire(err).Status, 402)
-	c.is.Equal(base.FromWire(err).Ran, base.NotRun)
+	c.is.Equal(base.ToRequestError(err).Status, 402)
+	c.is.Equal(base.ToRequestError(err).Execution, base.NotRun)
 	c.is.Equal(len(c.workers.started), 0)
 }
 
@@ -320,7 +320,7 @@
 		streams = append(streams, stream)
 	}
 	_, err = m.SubmitTurn(ctx, c.call("s1", "over", "p"))
-	c.is.Equal(base.FromWire(err).Code, "queue_full")
+	c.is.Equal(base.ToRequestError(err).Code, "queue_full")
 	c.is.Equal(m.List(10)[0].Waiting, maxQueuedTurns) // a read does not wait in the queue
 	c.is.Equal(len(c.workers.started), 1)
 	close(c.workers.gates["t0"])
@@ -478,7 +478,7 @@
 	c.is.NoErr(err)
 	c.is.Equal(got, "data: xt2\n\ndata: yt2\n\n")
 	c.is.Equal(c.ledger.sessions["ps1"].Owner, a.nodeID()) // the owner is unchanged
-	c.is.Equal(b.Counters.Frame()["turns_forwarded"], int64(1))
+	c.is.Equal(b.Counters.Snapshot()["turns_forwarded"], int64(1))
 	owner := NewOwnerProtobufClient("http://a:1", c.wire)
 	for _, bad := range []*ForwardRequest{
 		{From: "x", Assignment: c.ledger.sessions["ps1"], Call: &Call{Session: "s1"}},                                                              // no marker
@@ -521,10 +521,10 @@
 func TestOnlyTheOwnersReplyProvesThatATurnHasNotRun(t *testing.T) {
 	is := is.New(t)
 	lost := pullError(&base.NotSent{Cause: io.EOF})
-	is.Equal(lost.Ran, base.MayHaveRun)
+	is.Equal(lost.Execution, base.MayHaveRun)
 	is.Equal(lost.Status, 502)
-	declined := pullError(base.ToWire(base.BusyFor(503, "workers_full", time.Second, "no worker has room")))
-	is.Equal(declined.Ran, base.NotRun)
+	declined := pullError(base.ToTwirpError(base.BusyFor(503, "workers_full", time.Second, "no worker has room")))
+	is.Equal(declined.Execution, base.NotRun)
 	is.Equal(declined.RetryAfterMs, int64(1000))
 }
 
@@ -539,7 +539,7 @@
 	c.is.NoErr(err)
 	a.Drain(time.Second)
 	_, err = a.SubmitTurn(base.NewCtx(c.clock, time.Second), c.call("s1", "t2", "t1"))
-	c.is.Equal(base.FromWire(err).Ran, base.NotRun)
+	c.is.Equal(base.ToRequestError(err).Execution, base.NotRun)
 	_, err = c.submitAndRead(b, c.call("s1", "t3", "t1")) // a is draining, so b takes over
 	c.is.NoErr(err)
 	c.is.Equal(c.ledger.sessions["ps1"].Owner, b.nodeID())
--- a/internal/line/manager.go
+++ b/internal/line/manager.go
@@ -30,11 +30,11 @@
 // Dependencies are the services that a Manager uses.
 type Dependencies struct {
 	Clock    base.Clock
-	Wire     base.Wire
+	Wire     base.HTTPClient
 	View     *membership.View
-	Bounds   *base.Table[base.Bounds]
+	Bounds   *base.AtomicPointer[base.Bounds]
 	Counters *base.Counters
-	Routes   *base.Table[route.Table]
+	Routes   *base.AtomicPointer[route.Table]
 	Ledger   Ledger
 	Workers  Workers
 }
@@ -155,7 +155,7 @@
 			if err == nil {
 				return stream, nil
 			}
-			verdict := base.FromWire(err)
+			verdict := base.ToRequestError(err)
 			switch verdict.Code {
 			case "stale_assignment", "unreachable", "owner_lost", "handing_over":
 				if attempts > 2 {
@@ -181,13 +181,13 @@
 }
 
 // retrySoon declines what is expected to be possible again shortly, on this node too.
-func (m *Manager) retrySoon(code, format string, args ...any) *base.Verdict {
-	return base.BusyFor(503, code, m.Bounds.Load().Recover/60, format, args...)
+func (m *Manager) retrySoon(code, format string, args ...any) *base.RequestError {
+	return base.BusyFor(503, code, m.Bounds.Load().Recovery/60, format, args...)
 }
 
 // retryElsewhere declines what another node can accept at once.
-func (m *Manager) retryElsewhere(code, format string, args ...any) *base.Verdict {
-	return base.BusyFor(503, code, m.Bounds.Load().Recover/48, format, args...)
+func (m *Manager) retryElsewhere(code, format string, args ...any) *base.RequestError {
+	return base.BusyFor(503, code, m.Bounds.Load().Recovery/48, format, args...)
 }
 
 // forgetAssignment drops a cached assignment, so that the next turn looks it up.
@@ -312,6 +312,6 @@
 // is complete. It is a little even when no time remains, but at most the time that a
 // client may be kept waiting past its deadline without a penalty.
 func (m *Manager) commitTimeout(remaining time.Duration) time.Duration {
-	recoverBound := m.Bounds.Load().Recover
+	recoverBound := m.Bounds.Load().Recovery
 	return min(max(remaining, recoverBound/60), recoverBound/4)
 }
--- a/internal/line/pull.go
+++ b/internal/line/pull.go
@@ -13,7 +13,7 @@
 
 // callToProto encodes a call for another gateway, with the time left as its deadline.
 func callToProto(call *relay.Call, ctx *base.Ctx) *Call {
-	msg := &Call{Id: call.ID, Host: call.Host, Method: call.Method, Target: call.Target, Body: call.Body, DeadlineMs: ctx.Left().Milliseconds(),
+	msg := &Call{Id: call.ID, Host: call.Host, Method: call.Method, Target: call.Target, Body: call.Body, DeadlineMs: ctx.Remaining().Milliseconds(),
 		Model: call.Model, Prompt: int64(call.PromptTokens), Most: int64(call.MaxOutputTokens), Program: call.Program, Session: call.Session,
 		FinishMs: call.Finish.Milliseconds(), Budget: call.TokenBudget, HasBudget: call.HasTokenBudget, Previous: call.PreviousTurn, Headers: headersToProto(call.Headers)}
 	for _, part := range call.PromptParts {
@@ -52,7 +52,7 @@
 	key := forwardedStreamKey(call)
 	m.forwardedStreams[key] = stream
 	m.Clock.Go(func() {
-		m.Clock.Sleep(call.Deadline + m.Bounds.Load().Recover/4)
+		m.Clock.Sleep(call.Deadline + m.Bounds.Load().Recovery/4)
 		m.mu.Lock()
 		delete(m.forwardedStreams, key)
 		m.mu.Unlock()
@@ -89,7 +89,7 @@
 	stream := m.forwardedStreams[request.Program+" "+request.Session+" "+request.Turn]
 	m.mu.Unlock()
 	if stream == nil {
-		return nil, base.ToWire(base.Unsure(502, "owner_lost", "this node has no answer for turn %q", request.Turn))
+		return nil, base.ToTwirpError(base.Indeterminate(502, "owner_lost", "this node has no answer for turn %q", request.Turn))
 	}
 	if request.Leave {
 		stream.Abandon()
@@ -98,9 +98,9 @@
 	wait := time.Duration(request.HoldMs) * time.Millisecond
 	if request.Place > 0 {
 		// After the first event, wait briefly to send several events in one reply.
-		stream.WaitUntil(int(request.Place)+maxGatheredEvents, min(wait, m.Bounds.Load().Recover/400), m.Clock)
+		stream.WaitUntil(int(request.Place)+maxGatheredEvents, min(wait, m.Bounds.Load().Recovery/400), m.Clock)
 	}
-	return m.pullReply(base.CtxOf(rawCtx, m.Clock), stream, int(request.Place), wait)
+	return m.pullReply(base.CtxFromContext(rawCtx, m.Clock), stream, int(request.Place), wait)
 }
 
 // maxGatheredEvents is the number of events that a pull briefly waits for.
@@ -109,13 +109,13 @@
 // pullReply returns the pieces of a stream from a position on, waiting for the first of
 // them for at most wait.
 func (m *Manager) pullReply(ctx *base.Ctx, stream *Stream, position int, wait time.Duration) (*PullReply, error) {
-	pieces, done, cut := stream.PiecesFrom(position, min(wait, ctx.Left()/2), m.Clock)
+	pieces, done, cut := stream.PiecesFrom(position, min(wait, ctx.Remaining()/2), m.Clock)
 	stream.mu.Lock()
 	head, failure := stream.head, stream.failure
 	stream.mu.Unlock()
 	if failure != nil {
 		stream.endDelivered.Store(true)
-		return nil, base.ToWire(failure)
+		return nil, base.ToTwirpError(failure)
 	}
 	if done {
 		stream.endDelivered.Store(true)
--- a/internal/line/stream.go
+++ b/internal/line/stream.go
@@ -21,9 +21,9 @@
 // is complete only when the owner says so. A reader that closes early cancels the turn.
 type Stream struct {
 	mu           sync.Mutex
-	changed      *base.Bell
+	changed      *base.Notifier
 	head         *Head
-	failure      *base.Verdict
+	failure      *base.RequestError
 	pieces       [][]byte
 	done         bool
 	cut          bool
@@ -33,14 +33,14 @@
 }
 
 func newStream(clock base.Clock, onAbandon func()) *Stream {
-	return &Stream{changed: base.NewBell(clock), onAbandon: onAbandon}
+	return &Stream{changed: base.NewNotifier(clock), onAbandon: onAbandon}
 }
 
 func (s *Stream) update(change func()) {
 	s.mu.Lock()
 	change()
 	s.mu.Unlock()
-	s.changed.Ring()
+	s.changed.Notify()
 }
 
 func (s *Stream) setHead(head *Head)   { s.update(func() { s.head = head }) }
@@ -49,7 +49,7 @@
 
 // fail ends the stream without success: with a verdict when no head was set, or else as
 // cut.
-func (s *Stream) fail(verdict *base.Verdict) {
+func (s *Stream) fail(verdict *base.RequestError) {
 	s.update(func() {
 		if s.head == nil {
 			s.failure = verdict
@@ -93,7 +93,7 @@
 		}
 		if !next.Wait(max(0, end-clock.Now())) {
 			s.Abandon()
-			return nil, base.Unsure(504, "timed_out", "no answer arrived in time")
+			return nil, base.Indeterminate(504, "timed_out", "no answer arrived in time")
 		}
 	}
 }
--- a/internal/line/termination.go
+++ b/internal/line/termination.go
@@ -27,8 +27,8 @@
 // history. It returns once the membership view is closed.
 func (m *Manager) Run() {
 	for !m.View.Closed() {
-		m.Clock.Sleep(m.Bounds.Load().Recover / 6)
-		idleSince := m.Clock.Now() - m.Bounds.Load().Recover*2
+		m.Clock.Sleep(m.Bounds.Load().Recovery / 6)
+		idleSince := m.Clock.Now() - m.Bounds.Load().Recovery*2
 		m.history.removeExpired()
 		m.mu.Lock()
 		for _, id := range base.SortedKeys(m.owned) {
@@ -63,7 +63,7 @@
 	}
 	end := m.Clock.Now() + limit
 	for m.BusySessions()+m.undeliveredStreams()+int(m.pendingSettlements.Load()) > 0 && m.Clock.Now() < end {
-		m.Clock.Sleep(m.Bounds.Load().Recover / 120)
+		m.Clock.Sleep(m.Bounds.Load().Recovery / 120)
 	}
 }
 
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -11,8 +11,8 @@
 // newViewWithMembers returns a view of a fleet of the given size, with a core
 // in every twenty nodes.
 func newViewWithMembers(nodes int) *View {
-	bounds := &base.Table[base.Bounds]{}
-	bounds.Swap(base.DefaultBounds())
+	bounds := &base.AtomicPointer[base.Bounds]{}
+	bounds.Store(base.DefaultBounds())
 	v := NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "10.0.0.1:1/me", Addr: "10.0.0.1:1", Role: RoleGateway, Zone: "a"}, nil, nil)
 	message := &ShuffleMessage{}
 	for i := 1; i < nodes; i++ {
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -28,7 +28,7 @@
 	}
 	if differs := v.merge(reply, addr); differs && !askView {
 		v.counters.Add("views_compared", 1)
-		v.clock.Go(func() { _, _ = v.exchange(addr, v.bounds.Load().Beat()*4, true) })
+		v.clock.Go(func() { _, _ = v.exchange(addr, v.bounds.Load().HeartbeatInterval()*4, true) })
 	}
 	return id, nil
 }
@@ -199,7 +199,7 @@
 	v.prune(now)
 	ownDigest := v.digest()
 	if differs = askedAddr != "" && ownDigest != 0 && message.Digest != 0 && ownDigest != message.Digest && len(v.pendingUpdates) == 0 &&
-		len(message.Members) == 1 && now-v.lastCompared > v.bounds.Load().Suspect()/2; differs {
+		len(message.Members) == 1 && now-v.lastCompared > v.bounds.Load().SuspectTimeout()/2; differs {
 		v.lastCompared = now
 	}
 	v.mu.Unlock()
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -61,7 +61,7 @@
 	}
 	v.lastQueued[key] = incarnationMark{member.Incarnation, v.clock.Now()}
 	v.pendingUpdates[member.Id] = &update{cloneMember(member), v.maxSends()}
-	v.changeBell.Ring()
+	v.changeBell.Notify()
 }
 
 // isolated reports whether no other member is alive. The caller holds the lock.
@@ -196,7 +196,7 @@
 // the view: random gateways are dropped rather than the few cores and storage
 // machines that other packages need. The caller holds the lock.
 func (v *View) prune(now time.Duration) {
-	retention := 10 * v.bounds.Load().Suspect()
+	retention := 10 * v.bounds.Load().SuspectTimeout()
 	for id, p := range v.known {
 		if !v.isAlive(p) && now-p.suspectedAt > retention {
 			delete(v.known, id)
@@ -232,4 +232,4 @@
 
 // suspicionTimeout is how long an announced suspicion can be refuted before it
 // takes effect.
-func (v *View) suspicionTimeout() time.Duration { return 2 * v.bounds.Load().Beat() }
+func (v *View) suspicionTimeout() time.Duration { return 2 * v.bounds.Load().HeartbeatInterval() }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -36,7 +36,7 @@
 	done, started := v.probe(id)
 	if started {
 		v.clock.Go(func() {
-			if !done.Wait(2 * v.bounds.Load().Beat()) {
+			if !done.Wait(2 * v.bounds.Load().HeartbeatInterval()) {
 				v.suspectLocally(id)
 			}
 		})
@@ -76,7 +76,7 @@
 // before it asks other nodes to probe the member. A reply that comes meanwhile
 // still counts, so that a slow node is not taken for a lost one.
 func (v *View) verify(member *Member) {
-	beat, began := v.bounds.Load().Beat(), v.clock.Now()
+	beat, began := v.bounds.Load().HeartbeatInterval(), v.clock.Now()
 	exchangeDone, replied := v.clock.NewSignal(), v.clock.NewSignal()
 	v.clock.Go(func() {
 		defer exchangeDone.Fire()
@@ -131,7 +131,7 @@
 	v.mu.Unlock()
 	var mu sync.Mutex
 	negatives := 0
-	alive = base.Ask(v.clock, helpers[:min(indirectProbers, len(helpers))], 1, v.bounds.Load().Beat()*11/4, func(ctx *base.Ctx, addr string) bool {
+	alive = base.CallQuorum(v.clock, helpers[:min(indirectProbers, len(helpers))], 1, v.bounds.Load().HeartbeatInterval()*11/4, func(ctx *base.Ctx, addr string) bool {
 		reply, err := NewMembershipProtobufClient("http://"+addr, v.wire).PingReq(ctx, &PingRequest{Addr: member.Addr, Id: member.Id})
 		mu.Lock()
 		defer mu.Unlock()
@@ -147,7 +147,7 @@
 
 // PingReq probes a member on behalf of another node.
 func (v *View) PingReq(_ context.Context, request *PingRequest) (*PingReply, error) {
-	id, err := v.exchange(request.Addr, v.bounds.Load().Beat()*9/4, false)
+	id, err := v.exchange(request.Addr, v.bounds.Load().HeartbeatInterval()*9/4, false)
 	return &PingReply{Alive: err == nil && id == request.Id}, nil
 }
 
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -57,12 +57,12 @@
 // View is one node's view of the fleet.
 type View struct {
 	clock      base.Clock
-	wire       base.Wire
-	bounds     *base.Table[base.Bounds]
+	wire       base.HTTPClient
+	bounds     *base.AtomicPointer[base.Bounds]
 	counters   *base.Counters
 	seeds      []string
 	usages     UsageStore
-	changeBell *base.Bell
+	changeBell *base.Notifier
 	// KnownCluster returns the cluster that this node belongs to, as its disk
 	// or the control state says, or "" while that is unknown. It is set before
 	// Run.
@@ -102,9 +102,9 @@
 // NewView returns the view of the node that self describes. The seeds are the
 // addresses at which it looks for the fleet. usages is nil on nodes that do not
 // use load reports.
-func NewView(clock base.Clock, wire base.Wire, bounds *base.Table[base.Bounds], counters *base.Counters, self *Member, seeds []string, usages UsageStore) *View {
+func NewView(clock base.Clock, wire base.HTTPClient, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, self *Member, seeds []string, usages UsageStore) *View {
 	self.Incarnation = max(self.Incarnation, 1)
-	return &View{clock: clock, wire: wire, bounds: bounds, counters: counters, self: self, seeds: seeds, changeBell: base.NewBell(clock),
+	return &View{clock: clock, wire: wire, bounds: bounds, counters: counters, self: self, seeds: seeds, changeBell: base.NewNotifier(clock),
 		usages: usages, known: map[string]*peer{}, pendingUpdates: map[string]*update{}, lastQueued: map[string]incarnationMark{}, tombstones: map[string]incarnationMark{}}
 }
 
@@ -115,7 +115,7 @@
 func (v *View) SelfID() string { return v.self.Id }
 
 // Run exchanges messages with other nodes until Close: every two heartbeat
-// intervals (base.Bounds.Beat), and more often while there are updates to pass
+// intervals (base.Bounds.HeartbeatInterval), and more often while there are updates to pass
 // on.
 func (v *View) Run() {
 	for !v.Closed() {
@@ -129,10 +129,10 @@
 			v.probe(partner)
 		}
 		for _, addr := range addrs {
-			v.clock.Go(func() { _, _ = v.exchange(addr, v.bounds.Load().Beat()*4, joining) })
+			v.clock.Go(func() { _, _ = v.exchange(addr, v.bounds.Load().HeartbeatInterval()*4, joining) })
 		}
 		v.waitForNextRound()
-		if elapsed := v.clock.Now() - roundStart; elapsed > v.bounds.Load().Suspect() {
+		if elapsed := v.clock.Now() - roundStart; elapsed > v.bounds.Load().SuspectTimeout() {
 			v.discardStaleUpdates()
 		}
 	}
@@ -141,7 +141,7 @@
 // waitForNextRound waits one and a half to two and a half heartbeat intervals.
 // With pending updates it waits only long enough to gather more of them.
 func (v *View) waitForNextRound() {
-	beat := v.bounds.Load().Beat()
+	beat := v.bounds.Load().HeartbeatInterval()
 	deadline := v.clock.Now() + beat*3/2 + time.Duration(v.clock.Int64N(int64(beat)))
 	for {
 		next := v.changeBell.Next()
@@ -172,7 +172,7 @@
 func (v *View) isolatedDelay() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	beat := v.bounds.Load().Beat()
+	beat := v.bounds.Load().HeartbeatInterval()
 	delay := min(beat, beat/8<<min(v.isolatedRounds/isolatedRoundsPerDoubling, 3))
 	v.isolatedRounds++
 	return delay/2 + time.Duration(v.clock.Int64N(int64(delay/2)+1))
@@ -250,7 +250,7 @@
 		addrs = append(addrs, v.known[id].member.Addr)
 	}
 	v.mu.Unlock()
-	base.AskAll(v.clock, addrs, timeout, func(_ *base.Ctx, addr string) { _, _ = v.exchange(addr, timeout, false) })
+	base.CallAll(v.clock, addrs, timeout, func(_ *base.Ctx, addr string) { _, _ = v.exchange(addr, timeout, false) })
 }
 
 // Close ends Run and starts no more probes.
@@ -258,7 +258,7 @@
 	v.mu.Lock()
 	v.closed = true
 	v.mu.Unlock()
-	v.changeBell.Ring()
+	v.changeBell.Notify()
 }
 
 // Closed reports whether Close was called.
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -31,8 +31,8 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			bounds := &base.Table[base.Bounds]{}
-			bounds.Swap(base.DefaultBounds())
+			bounds := &base.AtomicPointer[base.Bounds]{}
+			bounds.Store(base.DefaultBounds())
 			v := NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "me", Addr: "me:1", Role: RoleGateway}, nil, nil)
 			v.SetCluster(row.own)
 			message := &ShuffleMessage{Cluster: row.sender, Members: []*Member{{Id: "other", Addr: "other:1", Role: RoleCore, Incarnation: 1}}}
@@ -82,8 +82,8 @@
 
 func newView(t *testing.T, zone string) *View {
 	t.Helper()
-	bounds := &base.Table[base.Bounds]{}
-	bounds.Swap(base.DefaultBounds())
+	bounds := &base.AtomicPointer[base.Bounds]{}
+	bounds.Store(base.DefaultBounds())
 	return NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "me:1/a", Addr: "me:1", Role: RoleGateway, Zone: zone}, nil, nil)
 }
 
@@ -192,8 +192,8 @@
 // others that the member is alive clears the suspicion, but not this.
 func TestUnansweredIsThisNodesOwnFinding(t *testing.T) {
 	is := is.New(t)
-	bounds := &base.Table[base.Bounds]{}
-	bounds.Swap(base.DefaultBounds())
+	bounds := &base.AtomicPointer[base.Bounds]{}
+	bounds.Store(base.DefaultBounds())
 	v := NewView(base.NewRealClock(), nil, bounds, base.NewCounters(), &Member{Id: "me:1/a", Addr: "me:1", Role: RoleCore}, nil, nil)
 	const id = "other:1/a"
 	_, err := v.Shuffle(context.Background(), &ShuffleMessage{Members: []*Member{{Id: id, Addr: "other:1", Role: RoleCore, Incarnation: 1}}})
--- a/internal/node/daemon.go
+++ b/internal/node/daemon.go
@@ -123,7 +123,7 @@
 		return nil, errors.Trace(err)
 	}
 	r.cleanup.Push(wire.Close)
-	r.Env = Env{Clock: base.NewRealClock(), Wire: wire, Counters: counters, Backends: workerconn.New(base.DefaultBounds().Recover/12, counters), Names: names}
+	r.Env = Env{Clock: base.NewRealClock(), Wire: wire, Counters: counters, Backends: workerconn.New(base.DefaultBounds().Recovery/12, counters), Names: names}
 	if r.private, err = conn.Listen(place.Addr); err != nil {
 		r.cleanup.Run()
 		return nil, err
@@ -180,7 +180,7 @@
 	case received := <-signals:
 		entry.WithField("signal", received.String()).Info("leaving")
 	}
-	limit := 2 * base.DefaultBounds().Recover
+	limit := 2 * base.DefaultBounds().Recovery
 	handedOver := make(chan struct{})
 	go func() { running.Leave(limit); close(handedOver) }()
 	if err := face.Shutdown(limit); err != nil {
@@ -228,6 +228,6 @@
 				entry.WithField("why", err.Error()).Warn("not ready")
 			}
 		}
-		clock.Sleep(base.DefaultBounds().Beat())
+		clock.Sleep(base.DefaultBounds().HeartbeatInterval())
 	}
 }
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -57,9 +57,9 @@
 				ctx.SetBodyString("ready\n")
 			case "/counters":
 				ctx.SetContentType("application/json")
-				frame := counters.Frame()
+				frame := counters.Snapshot()
 				frame["goroutines"] = int64(runtime.NumGoroutine())
-				ctx.SetBody(append(base.Encode(frame), '\n'))
+				ctx.SetBody(append(base.MustMarshal(frame), '\n'))
 			default:
 				write(ctx, handle(base.NewCtx(clock, 10*time.Minute), read(ctx, path)))
 			}
@@ -111,7 +111,7 @@
 	if piece.Final {
 		return fmt.Appendf(nil, "id: %s#%d\nevent: final\ndata: %s\n\n", leg, piece.Place, piece.Data)
 	}
-	return fmt.Appendf(nil, "id: %s#%d\nevent: piece\ndata: %s\n\n", leg, piece.Place, base.Encode(map[string]string{"text": string(piece.Data)}))
+	return fmt.Appendf(nil, "id: %s#%d\nevent: piece\ndata: %s\n\n", leg, piece.Place, base.MustMarshal(map[string]string{"text": string(piece.Data)}))
 }
 
 // Answer serves one request by the product's own interface.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,9 +32,9 @@
 // Env is time, wire, disk and back ends.
 type Env struct {
 	Clock    base.Clock
-	Wire     base.Wire
+	Wire     base.HTTPClient
 	Files    disk.Files
-	Backends base.Backends
+	Backends base.BackendClient
 	Counters *base.Counters
 	// Names are what clients and workers of an operator's routes call things.
 	Names *relay.WireNames
@@ -66,12 +66,12 @@
 type common struct {
 	env    Env
 	place  *base.Bounds
-	bounds *base.Table[base.Bounds]
+	bounds *base.AtomicPointer[base.Bounds]
 	view   *membership.View
 	mux    *http.ServeMux
 }
 
-func newCommon(env Env, place Place, usages membership.UsageStore, bounds *base.Table[base.Bounds]) *common {
+func newCommon(env Env, place Place, usages membership.UsageStore, bounds *base.AtomicPointer[base.Bounds]) *common {
 	c := &common{env: env, place: place.Bounds, bounds: bounds, mux: http.NewServeMux()}
 	self := &membership.Member{Id: place.Addr + "/" + base.NewID(env.Clock, ""), Addr: place.Addr, PublicAddr: place.Public, Role: place.Role, Zone: place.Zone}
 	seeds := slices.Clone(place.Seeds)
@@ -92,16 +92,16 @@
 func (c *common) mount(server twirpServer) { c.mux.Handle(server.PathPrefix(), server) }
 
 // Handler is what partners call.
-func (c *common) Handler() http.Handler { return base.Receive(c.env.Clock, c.mux) }
+func (c *common) Handler() http.Handler { return base.HandleMessages(c.env.Clock, c.mux) }
 
 // View is the node's partial view of the fleet.
 func (c *common) View() *membership.View { return c.view }
 
-func newBounds(place Place) *base.Table[base.Bounds] {
-	table := &base.Table[base.Bounds]{}
-	table.Swap(base.DefaultBounds())
+func newBounds(place Place) *base.AtomicPointer[base.Bounds] {
+	table := &base.AtomicPointer[base.Bounds]{}
+	table.Store(base.DefaultBounds())
 	if place.Bounds != nil {
-		table.Swap(place.Bounds)
+		table.Store(place.Bounds)
 	}
 	return table
 }
@@ -109,15 +109,15 @@
 // follow makes a follower that keeps the settings, the bounds and the guard.
 // Where there are rules of access it tells the core what it holds, and asks
 // more often while they change.
-func (c *common) follow(tree *base.Table[settings.Tree], guard *access.Guard, also func(*feed.Snapshot)) (*register.Client, *feed.Follower) {
+func (c *common) follow(tree *base.AtomicPointer[settings.Tree], guard *access.Guard, also func(*feed.Snapshot)) (*register.Client, *feed.Follower) {
 	client := register.NewClient(c.env.Clock, c.env.Wire, c.view, c.bounds)
 	known, held := &settings.FeedCache{}, uint64(0)
 	follower := feed.NewFollower(c.env.Clock, c.env.Wire, c.view, client, c.bounds, c.env.Counters, func(frame *feed.Snapshot) {
 		stamp, next, fresh := known.Update(frame.Values)
 		if fresh {
 			bounds := next.BoundsWithDefaults(c.place)
-			c.bounds.Swap(&bounds)
-			tree.Swap(next)
+			c.bounds.Store(&bounds)
+			tree.Store(next)
 		}
 		if next != nil {
 			held = stamp
@@ -130,7 +130,7 @@
 			request.Node, request.Stamp = c.view.SelfID(), held
 		}
 		if guard.ChangePending() {
-			request.HoldMs = c.bounds.Load().AccessHold().Milliseconds()
+			request.HoldMs = c.bounds.Load().AccessPollWait().Milliseconds()
 		}
 	}
 	guard.SetFeedStatus(follower)
@@ -143,7 +143,7 @@
 	Front    *front.Handler
 	Keeper   *session.Manager
 	Follower *feed.Follower
-	Routes   *base.Table[route.Table]
+	Routes   *base.AtomicPointer[route.Table]
 	Relay    *relay.Relay
 	Lines    *line.Manager
 	Access   *access.Guard
@@ -151,8 +151,8 @@
 	// gateway serves routes.
 	Table func(written []byte) (*route.Table, error)
 
-	disks  base.Table[register.DiskSet]
-	routed *base.Bell
+	disks  base.AtomicPointer[register.DiskSet]
+	routed *base.Notifier
 	// roster and written are what the feed told last; only learn has them.
 	roster  relay.RosterDecoder
 	written []byte
@@ -160,12 +160,12 @@
 
 func NewGateway(env Env, place Place) *Gateway {
 	place.Role = membership.RoleGateway
-	bounds, tree := newBounds(place), &base.Table[settings.Tree]{}
+	bounds, tree := newBounds(place), &base.AtomicPointer[settings.Tree]{}
 	book := worker.NewUsageReports(env.Clock, bounds)
 	picker := worker.NewPicker(env.Clock, bounds, env.Counters, book, place.Zone)
 	c := newCommon(env, place, book, bounds)
 	g := &Gateway{common: c, Access: access.NewGuard(env.Clock, bounds, env.Counters)}
-	env.Counters.Also(g.Access.AddCounts)
+	env.Counters.AddSource(g.Access.AddCounts)
 	client, follower := c.follow(tree, g.Access, func(frame *feed.Snapshot) {
 		picker.SetRoster(worker.DecodeRoster(frame.Values))
 		g.Keeper.SetTerminations(endedIn(frame.Values))
@@ -179,7 +179,7 @@
 		Budget: &budget.Client{Register: client}, Sessions: g.Keeper, Tools: &toolcall.Client{Register: client},
 		Workers: &worker.Client{Register: client}, UsageReports: book, Picker: picker, Backends: env.Backends, Access: g.Access}
 	c.mount(session.NewOwnerServer(g.Keeper))
-	g.Routes, g.routed = &base.Table[route.Table]{}, base.NewBell(env.Clock)
+	g.Routes, g.routed = &base.AtomicPointer[route.Table]{}, base.NewNotifier(env.Clock)
 	g.Relay = relay.New(relay.Config{Clock: env.Clock, Backends: env.Backends, Bounds: bounds, Counters: env.Counters, Names: env.Names, Zone: place.Zone, MaxConnsPerWorker: g.connShare, MaxResponseBytes: answerLimit})
 	kept := ledger.NewClient(env.Clock, env.Wire, g.disks.Load, place.Zone, place.Tolerate, bounds, env.Counters, nil)
 	g.Lines = line.NewManager(line.Dependencies{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
@@ -202,7 +202,7 @@
 func unwell(ready func() error) func() string {
 	return func() string {
 		if err := ready(); err != nil {
-			return base.FromWire(err).Code
+			return base.ToRequestError(err).Code
 		}
 		return ""
 	}
@@ -217,7 +217,7 @@
 	g.env.Clock.Go(g.Lines.Run)
 	g.env.Clock.Go(func() {
 		for !g.Follower.Closed() {
-			g.env.Clock.Sleep(g.bounds.Load().Recover)
+			g.env.Clock.Sleep(g.bounds.Load().Recovery)
 			g.Front.EvictExpired()
 		}
 	})
@@ -244,7 +244,7 @@
 
 // Leave hands over what this node owns.
 func (g *Gateway) Leave(limit time.Duration) {
-	g.view.Leave(g.bounds.Load().Beat() * 4)
+	g.view.Leave(g.bounds.Load().HeartbeatInterval() * 4)
 	g.Lines.Drain(limit)
 	g.Keeper.Drain(limit)
 }
@@ -272,7 +272,7 @@
 
 func NewCore(env Env, place Place) *Core {
 	place.Role = membership.RoleCore
-	bounds, tree := newBounds(place), &base.Table[settings.Tree]{}
+	bounds, tree := newBounds(place), &base.AtomicPointer[settings.Tree]{}
 	c := newCommon(env, place, nil, bounds)
 	owner := register.NewServer(env.Clock, env.Wire, c.view, bounds, env.Counters)
 	settings.RegisterHandlers(owner)
@@ -297,7 +297,7 @@
 	c.mount(register.NewRegisterServer(owner))
 	told := feed.NewService(env.Clock, owner, follower)
 	c.mount(feed.NewFeedServer(told))
-	access.RegisterHandlers(owner, told.AllNodesHave, func() any { return told.ReportedSettings(2 * bounds.Load().Recover) })
+	access.RegisterHandlers(owner, told.AllNodesHave, func() any { return told.ReportedSettings(2 * bounds.Load().Recovery) })
 	core.settles = &access.Activator{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Register: client, Follower: follower, FeedEpoch: owner.FeedEpoch, AllNodesHave: told.AllNodesHave}
 	core.Operate = &operate.Operate{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Register: client, Owner: owner, Counters: env.Counters,
 		Frame: func() map[string][]byte { return follower.Snapshot().Values }}
@@ -321,7 +321,7 @@
 }
 
 // AnswerWithin is how long an operator's call may take before it is answered.
-func (c *Core) AnswerWithin() time.Duration { return c.bounds.Load().Call() / 2 }
+func (c *Core) AnswerWithin() time.Duration { return c.bounds.Load().CoreCallTimeout() / 2 }
 
 // Ready says whether this core can reach the control state.
 func (c *Core) Ready() error {
@@ -342,8 +342,8 @@
 
 // Leave tells the fleet, so that others take this core's slots.
 func (c *Core) Leave(time.Duration) {
-	c.view.Leave(c.bounds.Load().Beat() * 4)
-	c.Owner.AwaitHandover(c.bounds.Load().Call())
+	c.view.Leave(c.bounds.Load().HeartbeatInterval() * 4)
+	c.Owner.AwaitHandover(c.bounds.Load().CoreCallTimeout())
 }
 
 func (c *Core) Stop() {
@@ -374,7 +374,7 @@
 		return nil, err
 	}
 	store.Tell(kept.NotifySetChange)
-	service := disk.NewService(store, bounds.Load().DiskLimit())
+	service := disk.NewService(store, bounds.Load().DiskTimeout())
 	service.Node = place.Node
 	c.mount(register.NewDiskServer(service))
 	c.mount(ledger.NewLedgerServer(kept))
@@ -393,7 +393,7 @@
 func (s *Storage) remember() {
 	kept := disk.Neighbours(s.env.Files)
 	for !s.view.Closed() {
-		s.env.Clock.Sleep(s.bounds.Load().Suspect())
+		s.env.Clock.Sleep(s.bounds.Load().SuspectTimeout())
 		if now := s.view.LiveAddresses(); s.Store.Cluster() != "" && len(now) > 0 && !slices.Equal(now, kept) {
 			if disk.KeepNeighbours(s.env.Files, now) == nil {
 				kept = now
@@ -409,7 +409,7 @@
 	return s.Ledger.Ready()
 }
 
-func (s *Storage) Leave(time.Duration) { s.view.Leave(s.bounds.Load().Beat() * 4) }
+func (s *Storage) Leave(time.Duration) { s.view.Leave(s.bounds.Load().HeartbeatInterval() * 4) }
 
 func (s *Storage) Stop() {
 	s.Store.Close()
--- a/internal/node/place.go
+++ b/internal/node/place.go
@@ -24,9 +24,9 @@
 	}
 	limit, tolerate := float64(place.Limit), float64(place.Tolerate)
 	err = base.ReadFields(document, map[string]base.FieldReader{
-		"role": base.Text(&place.Role, 16), "address": base.Text(&place.Addr, 64), "public_address": base.Text(&place.Public, 64),
-		"zone": base.Text(&place.Zone, 128), "cluster": base.Text(&place.Cluster, 128), "data": base.Text(&place.Data, 4096), "disk_limit_bytes": base.Number(&limit, 0, 1<<50, true),
-		"node": base.Text(&place.Node, 128), "tolerate": base.Number(&tolerate, 0, 2, true), "found": base.Truth(&place.Found),
+		"role": base.StringField(&place.Role, 16), "address": base.StringField(&place.Addr, 64), "public_address": base.StringField(&place.Public, 64),
+		"zone": base.StringField(&place.Zone, 128), "cluster": base.StringField(&place.Cluster, 128), "data": base.StringField(&place.Data, 4096), "disk_limit_bytes": base.NumberField(&limit, 0, 1<<50, true),
+		"node": base.StringField(&place.Node, 128), "tolerate": base.NumberField(&tolerate, 0, 2, true), "found": base.BoolField(&place.Found),
 		"seeds": func(path string, d *jx.Decoder) error {
 			if d.Next() != jx.Array {
 				return base.DeclineField(path, "must be a list of addresses")
@@ -34,14 +34,14 @@
 			place.Seeds = nil
 			return d.Arr(func(d *jx.Decoder) error {
 				var seed string
-				err := base.Text(&seed, 64)(fmt.Sprintf("%s[%d]", path, len(place.Seeds)), d)
+				err := base.StringField(&seed, 64)(fmt.Sprintf("%s[%d]", path, len(place.Seeds)), d)
 				place.Seeds = append(place.Seeds, seed)
 				return err
 			})
 		},
 	})
 	place.Limit, place.Tolerate = int64(limit), int(tolerate)
-	if v := base.VerdictIn(err); v != nil {
+	if v := base.FindRequestError(err); v != nil {
 		return errors.Errorf("settings file %s: %s: %s", path, v.Field, v.Message)
 	}
 	return err
--- a/internal/node/tier.go
+++ b/internal/node/tier.go
@@ -21,7 +21,7 @@
 // learn takes what a frame of the feed says of routes, workers and disks.
 func (g *Gateway) learn(frame *feed.Snapshot) {
 	if disks := register.DiskSetIn(frame.Values); disks != nil {
-		g.disks.Swap(disks)
+		g.disks.Store(disks)
 	}
 	written := frame.Values[route.FeedKey]
 	if len(written) == len(g.written) && (len(written) == 0 || &written[0] == &g.written[0]) {
@@ -33,8 +33,8 @@
 			if err == nil {
 				var table *route.Table
 				if table, err = g.Table(written); err == nil {
-					g.Routes.Swap(table)
-					g.routed.Ring()
+					g.Routes.Store(table)
+					g.routed.Notify()
 					log.WithField("version", table.Version).Info("routes in force")
 					g.env.Counters.Add("routes_changed", 1)
 				}
@@ -52,7 +52,7 @@
 // TableFor gives the routes in force. A gateway that has just started waits a
 // little for them: to be told to come back costs a client more.
 func (g *Gateway) TableFor(ctx *base.Ctx) *route.Table {
-	end := g.env.Clock.Now() + min(ctx.Left(), g.bounds.Load().Hold())
+	end := g.env.Clock.Now() + min(ctx.Remaining(), g.bounds.Load().LeaseWait())
 	for {
 		next := g.routed.Next()
 		table := g.Routes.Load()
@@ -110,7 +110,7 @@
 		table = g.TableFor(base.NewCtx(g.env.Clock, call.Deadline))
 	}
 	if table == nil {
-		return nil, base.BusyFor(503, "no_settings", g.bounds.Load().Recover/60, "no configuration is in force yet")
+		return nil, base.BusyFor(503, "no_settings", g.bounds.Load().Recovery/60, "no configuration is in force yet")
 	}
 	matched := table.Match(call.Host, call.Target)
 	if matched == nil {
@@ -140,7 +140,7 @@
 		return nil, err
 	}
 	defer reply.Close()
-	body, err := reply.Body(ctx.Left())
+	body, err := reply.Body(ctx.Remaining())
 	if err != nil {
 		return nil, err
 	}
@@ -149,11 +149,11 @@
 
 // passOn answers with a stream, once its head has come.
 func passOn(stream *line.Stream, ctx *base.Ctx) (*Response, error) {
-	head, err := stream.Head(ctx.Left(), ctx.Clock)
+	head, err := stream.Head(ctx.Remaining(), ctx.Clock)
 	if err != nil {
 		return nil, err
 	}
-	return &Response{Status: head.Status, Headers: head.Headers, Stream: line.NewReader(stream, ctx.Clock, ctx.Left())}, nil
+	return &Response{Status: head.Status, Headers: head.Headers, Stream: line.NewReader(stream, ctx.Clock, ctx.Remaining())}, nil
 }
 
 // connShare is this gateway's part of a service's connections to each worker:
--- a/internal/node/tier_test.go
+++ b/internal/node/tier_test.go
@@ -13,16 +13,16 @@
 func TestARequestWithoutRouteIsDeclinedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	clock := base.NewRealClock()
-	g := &Gateway{common: &common{env: Env{Clock: clock}, bounds: newBounds(Place{})}, Routes: &base.Table[route.Table]{}, routed: base.NewBell(clock)}
+	g := &Gateway{common: &common{env: Env{Clock: clock}, bounds: newBounds(Place{})}, Routes: &base.AtomicPointer[route.Table]{}, routed: base.NewNotifier(clock)}
 	_, err := g.Handle(&relay.Call{ID: "x", Host: "a.example", Target: "/a"})
-	is.Equal(base.FromWire(err).Status, 503) // no configuration is in force: another node may have one
-	is.Equal(base.FromWire(err).Ran, base.NotRun)
+	is.Equal(base.ToRequestError(err).Status, 503) // no configuration is in force: another node may have one
+	is.Equal(base.ToRequestError(err).Execution, base.NotRun)
 	table := &route.Table{Version: 1, Services: map[string]*route.Service{}}
 	is.NoErr(table.BuildIndex())
-	g.Routes.Swap(table)
+	g.Routes.Store(table)
 	_, err = g.Handle(&relay.Call{ID: "x", Host: "a.example", Target: "/a"})
-	is.Equal(base.FromWire(err).Status, 404)
-	is.Equal(base.FromWire(err).Ran, base.NotRun)
+	is.Equal(base.ToRequestError(err).Status, 404)
+	is.Equal(base.ToRequestError(err).Execution, base.NotRun)
 }
 
 func TestConnectionsAreSharedWithinWhatAWorkerTakes(t *testing.T) {
--- a/internal/operate/access.go
+++ b/internal/operate/access.go
@@ -78,7 +78,7 @@
 	if pending != nil {
 		state.InForce = pending.InForce
 	}
-	if holders, err := o.holders(ctx.Within(o.Bounds.Load().Call())); err == nil {
+	if holders, err := o.holders(ctx.WithTimeout(o.Bounds.Load().CoreCallTimeout())); err == nil {
 		state.Holders = holders
 	}
 	return state
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -24,9 +24,9 @@
 // Operate answers operators.
 type Operate struct {
 	Clock    base.Clock
-	Wire     base.Wire
+	Wire     base.HTTPClient
 	View     *membership.View
-	Bounds   *base.Table[base.Bounds]
+	Bounds   *base.AtomicPointer[base.Bounds]
 	Register *register.Client
 	Owner    *register.Server
 	Counters *base.Counters
@@ -38,11 +38,11 @@
 
 // Handle answers one request.
 func (o *Operate) Handle(ctx *base.Ctx, r *front.Request) *front.Response {
-	body, err := o.answer(ctx.Within(o.Bounds.Load().Recover), r)
+	body, err := o.answer(ctx.WithTimeout(o.Bounds.Load().Recovery), r)
 	if err != nil {
 		return front.ErrorResponse(err)
 	}
-	return &front.Response{Status: 200, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.Encode(body), '\n')}
+	return &front.Response{Status: 200, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.MustMarshal(body), '\n')}
 }
 
 func raw(into *json.RawMessage) base.FieldReader {
@@ -119,7 +119,7 @@
 	var change settings.Change
 	stamp := -1.0
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"change": base.Text(&change.ID, 128), "based_on": base.Number(&stamp, 0, 1<<52, true), "document": raw(&change.Document)})
+		"change": base.StringField(&change.ID, 128), "based_on": base.NumberField(&stamp, 0, 1<<52, true), "document": raw(&change.Document)})
 	if err != nil {
 		return nil, err
 	}
@@ -137,9 +137,9 @@
 	change.BasedOn = uint64(stamp)
 	var outcome settings.Outcome
 	if err := o.Register.Change(ctx, register.FeedGroup, "settings.apply", change, &outcome); err != nil {
-		v := base.FromWire(err)
-		if v.Ran == base.MayHaveRun {
-			v = base.Unsure(504, "unknown", "the outcome is not known; ask again with change %s", change.ID)
+		v := base.ToRequestError(err)
+		if v.Execution == base.MayHaveRun {
+			v = base.Indeterminate(504, "unknown", "the outcome is not known; ask again with change %s", change.ID)
 		}
 		return nil, v
 	}
@@ -148,7 +148,7 @@
 
 func (o *Operate) outcome(ctx *base.Ctx, r *front.Request) (any, error) {
 	var change settings.Change
-	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"change": base.Text(&change.ID, 128)}); err != nil {
+	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"change": base.StringField(&change.ID, 128)}); err != nil {
 		return nil, err
 	}
 	if change.ID == "" {
@@ -209,7 +209,7 @@
 
 func (o *Operate) status(ctx *base.Ctx) StatusView {
 	owned, set := o.Owner.Status()
-	shown := StatusView{Core: o.View.SelfID(), Slots: owned, SetStamp: set.GetStamp(), Cluster: set.GetCluster(), Counters: o.Counters.Frame()}
+	shown := StatusView{Core: o.View.SelfID(), Slots: owned, SetStamp: set.GetStamp(), Cluster: set.GetCluster(), Counters: o.Counters.Snapshot()}
 	for _, role := range []string{membership.RoleGateway, membership.RoleCore, membership.RoleStorage} {
 		for _, member := range o.View.Known(role) {
 			_, alive := o.View.Find(member.Id)
@@ -249,7 +249,7 @@
 	}
 	var mu sync.Mutex
 	answering, voting, owned := 0, 0, map[uint32]bool{}
-	base.AskAll(o.Clock, set.Disks, o.Bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *register.DiskEntry) {
+	base.CallAll(o.Clock, set.Disks, o.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, entry *register.DiskEntry) {
 		state, err := o.disk(entry.Addr).Describe(ctx, &register.DescribeRequest{})
 		mu.Lock()
 		defer mu.Unlock()
@@ -264,7 +264,7 @@
 			found = append(found, fmt.Sprintf("disk %s at %s does not answer; %s", entry.Id, entry.Addr, o.advice()))
 		}
 	})
-	base.AskAll(o.Clock, o.View.Live(membership.RoleCore), o.Bounds.Load().DiskLimit(), func(ctx *base.Ctx, member *membership.Member) {
+	base.CallAll(o.Clock, o.View.Live(membership.RoleCore), o.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, member *membership.Member) {
 		reply, err := register.NewRegisterProtobufClient("http://"+member.Addr, o.Wire).Census(ctx, &register.CensusRequest{Set: set})
 		mu.Lock()
 		defer mu.Unlock()
@@ -311,7 +311,7 @@
 
 func (o *Operate) terminate(ctx *base.Ctx, r *front.Request) (any, error) {
 	var program, mode string
-	err := base.ReadFields(r.Body, map[string]base.FieldReader{"program": base.Text(&program, 128), "mode": base.Text(&mode, 16)})
+	err := base.ReadFields(r.Body, map[string]base.FieldReader{"program": base.StringField(&program, 128), "mode": base.StringField(&mode, 16)})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operate/routes.go
+++ b/internal/operate/routes.go
@@ -53,7 +53,7 @@
 func (o *Operate) applyRoutes(ctx *base.Ctx, r *front.Request) (any, error) {
 	var document json.RawMessage
 	based := -1.0
-	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"based_on": base.Number(&based, 0, 1<<52, true), "document": raw(&document)}); err != nil {
+	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"based_on": base.NumberField(&based, 0, 1<<52, true), "document": raw(&document)}); err != nil {
 		return nil, err
 	}
 	switch {
--- a/internal/operate/storage.go
+++ b/internal/operate/storage.go
@@ -28,7 +28,7 @@
 		}
 		return d.Arr(func(d *jx.Decoder) error {
 			var addr string
-			err := base.Text(&addr, 64)(path, d)
+			err := base.StringField(&addr, 64)(path, d)
 			addrs = append(addrs, addr)
 			return err
 		})
@@ -47,7 +47,7 @@
 	for _, addr := range addrs {
 		state, err := o.disk(addr).Format(ctx, &register.FormatRequest{})
 		if err != nil {
-			return nil, base.Busy(503, "disk_unreachable", 1, "%s: %v; ask again", addr, base.FromWire(err).Message)
+			return nil, base.Busy(503, "disk_unreachable", 1, "%s: %v; ask again", addr, base.ToRequestError(err).Message)
 		}
 		for _, entry := range set.Disks {
 			if entry.Id == state.Id || entry.Addr == addr {
@@ -97,7 +97,7 @@
 // vote.
 func (o *Operate) admit(ctx *base.Ctx, r *front.Request) (any, error) {
 	var addr string
-	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"address": base.Text(&addr, 64)}); err != nil {
+	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"address": base.StringField(&addr, 64)}); err != nil {
 		return nil, err
 	}
 	if addr == "" {
@@ -109,7 +109,7 @@
 	}
 	state, err := o.disk(addr).Format(ctx, &register.FormatRequest{})
 	if err != nil {
-		return nil, base.Busy(503, "disk_unreachable", 1, "%s: %v", addr, base.FromWire(err).Message)
+		return nil, base.Busy(503, "disk_unreachable", 1, "%s: %v", addr, base.ToRequestError(err).Message)
 	}
 	if state.Set != nil && (state.Set.Cluster != now.Current.Cluster || state.Retired) {
 		return nil, base.Decline(409, "disk_not_blank", "the disk at %s was retired or is another cluster's; empty its folder first", addr)
@@ -125,7 +125,7 @@
 
 func (o *Operate) retire(ctx *base.Ctx, r *front.Request) (any, error) {
 	var id string
-	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"disk": base.Text(&id, 64)}); err != nil {
+	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"disk": base.StringField(&id, 64)}); err != nil {
 		return nil, err
 	}
 	if id == "" {
@@ -141,7 +141,7 @@
 // empty retires a machine by its name.
 func (o *Operate) empty(ctx *base.Ctx, r *front.Request) (any, error) {
 	var node string
-	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"node": base.Text(&node, 128)}); err != nil {
+	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"node": base.StringField(&node, 128)}); err != nil {
 		return nil, err
 	}
 	return emptying(register.RetireNode(ctx, o.Register, node))
@@ -185,7 +185,7 @@
 	for _, member := range o.View.Known(membership.RoleStorage) {
 		zones[member.Addr] = member.Zone
 	}
-	base.AskAll(o.Clock, base.SortedKeys(zones), o.Bounds.Load().DiskLimit(), func(ctx *base.Ctx, addr string) {
+	base.CallAll(o.Clock, base.SortedKeys(zones), o.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, addr string) {
 		state, err := o.disk(addr).Describe(ctx, &register.DescribeRequest{})
 		if err != nil {
 			return
--- a/internal/register/apply.go
+++ b/internal/register/apply.go
@@ -10,21 +10,21 @@
 // Change executes an operation on a group's shard, or names the core to call
 // instead.
 func (srv *Server) Change(parent context.Context, request *ChangeRequest) (*ChangeReply, error) {
-	ctx := base.CtxOf(parent, srv.clock)
+	ctx := base.CtxFromContext(parent, srv.clock)
 	op, ok := srv.ops[request.Op]
 	if !ok {
-		return nil, base.ToWire(base.Decline(400, "unknown_op", "unknown operation %q", request.Op))
+		return nil, base.ToTwirpError(base.Decline(400, "unknown_op", "unknown operation %q", request.Op))
 	}
 	s := srv.shards[ShardOf(request.Group)]
 	hint, err := srv.ensureLeading(ctx, s)
 	if hint != "" || err != nil {
-		return &ChangeReply{Owner: hint}, base.ToWire(err)
+		return &ChangeReply{Owner: hint}, base.ToTwirpError(err)
 	}
 	result, err := srv.apply(ctx, s, request.Group, func(tx *Tx) (any, error) { return op(tx, request.Args) })
 	if err != nil {
-		return nil, base.ToWire(err)
+		return nil, base.ToTwirpError(err)
 	}
-	return &ChangeReply{Result: base.Encode(result)}, nil
+	return &ChangeReply{Result: base.MustMarshal(result)}, nil
 }
 
 // ensureLeading returns once this core leads the shard, taking it over if it is
@@ -45,7 +45,7 @@
 			}
 		}
 		srv.startTakeover(s)
-		if !changed.Wait(ctx.Left() / 2) {
+		if !changed.Wait(ctx.Remaining() / 2) {
 			if srv.knownSet() == nil { // without a disk set this core cannot find out by itself that it lacks a majority
 				return "", base.Busy(503, "no_majority", 1, "this core knows no disk set")
 			}
@@ -99,7 +99,7 @@
 	s.mu.Unlock()
 	if changed {
 		srv.counters.Add("register_changes", 1)
-		s.changed.Ring()
+		s.changed.Notify()
 	}
 	if err := srv.waitCommitted(ctx, s, epoch, targetSeq); err != nil {
 		return nil, err
@@ -122,13 +122,13 @@
 		s.mu.Unlock()
 		switch {
 		case !leads:
-			return base.Unsure(503, "slot_moved", "shard %d changed leaders before a majority of the disks had change %d", s.num, targetSeq)
+			return base.Indeterminate(503, "slot_moved", "shard %d changed leaders before a majority of the disks had change %d", s.num, targetSeq)
 		case committed:
 			return nil
 		}
-		if !changed.Wait(ctx.Left()) {
+		if !changed.Wait(ctx.Remaining()) {
 			srv.recordQuorum(false, startedAt)
-			return base.Unsure(503, "no_majority", "a majority of the disks has not confirmed change %d of shard %d in time", targetSeq, s.num)
+			return base.Indeterminate(503, "no_majority", "a majority of the disks has not confirmed change %d of shard %d in time", targetSeq, s.num)
 		}
 	}
 }
--- a/internal/register/census.go
+++ b/internal/register/census.go
@@ -24,7 +24,7 @@
 	present := srv.view.Live(membership.RoleCore)
 	suspects := srv.suspectedCores(present)
 	answered := map[string]bool{}
-	base.Ask(srv.clock, present, 1, srv.bounds.Load().DiskLimit()*6/10, func(ctx *base.Ctx, member *membership.Member) bool {
+	base.CallQuorum(srv.clock, present, 1, srv.bounds.Load().DiskTimeout()*6/10, func(ctx *base.Ctx, member *membership.Member) bool {
 		reply, err := NewRegisterProtobufClient("http://"+member.Addr, srv.wire).Census(ctx, &CensusRequest{Set: set, Suspects: suspects})
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/register/client.go
+++ b/internal/register/client.go
@@ -15,16 +15,16 @@
 // until its context is over; only then is its outcome unknown.
 type Client struct {
 	clock  base.Clock
-	wire   base.Wire
+	wire   base.HTTPClient
 	view   *membership.View
-	bounds *base.Table[base.Bounds]
+	bounds *base.AtomicPointer[base.Bounds]
 
 	mu          sync.Mutex
 	lastLeaders map[uint32]string // the core that last answered for a shard
 }
 
 // NewClient returns a client that finds cores in a membership view.
-func NewClient(clock base.Clock, wire base.Wire, view *membership.View, bounds *base.Table[base.Bounds]) *Client {
+func NewClient(clock base.Clock, wire base.HTTPClient, view *membership.View, bounds *base.AtomicPointer[base.Bounds]) *Client {
 	return &Client{clock: clock, wire: wire, view: view, bounds: bounds, lastLeaders: map[uint32]string{}}
 }
 
@@ -45,15 +45,15 @@
 func (c *Client) Read(ctx *base.Ctx, group, op string, args, result any) error {
 	err := c.requestChange(ctx, group, op, args, result)
 	if base.IsCode(err, "outcome_unknown") {
-		return base.Busy(503, "control_unreachable", 1, "%s", base.FromWire(err).Message)
+		return base.Busy(503, "control_unreachable", 1, "%s", base.ToRequestError(err).Message)
 	}
 	return err
 }
 
 func (c *Client) requestChange(ctx *base.Ctx, group, op string, args, result any) error {
-	request := &ChangeRequest{Group: group, Op: op, Args: base.Encode(args)}
+	request := &ChangeRequest{Group: group, Op: op, Args: base.MustMarshal(args)}
 	bounds := c.bounds.Load()
-	encoded, err := c.findLeader(ctx, ShardOf(group), bounds.Call()/2, bounds.AnotherCore(), func(ctx *base.Ctx, addr string) coreReply {
+	encoded, err := c.findLeader(ctx, ShardOf(group), bounds.CoreCallTimeout()/2, bounds.CoreHedgeDelay(), func(ctx *base.Ctx, addr string) coreReply {
 		reply, err := NewRegisterProtobufClient("http://"+addr, c.wire).Change(ctx, request)
 		if err != nil {
 			return coreReply{err: err}
--- a/internal/register/confirm.go
+++ b/internal/register/confirm.go
@@ -21,7 +21,7 @@
 		srv.clock.Go(func() { srv.runConfirmRounds(s) })
 	}
 	s.mu.Unlock()
-	if !round.done.Wait(ctx.Left()) || round.err != nil {
+	if !round.done.Wait(ctx.Remaining()) || round.err != nil {
 		return base.Busy(503, "no_majority", 1, "no majority of disks confirmed this core as leader of shard %d", s.num)
 	}
 	s.mu.Lock()
@@ -50,10 +50,10 @@
 		srv.counters.Add("register_confirms", 1)
 		bounds := srv.bounds.Load()
 		startedAt := srv.clock.Now()
-		confirmed := base.AskFew(srv.clock, srv.fastestFirst(voters(set)), majority(set), bounds.Confirm(), bounds.DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
+		confirmed := base.CallQuorumHedged(srv.clock, srv.fastestFirst(voters(set)), majority(set), bounds.ConfirmHedgeDelay(), bounds.DiskTimeout(), func(ctx *base.Ctx, entry *DiskEntry) bool {
 			sentAt := srv.clock.Now()
 			ack, err := srv.diskClient(entry).Confirm(ctx, &ConfirmRequest{Claim: srv.claim(s, epoch, set, entry)})
-			srv.recordLatency(entry, err == nil && srv.clock.Now()-sentAt < bounds.Confirm())
+			srv.recordLatency(entry, err == nil && srv.clock.Now()-sentAt < bounds.ConfirmHedgeDelay())
 			if err == nil && ack.Why == "epoch" {
 				srv.stepDown(s, epoch, ack.Epoch)
 			}
@@ -92,7 +92,7 @@
 	rank := func(entry *DiskEntry) int {
 		slowAt, slow := srv.slowDisks[entry.Id]
 		switch {
-		case slow && srv.clock.Now()-slowAt < srv.bounds.Load().Recover:
+		case slow && srv.clock.Now()-slowAt < srv.bounds.Load().Recovery:
 			return 2
 		case entry.Zone != zone:
 			return 1
--- a/internal/register/diskset.go
+++ b/internal/register/diskset.go
@@ -26,14 +26,14 @@
 		})
 	}
 	srv.mu.Unlock()
-	lookup.Wait(srv.bounds.Load().Call())
+	lookup.Wait(srv.bounds.Load().CoreCallTimeout())
 	return srv.knownSet()
 }
 
 // queryDiskSet learns the disk sets that the known storage machines hold, until
 // two have told theirs.
 func (srv *Server) queryDiskSet() {
-	base.Ask(srv.clock, srv.view.Known(membership.RoleStorage), 2, srv.bounds.Load().DiskLimit(), func(ctx *base.Ctx, member *membership.Member) bool {
+	base.CallQuorum(srv.clock, srv.view.Known(membership.RoleStorage), 2, srv.bounds.Load().DiskTimeout(), func(ctx *base.Ctx, member *membership.Member) bool {
 		state, err := NewDiskProtobufClient("http://"+member.Addr, srv.wire).Describe(ctx, &DescribeRequest{})
 		if err != nil || state.Set == nil || len(state.Set.Disks) == 0 {
 			return false
@@ -68,7 +68,7 @@
 	if newer {
 		for _, s := range srv.shards {
 			srv.startSenders(s)
-			s.changed.Ring()
+			s.changed.Notify()
 		}
 	}
 }
--- a/internal/register/observe.go
+++ b/internal/register/observe.go
@@ -50,7 +50,7 @@
 // Unknown, silent and leaving machines, and all while a status is reported, are
 // due every half heartbeat interval.
 func (srv *Server) observe(records *feedRecords) *clusterView {
-	r, now, heartbeat := srv.reconciler, srv.clock.Now(), srv.bounds.Load().Beat()
+	r, now, heartbeat := srv.reconciler, srv.clock.Now(), srv.bounds.Load().HeartbeatInterval()
 	set := records.diskSet.Current
 	view := &clusterView{conditions: map[string]diskCondition{}, retiring: map[string]bool{}}
 	for _, retirement := range records.retirements {
@@ -90,7 +90,7 @@
 		if member != nil && member.Id != observed.memberID {
 			observed.memberID, observed.state = member.Id, nil
 		}
-		interval := srv.bounds.Load().Recover / 4
+		interval := srv.bounds.Load().Recovery / 4
 		switch {
 		case observed.state == nil || observed.silent || member == nil || announcedLeave[addr]:
 			interval = heartbeat / 2
@@ -153,7 +153,7 @@
 // describeDisk requests a disk's state and records it. A blank disk is formatted
 // if its machine is present and not being retired.
 func (srv *Server) describeDisk(observed *observation, memberID, addr string, present bool, retiring map[string]bool, set *DiskSet) {
-	ctx := base.NewCtx(srv.clock, srv.bounds.Load().DiskLimit())
+	ctx := base.NewCtx(srv.clock, srv.bounds.Load().DiskTimeout())
 	disk := NewDiskProtobufClient("http://"+addr, srv.wire)
 	state, err := disk.Describe(ctx, describeRequest(set))
 	if err == nil && state.Id == "" && present && !retiring[state.Node] {
--- a/internal/register/operation.go
+++ b/internal/register/operation.go
@@ -81,7 +81,7 @@
 		if !leads {
 			continue
 		}
-		_, _ = srv.applyInternal(base.NewCtx(srv.clock, srv.bounds.Load().Call()), s, func(tx *Tx) (any, error) {
+		_, _ = srv.applyInternal(base.NewCtx(srv.clock, srv.bounds.Load().CoreCallTimeout()), s, func(tx *Tx) (any, error) {
 			for _, sweep := range srv.sweeps {
 				sweep(tx)
 			}
--- a/internal/register/plan.go
+++ b/internal/register/plan.go
@@ -108,7 +108,7 @@
 		return p.view.retiring[entry.Node] && p.othersHealthy(entry.Id) && (condition.lost() || p.inScope(anyChange))
 	})
 	p.pickDrop(func(entry *DiskEntry, condition diskCondition) bool {
-		return !condition.alive && condition.silentFor >= p.bounds.Recover && p.othersHealthy(entry.Id)
+		return !condition.alive && condition.silentFor >= p.bounds.Recovery && p.othersHealthy(entry.Id)
 	})
 }
 
@@ -125,14 +125,14 @@
 // replaceable reports whether a disk has been silent for long enough to be
 // replaced by a filled learner.
 func (p *planner) replaceable(condition diskCondition) bool {
-	return condition.silentFor >= p.bounds.Recover/16 || !condition.alive && condition.silentFor >= p.bounds.Beat()
+	return condition.silentFor >= p.bounds.Recovery/16 || !condition.alive && condition.silentFor >= p.bounds.HeartbeatInterval()
 }
 
 // stoppedPermanently reports whether a machine announced that it would stop and
 // has been silent for longer than a restart takes. Its replacement may have joined
 // before it stopped, and then nothing else shows that its copies are missing.
 func (p *planner) stoppedPermanently(condition diskCondition) bool {
-	return condition.announcedLeave && condition.silentFor >= p.bounds.Recover/restartDivisor
+	return condition.announcedLeave && condition.silentFor >= p.bounds.Recovery/restartDivisor
 }
 
 // othersHealthy reports whether all other voters are healthy.
@@ -218,7 +218,7 @@
 // machine is being retired.
 func (p *planner) shouldDropLearner(entry *DiskEntry) bool {
 	condition := p.view.conditions[entry.Id]
-	if condition.replaced || condition.silentFor >= p.bounds.Recover/8 {
+	if condition.replaced || condition.silentFor >= p.bounds.Recovery/8 {
 		return true
 	}
 	return p.view.retiring[entry.Node] && p.inScope(anyChange)
--- a/internal/register/quorum.go
+++ b/internal/register/quorum.go
@@ -58,9 +58,9 @@
 	contact.mu.Lock()
 	defer contact.mu.Unlock()
 	bounds := srv.bounds.Load()
-	grace := bounds.Beat()
+	grace := bounds.HeartbeatInterval()
 	if !contact.everReached {
-		grace = bounds.Suspect()
+		grace = bounds.SuspectTimeout()
 	}
 	return contact.failing && srv.clock.Now()-contact.failingSince >= grace
 }
@@ -79,7 +79,7 @@
 		return
 	}
 	srv.clock.Go(func() {
-		reached := base.Ask(srv.clock, voters(set), majority(set), srv.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
+		reached := base.CallQuorum(srv.clock, voters(set), majority(set), srv.bounds.Load().DiskTimeout(), func(ctx *base.Ctx, entry *DiskEntry) bool {
 			state, err := srv.diskClient(entry).Describe(ctx, describeRequest(set))
 			return err == nil && state.Id == entry.Id
 		})
@@ -102,5 +102,5 @@
 		withQuorum = alive
 	}
 	ids := base.Map(withQuorum, func(m *membership.Member) string { return m.Id })
-	return base.Rendezvous(fmt.Sprint("slot/", shardNum), ids)
+	return base.RendezvousOrder(fmt.Sprint("slot/", shardNum), ids)
 }
--- a/internal/register/quorum_test.go
+++ b/internal/register/quorum_test.go
@@ -13,8 +13,8 @@
 
 // testServer returns the server of a core that knows no other member.
 func testServer() *Server {
-	clock, bounds := base.NewRealClock(), &base.Table[base.Bounds]{}
-	bounds.Swap(base.DefaultBounds())
+	clock, bounds := base.NewRealClock(), &base.AtomicPointer[base.Bounds]{}
+	bounds.Store(base.DefaultBounds())
 	counters := base.NewCounters()
 	self := &membership.Member{Id: "a:1/a", Addr: "a:1", Role: membership.RoleCore}
 	return NewServer(clock, nil, membership.NewView(clock, nil, bounds, counters, self, nil, nil), bounds, counters)
@@ -30,10 +30,10 @@
 		failing       time.Duration
 		withoutQuorum bool
 	}{
-		{"just lost", true, bounds.Beat() / 2, false},
-		{"lost for a heartbeat interval", true, bounds.Beat() * 2, true},
-		{"never reached, just started", false, bounds.Beat() * 2, false},
-		{"never reached in the time that finds a silent node", false, bounds.Suspect() * 2, true},
+		{"just lost", true, bounds.HeartbeatInterval() / 2, false},
+		{"lost for a heartbeat interval", true, bounds.HeartbeatInterval() * 2, true},
+		{"never reached, just started", false, bounds.HeartbeatInterval() * 2, false},
+		{"never reached in the time that finds a silent node", false, bounds.SuspectTimeout() * 2, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/register/read.go
+++ b/internal/register/read.go
@@ -51,7 +51,7 @@
 	for index, failures := 0, 0; failures < len(holders); {
 		entry := holders[index%len(holders)]
 		request := &ReadRequest{Claim: srv.claim(s, epoch, set, entry), Installed: newest.Installed, Seq: newest.Seq, Offset: uint64(len(data))}
-		reply, err := srv.diskClient(entry).Read(base.NewCtx(srv.clock, srv.bounds.Load().DiskLimit()), request)
+		reply, err := srv.diskClient(entry).Read(base.NewCtx(srv.clock, srv.bounds.Load().DiskTimeout()), request)
 		if err != nil || !reply.Ack.Ok || len(reply.Data) == 0 || snapshot != nil && !snapshot.Equal(reply.Snapshot) {
 			srv.counters.Add("content_reads_failed", 1)
 			index, failures = index+1, failures+1
--- a/internal/register/reconcile.go
+++ b/internal/register/reconcile.go
@@ -132,7 +132,7 @@
 	scope := anyChange
 	switch {
 	case redundancy.full():
-	case redundancy.waited >= srv.bounds.Load().Recover:
+	case redundancy.waited >= srv.bounds.Load().Recovery:
 		scope = repairAndGrowth
 	default:
 		scope = repairOnly
--- a/internal/register/reconfigure.go
+++ b/internal/register/reconfigure.go
@@ -89,14 +89,14 @@
 	handle("disks.record", func(tx *Tx, request *diskSetArgs, record *DiskSetRecord) (*DiskSetRecord, error) {
 		if record == nil {
 			record = &DiskSetRecord{Current: request.Base, Settled: true, SettledShards: ShardCount, TargetVoters: len(voters(request.Base))}
-			tx.Put(DiskSetKey, base.Encode(record))
+			tx.Put(DiskSetKey, base.MustMarshal(record))
 		}
 		return record, nil
 	})
 	handle("disks.want", func(tx *Tx, request *diskSetArgs, record *DiskSetRecord) (*DiskSetRecord, error) {
 		if record != nil && record.Next == nil && record.Current.Stamp == request.Base.GetStamp() && record.TargetVoters != request.TargetVoters {
 			record.TargetVoters = request.TargetVoters
-			tx.Put(DiskSetKey, base.Encode(record))
+			tx.Put(DiskSetKey, base.MustMarshal(record))
 		}
 		return record, nil
 	})
@@ -104,7 +104,7 @@
 		if record == nil {
 			record = &DiskSetRecord{Current: request.Base, Settled: true, SettledShards: ShardCount}
 		}
-		if record.Next != nil && record.Next.Stamp == request.Next.Stamp && string(base.Encode(record.Next)) == string(base.Encode(request.Next)) {
+		if record.Next != nil && record.Next.Stamp == request.Next.Stamp && string(base.MustMarshal(record.Next)) == string(base.MustMarshal(request.Next)) {
 			return record, nil
 		}
 		switch record.ToConsensus().CheckProposal(*request.Next.ToConsensus()) {
@@ -125,20 +125,20 @@
 		if remaining := len(voters(request.Next)); request.Retire != "" && record.TargetVoters > remaining {
 			record.TargetVoters = remaining
 		}
-		tx.Put(DiskSetKey, base.Encode(record))
+		tx.Put(DiskSetKey, base.MustMarshal(record))
 		return record, nil
 	})
 	handle("disks.conclude", func(tx *Tx, request *diskSetArgs, record *DiskSetRecord) (*DiskSetRecord, error) {
 		if record != nil && record.Next != nil && record.Next.Stamp == request.Stamp {
 			record.Current, record.Next, record.Settled, record.SettledShards = record.Next, nil, false, 0
-			tx.Put(DiskSetKey, base.Encode(record))
+			tx.Put(DiskSetKey, base.MustMarshal(record))
 		}
 		return record, nil
 	})
 	handle("disks.settle", func(tx *Tx, request *diskSetArgs, record *DiskSetRecord) (*DiskSetRecord, error) {
 		if record != nil && record.Current.Stamp == request.Stamp && (record.SettledShards != request.SettledShards || record.Settled != (request.SettledShards == ShardCount)) {
 			record.SettledShards, record.Settled = request.SettledShards, request.SettledShards == ShardCount
-			tx.Put(DiskSetKey, base.Encode(record))
+			tx.Put(DiskSetKey, base.MustMarshal(record))
 		}
 		return record, nil
 	})
@@ -188,7 +188,7 @@
 	srv.LearnDiskSet(ack.Set)
 	set := srv.knownSet()
 	if ack.Set.GetStamp() < set.Stamp && inSet(set, entry.Id) {
-		adopted, err := srv.diskClient(entry).Adopt(base.NewCtx(srv.clock, srv.bounds.Load().DiskLimit()), &AdoptRequest{Set: set})
+		adopted, err := srv.diskClient(entry).Adopt(base.NewCtx(srv.clock, srv.bounds.Load().DiskTimeout()), &AdoptRequest{Set: set})
 		return err == nil && adopted.Ok
 	}
 	return set.Stamp > knownStamp
@@ -242,13 +242,13 @@
 		return
 	}
 	srv.clock.Go(func() {
-		minPause := srv.bounds.Load().Beat() / 16
+		minPause := srv.bounds.Load().HeartbeatInterval() / 16
 		for pause, lastProgress := minPause, ""; ; {
 			progress, more := srv.reconfigureStep(s)
 			if !more {
 				break
 			}
-			if pause = min(2*pause, srv.bounds.Load().Beat()/2); progress != lastProgress {
+			if pause = min(2*pause, srv.bounds.Load().HeartbeatInterval()/2); progress != lastProgress {
 				pause, lastProgress = minPause, progress
 			}
 			srv.clock.Sleep(pause)
@@ -262,8 +262,8 @@
 // applyToFeed executes one of this core's own operations on the feed's shard.
 func (srv *Server) applyToFeed(op string, args any) error {
 	s := srv.shards[0]
-	_, err := srv.apply(base.NewCtx(srv.clock, srv.bounds.Load().Call()), s, FeedGroup, func(tx *Tx) (any, error) {
-		return srv.ops[op](tx, base.Encode(args))
+	_, err := srv.apply(base.NewCtx(srv.clock, srv.bounds.Load().CoreCallTimeout()), s, FeedGroup, func(tx *Tx) (any, error) {
+		return srv.ops[op](tx, base.MustMarshal(args))
 	})
 	return err
 }
@@ -274,7 +274,7 @@
 // got further; more tells whether another step should follow soon.
 func (srv *Server) reconfigureStep(s *shard) (progress string, more bool) {
 	records := srv.readRecords(s)
-	if records == nil || srv.waitCommitted(base.NewCtx(srv.clock, srv.bounds.Load().Call()), s, records.epoch, records.targetSeq) != nil {
+	if records == nil || srv.waitCommitted(base.NewCtx(srv.clock, srv.bounds.Load().CoreCallTimeout()), s, records.epoch, records.targetSeq) != nil {
 		return "", false
 	}
 	record := records.diskSet
@@ -331,7 +331,7 @@
 	adopted := map[string]bool{}
 	before, after := *current.ToConsensus(), *next.ToConsensus()
 	entries := base.Map(base.SortedKeys(byID), func(id string) *DiskEntry { return byID[id] })
-	return base.Ask(srv.clock, entries, 1, srv.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
+	return base.CallQuorum(srv.clock, entries, 1, srv.bounds.Load().DiskTimeout(), func(ctx *base.Ctx, entry *DiskEntry) bool {
 		state, err := srv.diskClient(entry).Describe(ctx, &DescribeRequest{})
 		if err != nil || state.Id != entry.Id {
 			return false
--- a/internal/register/redundancy.go
+++ b/internal/register/redundancy.go
@@ -60,7 +60,7 @@
 	if srv.reconciler.redundancy == nil {
 		return redundancyState{}
 	}
-	state := redundancyState{gaps: srv.reconciler.redundancy.Gaps(base.NewCtx(srv.clock, 2*srv.bounds.Load().Beat()), set)}
+	state := redundancyState{gaps: srv.reconciler.redundancy.Gaps(base.NewCtx(srv.clock, 2*srv.bounds.Load().HeartbeatInterval()), set)}
 	srv.reconciler.mu.Lock()
 	defer srv.reconciler.mu.Unlock()
 	delay := &srv.reconciler.delay
--- a/internal/register/replicate.go
+++ b/internal/register/replicate.go
@@ -47,7 +47,7 @@
 		if repair {
 			if ended := srv.beginRepair(entry.Id); ended != nil {
 				s.mu.Unlock()
-				ended.Wait(srv.bounds.Load().Beat() / 2)
+				ended.Wait(srv.bounds.Load().HeartbeatInterval() / 2)
 				continue
 			}
 		}
@@ -83,7 +83,7 @@
 	pause = s.repairDelay(entry.Id, message)
 	s.mu.Unlock()
 	if partial {
-		s.changed.Ring()
+		s.changed.Notify()
 	} else {
 		srv.recordAck(s, epoch, entry.Id, ack.Seq, setStamp)
 	}
@@ -123,7 +123,7 @@
 
 // callDisk sends a message to a disk and returns its answer.
 func (srv *Server) callDisk(entry *DiskEntry, message *diskMessage) (*Ack, error) {
-	ctx, disk := base.NewCtx(srv.clock, srv.bounds.Load().DiskLimit()), srv.diskClient(entry)
+	ctx, disk := base.NewCtx(srv.clock, srv.bounds.Load().DiskTimeout()), srv.diskClient(entry)
 	switch {
 	case message.install != nil:
 		srv.counters.Add("disk_installs_sent", 1)
@@ -139,7 +139,7 @@
 // handleRejection handles a disk's rejection of a message, or the lack of an
 // answer if ack is nil. It reports whether the sender should go on.
 func (srv *Server) handleRejection(s *shard, epoch uint64, entry *DiskEntry, ack *Ack) bool {
-	pause := srv.bounds.Load().Beat() / 2
+	pause := srv.bounds.Load().HeartbeatInterval() / 2
 	if ack != nil {
 		switch ack.Why {
 		case "epoch":
--- a/internal/register/retire.go
+++ b/internal/register/retire.go
@@ -109,13 +109,13 @@
 			return nil, base.Decline(409, "too_few_disks", "without machine %q only %d voting disks would remain; at least %d are required", request.Node, remaining, required)
 		}
 		retirement := &Retirement{Node: request.Node, Disk: diskID}
-		tx.Put(RetirementPrefix+request.Node, base.Encode(retirement))
+		tx.Put(RetirementPrefix+request.Node, base.MustMarshal(retirement))
 		return retirement, nil
 	})
 	handle("retiring.conclude", func(tx *Tx, _, existing *Retirement) (any, error) {
 		if existing != nil && !existing.Complete {
 			existing.Complete = true
-			tx.Put(RetirementPrefix+existing.Node, base.Encode(existing))
+			tx.Put(RetirementPrefix+existing.Node, base.MustMarshal(existing))
 		}
 		return existing, nil
 	})
--- a/internal/register/retirements.go
+++ b/internal/register/retirements.go
@@ -45,7 +45,7 @@
 		return redundancy.describe()
 	}
 	if isEmpty := srv.reconciler.isEmpty; isEmpty != nil && retirement.Disk != "" {
-		if empty, err := isEmpty(base.NewCtx(srv.clock, srv.bounds.Load().Call()), retirement.Disk); err != nil || !empty {
+		if empty, err := isEmpty(base.NewCtx(srv.clock, srv.bounds.Load().CoreCallTimeout()), retirement.Disk); err != nil || !empty {
 			return fmt.Sprintf("disk %s still holds other data, or could not be asked", retirement.Disk)
 		}
 	}
--- a/internal/register/search.go
+++ b/internal/register/search.go
@@ -39,8 +39,8 @@
 
 	mu       sync.Mutex
 	inFlight map[string]bool
-	replies  []coreReply // not handled yet
-	replied  *base.Bell  // rung at each reply
+	replies  []coreReply    // not handled yet
+	replied  *base.Notifier // rung at each reply
 }
 
 // findLeader calls cores until one answers for itself or the context is over, and
@@ -49,9 +49,9 @@
 // safe for concurrent use unless hedgeAfter is neverHedge.
 func (c *Client) findLeader(ctx *base.Ctx, shardNum uint32, callTimeout, hedgeAfter time.Duration, call func(ctx *base.Ctx, addr string) coreReply) ([]byte, error) {
 	s := &leaderSearch{client: c, ctx: ctx, shardNum: shardNum, callTimeout: callTimeout, hedgeAfter: hedgeAfter, call: call,
-		failures: map[string]int{}, inFlight: map[string]bool{}, replied: base.NewBell(c.clock)}
+		failures: map[string]int{}, inFlight: map[string]bool{}, replied: base.NewNotifier(c.clock)}
 	hint := ""
-	for ; !ctx.Over(); s.attempts++ {
+	for ; !ctx.Expired(); s.attempts++ {
 		core := hint
 		if core == "" || s.failures[core] > 0 {
 			core = c.pickCore(shardNum, s.failures)
@@ -92,7 +92,7 @@
 func (s *leaderSearch) awaitCore() {
 	changed := s.client.view.NextChange()
 	if s.client.pickCore(s.shardNum, s.failures) == "" {
-		changed.Wait(min(s.ctx.Left(), s.client.bounds.Load().Beat()/4))
+		changed.Wait(min(s.ctx.Remaining(), s.client.bounds.Load().HeartbeatInterval()/4))
 	}
 	s.attempts = -1
 }
@@ -112,9 +112,9 @@
 	case !callable:
 		return waiting
 	case s.hedgeAfter == neverHedge:
-		s.addReply(core, s.call(s.ctx.Within(s.callTimeout), member.Addr))
+		s.addReply(core, s.call(s.ctx.WithTimeout(s.callTimeout), member.Addr))
 	default:
-		s.client.clock.Go(func() { s.addReply(core, s.call(s.ctx.Within(s.callTimeout), member.Addr)) })
+		s.client.clock.Go(func() { s.addReply(core, s.call(s.ctx.WithTimeout(s.callTimeout), member.Addr)) })
 	}
 	return true
 }
@@ -126,13 +126,13 @@
 	delete(s.inFlight, core)
 	s.replies = append(s.replies, reply)
 	s.mu.Unlock()
-	s.replied.Ring()
+	s.replied.Notify()
 }
 
 // nextReply waits for a reply of any called core, for up to hedgeAfter.
 func (s *leaderSearch) nextReply() (coreReply, bool) {
 	clock := s.client.clock
-	deadline := clock.Now() + s.ctx.Left()
+	deadline := clock.Now() + s.ctx.Remaining()
 	if s.hedgeAfter != neverHedge {
 		deadline = min(deadline, clock.Now()+s.hedgeAfter)
 	}
@@ -168,7 +168,7 @@
 		}
 		return reply.hint == "", nil
 	}
-	failure := base.FromWire(reply.err)
+	failure := base.ToRequestError(reply.err)
 	s.lastErr = failure
 	switch failure.Code {
 	case "unreachable":
@@ -180,9 +180,9 @@
 		s.client.view.Suspect(reply.core)
 	case "no_majority":
 		s.failures[reply.core]++
-		s.mayHaveRun = s.mayHaveRun || failure.Ran != base.NotRun
+		s.mayHaveRun = s.mayHaveRun || failure.Execution != base.NotRun
 	case "slot_moved", "slot_not_ready", "no_disks":
-		s.mayHaveRun = s.mayHaveRun || failure.Ran != base.NotRun
+		s.mayHaveRun = s.mayHaveRun || failure.Execution != base.NotRun
 	default:
 		return true, failure
 	}
@@ -209,14 +209,14 @@
 // the attempts, or until a reply arrives.
 func (s *leaderSearch) backoff() {
 	const maxDoublings = 3
-	delay := s.client.bounds.Load().Beat() / 10 << min(s.attempts, maxDoublings)
+	delay := s.client.bounds.Load().HeartbeatInterval() / 10 << min(s.attempts, maxDoublings)
 	delay += time.Duration(s.client.clock.Int64N(int64(delay)))
 	replied := s.replied.Next()
 	s.mu.Lock()
 	hasReply := len(s.replies) > 0
 	s.mu.Unlock()
 	if !hasReply {
-		replied.Wait(min(s.ctx.Left(), delay))
+		replied.Wait(min(s.ctx.Remaining(), delay))
 	}
 }
 
@@ -225,14 +225,14 @@
 	s.mu.Lock()
 	mayHaveRun := s.mayHaveRun || len(s.inFlight) > 0
 	for _, reply := range s.replies {
-		mayHaveRun = mayHaveRun || base.FromWire(reply.err) != nil && base.FromWire(reply.err).Ran != base.NotRun
+		mayHaveRun = mayHaveRun || base.ToRequestError(reply.err) != nil && base.ToRequestError(reply.err).Execution != base.NotRun
 	}
 	s.mu.Unlock()
 	if s.lastErr == nil {
 		s.lastErr = base.Busy(503, "silent", 1, "no core has answered")
 	}
 	if mayHaveRun {
-		return base.Unsure(503, "outcome_unknown", "shard %d of the control state did not answer in time: %v", s.shardNum, s.lastErr)
+		return base.Indeterminate(503, "outcome_unknown", "shard %d of the control state did not answer in time: %v", s.shardNum, s.lastErr)
 	}
 	return base.Busy(503, "control_unreachable", 1, "shard %d of the control state could not be reached: %v", s.shardNum, s.lastErr)
 }
--- a/internal/register/search_test.go
+++ b/internal/register/search_test.go
@@ -43,7 +43,7 @@
 	client := NewClient(srv.clock, nil, srv.view, srv.bounds)
 	candidates := client.LeaderCandidates(1)
 	cores := &leaderReadyLater{leader: candidates[0]}
-	timeout := srv.bounds.Load().Call()
+	timeout := srv.bounds.Load().CoreCallTimeout()
 	result, err := client.findLeader(base.NewCtx(srv.clock, timeout), 1, time.Second, neverHedge, func(_ *base.Ctx, addr string) coreReply {
 		for _, member := range srv.view.Known(membership.RoleCore) {
 			if member.Addr == addr {
--- a/internal/register/server.go
+++ b/internal/register/server.go
@@ -35,9 +35,9 @@
 // operations on them and replicates them to the disks.
 type Server struct {
 	clock    base.Clock
-	wire     base.Wire
+	wire     base.HTTPClient
 	view     *membership.View
-	bounds   *base.Table[base.Bounds]
+	bounds   *base.AtomicPointer[base.Bounds]
 	counters *base.Counters
 	ops      map[string]Op
 	sweeps   []func(tx *Tx)
@@ -67,12 +67,12 @@
 }
 
 // NewServer returns the server of a core; Run starts it.
-func NewServer(clock base.Clock, wire base.Wire, view *membership.View, bounds *base.Table[base.Bounds], counters *base.Counters) *Server {
+func NewServer(clock base.Clock, wire base.HTTPClient, view *membership.View, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters) *Server {
 	srv := &Server{clock: clock, wire: wire, view: view, bounds: bounds, counters: counters, ops: map[string]Op{}, slowDisks: map[string]time.Duration{}, repairs: map[string]int{}, repairEnded: clock.NewSignal()}
 	srv.registerDiskSetOps()
 	srv.registerRetirementOps()
 	for num := range srv.shards {
-		srv.shards[num] = &shard{num: uint32(num), changed: base.NewBell(clock)}
+		srv.shards[num] = &shard{num: uint32(num), changed: base.NewNotifier(clock)}
 	}
 	return srv
 }
@@ -99,11 +99,11 @@
 		}
 		srv.probeQuorum()
 		srv.driveReconfiguration()
-		if srv.clock.Now()-lastSweep > srv.bounds.Load().Sweep() {
+		if srv.clock.Now()-lastSweep > srv.bounds.Load().SweepInterval() {
 			lastSweep = srv.clock.Now()
 			srv.runSweeps()
 		}
-		srv.clock.Sleep(srv.bounds.Load().Beat())
+		srv.clock.Sleep(srv.bounds.Load().HeartbeatInterval())
 	}
 }
 
@@ -124,7 +124,7 @@
 		s.mu.Lock()
 		s.phase, s.epoch = phaseIdle, 0
 		s.mu.Unlock()
-		s.changed.Ring()
+		s.changed.Notify()
 	}
 }
 
--- a/internal/register/shard.go
+++ b/internal/register/shard.go
@@ -43,7 +43,7 @@
 // core leads the shard or takes it over.
 type shard struct {
 	num     uint32
-	changed *base.Bell // rung at each change of the state below
+	changed *base.Notifier // rung at each change of the state below
 
 	mu           sync.Mutex
 	phase        phase
@@ -125,7 +125,7 @@
 		s.updateCommitted(srv.knownSet())
 	}
 	s.mu.Unlock()
-	s.changed.Ring()
+	s.changed.Notify()
 }
 
 // updateCommitted recomputes what a majority of the set has; the caller holds the
--- a/internal/register/tail_test.go
+++ b/internal/register/tail_test.go
@@ -78,7 +78,7 @@
 	clock := base.NewRealClock()
 	former := &DiskSet{Stamp: 1, Disks: []*DiskEntry{{Id: "a"}, {Id: "b"}, {Id: "c"}}}
 	newest := &DiskSet{Stamp: 3, Disks: append(former.Disks[:3:3], &DiskEntry{Id: "d"})}
-	s := &shard{num: 1, epoch: 1, lastSeq: 1, changed: base.NewBell(clock), entries: []*Entry{{Seq: 1}}, progress: map[string]*consensus.Progress{
+	s := &shard{num: 1, epoch: 1, lastSeq: 1, changed: base.NewNotifier(clock), entries: []*Entry{{Seq: 1}}, progress: map[string]*consensus.Progress{
 		"a": {},
 		"b": {Installed: true, Acked: 1, SetVersion: 3},
 		"c": {Installed: true, Acked: 1, SetVersion: 3},
@@ -115,7 +115,7 @@
 func TestOnlyAcknowledgementsUnderTheSetCount(t *testing.T) {
 	is := is.New(t)
 	set := &DiskSet{Stamp: 3, Disks: []*DiskEntry{{Id: "a"}, {Id: "c"}, {Id: "d"}}}
-	s := &shard{num: 1, epoch: 1, lastSeq: 1, changed: base.NewBell(base.NewRealClock()), entries: []*Entry{{Seq: 1}}, progress: map[string]*consensus.Progress{
+	s := &shard{num: 1, epoch: 1, lastSeq: 1, changed: base.NewNotifier(base.NewRealClock()), entries: []*Entry{{Seq: 1}}, progress: map[string]*consensus.Progress{
 		"a": {Installed: true, Acked: 1, SetVersion: 1},
 		"c": {Installed: true, SetVersion: 1},
 		"d": {Installed: true, SetVersion: 1},
--- a/internal/register/takeover.go
+++ b/internal/register/takeover.go
@@ -44,7 +44,7 @@
 // unresponsive reports whether a core has not answered this one within the last two
 // heartbeat intervals.
 func (srv *Server) unresponsive(coreID string) bool {
-	return srv.view.Unanswered(coreID, 2*srv.bounds.Load().Beat())
+	return srv.view.Unanswered(coreID, 2*srv.bounds.Load().HeartbeatInterval())
 }
 
 // probeHigherRanked probes the candidates that rank before this core, since a
@@ -62,7 +62,7 @@
 		}
 	}
 	if first != nil {
-		first.Wait(min(ctx.Left()/2, srv.bounds.Load().Beat()*11/10))
+		first.Wait(min(ctx.Remaining()/2, srv.bounds.Load().HeartbeatInterval()*11/10))
 	}
 }
 
@@ -87,7 +87,7 @@
 			s.mu.Lock()
 			s.phase = phaseIdle
 			s.mu.Unlock()
-			s.changed.Ring()
+			s.changed.Notify()
 		}
 	})
 }
@@ -96,7 +96,7 @@
 // disk set it waits for a change of the membership view, since only storage
 // machines can tell the set.
 func (srv *Server) takeoverBackoff(cause error) {
-	pause := srv.bounds.Load().Beat() / 4
+	pause := srv.bounds.Load().HeartbeatInterval() / 4
 	if base.IsCode(cause, "no_disks") {
 		srv.view.NextChange().Wait(pause)
 		return
@@ -122,7 +122,7 @@
 	var promises promiseSet
 	var mu sync.Mutex
 	superseded := false // a disk has promised this epoch or a higher one to another core
-	majorityPromised := base.Ask(srv.clock, voters(set), majority(set), srv.bounds.Load().DiskLimit(), func(ctx *base.Ctx, entry *DiskEntry) bool {
+	majorityPromised := base.CallQuorum(srv.clock, voters(set), majority(set), srv.bounds.Load().DiskTimeout(), func(ctx *base.Ctx, entry *DiskEntry) bool {
 		reply, err := srv.requestPromise(ctx, entry, &PromiseRequest{Claim: srv.claim(s, epoch, set, entry)})
 		if err != nil {
 			return false
@@ -170,12 +170,12 @@
 	s.progress, s.transfers = map[string]*consensus.Progress{}, map[string]*transfer{}
 	s.mu.Unlock()
 	srv.startSenders(s)
-	deadline, partsAccepted := srv.clock.Now()+srv.bounds.Load().Call(), 0
+	deadline, partsAccepted := srv.clock.Now()+srv.bounds.Load().CoreCallTimeout(), 0
 	for {
 		changed := s.changed.Next()
 		s.mu.Lock()
 		if s.partsAccepted != partsAccepted {
-			deadline, partsAccepted = srv.clock.Now()+srv.bounds.Load().Call(), s.partsAccepted
+			deadline, partsAccepted = srv.clock.Now()+srv.bounds.Load().CoreCallTimeout(), s.partsAccepted
 		}
 		if s.epoch != epoch {
 			s.mu.Unlock()
@@ -184,7 +184,7 @@
 		if s.majorityInstalled {
 			s.phase = phaseLeading
 			s.mu.Unlock()
-			s.changed.Ring()
+			s.changed.Notify()
 			srv.counters.Add("slots_taken", 1)
 			return nil
 		}
@@ -201,8 +201,8 @@
 func (srv *Server) requestPromise(ctx *base.Ctx, entry *DiskEntry, request *PromiseRequest) (*PromiseReply, error) {
 	for {
 		reply, err := srv.diskClient(entry).Promise(ctx, request)
-		pause := srv.bounds.Load().Beat() / 12
-		if err == nil || !base.WasNotSent(err) || ctx.Left() < pause || srv.isClosed() {
+		pause := srv.bounds.Load().HeartbeatInterval() / 12
+		if err == nil || !base.WasNotSent(err) || ctx.Remaining() < pause || srv.isClosed() {
 			return reply, err
 		}
 		srv.clock.Sleep(pause/2 + time.Duration(srv.clock.Int64N(int64(pause))))
@@ -221,5 +221,5 @@
 		s.epoch, s.kv, s.entries, s.progress, s.transfers = 0, nil, nil, nil, nil
 	}
 	s.mu.Unlock()
-	s.changed.Ring()
+	s.changed.Notify()
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -25,7 +25,7 @@
 	relay    *Relay
 	dispatch *dispatch
 	worker   *workerState
-	response base.BackReply
+	response base.BackendReply
 	sentAt   time.Duration
 
 	firstEventSeen bool
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -50,7 +50,7 @@
 	values := map[string][]byte{}
 	for i := range workers {
 		w := relay.Worker{Service: fmt.Sprintf("service-%d", i%4), Addr: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250), Zone: fmt.Sprintf("zone-%d", i%6), Capacity: 96}
-		values[fmt.Sprintf("%sinstance-%05d", relay.RosterKeyPrefix, i)] = base.Encode(w)
+		values[fmt.Sprintf("%sinstance-%05d", relay.RosterKeyPrefix, i)] = base.MustMarshal(w)
 	}
 	return values
 }
@@ -67,7 +67,7 @@
 			key := relay.RosterKeyPrefix + "instance-00007"
 			draining := map[string][]byte{}
 			for _, drains := range []bool{false, true} {
-				draining[fmt.Sprint(drains)] = base.Encode(relay.Worker{Service: "service-3", Addr: "10.1.0.7:8080", Zone: "zone-1", Capacity: 96, Draining: drains})
+				draining[fmt.Sprint(drains)] = base.MustMarshal(relay.Worker{Service: "service-3", Addr: "10.1.0.7:8080", Zone: "zone-1", Capacity: 96, Draining: drains})
 			}
 			size := 0
 			for key, value := range values {
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -128,7 +128,7 @@
 					served[rt.Urgency]++
 					slowest = max(slowest, took)
 				} else {
-					f.Equal(v.Ran, base.NotRun)
+					f.Equal(v.Execution, base.NotRun)
 					f.True(took <= rt.LatencyTarget/4)
 					declined[rt.Urgency]++
 				}
@@ -310,7 +310,7 @@
 
 var instantReply = &fakeReply{worker: &fakeWorker{slots: 96}, status: 200, header: map[string]string{"Seal": "x", "Load": "1,0,96"}}
 
-func (instantBackends) Forget(string) {}
-func (instantBackends) Call(*base.Ctx, string, *base.BackRequest) (base.BackReply, error) {
+func (instantBackends) DropIdle(string) {}
+func (instantBackends) Call(*base.Ctx, string, *base.BackendRequest) (base.BackendReply, error) {
 	return instantReply, nil
 }
--- a/internal/relay/cost.go
+++ b/internal/relay/cost.go
@@ -23,7 +23,7 @@
 	if s.failures > 0 {
 		return 0
 	}
-	if s.idleConns > 0 && now-s.idleConnAt < 2*r.Bounds.Load().Leave {
+	if s.idleConns > 0 && now-s.idleConnAt < 2*r.Bounds.Load().Drain {
 		return 0
 	}
 	return d.route.LatencyTarget / 48
--- a/internal/relay/event.go
+++ b/internal/relay/event.go
@@ -20,7 +20,7 @@
 }
 
 // errEventTooLong is returned for an event longer than maxEventBytes.
-var errEventTooLong = base.Unsure(502, "worker_garbled", "an event is too long")
+var errEventTooLong = base.Indeterminate(502, "worker_garbled", "an event is too long")
 
 // readEvent reads lines up to an empty one. It returns io.EOF at the end of the
 // stream; a last event without an empty line is returned before that.
@@ -66,7 +66,7 @@
 func (a *attempt) nextEvent(deadline time.Duration) (*Event, error) {
 	clock := a.relay.Clock
 	event, err := readEvent(func() ([]byte, error) {
-		line, err := a.response.Line(max(0, deadline-clock.Now()))
+		line, err := a.response.ReadLine(max(0, deadline-clock.Now()))
 		if err == nil {
 			a.worker.lastHeardAt.Store(int64(clock.Now()))
 		}
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -47,10 +47,10 @@
 	fault            fault
 	running, waiting int
 	peakLoad         int
-	bell             *base.Bell
+	bell             *base.Notifier
 	ranIDs           []string // ids of the requests it ran
 	receivedIDs      []string // ids of the requests it was sent
-	lastRequest      *base.BackRequest
+	lastRequest      *base.BackendRequest
 	cachedTokens     map[string]int // by part, for model workers
 	prefillPerToken  time.Duration
 	prefilledTokens  int
@@ -79,7 +79,7 @@
 
 func (f *fleet) addWorker(id, zone string, slots int) *fakeWorker {
 	w := &fakeWorker{Worker: relay.Worker{ID: id, Addr: "addr-" + id, Service: "s", Zone: zone, Capacity: slots}, slots: slots, queue: 4 * slots,
-		workTime: func() time.Duration { return 100 * time.Millisecond }, bell: base.NewBell(f.clock), cachedTokens: map[string]int{}}
+		workTime: func() time.Duration { return 100 * time.Millisecond }, bell: base.NewNotifier(f.clock), cachedTokens: map[string]int{}}
 	f.workers[w.Addr] = w
 	f.ordered = append(f.ordered, w)
 	return w
@@ -90,8 +90,8 @@
 }
 
 func (f *fleet) relay(zone string) *relay.Relay {
-	bounds := &base.Table[base.Bounds]{}
-	bounds.Swap(base.DefaultBounds())
+	bounds := &base.AtomicPointer[base.Bounds]{}
+	bounds.Store(base.DefaultBounds())
 	r := relay.New(relay.Config{Clock: f.clock, Backends: f, Bounds: bounds, Names: wireNames, Zone: zone, MaxResponseBytes: 1 << 20, Counters: base.NewCounters()})
 	r.SetWorkers(f.list())
 	return r
@@ -110,9 +110,9 @@
 	}
 }
 
-func (f *fleet) Forget(worker string) { f.forgotten = append(f.forgotten, worker) }
+func (f *fleet) DropIdle(worker string) { f.forgotten = append(f.forgotten, worker) }
 
-func (f *fleet) Call(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
+func (f *fleet) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
 	w := f.workers[addr]
 	f.clock.Sleep(time.Millisecond)
 	if w.fault == unreachable {
@@ -121,14 +121,14 @@
 	if f.beforeSend != nil {
 		f.beforeSend(w)
 	}
-	if request.Stays != nil && !request.Stays() {
-		return nil, &base.NotSent{Cause: base.ErrLeaves}
+	if request.ConfirmSend != nil && !request.ConfirmSend() {
+		return nil, &base.NotSent{Cause: base.ErrDraining}
 	}
 	id := valueOf(request, "Call-Id")
 	w.receivedIDs, w.lastRequest = append(w.receivedIDs, id), request
 	f.clock.Sleep(time.Millisecond)
 	reply := &fakeReply{fleet: f, worker: w, status: 200, header: map[string]string{"Call-Id": id, "Seal": "sealed-" + id}, body: []byte("answer to " + id)}
-	reject := func(status int, proof bool) (base.BackReply, error) {
+	reject := func(status int, proof bool) (base.BackendReply, error) {
 		reply.status, reply.body = status, []byte("no")
 		if proof {
 			reply.header["Refused"] = "1"
@@ -144,7 +144,7 @@
 	case w.fault == misdirects || valueOf(request, "Only-Worker") != w.ID:
 		return reject(421, false)
 	case w.fault == neverAnswers:
-		f.clock.Sleep(ctx.Left())
+		f.clock.Sleep(ctx.Remaining())
 		return nil, errors.New("no answer in time")
 	case w.running >= w.slots && w.waiting >= w.queue:
 		return reject(503, true)
@@ -162,7 +162,7 @@
 	}
 	f.clock.Sleep(w.workTime())
 	w.running--
-	w.bell.Ring()
+	w.bell.Notify()
 	switch w.fault {
 	case losesReply:
 		return nil, errors.New("reset")
@@ -184,7 +184,7 @@
 }
 
 // prefill takes the time to prefill the parts that are not cached.
-func (w *fakeWorker) prefill(f *fleet, request *base.BackRequest) {
+func (w *fakeWorker) prefill(f *fleet, request *base.BackendRequest) {
 	uncached, broken := 0, false
 	for _, part := range strings.Split(valueOf(request, "Parts"), ",") {
 		id, tokens, _ := strings.Cut(part, ":")
@@ -201,8 +201,8 @@
 	f.clock.Sleep(time.Duration(uncached) * w.prefillPerToken)
 }
 
-func valueOf(request *base.BackRequest, name string) string {
-	for _, line := range request.Lines {
+func valueOf(request *base.BackendRequest, name string) string {
+	for _, line := range request.HeaderLines {
 		if line.Name == name {
 			return line.Value
 		}
@@ -227,7 +227,7 @@
 
 func (r *fakeReply) Status() int               { return r.status }
 func (r *fakeReply) Header(name string) string { return r.header[name] }
-func (r *fakeReply) Closes() bool              { return false }
+func (r *fakeReply) ClosesConnection() bool    { return false }
 func (r *fakeReply) Close()                    { r.closed = true }
 
 func (r *fakeReply) EachHeader(visit func(name, value []byte)) {
@@ -236,7 +236,7 @@
 	}
 }
 
-func (r *fakeReply) Line(time.Duration) ([]byte, error) {
+func (r *fakeReply) ReadLine(time.Duration) ([]byte, error) {
 	if len(r.lines) == 0 || r.lines[0] == "" {
 		if r.cut {
 			return nil, io.ErrUnexpectedEOF
@@ -248,7 +248,7 @@
 	return []byte(line), nil
 }
 
-func (r *fakeReply) Body(time.Duration, int) ([]byte, error) {
+func (r *fakeReply) ReadBody(time.Duration, int) ([]byte, error) {
 	if r.cut {
 		return nil, io.ErrUnexpectedEOF
 	}
@@ -271,10 +271,10 @@
 }
 
 // dispatch sends a call to the plain service and returns its reply or verdict.
-func (f *fleet) dispatch(r *relay.Relay, rt *route.Route, c *relay.Call) (*relay.Reply, *base.Verdict) {
+func (f *fleet) dispatch(r *relay.Relay, rt *route.Route, c *relay.Call) (*relay.Reply, *base.RequestError) {
 	reply, err := r.Dispatch(base.NewCtx(f.clock, time.Minute), rt, plainService, c, []byte("ask"))
 	if err != nil {
-		return nil, base.FromWire(err)
+		return nil, base.ToRequestError(err)
 	}
 	return reply, nil
 }
--- a/internal/relay/feedback.go
+++ b/internal/relay/feedback.go
@@ -109,9 +109,9 @@
 		s.fullUntil = now + r.jitter(max(p.requestTime.value/2, d.route.LatencyTarget/16))
 	case outcomeMisdirected:
 		s.failures += 3
-		s.avoidUntil = now + bounds.Leave
+		s.avoidUntil = now + bounds.Drain
 	case outcomeFailed, outcomeUnreachable:
-		pause := min(bounds.Beat()/2<<min(s.failures, 8), bounds.Leave)
+		pause := min(bounds.HeartbeatInterval()/2<<min(s.failures, 8), bounds.Drain)
 		s.failures++
 		s.avoidUntil = now + r.jitter(pause)
 	}
