--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -12,12 +12,12 @@
 
 // linesReply returns prepared bytes line by line, and then the error end.
 type linesReply struct {
-	base.BackReply
+	base.BackendReply
 	rest []byte
 	end  error
 }
 
-func (r *linesReply) Line(time.Duration) ([]byte, error) {
+func (r *linesReply) ReadLine(time.Duration) ([]byte, error) {
 	if len(r.rest) == 0 {
 		return nil, r.end
 	}
@@ -35,8 +35,8 @@
 
 // readEvents reads the events of a stream up to its end, and returns that error.
 func readEvents(raw []byte, end error) ([]*Event, error) {
-	relay := New(Config{Clock: base.NewRealClock(), Names: &WireNames{}, Bounds: &base.Table[base.Bounds]{}, Counters: base.NewCounters()})
-	relay.Bounds.Swap(base.DefaultBounds())
+	relay := New(Config{Clock: base.NewRealClock(), Names: &WireNames{}, Bounds: &base.AtomicPointer[base.Bounds]{}, Counters: base.NewCounters()})
+	relay.Bounds.Store(base.DefaultBounds())
 	first := &attempt{relay: relay, response: &linesReply{rest: bytes.Clone(raw), end: end}, worker: &workerState{cache: newPrefixCache()}, dispatch: newFuzzDispatch()}
 	reply := &Reply{Status: 200, relay: relay, firstAttempt: first, current: first, dispatch: first.dispatch}
 	var events []*Event
--- a/internal/relay/proof.go
+++ b/internal/relay/proof.go
@@ -52,9 +52,9 @@
 // proofFromError returns the proof given by the error of a call without response.
 func proofFromError(err error) notRunProof {
 	switch {
-	case errors.Is(err, base.ErrLeaves):
+	case errors.Is(err, base.ErrDraining):
 		return proofLeaving
-	case errors.Is(err, base.ErrNoConnection):
+	case errors.Is(err, base.ErrConnectionLimit):
 		return proofNoConnection
 	case base.WasNotSent(err):
 		return proofUnreachable
@@ -74,7 +74,7 @@
 }
 
 // verdict is the error for the client if no other worker takes the request.
-func (p notRunProof) verdict() *base.Verdict {
+func (p notRunProof) verdict() *base.RequestError {
 	c := consequences[p]
 	return base.Decline(503, c.code, "%s", c.message)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,8 +18,8 @@
 // Config holds the dependencies and settings of a relay.
 type Config struct {
 	Clock    base.Clock
-	Backends base.Backends
-	Bounds   *base.Table[base.Bounds]
+	Backends base.BackendClient
+	Bounds   *base.AtomicPointer[base.Bounds]
 	Counters *base.Counters
 	Names    *WireNames
 	Zone     string
@@ -109,7 +109,7 @@
 	}
 	r.mu.Unlock()
 	for _, id := range removed {
-		r.Backends.Forget(id)
+		r.Backends.DropIdle(id)
 	}
 }
 
@@ -140,7 +140,7 @@
 // the whole body or a stream. An error is always a verdict.
 func (r *Relay) Dispatch(ctx *base.Ctx, rt *route.Route, service *route.Service, call *Call, body []byte) (*Reply, error) {
 	now := r.Clock.Now()
-	timeout := min(ctx.Left(), rt.Timeout)
+	timeout := min(ctx.Remaining(), rt.Timeout)
 	if call.Deadline > 0 {
 		timeout = min(timeout, call.Deadline)
 	}
@@ -162,7 +162,7 @@
 			return reply, nil
 		}
 		d.tried = append(d.tried, chosen)
-		if v := base.VerdictIn(err); v == nil || v.Ran != base.NotRun {
+		if v := base.FindRequestError(err); v == nil || v.Execution != base.NotRun {
 			d.mayHaveRun = true
 			if !d.mayRetry(0) {
 				return nil, err
@@ -180,8 +180,8 @@
 // finalError turns a refusal that says "not run" into one that does not, if an
 // earlier worker may have run the request.
 func (d *dispatch) finalError(err error) error {
-	if v := base.VerdictIn(err); d.mayHaveRun && v != nil && v.Ran == base.NotRun {
-		return base.Unsure(502, "worker_lost", "a worker's answer was lost, and then: %s", v.Message)
+	if v := base.FindRequestError(err); d.mayHaveRun && v != nil && v.Execution == base.NotRun {
+		return base.Indeterminate(502, "worker_lost", "a worker's answer was lost, and then: %s", v.Message)
 	}
 	return err
 }
@@ -239,13 +239,13 @@
 func (r *Relay) send(d *dispatch, chosen *workerState) (*Reply, error) {
 	sentAt := r.Clock.Now()
 	left := d.deadline - sentAt
-	request := &base.BackRequest{Method: d.call.Method, Path: d.call.Target, Host: d.call.Host, Body: d.body, Worker: chosen.ID,
-		Match: base.HeaderLine{Name: r.Names.ID, Value: d.call.ID}, MostConns: r.maxConns(d.service), Connect: d.route.LatencyTarget / 3,
-		Stays: func() bool { return chosen.serving.Load() && d.deadline-r.Clock.Now() >= d.minSendTime() }}
-	request.Lines = append(d.headerLines[:len(d.headerLines):len(d.headerLines)], base.HeaderLine{Name: r.Names.Deadline, Value: strconv.FormatInt(left.Milliseconds(), 10)},
+	request := &base.BackendRequest{Method: d.call.Method, Path: d.call.Target, Host: d.call.Host, Body: d.body, Incarnation: chosen.ID,
+		EchoedHeader: base.HeaderLine{Name: r.Names.ID, Value: d.call.ID}, MaxConns: r.maxConns(d.service), ConnectTimeout: d.route.LatencyTarget / 3,
+		ConfirmSend: func() bool { return chosen.serving.Load() && d.deadline-r.Clock.Now() >= d.minSendTime() }}
+	request.HeaderLines = append(d.headerLines[:len(d.headerLines):len(d.headerLines)], base.HeaderLine{Name: r.Names.Deadline, Value: strconv.FormatInt(left.Milliseconds(), 10)},
 		base.HeaderLine{Name: r.Names.ExpectWorker, Value: chosen.ID})
 	timeout := r.attemptTimeout(d, chosen, left)
-	response, err := r.Backends.Call(d.ctx.Within(timeout), chosen.Addr, request)
+	response, err := r.Backends.Call(d.ctx.WithTimeout(timeout), chosen.Addr, request)
 	if err != nil {
 		return nil, r.handleCallError(d, chosen, err)
 	}
@@ -261,20 +261,20 @@
 		// To the client, these statuses would mean that the request was not run, but
 		// the worker's response does not say so.
 		reply.end(outcomeFailed)
-		return nil, base.Unsure(502, "worker_failed", "the worker failed with status %d", reply.Status)
+		return nil, base.Indeterminate(502, "worker_failed", "the worker failed with status %d", reply.Status)
 	case reply.Status/100 == 2 && (reply.Seal() == "" || response.Header("Content-Encoding") != ""):
 		reply.end(outcomeFailed)
-		return nil, base.Unsure(502, "worker_garbled", "the worker's answer violates the protocol")
+		return nil, base.Indeterminate(502, "worker_garbled", "the worker's answer violates the protocol")
 	case reply.Status/100 == 2 && d.route.Kind == route.KindStream:
 		return reply, nil
 	}
-	body, err := response.Body(max(0, sentAt+timeout-r.Clock.Now()), r.MaxResponseBytes)
+	body, err := response.ReadBody(max(0, sentAt+timeout-r.Clock.Now()), r.MaxResponseBytes)
 	if err != nil {
 		reply.end(outcomeFailed)
 		if r.Clock.Now() >= d.deadline {
-			return nil, base.Unsure(504, "timed_out", "the worker's answer did not come in time")
+			return nil, base.Indeterminate(504, "timed_out", "the worker's answer did not come in time")
 		}
-		return nil, base.Unsure(502, "worker_cut", "the worker's answer was cut short")
+		return nil, base.Indeterminate(502, "worker_cut", "the worker's answer was cut short")
 	}
 	reply.body, reply.buffered = body, true
 	reply.end(outcomeServed)
@@ -295,15 +295,15 @@
 	r.releaseWorker(d, chosen, outcomeFailed)
 	r.count("workers_lost")
 	if r.Clock.Now() >= d.deadline {
-		return base.Unsure(504, "timed_out", "the worker's answer did not come in time")
+		return base.Indeterminate(504, "timed_out", "the worker's answer did not come in time")
 	}
-	return base.Unsure(502, "worker_lost", "the worker's answer was lost")
+	return base.Indeterminate(502, "worker_lost", "the worker's answer was lost")
 }
 
 // handleRejection handles a response that proves that the request did not run. Its
 // short body is read so that the connection can be reused.
 func (r *Relay) handleRejection(reply *Reply, proof notRunProof) error {
-	_, _ = reply.firstAttempt.response.Body(reply.dispatch.minSendTime(), r.MaxResponseBytes) // an error only costs the connection
+	_, _ = reply.firstAttempt.response.ReadBody(reply.dispatch.minSendTime(), r.MaxResponseBytes) // an error only costs the connection
 	r.count("workers_turned_away")
 	reply.end(consequences[proof].outcome)
 	return proof.verdict()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -21,7 +21,7 @@
 		kind   route.Kind
 		tries  int
 		status int // seen by the client
-		ran    base.Ran
+		ran    base.Execution
 		sent   int // number of workers it was sent to
 	}{
 		{"no fault", healthy, route.KindNonIdempotent, 1, 200, "", 1},
@@ -67,7 +67,7 @@
 					reply, v := f.dispatch(r, newRoute(tt.kind, tt.tries), c)
 					if v != nil {
 						f.Equal(v.Status, tt.status)
-						f.Equal(v.Ran, tt.ran)
+						f.Equal(v.Execution, tt.ran)
 					} else {
 						f.Equal(reply.Status, tt.status)
 						body, err := reply.Body(time.Second)
@@ -105,7 +105,7 @@
 	f.run(func() {
 		_, v := f.dispatch(r, newRoute(route.KindIdempotent, 3), newCall())
 		f.Equal(v.Status, 502)
-		f.Equal(v.Ran, base.MayHaveRun)
+		f.Equal(v.Execution, base.MayHaveRun)
 	})
 	f.Equal(len(a.receivedIDs)+len(b.receivedIDs), 2)
 }
@@ -167,13 +167,13 @@
 		_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), c)
 		f.True(v == nil)
 	})
-	f.Equal(w.lastRequest.Method+" "+w.lastRequest.Path+" "+w.lastRequest.Host+" "+string(w.lastRequest.Body)+" "+w.lastRequest.Worker, "POST /p?q=1 h ask a")
+	f.Equal(w.lastRequest.Method+" "+w.lastRequest.Path+" "+w.lastRequest.Host+" "+string(w.lastRequest.Body)+" "+w.lastRequest.Incarnation, "POST /p?q=1 h ask a")
 	var lines []string
-	for _, line := range w.lastRequest.Lines {
+	for _, line := range w.lastRequest.HeaderLines {
 		lines = append(lines, line.Name+"="+line.Value)
 	}
 	f.Equal(strings.Join(lines, " "), "X-B=2 x-a=1 X-B=3 Call-Id="+c.ID+" Rank=3 Time-Left=5000 Only-Worker=a")
-	f.Equal(w.lastRequest.Match, base.HeaderLine{Name: "Call-Id", Value: c.ID})
+	f.Equal(w.lastRequest.EchoedHeader, base.HeaderLine{Name: "Call-Id", Value: c.ID})
 }
 
 // A worker is given the least of the client's and the route's time, less the time
@@ -185,14 +185,14 @@
 	r := f.relay("z1")
 	rt := newRoute(route.KindNonIdempotent, 2)
 	rt.Timeout = 3 * time.Second
-	var second *base.BackRequest
+	var second *base.BackendRequest
 	f.run(func() {
 		f.beforeSend = func(w *fakeWorker) {
 			w.fault = healthy
 			if second == nil {
 				w.fault = rejects
 				f.clock.Sleep(500 * time.Millisecond)
-				second = &base.BackRequest{}
+				second = &base.BackendRequest{}
 			}
 		}
 		reply, v := f.dispatch(r, rt, newCall())
@@ -210,7 +210,7 @@
 	c.Deadline = 30 * time.Millisecond // less than a tenth of the latency target
 	f.run(func() {
 		_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), c)
-		f.Equal(v.Ran, base.NotRun)
+		f.Equal(v.Execution, base.NotRun)
 		f.Equal(v.Status, 503)
 	})
 	f.Equal(len(w.receivedIDs), 0)
@@ -245,7 +245,7 @@
 		f.ordered = []*fakeWorker{}
 		r.SetWorkers(f.list())
 		_, v = f.dispatch(r, newRoute(route.KindNonIdempotent, 1), newCall())
-		f.Equal(v.Ran, base.NotRun)
+		f.Equal(v.Execution, base.NotRun)
 		f.Equal(v.Status, 503)
 		slices.Sort(f.forgotten)
 		f.Equal(strings.Join(f.forgotten, ""), "ab")
@@ -292,7 +292,7 @@
 			_, v := f.dispatch(r, newRoute(route.KindNonIdempotent, 1), c)
 			f.True(f.clock.Now()-start <= 100*time.Millisecond)
 			f.Equal(v.Status, 503)
-			f.Equal(v.Ran, base.NotRun)
+			f.Equal(v.Execution, base.NotRun)
 			f.True(v.RetryAfterMs >= 1 && v.RetryAfterMs <= 5000/3)
 		}
 		c := newCall()
@@ -466,7 +466,7 @@
 		_, err = reply.Event(time.Second)
 		f.NoErr(err)
 		_, err = reply.Event(time.Second)
-		f.Equal(base.FromWire(err).Ran, base.MayHaveRun)
+		f.Equal(base.ToRequestError(err).Execution, base.MayHaveRun)
 		reply.Close()
 	})
 }
--- a/internal/relay/reply.go
+++ b/internal/relay/reply.go
@@ -63,10 +63,10 @@
 	if r.buffered {
 		return r.body, nil
 	}
-	body, err := r.firstAttempt.response.Body(timeout, r.relay.MaxResponseBytes)
+	body, err := r.firstAttempt.response.ReadBody(timeout, r.relay.MaxResponseBytes)
 	if err != nil {
 		r.end(outcomeFailed)
-		return nil, base.Unsure(502, "worker_cut", "the worker's answer was cut short")
+		return nil, base.Indeterminate(502, "worker_cut", "the worker's answer was cut short")
 	}
 	r.body, r.buffered = body, true
 	r.end(outcomeServed)
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -22,8 +22,8 @@
 }
 
 var (
-	errUnexpectedEvent = base.Unsure(502, "worker_garbled", "the worker did not resume the stream at the expected event")
-	errStreamCut       = base.Unsure(502, "worker_cut", "the worker's stream was cut short")
+	errUnexpectedEvent = base.Indeterminate(502, "worker_garbled", "the worker did not resume the stream at the expected event")
+	errStreamCut       = base.Indeterminate(502, "worker_cut", "the worker's stream was cut short")
 )
 
 // check returns an error if the event must not be passed on. The events of one
@@ -113,7 +113,7 @@
 			return r.switchTo(next)
 		}
 		last = &attempt{worker: chosen}
-		if v := base.VerdictIn(err); !d.mayRetry(0) || v == nil {
+		if v := base.FindRequestError(err); !d.mayRetry(0) || v == nil {
 			return streamErr
 		}
 	}
@@ -145,7 +145,7 @@
 
 // streamError returns the verdict for a stream that broke off.
 func streamError(cause error) error {
-	if v := base.VerdictIn(cause); v != nil {
+	if v := base.FindRequestError(cause); v != nil {
 		return v
 	}
 	return errStreamCut
--- a/internal/relay/resume_test.go
+++ b/internal/relay/resume_test.go
@@ -38,7 +38,7 @@
 	idStep  int // between ids
 	firstID int // id of the first event
 	plan    []plannedCall
-	calls   []*base.BackRequest
+	calls   []*base.BackendRequest
 	runs    int
 }
 
@@ -47,9 +47,9 @@
 	after     int // number of events it sends before that
 }
 
-func (s *streamBackends) Forget(string) {}
+func (s *streamBackends) DropIdle(string) {}
 
-func (s *streamBackends) Call(ctx *base.Ctx, _ string, request *base.BackRequest) (base.BackReply, error) {
+func (s *streamBackends) Call(ctx *base.Ctx, _ string, request *base.BackendRequest) (base.BackendReply, error) {
 	does := plannedCall{behaviour: streamsToEnd}
 	if len(s.calls) < len(s.plan) {
 		does = s.plan[len(s.calls)]
@@ -100,9 +100,9 @@
 	closed   bool
 }
 
-func (r *streamReply) Status() int  { return r.status }
-func (r *streamReply) Closes() bool { return true }
-func (r *streamReply) Close()       { r.closed = true }
+func (r *streamReply) Status() int            { return r.status }
+func (r *streamReply) ClosesConnection() bool { return true }
+func (r *streamReply) Close()                 { r.closed = true }
 func (r *streamReply) Header(name string) string {
 	switch {
 	case name == "Seal" && r.status == 200:
@@ -115,8 +115,8 @@
 func (r *streamReply) EachHeader(visit func(name, value []byte)) {
 	visit([]byte("Seal"), []byte(r.seal))
 }
-func (r *streamReply) Body(time.Duration, int) ([]byte, error) { return nil, nil }
-func (r *streamReply) Line(limit time.Duration) ([]byte, error) {
+func (r *streamReply) ReadBody(time.Duration, int) ([]byte, error) { return nil, nil }
+func (r *streamReply) ReadLine(limit time.Duration) ([]byte, error) {
 	if len(r.lines) == 0 {
 		if r.end == nil {
 			r.fleet.clock.Sleep(limit)
@@ -136,7 +136,7 @@
 type streamResult struct {
 	events   []string
 	complete bool
-	verdict  *base.Verdict
+	verdict  *base.RequestError
 	seal     string
 	took     time.Duration
 }
@@ -148,8 +148,8 @@
 	for _, id := range []string{"a", "b", "c", "d"} {
 		f.addWorker(id, "z1", 4)
 	}
-	bounds := &base.Table[base.Bounds]{}
-	bounds.Swap(base.DefaultBounds())
+	bounds := &base.AtomicPointer[base.Bounds]{}
+	bounds.Store(base.DefaultBounds())
 	r := relay.New(relay.Config{Clock: f.clock, Backends: s, Bounds: bounds, Names: resumeNames, Zone: "z1", MaxResponseBytes: 1 << 20, Counters: base.NewCounters()})
 	r.SetWorkers(f.list())
 	var got streamResult
@@ -159,15 +159,15 @@
 		ctx := base.NewCtx(f.clock, 5*time.Second)
 		reply, err := r.Dispatch(ctx, rt, plainService, newCall(), nil)
 		if err != nil {
-			got.verdict = base.FromWire(err)
+			got.verdict = base.ToRequestError(err)
 			return
 		}
 		defer reply.Close()
 		got.seal = reply.Seal()
 		for {
-			event, err := reply.Event(ctx.Left())
+			event, err := reply.Event(ctx.Remaining())
 			if err != nil {
-				got.complete, got.verdict = err == io.EOF, base.VerdictIn(err)
+				got.complete, got.verdict = err == io.EOF, base.FindRequestError(err)
 				return
 			}
 			got.events = append(got.events, strings.TrimSpace(string(event.Data)))
@@ -208,7 +208,7 @@
 		if s.runs > max(1, rt.MaxAttempts) {
 			r.Fatalf("plan %v: %d workers ran it, at most %d may", s.plan, s.runs, rt.MaxAttempts)
 		}
-		if got.verdict != nil && got.verdict.Ran == base.NotRun && s.runs > 0 {
+		if got.verdict != nil && got.verdict.Execution == base.NotRun && s.runs > 0 {
 			r.Fatalf("plan %v: it was run, but is reported as not run", s.plan)
 		}
 		for _, asked := range s.calls {
--- a/internal/relay/roster.go
+++ b/internal/relay/roster.go
@@ -136,7 +136,7 @@
 			}
 		}
 		for _, id := range base.SortedKeys(change.Put) {
-			if raw := base.Encode(change.Put[id]); string(tx.Get(RosterKeyPrefix+id)) != string(raw) {
+			if raw := base.MustMarshal(change.Put[id]); string(tx.Get(RosterKeyPrefix+id)) != string(raw) {
 				tx.Put(RosterKeyPrefix+id, raw)
 			}
 		}
--- a/internal/relay/roster_syncer.go
+++ b/internal/relay/roster_syncer.go
@@ -26,7 +26,7 @@
 // outlives its owner, and remains unchanged while the list cannot be fetched.
 type RosterSyncer struct {
 	Clock    base.Clock
-	Bounds   *base.Table[base.Bounds]
+	Bounds   *base.AtomicPointer[base.Bounds]
 	Counters *base.Counters
 	Register *register.Client
 	Follower *feed.Follower
@@ -44,7 +44,7 @@
 func (s *RosterSyncer) Run() {
 	failing := false
 	for !s.Follower.Closed() {
-		period := s.Bounds.Load().Leave / 3
+		period := s.Bounds.Load().Drain / 3
 		startedAt := s.Clock.Now()
 		if s.OwnsFeed() && s.Needed() {
 			list, err := s.Lister(period)
@@ -69,7 +69,7 @@
 func (s *RosterSyncer) publish(list []Worker) {
 	current, _ := s.roster.Decode(s.Follower.Snapshot().Values)
 	for _, change := range rosterChanges(current, list) {
-		if err := ApplyRosterChange(base.NewCtx(s.Clock, s.Bounds.Load().Call()), s.Register, change); err != nil {
+		if err := ApplyRosterChange(base.NewCtx(s.Clock, s.Bounds.Load().CoreCallTimeout()), s.Register, change); err != nil {
 			s.Counters.Add("roster_changes_failed", 1)
 			return
 		}
--- a/internal/relay/roster_test.go
+++ b/internal/relay/roster_test.go
@@ -30,7 +30,7 @@
 			case 1:
 				values[key] = []byte("no JSON")
 			default:
-				values[key] = base.Encode(relay.Worker{Service: fmt.Sprint("s", world.Int64N(2)), Addr: fmt.Sprint("a", world.Int64N(3)), Draining: world.Int64N(3) == 0})
+				values[key] = base.MustMarshal(relay.Worker{Service: fmt.Sprint("s", world.Int64N(2)), Addr: fmt.Sprint("a", world.Int64N(3)), Draining: world.Int64N(3) == 0})
 			}
 		}
 		if step%50 == 0 { // as in a whole new snapshot: equal values in new slices
@@ -129,10 +129,10 @@
 	})
 }
 
-func (f *fleet) dispatchTo(r *relay.Relay, to *route.Service) (*relay.Reply, *base.Verdict) {
-	reply, err := r.Dispatch(base.NewCtx(f.clock, base.DefaultBounds().Recover), newRoute(route.KindNonIdempotent, 2), to, newCall(), nil)
+func (f *fleet) dispatchTo(r *relay.Relay, to *route.Service) (*relay.Reply, *base.RequestError) {
+	reply, err := r.Dispatch(base.NewCtx(f.clock, base.DefaultBounds().Recovery), newRoute(route.KindNonIdempotent, 2), to, newCall(), nil)
 	if err != nil {
-		return nil, base.FromWire(err)
+		return nil, base.ToRequestError(err)
 	}
 	return reply, nil
 }
--- a/internal/route/canonical.go
+++ b/internal/route/canonical.go
@@ -30,13 +30,13 @@
 // as a coefficient without trailing zeros and a power of ten. The order of array
 // elements is kept, and a member that is null differs from one that is absent. A
 // document with a duplicate member name, with text that is not valid Unicode, or
-// nested deeper than 32 levels has no canonical form; the error is a base.Verdict
+// nested deeper than 32 levels has no canonical form; the error is a base.RequestError
 // of status 400 that names the field by its path.
 func Canonicalize(document []byte) ([]byte, error) {
 	decoder := jx.DecodeBytes(document)
 	canonical, err := appendValue(make([]byte, 0, len(document)), decoder, nil)
 	if err != nil {
-		if verdict := base.VerdictIn(err); verdict != nil {
+		if verdict := base.FindRequestError(err); verdict != nil {
 			return nil, verdict
 		}
 		return nil, base.DeclineField("body", "is not valid JSON: %v", err)
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -201,26 +201,26 @@
 	if err := appendEntry(tx, change.Base, historyEntry{change.Version, digest}); err != nil {
 		return nil, err
 	}
-	tx.Put(FeedKey, base.Encode(Document{Format: documentFormat, Version: change.Version, Compressed: change.Compressed}))
+	tx.Put(FeedKey, base.MustMarshal(Document{Format: documentFormat, Version: change.Version, Compressed: change.Compressed}))
 	return accepted, nil
 }
 
 // staleVersion is the error of a change that is refused for good.
 func staleVersion(current *Document, format string, args ...any) error {
 	verdict := base.Decline(412, codeStaleVersion, format, args...)
-	verdict.Stamp = current.Version
+	verdict.CurrentVersion = current.Version
 	return verdict
 }
 
 // outcomeUnknown is the error of a change that may or may not have been accepted.
 func outcomeUnknown(format string, args ...any) error {
-	verdict := base.Unsure(504, codeOutcomeUnknown, format, args...)
+	verdict := base.Indeterminate(504, codeOutcomeUnknown, format, args...)
 	verdict.RetryAfter = retryAfterSeconds
 	return verdict
 }
 
 // SubmitChange submits a change. A refusal is final: the change was not accepted and
-// never will be, and the error is a base.Verdict with a 4xx status. Any other error
+// never will be, and the error is a base.RequestError with a 4xx status. Any other error
 // means either that it is unknown whether the change was accepted, or that it was
 // not accepted this time.
 func SubmitChange(ctx *base.Ctx, client *register.Client, change Change) error {
@@ -228,15 +228,15 @@
 	if err == nil {
 		return nil
 	}
-	return submitError(base.FromWire(err))
+	return submitError(base.ToRequestError(err))
 }
 
 // submitError passes refusals of applyChange through and converts every other failure
 // to a 5xx status.
-func submitError(verdict *base.Verdict) error {
+func submitError(verdict *base.RequestError) error {
 	definitive := verdict.Code == codeStaleVersion || verdict.Code == codeBadRequest && verdict.Field != ""
 	switch {
-	case verdict.Ran != base.NotRun:
+	case verdict.Execution != base.NotRun:
 		return outcomeUnknown("the outcome is unknown; submit the same document again: %s", verdict.Message)
 	case definitive, verdict.Status >= 500:
 		return verdict
@@ -249,13 +249,13 @@
 	var document Document
 	err := client.Read(ctx, register.FeedGroup, operationRead, struct{}{}, &document)
 	if err != nil {
-		return nil, readError(base.FromWire(err))
+		return nil, readError(base.ToRequestError(err))
 	}
 	return &document, nil
 }
 
 // readError converts a failed read to status 503 with a retry time; a read is never
 // refused.
-func readError(verdict *base.Verdict) error {
+func readError(verdict *base.RequestError) error {
 	return base.Busy(503, verdict.Code, max(verdict.RetryAfter, retryAfterSeconds), "%s", verdict.Message)
 }
--- a/internal/route/history.go
+++ b/internal/route/history.go
@@ -223,7 +223,7 @@
 	}
 	versions, err := legacyVersions(kv, current)
 	if err == nil {
-		kv.Put(legacyKey, base.Encode(versions))
+		kv.Put(legacyKey, base.MustMarshal(versions))
 	}
 	return err
 }
--- a/internal/route/history_test.go
+++ b/internal/route/history_test.go
@@ -142,14 +142,14 @@
 			changeFor(t, baseVersion+1, version, documentFor(version)),            // the same document on another base
 			changeFor(t, versionOf(299), versionOf(300)+7, documentFor(901)),      // on a version that is no longer in force
 		} {
-			verdict := base.FromWire(submit(t, kv, change))
+			verdict := base.ToRequestError(submit(t, kv, change))
 			is.True(verdict != nil)
 			is.Equal(verdict.Status, 412)
-			is.Equal(verdict.Ran, base.NotRun)
-			is.Equal(verdict.Stamp, versionOf(300))
+			is.Equal(verdict.Execution, base.NotRun)
+			is.Equal(verdict.CurrentVersion, versionOf(300))
 		}
 	}
-	verdict := base.FromWire(submit(t, kv, changeFor(t, versionOf(300), versionOf(300), documentFor(versionOf(300)))))
+	verdict := base.ToRequestError(submit(t, kv, changeFor(t, versionOf(300), versionOf(300), documentFor(versionOf(300)))))
 	is.Equal(verdict.Status, 400) // not greater than its base
 	is.Equal(verdict.Field, "version")
 }
@@ -168,9 +168,9 @@
 	first := changes - countEntries(kv) + 1
 	is.NoErr(resubmit(t, kv, first))
 	for _, number := range []int{1, 65, first - 1} {
-		verdict := base.FromWire(resubmit(t, kv, number))
+		verdict := base.ToRequestError(resubmit(t, kv, number))
 		is.True(verdict != nil)
-		is.Equal(verdict.Ran, base.MayHaveRun)
+		is.Equal(verdict.Execution, base.MayHaveRun)
 		is.True(verdict.Status >= 500 && verdict.RetryAfter > 0)
 	}
 }
@@ -184,12 +184,12 @@
 	for version := uint64(1); version <= 64; version++ {
 		legacy.Accepted = append(legacy.Accepted, AcceptedVersion{version, base.Digest(documentFor(version))})
 	}
-	kv := memoryStore{FeedKey: base.Encode(legacy)}
+	kv := memoryStore{FeedKey: base.MustMarshal(legacy)}
 	is.True(!strings.Contains(string(kv[FeedKey]), "format"))
 	check := func() {
 		for version := uint64(1); version <= 64; version++ {
 			is.NoErr(submit(t, kv, changeWithDocument(t, version-1, version, documentFor(version))))
-			other := base.FromWire(submit(t, kv, changeWithDocument(t, version-1, version, []byte(`{}`))))
+			other := base.ToRequestError(submit(t, kv, changeWithDocument(t, version-1, version, []byte(`{}`))))
 			is.True(other.Status >= 500) // a different digest of a source does not prove a different document
 		}
 	}
@@ -208,7 +208,7 @@
 	// Then a core of the former release accepts two more changes.
 	current.Format, current.Version, current.Compressed = 0, 75, compress(documentFor(75))
 	current.Accepted = []AcceptedVersion{{72, base.Digest(documentFor(72))}, {75, base.Digest(documentFor(75))}}
-	kv[FeedKey] = base.Encode(current)
+	kv[FeedKey] = base.MustMarshal(current)
 	is.NoErr(submit(t, kv, changeWithDocument(t, 70, 72, documentFor(72))))
 	is.NoErr(submit(t, kv, changeWithDocument(t, 75, 80, documentFor(80))))
 	for _, step := range [][2]uint64{{64, 70}, {70, 72}, {72, 75}, {75, 80}} {
@@ -224,17 +224,17 @@
 	for name, kv := range map[string]memoryStore{
 		"document":          {FeedKey: []byte(`{"format":3,"version":9}`)},
 		"damaged document":  {FeedKey: []byte(`{"version":`)},
-		"block":             {FeedKey: base.Encode(Document{Format: 2, Version: 9}), historyPrefix + "0000000000000000": slices.Concat([]byte{9}, make([]byte, 32))},
-		"block cut short":   {FeedKey: base.Encode(Document{Format: 2, Version: 9}), historyPrefix + "0000000000000000": slices.Concat([]byte{blockFormat}, make([]byte, 20))},
-		"list of the first": {FeedKey: base.Encode(Document{Version: 9}), legacyKey: []byte(`{`)},
+		"block":             {FeedKey: base.MustMarshal(Document{Format: 2, Version: 9}), historyPrefix + "0000000000000000": slices.Concat([]byte{9}, make([]byte, 32))},
+		"block cut short":   {FeedKey: base.MustMarshal(Document{Format: 2, Version: 9}), historyPrefix + "0000000000000000": slices.Concat([]byte{blockFormat}, make([]byte, 20))},
+		"list of the first": {FeedKey: base.MustMarshal(Document{Version: 9}), legacyKey: []byte(`{`)},
 	} {
-		verdict := base.FromWire(submit(t, kv, changeFor(t, 0, 1, documentFor(1))))
+		verdict := base.ToRequestError(submit(t, kv, changeFor(t, 0, 1, documentFor(1))))
 		if verdict == nil || verdict.Code != "unknown_format" || verdict.Status != 503 {
 			t.Errorf("%s: %v", name, verdict)
 		}
 	}
-	_, _, err := decodeChange(base.Encode(Change{Base: 1, Version: 2, Digest: base.Digest(nil)}))
-	is.Equal(base.FromWire(err).Code, "unknown_format") // a change from a node of the former release
+	_, _, err := decodeChange(base.MustMarshal(Change{Base: 1, Version: 2, Digest: base.Digest(nil)}))
+	is.Equal(base.ToRequestError(err).Code, "unknown_format") // a change from a node of the former release
 	is.Equal(DocumentFromFeed(map[string][]byte{FeedKey: []byte(`{"format":3,"version":9}`)}), nil)
 }
 
@@ -243,9 +243,9 @@
 func TestOnlyDefinitiveRefusalsAreReportedAsRefusals(t *testing.T) {
 	is := is.New(t)
 	for _, row := range []struct {
-		given  *base.Verdict
+		given  *base.RequestError
 		status int
-		ran    base.Ran
+		ran    base.Execution
 	}{
 		{base.Decline(412, codeStaleVersion, "x"), 412, base.NotRun},
 		{base.DeclineField("version", "x"), 400, base.NotRun},
@@ -253,13 +253,13 @@
 		{base.Decline(409, "whatever", "x"), 503, base.NotRun},
 		{base.Busy(429, "overloaded", 1, "x"), 503, base.NotRun},
 		{base.Busy(503, "no_majority", 1, "x"), 503, base.NotRun},
-		{base.Unsure(503, "outcome_unknown", "x"), 504, base.MayHaveRun},
-		{base.Unsure(412, codeStaleVersion, "x"), 504, base.MayHaveRun},
+		{base.Indeterminate(503, "outcome_unknown", "x"), 504, base.MayHaveRun},
+		{base.Indeterminate(412, codeStaleVersion, "x"), 504, base.MayHaveRun},
 	} {
-		verdict := base.FromWire(submitError(row.given))
+		verdict := base.ToRequestError(submitError(row.given))
 		is.Equal(verdict.Status, row.status)
-		is.Equal(verdict.Ran, row.ran)
+		is.Equal(verdict.Execution, row.ran)
 		is.True(verdict.Status < 500 || verdict.RetryAfter > 0)
 	}
-	is.Equal(base.FromWire(readError(base.Decline(400, "unknown_op", "x"))).Status, 503)
+	is.Equal(base.ToRequestError(readError(base.Decline(400, "unknown_op", "x"))).Status, 503)
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -109,7 +109,7 @@
 	seen := map[string]bool{}
 	for i := range t.Routes {
 		r := &t.Routes[i]
-		field := "routes[" + string(base.Encode(i)) + "]"
+		field := "routes[" + string(base.MustMarshal(i)) + "]"
 		switch {
 		case r.Host == "":
 			return base.DeclineField(field+".host", "must be given")
--- a/internal/session/accept.go
+++ b/internal/session/accept.go
@@ -14,7 +14,7 @@
 func (m *Manager) submit(ctx *base.Ctx, s *ownedSession, req *Request) (*Reply, error) {
 	digest := base.Digest(append([]byte(req.Previous+"\n"+strconv.FormatInt(req.MaxTokens, 10)+"\n"), req.Messages...))
 	reply, err := m.accept(s, req, digest)
-	if verdict, ok := err.(*base.Verdict); ok && verdict.Code == "run_over" {
+	if verdict, ok := err.(*base.RequestError); ok && verdict.Code == "run_over" {
 		if req.Previous == "" {
 			return nil, verdict
 		}
@@ -34,7 +34,7 @@
 	reader := &Reader{manager: m, turn: req.Turn, local: stream}
 	if req.LastAttempt != "" {
 		if attempt := stream.attemptID(); attempt != req.LastAttempt {
-			return nil, base.Unsure(409, "leg_changed", "the pieces received belong to another attempt of this turn; read the turn from the start")
+			return nil, base.Indeterminate(409, "leg_changed", "the pieces received belong to another attempt of this turn; read the turn from the start")
 		}
 		reader.position = min(req.LastPiece, uint64(stream.pieceCount()))
 		reader.delivered = reader.position
@@ -58,7 +58,7 @@
 		return m.newReader(replayStream(m.clock, turn, run), req)
 	}
 	if op := s.operations[req.Turn]; op != nil {
-		retryable := (op.state == OpFailed || op.state == OpTimedOut) && op.verdict.Ran == base.MayHaveRun
+		retryable := (op.state == OpFailed || op.state == OpTimedOut) && op.verdict.Execution == base.MayHaveRun
 		if op.digest != digest {
 			s.mu.Unlock()
 			return nil, turnIDReused()
@@ -75,7 +75,7 @@
 	}
 	if req.LastAttempt != "" {
 		s.mu.Unlock()
-		return nil, base.Unsure(409, "leg_changed", "the pieces received belong to an attempt of this turn that was lost; read the turn from the start")
+		return nil, base.Indeterminate(409, "leg_changed", "the pieces received belong to an attempt of this turn that was lost; read the turn from the start")
 	}
 	if s.lost {
 		s.mu.Unlock()
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	s.mu.Lock()
-	var verdict *base.Verdict
+	var verdict *base.RequestError
 	if s.record.Phase != Ready {
 		verdict = base.Decline(503, "session_draining", "the session is closing and accepts no new turns")
 	} else if len(s.queue) >= s.record.QueueSize {
@@ -103,8 +103,8 @@
 		s.refusals[req.Turn] = &requestOutcome{verdict: verdict, recordedAt: m.clock.Now()}
 		s.mu.Unlock()
 		m.counters.Add("turns_declined", 1)
-		if verdict.Ran == base.NotRun {
-			if verdict = m.recordRefusal(s, req.Turn, verdict); verdict.Ran != base.NotRun {
+		if verdict.Execution == base.NotRun {
+			if verdict = m.recordRefusal(s, req.Turn, verdict); verdict.Execution != base.NotRun {
 				s.forgetRefusal(req.Turn)
 			}
 		}
@@ -125,7 +125,7 @@
 	return m.newReader(op.stream, req)
 }
 
-func turnIDReused() *base.Verdict {
+func turnIDReused() *base.RequestError {
 	return base.Decline(409, "turn_id_reused", "this Turn-Id was already used with a different request body")
 }
 
@@ -137,8 +137,8 @@
 		if len(s.queue) == 0 || s.lost {
 			s.working, s.running = false, nil
 			s.mu.Unlock()
-			s.changed.Ring()
-			_ = m.finalizeIfIdle(base.NewCtx(m.clock, m.bounds.Load().Call()), s)
+			s.changed.Notify()
+			_ = m.finalizeIfIdle(base.NewCtx(m.clock, m.bounds.Load().CoreCallTimeout()), s)
 			return
 		}
 		op := s.queue[0]
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -21,7 +21,7 @@
 }
 
 // planTurn looks up the turn's route in the current settings and builds its prompt.
-func (m *Manager) planTurn(s *ownedSession, op *operation) (*turnPlan, *base.Verdict) {
+func (m *Manager) planTurn(s *ownedSession, op *operation) (*turnPlan, *base.RequestError) {
 	messages, verdict := s.prompt(op)
 	if verdict != nil {
 		return nil, verdict
@@ -33,7 +33,7 @@
 	record := s.recordCopy()
 	route, err := tree.Route(record.Group, record.Site, record.Route)
 	if err != nil {
-		return nil, base.FromWire(err)
+		return nil, base.ToRequestError(err)
 	}
 	plan := &turnPlan{route: route, messages: messages, maxTokens: route.MaxOutputTokens, maxAttempts: route.MaxAttempts}
 	if op.request.MaxTokens > 0 {
@@ -53,9 +53,9 @@
 // runTurn makes attempts of a turn until one succeeds, or until no other may
 // follow. Before any piece is streamed another attempt may follow; after that a lost
 // attempt ends the stream as cut.
-func (m *Manager) runTurn(s *ownedSession, op *operation) (OperationState, *base.Verdict) {
-	if err := m.revalidate(base.NewCtx(m.clock, m.bounds.Load().Recover), s); err != nil {
-		return OpFailed, base.FromWire(err)
+func (m *Manager) runTurn(s *ownedSession, op *operation) (OperationState, *base.RequestError) {
+	if err := m.revalidate(base.NewCtx(m.clock, m.bounds.Load().Recovery), s); err != nil {
+		return OpFailed, base.ToRequestError(err)
 	}
 	plan, verdict := m.planTurn(s, op)
 	if verdict != nil {
@@ -66,9 +66,9 @@
 		ctx := base.NewCtx(m.clock, max(0, op.deadline-m.clock.Now()))
 		switch {
 		case op.cancelled.Fired():
-			return OpCancelled, &base.Verdict{Status: 409, Code: "cancelled", Message: "the turn was cancelled", Ran: ran}
-		case ctx.Over():
-			return OpTimedOut, &base.Verdict{Status: 504, Code: "timed_out", Message: "the turn exceeded its time limit", Ran: ran}
+			return OpCancelled, &base.RequestError{Status: 409, Code: "cancelled", Message: "the turn was cancelled", Execution: ran}
+		case ctx.Expired():
+			return OpTimedOut, &base.RequestError{Status: 504, Code: "timed_out", Message: "the turn exceeded its time limit", Execution: ran}
 		}
 		outcome := m.runAttempt(ctx, s, op, plan)
 		if outcome.verdict == nil {
@@ -77,7 +77,7 @@
 		if outcome.verdict.Code == "stale_assignment" {
 			return OpFailed, outcome.verdict
 		}
-		if outcome.verdict.Ran != base.NotRun {
+		if outcome.verdict.Execution != base.NotRun {
 			ran = base.MayHaveRun
 		} else if ran != base.NotRun {
 			outcome.verdict = afterLostAttempt(outcome.verdict)
@@ -106,8 +106,8 @@
 // afterLostAttempt returns the verdict on a turn that can have no other attempt
 // after one whose outcome is unknown. It is never a refusal, whatever prevented the
 // other attempt, because the turn may have run.
-func afterLostAttempt(refused *base.Verdict) *base.Verdict {
-	verdict := base.Unsure(502, "worker_lost", "an earlier attempt of this turn was lost and no other can be made: %s", refused.Message)
+func afterLostAttempt(refused *base.RequestError) *base.RequestError {
+	verdict := base.Indeterminate(502, "worker_lost", "an earlier attempt of this turn was lost and no other can be made: %s", refused.Message)
 	verdict.RetryAfter = refused.RetryAfter
 	return verdict
 }
@@ -143,7 +143,7 @@
 	switch {
 	case op.cancelled.Fired():
 		return OpCancelled
-	case ctx.Over():
+	case ctx.Expired():
 		return OpTimedOut
 	}
 	return OpFailed
@@ -160,7 +160,7 @@
 
 // attemptOutcome is the result of one attempt; verdict is nil on success.
 type attemptOutcome struct {
-	verdict *base.Verdict
+	verdict *base.RequestError
 	retry   retryDecision
 }
 
@@ -175,9 +175,9 @@
 	if err != nil {
 		if plan.fallbackRoute != nil && base.IsCode(err, "no_worker") {
 			plan.route, plan.need.Pool, plan.fallbackRoute = plan.fallbackRoute, plan.fallbackRoute.Pool, nil
-			return attemptOutcome{base.FromWire(err), uncountedRetry}
+			return attemptOutcome{base.ToRequestError(err), uncountedRetry}
 		}
-		return attemptOutcome{base.FromWire(err), noRetry}
+		return attemptOutcome{base.ToRequestError(err), noRetry}
 	}
 	heldSince := m.clock.Now()
 	cleanup.Push(func() { m.picker.Release(chosenWorker, plan.need, m.clock.Now()-heldSince) })
@@ -187,18 +187,18 @@
 	attemptNumber := s.lastAttempt
 	s.mu.Unlock()
 	attemptID := record.Run + "/" + op.id + "/" + strconv.FormatUint(attemptNumber, 10)
-	reserveCtx := base.NewCtx(m.clock, max(ctx.Left(), m.bounds.Load().Call()))
+	reserveCtx := base.NewCtx(m.clock, max(ctx.Remaining(), m.bounds.Load().CoreCallTimeout()))
 	result, err := m.changeRegister(reserveCtx, record.Program, "session.reserve", changeArgs{Session: record.ID, Run: record.Run, Attempt: attemptID, AttemptNumber: attemptNumber, Tokens: plan.maxTokens})
 	if err != nil {
-		verdict := base.FromWire(err)
-		if verdict.Ran != base.NotRun {
+		verdict := base.ToRequestError(err)
+		if verdict.Execution != base.NotRun {
 			// The reservation may exist and then counts as spent; the request was not sent.
 			verdict = base.Busy(503, "budget_unconfirmed", 1, "the token reservation could not be confirmed in time")
 		}
 		return attemptOutcome{verdict, noRetry}
 	}
 	settle := func(used int64) {
-		result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recover), record.Program, "session.settle",
+		result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recovery), record.Program, "session.settle",
 			changeArgs{Session: record.ID, Run: record.Run, Attempt: attemptID, Tokens: used})
 		if err != nil {
 			m.counters.Add("settles_lost", 1)
@@ -208,7 +208,7 @@
 	}
 	if err := m.confirmOwnership(ctx, s, record.Run); err != nil {
 		settle(0)
-		return attemptOutcome{base.FromWire(err), noRetry}
+		return attemptOutcome{base.ToRequestError(err), noRetry}
 	}
 	if !m.picker.StillEligible(chosenWorker, plan.need) {
 		settle(0)
@@ -227,13 +227,13 @@
 			return attemptOutcome{base.Busy(503, "worker_unreachable", 1, "no worker could be reached"), uncountedRetry}
 		}
 		settle(-1)
-		return attemptOutcome{base.Unsure(502, "worker_lost", "the worker's response was lost"), countedRetry}
+		return attemptOutcome{base.Indeterminate(502, "worker_lost", "the worker's response was lost"), countedRetry}
 	}
 	cleanup.Push(reply.Close)
 	if reply.Status() != 200 {
 		return m.handleRefusal(s, plan, chosenWorker, reply, settle)
 	}
-	if m.picker.ObserveResponse(chosenWorker, reply.Closes()) {
+	if m.picker.ObserveResponse(chosenWorker, reply.ClosesConnection()) {
 		m.MarkWorkerLeaving(chosenWorker)
 	}
 	s.setAbort(op, reply.Close)
@@ -247,7 +247,7 @@
 		plan.need.Tried[chosenWorker.ID] = true
 		settle(-1)
 		if op.cancelled.Fired() {
-			verdict = base.Unsure(409, "cancelled", "the turn was cancelled while it ran")
+			verdict = base.Indeterminate(409, "cancelled", "the turn was cancelled while it ran")
 			return attemptOutcome{verdict, noRetry}
 		}
 		return attemptOutcome{verdict, countedRetry}
@@ -278,7 +278,7 @@
 
 // handleRefusal handles a worker's response other than 200. With 503 a worker says
 // that it is shutting down; 429 and 503 say that nothing ran.
-func (m *Manager) handleRefusal(s *ownedSession, plan *turnPlan, chosen *worker.Worker, reply base.BackReply, settle func(int64)) attemptOutcome {
+func (m *Manager) handleRefusal(s *ownedSession, plan *turnPlan, chosen *worker.Worker, reply base.BackendReply, settle func(int64)) attemptOutcome {
 	plan.need.Tried[chosen.ID] = reply.Status() != 429
 	switch status := reply.Status(); {
 	case status == 503:
@@ -294,7 +294,7 @@
 		return attemptOutcome{base.Decline(502, "worker_refused", "the worker rejected the prompt with status %d", status), noRetry}
 	default:
 		settle(-1)
-		return attemptOutcome{base.Unsure(502, "worker_failed", "the worker failed with status %d", status), countedRetry}
+		return attemptOutcome{base.Indeterminate(502, "worker_failed", "the worker failed with status %d", status), countedRetry}
 	}
 }
 
@@ -305,7 +305,7 @@
 	m.counters.Add("workers_seen_leaving", 1)
 	incarnation := m.picker.Incarnation(chosen)
 	m.clock.Go(func() {
-		_ = m.workers.SubmitNotice(base.NewCtx(m.clock, m.bounds.Load().Leave), worker.Notice{Worker: chosen.ID, Incarnation: incarnation, Leaving: true, Source: "refusal"})
+		_ = m.workers.SubmitNotice(base.NewCtx(m.clock, m.bounds.Load().Drain), worker.Notice{Worker: chosen.ID, Incarnation: incarnation, Leaving: true, Source: "refusal"})
 	})
 }
 
@@ -320,19 +320,19 @@
 		m.offerToStandby(s, record, turn)
 		copied.Fire()
 	})
-	result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recover), record.Program, "session.finish",
+	result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recovery), record.Program, "session.finish",
 		changeArgs{Session: record.ID, Run: record.Run, Attempt: turn.Attempt, Tokens: turn.OutputTokens, Turn: turn})
 	if err != nil {
-		verdict := base.FromWire(err)
+		verdict := base.ToRequestError(err)
 		s.mu.Lock()
 		s.uncertainAttempt = turn.Attempt
 		s.mu.Unlock()
 		if verdict.Code == "stale_assignment" {
 			return attemptOutcome{verdict, noRetry}
 		}
-		return attemptOutcome{base.Unsure(502, "cut", "the answer could not be stored: %s", verdict.Message), noRetry}
+		return attemptOutcome{base.Indeterminate(502, "cut", "the answer could not be stored: %s", verdict.Message), noRetry}
 	}
-	copied.Wait(m.bounds.Load().Beat() * 2)
+	copied.Wait(m.bounds.Load().HeartbeatInterval() * 2)
 	s.updateRecord(result.Record)
 	s.mu.Lock()
 	turn.FinishedAt = result.Record.LastTurnAt
@@ -353,8 +353,8 @@
 		m.counters.Add("offers_missed", 1)
 		return
 	}
-	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Offer(base.NewCtx(m.clock, m.bounds.Load().Beat()*2),
-		&OfferRequest{Session: record.ID, Assignment: record.assignment(), Turns: turn.Number, Turn: base.Encode(turn)})
+	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Offer(base.NewCtx(m.clock, m.bounds.Load().HeartbeatInterval()*2),
+		&OfferRequest{Session: record.ID, Assignment: record.assignment(), Turns: turn.Number, Turn: base.MustMarshal(turn)})
 	if err != nil {
 		m.counters.Add("offers_missed", 1)
 		return
--- a/internal/session/completion.go
+++ b/internal/session/completion.go
@@ -15,7 +15,7 @@
 }
 
 // prompt returns the messages of the chain so far and those of the turn itself.
-func (s *ownedSession) prompt(op *operation) ([]json.RawMessage, *base.Verdict) {
+func (s *ownedSession) prompt(op *operation) ([]json.RawMessage, *base.RequestError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if previous := op.request.Previous; previous != "" && previous != s.record.LastTurn {
@@ -33,7 +33,7 @@
 	}
 	for i := range s.turns {
 		add(s.turns[i].Messages)
-		messages = append(messages, base.Encode(chatMessage{"assistant", strings.Join(s.turns[i].Pieces, "")}))
+		messages = append(messages, base.MustMarshal(chatMessage{"assistant", strings.Join(s.turns[i].Pieces, "")}))
 	}
 	add(op.request.Messages)
 	return messages, nil
@@ -61,9 +61,9 @@
 	} `json:"usage"`
 }
 
-func newCompletionRequest(plan *turnPlan, granted int64) *base.BackRequest {
-	return &base.BackRequest{Method: "POST", Path: "/v1/chat/completions", Header: map[string]string{"Content-Type": "application/json"},
-		Body: base.Encode(completionRequest{Model: plan.route.Model, Messages: plan.messages, MaxTokens: granted, Stream: true,
+func newCompletionRequest(plan *turnPlan, granted int64) *base.BackendRequest {
+	return &base.BackendRequest{Method: "POST", Path: "/v1/chat/completions", Header: map[string]string{"Content-Type": "application/json"},
+		Body: base.MustMarshal(completionRequest{Model: plan.route.Model, Messages: plan.messages, MaxTokens: granted, Stream: true,
 			StreamOptions: map[string]bool{"include_usage": true}})}
 }
 
@@ -77,17 +77,17 @@
 // receive passes a worker's chunks on as pieces of the stream. An answer that lacks
 // its finish reason or end marker, is malformed, stalls or exceeds the granted tokens
 // is never a success.
-func (m *Manager) receive(ctx *base.Ctx, op *operation, reply base.BackReply, granted int64) (*modelOutput, *base.Verdict) {
+func (m *Manager) receive(ctx *base.Ctx, op *operation, reply base.BackendReply, granted int64) (*modelOutput, *base.RequestError) {
 	output := &modelOutput{}
-	stallLimit := m.bounds.Load().Recover * 5 / 2
+	stallLimit := m.bounds.Load().Recovery * 5 / 2
 	for {
-		line, err := reply.Line(min(ctx.Left(), stallLimit))
+		line, err := reply.ReadLine(min(ctx.Remaining(), stallLimit))
 		if err != nil {
 			message := "the worker's stream ended before its end marker"
 			if err != io.EOF && !op.cancelled.Fired() {
 				message = "the worker's stream stalled or failed"
 			}
-			return nil, base.Unsure(502, "worker_cut", "%s", message)
+			return nil, base.Indeterminate(502, "worker_cut", "%s", message)
 		}
 		data, ok := strings.CutPrefix(strings.TrimRight(string(line), "\r\n"), "data:")
 		if !ok {
@@ -96,13 +96,13 @@
 		data = strings.TrimSpace(data)
 		if data == "[DONE]" {
 			if output.finishReason == "" {
-				return nil, base.Unsure(502, "worker_cut", "the worker ended its stream without a finish reason")
+				return nil, base.Indeterminate(502, "worker_cut", "the worker ended its stream without a finish reason")
 			}
 			return output, nil
 		}
 		var chunk completionChunk
 		if json.Unmarshal([]byte(data), &chunk) != nil {
-			return nil, base.Unsure(502, "worker_malformed", "the worker sent a chunk that is not valid JSON")
+			return nil, base.Indeterminate(502, "worker_malformed", "the worker sent a chunk that is not valid JSON")
 		}
 		if chunk.Usage != nil {
 			output.tokens = max(output.tokens, chunk.Usage.CompletionTokens)
@@ -110,7 +110,7 @@
 		for _, choice := range chunk.Choices {
 			if choice.Delta.Content != "" {
 				if output.finishReason != "" || int64(len(output.pieces)) >= granted {
-					return nil, base.Unsure(502, "worker_overran", "the worker sent output after its finish reason or beyond the %d tokens granted", granted)
+					return nil, base.Indeterminate(502, "worker_overran", "the worker sent output after its finish reason or beyond the %d tokens granted", granted)
 				}
 				output.pieces = append(output.pieces, choice.Delta.Content)
 				output.tokens = max(output.tokens, int64(len(output.pieces)))
--- a/internal/session/forward.go
+++ b/internal/session/forward.go
@@ -15,11 +15,11 @@
 		return nil, base.Busy(503, "unreachable", 1, "the session's owner is not known to be alive")
 	}
 	m.counters.Add("visits_forwarded", 1)
-	timeout := m.bounds.Load().Call() / 2
-	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Forward(ctx.Within(timeout), &ForwardRequest{
-		Visit: req.ID, From: m.nodeID(), Forwarded: true, Assignment: record.assignment(), Request: base.Encode(req)})
+	timeout := m.bounds.Load().CoreCallTimeout() / 2
+	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Forward(ctx.WithTimeout(timeout), &ForwardRequest{
+		Visit: req.ID, From: m.nodeID(), Forwarded: true, Assignment: record.assignment(), Request: base.MustMarshal(req)})
 	if err != nil {
-		verdict := base.FromWire(err)
+		verdict := base.ToRequestError(err)
 		if verdict.Code == "unreachable" || verdict.Code == "owner_lost" {
 			m.view.Suspect(record.Owner)
 		}
@@ -35,14 +35,14 @@
 // Forward serves a request that another gateway forwarded to this node as the
 // session's owner. It never forwards the request again.
 func (m *Manager) Forward(rawCtx context.Context, msg *ForwardRequest) (*ForwardReply, error) {
-	ctx := base.CtxOf(rawCtx, m.clock)
+	ctx := base.CtxFromContext(rawCtx, m.clock)
 	var req Request
 	if err := json.Unmarshal(msg.Request, &req); err != nil || !msg.Forwarded {
-		return nil, base.ToWire(base.Decline(400, "bad_request", "not a valid forwarded request"))
+		return nil, base.ToTwirpError(base.Decline(400, "bad_request", "not a valid forwarded request"))
 	}
 	if msg.Assignment.GetOwner() != m.nodeID() {
 		// The caller means an earlier process at this address.
-		return nil, base.ToWire(base.Busy(503, "owner_lost", 1, "the owner was an earlier process at this address"))
+		return nil, base.ToTwirpError(base.Busy(503, "owner_lost", 1, "the owner was an earlier process at this address"))
 	}
 	record := &Record{ID: req.Session, Program: req.Program, Run: msg.Assignment.Run, Epoch: msg.Assignment.Epoch, Owner: m.nodeID()}
 	var reply *Reply
@@ -52,10 +52,10 @@
 	}
 	if err != nil {
 		// The forwarding node tells its client "not run", so a late copy must not run.
-		if verdict := base.FromWire(err); verdict.Ran == base.NotRun && verdict.Code != "stale_assignment" && verdict.Code != "handing_over" {
+		if verdict := base.ToRequestError(err); verdict.Execution == base.NotRun && verdict.Code != "stale_assignment" && verdict.Code != "handing_over" {
 			err = m.recordDecline(&req, verdict)
 		}
-		return nil, base.ToWire(err)
+		return nil, base.ToTwirpError(err)
 	}
 	if reply.Stream != nil {
 		stream := reply.Stream.local
@@ -65,18 +65,18 @@
 		m.mu.Unlock()
 		return &ForwardReply{Stream: streamID, Leg: stream.attemptID(), Place: reply.Stream.position}, nil
 	}
-	return &ForwardReply{Reply: base.Encode(reply.Body)}, nil
+	return &ForwardReply{Reply: base.MustMarshal(reply.Body)}, nil
 }
 
 // withdraw asks an owner whose reply was lost to fence the request. The request
 // counts as not run only if the owner confirms that it will never run.
-func (m *Manager) withdraw(record *Record, req *Request, verdict *base.Verdict) error {
-	uncertain := base.Unsure(504, "owner_silent", "the session's owner did not answer in time")
+func (m *Manager) withdraw(record *Record, req *Request, verdict *base.RequestError) error {
+	uncertain := base.Indeterminate(504, "owner_silent", "the session's owner did not answer in time")
 	member, _ := m.view.Find(record.Owner)
 	if member == nil {
 		return uncertain
 	}
-	ctx := base.NewCtx(m.clock, m.bounds.Load().Call()/2)
+	ctx := base.NewCtx(m.clock, m.bounds.Load().CoreCallTimeout()/2)
 	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Withdraw(ctx, &WithdrawRequest{Visit: req.ID, Session: req.Session, Turn: req.Turn, Run: record.Run})
 	if err != nil || !reply.Fenced {
 		return uncertain
@@ -95,10 +95,10 @@
 		return &WithdrawReply{Fenced: fenced}, nil
 	}
 	refusal := m.recordRefusal(s, request.Turn, base.Decline(503, "withdrawn", "the request was withdrawn"))
-	if refusal.Ran != base.NotRun {
+	if refusal.Execution != base.NotRun {
 		s.forgetRefusal(request.Turn)
 	}
-	return &WithdrawReply{Fenced: refusal.Ran == base.NotRun}, nil
+	return &WithdrawReply{Fenced: refusal.Execution == base.NotRun}, nil
 }
 
 // fence makes this node decline a request and its turn from now on, and reports
@@ -106,7 +106,7 @@
 // holds m.mu.
 func (m *Manager) fence(s *ownedSession, request *WithdrawRequest) bool {
 	withdrawn := &requestOutcome{verdict: base.Decline(503, "withdrawn", "the request was withdrawn"), recordedAt: m.clock.Now()}
-	if outcome := m.outcomes[request.Visit]; outcome != nil && (outcome.verdict == nil || outcome.verdict.Ran != base.NotRun) {
+	if outcome := m.outcomes[request.Visit]; outcome != nil && (outcome.verdict == nil || outcome.verdict.Execution != base.NotRun) {
 		return false
 	}
 	if request.Turn != "" && !s.refuseUnknown(request.Turn, withdrawn) {
@@ -140,11 +140,11 @@
 // recordDecline stores the verdict that a request was declined with and returns it.
 // When a copy of the request was accepted before, the verdict says instead that it
 // may have run.
-func (m *Manager) recordDecline(req *Request, verdict *base.Verdict) error {
+func (m *Manager) recordDecline(req *Request, verdict *base.RequestError) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if outcome := m.outcomes[req.ID]; outcome != nil && outcome.accepted {
-		return base.Unsure(verdict.Status, verdict.Code, "%s", verdict.Message)
+		return base.Indeterminate(verdict.Status, verdict.Code, "%s", verdict.Message)
 	}
 	m.outcomes[req.ID] = &requestOutcome{verdict: verdict, recordedAt: m.clock.Now()}
 	return verdict
--- a/internal/session/housekeeping.go
+++ b/internal/session/housekeeping.go
@@ -28,7 +28,7 @@
 // Run maintains leases and standbys and deletes expired state until Close.
 func (m *Manager) Run() {
 	for {
-		m.clock.Sleep(m.bounds.Load().Beat())
+		m.clock.Sleep(m.bounds.Load().HeartbeatInterval())
 		m.mu.Lock()
 		if m.closed {
 			m.mu.Unlock()
@@ -50,17 +50,17 @@
 func (m *Manager) prune() {
 	now, bounds := m.clock.Now(), m.bounds.Load()
 	for id, outcome := range m.outcomes {
-		if now-outcome.recordedAt > 10*bounds.Recover {
+		if now-outcome.recordedAt > 10*bounds.Recovery {
 			delete(m.outcomes, id)
 		}
 	}
 	for id, standby := range m.standbyCopies {
-		if now-standby.updatedAt > bounds.Retain*5/4 {
+		if now-standby.updatedAt > bounds.Retention*5/4 {
 			delete(m.standbyCopies, id)
 		}
 	}
 	for id, stream := range m.forwardedStreams {
-		if stream.ended() && now-stream.lastPulled() > 2*bounds.Recover {
+		if stream.ended() && now-stream.lastPulled() > 2*bounds.Recovery {
 			delete(m.forwardedStreams, id)
 		}
 	}
@@ -98,14 +98,14 @@
 		all = append(all, m.owned[id])
 	}
 	m.mu.Unlock()
-	base.AskAll(m.clock, all, limit, func(ctx *base.Ctx, s *ownedSession) { m.handOver(s, ctx.Until-m.bounds.Load().Call()) })
+	base.CallAll(m.clock, all, limit, func(ctx *base.Ctx, s *ownedSession) { m.handOver(s, ctx.ExpiresAt-m.bounds.Load().CoreCallTimeout()) })
 	m.waitForPulls()
 }
 
 // waitForPulls gives other gateways up to one pull interval to pull the last pieces
 // of forwarded streams.
 func (m *Manager) waitForPulls() {
-	wait := m.bounds.Load().Pull()
+	wait := m.bounds.Load().PullWait()
 	for end := m.clock.Now() + wait; m.clock.Now() < end; m.clock.Sleep(wait / 20) {
 		unpulled := false
 		m.mu.Lock()
--- a/internal/session/manager.go
+++ b/internal/session/manager.go
@@ -86,16 +86,16 @@
 // owns, the copies of those that it is the standby for, and a cache of records.
 type Manager struct {
 	clock    base.Clock
-	wire     base.Wire
+	wire     base.HTTPClient
 	view     *membership.View
-	bounds   *base.Table[base.Bounds]
+	bounds   *base.AtomicPointer[base.Bounds]
 	counters *base.Counters
 	register *register.Client
 	follower *feed.Follower
 	picker   *worker.Picker
 	workers  *worker.Client
-	backends base.Backends
-	tree     *base.Table[settings.Tree]
+	backends base.BackendClient
+	tree     *base.AtomicPointer[settings.Tree]
 
 	mu               sync.Mutex
 	owned            map[string]*ownedSession
@@ -114,7 +114,7 @@
 // requestOutcome is what became of a request here: declined with a verdict,
 // accepted, or neither yet.
 type requestOutcome struct {
-	verdict    *base.Verdict
+	verdict    *base.RequestError
 	recordedAt time.Duration
 	accepted   bool
 }
@@ -122,15 +122,15 @@
 // Dependencies are the services that a Manager uses.
 type Dependencies struct {
 	Clock    base.Clock
-	Wire     base.Wire
+	Wire     base.HTTPClient
 	View     *membership.View
-	Bounds   *base.Table[base.Bounds]
+	Bounds   *base.AtomicPointer[base.Bounds]
 	Counters *base.Counters
 	Register *register.Client
 	Follower *feed.Follower
 	Picker   *worker.Picker
-	Backends base.Backends
-	Tree     *base.Table[settings.Tree]
+	Backends base.BackendClient
+	Tree     *base.AtomicPointer[settings.Tree]
 }
 
 // NewManager returns a Manager that owns no sessions yet.
@@ -271,12 +271,12 @@
 // finalError returns the error that a request ends with. When the reply to a copy
 // was lost, the request counts as not run only if its owner confirms that.
 func (m *Manager) finalError(req *Request, delivery *deliveryState, err error) error {
-	verdict := base.FromWire(err)
+	verdict := base.ToRequestError(err)
 	switch {
 	case delivery.unanswered == nil || finalOwnerCodes[verdict.Code]:
 		return verdict
 	case delivery.ownerChanged:
-		return base.Unsure(504, "owner_silent", "the session's owner was lost while it had the request: %s", verdict.Message)
+		return base.Indeterminate(504, "owner_silent", "the session's owner was lost while it had the request: %s", verdict.Message)
 	}
 	return m.withdraw(delivery.unanswered, req, verdict)
 }
@@ -307,7 +307,7 @@
 		if err == nil {
 			return m.withReopen(reply, req), nil
 		}
-		verdict := base.FromWire(err)
+		verdict := base.ToRequestError(err)
 		ownerLost := false
 		switch verdict.Code {
 		case "stale_assignment":
@@ -333,7 +333,7 @@
 				return nil, m.finalError(req, delivery, err)
 			}
 		}
-		if ctx.Over() {
+		if ctx.Expired() {
 			if verdict.Code != "handing_over" {
 				verdict = base.Busy(503, "owner_unreachable", 1, "the session's owner could not be reached in time")
 			}
@@ -348,7 +348,7 @@
 	if reply.Stream != nil {
 		reply.Stream.reopen = func() (*Reader, error) {
 			m.counters.Add("streams_found_again", 1)
-			next, err := m.Handle(base.NewCtx(m.clock, 2*m.bounds.Load().Recover), req)
+			next, err := m.Handle(base.NewCtx(m.clock, 2*m.bounds.Load().Recovery), req)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/session/operations.go
+++ b/internal/session/operations.go
@@ -138,7 +138,7 @@
 	if record.isUncertain(args.RefusedTurn) || record.LastTurn == args.RefusedTurn || budget.HasReservations(tx, program, record.Run+"/"+args.RefusedTurn+"/") {
 		return changeResult{Record: record}, nil
 	}
-	tx.Put(refusalKey(record.ID, args.RefusedTurn), base.Encode(tx.Now))
+	tx.Put(refusalKey(record.ID, args.RefusedTurn), base.MustMarshal(tx.Now))
 	return changeResult{Record: record, Refused: true}, nil
 }
 
@@ -168,7 +168,7 @@
 	turn := *args.Turn
 	turn.Number, turn.FinishedAt = record.TurnCount+1, tx.Now
 	record.TurnCount, record.LastTurn, record.LastAttempt, record.LastTurnAt = turn.Number, turn.ID, args.Attempt, turn.FinishedAt
-	tx.Put(turnKey(record.ID, turn.Number), base.Encode(turn))
+	tx.Put(turnKey(record.ID, turn.Number), base.MustMarshal(turn))
 	record.store(tx)
 	return changeResult{Record: record}, nil
 }
@@ -207,7 +207,7 @@
 	if err := budget.CheckActive(tx, program, true); err != nil {
 		return nil, err
 	}
-	if record.Phase.Terminal() && tx.Now-max(record.LastTurnAt, record.EndedAt) > tx.Bounds.Retain.Milliseconds()*5/4 {
+	if record.Phase.Terminal() && tx.Now-max(record.LastTurnAt, record.EndedAt) > tx.Bounds.Retention.Milliseconds()*5/4 {
 		return nil, base.Decline(410, "session_over", "the session has ended and its history is no longer retained")
 	}
 	record.forfeitReservations(tx, program)
@@ -233,7 +233,7 @@
 		if json.Unmarshal(value, &record) != nil {
 			return true
 		}
-		retention := tx.Bounds.Retain.Milliseconds() * 5 / 4
+		retention := tx.Bounds.Retention.Milliseconds() * 5 / 4
 		expired := record.Phase.Terminal() && tx.Now-max(record.LastTurnAt, record.EndedAt) > retention
 		if expired || budget.Load(tx, record.Program) == nil {
 			tx.Walk("turn/"+record.ID+"/", "", func(turnKey string, _ []byte) bool {
--- a/internal/session/owned.go
+++ b/internal/session/owned.go
@@ -19,7 +19,7 @@
 	deadline  time.Duration
 	cancelled base.Signal
 	abort     func()
-	verdict   *base.Verdict
+	verdict   *base.RequestError
 	endedAt   time.Duration
 }
 
@@ -29,8 +29,8 @@
 // the queue.
 type ownedSession struct {
 	program    string
-	changed    *base.Bell  // rings when the session may have become idle
-	handedOver base.Signal // fires when the Run is lost or a drain is done with it
+	changed    *base.Notifier // rings when the session may have become idle
+	handedOver base.Signal    // fires when the Run is lost or a drain is done with it
 	clock      base.Clock
 
 	mu                   sync.Mutex
@@ -52,7 +52,7 @@
 }
 
 func newOwnedSession(clock base.Clock, record *Record, turns []Turn, leaseExpirations uint64) *ownedSession {
-	return &ownedSession{program: record.Program, changed: base.NewBell(clock), handedOver: clock.NewSignal(), clock: clock, record: record,
+	return &ownedSession{program: record.Program, changed: base.NewNotifier(clock), handedOver: clock.NewSignal(), clock: clock, record: record,
 		turns: turns, operations: map[string]*operation{}, feedLeaseExpirations: leaseExpirations, lastAttempt: record.HighestAttempt, lastUsed: clock.Now(), standbyTurns: map[string]uint64{},
 		refusals: map[string]*requestOutcome{}}
 }
@@ -108,7 +108,7 @@
 		return false
 	}
 	if existing := s.refusals[turn]; existing != nil {
-		return existing.verdict.Ran == base.NotRun
+		return existing.verdict.Execution == base.NotRun
 	}
 	s.refusals[turn] = refusal
 	return true
@@ -133,7 +133,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	released := s.lost || s.record.Phase.Terminal()
-	return released && !s.working && now-s.lastUsed > 2*bounds.Recover
+	return released && !s.working && now-s.lastUsed > 2*bounds.Recovery
 }
 
 // loseRun gives the Run up. Turns without a piece so far can be found again with the
@@ -153,7 +153,7 @@
 		op.stream.endMoved(op.id)
 	}
 	s.handedOver.Fire()
-	s.changed.Ring()
+	s.changed.Notify()
 }
 
 // serve handles a request on the session's owner.
@@ -173,7 +173,7 @@
 		return nil, err
 	}
 	if draining && req.Kind == KindSubmitTurn {
-		if !s.handedOver.Wait(ctx.Left()) {
+		if !s.handedOver.Wait(ctx.Remaining()) {
 			return nil, base.Busy(503, "handing_over", 1, "the session is being handed over to another node")
 		}
 		return nil, staleAssignment()
@@ -279,12 +279,12 @@
 	if !alive {
 		return
 	}
-	for !ctx.Over() {
+	for !ctx.Expired() {
 		s.mu.Lock()
 		copied, total := s.standbyTurns[standby], uint64(len(s.turns))
 		var turn []byte
 		if copied < total {
-			turn = base.Encode(s.turns[copied])
+			turn = base.MustMarshal(s.turns[copied])
 		}
 		s.mu.Unlock()
 		if copied >= total {
@@ -299,7 +299,7 @@
 		s.standbyTurns[standby] = min(reply.Turns, copied+1)
 		s.mu.Unlock()
 	}
-	if standby != record.Standby && !ctx.Over() {
+	if standby != record.Standby && !ctx.Expired() {
 		result, err := m.changeRegister(ctx, record.Program, "session.move", changeArgs{Session: record.ID, Run: record.Run, Standby: standby})
 		if err == nil {
 			s.updateRecord(result.Record)
--- a/internal/session/record.go
+++ b/internal/session/record.go
@@ -145,14 +145,14 @@
 
 func (r *Record) store(tx *register.Tx) {
 	r.Version++
-	tx.Put(recordKey(r.ID), base.Encode(r))
+	tx.Put(recordKey(r.ID), base.MustMarshal(r))
 }
 
 // refusalKey is the register key that records the refusal of a turn.
 func refusalKey(session, turn string) string { return "refused/" + session + "/" + turn }
 
 // RefusalRetention returns how long a refused Turn-Id stays refused.
-func RefusalRetention(bounds *base.Bounds) time.Duration { return 10 * bounds.Recover }
+func RefusalRetention(bounds *base.Bounds) time.Duration { return 10 * bounds.Recovery }
 
 // turnOfAttempt returns the turn id in an attempt id, RUN/TURN/NUMBER.
 func turnOfAttempt(attempt string) string {
@@ -185,11 +185,11 @@
 	}
 }
 
-func unknownSession() *base.Verdict {
+func unknownSession() *base.RequestError {
 	return base.Decline(404, "unknown_session", "the session does not exist")
 }
 
-func staleAssignment() *base.Verdict {
+func staleAssignment() *base.RequestError {
 	return base.Decline(409, "stale_assignment", "the session is assigned to another Run")
 }
 
--- a/internal/session/status.go
+++ b/internal/session/status.go
@@ -49,15 +49,15 @@
 
 // TurnView is a turn as clients see it, in a listing or on its own.
 type TurnView struct {
-	Turn         string         `json:"turn"`
-	Number       uint64         `json:"num,omitempty"`
-	Previous     string         `json:"previous_turn,omitempty"`
-	State        OperationState `json:"state"`
-	Messages     any            `json:"messages,omitempty"`
-	Answer       string         `json:"answer,omitempty"`
-	FinishReason string         `json:"finish_reason,omitempty"`
-	OutputTokens int64          `json:"output_tokens,omitempty"`
-	Error        *base.Verdict  `json:"error,omitempty"`
+	Turn         string             `json:"turn"`
+	Number       uint64             `json:"num,omitempty"`
+	Previous     string             `json:"previous_turn,omitempty"`
+	State        OperationState     `json:"state"`
+	Messages     any                `json:"messages,omitempty"`
+	Answer       string             `json:"answer,omitempty"`
+	FinishReason string             `json:"finish_reason,omitempty"`
+	OutputTokens int64              `json:"output_tokens,omitempty"`
+	Error        *base.RequestError `json:"error,omitempty"`
 }
 
 // TurnStateOf returns the state of the turn in the body of a read's reply, or "". The
--- a/internal/session/stream.go
+++ b/internal/session/stream.go
@@ -11,27 +11,27 @@
 
 // Final is the content of the last piece of every stream.
 type Final struct {
-	Outcome      string        `json:"verdict"`
-	Ran          base.Ran      `json:"request"`
-	Turn         string        `json:"turn"`
-	Run          string        `json:"run,omitempty"`
-	FinishReason string        `json:"finish_reason,omitempty"`
-	OutputTokens int64         `json:"output_tokens,omitempty"`
-	Error        *base.Verdict `json:"error,omitempty"`
+	Outcome      string             `json:"verdict"`
+	Ran          base.Execution     `json:"request"`
+	Turn         string             `json:"turn"`
+	Run          string             `json:"run,omitempty"`
+	FinishReason string             `json:"finish_reason,omitempty"`
+	OutputTokens int64              `json:"output_tokens,omitempty"`
+	Error        *base.RequestError `json:"error,omitempty"`
 }
 
 // failureFinal returns the last piece of a turn that did not succeed.
-func failureFinal(turn string, verdict *base.Verdict) *Final {
+func failureFinal(turn string, verdict *base.RequestError) *Final {
 	outcome := "failed"
 	switch {
-	case verdict.Ran == base.NotRun:
+	case verdict.Execution == base.NotRun:
 		outcome = "refused"
 	case verdict.Code == "cancelled" || verdict.Code == "timed_out":
 		outcome = verdict.Code
 	case verdict.Code == "cut":
 		outcome = "cut"
 	}
-	return &Final{Outcome: outcome, Ran: verdict.Ran, Turn: turn, Error: verdict}
+	return &Final{Outcome: outcome, Ran: verdict.Execution, Turn: turn, Error: verdict}
 }
 
 // Stream holds the numbered pieces of one turn's answer. The owner keeps it, and
@@ -39,7 +39,7 @@
 // piece. All pieces are of one attempt: a stream may change to another attempt only
 // while it is empty. It ends in exactly one final piece.
 type Stream struct {
-	changed      *base.Bell
+	changed      *base.Notifier
 	mu           sync.Mutex
 	attempt      string
 	pieces       []*Piece
@@ -48,7 +48,7 @@
 	delivered    uint64
 }
 
-func newStream(clock base.Clock) *Stream { return &Stream{changed: base.NewBell(clock)} }
+func newStream(clock base.Clock) *Stream { return &Stream{changed: base.NewNotifier(clock)} }
 
 // begin sets the attempt whose pieces follow. It returns false when there are pieces of
 // another attempt.
@@ -69,10 +69,10 @@
 		s.pieces = append(s.pieces, &Piece{Place: uint64(count + 1), Data: data, Final: final})
 	}
 	s.mu.Unlock()
-	s.changed.Ring()
+	s.changed.Notify()
 }
 
-func (s *Stream) finish(final *Final) { s.add(base.Encode(final), true) }
+func (s *Stream) finish(final *Final) { s.add(base.MustMarshal(final), true) }
 
 // endMoved ends a stream whose Run this node lost. The turn of an empty stream may be
 // found again with the next owner; a stream with pieces is cut.
@@ -82,10 +82,10 @@
 	s.ownerChanged = s.ownerChanged || empty
 	s.mu.Unlock()
 	if empty {
-		s.changed.Ring()
+		s.changed.Notify()
 		return
 	}
-	s.finish(failureFinal(turn, base.Unsure(502, "cut", "the session moved to another owner before the answer was complete")))
+	s.finish(failureFinal(turn, base.Indeterminate(502, "cut", "the session moved to another owner before the answer was complete")))
 }
 
 func (s *Stream) hasMoved() bool {
@@ -192,7 +192,7 @@
 // EarlyFailure waits up to limit for the first pieces and returns the verdict of a turn
 // that ended without success before any piece, so that it can be answered with a
 // plain status, or else nil. Next returns the pieces that were read here first.
-func (r *Reader) EarlyFailure(limit time.Duration) *base.Verdict {
+func (r *Reader) EarlyFailure(limit time.Duration) *base.RequestError {
 	end := r.manager.clock.Now() + limit
 	for len(r.buffered) == 0 && !r.done && r.manager.clock.Now() < end {
 		r.buffered, _, _ = r.Next()
@@ -223,13 +223,13 @@
 		err = r.reopenStream(err)
 	}
 	if err == nil && len(pulled) == 0 && r.manager.stopping.Fired() {
-		err = base.Unsure(502, "node_stopping", "this node is stopping")
+		err = base.Indeterminate(502, "node_stopping", "this node is stopping")
 	}
 	if err != nil {
 		// The turn was accepted, so this node cannot know that it did not run.
-		verdict := base.Unsure(502, "cut", "the session's owner was lost before the answer was complete: %s", base.FromWire(err).Message)
+		verdict := base.Indeterminate(502, "cut", "the session's owner was lost before the answer was complete: %s", base.ToRequestError(err).Message)
 		r.done = true
-		return []*Piece{{Place: r.position + 1, Data: base.Encode(failureFinal(r.turn, verdict)), Final: true}}, r.attempt, true
+		return []*Piece{{Place: r.position + 1, Data: base.MustMarshal(failureFinal(r.turn, verdict)), Final: true}}, r.attempt, true
 	}
 	for _, piece := range pulled {
 		r.position = piece.Place
@@ -251,7 +251,7 @@
 			search.ended.Fire()
 		})
 	}
-	if !r.search.ended.Wait(r.manager.bounds.Load().Pull()) {
+	if !r.search.ended.Wait(r.manager.bounds.Load().PullWait()) {
 		return nil
 	}
 	next, err := r.search.reader, r.search.err
@@ -271,7 +271,7 @@
 	if r.search != nil {
 		return nil, staleAssignment()
 	}
-	wait := r.manager.bounds.Load().Pull()
+	wait := r.manager.bounds.Load().PullWait()
 	if r.local != nil {
 		pieces := r.local.piecesAfter(r.position, wait, r.manager.clock.Now)
 		r.attempt = r.local.attemptID()
@@ -286,23 +286,23 @@
 // pullRemote pulls pieces from the owner. After a lost reply the next call pulls from
 // the same position again, as long as the owner counts as alive.
 func (m *Manager) pullRemote(remote *remoteStream, reader *Reader) ([]*Piece, error) {
-	wait := m.bounds.Load().Pull()
+	wait := m.bounds.Load().PullWait()
 	member, alive := m.view.Find(remote.owner)
 	if member == nil || !alive {
-		return nil, base.Unsure(502, "owner_lost", "the session's owner is not known to be alive")
+		return nil, base.Indeterminate(502, "owner_lost", "the session's owner is not known to be alive")
 	}
 	ctx := base.NewCtx(m.clock, 2*wait)
 	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Pull(ctx,
 		&PullRequest{Stream: remote.id, Place: reader.position, HoldMs: wait.Milliseconds(), Run: remote.run})
 	if err != nil {
-		verdict := base.FromWire(err)
+		verdict := base.ToRequestError(err)
 		if verdict.Code == "reply_lost" {
 			return nil, nil
 		}
 		if verdict.Code == "unreachable" {
 			m.view.Suspect(remote.owner)
 		}
-		return nil, base.Unsure(502, "owner_lost", "%s", verdict.Message)
+		return nil, base.Indeterminate(502, "owner_lost", "%s", verdict.Message)
 	}
 	if reply.Leg != "" {
 		reader.attempt = reply.Leg
@@ -316,11 +316,11 @@
 	stream := m.forwardedStreams[request.Stream]
 	m.mu.Unlock()
 	if stream == nil {
-		return nil, base.ToWire(base.Unsure(410, "stream_gone", "this node no longer has the stream"))
+		return nil, base.ToTwirpError(base.Indeterminate(410, "stream_gone", "this node no longer has the stream"))
 	}
 	pieces := stream.piecesAfter(request.Place, time.Duration(request.HoldMs)*time.Millisecond, m.clock.Now)
 	if stream.hasMoved() {
-		return nil, base.ToWire(staleAssignment())
+		return nil, base.ToTwirpError(staleAssignment())
 	}
 	return &PullReply{Pieces: pieces, Leg: stream.attemptID()}, nil
 }
--- a/internal/session/takeover.go
+++ b/internal/session/takeover.go
@@ -30,7 +30,7 @@
 			sameZone = append(sameZone, member.Id)
 		}
 	}
-	if candidates := append(base.Rendezvous(session, otherZones), base.Rendezvous(session, sameZone)...); len(candidates) > 0 {
+	if candidates := append(base.RendezvousOrder(session, otherZones), base.RendezvousOrder(session, sameZone)...); len(candidates) > 0 {
 		return candidates[0]
 	}
 	return ""
@@ -50,7 +50,7 @@
 	m.counters.Add("takeovers_asked", 1)
 	request := &SucceedRequest{Session: current.ID, Program: current.Program, Assignment: current.assignment(), Why: "owner_lost"}
 	if member, alive := m.view.Find(current.Standby); alive && member.Id != m.nodeID() && !member.Leaving {
-		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Succeed(ctx.Within(m.bounds.Load().Call()), request)
+		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Succeed(ctx.WithTimeout(m.bounds.Load().CoreCallTimeout()), request)
 		if err == nil {
 			var next Record
 			if json.Unmarshal(reply.Record, &next) == nil {
@@ -65,11 +65,11 @@
 
 // Succeed makes this node the owner of a session's next Run, as another node asks.
 func (m *Manager) Succeed(rawCtx context.Context, request *SucceedRequest) (*SucceedReply, error) {
-	record, err := m.takeRun(base.CtxOf(rawCtx, m.clock), request)
+	record, err := m.takeRun(base.CtxFromContext(rawCtx, m.clock), request)
 	if err != nil {
-		return nil, base.ToWire(err)
+		return nil, base.ToTwirpError(err)
 	}
-	return &SucceedReply{Record: base.Encode(record)}, nil
+	return &SucceedReply{Record: base.MustMarshal(record)}, nil
 }
 
 // takeRun takes the next Run of a session for this node and returns the record of the
@@ -182,7 +182,7 @@
 			continue
 		}
 		tried[id] = true
-		ctx := base.NewCtx(m.clock, m.bounds.Load().Call())
+		ctx := base.NewCtx(m.clock, m.bounds.Load().CoreCallTimeout())
 		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Succeed(ctx, request)
 		if err == nil {
 			var next Record
--- a/internal/session/termination.go
+++ b/internal/session/termination.go
@@ -51,11 +51,11 @@
 
 // endUnsuccessfully ends an operation without success. The verdict says "not run"
 // only of a turn that no earlier Run may have run and no later Run will.
-func (m *Manager) endUnsuccessfully(s *ownedSession, op *operation, state OperationState, verdict *base.Verdict) {
-	if verdict.Ran == base.NotRun && s.mayHaveRun(op.id) {
+func (m *Manager) endUnsuccessfully(s *ownedSession, op *operation, state OperationState, verdict *base.RequestError) {
+	if verdict.Execution == base.NotRun && s.mayHaveRun(op.id) {
 		verdict = afterLostAttempt(verdict)
 	}
-	if verdict.Ran == base.NotRun && verdict.Code != "turn_refused" {
+	if verdict.Execution == base.NotRun && verdict.Code != "turn_refused" {
 		verdict = m.recordRefusal(s, op.id, verdict)
 	}
 	s.mu.Lock()
@@ -64,20 +64,20 @@
 	}
 	s.mu.Unlock()
 	op.stream.finish(failureFinal(op.id, verdict))
-	s.changed.Ring()
+	s.changed.Notify()
 }
 
 // recordRefusal records in the register that a turn was refused, so that no later
 // owner runs it, and returns the verdict for the client. When that cannot be recorded
 // soon, the verdict is that the outcome is unknown; the client may retry by the id.
-func (m *Manager) recordRefusal(s *ownedSession, turn string, verdict *base.Verdict) *base.Verdict {
+func (m *Manager) recordRefusal(s *ownedSession, turn string, verdict *base.RequestError) *base.RequestError {
 	record := s.recordCopy()
-	result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Beat()), record.Program, "session.refuse", changeArgs{Session: record.ID, Run: record.Run, RefusedTurn: turn})
+	result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().HeartbeatInterval()), record.Program, "session.refuse", changeArgs{Session: record.ID, Run: record.Run, RefusedTurn: turn})
 	if err == nil && result.Refused {
 		return verdict
 	}
 	m.counters.Add("refusals_unkept", 1)
-	uncertain := base.Unsure(503, "outcome_unknown", "the turn was refused, but that could not be recorded in time; retry with the same Turn-Id (%s)", verdict.Message)
+	uncertain := base.Indeterminate(503, "outcome_unknown", "the turn was refused, but that could not be recorded in time; retry with the same Turn-Id (%s)", verdict.Message)
 	uncertain.RetryAfter = max(1, verdict.RetryAfter)
 	return uncertain
 }
@@ -130,7 +130,7 @@
 	}
 	s.updateRecord(result.Record)
 	m.cacheRecord(result.Record)
-	s.changed.Ring()
+	s.changed.Notify()
 	return nil
 }
 
@@ -155,7 +155,7 @@
 	if record.Phase.Terminal() || record.Termination.Escalate(mode) == record.Termination {
 		return
 	}
-	if _, err := m.terminate(base.NewCtx(m.clock, m.bounds.Load().Recover), s, mode); err != nil {
+	if _, err := m.terminate(base.NewCtx(m.clock, m.bounds.Load().Recovery), s, mode); err != nil {
 		m.counters.Add("session_end_failed", 1)
 	}
 }
@@ -173,11 +173,11 @@
 	if s.working {
 		s.lastUsed = now
 	}
-	unused := now-s.lastUsed > 4*bounds.Retain && !s.working
+	unused := now-s.lastUsed > 4*bounds.Retention && !s.working
 	lease := time.Duration(s.record.LeaseMs) * time.Millisecond
 	expired := lease > 0 && now-s.lastUsed > lease
 	for id, op := range s.operations {
-		if op.endedAt > 0 && now-op.endedAt > bounds.Retain {
+		if op.endedAt > 0 && now-op.endedAt > bounds.Retention {
 			delete(s.operations, id)
 		}
 	}
@@ -196,7 +196,7 @@
 		return
 	}
 	m.clock.Go(func() {
-		ctx := base.NewCtx(m.clock, bounds.Call())
+		ctx := base.NewCtx(m.clock, bounds.CoreCallTimeout())
 		switch {
 		case expired:
 			m.counters.Add("leases_expired", 1)
--- a/internal/settings/access_rules.go
+++ b/internal/settings/access_rules.go
@@ -133,8 +133,8 @@
 	}
 	bounds := t.bounds
 	for name, target := range map[string]struct{ own, given *time.Duration }{
-		"settings_bound_s": {&bounds.Settings, &defaults.Settings}, "leave_bound_s": {&bounds.Leave, &defaults.Leave},
-		"recover_bound_s": {&bounds.Recover, &defaults.Recover}, "retain_s": {&bounds.Retain, &defaults.Retain},
+		"settings_bound_s": {&bounds.SettingsApply, &defaults.SettingsApply}, "leave_bound_s": {&bounds.Drain, &defaults.Drain},
+		"recover_bound_s": {&bounds.Recovery, &defaults.Recovery}, "retain_s": {&bounds.Retention, &defaults.Retention},
 	} {
 		if _, set := t.boundValues[name]; !set {
 			*target.own = *target.given
--- a/internal/settings/access_test.go
+++ b/internal/settings/access_test.go
@@ -185,10 +185,10 @@
 
 func TestBoundsWithDefaults(t *testing.T) {
 	is := is.New(t)
-	defaults := &base.Bounds{Settings: 3 * time.Second, Leave: 4 * time.Second, Recover: 20 * time.Second, Retain: time.Minute}
+	defaults := &base.Bounds{SettingsApply: 3 * time.Second, Drain: 4 * time.Second, Recovery: 20 * time.Second, Retention: time.Minute}
 	tree, violations := Parse([]byte(`{"bounds":{"leave_bound_s":2}}`))
 	is.Equal(len(violations), 0)
-	is.Equal(tree.BoundsWithDefaults(defaults), base.Bounds{Settings: 3 * time.Second, Leave: 2 * time.Second, Recover: 20 * time.Second, Retain: time.Minute})
+	is.Equal(tree.BoundsWithDefaults(defaults), base.Bounds{SettingsApply: 3 * time.Second, Drain: 2 * time.Second, Recovery: 20 * time.Second, Retention: time.Minute})
 	is.Equal(tree.BoundsWithDefaults(nil), tree.Bounds())
 }
 
@@ -200,7 +200,7 @@
 	newDocument = []byte(strings.Replace(string(newDocument), `"chat":{"kind":"model","model":"checkout","fallback":"help"}`, `"chat":{"kind":"model","model":"checkout"}`, 1))
 	request := &access.Request{Scope: access.Scope{Group: "duka", Site: "westlands", Route: "chat"}}
 	encodeRecord := func(version uint64, document []byte) []byte {
-		return base.Encode(Record{Version: version, Document: document, Access: "x"})
+		return base.MustMarshal(Record{Version: version, Document: document, Access: "x"})
 	}
 	compressed := func() []byte {
 		var buffer bytes.Buffer
@@ -209,7 +209,7 @@
 		_ = writer.Close()
 		return buffer.Bytes()
 	}()
-	pending := base.Encode(access.Pending{InForce: 1, Target: 2, CompressedDocument: compressed})
+	pending := base.MustMarshal(access.Pending{InForce: 1, Target: 2, CompressedDocument: compressed})
 	before, during, after := map[string][]byte{Key: encodeRecord(1, oldDocument)}, map[string][]byte{Key: encodeRecord(2, newDocument), access.PendingKey: pending}, map[string][]byte{Key: encodeRecord(2, newDocument)}
 	for _, snapshots := range [][]map[string][]byte{{before, during, after}, {during, after}, {before, after}} {
 		cache := &FeedCache{}
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -78,7 +78,7 @@
 	server.AddSweep(func(tx *register.Tx) {
 		tx.Walk(changeKeyPrefix, "", func(key string, value []byte) bool {
 			var logged loggedOutcome
-			if json.Unmarshal(value, &logged) == nil && tx.Now-logged.At > 4*tx.Bounds.Retain.Milliseconds() {
+			if json.Unmarshal(value, &logged) == nil && tx.Now-logged.At > 4*tx.Bounds.Retention.Milliseconds() {
 				tx.Delete(key)
 			}
 			return true
@@ -99,12 +99,12 @@
 			return logged.Outcome, nil
 		}
 		v := base.Decline(409, "change_refused", "change %q was refused and can no longer be applied", request.ID)
-		v.Stamp = current.Version
+		v.CurrentVersion = current.Version
 		return nil, v
 	}
 	if request.BasedOn != current.Version {
 		v := base.Decline(409, "stale_stamp", "the change is based on stamp %d, but the settings are at stamp %d", request.BasedOn, current.Version)
-		v.Stamp = current.Version
+		v.CurrentVersion = current.Version
 		return nil, v
 	}
 	tree, violations := Parse(request.Document)
@@ -116,8 +116,8 @@
 		return nil, err
 	}
 	accepted := Outcome{Outcome: "taken", Version: next.Version}
-	tx.Put(Key, base.Encode(next))
-	tx.Put(changeKeyPrefix+request.ID, base.Encode(loggedOutcome{accepted, tx.Now}))
+	tx.Put(Key, base.MustMarshal(next))
+	tx.Put(changeKeyPrefix+request.ID, base.MustMarshal(loggedOutcome{accepted, tx.Now}))
 	return accepted, nil
 }
 
@@ -132,12 +132,12 @@
 		return logged.Outcome, nil
 	}
 	refused := Outcome{Outcome: "refused", Version: currentRecord(tx).Version}
-	tx.Put(changeKeyPrefix+request.ID, base.Encode(loggedOutcome{refused, tx.Now}))
+	tx.Put(changeKeyPrefix+request.ID, base.MustMarshal(loggedOutcome{refused, tx.Now}))
 	return refused, nil
 }
 
 // InvalidDocument returns an error that lists every violation in a document.
-func InvalidDocument(violations []Violation) *base.Verdict {
+func InvalidDocument(violations []Violation) *base.RequestError {
 	lines := base.Map(violations, func(violation Violation) string { return violation.Path + ": " + violation.Message })
 	return base.DeclineField(violations[0].Path, "%s", strings.Join(lines, "\n"))
 }
--- a/internal/settings/diff.go
+++ b/internal/settings/diff.go
@@ -46,6 +46,6 @@
 	}
 	var value any
 	if json.Unmarshal(raw, &value) == nil && value != nil {
-		values[path] = string(base.Encode(value))
+		values[path] = string(base.MustMarshal(value))
 	}
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -68,21 +68,21 @@
 		return time.Duration(value * float64(time.Second))
 	}
 	tree.boundValues = boundValues
-	tree.bounds = base.Bounds{Settings: seconds("settings_bound_s"), Leave: seconds("leave_bound_s"),
-		Recover: seconds("recover_bound_s"), Retain: seconds("retain_s")}
-	if tree.bounds.Recover < 2*tree.bounds.Settings {
+	tree.bounds = base.Bounds{SettingsApply: seconds("settings_bound_s"), Drain: seconds("leave_bound_s"),
+		Recovery: seconds("recover_bound_s"), Retention: seconds("retain_s")}
+	if tree.bounds.Recovery < 2*tree.bounds.SettingsApply {
 		p.reject("$.bounds.recover_bound_s", "must be at least twice settings_bound_s")
 	}
-	if tree.bounds.Permit()+tree.bounds.Hold() > tree.bounds.Settings*95/100 {
+	if tree.bounds.Lease()+tree.bounds.LeaseWait() > tree.bounds.SettingsApply*95/100 {
 		p.reject("$.bounds.settings_bound_s", "the lease and the hold time do not fit inside it")
 	}
-	if tree.bounds.Follow() >= tree.bounds.Permit() {
+	if tree.bounds.FollowTimeout() >= tree.bounds.Lease() {
 		p.reject("$.bounds.settings_bound_s", "too short for this leave_bound_s: one request to the feed could take longer than a lease")
 	}
-	if tree.bounds.Suspect() < 4*tree.bounds.Beat() {
+	if tree.bounds.SuspectTimeout() < 4*tree.bounds.HeartbeatInterval() {
 		p.reject("$.bounds.recover_bound_s", "too short for this leave_bound_s: nodes would be suspected between two heartbeats")
 	}
-	if tree.bounds.Retain < tree.bounds.Recover {
+	if tree.bounds.Retention < tree.bounds.Recovery {
 		p.reject("$.bounds.retain_s", "must be at least recover_bound_s")
 	}
 	if len(p.violations) > 0 {
--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -91,7 +91,7 @@
 		is.True(strings.Contains(string(raw), "access_changing"))
 		status, _ = f.apply("another-value", 2, json.RawMessage(strings.Replace(denied, `"max_output_tokens":64`, `"max_output_tokens":32`, 1)))
 		is.Equal(status, 200)
-		call.sleep(base.DefaultBounds().Permit() + base.DefaultBounds().Beat())
+		call.sleep(base.DefaultBounds().Lease() + base.DefaultBounds().HeartbeatInterval())
 		_, raw = f.Operate(f.Cores[0], "GET", "/v1/operator/access", nil)
 		is.True(strings.Contains(string(raw), `"in_force":3`))
 		f.Edges[2].Host.Thaw()
@@ -105,9 +105,9 @@
 				{Name: "post", Host: "pay.example", Prefix: "/post/", Timeout: time.Second, Shares: []route.Share{{Service: "app", Weight: 1}}},
 				{Name: "till", Host: "till.example", Prefix: "/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}}}}
 		is.NoErr(table.BuildIndex())
-		allows := func(m *Machine, host, target, model string) *base.Verdict {
+		allows := func(m *Machine, host, target, model string) *base.RequestError {
 			var err error
-			done := base.NewBell(f.Callers.Clock())
+			done := base.NewNotifier(f.Callers.Clock())
 			next := done.Next()
 			m.Host.Go(func() {
 				ctx := base.NewCtx(m.Host.Clock(), 5*time.Second)
@@ -115,7 +115,7 @@
 				next.Fire()
 			})
 			next.Wait(10 * time.Second)
-			return base.FromWire(err)
+			return base.ToRequestError(err)
 		}
 		call.sleep(3 * time.Second)
 		edge := f.Edges[0]
@@ -125,8 +125,8 @@
 		is.Equal(v.Status, 403)
 		is.Equal(v.Code, "model_not_allowed")
 		is.Equal(v.Team, "clerks")
-		is.Equal(v.Stamp, uint64(1))
-		is.Equal(v.Ran, base.NotRun)
+		is.Equal(v.CurrentVersion, uint64(1))
+		is.Equal(v.Execution, base.NotRun)
 		is.Equal(allows(edge, "till.example", "/x", "checkout").Code, "unknown_team")
 		f.Net.CutOff(map[string]bool{edge.Host.Name: true})
 		call.sleep(3 * time.Second)
--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -107,7 +107,7 @@
 		}
 		one := asking{team: team, gateway: d.f.Edges[gateway%len(d.f.Edges)].Host.Name, sent: sent, first: first, told: d.f.World.Now()}
 		var told struct {
-			Error base.Verdict `json:"error"`
+			Error base.RequestError `json:"error"`
 		}
 		if answer.Status < 300 {
 			one.allowed = true
@@ -118,8 +118,8 @@
 			if answer.Status != 403 {
 				return answer, err
 			}
-			one.stamp = told.Error.Stamp
-			if told.Error.Code != "model_not_allowed" || told.Error.Ran != base.NotRun || told.Error.Team != team || told.Error.Model == "" || one.stamp == 0 {
+			one.stamp = told.Error.CurrentVersion
+			if told.Error.Code != "model_not_allowed" || told.Error.Execution != base.NotRun || told.Error.Team != team || told.Error.Model == "" || one.stamp == 0 {
 				d.f.Tally.Breach("a refusal of access that does not say what decided: %s", answer.Body)
 			}
 		}
@@ -209,7 +209,7 @@
 			}
 		}
 	}
-	fresh, permit := base.DefaultBounds().AccessFresh(), base.DefaultBounds().Permit()
+	fresh, permit := base.DefaultBounds().AccessFreshness(), base.DefaultBounds().Lease()
 	for _, one := range d.askings {
 		fits, named, could := false, one.allowed, []uint64{}
 		for place, stamp := range stamps {
@@ -343,7 +343,7 @@
 		f.Callers.Go(func() {
 			id := fmt.Sprint("k", round)
 			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.Tag(program, id)}}, "max_output_tokens": f.Shape.Pieces + 2}
-			_, _ = ask(gateway, "POST", path+"/turns", map[string]string{"authorization": "Bearer " + secret, "turn-id": id}, base.Encode(body))
+			_, _ = ask(gateway, "POST", path+"/turns", map[string]string{"authorization": "Bearer " + secret, "turn-id": id}, base.MustMarshal(body))
 		})
 	}
 }
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -230,7 +230,7 @@
 // Stop ends a machine as a signal would: it finishes what it read, hands
 // over, and ends.
 func (f *Fleet) Stop(m *Machine) {
-	bell := base.NewBell(f.Callers.Clock())
+	bell := base.NewNotifier(f.Callers.Clock())
 	left, life := false, m.Host.life
 	m.Host.Go(func() {
 		switch {
@@ -245,7 +245,7 @@
 			m.storage.Stop()
 		}
 		left = true
-		bell.Ring()
+		bell.Notify()
 	})
 	m.closing = true
 	if f.lost.leave {
@@ -272,15 +272,15 @@
 
 // OperateWith does so with a query.
 func (f *Fleet) OperateWith(m *Machine, method, path string, query map[string]string, body any) (status int, answer []byte) {
-	bell := base.NewBell(f.Callers.Clock())
+	bell := base.NewNotifier(f.Callers.Clock())
 	if !m.Host.alive || m.core == nil {
 		return 0, nil
 	}
 	done := false
 	m.Host.Go(func() {
-		response := m.core.Operate.Handle(base.NewCtx(m.Host.Clock(), 30*time.Second), &front.Request{Method: method, Path: path, Query: query, Body: base.Encode(body)})
+		response := m.core.Operate.Handle(base.NewCtx(m.Host.Clock(), 30*time.Second), &front.Request{Method: method, Path: path, Query: query, Body: base.MustMarshal(body)})
 		status, answer, done = response.Status, response.Body, true
-		bell.Ring()
+		bell.Notify()
 	})
 	end := f.World.now + 40*time.Second
 	for !done && f.World.now < end {
@@ -310,7 +310,7 @@
 	})
 	ask := f.Asker(f.Callers)
 	f.insist("workers", func() int {
-		answer, err := ask(0, "PUT", "/v1/platform/workers", nil, base.Encode(f.List))
+		answer, err := ask(0, "PUT", "/v1/platform/workers", nil, base.MustMarshal(f.List))
 		if err != nil {
 			return 0
 		}
--- a/internal/simulate/fleet_report.go
+++ b/internal/simulate/fleet_report.go
@@ -20,7 +20,7 @@
 			for turn := int(f.World.Int64N(int64(len(f.Edges)))); ; turn++ {
 				f.Callers.Clock().Sleep(every)
 				if f.World.Hosts[model.ID].alive {
-					_, _ = ask(turn, "POST", "/v1/platform/workers/"+model.ID+"/usage", nil, base.Encode(f.usage(model.ID)))
+					_, _ = ask(turn, "POST", "/v1/platform/workers/"+model.ID+"/usage", nil, base.MustMarshal(f.usage(model.ID)))
 				}
 			}
 		})
@@ -49,7 +49,7 @@
 func (f *Fleet) Total(name string) int64 {
 	total := int64(0)
 	for _, m := range f.All() {
-		total += m.Count.Frame()[name]
+		total += m.Count.Snapshot()[name]
 	}
 	return total
 }
--- a/internal/simulate/follow_test.go
+++ b/internal/simulate/follow_test.go
@@ -16,7 +16,7 @@
 	is := is.NewRelaxed(t)
 	f := rested(t, 14, applied)
 	defer f.World.Close()
-	bound := base.DefaultBounds().Settings
+	bound := base.DefaultBounds().SettingsApply
 	for round, both := range []bool{false, true} {
 		owner := f.feeds()
 		for _, m := range append(append([]*Machine{}, f.Cores...), f.Storage...) {
--- a/internal/simulate/history_test.go
+++ b/internal/simulate/history_test.go
@@ -31,8 +31,8 @@
 }
 
 func newHistoryWriter(f *Fleet) *historyWriter {
-	bounds := &base.Table[base.Bounds]{}
-	bounds.Swap(base.DefaultBounds())
+	bounds := &base.AtomicPointer[base.Bounds]{}
+	bounds.Store(base.DefaultBounds())
 	client := ledger.NewClient(f.Callers.Clock(), f.Net.Wire(f.Callers), f.set, f.Callers.Zone, f.Shape.Tolerate, bounds, base.NewCounters(), nil)
 	return &historyWriter{fleet: f, client: client, turns: make([][]string, historyPrograms), epochs: make([]uint64, historyPrograms)}
 }
--- a/internal/simulate/long_test.go
+++ b/internal/simulate/long_test.go
@@ -111,7 +111,7 @@
 func TestPoliciesAtWork(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		apply := func(stamp int, change, source string) (int, string) {
-			document := strings.Replace(DefaultSettings, `"chat":{`, `"chat":{"policy":`+string(base.Encode(source))+`,`, 1)
+			document := strings.Replace(DefaultSettings, `"chat":{`, `"chat":{"policy":`+string(base.MustMarshal(source))+`,`, 1)
 			status, answer := f.Operate(f.Cores[0], "POST", "/v1/operator/settings/apply",
 				map[string]any{"change": change, "based_on": stamp, "document": json.RawMessage(document)})
 			call.sleep(2 * time.Second)
--- a/internal/simulate/manychanges.go
+++ b/internal/simulate/manychanges.go
@@ -251,11 +251,11 @@
 	err, answered := r.ask(m, func(ctx *base.Ctx, core *node.Core) error {
 		return route.SubmitChange(ctx, core.Register, change)
 	})
-	switch verdict := base.FromWire(err); {
+	switch verdict := base.ToRequestError(err); {
 	case answered && err == nil:
 		r.version++
 		return true
-	case answered && verdict.Ran == base.NotRun && verdict.Status != 503:
+	case answered && verdict.Execution == base.NotRun && verdict.Status != 503:
 		r.report.Refused++
 		r.breach("change %d on top of %d was refused: %v", r.changes, r.version, err)
 	default:
@@ -266,11 +266,11 @@
 
 // ask runs a step on a core's machine and waits for its answer.
 func (r *changesRun) ask(m *Machine, step func(ctx *base.Ctx, core *node.Core) error) (err error, answered bool) {
-	bell, core := base.NewBell(r.clock()), m.core
+	bell, core := base.NewNotifier(r.clock()), m.core
 	m.Host.Go(func() {
 		err = step(base.NewCtx(m.Host.Clock(), core.AnswerWithin()), core)
 		answered = true
-		bell.Ring()
+		bell.Notify()
 	})
 	for end := r.fleet.World.Now() + 3*time.Second; !answered && r.fleet.World.Now() < end; {
 		bell.Next().Wait(20 * time.Millisecond)
--- a/internal/simulate/net.go
+++ b/internal/simulate/net.go
@@ -142,7 +142,7 @@
 }
 
 // Wire is a host's way to partners; addresses are host names with a port.
-func (n *Net) Wire(h *Host) base.Wire { return &wire{n, h} }
+func (n *Net) Wire(h *Host) base.HTTPClient { return &wire{n, h} }
 
 type wire struct {
 	net  *Net
@@ -164,12 +164,12 @@
 	n, w := x.net, x.net.World
 	left := 10 * time.Second
 	if ctx, ok := request.Context().Value(base.CtxKey).(*base.Ctx); ok {
-		left = ctx.Left()
+		left = ctx.Remaining()
 	}
 	if left <= 0 {
 		return nil, &base.NotSent{Cause: context.DeadlineExceeded}
 	}
-	base.StampRequest(request, left)
+	base.SetMessageHeaders(request, left)
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return nil, err
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -73,9 +73,9 @@
 func (f *Fleet) resolve(change string, basedOn uint64, status int, answer []byte) uint64 {
 	for tries := 0; tries < 400; tries++ {
 		var told struct {
-			Outcome string       `json:"outcome"`
-			Stamp   uint64       `json:"stamp"`
-			Error   base.Verdict `json:"error"`
+			Outcome string            `json:"outcome"`
+			Stamp   uint64            `json:"stamp"`
+			Error   base.RequestError `json:"error"`
 		}
 		_ = json.Unmarshal(answer, &told)
 		switch {
@@ -84,7 +84,7 @@
 			return told.Stamp
 		case status == 200 || status == 409:
 			f.Tally.ChangeRefused(change)
-			return max(told.Stamp, told.Error.Stamp)
+			return max(told.Stamp, told.Error.CurrentVersion)
 		}
 		f.Tally.Count("settings_unknown")
 		f.Callers.Clock().Sleep(300 * time.Millisecond)
@@ -182,13 +182,13 @@
 func (f *Fleet) untilTold(method, path string, body func() any, stamp uint64) {
 	ask := f.Asker(f.Callers)
 	for tries := int(f.World.Int64N(int64(len(f.Edges)))); ; tries++ {
-		answer, err := ask(tries, method, path, nil, base.Encode(body()))
+		answer, err := ask(tries, method, path, nil, base.MustMarshal(body()))
 		if err == nil {
 			var told struct {
-				Error base.Verdict `json:"error"`
+				Error base.RequestError `json:"error"`
 			}
 			_ = json.Unmarshal(answer.Body, &told)
-			if answer.Status == 200 || stamp > 0 && told.Error.Stamp >= stamp {
+			if answer.Status == 200 || stamp > 0 && told.Error.CurrentVersion >= stamp {
 				return
 			}
 		}
--- a/internal/simulate/orders.go
+++ b/internal/simulate/orders.go
@@ -102,7 +102,7 @@
 	f := layFleet(seed, Shape{Name: shape.Name, Zones: 4, Edges: shape.Edges, Cores: shape.Cores, Storage: shape.Storage, Tolerate: shape.Tolerate, Found: true})
 	d := &OrderDay{Fleet: f, Rounds: 6, sent: map[string][][]byte{}, Kills: map[string]int{}}
 	f.equip = func(_ *Machine, env *node.Env, place *node.Place) {
-		place.Bounds = &base.Bounds{Settings: 2 * time.Second, Leave: 3 * time.Second, Recover: shape.Recover, Retain: time.Minute}
+		place.Bounds = &base.Bounds{SettingsApply: 2 * time.Second, Drain: 3 * time.Second, Recovery: shape.Recover, Retention: time.Minute}
 		env.Names = &platform.Names
 	}
 	f.begins = func(m *Machine) {
@@ -267,13 +267,13 @@
 	for round := range d.Rounds {
 		start, step := d.known, 1+uint64(d.World.Int64N(3))
 		under := orderSenders
-		done := base.NewBell(clock)
+		done := base.NewNotifier(clock)
 		for sender := range orderSenders {
 			d.Callers.Go(func() {
 				clock.Sleep(d.World.Between(0, 30*time.Millisecond))
 				d.send(sender, round, Order{Base: start, Version: start + step, Document: documentName(sender)})
 				under--
-				done.Ring()
+				done.Notify()
 			})
 		}
 		for next := done.Next(); under > 0; next = done.Next() {
--- a/internal/simulate/orders_test.go
+++ b/internal/simulate/orders_test.go
@@ -116,7 +116,7 @@
 			if change.Base != now.Version {
 				change.Digest = base.Digest(nil)
 			}
-			_, response = pass("route.change", base.Encode(change))
+			_, response = pass("route.change", base.MustMarshal(change))
 			return response
 		})},
 		{"the confirmation before a refusal or a read", true, onPath("Disk/Confirm", func(*Message) *http.Response {
@@ -130,7 +130,7 @@
 				return response
 			}
 			change.Base = now.Version
-			_, response = pass("route.change", base.Encode(change))
+			_, response = pass("route.change", base.MustMarshal(change))
 			return response
 		})},
 	} {
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -178,10 +178,10 @@
 		verdict, _, _ = call.turn(1, path, key, program, "e", "a").final()
 		is.Equal(verdict, "success")
 		is.True(f.World.Now()-frozen < 4*time.Second) // it was told from a slow one, and succeeded
-		sent := f.Edges[0].Count.Frame()["legs_sent"]
+		sent := f.Edges[0].Count.Snapshot()["legs_sent"]
 		f.Edges[0].Host.Thaw()
 		call.sleep(20 * time.Second)
-		is.Equal(f.Edges[0].Count.Frame()["legs_sent"], sent)
+		is.Equal(f.Edges[0].Count.Snapshot()["legs_sent"], sent)
 		for _, id := range []string{"b", "c", "d"} {
 			verdict, ran, _ := answers[id].final()
 			if answers[id].Status != 200 {
--- a/internal/simulate/parties.go
+++ b/internal/simulate/parties.go
@@ -15,7 +15,7 @@
 
 // Reply is a worker's reply under way.
 type Reply struct {
-	bell   *base.Bell
+	bell   *base.Notifier
 	status int
 	begun  bool
 	closes bool
@@ -50,15 +50,15 @@
 	}
 }
 
-func (r *Reply) Status() int          { return r.status }
-func (r *Reply) Header(string) string { return "application/json" }
-func (r *Reply) Closes() bool         { return r.closes }
+func (r *Reply) Status() int            { return r.status }
+func (r *Reply) Header(string) string   { return "application/json" }
+func (r *Reply) ClosesConnection() bool { return r.closes }
 
 func (r *Reply) EachHeader(visit func(name, value []byte)) {
 	visit([]byte("Content-Type"), []byte(r.Header("")))
 }
 
-func (r *Reply) Line(limit time.Duration) ([]byte, error) {
+func (r *Reply) ReadLine(limit time.Duration) ([]byte, error) {
 	if err := r.await(limit, func() bool { return len(r.lines) > 0 }); err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 	return []byte(line), nil
 }
 
-func (r *Reply) Body(limit time.Duration, _ int) ([]byte, error) {
+func (r *Reply) ReadBody(limit time.Duration, _ int) ([]byte, error) {
 	err := r.await(limit, func() bool { return r.ended && !r.died })
 	return r.body, err
 }
@@ -75,7 +75,7 @@
 func (r *Reply) Close() {
 	r.closed = true
 	delete(r.host.ends, r)
-	r.bell.Ring()
+	r.bell.Notify()
 }
 
 // Backends is a host's way to the stand-in workers.
@@ -87,25 +87,25 @@
 	lost   *mechanisms
 }
 
-func (b *Backends) Call(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
+func (b *Backends) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
 	w := b.net.World
 	target := w.Hosts[hostOf(addr)]
 	b.host.Clock().Sleep(b.net.delay())
 	if target == nil || !target.alive || b.net.cut(b.host.Name, target.Name) {
 		return nil, &base.NotSent{Cause: errors.New("connection refused")}
 	}
-	reply := &Reply{bell: base.NewBell(ctx.Clock), clock: ctx.Clock, host: target}
+	reply := &Reply{bell: base.NewNotifier(ctx.Clock), clock: ctx.Clock, host: target}
 	target.ends[reply] = struct{}{}
 	body := append([]byte(nil), request.Body...)
 	target.Go(func() {
 		if model := b.models[target.Name]; model != nil {
 			reply.closes = model.Closing
-			model.Serve(body, func(status int) { reply.status, reply.begun = status, true; reply.bell.Ring() }, func(line string) error {
+			model.Serve(body, func(status int) { reply.status, reply.begun = status, true; reply.bell.Notify() }, func(line string) error {
 				if reply.closed {
 					return io.ErrClosedPipe
 				}
 				reply.lines = append(reply.lines, line)
-				reply.bell.Ring()
+				reply.bell.Notify()
 				return nil
 			})
 		} else {
@@ -117,9 +117,9 @@
 		}
 		reply.ended = true
 		delete(target.ends, reply)
-		reply.bell.Ring()
+		reply.bell.Notify()
 	})
-	if err := reply.await(ctx.Left(), func() bool { return reply.begun }); err != nil {
+	if err := reply.await(ctx.Remaining(), func() bool { return reply.begun }); err != nil {
 		reply.Close()
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 }
 
 // Forget has nothing to do: connections in memory are not kept.
-func (b *Backends) Forget(string) {}
+func (b *Backends) DropIdle(string) {}
 
 // Asker sends callers' requests to the simulated gateways.
 func (f *Fleet) Asker(host *Host) standin.Asker {
@@ -138,7 +138,7 @@
 		if !edge.Host.alive || edge.gateway == nil || edge.closing {
 			return nil, errors.New("connection refused")
 		}
-		bell := base.NewBell(clock)
+		bell := base.NewNotifier(clock)
 		var response *front.Response
 		events := []standin.Event{}
 		over := false
@@ -148,7 +148,7 @@
 			defer func() { edge.open-- }()
 			own := edge.Host.Clock()
 			response = target.Front.Handle(base.NewCtx(own, 10*time.Minute), &front.Request{Method: method, Path: path, Header: header, Query: map[string]string{}, Body: body})
-			bell.Ring()
+			bell.Notify()
 			if response.Stream == nil {
 				return
 			}
@@ -158,7 +158,7 @@
 					events = append(events, eventOf(piece, leg))
 				}
 				over = done
-				bell.Ring()
+				bell.Notify()
 			}
 		})
 		gone := func() bool { return edge.Host.life != life }
@@ -195,7 +195,7 @@
 }
 
 func eventOf(piece *session.Piece, leg string) standin.Event {
-	kind, data, id := "piece", base.Encode(map[string]string{"text": string(piece.Data)}), leg+"#"+string(base.Encode(piece.Place))
+	kind, data, id := "piece", base.MustMarshal(map[string]string{"text": string(piece.Data)}), leg+"#"+string(base.MustMarshal(piece.Place))
 	if piece.Final {
 		kind, data = "final", piece.Data
 	}
--- a/internal/simulate/path_test.go
+++ b/internal/simulate/path_test.go
@@ -77,7 +77,7 @@
 	case string:
 		raw = []byte(held)
 	default:
-		raw = base.Encode(held)
+		raw = base.MustMarshal(held)
 	}
 	answer, err := t.ask(gateway, method, path, header, raw)
 	if err != nil {
--- a/internal/simulate/removal_test.go
+++ b/internal/simulate/removal_test.go
@@ -96,7 +96,7 @@
 			var told map[string]any
 			_ = json.Unmarshal(reply.Result, &told)
 			told["granted"] = wanted.Tokens
-			return replied(&register.ChangeReply{Result: base.Encode(told)})
+			return replied(&register.ChangeReply{Result: base.MustMarshal(told)})
 		}), "put out"},
 		{"the memory of lost legs", "everything at once", "small", onChange("", func(m *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			reply, response := pass(asked.Op, asked.Args)
@@ -109,7 +109,7 @@
 			var told map[string]any
 			_ = json.Unmarshal(reply.Result, &told)
 			delete(told["record"].(map[string]any), "unsure")
-			return replied(&register.ChangeReply{Result: base.Encode(told)})
+			return replied(&register.ChangeReply{Result: base.MustMarshal(told)})
 		}), "was refused"},
 		{"the chain on a majority", "edges killed", "small", onChange("session.finish", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			_, response := pass("session.get", asked.Args)
@@ -138,7 +138,7 @@
 			}
 			_ = json.Unmarshal(asked.Args, &change)
 			change["based_on"] = record.Stamp
-			_, response = pass("settings.apply", base.Encode(change))
+			_, response = pass("settings.apply", base.MustMarshal(change))
 			return response
 		}), "a losing change was acknowledged"},
 		{"the fence of a refused change", "a zone lost", "small", onChange("settings.outcome", func(*Message, *register.ChangeRequest, func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
--- a/internal/simulate/talk_test.go
+++ b/internal/simulate/talk_test.go
@@ -203,7 +203,7 @@
 				return sum / time.Duration(len(all))
 			}
 			t.Logf("%s, %d nodes: found mean %v most %v %v, back mean %v most %v", row.name, nodes, mean(lost), slices.Max(lost), lost, mean(back), slices.Max(back))
-			bound := base.DefaultBounds().Suspect()
+			bound := base.DefaultBounds().SuspectTimeout()
 			is.True(mean(lost) < bound*11/10)
 			is.True(slices.Max(lost) < bound*3/2)
 			is.True(mean(back) < time.Second)
@@ -224,7 +224,7 @@
 	m.Host.Lag = 250 * time.Millisecond
 	id := m.view().SelfID()
 	// What the slow machine makes of others is its own affair.
-	suspected := func() int64 { return f.Total("members_suspected") - m.Count.Frame()["members_suspected"] }
+	suspected := func() int64 { return f.Total("members_suspected") - m.Count.Snapshot()["members_suspected"] }
 	before := suspected()
 	for range 200 {
 		f.World.Run(f.World.now+100*time.Millisecond, nil)
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -192,9 +192,9 @@
 func (t *Tier) equip(m *Machine, env *node.Env, place *node.Place) {
 	m.Host.Cost = t.cost
 	b := t.Site.Bounds
-	place.Bounds = &base.Bounds{Settings: b.Apply, Leave: b.Drain, Recover: b.Recovery, Retain: time.Minute}
+	place.Bounds = &base.Bounds{SettingsApply: b.Apply, Drain: b.Drain, Recovery: b.Recovery, Retention: time.Minute}
 	env.Names = &platform.Names
-	env.Backends = &workerCalls{tier: t, host: m.Host, connect: base.DefaultBounds().Recover / 12, stocks: map[string]*workerStock{}}
+	env.Backends = &workerCalls{tier: t, host: m.Host, connect: base.DefaultBounds().Recovery / 12, stocks: map[string]*workerStock{}}
 }
 
 func (t *Tier) begins(m *Machine) {
--- a/internal/simulate/tier_clients.go
+++ b/internal/simulate/tier_clients.go
@@ -190,7 +190,7 @@
 		return
 	}
 	x.read = true
-	x.in.bell.Ring()
+	x.in.bell.Notify()
 	m.open++
 	defer func() {
 		if m.Host.life == life {
--- a/internal/simulate/tier_operators.go
+++ b/internal/simulate/tier_operators.go
@@ -104,12 +104,12 @@
 // together runs steps at once and waits for all.
 func (t *Tier) together(count int, step func(place int)) {
 	left := count
-	bell := base.NewBell(t.Callers.Clock())
+	bell := base.NewNotifier(t.Callers.Clock())
 	for place := range count {
 		t.Callers.Go(func() {
 			step(place)
 			left--
-			bell.Ring()
+			bell.Notify()
 		})
 	}
 	for left > 0 {
--- a/internal/simulate/tier_removal_test.go
+++ b/internal/simulate/tier_removal_test.go
@@ -213,7 +213,7 @@
 					}
 					_ = json.Unmarshal(asked.Args, &change)
 					change["base"] = document.Version
-					if _, response = pass("route.change", base.Encode(change)); response == nil || response.StatusCode == 200 {
+					if _, response = pass("route.change", base.MustMarshal(change)); response == nil || response.StatusCode == 200 {
 						break
 					}
 				}
--- a/internal/simulate/tier_test.go
+++ b/internal/simulate/tier_test.go
@@ -43,7 +43,7 @@
 		var kept *Tier
 		TierDayNamed("mixed: storm, closing power").RunWith(3, TierShapes["small"](), func(t *Tier) { kept = t })
 		record := kept.record.Record()
-		return base.Digest(base.Encode(record.Tries)), base.Digest(base.Encode(record.Arrivals))
+		return base.Digest(base.MustMarshal(record.Tries)), base.Digest(base.MustMarshal(record.Arrivals))
 	}
 	tries, arrivals := seen()
 	again, arrivedAgain := seen()
--- a/internal/simulate/tier_wire.go
+++ b/internal/simulate/tier_wire.go
@@ -17,19 +17,19 @@
 // pipe is one direction of a connection.
 type pipe[T any] struct {
 	world *World
-	bell  *base.Bell
+	bell  *base.Notifier
 	items []onTheWay[T]
 	last  time.Duration
 }
 
 func newPipe[T any](host *Host) *pipe[T] {
-	return &pipe[T]{world: host.World, bell: base.NewBell(host.Clock())}
+	return &pipe[T]{world: host.World, bell: base.NewNotifier(host.Clock())}
 }
 
 func (p *pipe[T]) put(delay time.Duration, item T) {
 	p.last = max(p.last, p.world.now+delay)
 	p.items = append(p.items, onTheWay[T]{p.last, item})
-	p.bell.Ring()
+	p.bell.Notify()
 }
 
 // due tells whether something has arrived.
--- a/internal/simulate/tier_worker_reply.go
+++ b/internal/simulate/tier_worker_reply.go
@@ -54,7 +54,7 @@
 			if match.Name == "" || r.Header(match.Name) == match.Value {
 				return nil
 			}
-			if r.foreign++; r.foreign > foreignMost || r.Closes() {
+			if r.foreign++; r.foreign > foreignMost || r.ClosesConnection() {
 				return errors.New("the answer belongs to another request")
 			}
 			for one.kind != arrivedEnd {
@@ -107,7 +107,7 @@
 	}
 }
 
-func (r *workerReply) Closes() bool { return r.Header("Connection") == "close" }
+func (r *workerReply) ClosesConnection() bool { return r.Header("Connection") == "close" }
 
 // ended keeps the connection when it can carry another request.
 func (r *workerReply) ended() {
@@ -116,7 +116,7 @@
 		return
 	}
 	r.closed = true
-	if r.Closes() || r.foreign > 0 || r.conn.in.due() {
+	if r.ClosesConnection() || r.foreign > 0 || r.conn.in.due() {
 		r.conn.close()
 		return
 	}
@@ -147,7 +147,7 @@
 	return nil, errGarbled
 }
 
-func (r *workerReply) Line(limit time.Duration) ([]byte, error) {
+func (r *workerReply) ReadLine(limit time.Duration) ([]byte, error) {
 	until := r.clock.Now() + limit
 	for {
 		if place := bytes.IndexByte(r.pending, '\n'); place >= 0 {
@@ -168,7 +168,7 @@
 	}
 }
 
-func (r *workerReply) Body(limit time.Duration, most int) ([]byte, error) {
+func (r *workerReply) ReadBody(limit time.Duration, most int) ([]byte, error) {
 	until := r.clock.Now() + limit
 	var body []byte
 	for {
--- a/internal/simulate/tier_workers.go
+++ b/internal/simulate/tier_workers.go
@@ -91,7 +91,7 @@
 	c.closed = true
 	c.stock.open--
 	c.gone.Fire()
-	c.in.bell.Ring()
+	c.in.bell.Notify()
 	if c.at != nil {
 		delete(c.at.conns, c)
 	}
@@ -113,7 +113,7 @@
 	stocks  map[string]*workerStock
 }
 
-func (b *workerCalls) Forget(worker string) {
+func (b *workerCalls) DropIdle(worker string) {
 	held := b.stocks[worker]
 	if held == nil {
 		return
@@ -143,7 +143,7 @@
 		c.close()
 	}
 	if most > 0 && held.open >= most {
-		return nil, nil, base.ErrNoConnection
+		return nil, nil, base.ErrConnectionLimit
 	}
 	held.open++
 	return nil, held, nil
@@ -160,7 +160,7 @@
 		return nil, errors.New("connection refused")
 	}
 	if t.Net.cut(b.host.Name, target.host.Name) || t.Net.cut(target.host.Name, b.host.Name) {
-		b.host.Clock().Sleep(min(bound, ctx.Left()))
+		b.host.Clock().Sleep(min(bound, ctx.Remaining()))
 		return nil, errors.New("no route")
 	}
 	if t.dialing > 0 {
@@ -182,28 +182,28 @@
 	return c, nil
 }
 
-func (b *workerCalls) Call(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
-	c, held, err := b.take(request.Worker, addr, request.MostConns)
+func (b *workerCalls) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
+	c, held, err := b.take(request.Incarnation, addr, request.MaxConns)
 	if err != nil {
 		return nil, &base.NotSent{Cause: err}
 	}
 	if c == nil {
-		if c, err = b.dial(ctx, addr, request.Connect, held); err != nil {
+		if c, err = b.dial(ctx, addr, request.ConnectTimeout, held); err != nil {
 			held.open--
 			return nil, &base.NotSent{Cause: err}
 		}
 		c.until = b.tier.World.now + b.connect*3/4
 	}
-	if ctx.Over() || request.Stays != nil && !request.Stays() && !b.tier.lost.stays {
+	if ctx.Expired() || request.ConfirmSend != nil && !request.ConfirmSend() && !b.tier.lost.stays {
 		b.keep(c, c.until-b.tier.World.now)
-		return nil, &base.NotSent{Cause: base.ErrLeaves}
+		return nil, &base.NotSent{Cause: base.ErrDraining}
 	}
 	c.send(request)
-	reply, match := &workerReply{calls: b, conn: c, clock: ctx.Clock}, request.Match
+	reply, match := &workerReply{calls: b, conn: c, clock: ctx.Clock}, request.EchoedHeader
 	if b.tier.lost.match {
 		match = base.HeaderLine{}
 	}
-	if err := reply.receive(ctx.Clock.Now()+ctx.Left(), match); err != nil {
+	if err := reply.receive(ctx.Clock.Now()+ctx.Remaining(), match); err != nil {
 		c.close()
 		if b.tier.lost.proof {
 			return nil, &base.NotSent{Cause: err}
@@ -226,7 +226,7 @@
 }
 
 // send takes a request to the worker.
-func (c *workerConn) send(request *base.BackRequest) {
+func (c *workerConn) send(request *base.BackendRequest) {
 	t, s := c.tier, c.at
 	if s == nil {
 		c.in.put(t.Net.delay(), arrived{kind: arrivedClose})
@@ -236,7 +236,7 @@
 	for name, value := range request.Header {
 		header[strings.ToLower(name)] = value
 	}
-	for _, line := range request.Lines {
+	for _, line := range request.HeaderLines {
 		if t.lost.expect && strings.EqualFold(line.Name, parties.HeaderExpectInstance) {
 			continue
 		}
--- a/internal/simulate/tree_test.go
+++ b/internal/simulate/tree_test.go
@@ -71,7 +71,7 @@
 	const nodes = 150
 	f := rested(t, nodes, applied)
 	defer f.World.Close()
-	bound := base.DefaultBounds().Settings
+	bound := base.DefaultBounds().SettingsApply
 	owner := f.feeds()
 	before, _ := f.lapses()
 	f.Net.By = map[string]*Share{}
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -26,9 +26,9 @@
 
 type failure struct {
 	Error struct {
-		Code       string   `json:"code"`
-		Message    string   `json:"message"`
-		Ran        base.Ran `json:"request"`
-		RetryAfter int      `json:"retry_after_s"`
+		Code       string         `json:"code"`
+		Message    string         `json:"message"`
+		Ran        base.Execution `json:"request"`
+		RetryAfter int            `json:"retry_after_s"`
 	} `json:"error"`
 }
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -62,7 +62,7 @@
 func (c *Caller) settled(method, path string, header map[string]string, body any) (*Answer, *failure) {
 	end := c.Clock.Now() + c.Patience/3
 	for {
-		answer, err := c.Ask(c.Home, method, path, header, base.Encode(body))
+		answer, err := c.Ask(c.Home, method, path, header, base.MustMarshal(body))
 		var failed failure
 		if err == nil && answer.Status < 400 {
 			return answer, nil
@@ -216,7 +216,7 @@
 	began, unsure := c.Clock.Now(), false
 	expected := Expected(append(append([]Message(nil), c.chain...), asked...), c.Pieces)
 	for c.Clock.Now() < end {
-		answer, err := c.Ask(c.Home, "POST", path+"/turns", c.header(secret, more), base.Encode(map[string]any{"messages": asked, "max_output_tokens": c.Pieces + 2}))
+		answer, err := c.Ask(c.Home, "POST", path+"/turns", c.header(secret, more), base.MustMarshal(map[string]any{"messages": asked, "max_output_tokens": c.Pieces + 2}))
 		if err != nil {
 			c.Tally.Count("lost")
 			c.Home = (c.Home + 1) % c.Gateways
@@ -315,9 +315,9 @@
 			continue
 		}
 		var final struct {
-			Verdict string   `json:"verdict"`
-			Ran     base.Ran `json:"request"`
-			Finish  string   `json:"finish_reason"`
+			Verdict string         `json:"verdict"`
+			Ran     base.Execution `json:"request"`
+			Finish  string         `json:"finish_reason"`
 			Error   struct {
 				Code       string `json:"code"`
 				RetryAfter int    `json:"retry_after_s"`
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -30,7 +30,7 @@
 }
 
 func piece(leg string, place int, text string) Event {
-	return Event{ID: fmt.Sprintf("%s#%d", leg, place), Kind: "piece", Data: base.Encode(map[string]string{"text": text})}
+	return Event{ID: fmt.Sprintf("%s#%d", leg, place), Kind: "piece", Data: base.MustMarshal(map[string]string{"text": text})}
 }
 
 func final(place int, body string) Event {
@@ -84,12 +84,12 @@
 
 // run has the model put a turn out.
 func (w *world) run(program, turn string, limit int) {
-	w.model.Serve(base.Encode(map[string]any{"messages": []Message{{"user", Tag(program, turn)}}, "max_tokens": limit}),
+	w.model.Serve(base.MustMarshal(map[string]any{"messages": []Message{{"user", Tag(program, turn)}}, "max_tokens": limit}),
 		func(int) {}, func(string) error { return nil })
 }
 
 func refusal(code, ran string) *Answer {
-	return &Answer{Status: 503, Body: base.Encode(map[string]any{"error": map[string]any{"code": code, "request": ran, "retry_after_s": 1}})}
+	return &Answer{Status: 503, Body: base.MustMarshal(map[string]any{"error": map[string]any{"code": code, "request": ran, "retry_after_s": 1}})}
 }
 
 func TestEachBreachIsCaught(t *testing.T) {
--- a/internal/standin/platform/engine.go
+++ b/internal/standin/platform/engine.go
@@ -39,7 +39,7 @@
 	want    int
 	until   time.Duration
 	gone    base.Signal
-	bell    *base.Bell
+	bell    *base.Notifier
 
 	unread int // prompt tokens not read yet
 	out    int
@@ -105,7 +105,7 @@
 		return false
 	}
 	e.order++
-	j.order, j.bell = e.order, base.NewBell(e.clock)
+	j.order, j.bell = e.order, base.NewNotifier(e.clock)
 	e.line(j)
 	if !e.active {
 		e.active = true
@@ -143,7 +143,7 @@
 		}
 		e.clock.Sleep(span)
 		for _, j := range e.finish() {
-			j.bell.Ring()
+			j.bell.Notify()
 		}
 	}
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -72,7 +72,7 @@
 
 // Expected is the answer a right model gives to a chain.
 func Expected(chain []Message, pieces int) []string {
-	answer := []string{fmt.Sprintf("%d messages %s", len(chain), base.Digest(base.Encode(chain)))}
+	answer := []string{fmt.Sprintf("%d messages %s", len(chain), base.Digest(base.MustMarshal(chain)))}
 	for piece := 2; piece <= pieces; piece++ {
 		answer = append(answer, fmt.Sprintf(" piece %d", piece))
 	}
@@ -147,14 +147,14 @@
 		}
 		m.put(program, 1)
 		chunk := map[string]any{"choices": []any{map[string]any{"delta": map[string]string{"content": piece}}}}
-		if emit("data: "+string(base.Encode(chunk))+"\n\n") != nil {
+		if emit("data: "+string(base.MustMarshal(chunk))+"\n\n") != nil {
 			return
 		}
 	}
 	if trouble != NoFinish {
 		end := map[string]any{"choices": []any{map[string]any{"delta": map[string]string{}, "finish_reason": finish}},
 			"usage": map[string]int{"completion_tokens": len(answer)}}
-		if emit("data: "+string(base.Encode(end))+"\n\n") != nil {
+		if emit("data: "+string(base.MustMarshal(end))+"\n\n") != nil {
 			return
 		}
 	}
@@ -177,7 +177,7 @@
 	m.runs[program+"|"+turn]++
 	// The longest prefix in the cache counts, whichever session brought it.
 	for upto := 1; upto <= len(chain); upto++ {
-		prefix := base.Digest(base.Encode(chain[:upto]))
+		prefix := base.Digest(base.MustMarshal(chain[:upto]))
 		if _, ok := m.prefix[prefix]; ok && cached == upto-1 {
 			cached = upto
 		}
@@ -294,7 +294,7 @@
 	case Fail:
 		return 500, []byte(`{"error":"failed"}`), true
 	}
-	return 200, base.Encode(map[string]string{"done": key}), true
+	return 200, base.MustMarshal(map[string]string{"done": key}), true
 }
 
 // Runs counts what was carried out, by key.
--- a/internal/toolcall/toolcall.go
+++ b/internal/toolcall/toolcall.go
@@ -75,7 +75,7 @@
 
 func (r *claimRecord) store(tx *register.Tx, claim *Claim) {
 	r.At = tx.Now
-	tx.Put(claimKey(claim.Program, claim.Key), base.Encode(r))
+	tx.Put(claimKey(claim.Program, claim.Key), base.MustMarshal(r))
 }
 
 // RegisterHandlers adds the operations on claims to a core's register, and the periodic
@@ -99,7 +99,7 @@
 	owner.AddSweep(func(tx *register.Tx) {
 		tx.Walk("claim/", "", func(storedKey string, value []byte) bool {
 			var stored claimRecord
-			if json.Unmarshal(value, &stored) == nil && tx.Now-stored.At > tx.Bounds.Retain.Milliseconds()*5/4 {
+			if json.Unmarshal(value, &stored) == nil && tx.Now-stored.At > tx.Bounds.Retention.Milliseconds()*5/4 {
 				tx.Delete(storedKey)
 			}
 			return true
--- a/internal/whatif/plan.go
+++ b/internal/whatif/plan.go
@@ -75,7 +75,7 @@
 func whole(into *int, low, high float64) base.FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		var value float64
-		err := base.Number(&value, low, high, true)(path, d)
+		err := base.NumberField(&value, low, high, true)(path, d)
 		*into = int(value)
 		return err
 	}
@@ -84,7 +84,7 @@
 func span(into *time.Duration, unit time.Duration, low, high float64) base.FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		var value float64
-		err := base.Number(&value, low, high, false)(path, d)
+		err := base.NumberField(&value, low, high, false)(path, d)
 		*into = time.Duration(value * float64(unit))
 		return err
 	}
@@ -92,7 +92,7 @@
 
 // fault names the file, the line and the field of what is wrong.
 func fault(file string, line int, err error) error {
-	if v := base.VerdictIn(err); v != nil {
+	if v := base.FindRequestError(err); v != nil {
 		if line > 0 {
 			return errors.Errorf("%s: line %d: %s: %s", file, line, v.Field, v.Message)
 		}
@@ -105,7 +105,7 @@
 func ReadDeployment(file string, document []byte) (*Deployment, error) {
 	d := Kiondo()
 	err := base.ReadFields(document, map[string]base.FieldReader{
-		"group": base.Text(&d.Group, 128), "site": base.Text(&d.Site, 128), "route": base.Text(&d.Route, 128), "tool_route": base.Text(&d.ToolRoute, 128),
+		"group": base.StringField(&d.Group, 128), "site": base.StringField(&d.Site, 128), "route": base.StringField(&d.Route, 128), "tool_route": base.StringField(&d.ToolRoute, 128),
 		"zones": whole(&d.Zones, 1, 64), "edges": whole(&d.Edges, 1, 64), "cores": whole(&d.Cores, 1, 32), "storage": whole(&d.Storage, 3, 32),
 		"models": whole(&d.Models, 1, 128), "model_capacity": whole(&d.Capacity, 1, 4096), "answer_tokens": whole(&d.Pieces, 1, 4096),
 		"token_gap_ms": span(&d.Gap, time.Millisecond, 0.1, 10000), "cache_prefixes": whole(&d.Cache, 0, 1<<20), "prefill_ms": span(&d.Prefill, time.Millisecond, 0, 10000),
@@ -119,10 +119,10 @@
 	l := Saturday()
 	var turns, long, budget float64 = float64(l.Turns[0]), float64(l.Turns[1]), float64(l.Budget)
 	err := base.ReadFields(document, map[string]base.FieldReader{
-		"until_s": span(&l.Until, time.Second, 1, 86400), "turns": base.Number(&turns, 1, 100, true), "long_turns": base.Number(&long, 1, 1000, true),
-		"long_share": base.Number(&l.LongShare, 0, 1, false), "urgent_share": base.Number(&l.UrgentShare, 0, 1, false),
-		"tool_calls": base.Truth(&l.ToolCalls), "think_s": span(&l.Think, time.Second, 0, 3600), "budget_tokens": base.Number(&budget, 1, 1<<40, true),
-		"patience_s": span(&l.Patience, time.Second, 1, 3600), "hasty_share": base.Number(&l.Hasty, 0, 1, false), "prompts": whole(&l.Prompts, 1, 1<<20),
+		"until_s": span(&l.Until, time.Second, 1, 86400), "turns": base.NumberField(&turns, 1, 100, true), "long_turns": base.NumberField(&long, 1, 1000, true),
+		"long_share": base.NumberField(&l.LongShare, 0, 1, false), "urgent_share": base.NumberField(&l.UrgentShare, 0, 1, false),
+		"tool_calls": base.BoolField(&l.ToolCalls), "think_s": span(&l.Think, time.Second, 0, 3600), "budget_tokens": base.NumberField(&budget, 1, 1<<40, true),
+		"patience_s": span(&l.Patience, time.Second, 1, 3600), "hasty_share": base.NumberField(&l.Hasty, 0, 1, false), "prompts": whole(&l.Prompts, 1, 1<<20),
 		"steps": func(path string, d *jx.Decoder) error {
 			if d.Next() != jx.Array {
 				return base.DeclineField(path, "must be a list")
@@ -135,8 +135,8 @@
 					return err
 				}
 				var step Step
-				err = base.ReadFields(raw, map[string]base.FieldReader{"at_s": span(&step.At, time.Second, 0, 86400), "callers_per_s": base.Number(&step.Callers, 0, 10000, false)})
-				if v := base.VerdictIn(err); v != nil {
+				err = base.ReadFields(raw, map[string]base.FieldReader{"at_s": span(&step.At, time.Second, 0, 86400), "callers_per_s": base.NumberField(&step.Callers, 0, 10000, false)})
+				if v := base.FindRequestError(err); v != nil {
 					v.Field = at + "." + v.Field
 					return v
 				}
@@ -167,7 +167,7 @@
 		}
 		event := Event{Line: place + 1, At: -1}
 		err := base.ReadFields(line, map[string]base.FieldReader{"at_s": span(&event.At, time.Second, 0, 86400),
-			"do": base.Text(&event.Do, 16), "machine": base.Text(&event.Machine, 64)})
+			"do": base.StringField(&event.Do, 16), "machine": base.StringField(&event.Machine, 64)})
 		needs, known := deeds[event.Do]
 		switch {
 		case err != nil:
--- a/internal/whatif/whatif_test.go
+++ b/internal/whatif/whatif_test.go
@@ -32,7 +32,7 @@
 		is.NoErr(err)
 		is.True(report.Phases[1].Whole > 0)
 		is.Equal(len(report.Breaches), 0)
-		written[place].Write(base.Encode(report))
+		written[place].Write(base.MustMarshal(report))
 		Write(&written[place], []string{"settings"}, []*Report{report})
 	}
 	is.Equal(written[0].String(), written[1].String())
@@ -40,7 +40,7 @@
 	other.Seed = 8
 	report, err := Answer(other)
 	is.NoErr(err)
-	is.True(!strings.HasPrefix(written[0].String(), string(base.Encode(report))))
+	is.True(!strings.HasPrefix(written[0].String(), string(base.MustMarshal(report))))
 }
 
 func TestBadFilesAreNamedByLineAndField(t *testing.T) {
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -91,7 +91,7 @@
 			}
 		}
 	}
-	tx.Put(ListKey, base.Encode(next))
+	tx.Put(ListKey, base.MustMarshal(next))
 	return next, nil
 }
 
@@ -99,7 +99,7 @@
 func checkStamp(current List, stamp uint64) error {
 	if stamp <= current.Stamp {
 		v := base.Decline(409, "stale_stamp", "the list is at stamp %d, the request carries stamp %d", current.Stamp, stamp)
-		v.Stamp = current.Stamp
+		v.CurrentVersion = current.Stamp
 		return v
 	}
 	return nil
@@ -114,7 +114,7 @@
 		var next List
 		_ = json.Unmarshal(args, &next)
 		current := loadList(tx)
-		if string(base.Encode(current)) == string(base.Encode(next)) {
+		if string(base.MustMarshal(current)) == string(base.MustMarshal(next)) {
 			return current, nil
 		}
 		if err := checkStamp(current, next.Stamp); err != nil {
@@ -160,7 +160,7 @@
 		case current.indexOf(notice.Worker) < 0:
 		case notice.Leaving && (raw == nil || stored.Incarnation != notice.Incarnation):
 			notice.At = tx.Now
-			tx.Put(LeavingKeyPrefix+notice.Worker, base.Encode(notice))
+			tx.Put(LeavingKeyPrefix+notice.Worker, base.MustMarshal(notice))
 		case !notice.Leaving && raw != nil && (stored.Incarnation != notice.Incarnation || stored.Source != "report"):
 			tx.Delete(LeavingKeyPrefix + notice.Worker)
 		}
@@ -232,14 +232,14 @@
 
 // fieldPath names a field of a list element, such as "workers[2].id".
 func fieldPath(field string, index int, name string) string {
-	return field + "[" + string(base.Encode(index)) + "]." + name
+	return field + "[" + string(base.MustMarshal(index)) + "]." + name
 }
 
 // UsageReports holds the newest usage report of each worker that this node has
 // received one for.
 type UsageReports struct {
 	clock   base.Clock
-	bounds  *base.Table[base.Bounds]
+	bounds  *base.AtomicPointer[base.Bounds]
 	mu      sync.Mutex
 	entries map[string]*usageEntry
 }
@@ -252,7 +252,7 @@
 }
 
 // NewUsageReports returns an empty set of reports.
-func NewUsageReports(clock base.Clock, bounds *base.Table[base.Bounds]) *UsageReports {
+func NewUsageReports(clock base.Clock, bounds *base.AtomicPointer[base.Bounds]) *UsageReports {
 	return &UsageReports{clock: clock, bounds: bounds, entries: map[string]*usageEntry{}}
 }
 
@@ -281,7 +281,7 @@
 
 // isFresh reports whether a report is recent enough to be trusted.
 func (u *UsageReports) isFresh(entry *usageEntry) bool {
-	return u.clock.Now()-entry.receivedAt <= 2*u.bounds.Load().Leave
+	return u.clock.Now()-entry.receivedAt <= 2*u.bounds.Load().Drain
 }
 
 // Sample returns at most limit fresh reports that were returned fewer than
@@ -291,7 +291,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, entry := range u.entries {
-		if u.clock.Now()-entry.receivedAt > 20*u.bounds.Load().Leave {
+		if u.clock.Now()-entry.receivedAt > 20*u.bounds.Load().Drain {
 			delete(u.entries, id)
 		}
 	}
--- a/internal/worker/picker.go
+++ b/internal/worker/picker.go
@@ -24,7 +24,7 @@
 // NoticeTTL is how long a worker counts as leaving after a refusal, if nothing
 // else is known. A notice from the worker's own report has no such limit: it
 // stands until the worker reports otherwise.
-func NoticeTTL(bounds *base.Bounds) time.Duration { return 10 * bounds.Leave }
+func NoticeTTL(bounds *base.Bounds) time.Duration { return 10 * bounds.Drain }
 
 // waiter is a queued request. signal fires once it has a worker or is given up.
 type waiter struct {
@@ -51,11 +51,11 @@
 // before its deadline, it is declined at once with a time to retry after.
 type Picker struct {
 	clock    base.Clock
-	bounds   *base.Table[base.Bounds]
+	bounds   *base.AtomicPointer[base.Bounds]
 	counters *base.Counters
 	reports  *UsageReports
 	zone     string
-	roster   base.Table[Roster]
+	roster   base.AtomicPointer[Roster]
 
 	// mu guards the fields below. inFlight counts this node's requests by worker.
 	mu                sync.Mutex
@@ -80,16 +80,16 @@
 }
 
 // NewPicker returns a picker with an empty roster.
-func NewPicker(clock base.Clock, bounds *base.Table[base.Bounds], counters *base.Counters, reports *UsageReports, zone string) *Picker {
+func NewPicker(clock base.Clock, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, reports *UsageReports, zone string) *Picker {
 	p := &Picker{zone: zone, clock: clock, bounds: bounds, counters: counters, reports: reports,
 		inFlight: map[string]int{}, inFlightByProgram: map[string]int{}, avoidUntil: map[string]time.Duration{}, leaving: map[string]leavingMark{}, keptAlive: map[string]bool{}, inFlightBySite: map[string]int{}, meanDuration: map[string]time.Duration{}, grantInterval: map[string]time.Duration{}, lastGrant: map[string]time.Duration{}, lastRetryAt: map[string]time.Duration{}, lastServed: map[string]time.Duration{}}
-	p.roster.Swap(&Roster{Pools: map[string][]Worker{}})
+	p.roster.Store(&Roster{Pools: map[string][]Worker{}})
 	return p
 }
 
 // SetRoster replaces the roster and serves the queue from it.
 func (p *Picker) SetRoster(roster *Roster) {
-	p.roster.Swap(roster)
+	p.roster.Store(roster)
 	p.mu.Lock()
 	listed := map[string]bool{}
 	for _, pool := range roster.Pools {
@@ -130,17 +130,17 @@
 		}
 	}
 	expected := p.meanDuration[req.Pool] + time.Duration(queued+1)*max(p.grantInterval[req.Pool], p.meanDuration[req.Pool]/time.Duration(max(1, p.capacity(req.Pool))))
-	if queued >= req.MaxQueue || expected > ctx.Left() {
+	if queued >= req.MaxQueue || expected > ctx.Remaining() {
 		retryAfter := p.retryAfter(req.Pool, queued)
 		p.mu.Unlock()
 		p.counters.Add("legs_declined_busy", 1)
 		return nil, base.Busy(429, "overloaded", retryAfter, "all workers are busy and the queue is too long")
 	}
-	w := &waiter{req: req, enqueuedAt: p.clock.Now(), deadline: ctx.Until, signal: p.clock.NewSignal()}
+	w := &waiter{req: req, enqueuedAt: p.clock.Now(), deadline: ctx.ExpiresAt, signal: p.clock.NewSignal()}
 	p.queue = append(p.queue, w)
 	p.mu.Unlock()
 	p.counters.Add("legs_waited", 1)
-	w.signal.Wait(ctx.Left())
+	w.signal.Wait(ctx.Remaining())
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w.done = true
@@ -157,7 +157,7 @@
 // at which they can be served. The caller holds the lock.
 func (p *Picker) retryAfter(pool string, queued int) int {
 	now, interval := p.clock.Now(), p.grantInterval[pool]
-	maxDelay := p.bounds.Load().Recover * 5 / 2
+	maxDelay := p.bounds.Load().Recovery * 5 / 2
 	retryAt := max(p.lastRetryAt[pool], now+interval*time.Duration(queued)) + interval
 	if retryAt > now+maxDelay {
 		retryAt = now + maxDelay/2 + time.Duration(p.clock.Int64N(int64(maxDelay/2)))
@@ -191,7 +191,7 @@
 	p.inFlightBySite[req.Site]++
 	p.lastServed[req.Program] = p.clock.Now()
 	if interval := p.clock.Now() - p.lastGrant[req.Pool]; len(p.queue) > 0 || p.grantInterval[req.Pool] == 0 {
-		p.grantInterval[req.Pool] += (min(interval, p.bounds.Load().Recover/12) - p.grantInterval[req.Pool]) / 8
+		p.grantInterval[req.Pool] += (min(interval, p.bounds.Load().Recovery/12) - p.grantInterval[req.Pool]) / 8
 	}
 	p.lastGrant[req.Pool] = p.clock.Now()
 }
@@ -218,7 +218,7 @@
 // Avoid excludes a worker for a short time after it could not be reached or was
 // busy. The queue is served again afterwards.
 func (p *Picker) Avoid(id string) {
-	period := p.bounds.Load().Leave / 3
+	period := p.bounds.Load().Drain / 3
 	p.mu.Lock()
 	p.avoidUntil[id] = p.clock.Now() + period
 	p.mu.Unlock()
@@ -334,7 +334,7 @@
 		p.counters.Add("picked_at_prefix", 1)
 		return last, true
 	}
-	ranked := base.Rendezvous(req.AffinityKey, ids)
+	ranked := base.RendezvousOrder(req.AffinityKey, ids)
 	loadLimit := int(math.Ceil(maxLoadRatio * float64(total+1) / float64(len(ids))))
 	for _, limit := range []int{loadLimit, math.MaxInt} {
 		for i, id := range ranked {
@@ -378,7 +378,7 @@
 // priority is a waiter's urgency plus the time that it has waited, or since its
 // program was last served if that is shorter.
 func (p *Picker) priority(w *waiter) float64 {
-	aged := float64(p.clock.Now()-max(w.enqueuedAt, p.lastServed[w.req.Program])) / float64(p.bounds.Load().Recover/6)
+	aged := float64(p.clock.Now()-max(w.enqueuedAt, p.lastServed[w.req.Program])) / float64(p.bounds.Load().Recovery/6)
 	return float64(urgencyLevels[w.req.Urgency]) + aged
 }
 
--- a/internal/worker/picker_test.go
+++ b/internal/worker/picker_test.go
@@ -13,8 +13,8 @@
 
 // newTestPicker returns a picker whose roster is decoded from a feed frame.
 func newTestPicker(values map[string][]byte) (*Picker, *UsageReports) {
-	clock, bounds := base.NewRealClock(), &base.Table[base.Bounds]{}
-	bounds.Swap(base.DefaultBounds())
+	clock, bounds := base.NewRealClock(), &base.AtomicPointer[base.Bounds]{}
+	bounds.Store(base.DefaultBounds())
 	reports := NewUsageReports(clock, bounds)
 	picker := NewPicker(clock, bounds, base.NewCounters(), reports, "z")
 	picker.SetRoster(DecodeRoster(values))
@@ -23,9 +23,9 @@
 
 // Each of the reasons excludes a worker on its own.
 func TestPickerSkipsIneligibleWorkers(t *testing.T) {
-	list := base.Encode(List{Stamp: 1, Workers: []Worker{{ID: "a", Pool: "p", Capacity: 1, Incarnation: "one"}, {ID: "b", Pool: "p", Capacity: 1}}})
+	list := base.MustMarshal(List{Stamp: 1, Workers: []Worker{{ID: "a", Pool: "p", Capacity: 1, Incarnation: "one"}, {ID: "b", Pool: "p", Capacity: 1}}})
 	notice := func(incarnation string) []byte {
-		return base.Encode(Notice{Worker: "a", Incarnation: incarnation, Leaving: true})
+		return base.MustMarshal(Notice{Worker: "a", Incarnation: incarnation, Leaving: true})
 	}
 	tests := []struct {
 		name     string
@@ -42,7 +42,7 @@
 		{"a refusal seen by this node", map[string][]byte{ListKey: list}, func(picker *Picker, _ *UsageReports) {
 			picker.MarkLeaving(&Worker{ID: "a", Incarnation: "one"})
 		}, false},
-		{"not listed", map[string][]byte{ListKey: base.Encode(List{Stamp: 2, Workers: []Worker{{ID: "b", Pool: "p", Capacity: 1}}})}, func(*Picker, *UsageReports) {}, false},
+		{"not listed", map[string][]byte{ListKey: base.MustMarshal(List{Stamp: 2, Workers: []Worker{{ID: "b", Pool: "p", Capacity: 1}}})}, func(*Picker, *UsageReports) {}, false},
 		{"full according to its report", map[string][]byte{ListKey: list}, func(_ *Picker, reports *UsageReports) {
 			reports.Record(&membership.Usage{Worker: "a", Incarnation: "one", Number: 2, Load: 1})
 		}, false},
@@ -75,7 +75,7 @@
 // flight is served first, and then the program with the fewest.
 func TestQueueIsFairBySiteThenProgram(t *testing.T) {
 	is := is.New(t)
-	picker, _ := newTestPicker(map[string][]byte{ListKey: base.Encode(List{Stamp: 1, Workers: []Worker{{ID: "a", Pool: "p", Capacity: 3}}})})
+	picker, _ := newTestPicker(map[string][]byte{ListKey: base.MustMarshal(List{Stamp: 1, Workers: []Worker{{ID: "a", Pool: "p", Capacity: 3}}})})
 	request := func(site, program string) *Requirements {
 		return &Requirements{Pool: "p", Site: site, Program: program, AffinityKey: program, MaxQueue: 8, Tried: map[string]bool{}}
 	}
--- a/internal/workerconn/client.go
+++ b/internal/workerconn/client.go
@@ -25,7 +25,7 @@
 	pool        *pool
 }
 
-var _ base.Backends = (*Client)(nil)
+var _ base.BackendClient = (*Client)(nil)
 
 // New returns a client that counts its connections in counters. All other
 // timeouts of a connection are derived from dialTimeout.
@@ -34,7 +34,7 @@
 }
 
 // Forget closes the idle connections of a worker incarnation.
-func (c *Client) Forget(worker string) { c.pool.forget(worker) }
+func (c *Client) DropIdle(worker string) { c.pool.forget(worker) }
 
 // unpooledReply is a reply on a connection used for one request only. Both the
 // deadline of the call and Close close the connection, which unblocks a read.
@@ -76,16 +76,16 @@
 
 // Call sends a request and returns once the head of the response was read. An
 // error wraps base.NotSent only if no byte of the request was sent.
-func (c *Client) Call(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
-	if request.Worker != "" {
+func (c *Client) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
+	if request.Incarnation != "" {
 		return c.pool.call(ctx, addr, request)
 	}
 	return c.callUnpooled(ctx, addr, request)
 }
 
 // callUnpooled sends a request on a connection that is used for it only.
-func (c *Client) callUnpooled(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
-	timeout := ctx.Left()
+func (c *Client) callUnpooled(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
+	timeout := ctx.Remaining()
 	netConn, err := net.DialTimeout("tcp", addr, min(timeout, c.dialTimeout))
 	if err != nil {
 		return nil, &base.NotSent{Cause: err}
@@ -140,11 +140,11 @@
 }
 
 // Closes reports whether the worker will close the connection.
-func (r *unpooledReply) Closes() bool { return r.response.ConnectionClose() }
+func (r *unpooledReply) ClosesConnection() bool { return r.response.ConnectionClose() }
 
 // Line returns the next line of the body including its line ending, and io.EOF
 // after a complete body.
-func (r *unpooledReply) Line(timeout time.Duration) ([]byte, error) {
+func (r *unpooledReply) ReadLine(timeout time.Duration) ([]byte, error) {
 	var line []byte
 	err := r.read(func() (err error) {
 		_ = r.conn.SetReadDeadline(deadlineIn(timeout))
@@ -158,7 +158,7 @@
 }
 
 // Body returns the whole body, which may not exceed maxBytes.
-func (r *unpooledReply) Body(timeout time.Duration, maxBytes int) ([]byte, error) {
+func (r *unpooledReply) ReadBody(timeout time.Duration, maxBytes int) ([]byte, error) {
 	length := r.response.Header.ContentLength()
 	if length == lengthUntilClose {
 		return nil, errNoLength
--- a/internal/workerconn/client_test.go
+++ b/internal/workerconn/client_test.go
@@ -39,9 +39,9 @@
 }
 
 // call sends an unpooled request.
-func call(addr string) (base.BackReply, error) {
+func call(addr string) (base.BackendReply, error) {
 	ctx := base.NewCtx(base.NewRealClock(), 20*time.Second)
-	return New(5*time.Second, base.NewCounters()).Call(ctx, addr, &base.BackRequest{Method: "POST", Path: "/x", Body: []byte(`{"a":1}`)})
+	return New(5*time.Second, base.NewCounters()).Call(ctx, addr, &base.BackendRequest{Method: "POST", Path: "/x", Body: []byte(`{"a":1}`)})
 }
 
 func TestUnpooledCallNotSentOnlyIfDialFails(t *testing.T) {
@@ -74,7 +74,7 @@
 			reply, err := call(serveOnce(is, tt.raw, nil))
 			is.NoErr(err)
 			defer reply.Close()
-			body, err := reply.Body(10*time.Second, 1000)
+			body, err := reply.ReadBody(10*time.Second, 1000)
 			is.Equal(err == nil, tt.complete)
 			if tt.complete {
 				is.Equal(string(body), "hello")
@@ -89,12 +89,12 @@
 	defer close(release)
 	reply, err := call(serveOnce(is, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\ndata: a\n\r\n", func(net.Conn) { <-release }))
 	is.NoErr(err)
-	line, err := reply.Line(10 * time.Second)
+	line, err := reply.ReadLine(10 * time.Second)
 	is.NoErr(err)
 	is.Equal(string(line), "data: a\n")
 	ended := make(chan error)
 	go func() {
-		_, err := reply.Line(time.Minute)
+		_, err := reply.ReadLine(time.Minute)
 		ended <- err
 	}()
 	reply.Close()
@@ -116,9 +116,9 @@
 		reply, err := call(listener.Addr().String())
 		is.NoErr(err)
 		if i%2 == 0 {
-			_, err = reply.Body(10*time.Second, 1000)
+			_, err = reply.ReadBody(10*time.Second, 1000)
 		} else {
-			_, err = reply.Line(10 * time.Second)
+			_, err = reply.ReadLine(10 * time.Second)
 		}
 		is.NoErr(err)
 		reply.Close()
--- a/internal/workerconn/conn.go
+++ b/internal/workerconn/conn.go
@@ -56,7 +56,7 @@
 	if timeout <= 0 || timeout > p.dialTimeout {
 		timeout = p.dialTimeout
 	}
-	dialCtx, cancel := context.WithTimeout(context.Background(), min(ctx.Left(), timeout))
+	dialCtx, cancel := context.WithTimeout(context.Background(), min(ctx.Remaining(), timeout))
 	defer cancel()
 	netConn, err := p.dialContext(dialCtx, "tcp", addr)
 	if err != nil {
--- a/internal/workerconn/fuzz_test.go
+++ b/internal/workerconn/fuzz_test.go
@@ -31,11 +31,11 @@
 	c := newConn(&bytesConn{reader: reader}, "", entry)
 	c.apply(eventSend)
 	c.apply(eventSent)
-	request := &base.BackRequest{Method: "POST", Match: base.HeaderLine{Name: idHeader, Value: "r1"}}
+	request := &base.BackendRequest{Method: "POST", EchoedHeader: base.HeaderLine{Name: idHeader, Value: "r1"}}
 	reply, err := p.awaitReply(c, request)
 	if err == nil {
 		status = reply.Status()
-		body, err = reply.Body(time.Second, fuzzMaxBody)
+		body, err = reply.ReadBody(time.Second, fuzzMaxBody)
 		reply.Close()
 	}
 	if p.sweepTimer != nil {
--- a/internal/workerconn/generated_test.go
+++ b/internal/workerconn/generated_test.go
@@ -198,7 +198,7 @@
 			for step, does := range steps {
 				incarnation := fmt.Sprintf("w%d", (lane+step/3)%2)
 				if step%5 == 4 {
-					client.Forget(incarnation)
+					client.DropIdle(incarnation)
 				}
 				id := fmt.Sprintf("%d-%d-%d", run, lane, step)
 				if problem := checkedCall(worker, client, id, incarnation, does, plan.largeBodies); problem != "" {
@@ -243,9 +243,9 @@
 
 // callWorker sends a request that asks for a behaviour and returns the body read.
 func callWorker(worker *checkingWorker, client *Client, id, incarnation string, does behaviour, largeBody bool, timeout time.Duration) (string, error) {
-	request := &base.BackRequest{Method: http.MethodPost, Path: "/x", Worker: incarnation, Body: []byte("ask"),
-		Lines: []base.HeaderLine{{Name: idHeader, Value: id}, {Name: incarnationHeader, Value: incarnation}, {Name: behaviourHeader, Value: strconv.Itoa(int(does))}},
-		Match: base.HeaderLine{Name: idHeader, Value: id}}
+	request := &base.BackendRequest{Method: http.MethodPost, Path: "/x", Incarnation: incarnation, Body: []byte("ask"),
+		HeaderLines:  []base.HeaderLine{{Name: idHeader, Value: id}, {Name: incarnationHeader, Value: incarnation}, {Name: behaviourHeader, Value: strconv.Itoa(int(does))}},
+		EchoedHeader: base.HeaderLine{Name: idHeader, Value: id}}
 	if largeBody {
 		request.Body = make([]byte, 2*maxInlineBody)
 	}
@@ -255,10 +255,10 @@
 	}
 	defer reply.Close()
 	if does == streamsUntilClosed {
-		_, err := reply.Line(shortTimeout)
+		_, err := reply.ReadLine(shortTimeout)
 		return id, err // read no further
 	}
-	body, err := reply.Body(timeout, 1000)
+	body, err := reply.ReadBody(timeout, 1000)
 	return string(body), err
 }
 
@@ -299,7 +299,7 @@
 		disable func(p *pool)
 	}{
 		{"closing unusable connections", func(p *pool) { p.classifyEnd = func(replyEnd) event { return eventComplete } }},
-		{"checking the id of a response", func(p *pool) { p.matches = func(*base.BackRequest, string) bool { return true } }},
+		{"checking the id of a response", func(p *pool) { p.matches = func(*base.BackendRequest, string) bool { return true } }},
 		{"no second attempt once a byte may have been sent", func(p *pool) {
 			dial := p.dialContext
 			p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -35,7 +35,7 @@
 	// classifyEnd decides whether a connection can be reused after a response, and
 	// matches whether a response belongs to the request; tests replace them.
 	classifyEnd func(replyEnd) event
-	matches     func(request *base.BackRequest, id string) bool
+	matches     func(request *base.BackendRequest, id string) bool
 
 	mu         sync.Mutex
 	workers    map[string]*workerConns
@@ -63,8 +63,8 @@
 }
 
 // matchesID reports whether a response with that id belongs to the request.
-func matchesID(request *base.BackRequest, id string) bool {
-	return request.Match.Name == "" || id == request.Match.Value
+func matchesID(request *base.BackendRequest, id string) bool {
+	return request.EchoedHeader.Name == "" || id == request.EchoedHeader.Value
 }
 
 // defaultIdleTime is how long an idle connection is kept if the worker announces
@@ -148,7 +148,7 @@
 		return c, entry, nil
 	}
 	if maxConns > 0 && entry.open >= maxConns {
-		return nil, nil, base.ErrNoConnection
+		return nil, nil, base.ErrConnectionLimit
 	}
 	entry.open++
 	return nil, entry, nil
@@ -265,7 +265,7 @@
 
 // call sends a request on a pooled or new connection and returns its reply. It
 // tries another connection only if no byte was sent on the first.
-func (p *pool) call(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
+func (p *pool) call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
 	buf := appendRequest(addr, request)
 	defer requestBuffers.Put(buf)
 	for {
@@ -273,11 +273,11 @@
 		if err != nil {
 			return nil, &base.NotSent{Cause: err}
 		}
-		if ctx.Over() || (request.Stays != nil && !request.Stays()) {
+		if ctx.Expired() || (request.ConfirmSend != nil && !request.ConfirmSend()) {
 			p.putUnused(c, fresh)
-			return nil, &base.NotSent{Cause: base.ErrLeaves}
+			return nil, &base.NotSent{Cause: base.ErrDraining}
 		}
-		_ = c.SetDeadline(deadlineIn(ctx.Left())) // a closed connection fails below
+		_ = c.SetDeadline(deadlineIn(ctx.Remaining())) // a closed connection fails below
 		sent, err := c.send(*buf, request.Body)
 		if err == nil {
 			return p.awaitReply(c, request)
@@ -286,7 +286,7 @@
 		switch {
 		case sent > 0:
 			return nil, errors.Annotate(err, "sending")
-		case fresh || ctx.Over():
+		case fresh || ctx.Expired():
 			return nil, &base.NotSent{Cause: err}
 		}
 		// The worker had closed the connection and nothing was sent: try another.
@@ -294,12 +294,12 @@
 }
 
 // getConn returns a usable idle connection or dials a new one.
-func (p *pool) getConn(ctx *base.Ctx, addr string, request *base.BackRequest) (c *conn, fresh bool, err error) {
-	c, entry, err := p.takeIdle(request.Worker, addr, request.MostConns)
+func (p *pool) getConn(ctx *base.Ctx, addr string, request *base.BackendRequest) (c *conn, fresh bool, err error) {
+	c, entry, err := p.takeIdle(request.Incarnation, addr, request.MaxConns)
 	if err != nil || c != nil {
 		return c, false, err
 	}
-	if c, err = p.dial(ctx, addr, request.Connect, entry); err != nil {
+	if c, err = p.dial(ctx, addr, request.ConnectTimeout, entry); err != nil {
 		p.releaseSlot(entry)
 		return nil, false, err
 	}
@@ -308,7 +308,7 @@
 
 // awaitReply waits for the head of the response. If it fails, the worker may have
 // run the request.
-func (p *pool) awaitReply(c *conn, request *base.BackRequest) (base.BackReply, error) {
+func (p *pool) awaitReply(c *conn, request *base.BackendRequest) (base.BackendReply, error) {
 	reply, err := p.receiveHead(c, request)
 	if err == nil {
 		p.recordIdleSurvival(c)
--- a/internal/workerconn/pool_test.go
+++ b/internal/workerconn/pool_test.go
@@ -102,14 +102,14 @@
 	return p
 }
 
-func (p *poolTest) request() *base.BackRequest {
+func (p *poolTest) request() *base.BackendRequest {
 	p.requests++
 	id := fmt.Sprintf("r%d", p.requests)
-	return &base.BackRequest{Method: "POST", Path: "/x", Body: []byte("ask"), Worker: "w1", Lines: []base.HeaderLine{{Name: "Request-Id", Value: id}},
-		Match: base.HeaderLine{Name: "Request-Id", Value: id}}
+	return &base.BackendRequest{Method: "POST", Path: "/x", Body: []byte("ask"), Incarnation: "w1", HeaderLines: []base.HeaderLine{{Name: "Request-Id", Value: id}},
+		EchoedHeader: base.HeaderLine{Name: "Request-Id", Value: id}}
 }
 
-func (p *poolTest) send(request *base.BackRequest) (base.BackReply, error) {
+func (p *poolTest) send(request *base.BackendRequest) (base.BackendReply, error) {
 	return p.client.Call(base.NewCtx(p.clock, 20*time.Second), p.worker.addr(), request)
 }
 
@@ -120,7 +120,7 @@
 		return "", err
 	}
 	defer reply.Close()
-	body, err := reply.Body(20*time.Second, 1000)
+	body, err := reply.ReadBody(20*time.Second, 1000)
 	return string(body), err
 }
 
@@ -169,13 +169,13 @@
 	p := newPoolTest(t, answerHello)
 	p.mustCall()
 	request := p.request()
-	request.Worker = "w2" // the same address, another incarnation
+	request.Incarnation = "w2" // the same address, another incarnation
 	reply, err := p.send(request)
 	p.NoErr(err)
-	_, err = reply.Body(20*time.Second, 1000)
+	_, err = reply.ReadBody(20*time.Second, 1000)
 	p.NoErr(err)
 	p.Equal(p.connections(), 2)
-	p.client.Forget("w1")
+	p.client.DropIdle("w1")
 	<-p.worker.connEnded
 	p.mustCall()
 	p.Equal(p.connections(), 3)
@@ -383,7 +383,7 @@
 	}()
 	request := p.request()
 	request.Method, request.Path, request.Host = "DELETE", "/a//b/../c%2Fd/./?x=%41&y=+&z", "Some.Host:81"
-	request.Lines = append(request.Lines, base.HeaderLine{Name: "x-Second", Value: "b"}, base.HeaderLine{Name: "x-Second", Value: "a"}, base.HeaderLine{Name: "Cookie", Value: "b=2; a=1"},
+	request.HeaderLines = append(request.HeaderLines, base.HeaderLine{Name: "x-Second", Value: "b"}, base.HeaderLine{Name: "x-Second", Value: "a"}, base.HeaderLine{Name: "Cookie", Value: "b=2; a=1"},
 		base.HeaderLine{Name: "Content-Type", Value: "text/odd"}, base.HeaderLine{Name: "user-agent", Value: "me"})
 	reply, err := p.client.Call(base.NewCtx(p.clock, 20*time.Second), listener.Addr().String(), request)
 	p.NoErr(err)
@@ -405,7 +405,7 @@
 		request.Body = long
 		reply, err := p.send(request)
 		p.NoErr(err)
-		body, err := reply.Body(20*time.Second, 1000)
+		body, err := reply.ReadBody(20*time.Second, 1000)
 		p.NoErr(err)
 		p.Equal(string(body), "true")
 	}
@@ -431,17 +431,17 @@
 		return true
 	})
 	request := p.request()
-	request.MostConns = 1
+	request.MaxConns = 1
 	first, err := p.send(request)
 	p.NoErr(err)
 	second := p.request()
-	second.MostConns = 1
+	second.MaxConns = 1
 	_, err = p.send(second)
 	p.True(base.WasNotSent(err))
-	p.True(errors.Is(err, base.ErrNoConnection))
+	p.True(errors.Is(err, base.ErrConnectionLimit))
 	first.Close()
 	third := p.request()
-	third.MostConns = 1
+	third.MaxConns = 1
 	reply, err := p.send(third)
 	p.NoErr(err)
 	reply.Close()
@@ -456,10 +456,10 @@
 	})
 	p.mustCall()
 	request := p.request()
-	request.Stays = func() bool { return false }
+	request.ConfirmSend = func() bool { return false }
 	_, err := p.send(request)
 	p.True(base.WasNotSent(err))
-	p.True(errors.Is(err, base.ErrLeaves))
+	p.True(errors.Is(err, base.ErrDraining))
 	p.mustCall()
 	p.Equal(p.connections(), 1)
 }
@@ -484,7 +484,7 @@
 		p.NoErr(err)
 		var lines []string
 		for {
-			line, err := reply.Line(20 * time.Second)
+			line, err := reply.ReadLine(20 * time.Second)
 			if err == io.EOF {
 				break
 			}
@@ -500,13 +500,13 @@
 	p.Equal(p.connections(), 1)
 	reply, err := p.send(p.request())
 	p.NoErr(err)
-	_, err = reply.Line(20 * time.Second)
+	_, err = reply.ReadLine(20 * time.Second)
 	p.NoErr(err)
-	_, err = reply.Line(20 * time.Second)
+	_, err = reply.ReadLine(20 * time.Second)
 	p.NoErr(err)
 	ended := make(chan error)
 	go func() {
-		_, err := reply.Line(time.Minute)
+		_, err := reply.ReadLine(time.Minute)
 		ended <- err
 	}()
 	next <- struct{}{}
@@ -537,7 +537,7 @@
 	reply, err := p.send(p.request())
 	p.NoErr(err)
 	for err == nil {
-		_, err = reply.Line(20 * time.Second)
+		_, err = reply.ReadLine(20 * time.Second)
 	}
 	p.True(err != io.EOF)
 	reply.Close()
@@ -551,8 +551,8 @@
 	reply, err := p.send(p.request())
 	p.NoErr(err)
 	entry := p.client.pool.workers["w1"]
-	p.client.Forget("w1")
-	_, err = reply.Body(20*time.Second, 1000)
+	p.client.DropIdle("w1")
+	_, err = reply.ReadBody(20*time.Second, 1000)
 	p.NoErr(err)
 	reply.Close()
 	p.Equal(len(entry.idle), 0)
@@ -573,12 +573,12 @@
 		group.Go(func() {
 			for round := range 50 {
 				id := fmt.Sprintf("t%d-%d", task, round)
-				reply, err := p.send(&base.BackRequest{Method: "GET", Path: "/x", Worker: "w1", Lines: []base.HeaderLine{{Name: "Request-Id", Value: id}}, Match: base.HeaderLine{Name: "Request-Id", Value: id}})
+				reply, err := p.send(&base.BackendRequest{Method: "GET", Path: "/x", Incarnation: "w1", HeaderLines: []base.HeaderLine{{Name: "Request-Id", Value: id}}, EchoedHeader: base.HeaderLine{Name: "Request-Id", Value: id}})
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				body, err := reply.Body(20*time.Second, 1000)
+				body, err := reply.ReadBody(20*time.Second, 1000)
 				if err != nil || string(body) != id {
 					t.Error(id, string(body), err)
 				}
@@ -597,14 +597,14 @@
 		return true
 	})
 	before := runtime.NumGoroutine()
-	var replies []base.BackReply
+	var replies []base.BackendReply
 	for range 10 {
 		reply, err := p.send(p.request())
 		p.NoErr(err)
 		replies = append(replies, reply)
 	}
 	for _, reply := range replies {
-		_, err := reply.Body(20*time.Second, 1000)
+		_, err := reply.ReadBody(20*time.Second, 1000)
 		p.NoErr(err)
 	}
 	idle, _ := p.connCounts()
@@ -620,15 +620,15 @@
 	})
 	client := New(5*time.Second, base.NewCounters())
 	clock := base.NewRealClock()
-	request := &base.BackRequest{Method: "POST", Path: "/x/y", Host: "some.host", Body: bytes.Repeat([]byte("y"), 600), Worker: "w1",
-		Lines: []base.HeaderLine{{Name: "Request-Id", Value: "r1"}, {Name: "Deadline", Value: "6000"}}, Match: base.HeaderLine{Name: "Request-Id", Value: "r1"}}
+	request := &base.BackendRequest{Method: "POST", Path: "/x/y", Host: "some.host", Body: bytes.Repeat([]byte("y"), 600), Incarnation: "w1",
+		HeaderLines: []base.HeaderLine{{Name: "Request-Id", Value: "r1"}, {Name: "Deadline", Value: "6000"}}, EchoedHeader: base.HeaderLine{Name: "Request-Id", Value: "r1"}}
 	b.ReportAllocs()
 	for b.Loop() {
 		reply, err := client.Call(base.NewCtx(clock, 20*time.Second), worker.addr(), request)
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := reply.Body(20*time.Second, 1000); err != nil {
+		if _, err := reply.ReadBody(20*time.Second, 1000); err != nil {
 			b.Fatal(err)
 		}
 		reply.Close()
--- a/internal/workerconn/reply.go
+++ b/internal/workerconn/reply.go
@@ -40,7 +40,7 @@
 
 // receiveHead reads the head of the response to the request, skipping responses
 // to other requests.
-func (p *pool) receiveHead(c *conn, request *base.BackRequest) (*pooledReply, error) {
+func (p *pool) receiveHead(c *conn, request *base.BackendRequest) (*pooledReply, error) {
 	reply := &pooledReply{pool: p, conn: c}
 	response := &reply.response
 	response.StreamBody = true
@@ -49,7 +49,7 @@
 		if err := response.ReadLimitBody(c.reader, 0); err != nil {
 			return nil, err
 		}
-		if p.matches(request, string(response.Header.Peek(request.Match.Name))) {
+		if p.matches(request, string(response.Header.Peek(request.EchoedHeader.Name))) {
 			break
 		}
 		if err := reply.skipForeign(); err != nil {
@@ -69,7 +69,7 @@
 // it. The connection is not reused afterwards.
 func (r *pooledReply) skipForeign() error {
 	body := r.response.BodyStream()
-	if r.foreignReplies++; r.foreignReplies > maxForeignReplies || r.Closes() || body == nil {
+	if r.foreignReplies++; r.foreignReplies > maxForeignReplies || r.ClosesConnection() || body == nil {
 		return errForeign
 	}
 	if read, err := io.Copy(io.Discard, io.LimitReader(body, maxInlineBody)); err != nil || read == maxInlineBody {
@@ -107,7 +107,7 @@
 func (r *pooledReply) Header(name string) string { return string(r.response.Header.Peek(name)) }
 
 // Closes reports whether the worker will close the connection.
-func (r *pooledReply) Closes() bool { return r.response.ConnectionClose() }
+func (r *pooledReply) ClosesConnection() bool { return r.response.ConnectionClose() }
 
 // EachHeader calls visit for every header line.
 func (r *pooledReply) EachHeader(visit func(name, value []byte)) {
@@ -127,7 +127,7 @@
 		return
 	}
 	c := r.conn
-	end := replyEnd{clean: r.endErr == io.EOF, closing: r.Closes(), upgraded: r.Status() == fasthttp.StatusSwitchingProtocols,
+	end := replyEnd{clean: r.endErr == io.EOF, closing: r.ClosesConnection(), upgraded: r.Status() == fasthttp.StatusSwitchingProtocols,
 		foreignReplies: r.foreignReplies, trailingBytes: c.reader.Buffered()}
 	c.apply(r.pool.classifyEnd(end))
 	if c.state != stateIdle {
@@ -159,7 +159,7 @@
 
 // Line returns the next line of the body including its line ending, and io.EOF
 // after a complete body.
-func (r *pooledReply) Line(timeout time.Duration) ([]byte, error) {
+func (r *pooledReply) ReadLine(timeout time.Duration) ([]byte, error) {
 	if r.endErr != nil {
 		return nil, r.endErr
 	}
@@ -197,7 +197,7 @@
 }
 
 // Body returns the whole body, which may not exceed maxBytes.
-func (r *pooledReply) Body(timeout time.Duration, maxBytes int) ([]byte, error) {
+func (r *pooledReply) ReadBody(timeout time.Duration, maxBytes int) ([]byte, error) {
 	switch {
 	case r.body == nil:
 		return nil, nil
--- a/internal/workerconn/request.go
+++ b/internal/workerconn/request.go
@@ -23,7 +23,7 @@
 
 // appendRequest writes the request's head, and its body if it is short, into a
 // buffer. The caller returns the buffer to requestBuffers.
-func appendRequest(addr string, request *base.BackRequest) *[]byte {
+func appendRequest(addr string, request *base.BackendRequest) *[]byte {
 	httpRequest := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(httpRequest)
 	h := &httpRequest.Header
@@ -39,7 +39,7 @@
 	for _, name := range base.SortedKeys(request.Header) {
 		h.Add(name, request.Header[name])
 	}
-	for _, line := range request.Lines {
+	for _, line := range request.HeaderLines {
 		h.Add(line.Name, line.Value)
 	}
 	if len(request.Body) > 0 || (request.Method != fasthttp.MethodGet && request.Method != fasthttp.MethodHead) {
