--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,7 +1,7 @@
 // Package budget keeps the output token budget, the deadline and the termination of
 // programs in the register, once for the whole fleet.
 //
-// The record of a program is in the register slot of its root program, so that helper
+// The record of a program is in the register shard of its root program, so that helper
 // programs share the root's budget and deadline. Tokens are reserved on a majority of
 // disks before an attempt is sent to a worker, with the reservation as the worker's own
 // limit, and settled when the attempt's outcome is known. A reservation that is never
@@ -43,7 +43,7 @@
 
 // Program is the stored record of a program. The record of a root program also holds
 // the budget, the reservations and the deadline for its helpers. Times are in
-// milliseconds of the register slot's clock.
+// milliseconds of the register shard's clock.
 type Program struct {
 	ID           string           `json:"id"`
 	Root         string           `json:"root"`
@@ -53,7 +53,7 @@
 	Budget       int64            `json:"budget"`
 	Spent        int64            `json:"spent"`
 	Reserved     map[string]int64 `json:"reserved"`
-	// Deadline is a time of the slot's clock. DeadlineMs is the duration that was
+	// Deadline is a time of the shard's clock. DeadlineMs is the duration that was
 	// requested, and RemainingMs what remains of it, which is set in replies only.
 	Deadline    int64       `json:"deadline"`
 	DeadlineMs  int64       `json:"deadline_ms,omitempty"`
@@ -242,8 +242,8 @@
 
 // RegisterHandlers adds the operations on programs to a core's register, and the
 // periodic deletion of old programs and notices.
-func RegisterHandlers(owner *register.Server) {
-	owner.Handle("budget.create", func(tx *register.Tx, raw []byte) (any, error) {
+func RegisterHandlers(server *register.Server) {
+	server.Handle("budget.create", func(tx *register.Tx, raw []byte) (any, error) {
 		var args createArgs
 		if err := json.Unmarshal(raw, &args); err != nil {
 			return nil, base.DeclineField("program", "%v", err)
@@ -273,7 +273,7 @@
 		program.RemainingMs = program.DeadlineMs
 		return program, nil
 	})
-	owner.Handle("budget.get", func(tx *register.Tx, raw []byte) (any, error) {
+	server.Handle("budget.get", func(tx *register.Tx, raw []byte) (any, error) {
 		var args getArgs
 		_ = json.Unmarshal(raw, &args)
 		if found := Load(tx, args.Program); found != nil {
@@ -284,7 +284,7 @@
 		}
 		return nil, UnknownProgram()
 	})
-	owner.Handle("budget.terminate", func(tx *register.Tx, raw []byte) (any, error) {
+	server.Handle("budget.terminate", func(tx *register.Tx, raw []byte) (any, error) {
 		var args terminateArgs
 		_ = json.Unmarshal(raw, &args)
 		found := Load(tx, args.Program)
@@ -297,7 +297,7 @@
 		}
 		return found, nil
 	})
-	owner.Handle("budget.ended", func(tx *register.Tx, raw []byte) (any, error) {
+	server.Handle("budget.ended", func(tx *register.Tx, raw []byte) (any, error) {
 		var args terminateArgs
 		_ = json.Unmarshal(raw, &args)
 		var notice TerminationNotice
@@ -309,7 +309,7 @@
 		}
 		return struct{}{}, nil
 	})
-	owner.AddSweep(func(tx *register.Tx) {
+	server.AddSweep(func(tx *register.Tx) {
 		tx.Walk(TerminationPrefix, "", func(storedKey string, value []byte) bool {
 			var notice TerminationNotice
 			if json.Unmarshal(value, &notice) == nil && tx.Now-notice.At > tx.Bounds.Retain.Milliseconds() {
@@ -318,7 +318,7 @@
 			return true
 		})
 	})
-	owner.AddSweep(func(tx *register.Tx) {
+	server.AddSweep(func(tx *register.Tx) {
 		now := tx.Now
 		tx.Walk("program/", "", func(storedKey string, value []byte) bool {
 			var found Program
--- a/internal/session/operations.go
+++ b/internal/session/operations.go
@@ -39,9 +39,9 @@
 
 // RegisterHandlers adds the session operations to a core's register. The leader of
 // the session's shard decides each on the current record.
-func RegisterHandlers(owner *register.Server) {
+func RegisterHandlers(server *register.Server) {
 	handle := func(name string, op func(tx *register.Tx, args *changeArgs, record *Record, program *budget.Program) (any, error)) {
-		owner.Handle(name, func(tx *register.Tx, raw []byte) (any, error) {
+		server.Handle(name, func(tx *register.Tx, raw []byte) (any, error) {
 			var args changeArgs
 			if err := json.Unmarshal(raw, &args); err != nil {
 				return nil, base.DeclineField("session", "%v", err)
@@ -82,7 +82,7 @@
 		})
 		return changeResult{Record: record, Turns: found}, nil
 	})
-	owner.AddSweep(deleteExpired)
+	server.AddSweep(deleteExpired)
 }
 
 // acquire creates a session. It may be repeated by the same Run.
--- a/internal/toolcall/toolcall.go
+++ b/internal/toolcall/toolcall.go
@@ -80,9 +80,9 @@
 
 // RegisterHandlers adds the operations on claims to a core's register, and the periodic
 // deletion of old claims.
-func RegisterHandlers(owner *register.Server) {
-	owner.Handle("toolcall.claim", handleClaim)
-	owner.Handle("toolcall.finish", func(tx *register.Tx, raw []byte) (any, error) {
+func RegisterHandlers(server *register.Server) {
+	server.Handle("toolcall.claim", handleClaim)
+	server.Handle("toolcall.finish", func(tx *register.Tx, raw []byte) (any, error) {
 		var args finishArgs
 		_ = json.Unmarshal(raw, &args)
 		stored := loadClaim(tx, &args.Claim)
@@ -96,7 +96,7 @@
 		stored.store(tx, &args.Claim)
 		return struct{}{}, nil
 	})
-	owner.AddSweep(func(tx *register.Tx) {
+	server.AddSweep(func(tx *register.Tx) {
 		tx.Walk("claim/", "", func(storedKey string, value []byte) bool {
 			var stored claimRecord
 			if json.Unmarshal(value, &stored) == nil && tx.Now-stored.At > tx.Bounds.Retain.Milliseconds()*5/4 {
