--- a/internal/session/manager.go
+++ b/internal/session/manager.go
@@ -18,9 +18,9 @@
 // this node if the standby fails, takes the next Run by epoch and the request
 // continues there.
 //
-// Two terms are spelt otherwise in JSON, register keys and metric names: a
-// standby is an understudy there, and an attempt, one try of a turn at a worker,
-// is a leg.
+// Some terms have other names in messages, stored records and metrics: a standby is
+// an understudy there, an attempt (one try of a turn at a worker) is a leg, a request
+// is a visit, and a position in a stream is a place.
 package session
 
 import (
