--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -83,6 +83,7 @@
 	return 1 << 20
 }
 
+// unknownPathError is the error of a request to a path and method without an endpoint.
 func unknownPathError() error {
 	return base.Decline(404, "unknown_path", "no endpoint has this path and method")
 }
@@ -119,7 +120,7 @@
 	case "POST terminate":
 		return h.parseTerminateProgram(r, parts[0])
 	case "POST sessions":
-		return h.parseAcquireSession(r, parts[0])
+		return h.parseCreateSession(r, parts[0])
 	case "POST tools/*":
 		return h.parseToolCall(r, parts[0], parts[2])
 	}
@@ -296,7 +297,7 @@
 	}}, nil
 }
 
-func (h *Handler) parseAcquireSession(r *Request, id string) (*action, error) {
+func (h *Handler) parseCreateSession(r *Request, id string) (*action, error) {
 	var route string
 	var queueSize, timeout, lease float64
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
@@ -337,17 +338,19 @@
 		record := &session.Record{ID: id + ":" + base.NewID(h.Clock, "s"), Program: id, ProgramSecretDigest: program.SecretDigest, SecretDigest: digest,
 			Group: program.Group, Site: program.Site, Route: route, Urgency: program.Urgency, LeaseMs: int64(lease * 1000)}
 		record.QueueSize, record.TimeoutMs = session.EffectiveLimits(matched, int(queueSize), time.Duration(timeout*float64(time.Second)))
-		acquired, err := h.Sessions.Create(ctx.Within(h.Bounds.Load().Recover), record)
+		created, err := h.Sessions.Create(ctx.Within(h.Bounds.Load().Recover), record)
 		if err != nil {
 			return nil, err
 		}
 		return jsonResponse(201, struct {
 			session.Status
 			Secret string `json:"secret"`
-		}{session.StatusOf(acquired), secret}), nil
+		}{session.StatusOf(created), secret}), nil
 	}}, nil
 }
 
+// parseSessionRequest parses a request to a session; parts is its path below the
+// session.
 func (h *Handler) parseSessionRequest(r *Request, program, id string, parts []string) (*action, error) {
 	request := &session.Request{Program: program, Session: id, Bearer: bearerDigest(r)}
 	if err := validateName("session", id); err != nil {
@@ -387,6 +390,8 @@
 	return &action{func(ctx *base.Ctx) (*Response, error) { return h.runSessionRequest(ctx, request) }}, nil
 }
 
+// runSessionRequest passes a request to the session's owner, which may be another
+// gateway.
 func (h *Handler) runSessionRequest(ctx *base.Ctx, request *session.Request) (*Response, error) {
 	request.ID = base.NewID(h.Clock, "v")
 	clientNamed := request.Turn != ""
--- a/internal/ledger/placement.go
+++ b/internal/ledger/placement.go
@@ -1,14 +1,15 @@
 // Package ledger stores programs and their turns on the storage machines: the
 // Run that each session is assigned to, the tokens that its turns have reserved
 // and spent, and the turns that were answered completely. A Run is the time for
-// which one owner serves a session. Gateways write
-// directly to the storage machines, without a leader: any two quorums of a
-// program's replicas intersect, so a later request sees every acknowledged
-// write and every granted claim. The replicas of a program are chosen by
-// rendezvous hashing of its id over the disk set.
+// which one owner serves a session.
 //
-// Client is the gateway's side. Store is the storage machine's side: it keeps
-// its state in memory and in a log (store.go), merges accounts of other stores
+// Gateways write directly to the storage machines, without a leader: any two
+// quorums of a program's replicas intersect, so a later request sees every
+// acknowledged write and every granted claim. The replicas of a program are chosen
+// by rendezvous hashing of its id over the disk set.
+//
+// Client is the gateway's side. Store is the storage machine's side: it keeps its
+// state in memory and in a log (store.go), merges records of other stores
 // (state.go), serves requests (service.go) and pulls from other stores what it
 // lacks (pull.go).
 package ledger
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -157,14 +157,14 @@
 func decodeChange(args []byte) (*Change, documentDigest, error) {
 	var change Change
 	if err := json.Unmarshal(args, &change); err != nil {
-		return nil, documentDigest{}, base.DeclineField("document", "not a change: %v", err)
+		return nil, documentDigest{}, base.DeclineField("document", "is not a valid change: %v", err)
 	}
 	if change.Format != changeFormat {
 		return nil, documentDigest{}, unknownFormat("the change")
 	}
 	digest, err := parseDigest(change.Digest)
 	if err != nil {
-		return nil, documentDigest{}, base.DeclineField("document", "not a digest: %v", err)
+		return nil, documentDigest{}, base.DeclineField("document", "has no valid digest: %v", err)
 	}
 	return &change, digest, nil
 }
--- a/internal/route/history.go
+++ b/internal/route/history.go
@@ -36,6 +36,8 @@
 	// five days of 3,000 changes each, in 0.4 MB.
 	maxBlocks = 256
 
+	// A block is encoded as its format, the version that it is based on, and for each
+	// entry the version and the digest.
 	blockFormat     = 1
 	blockHeaderSize = 1 + 8
 	entrySize       = 8 + digestSize
@@ -52,10 +54,11 @@
 	return documentDigest(sum[:digestSize])
 }
 
+// parseDigest parses a digest in hexadecimal.
 func parseDigest(text string) (digest documentDigest, err error) {
 	raw, err := hex.DecodeString(text)
 	if err == nil && len(raw) != digestSize {
-		err = fmt.Errorf("%d bytes instead of %d", len(raw), digestSize)
+		err = fmt.Errorf("digest has %d bytes instead of %d", len(raw), digestSize)
 	}
 	copy(digest[:], raw)
 	return digest, err
@@ -82,6 +85,7 @@
 	return b.entries[len(b.entries)-1].version
 }
 
+// key returns the key under which the block is stored.
 func (b *block) key() string { return fmt.Sprintf("%s%016x", historyPrefix, b.baseVersion) }
 
 func (b *block) encode() []byte {
@@ -197,7 +201,7 @@
 	}
 	source, err := (&Document{Compressed: change.Compressed}).Source()
 	if err != nil {
-		return notInHistory, base.DeclineField("document", "cannot be unpacked: %v", err)
+		return notInHistory, base.DeclineField("document", "cannot be decompressed: %v", err)
 	}
 	if versions[i].Digest == base.Digest(source) {
 		return acceptedUnchanged, nil
