--- a/cmd/fordseam-controller/access.go
+++ b/cmd/fordseam-controller/access.go
@@ -26,14 +26,14 @@
 	if err := c.call("GET", "/v1/operator/access", nil, &shown); err != nil || c.quiet() {
 		return err
 	}
-	if shown.Open {
+	if shown.Unrestricted {
 		fmt.Println("no teams are set: everything is allowed")
 	}
 	rows := [][]string{{"TEAM", "GROUP", "UNDER", "MODELS", "DENIED"}}
 	for _, one := range shown.Teams {
 		rows = append(rows, []string{one.Team, one.Group, one.Parent, strings.Join(one.Models, " "), strings.Join(one.Denied, " ")})
 	}
-	if !shown.Open {
+	if !shown.Unrestricted {
 		table(rows)
 	}
 	showHolders(&shown.AccessState)
@@ -41,10 +41,10 @@
 }
 
 func showHolders(state *operate.AccessState) {
-	if state.InForce == state.Stamp {
-		fmt.Printf("access: settings %d are in force\n", state.Stamp)
+	if state.InForce == state.Version {
+		fmt.Printf("access: settings %d are in force\n", state.Version)
 	} else {
-		fmt.Printf("access: settings %d are being learnt, those of %d are in force\n", state.Stamp, state.InForce)
+		fmt.Printf("access: settings %d are being learnt, those of %d are in force\n", state.Version, state.InForce)
 	}
 	rows := [][]string{{"NODE", "HOLDS", "ASKED MS AGO"}}
 	for _, one := range state.Holders {
--- a/cmd/fordseam-controller/client.go
+++ b/cmd/fordseam-controller/client.go
@@ -290,7 +290,7 @@
 	if err := c.call("GET", "/v1/operator/status", nil, &shown); err != nil || c.quiet() {
 		return err
 	}
-	fmt.Printf("core %s\ncluster %s, disk set %d, owns %d slots\n", shown.Core, shown.Cluster, shown.SetStamp, len(shown.Slots))
+	fmt.Printf("core %s\ncluster %s, disk set %d, owns %d slots\n", shown.Core, shown.Cluster, shown.DiskSetVersion, len(shown.OwnedShards))
 	rows := [][]string{{"ROLE", "ZONE", "ADDRESS", "PUBLIC", "STATE"}}
 	for _, member := range shown.Members {
 		state := map[bool]string{true: "alive", false: "silent"}[member.Alive]
@@ -298,8 +298,8 @@
 		case !member.Alive:
 		case member.Leaving:
 			state = "leaving"
-		case member.Unwell != "":
-			state = "not ready: " + member.Unwell
+		case member.NotReadyReason != "":
+			state = "not ready: " + member.NotReadyReason
 		}
 		rows = append(rows, []string{member.Role, member.Zone, member.Addr, member.Public, state})
 	}
@@ -307,13 +307,13 @@
 	if shown.Access != nil {
 		showHolders(shown.Access)
 	}
-	for _, word := range shown.Mending {
+	for _, word := range shown.ReconcileStatus {
 		fmt.Println("mending:", word)
 	}
-	if len(shown.Unwell) == 0 {
+	if len(shown.Problems) == 0 {
 		fmt.Println("all is well")
 	}
-	for _, word := range shown.Unwell {
+	for _, word := range shown.Problems {
 		fmt.Println("UNWELL:", word)
 	}
 	return nil
@@ -341,14 +341,14 @@
 	rows := [][]string{{"DISK", "ADDRESS", "ZONE", "VOTE", "STATE", "USED", "BEHIND"}}
 	for _, one := range shown.Disks {
 		behind := uint64(0)
-		for _, lacking := range one.Behind {
+		for _, lacking := range one.MissingEntries {
 			behind += lacking
 		}
 		rows = append(rows, []string{one.ID, one.Addr, one.Zone, map[bool]string{true: "yes", false: "no"}[one.Voting],
-			map[bool]string{true: "alive", false: "silent"}[one.Alive], fmt.Sprint(one.Used), fmt.Sprint(behind)})
+			map[bool]string{true: "alive", false: "silent"}[one.Alive], fmt.Sprint(one.UsedBytes), fmt.Sprint(behind)})
 	}
-	fmt.Printf("%s, disk set %d, %d of %d slots whole on a majority%s\n", shown.Cluster, shown.Stamp, shown.Slots, shown.All,
-		map[bool]string{true: ", a change is under way", false: ""}[shown.Moving])
+	fmt.Printf("%s, disk set %d, %d of %d slots whole on a majority%s\n", shown.Cluster, shown.Version, shown.SettledShards, shown.TotalShards,
+		map[bool]string{true: ", a change is under way", false: ""}[shown.ChangePending])
 	table(rows)
 	return nil
 }
--- a/cmd/fordseam-controller/main.go
+++ b/cmd/fordseam-controller/main.go
@@ -30,12 +30,12 @@
 	return &cli.Command{
 		Name:  "run",
 		Usage: "run a control-plane process",
-		Flags: append(node.PlaceFlags(),
+		Flags: append(node.ConfigFlags(),
 			&cli.StringFlag{Name: "role", Usage: "`ROLE`: core or storage"},
 			&cli.StringFlag{Name: "data", Usage: "data `FOLDER` (storage only)"},
 			&cli.Int64Flag{Name: "disk-limit-bytes", Usage: "most `BYTES` the data folder may hold (storage only; 0: no limit)"}),
 		Action: func(_ context.Context, command *cli.Command) error {
-			place, err := node.PlaceOf(command, node.Place{}, "core", "storage")
+			place, err := node.LoadConfig(command, node.Config{}, "core", "storage")
 			if err != nil {
 				return err
 			}
--- a/cmd/fordseam-gateway/main.go
+++ b/cmd/fordseam-gateway/main.go
@@ -17,13 +17,13 @@
 	command := &cli.Command{
 		Name: "fordseam-gateway", Version: node.Version,
 		Usage:    "serve callers, own sessions, stand in for other gateways",
-		Flags:    node.PlaceFlags(),
+		Flags:    node.ConfigFlags(),
 		Commands: []*cli.Command{platform.Command("platform", "edge", "serve the users' platform; the place comes from its settings file")},
 		Action: func(_ context.Context, command *cli.Command) error {
 			if command.Args().Len() > 0 {
 				return cli.Exit(fmt.Sprintf("unexpected argument %q", command.Args().First()), node.ExitUsage)
 			}
-			place, err := node.PlaceOf(command, node.Place{Role: "edge"}, "edge")
+			place, err := node.LoadConfig(command, node.Config{Role: "edge"}, "edge")
 			if err != nil {
 				return err
 			}
--- a/internal/base/clock_test.go
+++ b/internal/base/clock_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-func TestNoSliceReadsAWallClock(t *testing.T) {
+func TestNoPackageReadsTheWallClock(t *testing.T) {
 	is := is.New(t)
 	read := 0
 	// These set deadlines on sockets, relative to now, or drive tests; the fleet and
--- a/internal/base/ask_test.go
+++ b/internal/base/quorum_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestAskFewAsksNoMoreThanNeeded(t *testing.T) {
+func TestCallQuorumHedgedMakesNoMoreCallsThanNeeded(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		answer map[int]string
--- a/internal/fleet/chaos.go
+++ b/internal/fleet/chaos.go
@@ -140,8 +140,8 @@
 		if err := Send("GET", p.Public, "/v1/operator/storage", nil, &shown); err != nil {
 			return err
 		}
-		if shown.Moving || shown.Slots != shown.All {
-			return errors.Errorf("%d of %d slots settled", shown.Slots, shown.All)
+		if shown.ChangePending || shown.SettledShards != shown.TotalShards {
+			return errors.Errorf("%d of %d slots settled", shown.SettledShards, shown.TotalShards)
 		}
 		return nil
 	})
--- a/internal/node/daemon.go
+++ b/internal/node/daemon.go
@@ -33,8 +33,8 @@
 	ExitUsage  = 2
 )
 
-// PlaceFlags are what every daemon takes.
-func PlaceFlags() []cli.Flag {
+// ConfigFlags are what every daemon takes.
+func ConfigFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "settings", Usage: "settings `FILE` (JSON) with the process's place"},
 		&cli.StringFlag{Name: "address", Usage: "`IP:PORT` for other processes"},
@@ -50,179 +50,179 @@
 	}
 }
 
-// PlaceOf puts file and flags together and checks the whole.
-func PlaceOf(command *cli.Command, place Place, roles ...string) (*Place, error) {
+// LoadConfig puts file and flags together and checks the whole.
+func LoadConfig(command *cli.Command, config Config, roles ...string) (*Config, error) {
 	if path := command.String("settings"); path != "" {
-		if err := ReadPlace(path, &place); err != nil {
+		if err := ReadConfigFile(path, &config); err != nil {
 			return nil, cli.Exit(err.Error(), ExitUsage)
 		}
 	}
-	for name, into := range map[string]*string{"address": &place.Addr, "public-address": &place.Public, "zone": &place.Zone, "data": &place.Data, "role": &place.Role, "cluster": &place.Cluster, "node": &place.Node} {
+	for name, target := range map[string]*string{"address": &config.Addr, "public-address": &config.PublicAddr, "zone": &config.Zone, "data": &config.DataDir, "role": &config.Role, "cluster": &config.Cluster, "node": &config.NodeName} {
 		if command.IsSet(name) {
-			*into = command.String(name)
+			*target = command.String(name)
 		}
 	}
 	if command.IsSet("tolerate") {
-		place.Tolerate = command.Int("tolerate")
+		config.FaultTolerance = command.Int("tolerate")
 	}
 	if command.IsSet("found") {
-		place.Found = command.Bool("found")
+		config.Bootstrap = command.Bool("found")
 	}
 	if command.IsSet("seed") {
-		place.Seeds = command.StringSlice("seed")
+		config.Seeds = command.StringSlice("seed")
 	}
 	if command.IsSet("disk-limit-bytes") {
-		place.Limit = command.Int64("disk-limit-bytes")
+		config.DiskLimitBytes = command.Int64("disk-limit-bytes")
 	}
-	faults := place.Check(roles...)
+	violations := config.Validate(roles...)
 	switch command.String("log") {
 	case "text":
 		log.SetHandler(text.New(os.Stderr))
 	case "json":
 		log.SetHandler(json.New(os.Stderr))
 	default:
-		faults = append(faults, "log: must be text or json")
+		violations = append(violations, "log: must be text or json")
 	}
 	level, err := log.ParseLevel(command.String("log-level"))
 	if err != nil {
-		faults = append(faults, "log-level: must be debug, info, warn or error")
+		violations = append(violations, "log-level: must be debug, info, warn or error")
 	}
 	log.SetLevel(level)
-	if len(faults) > 0 {
-		return nil, cli.Exit("cannot start:\n  "+strings.Join(faults, "\n  "), ExitUsage)
+	if len(violations) > 0 {
+		return nil, cli.Exit("cannot start:\n  "+strings.Join(violations, "\n  "), ExitUsage)
 	}
-	return &place, nil
+	return &config, nil
 }
 
 type process interface {
 	Handler() http.Handler
 	Start()
 	Ready() error
-	Leave(limit time.Duration)
+	Drain(limit time.Duration)
 	Stop()
 }
 
-// Running is a process whose slices are built and whose inner address
+// Daemon is a process whose slices are built and whose inner address
 // listens.
-type Running struct {
-	Env     Env
-	Process process
-	Public  Handler
-
-	private  net.Listener
-	partners *http.Server
-	cleanup  base.Cleanup
+type Daemon struct {
+	Env           Env
+	Process       process
+	PublicHandler Handler
+
+	internalListener net.Listener
+	internalServer   *http.Server
+	cleanup          base.Cleanup
 }
 
 // Open builds a place's process; Start begins it, Close ends it.
-func Open(place *Place, names *relay.WireNames) (*Running, error) {
-	r := &Running{}
+func Open(config *Config, names *relay.WireNames) (*Daemon, error) {
+	d := &Daemon{}
 	counters := base.NewCounters()
-	wire, err := conn.NewWire(func() { counters.Add("messages_sent", 1) })
+	httpClient, err := conn.NewWire(func() { counters.Add("messages_sent", 1) })
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	r.cleanup.Push(wire.Close)
-	r.Env = Env{Clock: base.NewRealClock(), Wire: wire, Counters: counters, Backends: workerconn.New(base.DefaultBounds().Recovery/12, counters), Names: names}
-	if r.private, err = conn.Listen(place.Addr); err != nil {
-		r.cleanup.Run()
+	d.cleanup.Push(httpClient.Close)
+	d.Env = Env{Clock: base.NewRealClock(), HTTPClient: httpClient, Counters: counters, Backends: workerconn.New(base.DefaultBounds().Recovery/12, counters), Names: names}
+	if d.internalListener, err = conn.Listen(config.Addr); err != nil {
+		d.cleanup.Run()
 		return nil, err
 	}
-	r.cleanup.Push(func() { _ = r.private.Close() })
-	if r.Process, r.Public, err = build(r.Env, place); err != nil {
-		r.cleanup.Run()
+	d.cleanup.Push(func() { _ = d.internalListener.Close() })
+	if d.Process, d.PublicHandler, err = newProcess(d.Env, config); err != nil {
+		d.cleanup.Run()
 		return nil, err
 	}
-	r.partners = &http.Server{Handler: r.Process.Handler()}
-	return r, nil
+	d.internalServer = &http.Server{Handler: d.Process.Handler()}
+	return d, nil
 }
 
 // Start serves partners and begins the slices' own tasks.
-func (r *Running) Start() {
-	go func() { _ = r.partners.Serve(r.private) }()
+func (r *Daemon) Start() {
+	go func() { _ = r.internalServer.Serve(r.internalListener) }()
 	r.Process.Start()
 }
 
 // Close ends the process's tasks and lets go of what it holds.
-func (r *Running) Close() {
+func (r *Daemon) Close() {
 	r.Process.Stop()
 	bounded, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = r.partners.Shutdown(bounded)
+	_ = r.internalServer.Shutdown(bounded)
 	r.cleanup.Run()
 }
 
 // RunDaemon serves a place until a signal.
-func RunDaemon(place *Place) error {
-	public, err := net.Listen("tcp", place.Public)
+func RunDaemon(config *Config) error {
+	publicListener, err := net.Listen("tcp", config.PublicAddr)
 	if err != nil {
 		return errors.Annotate(err, "public address")
 	}
-	defer public.Close()
-	opened, err := Open(place, &relay.WireNames{})
+	defer publicListener.Close()
+	daemon, err := Open(config, &relay.WireNames{})
 	if err != nil {
 		return err
 	}
-	defer opened.Close()
-	running := opened.Process
-	face := NewPublic(opened.Env.Clock, opened.Env.Counters, running.Ready, opened.Public)
-	served := make(chan error, 1)
-	go func() { served <- face.Serve(public) }()
-	opened.Start()
-	entry := log.WithFields(log.Fields{"role": place.Role, "address": place.Addr, "public": place.Public, "zone": place.Zone})
+	defer daemon.Close()
+	proc := daemon.Process
+	publicServer := NewPublicServer(daemon.Env.Clock, daemon.Env.Counters, proc.Ready, daemon.PublicHandler)
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- publicServer.Serve(publicListener) }()
+	daemon.Start()
+	entry := log.WithFields(log.Fields{"role": config.Role, "address": config.Addr, "public": config.PublicAddr, "zone": config.Zone})
 	entry.Info("started")
-	go logReadiness(opened.Env.Clock, running, entry)
+	go logReadiness(daemon.Env.Clock, proc, entry)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	select {
-	case err := <-served:
+	case err := <-serveErr:
 		return errors.Annotate(err, "public server")
 	case received := <-signals:
 		entry.WithField("signal", received.String()).Info("leaving")
 	}
 	limit := 2 * base.DefaultBounds().Recovery
-	handedOver := make(chan struct{})
-	go func() { running.Leave(limit); close(handedOver) }()
-	if err := face.Shutdown(limit); err != nil {
+	drained := make(chan struct{})
+	go func() { proc.Drain(limit); close(drained) }()
+	if err := publicServer.Shutdown(limit); err != nil {
 		entry.WithError(err).Warn("some requests were still open")
 	}
-	<-handedOver
+	<-drained
 	entry.Info("left")
 	return nil
 }
 
-func build(env Env, place *Place) (process, Handler, error) {
-	switch place.Role {
+func newProcess(env Env, config *Config) (process, Handler, error) {
+	switch config.Role {
 	case "edge":
-		gateway := NewGateway(env, *place)
+		gateway := NewGateway(env, *config)
 		gateway.Access.OnRulesChange = func(stamp uint64, teams int) {
 			log.WithFields(log.Fields{"stamp": stamp, "teams": teams}).Info("rules of access are in force")
 		}
 		return gateway, gateway.Front.Handle, nil
 	case "core":
-		core := NewCore(env, *place)
-		return core, core.Operate.Handle, nil
+		core := NewCore(env, *config)
+		return core, core.OperatorAPI.Handle, nil
 	}
-	files, err := disk.OpenFolder(place.Data, place.Limit)
+	files, err := disk.OpenFolder(config.DataDir, config.DiskLimitBytes)
 	if err != nil {
 		return nil, nil, err
 	}
 	env.Files = files
-	storage, err := NewStorage(env, *place)
+	storage, err := NewStorage(env, *config)
 	if err != nil {
 		return nil, nil, errors.Annotate(err, "the disk is damaged and must not vote; empty the data folder to bring this machine back as a new disk")
 	}
-	return storage, NotHere, nil
+	return storage, NotFound, nil
 }
 
 // logReadiness writes a line when the node becomes ready or ceases to be.
-func logReadiness(clock base.Clock, running process, entry *log.Entry) {
-	was := false
+func logReadiness(clock base.Clock, proc process, entry *log.Entry) {
+	wasReady := false
 	for {
-		err := running.Ready()
-		if now := err == nil; now != was {
-			was = now
-			if now {
+		err := proc.Ready()
+		if isReady := err == nil; isReady != wasReady {
+			wasReady = isReady
+			if isReady {
 				entry.Info("ready")
 			} else {
 				entry.WithField("why", err.Error()).Warn("not ready")
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -21,29 +21,29 @@
 	"github.com/valyala/fasthttp"
 )
 
-const bodyLimit = 16 << 20
+const maxBodyBytes = 16 << 20
 
 // Handler answers public requests.
 type Handler func(ctx *base.Ctx, r *front.Request) *front.Response
 
-// Public is one public HTTP server.
-type Public struct {
+// PublicServer is one public HTTP server.
+type PublicServer struct {
 	server *fasthttp.Server
 	ready  func() error
 }
 
-// NewPublic serves handle, and health, readiness and counters beside it.
-func NewPublic(clock base.Clock, counters *base.Counters, ready func() error, handle Handler) *Public {
-	p := &Public{ready: ready}
+// NewPublicServer serves handle, and health, readiness and counters beside it.
+func NewPublicServer(clock base.Clock, counters *base.Counters, ready func() error, handler Handler) *PublicServer {
+	p := &PublicServer{ready: ready}
 	p.server = &fasthttp.Server{
-		Name: "fordseam", MaxRequestBodySize: bodyLimit, CloseOnShutdown: true, ReadTimeout: 60 * time.Second, IdleTimeout: 60 * time.Second,
+		Name: "fordseam", MaxRequestBodySize: maxBodyBytes, CloseOnShutdown: true, ReadTimeout: 60 * time.Second, IdleTimeout: 60 * time.Second,
 		StreamRequestBody: false, NoDefaultServerHeader: true,
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
 			verdict := base.Decline(400, "bad_request", "the request could not be read")
 			if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-				verdict = base.Decline(413, "body_too_large", "the body is larger than %d bytes", bodyLimit)
+				verdict = base.Decline(413, "body_too_large", "the body is larger than %d bytes", maxBodyBytes)
 			}
-			write(ctx, front.ErrorResponse(verdict))
+			writeResponse(ctx, front.ErrorResponse(verdict))
 		},
 		Handler: func(ctx *fasthttp.RequestCtx) {
 			switch path := string(ctx.Path()); path {
@@ -51,7 +51,7 @@
 				ctx.SetBodyString("ok\n")
 			case "/readyz":
 				if err := ready(); err != nil {
-					write(ctx, front.ErrorResponse(err))
+					writeResponse(ctx, front.ErrorResponse(err))
 					return
 				}
 				ctx.SetBodyString("ready\n")
@@ -61,14 +61,14 @@
 				frame["goroutines"] = int64(runtime.NumGoroutine())
 				ctx.SetBody(append(base.MustMarshal(frame), '\n'))
 			default:
-				write(ctx, handle(base.NewCtx(clock, 10*time.Minute), read(ctx, path)))
+				writeResponse(ctx, handler(base.NewCtx(clock, 10*time.Minute), parseRequest(ctx, path)))
 			}
 		},
 	}
 	return p
 }
 
-func read(ctx *fasthttp.RequestCtx, path string) *front.Request {
+func parseRequest(ctx *fasthttp.RequestCtx, path string) *front.Request {
 	r := &front.Request{Method: string(ctx.Method()), Path: path, Query: map[string]string{}, Header: map[string]string{},
 		Body: append([]byte(nil), ctx.PostBody()...)}
 	for name, value := range ctx.QueryArgs().All() {
@@ -80,7 +80,7 @@
 	return r
 }
 
-func write(ctx *fasthttp.RequestCtx, response *front.Response) {
+func writeResponse(ctx *fasthttp.RequestCtx, response *front.Response) {
 	ctx.SetStatusCode(response.Status)
 	for _, name := range base.SortedKeys(response.Header) {
 		ctx.Response.Header.Set(name, response.Header[name])
@@ -97,7 +97,7 @@
 				_, _ = w.WriteString(": waiting\n\n")
 			}
 			for _, piece := range pieces {
-				_, _ = w.Write(Event(piece, leg))
+				_, _ = w.Write(FormatEvent(piece, leg))
 			}
 			if w.Flush() != nil || done {
 				return
@@ -106,30 +106,30 @@
 	})
 }
 
-// Event writes one piece as a server-sent event.
-func Event(piece *session.Piece, leg string) []byte {
+// FormatEvent writes one piece as a server-sent event.
+func FormatEvent(piece *session.Piece, attempt string) []byte {
 	if piece.Final {
-		return fmt.Appendf(nil, "id: %s#%d\nevent: final\ndata: %s\n\n", leg, piece.Place, piece.Data)
+		return fmt.Appendf(nil, "id: %s#%d\nevent: final\ndata: %s\n\n", attempt, piece.Place, piece.Data)
 	}
-	return fmt.Appendf(nil, "id: %s#%d\nevent: piece\ndata: %s\n\n", leg, piece.Place, base.MustMarshal(map[string]string{"text": string(piece.Data)}))
+	return fmt.Appendf(nil, "id: %s#%d\nevent: piece\ndata: %s\n\n", attempt, piece.Place, base.MustMarshal(map[string]string{"text": string(piece.Data)}))
 }
 
-// Answer serves one request by the product's own interface.
-func Answer(r *fasthttp.RequestCtx, handle Handler, ctx *base.Ctx) {
-	write(r, handle(ctx, read(r, string(r.Path()))))
+// ServeRequest serves one request by the product's own interface.
+func ServeRequest(r *fasthttp.RequestCtx, handler Handler, ctx *base.Ctx) {
+	writeResponse(r, handler(ctx, parseRequest(r, string(r.Path()))))
 }
 
 // Serve listens until Shutdown.
-func (p *Public) Serve(listener net.Listener) error { return p.server.Serve(listener) }
+func (p *PublicServer) Serve(listener net.Listener) error { return p.server.Serve(listener) }
 
 // Shutdown stops accepting and waits for what was read.
-func (p *Public) Shutdown(limit time.Duration) error {
+func (p *PublicServer) Shutdown(limit time.Duration) error {
 	bounded, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	return p.server.ShutdownWithContext(bounded)
 }
 
-// NotHere answers where there is nothing to call.
-func NotHere(*base.Ctx, *front.Request) *front.Response {
+// NotFound answers where there is nothing to call.
+func NotFound(*base.Ctx, *front.Request) *front.Response {
 	return front.ErrorResponse(base.Decline(404, "unknown_path", "there is nothing at this path"))
 }
--- a/internal/node/main.go
+++ b/internal/node/main.go
@@ -20,24 +20,24 @@
 
 // Main runs a command and exits.
 func Main(command *cli.Command, args []string) {
-	usage := func(_ context.Context, command *cli.Command, err error, _ bool) error {
+	onUsageError := func(_ context.Context, command *cli.Command, err error, _ bool) error {
 		return cli.Exit(fmt.Sprintf("%v; see %s --help", err, command.FullName()), ExitUsage)
 	}
-	setUsage(command, usage)
+	setUsageHandler(command, onUsageError)
 	if err := command.Run(context.Background(), args); err != nil {
 		fmt.Fprintln(os.Stderr, command.Name+":", err)
 		code := ExitFailed
-		if coded, ok := err.(cli.ExitCoder); ok {
-			code = coded.ExitCode()
+		if exitCoder, ok := err.(cli.ExitCoder); ok {
+			code = exitCoder.ExitCode()
 		}
 		os.Exit(code)
 	}
 }
 
-func setUsage(command *cli.Command, usage cli.OnUsageErrorFunc) {
-	command.OnUsageError = usage
+func setUsageHandler(command *cli.Command, onUsageError cli.OnUsageErrorFunc) {
+	command.OnUsageError = onUsageError
 	command.ExitErrHandler = func(context.Context, *cli.Command, error) {}
-	for _, sub := range command.Commands {
-		setUsage(sub, usage)
+	for _, subcommand := range command.Commands {
+		setUsageHandler(subcommand, onUsageError)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,55 +31,55 @@
 
 // Env is time, wire, disk and back ends.
 type Env struct {
-	Clock    base.Clock
-	Wire     base.HTTPClient
-	Files    disk.Files
-	Backends base.BackendClient
-	Counters *base.Counters
+	Clock      base.Clock
+	HTTPClient base.HTTPClient
+	Files      disk.Files
+	Backends   base.BackendClient
+	Counters   *base.Counters
 	// Names are what clients and workers of an operator's routes call things.
 	Names *relay.WireNames
 }
 
-// Place is where a process stands in the fleet.
-type Place struct {
-	Role   string
-	Addr   string
-	Public string
-	Zone   string
-	Data   string
-	Seeds  []string
-	Limit  int64
+// Config is where a process stands in the fleet.
+type Config struct {
+	Role           string
+	Addr           string
+	PublicAddr     string
+	Zone           string
+	DataDir        string
+	Seeds          []string
+	DiskLimitBytes int64
 	// Cluster, when given, is the only one this process will be of.
 	Cluster string
-	// Node is the machine's name, by which it can be retired.
-	Node string
-	// Tolerate is how many machines may be lost with their disks at once;
+	// NodeName is the machine's name, by which it can be retired.
+	NodeName string
+	// FaultTolerance is how many machines may be lost with their disks at once;
 	// above 0 the cores mend the disk set by themselves.
-	Tolerate int
-	// Found tells a core that this is the very first start of the whole system,
+	FaultTolerance int
+	// Bootstrap tells a core that this is the very first start of the whole system,
 	// so that the seeds form the cluster. It holds for one life only.
-	Found bool
+	Bootstrap bool
 	// Bounds, when given, hold until settings bring others.
 	Bounds *base.Bounds
 }
 
 type common struct {
-	env    Env
-	place  *base.Bounds
-	bounds *base.AtomicPointer[base.Bounds]
-	view   *membership.View
-	mux    *http.ServeMux
+	env           Env
+	defaultBounds *base.Bounds
+	bounds        *base.AtomicPointer[base.Bounds]
+	view          *membership.View
+	mux           *http.ServeMux
 }
 
-func newCommon(env Env, place Place, usages membership.UsageStore, bounds *base.AtomicPointer[base.Bounds]) *common {
-	c := &common{env: env, place: place.Bounds, bounds: bounds, mux: http.NewServeMux()}
-	self := &membership.Member{Id: place.Addr + "/" + base.NewID(env.Clock, ""), Addr: place.Addr, PublicAddr: place.Public, Role: place.Role, Zone: place.Zone}
-	seeds := slices.Clone(place.Seeds)
+func newCommon(env Env, config Config, usageStore membership.UsageStore, bounds *base.AtomicPointer[base.Bounds]) *common {
+	c := &common{env: env, defaultBounds: config.Bounds, bounds: bounds, mux: http.NewServeMux()}
+	self := &membership.Member{Id: config.Addr + "/" + base.NewID(env.Clock, ""), Addr: config.Addr, PublicAddr: config.PublicAddr, Role: config.Role, Zone: config.Zone}
+	seeds := slices.Clone(config.Seeds)
 	if env.Files != nil {
 		seeds = append(seeds, disk.Neighbours(env.Files)...)
 	}
-	c.view = membership.NewView(env.Clock, env.Wire, bounds, env.Counters, self, seeds, usages)
-	c.view.SetCluster(place.Cluster)
+	c.view = membership.NewView(env.Clock, env.HTTPClient, bounds, env.Counters, self, seeds, usageStore)
+	c.view.SetCluster(config.Cluster)
 	c.mount(membership.NewMembershipServer(c.view))
 	return c
 }
@@ -97,37 +97,37 @@
 // View is the node's partial view of the fleet.
 func (c *common) View() *membership.View { return c.view }
 
-func newBounds(place Place) *base.AtomicPointer[base.Bounds] {
-	table := &base.AtomicPointer[base.Bounds]{}
-	table.Store(base.DefaultBounds())
-	if place.Bounds != nil {
-		table.Store(place.Bounds)
+func newBounds(config Config) *base.AtomicPointer[base.Bounds] {
+	bounds := &base.AtomicPointer[base.Bounds]{}
+	bounds.Store(base.DefaultBounds())
+	if config.Bounds != nil {
+		bounds.Store(config.Bounds)
 	}
-	return table
+	return bounds
 }
 
-// follow makes a follower that keeps the settings, the bounds and the guard.
+// newFollower makes a follower that keeps the settings, the bounds and the guard.
 // Where there are rules of access it tells the core what it holds, and asks
 // more often while they change.
-func (c *common) follow(tree *base.AtomicPointer[settings.Tree], guard *access.Guard, also func(*feed.Snapshot)) (*register.Client, *feed.Follower) {
-	client := register.NewClient(c.env.Clock, c.env.Wire, c.view, c.bounds)
-	known, held := &settings.FeedCache{}, uint64(0)
-	follower := feed.NewFollower(c.env.Clock, c.env.Wire, c.view, client, c.bounds, c.env.Counters, func(frame *feed.Snapshot) {
-		stamp, next, fresh := known.Update(frame.Values)
+func (c *common) newFollower(tree *base.AtomicPointer[settings.Tree], guard *access.Guard, onSnapshot func(*feed.Snapshot)) (*register.Client, *feed.Follower) {
+	client := register.NewClient(c.env.Clock, c.env.HTTPClient, c.view, c.bounds)
+	cache, heldVersion := &settings.FeedCache{}, uint64(0)
+	follower := feed.NewFollower(c.env.Clock, c.env.HTTPClient, c.view, client, c.bounds, c.env.Counters, func(frame *feed.Snapshot) {
+		stamp, next, fresh := cache.Update(frame.Values)
 		if fresh {
-			bounds := next.BoundsWithDefaults(c.place)
+			bounds := next.BoundsWithDefaults(c.defaultBounds)
 			c.bounds.Store(&bounds)
 			tree.Store(next)
 		}
 		if next != nil {
-			held = stamp
-			guard.SetRules(known.AccessTables())
+			heldVersion = stamp
+			guard.SetRules(cache.AccessTables())
 		}
-		also(frame)
+		onSnapshot(frame)
 	})
 	follower.AddNodeInfo = func(request *feed.FollowRequest) {
 		if guard.HasRules() {
-			request.Node, request.Stamp = c.view.SelfID(), held
+			request.Node, request.Stamp = c.view.SelfID(), heldVersion
 		}
 		if guard.ChangePending() {
 			request.HoldMs = c.bounds.Load().AccessPollWait().Milliseconds()
@@ -141,65 +141,65 @@
 type Gateway struct {
 	*common
 	Front    *front.Handler
-	Keeper   *session.Manager
+	Sessions *session.Manager
 	Follower *feed.Follower
 	Routes   *base.AtomicPointer[route.Table]
 	Relay    *relay.Relay
 	Lines    *line.Manager
 	Access   *access.Guard
-	// Table reads the operator's document; it is set before Start where this
+	// ParseRoutes reads the operator's document; it is set before Start where this
 	// gateway serves routes.
-	Table func(written []byte) (*route.Table, error)
+	ParseRoutes func(written []byte) (*route.Table, error)
 
-	disks  base.AtomicPointer[register.DiskSet]
-	routed *base.Notifier
-	// roster and written are what the feed told last; only learn has them.
-	roster  relay.RosterDecoder
-	written []byte
+	diskSet       base.AtomicPointer[register.DiskSet]
+	routesChanged *base.Notifier
+	// rosterDecoder and written are what the feed told last; only learn has them.
+	rosterDecoder relay.RosterDecoder
+	routesValue   []byte
 }
 
-func NewGateway(env Env, place Place) *Gateway {
-	place.Role = membership.RoleGateway
-	bounds, tree := newBounds(place), &base.AtomicPointer[settings.Tree]{}
-	book := worker.NewUsageReports(env.Clock, bounds)
-	picker := worker.NewPicker(env.Clock, bounds, env.Counters, book, place.Zone)
-	c := newCommon(env, place, book, bounds)
+func NewGateway(env Env, config Config) *Gateway {
+	config.Role = membership.RoleGateway
+	bounds, tree := newBounds(config), &base.AtomicPointer[settings.Tree]{}
+	usageReports := worker.NewUsageReports(env.Clock, bounds)
+	picker := worker.NewPicker(env.Clock, bounds, env.Counters, usageReports, config.Zone)
+	c := newCommon(env, config, usageReports, bounds)
 	g := &Gateway{common: c, Access: access.NewGuard(env.Clock, bounds, env.Counters)}
 	env.Counters.AddSource(g.Access.AddCounts)
-	client, follower := c.follow(tree, g.Access, func(frame *feed.Snapshot) {
+	client, follower := c.newFollower(tree, g.Access, func(frame *feed.Snapshot) {
 		picker.SetRoster(worker.DecodeRoster(frame.Values))
-		g.Keeper.SetTerminations(endedIn(frame.Values))
-		g.learn(frame)
+		g.Sessions.SetTerminations(terminationsIn(frame.Values))
+		g.applySnapshot(frame)
 	})
 	g.Follower = follower
 	c.mount(feed.NewFeedServer(feed.NewService(env.Clock, nil, follower)))
-	g.Keeper = session.NewManager(session.Dependencies{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
+	g.Sessions = session.NewManager(session.Dependencies{Clock: env.Clock, Wire: env.HTTPClient, View: c.view, Bounds: bounds, Counters: env.Counters,
 		Register: client, Follower: follower, Picker: picker, Backends: env.Backends, Tree: tree})
 	g.Front = &front.Handler{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Follower: follower, Settings: tree,
-		Budget: &budget.Client{Register: client}, Sessions: g.Keeper, Tools: &toolcall.Client{Register: client},
-		Workers: &worker.Client{Register: client}, UsageReports: book, Picker: picker, Backends: env.Backends, Access: g.Access}
-	c.mount(session.NewOwnerServer(g.Keeper))
-	g.Routes, g.routed = &base.AtomicPointer[route.Table]{}, base.NewNotifier(env.Clock)
-	g.Relay = relay.New(relay.Config{Clock: env.Clock, Backends: env.Backends, Bounds: bounds, Counters: env.Counters, Names: env.Names, Zone: place.Zone, MaxConnsPerWorker: g.connShare, MaxResponseBytes: answerLimit})
-	kept := ledger.NewClient(env.Clock, env.Wire, g.disks.Load, place.Zone, place.Tolerate, bounds, env.Counters, nil)
-	g.Lines = line.NewManager(line.Dependencies{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Counters: env.Counters,
-		Routes: g.Routes, Ledger: keeping{kept}, Workers: offering{g}})
+		Budget: &budget.Client{Register: client}, Sessions: g.Sessions, Tools: &toolcall.Client{Register: client},
+		Workers: &worker.Client{Register: client}, UsageReports: usageReports, Picker: picker, Backends: env.Backends, Access: g.Access}
+	c.mount(session.NewOwnerServer(g.Sessions))
+	g.Routes, g.routesChanged = &base.AtomicPointer[route.Table]{}, base.NewNotifier(env.Clock)
+	g.Relay = relay.New(relay.Config{Clock: env.Clock, Backends: env.Backends, Bounds: bounds, Counters: env.Counters, Names: env.Names, Zone: config.Zone, MaxConnsPerWorker: g.maxConnsPerWorker, MaxResponseBytes: maxResponseBytes})
+	ledgerClient := ledger.NewClient(env.Clock, env.HTTPClient, g.diskSet.Load, config.Zone, config.FaultTolerance, bounds, env.Counters, nil)
+	g.Lines = line.NewManager(line.Dependencies{Clock: env.Clock, Wire: env.HTTPClient, View: c.view, Bounds: bounds, Counters: env.Counters,
+		Routes: g.Routes, Ledger: ledgerAdapter{ledgerClient}, Workers: relayAdapter{g}})
 	c.mount(line.NewOwnerServer(g.Lines))
 	return g
 }
 
-func endedIn(values map[string][]byte) map[string]budget.Termination {
-	ended := map[string]budget.Termination{}
+func terminationsIn(values map[string][]byte) map[string]budget.Termination {
+	terminations := map[string]budget.Termination{}
 	for key, raw := range values {
 		if id, ok := strings.CutPrefix(key, budget.TerminationPrefix); ok {
-			ended[id] = budget.DecodeTermination(raw)
+			terminations[id] = budget.DecodeTermination(raw)
 		}
 	}
-	return ended
+	return terminations
 }
 
-// unwell is the word that a node's entry carries while it is not ready.
-func unwell(ready func() error) func() string {
+// notReadyCode is the word that a node's entry carries while it is not ready.
+func notReadyCode(ready func() error) func() string {
 	return func() string {
 		if err := ready(); err != nil {
 			return base.ToRequestError(err).Code
@@ -210,10 +210,10 @@
 
 // Start begins the node's own tasks.
 func (g *Gateway) Start() {
-	g.view.UnwellReason = unwell(g.Ready)
+	g.view.UnwellReason = notReadyCode(g.Ready)
 	g.env.Clock.Go(g.view.Run)
 	g.env.Clock.Go(g.Follower.Run)
-	g.env.Clock.Go(g.Keeper.Run)
+	g.env.Clock.Go(g.Sessions.Run)
 	g.env.Clock.Go(g.Lines.Run)
 	g.env.Clock.Go(func() {
 		for !g.Follower.Closed() {
@@ -223,8 +223,8 @@
 	})
 }
 
-// Stamp is the settings' stamp this gateway goes by.
-func (g *Gateway) Stamp() uint64 {
+// SettingsVersion is the settings' stamp this gateway goes by.
+func (g *Gateway) SettingsVersion() uint64 {
 	return settings.VersionFromFeed(g.Follower.Snapshot().Values)
 }
 
@@ -242,16 +242,16 @@
 	return nil
 }
 
-// Leave hands over what this node owns.
-func (g *Gateway) Leave(limit time.Duration) {
+// Drain hands over what this node owns.
+func (g *Gateway) Drain(limit time.Duration) {
 	g.view.Leave(g.bounds.Load().HeartbeatInterval() * 4)
 	g.Lines.Drain(limit)
-	g.Keeper.Drain(limit)
+	g.Sessions.Drain(limit)
 }
 
 // Stop ends the node's tasks.
 func (g *Gateway) Stop() {
-	g.Keeper.Close()
+	g.Sessions.Close()
 	g.Follower.Close()
 	g.view.Close()
 }
@@ -259,69 +259,69 @@
 // Core is the control plane's process that owns keys.
 type Core struct {
 	*common
-	Owner    *register.Server
-	Follower *feed.Follower
-	Operate  *operate.Operate
-	Register *register.Client
-	settles  *access.Activator
+	RegisterServer  *register.Server
+	Follower        *feed.Follower
+	OperatorAPI     *operate.Handler
+	Register        *register.Client
+	accessActivator *access.Activator
 	// Lister asks for the list of workers; it is set before Start where this
 	// core keeps a roster.
-	Lister  relay.Lister
-	founder *founding.Bootstrapper
+	Lister       relay.Lister
+	bootstrapper *founding.Bootstrapper
 }
 
-func NewCore(env Env, place Place) *Core {
-	place.Role = membership.RoleCore
-	bounds, tree := newBounds(place), &base.AtomicPointer[settings.Tree]{}
-	c := newCommon(env, place, nil, bounds)
-	owner := register.NewServer(env.Clock, env.Wire, c.view, bounds, env.Counters)
-	settings.RegisterHandlers(owner)
-	budget.RegisterHandlers(owner)
-	session.RegisterHandlers(owner)
-	toolcall.RegisterHandlers(owner)
-	worker.RegisterHandlers(owner)
-	route.RegisterOperations(owner)
-	relay.RegisterHandlers(owner)
+func NewCore(env Env, config Config) *Core {
+	config.Role = membership.RoleCore
+	bounds, tree := newBounds(config), &base.AtomicPointer[settings.Tree]{}
+	c := newCommon(env, config, nil, bounds)
+	server := register.NewServer(env.Clock, env.HTTPClient, c.view, bounds, env.Counters)
+	settings.RegisterHandlers(server)
+	budget.RegisterHandlers(server)
+	session.RegisterHandlers(server)
+	toolcall.RegisterHandlers(server)
+	worker.RegisterHandlers(server)
+	route.RegisterOperations(server)
+	relay.RegisterHandlers(server)
 	guard := access.NewGuard(env.Clock, bounds, env.Counters)
-	client, follower := c.follow(tree, guard, func(*feed.Snapshot) {})
-	if place.Tolerate > 0 {
-		owner.EnableReconcile(place.Tolerate)
-		kept := ledger.NewClient(env.Clock, env.Wire, func() *register.DiskSet { return register.DiskSetIn(follower.Snapshot().Values) }, place.Zone, place.Tolerate, bounds, env.Counters, nil)
-		owner.SetRedundancyChecker(kept)
+	client, follower := c.newFollower(tree, guard, func(*feed.Snapshot) {})
+	if config.FaultTolerance > 0 {
+		server.EnableReconcile(config.FaultTolerance)
+		kept := ledger.NewClient(env.Clock, env.HTTPClient, func() *register.DiskSet { return register.DiskSetIn(follower.Snapshot().Values) }, config.Zone, config.FaultTolerance, bounds, env.Counters, nil)
+		server.SetRedundancyChecker(kept)
 	}
-	core := &Core{common: c, Owner: owner, Follower: follower, Register: client}
-	if place.Found {
-		core.founder = founding.New(env.Clock, env.Wire, c.view, bounds, env.Counters, owner, place.Addr, place.Seeds, place.Tolerate)
-		c.mount(founding.NewFoundingServer(core.founder))
+	core := &Core{common: c, RegisterServer: server, Follower: follower, Register: client}
+	if config.Bootstrap {
+		core.bootstrapper = founding.New(env.Clock, env.HTTPClient, c.view, bounds, env.Counters, server, config.Addr, config.Seeds, config.FaultTolerance)
+		c.mount(founding.NewFoundingServer(core.bootstrapper))
 	}
-	c.mount(register.NewRegisterServer(owner))
-	told := feed.NewService(env.Clock, owner, follower)
-	c.mount(feed.NewFeedServer(told))
-	access.RegisterHandlers(owner, told.AllNodesHave, func() any { return told.ReportedSettings(2 * bounds.Load().Recovery) })
-	core.settles = &access.Activator{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Register: client, Follower: follower, FeedEpoch: owner.FeedEpoch, AllNodesHave: told.AllNodesHave}
-	core.Operate = &operate.Operate{Clock: env.Clock, Wire: env.Wire, View: c.view, Bounds: bounds, Register: client, Owner: owner, Counters: env.Counters,
-		Frame: func() map[string][]byte { return follower.Snapshot().Values }}
+	c.mount(register.NewRegisterServer(server))
+	feedService := feed.NewService(env.Clock, server, follower)
+	c.mount(feed.NewFeedServer(feedService))
+	access.RegisterHandlers(server, feedService.AllNodesHave, func() any { return feedService.ReportedSettings(2 * bounds.Load().Recovery) })
+	core.accessActivator = &access.Activator{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Register: client, Follower: follower, FeedEpoch: server.FeedEpoch, AllNodesHave: feedService.AllNodesHave}
+	core.OperatorAPI = &operate.Handler{Clock: env.Clock, HTTPClient: env.HTTPClient, View: c.view, Bounds: bounds, Register: client, Server: server, Counters: env.Counters,
+		FeedValues: func() map[string][]byte { return follower.Snapshot().Values }}
 	return core
 }
 
 func (c *Core) Start() {
-	c.view.UnwellReason, c.view.KnownCluster = unwell(c.state), c.Owner.Cluster
+	c.view.UnwellReason, c.view.KnownCluster = notReadyCode(c.health), c.RegisterServer.Cluster
 	c.env.Clock.Go(c.view.Run)
-	c.env.Clock.Go(c.Owner.Run)
-	if c.founder != nil {
-		c.env.Clock.Go(c.founder.Run)
+	c.env.Clock.Go(c.RegisterServer.Run)
+	if c.bootstrapper != nil {
+		c.env.Clock.Go(c.bootstrapper.Run)
 	}
 	c.env.Clock.Go(c.Follower.Run)
-	c.env.Clock.Go(c.settles.Run)
+	c.env.Clock.Go(c.accessActivator.Run)
 	if c.Lister != nil {
-		duty := &relay.RosterSyncer{Clock: c.env.Clock, Bounds: c.bounds, Counters: c.env.Counters, Register: c.Register, Follower: c.Follower, Lister: c.Lister,
-			OwnsFeed: c.Owner.LeadsFeed, Needed: func() bool { return len(c.Follower.Snapshot().Values[route.FeedKey]) > 0 }}
-		c.env.Clock.Go(duty.Run)
+		syncer := &relay.RosterSyncer{Clock: c.env.Clock, Bounds: c.bounds, Counters: c.env.Counters, Register: c.Register, Follower: c.Follower, Lister: c.Lister,
+			OwnsFeed: c.RegisterServer.LeadsFeed, Needed: func() bool { return len(c.Follower.Snapshot().Values[route.FeedKey]) > 0 }}
+		c.env.Clock.Go(syncer.Run)
 	}
 }
 
-// AnswerWithin is how long an operator's call may take before it is answered.
-func (c *Core) AnswerWithin() time.Duration { return c.bounds.Load().CoreCallTimeout() / 2 }
+// OperatorTimeout is how long an operator's call may take before it is answered.
+func (c *Core) OperatorTimeout() time.Duration { return c.bounds.Load().CoreCallTimeout() / 2 }
 
 // Ready says whether this core can reach the control state.
 func (c *Core) Ready() error {
@@ -331,23 +331,23 @@
 	return nil
 }
 
-// state is what the others are told of this core: above all that it cannot reach
+// health is what the others are told of this core: above all that it cannot reach
 // a majority of the disks.
-func (c *Core) state() error {
-	if c.Owner.WithoutQuorum() {
+func (c *Core) health() error {
+	if c.RegisterServer.WithoutQuorum() {
 		return base.Busy(503, register.NoQuorum, 1, "no majority of disks answers this core")
 	}
 	return c.Ready()
 }
 
-// Leave tells the fleet, so that others take this core's slots.
-func (c *Core) Leave(time.Duration) {
+// Drain tells the fleet, so that others take this core's slots.
+func (c *Core) Drain(time.Duration) {
 	c.view.Leave(c.bounds.Load().HeartbeatInterval() * 4)
-	c.Owner.AwaitHandover(c.bounds.Load().CoreCallTimeout())
+	c.RegisterServer.AwaitHandover(c.bounds.Load().CoreCallTimeout())
 }
 
 func (c *Core) Stop() {
-	c.Owner.Close()
+	c.RegisterServer.Close()
 	c.Follower.Close()
 	c.view.Close()
 }
@@ -359,44 +359,44 @@
 	Ledger *ledger.Store
 }
 
-func NewStorage(env Env, place Place) (*Storage, error) {
-	place.Role = membership.RoleStorage
-	bounds := newBounds(place)
-	c := newCommon(env, place, nil, bounds)
+func NewStorage(env Env, config Config) (*Storage, error) {
+	config.Role = membership.RoleStorage
+	bounds := newBounds(config)
+	c := newCommon(env, config, nil, bounds)
 	store, err := disk.Open(env.Clock, env.Files, env.Counters)
 	if err != nil {
 		return nil, err
 	}
-	kept, err := ledger.OpenStore(ledger.StoreConfig{Clock: env.Clock, Wire: env.Wire, Files: env.Files, Bounds: bounds, Counters: env.Counters,
-		FaultTolerance: place.Tolerate, LocalDisk: store.Identity})
+	ledgerStore, err := ledger.OpenStore(ledger.StoreConfig{Clock: env.Clock, Wire: env.HTTPClient, Files: env.Files, Bounds: bounds, Counters: env.Counters,
+		FaultTolerance: config.FaultTolerance, LocalDisk: store.Identity})
 	if err != nil {
 		store.Close()
 		return nil, err
 	}
-	store.Tell(kept.NotifySetChange)
+	store.Tell(ledgerStore.NotifySetChange)
 	service := disk.NewService(store, bounds.Load().DiskTimeout())
-	service.Node = place.Node
+	service.Node = config.NodeName
 	c.mount(register.NewDiskServer(service))
-	c.mount(ledger.NewLedgerServer(kept))
-	return &Storage{common: c, Store: store, Ledger: kept}, nil
+	c.mount(ledger.NewLedgerServer(ledgerStore))
+	return &Storage{common: c, Store: store, Ledger: ledgerStore}, nil
 }
 
 func (s *Storage) Start() {
-	s.view.UnwellReason, s.view.KnownCluster = unwell(s.Ready), s.Store.Cluster
+	s.view.UnwellReason, s.view.KnownCluster = notReadyCode(s.Ready), s.Store.Cluster
 	s.env.Clock.Go(s.view.Run)
-	s.env.Clock.Go(s.remember)
+	s.env.Clock.Go(s.saveNeighbours)
 	s.env.Clock.Go(s.Ledger.Run)
 }
 
-// remember keeps the addresses of the fleet in the data folder: when all seeds
+// saveNeighbours keeps the addresses of the fleet in the data folder: when all seeds
 // have been replaced, the storage machines still find it after an outage.
-func (s *Storage) remember() {
-	kept := disk.Neighbours(s.env.Files)
+func (s *Storage) saveNeighbours() {
+	saved := disk.Neighbours(s.env.Files)
 	for !s.view.Closed() {
 		s.env.Clock.Sleep(s.bounds.Load().SuspectTimeout())
-		if now := s.view.LiveAddresses(); s.Store.Cluster() != "" && len(now) > 0 && !slices.Equal(now, kept) {
+		if now := s.view.LiveAddresses(); s.Store.Cluster() != "" && len(now) > 0 && !slices.Equal(now, saved) {
 			if disk.KeepNeighbours(s.env.Files, now) == nil {
-				kept = now
+				saved = now
 			}
 		}
 	}
@@ -409,7 +409,7 @@
 	return s.Ledger.Ready()
 }
 
-func (s *Storage) Leave(time.Duration) { s.view.Leave(s.bounds.Load().HeartbeatInterval() * 4) }
+func (s *Storage) Drain(time.Duration) { s.view.Leave(s.bounds.Load().HeartbeatInterval() * 4) }
 
 func (s *Storage) Stop() {
 	s.Store.Close()
--- a/internal/node/tier.go
+++ b/internal/node/routes.go
@@ -18,23 +18,23 @@
 	"github.com/apex/log"
 )
 
-// learn takes what a frame of the feed says of routes, workers and disks.
-func (g *Gateway) learn(frame *feed.Snapshot) {
+// applySnapshot takes what a frame of the feed says of routes, workers and disks.
+func (g *Gateway) applySnapshot(frame *feed.Snapshot) {
 	if disks := register.DiskSetIn(frame.Values); disks != nil {
-		g.disks.Store(disks)
+		g.diskSet.Store(disks)
 	}
 	written := frame.Values[route.FeedKey]
-	if len(written) == len(g.written) && (len(written) == 0 || &written[0] == &g.written[0]) {
+	if len(written) == len(g.routesValue) && (len(written) == 0 || &written[0] == &g.routesValue[0]) {
 		// the very same as in the frame before
-	} else if document := route.DocumentFromFeed(frame.Values); document != nil && g.Table != nil {
-		g.written = written
+	} else if document := route.DocumentFromFeed(frame.Values); document != nil && g.ParseRoutes != nil {
+		g.routesValue = written
 		if now := g.Routes.Load(); now == nil || now.Version != document.Version {
 			written, err := document.Source()
 			if err == nil {
 				var table *route.Table
-				if table, err = g.Table(written); err == nil {
+				if table, err = g.ParseRoutes(written); err == nil {
 					g.Routes.Store(table)
-					g.routed.Notify()
+					g.routesChanged.Notify()
 					log.WithField("version", table.Version).Info("routes in force")
 					g.env.Counters.Add("routes_changed", 1)
 				}
@@ -44,17 +44,17 @@
 			}
 		}
 	}
-	if workers, changed := g.roster.Decode(frame.Values); changed {
+	if workers, changed := g.rosterDecoder.Decode(frame.Values); changed {
 		g.Relay.SetWorkers(workers)
 	}
 }
 
-// TableFor gives the routes in force. A gateway that has just started waits a
+// WaitForRoutes gives the routes in force. A gateway that has just started waits a
 // little for them: to be told to come back costs a client more.
-func (g *Gateway) TableFor(ctx *base.Ctx) *route.Table {
+func (g *Gateway) WaitForRoutes(ctx *base.Ctx) *route.Table {
 	end := g.env.Clock.Now() + min(ctx.Remaining(), g.bounds.Load().LeaseWait())
 	for {
-		next := g.routed.Next()
+		next := g.routesChanged.Next()
 		table := g.Routes.Load()
 		if table != nil || !next.Wait(max(0, end-g.env.Clock.Now())) {
 			return table
@@ -62,9 +62,9 @@
 	}
 }
 
-// Allows says whether a client's request may call the model it names. It goes
+// Authorize says whether a client's request may call the model it names. It goes
 // before anything else is done for the request.
-func (g *Gateway) Allows(ctx *base.Ctx, matched *route.Route, call *relay.Call) error {
+func (g *Gateway) Authorize(ctx *base.Ctx, matched *route.Route, call *relay.Call) error {
 	if !g.Access.HasRules() || !matched.CallsModel() {
 		return nil
 	}
@@ -72,8 +72,8 @@
 	return g.Access.Authorize(ctx, &access.Request{Host: strings.ToLower(host), Scope: access.Scope{Route: matched.Name}, Model: call.Model})
 }
 
-// Serves says whether clients of the operator's routes may be sent here.
-func (g *Gateway) Serves() error {
+// RoutesReady says whether clients of the operator's routes may be sent here.
+func (g *Gateway) RoutesReady() error {
 	switch {
 	case g.Routes.Load() == nil:
 		return base.Busy(503, "no_settings", 1, "no configuration is in force yet")
@@ -83,9 +83,9 @@
 	return nil
 }
 
-// Limits are the bounds on clients in force; all 0 before the first
+// ClientLimits are the bounds on clients in force; all 0 before the first
 // configuration.
-func (g *Gateway) Limits() route.Limits {
+func (g *Gateway) ClientLimits() route.Limits {
 	if table := g.Routes.Load(); table != nil {
 		return table.Limits
 	}
@@ -107,7 +107,7 @@
 func (g *Gateway) Handle(call *relay.Call) (*Response, error) {
 	table := g.Routes.Load()
 	if table == nil {
-		table = g.TableFor(base.NewCtx(g.env.Clock, call.Deadline))
+		table = g.WaitForRoutes(base.NewCtx(g.env.Clock, call.Deadline))
 	}
 	if table == nil {
 		return nil, base.BusyFor(503, "no_settings", g.bounds.Load().Recovery/60, "no configuration is in force yet")
@@ -122,7 +122,7 @@
 	}
 	call.Deadline = limit
 	ctx := base.NewCtx(clock, limit)
-	if err := g.Allows(ctx, matched, call); err != nil {
+	if err := g.Authorize(ctx, matched, call); err != nil {
 		return nil, err
 	}
 	switch {
@@ -131,9 +131,9 @@
 		if err != nil {
 			return nil, err
 		}
-		return passOn(stream, ctx)
+		return streamResponse(stream, ctx)
 	case matched.Kind == route.KindStream:
-		return passOn(g.Lines.PassThrough(ctx, matched, call), ctx)
+		return streamResponse(g.Lines.PassThrough(ctx, matched, call), ctx)
 	}
 	reply, err := g.Relay.Dispatch(ctx, matched, table.Services[matched.PickService(clock.Int64N)], call, call.Body)
 	if err != nil {
@@ -147,8 +147,8 @@
 	return &Response{Status: reply.Status, Headers: reply.Headers(), Body: body}, nil
 }
 
-// passOn answers with a stream, once its head has come.
-func passOn(stream *line.Stream, ctx *base.Ctx) (*Response, error) {
+// streamResponse answers with a stream, once its head has come.
+func streamResponse(stream *line.Stream, ctx *base.Ctx) (*Response, error) {
 	head, err := stream.Head(ctx.Remaining(), ctx.Clock)
 	if err != nil {
 		return nil, err
@@ -156,37 +156,37 @@
 	return &Response{Status: head.Status, Headers: head.Headers, Stream: line.NewReader(stream, ctx.Clock, ctx.Remaining())}, nil
 }
 
-// connShare is this gateway's part of a service's connections to each worker:
+// maxConnsPerWorker is this gateway's part of a service's connections to each worker:
 // all gateways together keep below what a worker takes.
-func (g *Gateway) connShare(service *route.Service) int {
+func (g *Gateway) maxConnsPerWorker(service *route.Service) int {
 	if service.MaxConns <= 0 {
 		return 0
 	}
-	return shareOf(service.MaxConns, max(1, g.Follower.GatewayCount(), len(g.view.Live(membership.RoleGateway))))
+	return connectionShare(service.MaxConns, max(1, g.Follower.GatewayCount(), len(g.view.Live(membership.RoleGateway))))
 }
 
-// shareOf cuts three quarters of what a worker takes into equal parts, rounded
+// connectionShare cuts three quarters of what a worker takes into equal parts, rounded
 // up where all parts together stay within the whole.
-func shareOf(most, gateways int) int {
-	share := (most*3/4 + gateways - 1) / gateways
-	if share*gateways > most {
-		share = most * 3 / 4 / gateways
+func connectionShare(maxConns, gateways int) int {
+	share := (maxConns*3/4 + gateways - 1) / gateways
+	if share*gateways > maxConns {
+		share = maxConns * 3 / 4 / gateways
 	}
 	return max(1, share)
 }
 
-// answerLimit bounds a whole answer of a worker.
-const answerLimit = 16 << 20
+// maxResponseBytes bounds a whole answer of a worker.
+const maxResponseBytes = 16 << 20
 
-// offering lets lines send turns by the relay.
-type offering struct{ gateway *Gateway }
+// relayAdapter lets lines send turns by the relay.
+type relayAdapter struct{ gateway *Gateway }
 
-type offered struct{ *relay.Reply }
+type relayReply struct{ *relay.Reply }
 
-func (o offered) Status() int    { return o.Reply.Status }
-func (o offered) IsStream() bool { return !o.Buffered() }
+func (o relayReply) Status() int    { return o.Reply.Status }
+func (o relayReply) IsStream() bool { return !o.Buffered() }
 
-func (o offering) Send(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (line.Reply, error) {
+func (o relayAdapter) Send(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (line.Reply, error) {
 	known := o.gateway.Routes.Load().Services[service]
 	if known == nil {
 		return nil, base.Busy(503, "no_service", 1, "the service is not configured any more")
@@ -195,5 +195,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return offered{reply}, nil
+	return relayReply{reply}, nil
 }
--- a/internal/node/tier_test.go
+++ b/internal/node/routes_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-func TestARequestWithoutRouteIsDeclinedAsNotRun(t *testing.T) {
+func TestUnroutedRequestIsRejectedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	clock := base.NewRealClock()
-	g := &Gateway{common: &common{env: Env{Clock: clock}, bounds: newBounds(Place{})}, Routes: &base.AtomicPointer[route.Table]{}, routed: base.NewNotifier(clock)}
+	g := &Gateway{common: &common{env: Env{Clock: clock}, bounds: newBounds(Config{})}, Routes: &base.AtomicPointer[route.Table]{}, routesChanged: base.NewNotifier(clock)}
 	_, err := g.Handle(&relay.Call{ID: "x", Host: "a.example", Target: "/a"})
 	is.Equal(base.ToRequestError(err).Status, 503) // no configuration is in force: another node may have one
 	is.Equal(base.ToRequestError(err).Execution, base.NotRun)
@@ -25,16 +25,16 @@
 	is.Equal(base.ToRequestError(err).Execution, base.NotRun)
 }
 
-func TestConnectionsAreSharedWithinWhatAWorkerTakes(t *testing.T) {
+func TestConnectionSharesStayWithinTheWorkerLimit(t *testing.T) {
 	is := is.New(t)
 	for most := 1; most <= 600; most++ {
 		for _, gateways := range []int{1, 2, 3, 6, 9, 64, 400} {
-			share := shareOf(most, gateways)
+			share := connectionShare(most, gateways)
 			is.True(share >= 1)
 			is.True(share == 1 || share*gateways <= most)
 		}
 	}
-	is.Equal(shareOf(6, 3), 2)
-	is.Equal(shareOf(480, 6), 60)
-	is.Equal(shareOf(440, 64), 6)
+	is.Equal(connectionShare(6, 3), 2)
+	is.Equal(connectionShare(480, 6), 60)
+	is.Equal(connectionShare(440, 64), 6)
 }
--- a/internal/operate/access.go
+++ b/internal/operate/access.go
@@ -14,8 +14,8 @@
 
 // AccessState is how far a change of the rules has come.
 type AccessState struct {
-	// Stamp is of the settings that stand; InForce of those whose rules decide.
-	Stamp   uint64              `json:"stamp"`
+	// Version is of the settings that stand; InForce of those whose rules decide.
+	Version uint64              `json:"stamp"`
 	InForce uint64              `json:"in_force"`
 	Holders []feed.NodeSettings `json:"holders"`
 }
@@ -23,14 +23,14 @@
 // AccessView is the whole of it.
 type AccessView struct {
 	AccessState
-	// Open tells that no teams are set, so that everything is allowed.
-	Open  bool              `json:"open"`
-	Teams []access.TeamView `json:"teams"`
+	// Unrestricted tells that no teams are set, so that everything is allowed.
+	Unrestricted bool              `json:"open"`
+	Teams        []access.TeamView `json:"teams"`
 }
 
-// held gives the rules that stand, in force or not yet.
-func (o *Operate) held(ctx *base.Ctx) (*settings.Record, *access.Table, error) {
-	record, err := o.settings(ctx)
+// readRules gives the rules that stand, in force or not yet.
+func (o *Handler) readRules(ctx *base.Ctx) (*settings.Record, *access.Table, error) {
+	record, err := o.readSettings(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -38,14 +38,14 @@
 	return record, tree.Access(), nil
 }
 
-func (o *Operate) holders(ctx *base.Ctx) ([]feed.NodeSettings, error) {
-	found := []feed.NodeSettings{}
-	err := o.Register.Change(ctx, register.FeedGroup, "access.holders", struct{}{}, &found)
-	return found, err
+func (o *Handler) readHolders(ctx *base.Ctx) ([]feed.NodeSettings, error) {
+	nodes := []feed.NodeSettings{}
+	err := o.Register.Change(ctx, register.FeedGroup, "access.holders", struct{}{}, &nodes)
+	return nodes, err
 }
 
-func (o *Operate) stateOf(ctx *base.Ctx, record *settings.Record) (AccessState, error) {
-	state := AccessState{Stamp: record.Version, InForce: record.Version}
+func (o *Handler) readAccessState(ctx *base.Ctx, record *settings.Record) (AccessState, error) {
+	state := AccessState{Version: record.Version, InForce: record.Version}
 	pending, err := access.ReadPending(ctx, o.Register)
 	if err != nil {
 		return state, err
@@ -53,38 +53,38 @@
 	if pending != nil {
 		state.InForce = pending.InForce
 	}
-	state.Holders, err = o.holders(ctx)
+	state.Holders, err = o.readHolders(ctx)
 	return state, err
 }
 
-func (o *Operate) access(ctx *base.Ctx) (any, error) {
-	record, table, err := o.held(ctx)
+func (o *Handler) getAccess(ctx *base.Ctx) (any, error) {
+	record, table, err := o.readRules(ctx)
 	if err != nil {
 		return nil, err
 	}
-	state, err := o.stateOf(ctx, record)
-	return AccessView{AccessState: state, Open: table == nil, Teams: table.Teams()}, err
+	state, err := o.readAccessState(ctx, record)
+	return AccessView{AccessState: state, Unrestricted: table == nil, Teams: table.Teams()}, err
 }
 
-// accessState is nil where there are no rules, or nobody can say.
-func (o *Operate) accessState(ctx *base.Ctx) *AccessState {
-	values := o.Frame()
+// accessStatus is nil where there are no rules, or nobody can say.
+func (o *Handler) accessStatus(ctx *base.Ctx) *AccessState {
+	values := o.FeedValues()
 	pending := access.PendingFromFeed(values)
 	if pending == nil && !settings.HasTeams(values) {
 		return nil
 	}
-	state := &AccessState{Stamp: settings.VersionFromFeed(values), Holders: []feed.NodeSettings{}}
-	state.InForce = state.Stamp
+	state := &AccessState{Version: settings.VersionFromFeed(values), Holders: []feed.NodeSettings{}}
+	state.InForce = state.Version
 	if pending != nil {
 		state.InForce = pending.InForce
 	}
-	if holders, err := o.holders(ctx.WithTimeout(o.Bounds.Load().CoreCallTimeout())); err == nil {
+	if holders, err := o.readHolders(ctx.WithTimeout(o.Bounds.Load().CoreCallTimeout())); err == nil {
 		state.Holders = holders
 	}
 	return state
 }
 
-func (o *Operate) accessCheck(ctx *base.Ctx, r *front.Request) (any, error) {
+func (o *Handler) explainAccess(ctx *base.Ctx, r *front.Request) (any, error) {
 	team, model := r.Query["team"], r.Query["model"]
 	switch {
 	case team == "":
@@ -92,7 +92,7 @@
 	case model == "":
 		return nil, base.DeclineField("model", "must be given")
 	}
-	record, table, err := o.held(ctx)
+	record, table, err := o.readRules(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -103,12 +103,12 @@
 	return map[string]any{"stamp": record.Version, "reasons": reasons}, nil
 }
 
-func (o *Operate) accessDiff(ctx *base.Ctx, document []byte) (any, error) {
-	tree, faults := settings.Parse(document)
-	if len(faults) > 0 {
-		return nil, settings.InvalidDocument(faults)
+func (o *Handler) diffAccess(ctx *base.Ctx, document []byte) (any, error) {
+	tree, violations := settings.Parse(document)
+	if len(violations) > 0 {
+		return nil, settings.InvalidDocument(violations)
 	}
-	record, table, err := o.held(ctx)
+	record, table, err := o.readRules(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -21,120 +21,120 @@
 	"github.com/go-faster/jx"
 )
 
-// Operate answers operators.
-type Operate struct {
-	Clock    base.Clock
-	Wire     base.HTTPClient
-	View     *membership.View
-	Bounds   *base.AtomicPointer[base.Bounds]
-	Register *register.Client
-	Owner    *register.Server
-	Counters *base.Counters
-	// Frame is the newest that this core has heard of the feed.
-	Frame func() map[string][]byte
-	// Table reads an operator's document of routes; nil where there are none.
-	Table func(written []byte) (*route.Table, error)
+// Handler answers operators.
+type Handler struct {
+	Clock      base.Clock
+	HTTPClient base.HTTPClient
+	View       *membership.View
+	Bounds     *base.AtomicPointer[base.Bounds]
+	Register   *register.Client
+	Server     *register.Server
+	Counters   *base.Counters
+	// FeedValues is the newest that this core has heard of the feed.
+	FeedValues func() map[string][]byte
+	// ParseRoutes reads an operator's document of routes; nil where there are none.
+	ParseRoutes func(written []byte) (*route.Table, error)
 }
 
 // Handle answers one request.
-func (o *Operate) Handle(ctx *base.Ctx, r *front.Request) *front.Response {
-	body, err := o.answer(ctx.WithTimeout(o.Bounds.Load().Recovery), r)
+func (o *Handler) Handle(ctx *base.Ctx, r *front.Request) *front.Response {
+	body, err := o.dispatch(ctx.WithTimeout(o.Bounds.Load().Recovery), r)
 	if err != nil {
 		return front.ErrorResponse(err)
 	}
 	return &front.Response{Status: 200, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.MustMarshal(body), '\n')}
 }
 
-func raw(into *json.RawMessage) base.FieldReader {
+func rawField(target *json.RawMessage) base.FieldReader {
 	return func(_ string, d *jx.Decoder) error {
 		value, err := d.Raw()
-		*into = append(json.RawMessage(nil), value...)
+		*target = append(json.RawMessage(nil), value...)
 		return err
 	}
 }
 
-func (o *Operate) answer(ctx *base.Ctx, r *front.Request) (any, error) {
+func (o *Handler) dispatch(ctx *base.Ctx, r *front.Request) (any, error) {
 	switch r.Method + " " + r.Path {
 	case "POST /v1/operator/init":
-		return o.init(ctx, r)
+		return o.initCluster(ctx, r)
 	case "GET /v1/operator/settings":
-		return o.settings(ctx)
+		return o.readSettings(ctx)
 	case "POST /v1/operator/settings/check":
-		return o.check(r.Body)
+		return o.checkSettings(r.Body)
 	case "POST /v1/operator/settings/apply":
-		return o.apply(ctx, r)
+		return o.applySettings(ctx, r)
 	case "POST /v1/operator/settings/outcome":
-		return o.outcome(ctx, r)
+		return o.settingsOutcome(ctx, r)
 	case "GET /v1/operator/settings/effective":
-		return o.effective(ctx, r)
+		return o.effectiveSettings(ctx, r)
 	case "GET /v1/operator/access":
-		return o.access(ctx)
+		return o.getAccess(ctx)
 	case "GET /v1/operator/access/check":
-		return o.accessCheck(ctx, r)
+		return o.explainAccess(ctx, r)
 	case "POST /v1/operator/access/diff":
-		return o.accessDiff(ctx, r.Body)
+		return o.diffAccess(ctx, r.Body)
 	case "GET /v1/operator/status":
-		return o.status(ctx), nil
+		return o.getStatus(ctx), nil
 	case "POST /v1/operator/settings/diff":
-		return o.diff(ctx, r.Body)
+		return o.diffSettings(ctx, r.Body)
 	case "GET /v1/operator/workers":
 		return (&worker.Client{Register: o.Register}).List(ctx)
 	case "GET /v1/operator/storage":
-		return o.storage(ctx)
+		return o.listStorage(ctx)
 	case "POST /v1/operator/storage/admit":
-		return o.admit(ctx, r)
+		return o.admitDisk(ctx, r)
 	case "POST /v1/operator/storage/retire":
-		return o.retire(ctx, r)
+		return o.retireDisk(ctx, r)
 	case "GET /v1/operator/routes":
-		return o.routes(ctx)
+		return o.getRoutes(ctx)
 	case "POST /v1/operator/routes/check":
 		return o.checkRoutes(r.Body)
 	case "POST /v1/operator/routes/apply":
 		return o.applyRoutes(ctx, r)
 	case "GET /v1/operator/roster":
-		return o.roster(ctx)
+		return o.getRoster(ctx)
 	case "POST /v1/operator/storage/empty":
-		return o.empty(ctx, r)
+		return o.retireNode(ctx, r)
 	case "GET /v1/operator/storage/empty":
-		return emptying(register.GetRetirement(ctx, o.Register, r.Query["node"]))
+		return retirementState(register.GetRetirement(ctx, o.Register, r.Query["node"]))
 	case "POST /v1/operator/terminate":
-		return o.terminate(ctx, r)
+		return o.terminateProgram(ctx, r)
 	}
 	return nil, base.Decline(404, "unknown_path", "there is nothing at this path")
 }
 
-func (o *Operate) settings(ctx *base.Ctx) (*settings.Record, error) {
+func (o *Handler) readSettings(ctx *base.Ctx) (*settings.Record, error) {
 	var record settings.Record
 	return &record, o.Register.Read(ctx, register.FeedGroup, "settings.get", struct{}{}, &record)
 }
 
-func (o *Operate) check(document []byte) (any, error) {
-	if _, faults := settings.Parse(document); len(faults) > 0 {
-		return nil, settings.InvalidDocument(faults)
+func (o *Handler) checkSettings(document []byte) (any, error) {
+	if _, violations := settings.Parse(document); len(violations) > 0 {
+		return nil, settings.InvalidDocument(violations)
 	}
 	return map[string]bool{"valid": true}, nil
 }
 
-func (o *Operate) apply(ctx *base.Ctx, r *front.Request) (any, error) {
+func (o *Handler) applySettings(ctx *base.Ctx, r *front.Request) (any, error) {
 	var change settings.Change
-	stamp := -1.0
+	basedOn := -1.0
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
-		"change": base.StringField(&change.ID, 128), "based_on": base.NumberField(&stamp, 0, 1<<52, true), "document": raw(&change.Document)})
+		"change": base.StringField(&change.ID, 128), "based_on": base.NumberField(&basedOn, 0, 1<<52, true), "document": rawField(&change.Document)})
 	if err != nil {
 		return nil, err
 	}
 	switch {
 	case change.ID == "" || strings.ContainsAny(change.ID, "/ "):
 		return nil, base.DeclineField("change", "must be a name without slash or space")
-	case stamp < 0:
+	case basedOn < 0:
 		return nil, base.DeclineField("based_on", "must be given")
 	case change.Document == nil:
 		return nil, base.DeclineField("document", "must be given")
 	}
-	if _, err := o.check(change.Document); err != nil {
+	if _, err := o.checkSettings(change.Document); err != nil {
 		return nil, err
 	}
-	change.BasedOn = uint64(stamp)
+	change.BasedOn = uint64(basedOn)
 	var outcome settings.Outcome
 	if err := o.Register.Change(ctx, register.FeedGroup, "settings.apply", change, &outcome); err != nil {
 		v := base.ToRequestError(err)
@@ -146,7 +146,7 @@
 	return outcome, nil
 }
 
-func (o *Operate) outcome(ctx *base.Ctx, r *front.Request) (any, error) {
+func (o *Handler) settingsOutcome(ctx *base.Ctx, r *front.Request) (any, error) {
 	var change settings.Change
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"change": base.StringField(&change.ID, 128)}); err != nil {
 		return nil, err
@@ -159,113 +159,113 @@
 	return &outcome, o.Register.Change(ctx, register.FeedGroup, "settings.outcome", change, &outcome)
 }
 
-func (o *Operate) effective(ctx *base.Ctx, r *front.Request) (any, error) {
-	record, err := o.settings(ctx)
+func (o *Handler) effectiveSettings(ctx *base.Ctx, r *front.Request) (any, error) {
+	record, err := o.readSettings(ctx)
 	if err != nil {
 		return nil, err
 	}
-	tree, faults := settings.Parse(record.Document)
-	if len(faults) > 0 {
+	tree, violations := settings.Parse(record.Document)
+	if len(violations) > 0 {
 		return nil, base.Decline(404, "no_settings", "no settings have been applied")
 	}
 	if r.Query["group"] == "" && r.Query["site"] != "" || r.Query["site"] == "" && r.Query["route"] != "" {
 		return nil, base.DeclineField("site", "a level needs the levels above it")
 	}
-	origins, err := tree.Effective(r.Query["group"], r.Query["site"], r.Query["route"])
+	values, err := tree.Effective(r.Query["group"], r.Query["site"], r.Query["route"])
 	if err != nil {
 		return nil, err
 	}
-	return map[string]any{"stamp": record.Version, "values": origins}, nil
+	return map[string]any{"stamp": record.Version, "values": values}, nil
 }
 
 // MemberView is a node in the status.
 type MemberView struct {
-	ID      string `json:"id"`
-	Role    string `json:"role"`
-	Zone    string `json:"zone"`
-	Addr    string `json:"addr"`
-	Public  string `json:"public,omitempty"`
-	Alive   bool   `json:"alive"`
-	Leaving bool   `json:"leaving,omitempty"`
-	Unwell  string `json:"unwell,omitempty"`
+	ID             string `json:"id"`
+	Role           string `json:"role"`
+	Zone           string `json:"zone"`
+	Addr           string `json:"addr"`
+	Public         string `json:"public,omitempty"`
+	Alive          bool   `json:"alive"`
+	Leaving        bool   `json:"leaving,omitempty"`
+	NotReadyReason string `json:"unwell,omitempty"`
 }
 
 // StatusView is a core's view of the fleet.
 type StatusView struct {
-	Core     string       `json:"core"`
-	Slots    []uint32     `json:"slots_owned"`
-	SetStamp uint64       `json:"disk_set_stamp"`
-	Cluster  string       `json:"cluster"`
-	Members  []MemberView `json:"members"`
-	// Mending says what is being done about the disks; the core that owns slot 0
+	Core           string       `json:"core"`
+	OwnedShards    []uint32     `json:"slots_owned"`
+	DiskSetVersion uint64       `json:"disk_set_stamp"`
+	Cluster        string       `json:"cluster"`
+	Members        []MemberView `json:"members"`
+	// ReconcileStatus says what is being done about the disks; the core that owns slot 0
 	// knows, the others see only what is being filled.
-	Mending  []string         `json:"mending"`
-	Counters map[string]int64 `json:"counters"`
+	ReconcileStatus []string         `json:"mending"`
+	Counters        map[string]int64 `json:"counters"`
 	// Access says who holds which settings, where teams have rules.
 	Access *AccessState `json:"access,omitempty"`
 	// Unwell names what needs an operator's eye; empty when all is well.
-	Unwell []string `json:"unwell"`
+	Problems []string `json:"unwell"`
 }
 
-func (o *Operate) status(ctx *base.Ctx) StatusView {
-	owned, set := o.Owner.Status()
-	shown := StatusView{Core: o.View.SelfID(), Slots: owned, SetStamp: set.GetStamp(), Cluster: set.GetCluster(), Counters: o.Counters.Snapshot()}
+func (o *Handler) getStatus(ctx *base.Ctx) StatusView {
+	owned, set := o.Server.Status()
+	view := StatusView{Core: o.View.SelfID(), OwnedShards: owned, DiskSetVersion: set.GetStamp(), Cluster: set.GetCluster(), Counters: o.Counters.Snapshot()}
 	for _, role := range []string{membership.RoleGateway, membership.RoleCore, membership.RoleStorage} {
 		for _, member := range o.View.Known(role) {
 			_, alive := o.View.Find(member.Id)
-			shown.Members = append(shown.Members, MemberView{member.Id, role, member.Zone, member.Addr, member.PublicAddr, alive, member.Leaving, member.Unwell})
+			view.Members = append(view.Members, MemberView{member.Id, role, member.Zone, member.Addr, member.PublicAddr, alive, member.Leaving, member.Unwell})
 		}
 	}
-	shown.Mending = append([]string{}, o.Owner.ReconcileStatus()...)
-	if len(shown.Mending) == 0 {
+	view.ReconcileStatus = append([]string{}, o.Server.ReconcileStatus()...)
+	if len(view.ReconcileStatus) == 0 {
 		for _, entry := range set.GetDisks() {
 			if entry.Learner {
-				shown.Mending = append(shown.Mending, fmt.Sprintf("disk %s at %s is being filled", entry.Id, entry.Addr))
+				view.ReconcileStatus = append(view.ReconcileStatus, fmt.Sprintf("disk %s at %s is being filled", entry.Id, entry.Addr))
 			}
 		}
 	}
-	shown.Access = o.accessState(ctx)
-	shown.Unwell = o.unwell(shown.Members, set)
-	return shown
+	view.Access = o.accessStatus(ctx)
+	view.Problems = o.findProblems(view.Members, set)
+	return view
 }
 
-// unwell looks over the machines, the disks of the set and the slots.
-func (o *Operate) unwell(members []MemberView, set *register.DiskSet) []string {
-	found := []string{}
-	say := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
+// findProblems looks over the machines, the disks of the set and the slots.
+func (o *Handler) findProblems(members []MemberView, set *register.DiskSet) []string {
+	problems := []string{}
+	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
 	for _, member := range members {
 		switch {
 		case !member.Alive:
-			say("%s %s in %s is silent", member.Role, member.Addr, member.Zone)
+			report("%s %s in %s is silent", member.Role, member.Addr, member.Zone)
 		case member.Leaving:
-			say("%s %s in %s is leaving", member.Role, member.Addr, member.Zone)
-		case member.Unwell != "":
-			say("%s %s in %s is not ready: %s", member.Role, member.Addr, member.Zone, member.Unwell)
+			report("%s %s in %s is leaving", member.Role, member.Addr, member.Zone)
+		case member.NotReadyReason != "":
+			report("%s %s in %s is not ready: %s", member.Role, member.Addr, member.Zone, member.NotReadyReason)
 		}
 	}
 	if set == nil {
-		say("no disk set is known; was init run, and do the storage machines run?")
-		return found
+		report("no disk set is known; was init run, and do the storage machines run?")
+		return problems
 	}
 	var mu sync.Mutex
 	answering, voting, owned := 0, 0, map[uint32]bool{}
 	base.CallAll(o.Clock, set.Disks, o.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, entry *register.DiskEntry) {
-		state, err := o.disk(entry.Addr).Describe(ctx, &register.DescribeRequest{})
+		state, err := o.diskClient(entry.Addr).Describe(ctx, &register.DescribeRequest{})
 		mu.Lock()
 		defer mu.Unlock()
-		well := err == nil && state.Id == entry.Id
+		healthy := err == nil && state.Id == entry.Id
 		if !entry.Learner {
 			voting++
 		}
-		if well && !entry.Learner {
+		if healthy && !entry.Learner {
 			answering++
 		}
-		if !well {
-			found = append(found, fmt.Sprintf("disk %s at %s does not answer; %s", entry.Id, entry.Addr, o.advice()))
+		if !healthy {
+			problems = append(problems, fmt.Sprintf("disk %s at %s does not answer; %s", entry.Id, entry.Addr, o.lostDiskAdvice()))
 		}
 	})
 	base.CallAll(o.Clock, o.View.Live(membership.RoleCore), o.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, member *membership.Member) {
-		reply, err := register.NewRegisterProtobufClient("http://"+member.Addr, o.Wire).Census(ctx, &register.CensusRequest{Set: set})
+		reply, err := register.NewRegisterProtobufClient("http://"+member.Addr, o.HTTPClient).Census(ctx, &register.CensusRequest{Set: set})
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil {
@@ -278,38 +278,38 @@
 	defer mu.Unlock()
 	switch need := voting/2 + 1; {
 	case answering < need:
-		say("%d of %d disks answer, %d must: nothing can be changed", answering, voting, need)
+		report("%d of %d disks answer, %d must: nothing can be changed", answering, voting, need)
 	case answering == need && voting > need:
-		say("%d of %d disks answer, %d must: no other may be lost", answering, voting, need)
+		report("%d of %d disks answer, %d must: no other may be lost", answering, voting, need)
 	}
 	if missing := register.ShardCount - len(owned); missing > 0 {
-		say("%d of %d slots have no owner", missing, register.ShardCount)
+		report("%d of %d slots have no owner", missing, register.ShardCount)
 	}
-	slices.Sort(found)
-	return found
+	slices.Sort(problems)
+	return problems
 }
 
-// advice is what to do about a lost disk.
-func (o *Operate) advice() string {
-	if o.Owner.ReconcileEnabled() {
+// lostDiskAdvice is what to do about a lost disk.
+func (o *Handler) lostDiskAdvice() string {
+	if o.Server.ReconcileEnabled() {
 		return "if it is lost, start an empty storage machine; it takes its place"
 	}
 	return "if it is lost, retire it and admit another"
 }
 
-// diff shows what a document would change, before it is applied.
-func (o *Operate) diff(ctx *base.Ctx, document []byte) (any, error) {
-	if _, err := o.check(document); err != nil {
+// diffSettings shows what a document would change, before it is applied.
+func (o *Handler) diffSettings(ctx *base.Ctx, document []byte) (any, error) {
+	if _, err := o.checkSettings(document); err != nil {
 		return nil, err
 	}
-	now, err := o.settings(ctx)
+	current, err := o.readSettings(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return map[string]any{"stamp": now.Version, "differences": settings.Diff(now.Document, document)}, nil
+	return map[string]any{"stamp": current.Version, "differences": settings.Diff(current.Document, document)}, nil
 }
 
-func (o *Operate) terminate(ctx *base.Ctx, r *front.Request) (any, error) {
+func (o *Handler) terminateProgram(ctx *base.Ctx, r *front.Request) (any, error) {
 	var program, mode string
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{"program": base.StringField(&program, 128), "mode": base.StringField(&mode, 16)})
 	if err != nil {
@@ -321,9 +321,9 @@
 	if !budget.Termination(mode).Valid() {
 		return nil, base.DeclineField("mode", `must be "Drain" or "Immediate"`)
 	}
-	ended, err := (&budget.Client{Register: o.Register}).Terminate(ctx, program, budget.Termination(mode))
+	terminated, err := (&budget.Client{Register: o.Register}).Terminate(ctx, program, budget.Termination(mode))
 	if err != nil {
 		return nil, err
 	}
-	return map[string]any{"program": ended.ID, "termination": ended.Termination}, nil
+	return map[string]any{"program": terminated.ID, "termination": terminated.Termination}, nil
 }
--- a/internal/operate/storage.go
+++ b/internal/operate/storage.go
@@ -13,14 +13,14 @@
 	"github.com/go-faster/jx"
 )
 
-func (o *Operate) disk(addr string) register.Disk {
-	return register.NewDiskProtobufClient("http://"+addr, o.Wire)
+func (o *Handler) diskClient(addr string) register.Disk {
+	return register.NewDiskProtobufClient("http://"+addr, o.HTTPClient)
 }
 
-// init forms the cluster once. It may be asked again after it broke off and
+// initCluster forms the cluster once. It may be asked again after it broke off and
 // then goes on with the identity it began with; where a cluster stands, it
 // is declined.
-func (o *Operate) init(ctx *base.Ctx, r *front.Request) (any, error) {
+func (o *Handler) initCluster(ctx *base.Ctx, r *front.Request) (any, error) {
 	var addrs []string
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{"disks": func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.Array {
@@ -45,7 +45,7 @@
 		zones[member.Addr] = member.Zone
 	}
 	for _, addr := range addrs {
-		state, err := o.disk(addr).Format(ctx, &register.FormatRequest{})
+		state, err := o.diskClient(addr).Format(ctx, &register.FormatRequest{})
 		if err != nil {
 			return nil, base.Busy(503, "disk_unreachable", 1, "%s: %v; ask again", addr, base.ToRequestError(err).Message)
 		}
@@ -62,18 +62,18 @@
 		}
 		set.Disks = append(set.Disks, &register.DiskEntry{Id: state.Id, Addr: addr, Zone: zones[addr], Node: state.Node})
 	}
-	formed := 0
+	members := 0
 	for _, addr := range addrs {
-		state, err := o.disk(addr).Describe(ctx, &register.DescribeRequest{})
+		state, err := o.diskClient(addr).Describe(ctx, &register.DescribeRequest{})
 		if err == nil && len(state.Set.GetDisks()) > 0 {
-			formed++
+			members++
 		}
 	}
-	if formed == len(addrs) {
+	if members == len(addrs) {
 		return nil, base.Decline(409, "cluster_exists", "these machines already form cluster %s", set.Cluster)
 	}
 	for _, entry := range set.Disks {
-		ack, err := o.disk(entry.Addr).Adopt(ctx, &register.AdoptRequest{Set: set})
+		ack, err := o.diskClient(entry.Addr).Adopt(ctx, &register.AdoptRequest{Set: set})
 		if err != nil || !ack.Ok {
 			return nil, base.Busy(503, "disk_unreachable", 1, "%s did not take the cluster identity (%s); ask again", entry.Addr, ack.GetWhy())
 		}
@@ -81,21 +81,21 @@
 	return map[string]any{"cluster": set.Cluster, "disks": len(set.Disks)}, nil
 }
 
-// disks is the recorded set, or the one the disks themselves go by.
-func (o *Operate) disks(ctx *base.Ctx) (*register.DiskSetRecord, error) {
-	var recorded *register.DiskSetRecord
-	if err := o.Register.Change(ctx, register.FeedGroup, "disks.get", struct{}{}, &recorded); err != nil {
+// readDiskSet is the recorded set, or the one the disks themselves go by.
+func (o *Handler) readDiskSet(ctx *base.Ctx) (*register.DiskSetRecord, error) {
+	var record *register.DiskSetRecord
+	if err := o.Register.Change(ctx, register.FeedGroup, "disks.get", struct{}{}, &record); err != nil {
 		return nil, err
 	}
-	if recorded == nil {
-		recorded = &register.DiskSetRecord{Current: o.Owner.LookupDiskSet(), Settled: true, SettledShards: register.ShardCount}
+	if record == nil {
+		record = &register.DiskSetRecord{Current: o.Server.LookupDiskSet(), Settled: true, SettledShards: register.ShardCount}
 	}
-	return recorded, nil
+	return record, nil
 }
 
-// admit takes a blank disk into the set: it is filled first, and then has a
+// admitDisk takes a blank disk into the set: it is filled first, and then has a
 // vote.
-func (o *Operate) admit(ctx *base.Ctx, r *front.Request) (any, error) {
+func (o *Handler) admitDisk(ctx *base.Ctx, r *front.Request) (any, error) {
 	var addr string
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"address": base.StringField(&addr, 64)}); err != nil {
 		return nil, err
@@ -103,15 +103,15 @@
 	if addr == "" {
 		return nil, base.DeclineField("address", "must be the address of a storage machine")
 	}
-	now, err := o.disks(ctx)
+	record, err := o.readDiskSet(ctx)
 	if err != nil {
 		return nil, err
 	}
-	state, err := o.disk(addr).Format(ctx, &register.FormatRequest{})
+	state, err := o.diskClient(addr).Format(ctx, &register.FormatRequest{})
 	if err != nil {
 		return nil, base.Busy(503, "disk_unreachable", 1, "%s: %v", addr, base.ToRequestError(err).Message)
 	}
-	if state.Set != nil && (state.Set.Cluster != now.Current.Cluster || state.Retired) {
+	if state.Set != nil && (state.Set.Cluster != record.Current.Cluster || state.Retired) {
 		return nil, base.Decline(409, "disk_not_blank", "the disk at %s was retired or is another cluster's; empty its folder first", addr)
 	}
 	zone := ""
@@ -120,10 +120,10 @@
 			zone = member.Zone
 		}
 	}
-	return register.AdmitDisk(ctx, o.Register, now.Current, &register.DiskEntry{Id: state.Id, Addr: addr, Zone: zone, Node: state.Node})
+	return register.AdmitDisk(ctx, o.Register, record.Current, &register.DiskEntry{Id: state.Id, Addr: addr, Zone: zone, Node: state.Node})
 }
 
-func (o *Operate) retire(ctx *base.Ctx, r *front.Request) (any, error) {
+func (o *Handler) retireDisk(ctx *base.Ctx, r *front.Request) (any, error) {
 	var id string
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"disk": base.StringField(&id, 64)}); err != nil {
 		return nil, err
@@ -131,47 +131,47 @@
 	if id == "" {
 		return nil, base.DeclineField("disk", "must be a disk's id")
 	}
-	now, err := o.disks(ctx)
+	record, err := o.readDiskSet(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return register.RetireDisk(ctx, o.Register, now.Current, id)
+	return register.RetireDisk(ctx, o.Register, record.Current, id)
 }
 
-// empty retires a machine by its name.
-func (o *Operate) empty(ctx *base.Ctx, r *front.Request) (any, error) {
+// retireNode retires a machine by its name.
+func (o *Handler) retireNode(ctx *base.Ctx, r *front.Request) (any, error) {
 	var node string
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"node": base.StringField(&node, 128)}); err != nil {
 		return nil, err
 	}
-	return emptying(register.RetireNode(ctx, o.Register, node))
+	return retirementState(register.RetireNode(ctx, o.Register, node))
 }
 
-func emptying(found *register.Retirement, err error) (any, error) {
+func retirementState(retirement *register.Retirement, err error) (any, error) {
 	if err != nil {
 		return nil, err
 	}
-	return map[string]string{"node": found.Node, "state": found.State()}, nil
+	return map[string]string{"node": retirement.Node, "state": retirement.State()}, nil
 }
 
 // DiskView is a disk in the listing.
 type DiskView struct {
-	ID     string            `json:"id"`
-	Addr   string            `json:"addr"`
-	Zone   string            `json:"zone"`
-	Node   string            `json:"node,omitempty"`
-	Voting bool              `json:"voting"`
-	Alive  bool              `json:"alive"`
-	Used   int64             `json:"used_bytes"`
-	Behind map[uint32]uint64 `json:"behind,omitempty"`
+	ID             string            `json:"id"`
+	Addr           string            `json:"addr"`
+	Zone           string            `json:"zone"`
+	Node           string            `json:"node,omitempty"`
+	Voting         bool              `json:"voting"`
+	Alive          bool              `json:"alive"`
+	UsedBytes      int64             `json:"used_bytes"`
+	MissingEntries map[uint32]uint64 `json:"behind,omitempty"`
 }
 
-func (o *Operate) storage(ctx *base.Ctx) (any, error) {
-	recorded, err := o.disks(ctx)
+func (o *Handler) listStorage(ctx *base.Ctx) (any, error) {
+	record, err := o.readDiskSet(ctx)
 	if err != nil {
 		return nil, err
 	}
-	set := recorded.Current
+	set := record.Current
 	if set == nil {
 		return nil, base.Busy(503, "no_disks", 1, "no disk set is known; was init run?")
 	}
@@ -186,7 +186,7 @@
 		zones[member.Addr] = member.Zone
 	}
 	base.CallAll(o.Clock, base.SortedKeys(zones), o.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, addr string) {
-		state, err := o.disk(addr).Describe(ctx, &register.DescribeRequest{})
+		state, err := o.diskClient(addr).Describe(ctx, &register.DescribeRequest{})
 		if err != nil {
 			return
 		}
@@ -199,40 +199,40 @@
 	})
 	mu.Lock()
 	defer mu.Unlock()
-	shown := []DiskView{}
+	views := []DiskView{}
 	listed := map[string]bool{}
 	for _, entry := range set.Disks {
 		view := DiskView{ID: entry.Id, Addr: entry.Addr, Zone: zones[entry.Addr], Node: entry.Node, Voting: !entry.Learner}
 		if state := states[entry.Addr]; state != nil && state.Id == entry.Id {
-			view.Alive, view.Used, view.Behind = true, state.UsedBytes, behind(state, highest)
+			view.Alive, view.UsedBytes, view.MissingEntries = true, state.UsedBytes, missingEntries(state, highest)
 		}
 		listed[entry.Id] = true
-		shown = append(shown, view)
+		views = append(views, view)
 	}
 	for _, addr := range base.SortedKeys(states) {
 		if state := states[addr]; !listed[state.Id] {
-			shown = append(shown, DiskView{ID: state.Id, Addr: addr, Zone: zones[addr], Node: state.Node, Alive: true, Used: state.UsedBytes})
+			views = append(views, DiskView{ID: state.Id, Addr: addr, Zone: zones[addr], Node: state.Node, Alive: true, UsedBytes: state.UsedBytes})
 		}
 	}
-	return StorageView{Cluster: set.Cluster, Stamp: set.Stamp, Moving: recorded.ChangePending(), Slots: recorded.SettledShards, All: register.ShardCount, Disks: shown}, nil
+	return StorageView{Cluster: set.Cluster, Version: set.Stamp, ChangePending: record.ChangePending(), SettledShards: record.SettledShards, TotalShards: register.ShardCount, Disks: views}, nil
 }
 
 // StorageView is the listing of the disks.
 type StorageView struct {
-	Cluster string     `json:"cluster"`
-	Stamp   uint64     `json:"stamp"`
-	Moving  bool       `json:"change_under_way"`
-	Slots   int        `json:"settled_slots"`
-	All     int        `json:"all_slots"`
-	Disks   []DiskView `json:"disks"`
+	Cluster       string     `json:"cluster"`
+	Version       uint64     `json:"stamp"`
+	ChangePending bool       `json:"change_under_way"`
+	SettledShards int        `json:"settled_slots"`
+	TotalShards   int        `json:"all_slots"`
+	Disks         []DiskView `json:"disks"`
 }
 
-func behind(state *register.DiskState, highest map[uint32]uint64) map[uint32]uint64 {
-	lacking := map[uint32]uint64{}
+func missingEntries(state *register.DiskState, highest map[uint32]uint64) map[uint32]uint64 {
+	missing := map[uint32]uint64{}
 	for slot, seq := range highest {
 		if state.Seqs[slot] < seq {
-			lacking[slot] = seq - state.Seqs[slot]
+			missing[slot] = seq - state.Seqs[slot]
 		}
 	}
-	return lacking
+	return missing
 }
--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -111,7 +111,7 @@
 			next := done.Next()
 			m.Host.Go(func() {
 				ctx := base.NewCtx(m.Host.Clock(), 5*time.Second)
-				err = m.gateway.Allows(ctx, table.Match(host, target), &relay.Call{Host: host, Target: target, Model: model})
+				err = m.gateway.Authorize(ctx, table.Match(host, target), &relay.Call{Host: host, Target: target, Model: model})
 				next.Fire()
 			})
 			next.Wait(10 * time.Second)
@@ -151,7 +151,7 @@
 		table := &route.Table{Version: 1, Services: map[string]*route.Service{"llm": {Name: "llm", Engine: &route.Engine{Slots: 1}}},
 			Routes: []route.Route{{Name: "ask", Host: "pay.example", Prefix: "/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}}}}
 		is.NoErr(table.BuildIndex())
-		is.NoErr(edge.gateway.Allows(base.NewCtx(edge.Host.Clock(), time.Second), &table.Routes[0], &relay.Call{Host: "pay.example", Model: "m"}))
+		is.NoErr(edge.gateway.Authorize(base.NewCtx(edge.Host.Clock(), time.Second), &table.Routes[0], &relay.Call{Host: "pay.example", Model: "m"}))
 		f.Net.Heal()
 		call.sleep(2 * time.Second)
 		_, raw := f.Operate(f.Cores[0], "GET", "/v1/operator/access", nil)
--- a/internal/simulate/cutoff.go
+++ b/internal/simulate/cutoff.go
@@ -341,7 +341,7 @@
 	since := p.World.now
 	p.World.spawn(m.Host, life, p.World.now+p.way(), func() {
 		r := inProcess(method, path, m.Host.Name, header, body)
-		platform.Operate(r, m.Host.Clock(), core)
+		platform.ServeOperator(r, m.Host.Clock(), core)
 		c.status, c.retryAfter, c.body = r.Response.StatusCode(), string(r.Response.Header.Peek("Retry-After")), slices.Clone(r.Response.Body())
 		c.ended = p.World.now
 		overlaps := p.apart[m] && p.from > 0 && since < p.to && c.ended > p.from
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -63,7 +63,7 @@
 	// lost, set by tests only, takes mechanisms away that lie outside the wire.
 	lost mechanisms
 	// equip, when set, changes what a process is given; begins sees it built, before it starts.
-	equip  func(m *Machine, env *node.Env, place *node.Place)
+	equip  func(m *Machine, env *node.Env, place *node.Config)
 	begins func(m *Machine)
 }
 
@@ -144,16 +144,16 @@
 	h.alive, h.dark, m.open, m.closing, m.leaving = true, false, 0, false, false
 	m.gateway, m.core, m.storage = nil, nil, nil
 	m.Count = base.NewCounters()
-	env := node.Env{Clock: h.Clock(), Wire: f.Net.Wire(h), Files: m.Files, Counters: m.Count,
+	env := node.Env{Clock: h.Clock(), HTTPClient: f.Net.Wire(h), Files: m.Files, Counters: m.Count,
 		Backends: &Backends{net: f.Net, host: h, models: f.models, tools: f.tools, lost: &f.lost}}
-	place := node.Place{Addr: h.Name + ":1", Public: h.Name + ":2", Zone: h.Zone, Seeds: []string{f.Cores[0].Host.Name + ":1", f.Cores[len(f.Cores)-1].Host.Name + ":1", f.Storage[0].Host.Name + ":1"}}
+	place := node.Config{Addr: h.Name + ":1", PublicAddr: h.Name + ":2", Zone: h.Zone, Seeds: []string{f.Cores[0].Host.Name + ":1", f.Cores[len(f.Cores)-1].Host.Name + ":1", f.Storage[0].Host.Name + ":1"}}
 	if f.Seeds != nil {
 		place.Seeds = f.Seeds
 	}
 	if f.Shape.Found && f.Seeds == nil {
 		place.Seeds = base.Map(f.Cores[:min(3, len(f.Cores))], func(m *Machine) string { return m.Host.Name + ":1" })
 	}
-	place.Cluster, place.Node, place.Tolerate, place.Found = f.Pinned, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.begun
+	place.Cluster, place.NodeName, place.FaultTolerance, place.Bootstrap = f.Pinned, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.begun
 	if f.lost.seeds {
 		place.Seeds = []string{"nowhere:1"}
 	}
@@ -235,13 +235,13 @@
 	m.Host.Go(func() {
 		switch {
 		case m.gateway != nil && m.Role == "edge":
-			m.gateway.Leave(stopLimit)
+			m.gateway.Drain(stopLimit)
 			m.gateway.Stop()
 		case m.core != nil && m.Role == "core":
-			m.core.Leave(stopLimit)
+			m.core.Drain(stopLimit)
 			m.core.Stop()
 		case m.storage != nil && m.Role == "storage":
-			m.storage.Leave(stopLimit)
+			m.storage.Drain(stopLimit)
 			m.storage.Stop()
 		}
 		left = true
@@ -278,7 +278,7 @@
 	}
 	done := false
 	m.Host.Go(func() {
-		response := m.core.Operate.Handle(base.NewCtx(m.Host.Clock(), 30*time.Second), &front.Request{Method: method, Path: path, Query: query, Body: base.MustMarshal(body)})
+		response := m.core.OperatorAPI.Handle(base.NewCtx(m.Host.Clock(), 30*time.Second), &front.Request{Method: method, Path: path, Query: query, Body: base.MustMarshal(body)})
 		status, answer, done = response.Status, response.Body, true
 		bell.Notify()
 	})
@@ -341,7 +341,7 @@
 // feeds is the core that owns the feed.
 func (f *Fleet) feeds() *Machine {
 	for _, m := range f.Cores {
-		if m.Host.alive && m.core != nil && m.core.Owner.LeadsFeed() {
+		if m.Host.alive && m.core != nil && m.core.RegisterServer.LeadsFeed() {
 			return m
 		}
 	}
--- a/internal/simulate/long_test.go
+++ b/internal/simulate/long_test.go
@@ -46,7 +46,7 @@
 		call.sleep(2 * time.Minute)
 		is.True(keys() < 10+register.ShardCount) // settings, workers, the change log and each slot's time are left
 		for _, m := range f.Edges {
-			sessions, copies, streams := m.gateway.Keeper.Sizes()
+			sessions, copies, streams := m.gateway.Sessions.Sizes()
 			is.Equal(copies, 0)
 			is.Equal(streams, 0)
 			is.Equal(sessions, 0)
--- a/internal/simulate/manychanges.go
+++ b/internal/simulate/manychanges.go
@@ -126,13 +126,13 @@
 	r := &changesRun{plan: plan, fleet: f, rng: rand.New(rand.NewPCG(seed, 0xc4a9)), report: &ChangesReport{Plan: plan, Seed: seed}}
 	r.tail = r.documentTail()
 	f.Net.BytesPerSecond = plan.BytesPerSecond
-	f.equip = func(_ *Machine, env *node.Env, place *node.Place) {
+	f.equip = func(_ *Machine, env *node.Env, place *node.Config) {
 		place.Bounds = base.DefaultBounds()
 		env.Names = &platform.Names
 	}
 	f.begins = func(m *Machine) {
 		if m.gateway != nil {
-			m.gateway.Table = versionOnly
+			m.gateway.ParseRoutes = versionOnly
 		}
 	}
 	if plan.Meddle != nil {
@@ -268,7 +268,7 @@
 func (r *changesRun) ask(m *Machine, step func(ctx *base.Ctx, core *node.Core) error) (err error, answered bool) {
 	bell, core := base.NewNotifier(r.clock()), m.core
 	m.Host.Go(func() {
-		err = step(base.NewCtx(m.Host.Clock(), core.AnswerWithin()), core)
+		err = step(base.NewCtx(m.Host.Clock(), core.OperatorTimeout()), core)
 		answered = true
 		bell.Notify()
 	})
@@ -338,7 +338,7 @@
 // feedOwner is the core that owns the feed's slot.
 func (r *changesRun) feedOwner() *Machine {
 	for _, m := range r.fleet.Cores {
-		if m.Host.alive && !m.Host.frozen && m.core != nil && m.core.Owner.LeadsFeed() {
+		if m.Host.alive && !m.Host.frozen && m.core != nil && m.core.RegisterServer.LeadsFeed() {
 			return m
 		}
 	}
@@ -443,7 +443,7 @@
 	sum := 0
 	for _, m := range r.fleet.Cores {
 		if m.Host.alive && m.core != nil {
-			sum += m.core.Owner.MemoryBytes()
+			sum += m.core.RegisterServer.MemoryBytes()
 		}
 	}
 	r.kept = max(r.kept, sum)
--- a/internal/simulate/mending.go
+++ b/internal/simulate/mending.go
@@ -13,7 +13,7 @@
 	var newest *register.DiskSet
 	for _, m := range f.Cores {
 		if m.Host.alive && !m.Host.frozen && m.core != nil {
-			if known := m.core.Owner.KnownDiskSet(); known.GetStamp() > newest.GetStamp() {
+			if known := m.core.RegisterServer.KnownDiskSet(); known.GetStamp() > newest.GetStamp() {
 				newest = known
 			}
 		}
--- a/internal/simulate/mending_test.go
+++ b/internal/simulate/mending_test.go
@@ -51,8 +51,8 @@
 	t.Logf("seed %d at %v: %v", f.World.Seed, f.World.Now(), f.set())
 	for _, m := range f.Cores {
 		if m.Host.alive && !m.Host.frozen && m.core != nil {
-			slots, _ := m.core.Owner.Status()
-			t.Logf("%s owns %v, mends %q, known %d", m.Host.Name, slots, m.core.Owner.ReconcileStatus(), m.core.Owner.KnownDiskSet().GetStamp())
+			slots, _ := m.core.RegisterServer.Status()
+			t.Logf("%s owns %v, mends %q, known %d", m.Host.Name, slots, m.core.RegisterServer.ReconcileStatus(), m.core.RegisterServer.KnownDiskSet().GetStamp())
 		}
 	}
 	for _, m := range f.Storage {
@@ -144,7 +144,7 @@
 						call.sleep(way.wait)
 						if way.core {
 							for _, m := range f.Cores {
-								if slots, _ := m.core.Owner.Status(); slices.Contains(slots, 0) && !m.Host.frozen {
+								if slots, _ := m.core.RegisterServer.Status(); slices.Contains(slots, 0) && !m.Host.frozen {
 									f.freeze(m, 3*time.Second)
 									break
 								}
@@ -171,7 +171,7 @@
 					}
 					is.Equal(f.Tally.Counts["conversations_whole"], 3)
 					for _, m := range f.Edges {
-						is.Equal(m.gateway.Stamp(), uint64(5))
+						is.Equal(m.gateway.SettingsVersion(), uint64(5))
 					}
 				})
 				t.Logf("%s, %d disks: mended within %v", name, size.storage, longest)
@@ -218,7 +218,7 @@
 					longest = max(longest, took)
 					is.True(took < 5*time.Second)
 					for _, m := range f.Edges {
-						is.Equal(m.gateway.Stamp(), uint64(round+2))
+						is.Equal(m.gateway.SettingsVersion(), uint64(round+2))
 					}
 					took += f.until(8*time.Second, f.whole)
 					if !f.whole() {
@@ -396,7 +396,7 @@
 					is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
 					held := map[string]bool{} // disks that something else keeps data on
 					for _, m := range f.Cores {
-						m.core.Owner.SetEmptyCheck(func(_ *base.Ctx, disk string) (bool, error) { return !held[disk], nil })
+						m.core.RegisterServer.SetEmptyCheck(func(_ *base.Ctx, disk string) (bool, error) { return !held[disk], nil })
 					}
 					out := f.pick(f.Storage)
 					id := out.storage.Store.ID()
@@ -415,7 +415,7 @@
 						f.Start(out)
 					case "the change's core is lost":
 						for _, m := range f.Cores {
-							if slots, _ := m.core.Owner.Status(); slices.Contains(slots, 0) {
+							if slots, _ := m.core.RegisterServer.Status(); slices.Contains(slots, 0) {
 								f.freeze(m, 2*time.Second)
 							}
 						}
@@ -426,7 +426,7 @@
 						is.True(entry.Id != id)
 					}
 					for _, m := range f.Cores {
-						m.core.Owner.SetEmptyCheck(nil)
+						m.core.RegisterServer.SetEmptyCheck(nil)
 					}
 					is.True(f.until(5*time.Second, func() bool { return f.retiring("GET", out.Host.Name) == "200complete" }) < 5*time.Second)
 					longest = max(longest, f.World.Now()-began)
--- a/internal/simulate/operate_test.go
+++ b/internal/simulate/operate_test.go
@@ -17,7 +17,7 @@
 	var shown operate.StatusView
 	_, answer := f.Operate(m, "GET", "/v1/operator/status", nil)
 	_ = json.Unmarshal(answer, &shown)
-	return strings.Join(shown.Unwell, "\n")
+	return strings.Join(shown.Problems, "\n")
 }
 
 func TestStatusNamesWhatIsUnwell(t *testing.T) {
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -241,7 +241,7 @@
 // DisksMoved waits until no change of the disks is under way.
 func (f *Fleet) DisksMoved(limit time.Duration) bool {
 	for end := f.World.Now() + limit; f.World.Now() < end; f.Callers.Clock().Sleep(200 * time.Millisecond) {
-		if shown := f.Disks(); !shown.Moving && shown.Slots == shown.All {
+		if shown := f.Disks(); !shown.ChangePending && shown.SettledShards == shown.TotalShards {
 			return true
 		}
 	}
--- a/internal/simulate/orders.go
+++ b/internal/simulate/orders.go
@@ -101,16 +101,16 @@
 func NewOrderDay(seed uint64, shape OrderShape, change func(f *Fleet)) *OrderDay {
 	f := layFleet(seed, Shape{Name: shape.Name, Zones: 4, Edges: shape.Edges, Cores: shape.Cores, Storage: shape.Storage, Tolerate: shape.Tolerate, Found: true})
 	d := &OrderDay{Fleet: f, Rounds: 6, sent: map[string][][]byte{}, Kills: map[string]int{}}
-	f.equip = func(_ *Machine, env *node.Env, place *node.Place) {
+	f.equip = func(_ *Machine, env *node.Env, place *node.Config) {
 		place.Bounds = &base.Bounds{SettingsApply: 2 * time.Second, Drain: 3 * time.Second, Recovery: shape.Recover, Retention: time.Minute}
 		env.Names = &platform.Names
 	}
 	f.begins = func(m *Machine) {
 		switch {
 		case m.gateway != nil:
-			m.gateway.Table = platform.ReadTable
+			m.gateway.ParseRoutes = platform.ReadTable
 		case m.core != nil:
-			m.core.Operate.Table = platform.ReadOrder
+			m.core.OperatorAPI.ParseRoutes = platform.ReadTableStrict
 		}
 	}
 	f.Net.Resets = true
@@ -160,7 +160,7 @@
 			header = append(header, [2]string{parties.HeaderIfMatch, ifMatch})
 		}
 		r := inProcess(method, parties.PathConfig, m.Host.Name, header, body)
-		platform.Operate(r, m.Host.Clock(), core)
+		platform.ServeOperator(r, m.Host.Clock(), core)
 		if !d.World.Chance(answerLost) {
 			replies.put(way(), answered{kind: answeredHead, status: r.Response.StatusCode(), bytes: bytes.Clone(r.Response.Body())})
 		}
--- a/internal/simulate/orders_faults.go
+++ b/internal/simulate/orders_faults.go
@@ -176,7 +176,7 @@
 // leader is the core that serves the configuration's shard, or any.
 func (d *OrderDay) leader() *Machine {
 	serving := base.Filter(d.Cores, func(m *Machine) bool {
-		return m.core != nil && m.Host.alive && m.core.Owner.LeadsFeed()
+		return m.core != nil && m.Host.alive && m.core.RegisterServer.LeadsFeed()
 	})
 	if len(serving) == 0 {
 		return d.pick(d.Cores)
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -47,7 +47,7 @@
 			took := f.serving(time.Minute)
 			is.True(took < 12*time.Second) // inside recover_bound_s
 			for _, m := range f.Edges {
-				is.Equal(m.gateway.Stamp(), uint64(2))
+				is.Equal(m.gateway.SettingsVersion(), uint64(2))
 			}
 			after := call.send(1, "GET", "/v1/programs/"+program, secret, nil)
 			is.Equal(after.text("spent_tokens"), before.text("spent_tokens"))
@@ -119,7 +119,7 @@
 		f.resolve("old", 1, status, answer)
 		is.Equal(f.Tally.Counts["settings_refused"], 1)
 		for _, m := range f.Edges {
-			is.Equal(m.gateway.Stamp(), uint64(2))
+			is.Equal(m.gateway.SettingsVersion(), uint64(2))
 		}
 		verdict, _, _ = call.turn(0, path, key, program, "b", "a").final()
 		is.Equal(verdict, "success")
@@ -230,7 +230,7 @@
 		refused := f.Tally.Counts["settings_refused"]
 		if refused == 1 {
 			for _, m := range f.Edges {
-				is.Equal(m.gateway.Stamp(), uint64(1))
+				is.Equal(m.gateway.SettingsVersion(), uint64(1))
 			}
 		}
 		is.Equal(refused+f.Tally.Counts["settings_taken"], 1)
@@ -244,7 +244,7 @@
 	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
 		var owner, other *Machine
 		for _, m := range f.Cores {
-			slots, _ := m.core.Owner.Status()
+			slots, _ := m.core.RegisterServer.Status()
 			if slices.Contains(slots, 0) {
 				owner = m
 			} else {
@@ -264,7 +264,7 @@
 		is.Equal(status, 503)
 		for _, m := range f.Edges[1:] {
 			is.True(m.gateway.Follower.HasLease())
-			is.Equal(m.gateway.Stamp(), uint64(2))
+			is.Equal(m.gateway.SettingsVersion(), uint64(2))
 		}
 	})
 }
--- a/internal/simulate/redundancy_test.go
+++ b/internal/simulate/redundancy_test.go
@@ -327,7 +327,7 @@
 	t.Helper()
 	play(t, seed, mendingShape(5, 1), func(f *Fleet, call *talker) {
 		for _, m := range f.Cores {
-			m.core.Owner.SetRedundancyChecker(noContent{})
+			m.core.RegisterServer.SetRedundancyChecker(noContent{})
 		}
 		w := newHistoryWriter(f)
 		w.round()
--- a/internal/simulate/repair_test.go
+++ b/internal/simulate/repair_test.go
@@ -101,7 +101,7 @@
 		owners := func() map[uint32]string {
 			found := map[uint32]string{}
 			for _, m := range f.Cores {
-				slots, _ := m.core.Owner.Status()
+				slots, _ := m.core.RegisterServer.Status()
 				for _, num := range slots {
 					found[num] = m.Host.Name
 				}
@@ -247,7 +247,7 @@
 			is.Equal(told.Error.Ran, "not_run")
 		}
 		after := f.Disks()
-		is.Equal(after.Stamp, before.Stamp)
+		is.Equal(after.Version, before.Version)
 		status, answer := f.Operate(f.Cores[1], "GET", "/v1/operator/settings", nil)
 		is.Equal(status, 200)
 		is.True(strings.Contains(string(answer), `"stamp":1`))
--- a/internal/simulate/talk_churn.go
+++ b/internal/simulate/talk_churn.go
@@ -73,7 +73,7 @@
 			return
 		}
 		read := t.readList(m)
-		m.core.Lister = platform.Lister(func(token string, limit time.Duration) (int, []byte, error) {
+		m.core.Lister = platform.NewLister(func(token string, limit time.Duration) (int, []byte, error) {
 			m.Host.Clock().Sleep(time.Duration(float64(time.Second) / (listShare * t.Site.ListPerS)))
 			return read(token, limit)
 		})
--- a/internal/simulate/talk_churn_test.go
+++ b/internal/simulate/talk_churn_test.go
@@ -79,7 +79,7 @@
 	}
 	began := c.World.Now()
 	unready := func() int {
-		return len(base.Filter(c.Edges, func(m *Machine) bool { return m.gateway == nil || m.gateway.Serves() != nil }))
+		return len(base.Filter(c.Edges, func(m *Machine) bool { return m.gateway == nil || m.gateway.RoutesReady() != nil }))
 	}
 	half := c.runUntil(30*time.Second, func() bool { return unready() < len(c.Edges)/2 })
 	c.runUntil(30*time.Second, func() bool { return unready() == 0 })
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -180,7 +180,7 @@
 		t.entry.Add(entered)
 		t.Callers.Go(func() {
 			for {
-				up := m.Host.alive && !m.Host.frozen && !m.leaving && m.gateway != nil && m.gateway.Serves() == nil
+				up := m.Host.alive && !m.Host.frozen && !m.leaving && m.gateway != nil && m.gateway.RoutesReady() == nil
 				t.entry.Heard(entered, up)
 				t.Callers.Clock().Sleep(time.Second)
 			}
@@ -189,7 +189,7 @@
 }
 
 // equip gives a process what the platform's settings file would.
-func (t *Tier) equip(m *Machine, env *node.Env, place *node.Place) {
+func (t *Tier) equip(m *Machine, env *node.Env, place *node.Config) {
 	m.Host.Cost = t.cost
 	b := t.Site.Bounds
 	place.Bounds = &base.Bounds{SettingsApply: b.Apply, Drain: b.Drain, Recovery: b.Recovery, Retention: time.Minute}
@@ -200,15 +200,15 @@
 func (t *Tier) begins(m *Machine) {
 	switch {
 	case m.gateway != nil:
-		m.gateway.Table = platform.ReadTable
+		m.gateway.ParseRoutes = platform.ReadTable
 	case m.core != nil:
-		m.core.Operate.Table = platform.ReadTable
-		m.core.Lister = platform.Lister(t.readList(m))
+		m.core.OperatorAPI.ParseRoutes = platform.ReadTable
+		m.core.Lister = platform.NewLister(t.readList(m))
 	}
 }
 
 // readList is a core's way to the platform's list.
-func (t *Tier) readList(m *Machine) platform.ListPage {
+func (t *Tier) readList(m *Machine) platform.FetchPage {
 	return func(token string, _ time.Duration) (int, []byte, error) {
 		m.Host.Clock().Sleep(t.way())
 		status, body := t.list.Get("", token)
--- a/internal/simulate/tier_clients.go
+++ b/internal/simulate/tier_clients.go
@@ -198,7 +198,7 @@
 		}
 	}()
 	r := inProcess(try.Method, try.Target, try.Host, try.Header, try.Body)
-	platform.Answer(r, gateway)
+	platform.ServeClient(r, gateway)
 	head := answered{kind: answeredHead, status: r.Response.StatusCode(), header: map[string]string{}}
 	for name, value := range r.Response.Header.All() {
 		head.header[string(name)] = string(value)
@@ -256,7 +256,7 @@
 			}
 		}()
 		r := inProcess(method, path, m.Host.Name, header, body)
-		platform.Operate(r, m.Host.Clock(), core)
+		platform.ServeOperator(r, m.Host.Clock(), core)
 		in.put(t.way(), answered{kind: answeredHead, status: r.Response.StatusCode(), bytes: bytes.Clone(r.Response.Body())})
 	})
 	one, ok := in.next(clock.Now()+patience, nil)
--- a/internal/simulate/tier_troubles.go
+++ b/internal/simulate/tier_troubles.go
@@ -123,11 +123,11 @@
 	m.Host.Go(func() {
 		switch {
 		case m.gateway != nil:
-			m.gateway.Leave(limit)
+			m.gateway.Drain(limit)
 		case m.core != nil:
-			m.core.Leave(grace / 4)
+			m.core.Drain(grace / 4)
 		case m.storage != nil:
-			m.storage.Leave(grace / 4)
+			m.storage.Drain(grace / 4)
 		}
 		left = true
 	})
--- a/internal/simulate/transfer_test.go
+++ b/internal/simulate/transfer_test.go
@@ -157,7 +157,7 @@
 				for {
 					f.Callers.Clock().Sleep(2500 * time.Millisecond)
 					for _, m := range f.Cores {
-						if versionAt(f) > 2 && m.Host.alive && m.core != nil && m.core.Owner.LeadsFeed() {
+						if versionAt(f) > 2 && m.Host.alive && m.core != nil && m.core.RegisterServer.LeadsFeed() {
 							f.crash(m, 500*time.Millisecond, false)
 							break
 						}
@@ -210,7 +210,7 @@
 		clock.Sleep(1500 * time.Millisecond)
 		f.Net.Heal()
 		for _, m := range f.Cores {
-			if m.Host.alive && m.core != nil && m.core.Owner.LeadsFeed() {
+			if m.Host.alive && m.core != nil && m.core.RegisterServer.LeadsFeed() {
 				f.crash(m, 400*time.Millisecond, false)
 			}
 		}
--- a/internal/simulate/tree_test.go
+++ b/internal/simulate/tree_test.go
@@ -45,7 +45,7 @@
 	f.World.Run(f.World.Now()+30*time.Second, func() bool { return done })
 	f.runUntil(20*time.Second, func() bool {
 		for _, m := range f.following() {
-			if m.gateway != nil && m.gateway.Stamp() < stamp {
+			if m.gateway != nil && m.gateway.SettingsVersion() < stamp {
 				return false
 			}
 		}
--- a/internal/whatif/run.go
+++ b/internal/whatif/run.go
@@ -171,7 +171,7 @@
 	}
 	told := f.World.Now()
 	for _, m := range f.Edges {
-		for m.Serving() && m.Gateway().Stamp() < 2 {
+		for m.Serving() && m.Gateway().SettingsVersion() < 2 {
 			clock.Sleep(time.Millisecond)
 		}
 	}
