--- a/internal/base/backend.go
+++ b/internal/base/backend.go
@@ -1,9 +1,3 @@
-// BackendClient is the way to model and application workers: one HTTP exchange a
-// call. Without a worker's id a call has a connection of its own; with one, a
-// connection kept for that worker's life may carry it. Either way an error
-// wraps NotSent only when it is certain that no byte of the request left. A
-// reply's body is read line by line as it comes, or whole.
-
 package base
 
 import (
@@ -13,55 +7,69 @@
 )
 
 var (
-	// ErrConnectionLimit says that a worker has as many connections as it may.
-	ErrConnectionLimit = errors.New("all of the worker's connections are taken")
-	// ErrDraining says that the worker gets nothing more.
-	ErrDraining = errors.New("the worker gets nothing more")
+	// ErrConnectionLimit reports that the worker already has as many open
+	// connections as it may have.
+	ErrConnectionLimit = errors.New("the connection limit of the worker is reached")
+	// ErrDraining reports that the worker gets no new requests.
+	ErrDraining = errors.New("the worker gets no new requests")
 )
 
 // HeaderLine is one header line.
 type HeaderLine struct{ Name, Value string }
 
+// BackendRequest is an HTTP request to a worker.
 type BackendRequest struct {
 	Method string
 	Path   string // path and query, sent byte for byte
 	Header map[string]string
 	Body   []byte
 
-	// Host is sent as it stands; the address's own when empty.
+	// Host is sent unchanged as the Host header; if empty, the address is sent.
 	Host string
 	// HeaderLines are sent in order, after Header.
 	HeaderLines []HeaderLine
-	// Incarnation is the worker's life whose kept connections may be used.
+	// Incarnation identifies one run of the worker process. Only the idle
+	// connections kept for it are reused. If empty, the request gets a
+	// connection of its own.
 	Incarnation string
-	// EchoedHeader is a header that the answer must carry back: an answer without it
-	// belongs to another request.
+	// EchoedHeader is a header that the response must repeat: a response
+	// without it belongs to another request.
 	EchoedHeader HeaderLine
-	// MaxConns bounds the open connections to this worker; 0 for no bound.
+	// MaxConns limits the open connections to this worker; 0 means no limit.
 	MaxConns int
-	// ConnectTimeout bounds the making of a connection; 0 for the usual bound.
+	// ConnectTimeout limits connecting; 0 means the default.
 	ConnectTimeout time.Duration
-	// ConfirmSend is asked just before the first byte leaves; when it says no, the
-	// request is not sent.
+	// ConfirmSend is called just before the first byte is sent; if it returns
+	// false, the request is not sent.
 	ConfirmSend func() bool
 }
 
-// BackendReply is a worker's reply under way. Line gives io.EOF at a clean end;
-// Close may be called from another task and ends a waiting Line.
+// BackendReply is a worker's response while it is being received.
 type BackendReply interface {
 	Status() int
 	Header(name string) string
-	// EachHeader walks all header lines; the bytes are good only meanwhile.
+	// EachHeader calls visit for every header line. The slices are valid only
+	// during the call.
 	EachHeader(visit func(name, value []byte))
-	// ClosesConnection tells that the worker will not keep the connection.
+	// ClosesConnection reports whether the worker closes the connection after
+	// this response.
 	ClosesConnection() bool
-	ReadLine(limit time.Duration) ([]byte, error)
-	ReadBody(limit time.Duration, most int) ([]byte, error)
+	// ReadLine returns the next line of the body, or io.EOF after a complete
+	// body.
+	ReadLine(timeout time.Duration) ([]byte, error)
+	// ReadBody returns the whole body, of at most maxBytes.
+	ReadBody(timeout time.Duration, maxBytes int) ([]byte, error)
+	// Close ends the exchange. It may be called from another task and makes a
+	// pending ReadLine return.
 	Close()
 }
 
+// BackendClient sends requests to model and application workers, one HTTP
+// exchange per call.
 type BackendClient interface {
+	// Call sends the request and waits for the head of the response. An error
+	// wraps NotSent only if it is certain that no byte of the request was sent.
 	Call(ctx *Ctx, addr string, request *BackendRequest) (BackendReply, error)
-	// DropIdle drops the idle connections kept for a worker's life.
-	DropIdle(worker string)
+	// DropIdle closes the idle connections kept for an incarnation of a worker.
+	DropIdle(incarnation string)
 }
--- a/internal/base/clock.go
+++ b/internal/base/clock.go
@@ -1,11 +1,11 @@
-// Package base holds what every slice stands on: the clock and its one
-// blocking primitive (Signal), the context carried through a visit, the
-// verdict type, and small generic containers. The clock is an interface so
-// that the same slice code runs on the machine's monotonic clock in the
-// daemons and on a virtual one in the simulator. Slice code blocks only in
-// Signal.Wait, Clock.Sleep, the wire and the disk, and never while it holds
-// a mutex; that is what lets the simulator run one task at a time and replay
-// a seed exactly.
+// Package base holds what all other packages build on: the clock and its one
+// blocking primitive (Signal), the context of a request, the error type,
+// quorum calls, and small generic containers. The clock is an interface so
+// that the same code runs on the machine's monotonic clock in the daemons and
+// on a virtual clock in the simulator. Code under the clock blocks only in
+// Signal.Wait, Clock.Sleep, network calls and disk operations, and never while
+// it holds a mutex. This allows the simulator to run one task at a time and to
+// replay a seed exactly.
 package base
 
 import (
@@ -14,28 +14,32 @@
 	"time"
 )
 
-// Clock is time, tasks and chance. Now is monotonic and goes on while a
-// process is frozen. There is no wall clock: what outlives a process goes by
-// the time that the register's slots count.
+// Clock provides time, tasks (goroutines) and random numbers. There is no wall
+// clock: records that outlive a process use the time counted by the register's
+// shards.
 type Clock interface {
+	// Now returns the monotonic time. It advances while the process is frozen.
 	Now() time.Duration
 	Sleep(time.Duration)
+	// Go runs a function as a new task.
 	Go(func())
 	NewSignal() Signal
+	// Int64N returns a random number in [0, n).
 	Int64N(n int64) int64
 }
 
-// Signal is a one-shot event. Wait returns true once it has fired, false
-// when the limit passed first; a negative limit waits for ever.
+// Signal is a one-shot event.
 type Signal interface {
 	Fire()
 	Fired() bool
-	Wait(limit time.Duration) bool
+	// Wait returns true once the signal has fired and false if the timeout
+	// passes first. A negative timeout waits without limit.
+	Wait(timeout time.Duration) bool
 }
 
 type realClock struct{ started time.Time }
 
-// NewRealClock gives the machine's own clock.
+// NewRealClock returns a clock on the machine's monotonic time.
 func NewRealClock() Clock { return &realClock{started: time.Now()} }
 
 func (c *realClock) Now() time.Duration    { return time.Since(c.started) }
@@ -60,18 +64,18 @@
 	}
 }
 
-func (s *realSignal) Wait(limit time.Duration) bool {
-	if limit < 0 {
+func (s *realSignal) Wait(timeout time.Duration) bool {
+	if timeout < 0 {
 		<-s.done
 		return true
 	}
 	if s.Fired() {
 		return true
 	}
-	if limit == 0 {
+	if timeout == 0 {
 		return false
 	}
-	timer := time.NewTimer(limit)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-s.done:
@@ -81,26 +85,30 @@
 	}
 }
 
-// Notifier is a signal that can ring many times: a waiter takes the current
-// signal before it looks at the state, and waits on that.
+// Notifier wakes all waiters each time that some state has changed. To miss no
+// change, a waiter calls Next before it reads the state and then waits on the
+// signal that Next returned.
 type Notifier struct {
 	clock Clock
 	mu    sync.Mutex
 	next  Signal
 }
 
+// NewNotifier returns a Notifier on the clock.
 func NewNotifier(clock Clock) *Notifier { return &Notifier{clock: clock, next: clock.NewSignal()} }
 
-func (b *Notifier) Next() Signal {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.next
+// Next returns the signal that the next Notify fires.
+func (n *Notifier) Next() Signal {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.next
 }
 
-func (b *Notifier) Notify() {
-	b.mu.Lock()
-	rung := b.next
-	b.next = b.clock.NewSignal()
-	b.mu.Unlock()
-	rung.Fire()
+// Notify wakes all waiters.
+func (n *Notifier) Notify() {
+	n.mu.Lock()
+	current := n.next
+	n.next = n.clock.NewSignal()
+	n.mu.Unlock()
+	current.Fire()
 }
--- a/internal/base/clock_test.go
+++ b/internal/base/clock_test.go
@@ -1,4 +1,3 @@
-// No slice reads a wall clock: wall clocks differ between machines and jump.
 package base
 
 import (
@@ -13,11 +12,13 @@
 	"github.com/matryer/is"
 )
 
+// TestNoPackageReadsTheWallClock guards against code that depends on the wall
+// clock, which differs between machines and jumps.
 func TestNoPackageReadsTheWallClock(t *testing.T) {
 	is := is.New(t)
-	read := 0
-	// These set deadlines on sockets, relative to now, or drive tests; the fleet and
-	// the stand-ins over sockets are parties, no slices.
+	parsed := 0
+	// These files set deadlines on sockets, relative to now. The fleet driver and the
+	// stand-ins over sockets are test equipment that runs outside the product.
 	allowed := map[string]bool{"../base/clock.go": true, "../workerconn/deadline.go": true, "../conn/conn.go": true}
 	is.NoErr(filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasPrefix(path, "../fleet/") || strings.HasPrefix(path, "../standin/platform/sockets/") || allowed[path] {
@@ -27,16 +28,16 @@
 		if err != nil {
 			return err
 		}
-		read++
+		parsed++
 		ast.Inspect(file, func(node ast.Node) bool {
-			if call, ok := node.(*ast.SelectorExpr); ok {
-				if from, ok := call.X.(*ast.Ident); ok && from.Name == "time" && (call.Sel.Name == "Now" || call.Sel.Name == "Since") {
-					t.Errorf("%s reads time.%s", path, call.Sel.Name)
+			if selector, ok := node.(*ast.SelectorExpr); ok {
+				if pkg, ok := selector.X.(*ast.Ident); ok && pkg.Name == "time" && (selector.Sel.Name == "Now" || selector.Sel.Name == "Since") {
+					t.Errorf("%s uses time.%s", path, selector.Sel.Name)
 				}
 			}
 			return true
 		})
 		return nil
 	}))
-	is.True(read > 40)
+	is.True(parsed > 40) // the walk found the packages
 }
--- a/internal/base/containers.go
+++ b/internal/base/containers.go
@@ -1,7 +1,3 @@
-// Small generic containers and pipelines shared by the slices: a table that
-// is swapped whole, sorted key walks (so that the simulator replays), and
-// named counters.
-
 package base
 
 import (
@@ -17,25 +13,31 @@
 	"sync/atomic"
 )
 
-// AtomicPointer is an immutable snapshot that readers load and a writer swaps whole.
-type AtomicPointer[T any] struct{ held atomic.Pointer[T] }
+// AtomicPointer holds an immutable value that readers load and a writer
+// replaces as a whole.
+type AtomicPointer[T any] struct{ pointer atomic.Pointer[T] }
+
+// Load returns the current value; nil before the first Store.
+func (p *AtomicPointer[T]) Load() *T { return p.pointer.Load() }
 
-func (t *AtomicPointer[T]) Load() *T       { return t.held.Load() }
-func (t *AtomicPointer[T]) Store(frame *T) { t.held.Store(frame) }
+// Store replaces the value.
+func (p *AtomicPointer[T]) Store(value *T) { p.pointer.Store(value) }
 
-// SortedKeys walks a map in a fixed order.
+// SortedKeys returns the keys of a map in ascending order. Go's order of map
+// iteration differs from run to run, which would keep the simulator from
+// replaying a seed.
 func SortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Map carries a pipeline step over a list.
-func Map[A, B any](list []A, step func(A) B) []B {
+// Map returns the results of convert for all items.
+func Map[A, B any](list []A, convert func(A) B) []B {
 	out := make([]B, 0, len(list))
 	for _, item := range list {
-		out = append(out, step(item))
+		out = append(out, convert(item))
 	}
 	return out
 }
 
-// Filter keeps what passes.
+// Filter returns the items for which keep is true.
 func Filter[A any](list []A, keep func(A) bool) []A {
 	out := make([]A, 0, len(list))
 	for _, item := range list {
@@ -46,7 +48,8 @@
 	return out
 }
 
-// Hash64 is a stable hash for placing keys.
+// Hash64 returns a hash of the parts that is the same on every node and in every
+// release, so that it can place keys.
 func Hash64(parts ...string) uint64 {
 	hash := sha256.New()
 	for _, part := range parts {
@@ -56,13 +59,15 @@
 	return binary.BigEndian.Uint64(hash.Sum(nil))
 }
 
-// Digest is a short hex digest for comparing bodies and credentials.
+// Digest returns the first 128 bits of the SHA-256 hash in hex, for comparing
+// bodies and credentials.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:16])
 }
 
-// RendezvousOrder orders candidates for a key, first the one that should have it.
+// RendezvousOrder orders candidates for a key by rendezvous hashing; the first
+// one should hold the key.
 func RendezvousOrder(key string, candidates []string) []string {
 	ordered := slices.Clone(candidates)
 	slices.SortFunc(ordered, func(a, b string) int {
@@ -74,12 +79,14 @@
 	return ordered
 }
 
-// NewID makes a random name from the clock's own source of chance.
+// NewID returns the prefix followed by 64 random bits in hex. The random numbers
+// come from the clock, so that the simulator can replay them.
 func NewID(clock Clock, prefix string) string {
 	return fmt.Sprintf("%s%08x%08x", prefix, clock.Int64N(1<<32), clock.Int64N(1<<32))
 }
 
-// MustMarshal writes a record of the project's own; such records always encode.
+// MustMarshal encodes a value as JSON. It panics on an error, which does not
+// occur for the record types of this project.
 func MustMarshal(record any) []byte {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -88,22 +95,25 @@
 	return raw
 }
 
-// Counters are named counts, made on first use and added to without a lock.
+// Counters are named counters, created on first use. Add takes no lock.
 type Counters struct {
-	counts sync.Map
-	mu     sync.Mutex
-	also   []func(into map[string]int64)
+	counts  sync.Map
+	mu      sync.Mutex
+	sources []func(snapshot map[string]int64)
 }
 
+// NewCounters returns an empty set of counters.
 func NewCounters() *Counters { return &Counters{} }
 
-// AddSource adds counts that are kept elsewhere to each frame.
-func (c *Counters) AddSource(source func(into map[string]int64)) {
+// AddSource registers a function that adds counts kept elsewhere to each
+// snapshot.
+func (c *Counters) AddSource(source func(snapshot map[string]int64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.also = append(c.also, source)
+	c.sources = append(c.sources, source)
 }
 
+// Add adds n to a counter.
 func (c *Counters) Add(name string, n int64) {
 	count, ok := c.counts.Load(name)
 	if !ok {
@@ -112,7 +122,7 @@
 	count.(*atomic.Int64).Add(n)
 }
 
-// Snapshot is all counts as they stand.
+// Snapshot returns the current values of all counters.
 func (c *Counters) Snapshot() map[string]int64 {
 	out := map[string]int64{}
 	c.counts.Range(func(name, count any) bool {
@@ -120,9 +130,9 @@
 		return true
 	})
 	c.mu.Lock()
-	also := c.also
+	sources := c.sources
 	c.mu.Unlock()
-	for _, source := range also {
+	for _, source := range sources {
 		source(out)
 	}
 	return out
--- a/internal/base/ctx.go
+++ b/internal/base/ctx.go
@@ -1,8 +1,3 @@
-// Ctx is the one context of a visit: it carries the clock, the moment by
-// which the visit must end on this node's monotonic clock, and a stack of
-// clean-ups run in reverse. Between nodes only the time left travels, never
-// a moment, since clocks differ.
-
 package base
 
 import (
@@ -14,30 +9,39 @@
 
 type ctxKey struct{}
 
-// CtxKey finds our context from a plain one made out of it.
+// CtxKey is the key under which Ctx.Value returns the Ctx itself, so that it can
+// be found from a context derived from it.
 var CtxKey any = ctxKey{}
 
+// Ctx is the context of a request. Nodes tell each other only the time that is
+// left and never a point in time, because their clocks differ.
 type Ctx struct {
 	context.Context
-	Clock     Clock
+	Clock Clock
+	// ExpiresAt is the deadline on this node's monotonic clock.
 	ExpiresAt time.Duration
 }
 
-// NewCtx starts a context that ends after limit.
-func NewCtx(clock Clock, limit time.Duration) *Ctx {
-	return &Ctx{Context: context.Background(), Clock: clock, ExpiresAt: clock.Now() + limit}
+// NewCtx returns a context that expires after the timeout.
+func NewCtx(clock Clock, timeout time.Duration) *Ctx {
+	return &Ctx{Context: context.Background(), Clock: clock, ExpiresAt: clock.Now() + timeout}
 }
 
-// WithTimeout narrows the context to at most limit from now.
-func (c *Ctx) WithTimeout(limit time.Duration) *Ctx {
-	narrowed := *c
-	narrowed.ExpiresAt = min(c.ExpiresAt, c.Clock.Now()+limit)
-	return &narrowed
+// WithTimeout returns a copy that expires with c, or after the timeout if that
+// is earlier.
+func (c *Ctx) WithTimeout(timeout time.Duration) *Ctx {
+	derived := *c
+	derived.ExpiresAt = min(c.ExpiresAt, c.Clock.Now()+timeout)
+	return &derived
 }
 
+// Remaining is the time until the deadline, 0 after it.
 func (c *Ctx) Remaining() time.Duration { return max(0, c.ExpiresAt-c.Clock.Now()) }
-func (c *Ctx) Expired() bool            { return c.Remaining() == 0 }
 
+// Expired reports whether the deadline has passed.
+func (c *Ctx) Expired() bool { return c.Remaining() == 0 }
+
+// Value implements context.Context and returns c itself for CtxKey.
 func (c *Ctx) Value(key any) any {
 	if _, ok := key.(ctxKey); ok {
 		return c
@@ -45,72 +49,79 @@
 	return c.Context.Value(key)
 }
 
-// MessageIDHeader carries a message's id there and back between nodes: an
-// answer with another id belongs to another message.
+// MessageIDHeader carries the id of a message between nodes. The reply repeats
+// it: a reply with another id belongs to another message.
 const MessageIDHeader = "Seq"
 
 const (
-	withinHeader = "Fordseam-Within-Ms"
-	contentType  = "Content-Type"
-	messageType  = "application/protobuf"
+	remainingHeader   = "Fordseam-Within-Ms"
+	contentTypeHeader = "Content-Type"
+	protobufType      = "application/protobuf"
 )
 
-// CtxFromContext finds our context inside a plain one, or makes a short one.
-func CtxFromContext(plain context.Context, clock Clock) *Ctx {
-	if found, ok := plain.Value(ctxKey{}).(*Ctx); ok {
-		return found
+// CtxFromContext returns the Ctx that a context was derived from, or a new one
+// with a timeout of ten seconds.
+func CtxFromContext(parent context.Context, clock Clock) *Ctx {
+	if ctx, ok := parent.Value(ctxKey{}).(*Ctx); ok {
+		return ctx
 	}
-	return &Ctx{Context: plain, Clock: clock, ExpiresAt: clock.Now() + 10*time.Second}
+	return &Ctx{Context: parent, Clock: clock, ExpiresAt: clock.Now() + 10*time.Second}
 }
 
-// SetMessageHeaders writes the time left on a message to a partner, and takes off
-// the headers that say the same on every message.
-func SetMessageHeaders(r *http.Request, left time.Duration) {
+// SetMessageHeaders sets the remaining time on a message to another node and
+// removes the headers that are the same on every message, to keep it small.
+func SetMessageHeaders(r *http.Request, remaining time.Duration) {
 	for _, name := range []string{"Accept", "Twirp-Version"} {
 		r.Header.Del(name)
 	}
-	if r.Header.Get(contentType) == messageType {
-		r.Header.Del(contentType)
+	if r.Header.Get(contentTypeHeader) == protobufType {
+		r.Header.Del(contentTypeHeader)
 	}
 	r.Header.Set("User-Agent", "")
-	r.Header.Set(withinHeader, strconv.FormatInt(left.Milliseconds(), 10))
+	r.Header.Set(remainingHeader, strconv.FormatInt(remaining.Milliseconds(), 10))
 }
 
-// lean is a reply that goes out without the headers every good one would have.
-type lean struct{ http.ResponseWriter }
+// compactWriter omits the headers that are the same on every successful reply.
+type compactWriter struct{ http.ResponseWriter }
 
-func (w lean) WriteHeader(status int) {
+func (w compactWriter) WriteHeader(status int) {
 	w.Header()["Date"] = nil
-	if status == http.StatusOK && w.Header().Get(contentType) == messageType {
-		w.Header()[contentType] = nil
+	if status == http.StatusOK && w.Header().Get(contentTypeHeader) == protobufType {
+		w.Header()[contentTypeHeader] = nil
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// HandleMessages wraps a handler so that its context is ours again, and its messages
-// have the type that partners leave out.
+// HandleMessages wraps the handler of messages from other nodes: it makes a Ctx
+// with the sender's remaining time and restores the content type that
+// SetMessageHeaders removes.
 func HandleMessages(clock Clock, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		limit := 10 * time.Second
-		if ms, err := strconv.ParseInt(r.Header.Get(withinHeader), 10, 64); err == nil && ms > 0 {
-			limit = time.Duration(ms) * time.Millisecond
+		timeout := 10 * time.Second
+		if ms, err := strconv.ParseInt(r.Header.Get(remainingHeader), 10, 64); err == nil && ms > 0 {
+			timeout = time.Duration(ms) * time.Millisecond
 		}
-		if r.Header.Get(contentType) == "" {
-			r.Header.Set(contentType, messageType)
+		if r.Header.Get(contentTypeHeader) == "" {
+			r.Header.Set(contentTypeHeader, protobufType)
 		}
 		if id := r.Header.Get(MessageIDHeader); id != "" {
 			w.Header().Set(MessageIDHeader, id)
 		}
-		received := &Ctx{Context: r.Context(), Clock: clock, ExpiresAt: clock.Now() + limit}
-		next.ServeHTTP(lean{w}, r.WithContext(received))
+		ctx := &Ctx{Context: r.Context(), Clock: clock, ExpiresAt: clock.Now() + timeout}
+		next.ServeHTTP(compactWriter{w}, r.WithContext(ctx))
 	})
 }
 
-// Cleanup is a stack of deferred clean-ups that can be disarmed.
+// Cleanup is a stack of clean-up functions, run in reverse order.
 type Cleanup struct{ steps []func() }
 
+// Push adds a function.
 func (c *Cleanup) Push(step func()) { c.steps = append(c.steps, step) }
-func (c *Cleanup) Disarm()          { c.steps = nil }
+
+// Disarm removes all functions without running them.
+func (c *Cleanup) Disarm() { c.steps = nil }
+
+// Run runs the functions, the last one first, and removes them.
 func (c *Cleanup) Run() {
 	for last := len(c.steps) - 1; last >= 0; last-- {
 		c.steps[last]()
@@ -118,8 +129,8 @@
 	c.steps = nil
 }
 
-// HTTPClient is the way to partners: one HTTP exchange. Its errors wrap NotSent
-// when no byte left this node.
+// HTTPClient sends messages to other nodes, one HTTP exchange per call. Its
+// errors wrap NotSent if no byte was sent.
 type HTTPClient interface {
 	Do(*http.Request) (*http.Response, error)
 }
--- a/internal/base/fields.go
+++ b/internal/base/fields.go
@@ -1,7 +1,3 @@
-// Reading of JSON objects field by field, for callers', the platform's and
-// operators' requests: unknown, repeated, ill-typed and out-of-range fields
-// are each declined by name before anything is done.
-
 package base
 
 import (
@@ -10,12 +6,13 @@
 	"github.com/go-faster/jx"
 )
 
-// FieldReader reads one field's value; path is its name for complaints.
+// FieldReader reads the value of one field; path names the field in errors.
 type FieldReader = func(path string, d *jx.Decoder) error
 
-// ReadFields reads a JSON object field by field: unknown, repeated and ill-typed
-// fields are declined by name.
-func ReadFields(body []byte, known map[string]FieldReader) error {
+// ReadFields parses a JSON object, such as the request of a caller, the platform
+// or an operator, with one reader per field. Unknown, repeated, ill-typed and
+// out-of-range fields are each rejected by name.
+func ReadFields(body []byte, readers map[string]FieldReader) error {
 	decoder := jx.DecodeBytes(body)
 	if decoder.Next() != jx.Object {
 		return DeclineField("body", "must be a JSON object")
@@ -23,7 +20,7 @@
 	seen := map[string]bool{}
 	err := decoder.ObjBytes(func(decoder *jx.Decoder, raw []byte) error {
 		key := string(raw)
-		read, ok := known[key]
+		read, ok := readers[key]
 		if !ok {
 			return DeclineField(key, "unknown field")
 		}
@@ -34,8 +31,8 @@
 		return read(key, decoder)
 	})
 	if err != nil {
-		if v := FindRequestError(err); v != nil {
-			return v
+		if requestErr := FindRequestError(err); requestErr != nil {
+			return requestErr
 		}
 		return DeclineField("body", "not valid JSON")
 	}
@@ -45,11 +42,11 @@
 	return nil
 }
 
-// FindRequestError finds a verdict inside a wrapped error.
+// FindRequestError returns the RequestError that err is or wraps, or nil.
 func FindRequestError(err error) *RequestError {
 	for err != nil {
-		if v, ok := err.(*RequestError); ok {
-			return v
+		if requestErr, ok := err.(*RequestError); ok {
+			return requestErr
 		}
 		wrapped, ok := err.(interface{ Unwrap() error })
 		if !ok {
@@ -60,23 +57,24 @@
 	return nil
 }
 
-// StringField reads a string of bounded length.
-func StringField(into *string, most int) FieldReader {
+// StringField reads a string of at most maxBytes.
+func StringField(target *string, maxBytes int) FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.String {
 			return DeclineField(path, "must be a string")
 		}
 		value, err := d.Str()
-		if err == nil && len(value) > most {
-			return DeclineField(path, "must be at most %d bytes", most)
+		if err == nil && len(value) > maxBytes {
+			return DeclineField(path, "must be at most %d bytes", maxBytes)
 		}
-		*into = value
+		*target = value
 		return err
 	}
 }
 
-// NumberField reads a number within a range.
-func NumberField(into *float64, low, high float64, whole bool) FieldReader {
+// NumberField reads a number from low to high; integer requires one without a
+// fraction.
+func NumberField(target *float64, low, high float64, integer bool) FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.Number {
 			return DeclineField(path, "must be a number")
@@ -85,22 +83,22 @@
 		if err != nil {
 			return DeclineField(path, "must be a number")
 		}
-		if value < low || value > high || (whole && value != math.Trunc(value)) {
-			return DeclineField(path, "must be between %v and %v%s", low, high, map[bool]string{true: ", whole", false: ""}[whole])
+		if value < low || value > high || (integer && value != math.Trunc(value)) {
+			return DeclineField(path, "must be between %v and %v%s", low, high, map[bool]string{true: ", without a fraction", false: ""}[integer])
 		}
-		*into = value
+		*target = value
 		return nil
 	}
 }
 
 // BoolField reads a boolean.
-func BoolField(into *bool) FieldReader {
+func BoolField(target *bool) FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.Bool {
 			return DeclineField(path, "must be true or false")
 		}
 		value, err := d.Bool()
-		*into = value
+		*target = value
 		return err
 	}
 }
--- a/internal/base/quorum.go
+++ b/internal/base/quorum.go
@@ -1,5 +1,3 @@
-// CallQuorum puts a question to many at once, each in a task of its own.
-
 package base
 
 import (
@@ -7,32 +5,34 @@
 	"time"
 )
 
-// CallQuorum calls all and returns once enough said yes, too many said no for that,
-// all have answered, or the limit passed; it tells whether enough said yes.
-func CallQuorum[T any](clock Clock, all []T, enough int, limit time.Duration, call func(*Ctx, T) bool) bool {
+// CallQuorum calls all targets at once, each in a task of its own. It returns
+// as soon as the outcome is known: enough calls succeeded, too many failed for
+// that, all returned, or the timeout passed. The result is whether enough
+// succeeded.
+func CallQuorum[T any](clock Clock, targets []T, needed int, timeout time.Duration, call func(*Ctx, T) bool) bool {
 	var mu sync.Mutex
-	bell := NewNotifier(clock)
-	said, yes := 0, 0
-	for _, one := range all {
+	progress := NewNotifier(clock)
+	returned, succeeded := 0, 0
+	for _, target := range targets {
 		clock.Go(func() {
-			ok := call(NewCtx(clock, limit), one)
+			ok := call(NewCtx(clock, timeout), target)
 			mu.Lock()
-			said++
+			returned++
 			if ok {
-				yes++
+				succeeded++
 			}
 			mu.Unlock()
-			bell.Notify()
+			progress.Notify()
 		})
 	}
-	end := clock.Now() + limit
+	end := clock.Now() + timeout
 	for {
-		next := bell.Next()
+		next := progress.Next()
 		mu.Lock()
-		over, enoughYes := said == len(all) || enough <= len(all) && said-yes > len(all)-enough, yes >= enough
+		decided, reached := returned == len(targets) || needed <= len(targets) && returned-succeeded > len(targets)-needed, succeeded >= needed
 		mu.Unlock()
-		if over || enoughYes {
-			return enoughYes
+		if decided || reached {
+			return reached
 		}
 		if !next.Wait(max(0, end-clock.Now())) {
 			return false
@@ -40,53 +40,55 @@
 	}
 }
 
-// CallQuorumHedged calls only as many as must say yes. One more is called for each that
-// says no, and all the others once patience is over.
-func CallQuorumHedged[T any](clock Clock, all []T, enough int, patience, limit time.Duration, call func(*Ctx, T) bool) bool {
+// CallQuorumHedged is CallQuorum with as few calls as possible: it starts with
+// as many as must succeed, adds one for each that fails, and calls all
+// remaining targets after hedgeDelay.
+func CallQuorumHedged[T any](clock Clock, targets []T, needed int, hedgeDelay, timeout time.Duration, call func(*Ctx, T) bool) bool {
 	var mu sync.Mutex
-	bell := NewNotifier(clock)
-	begun, no, yes := 0, 0, 0
-	begin := func(upTo int) {
-		for ; begun < min(upTo, len(all)); begun++ {
-			one := all[begun]
+	progress := NewNotifier(clock)
+	started, failed, succeeded := 0, 0, 0
+	startUpTo := func(count int) {
+		for ; started < min(count, len(targets)); started++ {
+			target := targets[started]
 			clock.Go(func() {
-				ok := call(NewCtx(clock, limit), one)
+				ok := call(NewCtx(clock, timeout), target)
 				mu.Lock()
 				if ok {
-					yes++
+					succeeded++
 				} else {
-					no++
+					failed++
 				}
 				mu.Unlock()
-				bell.Notify()
+				progress.Notify()
 			})
 		}
 	}
-	end, late := clock.Now()+limit, clock.Now()+patience
+	end, hedgeAt := clock.Now()+timeout, clock.Now()+hedgeDelay
 	for {
-		next := bell.Next()
+		next := progress.Next()
 		mu.Lock()
-		enoughYes, over := yes >= enough, len(all)-no < enough
-		need := enough + no
+		reached, unreachable := succeeded >= needed, len(targets)-failed < needed
+		wanted := needed + failed
 		mu.Unlock()
-		if enoughYes || over {
-			return enoughYes
+		if reached || unreachable {
+			return reached
 		}
-		until := late
-		if clock.Now() >= late {
-			need, until = len(all), end
+		until := hedgeAt
+		if clock.Now() >= hedgeAt {
+			wanted, until = len(targets), end
 		}
-		begin(need)
+		startUpTo(wanted)
 		if !next.Wait(max(0, until-clock.Now())) && clock.Now() >= end {
 			return false
 		}
 	}
 }
 
-// CallAll calls all and returns once each has ended, or the limit passed.
-func CallAll[T any](clock Clock, all []T, limit time.Duration, call func(*Ctx, T)) {
-	CallQuorum(clock, all, len(all)+1, limit, func(ctx *Ctx, one T) bool {
-		call(ctx, one)
+// CallAll calls all targets at once and returns when every call has returned
+// or the timeout has passed.
+func CallAll[T any](clock Clock, targets []T, timeout time.Duration, call func(*Ctx, T)) {
+	CallQuorum(clock, targets, len(targets)+1, timeout, func(ctx *Ctx, target T) bool {
+		call(ctx, target)
 		return true
 	})
 }
--- a/internal/base/quorum_test.go
+++ b/internal/base/quorum_test.go
@@ -1,4 +1,3 @@
-// A question goes to no more than are needed, until some are slow.
 package base
 
 import (
@@ -9,43 +8,45 @@
 	"github.com/matryer/is"
 )
 
+// TestCallQuorumHedgedMakesNoMoreCallsThanNeeded checks that a hedged quorum call
+// makes an extra call only for one that failed or was too slow.
 func TestCallQuorumHedgedMakesNoMoreCallsThanNeeded(t *testing.T) {
 	for _, row := range []struct {
-		name   string
-		answer map[int]string
-		asked  int
-		ok     bool
+		name     string
+		outcomes map[int]string
+		maxCalls int
+		ok       bool
 	}{
-		{"all say yes", nil, 2, true},
-		{"one says no", map[int]string{0: "no"}, 3, true},
+		{"all succeed", nil, 2, true},
+		{"one fails", map[int]string{0: "fails"}, 3, true},
 		{"one is silent", map[int]string{1: "silent"}, 4, true},
-		{"too many say no", map[int]string{0: "no", 1: "no", 2: "no"}, 4, false},
+		{"too many fail", map[int]string{0: "fails", 1: "fails", 2: "fails"}, 4, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			clock := NewRealClock()
-			silent := clock.NewSignal()
-			defer silent.Fire()
+			finished := clock.NewSignal()
+			defer finished.Fire()
 			var mu sync.Mutex
-			asked := 0
-			patience := time.Duration(0)
-			if row.answer[1] != "silent" {
-				patience = time.Hour
+			calls := 0
+			hedgeDelay := time.Duration(0)
+			if row.outcomes[1] != "silent" {
+				hedgeDelay = time.Hour
 			}
-			ok := CallQuorumHedged(clock, []int{0, 1, 2, 3}, 2, patience, time.Hour, func(_ *Ctx, one int) bool {
+			ok := CallQuorumHedged(clock, []int{0, 1, 2, 3}, 2, hedgeDelay, time.Hour, func(_ *Ctx, target int) bool {
 				mu.Lock()
-				asked++
+				calls++
 				mu.Unlock()
-				if row.answer[one] == "silent" {
-					silent.Wait(-1)
+				if row.outcomes[target] == "silent" {
+					finished.Wait(-1)
 				}
-				return row.answer[one] == ""
+				return row.outcomes[target] == ""
 			})
 			is.Equal(ok, row.ok)
 			mu.Lock()
 			defer mu.Unlock()
-			is.True(asked <= row.asked)
-			is.True(asked >= 2)
+			is.True(calls <= row.maxCalls)
+			is.True(calls >= 2)
 		})
 	}
 }
--- a/internal/base/request_error.go
+++ b/internal/base/request_error.go
@@ -1,8 +1,3 @@
-// A Verdict is the project's one error type. It says in a word what
-// happened, which HTTP status callers see, and above all whether the request
-// may have run. It crosses nodes inside twirp errors, so that the node that
-// knows is the one whose word reaches the caller.
-
 package base
 
 import (
@@ -15,6 +10,7 @@
 	"github.com/twitchtv/twirp"
 )
 
+// Execution says whether a request was executed.
 type Execution string
 
 const (
@@ -23,109 +19,121 @@
 	DidRun     Execution = "ran"
 )
 
+// RequestError is the error type of this project: an HTTP status, an error code,
+// and above all whether the request may have been executed. It passes between
+// nodes as a twirp error, so that the caller gets it from the node that knows
+// what happened.
 type RequestError struct {
-	Status     int       `json:"status,omitempty"`
-	Code       string    `json:"code"`
-	Message    string    `json:"message"`
-	Execution  Execution `json:"request"`
-	Field      string    `json:"field,omitempty"`
-	RetryAfter int       `json:"retry_after_s,omitempty"`
-	// RetryAfterMs is the same to the millisecond, where it is known so well.
-	RetryAfterMs   int64  `json:"retry_after_ms,omitempty"`
+	// Status is the HTTP status for the caller.
+	Status    int       `json:"status,omitempty"`
+	Code      string    `json:"code"`
+	Message   string    `json:"message"`
+	Execution Execution `json:"request"`
+	Field     string    `json:"field,omitempty"`
+	// RetryAfter is in seconds; 0 if there is no advice.
+	RetryAfter int `json:"retry_after_s,omitempty"`
+	// RetryAfterMs is RetryAfter in milliseconds, where it is known that exactly.
+	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
+	// CurrentVersion is the version in force, where the request conflicts with it
+	// or was decided by it.
 	CurrentVersion uint64 `json:"current_stamp,omitempty"`
-	// Team and Model are what a refusal of access was decided on.
+	// Team and Model are those that an access check denied.
 	Team  string `json:"team,omitempty"`
 	Model string `json:"model,omitempty"`
 }
 
-func (v *RequestError) Error() string {
-	return fmt.Sprintf("%s: %s (%s)", v.Code, v.Message, v.Execution)
+func (e *RequestError) Error() string {
+	return fmt.Sprintf("%s: %s (%s)", e.Code, e.Message, e.Execution)
 }
 
-// Decline is a verdict that nothing ran and nothing will.
+// Decline returns an error for a request that was not and will not be executed.
 func Decline(status int, code, format string, args ...any) *RequestError {
 	return &RequestError{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Execution: NotRun}
 }
 
-// DeclineField declines bad input and names the field at fault.
+// DeclineField rejects invalid input and names the field.
 func DeclineField(field, format string, args ...any) *RequestError {
-	v := Decline(400, "bad_request", format, args...)
-	v.Field = field
-	return v
+	e := Decline(400, "bad_request", format, args...)
+	e.Field = field
+	return e
 }
 
-// Busy declines for now and says when to come back.
-func Busy(status int, code string, after int, format string, args ...any) *RequestError {
-	v := Decline(status, code, format, args...)
-	v.RetryAfter = max(after, 1)
-	return v
+// Busy rejects a request for now and says after how many seconds to retry.
+func Busy(status int, code string, retryAfter int, format string, args ...any) *RequestError {
+	e := Decline(status, code, format, args...)
+	e.RetryAfter = max(retryAfter, 1)
+	return e
 }
 
-// BusyFor is Busy for a span known to the millisecond.
-func BusyFor(status int, code string, after time.Duration, format string, args ...any) *RequestError {
-	v := Busy(status, code, int((after+time.Second-1)/time.Second), format, args...)
-	v.RetryAfterMs = max(1, after.Milliseconds())
-	return v
+// BusyFor is Busy with a time known to the millisecond.
+func BusyFor(status int, code string, retryAfter time.Duration, format string, args ...any) *RequestError {
+	e := Busy(status, code, int((retryAfter+time.Second-1)/time.Second), format, args...)
+	e.RetryAfterMs = max(1, retryAfter.Milliseconds())
+	return e
 }
 
-// Indeterminate is a verdict that the request may have run.
+// Indeterminate returns an error for a request that may have been executed.
 func Indeterminate(status int, code, format string, args ...any) *RequestError {
 	return &RequestError{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Execution: MayHaveRun}
 }
 
-// NotSent marks a wire error raised before any byte left this node.
+// NotSent wraps a network error that occurred before any byte was sent.
 type NotSent struct{ Cause error }
 
 func (e *NotSent) Error() string { return "not sent: " + e.Cause.Error() }
 func (e *NotSent) Unwrap() error { return e.Cause }
 
-// WasNotSent reports whether the error proves that the partner never got
+// WasNotSent reports whether the error proves that the other node never received
 // the message.
 func WasNotSent(err error) bool {
 	var notSent *NotSent
 	return stderrors.As(err, &notSent)
 }
 
-const verdictMark = "fordseam"
+// codeKey is the metadata key of a twirp error under which the code is sent. It
+// also marks the twirp errors that stand for a RequestError.
+const codeKey = "fordseam"
 
-// ToTwirpError turns an error into a twirp error that keeps the verdict's parts.
+// ToTwirpError converts an error for sending to another node. The fields of a
+// RequestError go into the metadata of the twirp error.
 func ToTwirpError(err error) error {
 	if err == nil {
 		return nil
 	}
-	v, ok := errors.Cause(err).(*RequestError)
+	requestErr, ok := errors.Cause(err).(*RequestError)
 	if !ok {
 		return twirp.InternalErrorWith(err)
 	}
-	te := twirp.NewError(twirp.FailedPrecondition, v.Message)
+	twirpErr := twirp.NewError(twirp.FailedPrecondition, requestErr.Message)
 	for key, value := range map[string]string{
-		verdictMark: v.Code, "ran": string(v.Execution), "status": strconv.Itoa(v.Status), "field": v.Field,
-		"retry": strconv.Itoa(v.RetryAfter), "stamp": strconv.FormatUint(v.CurrentVersion, 10),
-		"retry_ms": strconv.FormatInt(v.RetryAfterMs, 10),
+		codeKey: requestErr.Code, "ran": string(requestErr.Execution), "status": strconv.Itoa(requestErr.Status), "field": requestErr.Field,
+		"retry": strconv.Itoa(requestErr.RetryAfter), "stamp": strconv.FormatUint(requestErr.CurrentVersion, 10),
+		"retry_ms": strconv.FormatInt(requestErr.RetryAfterMs, 10),
 	} {
-		te = te.WithMeta(key, value)
+		twirpErr = twirpErr.WithMeta(key, value)
 	}
-	return te
+	return twirpErr
 }
 
-// ToRequestError gives back the verdict a partner sent. Any other failure is told
-// apart only by whether a byte may have left.
+// ToRequestError returns the RequestError that err wraps or that another node sent
+// as a twirp error. For any other failure the result depends only on whether a
+// byte may have been sent.
 func ToRequestError(err error) *RequestError {
 	if err == nil {
 		return nil
 	}
-	var v *RequestError
-	if stderrors.As(err, &v) {
-		return v
+	var requestErr *RequestError
+	if stderrors.As(err, &requestErr) {
+		return requestErr
 	}
-	var te twirp.Error
-	if stderrors.As(err, &te) && te.Meta(verdictMark) != "" {
-		status, _ := strconv.Atoi(te.Meta("status"))
-		retry, _ := strconv.Atoi(te.Meta("retry"))
-		retryMs, _ := strconv.ParseInt(te.Meta("retry_ms"), 10, 64)
-		stamp, _ := strconv.ParseUint(te.Meta("stamp"), 10, 64)
-		return &RequestError{Status: status, Code: te.Meta(verdictMark), Message: te.Msg(), Execution: Execution(te.Meta("ran")),
-			Field: te.Meta("field"), RetryAfter: retry, RetryAfterMs: retryMs, CurrentVersion: stamp}
+	var twirpErr twirp.Error
+	if stderrors.As(err, &twirpErr) && twirpErr.Meta(codeKey) != "" {
+		status, _ := strconv.Atoi(twirpErr.Meta("status"))
+		retry, _ := strconv.Atoi(twirpErr.Meta("retry"))
+		retryMs, _ := strconv.ParseInt(twirpErr.Meta("retry_ms"), 10, 64)
+		stamp, _ := strconv.ParseUint(twirpErr.Meta("stamp"), 10, 64)
+		return &RequestError{Status: status, Code: twirpErr.Meta(codeKey), Message: twirpErr.Msg(), Execution: Execution(twirpErr.Meta("ran")),
+			Field: twirpErr.Meta("field"), RetryAfter: retry, RetryAfterMs: retryMs, CurrentVersion: stamp}
 	}
 	if WasNotSent(err) {
 		return Busy(503, "unreachable", 1, "the node could not be reached")
@@ -133,7 +141,7 @@
 	return Indeterminate(502, "reply_lost", "the reply was lost")
 }
 
-// IsCode reports whether the error is a verdict with that code.
+// IsCode reports whether the error is a RequestError with that code.
 func IsCode(err error, code string) bool {
 	if err == nil {
 		return false
