--- a/internal/node/daemon.go
+++ b/internal/node/daemon.go
@@ -1,7 +1,3 @@
-// The life of a daemon: check the place, listen, start the slices, serve
-// until a signal, then stop accepting, finish what was read, hand over, and
-// leave with a clean exit code.
-
 package node
 
 import (
@@ -33,25 +29,26 @@
 	ExitUsage  = 2
 )
 
-// ConfigFlags are what every daemon takes.
+// ConfigFlags returns the command-line flags that every daemon accepts.
 func ConfigFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "settings", Usage: "settings `FILE` (JSON) with the process's place"},
+		&cli.StringFlag{Name: "settings", Usage: "settings `FILE` (JSON) with the configuration of the process"},
 		&cli.StringFlag{Name: "address", Usage: "`IP:PORT` for other processes"},
 		&cli.StringFlag{Name: "public-address", Usage: "`IP:PORT` for callers, the platform or operators (HTTP)"},
-		&cli.StringFlag{Name: "zone", Usage: "`ZONE` the machine stands in"},
+		&cli.StringFlag{Name: "zone", Usage: "`ZONE` in which the machine is located"},
 		&cli.StringSliceFlag{Name: "seed", Usage: "`IP:PORT` of another process; up to three"},
-		&cli.StringFlag{Name: "cluster", Usage: "`NAME` of the cluster, as init printed it; the process then joins no other"},
-		&cli.StringFlag{Name: "node", Usage: "`NAME` of the machine, by which it can be retired"},
-		&cli.IntFlag{Name: "tolerate", Usage: "`COUNT` of machines that may be lost with their disks at once, 1 or 2; the disk set then mends itself"},
-		&cli.BoolFlag{Name: "found", Usage: "this is the very first start of the whole system: the seeds form the cluster"},
-		&cli.StringFlag{Name: "log", Value: "text", Usage: "log `FORM`: text or json"},
+		&cli.StringFlag{Name: "cluster", Usage: "`NAME` of the cluster as printed by init; the process then joins no other cluster"},
+		&cli.StringFlag{Name: "node", Usage: "`NAME` of the machine, needed to retire it"},
+		&cli.IntFlag{Name: "tolerate", Usage: "`COUNT` of machines that may be lost with their disks at the same time, 1 or 2; lost disks are then replaced automatically"},
+		&cli.BoolFlag{Name: "found", Usage: "first start of the whole system: the seeds form a new cluster"},
+		&cli.StringFlag{Name: "log", Value: "text", Usage: "log `FORMAT`: text or json"},
 		&cli.StringFlag{Name: "log-level", Value: "info", Usage: "`LEVEL`: debug, info, warn or error"},
 	}
 }
 
-// LoadConfig puts file and flags together and checks the whole.
-func LoadConfig(command *cli.Command, config Config, roles ...string) (*Config, error) {
+// LoadConfig reads the settings file, applies the flags over it, sets up logging
+// and validates the result. config holds the defaults.
+func LoadConfig(command *cli.Command, config Config, allowedRoles ...string) (*Config, error) {
 	if path := command.String("settings"); path != "" {
 		if err := ReadConfigFile(path, &config); err != nil {
 			return nil, cli.Exit(err.Error(), ExitUsage)
@@ -74,7 +71,7 @@
 	if command.IsSet("disk-limit-bytes") {
 		config.DiskLimitBytes = command.Int64("disk-limit-bytes")
 	}
-	violations := config.Validate(roles...)
+	violations := config.Validate(allowedRoles...)
 	switch command.String("log") {
 	case "text":
 		log.SetHandler(text.New(os.Stderr))
@@ -94,16 +91,16 @@
 	return &config, nil
 }
 
+// process is a Gateway, a Core or a Storage.
 type process interface {
 	Handler() http.Handler
 	Start()
 	Ready() error
-	Drain(limit time.Duration)
+	Drain(timeout time.Duration)
 	Stop()
 }
 
-// Daemon is a process whose slices are built and whose inner address
-// listens.
+// Daemon is a process that is set up and listens on its internal address.
 type Daemon struct {
 	Env           Env
 	Process       process
@@ -114,7 +111,8 @@
 	cleanup          base.Cleanup
 }
 
-// Open builds a place's process; Start begins it, Close ends it.
+// Open sets up the process of a configuration. Start starts it, and Close stops it
+// and releases its resources.
 func Open(config *Config, names *relay.WireNames) (*Daemon, error) {
 	d := &Daemon{}
 	counters := base.NewCounters()
@@ -137,26 +135,28 @@
 	return d, nil
 }
 
-// Start serves partners and begins the slices' own tasks.
-func (r *Daemon) Start() {
-	go func() { _ = r.internalServer.Serve(r.internalListener) }()
-	r.Process.Start()
+// Start serves the other nodes and starts the background tasks of the process.
+func (d *Daemon) Start() {
+	go func() { _ = d.internalServer.Serve(d.internalListener) }()
+	d.Process.Start()
 }
 
-// Close ends the process's tasks and lets go of what it holds.
-func (r *Daemon) Close() {
-	r.Process.Stop()
-	bounded, cancel := context.WithTimeout(context.Background(), time.Second)
+// Close stops the tasks of the process and releases its resources.
+func (d *Daemon) Close() {
+	d.Process.Stop()
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = r.internalServer.Shutdown(bounded)
-	r.cleanup.Run()
+	_ = d.internalServer.Shutdown(ctx)
+	d.cleanup.Run()
 }
 
-// RunDaemon serves a place until a signal.
+// RunDaemon serves until SIGTERM or SIGINT. It then stops accepting requests,
+// finishes those that it has read, hands over what the process owns, and returns
+// nil for a clean exit code.
 func RunDaemon(config *Config) error {
 	publicListener, err := net.Listen("tcp", config.PublicAddr)
 	if err != nil {
-		return errors.Annotate(err, "public address")
+		return errors.Annotate(err, "cannot listen on the public address")
 	}
 	defer publicListener.Close()
 	daemon, err := Open(config, &relay.WireNames{})
@@ -176,27 +176,29 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	select {
 	case err := <-serveErr:
-		return errors.Annotate(err, "public server")
-	case received := <-signals:
-		entry.WithField("signal", received.String()).Info("leaving")
+		return errors.Annotate(err, "the public server failed")
+	case sig := <-signals:
+		entry.WithField("signal", sig.String()).Info("draining")
 	}
-	limit := 2 * base.DefaultBounds().Recovery
+	drainTimeout := 2 * base.DefaultBounds().Recovery
 	drained := make(chan struct{})
-	go func() { proc.Drain(limit); close(drained) }()
-	if err := publicServer.Shutdown(limit); err != nil {
+	go func() { proc.Drain(drainTimeout); close(drained) }()
+	if err := publicServer.Shutdown(drainTimeout); err != nil {
 		entry.WithError(err).Warn("some requests were still open")
 	}
 	<-drained
-	entry.Info("left")
+	entry.Info("stopped")
 	return nil
 }
 
+// newProcess returns the process of the configured role and the handler of its
+// public address.
 func newProcess(env Env, config *Config) (process, Handler, error) {
 	switch config.Role {
 	case "edge":
 		gateway := NewGateway(env, *config)
-		gateway.Access.OnRulesChange = func(stamp uint64, teams int) {
-			log.WithFields(log.Fields{"stamp": stamp, "teams": teams}).Info("rules of access are in force")
+		gateway.Access.OnRulesChange = func(version uint64, teams int) {
+			log.WithFields(log.Fields{"stamp": version, "teams": teams}).Info("access rules in force")
 		}
 		return gateway, gateway.Front.Handle, nil
 	case "core":
@@ -210,12 +212,12 @@
 	env.Files = files
 	storage, err := NewStorage(env, *config)
 	if err != nil {
-		return nil, nil, errors.Annotate(err, "the disk is damaged and must not vote; empty the data folder to bring this machine back as a new disk")
+		return nil, nil, errors.Annotate(err, "the data on the disk is damaged, so it must not vote; empty the data folder to bring this machine back as a new disk")
 	}
 	return storage, NotFound, nil
 }
 
-// logReadiness writes a line when the node becomes ready or ceases to be.
+// logReadiness logs each change of the node's readiness. It never returns.
 func logReadiness(clock base.Clock, proc process, entry *log.Entry) {
 	wasReady := false
 	for {
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -1,7 +1,3 @@
-// The public side over fasthttp: requests become the front's own form, whole
-// answers go back as they are, and streams as server-sent events with one
-// event a piece and exactly one final event.
-
 package node
 
 import (
@@ -26,24 +22,25 @@
 // Handler answers public requests.
 type Handler func(ctx *base.Ctx, r *front.Request) *front.Response
 
-// PublicServer is one public HTTP server.
+// PublicServer is the HTTP server of the public address.
 type PublicServer struct {
 	server *fasthttp.Server
 	ready  func() error
 }
 
-// NewPublicServer serves handle, and health, readiness and counters beside it.
+// NewPublicServer returns a server that passes requests to the handler and serves
+// /healthz, /readyz and /counters itself.
 func NewPublicServer(clock base.Clock, counters *base.Counters, ready func() error, handler Handler) *PublicServer {
 	p := &PublicServer{ready: ready}
 	p.server = &fasthttp.Server{
 		Name: "fordseam", MaxRequestBodySize: maxBodyBytes, CloseOnShutdown: true, ReadTimeout: 60 * time.Second, IdleTimeout: 60 * time.Second,
 		StreamRequestBody: false, NoDefaultServerHeader: true,
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
-			verdict := base.Decline(400, "bad_request", "the request could not be read")
+			requestErr := base.Decline(400, "bad_request", "the request could not be read")
 			if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-				verdict = base.Decline(413, "body_too_large", "the body is larger than %d bytes", maxBodyBytes)
+				requestErr = base.Decline(413, "body_too_large", "the body is larger than %d bytes", maxBodyBytes)
 			}
-			writeResponse(ctx, front.ErrorResponse(verdict))
+			writeResponse(ctx, front.ErrorResponse(requestErr))
 		},
 		Handler: func(ctx *fasthttp.RequestCtx) {
 			switch path := string(ctx.Path()); path {
@@ -57,9 +54,9 @@
 				ctx.SetBodyString("ready\n")
 			case "/counters":
 				ctx.SetContentType("application/json")
-				frame := counters.Snapshot()
-				frame["goroutines"] = int64(runtime.NumGoroutine())
-				ctx.SetBody(append(base.MustMarshal(frame), '\n'))
+				snapshot := counters.Snapshot()
+				snapshot["goroutines"] = int64(runtime.NumGoroutine())
+				ctx.SetBody(append(base.MustMarshal(snapshot), '\n'))
 			default:
 				writeResponse(ctx, handler(base.NewCtx(clock, 10*time.Minute), parseRequest(ctx, path)))
 			}
@@ -68,6 +65,7 @@
 	return p
 }
 
+// parseRequest copies a request into the form that handlers use.
 func parseRequest(ctx *fasthttp.RequestCtx, path string) *front.Request {
 	r := &front.Request{Method: string(ctx.Method()), Path: path, Query: map[string]string{}, Header: map[string]string{},
 		Body: append([]byte(nil), ctx.PostBody()...)}
@@ -80,6 +78,8 @@
 	return r
 }
 
+// writeResponse sends a response: a body unchanged, or a stream as server-sent
+// events with one event per piece and exactly one final event.
 func writeResponse(ctx *fasthttp.RequestCtx, response *front.Response) {
 	ctx.SetStatusCode(response.Status)
 	for _, name := range base.SortedKeys(response.Header) {
@@ -92,12 +92,12 @@
 	stream := response.Stream
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		for {
-			pieces, leg, done := stream.Next()
+			pieces, attempt, done := stream.Next()
 			if len(pieces) == 0 {
 				_, _ = w.WriteString(": waiting\n\n")
 			}
 			for _, piece := range pieces {
-				_, _ = w.Write(FormatEvent(piece, leg))
+				_, _ = w.Write(FormatEvent(piece, attempt))
 			}
 			if w.Flush() != nil || done {
 				return
@@ -106,7 +106,7 @@
 	})
 }
 
-// FormatEvent writes one piece as a server-sent event.
+// FormatEvent formats a piece of a stream as a server-sent event.
 func FormatEvent(piece *session.Piece, attempt string) []byte {
 	if piece.Final {
 		return fmt.Appendf(nil, "id: %s#%d\nevent: final\ndata: %s\n\n", attempt, piece.Place, piece.Data)
@@ -114,22 +114,22 @@
 	return fmt.Appendf(nil, "id: %s#%d\nevent: piece\ndata: %s\n\n", attempt, piece.Place, base.MustMarshal(map[string]string{"text": string(piece.Data)}))
 }
 
-// ServeRequest serves one request by the product's own interface.
+// ServeRequest serves one request with a handler of the product's own API.
 func ServeRequest(r *fasthttp.RequestCtx, handler Handler, ctx *base.Ctx) {
 	writeResponse(r, handler(ctx, parseRequest(r, string(r.Path()))))
 }
 
-// Serve listens until Shutdown.
+// Serve accepts connections until Shutdown.
 func (p *PublicServer) Serve(listener net.Listener) error { return p.server.Serve(listener) }
 
-// Shutdown stops accepting and waits for what was read.
-func (p *PublicServer) Shutdown(limit time.Duration) error {
-	bounded, cancel := context.WithTimeout(context.Background(), limit)
+// Shutdown stops accepting requests and waits for those that have been read.
+func (p *PublicServer) Shutdown(timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return p.server.ShutdownWithContext(bounded)
+	return p.server.ShutdownWithContext(ctx)
 }
 
-// NotFound answers where there is nothing to call.
+// NotFound is the handler of processes without a public API.
 func NotFound(*base.Ctx, *front.Request) *front.Response {
-	return front.ErrorResponse(base.Decline(404, "unknown_path", "there is nothing at this path"))
+	return front.ErrorResponse(base.Decline(404, "unknown_path", "no resource exists at this path"))
 }
--- a/internal/node/main.go
+++ b/internal/node/main.go
@@ -1,7 +1,3 @@
-// Main runs a command line with the exit codes all programs share: 0 for
-// success, 1 for failure, 2 for a command line or settings that are wrong,
-// and 3 for an outcome that is not known.
-
 package node
 
 import (
@@ -12,13 +8,15 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Version is the release all programs are of.
+// Version is the release of all programs.
 const Version = "0.1.0"
 
-// ExitUnknown is for an outcome that is not known and can be asked for.
+// ExitUnknown is the exit code for an unknown outcome, which can be queried.
 const ExitUnknown = 3
 
-// Main runs a command and exits.
+// Main runs a command line. The exit codes are the same for all programs: 0 for
+// success, 1 for a failure, 2 for an invalid command line or settings, and 3 for
+// an unknown outcome.
 func Main(command *cli.Command, args []string) {
 	onUsageError := func(_ context.Context, command *cli.Command, err error, _ bool) error {
 		return cli.Exit(fmt.Sprintf("%v; see %s --help", err, command.FullName()), ExitUsage)
@@ -34,6 +32,8 @@
 	}
 }
 
+// setUsageHandler sets the handler of usage errors on a command and all its
+// subcommands, and leaves the exit to Main.
 func setUsageHandler(command *cli.Command, onUsageError cli.OnUsageErrorFunc) {
 	command.OnUsageError = onUsageError
 	command.ExitErrHandler = func(context.Context, *cli.Command, error) {}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node puts the slices together into the three kinds of process:
-// gateways, cores and storage machines. What differs between the daemons and
-// the simulator is only what Env brings in.
+// Package node assembles the other packages into the three kinds of process:
+// gateways, cores and storage nodes. The daemons and the simulator differ only
+// in the Env that they pass in.
 package node
 
 import (
@@ -29,18 +29,18 @@
 	"fordseam/internal/worker"
 )
 
-// Env is time, wire, disk and back ends.
+// Env is the environment of a process: clock, network, files and workers.
 type Env struct {
 	Clock      base.Clock
 	HTTPClient base.HTTPClient
 	Files      disk.Files
 	Backends   base.BackendClient
 	Counters   *base.Counters
-	// Names are what clients and workers of an operator's routes call things.
+	// Names are the header names that clients and workers of operators' routes use.
 	Names *relay.WireNames
 }
 
-// Config is where a process stands in the fleet.
+// Config is the configuration of a process.
 type Config struct {
 	Role           string
 	Addr           string
@@ -49,20 +49,21 @@
 	DataDir        string
 	Seeds          []string
 	DiskLimitBytes int64
-	// Cluster, when given, is the only one this process will be of.
+	// Cluster, if set, is the only cluster that the process joins.
 	Cluster string
-	// NodeName is the machine's name, by which it can be retired.
+	// NodeName is the name of the machine, by which it can be retired.
 	NodeName string
-	// FaultTolerance is how many machines may be lost with their disks at once;
-	// above 0 the cores mend the disk set by themselves.
+	// FaultTolerance is how many machines may be lost with their disks at the same
+	// time. If above 0, the cores replace lost disks automatically.
 	FaultTolerance int
-	// Bootstrap tells a core that this is the very first start of the whole system,
-	// so that the seeds form the cluster. It holds for one life only.
+	// Bootstrap tells a core that this is the first start of the whole system, so
+	// that the seeds form a new cluster. It applies to one run of the process only.
 	Bootstrap bool
-	// Bounds, when given, hold until settings bring others.
+	// Bounds, if set, apply until settings replace them.
 	Bounds *base.Bounds
 }
 
+// common is the part that all kinds of process share.
 type common struct {
 	env           Env
 	defaultBounds *base.Bounds
@@ -84,6 +85,7 @@
 	return c
 }
 
+// twirpServer is a generated RPC handler.
 type twirpServer interface {
 	http.Handler
 	PathPrefix() string
@@ -91,7 +93,7 @@
 
 func (c *common) mount(server twirpServer) { c.mux.Handle(server.PathPrefix(), server) }
 
-// Handler is what partners call.
+// Handler serves the RPCs of other nodes.
 func (c *common) Handler() http.Handler { return base.HandleMessages(c.env.Clock, c.mux) }
 
 // View is the node's partial view of the fleet.
@@ -106,24 +108,25 @@
 	return bounds
 }
 
-// newFollower makes a follower that keeps the settings, the bounds and the guard.
-// Where there are rules of access it tells the core what it holds, and asks
-// more often while they change.
-func (c *common) newFollower(tree *base.AtomicPointer[settings.Tree], guard *access.Guard, onSnapshot func(*feed.Snapshot)) (*register.Client, *feed.Follower) {
+// newFollower returns a follower of the feed that updates the settings, the bounds
+// and the access guard. Where there are access rules, the follower reports the
+// version it holds to the core, and it polls more often while a change of them
+// is pending.
+func (c *common) newFollower(settingsTree *base.AtomicPointer[settings.Tree], guard *access.Guard, onSnapshot func(*feed.Snapshot)) (*register.Client, *feed.Follower) {
 	client := register.NewClient(c.env.Clock, c.env.HTTPClient, c.view, c.bounds)
 	cache, heldVersion := &settings.FeedCache{}, uint64(0)
-	follower := feed.NewFollower(c.env.Clock, c.env.HTTPClient, c.view, client, c.bounds, c.env.Counters, func(frame *feed.Snapshot) {
-		stamp, next, fresh := cache.Update(frame.Values)
-		if fresh {
-			bounds := next.BoundsWithDefaults(c.defaultBounds)
+	follower := feed.NewFollower(c.env.Clock, c.env.HTTPClient, c.view, client, c.bounds, c.env.Counters, func(snapshot *feed.Snapshot) {
+		version, newTree, changed := cache.Update(snapshot.Values)
+		if changed {
+			bounds := newTree.BoundsWithDefaults(c.defaultBounds)
 			c.bounds.Store(&bounds)
-			tree.Store(next)
+			settingsTree.Store(newTree)
 		}
-		if next != nil {
-			heldVersion = stamp
+		if newTree != nil {
+			heldVersion = version
 			guard.SetRules(cache.AccessTables())
 		}
-		onSnapshot(frame)
+		onSnapshot(snapshot)
 	})
 	follower.AddNodeInfo = func(request *feed.FollowRequest) {
 		if guard.HasRules() {
@@ -137,7 +140,7 @@
 	return client, follower
 }
 
-// Gateway is the data plane's process.
+// Gateway is the process of the data plane: it serves callers and clients.
 type Gateway struct {
 	*common
 	Front    *front.Handler
@@ -147,35 +150,37 @@
 	Relay    *relay.Relay
 	Lines    *line.Manager
 	Access   *access.Guard
-	// ParseRoutes reads the operator's document; it is set before Start where this
-	// gateway serves routes.
-	ParseRoutes func(written []byte) (*route.Table, error)
+	// ParseRoutes parses the operator's document of routes. It is set before Start
+	// on a gateway that serves routes.
+	ParseRoutes func(document []byte) (*route.Table, error)
 
 	diskSet       base.AtomicPointer[register.DiskSet]
 	routesChanged *base.Notifier
-	// rosterDecoder and written are what the feed told last; only learn has them.
+	// rosterDecoder and routesValue keep what the feed sent last. Only
+	// applySnapshot uses them.
 	rosterDecoder relay.RosterDecoder
 	routesValue   []byte
 }
 
+// NewGateway returns a gateway that is not started yet.
 func NewGateway(env Env, config Config) *Gateway {
 	config.Role = membership.RoleGateway
-	bounds, tree := newBounds(config), &base.AtomicPointer[settings.Tree]{}
+	bounds, settingsTree := newBounds(config), &base.AtomicPointer[settings.Tree]{}
 	usageReports := worker.NewUsageReports(env.Clock, bounds)
 	picker := worker.NewPicker(env.Clock, bounds, env.Counters, usageReports, config.Zone)
 	c := newCommon(env, config, usageReports, bounds)
 	g := &Gateway{common: c, Access: access.NewGuard(env.Clock, bounds, env.Counters)}
 	env.Counters.AddSource(g.Access.AddCounts)
-	client, follower := c.newFollower(tree, g.Access, func(frame *feed.Snapshot) {
-		picker.SetRoster(worker.DecodeRoster(frame.Values))
-		g.Sessions.SetTerminations(terminationsIn(frame.Values))
-		g.applySnapshot(frame)
+	client, follower := c.newFollower(settingsTree, g.Access, func(snapshot *feed.Snapshot) {
+		picker.SetRoster(worker.DecodeRoster(snapshot.Values))
+		g.Sessions.SetTerminations(terminationsIn(snapshot.Values))
+		g.applySnapshot(snapshot)
 	})
 	g.Follower = follower
 	c.mount(feed.NewFeedServer(feed.NewService(env.Clock, nil, follower)))
 	g.Sessions = session.NewManager(session.Dependencies{Clock: env.Clock, Wire: env.HTTPClient, View: c.view, Bounds: bounds, Counters: env.Counters,
-		Register: client, Follower: follower, Picker: picker, Backends: env.Backends, Tree: tree})
-	g.Front = &front.Handler{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Follower: follower, Settings: tree,
+		Register: client, Follower: follower, Picker: picker, Backends: env.Backends, Tree: settingsTree})
+	g.Front = &front.Handler{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Follower: follower, Settings: settingsTree,
 		Budget: &budget.Client{Register: client}, Sessions: g.Sessions, Tools: &toolcall.Client{Register: client},
 		Workers: &worker.Client{Register: client}, UsageReports: usageReports, Picker: picker, Backends: env.Backends, Access: g.Access}
 	c.mount(session.NewOwnerServer(g.Sessions))
@@ -188,6 +193,7 @@
 	return g
 }
 
+// terminationsIn returns the terminated programs in the values of the feed.
 func terminationsIn(values map[string][]byte) map[string]budget.Termination {
 	terminations := map[string]budget.Termination{}
 	for key, raw := range values {
@@ -198,7 +204,8 @@
 	return terminations
 }
 
-// notReadyCode is the word that a node's entry carries while it is not ready.
+// notReadyCode returns a function for membership.View.UnwellReason: it returns the
+// error code of ready, or "" if the node is ready.
 func notReadyCode(ready func() error) func() string {
 	return func() string {
 		if err := ready(); err != nil {
@@ -208,7 +215,7 @@
 	}
 }
 
-// Start begins the node's own tasks.
+// Start starts the background tasks of the node.
 func (g *Gateway) Start() {
 	g.view.UnwellReason = notReadyCode(g.Ready)
 	g.env.Clock.Go(g.view.Run)
@@ -223,18 +230,18 @@
 	})
 }
 
-// SettingsVersion is the settings' stamp this gateway goes by.
+// SettingsVersion is the version of the settings that this gateway applies.
 func (g *Gateway) SettingsVersion() uint64 {
 	return settings.VersionFromFeed(g.Follower.Snapshot().Values)
 }
 
-// Ready says whether the platform may send callers here.
+// Ready returns nil if the platform may send callers to this gateway.
 func (g *Gateway) Ready() error {
 	if g.Front.Settings.Load() == nil {
 		return base.Busy(503, "no_settings", 1, "no settings have been applied")
 	}
 	if !g.Follower.HasLease() {
-		return base.Busy(503, "no_confirmed_settings", 1, "settings are not confirmed")
+		return base.Busy(503, "no_confirmed_settings", 1, "the lease on the settings has expired and is not renewed yet")
 	}
 	if g.view.Self().Leaving {
 		return base.Busy(503, "draining", 1, "this node is leaving")
@@ -242,21 +249,21 @@
 	return nil
 }
 
-// Drain hands over what this node owns.
-func (g *Gateway) Drain(limit time.Duration) {
+// Drain announces that the node stops, and hands over what it owns.
+func (g *Gateway) Drain(timeout time.Duration) {
 	g.view.Leave(g.bounds.Load().HeartbeatInterval() * 4)
-	g.Lines.Drain(limit)
-	g.Sessions.Drain(limit)
+	g.Lines.Drain(timeout)
+	g.Sessions.Drain(timeout)
 }
 
-// Stop ends the node's tasks.
+// Stop ends the background tasks.
 func (g *Gateway) Stop() {
 	g.Sessions.Close()
 	g.Follower.Close()
 	g.view.Close()
 }
 
-// Core is the control plane's process that owns keys.
+// Core is the process of the control plane that leads shards of the register.
 type Core struct {
 	*common
 	RegisterServer  *register.Server
@@ -264,15 +271,16 @@
 	OperatorAPI     *operate.Handler
 	Register        *register.Client
 	accessActivator *access.Activator
-	// Lister asks for the list of workers; it is set before Start where this
-	// core keeps a roster.
+	// Lister fetches the list of workers. It is set before Start on a core that
+	// maintains the roster.
 	Lister       relay.Lister
 	bootstrapper *founding.Bootstrapper
 }
 
+// NewCore returns a core that is not started yet.
 func NewCore(env Env, config Config) *Core {
 	config.Role = membership.RoleCore
-	bounds, tree := newBounds(config), &base.AtomicPointer[settings.Tree]{}
+	bounds, settingsTree := newBounds(config), &base.AtomicPointer[settings.Tree]{}
 	c := newCommon(env, config, nil, bounds)
 	server := register.NewServer(env.Clock, env.HTTPClient, c.view, bounds, env.Counters)
 	settings.RegisterHandlers(server)
@@ -283,11 +291,11 @@
 	route.RegisterOperations(server)
 	relay.RegisterHandlers(server)
 	guard := access.NewGuard(env.Clock, bounds, env.Counters)
-	client, follower := c.newFollower(tree, guard, func(*feed.Snapshot) {})
+	client, follower := c.newFollower(settingsTree, guard, func(*feed.Snapshot) {})
 	if config.FaultTolerance > 0 {
 		server.EnableReconcile(config.FaultTolerance)
-		kept := ledger.NewClient(env.Clock, env.HTTPClient, func() *register.DiskSet { return register.DiskSetIn(follower.Snapshot().Values) }, config.Zone, config.FaultTolerance, bounds, env.Counters, nil)
-		server.SetRedundancyChecker(kept)
+		ledgerClient := ledger.NewClient(env.Clock, env.HTTPClient, func() *register.DiskSet { return register.DiskSetIn(follower.Snapshot().Values) }, config.Zone, config.FaultTolerance, bounds, env.Counters, nil)
+		server.SetRedundancyChecker(ledgerClient)
 	}
 	core := &Core{common: c, RegisterServer: server, Follower: follower, Register: client}
 	if config.Bootstrap {
@@ -304,6 +312,7 @@
 	return core
 }
 
+// Start starts the background tasks of the core.
 func (c *Core) Start() {
 	c.view.UnwellReason, c.view.KnownCluster = notReadyCode(c.health), c.RegisterServer.Cluster
 	c.env.Clock.Go(c.view.Run)
@@ -320,45 +329,49 @@
 	}
 }
 
-// OperatorTimeout is how long an operator's call may take before it is answered.
+// OperatorTimeout limits the handling of an operator's request.
 func (c *Core) OperatorTimeout() time.Duration { return c.bounds.Load().CoreCallTimeout() / 2 }
 
-// Ready says whether this core can reach the control state.
+// Ready returns nil if this core can reach the control state.
 func (c *Core) Ready() error {
 	if !c.Follower.HasLease() {
-		return base.Busy(503, "no_confirmed_state", 1, "the control state is not confirmed")
+		return base.Busy(503, "no_confirmed_state", 1, "the lease on the control state has expired and is not renewed yet")
 	}
 	return nil
 }
 
-// health is what the others are told of this core: above all that it cannot reach
-// a majority of the disks.
+// health is the state that this core announces to the other nodes: above all
+// whether it reaches a majority of the disks.
 func (c *Core) health() error {
 	if c.RegisterServer.WithoutQuorum() {
-		return base.Busy(503, register.NoQuorum, 1, "no majority of disks answers this core")
+		return base.Busy(503, register.NoQuorum, 1, "this core reaches no majority of the disks")
 	}
 	return c.Ready()
 }
 
-// Drain tells the fleet, so that others take this core's slots.
+// Drain announces that the core stops, so that other cores take over its shards.
 func (c *Core) Drain(time.Duration) {
 	c.view.Leave(c.bounds.Load().HeartbeatInterval() * 4)
 	c.RegisterServer.AwaitHandover(c.bounds.Load().CoreCallTimeout())
 }
 
+// Stop ends the background tasks.
 func (c *Core) Stop() {
 	c.RegisterServer.Close()
 	c.Follower.Close()
 	c.view.Close()
 }
 
-// Storage is the control plane's process that keeps a disk.
+// Storage is the process that stores the data of the register and the ledger on a
+// disk.
 type Storage struct {
 	*common
 	Store  *disk.Store
 	Ledger *ledger.Store
 }
 
+// NewStorage opens the data folder and returns a storage node that is not started
+// yet.
 func NewStorage(env Env, config Config) (*Storage, error) {
 	config.Role = membership.RoleStorage
 	bounds := newBounds(config)
@@ -381,6 +394,7 @@
 	return &Storage{common: c, Store: store, Ledger: ledgerStore}, nil
 }
 
+// Start starts the background tasks of the storage node.
 func (s *Storage) Start() {
 	s.view.UnwellReason, s.view.KnownCluster = notReadyCode(s.Ready), s.Store.Cluster
 	s.env.Clock.Go(s.view.Run)
@@ -388,20 +402,22 @@
 	s.env.Clock.Go(s.Ledger.Run)
 }
 
-// saveNeighbours keeps the addresses of the fleet in the data folder: when all seeds
-// have been replaced, the storage machines still find it after an outage.
+// saveNeighbours saves the addresses of live nodes in the data folder, so that
+// storage nodes find the others after an outage even if all seeds have been
+// replaced.
 func (s *Storage) saveNeighbours() {
 	saved := disk.Neighbours(s.env.Files)
 	for !s.view.Closed() {
 		s.env.Clock.Sleep(s.bounds.Load().SuspectTimeout())
-		if now := s.view.LiveAddresses(); s.Store.Cluster() != "" && len(now) > 0 && !slices.Equal(now, saved) {
-			if disk.KeepNeighbours(s.env.Files, now) == nil {
-				saved = now
+		if addresses := s.view.LiveAddresses(); s.Store.Cluster() != "" && len(addresses) > 0 && !slices.Equal(addresses, saved) {
+			if disk.KeepNeighbours(s.env.Files, addresses) == nil {
+				saved = addresses
 			}
 		}
 	}
 }
 
+// Ready returns nil if the disk and the ledger can serve.
 func (s *Storage) Ready() error {
 	if err := s.Store.Ready(); err != nil {
 		return err
@@ -409,8 +425,10 @@
 	return s.Ledger.Ready()
 }
 
+// Drain announces that the storage node stops.
 func (s *Storage) Drain(time.Duration) { s.view.Leave(s.bounds.Load().HeartbeatInterval() * 4) }
 
+// Stop ends the background tasks and closes the files.
 func (s *Storage) Stop() {
 	s.Store.Close()
 	s.Ledger.Close()
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -1,6 +1,3 @@
-// A gateway that serves an operator's routes: what the feed tells it, when it
-// is ready, and the joints between lines, ledger and relay.
-
 package node
 
 import (
@@ -18,21 +15,21 @@
 	"github.com/apex/log"
 )
 
-// applySnapshot takes what a frame of the feed says of routes, workers and disks.
-func (g *Gateway) applySnapshot(frame *feed.Snapshot) {
-	if disks := register.DiskSetIn(frame.Values); disks != nil {
-		g.diskSet.Store(disks)
-	}
-	written := frame.Values[route.FeedKey]
-	if len(written) == len(g.routesValue) && (len(written) == 0 || &written[0] == &g.routesValue[0]) {
-		// the very same as in the frame before
-	} else if document := route.DocumentFromFeed(frame.Values); document != nil && g.ParseRoutes != nil {
-		g.routesValue = written
-		if now := g.Routes.Load(); now == nil || now.Version != document.Version {
-			written, err := document.Source()
+// applySnapshot takes over the routes, workers and disks of a snapshot of the feed.
+func (g *Gateway) applySnapshot(snapshot *feed.Snapshot) {
+	if diskSet := register.DiskSetIn(snapshot.Values); diskSet != nil {
+		g.diskSet.Store(diskSet)
+	}
+	value := snapshot.Values[route.FeedKey]
+	if len(value) == len(g.routesValue) && (len(value) == 0 || &value[0] == &g.routesValue[0]) {
+		// the same slice as in the previous snapshot: nothing to parse
+	} else if document := route.DocumentFromFeed(snapshot.Values); document != nil && g.ParseRoutes != nil {
+		g.routesValue = value
+		if current := g.Routes.Load(); current == nil || current.Version != document.Version {
+			source, err := document.Source()
 			if err == nil {
 				var table *route.Table
-				if table, err = g.ParseRoutes(written); err == nil {
+				if table, err = g.ParseRoutes(source); err == nil {
 					g.Routes.Store(table)
 					g.routesChanged.Notify()
 					log.WithField("version", table.Version).Info("routes in force")
@@ -40,17 +37,17 @@
 				}
 			}
 			if err != nil {
-				log.WithError(err).WithField("version", document.Version).Error("the configuration cannot be read here")
+				log.WithError(err).WithField("version", document.Version).Error("cannot read the configuration of routes")
 			}
 		}
 	}
-	if workers, changed := g.rosterDecoder.Decode(frame.Values); changed {
+	if workers, changed := g.rosterDecoder.Decode(snapshot.Values); changed {
 		g.Relay.SetWorkers(workers)
 	}
 }
 
-// WaitForRoutes gives the routes in force. A gateway that has just started waits a
-// little for them: to be told to come back costs a client more.
+// WaitForRoutes returns the routes in force, or nil. A gateway that has just
+// started waits for them briefly, which costs a client less than a retry.
 func (g *Gateway) WaitForRoutes(ctx *base.Ctx) *route.Table {
 	end := g.env.Clock.Now() + min(ctx.Remaining(), g.bounds.Load().LeaseWait())
 	for {
@@ -62,17 +59,17 @@
 	}
 }
 
-// Authorize says whether a client's request may call the model it names. It goes
-// before anything else is done for the request.
-func (g *Gateway) Authorize(ctx *base.Ctx, matched *route.Route, call *relay.Call) error {
-	if !g.Access.HasRules() || !matched.CallsModel() {
+// Authorize returns an error if a client's request may not call the model that it
+// names. It runs before anything else is done for the request.
+func (g *Gateway) Authorize(ctx *base.Ctx, rt *route.Route, call *relay.Call) error {
+	if !g.Access.HasRules() || !rt.CallsModel() {
 		return nil
 	}
 	host, _, _ := strings.Cut(call.Host, ":")
-	return g.Access.Authorize(ctx, &access.Request{Host: strings.ToLower(host), Scope: access.Scope{Route: matched.Name}, Model: call.Model})
+	return g.Access.Authorize(ctx, &access.Request{Host: strings.ToLower(host), Scope: access.Scope{Route: rt.Name}, Model: call.Model})
 }
 
-// RoutesReady says whether clients of the operator's routes may be sent here.
+// RoutesReady returns nil if clients of the operator's routes may be sent here.
 func (g *Gateway) RoutesReady() error {
 	switch {
 	case g.Routes.Load() == nil:
@@ -83,8 +80,8 @@
 	return nil
 }
 
-// ClientLimits are the bounds on clients in force; all 0 before the first
-// configuration.
+// ClientLimits returns the limits in force for client connections; all are 0
+// before the first configuration.
 func (g *Gateway) ClientLimits() route.Limits {
 	if table := g.Routes.Load(); table != nil {
 		return table.Limits
@@ -92,8 +89,8 @@
 	return route.Limits{}
 }
 
-// Response is what a client of the operator's routes gets: a whole body, or a
-// stream to be passed on as it comes.
+// Response is the response to a client of the operator's routes: a complete body,
+// or a stream that is forwarded as it arrives.
 type Response struct {
 	Status  int
 	Headers []relay.Header
@@ -101,9 +98,9 @@
 	Stream  *line.Reader
 }
 
-// Handle answers one request of a client. The route in force decides where it
-// goes: turns to their session's owner, streams that belong to no program and
-// plain requests to a worker. An error is a verdict.
+// Handle serves one request of a client. The matching route decides where it goes:
+// a turn goes to the owner of its session; a stream outside of any program and a
+// plain request go to a worker. Errors are of type base.RequestError.
 func (g *Gateway) Handle(call *relay.Call) (*Response, error) {
 	table := g.Routes.Load()
 	if table == nil {
@@ -112,30 +109,30 @@
 	if table == nil {
 		return nil, base.BusyFor(503, "no_settings", g.bounds.Load().Recovery/60, "no configuration is in force yet")
 	}
-	matched := table.Match(call.Host, call.Target)
-	if matched == nil {
-		return nil, base.Decline(404, "no_route", "no route takes this request")
+	rt := table.Match(call.Host, call.Target)
+	if rt == nil {
+		return nil, base.Decline(404, "no_route", "no route matches this request")
 	}
-	clock, limit := g.env.Clock, matched.Timeout
+	clock, timeout := g.env.Clock, rt.Timeout
 	if call.Deadline > 0 {
-		limit = min(limit, call.Deadline)
+		timeout = min(timeout, call.Deadline)
 	}
-	call.Deadline = limit
-	ctx := base.NewCtx(clock, limit)
-	if err := g.Authorize(ctx, matched, call); err != nil {
+	call.Deadline = timeout
+	ctx := base.NewCtx(clock, timeout)
+	if err := g.Authorize(ctx, rt, call); err != nil {
 		return nil, err
 	}
 	switch {
-	case matched.Kind == route.KindStream && line.IsTurn(matched, call):
+	case rt.Kind == route.KindStream && line.IsTurn(rt, call):
 		stream, err := g.Lines.SubmitTurn(ctx, call)
 		if err != nil {
 			return nil, err
 		}
 		return streamResponse(stream, ctx)
-	case matched.Kind == route.KindStream:
-		return streamResponse(g.Lines.PassThrough(ctx, matched, call), ctx)
+	case rt.Kind == route.KindStream:
+		return streamResponse(g.Lines.PassThrough(ctx, rt, call), ctx)
 	}
-	reply, err := g.Relay.Dispatch(ctx, matched, table.Services[matched.PickService(clock.Int64N)], call, call.Body)
+	reply, err := g.Relay.Dispatch(ctx, rt, table.Services[rt.PickService(clock.Int64N)], call, call.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -147,7 +144,7 @@
 	return &Response{Status: reply.Status, Headers: reply.Headers(), Body: body}, nil
 }
 
-// streamResponse answers with a stream, once its head has come.
+// streamResponse waits for the head of a stream and returns the response.
 func streamResponse(stream *line.Stream, ctx *base.Ctx) (*Response, error) {
 	head, err := stream.Head(ctx.Remaining(), ctx.Clock)
 	if err != nil {
@@ -156,8 +153,8 @@
 	return &Response{Status: head.Status, Headers: head.Headers, Stream: line.NewReader(stream, ctx.Clock, ctx.Remaining())}, nil
 }
 
-// maxConnsPerWorker is this gateway's part of a service's connections to each worker:
-// all gateways together keep below what a worker takes.
+// maxConnsPerWorker is this gateway's share of the connections to each worker of a
+// service, so that all gateways together stay below the worker's limit.
 func (g *Gateway) maxConnsPerWorker(service *route.Service) int {
 	if service.MaxConns <= 0 {
 		return 0
@@ -165,8 +162,9 @@
 	return connectionShare(service.MaxConns, max(1, g.Follower.GatewayCount(), len(g.view.Live(membership.RoleGateway))))
 }
 
-// connectionShare cuts three quarters of what a worker takes into equal parts, rounded
-// up where all parts together stay within the whole.
+// connectionShare divides three quarters of a worker's connection limit among the
+// gateways. It rounds up if all shares together stay within the limit, and returns
+// at least 1.
 func connectionShare(maxConns, gateways int) int {
 	share := (maxConns*3/4 + gateways - 1) / gateways
 	if share*gateways > maxConns {
@@ -175,23 +173,24 @@
 	return max(1, share)
 }
 
-// maxResponseBytes bounds a whole answer of a worker.
+// maxResponseBytes limits a buffered response of a worker.
 const maxResponseBytes = 16 << 20
 
-// relayAdapter lets lines send turns by the relay.
+// relayAdapter lets line send turns to workers through the relay.
 type relayAdapter struct{ gateway *Gateway }
 
+// relayReply is a reply of the relay as a line.Reply.
 type relayReply struct{ *relay.Reply }
 
-func (o relayReply) Status() int    { return o.Reply.Status }
-func (o relayReply) IsStream() bool { return !o.Buffered() }
+func (r relayReply) Status() int    { return r.Reply.Status }
+func (r relayReply) IsStream() bool { return !r.Buffered() }
 
-func (o relayAdapter) Send(ctx *base.Ctx, matched *route.Route, service string, call *relay.Call, body []byte) (line.Reply, error) {
-	known := o.gateway.Routes.Load().Services[service]
-	if known == nil {
-		return nil, base.Busy(503, "no_service", 1, "the service is not configured any more")
+func (a relayAdapter) Send(ctx *base.Ctx, rt *route.Route, service string, call *relay.Call, body []byte) (line.Reply, error) {
+	target := a.gateway.Routes.Load().Services[service]
+	if target == nil {
+		return nil, base.Busy(503, "no_service", 1, "the service is no longer configured")
 	}
-	reply, err := o.gateway.Relay.Dispatch(ctx, matched, known, call, body)
+	reply, err := a.gateway.Relay.Dispatch(ctx, rt, target, call, body)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/routes_test.go
+++ b/internal/node/routes_test.go
@@ -10,6 +10,8 @@
 	"github.com/matryer/is"
 )
 
+// TestUnroutedRequestIsRejectedAsNotRun checks that a request without a
+// configuration, or without a matching route, is reported as not executed.
 func TestUnroutedRequestIsRejectedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	clock := base.NewRealClock()
@@ -25,13 +27,15 @@
 	is.Equal(base.ToRequestError(err).Execution, base.NotRun)
 }
 
+// TestConnectionSharesStayWithinTheWorkerLimit checks that the shares of all gateways
+// never exceed what the worker accepts, unless each has only one connection.
 func TestConnectionSharesStayWithinTheWorkerLimit(t *testing.T) {
 	is := is.New(t)
-	for most := 1; most <= 600; most++ {
+	for maxConns := 1; maxConns <= 600; maxConns++ {
 		for _, gateways := range []int{1, 2, 3, 6, 9, 64, 400} {
-			share := connectionShare(most, gateways)
+			share := connectionShare(maxConns, gateways)
 			is.True(share >= 1)
-			is.True(share == 1 || share*gateways <= most)
+			is.True(share == 1 || share*gateways <= maxConns)
 		}
 	}
 	is.Equal(connectionShare(6, 3), 2)
