--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -79,8 +79,8 @@
 	since time.Duration // when it came to its state
 }
 
-// Table holds the open connections of one server.
-type Table struct {
+// Tracker holds the open connections of one server.
+type Tracker struct {
 	clock    base.Clock
 	counters *base.Counters
 	limits   func() route.Limits
@@ -89,15 +89,15 @@
 	conns map[net.Conn]*tracked
 }
 
-// NewTable makes an empty table. limits gives the limits of the moment; those
+// NewTracker makes an empty table. limits gives the limits of the moment; those
 // that are 0 are not set.
-func NewTable(clock base.Clock, counters *base.Counters, limits func() route.Limits) *Table {
-	return &Table{clock: clock, counters: counters, limits: limits, conns: map[net.Conn]*tracked{}}
+func NewTracker(clock base.Clock, counters *base.Counters, limits func() route.Limits) *Tracker {
+	return &Tracker{clock: clock, counters: counters, limits: limits, conns: map[net.Conn]*tracked{}}
 }
 
-// Watch makes a server tell the table of its connections, and leaves timeouts
+// Attach makes a server tell the table of its connections, and leaves timeouts
 // to the table. It is called before the server serves.
-func (t *Table) Watch(server *fasthttp.Server) {
+func (t *Tracker) Attach(server *fasthttp.Server) {
 	server.ConnState = t.changed
 	server.ReadTimeout = 0
 	server.IdleTimeout = 0
@@ -133,7 +133,7 @@
 }
 
 // changed takes in what the server tells of a connection.
-func (t *Table) changed(c net.Conn, to fasthttp.ConnState) {
+func (t *Tracker) changed(c net.Conn, to fasthttp.ConnState) {
 	switch to {
 	case fasthttp.StateNew:
 		t.mu.Lock()
@@ -148,7 +148,7 @@
 	}
 }
 
-func (t *Table) move(c net.Conn, e event) {
+func (t *Tracker) move(c net.Conn, e event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.conns[c]
@@ -162,9 +162,9 @@
 	}
 }
 
-// Sweep closes the connections that have rested, or taken to send a request,
+// CloseExpired closes the connections that have rested, or taken to send a request,
 // for longer than they may. It gives the time until the next sweep.
-func (t *Table) Sweep() time.Duration {
+func (t *Tracker) CloseExpired() time.Duration {
 	limits := t.limits()
 	idle := orDefault(limits.IdleTimeout, defaultIdle)
 	head := orDefault(limits.HeaderReadTimeout, defaultRead)
@@ -197,8 +197,8 @@
 }
 
 // Run sweeps until closed says that the server is over.
-func (t *Table) Run(closed func() bool) {
+func (t *Tracker) Run(closed func() bool) {
 	for !closed() {
-		t.clock.Sleep(t.Sweep())
+		t.clock.Sleep(t.CloseExpired())
 	}
 }
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -31,7 +31,7 @@
 type bench struct {
 	*is.I
 	clock  *movedClock
-	table  *Table
+	table  *Tracker
 	limits atomic.Pointer[route.Limits]
 	addr   string
 	states chan fasthttp.ConnState
@@ -41,7 +41,7 @@
 func newBench(t *testing.T, limits route.Limits) *bench {
 	b := &bench{I: is.New(t), clock: &movedClock{Clock: base.NewRealClock()}, states: make(chan fasthttp.ConnState, 1000), held: make(chan struct{})}
 	b.limits.Store(&limits)
-	b.table = NewTable(b.clock, base.NewCounters(), func() route.Limits { return *b.limits.Load() })
+	b.table = NewTracker(b.clock, base.NewCounters(), func() route.Limits { return *b.limits.Load() })
 	server := &fasthttp.Server{ReduceMemoryUsage: true, Handler: func(r *fasthttp.RequestCtx) {
 		if string(r.Path()) == "/held" {
 			b.held <- struct{}{}
@@ -49,7 +49,7 @@
 		}
 		fmt.Fprintf(r, "%d", len(r.Request.Body()))
 	}}
-	b.table.Watch(server)
+	b.table.Attach(server)
 	told := server.ConnState
 	server.ConnState = func(c net.Conn, s fasthttp.ConnState) {
 		told(c, s)
@@ -91,7 +91,7 @@
 
 func (b *bench) pass(span time.Duration) {
 	b.clock.ahead.Add(int64(span))
-	b.table.Sweep()
+	b.table.CloseExpired()
 }
 
 // A connection that rested for four fifths of the limit in force is served, also
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -35,7 +35,7 @@
 		_, _ = w.Write(append([]byte(r.Header.Get("Fordseam-Within-Ms")+" "), body...))
 	})}
 	go func() { _ = server.Serve(listener) }()
-	wire, err := NewWire(func() {})
+	wire, err := NewClient(func() {})
 	is.NoErr(err)
 	defer wire.Close()
 	clock := base.NewRealClock()
@@ -74,7 +74,7 @@
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })}
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
-	wire, err := NewWire(func() {})
+	wire, err := NewClient(func() {})
 	is.NoErr(err)
 	defer wire.Close()
 	request, _ := http.NewRequestWithContext(base.NewCtx(base.NewRealClock(), 5*time.Second), "POST", "http://"+addr+"/", strings.NewReader("x"))
--- a/internal/conn/generated_test.go
+++ b/internal/conn/generated_test.go
@@ -137,10 +137,10 @@
 	return false
 }
 
-func newTestWire(t testing.TB) *Wire {
+func newTestWire(t testing.TB) *Client {
 	log.SetOutput(io.Discard) // net/http tells of each surplus answer
 	t.Cleanup(func() { log.SetOutput(os.Stderr) })
-	wire, err := NewWire(func() {})
+	wire, err := NewClient(func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 	return wire
 }
 
-func ask(wire *Wire, addr, id string, how behaviour, body []byte) (string, error) {
+func ask(wire *Client, addr, id string, how behaviour, body []byte) (string, error) {
 	ctx := base.NewCtx(base.NewRealClock(), 20*time.Second)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/", bytes.NewReader(body))
 	if err != nil {
@@ -181,7 +181,7 @@
 var played atomic.Int64
 
 // play carries a plan out, and tells the first fault that it finds.
-func play(partner *fakePartner, wire *Wire, p plan) string {
+func play(partner *fakePartner, wire *Client, p plan) string {
 	run := played.Add(1)
 	faults := make(chan string, 100)
 	var group sync.WaitGroup
@@ -203,7 +203,7 @@
 }
 
 // exchange asks once, and compares what is told with what the partner saw.
-func exchange(partner *fakePartner, wire *Wire, id string, how behaviour, padding int) string {
+func exchange(partner *fakePartner, wire *Client, id string, how behaviour, padding int) string {
 	body := append([]byte(id), bytes.Repeat([]byte("x"), padding)...)
 	got, err := ask(wire, partner.listener.Addr().String(), id, how, body)
 	switch times := partner.timesRead(id); {
@@ -234,7 +234,7 @@
 
 // finds plays generated plans until one shows a fault. Their messages leave in
 // one write each.
-func finds(partner *fakePartner, wire *Wire) string {
+func finds(partner *fakePartner, wire *Client) string {
 	for seed := range 300 {
 		p := plans.Example(seed)
 		p.padding = 0
--- a/internal/conn/wire.go
+++ b/internal/conn/wire.go
@@ -98,8 +98,8 @@
 // nothing, and whoever waits for it is better told so soon.
 var connectLimit = base.DefaultBounds().Recover / 48
 
-// Wire is the HTTP client that twirp's clients use between nodes.
-type Wire struct {
+// Client is the HTTP client that twirp's clients use between nodes.
+type Client struct {
 	client *gnet.Client
 	http   *http.Client
 	sent   func()
@@ -107,8 +107,8 @@
 	messages atomic.Uint64
 }
 
-// NewWire starts the dialing engine; sent is called for each message.
-func NewWire(sent func()) (*Wire, error) {
+// NewClient starts the dialing engine; sent is called for each message.
+func NewClient(sent func()) (*Client, error) {
 	handler := &events{booted: make(chan gnet.Engine, 1)}
 	client, err := gnet.NewClient(handler, gnet.WithNumEventLoop(2), gnet.WithLogger(quietLogger{}), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
 	if err != nil {
@@ -117,7 +117,7 @@
 	if err := client.Start(); err != nil {
 		return nil, errors.Trace(err)
 	}
-	w := &Wire{client: client, sent: sent}
+	w := &Client{client: client, sent: sent}
 	transport := &http.Transport{
 		DialContext:         w.dial,
 		MaxIdleConnsPerHost: 32,
@@ -128,7 +128,7 @@
 	return w, nil
 }
 
-func (w *Wire) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (w *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: connectLimit}
 	plain, err := dialer.DialContext(ctx, network, addr)
 	if err != nil {
@@ -146,7 +146,7 @@
 }
 
 // Do sends one message and reads its reply whole.
-func (w *Wire) Do(request *http.Request) (*http.Response, error) {
+func (w *Client) Do(request *http.Request) (*http.Response, error) {
 	ctx, ok := request.Context().Value(base.CtxKey).(*base.Ctx)
 	left := 10 * time.Second
 	if ok {
@@ -184,13 +184,13 @@
 
 // abandon closes the connection that an answer came on. The HTTP client may
 // have put it back already when the answer had no body, so all idle ones go.
-func (w *Wire) abandon(response *http.Response) {
+func (w *Client) abandon(response *http.Response) {
 	_ = response.Body.Close() // unread: the client closes the connection
 	w.http.CloseIdleConnections()
 }
 
 // Close ends the dialing engine.
-func (w *Wire) Close() {
+func (w *Client) Close() {
 	w.http.CloseIdleConnections()
 	_ = w.client.Stop()
 }
--- a/internal/disk/commit.go
+++ b/internal/disk/commit.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		panic(err)
 	}
-	free := s.files.Free() - 2*int64(s.queued) - int64(s.frameBytes+s.logBytes/2)
+	free := s.files.FreeBytes() - 2*int64(s.queued) - int64(s.frameBytes+s.logBytes/2)
 	keptBack := int64(s.frameBytes+s.floor/4) / keptBackPart
 	if !freeing && (s.full || free < int64(2*len(payload)+sector)+keptBack) {
 		s.counters.Add("disk_declined_full", 1)
@@ -145,7 +145,7 @@
 		s.mu.Lock()
 		s.full = true
 		s.mu.Unlock()
-		if err := s.files.Trim(logName(generation), offset); err != nil {
+		if err := s.files.Truncate(logName(generation), offset); err != nil {
 			return errors.Trace(err)
 		}
 		if err := s.turn(); err != nil {
@@ -167,13 +167,13 @@
 	payload := s.encodeFrame()
 	if err := s.writeSlot(next, number, payload); err != nil {
 		if isFull(err) {
-			_ = s.files.Trim(slotName(next), 0)
+			_ = s.files.Truncate(slotName(next), 0)
 		}
 		return err
 	}
 	// What is left in the log is of an older generation; the first batch's sync
 	// covers this too.
-	if err := s.files.Trim(logName(next), 0); err != nil {
+	if err := s.files.Truncate(logName(next), 0); err != nil {
 		return errors.Trace(err)
 	}
 	s.mu.Lock()
--- a/internal/disk/files.go
+++ b/internal/disk/files.go
@@ -1,4 +1,4 @@
-// Files is the narrow way to stable storage. Append, Replace and Trim only
+// Files is the narrow way to stable storage. Append, Replace and Truncate only
 // count once Sync of the same name returned. The real one keeps plain files in
 // one data folder; the simulator keeps bytes in memory and drops what was not
 // synced when power goes.
@@ -22,9 +22,9 @@
 	// have been written.
 	Append(name string, data []byte) error
 	Replace(name string, data []byte) error
-	Trim(name string, size int) error
+	Truncate(name string, size int) error
 	Sync(name string) error
-	Free() int64
+	FreeBytes() int64
 }
 
 // ErrFull says that the disk has no room.
@@ -124,7 +124,7 @@
 }
 
 func (f *folder) Append(name string, data []byte) error {
-	if f.limit > 0 && f.Free() < int64(len(data)) {
+	if f.limit > 0 && f.FreeBytes() < int64(len(data)) {
 		return errors.Trace(ErrFull)
 	}
 	return f.change(name, func(held *os.File) error {
@@ -134,13 +134,13 @@
 }
 
 func (f *folder) Replace(name string, data []byte) error {
-	if err := f.Trim(name, 0); err != nil {
+	if err := f.Truncate(name, 0); err != nil {
 		return err
 	}
 	return f.Append(name, data)
 }
 
-func (f *folder) Trim(name string, size int) error {
+func (f *folder) Truncate(name string, size int) error {
 	return f.change(name, func(held *os.File) error { return held.Truncate(int64(size)) })
 }
 
@@ -154,8 +154,8 @@
 	return full(held.Sync())
 }
 
-// Free is the room that is left, of the limit and of the file system.
-func (f *folder) Free() int64 {
+// FreeBytes is the room that is left, of the limit and of the file system.
+func (f *folder) FreeBytes() int64 {
 	left := int64(1 << 40)
 	var stat syscall.Statfs_t
 	if syscall.Statfs(f.path, &stat) == nil {
--- a/internal/disk/install.go
+++ b/internal/disk/install.go
@@ -17,8 +17,8 @@
 // inlineBytes is the largest content that comes along with a promise.
 const inlineBytes = 16 << 10
 
-// Held is the number up to which the disk holds a slot, 0 if it holds none.
-func (s *Store) Held(slot uint32) uint64 {
+// AppliedSeq is the number up to which the disk holds a slot, 0 if it holds none.
+func (s *Store) AppliedSeq(slot uint32) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if held := s.replicas[slot]; held != nil {
--- a/internal/disk/load.go
+++ b/internal/disk/load.go
@@ -99,7 +99,7 @@
 	if log.end < len(data) && log.end > 0 {
 		s.counters.Add("disk_tails_cut", 1)
 	}
-	if err := s.files.Trim(name, log.end); err != nil {
+	if err := s.files.Truncate(name, log.end); err != nil {
 		return 0, errors.Trace(err)
 	}
 	end := log.end
@@ -110,7 +110,7 @@
 		case !isFull(err):
 			return 0, errors.Trace(err)
 		default:
-			if err := s.files.Trim(name, end); err != nil {
+			if err := s.files.Truncate(name, end); err != nil {
 				return 0, errors.Trace(err)
 			}
 		}
--- a/internal/disk/neighbours.go
+++ b/internal/disk/neighbours.go
@@ -13,8 +13,8 @@
 
 const neighboursName = "neighbours"
 
-// Neighbours reads the addresses that were kept.
-func Neighbours(files Files) []string {
+// ReadPeerAddresses reads the addresses that were kept.
+func ReadPeerAddresses(files Files) []string {
 	data, err := files.Read(neighboursName)
 	if err != nil {
 		return nil
@@ -26,8 +26,8 @@
 	return kept
 }
 
-// KeepNeighbours writes them down.
-func KeepNeighbours(files Files, addresses []string) error {
+// WritePeerAddresses writes them down.
+func WritePeerAddresses(files Files, addresses []string) error {
 	if err := files.Replace(neighboursName, seal(0, 0, 0, base.Encode(addresses))); err != nil {
 		return errors.Trace(err)
 	}
--- a/internal/disk/segments.go
+++ b/internal/disk/segments.go
@@ -1,4 +1,4 @@
-// Segments is a log over a ring of files, for state that is kept as entries
+// SegmentLog is a log over a ring of files, for state that is kept as entries
 // and forgotten by age. A batch is one sealed record, begun only after the one
 // before it was synced, and numbers run on through all files, so a batch that
 // is missing in the middle shows. What cannot be read at the very end was
@@ -29,8 +29,8 @@
 	size       int
 }
 
-// Segments is used by one task at a time.
-type Segments struct {
+// SegmentLog is used by one task at a time.
+type SegmentLog struct {
 	files  Files
 	floor  int
 	number uint64
@@ -60,11 +60,11 @@
 	last   opened
 }
 
-// OpenSegments gives every batch that can be read to apply, oldest first. A
+// OpenSegmentLog gives every batch that can be read to apply, oldest first. A
 // damaged log is told of, and is still read as far as it goes; floor is the
 // least size of a file before the next is begun.
-func OpenSegments(files Files, floor int, apply func(generation uint64, payload []byte) error) (log *Segments, damaged error, err error) {
-	s := &Segments{files: files, floor: floor}
+func OpenSegmentLog(files Files, floor int, apply func(generation uint64, payload []byte) error) (log *SegmentLog, damaged error, err error) {
+	s := &SegmentLog{files: files, floor: floor}
 	read := []*segmentRead{}
 	for place := uint64(0); place < SegmentCount; place++ {
 		found, err := readSegment(files, place)
@@ -193,22 +193,22 @@
 }
 
 func emptied(files Files, name string) error {
-	if err := files.Trim(name, 0); err != nil {
+	if err := files.Truncate(name, 0); err != nil {
 		return errors.Trace(err)
 	}
 	return errors.Trace(files.Sync(name))
 }
 
-func (s *Segments) cut(generation uint64, size int) error {
-	if err := s.files.Trim(segmentName(generation), size); err != nil {
+func (s *SegmentLog) cut(generation uint64, size int) error {
+	if err := s.files.Truncate(segmentName(generation), size); err != nil {
 		return errors.Trace(err)
 	}
 	return errors.Trace(s.files.Sync(segmentName(generation)))
 }
 
-// Write has a batch synced and tells where it is. Where there is no room, what
+// Append has a batch synced and tells where it is. Where there is no room, what
 // was written of it is cut off again and the error is ErrFull.
-func (s *Segments) Write(payload []byte, live int) (generation uint64, err error) {
+func (s *SegmentLog) Append(payload []byte, live int) (generation uint64, err error) {
 	last := len(s.held) - 1
 	if last < 0 || s.held[last].size >= max(s.floor, live/(SegmentCount/2)) && len(s.held) < SegmentCount {
 		next := uint64(1)
@@ -218,11 +218,11 @@
 		s.held = append(s.held, segment{generation: next})
 		last++
 	}
-	return s.held[last].generation, s.append(payload, s.held[0].generation)
+	return s.held[last].generation, s.writeBatch(payload, s.held[0].generation)
 }
 
-// append has a batch synced that says which file is the oldest that counts.
-func (s *Segments) append(payload []byte, oldest uint64) error {
+// writeBatch has a batch synced that says which file is the oldest that counts.
+func (s *SegmentLog) writeBatch(payload []byte, oldest uint64) error {
 	head := &s.held[len(s.held)-1]
 	name := segmentName(head.generation)
 	data := seal(head.generation, s.number+1, byte(head.generation-oldest), payload)
@@ -232,7 +232,7 @@
 	}
 	if err != nil {
 		if isFull(err) {
-			if err := s.files.Trim(name, head.size); err != nil {
+			if err := s.files.Truncate(name, head.size); err != nil {
 				return errors.Trace(err)
 			}
 		}
@@ -243,17 +243,17 @@
 	return nil
 }
 
-// Tight tells the oldest file's generation where it should be dropped soon, to
+// ReclaimDue tells the oldest file's generation where it should be dropped soon, to
 // keep spare ones.
-func (s *Segments) Tight() (oldest uint64, tight bool) {
+func (s *SegmentLog) ReclaimDue() (oldest uint64, tight bool) {
 	if len(s.held) <= SegmentCount-SpareSegments {
 		return 0, false
 	}
 	return s.held[0].generation, true
 }
 
-// Last is the generation that is written to.
-func (s *Segments) Last() uint64 {
+// Newest is the generation that is written to.
+func (s *SegmentLog) Newest() uint64 {
 	if len(s.held) == 0 {
 		return 0
 	}
@@ -261,26 +261,26 @@
 }
 
 // Oldest is the generation of the oldest file.
-func (s *Segments) Oldest() uint64 {
+func (s *SegmentLog) Oldest() uint64 {
 	if len(s.held) == 0 {
 		return 0
 	}
 	return s.held[0].generation
 }
 
-// Turn ends the file that is written to, so that it can be dropped later.
-func (s *Segments) Turn() {
+// Rotate ends the file that is written to, so that it can be dropped later.
+func (s *SegmentLog) Rotate() {
 	if last := len(s.held) - 1; last >= 0 && s.held[last].size > 0 && len(s.held) < SegmentCount {
 		s.held = append(s.held, segment{generation: s.held[last].generation + 1})
 	}
 }
 
-// Drop says that the oldest file counts no more, and empties it.
-func (s *Segments) Drop() error {
+// DropOldest says that the oldest file counts no more, and empties it.
+func (s *SegmentLog) DropOldest() error {
 	if len(s.held) < 2 {
 		return nil
 	}
-	if err := s.append(nil, s.held[1].generation); err != nil && !isFull(err) {
+	if err := s.writeBatch(nil, s.held[1].generation); err != nil && !isFull(err) {
 		return err
 	}
 	if err := emptied(s.files, segmentName(s.held[0].generation)); err != nil {
@@ -291,7 +291,7 @@
 }
 
 // Bytes is what the files hold.
-func (s *Segments) Bytes() int {
+func (s *SegmentLog) Bytes() int {
 	sum := 0
 	for _, held := range s.held {
 		sum += held.size
--- a/internal/disk/segments_test.go
+++ b/internal/disk/segments_test.go
@@ -15,9 +15,9 @@
 	"github.com/matryer/is"
 )
 
-func openSegments(is *is.I, files *memory, floor int) (*Segments, []string, error) {
+func openSegments(is *is.I, files *memory, floor int) (*SegmentLog, []string, error) {
 	read := []string{}
-	log, damaged, err := OpenSegments(files, floor, func(_ uint64, payload []byte) error {
+	log, damaged, err := OpenSegmentLog(files, floor, func(_ uint64, payload []byte) error {
 		if len(payload) > 0 {
 			read = append(read, string(payload))
 		}
@@ -45,14 +45,14 @@
 		for number := 0; lost == nil; number++ {
 			payload := fmt.Sprintf("%d %s", number, strings.Repeat("x", chance.IntN(2000)))
 			tried = payload
-			_, err := log.Write([]byte(payload), 0)
+			_, err := log.Append([]byte(payload), 0)
 			is.NoErr(err)
 			if lost != nil {
 				break
 			}
 			synced, tried = append(synced, payload), ""
-			if _, tight := log.Tight(); tight {
-				is.NoErr(log.Drop())
+			if _, tight := log.ReclaimDue(); tight {
+				is.NoErr(log.DropOldest())
 			}
 		}
 		again, read, damaged := openSegments(is, lost, 400)
@@ -64,7 +64,7 @@
 		}
 		is.True(len(read) >= min(len(synced), 10))
 		is.True(slices.Equal(read, synced[len(synced)-len(read):]))
-		_, err := again.Write([]byte("after"), 0)
+		_, err := again.Append([]byte("after"), 0)
 		is.NoErr(err)
 		_, read, damaged = openSegments(is, lost, 400)
 		is.NoErr(damaged)
@@ -78,7 +78,7 @@
 	files := newMemory()
 	log, _, _ := openSegments(is, files, 4000)
 	for number := 0; number < 40; number++ {
-		_, err := log.Write([]byte(fmt.Sprintf("%d %s", number, strings.Repeat("y", 200))), 0)
+		_, err := log.Append([]byte(fmt.Sprintf("%d %s", number, strings.Repeat("y", 200))), 0)
 		is.NoErr(err)
 	}
 	told := 0
@@ -105,13 +105,13 @@
 	is := is.New(t)
 	files := newMemory()
 	files.files["ledger-3"] = []byte("somebody else's words")
-	_, _, err := OpenSegments(files, 100, nil)
+	_, _, err := OpenSegmentLog(files, 100, nil)
 	is.Equal(errors.Cause(err), errForeign)
 	is.Equal(string(files.files["ledger-3"]), "somebody else's words")
 	files.files["ledger-3"] = seal(3, 1, 0, []byte("z"))
 	files.files["ledger-3"][3] = formatVersion + 1
 	binary.LittleEndian.PutUint32(files.files["ledger-3"][32:], crc32.Checksum(files.files["ledger-3"][:32], crcTable))
-	_, _, err = OpenSegments(files, 100, nil)
+	_, _, err = OpenSegmentLog(files, 100, nil)
 	is.True(err != nil)
 }
 
@@ -119,13 +119,13 @@
 	is := is.New(t)
 	files := newMemory()
 	log, _, _ := openSegments(is, files, 1000)
-	_, err := log.Write([]byte("first"), 0)
+	_, err := log.Append([]byte("first"), 0)
 	is.NoErr(err)
 	files.limit = 100
-	_, err = log.Write([]byte(strings.Repeat("z", 500)), 0)
+	_, err = log.Append([]byte(strings.Repeat("z", 500)), 0)
 	is.True(IsFull(err))
 	files.limit = 10000
-	_, err = log.Write([]byte("second"), 0)
+	_, err = log.Append([]byte("second"), 0)
 	is.NoErr(err)
 	_, read, damaged := openSegments(is, files, 1000)
 	is.NoErr(damaged)
--- a/internal/disk/service.go
+++ b/internal/disk/service.go
@@ -18,8 +18,8 @@
 type Service struct {
 	store *Store
 	limit time.Duration
-	// Node is the machine's name, told with the disk's state.
-	Node string
+	// NodeName is the machine's name, told with the disk's state.
+	NodeName string
 }
 
 // NewService bounds every answer by limit.
@@ -40,7 +40,7 @@
 
 func (v *Service) describe() *register.DiskState {
 	state := v.store.describe()
-	state.Node = v.Node
+	state.Node = v.NodeName
 	return state
 }
 
--- a/internal/disk/store.go
+++ b/internal/disk/store.go
@@ -7,7 +7,7 @@
 // them. How a torn tail is told from rot is in record.go.
 
 // Package disk is the durable part of a storage machine: a replica of the
-// register's shards (Store), the log of the ledger (Segments), and the call
+// register's shards (Store), the log of the ledger (SegmentLog), and the call
 // interface by which the cores reach the replica (Service). A record counts as
 // stored only after its file has been synced.
 package disk
@@ -104,8 +104,8 @@
 	return s.id
 }
 
-// Tell calls back whenever Identity tells something newer; it must not block.
-func (s *Store) Tell(learnt func()) {
+// OnIdentityChange calls back whenever Identity tells something newer; it must not block.
+func (s *Store) OnIdentityChange(learnt func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learnt = learnt
@@ -132,8 +132,8 @@
 	return s.set.GetCluster()
 }
 
-// Used counts the keys the disk holds.
-func (s *Store) Used() int {
+// KeyCount counts the keys the disk holds.
+func (s *Store) KeyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	count := 0
--- a/internal/disk/store_test.go
+++ b/internal/disk/store_test.go
@@ -45,7 +45,7 @@
 
 func (m *memory) Read(name string) ([]byte, error) { return slices.Clone(m.files[name]), nil }
 func (m *memory) Append(name string, data []byte) error {
-	room := m.Free()
+	room := m.FreeBytes()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if room < int64(len(data)) {
@@ -56,10 +56,10 @@
 	return m.fail
 }
 func (m *memory) Replace(name string, data []byte) error {
-	_ = m.Trim(name, 0)
+	_ = m.Truncate(name, 0)
 	return m.Append(name, data)
 }
-func (m *memory) Trim(name string, size int) error {
+func (m *memory) Truncate(name string, size int) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.files[name] = slices.Clone(m.files[name][:min(size, len(m.files[name]))])
@@ -77,7 +77,7 @@
 	}
 	return m.fail
 }
-func (m *memory) Free() int64 {
+func (m *memory) FreeBytes() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	left := m.limit
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -70,7 +70,7 @@
 }
 
 func newBench(b testing.TB) *benchCluster {
-	wire, err := conn.NewWire(func() {})
+	wire, err := conn.NewClient(func() {})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -264,9 +264,9 @@
 func (m *discardingFiles) Read(string) ([]byte, error)  { return nil, nil }
 func (m *discardingFiles) Append(string, []byte) error  { return nil }
 func (m *discardingFiles) Replace(string, []byte) error { return nil }
-func (m *discardingFiles) Trim(string, int) error       { return nil }
+func (m *discardingFiles) Truncate(string, int) error   { return nil }
 func (m *discardingFiles) Sync(string) error            { return nil }
-func (m *discardingFiles) Free() int64                  { return 1 << 40 }
+func (m *discardingFiles) FreeBytes() int64             { return 1 << 40 }
 
 // TestConcurrentGatewaysDuringSetChange is meant for the race detector: concurrent
 // gateways over HTTP while the disk set changes.
--- a/internal/ledger/retention_test.go
+++ b/internal/ledger/retention_test.go
@@ -173,7 +173,7 @@
 		}
 		for _, m := range f.machines {
 			f.is.True(m.describe().LogBytes < max(16<<20, 5*m.describe().Bytes/2))
-			f.is.True(m.files.Free() > m.files.Limit-m.describe().LogBytes-(2<<20))
+			f.is.True(m.files.FreeBytes() > m.files.Limit-m.describe().LogBytes-(2<<20))
 			f.powerOff(m)
 			f.start(m)
 		}
@@ -194,7 +194,7 @@
 		c := f.newClient(1)
 		sessions := f.newSessions(c, 10, 2)
 		full := f.machines[0]
-		full.files.Limit = full.files.Limit - full.files.Free() + 1000
+		full.files.Limit = full.files.Limit - full.files.FreeBytes() + 1000
 		for _, s := range sessions {
 			s.runTurn()
 			s.runTurn()
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -106,7 +106,7 @@
 	pulling       map[string]uint64     // disks being pulled from, with the stamp of the set
 	fetching      map[turnKey]bool      // turns being fetched from some peer
 
-	log                 *disk.Segments
+	log                 *disk.SegmentLog
 	segments            map[uint64]*segmentContents
 	rewriteThrough      uint64 // segments up to this one must be rewritten
 	logBytes            int
@@ -128,15 +128,15 @@
 		byArrival: list.New(), openedAt: config.Clock.Now(), peers: map[string]*peerState{}, pulling: map[string]uint64{}, fetching: map[turnKey]bool{}, segments: map[uint64]*segmentContents{},
 		bytesSinceFreeCheck: minFreeBytes, commitBell: base.NewBell(config.Clock), setBell: base.NewBell(config.Clock), committerDone: config.Clock.NewSignal()}
 	s.nextBatch = &batch{done: s.clock.NewSignal()}
-	log, damaged, err := disk.OpenSegments(config.Files, minSegmentBytes, s.replayBatch)
+	log, damaged, err := disk.OpenSegmentLog(config.Files, minSegmentBytes, s.replayBatch)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	s.log, s.logBytes, s.openedAt = log, log.Bytes(), s.clock.Now()
 	if damaged != nil {
 		s.counters.Add("ledger_damaged", 1)
-		s.damaged, s.completeStamp, s.rewriteThrough = true, 0, log.Last()
-		s.log.Turn()
+		s.damaged, s.completeStamp, s.rewriteThrough = true, 0, log.Newest()
+		s.log.Rotate()
 		s.appendMarks()
 	}
 	s.clock.Go(s.runCommitter)
@@ -292,7 +292,7 @@
 		}
 		if err == nil && dropping {
 			oldest := s.log.Oldest()
-			if err = s.log.Drop(); err == nil {
+			if err = s.log.DropOldest(); err == nil {
 				s.mu.Lock()
 				delete(s.segments, oldest)
 				s.mu.Unlock()
@@ -323,10 +323,10 @@
 // is written meanwhile, and the store declines requests that add data.
 func (s *Store) writeBatch(current *batch, liveBytes int) error {
 	for {
-		generation, err := s.log.Write(current.payload, liveBytes)
+		generation, err := s.log.Append(current.payload, liveBytes)
 		s.mu.Lock()
 		if s.bytesSinceFreeCheck += len(current.payload); err != nil || s.full || s.bytesSinceFreeCheck > minFreeBytes/4 {
-			s.full, s.bytesSinceFreeCheck = disk.IsFull(err) || s.files.Free() < minFreeBytes+int64(len(current.payload)), 0
+			s.full, s.bytesSinceFreeCheck = disk.IsFull(err) || s.files.FreeBytes() < minFreeBytes+int64(len(current.payload)), 0
 		}
 		closed := s.closed
 		if err == nil {
@@ -358,19 +358,19 @@
 	live := segment != nil && (slices.ContainsFunc(segment.programs, func(p *program) bool { return !p.removed && p.oldestSegment == oldest }) ||
 		slices.ContainsFunc(segment.turns, func(t *turn) bool { return !t.removed && t.segment == oldest }))
 	s.mu.Unlock()
-	return !live && oldest != s.log.Last() && s.log.Drop() == nil
+	return !live && oldest != s.log.Newest() && s.log.DropOldest() == nil
 }
 
 // rewriteOldest appends live contents of the oldest segment to the next batch if
 // that segment is due for removal. It reports whether the segment can be dropped
 // once the batch is written.
 func (s *Store) rewriteOldest() bool {
-	oldest, due := s.log.Tight()
+	oldest, due := s.log.ReclaimDue()
 	if !due && s.rewriteThrough > 0 {
 		oldest = s.log.Oldest()
 		due = oldest <= s.rewriteThrough && oldest > 0
 	}
-	if !due || oldest == s.log.Last() {
+	if !due || oldest == s.log.Newest() {
 		if s.rewriteThrough > 0 && oldest > s.rewriteThrough {
 			s.rewriteThrough = 0
 		}
@@ -477,7 +477,7 @@
 // declineReason returns why the store accepts no more data, or "".
 func (s *Store) declineReason() string {
 	switch {
-	case s.full && s.files.Free() < minFreeBytes:
+	case s.full && s.files.FreeBytes() < minFreeBytes:
 		s.counters.Add("ledger_declined_full", 1)
 		return "full"
 	case len(s.nextBatch.payload) > maxQueuedBytes:
@@ -494,7 +494,7 @@
 	switch {
 	case s.logErr != nil:
 		return base.Busy(503, "ledger_broken", 5, "the ledger's log failed: %v; restart the process, and replace the disk if it fails again", s.logErr)
-	case s.full && s.files.Free() < minFreeBytes:
+	case s.full && s.files.FreeBytes() < minFreeBytes:
 		return base.Busy(503, "ledger_full", 5, "no space left for the ledger; free space in its file system or raise disk_limit_bytes")
 	}
 	return nil
--- a/internal/node/daemon.go
+++ b/internal/node/daemon.go
@@ -118,7 +118,7 @@
 func Open(place *Place, names *relay.WireNames) (*Running, error) {
 	r := &Running{}
 	counters := base.NewCounters()
-	wire, err := conn.NewWire(func() { counters.Add("messages_sent", 1) })
+	wire, err := conn.NewClient(func() { counters.Add("messages_sent", 1) })
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -76,7 +76,7 @@
 	self := &membership.Member{Id: place.Addr + "/" + base.NewID(env.Clock, ""), Addr: place.Addr, PublicAddr: place.Public, Role: place.Role, Zone: place.Zone}
 	seeds := slices.Clone(place.Seeds)
 	if env.Files != nil {
-		seeds = append(seeds, disk.Neighbours(env.Files)...)
+		seeds = append(seeds, disk.ReadPeerAddresses(env.Files)...)
 	}
 	c.view = membership.NewView(env.Clock, env.Wire, bounds, env.Counters, self, seeds, usages)
 	c.view.SetCluster(place.Cluster)
@@ -373,9 +373,9 @@
 		store.Close()
 		return nil, err
 	}
-	store.Tell(kept.NotifySetChange)
+	store.OnIdentityChange(kept.NotifySetChange)
 	service := disk.NewService(store, bounds.Load().DiskLimit())
-	service.Node = place.Node
+	service.NodeName = place.Node
 	c.mount(register.NewDiskServer(service))
 	c.mount(ledger.NewLedgerServer(kept))
 	return &Storage{common: c, Store: store, Ledger: kept}, nil
@@ -391,11 +391,11 @@
 // remember keeps the addresses of the fleet in the data folder: when all seeds
 // have been replaced, the storage machines still find it after an outage.
 func (s *Storage) remember() {
-	kept := disk.Neighbours(s.env.Files)
+	kept := disk.ReadPeerAddresses(s.env.Files)
 	for !s.view.Closed() {
 		s.env.Clock.Sleep(s.bounds.Load().Suspect())
 		if now := s.view.LiveAddresses(); s.Store.Cluster() != "" && len(now) > 0 && !slices.Equal(now, kept) {
-			if disk.KeepNeighbours(s.env.Files, now) == nil {
+			if disk.WritePeerAddresses(s.env.Files, now) == nil {
 				kept = now
 			}
 		}
--- a/internal/simulate/files.go
+++ b/internal/simulate/files.go
@@ -54,7 +54,7 @@
 
 func (f *Files) Append(name string, data []byte) error {
 	held := f.at(name)
-	room := max(0, min(int64(len(data)), f.Free()))
+	room := max(0, min(int64(len(data)), f.FreeBytes()))
 	held.live = append(held.live, data[:room]...)
 	if room < int64(len(data)) {
 		return disk.ErrFull // and a part was written
@@ -67,7 +67,7 @@
 	return f.Append(name, data)
 }
 
-func (f *Files) Trim(name string, size int) error {
+func (f *Files) Truncate(name string, size int) error {
 	held := f.at(name)
 	held.live = append([]byte(nil), held.live[:min(size, len(held.live))]...)
 	return nil
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func (f *Files) Free() int64 {
+func (f *Files) FreeBytes() int64 {
 	left := f.Limit
 	for _, held := range f.files {
 		left -= int64(len(held.live))
--- a/internal/simulate/harms.go
+++ b/internal/simulate/harms.go
@@ -199,7 +199,7 @@
 	{Name: "disk fills", Every: 5 * time.Second, Do: func(f *Fleet, _ int) {
 		m := f.pick(f.Storage)
 		limit := m.Files.Limit
-		m.Files.Limit -= m.Files.Free()
+		m.Files.Limit -= m.Files.FreeBytes()
 		f.later(3*time.Second, func() { m.Files.Limit = limit })
 	}},
 	{Name: "disks lost and replaced", Span: 30 * time.Second, Every: 4 * time.Second, Do: func(f *Fleet, _ int) { f.replaceDisk() }},
--- a/internal/simulate/long_test.go
+++ b/internal/simulate/long_test.go
@@ -26,7 +26,7 @@
 		keys := func() int {
 			most := 0
 			for _, m := range f.Storage {
-				most = max(most, m.storage.Store.Used())
+				most = max(most, m.storage.Store.KeyCount())
 			}
 			return most
 		}
--- a/internal/simulate/manychanges.go
+++ b/internal/simulate/manychanges.go
@@ -419,7 +419,7 @@
 		follower := m.feedFollower()
 		return follower != nil && follower.HasLease() && follower.Snapshot().Revision >= place && versionOf(follower.Snapshot().Values) >= version
 	}
-	if m.storage == nil || m.storage.Store.Ready() != nil || m.storage.Store.Held(0) < place {
+	if m.storage == nil || m.storage.Store.Ready() != nil || m.storage.Store.AppliedSeq(0) < place {
 		return false
 	}
 	id := m.storage.Store.ID()
--- a/internal/simulate/repair_test.go
+++ b/internal/simulate/repair_test.go
@@ -77,7 +77,7 @@
 		is.Equal(status, 200)
 		is.True(f.DisksMoved(time.Minute))
 		is.True(f.Storage[0].storage.Ready() != nil)
-		is.Equal(f.Storage[0].storage.Store.Used(), 0) // emptied
+		is.Equal(f.Storage[0].storage.Store.KeyCount(), 0) // emptied
 		next := f.DiskAt(f.Storage[1].Host.Name)
 		status, code = f.ChangeDisks("retire", "disk", next.ID)
 		is.Equal(fmt.Sprint(status, code), "409too_few_disks")
