--- a/cmd/fordseam-sim/model.go
+++ b/cmd/fordseam-sim/model.go
@@ -41,7 +41,7 @@
 }
 
 func listWorlds(out io.Writer) error {
-	for _, world := range model.Worlds() {
+	for _, world := range model.Systems() {
 		if _, err := fmt.Fprintln(out, world.Name); err != nil {
 			return err
 		}
@@ -52,7 +52,7 @@
 // checkWorlds searches the named world, or every one, and prints what it found.
 func checkWorlds(out io.Writer, clock base.Clock, name string, limits model.Limits) error {
 	found, broken := false, false
-	for _, world := range model.Worlds() {
+	for _, world := range model.Systems() {
 		if name != everyWorld && name != world.Name {
 			continue
 		}
--- a/cmd/fordseam-sim/model_test.go
+++ b/cmd/fordseam-sim/model_test.go
@@ -26,7 +26,7 @@
 func TestModelPrintsAViolationsTrace(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
-	is.NoErr(printResult(&out, "world", model.Result{Violation: model.NothingLost, Trace: []string{"first", "second"}}))
-	is.True(strings.Contains(out.String(), "violated: "+model.NothingLost))
+	is.NoErr(printResult(&out, "world", model.Result{Violation: model.NoAcknowledgedLoss, Trace: []string{"first", "second"}}))
+	is.True(strings.Contains(out.String(), "violated: "+model.NoAcknowledgedLoss))
 	is.True(strings.Contains(out.String(), "   1. first\n   2. second\n"))
 }
--- a/internal/model/bootstrap.go
+++ b/internal/model/bootstrap.go
@@ -18,10 +18,10 @@
 type Bootstrap struct {
 	Rules BootstrapRules
 	Seeds int
-	// Ballots is the highest ballot that is tried.
-	Ballots uint8
-	// Restarts is how many seeds come back without memory.
-	Restarts int
+	// MaxBallot is the highest ballot that is tried.
+	MaxBallot uint8
+	// MaxRestarts is how many seeds come back without memory.
+	MaxRestarts int
 }
 
 // BootstrapRules are the decisions of the seeds.
@@ -30,18 +30,18 @@
 	Accept  func(vote consensus.Acceptor[uint8], ballot uint64, value uint8) (consensus.Acceptor[uint8], bool)
 	Learn   func(proposal consensus.Proposal[uint8], accepted uint64, value uint8) consensus.Proposal[uint8]
 	Quorum  func(seeds int) int
-	// FirstLifeOnly has a seed that came back neither vote nor propose.
-	FirstLifeOnly bool
+	// FirstIncarnationOnly has a seed that came back neither vote nor propose.
+	FirstIncarnationOnly bool
 }
 
 // ImplementedBootstrapRules are the decisions that run in production.
 func ImplementedBootstrapRules() BootstrapRules {
 	return BootstrapRules{
-		Prepare:       consensus.Acceptor[uint8].Prepare,
-		Accept:        consensus.Acceptor[uint8].Accept,
-		Learn:         consensus.Proposal[uint8].Learn,
-		Quorum:        consensus.Majority,
-		FirstLifeOnly: true,
+		Prepare:              consensus.Acceptor[uint8].Prepare,
+		Accept:               consensus.Acceptor[uint8].Accept,
+		Learn:                consensus.Proposal[uint8].Learn,
+		Quorum:               consensus.Majority,
+		FirstIncarnationOnly: true,
 	}
 }
 
@@ -101,7 +101,7 @@
 
 // takesPart tells that a seed votes and proposes.
 func (w *Bootstrap) takesPart(seed seedState) bool {
-	return seed.restarts == 0 || !w.Rules.FirstLifeOnly
+	return seed.restarts == 0 || !w.Rules.FirstIncarnationOnly
 }
 
 // Steps visits every step of every seed.
@@ -112,7 +112,7 @@
 		}
 		w.restarts(state, place, visit)
 	}
-	for ballot := uint8(1); ballot <= w.Ballots; ballot++ {
+	for ballot := uint8(1); ballot <= w.MaxBallot; ballot++ {
 		if state.begun&(1<<ballot) == 0 {
 			continue
 		}
@@ -128,7 +128,7 @@
 func (w *Bootstrap) tries(state *BootstrapState, place uint8, visit func(Step, *BootstrapState)) {
 	seed := state.seeds[place]
 	ballot := consensus.NextBallot(uint64(seed.promised), w.Seeds, int(place))
-	if ballot <= uint64(w.Ballots) {
+	if ballot <= uint64(w.MaxBallot) {
 		next := *state
 		trying := &next.seeds[place]
 		trying.promised, trying.ballot = uint8(ballot), uint8(ballot)
@@ -192,7 +192,7 @@
 	for _, seed := range state.seeds {
 		count += int(seed.restarts)
 	}
-	if count >= w.Restarts {
+	if count >= w.MaxRestarts {
 		return
 	}
 	next := *state
--- a/internal/model/bootstrap_test.go
+++ b/internal/model/bootstrap_test.go
@@ -14,9 +14,9 @@
 		name  string
 		world model.Bootstrap
 	}{
-		{"three tries", model.Bootstrap{Seeds: 3, Ballots: 5}},
-		{"a seed comes back without memory", model.Bootstrap{Seeds: 3, Ballots: 5, Restarts: 1}},
-		{"two seeds come back without memory", model.Bootstrap{Seeds: 3, Ballots: 5, Restarts: 2}},
+		{"three tries", model.Bootstrap{Seeds: 3, MaxBallot: 5}},
+		{"a seed comes back without memory", model.Bootstrap{Seeds: 3, MaxBallot: 5, MaxRestarts: 1}},
+		{"two seeds come back without memory", model.Bootstrap{Seeds: 3, MaxBallot: 5, MaxRestarts: 2}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -36,8 +36,8 @@
 	}{
 		{
 			"votes by the first life only",
-			model.Bootstrap{Restarts: 1},
-			func(rules *model.BootstrapRules) { rules.FirstLifeOnly = false },
+			model.Bootstrap{MaxRestarts: 1},
+			func(rules *model.BootstrapRules) { rules.FirstIncarnationOnly = false },
 		},
 		{
 			"a majority of the seeds",
@@ -57,10 +57,10 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			world := row.world
-			world.Seeds, world.Ballots = 3, 5
+			world.Seeds, world.MaxBallot = 3, 5
 			world.Rules = model.ImplementedBootstrapRules()
 			row.remove(&world.Rules)
-			is.New(t).Equal(check(t, &world).Violation, model.OneCluster)
+			is.New(t).Equal(check(t, &world).Violation, model.OneFirstSet)
 		})
 	}
 }
--- a/internal/model/checker.go
+++ b/internal/model/checker.go
@@ -23,9 +23,9 @@
 	Operands [4]uint8
 }
 
-// World is a bounded system. A state must be a plain value: copying it copies
+// System is a bounded system. A state must be a plain value: copying it copies
 // all of it.
-type World[S any] interface {
+type System[S any] interface {
 	// Initial is where each run begins.
 	Initial() S
 	// Steps calls visit with each state that one step leads to; visit keeps no
@@ -74,7 +74,7 @@
 
 // search is a breadth-first search in progress.
 type search[S any] struct {
-	world World[S]
+	world System[S]
 	seeds [2]maphash.Seed
 	known map[fingerprint]struct{}
 	order []visited
@@ -91,7 +91,7 @@
 const clockInterval = 1024
 
 // Check searches a world up to the limits, or until an invariant is violated.
-func Check[S any](clock base.Clock, world World[S], limits Limits) Result {
+func Check[S any](clock base.Clock, world System[S], limits Limits) Result {
 	began := clock.Now()
 	current := &search[S]{
 		world: world,
--- a/internal/model/lease.go
+++ b/internal/model/lease.go
@@ -22,34 +22,34 @@
 // states are few however long the world goes on.
 type Lease struct {
 	Rules LeaseRules
-	// Rates are how much the followers' clocks show for a tick, in milliseconds.
-	Rates []uint8
+	// ClockRates are how much the followers' clocks show for a tick, in milliseconds.
+	ClockRates []uint8
 	// LeaseTicks is the lease.
 	LeaseTicks uint8
-	// Direct has any follower ask the source instead, where it likes to.
-	Direct bool
-	// Hold has a relay answer at any time after a question arrived.
-	Hold bool
+	// SourceRequests has any follower ask the source instead, where it likes to.
+	SourceRequests bool
+	// RelayDelay has a relay answer at any time after a question arrived.
+	RelayDelay bool
 }
 
 // LeaseRules are the decisions of the followers.
 type LeaseRules struct {
-	LeaseEnd    func(asked, behind, lease time.Duration) time.Duration
-	Behind      func(arrived, confirmed time.Duration) time.Duration
-	MayRelay    func(now, confirmed, lease time.Duration) bool
-	TakesAnswer func(revision, current uint64) bool
-	// FromQuestion counts a lease from the question, not from its answer.
-	FromQuestion bool
+	LeaseEnd        func(asked, behind, lease time.Duration) time.Duration
+	ConfirmationAge func(arrived, confirmed time.Duration) time.Duration
+	MayRelay        func(now, confirmed, lease time.Duration) bool
+	AcceptsRevision func(revision, current uint64) bool
+	// FromRequest counts a lease from the question, not from its answer.
+	FromRequest bool
 }
 
 // ImplementedLeaseRules are the decisions that run in production.
 func ImplementedLeaseRules() LeaseRules {
 	return LeaseRules{
-		LeaseEnd:     consensus.LeaseEnd,
-		Behind:       consensus.ConfirmationAge,
-		MayRelay:     consensus.MayRelay,
-		TakesAnswer:  consensus.AcceptsRevision,
-		FromQuestion: true,
+		LeaseEnd:        consensus.LeaseEnd,
+		ConfirmationAge: consensus.ConfirmationAge,
+		MayRelay:        consensus.MayRelay,
+		AcceptsRevision: consensus.AcceptsRevision,
+		FromRequest:     true,
 	}
 }
 
@@ -125,7 +125,7 @@
 
 // since is how long ago something was, by a follower's clock.
 func (w *Lease) since(place, ticks uint8) time.Duration {
-	return time.Duration(ticks) * milliseconds(uint16(w.Rates[place]))
+	return time.Duration(ticks) * milliseconds(uint16(w.ClockRates[place]))
 }
 
 // Violation names the invariant that is broken: a follower serves the
@@ -135,10 +135,10 @@
 	if !state.changed || state.changedAge <= w.LeaseTicks {
 		return ""
 	}
-	for place := range w.Rates {
+	for place := range w.ClockRates {
 		follower := &state.followers[place]
 		if follower.begun && follower.revision == 0 && follower.left > 0 {
-			return WithinLease
+			return ServingWithinLease
 		}
 	}
 	return ""
@@ -154,7 +154,7 @@
 		next.changed = true
 		visit(Step{Kind: stepChange}, &next)
 	}
-	for place := range uint8(len(w.Rates)) {
+	for place := range uint8(len(w.ClockRates)) {
 		w.follow(state, place, visit)
 	}
 }
@@ -164,7 +164,7 @@
 	if next.changed {
 		next.changedAge = min(next.changedAge+1, w.LeaseTicks+1)
 	}
-	for place, rate := range w.Rates {
+	for place, rate := range w.ClockRates {
 		follower := &next.followers[place]
 		follower.left -= min(follower.left, uint16(rate))
 		follower.confirmedAge = min(follower.confirmedAge+uint16(rate), w.oldest())
@@ -184,7 +184,7 @@
 	switch follower.question {
 	case noQuestion:
 		follower.question, follower.askedAge, follower.direct = questionSent, 0, true
-		if w.Direct || place == 0 {
+		if w.SourceRequests || place == 0 {
 			visit(Step{stepQuestion, [4]uint8{place, 1}}, &next)
 		}
 		if place > 0 {
@@ -193,7 +193,7 @@
 		}
 	case questionSent:
 		follower.question, follower.arrivedAge = questionArrived, 0
-		if !w.Hold || follower.direct {
+		if !w.RelayDelay || follower.direct {
 			w.tell(&next, place, visit)
 			return
 		}
@@ -217,13 +217,13 @@
 	}
 	relay := &next.followers[place-1]
 	confirmed := -milliseconds(relay.confirmedAge)
-	follows := relay.begun && w.Rules.TakesAnswer(uint64(relay.revision), uint64(follower.revision))
+	follows := relay.begun && w.Rules.AcceptsRevision(uint64(relay.revision), uint64(follower.revision))
 	if !follows || !w.Rules.MayRelay(0, confirmed, w.lease()) {
 		follower.question, follower.askedAge, follower.arrivedAge, follower.direct = noQuestion, 0, 0, false
 		visit(Step{stepDecline, [4]uint8{place}}, next)
 		return
 	}
-	behind := w.Rules.Behind(-w.since(place-1, follower.arrivedAge), confirmed)
+	behind := w.Rules.ConfirmationAge(-w.since(place-1, follower.arrivedAge), confirmed)
 	follower.question, follower.arrivedAge = answerSent, 0
 	follower.answerRevision, follower.answerBehind = relay.revision, uint16(behind.Milliseconds())
 	visit(Step{stepTell, [4]uint8{place, follower.answerRevision}}, next)
@@ -233,10 +233,10 @@
 func (w *Lease) take(next *LeaseState, place uint8) {
 	follower := &next.followers[place]
 	asked := -w.since(place, follower.askedAge)
-	if !w.Rules.FromQuestion {
+	if !w.Rules.FromRequest {
 		asked = 0
 	}
-	if w.Rules.TakesAnswer(uint64(follower.answerRevision), uint64(follower.revision)) {
+	if w.Rules.AcceptsRevision(uint64(follower.answerRevision), uint64(follower.revision)) {
 		behind := milliseconds(follower.answerBehind)
 		follower.begun, follower.revision = true, follower.answerRevision
 		left := max(0, w.Rules.LeaseEnd(asked, behind, w.lease()))
@@ -251,7 +251,7 @@
 // Key appends the whole state.
 func (w *Lease) Key(state *LeaseState, key []byte) []byte {
 	key = append(key, flag(state.changed), state.changedAge)
-	for place := range w.Rates {
+	for place := range w.ClockRates {
 		follower := &state.followers[place]
 		key = append(key, follower.revision, flag(follower.begun)|flag(follower.direct)<<1,
 			uint8(follower.left), uint8(follower.left>>8), uint8(follower.confirmedAge), uint8(follower.confirmedAge>>8),
--- a/internal/model/lease_test.go
+++ b/internal/model/lease_test.go
@@ -24,11 +24,11 @@
 	rates := []uint8{slowClock, trueClock, fastClock}
 	for _, direct := range rates {
 		t.Run(fmt.Sprint("the source's follower at ", direct), func(t *testing.T) {
-			holdsWithinLease(t, model.Lease{Rates: []uint8{direct}, LeaseTicks: longLease})
+			holdsWithinLease(t, model.Lease{ClockRates: []uint8{direct}, LeaseTicks: longLease})
 		})
 		for _, first := range rates {
 			t.Run(fmt.Sprintf("one level at %d and %d", direct, first), func(t *testing.T) {
-				holdsWithinLease(t, model.Lease{Rates: []uint8{direct, first}, LeaseTicks: 4, Direct: true, Hold: true})
+				holdsWithinLease(t, model.Lease{ClockRates: []uint8{direct, first}, LeaseTicks: 4, SourceRequests: true, RelayDelay: true})
 			})
 		}
 	}
@@ -39,7 +39,7 @@
 		{slowClock, fastClock, slowClock},
 	} {
 		t.Run(fmt.Sprint("two levels at ", rates), func(t *testing.T) {
-			holdsWithinLease(t, model.Lease{Rates: rates, LeaseTicks: 3})
+			holdsWithinLease(t, model.Lease{ClockRates: rates, LeaseTicks: 3})
 		})
 	}
 }
@@ -61,28 +61,28 @@
 	}{
 		{
 			"the lease is shortened by the answer's age",
-			model.Lease{Rates: []uint8{trueClock, trueClock}, LeaseTicks: 4},
+			model.Lease{ClockRates: []uint8{trueClock, trueClock}, LeaseTicks: 4},
 			func(rules *model.LeaseRules) {
-				rules.Behind = func(_, _ time.Duration) time.Duration { return 0 }
+				rules.ConfirmationAge = func(_, _ time.Duration) time.Duration { return 0 }
 			},
 		},
 		{
 			"the lease counts from the question",
-			model.Lease{Rates: []uint8{trueClock}, LeaseTicks: 4},
-			func(rules *model.LeaseRules) { rules.FromQuestion = false },
+			model.Lease{ClockRates: []uint8{trueClock}, LeaseTicks: 4},
+			func(rules *model.LeaseRules) { rules.FromRequest = false },
 		},
 		{
 			"a part is kept back for slow clocks",
-			model.Lease{Rates: []uint8{slowClock}, LeaseTicks: longLease},
+			model.Lease{ClockRates: []uint8{slowClock}, LeaseTicks: longLease},
 			func(rules *model.LeaseRules) {
 				rules.LeaseEnd = func(asked, behind, lease time.Duration) time.Duration { return asked - behind + lease }
 			},
 		},
 		{
 			"older answers are dropped",
-			model.Lease{Rates: []uint8{trueClock, trueClock}, LeaseTicks: 3, Direct: true},
+			model.Lease{ClockRates: []uint8{trueClock, trueClock}, LeaseTicks: 3, SourceRequests: true},
 			func(rules *model.LeaseRules) {
-				rules.TakesAnswer = func(_, _ uint64) bool { return true }
+				rules.AcceptsRevision = func(_, _ uint64) bool { return true }
 			},
 		},
 	} {
@@ -90,7 +90,7 @@
 			world := row.world
 			world.Rules = model.ImplementedLeaseRules()
 			row.remove(&world.Rules)
-			is.New(t).Equal(check(t, &world).Violation, model.WithinLease)
+			is.New(t).Equal(check(t, &world).Violation, model.ServingWithinLease)
 		})
 	}
 }
--- a/internal/model/membership.go
+++ b/internal/model/membership.go
@@ -25,25 +25,25 @@
 	Voters   int
 	Learners int
 	Spares   int
-	// Sets is how many versions of the set there are, the first included.
-	Sets    int
-	Leaders int
-	Epochs  int
-	// OneTry has each leader try once, under an epoch of its own.
-	OneTry bool
-	// Led has the first leader serve from the start, under epoch 1.
-	Led bool
-	// Bases are the versions that the clients' documents build on.
-	Bases []uint8
+	// SetVersions is how many versions of the set there are, the first included.
+	SetVersions int
+	Leaders     int
+	Epochs      int
+	// SingleAttempt has each leader try once, under an epoch of its own.
+	SingleAttempt bool
+	// InitialLeader has the first leader serve from the start, under epoch 1.
+	InitialLeader bool
+	// BaseVersions are the versions that the clients' documents build on.
+	BaseVersions []uint8
 	// Wipes is how many replicas lose their disks; the next one does once the
 	// one before was replaced.
 	Wipes int
-	// Budget is how many replicas may be lost at once.
-	Budget int
-	// Prompt has a replica's answer reach the leader at once.
-	Prompt bool
-	// Losses has messages and answers get lost.
-	Losses bool
+	// FaultBudget is how many replicas may be lost at once.
+	FaultBudget int
+	// ImmediateAnswers has a replica's answer reach the leader at once.
+	ImmediateAnswers bool
+	// MessageLoss has messages and answers get lost.
+	MessageLoss bool
 	// Reads has leaders answer reads.
 	Reads bool
 }
@@ -51,13 +51,13 @@
 // MembershipRules are the decisions about a changing set, beside Rules.
 type MembershipRules struct {
 	Rules
-	JudgeProposal func(record consensus.SetRecord, next consensus.ReplicaSet) consensus.ProposalRejection
-	JudgeSet      func(known *consensus.ReplicaSet, offered consensus.ReplicaSet) consensus.Rejection
+	CheckProposal func(record consensus.SetRecord, next consensus.ReplicaSet) consensus.ProposalRejection
+	CheckSet      func(known *consensus.ReplicaSet, offered consensus.ReplicaSet) consensus.Rejection
 	Adopted       func(before, after consensus.ReplicaSet, took func(id string) bool) bool
 	Settled       func(committed, setVersion uint64, voters []consensus.Progress) bool
-	// CountedBy is the version whose voters a leader counts when an answer to a
+	// CountingVersion is the version whose voters a leader counts when an answer to a
 	// message sent under one version arrives and it knows another.
-	CountedBy func(sent, known uint8) uint8
+	CountingVersion func(sent, known uint8) uint8
 }
 
 // replicaMask is a set of replicas by their places.
@@ -147,12 +147,12 @@
 // ImplementedMembershipRules are the decisions that run in production.
 func ImplementedMembershipRules() MembershipRules {
 	return MembershipRules{
-		Rules:         ImplementedRules(),
-		JudgeProposal: consensus.SetRecord.CheckProposal,
-		JudgeSet:      consensus.CheckSet,
-		Adopted:       consensus.Adopted,
-		Settled:       consensus.MajorityAcked,
-		CountedBy:     func(_, known uint8) uint8 { return known },
+		Rules:           ImplementedRules(),
+		CheckProposal:   consensus.SetRecord.CheckProposal,
+		CheckSet:        consensus.CheckSet,
+		Adopted:         consensus.Adopted,
+		Settled:         consensus.MajorityAcked,
+		CountingVersion: func(_, known uint8) uint8 { return known },
 	}
 }
 
@@ -169,7 +169,7 @@
 	for place := range w.Leaders {
 		state.leaders[place].set = 1
 	}
-	if w.Led {
+	if w.InitialLeader {
 		w.lead(&state, members)
 	}
 	return state
--- a/internal/model/membership_change.go
+++ b/internal/model/membership_change.go
@@ -30,7 +30,7 @@
 // whole learner gets a vote, a voter is dropped, or replaced by a blank one at
 // its address.
 func (w *Membership) proposals(state *MembershipState, visit func(Step, *MembershipState)) {
-	if int(state.newest()) >= w.Sets {
+	if int(state.newest()) >= w.SetVersions {
 		return
 	}
 	current := state.sets[state.current]
@@ -73,7 +73,7 @@
 	next := *state
 	version := state.newest() + 1
 	next.sets[version] = set
-	if w.Rules.JudgeProposal(state.record(), next.replicaSet(version)) != consensus.ProposalAccepted {
+	if w.Rules.CheckProposal(state.record(), next.replicaSet(version)) != consensus.ProposalAccepted {
 		return
 	}
 	next.proposed = version
@@ -119,7 +119,7 @@
 		set := state.replicaSet(replica.set)
 		before = &set
 	}
-	if w.Rules.JudgeSet(before, state.replicaSet(version)) != consensus.Accepted {
+	if w.Rules.CheckSet(before, state.replicaSet(version)) != consensus.Accepted {
 		return
 	}
 	next := *state
@@ -138,7 +138,7 @@
 
 // wipes has replicas lose their disks, each once the one before was replaced.
 func (w *Membership) wipes(state *MembershipState, visit func(Step, *MembershipState)) {
-	if int(state.wipes) >= w.Wipes || w.lost(state) >= w.Budget {
+	if int(state.wipes) >= w.Wipes || w.lost(state) >= w.FaultBudget {
 		return
 	}
 	for place := range w.places() {
--- a/internal/model/membership_check.go
+++ b/internal/model/membership_check.go
@@ -16,9 +16,9 @@
 	case state.broken != holds:
 		return invariantNames[state.broken]
 	case !w.majoritiesShare(state):
-		return SharedMajority
+		return MajoritiesIntersect
 	case !w.recoverable(state):
-		return NothingLost
+		return NoAcknowledgedLoss
 	}
 	return ""
 }
@@ -51,7 +51,7 @@
 	claim := consensus.Claim{Epoch: uint64(w.Epochs) + 1, SetVersion: uint64(version), Replica: replicaNames[0]}
 	for ; adopted <= newest; adopted++ {
 		self := consensus.Identity{ID: replicaNames[0], SetVersion: uint64(adopted)}
-		if w.Rules.Judge(self, consensus.ShardState{}, claim) == consensus.Accepted {
+		if w.Rules.CheckClaim(self, consensus.ShardState{}, claim) == consensus.Accepted {
 			return true
 		}
 	}
@@ -145,7 +145,7 @@
 	held := replica.held
 	key = append(key, held.promised, held.leader, held.installed, held.seq, uint8(held.content), replica.set, flag(replica.wiped),
 		flag(state.took.has(place)), flag(state.filled.has(place)))
-	for version := 1; version <= w.Sets; version++ {
+	for version := 1; version <= w.SetVersions; version++ {
 		key = append(key, flag(state.sets[version].voters.has(place))|flag(state.sets[version].learners.has(place))<<1)
 	}
 	for leader := range state.leaders[:w.Leaders] {
--- a/internal/model/membership_leader.go
+++ b/internal/model/membership_leader.go
@@ -29,7 +29,7 @@
 // begins has a leader begin to take the shard.
 func (w *Membership) begins(state *MembershipState, leader uint8, visit func(Step, *MembershipState)) {
 	for epoch := state.leaders[leader].epoch + 1; int(epoch) <= w.Epochs; epoch++ {
-		if w.OneTry && epoch != leader+1 {
+		if w.SingleAttempt && epoch != leader+1 {
 			continue
 		}
 		next := *state
@@ -56,7 +56,7 @@
 		self.ID = wipedName
 	}
 	claim := consensus.Claim{Epoch: uint64(state.leaders[leader].epoch), Leader: leaderNames[leader], SetVersion: uint64(version), Replica: replicaNames[place]}
-	return w.Rules.Judge(self, replica.held.shard(), claim) == consensus.Accepted
+	return w.Rules.CheckClaim(self, replica.held.shard(), claim) == consensus.Accepted
 }
 
 // takesOver asks for promises and chooses the newest content of a majority.
@@ -115,7 +115,7 @@
 			continue
 		}
 		w.exchange(state, leader, place, kind, visit)
-		if w.Losses && !about.mute {
+		if w.MessageLoss && !about.mute {
 			next := *state
 			lost := &next.leaders[leader].replicas[place]
 			lost.mute = true
@@ -146,7 +146,7 @@
 		if kind == consensus.SendEntries {
 			first = uint64(about.acked) + 1
 		}
-		if w.Rules.JudgeAppend(replica.held.shard(), epoch, first) != consensus.Accepted {
+		if w.Rules.CheckAppend(replica.held.shard(), epoch, first) != consensus.Accepted {
 			about.installed, about.mute = false, false
 			visit(Step{stepExchange, [4]uint8{leader, owner.epoch, place, uint8(kind)}}, &next)
 			return
@@ -160,7 +160,7 @@
 		}
 	}
 	about.answer = answerState{underWay: true, set: owner.set, seq: replica.held.seq}
-	if w.Prompt {
+	if w.ImmediateAnswers {
 		w.hear(&next, leader, place)
 	}
 	visit(Step{stepExchange, [4]uint8{leader, owner.epoch, place, uint8(kind)}}, &next)
@@ -172,7 +172,7 @@
 	next := *state
 	w.hear(&next, leader, place)
 	visit(Step{stepAnswer, [4]uint8{leader, owner.epoch, place}}, &next)
-	if w.Losses {
+	if w.MessageLoss {
 		next := *state
 		next.leaders[leader].replicas[place].answer = answerState{}
 		next.leaders[leader].replicas[place].mute = true
@@ -193,7 +193,7 @@
 // sent under a version, and has clients told of it.
 func (w *Membership) recount(state *MembershipState, leader, sent uint8) {
 	owner := &state.leaders[leader]
-	version := w.Rules.CountedBy(sent, owner.set)
+	version := w.Rules.CountingVersion(sent, owner.set)
 	committed, reached := w.Rules.Committed(uint64(owner.committed), uint64(version), state.voters(leader, version))
 	if !reached {
 		return
@@ -220,7 +220,7 @@
 	if !owner.serving {
 		return
 	}
-	for place, base := range w.Bases {
+	for place, base := range w.BaseVersions {
 		document := uint8(place) + 1
 		if base != owner.tail || owner.content.has(document, owner.tail) {
 			continue
--- a/internal/model/membership_test.go
+++ b/internal/model/membership_test.go
@@ -16,15 +16,15 @@
 		// states bounds the search of a world too large for CI.
 		states int
 	}{
-		{"a learner gets a vote, a voter goes", model.Membership{Voters: 3, Learners: 1, Sets: 3, Leaders: 1, Epochs: 1, Bases: []uint8{0}}, 0},
-		{"messages lost meanwhile", model.Membership{Voters: 3, Learners: 1, Sets: 2, Leaders: 1, Epochs: 1, Bases: []uint8{0}, Losses: true}, 0},
-		{"a blank replica is added, filled and promoted", model.Membership{Voters: 3, Spares: 1, Sets: 3, Leaders: 1, Epochs: 1, Bases: []uint8{0}}, 0},
-		{"a disk is lost and replaced at its address", model.Membership{Voters: 4, Spares: 1, Sets: 2, Leaders: 1, Epochs: 1, Bases: []uint8{0}, Wipes: 1, Budget: 1}, 0},
-		{"four voters become three", model.Membership{Voters: 4, Sets: 2, Leaders: 1, Epochs: 2, Bases: []uint8{0}}, 0},
-		{"five voters become four", model.Membership{Voters: 5, Sets: 2, Leaders: 1, Epochs: 1, Bases: []uint8{0}}, 0},
-		{"two candidates for leader", model.Membership{Voters: 3, Learners: 1, Sets: 2, Leaders: 2, Epochs: 2, OneTry: true, Bases: []uint8{0}}, 300_000},
-		{"two candidates, prompt answers", model.Membership{Voters: 3, Learners: 1, Sets: 2, Leaders: 2, Epochs: 2, OneTry: true, Led: true, Prompt: true, Bases: []uint8{0}}, 0},
-		{"two candidates, a learner gets a vote, a voter goes", model.Membership{Voters: 3, Learners: 1, Sets: 3, Leaders: 2, Epochs: 2, OneTry: true, Led: true, Prompt: true, Bases: []uint8{0}}, 200_000},
+		{"a learner gets a vote, a voter goes", model.Membership{Voters: 3, Learners: 1, SetVersions: 3, Leaders: 1, Epochs: 1, BaseVersions: []uint8{0}}, 0},
+		{"messages lost meanwhile", model.Membership{Voters: 3, Learners: 1, SetVersions: 2, Leaders: 1, Epochs: 1, BaseVersions: []uint8{0}, MessageLoss: true}, 0},
+		{"a blank replica is added, filled and promoted", model.Membership{Voters: 3, Spares: 1, SetVersions: 3, Leaders: 1, Epochs: 1, BaseVersions: []uint8{0}}, 0},
+		{"a disk is lost and replaced at its address", model.Membership{Voters: 4, Spares: 1, SetVersions: 2, Leaders: 1, Epochs: 1, BaseVersions: []uint8{0}, Wipes: 1, FaultBudget: 1}, 0},
+		{"four voters become three", model.Membership{Voters: 4, SetVersions: 2, Leaders: 1, Epochs: 2, BaseVersions: []uint8{0}}, 0},
+		{"five voters become four", model.Membership{Voters: 5, SetVersions: 2, Leaders: 1, Epochs: 1, BaseVersions: []uint8{0}}, 0},
+		{"two candidates for leader", model.Membership{Voters: 3, Learners: 1, SetVersions: 2, Leaders: 2, Epochs: 2, SingleAttempt: true, BaseVersions: []uint8{0}}, 300_000},
+		{"two candidates, prompt answers", model.Membership{Voters: 3, Learners: 1, SetVersions: 2, Leaders: 2, Epochs: 2, SingleAttempt: true, InitialLeader: true, ImmediateAnswers: true, BaseVersions: []uint8{0}}, 0},
+		{"two candidates, a learner gets a vote, a voter goes", model.Membership{Voters: 3, Learners: 1, SetVersions: 3, Leaders: 2, Epochs: 2, SingleAttempt: true, InitialLeader: true, ImmediateAnswers: true, BaseVersions: []uint8{0}}, 200_000},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -37,8 +37,8 @@
 }
 
 func TestMembershipRulesRemoved(t *testing.T) {
-	candidates := model.Membership{Voters: 3, Learners: 1, Sets: 3, Leaders: 2, Epochs: 2, OneTry: true, Led: true, Prompt: true, Bases: []uint8{0}}
-	growing := model.Membership{Voters: 3, Learners: 1, Sets: 3, Leaders: 1, Epochs: 1, Bases: []uint8{0}}
+	candidates := model.Membership{Voters: 3, Learners: 1, SetVersions: 3, Leaders: 2, Epochs: 2, SingleAttempt: true, InitialLeader: true, ImmediateAnswers: true, BaseVersions: []uint8{0}}
+	growing := model.Membership{Voters: 3, Learners: 1, SetVersions: 3, Leaders: 1, Epochs: 1, BaseVersions: []uint8{0}}
 	for _, row := range []struct {
 		name      string
 		world     model.Membership
@@ -49,31 +49,31 @@
 			"answers are counted by the set in force",
 			growing,
 			func(rules *model.MembershipRules) {
-				rules.CountedBy = func(sent, _ uint8) uint8 { return sent }
+				rules.CountingVersion = func(sent, _ uint8) uint8 { return sent }
 				rules.Committed = committedUnderAnySet
 			},
-			model.NothingLost,
+			model.NoAcknowledgedLoss,
 		},
 		{
 			"only what was acknowledged under the set is counted",
 			candidates,
 			func(rules *model.MembershipRules) { rules.Committed = committedUnderAnySet },
-			model.NothingLost,
+			model.NoAcknowledgedLoss,
 		},
 		{
 			"settled before the next change",
 			growing,
-			func(rules *model.MembershipRules) { rules.JudgeProposal = withoutSettling },
-			model.NothingLost,
+			func(rules *model.MembershipRules) { rules.CheckProposal = withoutSettling },
+			model.NoAcknowledgedLoss,
 		},
 		{
 			"joint majority and settled before the next change",
 			growing,
 			func(rules *model.MembershipRules) {
 				rules.Adopted = adoptedByAny
-				rules.JudgeProposal = withoutSettling
+				rules.CheckProposal = withoutSettling
 			},
-			model.SharedMajority,
+			model.MajoritiesIntersect,
 		},
 		{
 			"joint majority and settled under the set only",
@@ -82,19 +82,19 @@
 				rules.Adopted = adoptedByAny
 				rules.Settled = settledUnderAnySet
 			},
-			model.SharedMajority,
+			model.MajoritiesIntersect,
 		},
 		{
 			"one vote at a time",
 			growing,
-			func(rules *model.MembershipRules) { rules.JudgeProposal = manyVotes },
-			model.SharedMajority,
+			func(rules *model.MembershipRules) { rules.CheckProposal = manyVotes },
+			model.MajoritiesIntersect,
 		},
 		{
 			"the set's version is checked at the replica",
 			growing,
-			func(rules *model.MembershipRules) { rules.Judge = withoutSets },
-			model.SharedMajority,
+			func(rules *model.MembershipRules) { rules.CheckClaim = withoutSets },
+			model.MajoritiesIntersect,
 		},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 // the set before, which differs by one vote.
 func TestJointMajorityIsImpliedBySettling(t *testing.T) {
 	is := is.New(t)
-	world := model.Membership{Voters: 4, Sets: 2, Leaders: 1, Epochs: 1, Bases: []uint8{0}}
+	world := model.Membership{Voters: 4, SetVersions: 2, Leaders: 1, Epochs: 1, BaseVersions: []uint8{0}}
 	world.Rules = model.ImplementedMembershipRules()
 	world.Rules.Adopted = adoptedByAny
 	result := check(t, &world)
--- a/internal/model/replication.go
+++ b/internal/model/replication.go
@@ -19,18 +19,18 @@
 	Replicas int
 	Leaders  int
 	Epochs   int
-	// Bases are the versions that the clients' documents build on: document
+	// BaseVersions are the versions that the clients' documents build on: document
 	// 1+i builds on Bases[i].
-	Bases []uint8
-	// Power has replicas lose what they have not synced, each at any step and so
+	BaseVersions []uint8
+	// PowerLoss has replicas lose what they have not synced, each at any step and so
 	// all of them together.
-	Power bool
+	PowerLoss bool
 	// Wipes is how many replicas lose their disks, at any step.
 	Wipes int
 	// Reads has leaders answer reads.
 	Reads bool
-	// Crashes has leaders forget all they know.
-	Crashes bool
+	// LeaderCrashes has leaders forget all they know.
+	LeaderCrashes bool
 }
 
 // shardCopy is one replica's copy of the shard.
@@ -145,7 +145,7 @@
 		return invariantNames[state.broken]
 	}
 	if !w.recoverable(state) {
-		return NothingLost
+		return NoAcknowledgedLoss
 	}
 	return ""
 }
@@ -222,5 +222,5 @@
 		self.ID = wipedName
 	}
 	claim := consensus.Claim{Epoch: uint64(epoch), Leader: leaderNames[leader], SetVersion: setVersion, Replica: replicaNames[replica]}
-	return w.Rules.Judge(self, state.replicas[replica].memory.shard(), claim) == consensus.Accepted
+	return w.Rules.CheckClaim(self, state.replicas[replica].memory.shard(), claim) == consensus.Accepted
 }
--- a/internal/model/replication_steps.go
+++ b/internal/model/replication_steps.go
@@ -30,7 +30,7 @@
 		next.attempts[epoch-1][leader] = attempt{begun: true}
 		visit(Step{stepStart, [4]uint8{leader, epoch}}, &next)
 	}
-	if w.Crashes && state.leaders[leader].highest > 0 && !w.Rules.FreshLeaderNames {
+	if w.LeaderCrashes && state.leaders[leader].highest > 0 && !w.Rules.UniqueLeaderNames {
 		next := *state
 		next.leaders[leader] = leaderState{}
 		visit(Step{stepCrash, [4]uint8{leader}}, &next)
@@ -64,7 +64,7 @@
 }
 
 func (w *Replication) outcomes() []uint8 {
-	if w.Power {
+	if w.PowerLoss {
 		return []uint8{answered, unsynced}
 	}
 	return []uint8{answered}
@@ -72,7 +72,7 @@
 
 // settle ends a replica's step: it syncs, if it is to.
 func (w *Replication) settle(replica *replicaState, how uint8) {
-	if how == answered && w.Rules.SyncBeforeAnswer || !w.Power {
+	if how == answered && w.Rules.SyncBeforeAnswer || !w.PowerLoss {
 		replica.durable = replica.memory
 	}
 }
@@ -144,7 +144,7 @@
 
 // append delivers the entries from first to the leader's newest.
 func (w *Replication) append(state *ReplicationState, epoch, leader, replica, first, how uint8, visit func(Step, *ReplicationState)) {
-	if w.Rules.JudgeAppend(state.replicas[replica].memory.shard(), uint64(epoch), uint64(first)) != consensus.Accepted {
+	if w.Rules.CheckAppend(state.replicas[replica].memory.shard(), uint64(epoch), uint64(first)) != consensus.Accepted {
 		return
 	}
 	next := *state
@@ -208,7 +208,7 @@
 		return
 	}
 	try := &state.attempts[owner.epoch-1][leader]
-	for place, base := range w.Bases {
+	for place, base := range w.BaseVersions {
 		document := uint8(place) + 1
 		if base != try.tail || try.content.has(document, try.tail) {
 			continue
--- a/internal/model/replication_test.go
+++ b/internal/model/replication_test.go
@@ -12,13 +12,13 @@
 )
 
 // check searches a whole world.
-func check[S any](t *testing.T, world model.World[S]) model.Result {
+func check[S any](t *testing.T, world model.System[S]) model.Result {
 	t.Helper()
 	return checkWithin(t, world, model.Limits{})
 }
 
 // checkWithin searches a world up to limits and logs how much of it there is.
-func checkWithin[S any](t *testing.T, world model.World[S], limits model.Limits) model.Result {
+func checkWithin[S any](t *testing.T, world model.System[S], limits model.Limits) model.Result {
 	t.Helper()
 	result := model.Check(base.NewRealClock(), world, limits)
 	t.Logf("%d states, depth %d, %v, complete %v", result.States, result.Depth, result.Time, result.Complete)
@@ -33,15 +33,15 @@
 		name  string
 		world model.Replication
 	}{
-		{"documents that collide", model.Replication{Replicas: 3, Leaders: 2, Epochs: 2, Bases: []uint8{0, 0}}},
-		{"reads", model.Replication{Replicas: 3, Leaders: 2, Epochs: 2, Bases: []uint8{0}, Reads: true}},
-		{"power lost", model.Replication{Replicas: 3, Leaders: 2, Epochs: 2, Bases: []uint8{0}, Power: true}},
-		{"power lost and a disk", model.Replication{Replicas: 3, Leaders: 1, Epochs: 2, Bases: []uint8{0, 0}, Power: true, Wipes: 1}},
-		{"a disk lost", model.Replication{Replicas: 3, Leaders: 2, Epochs: 2, Bases: []uint8{0}, Wipes: 1, Reads: true}},
-		{"one document after another", model.Replication{Replicas: 3, Leaders: 1, Epochs: 2, Bases: []uint8{0, 1}, Power: true}},
-		{"four replicas in halves", model.Replication{Replicas: 4, Leaders: 2, Epochs: 2, Bases: []uint8{0}, Reads: true}},
-		{"five replicas in parts", model.Replication{Replicas: 5, Leaders: 2, Epochs: 2, Bases: []uint8{0}}},
-		{"five replicas, two disks lost", model.Replication{Replicas: 5, Leaders: 1, Epochs: 2, Bases: []uint8{0}, Wipes: 2}},
+		{"documents that collide", model.Replication{Replicas: 3, Leaders: 2, Epochs: 2, BaseVersions: []uint8{0, 0}}},
+		{"reads", model.Replication{Replicas: 3, Leaders: 2, Epochs: 2, BaseVersions: []uint8{0}, Reads: true}},
+		{"power lost", model.Replication{Replicas: 3, Leaders: 2, Epochs: 2, BaseVersions: []uint8{0}, PowerLoss: true}},
+		{"power lost and a disk", model.Replication{Replicas: 3, Leaders: 1, Epochs: 2, BaseVersions: []uint8{0, 0}, PowerLoss: true, Wipes: 1}},
+		{"a disk lost", model.Replication{Replicas: 3, Leaders: 2, Epochs: 2, BaseVersions: []uint8{0}, Wipes: 1, Reads: true}},
+		{"one document after another", model.Replication{Replicas: 3, Leaders: 1, Epochs: 2, BaseVersions: []uint8{0, 1}, PowerLoss: true}},
+		{"four replicas in halves", model.Replication{Replicas: 4, Leaders: 2, Epochs: 2, BaseVersions: []uint8{0}, Reads: true}},
+		{"five replicas in parts", model.Replication{Replicas: 5, Leaders: 2, Epochs: 2, BaseVersions: []uint8{0}}},
+		{"five replicas, two disks lost", model.Replication{Replicas: 5, Leaders: 1, Epochs: 2, BaseVersions: []uint8{0}, Wipes: 2}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
@@ -80,69 +80,69 @@
 	}{
 		{
 			"majority contact before a read",
-			model.Replication{Bases: []uint8{0}, Reads: true},
+			model.Replication{BaseVersions: []uint8{0}, Reads: true},
 			func(rules *model.Rules) { rules.ReadQuorum = func(int) int { return 0 } },
-			model.ReadsAreFresh,
+			model.FreshReads,
 		},
 		{
 			"epoch check at the replica",
-			model.Replication{Bases: []uint8{0, 0}},
-			func(rules *model.Rules) { rules.Judge = withoutEpochs },
-			model.OneLeader,
+			model.Replication{BaseVersions: []uint8{0, 0}},
+			func(rules *model.Rules) { rules.CheckClaim = withoutEpochs },
+			model.OneLeaderPerEpoch,
 		},
 		{
 			"one leader an epoch at the replica",
-			model.Replication{Bases: []uint8{0, 0}},
-			func(rules *model.Rules) { rules.Judge = withoutLeaders },
-			model.OneLeader,
+			model.Replication{BaseVersions: []uint8{0, 0}},
+			func(rules *model.Rules) { rules.CheckClaim = withoutLeaders },
+			model.OneLeaderPerEpoch,
 		},
 		{
 			"the replica's identity",
-			model.Replication{Bases: []uint8{0}, Wipes: 1},
-			func(rules *model.Rules) { rules.Judge = withoutIdentity },
-			model.OneLeader,
+			model.Replication{BaseVersions: []uint8{0}, Wipes: 1},
+			func(rules *model.Rules) { rules.CheckClaim = withoutIdentity },
+			model.OneLeaderPerEpoch,
 		},
 		{
 			"a majority for a take-over",
-			model.Replication{Bases: []uint8{0}},
+			model.Replication{BaseVersions: []uint8{0}},
 			func(rules *model.Rules) { rules.PromiseQuorum = func(int) int { return 1 } },
-			model.NothingLost,
+			model.NoAcknowledgedLoss,
 		},
 		{
 			"a majority for an acknowledgement",
-			model.Replication{Bases: []uint8{0}},
+			model.Replication{BaseVersions: []uint8{0}},
 			func(rules *model.Rules) { rules.Committed = committedByAny },
-			model.NothingLost,
+			model.NoAcknowledgedLoss,
 		},
 		{
 			"the newest content of a majority",
-			model.Replication{Bases: []uint8{0, 0}},
+			model.Replication{BaseVersions: []uint8{0, 0}},
 			func(rules *model.Rules) { rules.Newer = newerByNumber },
-			model.NothingLost,
+			model.NoAcknowledgedLoss,
 		},
 		{
 			"snapshots never go back",
-			model.Replication{Bases: []uint8{0}},
+			model.Replication{BaseVersions: []uint8{0}},
 			func(rules *model.Rules) { rules.Install = installAnyway },
-			model.NothingLost,
+			model.NoAcknowledgedLoss,
 		},
 		{
 			"entries follow what the replica holds",
-			model.Replication{Bases: []uint8{0, 1}},
-			func(rules *model.Rules) { rules.JudgeAppend = appendAnywhere },
-			model.NothingLost,
+			model.Replication{BaseVersions: []uint8{0, 1}},
+			func(rules *model.Rules) { rules.CheckAppend = appendAnywhere },
+			model.NoAcknowledgedLoss,
 		},
 		{
 			"a sync before each answer",
-			model.Replication{Bases: []uint8{0}, Power: true},
+			model.Replication{BaseVersions: []uint8{0}, PowerLoss: true},
 			func(rules *model.Rules) { rules.SyncBeforeAnswer = false },
-			model.NothingLost,
+			model.NoAcknowledgedLoss,
 		},
 		{
 			"a name of its own for each life of a leader",
-			model.Replication{Leaders: 1, Epochs: 1, Bases: []uint8{0, 0}, Crashes: true},
-			func(rules *model.Rules) { rules.FreshLeaderNames = false },
-			model.NothingLost,
+			model.Replication{Leaders: 1, Epochs: 1, BaseVersions: []uint8{0, 0}, LeaderCrashes: true},
+			func(rules *model.Rules) { rules.UniqueLeaderNames = false },
+			model.NoAcknowledgedLoss,
 		},
 	} {
 		t.Run(row.name, func(t *testing.T) {
--- a/internal/model/rules.go
+++ b/internal/model/rules.go
@@ -5,8 +5,8 @@
 // Rules are the decisions that a world calls. ImplementedRules are those that
 // run in production; a removal replaces one of them by a weaker one.
 type Rules struct {
-	Judge       func(self consensus.Identity, held consensus.ShardState, claim consensus.Claim) consensus.Rejection
-	JudgeAppend func(held consensus.ShardState, epoch, first uint64) consensus.Rejection
+	CheckClaim  func(self consensus.Identity, held consensus.ShardState, claim consensus.Claim) consensus.Rejection
+	CheckAppend func(held consensus.ShardState, epoch, first uint64) consensus.Rejection
 	Install     func(held consensus.ShardState, epoch uint64, leader string, seq uint64) (consensus.ShardState, bool)
 	Newer       func(position, other consensus.Position) bool
 	Committed   func(committed, setVersion uint64, voters []consensus.Progress) (uint64, bool)
@@ -18,15 +18,15 @@
 	// InstallBeforeServing has a leader serve only once its snapshot is on a
 	// majority.
 	InstallBeforeServing bool
-	// FreshLeaderNames gives each life of a process another name.
-	FreshLeaderNames bool
+	// UniqueLeaderNames gives each life of a process another name.
+	UniqueLeaderNames bool
 }
 
 // ImplementedRules are the decisions that run in production.
 func ImplementedRules() Rules {
 	return Rules{
-		Judge:                consensus.CheckClaim,
-		JudgeAppend:          consensus.CheckAppend,
+		CheckClaim:           consensus.CheckClaim,
+		CheckAppend:          consensus.CheckAppend,
 		Install:              consensus.ShardState.Install,
 		Newer:                consensus.Position.Newer,
 		Committed:            consensus.Committed,
@@ -34,6 +34,6 @@
 		ReadQuorum:           consensus.Majority,
 		SyncBeforeAnswer:     true,
 		InstallBeforeServing: true,
-		FreshLeaderNames:     true,
+		UniqueLeaderNames:    true,
 	}
 }
