--- a/cmd/fordseam-sim/campaign.go
+++ b/cmd/fordseam-sim/campaign.go
@@ -18,14 +18,14 @@
 )
 
 func campaignCommand() *cli.Command {
-	return seedsCommand("campaign", "run scenarios of failure over many seeds", base.Map(simulate.Scenarios, func(s *simulate.Scenario) simulate.Played { return s }), base.SortedKeys(simulate.Shapes))
+	return seedsCommand("campaign", "run scenarios of failure over many seeds", base.Map(simulate.Scenarios, func(s *simulate.Scenario) simulate.Runnable { return s }), base.SortedKeys(simulate.Shapes))
 }
 
 func tierCommand() *cli.Command {
-	return seedsCommand("tier", "run days of the platform's troubles over many seeds", base.Map(simulate.TierDays, func(d *simulate.TierDay) simulate.Played { return d }), base.SortedKeys(simulate.TierShapes))
+	return seedsCommand("tier", "run days of the platform's troubles over many seeds", base.Map(simulate.TierDays, func(d *simulate.TierDay) simulate.Runnable { return d }), base.SortedKeys(simulate.TierShapes))
 }
 
-func seedsCommand(name, usage string, scenarios []simulate.Played, shapes []string) *cli.Command {
+func seedsCommand(name, usage string, scenarios []simulate.Runnable, shapes []string) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, DisableSliceFlagSeparator: true, // names have commas
 		Description: "Prints each failing seed with the command that plays it again. Exit code 1 when a rule was broken.",
@@ -42,20 +42,20 @@
 	}
 }
 
-func campaign(command *cli.Command, scenarios []simulate.Played, shapes []string) error {
+func campaign(command *cli.Command, scenarios []simulate.Runnable, shapes []string) error {
 	if command.Bool("list") {
 		for _, one := range scenarios {
-			fmt.Println(one.Named())
+			fmt.Println(one.Title())
 		}
 		return nil
 	}
-	c := &simulate.Campaign{Scenarios: scenarios, Shapes: shapes, First: command.Uint64("seed"),
-		Seeds: command.Int("seeds"), Processors: command.Int("processors")}
+	c := &simulate.Campaign{Scenarios: scenarios, Shapes: shapes, FirstSeed: command.Uint64("seed"),
+		SeedCount: command.Int("seeds"), Parallelism: command.Int("processors")}
 	usage := func(format string, args ...any) error { return cli.Exit(fmt.Sprintf(format, args...), node.ExitUsage) }
 	if names := command.StringSlice("scenario"); len(names) > 0 {
 		c.Scenarios = nil
 		for _, name := range names {
-			place := slices.IndexFunc(scenarios, func(one simulate.Played) bool { return one.Named() == name })
+			place := slices.IndexFunc(scenarios, func(one simulate.Runnable) bool { return one.Title() == name })
 			if place < 0 {
 				return usage("scenario: none is named %q; see --list", name)
 			}
@@ -73,21 +73,21 @@
 	switch {
 	case command.Args().Len() > 0:
 		return usage("%s takes no arguments, was given %q", command.Name, command.Args().First())
-	case c.Seeds < 1 || c.Seeds > 1000000:
-		return usage("seeds: must be between 1 and 1000000, is %d", c.Seeds)
-	case c.Processors < 1 || c.Processors > 1024:
-		return usage("processors: must be between 1 and 1024, is %d", c.Processors)
+	case c.SeedCount < 1 || c.SeedCount > 1000000:
+		return usage("seeds: must be between 1 and 1000000, is %d", c.SeedCount)
+	case c.Parallelism < 1 || c.Parallelism > 1024:
+		return usage("processors: must be between 1 and 1024, is %d", c.Parallelism)
 	}
 	rows := c.Run(func(outcome *simulate.Outcome) {
 		if len(outcome.Breaches) > 0 {
-			fmt.Fprintf(os.Stderr, "failing: %s\n", outcome.Replay())
+			fmt.Fprintf(os.Stderr, "failing: %s\n", outcome.ReplayCommand())
 		}
 	})
 	failed := 0
 	if command.Bool("json") {
 		fmt.Println(string(base.Encode(rows)))
 		for _, row := range rows {
-			failed += len(row.Failing)
+			failed += len(row.FailedRuns)
 		}
 	} else {
 		failed = simulate.WriteCampaign(os.Stdout, rows)
--- a/cmd/fordseam-sim/campaign_test.go
+++ b/cmd/fordseam-sim/campaign_test.go
@@ -12,7 +12,7 @@
 
 func TestAPrintedCommandPlaysItsRunAgain(t *testing.T) {
 	is := is.New(t)
-	printed := (&simulate.Outcome{Scenario: "answers garbled, cut, late and extra", Tier: true, Shape: "small", Seed: 1}).Replay()
+	printed := (&simulate.Outcome{Scenario: "answers garbled, cut, late and extra", Tier: true, Shape: "small", Seed: 1}).ReplayCommand()
 	is.Equal(printed, `fordseam-sim tier --shape small --scenario "answers garbled, cut, late and extra" --seed 1 --seeds 1`)
 	head, rest, _ := strings.Cut(strings.TrimPrefix(printed, "fordseam-sim "), `"`)
 	name, tail, _ := strings.Cut(rest, `"`)
--- a/cmd/fordseam-sim/changes.go
+++ b/cmd/fordseam-sim/changes.go
@@ -19,7 +19,7 @@
 		Name: "changes", Usage: "send one configuration after another to fleets whose members fail, and show how soon they are current again",
 		Description: "Exit code 1 when a member was late, or an old configuration was given out.",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "size", Value: simulate.ChangesSizes, Usage: "`GATEWAYS/CORES/STORAGE`; may be repeated"},
+			&cli.StringSliceFlag{Name: "size", Value: simulate.ChangeStreamSizes, Usage: "`GATEWAYS/CORES/STORAGE`; may be repeated"},
 			&cli.IntFlag{Name: "changes", Value: 3000, Usage: "how `MANY` changes"},
 			&cli.IntFlag{Name: "routes", Value: 1000, Usage: "how `MANY` routes a configuration has"},
 			&cli.IntFlag{Name: "padding", Usage: "`BYTES` beside the routes that cannot be compressed"},
@@ -33,15 +33,15 @@
 		Action: func(_ context.Context, command *cli.Command) error {
 			failed := false
 			for _, size := range command.StringSlice("size") {
-				plan, err := simulate.PlanChanges(size, command.Int("changes"))
+				plan, err := simulate.NewChangeStreamPlan(size, command.Int("changes"))
 				if err != nil {
 					return cli.Exit(err.Error(), node.ExitUsage)
 				}
-				plan.Routes, plan.Padding, plan.Every = command.Int("routes"), command.Int("padding"), command.Duration("every")
-				plan.Away = command.Bool("away")
-				plan.BytesPerSecond, plan.Bound = command.Int64("bytes-per-second"), command.Duration("bound")
+				plan.Routes, plan.Padding, plan.Interval = command.Int("routes"), command.Int("padding"), command.Duration("every")
+				plan.LongAbsence = command.Bool("away")
+				plan.BytesPerSecond, plan.CatchUpBound = command.Int64("bytes-per-second"), command.Duration("bound")
 				for seed := range uint64(command.Int("seeds")) {
-					report := simulate.RunChanges(command.Uint64("seed")+seed, plan)
+					report := simulate.RunChangeStream(command.Uint64("seed")+seed, plan)
 					report.Write(os.Stdout)
 					failed = failed || len(report.Breaches) > 0
 				}
--- a/internal/ledger/budget_test.go
+++ b/internal/ledger/budget_test.go
@@ -24,14 +24,14 @@
 			world := f.world
 			blocked := map[string]bool{}
 			maxDelay := world.Between(5*time.Millisecond, 75*time.Millisecond)
-			f.net.Meddle = func(m *simulate.Message) *http.Response {
+			f.net.Intercept = func(m *simulate.Message) *http.Response {
 				if strings.HasPrefix(m.From.Name, "edge") && strings.HasSuffix(m.Path, "/Begin") {
 					if blocked[m.From.Name+m.To.Name] {
 						return &http.Response{StatusCode: 503, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("{}"))}
 					}
 					m.From.Clock().Sleep(world.Between(0, maxDelay))
 				}
-				response, _ := m.Pass(m.Body)
+				response, _ := m.Forward(m.Body)
 				return response
 			}
 			budget, maxTokens := 10+world.Int64N(30), int64(10)
--- a/internal/ledger/chaos_test.go
+++ b/internal/ledger/chaos_test.go
@@ -72,7 +72,7 @@
 	case "cut":
 		isolated := map[string]bool{}
 		forEach(func(m *machine) { isolated[m.host.Name] = true })
-		f.net.CutOff(isolated)
+		f.net.Isolate(isolated)
 		pause()
 		f.net.Heal()
 	case "admit":
@@ -244,7 +244,7 @@
 	for seed := uint64(1); seed <= seedCount(30); seed++ {
 		size := sizes[seed%3]
 		runFleet(t, seed, size.stores, size.tolerate, func(f *fleet) {
-			f.net.Faults = simulate.Faults{Lost: 0.002, Late: 0.02, Twice: 0.02, LateLimit: 300 * time.Millisecond}
+			f.net.Faults = simulate.NetworkFaults{LossRate: 0.002, DelayRate: 0.02, DuplicateRate: 0.02, MaxExtraDelay: 300 * time.Millisecond}
 			runners := []*sessionRunner{}
 			for i := 0; i < 6; i++ {
 				runner := &sessionRunner{fleet: f, program: fmt.Sprintf("p%d", i/2), session: fmt.Sprintf("s%d", i)}
@@ -315,8 +315,8 @@
 	for seed := uint64(1); seed <= seedCount(40); seed++ {
 		size := []struct{ stores, tolerate int }{{4, 1}, {3, 1}, {6, 2}}[seed%3]
 		runFleet(t, seed, size.stores, size.tolerate, func(f *fleet) {
-			f.net.Slow = f.world.Between(time.Millisecond, 150*time.Millisecond)
-			f.net.Faults = simulate.Faults{Lost: 0.01, Late: 0.1, Twice: 0.05, LateLimit: 400 * time.Millisecond}
+			f.net.MaxDelay = f.world.Between(time.Millisecond, 150*time.Millisecond)
+			f.net.Faults = simulate.NetworkFaults{LossRate: 0.01, DelayRate: 0.1, DuplicateRate: 0.05, MaxExtraDelay: 400 * time.Millisecond}
 			tally := &budgetTally{budget: f.world.Int64N(150) + 30, maxTokens: 10}
 			ended := 0
 			const gateways = 9
@@ -374,7 +374,7 @@
 				}
 			}
 			refused += tally.refused
-			f.net.Faults = simulate.Faults{}
+			f.net.Faults = simulate.NetworkFaults{}
 			f.sleep(5 * time.Second)
 			_, err := c.Begin(f.ctx(), &ledger.BeginParams{Program: "p", Session: "last", Turn: "last", Owner: "gw", Run: "run", Budgeted: true, MaxTokens: tally.maxTokens, Budget: tally.budget, Retention: retention})
 			if tally.delivered+tally.unsettled+tally.maxTokens <= tally.budget {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -21,7 +21,7 @@
 // machine is a simulated storage machine.
 type machine struct {
 	host       *simulate.Host
-	files      *simulate.Files
+	files      *simulate.Disk
 	counters   *base.Counters
 	diskID     string
 	set        *register.DiskSet
@@ -102,7 +102,7 @@
 func (f *fleet) addMachine() *machine {
 	i := len(f.machines)
 	m := &machine{host: f.world.NewHost(fmt.Sprintf("store-%d", i), fmt.Sprintf("zone-%d", i%4)), diskID: fmt.Sprintf("d%d", i)}
-	m.files = simulate.NewFiles(m.host)
+	m.files = simulate.NewDisk(m.host)
 	f.machines = append(f.machines, m)
 	return m
 }
@@ -285,12 +285,12 @@
 	runFleet(t, 1, 4, 1, func(f *fleet) {
 		c := f.newClient(1)
 		sessions := f.newSessions(c, 20, 4)
-		messages := f.net.Messages
+		messages := f.net.MessageCount
 		sessions[3].runTurn()
-		f.is.Equal(f.net.Messages-messages, 4) // Begin and Finish to two stores each
-		messages = f.net.Messages
+		f.is.Equal(f.net.MessageCount-messages, 4) // Begin and Finish to two stores each
+		messages = f.net.MessageCount
 		sessions[3].checkChain(f.newClient(2), sessions[3].program)
-		f.is.True(f.net.Messages-messages <= 4)
+		f.is.True(f.net.MessageCount-messages <= 4)
 		for _, s := range sessions {
 			s.checkChain(c, s.program)
 			s.checkChain(c, "another")
--- a/internal/ledger/redundancy_time_test.go
+++ b/internal/ledger/redundancy_time_test.go
@@ -29,8 +29,8 @@
 // limitBandwidth limits the link of each store to linkBytesPerSecond.
 func (f *fleet) limitBandwidth() {
 	freeAt := map[string]time.Duration{}
-	f.net.Meddle = func(m *simulate.Message) *http.Response {
-		response, _ := m.Pass(m.Body)
+	f.net.Intercept = func(m *simulate.Message) *http.Response {
+		response, _ := m.Forward(m.Body)
 		if response == nil || !strings.Contains(m.Path, "Ledger/") {
 			return response
 		}
@@ -52,7 +52,7 @@
 			t.Run(fmt.Sprint(size.stores, "/", syncTime), func(t *testing.T) {
 				runFleet(t, 1, size.stores, size.tolerate, func(f *fleet) {
 					for _, m := range f.machines {
-						m.files.Quick, m.files.Slow = syncTime, syncTime
+						m.files.MinSyncTime, m.files.MaxSyncTime = syncTime, syncTime
 					}
 					f.fillHistory()
 					f.limitBandwidth()
--- a/internal/ledger/retention_test.go
+++ b/internal/ledger/retention_test.go
@@ -122,12 +122,12 @@
 			sessions := f.newSessions(c, 30, 3)
 			m := f.machines[seed%4]
 			f.kill(m)
-			f.is.True(m.files.Rot("ledger-1", int(f.world.Int64N(int64(m.files.Size("ledger-1")-400)))))
-			m.files.Rotten = false
+			f.is.True(m.files.FlipBit("ledger-1", int(f.world.Int64N(int64(m.files.Size("ledger-1")-400)))))
+			m.files.Corrupted = false
 			for i := range f.machines {
 				if f.machines[i] != m {
-					f.net.Cut(m.host.Name, f.machines[i].host.Name)
-					f.net.Cut(f.machines[i].host.Name, m.host.Name)
+					f.net.CutLink(m.host.Name, f.machines[i].host.Name)
+					f.net.CutLink(f.machines[i].host.Name, m.host.Name)
 				}
 			}
 			f.start(m)
@@ -173,7 +173,7 @@
 		}
 		for _, m := range f.machines {
 			f.is.True(m.describe().LogBytes < max(16<<20, 5*m.describe().Bytes/2))
-			f.is.True(m.files.Free() > m.files.Limit-m.describe().LogBytes-(2<<20))
+			f.is.True(m.files.Free() > m.files.Capacity-m.describe().LogBytes-(2<<20))
 			f.powerOff(m)
 			f.start(m)
 		}
@@ -194,14 +194,14 @@
 		c := f.newClient(1)
 		sessions := f.newSessions(c, 10, 2)
 		full := f.machines[0]
-		full.files.Limit = full.files.Limit - full.files.Free() + 1000
+		full.files.Capacity = full.files.Capacity - full.files.Free() + 1000
 		for _, s := range sessions {
 			s.runTurn()
 			s.runTurn()
 			s.checkChain(c, s.program)
 		}
 		f.is.True(full.store.Ready() != nil)
-		full.files.Limit = 64 << 20
+		full.files.Capacity = 64 << 20
 		f.sleep(2 * time.Second)
 		f.is.NoErr(full.store.Ready())
 		f.kill(f.machines[1])
--- a/internal/ledger/set_change_test.go
+++ b/internal/ledger/set_change_test.go
@@ -13,8 +13,8 @@
 
 // partition cuts the network between two hosts in both directions.
 func (f *fleet) partition(a, b *simulate.Host) {
-	f.net.Cut(a.Name, b.Name)
-	f.net.Cut(b.Name, a.Name)
+	f.net.CutLink(a.Name, b.Name)
+	f.net.CutLink(b.Name, a.Name)
 }
 
 // TestStoresDeclineAfterTooManyLosses loses one machine more than is tolerated: the
--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -28,7 +28,7 @@
 	script(t, tenantShape(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(3 * time.Second)
 		read := func(path string, query map[string]string) (int, string) {
-			status, answer := f.OperateWith(f.Cores[1], "GET", "/v1/operator/access"+path, query, nil)
+			status, answer := f.OperatorRequestWithQuery(f.Cores[1], "GET", "/v1/operator/access"+path, query, nil)
 			return status, string(answer)
 		}
 		status, answer := read("/check", map[string]string{"team": "tills", "model": "payslip"})
@@ -50,28 +50,28 @@
 		is.NoErr(json.Unmarshal([]byte(answer), &shown))
 		is.Equal(shown.InForce, uint64(1))
 		is.Equal(len(shown.Teams), 3)
-		is.Equal(len(shown.Holders), len(f.Edges)+len(f.Cores)) // who holds which stamp
+		is.Equal(len(shown.Holders), len(f.Gateways)+len(f.Cores)) // who holds which stamp
 		for _, one := range shown.Holders {
 			is.Equal(one.Version, uint64(1))
 		}
 		var state operate.StatusView
-		_, raw := f.Operate(f.Cores[0], "GET", "/v1/operator/status", nil)
+		_, raw := f.OperatorRequest(f.Cores[0], "GET", "/v1/operator/status", nil)
 		is.NoErr(json.Unmarshal(raw, &state))
-		is.True(state.Access != nil && len(state.Access.Holders) == len(f.Edges)+len(f.Cores))
+		is.True(state.Access != nil && len(state.Access.Holders) == len(f.Gateways)+len(f.Cores))
 
 		denied := strings.Replace(f.Shape.Settings, `"tills":{"models":["checkout"]`, `"tills":{"models":["checkout"],"deny":["checkout"]`, 1)
-		status, raw = f.Operate(f.Cores[0], "POST", "/v1/operator/access/diff", json.RawMessage(denied))
+		status, raw = f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/access/diff", json.RawMessage(denied))
 		is.Equal(status, 200)
 		is.True(strings.Contains(string(raw), `"model":"checkout","change":"refused"`))
 		wrong := strings.Replace(f.Shape.Settings, `"model":"checkout"`, `"model":"payslip"`, 1)
 		for _, path := range []string{"access/diff", "settings/check"} {
-			status, raw = f.Operate(f.Cores[0], "POST", "/v1/operator/"+path, json.RawMessage(wrong))
+			status, raw = f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/"+path, json.RawMessage(wrong))
 			is.Equal(status, 400)
 			is.True(strings.Contains(string(raw), "$.groups.dukabora.sites.main.routes.chat.model"))
 		}
 		status, _ = f.apply("wrong", 1, json.RawMessage(wrong))
 		is.Equal(status, 400)
-		_, raw = f.Operate(f.Cores[1], "GET", "/v1/operator/settings", nil)
+		_, raw = f.OperatorRequest(f.Cores[1], "GET", "/v1/operator/settings", nil)
 		is.True(strings.Contains(string(raw), `"stamp":1,`)) // nothing changed
 	})
 }
@@ -81,7 +81,7 @@
 func TestOneChangeOfAccessAtATime(t *testing.T) {
 	script(t, tenantShape(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(3 * time.Second)
-		f.Edges[2].Host.Freeze() // so that the change takes as long as a permit
+		f.Gateways[2].Host.Freeze() // so that the change takes as long as a permit
 		call.sleep(100 * time.Millisecond)
 		denied := strings.Replace(f.Shape.Settings, `"tills":{"models":["checkout"]`, `"tills":{"models":["checkout"],"deny":["checkout"]`, 1)
 		status, _ := f.apply("first-change", 1, json.RawMessage(denied))
@@ -92,9 +92,9 @@
 		status, _ = f.apply("another-value", 2, json.RawMessage(strings.Replace(denied, `"max_output_tokens":64`, `"max_output_tokens":32`, 1)))
 		is.Equal(status, 200)
 		call.sleep(base.DefaultBounds().Permit() + base.DefaultBounds().Beat())
-		_, raw = f.Operate(f.Cores[0], "GET", "/v1/operator/access", nil)
+		_, raw = f.OperatorRequest(f.Cores[0], "GET", "/v1/operator/access", nil)
 		is.True(strings.Contains(string(raw), `"in_force":3`))
-		f.Edges[2].Host.Thaw()
+		f.Gateways[2].Host.Thaw()
 	})
 }
 
@@ -107,7 +107,7 @@
 		is.NoErr(table.BuildIndex())
 		allows := func(m *Machine, host, target, model string) *base.Verdict {
 			var err error
-			done := base.NewBell(f.Callers.Clock())
+			done := base.NewBell(f.CallerHost.Clock())
 			next := done.Next()
 			m.Host.Go(func() {
 				ctx := base.NewCtx(m.Host.Clock(), 5*time.Second)
@@ -118,7 +118,7 @@
 			return base.FromWire(err)
 		}
 		call.sleep(3 * time.Second)
-		edge := f.Edges[0]
+		edge := f.Gateways[0]
 		is.True(allows(edge, "PAY.example:80", "/ask/x", "payslip") == nil)
 		is.True(allows(edge, "pay.example", "/post/x", "") == nil) // no model: not for these rules
 		v := allows(edge, "pay.example", "/ask/x", "checkout")
@@ -128,7 +128,7 @@
 		is.Equal(v.Stamp, uint64(1))
 		is.Equal(v.Ran, base.NotRun)
 		is.Equal(allows(edge, "till.example", "/x", "checkout").Code, "unknown_team")
-		f.Net.CutOff(map[string]bool{edge.Host.Name: true})
+		f.Net.Isolate(map[string]bool{edge.Host.Name: true})
 		call.sleep(3 * time.Second)
 		is.Equal(allows(edge, "pay.example", "/ask/x", "payslip").Code, "no_confirmed_settings")
 		is.True(allows(edge, "pay.example", "/post/x", "") == nil)
@@ -144,9 +144,9 @@
 func TestWithoutRulesNothingChanges(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(2 * time.Second)
-		edge := f.Edges[0]
+		edge := f.Gateways[0]
 		is.True(!edge.gateway.Access.HasRules())
-		f.Net.CutOff(map[string]bool{edge.Host.Name: true})
+		f.Net.Isolate(map[string]bool{edge.Host.Name: true})
 		call.sleep(5 * time.Second)
 		table := &route.Table{Version: 1, Services: map[string]*route.Service{"llm": {Name: "llm", Engine: &route.Engine{Slots: 1}}},
 			Routes: []route.Route{{Name: "ask", Host: "pay.example", Prefix: "/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}}}}
@@ -154,9 +154,9 @@
 		is.NoErr(edge.gateway.Allows(base.NewCtx(edge.Host.Clock(), time.Second), &table.Routes[0], &relay.Call{Host: "pay.example", Model: "m"}))
 		f.Net.Heal()
 		call.sleep(2 * time.Second)
-		_, raw := f.Operate(f.Cores[0], "GET", "/v1/operator/access", nil)
+		_, raw := f.OperatorRequest(f.Cores[0], "GET", "/v1/operator/access", nil)
 		is.True(strings.Contains(string(raw), `"open":true`) && strings.Contains(string(raw), `"holders":[]`))
-		_, raw = f.Operate(f.Cores[0], "GET", "/v1/operator/status", nil)
+		_, raw = f.OperatorRequest(f.Cores[0], "GET", "/v1/operator/status", nil)
 		is.True(!strings.Contains(string(raw), `"access"`))
 	})
 }
--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -105,7 +105,7 @@
 			d.codes["connection"]++
 			return answer, err
 		}
-		one := asking{team: team, gateway: d.f.Edges[gateway%len(d.f.Edges)].Host.Name, sent: sent, first: first, told: d.f.World.Now()}
+		one := asking{team: team, gateway: d.f.Gateways[gateway%len(d.f.Gateways)].Host.Name, sent: sent, first: first, told: d.f.World.Now()}
 		var told struct {
 			Error base.Verdict `json:"error"`
 		}
@@ -135,8 +135,8 @@
 func (d *accessDay) operator(name string, whose tenant) {
 	f := d.f
 	for round := 0; d.going(); round++ {
-		f.Callers.Clock().Sleep(d.every/2 + f.World.Between(0, d.every))
-		status, answer := f.Operate(f.pick(f.Cores), "GET", "/v1/operator/settings", nil)
+		f.CallerHost.Clock().Sleep(d.every/2 + f.World.Between(0, d.every))
+		status, answer := f.OperatorRequest(f.pick(f.Cores), "GET", "/v1/operator/settings", nil)
 		var now struct {
 			Stamp    uint64          `json:"stamp"`
 			Document json.RawMessage `json:"document"`
@@ -169,8 +169,8 @@
 			f.Tally.ChangeRefused(change)
 			return
 		}
-		f.Callers.Clock().Sleep(300 * time.Millisecond)
-		status, answer = f.Operate(f.pick(f.Cores), "POST", "/v1/operator/settings/outcome", map[string]string{"change": change})
+		f.CallerHost.Clock().Sleep(300 * time.Millisecond)
+		status, answer = f.OperatorRequest(f.pick(f.Cores), "POST", "/v1/operator/settings/outcome", map[string]string{"change": change})
 	}
 }
 
@@ -178,8 +178,8 @@
 func (d *accessDay) look() {
 	f := d.f
 	for {
-		f.Callers.Clock().Sleep(50 * time.Millisecond)
-		status, answer := f.Operate(f.living(), "GET", "/v1/operator/access", nil)
+		f.CallerHost.Clock().Sleep(50 * time.Millisecond)
+		status, answer := f.OperatorRequest(f.living(), "GET", "/v1/operator/access", nil)
 		var shown struct {
 			InForce uint64 `json:"in_force"`
 		}
@@ -254,33 +254,33 @@
 	left := 0
 	enter := func(task func()) {
 		left++
-		f.Callers.Go(func() { task(); left-- })
+		f.CallerHost.Go(func() { task(); left-- })
 	}
 	// The first rules come into force in two steps like any others.
 	enter(func() {
 		for !d.inForce(1) {
-			f.Callers.Clock().Sleep(100 * time.Millisecond)
+			f.CallerHost.Clock().Sleep(100 * time.Millisecond)
 		}
 		for place, whose := range tenants {
 			enter(func() { d.operator(fmt.Sprint("operator", place), whose) })
 		}
 		d.people(enter)
 		for _, whose := range tenants {
-			for gateway := range f.Edges {
+			for gateway := range f.Gateways {
 				enter(func() { d.knock(whose, gateway) })
 			}
 		}
-		f.Net.Faults = Faults{}
+		f.Net.Faults = NetworkFaults{}
 		if harm != "" {
 			f.harm(harm, d.going)
 		}
 	})
-	f.Callers.Go(d.look)
+	f.CallerHost.Go(d.look)
 	if !f.World.Run(end+3*time.Minute, func() bool { return left == 0 && f.harms == 0 }) {
 		f.Tally.Breach("callers were left without an end")
 	}
 	f.Net.Heal()
-	f.Net.Faults = Faults{}
+	f.Net.Faults = NetworkFaults{}
 	d.check()
 	if refused := d.codes["no_confirmed_settings"]; d.calm && refused > 0 {
 		f.Tally.Breach("%d requests found no confirmation though all was calm", refused)
@@ -290,12 +290,12 @@
 			f.Tally.Breach("changes alone brought %d %s", n, name)
 		}
 	}
-	f.Check()
+	f.CheckInvariants()
 	t.Logf("seed %d: %d changes, %v, %d turns whole, took hold after %v", seed, len(d.rulings)-1, d.codes, f.Tally.Counts["turns_whole"], d.longest())
 }
 
 func (d *accessDay) inForce(stamp uint64) bool {
-	status, answer := d.f.Operate(d.f.living(), "GET", "/v1/operator/access", nil)
+	status, answer := d.f.OperatorRequest(d.f.living(), "GET", "/v1/operator/access", nil)
 	var shown struct {
 		InForce uint64 `json:"in_force"`
 	}
@@ -305,7 +305,7 @@
 // people are the tenants' callers, and a few of the group that may always call.
 func (d *accessDay) people(enter func(func())) {
 	f := d.f
-	for caller := range len(f.Edges) * 3 {
+	for caller := range len(f.Gateways) * 3 {
 		whose := tenant{"shop", "g", "stand-in"}
 		if caller%3 > 0 {
 			whose = tenants[caller%3-1]
@@ -313,7 +313,7 @@
 		enter(func() {
 			for round := 0; d.going(); round++ {
 				c := f.caller(fmt.Sprintf("%s%d-%d", whose.team, caller, round), caller+round)
-				c.Group, c.Ask, c.Patience = whose.group, d.watched(whose.team, f.Asker(f.Callers)), 15*time.Second
+				c.Group, c.Ask, c.Patience = whose.group, d.watched(whose.team, f.Asker(f.CallerHost)), 15*time.Second
 				c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 300*time.Millisecond)) }
 				if c.Start(int64(4 * f.Shape.Pieces * 8)) {
 					c.Converse(4, whose.team == "shop")
@@ -329,18 +329,18 @@
 func (d *accessDay) knock(whose tenant, gateway int) {
 	f := d.f
 	c := f.caller(fmt.Sprintf("knock-%s-%d", whose.team, gateway), gateway)
-	c.Group, c.Ask = whose.group, f.Asker(f.Callers)
+	c.Group, c.Ask = whose.group, f.Asker(f.CallerHost)
 	for d.going() && !c.Start(1<<20) {
 		c = f.caller(fmt.Sprintf("%s-", c.Name), gateway)
-		c.Group, c.Ask = whose.group, f.Asker(f.Callers)
+		c.Group, c.Ask = whose.group, f.Asker(f.CallerHost)
 		c.Clock.Sleep(200 * time.Millisecond)
 	}
 	path, secret := c.Session()
 	program := strings.Split(path, "/")[3]
-	ask := d.watched(whose.team, f.Asker(f.Callers))
+	ask := d.watched(whose.team, f.Asker(f.CallerHost))
 	for round := 0; d.going(); round++ {
 		c.Clock.Sleep(f.World.Between(100*time.Millisecond, 200*time.Millisecond))
-		f.Callers.Go(func() {
+		f.CallerHost.Go(func() {
 			id := fmt.Sprint("k", round)
 			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.Tag(program, id)}}, "max_output_tokens": f.Shape.Pieces + 2}
 			_, _ = ask(gateway, "POST", path+"/turns", map[string]string{"authorization": "Bearer " + secret, "turn-id": id}, base.Encode(body))
@@ -421,7 +421,7 @@
 		{"the permit", "a machine cut off", onPath("Feed/Follow", func(m *Message) *http.Response {
 			var asked feed.FollowRequest
 			_ = proto.Unmarshal(m.Body, &asked)
-			response, _ := m.Pass(m.Body)
+			response, _ := m.Forward(m.Body)
 			if response == nil && asked.Place > 0 {
 				return replied(&feed.FollowReply{Place: asked.Place})
 			}
--- a/internal/simulate/campaign.go
+++ b/internal/simulate/campaign.go
@@ -12,65 +12,67 @@
 	"time"
 )
 
-// Played is a scenario of any kind that a campaign can run at a size.
-type Played interface {
-	Named() string
-	Play(seed uint64, shape string) *Outcome
+// Runnable is a scenario of any kind that a campaign can run at a size.
+type Runnable interface {
+	Title() string
+	RunShape(seed uint64, shape string) *Outcome
 }
 
-// Named is the scenario's name.
-func (s *Scenario) Named() string { return s.Name }
+// Title is the scenario's name.
+func (s *Scenario) Title() string { return s.Name }
 
-// Play runs it at one of the Shapes.
-func (s *Scenario) Play(seed uint64, shape string) *Outcome { return s.Run(seed, Shapes[shape]()) }
+// RunShape runs the scenario at one of the Shapes.
+func (s *Scenario) RunShape(seed uint64, shape string) *Outcome { return s.Run(seed, Shapes[shape]()) }
 
-// Named is the day's name.
-func (d *TierDay) Named() string { return d.Name }
+// Title is the day's name.
+func (d *TierDay) Title() string { return d.Name }
 
-// Play runs it at one of the TierShapes.
-func (d *TierDay) Play(seed uint64, shape string) *Outcome { return d.Run(seed, TierShapes[shape]()) }
+// RunShape runs the scenario at one of the TierShapes.
+func (d *TierDay) RunShape(seed uint64, shape string) *Outcome {
+	return d.Run(seed, TierShapes[shape]())
+}
 
 // Campaign is what to run.
 type Campaign struct {
-	Scenarios  []Played
-	Shapes     []string
-	First      uint64
-	Seeds      int
-	Processors int
+	Scenarios   []Runnable
+	Shapes      []string
+	FirstSeed   uint64
+	SeedCount   int
+	Parallelism int
 }
 
-// Tested is what came of one scenario at one size, over all seeds.
-type Tested struct {
-	Scenario  string     `json:"scenario"`
-	Shape     string     `json:"shape"`
-	Runs      int        `json:"runs"`
-	Turns     int        `json:"turns_whole"`
-	P99Ms     float64    `json:"p99_turn_ms"`
-	LongestMs float64    `json:"longest_turn_ms"`
-	Failing   []*Outcome `json:"failing"`
+// CampaignResult is what came of one scenario at one size, over all seeds.
+type CampaignResult struct {
+	Scenario       string     `json:"scenario"`
+	Shape          string     `json:"shape"`
+	Runs           int        `json:"runs"`
+	CompletedTurns int        `json:"turns_whole"`
+	P99Ms          float64    `json:"p99_turn_ms"`
+	LongestMs      float64    `json:"longest_turn_ms"`
+	FailedRuns     []*Outcome `json:"failing"`
 }
 
 // Run does all runs; told is called for each as it ends, one at a time.
-func (c *Campaign) Run(told func(*Outcome)) []*Tested {
+func (c *Campaign) Run(told func(*Outcome)) []*CampaignResult {
 	type job struct {
-		row      *Tested
-		scenario Played
+		row      *CampaignResult
+		scenario Runnable
 		seed     uint64
 	}
-	rows, jobs := []*Tested{}, []job{}
+	rows, jobs := []*CampaignResult{}, []job{}
 	for _, shape := range c.Shapes {
 		for _, scenario := range c.Scenarios {
-			row := &Tested{Scenario: scenario.Named(), Shape: shape}
+			row := &CampaignResult{Scenario: scenario.Title(), Shape: shape}
 			rows = append(rows, row)
-			for seed := c.First; seed < c.First+uint64(c.Seeds); seed++ {
+			for seed := c.FirstSeed; seed < c.FirstSeed+uint64(c.SeedCount); seed++ {
 				jobs = append(jobs, job{row, scenario, seed})
 			}
 		}
 	}
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	turns := map[*Tested][]time.Duration{}
-	for range max(1, c.Processors) {
+	turns := map[*CampaignResult][]time.Duration{}
+	for range max(1, c.Parallelism) {
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -83,13 +85,13 @@
 				next := jobs[0]
 				jobs = jobs[1:]
 				mu.Unlock()
-				outcome := next.scenario.Play(next.seed, next.row.Shape)
+				outcome := next.scenario.RunShape(next.seed, next.row.Shape)
 				mu.Lock()
 				next.row.Runs++
-				next.row.Turns += outcome.Counts["turns_whole"]
+				next.row.CompletedTurns += outcome.Counts["turns_whole"]
 				turns[next.row] = append(turns[next.row], outcome.Turns...)
 				if len(outcome.Breaches) > 0 {
-					next.row.Failing = append(next.row.Failing, outcome)
+					next.row.FailedRuns = append(next.row.FailedRuns, outcome)
 				}
 				told(outcome)
 				mu.Unlock()
@@ -98,7 +100,7 @@
 	}
 	group.Wait()
 	for _, row := range rows {
-		slices.SortFunc(row.Failing, func(a, b *Outcome) int { return int(a.Seed) - int(b.Seed) })
+		slices.SortFunc(row.FailedRuns, func(a, b *Outcome) int { return int(a.Seed) - int(b.Seed) })
 		if took := turns[row]; len(took) > 0 {
 			slices.Sort(took)
 			row.P99Ms, row.LongestMs = took[len(took)*99/100].Seconds()*1000, took[len(took)-1].Seconds()*1000
@@ -107,8 +109,8 @@
 	return rows
 }
 
-// Replay is the command that plays a run again.
-func (o *Outcome) Replay() string {
+// ReplayCommand is the command that plays a run again.
+func (o *Outcome) ReplayCommand() string {
 	command := "campaign"
 	if o.Tier {
 		command = "tier"
@@ -117,17 +119,17 @@
 }
 
 // WriteCampaign shows a campaign's rows, and tells how many runs failed.
-func WriteCampaign(out io.Writer, rows []*Tested) (failed int) {
+func WriteCampaign(out io.Writer, rows []*CampaignResult) (failed int) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "SHAPE\tSCENARIO\tRUNS\tFAILING\tTURNS WHOLE\tP99 TURN MS\tLONGEST MS")
 	for _, row := range rows {
-		failed += len(row.Failing)
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%.0f\t%.0f\n", row.Shape, row.Scenario, row.Runs, len(row.Failing), row.Turns, row.P99Ms, row.LongestMs)
+		failed += len(row.FailedRuns)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%.0f\t%.0f\n", row.Shape, row.Scenario, row.Runs, len(row.FailedRuns), row.CompletedTurns, row.P99Ms, row.LongestMs)
 	}
 	_ = w.Flush()
 	for _, row := range rows {
-		for _, outcome := range row.Failing {
-			fmt.Fprintf(out, "FAILING: %s\n", outcome.Replay())
+		for _, outcome := range row.FailedRuns {
+			fmt.Fprintf(out, "FAILING: %s\n", outcome.ReplayCommand())
 			for _, breach := range outcome.Breaches {
 				fmt.Fprintf(out, "  %s\n", breach)
 			}
--- a/internal/simulate/chaos_test.go
+++ b/internal/simulate/chaos_test.go
@@ -1,4 +1,4 @@
-// Every scenario, on the small shape and on both deployments' sizes, with a
+// Interval scenario, on the small shape and on both deployments' sizes, with a
 // fixed set of seeds.
 package simulate
 
@@ -33,12 +33,12 @@
 
 // harm does one scenario's deeds while it is wanted.
 func (f *Fleet) harm(name string, going func() bool) {
-	one := ScenarioNamed(name)
+	one := FindScenario(name)
 	f.Net.Faults = one.Net
-	f.Callers.Go(func() {
+	f.CallerHost.Go(func() {
 		for round := 0; one.Do != nil && going(); round++ {
 			one.Do(f, round)
-			f.Callers.Clock().Sleep(one.Every)
+			f.CallerHost.Clock().Sleep(one.Every)
 		}
 	})
 }
--- a/internal/simulate/cutoff.go
+++ b/internal/simulate/cutoff.go
@@ -17,50 +17,50 @@
 	"fordseam/platform"
 )
 
-// CutWay is how machines are cut off.
-type CutWay string
+// IsolationMode is how machines are cut off.
+type IsolationMode string
 
 // The ways: in both directions or one, noticed or not, and frozen instead.
 const (
-	CutSilent   CutWay = "silent"
-	CutOutbound CutWay = "outbound"
-	CutInbound  CutWay = "inbound"
-	CutResets   CutWay = "resets"
-	CutRefused  CutWay = "refused"
-	CutFrozen   CutWay = "frozen"
-	// CutKilled and CutDark end the process, or the machine's power, instead.
-	CutKilled CutWay = "killed"
-	CutDark   CutWay = "without power"
+	IsolationSilent   IsolationMode = "silent"
+	IsolationOutbound IsolationMode = "outbound"
+	IsolationInbound  IsolationMode = "inbound"
+	IsolationReset    IsolationMode = "resets"
+	IsolationRefused  IsolationMode = "refused"
+	IsolationFrozen   IsolationMode = "frozen"
+	// IsolationKilled and CutDark end the process, or the machine's power, instead.
+	IsolationKilled    IsolationMode = "killed"
+	IsolationPowerLoss IsolationMode = "without power"
 )
 
-// CutWays lists those that leave the machines alive.
-var CutWays = []CutWay{CutSilent, CutOutbound, CutInbound, CutResets, CutRefused, CutFrozen}
+// IsolationModes lists those that leave the machines alive.
+var IsolationModes = []IsolationMode{IsolationSilent, IsolationOutbound, IsolationInbound, IsolationReset, IsolationRefused, IsolationFrozen}
 
-// CutTarget is who is cut off.
-type CutTarget string
+// IsolationTarget is who is cut off.
+type IsolationTarget string
 
 // The targets. The owner of the feed's shard is the core that reads the
 // platform's list of workers as well.
 const (
-	CutOwner         CutTarget = "owner"
-	CutOwnerAndDisk  CutTarget = "owner and a disk"
-	CutFromDisks     CutTarget = "owner, from the disks only"
-	CutOther         CutTarget = "another core"
-	CutSeeds         CutTarget = "all seeds"
-	CutSeedsRestarts CutTarget = "all seeds, with restarts on both sides"
-	CutRestarted     CutTarget = "owner, restarted behind the cut"
+	TargetLeader            IsolationTarget = "owner"
+	TargetLeaderAndDisk     IsolationTarget = "owner and a disk"
+	TargetLeaderFromDisks   IsolationTarget = "owner, from the disks only"
+	TargetOtherCore         IsolationTarget = "another core"
+	TargetSeeds             IsolationTarget = "all seeds"
+	TargetSeedsWithRestarts IsolationTarget = "all seeds, with restarts on both sides"
+	TargetLeaderRestarted   IsolationTarget = "owner, restarted behind the cut"
 )
 
-// CutTargets lists them.
-var CutTargets = []CutTarget{CutOwner, CutOwnerAndDisk, CutFromDisks, CutOther, CutSeeds, CutSeedsRestarts, CutRestarted}
+// IsolationTargets lists them.
+var IsolationTargets = []IsolationTarget{TargetLeader, TargetLeaderAndDisk, TargetLeaderFromDisks, TargetOtherCore, TargetSeeds, TargetSeedsWithRestarts, TargetLeaderRestarted}
 
-// CutSizes are the users' four deployments: gateways, cores, storage machines
+// IsolationSizes are the users' four deployments: gateways, cores, storage machines
 // and how many of those with a disk may be lost at once.
-var CutSizes = map[string][4]int{"tills": {6, 4, 4, 1}, "pay": {9, 4, 4, 1}, "grown tills": {64, 5, 9, 2}, "grown pay": {55, 8, 9, 2}}
+var IsolationSizes = map[string][4]int{"tills": {6, 4, 4, 1}, "pay": {9, 4, 4, 1}, "grown tills": {64, 5, 9, 2}, "grown pay": {55, 8, 9, 2}}
 
-// CutShape is a deployment of a size whose gateways have nothing to serve.
-func CutShape(name string) TierShape {
-	size := CutSizes[name]
+// IsolationShape is a deployment of a size whose gateways have nothing to serve.
+func IsolationShape(name string) TierShape {
+	size := IsolationSizes[name]
 	form := TierShapes["kiondo"]()
 	if size[3] > 1 {
 		form = TierShapes["grown"]()
@@ -97,39 +97,39 @@
 	return fmt.Sprintf("%s of %d on %d to %s at %v: %d after %v %q", c.kind, c.version, c.base, c.core.Host.Name, c.sent, c.status, c.ended-c.sent, c.body)
 }
 
-// CutPlan is one cut: at which size, who, how, and for how long.
-type CutPlan struct {
-	Size   string
-	Target CutTarget
-	Way    CutWay
-	Span   time.Duration
-	Seed   uint64
+// IsolationPlan is one cut: at which size, who, how, and for how long.
+type IsolationPlan struct {
+	Size     string
+	Target   IsolationTarget
+	Mode     IsolationMode
+	Duration time.Duration
+	Seed     uint64
 }
 
-func (c CutPlan) String() string {
-	return fmt.Sprintf("%s, seed %d, %s, %s", c.Size, c.Seed, c.Target, c.Way)
+func (c IsolationPlan) String() string {
+	return fmt.Sprintf("%s, seed %d, %s, %s", c.Size, c.Seed, c.Target, c.Mode)
 }
 
-// CutRun is one cut and what came of it.
-type CutRun struct {
-	CutPlan
-	// Acked is how long after the cut a change was acknowledged by a core on the
+// IsolationResult is one cut and what came of it.
+type IsolationResult struct {
+	IsolationPlan
+	// MajorityAckTime is how long after the cut a change was acknowledged by a core on the
 	// majority's side, to an operator who calls that side only; Everywhere is the
 	// same for one who calls cores of both sides as they come.
-	Acked, Everywhere time.Duration
-	// Back is how long after the end of the cut all cores gave the newest
+	MajorityAckTime, AnyCoreAckTime time.Duration
+	// RecoveryTime is how long after the end of the cut all cores gave the newest
 	// configuration.
-	Back     time.Duration
-	Calls    int
-	Refusals int
-	Slowest  time.Duration
-	Breaches []string
+	RecoveryTime  time.Duration
+	CallCount     int
+	RefusalCount  int
+	SlowestAnswer time.Duration
+	Breaches      []string
 }
 
 // cutPlay is a run under way.
 type cutPlay struct {
 	*Tier
-	run     *CutRun
+	run     *IsolationResult
 	apart   map[*Machine]bool
 	from    time.Duration
 	to      time.Duration
@@ -150,17 +150,17 @@
 	refused bool
 }
 
-// Play has the target cut off; a test may change the fleet before.
-func (c CutPlan) Play(change func(f *Fleet)) *CutRun {
-	run := &CutRun{CutPlan: c}
-	t := NewTier(c.Seed, CutShape(c.Size), nil)
+// Run has the target cut off; a test may change the fleet before.
+func (c IsolationPlan) Run(change func(f *Fleet)) *IsolationResult {
+	run := &IsolationResult{IsolationPlan: c}
+	t := NewTier(c.Seed, IsolationShape(c.Size), nil)
 	defer t.World.Close()
 	if change != nil {
 		change(t.Fleet)
 	}
 	p := &cutPlay{Tier: t, run: run, apart: map[*Machine]bool{}}
 	over := false
-	t.Callers.Go(func() {
+	t.CallerHost.Go(func() {
 		p.play()
 		over = true
 	})
@@ -175,7 +175,7 @@
 }
 
 func (p *cutPlay) play() {
-	clock := p.Callers.Clock()
+	clock := p.CallerHost.Clock()
 	if !p.form() {
 		p.breach("the fleet did not form")
 		return
@@ -187,11 +187,11 @@
 		p.breach("no core owns the feed")
 		return
 	}
-	end := p.World.now + time.Second + p.run.Span + 6*time.Second
+	end := p.World.now + time.Second + p.run.Duration + 6*time.Second
 	left := 0
 	enter := func(task func()) {
 		left++
-		p.Callers.Go(func() { task(); left-- })
+		p.CallerHost.Go(func() { task(); left-- })
 	}
 	going := func() bool { return p.World.now < end }
 	enter(func() { p.write(going) })
@@ -202,7 +202,7 @@
 	clock.Sleep(time.Second + p.World.Between(0, 300*time.Millisecond))
 	p.cut()
 	enter(p.firstAck)
-	clock.Sleep(p.run.Span)
+	clock.Sleep(p.run.Duration)
 	p.heal()
 	enter(p.settle)
 	p.until(2*time.Minute, func() bool { return left == 0 })
@@ -224,15 +224,15 @@
 	others := base.Filter(p.Cores, func(m *Machine) bool { return m != owner })
 	from := append(slices.Clone(p.Cores), p.Storage...)
 	switch p.run.Target {
-	case CutOwner, CutRestarted:
+	case TargetLeader, TargetLeaderRestarted:
 		p.apart[owner] = true
-	case CutOwnerAndDisk:
+	case TargetLeaderAndDisk:
 		p.apart[owner], p.apart[p.pick(p.Storage)] = true, true
-	case CutFromDisks:
+	case TargetLeaderFromDisks:
 		p.apart[owner], from = true, p.Storage
-	case CutOther:
+	case TargetOtherCore:
 		p.apart[p.pick(others)] = true
-	case CutSeeds, CutSeedsRestarts:
+	case TargetSeeds, TargetSeedsWithRestarts:
 		for _, m := range p.Cores[:3] {
 			p.apart[m] = true
 		}
@@ -247,8 +247,8 @@
 		}
 		return
 	}
-	p.Net.Resets = true
-	p.Net.Notice = map[CutWay]Notice{CutResets: NoticeReset, CutRefused: NoticeRefused}[p.run.Way]
+	p.Net.ResetOnExit = true
+	p.Net.LinkFailure = map[IsolationMode]LinkFailure{IsolationReset: LinkReset, IsolationRefused: LinkRefused}[p.run.Mode]
 	for _, m := range p.All() {
 		if !p.apart[m] {
 			continue
@@ -257,11 +257,11 @@
 			if p.apart[other] {
 				continue
 			}
-			if p.run.Way != CutInbound {
-				p.Net.Cut(m.Host.Name, other.Host.Name)
+			if p.run.Mode != IsolationInbound {
+				p.Net.CutLink(m.Host.Name, other.Host.Name)
 			}
-			if p.run.Way != CutOutbound {
-				p.Net.Cut(other.Host.Name, m.Host.Name)
+			if p.run.Mode != IsolationOutbound {
+				p.Net.CutLink(other.Host.Name, m.Host.Name)
 			}
 		}
 	}
@@ -270,16 +270,16 @@
 
 // stops tells that the machines stand still or fall instead of being cut off.
 func (p *cutPlay) stops() bool {
-	return p.run.Way == CutFrozen || p.run.Way == CutKilled || p.run.Way == CutDark
+	return p.run.Mode == IsolationFrozen || p.run.Mode == IsolationKilled || p.run.Mode == IsolationPowerLoss
 }
 
 func (p *cutPlay) stop(m *Machine) {
-	switch p.run.Way {
-	case CutFrozen:
+	switch p.run.Mode {
+	case IsolationFrozen:
 		m.Host.Freeze()
-	case CutKilled:
+	case IsolationKilled:
 		p.down(m, false)
-	case CutDark:
+	case IsolationPowerLoss:
 		p.down(m, true)
 	}
 }
@@ -288,15 +288,15 @@
 func (p *cutPlay) restarts() {
 	var list []*Machine
 	for _, m := range p.Cores {
-		if p.run.Target == CutRestarted && p.apart[m] || p.run.Target == CutSeedsRestarts {
+		if p.run.Target == TargetLeaderRestarted && p.apart[m] || p.run.Target == TargetSeedsWithRestarts {
 			list = append(list, m)
 		}
 	}
 	for place, m := range list {
-		p.Callers.Go(func() {
-			p.Callers.Clock().Sleep(time.Duration(2+3*place) * time.Second)
+		p.CallerHost.Go(func() {
+			p.CallerHost.Clock().Sleep(time.Duration(2+3*place) * time.Second)
 			p.down(m, false)
-			p.Callers.Clock().Sleep(500 * time.Millisecond)
+			p.CallerHost.Clock().Sleep(500 * time.Millisecond)
 			p.begin(m)
 		})
 	}
@@ -304,7 +304,7 @@
 
 func (p *cutPlay) heal() {
 	p.Net.Heal()
-	p.Net.Notice = NoticeNothing
+	p.Net.LinkFailure = LinkSilent
 	for _, m := range p.All() {
 		switch {
 		case m.Host.frozen:
@@ -319,7 +319,7 @@
 // consult makes one call to a core and waits for the answer as long as the
 // operator would; what comes later is judged all the same.
 func (p *cutPlay) consult(kind string, m *Machine, method, path string, order *cutOrder) *consultation {
-	clock := p.Callers.Clock()
+	clock := p.CallerHost.Clock()
 	c := &consultation{kind: kind, core: m, sent: clock.Now()}
 	var header [][2]string
 	var body []byte
@@ -328,7 +328,7 @@
 		header = [][2]string{{parties.HeaderIfMatch, strconv.FormatUint(order.base, 10)}}
 	}
 	p.calls = append(p.calls, c)
-	in := newPipe[int](p.Callers)
+	in := newPipe[int](p.CallerHost)
 	if !m.Host.alive || m.core == nil {
 		if m.Host.dark {
 			clock.Sleep(operatorSilence)
@@ -347,7 +347,7 @@
 		overlaps := p.apart[m] && p.from > 0 && since < p.to && c.ended > p.from
 		c.stopped = overlaps && p.stops()
 		// Who is cut off from the disks only may ask the other cores.
-		c.apart = overlaps && since >= p.from && c.ended < p.to && p.run.Target != CutFromDisks
+		c.apart = overlaps && since >= p.from && c.ended < p.to && p.run.Target != TargetLeaderFromDisks
 		in.put(p.way(), c.status)
 	})
 	if _, ok := in.next(clock.Now()+operatorSilence, nil); !ok {
@@ -370,7 +370,7 @@
 // send repeats an order until it is acknowledged or refused, or the time is
 // over, as an operator does.
 func (p *cutPlay) send(order *cutOrder, among func() []*Machine, until time.Duration) bool {
-	clock := p.Callers.Clock()
+	clock := p.CallerHost.Clock()
 	for tries := 1; clock.Now() < until; tries++ {
 		c := p.consult("PUT", p.pick(among()), "PUT", parties.PathConfig, order)
 		switch {
@@ -395,11 +395,11 @@
 
 // write sends one change after another on top of the newest.
 func (p *cutPlay) write(going func() bool) {
-	clock := p.Callers.Clock()
+	clock := p.CallerHost.Clock()
 	for going() {
 		order := p.draft(p.current)
-		if p.send(order, func() []*Machine { return p.Cores }, p.World.now+p.run.Span*2) && p.from > 0 && p.run.Everywhere == 0 {
-			p.run.Everywhere = p.World.now - p.from
+		if p.send(order, func() []*Machine { return p.Cores }, p.World.now+p.run.Duration*2) && p.from > 0 && p.run.AnyCoreAckTime == 0 {
+			p.run.AnyCoreAckTime = p.World.now - p.from
 		}
 		clock.Sleep(p.World.Between(50*time.Millisecond, 600*time.Millisecond))
 	}
@@ -413,12 +413,12 @@
 	for p.World.now < p.to {
 		c := p.consult("repeat", p.pick(near), "PUT", parties.PathConfig, order)
 		if c.status == 200 && c.sent >= p.from {
-			p.run.Acked = p.World.now - p.from
+			p.run.MajorityAckTime = p.World.now - p.from
 			return
 		}
-		p.Callers.Clock().Sleep(50 * time.Millisecond)
+		p.CallerHost.Clock().Sleep(50 * time.Millisecond)
 	}
-	p.breach("nothing was acknowledged on the majority's side while %s was cut off (%s)", p.run.Target, p.run.Way)
+	p.breach("nothing was acknowledged on the majority's side while %s was cut off (%s)", p.run.Target, p.run.Mode)
 }
 
 func (p *cutPlay) newest() *cutOrder {
@@ -434,7 +434,7 @@
 func (p *cutPlay) read(going func() bool) {
 	for going() {
 		p.consult("GET", p.pick(p.Cores), "GET", parties.PathConfig, nil)
-		p.Callers.Clock().Sleep(p.World.Between(20*time.Millisecond, 400*time.Millisecond))
+		p.CallerHost.Clock().Sleep(p.World.Between(20*time.Millisecond, 400*time.Millisecond))
 	}
 }
 
@@ -458,7 +458,7 @@
 		case 3:
 			p.consult("POST retire", m, "POST", parties.PathRetire+"storage-none", nil)
 		}
-		p.Callers.Clock().Sleep(p.World.Between(20*time.Millisecond, 300*time.Millisecond))
+		p.CallerHost.Clock().Sleep(p.World.Between(20*time.Millisecond, 300*time.Millisecond))
 	}
 }
 
@@ -474,7 +474,7 @@
 		}
 		return true
 	})
-	p.run.Back = p.World.now - p.to
+	p.run.RecoveryTime = p.World.now - p.to
 }
 
 // readAll has every core give the configuration at the end.
--- a/internal/simulate/cutoff_judge.go
+++ b/internal/simulate/cutoff_judge.go
@@ -11,9 +11,9 @@
 // configurations were acknowledged.
 func (p *cutPlay) judge() {
 	for _, c := range p.calls {
-		p.run.Calls++
+		p.run.CallCount++
 		if c.status == 503 {
-			p.run.Refusals++
+			p.run.RefusalCount++
 		}
 		if !c.stopped {
 			p.judgeAnswer(c)
@@ -32,7 +32,7 @@
 		return
 	}
 	took := c.ended - c.sent
-	p.run.Slowest = max(p.run.Slowest, took)
+	p.run.SlowestAnswer = max(p.run.SlowestAnswer, took)
 	if took > operatorSilence {
 		p.breach("answered after the operator had given up: %s", c)
 	}
@@ -102,11 +102,11 @@
 		}
 		taken[order.base] = order
 	}
-	if most := p.Site.Bounds.Recovery / 4; p.run.Acked > most {
-		p.breach("a change was acknowledged on the majority's side after %v only, %v at the most", p.run.Acked, most)
+	if most := p.Site.Bounds.Recovery / 4; p.run.MajorityAckTime > most {
+		p.breach("a change was acknowledged on the majority's side after %v only, %v at the most", p.run.MajorityAckTime, most)
 	}
 	const bound = 12 * time.Second
-	if p.run.Back > bound {
-		p.breach("cores gave the newest configuration %v after the cut only", p.run.Back)
+	if p.run.RecoveryTime > bound {
+		p.breach("cores gave the newest configuration %v after the cut only", p.run.RecoveryTime)
 	}
 }
--- a/internal/simulate/cutoff_removal_test.go
+++ b/internal/simulate/cutoff_removal_test.go
@@ -33,7 +33,7 @@
 			var asked register.AppendRequest
 			_ = proto.Unmarshal(m.Body, &asked)
 			if len(asked.Entries) == 0 {
-				response, _ := m.Pass(m.Body)
+				response, _ := m.Forward(m.Body)
 				return response
 			}
 			return replied(&register.Ack{Ok: true, Seq: asked.Entries[len(asked.Entries)-1].Seq})
@@ -43,7 +43,7 @@
 			t.Parallel()
 			const most = 12 // a seed that shows the fault ends the search
 			for seed := uint64(1); seed <= most; seed++ {
-				run := CutPlan{Size: "tills", Target: CutOwner, Way: CutSilent, Span: 10 * time.Second, Seed: seed}.Play(row.take)
+				run := IsolationPlan{Size: "tills", Target: TargetLeader, Mode: IsolationSilent, Duration: 10 * time.Second, Seed: seed}.Run(row.take)
 				for _, breach := range run.Breaches {
 					if strings.Contains(breach, row.word) {
 						t.Logf("without %s: seed %d: %.300s", row.mechanism, seed, breach)
--- a/internal/simulate/cutoff_restarted_test.go
+++ b/internal/simulate/cutoff_restarted_test.go
@@ -14,7 +14,7 @@
 func TestGatewaysPassOverACoreThatKnowsNoDisks(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
-	for place := range CutSizes["tills"][1] {
+	for place := range IsolationSizes["tills"][1] {
 		for seed := uint64(1); seed <= 2; seed++ {
 			t.Run(fmt.Sprintf("core %d, seed %d", place, seed), func(t *testing.T) {
 				t.Parallel()
@@ -25,21 +25,21 @@
 }
 
 func restartBehindACut(t *testing.T, place int, seed uint64) {
-	tier := NewTier(seed, CutShape("tills"), nil)
+	tier := NewTier(seed, IsolationShape("tills"), nil)
 	defer tier.World.Close()
 	over := false
-	tier.Callers.Go(func() {
+	tier.CallerHost.Go(func() {
 		defer func() { over = true }()
 		if !tier.form() {
 			t.Error("the tier did not form")
 			return
 		}
-		clock := tier.Callers.Clock()
+		clock := tier.CallerHost.Clock()
 		apart := tier.Cores[place]
 		for _, other := range append(append([]*Machine{}, tier.Cores...), tier.Storage...) {
 			if other != apart {
-				tier.Net.Cut(apart.Host.Name, other.Host.Name)
-				tier.Net.Cut(other.Host.Name, apart.Host.Name)
+				tier.Net.CutLink(apart.Host.Name, other.Host.Name)
+				tier.Net.CutLink(other.Host.Name, apart.Host.Name)
 			}
 		}
 		clock.Sleep(time.Second)
@@ -54,7 +54,7 @@
 		tier.change()
 		newest := tier.config.newest.Config.Generation
 		clock.Sleep(tier.Site.Bounds.Apply)
-		for _, edge := range tier.Edges {
+		for _, edge := range tier.Gateways {
 			if table := edge.gateway.Routes.Load(); table == nil || table.Version != newest {
 				t.Errorf("%s does not have version %d, %v after it was acknowledged", edge.Host.Name, newest, tier.Site.Bounds.Apply)
 			}
--- a/internal/simulate/cutoff_test.go
+++ b/internal/simulate/cutoff_test.go
@@ -17,8 +17,8 @@
 
 // cutDeal gives each seed a target and a way, so that a few seeds cover many
 // pairs and many seeds cover all.
-func cutDeal(seed uint64) (CutTarget, CutWay) {
-	return CutTargets[seed%uint64(len(CutTargets))], CutWays[seed%uint64(len(CutWays))]
+func cutDeal(seed uint64) (IsolationTarget, IsolationMode) {
+	return IsolationTargets[seed%uint64(len(IsolationTargets))], IsolationModes[seed%uint64(len(IsolationModes))]
 }
 
 // TestCutOffMachinesGiveNothingOut has each target cut off in each way at the
@@ -34,19 +34,19 @@
 			if *cutSeeds > 0 {
 				count = *cutSeeds
 			}
-			var runs []*CutRun
+			var runs []*IsolationResult
 			for seed := range uint64(count) {
 				target, way := cutDeal(seed)
-				runs = append(runs, played(t, CutPlan{Size: size, Target: target, Way: way, Span: 20 * time.Second, Seed: seed + 1}))
+				runs = append(runs, played(t, IsolationPlan{Size: size, Target: target, Mode: way, Duration: 20 * time.Second, Seed: seed + 1}))
 			}
 			report(t, runs)
 		})
 	}
 }
 
-func played(t *testing.T, plan CutPlan) *CutRun {
+func played(t *testing.T, plan IsolationPlan) *IsolationResult {
 	t.Helper()
-	run := plan.Play(nil)
+	run := plan.Run(nil)
 	for _, breach := range run.Breaches[:min(5, len(run.Breaches))] {
 		t.Errorf("%s: %s", plan, breach)
 	}
@@ -61,17 +61,17 @@
 	log.SetLevel(log.ErrorLevel)
 	few := map[string]int{"tills": 4, "pay": 4, "grown tills": 1, "grown pay": 1}
 	for _, size := range []string{"tills", "pay", "grown tills", "grown pay"} {
-		for _, way := range []CutWay{CutKilled, CutDark, CutFrozen, CutSilent} {
+		for _, way := range []IsolationMode{IsolationKilled, IsolationPowerLoss, IsolationFrozen, IsolationSilent} {
 			t.Run(size+", "+string(way), func(t *testing.T) {
 				t.Parallel()
-				var runs []*CutRun
+				var runs []*IsolationResult
 				for seed := range uint64(max(few[size], *cutSeeds)) {
-					runs = append(runs, played(t, CutPlan{Size: size, Target: CutOwner, Way: way, Span: 6 * time.Second, Seed: seed + 1}))
+					runs = append(runs, played(t, IsolationPlan{Size: size, Target: TargetLeader, Mode: way, Duration: 6 * time.Second, Seed: seed + 1}))
 				}
 				report(t, runs)
 				for _, run := range runs {
-					if bound := CutShape(size).Site.Bounds.Recovery / 6; run.Acked > bound {
-						t.Errorf("%s: acknowledged after %v, %v at the most", run.CutPlan, run.Acked, bound)
+					if bound := IsolationShape(size).Site.Bounds.Recovery / 6; run.MajorityAckTime > bound {
+						t.Errorf("%s: acknowledged after %v, %v at the most", run.IsolationPlan, run.MajorityAckTime, bound)
 					}
 				}
 			})
@@ -80,23 +80,23 @@
 }
 
 // report prints the times to the next acknowledgement: the median and the worst.
-func report(t *testing.T, runs []*CutRun) {
+func report(t *testing.T, runs []*IsolationResult) {
 	t.Helper()
-	figure := func(name string, of func(run *CutRun) time.Duration) {
-		sorted := slices.SortedFunc(slices.Values(runs), func(a, b *CutRun) int { return cmp.Compare(of(a), of(b)) })
+	figure := func(name string, of func(run *IsolationResult) time.Duration) {
+		sorted := slices.SortedFunc(slices.Values(runs), func(a, b *IsolationResult) int { return cmp.Compare(of(a), of(b)) })
 		worst := sorted[len(sorted)-1]
-		t.Logf("%-28s median %v, worst %v (seed %d, %s, %s)", name, of(sorted[len(sorted)/2]), of(worst), worst.Seed, worst.Target, worst.Way)
+		t.Logf("%-28s median %v, worst %v (seed %d, %s, %s)", name, of(sorted[len(sorted)/2]), of(worst), worst.Seed, worst.Target, worst.Mode)
 	}
-	figure("acknowledged, majority side", func(run *CutRun) time.Duration { return run.Acked })
-	figure("acknowledged, any core", func(run *CutRun) time.Duration { return run.Everywhere })
-	figure("all cores after the cut", func(run *CutRun) time.Duration { return run.Back })
-	figure("slowest answer", func(run *CutRun) time.Duration { return run.Slowest })
+	figure("acknowledged, majority side", func(run *IsolationResult) time.Duration { return run.MajorityAckTime })
+	figure("acknowledged, any core", func(run *IsolationResult) time.Duration { return run.AnyCoreAckTime })
+	figure("all cores after the cut", func(run *IsolationResult) time.Duration { return run.RecoveryTime })
+	figure("slowest answer", func(run *IsolationResult) time.Duration { return run.SlowestAnswer })
 	calls, refusals := 0, 0
 	byPair := map[string][]time.Duration{}
 	for _, run := range runs {
-		calls, refusals = calls+run.Calls, refusals+run.Refusals
-		pair := fmt.Sprintf("%s, %s", run.Target, run.Way)
-		byPair[pair] = append(byPair[pair], run.Acked, run.Everywhere)
+		calls, refusals = calls+run.CallCount, refusals+run.RefusalCount
+		pair := fmt.Sprintf("%s, %s", run.Target, run.Mode)
+		byPair[pair] = append(byPair[pair], run.MajorityAckTime, run.AnyCoreAckTime)
 	}
 	t.Logf("%d runs, %d calls, %d refused with 503", len(runs), calls, refusals)
 	if testing.Verbose() {
--- a/internal/simulate/files.go
+++ b/internal/simulate/files.go
@@ -1,4 +1,4 @@
-// Disks in memory. Of what was not synced when power goes any sectors may be
+// StorageStatus in memory. Of what was not synced when power goes any sectors may be
 // kept. A disk can stall, fill up, or rot.
 
 package simulate
@@ -18,28 +18,28 @@
 	synced []byte
 }
 
-// Files is one machine's disk.
-type Files struct {
-	host    *Host
-	files   map[string]*file
-	Limit   int64
-	Stalled bool
-	Syncs   int
-	// Lying disks say that they synced and did not.
-	Lying bool
-	// Rotten tells that some of it was changed behind its back.
-	Rotten bool
-	// Syncing counts syncs under way.
-	Syncing int
-	Quick   time.Duration
-	Slow    time.Duration
+// Disk is one machine's disk.
+type Disk struct {
+	host        *Host
+	files       map[string]*file
+	Capacity    int64
+	SyncStalled bool
+	SyncCount   int
+	// IgnoresSync disks say that they synced and did not.
+	IgnoresSync bool
+	// Corrupted tells that some of it was changed behind its back.
+	Corrupted bool
+	// SyncsInProgress counts syncs under way.
+	SyncsInProgress int
+	MinSyncTime     time.Duration
+	MaxSyncTime     time.Duration
 }
 
-func NewFiles(host *Host) *Files {
-	return &Files{host: host, files: map[string]*file{}, Limit: 64 << 20, Quick: 500 * time.Microsecond, Slow: 4 * time.Millisecond}
+func NewDisk(host *Host) *Disk {
+	return &Disk{host: host, files: map[string]*file{}, Capacity: 64 << 20, MinSyncTime: 500 * time.Microsecond, MaxSyncTime: 4 * time.Millisecond}
 }
 
-func (f *Files) at(name string) *file {
+func (f *Disk) at(name string) *file {
 	held, ok := f.files[name]
 	if !ok {
 		held = &file{}
@@ -48,11 +48,11 @@
 	return held
 }
 
-func (f *Files) Read(name string) ([]byte, error) {
+func (f *Disk) Read(name string) ([]byte, error) {
 	return append([]byte(nil), f.at(name).live...), nil
 }
 
-func (f *Files) Append(name string, data []byte) error {
+func (f *Disk) Append(name string, data []byte) error {
 	held := f.at(name)
 	room := max(0, min(int64(len(data)), f.Free()))
 	held.live = append(held.live, data[:room]...)
@@ -62,36 +62,36 @@
 	return nil
 }
 
-func (f *Files) Replace(name string, data []byte) error {
+func (f *Disk) Replace(name string, data []byte) error {
 	f.at(name).live = nil
 	return f.Append(name, data)
 }
 
-func (f *Files) Trim(name string, size int) error {
+func (f *Disk) Trim(name string, size int) error {
 	held := f.at(name)
 	held.live = append([]byte(nil), held.live[:min(size, len(held.live))]...)
 	return nil
 }
 
-func (f *Files) Sync(name string) error {
+func (f *Disk) Sync(name string) error {
 	held := f.at(name)
 	covered := held.live[:len(held.live):len(held.live)]
-	f.Syncing++
+	f.SyncsInProgress++
 	clock := f.host.Clock()
-	for f.Stalled {
+	for f.SyncStalled {
 		clock.Sleep(100 * time.Millisecond)
 	}
-	clock.Sleep(f.host.World.Between(f.Quick, f.Slow))
-	if !f.Lying {
+	clock.Sleep(f.host.World.Between(f.MinSyncTime, f.MaxSyncTime))
+	if !f.IgnoresSync {
 		held.synced = covered
 	}
-	f.Syncing--
-	f.Syncs++
+	f.SyncsInProgress--
+	f.SyncCount++
 	return nil
 }
 
-func (f *Files) Free() int64 {
-	left := f.Limit
+func (f *Disk) Free() int64 {
+	left := f.Capacity
 	for _, held := range f.files {
 		left -= int64(len(held.live))
 	}
@@ -103,9 +103,9 @@
 // LosePower drops what was not synced, by sectors: of a file that was being
 // changed any of them may be the new ones, in any order, and its length the
 // new one or the old.
-func (f *Files) LosePower() {
+func (f *Disk) LosePower() {
 	w := f.host.World
-	f.Syncing = 0
+	f.SyncsInProgress = 0
 	for _, name := range base.SortedKeys(f.files) {
 		held := f.files[name]
 		if bytes.Equal(held.live, held.synced) {
@@ -133,10 +133,10 @@
 }
 
 // Wipe gives an empty disk.
-func (f *Files) Wipe() { f.files = map[string]*file{} }
+func (f *Disk) Wipe() { f.files = map[string]*file{} }
 
-// Rot flips one bit of a file, and tells whether there was one to flip.
-func (f *Files) Rot(name string, place int) bool {
+// FlipBit flips one bit of a file, and tells whether there was one to flip.
+func (f *Disk) FlipBit(name string, place int) bool {
 	held := f.at(name)
 	if place >= len(held.live) {
 		return false
@@ -144,12 +144,12 @@
 	rotten := append([]byte(nil), held.live...)
 	rotten[place] ^= 0x10
 	held.live, held.synced = rotten, rotten[:len(rotten):len(rotten)]
-	f.Rotten = true
+	f.Corrupted = true
 	return true
 }
 
-// Bytes is what all files hold together.
-func (f *Files) Bytes() int {
+// TotalBytes is what all files hold together.
+func (f *Disk) TotalBytes() int {
 	sum := 0
 	for _, held := range f.files {
 		sum += len(held.live)
@@ -158,4 +158,4 @@
 }
 
 // Size is how long a file is.
-func (f *Files) Size(name string) int { return len(f.at(name).live) }
+func (f *Disk) Size(name string) int { return len(f.at(name).live) }
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -20,16 +20,16 @@
 
 // Machine is one simulated process with its machine.
 type Machine struct {
-	Host    *Host
-	Role    string
-	Files   *Files
-	gateway *node.Gateway
-	core    *node.Core
-	storage *node.Storage
-	Count   *base.Counters
-	Broken  error
-	open    int
-	closing bool
+	Host       *Host
+	Role       string
+	Disk       *Disk
+	gateway    *node.Gateway
+	core       *node.Core
+	storage    *node.Storage
+	Counters   *base.Counters
+	StorageErr error
+	open       int
+	closing    bool
 	// gone machines never come back.
 	gone bool
 	// begun machines have had a life already.
@@ -40,24 +40,24 @@
 
 // Fleet is all machines.
 type Fleet struct {
-	World   *World
-	Net     *Net
-	Shape   Shape
-	Edges   []*Machine
-	Cores   []*Machine
-	Storage []*Machine
-	Models  []*standin.Model
-	Tools   []*standin.Tool
-	Callers *Host
-	models  map[string]*standin.Model
-	tools   map[string]*standin.Tool
-	List    worker.List
-	Tally   *standin.Tally
+	World      *World
+	Net        *Net
+	Shape      Shape
+	Gateways   []*Machine
+	Cores      []*Machine
+	Storage    []*Machine
+	Models     []*standin.Model
+	Tools      []*standin.Tool
+	CallerHost *Host
+	models     map[string]*standin.Model
+	tools      map[string]*standin.Tool
+	WorkerList worker.List
+	Tally      *standin.Tally
 	// Seeds, when set, are every machine's; Pinned is the cluster in their places.
-	Seeds   []string
-	Pinned  string
-	lives   map[string]life
-	reports int64
+	SeedAddrs []string
+	ClusterID string
+	lives     map[string]life
+	reports   int64
 	// harms counts failures whose end is still to come.
 	harms int
 	// lost, set by tests only, takes mechanisms away that lie outside the wire.
@@ -78,7 +78,7 @@
 	for _, m := range f.All() {
 		f.Start(m)
 	}
-	f.Callers.Go(f.Watch)
+	f.CallerHost.Go(f.WatchGateways)
 	return f
 }
 
@@ -89,51 +89,51 @@
 		shape.ModelPool, shape.ToolPool = "models", "apps"
 	}
 	f := &Fleet{World: w, Net: NewNet(w), Shape: shape, models: map[string]*standin.Model{}, tools: map[string]*standin.Tool{}, Tally: standin.NewTally(), lives: map[string]life{}}
-	f.Callers = w.NewHost("callers", "outside")
+	f.CallerHost = w.NewHost("callers", "outside")
 	zone := shape.zone
 	for place := 0; place < shape.Models; place++ {
 		name := fmt.Sprintf("model-%d", place)
 		model := &standin.Model{ID: name, Clock: w.NewHost(name, zone(place)).Clock(), Pieces: shape.Pieces, Gap: shape.Gap, Prefill: shape.Prefill, Cache: shape.Cache, Capacity: shape.Capacity, Given: f.Tally.Given}
 		f.Models, f.models[name] = append(f.Models, model), model
-		f.List.Workers = append(f.List.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ModelPool, Zone: zone(place), Capacity: shape.Capacity})
+		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ModelPool, Zone: zone(place), Capacity: shape.Capacity})
 	}
 	for place := 0; place < shape.Tools; place++ {
 		name := fmt.Sprintf("app-%d", place)
 		tool := &standin.Tool{ID: name, Clock: w.NewHost(name, zone(place)).Clock(), Pause: shape.Gap, Given: f.Tally.Given}
 		f.Tools, f.tools[name] = append(f.Tools, tool), tool
-		f.List.Workers = append(f.List.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ToolPool, Zone: zone(place), Capacity: shape.Capacity})
+		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ToolPool, Zone: zone(place), Capacity: shape.Capacity})
 	}
-	f.List.Stamp = 1
+	f.WorkerList.Stamp = 1
 	add := func(list *[]*Machine, role string, count int) {
 		for place := 0; place < count; place++ {
 			m := &Machine{Host: w.NewHost(fmt.Sprintf("%s-%d", role, place), zone(place)), Role: role}
-			m.Files = NewFiles(m.Host)
+			m.Disk = NewDisk(m.Host)
 			*list = append(*list, m)
 		}
 	}
 	add(&f.Storage, "storage", shape.Storage)
 	add(&f.Cores, "core", shape.Cores)
-	add(&f.Edges, "edge", shape.Edges)
+	add(&f.Gateways, "edge", shape.Edges)
 	return f
 }
 
 // All lists every machine, storage first.
 func (f *Fleet) All() []*Machine {
-	return append(append(append([]*Machine{}, f.Storage...), f.Cores...), f.Edges...)
+	return append(append(append([]*Machine{}, f.Storage...), f.Cores...), f.Gateways...)
 }
 
-// Add brings a new machine of a role into the fleet, at a new address.
-func (f *Fleet) Add(role string) *Machine {
+// AddMachine brings a new machine of a role into the fleet, at a new address.
+func (f *Fleet) AddMachine(role string) *Machine {
 	m := f.lay(role)
 	f.Start(m)
 	return m
 }
 
 func (f *Fleet) lay(role string) *Machine {
-	list := map[string]*[]*Machine{"storage": &f.Storage, "core": &f.Cores, "edge": &f.Edges}[role]
+	list := map[string]*[]*Machine{"storage": &f.Storage, "core": &f.Cores, "edge": &f.Gateways}[role]
 	place := len(*list)
 	m := &Machine{Host: f.World.NewHost(fmt.Sprintf("%s-%d", role, place), f.Shape.zone(place)), Role: role}
-	m.Files = NewFiles(m.Host)
+	m.Disk = NewDisk(m.Host)
 	*list = append(*list, m)
 	return m
 }
@@ -143,17 +143,17 @@
 	h := m.Host
 	h.alive, h.dark, m.open, m.closing, m.leaving = true, false, 0, false, false
 	m.gateway, m.core, m.storage = nil, nil, nil
-	m.Count = base.NewCounters()
-	env := node.Env{Clock: h.Clock(), Wire: f.Net.Wire(h), Files: m.Files, Counters: m.Count,
+	m.Counters = base.NewCounters()
+	env := node.Env{Clock: h.Clock(), Wire: f.Net.Wire(h), Files: m.Disk, Counters: m.Counters,
 		Backends: &Backends{net: f.Net, host: h, models: f.models, tools: f.tools, lost: &f.lost}}
 	place := node.Place{Addr: h.Name + ":1", Public: h.Name + ":2", Zone: h.Zone, Seeds: []string{f.Cores[0].Host.Name + ":1", f.Cores[len(f.Cores)-1].Host.Name + ":1", f.Storage[0].Host.Name + ":1"}}
-	if f.Seeds != nil {
-		place.Seeds = f.Seeds
+	if f.SeedAddrs != nil {
+		place.Seeds = f.SeedAddrs
 	}
-	if f.Shape.Found && f.Seeds == nil {
+	if f.Shape.Found && f.SeedAddrs == nil {
 		place.Seeds = base.Map(f.Cores[:min(3, len(f.Cores))], func(m *Machine) string { return m.Host.Name + ":1" })
 	}
-	place.Cluster, place.Node, place.Tolerate, place.Found = f.Pinned, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.begun
+	place.Cluster, place.Node, place.Tolerate, place.Found = f.ClusterID, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.begun
 	if f.lost.seeds {
 		place.Seeds = []string{"nowhere:1"}
 	}
@@ -174,10 +174,10 @@
 			f.built(m)
 			m.core.Start()
 		case "storage":
-			m.storage, m.Broken = node.NewStorage(env, place)
-			if m.Broken != nil {
-				if !m.Files.Rotten {
-					f.Tally.Breach("%s does not open though nothing rotted: %v", h.Name, m.Broken)
+			m.storage, m.StorageErr = node.NewStorage(env, place)
+			if m.StorageErr != nil {
+				if !m.Disk.Corrupted {
+					f.Tally.Breach("%s does not open though nothing rotted: %v", h.Name, m.StorageErr)
 				}
 				h.alive = false
 				return
@@ -224,13 +224,13 @@
 
 func (f *Fleet) PowerLoss(m *Machine) {
 	f.Kill(m)
-	m.Files.LosePower()
+	m.Disk.LosePower()
 }
 
 // Stop ends a machine as a signal would: it finishes what it read, hands
 // over, and ends.
 func (f *Fleet) Stop(m *Machine) {
-	bell := base.NewBell(f.Callers.Clock())
+	bell := base.NewBell(f.CallerHost.Clock())
 	left, life := false, m.Host.life
 	m.Host.Go(func() {
 		switch {
@@ -265,14 +265,14 @@
 // stopLimit is what a daemon told to stop takes at the most.
 const stopLimit = 24 * time.Second
 
-// Operate sends an operator's request to a core and gives status and body.
-func (f *Fleet) Operate(m *Machine, method, path string, body any) (status int, answer []byte) {
-	return f.OperateWith(m, method, path, map[string]string{}, body)
+// OperatorRequest sends an operator's request to a core and gives status and body.
+func (f *Fleet) OperatorRequest(m *Machine, method, path string, body any) (status int, answer []byte) {
+	return f.OperatorRequestWithQuery(m, method, path, map[string]string{}, body)
 }
 
-// OperateWith does so with a query.
-func (f *Fleet) OperateWith(m *Machine, method, path string, query map[string]string, body any) (status int, answer []byte) {
-	bell := base.NewBell(f.Callers.Clock())
+// OperatorRequestWithQuery does so with a query.
+func (f *Fleet) OperatorRequestWithQuery(m *Machine, method, path string, query map[string]string, body any) (status int, answer []byte) {
+	bell := base.NewBell(f.CallerHost.Clock())
 	if !m.Host.alive || m.core == nil {
 		return 0, nil
 	}
@@ -293,24 +293,24 @@
 	return status, answer
 }
 
-// Form makes the cluster, applies the settings and gives the worker list;
+// SetUp makes the cluster, applies the settings and gives the worker list;
 // it runs as a task of the callers' host.
-func (f *Fleet) Form() {
+func (f *Fleet) SetUp() {
 	if !f.Shape.Found {
 		addrs := base.Map(f.Storage, func(m *Machine) string { return m.Host.Name + ":1" })
 		f.insist("form", func() int {
-			status, _ := f.Operate(f.Cores[0], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
+			status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
 			return status
 		})
 	}
 	f.insist("apply", func() int {
-		status, _ := f.Operate(f.living(), "POST", "/v1/operator/settings/apply",
+		status, _ := f.OperatorRequest(f.living(), "POST", "/v1/operator/settings/apply",
 			map[string]any{"change": "first", "based_on": 0, "document": json.RawMessage(f.Shape.Settings)})
 		return status
 	})
-	ask := f.Asker(f.Callers)
+	ask := f.Asker(f.CallerHost)
 	f.insist("workers", func() int {
-		answer, err := ask(0, "PUT", "/v1/platform/workers", nil, base.Encode(f.List))
+		answer, err := ask(0, "PUT", "/v1/platform/workers", nil, base.Encode(f.WorkerList))
 		if err != nil {
 			return 0
 		}
@@ -333,7 +333,7 @@
 		if step() == 200 {
 			return
 		}
-		f.Callers.Clock().Sleep(100 * time.Millisecond)
+		f.CallerHost.Clock().Sleep(100 * time.Millisecond)
 	}
 	panic("fleet did not come up: " + what)
 }
--- a/internal/simulate/fleet_report.go
+++ b/internal/simulate/fleet_report.go
@@ -11,14 +11,14 @@
 	"fordseam/internal/standin"
 )
 
-// Report has each model worker tell its load now and then, to one gateway
+// StartUsageReports has each model worker tell its load now and then, to one gateway
 // after another.
-func (f *Fleet) Report(every time.Duration) {
-	ask := f.Asker(f.Callers)
+func (f *Fleet) StartUsageReports(every time.Duration) {
+	ask := f.Asker(f.CallerHost)
 	for _, model := range f.Models {
-		f.Callers.Go(func() {
-			for turn := int(f.World.Int64N(int64(len(f.Edges)))); ; turn++ {
-				f.Callers.Clock().Sleep(every)
+		f.CallerHost.Go(func() {
+			for turn := int(f.World.Int64N(int64(len(f.Gateways)))); ; turn++ {
+				f.CallerHost.Clock().Sleep(every)
 				if f.World.Hosts[model.ID].alive {
 					_, _ = ask(turn, "POST", "/v1/platform/workers/"+model.ID+"/usage", nil, base.Encode(f.usage(model.ID)))
 				}
@@ -27,15 +27,15 @@
 	}
 }
 
-// Converse starts callers and returns a function telling how many are left.
-func (f *Fleet) Converse(callers, turns int, tools bool, prepare func(*standin.Caller)) func() int {
+// StartCallers starts callers and returns a function telling how many are left.
+func (f *Fleet) StartCallers(callers, turns int, tools bool, prepare func(*standin.Caller)) func() int {
 	left := callers
 	for caller := 0; caller < callers; caller++ {
 		c := f.caller(fmt.Sprintf("c%d", caller), caller)
 		if prepare != nil {
 			prepare(c)
 		}
-		f.Callers.Go(func() {
+		f.CallerHost.Go(func() {
 			if c.Start(int64(turns * f.Shape.Pieces * 8)) {
 				c.Converse(turns, tools)
 			}
@@ -45,26 +45,26 @@
 	return func() int { return left }
 }
 
-// Total adds up a counter over the living machines.
-func (f *Fleet) Total(name string) int64 {
+// CounterTotal adds up a counter over the living machines.
+func (f *Fleet) CounterTotal(name string) int64 {
 	total := int64(0)
 	for _, m := range f.All() {
-		total += m.Count.Frame()[name]
+		total += m.Counters.Frame()[name]
 	}
 	return total
 }
 
-// Syncs adds up the disks' syncs.
-func (f *Fleet) Syncs() int {
+// SyncTotal adds up the disks' syncs.
+func (f *Fleet) SyncTotal() int {
 	total := 0
 	for _, m := range f.Storage {
-		total += m.Files.Syncs
+		total += m.Disk.SyncCount
 	}
 	return total
 }
 
-// Check looks over callers' and workers' records.
-func (f *Fleet) Check() []string {
+// CheckInvariants looks over callers' and workers' records.
+func (f *Fleet) CheckInvariants() []string {
 	f.Tally.Check(f.Models, f.Tools, int64(f.Shape.Pieces))
 	return f.Tally.Breaches
 }
--- a/internal/simulate/follow_test.go
+++ b/internal/simulate/follow_test.go
@@ -21,9 +21,9 @@
 		owner := f.feeds()
 		for _, m := range append(append([]*Machine{}, f.Cores...), f.Storage...) {
 			if m != owner {
-				f.Net.Cut(owner.Host.Name, m.Host.Name)
+				f.Net.CutLink(owner.Host.Name, m.Host.Name)
 				if both {
-					f.Net.Cut(m.Host.Name, owner.Host.Name)
+					f.Net.CutLink(m.Host.Name, owner.Host.Name)
 				}
 			}
 		}
--- a/internal/simulate/history_test.go
+++ b/internal/simulate/history_test.go
@@ -33,12 +33,12 @@
 func newHistoryWriter(f *Fleet) *historyWriter {
 	bounds := &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
-	client := ledger.NewClient(f.Callers.Clock(), f.Net.Wire(f.Callers), f.set, f.Callers.Zone, f.Shape.Tolerate, bounds, base.NewCounters(), nil)
+	client := ledger.NewClient(f.CallerHost.Clock(), f.Net.Wire(f.CallerHost), f.set, f.CallerHost.Zone, f.Shape.Tolerate, bounds, base.NewCounters(), nil)
 	return &historyWriter{fleet: f, client: client, turns: make([][]string, historyPrograms), epochs: make([]uint64, historyPrograms)}
 }
 
 func (w *historyWriter) ctx() *base.Ctx {
-	return base.NewCtx(w.fleet.Callers.Clock(), 6*time.Second)
+	return base.NewCtx(w.fleet.CallerHost.Clock(), 6*time.Second)
 }
 
 func programName(place int) string { return fmt.Sprintf("program-%d", place) }
@@ -84,14 +84,14 @@
 
 // keepWriting goes on with turns until it is stopped.
 func (w *historyWriter) keepWriting() {
-	w.fleet.Callers.Go(func() {
+	w.fleet.CallerHost.Go(func() {
 		for !w.stopped {
 			if !w.paused {
 				w.writing = true
 				w.round()
 				w.writing = false
 			}
-			w.fleet.Callers.Clock().Sleep(200 * time.Millisecond)
+			w.fleet.CallerHost.Clock().Sleep(200 * time.Millisecond)
 		}
 	})
 }
@@ -136,18 +136,18 @@
 func (w *historyWriter) pause() {
 	w.paused = true
 	for w.writing {
-		w.fleet.Callers.Clock().Sleep(5 * time.Millisecond)
+		w.fleet.CallerHost.Clock().Sleep(5 * time.Millisecond)
 	}
 }
 
 // slowHistory makes stores fill slowly: each request for what is missing takes
 // a while, as it does with a whole retention window of turns.
 func slowHistory(f *Fleet, span time.Duration) {
-	f.Net.Meddle = func(m *Message) *http.Response {
+	f.Net.Intercept = func(m *Message) *http.Response {
 		if strings.HasSuffix(m.Path, "Ledger/Fetch") {
 			m.From.Clock().Sleep(span)
 		}
-		response, _ := m.Pass(m.Body)
+		response, _ := m.Forward(m.Body)
 		return response
 	}
 }
--- a/internal/simulate/long_test.go
+++ b/internal/simulate/long_test.go
@@ -32,7 +32,7 @@
 		}
 		peaks := []int{}
 		for wave := 0; wave < 12; wave++ {
-			left := f.Converse(6, 3, true, func(c *standin.Caller) { c.Name = fmt.Sprint("w", wave, c.Name) })
+			left := f.StartCallers(6, 3, true, func(c *standin.Caller) { c.Name = fmt.Sprint("w", wave, c.Name) })
 			for left() > 0 {
 				call.sleep(200 * time.Millisecond)
 			}
@@ -45,14 +45,14 @@
 		}
 		call.sleep(2 * time.Minute)
 		is.True(keys() < 10+register.ShardCount) // settings, workers, the change log and each slot's time are left
-		for _, m := range f.Edges {
+		for _, m := range f.Gateways {
 			sessions, copies, streams := m.gateway.Keeper.Sizes()
 			is.Equal(copies, 0)
 			is.Equal(streams, 0)
 			is.Equal(sessions, 0)
 		}
 		for _, m := range f.Storage {
-			is.True(m.Files.Size("log-0")+m.Files.Size("log-1") < 20<<20)
+			is.True(m.Disk.Size("log-0")+m.Disk.Size("log-1") < 20<<20)
 		}
 	})
 }
@@ -66,8 +66,8 @@
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":4,"waiting":16`, 1)
 	goodput := func(callers int) (whole int, counts map[string]int) {
 		script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-			f.Report(500 * time.Millisecond)
-			f.Converse(callers, 1000, false, func(c *standin.Caller) { c.Patience = time.Hour })
+			f.StartUsageReports(500 * time.Millisecond)
+			f.StartCallers(callers, 1000, false, func(c *standin.Caller) { c.Patience = time.Hour })
 			call.sleep(20 * time.Second)
 			whole, counts = f.Tally.Counts["turns_whole"], f.Tally.Counts
 		})
@@ -90,7 +90,7 @@
 		runaway, secret := call.program(100000, nil)
 		for place := 0; place < 40; place++ {
 			path, key := call.session(0, runaway, secret, nil)
-			f.Callers.Go(func() {
+			f.CallerHost.Go(func() {
 				for num := 0; num < 100; num++ {
 					call.turn(0, path, key, runaway, fmt.Sprint("t", num), "")
 				}
@@ -112,7 +112,7 @@
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		apply := func(stamp int, change, source string) (int, string) {
 			document := strings.Replace(DefaultSettings, `"chat":{`, `"chat":{"policy":`+string(base.Encode(source))+`,`, 1)
-			status, answer := f.Operate(f.Cores[0], "POST", "/v1/operator/settings/apply",
+			status, answer := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply",
 				map[string]any{"change": change, "based_on": stamp, "document": json.RawMessage(document)})
 			call.sleep(2 * time.Second)
 			return status, string(answer)
@@ -141,6 +141,6 @@
 		path, key := call.session(0, program, secret, nil)
 		verdict, _, _ := call.turn(0, path, key, program, "x", "").final()
 		is.Equal(verdict, "success")
-		is.True(f.Total("policy_faults") > 0)
+		is.True(f.CounterTotal("policy_faults") > 0)
 	})
 }
--- a/internal/simulate/manychanges.go
+++ b/internal/simulate/manychanges.go
@@ -23,36 +23,36 @@
 	"fordseam/platform"
 )
 
-// ChangesPlan is a fleet and the stream of changes that it takes.
-type ChangesPlan struct {
-	Name                           string
-	Gateways, Cores, Storage, Lose int
+// ChangeStreamPlan is a fleet and the stream of changes that it takes.
+type ChangeStreamPlan struct {
+	Name                                     string
+	Gateways, Cores, Storage, FaultTolerance int
 	// Routes are in each configuration, whose packed form grows by Padding bytes
 	// that cannot be compressed.
 	Routes, Padding int
 	// Changes come Every so often.
-	Changes int
-	Every   time.Duration
-	// Calm leaves the troubles out. Away has one member of each kind gone from
+	Changes  int
+	Interval time.Duration
+	// NoFaults leaves the troubles out. Away has one member of each kind gone from
 	// the first changes until the last, in place of the other troubles.
-	Calm, Away bool
+	NoFaults, LongAbsence bool
 	// BytesPerSecond bounds each message between machines, unless 0.
 	BytesPerSecond int64
-	// Marks are the numbers of changes at which figures are taken.
-	Marks []int
-	// Bound is how long a member that came back may take to be current.
-	Bound time.Duration
+	// SampleAt are the numbers of changes at which figures are taken.
+	SampleAt []int
+	// CatchUpBound is how long a member that came back may take to be current.
+	CatchUpBound time.Duration
 	// Meddle, set by tests only, takes a mechanism away.
-	Meddle func(f *Fleet)
+	Prepare func(f *Fleet)
 }
 
-// ChangesSizes are the sizes of the known sites.
-var ChangesSizes = []string{"6/4/4", "9/4/4", "64/5/9", "55/8/9"}
+// ChangeStreamSizes are the sizes of the known sites.
+var ChangeStreamSizes = []string{"6/4/4", "9/4/4", "64/5/9", "55/8/9"}
 
-// PlanChanges is a stream of changes of a configuration with 1,000 routes at
+// NewChangeStreamPlan is a stream of changes of a configuration with 1,000 routes at
 // one of the known sizes, given as gateways, cores and storage machines.
-func PlanChanges(size string, changes int) (ChangesPlan, error) {
-	plan := ChangesPlan{Name: size, Routes: 1000, Changes: changes, Every: 100 * time.Millisecond, Marks: []int{100, 1000, 3000}, Bound: 4100 * time.Millisecond}
+func NewChangeStreamPlan(size string, changes int) (ChangeStreamPlan, error) {
+	plan := ChangeStreamPlan{Name: size, Routes: 1000, Changes: changes, Interval: 100 * time.Millisecond, SampleAt: []int{100, 1000, 3000}, CatchUpBound: 4100 * time.Millisecond}
 	var counts [3]int
 	for place, text := range strings.SplitN(size, "/", 3) {
 		count, err := strconv.Atoi(text)
@@ -61,53 +61,53 @@
 		}
 		counts[place] = count
 	}
-	plan.Gateways, plan.Cores, plan.Storage, plan.Lose = counts[0], counts[1], counts[2], 1
+	plan.Gateways, plan.Cores, plan.Storage, plan.FaultTolerance = counts[0], counts[1], counts[2], 1
 	if plan.Storage >= 9 {
-		plan.Lose = 2
+		plan.FaultTolerance = 2
 	}
 	return plan, nil
 }
 
-// Return is one member's way back to the newest configuration.
-type Return struct {
-	Role   string
-	Kind   string
-	Missed int
-	Took   time.Duration
+// MemberRecovery is one member's way back to the newest configuration.
+type MemberRecovery struct {
+	Role          string
+	Fault         string
+	MissedChanges int
+	CatchUpTime   time.Duration
 }
 
-// ChangesFigures are what a fleet holds after some number of changes.
-type ChangesFigures struct {
+// ChangeStreamSample are what a fleet holds after some number of changes.
+type ChangeStreamSample struct {
 	Changes int
-	// Returns since the figures before.
-	Returns []Return
-	// SentBytes a change between machines, since the figures before.
-	SentBytes int
-	// DiskBytes are the fullest disk's files, KeptBytes the most that the owners
+	// Recoveries since the figures before.
+	Recoveries []MemberRecovery
+	// BytesPerChange a change between machines, since the figures before.
+	BytesPerChange int
+	// MaxDiskBytes are the fullest disk's files, KeptBytes the most that the owners
 	// kept in memory of content and changes, Keys those of the feed.
-	DiskBytes, KeptBytes, Keys int
+	MaxDiskBytes, MaxMemoryBytes, FeedKeys int
 }
 
-// ChangesReport is what came of a run.
-type ChangesReport struct {
-	Plan     ChangesPlan
-	Seed     uint64
-	Figures  []ChangesFigures
-	Refused  int
-	Unclear  int
-	Breaches []string
+// ChangeStreamReport is what came of a run.
+type ChangeStreamReport struct {
+	Plan         ChangeStreamPlan
+	Seed         uint64
+	Samples      []ChangeStreamSample
+	RefusedCount int
+	UnclearCount int
+	Breaches     []string
 }
 
 // changesRun is one run under way.
 type changesRun struct {
-	plan    ChangesPlan
+	plan    ChangeStreamPlan
 	fleet   *Fleet
-	report  *ChangesReport
+	report  *ChangeStreamReport
 	rng     *rand.Rand
 	tail    []byte
 	version uint64 // acknowledged
 	changes int
-	returns []Return
+	returns []MemberRecovery
 	sent    int
 	sentAt  int
 	over    bool
@@ -117,13 +117,13 @@
 
 const changesTick = 5 * time.Millisecond
 
-// RunChanges plays a plan with a seed.
-func RunChanges(seed uint64, plan ChangesPlan) *ChangesReport {
+// RunChangeStream plays a plan with a seed.
+func RunChangeStream(seed uint64, plan ChangeStreamPlan) *ChangeStreamReport {
 	shape := Shape{Name: plan.Name, Group: "g", Zones: 4, Edges: plan.Gateways, Cores: plan.Cores, Storage: plan.Storage,
-		Tolerate: plan.Lose, Found: true, Capacity: 1, Pieces: 1, Settings: DefaultSettings}
+		Tolerate: plan.FaultTolerance, Found: true, Capacity: 1, Pieces: 1, Settings: DefaultSettings}
 	f := layFleet(seed, shape)
 	defer f.World.Close()
-	r := &changesRun{plan: plan, fleet: f, rng: rand.New(rand.NewPCG(seed, 0xc4a9)), report: &ChangesReport{Plan: plan, Seed: seed}}
+	r := &changesRun{plan: plan, fleet: f, rng: rand.New(rand.NewPCG(seed, 0xc4a9)), report: &ChangeStreamReport{Plan: plan, Seed: seed}}
 	r.tail = r.documentTail()
 	f.Net.BytesPerSecond = plan.BytesPerSecond
 	f.equip = func(_ *Machine, env *node.Env, place *node.Place) {
@@ -135,14 +135,14 @@
 			m.gateway.Table = versionOnly
 		}
 	}
-	if plan.Meddle != nil {
-		plan.Meddle(f)
+	if plan.Prepare != nil {
+		plan.Prepare(f)
 	}
 	for _, m := range f.All() {
 		f.Start(m)
 	}
-	f.Callers.Go(r.play)
-	if !f.World.Run(time.Hour+time.Duration(plan.Changes)*20*plan.Every, func() bool { return r.over }) {
+	f.CallerHost.Go(r.play)
+	if !f.World.Run(time.Hour+time.Duration(plan.Changes)*20*plan.Interval, func() bool { return r.over }) {
 		r.breach("the run did not come to its end")
 	}
 	r.report.Breaches = append(r.report.Breaches, f.Tally.Breaches...)
@@ -185,7 +185,7 @@
 	r.report.Breaches = append(r.report.Breaches, fmt.Sprintf(format, args...))
 }
 
-func (r *changesRun) clock() base.Clock { return r.fleet.Callers.Clock() }
+func (r *changesRun) clock() base.Clock { return r.fleet.CallerHost.Clock() }
 
 func (r *changesRun) play() {
 	defer func() { r.over = true }()
@@ -195,15 +195,15 @@
 		return
 	}
 	ended := false
-	f.Callers.Go(func() { r.readBack(&ended) })
+	f.CallerHost.Go(func() { r.readBack(&ended) })
 	switch {
-	case r.plan.Away:
-		for _, list := range [][]*Machine{f.Storage, f.Cores, f.Edges} {
+	case r.plan.LongAbsence:
+		for _, list := range [][]*Machine{f.Storage, f.Cores, f.Gateways} {
 			r.busy++
-			f.Callers.Go(func() { r.away(list[r.rng.IntN(len(list))], &ended) })
+			f.CallerHost.Go(func() { r.away(list[r.rng.IntN(len(list))], &ended) })
 		}
-	case !r.plan.Calm:
-		f.Callers.Go(func() { r.troubles(&ended) })
+	case !r.plan.NoFaults:
+		f.CallerHost.Go(func() { r.troubles(&ended) })
 	}
 	for r.changes = 1; r.changes <= r.plan.Changes; r.changes++ {
 		if !r.insist() {
@@ -211,10 +211,10 @@
 			break
 		}
 		r.weigh()
-		if slices.Contains(r.plan.Marks, r.changes) && r.changes < r.plan.Changes {
+		if slices.Contains(r.plan.SampleAt, r.changes) && r.changes < r.plan.Changes {
 			r.figure()
 		}
-		r.clock().Sleep(r.plan.Every)
+		r.clock().Sleep(r.plan.Interval)
 	}
 	ended = true
 	f.until(2*time.Minute, func() bool { return r.busy == 0 })
@@ -256,10 +256,10 @@
 		r.version++
 		return true
 	case answered && verdict.Ran == base.NotRun && verdict.Status != 503:
-		r.report.Refused++
+		r.report.RefusedCount++
 		r.breach("change %d on top of %d was refused: %v", r.changes, r.version, err)
 	default:
-		r.report.Unclear++
+		r.report.UnclearCount++
 	}
 	return false
 }
@@ -311,7 +311,7 @@
 func (r *changesRun) troubles(ended *bool) {
 	f := r.fleet
 	for round := 0; !*ended; round++ {
-		lists := [][]*Machine{f.Storage, f.Cores, f.Edges}
+		lists := [][]*Machine{f.Storage, f.Cores, f.Gateways}
 		list := lists[round%len(lists)]
 		count := 1
 		if round%len(lists) == 0 {
@@ -323,7 +323,7 @@
 				m = owner
 			}
 			r.busy++
-			f.Callers.Go(func() {
+			f.CallerHost.Go(func() {
 				r.trouble(m, r.rng.IntN(5))
 				r.busy--
 			})
@@ -358,7 +358,7 @@
 		f.Start(m)
 	case "wiped":
 		f.PowerLoss(m)
-		m.Files.Wipe()
+		m.Disk.Wipe()
 		r.clock().Sleep(span)
 		f.Start(m)
 	case "without power":
@@ -366,14 +366,14 @@
 		r.clock().Sleep(span)
 		f.Start(m)
 	case "cut off":
-		f.Net.CutOff(map[string]bool{m.Host.Name: true})
+		f.Net.Isolate(map[string]bool{m.Host.Name: true})
 		r.clock().Sleep(span)
 		f.Net.Heal()
 	case "slowed":
-		quick, slow := m.Files.Quick, m.Files.Slow
-		m.Host.Lag, m.Files.Quick, m.Files.Slow = 100*time.Millisecond, 20*time.Millisecond, 150*time.Millisecond
+		quick, slow := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
+		m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 100*time.Millisecond, 20*time.Millisecond, 150*time.Millisecond
 		r.clock().Sleep(span)
-		m.Host.Lag, m.Files.Quick, m.Files.Slow = 0, quick, slow
+		m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, quick, slow
 	}
 	r.back(m, changesTroubles[kind], before)
 }
@@ -392,12 +392,12 @@
 
 // back times how long a member that is up again takes to be current.
 func (r *changesRun) back(m *Machine, kind string, before uint64) {
-	f, back := r.fleet, Return{Role: m.Role, Kind: kind, Missed: int(r.version - before)}
+	f, back := r.fleet, MemberRecovery{Role: m.Role, Fault: kind, MissedChanges: int(r.version - before)}
 	version, place := r.version, r.place()
-	back.Took = f.until(r.plan.Bound, func() bool { return r.current(m, version, place) })
+	back.CatchUpTime = f.until(r.plan.CatchUpBound, func() bool { return r.current(m, version, place) })
 	r.returns = append(r.returns, back)
-	if back.Took >= r.plan.Bound {
-		r.breach("%s, %s, is not current after %v; it missed %d changes", m.Host.Name, back.Kind, back.Took, back.Missed)
+	if back.CatchUpTime >= r.plan.CatchUpBound {
+		r.breach("%s, %s, is not current after %v; it missed %d changes", m.Host.Name, back.Fault, back.CatchUpTime, back.MissedChanges)
 		f.until(time.Minute, func() bool { return r.current(m, version, place) })
 	}
 }
@@ -452,37 +452,37 @@
 // figure takes figures.
 func (r *changesRun) figure() {
 	f := r.fleet
-	now := ChangesFigures{Changes: min(r.changes, r.plan.Changes), Returns: r.returns}
+	now := ChangeStreamSample{Changes: min(r.changes, r.plan.Changes), Recoveries: r.returns}
 	sent := 0
-	for _, talk := range f.Net.Talk {
+	for _, talk := range f.Net.TrafficByPath {
 		sent += talk.Bytes
 	}
-	now.SentBytes = (sent - r.sent) / max(1, r.changes-r.sentAt)
+	now.BytesPerChange = (sent - r.sent) / max(1, r.changes-r.sentAt)
 	r.sent, r.sentAt, r.returns = sent, r.changes, nil
 	for _, m := range f.Storage {
-		now.DiskBytes = max(now.DiskBytes, m.Files.Bytes())
+		now.MaxDiskBytes = max(now.MaxDiskBytes, m.Disk.TotalBytes())
 	}
-	now.KeptBytes, r.kept = r.kept, 0
-	for _, m := range f.Edges {
+	now.MaxMemoryBytes, r.kept = r.kept, 0
+	for _, m := range f.Gateways {
 		if follower := m.feedFollower(); follower != nil {
-			now.Keys = max(now.Keys, len(follower.Snapshot().Values))
+			now.FeedKeys = max(now.FeedKeys, len(follower.Snapshot().Values))
 		}
 	}
-	r.report.Figures = append(r.report.Figures, now)
+	r.report.Samples = append(r.report.Samples, now)
 }
 
 // Write prints the report as a table.
-func (p *ChangesReport) Write(out io.Writer) {
+func (p *ChangeStreamReport) Write(out io.Writer) {
 	fmt.Fprintf(out, "%s, %d routes, %d bytes of padding, seed %d: %d sent again without a clear answer, %d refused\n",
-		p.Plan.Name, p.Plan.Routes, p.Plan.Padding, p.Seed, p.Unclear, p.Refused)
-	for _, now := range p.Figures {
+		p.Plan.Name, p.Plan.Routes, p.Plan.Padding, p.Seed, p.UnclearCount, p.RefusedCount)
+	for _, now := range p.Samples {
 		fmt.Fprintf(out, "  %5d changes: %8d bytes sent a change, %9d on the fullest disk, %9d kept by owners, %d keys\n",
-			now.Changes, now.SentBytes, now.DiskBytes, now.KeptBytes, now.Keys)
+			now.Changes, now.BytesPerChange, now.MaxDiskBytes, now.MaxMemoryBytes, now.FeedKeys)
 		for _, role := range []string{"storage", "core", "edge"} {
 			times, missed := []time.Duration{}, 0
-			for _, one := range now.Returns {
+			for _, one := range now.Recoveries {
 				if one.Role == role {
-					times, missed = append(times, one.Took), max(missed, one.Missed)
+					times, missed = append(times, one.CatchUpTime), max(missed, one.MissedChanges)
 				}
 			}
 			if len(times) > 0 {
--- a/internal/simulate/manychanges_test.go
+++ b/internal/simulate/manychanges_test.go
@@ -10,10 +10,10 @@
 )
 
 // changesOf plays a plan over seeds and wants no breach.
-func changesOf(t *testing.T, plan ChangesPlan, seeds uint64) {
+func changesOf(t *testing.T, plan ChangeStreamPlan, seeds uint64) {
 	t.Helper()
 	for seed := uint64(1); seed <= seeds; seed++ {
-		report := RunChanges(seed, plan)
+		report := RunChangeStream(seed, plan)
 		out := &strings.Builder{}
 		report.Write(out)
 		t.Log(out.String())
@@ -23,9 +23,9 @@
 	}
 }
 
-func planOf(t *testing.T, size string, changes int) ChangesPlan {
+func planOf(t *testing.T, size string, changes int) ChangeStreamPlan {
 	t.Helper()
-	plan, err := PlanChanges(size, changes)
+	plan, err := NewChangeStreamPlan(size, changes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,12 +33,12 @@
 }
 
 func TestMembersAreCurrentHoweverManyChangesTheyMissed(t *testing.T) {
-	for _, size := range ChangesSizes {
+	for _, size := range ChangeStreamSizes {
 		t.Run(size, func(t *testing.T) {
 			t.Parallel()
 			plan := planOf(t, size, 200)
 			if plan.Gateways > 10 {
-				plan.Changes, plan.Every = 60, 300*time.Millisecond
+				plan.Changes, plan.Interval = 60, 300*time.Millisecond
 			}
 			changesOf(t, plan, uint64(*seeds))
 		})
@@ -47,11 +47,11 @@
 
 // One member of each kind is gone while all the changes are made.
 func TestMembersAreCurrentAfterAllChangesWereMissed(t *testing.T) {
-	for _, size := range ChangesSizes[:2] {
+	for _, size := range ChangeStreamSizes[:2] {
 		t.Run(size, func(t *testing.T) {
 			t.Parallel()
 			plan := planOf(t, size, 300)
-			plan.Away = true
+			plan.LongAbsence = true
 			changesOf(t, plan, uint64(*seeds))
 		})
 	}
--- a/internal/simulate/mending.go
+++ b/internal/simulate/mending.go
@@ -48,7 +48,7 @@
 func (f *Fleet) until(limit time.Duration, reached func() bool) time.Duration {
 	began := f.World.Now()
 	for !reached() && f.World.Now()-began < limit {
-		f.Callers.Clock().Sleep(5 * time.Millisecond)
+		f.CallerHost.Clock().Sleep(5 * time.Millisecond)
 	}
 	return f.World.Now() - began
 }
--- a/internal/simulate/mending_test.go
+++ b/internal/simulate/mending_test.go
@@ -37,9 +37,9 @@
 		is := is.New(t)
 		formed(t, f)
 		done := false
-		f.Callers.Go(func() {
+		f.CallerHost.Go(func() {
 			defer func() { done = true }()
-			steps(is, f, &talker{f, f.Asker(f.Callers)})
+			steps(is, f, &talker{f, f.Asker(f.CallerHost)})
 		})
 		is.True(f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done })) // the script came to its end
 	})
@@ -74,7 +74,7 @@
 // wipe has a machine come back at its address with an empty disk.
 func (f *Fleet) wipe(m *Machine) {
 	f.PowerLoss(m)
-	m.Files.Wipe()
+	m.Disk.Wipe()
 }
 
 // retiring asks a core to retire a machine, or how far that has come.
@@ -84,14 +84,14 @@
 		if method == "POST" {
 			body = map[string]string{"node": node}
 		}
-		status, answer := f.OperateWith(f.living(), method, path, map[string]string{"node": node}, body)
+		status, answer := f.OperatorRequestWithQuery(f.living(), method, path, map[string]string{"node": node}, body)
 		var told struct {
 			State string `json:"state"`
 		}
 		if status != 0 && status != 503 && json.Unmarshal(answer, &told) == nil {
 			return fmt.Sprint(status, told.State)
 		}
-		f.Callers.Clock().Sleep(50 * time.Millisecond)
+		f.CallerHost.Clock().Sleep(50 * time.Millisecond)
 	}
 }
 
@@ -120,12 +120,12 @@
 				t.Parallel()
 				var longest time.Duration
 				mending(t, mendingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
-					left := f.Converse(3, 10, true, func(c *standin.Caller) {
+					left := f.StartCallers(3, 10, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
 					is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
 					for round := range 4 {
-						status, _ := f.Operate(f.living(), "POST", "/v1/operator/settings/apply",
+						status, _ := f.OperatorRequest(f.living(), "POST", "/v1/operator/settings/apply",
 							map[string]any{"change": fmt.Sprint("round-", round), "based_on": round + 1, "document": f.marked(fmt.Sprint(round))})
 						is.Equal(status, 200)
 						var lost []*Machine
@@ -154,7 +154,7 @@
 							if way.back {
 								f.Start(m)
 							} else {
-								f.Add("storage")
+								f.AddMachine("storage")
 							}
 						}
 						began := f.World.Now()
@@ -170,7 +170,7 @@
 						call.sleep(time.Second)
 					}
 					is.Equal(f.Tally.Counts["conversations_whole"], 3)
-					for _, m := range f.Edges {
+					for _, m := range f.Gateways {
 						is.Equal(m.gateway.Stamp(), uint64(5))
 					}
 				})
@@ -197,7 +197,7 @@
 					verdict, _, _ := call.turn(1, path, key, program, turn, last).final()
 					is.Equal(verdict, "success")
 					last = turn
-					status, _ := f.Operate(f.living(), "POST", "/v1/operator/settings/apply",
+					status, _ := f.OperatorRequest(f.living(), "POST", "/v1/operator/settings/apply",
 						map[string]any{"change": turn, "based_on": round + 1, "document": f.marked(turn)})
 					is.Equal(status, 200)
 					for _, m := range f.All() {
@@ -206,7 +206,7 @@
 					empty := map[*Machine]bool{}
 					for len(empty) < size.tolerate {
 						m := f.pick(f.Storage)
-						m.Files.Wipe()
+						m.Disk.Wipe()
 						empty[m] = true
 					}
 					call.sleep(time.Second)
@@ -217,7 +217,7 @@
 					took := f.serving(time.Minute)
 					longest = max(longest, took)
 					is.True(took < 5*time.Second)
-					for _, m := range f.Edges {
+					for _, m := range f.Gateways {
 						is.Equal(m.gateway.Stamp(), uint64(round+2))
 					}
 					took += f.until(8*time.Second, f.whole)
@@ -249,7 +249,7 @@
 				call.sleep(3 * time.Second)
 				m.Host.Thaw()
 			} else {
-				f.Net.CutOff(map[string]bool{m.Host.Name: true})
+				f.Net.Isolate(map[string]bool{m.Host.Name: true})
 				call.sleep(5 * time.Second)
 				f.Net.Heal()
 			}
@@ -276,8 +276,8 @@
 		is := is.New(t)
 		f := NewFleet(seed, mendingShape(storage, 1))
 		done := false
-		f.Callers.Go(func() {
-			trouble(f, &talker{f, f.Asker(f.Callers)})
+		f.CallerHost.Go(func() {
+			trouble(f, &talker{f, f.Asker(f.CallerHost)})
 			took := f.until(20*time.Second, f.whole)
 			longest = max(longest, took)
 			if !f.whole() {
@@ -299,11 +299,11 @@
 		is.True(joined < 20*time.Second)
 		is.Equal(len(clusters()), 1)
 		f.Net.Heal()
-		f.Net.Faults = Faults{}
+		f.Net.Faults = NetworkFaults{}
 		up := false
-		f.Callers.Go(func() { f.Form(); up = true })
+		f.CallerHost.Go(func() { f.SetUp(); up = true })
 		is.True(f.World.Run(f.World.Now()+time.Minute, func() bool { return up }))
-		for _, breach := range f.Check() {
+		for _, breach := range f.CheckInvariants() {
 			t.Errorf("seed %d: %s", seed, breach)
 		}
 		f.World.Close()
@@ -338,18 +338,18 @@
 			}
 		},
 		"messages lost and late": func(f *Fleet, call *talker) {
-			f.Net.Faults = Faults{Lost: 0.2, Late: 0.2, Twice: 0.2, LateLimit: 3 * time.Second}
+			f.Net.Faults = NetworkFaults{LossRate: 0.2, DelayRate: 0.2, DuplicateRate: 0.2, MaxExtraDelay: 3 * time.Second}
 			call.sleep(8 * time.Second)
-			f.Net.Faults = Faults{}
+			f.Net.Faults = NetworkFaults{}
 		},
 		"the founder is cut off": func(f *Fleet, call *talker) {
 			call.sleep(f.World.Between(200*time.Millisecond, 800*time.Millisecond))
-			f.Net.CutOff(map[string]bool{f.Cores[0].Host.Name: true, f.Storage[0].Host.Name: true})
+			f.Net.Isolate(map[string]bool{f.Cores[0].Host.Name: true, f.Storage[0].Host.Name: true})
 			f.later(5*time.Second, f.Net.Heal)
 		},
 		"two halves": func(f *Fleet, call *talker) {
 			call.sleep(f.World.Between(200*time.Millisecond, 700*time.Millisecond))
-			f.Net.CutOff(map[string]bool{f.Cores[0].Host.Name: true, f.Storage[0].Host.Name: true, f.Storage[1].Host.Name: true, f.Storage[2].Host.Name: true})
+			f.Net.Isolate(map[string]bool{f.Cores[0].Host.Name: true, f.Storage[0].Host.Name: true, f.Storage[1].Host.Name: true, f.Storage[2].Host.Name: true})
 			f.later(5*time.Second, f.Net.Heal)
 		},
 	}
@@ -390,7 +390,7 @@
 				t.Parallel()
 				var longest time.Duration
 				mending(t, mendingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
-					left := f.Converse(3, 8, true, func(c *standin.Caller) {
+					left := f.StartCallers(3, 8, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
 					is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
@@ -441,7 +441,7 @@
 						is.Equal(f.retiring("POST", f.disks()[0].Host.Name), "409")
 					}
 					out.gone = false
-					out.Files.Wipe()
+					out.Disk.Wipe()
 					f.Start(out) // it is not taken back
 					call.sleep(4 * time.Second)
 					is.True(out.storage.Ready() != nil)
@@ -457,7 +457,7 @@
 	}
 }
 
-// Every scenario on a fleet that forms and mends itself.
+// Interval scenario on a fleet that forms and mends itself.
 func TestNothingThatMustNeverHappensWhileMending(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}} {
 		for _, one := range Scenarios {
--- a/internal/simulate/net.go
+++ b/internal/simulate/net.go
@@ -19,61 +19,61 @@
 
 type handlerBox http.Handler
 
-// Faults are the wire's chances of trouble per message.
-type Faults struct {
-	Lost      float64
-	Late      float64
-	Twice     float64
-	LateLimit time.Duration
+// NetworkFaults are the wire's chances of trouble per message.
+type NetworkFaults struct {
+	LossRate      float64
+	DelayRate     float64
+	DuplicateRate float64
+	MaxExtraDelay time.Duration
 }
 
 // Net joins the hosts.
 type Net struct {
-	World  *World
-	Faults Faults
-	Quick  time.Duration
-	Slow   time.Duration
+	World    *World
+	Faults   NetworkFaults
+	MinDelay time.Duration
+	MaxDelay time.Duration
 	// BytesPerSecond is how fast a message's bytes go, unless 0.
 	BytesPerSecond int64
 	cuts           map[[2]string]bool
-	Messages       int
-	Lost           int
-	// Talk counts the exchanges between machines by path, with their bytes as
+	MessageCount   int
+	LostCount      int
+	// TrafficByPath counts the exchanges between machines by path, with their bytes as
 	// HTTP carries them, both ways.
-	Talk map[string]*Talk
-	// By is each machine's share of it, sent and received.
-	By map[string]*Share
-	// Resets has the end of a process reset its connections, so that those who
+	TrafficByPath map[string]*PathTraffic
+	// TrafficByHost is each machine's share of it, sent and received.
+	TrafficByHost map[string]*HostTraffic
+	// ResetOnExit has the end of a process reset its connections, so that those who
 	// wait for its answer learn at once; without it they wait their time out.
-	Resets bool
-	// Notice is what the sender notices of a message that a cut stops.
-	Notice Notice
+	ResetOnExit bool
+	// LinkFailure is what the sender notices of a message that a cut stops.
+	LinkFailure LinkFailure
 	// Meddle, set by tests only, stands between the machines and takes a
 	// mechanism away: it may answer a message itself, or change what passes.
-	Meddle func(m *Message) *http.Response
+	Intercept func(m *Message) *http.Response
 }
 
-// Notice is what the sender of a message notices of a cut.
-type Notice int
+// LinkFailure is what the sender of a message notices of a cut.
+type LinkFailure int
 
 // A cut drops messages in silence, resets connections, or has them refused.
 const (
-	NoticeNothing Notice = iota
-	NoticeReset
-	NoticeRefused
+	LinkSilent LinkFailure = iota
+	LinkReset
+	LinkRefused
 )
 
-// Talk is what was said on one path.
-type Talk struct{ Calls, Bytes int }
+// PathTraffic is what was said on one path.
+type PathTraffic struct{ Calls, Bytes int }
 
-// Share is one machine's part in the talk.
-type Share struct{ Asked, Served, Bytes int }
+// HostTraffic is one machine's part in the talk.
+type HostTraffic struct{ RequestsSent, RequestsReceived, Bytes int }
 
-func (n *Net) share(host string) *Share {
-	if n.By[host] == nil {
-		n.By[host] = &Share{}
+func (n *Net) share(host string) *HostTraffic {
+	if n.TrafficByHost[host] == nil {
+		n.TrafficByHost[host] = &HostTraffic{}
 	}
-	return n.By[host]
+	return n.TrafficByHost[host]
 }
 
 // weigh is the size of a message's head and body on the wire.
@@ -91,15 +91,15 @@
 
 func (n *Net) note(from, to, path string, calls, bytes int) {
 	asker, server := n.share(from), n.share(to)
-	asker.Asked += calls
-	server.Served += calls
+	asker.RequestsSent += calls
+	server.RequestsReceived += calls
 	asker.Bytes += bytes
 	server.Bytes += bytes
-	if n.Talk[path] == nil {
-		n.Talk[path] = &Talk{}
+	if n.TrafficByPath[path] == nil {
+		n.TrafficByPath[path] = &PathTraffic{}
 	}
-	n.Talk[path].Calls += calls
-	n.Talk[path].Bytes += bytes
+	n.TrafficByPath[path].Calls += calls
+	n.TrafficByPath[path].Bytes += bytes
 }
 
 // Message is one exchange between machines; Pass carries it to its end.
@@ -107,23 +107,23 @@
 	From, To *Host
 	Path     string
 	Body     []byte
-	Pass     func(body []byte) (*http.Response, error)
+	Forward  func(body []byte) (*http.Response, error)
 }
 
 func NewNet(world *World) *Net {
-	return &Net{World: world, Quick: 200 * time.Microsecond, Slow: 1500 * time.Microsecond, cuts: map[[2]string]bool{}, Talk: map[string]*Talk{}, By: map[string]*Share{}}
+	return &Net{World: world, MinDelay: 200 * time.Microsecond, MaxDelay: 1500 * time.Microsecond, cuts: map[[2]string]bool{}, TrafficByPath: map[string]*PathTraffic{}, TrafficByHost: map[string]*HostTraffic{}}
 }
 
-// Cut stops messages from one host to another; Heal lets all through again.
-func (n *Net) Cut(from, to string) { n.cuts[[2]string{from, to}] = true }
-func (n *Net) Heal()               { n.cuts = map[[2]string]bool{} }
+// CutLink stops messages from one host to another; Heal lets all through again.
+func (n *Net) CutLink(from, to string) { n.cuts[[2]string{from, to}] = true }
+func (n *Net) Heal()                   { n.cuts = map[[2]string]bool{} }
 
-// CutOff stops all messages to and from some hosts except among themselves.
-func (n *Net) CutOff(apart map[string]bool) {
+// Isolate stops all messages to and from some hosts except among themselves.
+func (n *Net) Isolate(apart map[string]bool) {
 	for _, from := range base.SortedKeys(n.World.Hosts) {
 		for _, to := range base.SortedKeys(n.World.Hosts) {
 			if apart[from] != apart[to] {
-				n.Cut(from, to)
+				n.CutLink(from, to)
 			}
 		}
 	}
@@ -131,7 +131,7 @@
 
 func (n *Net) cut(from, to string) bool { return n.cuts[[2]string{from, to}] }
 
-func (n *Net) delay() time.Duration { return n.World.Between(n.Quick, n.Slow) }
+func (n *Net) delay() time.Duration { return n.World.Between(n.MinDelay, n.MaxDelay) }
 
 // carriage is how long a message's bytes take on the way.
 func (n *Net) carriage(bytes int) time.Duration {
@@ -174,12 +174,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if n.Meddle == nil {
+	if n.Intercept == nil {
 		return x.carry(request, body, left)
 	}
 	var failed error
-	response := n.Meddle(&Message{From: x.host, To: w.Hosts[hostOf(request.URL.Host)], Path: request.URL.Path, Body: body,
-		Pass: func(body []byte) (response *http.Response, err error) {
+	response := n.Intercept(&Message{From: x.host, To: w.Hosts[hostOf(request.URL.Host)], Path: request.URL.Path, Body: body,
+		Forward: func(body []byte) (response *http.Response, err error) {
 			response, failed = x.carry(request, body, left)
 			return response, failed
 		}})
@@ -198,7 +198,7 @@
 // carry takes a message to its machine and the reply back.
 func (x *wire) carry(request *http.Request, body []byte, left time.Duration) (*http.Response, error) {
 	n, w := x.net, x.net.World
-	n.Messages++
+	n.MessageCount++
 	path := request.URL.Path
 	n.note(x.host.Name, hostOf(request.URL.Host), path, 1, weigh(len("POST  HTTP/1.1\r\nHost: \r\n")+len(path)+len(request.URL.Host), request.Header, len(body)))
 	target := w.Hosts[hostOf(request.URL.Host)]
@@ -208,10 +208,10 @@
 	}
 	done := (&clock{x.host}).NewSignal()
 	if target.dark || n.cut(x.host.Name, target.Name) || n.cut(target.Name, x.host.Name) && w.Chance(0.5) {
-		n.Lost++
-		if n.Notice != NoticeNothing && !target.dark {
+		n.LostCount++
+		if n.LinkFailure != LinkSilent && !target.dark {
 			x.host.Clock().Sleep(n.delay())
-			if n.Notice == NoticeRefused {
+			if n.LinkFailure == LinkRefused {
 				return nil, &base.NotSent{Cause: errors.New("connection refused")}
 			}
 			return nil, errLost
@@ -222,7 +222,7 @@
 		}
 		return nil, errLost
 	}
-	if n.Resets {
+	if n.ResetOnExit {
 		open := &call{reset: done}
 		target.calls = append(target.calls, open)
 		defer func() { target.calls = base.Filter(target.calls, func(one *call) bool { return one != open }) }()
@@ -239,9 +239,9 @@
 			arrived.Body, arrived.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 			arrived.RequestURI = request.URL.RequestURI()
 			target.serve.ServeHTTP(recorder, arrived)
-			if !answered || n.cut(target.Name, x.host.Name) || w.Chance(n.Faults.Lost) {
-				n.Lost++
-				if answered && n.Notice != NoticeNothing {
+			if !answered || n.cut(target.Name, x.host.Name) || w.Chance(n.Faults.LossRate) {
+				n.LostCount++
+				if answered && n.LinkFailure != LinkSilent {
 					done.Fire() // without a response: the connection was reset
 				}
 				return
@@ -253,15 +253,15 @@
 		})
 	}
 	after := n.delay() + n.carriage(len(body)) + x.host.Lag + target.Lag + target.work()
-	if w.Chance(n.Faults.Late) {
-		after += w.Between(0, n.Faults.LateLimit)
+	if w.Chance(n.Faults.DelayRate) {
+		after += w.Between(0, n.Faults.MaxExtraDelay)
 	}
-	if w.Chance(n.Faults.Lost) {
-		n.Lost++
+	if w.Chance(n.Faults.LossRate) {
+		n.LostCount++
 	} else {
 		deliver(after, true)
-		if w.Chance(n.Faults.Twice) {
-			deliver(after+w.Between(0, n.Faults.LateLimit), false)
+		if w.Chance(n.Faults.DuplicateRate) {
+			deliver(after+w.Between(0, n.Faults.MaxExtraDelay), false)
 		}
 	}
 	if !done.Wait(left) || response == nil {
--- a/internal/simulate/operate_test.go
+++ b/internal/simulate/operate_test.go
@@ -15,7 +15,7 @@
 
 func (f *Fleet) unwell(m *Machine) string {
 	var shown operate.StatusView
-	_, answer := f.Operate(m, "GET", "/v1/operator/status", nil)
+	_, answer := f.OperatorRequest(m, "GET", "/v1/operator/status", nil)
 	_ = json.Unmarshal(answer, &shown)
 	return strings.Join(shown.Unwell, "\n")
 }
@@ -25,10 +25,10 @@
 		call.sleep(3 * time.Second)
 		is.Equal(f.unwell(f.Cores[0]), "")
 		for _, core := range f.Cores { // its word still reaches the others by its neighbours
-			f.Net.Cut(f.Edges[1].Host.Name, core.Host.Name)
+			f.Net.CutLink(f.Gateways[1].Host.Name, core.Host.Name)
 		}
 		f.Kill(f.Storage[2])
-		f.Edges[2].Host.Freeze()
+		f.Gateways[2].Host.Freeze()
 		call.sleep(6 * time.Second)
 		shown := f.unwell(f.Cores[0])
 		for _, word := range []string{"edge edge-1:1 in zone-1 is not ready: no_confirmed_settings", "edge edge-2:1 in zone-0 is silent", "storage storage-2:1 in zone-0 is silent",
@@ -42,7 +42,7 @@
 		is.True(strings.Contains(shown, "1 of 3 disks answer, 2 must: nothing can be changed"))
 		is.True(strings.Contains(shown, "slots have no owner"))
 		f.Net.Heal()
-		f.Edges[2].Host.Thaw()
+		f.Gateways[2].Host.Thaw()
 		for _, m := range []*Machine{f.Storage[1], f.Storage[2], f.Cores[1]} {
 			f.Start(m)
 		}
@@ -54,7 +54,7 @@
 func TestDiffShowsWhatADocumentWouldChange(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, _ *talker) {
 		diff := func(document string) (int, string) {
-			status, answer := f.Operate(f.Cores[1], "POST", "/v1/operator/settings/diff", json.RawMessage(document))
+			status, answer := f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/settings/diff", json.RawMessage(document))
 			return status, string(answer)
 		}
 		status, answer := diff(DefaultSettings)
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -33,10 +33,10 @@
 	return mark
 }
 
-// Operator applies changes one after another, each based on the stamp it
+// RunOperator applies changes one after another, each based on the stamp it
 // last saw, while it is wanted.
-func (f *Fleet) Operator(name string, going func() bool) {
-	clock := f.Callers.Clock()
+func (f *Fleet) RunOperator(name string, going func() bool) {
+	clock := f.CallerHost.Clock()
 	stamp := uint64(1)
 	for round := 0; going(); round++ {
 		change := fmt.Sprintf("%s-%d", name, round)
@@ -56,7 +56,7 @@
 }
 
 func (f *Fleet) apply(change string, stamp uint64, document json.RawMessage) (status int, answer []byte) {
-	return f.Operate(f.pick(f.Cores), "POST", "/v1/operator/settings/apply", map[string]any{"change": change, "based_on": stamp, "document": document})
+	return f.OperatorRequest(f.pick(f.Cores), "POST", "/v1/operator/settings/apply", map[string]any{"change": change, "based_on": stamp, "document": document})
 }
 
 // invalid asks for a change that must never be taken.
@@ -87,36 +87,36 @@
 			return max(told.Stamp, told.Error.Stamp)
 		}
 		f.Tally.Count("settings_unknown")
-		f.Callers.Clock().Sleep(300 * time.Millisecond)
-		status, answer = f.Operate(f.pick(f.Cores), "POST", "/v1/operator/settings/outcome", map[string]string{"change": change})
+		f.CallerHost.Clock().Sleep(300 * time.Millisecond)
+		status, answer = f.OperatorRequest(f.pick(f.Cores), "POST", "/v1/operator/settings/outcome", map[string]string{"change": change})
 	}
 	return 0
 }
 
-// Watch looks at every gateway that serves, for as long as the world runs.
-func (f *Fleet) Watch() {
+// WatchGateways looks at every gateway that serves, for as long as the world runs.
+func (f *Fleet) WatchGateways() {
 	for {
-		for _, m := range f.Edges {
+		for _, m := range f.Gateways {
 			if m.Serving() {
 				var record settings.Record
 				_ = json.Unmarshal(m.gateway.Follower.Snapshot().Values[settings.Key], &record)
 				f.Tally.Showed(m.Host.Name, record.Version, markOf(record.Document), f.World.Now())
 			}
 		}
-		f.Callers.Clock().Sleep(40 * time.Millisecond)
+		f.CallerHost.Clock().Sleep(40 * time.Millisecond)
 	}
 }
 
-// Stands looks at what the control state holds, once some core says so.
-func (f *Fleet) Stands() {
+// CheckStoredSettings looks at what the control state holds, once some core says so.
+func (f *Fleet) CheckStoredSettings() {
 	for tries := 0; tries < 100; tries++ {
-		status, answer := f.Operate(f.Cores[tries%len(f.Cores)], "GET", "/v1/operator/settings", nil)
+		status, answer := f.OperatorRequest(f.Cores[tries%len(f.Cores)], "GET", "/v1/operator/settings", nil)
 		var record settings.Record
 		if status == 200 && json.Unmarshal(answer, &record) == nil {
 			f.Tally.Stands(record.Version, markOf(record.Document))
 			return
 		}
-		f.Callers.Clock().Sleep(100 * time.Millisecond)
+		f.CallerHost.Clock().Sleep(100 * time.Millisecond)
 	}
 }
 
@@ -126,15 +126,15 @@
 	leaving     bool
 }
 
-// Platform takes workers away one by one, off the list or by their own
+// RunPlatform takes workers away one by one, off the list or by their own
 // report, and brings each back later, while it is wanted.
-func (f *Fleet) Platform(going func() bool) {
-	clock := f.Callers.Clock()
+func (f *Fleet) RunPlatform(going func() bool) {
+	clock := f.CallerHost.Clock()
 	away := map[string]bool{}
 	for round := 0; going(); round++ {
 		clock.Sleep(f.World.Between(time.Second, 3*time.Second))
-		one := f.List.Workers[f.World.Int64N(int64(len(f.List.Workers)))]
-		others := base.Filter(f.List.Workers, func(other workerOf) bool { return other.Pool == one.Pool && other.ID != one.ID && !away[other.ID] })
+		one := f.WorkerList.Workers[f.World.Int64N(int64(len(f.WorkerList.Workers)))]
+		others := base.Filter(f.WorkerList.Workers, func(other workerOf) bool { return other.Pool == one.Pool && other.ID != one.ID && !away[other.ID] })
 		if away[one.ID] || len(others) == 0 {
 			continue
 		}
@@ -160,9 +160,9 @@
 
 // patch changes the list until it is known to have been taken.
 func (f *Fleet) patch(body map[string]any) {
-	f.List.Stamp++
-	body["stamp"] = f.List.Stamp
-	f.untilTold("PATCH", "/v1/platform/workers", func() any { return body }, f.List.Stamp)
+	f.WorkerList.Stamp++
+	body["stamp"] = f.WorkerList.Stamp
+	f.untilTold("PATCH", "/v1/platform/workers", func() any { return body }, f.WorkerList.Stamp)
 }
 
 // tellUsage makes one report of a worker until a gateway has taken it.
@@ -180,8 +180,8 @@
 }
 
 func (f *Fleet) untilTold(method, path string, body func() any, stamp uint64) {
-	ask := f.Asker(f.Callers)
-	for tries := int(f.World.Int64N(int64(len(f.Edges)))); ; tries++ {
+	ask := f.Asker(f.CallerHost)
+	for tries := int(f.World.Int64N(int64(len(f.Gateways)))); ; tries++ {
 		answer, err := ask(tries, method, path, nil, base.Encode(body()))
 		if err == nil {
 			var told struct {
@@ -192,27 +192,27 @@
 				return
 			}
 		}
-		f.Callers.Clock().Sleep(200 * time.Millisecond)
+		f.CallerHost.Clock().Sleep(200 * time.Millisecond)
 	}
 }
 
-// Disks lists the disks as an operator sees them.
-func (f *Fleet) Disks() operate.StorageView {
+// StorageStatus lists the disks as an operator sees them.
+func (f *Fleet) StorageStatus() operate.StorageView {
 	for {
 		for _, m := range f.Cores {
-			status, answer := f.Operate(m, "GET", "/v1/operator/storage", nil)
+			status, answer := f.OperatorRequest(m, "GET", "/v1/operator/storage", nil)
 			var shown operate.StorageView
 			if status == 200 && json.Unmarshal(answer, &shown) == nil {
 				return shown
 			}
 		}
-		f.Callers.Clock().Sleep(200 * time.Millisecond)
+		f.CallerHost.Clock().Sleep(200 * time.Millisecond)
 	}
 }
 
-// DiskAt is the disk of a machine.
-func (f *Fleet) DiskAt(host string) operate.DiskView {
-	for _, one := range f.Disks().Disks {
+// FindDisk is the disk of a machine.
+func (f *Fleet) FindDisk(host string) operate.DiskView {
+	for _, one := range f.StorageStatus().Disks {
 		if one.Addr == host+":1" {
 			return one
 		}
@@ -220,11 +220,11 @@
 	return operate.DiskView{}
 }
 
-// ChangeDisks asks for a change of the disks until it is under way or refused.
-func (f *Fleet) ChangeDisks(what, field, named string) (status int, code string) {
+// RequestDiskChange asks for a change of the disks until it is under way or refused.
+func (f *Fleet) RequestDiskChange(what, field, named string) (status int, code string) {
 	for tries := 0; ; tries++ {
 		core := f.Cores[tries%len(f.Cores)]
-		status, answer := f.Operate(core, "POST", "/v1/operator/storage/"+what, map[string]string{field: named})
+		status, answer := f.OperatorRequest(core, "POST", "/v1/operator/storage/"+what, map[string]string{field: named})
 		var told struct {
 			Error struct {
 				Code string `json:"code"`
@@ -234,14 +234,14 @@
 		if status == 200 || (status >= 400 && status < 500 && told.Error.Code != "disks_moving") || tries > 300 {
 			return status, told.Error.Code
 		}
-		f.Callers.Clock().Sleep(200 * time.Millisecond)
+		f.CallerHost.Clock().Sleep(200 * time.Millisecond)
 	}
 }
 
-// DisksMoved waits until no change of the disks is under way.
-func (f *Fleet) DisksMoved(limit time.Duration) bool {
-	for end := f.World.Now() + limit; f.World.Now() < end; f.Callers.Clock().Sleep(200 * time.Millisecond) {
-		if shown := f.Disks(); !shown.Moving && shown.Slots == shown.All {
+// AwaitDiskChange waits until no change of the disks is under way.
+func (f *Fleet) AwaitDiskChange(limit time.Duration) bool {
+	for end := f.World.Now() + limit; f.World.Now() < end; f.CallerHost.Clock().Sleep(200 * time.Millisecond) {
+		if shown := f.StorageStatus(); !shown.Moving && shown.Slots == shown.All {
 			return true
 		}
 	}
@@ -255,25 +255,25 @@
 	if lost.gone || !lost.Host.alive || lost.Host.frozen {
 		return
 	}
-	id := f.DiskAt(lost.Host.Name).ID
+	id := f.FindDisk(lost.Host.Name).ID
 	if id == "" {
 		return
 	}
 	f.PowerLoss(lost)
 	lost.gone = true
-	lost.Files.Wipe()
-	fresh := f.Add("storage")
+	lost.Disk.Wipe()
+	fresh := f.AddMachine("storage")
 	if f.Shape.Tolerate > 0 {
 		if f.until(time.Minute, f.whole) < time.Minute {
 			f.Tally.Count("disks_replaced")
 		}
 		return
 	}
-	f.Callers.Clock().Sleep(time.Second)
-	if status, _ := f.ChangeDisks("admit", "address", fresh.Host.Name+":1"); status == 200 && f.DisksMoved(time.Minute) {
+	f.CallerHost.Clock().Sleep(time.Second)
+	if status, _ := f.RequestDiskChange("admit", "address", fresh.Host.Name+":1"); status == 200 && f.AwaitDiskChange(time.Minute) {
 		f.Tally.Count("disks_admitted")
 	}
-	if status, _ := f.ChangeDisks("retire", "disk", id); status == 200 && f.DisksMoved(time.Minute) {
+	if status, _ := f.RequestDiskChange("retire", "disk", id); status == 200 && f.AwaitDiskChange(time.Minute) {
 		f.Tally.Count("disks_retired")
 	}
 }
--- a/internal/simulate/orders.go
+++ b/internal/simulate/orders.go
@@ -19,13 +19,13 @@
 
 // OrderShape is a deployment at the size of one of the sites.
 type OrderShape struct {
-	Name     string
-	Edges    int
-	Cores    int
-	Storage  int
-	Tolerate int
-	// Recover is the deployment's bound of a recovery.
-	Recover time.Duration
+	Name           string
+	Gateways       int
+	Cores          int
+	Storage        int
+	FaultTolerance int
+	// RecoveryBound is the deployment's bound of a recovery.
+	RecoveryBound time.Duration
 }
 
 // OrderShapes are the sizes of the four sites.
@@ -48,14 +48,14 @@
 	orderLost  = 0.05
 )
 
-// OrderDay is one run.
-type OrderDay struct {
+// OrderRun is one run.
+type OrderRun struct {
 	*Fleet
 	// Rounds is how often all senders send an order each.
 	Rounds int
-	// StaleLeaders has the leader cut off and frozen, and nothing else happen.
-	StaleLeaders bool
-	History      []OrderEvent
+	// StaleLeadersOnly has the leader cut off and frozen, and nothing else happen.
+	StaleLeadersOnly bool
+	History          []OrderEvent
 	// Kills counts the leader's ends by the step that they came before or after.
 	Kills map[string]int
 	// Breaches are what was seen wrong besides the order of events.
@@ -78,9 +78,9 @@
 type OrderOutcome int
 
 const (
-	// OrderUnclear is an order that may or may not have been taken.
-	OrderUnclear OrderOutcome = iota
-	OrderTaken
+	// OrderUnknown is an order that may or may not have been taken.
+	OrderUnknown OrderOutcome = iota
+	OrderAccepted
 	OrderRefused
 	// OrderRead is a read that was answered.
 	OrderRead
@@ -88,21 +88,21 @@
 
 // OrderEvent is a call of an operator, from its first try to its end.
 type OrderEvent struct {
-	Sender     int
+	Client     int
 	Order      Order // of a read, what it was given
 	Outcome    OrderOutcome
-	Began      time.Duration
-	Ended      time.Duration
-	StatusLast int
+	Start      time.Duration
+	End        time.Duration
+	LastStatus int
 }
 
-// NewOrderDay builds a fleet and starts it; change, if not nil, changes the
+// NewOrderRun builds a fleet and starts it; change, if not nil, changes the
 // fleet before it starts.
-func NewOrderDay(seed uint64, shape OrderShape, change func(f *Fleet)) *OrderDay {
-	f := layFleet(seed, Shape{Name: shape.Name, Zones: 4, Edges: shape.Edges, Cores: shape.Cores, Storage: shape.Storage, Tolerate: shape.Tolerate, Found: true})
-	d := &OrderDay{Fleet: f, Rounds: 6, sent: map[string][][]byte{}, Kills: map[string]int{}}
+func NewOrderRun(seed uint64, shape OrderShape, change func(f *Fleet)) *OrderRun {
+	f := layFleet(seed, Shape{Name: shape.Name, Zones: 4, Edges: shape.Gateways, Cores: shape.Cores, Storage: shape.Storage, Tolerate: shape.FaultTolerance, Found: true})
+	d := &OrderRun{Fleet: f, Rounds: 6, sent: map[string][][]byte{}, Kills: map[string]int{}}
 	f.equip = func(_ *Machine, env *node.Env, place *node.Place) {
-		place.Bounds = &base.Bounds{Settings: 2 * time.Second, Leave: 3 * time.Second, Recover: shape.Recover, Retain: time.Minute}
+		place.Bounds = &base.Bounds{Settings: 2 * time.Second, Leave: 3 * time.Second, Recover: shape.RecoveryBound, Retain: time.Minute}
 		env.Names = &platform.Names
 	}
 	f.begins = func(m *Machine) {
@@ -113,12 +113,12 @@
 			m.core.Operate.Table = platform.ReadOrder
 		}
 	}
-	f.Net.Resets = true
+	f.Net.ResetOnExit = true
 	if change != nil {
 		change(f)
 	}
-	d.killer = leaderKiller{day: d, inner: f.Net.Meddle}
-	f.Net.Meddle = d.killer.meddle
+	d.killer = leaderKiller{day: d, inner: f.Net.Intercept}
+	f.Net.Intercept = d.killer.meddle
 	for _, m := range f.All() {
 		f.Start(m)
 	}
@@ -142,8 +142,8 @@
 func (o Order) key() string { return fmt.Sprintf("%d/%s", o.Version, o.Document) }
 
 // call makes one call to a core; status 0 is no clear answer.
-func (d *OrderDay) call(m *Machine, method, ifMatch string, body []byte) (status int, answer []byte) {
-	clock, patience := d.Callers.Clock(), parties.OrderPatience(len(body))
+func (d *OrderRun) call(m *Machine, method, ifMatch string, body []byte) (status int, answer []byte) {
+	clock, patience := d.CallerHost.Clock(), parties.OrderPatience(len(body))
 	if m.Host.dark || d.World.Chance(orderLost) {
 		clock.Sleep(patience)
 		return 0, nil
@@ -153,7 +153,7 @@
 	if !m.Host.alive || m.core == nil {
 		return 0, nil
 	}
-	core, replies := m.core, newPipe[answered](d.Callers)
+	core, replies := m.core, newPipe[answered](d.CallerHost)
 	d.World.spawn(m.Host, m.Host.life, d.World.now+way(), func() {
 		var header [][2]string
 		if ifMatch != "" {
@@ -172,40 +172,40 @@
 	return one.status, one.bytes
 }
 
-// Put sends an order until it has a clear answer, or tries are over, and notes
+// SubmitOrder sends an order until it has a clear answer, or tries are over, and notes
 // how it went.
-func (d *OrderDay) Put(sender int, order Order, tries int) OrderOutcome {
-	event := OrderEvent{Sender: sender, Order: order, Began: d.World.Now()}
+func (d *OrderRun) SubmitOrder(sender int, order Order, tries int) OrderOutcome {
+	event := OrderEvent{Client: sender, Order: order, Start: d.World.Now()}
 	body := order.written(d.World.Int64N(spellings))
 	d.sent[order.key()] = append(d.sent[order.key()], body)
-	for try := 1; try <= tries && event.Outcome == OrderUnclear; try++ {
+	for try := 1; try <= tries && event.Outcome == OrderUnknown; try++ {
 		status, answer := d.call(d.pick(d.Cores), "PUT", fmt.Sprint(order.Base), body)
-		event.StatusLast = status
+		event.LastStatus = status
 		switch {
 		case status == 200:
-			event.Outcome = OrderTaken
+			event.Outcome = OrderAccepted
 		case status == 400 || status == 412:
 			event.Outcome = OrderRefused
 		case status != 0 && status < 500:
 			d.Breaches = append(d.Breaches, fmt.Sprintf("order %+v was answered %d: %s", order, status, answer))
 		default:
-			d.Callers.Clock().Sleep(parties.OrderPause(try))
+			d.CallerHost.Clock().Sleep(parties.OrderPause(try))
 		}
 	}
-	event.Ended = d.World.Now()
+	event.End = d.World.Now()
 	d.History = append(d.History, event)
-	if event.Outcome == OrderTaken && !order.Invalid {
+	if event.Outcome == OrderAccepted && !order.Invalid {
 		d.acked = append(d.acked, order)
 		d.known = max(d.known, order.Version)
 	}
 	return event.Outcome
 }
 
-// Get reads the configuration from any core, and notes what it was given.
-func (d *OrderDay) Get(sender int) (version uint64, ok bool) {
-	event := OrderEvent{Sender: sender, Began: d.World.Now()}
+// ReadConfig reads the configuration from any core, and notes what it was given.
+func (d *OrderRun) ReadConfig(sender int) (version uint64, ok bool) {
+	event := OrderEvent{Client: sender, Start: d.World.Now()}
 	status, raw := d.call(d.pick(d.Cores), "GET", "", nil)
-	event.Ended, event.StatusLast = d.World.Now(), status
+	event.End, event.LastStatus = d.World.Now(), status
 	switch {
 	case status == 404:
 		event.Outcome = OrderRead
@@ -222,7 +222,7 @@
 }
 
 // recognise finds what was read among what was sent, byte for byte.
-func (d *OrderDay) recognise(raw []byte) Order {
+func (d *OrderRun) recognise(raw []byte) Order {
 	version := parties.GenerationOf(raw)
 	for _, document := range documentNames() {
 		order := Order{Version: version, Document: document}
@@ -249,27 +249,27 @@
 	return fmt.Sprintf("operator %d, draft %d", sender%2, sender/4)
 }
 
-// Play has the senders send their orders under trouble, and then reads back and
+// Run has the senders send their orders under trouble, and then reads back and
 // sends again in calm.
-func (d *OrderDay) Play() {
+func (d *OrderRun) Run() {
 	trouble := true
-	d.Callers.Go(func() { d.trouble(func() bool { return trouble }) })
+	d.CallerHost.Go(func() { d.trouble(func() bool { return trouble }) })
 	d.rounds()
 	trouble = false
 	d.calm()
-	d.Callers.Clock().Sleep(10 * time.Second)
+	d.CallerHost.Clock().Sleep(10 * time.Second)
 	d.audit()
 }
 
 // rounds has each round start from one version, so that all senders collide.
-func (d *OrderDay) rounds() {
-	clock := d.Callers.Clock()
+func (d *OrderRun) rounds() {
+	clock := d.CallerHost.Clock()
 	for round := range d.Rounds {
 		start, step := d.known, 1+uint64(d.World.Int64N(3))
 		under := orderSenders
 		done := base.NewBell(clock)
 		for sender := range orderSenders {
-			d.Callers.Go(func() {
+			d.CallerHost.Go(func() {
 				clock.Sleep(d.World.Between(0, 30*time.Millisecond))
 				d.send(sender, round, Order{Base: start, Version: start + step, Document: documentName(sender)})
 				under--
@@ -280,14 +280,14 @@
 			next.Wait(time.Second)
 		}
 		if d.known == start { // nothing is known to have been taken
-			d.Get(0)
+			d.ReadConfig(0)
 		}
 	}
 }
 
 // send is one sender's part of a round: an order, perhaps a bad one, the repeat
 // of one that was acknowledged, and a read.
-func (d *OrderDay) send(sender, round int, order Order) {
+func (d *OrderRun) send(sender, round int, order Order) {
 	order.Invalid = (sender+round)%16 == 15
 	if order.Invalid {
 		order.Document += ", invalid"
@@ -302,21 +302,21 @@
 	if d.World.Chance(impatientShare) {
 		tries = 1
 	}
-	d.Put(sender, order, tries)
+	d.SubmitOrder(sender, order, tries)
 	if d.World.Chance(0.5) && len(d.acked) > 0 {
-		d.Put(sender, d.acked[d.World.Int64N(int64(len(d.acked)))], orderTries)
+		d.SubmitOrder(sender, d.acked[d.World.Int64N(int64(len(d.acked)))], orderTries)
 	}
-	d.Get(sender)
+	d.ReadConfig(sender)
 }
 
 // audit reads back and sends every order again that was acknowledged.
-func (d *OrderDay) audit() {
+func (d *OrderRun) audit() {
 	read := false
 	for range orderTries {
-		if _, read = d.Get(0); read {
+		if _, read = d.ReadConfig(0); read {
 			break
 		}
-		d.Callers.Clock().Sleep(500 * time.Millisecond)
+		d.CallerHost.Clock().Sleep(500 * time.Millisecond)
 	}
 	if !read {
 		d.Breaches = append(d.Breaches, "the configuration could not be read back in calm")
@@ -327,7 +327,7 @@
 			continue
 		}
 		again[order] = true
-		if d.Put(0, order, orderTries) != OrderTaken {
+		if d.SubmitOrder(0, order, orderTries) != OrderAccepted {
 			d.Breaches = append(d.Breaches, fmt.Sprintf("order %+v was acknowledged, and is not acknowledged again", order))
 		}
 	}
--- a/internal/simulate/orders_faults.go
+++ b/internal/simulate/orders_faults.go
@@ -31,7 +31,7 @@
 // takes it over, between two of its steps: a step is a message about that shard
 // that it sends to a replica, or an operation that it is asked for.
 type leaderKiller struct {
-	day   *OrderDay
+	day   *OrderRun
 	inner func(m *Message) *http.Response
 
 	active bool
@@ -47,7 +47,7 @@
 	if k.inner != nil {
 		return k.inner(m)
 	}
-	response, _ := m.Pass(m.Body)
+	response, _ := m.Forward(m.Body)
 	return response
 }
 
@@ -134,8 +134,8 @@
 	d := k.day
 	d.Kill(m)
 	d.Kills[step]++
-	d.Callers.Go(func() {
-		d.Callers.Clock().Sleep(d.World.Between(100*time.Millisecond, 1500*time.Millisecond))
+	d.CallerHost.Go(func() {
+		d.CallerHost.Clock().Sleep(d.World.Between(100*time.Millisecond, 1500*time.Millisecond))
 		if !m.Host.alive {
 			d.Start(m)
 		}
@@ -144,13 +144,13 @@
 
 // trouble harms one machine after another while it goes on; at most one machine
 // with a disk at a time.
-func (d *OrderDay) trouble(going func() bool) {
-	clock := d.Callers.Clock()
+func (d *OrderRun) trouble(going func() bool) {
+	clock := d.CallerHost.Clock()
 	clock.Sleep(4 * time.Second) // until the cluster was formed
-	d.Net.Faults = Faults{Lost: 0.005, Late: 0.02, Twice: 0.02, LateLimit: 400 * time.Millisecond}
-	d.killer.active = !d.StaleLeaders
+	d.Net.Faults = NetworkFaults{LossRate: 0.005, DelayRate: 0.02, DuplicateRate: 0.02, MaxExtraDelay: 400 * time.Millisecond}
+	d.killer.active = !d.StaleLeadersOnly
 	kinds := int64(6)
-	if d.StaleLeaders {
+	if d.StaleLeadersOnly {
 		kinds = 2
 	}
 	for going() {
@@ -174,7 +174,7 @@
 }
 
 // leader is the core that serves the configuration's shard, or any.
-func (d *OrderDay) leader() *Machine {
+func (d *OrderRun) leader() *Machine {
 	serving := base.Filter(d.Cores, func(m *Machine) bool {
 		return m.core != nil && m.Host.alive && m.core.Owner.LeadsFeed()
 	})
@@ -186,7 +186,7 @@
 
 // cutOff separates a machine from all others, in both directions or in one;
 // operators reach it throughout.
-func (d *OrderDay) cutOff(m *Machine, span time.Duration) {
+func (d *OrderRun) cutOff(m *Machine, span time.Duration) {
 	d.killer.spared = m
 	defer func() { d.killer.spared = nil }()
 	into, out := d.World.Chance(0.8), d.World.Chance(0.8)
@@ -195,37 +195,37 @@
 			continue
 		}
 		if into || !out {
-			d.Net.Cut(other, m.Host.Name)
+			d.Net.CutLink(other, m.Host.Name)
 		}
 		if out {
-			d.Net.Cut(m.Host.Name, other)
+			d.Net.CutLink(m.Host.Name, other)
 		}
 	}
-	d.Callers.Clock().Sleep(span)
+	d.CallerHost.Clock().Sleep(span)
 	d.Net.Heal()
 }
 
-func (d *OrderDay) freeze(m *Machine, span time.Duration) {
+func (d *OrderRun) freeze(m *Machine, span time.Duration) {
 	if !m.Host.alive {
 		return
 	}
 	m.Host.Freeze()
-	d.Callers.Clock().Sleep(span)
+	d.CallerHost.Clock().Sleep(span)
 	d.killer.spared = m // for a while after it wakes
 	m.Host.Thaw()
-	d.Callers.Clock().Sleep(500 * time.Millisecond)
+	d.CallerHost.Clock().Sleep(500 * time.Millisecond)
 	d.killer.spared = nil
 }
 
-func (d *OrderDay) restart(m *Machine, end func(*Machine), span time.Duration) {
+func (d *OrderRun) restart(m *Machine, end func(*Machine), span time.Duration) {
 	end(m)
-	d.Callers.Clock().Sleep(span)
+	d.CallerHost.Clock().Sleep(span)
 	d.Start(m)
 }
 
 // calm ends all trouble.
-func (d *OrderDay) calm() {
+func (d *OrderRun) calm() {
 	d.killer.active = false
-	d.Net.Faults = Faults{}
+	d.Net.Faults = NetworkFaults{}
 	d.Net.Heal()
 }
--- a/internal/simulate/orders_model.go
+++ b/internal/simulate/orders_model.go
@@ -40,7 +40,7 @@
 		next = orderState{takenOrder{order.Version, order.Document}, s.chain + own}
 	}
 	switch outcome {
-	case OrderTaken:
+	case OrderAccepted:
 		return repeated || applies, next
 	case OrderRefused:
 		return !repeated && !applies, s
@@ -59,16 +59,16 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v: %d", input, output) },
 }
 
-// Linearizable checks a history: Ok, Illegal, or Unknown when the time that is
+// CheckLinearizable checks a history: Ok, Illegal, or Unknown when the time that is
 // given is over before it is known.
-func Linearizable(history []OrderEvent, within time.Duration) porcupine.CheckResult {
+func CheckLinearizable(history []OrderEvent, within time.Duration) porcupine.CheckResult {
 	operations := make([]porcupine.Operation, 0, len(history))
 	for _, event := range history {
-		ended := int64(event.Ended)
-		if event.Outcome == OrderUnclear {
+		ended := int64(event.End)
+		if event.Outcome == OrderUnknown {
 			ended = math.MaxInt64 // it may be taken at any time after it was sent
 		}
-		operations = append(operations, porcupine.Operation{ClientId: event.Sender, Input: event.Order, Call: int64(event.Began), Output: event.Outcome, Return: ended})
+		operations = append(operations, porcupine.Operation{ClientId: event.Client, Input: event.Order, Call: int64(event.Start), Output: event.Outcome, Return: ended})
 	}
 	return porcupine.CheckOperationsTimeout(orderModel, operations, within)
 }
--- a/internal/simulate/orders_test.go
+++ b/internal/simulate/orders_test.go
@@ -22,31 +22,31 @@
 const checkWithin = 2 * time.Minute
 
 // playOrders plays a day and gives what is wrong with it.
-func playOrders(seed uint64, shape OrderShape, stale bool, change func(f *Fleet)) (*OrderDay, []string) {
-	d := NewOrderDay(seed, shape, change)
-	d.StaleLeaders = stale
+func playOrders(seed uint64, shape OrderShape, stale bool, change func(f *Fleet)) (*OrderRun, []string) {
+	d := NewOrderRun(seed, shape, change)
+	d.StaleLeadersOnly = stale
 	defer d.World.Close()
 	done := false
-	d.Callers.Go(func() {
-		d.Play()
+	d.CallerHost.Go(func() {
+		d.Run()
 		done = true
 	})
 	if !d.World.Run(time.Hour, func() bool { return done }) {
 		return d, append(d.Breaches, "the day did not end")
 	}
 	wrong := d.Breaches
-	if result := Linearizable(d.History, checkWithin); result != porcupine.Ok {
+	if result := CheckLinearizable(d.History, checkWithin); result != porcupine.Ok {
 		wrong = append(wrong, fmt.Sprintf("the history of %d calls is not linearizable: %s", len(d.History), result))
 	}
 	return d, wrong
 }
 
-func (d *OrderDay) counts() string {
+func (d *OrderRun) counts() string {
 	count := map[OrderOutcome]int{}
 	for _, event := range d.History {
 		count[event.Outcome]++
 	}
-	return fmt.Sprintf("%d versions, %d acknowledged, %d refused, %d unclear, %d read, kills %v, %.0f s", d.known, count[OrderTaken], count[OrderRefused], count[OrderUnclear],
+	return fmt.Sprintf("%d versions, %d acknowledged, %d refused, %d unclear, %d read, kills %v, %.0f s", d.known, count[OrderAccepted], count[OrderRefused], count[OrderUnknown],
 		count[OrderRead], d.Kills, d.World.Now().Seconds())
 }
 
@@ -68,29 +68,29 @@
 func TestTheModelOfOrdersRefusesEachBreach(t *testing.T) {
 	is := is.New(t)
 	event := func(began, ended int, outcome OrderOutcome, base, version uint64, document string) OrderEvent {
-		return OrderEvent{Order: Order{Base: base, Version: version, Document: document}, Outcome: outcome, Began: time.Duration(began), Ended: time.Duration(ended)}
+		return OrderEvent{Order: Order{Base: base, Version: version, Document: document}, Outcome: outcome, Start: time.Duration(began), End: time.Duration(ended)}
 	}
-	invalid := event(1, 2, OrderTaken, 0, 1, "a")
+	invalid := event(1, 2, OrderAccepted, 0, 1, "a")
 	invalid.Order.Invalid = true
 	for _, row := range []struct {
 		name    string
 		history []OrderEvent
 		want    porcupine.CheckResult
 	}{
-		{"a race has one winner", []OrderEvent{event(1, 5, OrderTaken, 0, 1, "a"), event(1, 5, OrderRefused, 0, 1, "b"), event(6, 7, OrderRead, 0, 1, "a")}, porcupine.Ok},
-		{"a repeat long after", []OrderEvent{event(1, 2, OrderTaken, 0, 1, "a"), event(3, 4, OrderTaken, 1, 2, "b"), event(5, 6, OrderTaken, 0, 1, "a")}, porcupine.Ok},
-		{"an unclear order shows later", []OrderEvent{event(1, 2, OrderUnclear, 0, 1, "a"), event(3, 4, OrderRead, 0, 0, ""), event(5, 6, OrderRead, 0, 1, "a")}, porcupine.Ok},
-		{"an unclear order never shows", []OrderEvent{event(1, 2, OrderUnclear, 0, 1, "a"), event(3, 4, OrderTaken, 0, 1, "b"), event(5, 6, OrderRead, 0, 1, "b")}, porcupine.Ok},
-		{"two winners", []OrderEvent{event(1, 5, OrderTaken, 0, 1, "a"), event(1, 5, OrderTaken, 0, 1, "b")}, porcupine.Illegal},
-		{"two numbers on one version", []OrderEvent{event(1, 5, OrderTaken, 0, 1, "a"), event(1, 5, OrderTaken, 0, 2, "a")}, porcupine.Illegal},
-		{"a refused repeat", []OrderEvent{event(1, 2, OrderTaken, 0, 1, "a"), event(3, 4, OrderTaken, 1, 2, "b"), event(5, 6, OrderRefused, 0, 1, "a")}, porcupine.Illegal},
-		{"a refusal out of what was known before", []OrderEvent{event(1, 2, OrderTaken, 0, 1, "a"), event(3, 4, OrderRefused, 1, 2, "b")}, porcupine.Illegal},
-		{"an older configuration read", []OrderEvent{event(1, 2, OrderTaken, 0, 1, "a"), event(3, 4, OrderTaken, 1, 2, "b"), event(5, 6, OrderRead, 0, 1, "a")}, porcupine.Illegal},
-		{"the same on another version", []OrderEvent{event(1, 2, OrderTaken, 0, 1, "a"), event(3, 4, OrderTaken, 1, 2, "b"), event(5, 6, OrderTaken, 1, 1, "a")}, porcupine.Illegal},
+		{"a race has one winner", []OrderEvent{event(1, 5, OrderAccepted, 0, 1, "a"), event(1, 5, OrderRefused, 0, 1, "b"), event(6, 7, OrderRead, 0, 1, "a")}, porcupine.Ok},
+		{"a repeat long after", []OrderEvent{event(1, 2, OrderAccepted, 0, 1, "a"), event(3, 4, OrderAccepted, 1, 2, "b"), event(5, 6, OrderAccepted, 0, 1, "a")}, porcupine.Ok},
+		{"an unclear order shows later", []OrderEvent{event(1, 2, OrderUnknown, 0, 1, "a"), event(3, 4, OrderRead, 0, 0, ""), event(5, 6, OrderRead, 0, 1, "a")}, porcupine.Ok},
+		{"an unclear order never shows", []OrderEvent{event(1, 2, OrderUnknown, 0, 1, "a"), event(3, 4, OrderAccepted, 0, 1, "b"), event(5, 6, OrderRead, 0, 1, "b")}, porcupine.Ok},
+		{"two winners", []OrderEvent{event(1, 5, OrderAccepted, 0, 1, "a"), event(1, 5, OrderAccepted, 0, 1, "b")}, porcupine.Illegal},
+		{"two numbers on one version", []OrderEvent{event(1, 5, OrderAccepted, 0, 1, "a"), event(1, 5, OrderAccepted, 0, 2, "a")}, porcupine.Illegal},
+		{"a refused repeat", []OrderEvent{event(1, 2, OrderAccepted, 0, 1, "a"), event(3, 4, OrderAccepted, 1, 2, "b"), event(5, 6, OrderRefused, 0, 1, "a")}, porcupine.Illegal},
+		{"a refusal out of what was known before", []OrderEvent{event(1, 2, OrderAccepted, 0, 1, "a"), event(3, 4, OrderRefused, 1, 2, "b")}, porcupine.Illegal},
+		{"an older configuration read", []OrderEvent{event(1, 2, OrderAccepted, 0, 1, "a"), event(3, 4, OrderAccepted, 1, 2, "b"), event(5, 6, OrderRead, 0, 1, "a")}, porcupine.Illegal},
+		{"the same on another version", []OrderEvent{event(1, 2, OrderAccepted, 0, 1, "a"), event(3, 4, OrderAccepted, 1, 2, "b"), event(5, 6, OrderAccepted, 1, 1, "a")}, porcupine.Illegal},
 		{"a refused order in force", []OrderEvent{event(1, 2, OrderRefused, 0, 1, "a"), event(3, 4, OrderRead, 0, 1, "a")}, porcupine.Illegal},
 		{"an invalid order taken", []OrderEvent{invalid}, porcupine.Illegal},
 	} {
-		if found := Linearizable(row.history, checkWithin); found != row.want {
+		if found := CheckLinearizable(row.history, checkWithin); found != row.want {
 			t.Errorf("%s: %s", row.name, found)
 		}
 	}
@@ -152,7 +152,7 @@
 // also after leaders were killed and all machines lost their power.
 func TestAnOrderIsAcknowledgedAgainAfterThousandsOfVersions(t *testing.T) {
 	t.Parallel()
-	d := NewOrderDay(1, OrderShapes[0], nil)
+	d := NewOrderRun(1, OrderShapes[0], nil)
 	defer d.World.Close()
 	done := false
 	orders := []Order{{}}
@@ -161,19 +161,19 @@
 	}
 	take := func(number int) {
 		order := next(number)
-		if d.Put(0, order, orderTries) != OrderTaken {
+		if d.SubmitOrder(0, order, orderTries) != OrderAccepted {
 			t.Errorf("order %d was not taken", number)
 		}
 		orders = append(orders, order)
 	}
 	repeat := func(number int, others []Order) {
 		for range d.Cores {
-			if outcome := d.Put(0, orders[number], orderTries); outcome != OrderTaken {
+			if outcome := d.SubmitOrder(0, orders[number], orderTries); outcome != OrderAccepted {
 				t.Errorf("order %d of %d: %d when repeated", number, len(orders)-1, outcome)
 			}
 		}
 		for _, other := range others {
-			if outcome := d.Put(0, other, orderTries); outcome != OrderRefused {
+			if outcome := d.SubmitOrder(0, other, orderTries); outcome != OrderRefused {
 				t.Errorf("%+v, in the place of order %d of %d: %d", other, number, len(orders)-1, outcome)
 			}
 		}
@@ -189,8 +189,8 @@
 			}
 		}
 	}
-	d.Callers.Go(func() {
-		d.Callers.Clock().Sleep(3 * time.Second)
+	d.CallerHost.Go(func() {
+		d.CallerHost.Clock().Sleep(3 * time.Second)
 		for number := 1; number <= 3001; number++ {
 			take(number)
 			switch number {
@@ -216,7 +216,7 @@
 		t.Fatal("it did not end")
 	}
 	told := 0
-	for key, value := range d.Edges[0].gateway.Follower.Snapshot().Values {
+	for key, value := range d.Gateways[0].gateway.Follower.Snapshot().Values {
 		if key != route.FeedKey && strings.HasPrefix(key, "routes/") {
 			t.Errorf("a gateway was told %s", key)
 		}
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -28,7 +28,7 @@
 			tool := "/v1/programs/" + program + "/tools/loyalty"
 			is.Equal(call.send(1, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k").Status, 200)
 			before := call.send(1, "GET", "/v1/programs/"+program, secret, nil)
-			status, _ := f.Operate(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "last", "based_on": 1, "document": f.marked("last")})
+			status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "last", "based_on": 1, "document": f.marked("last")})
 			is.Equal(status, 200)
 			for _, m := range f.All() {
 				f.PowerLoss(m)
@@ -46,7 +46,7 @@
 			}
 			took := f.serving(time.Minute)
 			is.True(took < 12*time.Second) // inside recover_bound_s
-			for _, m := range f.Edges {
+			for _, m := range f.Gateways {
 				is.Equal(m.gateway.Stamp(), uint64(2))
 			}
 			after := call.send(1, "GET", "/v1/programs/"+program, secret, nil)
@@ -70,11 +70,11 @@
 			verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
 			is.Equal(verdict, "success")
 			f.PowerLoss(f.Storage[lost])
-			f.Storage[lost].Files.Wipe()
-			for _, m := range append(append([]*Machine{}, f.Cores...), f.Edges...) {
+			f.Storage[lost].Disk.Wipe()
+			for _, m := range append(append([]*Machine{}, f.Cores...), f.Gateways...) {
 				f.Kill(m)
 			}
-			for _, m := range append(append([]*Machine{}, f.Cores...), f.Edges...) {
+			for _, m := range append(append([]*Machine{}, f.Cores...), f.Gateways...) {
 				f.Start(m)
 			}
 			f.Start(f.Storage[lost]) // comes back blank: it has no vote
@@ -94,8 +94,8 @@
 	t.Parallel()
 	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
 		minority := map[string]bool{f.Storage[0].Host.Name: true, f.Cores[0].Host.Name: true, f.Cores[1].Host.Name: true,
-			f.Edges[0].Host.Name: true, f.Edges[1].Host.Name: true}
-		f.Net.CutOff(minority)
+			f.Gateways[0].Host.Name: true, f.Gateways[1].Host.Name: true}
+		f.Net.Isolate(minority)
 		call.sleep(8 * time.Second)
 		program, secret := "", ""
 		for tries := 0; program == "" || program == "<nil>"; tries++ {
@@ -107,18 +107,18 @@
 		verdict, _, _ := call.turn(3, path, key, program, "a", "").final()
 		is.Equal(verdict, "success")
 		is.Equal(call.send(0, "GET", "/v1/programs/"+program, secret, nil).Status, 503)
-		status, answer := f.Operate(f.Cores[2], "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.marked("new")})
+		status, answer := f.OperatorRequest(f.Cores[2], "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.marked("new")})
 		f.resolve("new", 1, status, answer)
 		is.Equal(f.Tally.Counts["settings_taken"], 1)
-		status, _ = f.Operate(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "old", "based_on": 1, "document": f.marked("old")})
+		status, _ = f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "old", "based_on": 1, "document": f.marked("old")})
 		is.True(status == 503 || status == 504)
 		f.Net.Heal()
 		call.sleep(6 * time.Second)
-		status, answer = f.Operate(f.Cores[1], "POST", "/v1/operator/settings/outcome", map[string]string{"change": "old"})
+		status, answer = f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/settings/outcome", map[string]string{"change": "old"})
 		is.Equal(status, 200)
 		f.resolve("old", 1, status, answer)
 		is.Equal(f.Tally.Counts["settings_refused"], 1)
-		for _, m := range f.Edges {
+		for _, m := range f.Gateways {
 			is.Equal(m.gateway.Stamp(), uint64(2))
 		}
 		verdict, _, _ = call.turn(0, path, key, program, "b", "a").final()
@@ -133,22 +133,22 @@
 	bring(t, *seeds, KiondoShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
 		formed(t, f)
-		left := f.Converse(12, 8, true, func(c *standin.Caller) {
+		left := f.StartCallers(12, 8, true, func(c *standin.Caller) {
 			c.Between = func(int) {
-				c.Home = int(f.World.Int64N(int64(len(f.Edges)))) // so that turns are carried to their owners
+				c.Home = int(f.World.Int64N(int64(len(f.Gateways)))) // so that turns are carried to their owners
 				c.Clock.Sleep(f.World.Between(0, time.Second))
 			}
 		})
-		f.Callers.Go(func() {
+		f.CallerHost.Go(func() {
 			for round := 0; left() > 0; round++ {
-				m := f.Edges[round%len(f.Edges)]
+				m := f.Gateways[round%len(f.Gateways)]
 				if round%3 == 2 {
 					m = f.Cores[round%len(f.Cores)]
 				}
 				f.Stop(m)
-				f.Callers.Clock().Sleep(500 * time.Millisecond)
+				f.CallerHost.Clock().Sleep(500 * time.Millisecond)
 				f.Start(m)
-				f.Callers.Clock().Sleep(2 * time.Second)
+				f.CallerHost.Clock().Sleep(2 * time.Second)
 			}
 		})
 		is.True(f.World.Run(f.World.Now()+5*time.Minute, func() bool { return left() == 0 }))
@@ -170,18 +170,18 @@
 		is.Equal(verdict, "success")
 		answers := map[string]told{}
 		for _, id := range []string{"b", "c", "d"} {
-			f.Callers.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
+			f.CallerHost.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
 		}
 		call.sleep(3 * time.Millisecond)
-		f.Edges[0].Host.Freeze()
+		f.Gateways[0].Host.Freeze()
 		frozen := f.World.Now()
 		verdict, _, _ = call.turn(1, path, key, program, "e", "a").final()
 		is.Equal(verdict, "success")
 		is.True(f.World.Now()-frozen < 4*time.Second) // it was told from a slow one, and succeeded
-		sent := f.Edges[0].Count.Frame()["legs_sent"]
-		f.Edges[0].Host.Thaw()
+		sent := f.Gateways[0].Counters.Frame()["legs_sent"]
+		f.Gateways[0].Host.Thaw()
 		call.sleep(20 * time.Second)
-		is.Equal(f.Edges[0].Count.Frame()["legs_sent"], sent)
+		is.Equal(f.Gateways[0].Counters.Frame()["legs_sent"], sent)
 		for _, id := range []string{"b", "c", "d"} {
 			verdict, ran, _ := answers[id].final()
 			if answers[id].Status != 200 {
@@ -207,8 +207,8 @@
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
-		f.Storage[1].Files.Stalled, f.Storage[2].Files.Stalled = true, true
-		status, _ := f.Operate(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "lone", "based_on": 1, "document": f.marked("lone")})
+		f.Storage[1].Disk.SyncStalled, f.Storage[2].Disk.SyncStalled = true, true
+		status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "lone", "based_on": 1, "document": f.marked("lone")})
 		is.Equal(status, 504) // unknown
 		got := call.turn(0, path, key, program, "a", "")
 		verdict, _, _ := got.final()
@@ -217,10 +217,10 @@
 		is.True(call.send(1, "POST", "/v1/programs/"+program+"/tools/loyalty", secret, `{}`, "idempotency-key", "k").Status != 200)
 		is.Equal(f.toolRuns(program+"/k"), 0) // no claim, no call
 		f.PowerLoss(f.Storage[0])             // the one disk that may have it is away
-		f.Storage[1].Files.Stalled, f.Storage[2].Files.Stalled = false, false
+		f.Storage[1].Disk.SyncStalled, f.Storage[2].Disk.SyncStalled = false, false
 		var answer []byte
 		for status = 0; status != 200; call.sleep(200 * time.Millisecond) {
-			status, answer = f.Operate(f.Cores[1], "POST", "/v1/operator/settings/outcome", map[string]string{"change": "lone"})
+			status, answer = f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/settings/outcome", map[string]string{"change": "lone"})
 		}
 		f.resolve("lone", 1, status, answer)
 		f.Start(f.Storage[0]) // back, and still it never comes into force if it was refused
@@ -229,7 +229,7 @@
 		call.sleep(5 * time.Second)
 		refused := f.Tally.Counts["settings_refused"]
 		if refused == 1 {
-			for _, m := range f.Edges {
+			for _, m := range f.Gateways {
 				is.Equal(m.gateway.Stamp(), uint64(1))
 			}
 		}
@@ -252,17 +252,17 @@
 			}
 		}
 		is.True(owner != nil && other != nil)
-		f.Net.CutOff(map[string]bool{owner.Host.Name: true, f.Edges[0].Host.Name: true})
+		f.Net.Isolate(map[string]bool{owner.Host.Name: true, f.Gateways[0].Host.Name: true})
 		status := 0
 		for status != 200 {
-			status, _ = f.Operate(other, "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.marked("new")})
+			status, _ = f.OperatorRequest(other, "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.marked("new")})
 			call.sleep(100 * time.Millisecond)
 		}
 		call.sleep(2 * time.Second)
-		is.True(!f.Edges[0].gateway.Follower.HasLease())
-		status, _ = f.Operate(owner, "GET", "/v1/operator/settings", nil)
+		is.True(!f.Gateways[0].gateway.Follower.HasLease())
+		status, _ = f.OperatorRequest(owner, "GET", "/v1/operator/settings", nil)
 		is.Equal(status, 503)
-		for _, m := range f.Edges[1:] {
+		for _, m := range f.Gateways[1:] {
 			is.True(m.gateway.Follower.HasLease())
 			is.Equal(m.gateway.Stamp(), uint64(2))
 		}
@@ -277,10 +277,10 @@
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(8, nil)
 		path, key := call.session(0, program, secret, nil)
-		f.Callers.Go(func() { call.turn(0, path, key, program, "a", "") })
+		f.CallerHost.Go(func() { call.turn(0, path, key, program, "a", "") })
 		call.sleep(700 * time.Millisecond)
 		is.Equal(f.modelRuns(program, "a"), 1)
-		f.Kill(f.Edges[0])
+		f.Kill(f.Gateways[0])
 		verdict, ran, code := call.turn(1, path, key, program, "a", "").final()
 		is.Equal(verdict+" "+ran+" "+code, "failed may_have_run worker_lost") // the lost leg counts as spent
 		is.Equal(f.modelRuns(program, "a"), 1)
@@ -300,7 +300,7 @@
 		path, key := call.session(0, program, secret, map[string]any{"queue_size": 1})
 		answers := map[string]told{}
 		for _, id := range []string{"runs", "waits", "full"} {
-			f.Callers.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
+			f.CallerHost.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
 			call.sleep(20 * time.Millisecond)
 		}
 		call.sleep(200 * time.Millisecond)
@@ -313,7 +313,7 @@
 		is.Equal(verdict, "success")
 		_, ran, code = call.turn(0, poorPath, poorKey, poor, "over", "").final()
 		is.Equal(code+" "+ran, "over_budget not_run")
-		f.Kill(f.Edges[0])
+		f.Kill(f.Gateways[0])
 		for _, id := range []string{"full", "waits"} {
 			_, ran, code = call.turn(1, path, key, program, id, "").final()
 			is.Equal(id+" "+code+" "+ran, id+" turn_refused not_run")
@@ -333,10 +333,10 @@
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, map[string]any{"queue_size": 1})
 		for _, id := range []string{"runs", "waits"} {
-			f.Callers.Go(func() { call.turn(0, path, key, program, id, "") })
+			f.CallerHost.Go(func() { call.turn(0, path, key, program, id, "") })
 			call.sleep(20 * time.Millisecond)
 		}
-		f.Storage[0].Files.Stalled, f.Storage[1].Files.Stalled = true, true
+		f.Storage[0].Disk.SyncStalled, f.Storage[1].Disk.SyncStalled = true, true
 		began := f.World.Now()
 		got := call.turn(0, path, key, program, "full", "")
 		is.True(f.World.Now()-began < 500*time.Millisecond) // and it is told at once
@@ -351,12 +351,12 @@
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
-		owner, held, silent, read := f.Edges[0].Host, false, false, false
-		f.Net.Meddle = func(m *Message) *http.Response {
+		owner, held, silent, read := f.Gateways[0].Host, false, false, false
+		f.Net.Intercept = func(m *Message) *http.Response {
 			for m.From == owner && silent && strings.HasSuffix(m.Path, "/Follow") {
 				owner.Clock().Sleep(20 * time.Millisecond)
 			}
-			response, _ := m.Pass(m.Body)
+			response, _ := m.Forward(m.Body)
 			if m.From == owner && !held && bytes.Contains(m.Body, []byte("session.finish")) {
 				held, silent = true, true
 				owner.Clock().Sleep(1500 * time.Millisecond)
@@ -366,7 +366,7 @@
 			}
 			return response
 		}
-		f.Callers.Go(func() { call.turn(0, path, key, program, "a", "") })
+		f.CallerHost.Go(func() { call.turn(0, path, key, program, "a", "") })
 		for !held || silent {
 			call.sleep(10 * time.Millisecond)
 		}
@@ -374,9 +374,9 @@
 			call.sleep(50 * time.Millisecond)
 		}
 		read = true
-		is.True(f.Edges[0].gateway.Follower.LeaseExpirations() > 0)
+		is.True(f.Gateways[0].gateway.Follower.LeaseExpirations() > 0)
 		call.sleep(200 * time.Millisecond)
-		f.Net.Meddle = nil
+		f.Net.Intercept = nil
 		next := call.turn(0, path, key, program, "b", "a")
 		verdict, _, _ := next.final()
 		is.Equal(verdict, "success")
--- a/internal/simulate/parties.go
+++ b/internal/simulate/parties.go
@@ -133,7 +133,7 @@
 func (f *Fleet) Asker(host *Host) standin.Asker {
 	clock := host.Clock()
 	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
-		edge := f.Edges[gateway%len(f.Edges)]
+		edge := f.Gateways[gateway%len(f.Gateways)]
 		clock.Sleep(f.Net.delay())
 		if !edge.Host.alive || edge.gateway == nil || edge.closing {
 			return nil, errors.New("connection refused")
--- a/internal/simulate/path_test.go
+++ b/internal/simulate/path_test.go
@@ -129,7 +129,7 @@
 	return &front.Request{Method: method, Path: path, Query: query, Header: map[string]string{"authorization": "Bearer " + secret}}
 }
 
-func (t *talker) sleep(d time.Duration) { t.f.Callers.Clock().Sleep(d) }
+func (t *talker) sleep(d time.Duration) { t.f.CallerHost.Clock().Sleep(d) }
 
 // script runs one caller's steps to their end.
 func script(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
@@ -138,9 +138,9 @@
 		is := is.New(t)
 		formed(t, f)
 		done := false
-		f.Callers.Go(func() {
+		f.CallerHost.Go(func() {
 			defer func() { done = true }()
-			steps(is, f, &talker{f, f.Asker(f.Callers)})
+			steps(is, f, &talker{f, f.Asker(f.CallerHost)})
 		})
 		is.True(f.World.Run(f.World.Now()+time.Hour, func() bool { return done })) // the script came to its end
 	})
@@ -171,7 +171,7 @@
 		joined := make([]told, 2)
 		left := 2
 		for place := range joined {
-			f.Callers.Go(func() { joined[place] = call.turn(place, path, key, program, "t1", ""); left-- })
+			f.CallerHost.Go(func() { joined[place] = call.turn(place, path, key, program, "t1", ""); left-- })
 		}
 		for left > 0 {
 			call.sleep(50 * time.Millisecond)
@@ -258,7 +258,7 @@
 		}
 		seen, cursor := "", ""
 		ask := func(query map[string]string) (response map[string]any, status int) {
-			edge := call.f.Edges[2]
+			edge := call.f.Gateways[2]
 			got := edge.gateway.Front.Handle(base.NewCtx(edge.Host.Clock(), time.Minute), requestOf("GET", path+"/turns", key, query))
 			_ = json.Unmarshal(got.Body, &response)
 			return response, got.Status
@@ -294,7 +294,7 @@
 		path, key := call.session(0, program, secret, map[string]any{"queue_size": 2})
 		answers := map[string]told{}
 		for _, id := range []string{"a", "b", "c", "d"} {
-			f.Callers.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
+			f.CallerHost.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
 			call.sleep(20 * time.Millisecond)
 		}
 		call.sleep(50 * time.Millisecond)
@@ -328,7 +328,7 @@
 		program, secret := call.program(10000, nil)
 		path, key := call.session(0, program, secret, nil)
 		var running told
-		f.Callers.Go(func() { running = call.turn(1, path, key, program, "a", "") })
+		f.CallerHost.Go(func() { running = call.turn(1, path, key, program, "a", "") })
 		call.sleep(150 * time.Millisecond)
 		closing := call.send(2, "POST", path+"/close", key, nil)
 		is.Equal(closing.text("phase"), "Finalizing")
@@ -362,9 +362,9 @@
 		program, secret := call.program(10000, nil)
 		path, key := call.session(0, program, secret, nil)
 		var running, queued told
-		f.Callers.Go(func() { running = call.turn(1, path, key, program, "a", "") })
+		f.CallerHost.Go(func() { running = call.turn(1, path, key, program, "a", "") })
 		call.sleep(50 * time.Millisecond)
-		f.Callers.Go(func() { queued = call.turn(1, path, key, program, "b", "") })
+		f.CallerHost.Go(func() { queued = call.turn(1, path, key, program, "b", "") })
 		call.sleep(600 * time.Millisecond)
 		is.Equal(call.send(0, "POST", path+"/terminate", key, `{"mode":"Drain"}`).text("termination"), "Drain")
 		is.Equal(call.send(0, "POST", path+"/terminate", key, `{"mode":"Immediate"}`).text("termination"), "Immediate")
@@ -400,7 +400,7 @@
 		answers := make([]told, len(paths))
 		left := len(paths)
 		for place, one := range paths {
-			f.Callers.Go(func() {
+			f.CallerHost.Go(func() {
 				answers[place] = call.turn(place, one[0], one[1], one[2], fmt.Sprint("t", place), "")
 				left--
 			})
@@ -573,7 +573,7 @@
 		before := call.send(1, "GET", path, key, nil)
 		is.True(strings.HasPrefix(before.text("owner"), "edge-0"))
 		is.True(strings.HasPrefix(before.text("understudy"), "edge-1")) // the other zone
-		f.Kill(f.Edges[0])
+		f.Kill(f.Gateways[0])
 		began := f.World.Now()
 		verdict, _, _ := call.turn(2, path, key, program, "t3", "t2").final()
 		is.Equal(verdict, "success")
@@ -581,10 +581,10 @@
 		after := call.send(2, "GET", path, key, nil)
 		is.Equal(after.text("owner"), before.text("understudy"))
 		is.Equal(after.text("epoch"), "2")
-		is.Equal(f.Total("chains_read_from_register"), int64(0))
+		is.Equal(f.CounterTotal("chains_read_from_register"), int64(0))
 		// The next loss: the new understudy is caught up before it counts.
 		call.sleep(2 * time.Second)
-		f.Kill(f.Edges[1])
+		f.Kill(f.Gateways[1])
 		verdict, _, _ = call.turn(2, path, key, program, "t4", "t3").final()
 		is.Equal(verdict, "success")
 		is.Equal(call.send(2, "GET", path, key, nil).text("turns"), "5")
@@ -598,14 +598,14 @@
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
 		call.turn(0, path, key, program, "a", "")
-		forwarded := f.Total("visits_forwarded")
+		forwarded := f.CounterTotal("visits_forwarded")
 		is.Equal(call.send(1, "GET", path, key, nil).Status, 200)
-		is.Equal(f.Total("visits_forwarded"), forwarded+1)
+		is.Equal(f.CounterTotal("visits_forwarded"), forwarded+1)
 		// Two changes of owner leave gateway 2 with an old assignment, which
 		// it looks up anew once.
 		is.Equal(call.send(2, "GET", path, key, nil).Status, 200)
-		f.Kill(f.Edges[0])
-		f.Start(f.Edges[0]) // another life at the same address, which others take for the former
+		f.Kill(f.Gateways[0])
+		f.Start(f.Gateways[0]) // another life at the same address, which others take for the former
 		verdict, _, _ := call.turn(1, path, key, program, "b", "a").final()
 		is.Equal(verdict, "success")
 		is.Equal(call.send(2, "GET", path, key, nil).text("epoch"), "2")
@@ -631,7 +631,7 @@
 			program, secret := call.program(1000, map[string]any{"urgency": urgency})
 			path, key := call.session(0, program, secret, nil)
 			left++
-			f.Callers.Go(func() {
+			f.CallerHost.Go(func() {
 				verdict, _, _ := call.turn(0, path, key, program, "t", "").final()
 				order = append(order, name+" "+verdict)
 				left--
@@ -698,7 +698,7 @@
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
 		var running told
-		f.Callers.Go(func() { running = call.turn(1, path, key, program, "a", "") })
+		f.CallerHost.Go(func() { running = call.turn(1, path, key, program, "a", "") })
 		call.sleep(700 * time.Millisecond)
 		busy := f.Models[0]
 		if f.Models[1].Busy() > 0 {
@@ -731,10 +731,10 @@
 			former, other = other, former
 		}
 		for _, m := range f.Cores {
-			f.Net.Cut(f.Edges[0].Host.Name, m.Host.Name)
+			f.Net.CutLink(f.Gateways[0].Host.Name, m.Host.Name)
 		}
 		var waited told
-		f.Callers.Go(func() { waited = call.turn(0, path, key, program, "b", "a") })
+		f.CallerHost.Go(func() { waited = call.turn(0, path, key, program, "b", "a") })
 		call.sleep(200 * time.Millisecond)
 		is.Equal(call.send(1, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{former.ID}}).Status, 200)
 		left := f.World.Now()
--- a/internal/simulate/redundancy_test.go
+++ b/internal/simulate/redundancy_test.go
@@ -49,7 +49,7 @@
 		}
 		call.sleep(f.World.Between(0, 2*time.Second))
 		for range lost {
-			f.Add("storage")
+			f.AddMachine("storage")
 		}
 	},
 	"cut off": func(f *Fleet, lost []*Machine, call *talker) {
@@ -57,7 +57,7 @@
 		for _, m := range lost {
 			apart[m.Host.Name] = true
 		}
-		f.Net.CutOff(apart)
+		f.Net.Isolate(apart)
 		call.sleep(f.World.Between(time.Second, 6*time.Second))
 		f.Net.Heal()
 	},
@@ -68,7 +68,7 @@
 			}
 		}
 		for _, m := range lost {
-			m.Files.Wipe()
+			m.Disk.Wipe()
 		}
 		call.sleep(f.World.Between(500*time.Millisecond, 2*time.Second))
 		for _, m := range f.All() {
@@ -158,7 +158,7 @@
 // may be lost wiped at that moment. It tells how long the retirement took.
 func retireThenLose(t *testing.T, is *is.I, f *Fleet, w *historyWriter, call *talker, out *Machine) time.Duration {
 	t.Helper()
-	f.Add("storage")
+	f.AddMachine("storage")
 	call.sleep(time.Second)
 	began := f.World.Now()
 	is.Equal(f.retiring("POST", out.Host.Name), "200active")
@@ -252,7 +252,7 @@
 func succeedFirst(f *Fleet, w *historyWriter, call *talker) {
 	call.sleep(f.World.Between(0, time.Second))
 	out := f.pick(f.disks())
-	f.Add("storage")
+	f.AddMachine("storage")
 	call.sleep(f.World.Between(500*time.Millisecond, 4*time.Second))
 	w.pause() // the next turn of a program would copy those before it
 	f.Stop(out)
@@ -292,10 +292,10 @@
 	defer f.World.Close()
 	formed(t, f)
 	done := false
-	f.Callers.Go(func() {
+	f.CallerHost.Go(func() {
 		defer func() { done = true }()
 		f.until(10*time.Second, f.whole)
-		steps(f, &talker{f, f.Asker(f.Callers)})
+		steps(f, &talker{f, f.Asker(f.CallerHost)})
 	})
 	if !f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done }) {
 		t.Fatalf("seed %d did not end", seed)
--- a/internal/simulate/removal_test.go
+++ b/internal/simulate/removal_test.go
@@ -31,7 +31,7 @@
 
 // passed carries a message on and reads the reply; nil when none came.
 func passed[M proto.Message](m *Message, body []byte, into M) (M, *http.Response) {
-	response, err := m.Pass(body)
+	response, err := m.Forward(body)
 	if err != nil || response == nil {
 		return into, nil
 	}
@@ -46,7 +46,7 @@
 // onChange meddles with one op of the register.
 func onChange(op string, meddle func(m *Message, asked *register.ChangeRequest, pass func(op string, args []byte) (*register.ChangeReply, *http.Response)) *http.Response) func(f *Fleet) {
 	return func(f *Fleet) {
-		f.Net.Meddle = func(m *Message) *http.Response {
+		f.Net.Intercept = func(m *Message) *http.Response {
 			var asked register.ChangeRequest
 			if strings.HasSuffix(m.Path, "Register/Change") && proto.Unmarshal(m.Body, &asked) == nil && (asked.Op == op || op == "") {
 				return meddle(m, &asked, func(op string, args []byte) (*register.ChangeReply, *http.Response) {
@@ -54,7 +54,7 @@
 					return passed(m, raw, &register.ChangeReply{})
 				})
 			}
-			response, _ := m.Pass(m.Body)
+			response, _ := m.Forward(m.Body)
 			return response
 		}
 	}
@@ -63,11 +63,11 @@
 // onPath meddles with one kind of message.
 func onPath(suffix string, meddle func(m *Message) *http.Response) func(f *Fleet) {
 	return func(f *Fleet) {
-		f.Net.Meddle = func(m *Message) *http.Response {
+		f.Net.Intercept = func(m *Message) *http.Response {
 			if strings.HasSuffix(m.Path, suffix) {
 				return meddle(m)
 			}
-			response, _ := m.Pass(m.Body)
+			response, _ := m.Forward(m.Body)
 			return response
 		}
 	}
@@ -123,7 +123,7 @@
 			_ = proto.Unmarshal(m.Body, &asked)
 			asked.Place = max(asked.Place, 1) - 1
 			raw, _ := proto.Marshal(&asked)
-			response, _ := m.Pass(raw)
+			response, _ := m.Forward(raw)
 			return response
 		}), "skipped, repeated or spliced"},
 		{"the end mark of an answer", "workers in trouble", "small", func(f *Fleet) { f.lost.endMark = true }, "was given as whole but reads"},
@@ -147,7 +147,7 @@
 		{"the permit", "a machine cut off", "small", onPath("Feed/Follow", func(m *Message) *http.Response {
 			var asked feed.FollowRequest
 			_ = proto.Unmarshal(m.Body, &asked)
-			response, _ := m.Pass(m.Body)
+			response, _ := m.Forward(m.Body)
 			if response == nil && asked.Place > 0 {
 				return replied(&feed.FollowReply{Place: asked.Place})
 			}
@@ -157,9 +157,9 @@
 			return replied(&register.Ack{Ok: true})
 		}), "serves by stamp"},
 		{"the fence of a former owner's epoch", "cores frozen and woken", "small", func(f *Fleet) {
-			f.Net.Meddle = func(m *Message) *http.Response {
+			f.Net.Intercept = func(m *Message) *http.Response {
 				if !strings.Contains(m.Path, "register.Disk/") || strings.HasSuffix(m.Path, "Promise") {
-					response, _ := m.Pass(m.Body)
+					response, _ := m.Forward(m.Body)
 					return response
 				}
 				ack, response := passed(m, m.Body, &register.Ack{})
@@ -178,14 +178,14 @@
 			var asked register.AppendRequest
 			_ = proto.Unmarshal(m.Body, &asked)
 			if m.To.Name == "storage-0" || len(asked.Entries) == 0 {
-				response, _ := m.Pass(m.Body)
+				response, _ := m.Forward(m.Body)
 				return response
 			}
 			return replied(&register.Ack{Ok: true, Seq: asked.Entries[len(asked.Entries)-1].Seq})
 		}), "history of"},
 		{"syncing before the answer", "total outages", "small", func(f *Fleet) {
 			for _, m := range f.Storage {
-				m.Files.Lying = true
+				m.Disk.IgnoresSync = true
 			}
 		}, "service was back"},
 		{"news of leaving workers", "nothing but load", "small", onPath("Feed/Follow", func(m *Message) *http.Response {
@@ -200,7 +200,7 @@
 		}), "got new work"},
 		{"the hand-over of a planned stop", "planned stops", "small", func(f *Fleet) { f.lost.leave = true }, "planned stop"},
 		{"addresses to begin with", "total outages", "small", func(f *Fleet) {
-			f.Callers.Go(func() { f.Callers.Clock().Sleep(1); f.lost.seeds = true })
+			f.CallerHost.Go(func() { f.CallerHost.Clock().Sleep(1); f.lost.seeds = true })
 		}, "service was back"},
 	}
 	for _, row := range rows {
@@ -208,7 +208,7 @@
 			t.Parallel()
 			const most = 48 // a seed that shows the harm ends the search
 			for seed := uint64(1); seed <= most; seed++ {
-				scenario := *ScenarioNamed(row.scenario)
+				scenario := *FindScenario(row.scenario)
 				scenario.Limit = time.Minute // a fleet that is broken for good is broken in the first
 				outcome := scenario.RunWith(seed, Shapes[row.shape](), row.take)
 				for _, breach := range outcome.Breaches {
--- a/internal/simulate/repair_test.go
+++ b/internal/simulate/repair_test.go
@@ -22,7 +22,7 @@
 		"all cores killed":  func(f *Fleet) { f.crash(f.Cores[0], 2*time.Second, false); f.crash(f.Cores[1], time.Second, false) },
 		"the new disk down": func(f *Fleet) { f.crash(f.Storage[3], 2*time.Second, true) },
 		"in a partition": func(f *Fleet) {
-			f.Net.CutOff(map[string]bool{f.Storage[1].Host.Name: true, f.Cores[0].Host.Name: true})
+			f.Net.Isolate(map[string]bool{f.Storage[1].Host.Name: true, f.Cores[0].Host.Name: true})
 			f.later(5*time.Second, f.Net.Heal)
 		},
 	}
@@ -30,29 +30,29 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-				left := f.Converse(4, 12, true, func(c *standin.Caller) {
+				left := f.StartCallers(4, 12, true, func(c *standin.Caller) {
 					c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 				})
 				call.sleep(time.Second)
-				lost := f.DiskAt(f.Storage[0].Host.Name)
+				lost := f.FindDisk(f.Storage[0].Host.Name)
 				is.True(lost.Voting)
 				f.PowerLoss(f.Storage[0])
-				f.Storage[0].Files.Wipe()
-				fresh := f.Add("storage")
+				f.Storage[0].Disk.Wipe()
+				fresh := f.AddMachine("storage")
 				call.sleep(time.Second)
-				status, code := f.ChangeDisks("admit", "address", fresh.Host.Name+":1")
+				status, code := f.RequestDiskChange("admit", "address", fresh.Host.Name+":1")
 				is.Equal(fmt.Sprint(status, code), "200")
 				call.sleep(300 * time.Millisecond)
 				trouble(f)
-				is.True(f.DisksMoved(2 * time.Minute))
-				is.True(f.DiskAt(fresh.Host.Name).Voting)
+				is.True(f.AwaitDiskChange(2 * time.Minute))
+				is.True(f.FindDisk(fresh.Host.Name).Voting)
 				if name == "in quiet" {
-					is.True(f.Total("repairs_paced") > 0) // 32 slots were not sent at once
+					is.True(f.CounterTotal("repairs_paced") > 0) // 32 slots were not sent at once
 				}
-				status, code = f.ChangeDisks("retire", "disk", lost.ID)
+				status, code = f.RequestDiskChange("retire", "disk", lost.ID)
 				is.Equal(fmt.Sprint(status, code), "200")
-				is.True(f.DisksMoved(2 * time.Minute))
-				is.Equal(len(f.Disks().Disks), 3)
+				is.True(f.AwaitDiskChange(2 * time.Minute))
+				is.Equal(len(f.StorageStatus().Disks), 3)
 				f.PowerLoss(f.Storage[1]) // the next loss, for good
 				for left() > 0 {
 					call.sleep(time.Second)
@@ -70,23 +70,23 @@
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
 		call.turn(0, path, key, program, "a", "")
-		gone := f.DiskAt(f.Storage[0].Host.Name)
-		status, code := f.ChangeDisks("retire", "disk", "none")
+		gone := f.FindDisk(f.Storage[0].Host.Name)
+		status, code := f.RequestDiskChange("retire", "disk", "none")
 		is.Equal(fmt.Sprint(status, code), "404unknown_disk")
-		status, _ = f.ChangeDisks("retire", "disk", gone.ID)
+		status, _ = f.RequestDiskChange("retire", "disk", gone.ID)
 		is.Equal(status, 200)
-		is.True(f.DisksMoved(time.Minute))
+		is.True(f.AwaitDiskChange(time.Minute))
 		is.True(f.Storage[0].storage.Ready() != nil)
 		is.Equal(f.Storage[0].storage.Store.Used(), 0) // emptied
-		next := f.DiskAt(f.Storage[1].Host.Name)
-		status, code = f.ChangeDisks("retire", "disk", next.ID)
+		next := f.FindDisk(f.Storage[1].Host.Name)
+		status, code = f.RequestDiskChange("retire", "disk", next.ID)
 		is.Equal(fmt.Sprint(status, code), "409too_few_disks")
 		// A removed machine that returns is refused, until it is emptied.
 		f.Kill(f.Storage[0])
 		f.Start(f.Storage[0])
 		call.sleep(2 * time.Second)
 		is.True(f.Storage[0].storage.Ready() != nil)
-		status, code = f.ChangeDisks("admit", "address", f.Storage[0].Host.Name+":1")
+		status, code = f.RequestDiskChange("admit", "address", f.Storage[0].Host.Name+":1")
 		is.Equal(fmt.Sprint(status, code), "409disk_not_blank")
 		f.Kill(f.Storage[1]) // two of three must do
 		verdict, _, _ := call.turn(1, path, key, program, "b", "a").final()
@@ -111,7 +111,7 @@
 		call.sleep(5 * time.Second)
 		before := owners()
 		is.Equal(len(before), 32)
-		fresh := f.Add("core")
+		fresh := f.AddMachine("core")
 		call.sleep(8 * time.Second)
 		after := owners()
 		is.Equal(len(after), 32)
@@ -124,9 +124,9 @@
 		}
 		is.True(moved > 0 && moved <= 16)
 		program, secret := call.program(1000, nil)
-		edge := f.Add("edge")
+		edge := f.AddMachine("edge")
 		call.sleep(3 * time.Second)
-		path, key := call.session(len(f.Edges)-1, program, secret, nil)
+		path, key := call.session(len(f.Gateways)-1, program, secret, nil)
 		is.True(edge.gateway.Ready() == nil)
 		verdict, _, _ := call.turn(0, path, key, program, "a", "").final()
 		is.Equal(verdict, "success")
@@ -136,19 +136,19 @@
 // The cluster is formed once; nothing forms it again by itself or by hand.
 func TestAClusterIsFormedOnce(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		cluster := f.Disks().Cluster
+		cluster := f.StorageStatus().Cluster
 		addrs := []string{"storage-0:1", "storage-1:1", "storage-2:1"}
-		status, answer := f.Operate(f.Cores[1], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
+		status, answer := f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
 		is.Equal(status, 409)
 		is.True(strings.Contains(string(answer), "cluster_exists"))
 		for _, bad := range []any{[]string{"storage-0:1"}, []string{"storage-0:1", "storage-0:1", "storage-1:1"}, "storage-0:1"} {
-			status, answer = f.Operate(f.Cores[1], "POST", "/v1/operator/init", map[string]any{"disks": bad})
+			status, answer = f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/init", map[string]any{"disks": bad})
 			is.Equal(status, 400)
 			is.True(strings.Contains(string(answer), `"field":"disks"`))
 		}
 		for _, m := range f.All() {
 			f.PowerLoss(m)
-			m.Files.Wipe()
+			m.Disk.Wipe()
 		}
 		for _, m := range f.All() {
 			f.Start(m)
@@ -157,7 +157,7 @@
 		for _, m := range f.Storage {
 			is.True(m.storage.Ready() != nil) // blank, and no cluster by itself
 		}
-		for _, m := range f.Edges {
+		for _, m := range f.Gateways {
 			is.True(m.gateway.Ready() != nil)
 		}
 		is.True(cluster != "")
@@ -174,13 +174,13 @@
 		verdict, _, _ := call.turn(2, path, key, program, "a", "").final()
 		is.Equal(verdict, "success")
 		understudy := call.send(2, "GET", path, key, nil).text("understudy")
-		for _, m := range f.Edges {
+		for _, m := range f.Gateways {
 			if strings.HasPrefix(understudy, m.Host.Name) {
-				f.Callers.Go(func() { f.Stop(m) })
+				f.CallerHost.Go(func() { f.Stop(m) })
 			}
 		}
 		call.sleep(10 * time.Millisecond)
-		f.Kill(f.Edges[0])
+		f.Kill(f.Gateways[0])
 		verdict, _, _ = call.turn(2, path, key, program, "b", "a").final()
 		is.Equal(verdict, "success")
 		after := call.send(2, "GET", path, key, nil)
@@ -196,7 +196,7 @@
 		f.Kill(f.Cores[0])
 		f.Kill(f.Cores[len(f.Cores)-1])
 		call.sleep(5 * time.Second)
-		fresh := f.Add("edge")
+		fresh := f.AddMachine("edge")
 		call.sleep(4 * time.Second)
 		is.True(fresh.gateway.Ready() == nil)
 	})
@@ -205,7 +205,7 @@
 // Bad input at the operators' interface is declined by name, nothing done.
 func TestOperatorsBadInput(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		before := f.Disks()
+		before := f.StorageStatus()
 		rows := []struct {
 			path   string
 			body   any
@@ -234,7 +234,7 @@
 			{"nothing", map[string]any{}, 404, ""},
 		}
 		for _, row := range rows {
-			status, answer := f.Operate(f.Cores[0], "POST", "/v1/operator/"+row.path, row.body)
+			status, answer := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/"+row.path, row.body)
 			var told struct {
 				Error struct {
 					Ran   string `json:"request"`
@@ -246,9 +246,9 @@
 			is.Equal(fmt.Sprint(name, status, told.Error.Field), fmt.Sprint(name, row.status, row.field))
 			is.Equal(told.Error.Ran, "not_run")
 		}
-		after := f.Disks()
+		after := f.StorageStatus()
 		is.Equal(after.Stamp, before.Stamp)
-		status, answer := f.Operate(f.Cores[1], "GET", "/v1/operator/settings", nil)
+		status, answer := f.OperatorRequest(f.Cores[1], "GET", "/v1/operator/settings", nil)
 		is.Equal(status, 200)
 		is.True(strings.Contains(string(answer), `"stamp":1`))
 	})
@@ -263,35 +263,35 @@
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
 			script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-				cluster := f.Disks().Cluster
-				f.Seeds = []string{"core-0:1", "core-1:1", "storage-0:1"}
+				cluster := f.StorageStatus().Cluster
+				f.SeedAddrs = []string{"core-0:1", "core-1:1", "storage-0:1"}
 				program, secret := call.program(1000, nil)
 				path, key := call.session(0, program, secret, nil)
 				verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
 				is.Equal(verdict, "success")
 				for place := range 2 {
-					f.Add("core")
+					f.AddMachine("core")
 					call.sleep(2 * time.Second)
 					f.Kill(f.Cores[place])
 					f.Cores[place].gone = true
 				}
 				f.Cores = f.Cores[2:]
-				lost := f.DiskAt("storage-0").ID
-				f.Add("storage")
+				lost := f.FindDisk("storage-0").ID
+				f.AddMachine("storage")
 				call.sleep(time.Second)
-				status, _ := f.ChangeDisks("admit", "address", "storage-3:1")
+				status, _ := f.RequestDiskChange("admit", "address", "storage-3:1")
 				is.Equal(status, 200)
-				is.True(f.DisksMoved(time.Minute))
-				status, _ = f.ChangeDisks("retire", "disk", lost)
+				is.True(f.AwaitDiskChange(time.Minute))
+				status, _ = f.RequestDiskChange("retire", "disk", lost)
 				is.Equal(status, 200)
-				is.True(f.DisksMoved(time.Minute))
+				is.True(f.AwaitDiskChange(time.Minute))
 				f.Kill(f.Storage[0])
 				f.Storage[0].gone = true
 				call.sleep(10 * time.Second)
 				if way == "cluster named" {
-					f.Pinned = cluster
+					f.ClusterID = cluster
 				} else {
-					f.Seeds = []string{"core-2:1", "storage-3:1", "storage-1:1"}
+					f.SeedAddrs = []string{"core-2:1", "storage-3:1", "storage-1:1"}
 				}
 				f.outage()
 				is.Equal(len(f.Tally.Breaches), 0)
--- a/internal/simulate/scenario.go
+++ b/internal/simulate/scenario.go
@@ -16,7 +16,7 @@
 // Scenario is what is done to the fleet.
 type Scenario struct {
 	Name string
-	Net  Faults
+	Net  NetworkFaults
 	// Fit changes the shape it runs on.
 	Fit func(shape *Shape)
 	// Begin runs once, when all is set up; Do again and again.
@@ -64,7 +64,7 @@
 		change(f)
 	}
 	formed := false
-	f.Callers.Go(func() { f.Form(); formed = true })
+	f.CallerHost.Go(func() { f.SetUp(); formed = true })
 	if !f.World.Run(time.Minute, func() bool { return formed }) {
 		f.Tally.Breach("the fleet did not form")
 		return s.outcome(f)
@@ -72,13 +72,13 @@
 	left, going := s.people(f)
 	f.Net.Faults = s.Net
 	f.harms = 0
-	f.Callers.Go(func() {
+	f.CallerHost.Go(func() {
 		if s.Begin != nil {
 			s.Begin(f)
 		}
 		for round := 0; s.Do != nil && going(); round++ {
 			s.Do(f, round)
-			f.Callers.Clock().Sleep(s.Every)
+			f.CallerHost.Clock().Sleep(s.Every)
 		}
 	})
 	limit := scenarioLimit
@@ -104,9 +104,9 @@
 	count := 0
 	enter := func(task func()) {
 		count++
-		f.Callers.Go(func() { task(); count-- })
+		f.CallerHost.Go(func() { task(); count-- })
 	}
-	for caller := range len(f.Edges) * 2 {
+	for caller := range len(f.Gateways) * 2 {
 		enter(func() {
 			for round := 0; going(); round++ {
 				turns := f.Shape.Turns[0]
@@ -137,7 +137,7 @@
 	})
 	for crowd := range s.Crowd {
 		enter(func() {
-			f.Callers.Clock().Sleep(span/4 + f.World.Between(0, 50*time.Millisecond))
+			f.CallerHost.Clock().Sleep(span/4 + f.World.Between(0, 50*time.Millisecond))
 			c := f.caller(fmt.Sprint("crowd", crowd), crowd)
 			c.Urgency = map[bool]string{true: "urgent", false: "normal"}[crowd%4 > 0]
 			if c.Start(int64(f.Shape.Pieces * 24)) {
@@ -146,15 +146,15 @@
 		})
 	}
 	for _, operator := range []string{"one", "two"} {
-		enter(func() { f.Operator(operator, going) })
+		enter(func() { f.RunOperator(operator, going) })
 	}
-	enter(func() { f.Platform(going) })
-	f.Report(time.Second)
+	enter(func() { f.RunPlatform(going) })
+	f.StartUsageReports(time.Second)
 	return func() int { return count }, going
 }
 
 func (f *Fleet) caller(name string, home int) *standin.Caller {
-	return &standin.Caller{Name: name, Clock: f.Callers.Clock(), Ask: f.Asker(f.Callers), Gateways: len(f.Edges), Home: home,
+	return &standin.Caller{Name: name, Clock: f.CallerHost.Clock(), Ask: f.Asker(f.CallerHost), Gateways: len(f.Gateways), Home: home,
 		Group: f.Shape.Group, Site: "main", Pieces: f.Shape.Pieces, Patience: 90 * time.Second, Tally: f.Tally}
 }
 
@@ -162,9 +162,9 @@
 // that were acknowledged.
 func (s *Scenario) aftermath(f *Fleet) {
 	f.Net.Heal()
-	f.Net.Faults = Faults{}
+	f.Net.Faults = NetworkFaults{}
 	for _, m := range f.All() {
-		m.Host.Lag, m.Files.Stalled = 0, false
+		m.Host.Lag, m.Disk.SyncStalled = 0, false
 		switch {
 		case m.gone:
 		case !m.Host.alive:
@@ -173,16 +173,16 @@
 			m.Host.Thaw()
 		}
 	}
-	for _, one := range f.List.Workers {
+	for _, one := range f.WorkerList.Workers {
 		f.World.Hosts[one.ID].alive = true
 	}
 	done, whole := false, f.Tally.Counts["conversations_whole"]
-	f.Callers.Go(func() {
+	f.CallerHost.Go(func() {
 		last := f.caller("last", 0)
 		if last.Start(1000) {
 			last.Converse(2, true)
 		}
-		f.Stands()
+		f.CheckStoredSettings()
 		done = true
 	})
 	if !f.World.Run(f.World.Now()+2*time.Minute, func() bool { return done }) || f.Tally.Counts["conversations_whole"] == whole {
@@ -199,5 +199,5 @@
 
 func (s *Scenario) outcome(f *Fleet) *Outcome {
 	return &Outcome{Scenario: s.Name, Shape: f.Shape.Name, Seed: f.World.Seed, VirtualS: f.World.Now().Seconds(), Counts: f.Tally.Counts,
-		Turns: base.Map(f.Tally.Turns, func(one standin.TurnTime) time.Duration { return one.Took }), Breaches: f.Check()}
+		Turns: base.Map(f.Tally.Turns, func(one standin.TurnTime) time.Duration { return one.Took }), Breaches: f.CheckInvariants()}
 }
--- a/internal/simulate/settings_test.go
+++ b/internal/simulate/settings_test.go
@@ -22,8 +22,8 @@
 				formed(t, f)
 				left, done := 2, 0
 				for _, operator := range []string{"one", "two"} {
-					f.Callers.Go(func() {
-						f.Operator(operator, func() bool { done++; return done <= 24 })
+					f.CallerHost.Go(func() {
+						f.RunOperator(operator, func() bool { done++; return done <= 24 })
 						left--
 					})
 				}
@@ -43,20 +43,20 @@
 		is := is.New(t)
 		formed(t, f)
 		done := false
-		f.Callers.Go(func() {
+		f.CallerHost.Go(func() {
 			defer func() { done = true }()
-			status, answer := f.Operate(f.Cores[0], "POST", "/v1/operator/settings/apply",
+			status, answer := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply",
 				map[string]any{"change": "bad", "based_on": 1, "document": json.RawMessage(`{"queue_size":0}`)})
 			is.Equal(status, 400)
 			is.True(strings.Contains(string(answer), "$.queue_size"))
-			status, answer = f.Operate(f.Cores[1], "GET", "/v1/operator/settings", nil)
+			status, answer = f.OperatorRequest(f.Cores[1], "GET", "/v1/operator/settings", nil)
 			is.Equal(status, 200)
 			is.True(strings.Contains(string(answer), `"stamp":1`))
 			// A change refused by id is fenced: its late copy is refused too.
-			status, answer = f.Operate(f.Cores[0], "POST", "/v1/operator/settings/outcome", map[string]string{"change": "late"})
+			status, answer = f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/outcome", map[string]string{"change": "late"})
 			is.Equal(status, 200)
 			is.True(strings.Contains(string(answer), `"refused"`))
-			status, _ = f.Operate(f.Cores[1], "POST", "/v1/operator/settings/apply",
+			status, _ = f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/settings/apply",
 				map[string]any{"change": "late", "based_on": 1, "document": f.marked("late")})
 			is.Equal(status, 409)
 		})
@@ -70,11 +70,11 @@
 	bring(t, 2, SmallShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
 		formed(t, f)
-		f.Net.CutOff(map[string]bool{f.Edges[0].Host.Name: true})
+		f.Net.Isolate(map[string]bool{f.Gateways[0].Host.Name: true})
 		cutAt := f.World.Now()
 		declinedAt := time.Duration(0)
-		f.Callers.Go(func() {
-			ask := f.Asker(f.Callers)
+		f.CallerHost.Go(func() {
+			ask := f.Asker(f.CallerHost)
 			for declinedAt == 0 {
 				answer, err := ask(0, "GET", "/v1/platform/workers", nil, nil)
 				is.NoErr(err)
@@ -87,8 +87,8 @@
 			}
 		})
 		is.True(f.World.Run(cutAt+30*time.Second, func() bool { return declinedAt > 0 }))
-		is.True(!f.Edges[0].gateway.Follower.HasLease())
+		is.True(!f.Gateways[0].gateway.Follower.HasLease())
 		f.Net.Heal()
-		is.True(f.World.Run(f.World.Now()+5*time.Second, func() bool { return f.Edges[0].gateway.Follower.HasLease() }))
+		is.True(f.World.Run(f.World.Now()+5*time.Second, func() bool { return f.Gateways[0].gateway.Follower.HasLease() }))
 	})
 }
--- a/internal/simulate/simulate_test.go
+++ b/internal/simulate/simulate_test.go
@@ -17,7 +17,7 @@
 		f := NewFleet(seed, shape)
 		t.Logf("seed %d", seed)
 		scenario(t, f)
-		for _, breach := range f.Check() {
+		for _, breach := range f.CheckInvariants() {
 			t.Errorf("seed %d: %s", seed, breach)
 		}
 		f.World.Close()
@@ -31,7 +31,7 @@
 func formed(t *testing.T, f *Fleet) {
 	t.Helper()
 	up := false
-	f.Callers.Go(func() { f.Form(); up = true })
+	f.CallerHost.Go(func() { f.SetUp(); up = true })
 	if !f.World.Run(60*time.Second, func() bool { return up }) {
 		t.Fatalf("seed %d: the fleet did not form", f.World.Seed)
 	}
@@ -41,7 +41,7 @@
 	bring(t, 2, SmallShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
 		formed(t, f)
-		left := f.Converse(4, 3, true, nil)
+		left := f.StartCallers(4, 3, true, nil)
 		is.True(f.World.Run(f.World.Now()+60*time.Second, func() bool { return left() == 0 }))
 		is.Equal(f.Tally.Counts["conversations_whole"], 4)
 		is.Equal(f.Tally.Counts["turns_whole"], 12)
--- a/internal/simulate/talk.go
+++ b/internal/simulate/talk.go
@@ -36,15 +36,15 @@
 	f := NewFleet(seed, shape)
 	defer f.World.Close()
 	begun := false
-	f.Callers.Go(func() {
-		f.Form()
+	f.CallerHost.Go(func() {
+		f.SetUp()
 		begun = true
 	})
 	if !f.World.Run(5*time.Minute, func() bool { return begun }) {
 		return fmt.Errorf("the fleet of %d did not form", len(f.All()))
 	}
 	f.World.Run(f.World.Now()+20*time.Second, nil)
-	f.Net.Talk, f.Net.By = map[string]*Talk{}, map[string]*Share{}
+	f.Net.TrafficByPath, f.Net.TrafficByHost = map[string]*PathTraffic{}, map[string]*HostTraffic{}
 	f.World.Run(f.World.Now()+span, nil)
 	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %v at rest\n", len(f.All()), shape.Edges, shape.Cores, shape.Storage, span)
 	f.Net.writeTalk(out, f, span)
@@ -54,11 +54,11 @@
 // writeTalk writes what was counted over a span: by kind, and by role.
 func (n *Net) writeTalk(out io.Writer, f *Fleet, span time.Duration) {
 	share := span.Seconds() * float64(len(f.All()))
-	for _, path := range base.SortedKeys(n.Talk) {
-		talk := n.Talk[path]
+	for _, path := range base.SortedKeys(n.TrafficByPath) {
+		talk := n.TrafficByPath[path]
 		fmt.Fprintf(out, "  %-46s %7.3f calls %8.1f bytes a node and second, %6.0f bytes a call\n", path, float64(talk.Calls)/share, float64(talk.Bytes)/share, float64(talk.Bytes)/float64(max(1, talk.Calls)))
 	}
-	for _, load := range []busiest{n.loadOf("gateway", f.Edges, span), n.loadOf("core", f.Cores, span), n.loadOf("storage", f.Storage, span)} {
+	for _, load := range []busiest{n.loadOf("gateway", f.Gateways, span), n.loadOf("core", f.Cores, span), n.loadOf("storage", f.Storage, span)} {
 		fmt.Fprintf(out, "  %-8s mean %7.1f calls %9.0f bytes a second; most (%s) %7.1f calls %9.0f bytes, %7.1f of the calls served\n",
 			load.role, load.calls, load.bytes, load.most, load.mostCalls, load.mostBytes, load.served)
 	}
@@ -68,18 +68,18 @@
 func (n *Net) loadOf(role string, machines []*Machine, span time.Duration) busiest {
 	sum := busiest{role: role}
 	for _, m := range machines {
-		mine := n.By[m.Host.Name]
+		mine := n.TrafficByHost[m.Host.Name]
 		if mine == nil {
 			continue
 		}
-		calls := float64(mine.Asked+mine.Served) / span.Seconds()
+		calls := float64(mine.RequestsSent+mine.RequestsReceived) / span.Seconds()
 		bytes := float64(mine.Bytes) / span.Seconds()
 		sum.calls += calls / float64(len(machines))
 		sum.bytes += bytes / float64(len(machines))
 		if bytes > sum.mostBytes {
 			sum.most = m.Host.Name
 			sum.mostCalls, sum.mostBytes = calls, bytes
-			sum.served = float64(mine.Served) / span.Seconds()
+			sum.served = float64(mine.RequestsReceived) / span.Seconds()
 		}
 	}
 	return sum
--- a/internal/simulate/talk_churn.go
+++ b/internal/simulate/talk_churn.go
@@ -51,7 +51,7 @@
 func NewChurn(seed uint64, machines int) (*Churn, error) {
 	c := &Churn{Tier: NewTier(seed, ChurnShape(machines), paceList)}
 	formed, done := false, false
-	c.Callers.Go(func() {
+	c.CallerHost.Go(func() {
 		formed = c.form()
 		done = true
 	})
@@ -59,7 +59,7 @@
 		c.World.Close()
 		return nil, fmt.Errorf("the fleet of %d did not form", machines)
 	}
-	c.Callers.Go(c.replaceWorkers)
+	c.CallerHost.Go(c.replaceWorkers)
 	c.World.Run(c.World.Now()+churnLead, nil)
 	return c, nil
 }
@@ -85,9 +85,9 @@
 func (c *Churn) replaceWorkers() {
 	gap := churnGap * 1000 / time.Duration(len(c.workers))
 	for place := 0; !c.over; place++ {
-		c.Callers.Clock().Sleep(gap)
+		c.CallerHost.Clock().Sleep(gap)
 		leaving := c.workers[place]
-		c.Callers.Go(func() { c.replaceWorker(leaving) })
+		c.CallerHost.Go(func() { c.replaceWorker(leaving) })
 	}
 }
 
@@ -95,7 +95,7 @@
 	c.openWorker(leaving.Shape, leaving.Zone, "")
 	draining := c.instance(leaving, parties.StateDraining)
 	c.list.Change(leaving.ID, &draining, 0)
-	c.Callers.Clock().Sleep(c.Site.Bounds.Drain)
+	c.CallerHost.Clock().Sleep(c.Site.Bounds.Drain)
 	c.list.Change(leaving.ID, nil, 0)
 	leaving.end(c.Tier)
 }
@@ -112,7 +112,7 @@
 func (c *Churn) Apply(limit time.Duration) (Applied, error) {
 	var order *parties.Order
 	began, acked := c.World.Now(), time.Duration(0)
-	c.Callers.Go(func() {
+	c.CallerHost.Go(func() {
 		order = c.change()
 		acked = c.World.Now()
 	})
@@ -132,7 +132,7 @@
 
 // behind counts the living gateways that go by an older configuration.
 func (c *Churn) behind(version uint64) int {
-	return len(base.Filter(c.Edges, func(m *Machine) bool {
+	return len(base.Filter(c.Gateways, func(m *Machine) bool {
 		if !m.Host.alive || m.gateway == nil {
 			return false
 		}
@@ -144,7 +144,7 @@
 // Measure counts what is said over a span in which the configuration changes
 // once a period, and gives how the changes fared.
 func (c *Churn) Measure(span, period time.Duration) (changes []Applied, err error) {
-	c.Net.Talk, c.Net.By = map[string]*Talk{}, map[string]*Share{}
+	c.Net.TrafficByPath, c.Net.TrafficByHost = map[string]*PathTraffic{}, map[string]*HostTraffic{}
 	for end := c.World.Now() + span; c.World.Now() < end; {
 		next := c.World.Now() + period
 		one, err := c.Apply(30 * time.Second)
@@ -159,7 +159,7 @@
 
 // Busiest gives the bytes a second of the busiest machine of a role.
 func (c *Churn) Busiest(role string, span time.Duration) float64 {
-	list := map[string][]*Machine{membership.RoleGateway: c.Edges, membership.RoleCore: c.Cores, membership.RoleStorage: c.Storage}[role]
+	list := map[string][]*Machine{membership.RoleGateway: c.Gateways, membership.RoleCore: c.Cores, membership.RoleStorage: c.Storage}[role]
 	return c.Net.loadOf(role, list, span).mostBytes
 }
 
@@ -176,7 +176,7 @@
 		return err
 	}
 	span = c.World.Now() - began
-	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %d workers that come and go, %v\n", machines, len(c.Edges), len(c.Cores), len(c.Storage), len(c.listening), span)
+	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %d workers that come and go, %v\n", machines, len(c.Gateways), len(c.Cores), len(c.Storage), len(c.listening), span)
 	c.Net.writeTalk(out, c.Fleet, span)
 	slices.SortFunc(changes, func(a, b Applied) int { return int(a.InForce - b.InForce) })
 	middle, last := changes[len(changes)/2], changes[len(changes)-1]
--- a/internal/simulate/talk_churn_test.go
+++ b/internal/simulate/talk_churn_test.go
@@ -24,14 +24,14 @@
 	}
 	defer c.World.Close()
 	hidden := 0
-	for _, m := range c.Edges {
+	for _, m := range c.Gateways {
 		if m.gateway.View().Partial() && len(m.gateway.View().Known("edge")) < directMostGateways {
 			hidden++
 		}
 	}
-	is.True(hidden > len(c.Edges)/2)
+	is.True(hidden > len(c.Gateways)/2)
 	const span = 10 * time.Second
-	before := c.Total("roster_changes")
+	before := c.CounterTotal("roster_changes")
 	began := c.World.Now()
 	changes, err := c.Measure(span, time.Second)
 	is.NoErr(err)
@@ -39,16 +39,16 @@
 	for _, change := range changes {
 		is.True(change.InForce < c.Site.Bounds.Apply/4)
 	}
-	is.True(c.Total("roster_changes") > before)
+	is.True(c.CounterTotal("roster_changes") > before)
 	owner := c.feeds()
-	asked := float64(c.Net.By[owner.Host.Name].Served) / took.Seconds()
-	said := float64(c.Net.By[owner.Host.Name].Bytes) / took.Seconds()
+	asked := float64(c.Net.TrafficByHost[owner.Host.Name].RequestsReceived) / took.Seconds()
+	said := float64(c.Net.TrafficByHost[owner.Host.Name].Bytes) / took.Seconds()
 	t.Logf("%d changes in force: %v; the owner serves %.0f calls a second and says %.0f bytes", len(changes), changes, asked, said)
 	is.True(asked < 150)
 	is.True(said < ownerBytes)
-	is.True(len(c.Edges) > 200)
-	for _, m := range c.Edges {
-		is.Equal(m.gateway.Follower.GatewayCount(), len(c.Edges))
+	is.True(len(c.Gateways) > 200)
+	for _, m := range c.Gateways {
+		is.Equal(m.gateway.Follower.GatewayCount(), len(c.Gateways))
 	}
 }
 
@@ -79,9 +79,9 @@
 	}
 	began := c.World.Now()
 	unready := func() int {
-		return len(base.Filter(c.Edges, func(m *Machine) bool { return m.gateway == nil || m.gateway.Serves() != nil }))
+		return len(base.Filter(c.Gateways, func(m *Machine) bool { return m.gateway == nil || m.gateway.Serves() != nil }))
 	}
-	half := c.runUntil(30*time.Second, func() bool { return unready() < len(c.Edges)/2 })
+	half := c.runUntil(30*time.Second, func() bool { return unready() < len(c.Gateways)/2 })
 	c.runUntil(30*time.Second, func() bool { return unready() == 0 })
 	all := c.World.Now() - began
 	t.Logf("half of the gateways serve after %v, all after %v", half, all)
