--- a/internal/simulate/talk_test.go
+++ b/internal/simulate/talk_test.go
@@ -33,10 +33,10 @@
 		formed(t, f)
 	case empty:
 		begun := false
-		f.Callers.Go(func() {
+		f.CallerHost.Go(func() {
 			addrs := base.Map(f.Storage, func(m *Machine) string { return m.Host.Name + ":1" })
 			f.insist("form", func() int {
-				status, _ := f.Operate(f.Cores[0], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
+				status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
 				return status
 			})
 			begun = true
@@ -46,7 +46,7 @@
 		}
 	}
 	f.World.Run(f.World.Now()+10*time.Second, nil)
-	f.Net.Talk = map[string]*Talk{}
+	f.Net.TrafficByPath = map[string]*PathTraffic{}
 	return f
 }
 
@@ -58,8 +58,8 @@
 	const span = 60
 	f.World.Run(f.World.Now()+span*time.Second, nil)
 	share := float64(span * nodes)
-	for _, path := range base.SortedKeys(f.Net.Talk) {
-		talk := f.Net.Talk[path]
+	for _, path := range base.SortedKeys(f.Net.TrafficByPath) {
+		talk := f.Net.TrafficByPath[path]
 		t.Logf("%d nodes, %s: %-45s %6.2f calls %7.0f bytes, %5.0f a call", nodes, reach, path,
 			float64(talk.Calls)/share, float64(talk.Bytes)/share, float64(talk.Bytes)/float64(talk.Calls))
 		calls += float64(talk.Calls) / share
@@ -103,12 +103,12 @@
 	f := rested(t, 14, empty)
 	defer f.World.Close()
 	f.World.Run(f.World.Now()+10*time.Second, nil)
-	followers := len(f.Edges) + len(f.Cores)
-	perSecond := float64(f.Net.Talk["/twirp/fordseam.feed.Feed/Follow"].Calls) / 10 / float64(followers)
+	followers := len(f.Gateways) + len(f.Cores)
+	perSecond := float64(f.Net.TrafficByPath["/twirp/fordseam.feed.Feed/Follow"].Calls) / 10 / float64(followers)
 	t.Logf("%.1f calls a follower and second", perSecond)
 	is.True(perSecond > 1)
 	is.True(perSecond < 6)
-	for _, m := range f.Edges {
+	for _, m := range f.Gateways {
 		is.True(m.gateway.Follower.HasLease())
 	}
 }
@@ -162,7 +162,7 @@
 		{"frozen", func(f *Fleet, m *Machine) map[string]bool { m.Host.Freeze(); return nil }, func(f *Fleet, m *Machine) { m.Host.Thaw() }},
 		{"cut off", func(f *Fleet, m *Machine) map[string]bool {
 			apart := map[string]bool{m.Host.Name: true}
-			f.Net.CutOff(apart)
+			f.Net.Isolate(apart)
 			return apart
 		}, func(f *Fleet, m *Machine) { f.Net.Heal() }},
 		{"a zone cut off", func(f *Fleet, m *Machine) map[string]bool {
@@ -170,7 +170,7 @@
 			for _, other := range f.All() {
 				apart[other.Host.Name] = other.Host.Zone == m.Host.Zone
 			}
-			f.Net.CutOff(apart)
+			f.Net.Isolate(apart)
 			return apart
 		}, func(f *Fleet, m *Machine) { f.Net.Heal() }},
 	} {
@@ -220,11 +220,11 @@
 	is := is.New(t)
 	f := rested(t, 14, applied)
 	defer f.World.Close()
-	m := f.Edges[2]
+	m := f.Gateways[2]
 	m.Host.Lag = 250 * time.Millisecond
 	id := m.view().SelfID()
 	// What the slow machine makes of others is its own affair.
-	suspected := func() int64 { return f.Total("members_suspected") - m.Count.Frame()["members_suspected"] }
+	suspected := func() int64 { return f.CounterTotal("members_suspected") - m.Counters.Frame()["members_suspected"] }
 	before := suspected()
 	for range 200 {
 		f.World.Run(f.World.now+100*time.Millisecond, nil)
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -141,12 +141,12 @@
 		words: site.DrawWords(rand.New(rand.NewPCG(seed, 2))), names: map[string]*Machine{}, listening: map[string]*tierWorker{}, works: map[string]parties.Draw{},
 		faults: map[string]*tierFaults{}, conns: map[*workerConn]bool{}, exchanges: map[*exchange]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), times: 1}
 	t.drafts = &parties.Drafts{Site: site, Words: t.words, Rng: rand.New(rand.NewPCG(seed, 3))}
-	clock := f.Callers.Clock()
+	clock := f.CallerHost.Clock()
 	t.list = &parties.Instances{Clock: clock, Ledger: t.record, Lag: site.Bounds.ListMaxLag / 2, PerS: site.ListPerS}
 	t.player = parties.NewPlayer(clock, &tierClients{t}, t.record, site, t.words, seed)
 	t.player.Persist = func() time.Duration { return t.persist }
 	f.equip, f.begins = t.equip, t.begins
-	f.Net.Resets, t.cost = true, 150*time.Microsecond
+	f.Net.ResetOnExit, t.cost = true, 150*time.Microsecond
 	if change != nil {
 		change(t)
 	}
@@ -178,11 +178,11 @@
 	if m.Role == "edge" && !known {
 		entered := &parties.EntryNode{Name: m.Host.Name, Zone: m.Host.Zone, Front: m.Host.Name}
 		t.entry.Add(entered)
-		t.Callers.Go(func() {
+		t.CallerHost.Go(func() {
 			for {
 				up := m.Host.alive && !m.Host.frozen && !m.leaving && m.gateway != nil && m.gateway.Serves() == nil
 				t.entry.Heard(entered, up)
-				t.Callers.Clock().Sleep(time.Second)
+				t.CallerHost.Clock().Sleep(time.Second)
 			}
 		})
 	}
@@ -268,7 +268,7 @@
 // traffic begins programs in every zone until its time is over.
 func (t *Tier) traffic(end time.Duration) {
 	t.during = true
-	clock := t.Callers.Clock()
+	clock := t.CallerHost.Clock()
 	for place := range t.Site.Classes {
 		class := &t.Site.Classes[place]
 		if class.PerS == 0 {
@@ -277,7 +277,7 @@
 		for number, zone := range t.Site.Zones {
 			rng := rand.New(rand.NewPCG(t.World.Seed+uint64(t.World.now), uint64(100+100*place+number)))
 			t.programs++
-			t.Callers.Go(func() {
+			t.CallerHost.Go(func() {
 				defer func() { t.programs-- }()
 				for {
 					clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * t.Plan.Rate * t.times) * float64(time.Second)))
@@ -290,7 +290,7 @@
 		}
 	}
 	t.programs++
-	t.Callers.Go(func() {
+	t.CallerHost.Go(func() {
 		defer func() { t.programs-- }()
 		for clock.Now() < end {
 			t.probe()
@@ -309,7 +309,7 @@
 		return
 	}
 	t.programs++
-	t.Callers.Go(func() {
+	t.CallerHost.Go(func() {
 		t.player.Program(plan, previous)
 		t.programs--
 	})
@@ -327,7 +327,7 @@
 		}
 		class := &parties.Class{Name: "probe", Kind: parties.Idempotent, Method: "GET", Aim: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond}
 		t.programs++
-		t.Callers.Go(func() {
+		t.CallerHost.Go(func() {
 			t.player.Request(class, 0, func(try *parties.Try) {
 				try.Probe, try.Node, try.Host, try.Target, try.Client = true, parties.Probe(in), route.Host, route.Prefix+"probe", "probe"
 			})
@@ -346,11 +346,11 @@
 		return false
 	}
 	t.config.took(order)
-	for end := t.World.now + 20*time.Second; t.entry.Ready() < len(t.Edges); {
+	for end := t.World.now + 20*time.Second; t.entry.Ready() < len(t.Gateways); {
 		if t.World.now > end {
 			return false
 		}
-		t.Callers.Clock().Sleep(50 * time.Millisecond)
+		t.CallerHost.Clock().Sleep(50 * time.Millisecond)
 	}
 	return true
 }
--- a/internal/simulate/tier_clients.go
+++ b/internal/simulate/tier_clients.go
@@ -66,7 +66,7 @@
 
 func (c *tierClients) Carry(try *parties.Try) {
 	t := c.tier
-	clock := t.Callers.Clock()
+	clock := t.CallerHost.Clock()
 	try.Sent = clock.Now()
 	defer func() { try.Ended = clock.Now() }()
 	if try.Probe {
@@ -87,7 +87,7 @@
 	}
 	try.Written = clock.Now()
 	t.serial++
-	x := &exchange{host: m.Host, in: newPipe[answered](t.Callers), number: t.serial}
+	x := &exchange{host: m.Host, in: newPipe[answered](t.CallerHost), number: t.serial}
 	t.exchanges[x] = true
 	defer func() {
 		x.closed = true
@@ -230,7 +230,7 @@
 
 // control makes an operator's call to a core.
 func (t *Tier) control(method, address, path string, header [][2]string, body []byte) (status int, answer []byte) {
-	clock := t.Callers.Clock()
+	clock := t.CallerHost.Clock()
 	m := t.named(address)
 	patience := parties.OrderPatience(len(body))
 	if m == nil || m.Host.dark {
@@ -242,7 +242,7 @@
 		return 0, nil
 	}
 	core, life := m.core, m.Host.life
-	in := newPipe[answered](t.Callers)
+	in := newPipe[answered](t.CallerHost)
 	t.serial++
 	x := &exchange{host: m.Host, in: in, number: t.serial}
 	t.exchanges[x] = true
--- a/internal/simulate/tier_day.go
+++ b/internal/simulate/tier_day.go
@@ -40,7 +40,7 @@
 	t := NewTier(seed, form, change)
 	defer t.World.Close()
 	over := false
-	t.Callers.Go(func() {
+	t.CallerHost.Go(func() {
 		d.play(t)
 		over = true
 	})
@@ -58,8 +58,8 @@
 		}
 	}
 	for _, m := range t.All() {
-		if m.Broken != nil {
-			out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: %s does not open: %v", m.Host.Name, m.Broken))
+		if m.StorageErr != nil {
+			out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: %s does not open: %v", m.Host.Name, m.StorageErr))
 		}
 	}
 	if t.config.newest == nil || t.entry.Ready() == 0 && out.Counts["served"] == 0 {
@@ -86,7 +86,7 @@
 	end := t.World.now + span
 	for _, deed := range d.Deeds {
 		t.deeds++
-		t.Callers.Go(func() {
+		t.CallerHost.Go(func() {
 			deed(t)
 			t.deeds--
 		})
@@ -103,7 +103,7 @@
 // until waits for a condition within a bound.
 func (t *Tier) until(limit time.Duration, met func() bool) {
 	for end := t.World.now + limit; !met() && t.World.now < end; {
-		t.Callers.Clock().Sleep(20 * time.Millisecond)
+		t.CallerHost.Clock().Sleep(20 * time.Millisecond)
 	}
 }
 
--- a/internal/simulate/tier_days.go
+++ b/internal/simulate/tier_days.go
@@ -13,7 +13,7 @@
 // second later.
 func at(seconds float64, deed func(t *Tier)) func(t *Tier) {
 	return func(t *Tier) {
-		t.Callers.Clock().Sleep(time.Duration(seconds*float64(time.Second)) + t.World.Between(0, time.Second))
+		t.CallerHost.Clock().Sleep(time.Duration(seconds*float64(time.Second)) + t.World.Between(0, time.Second))
 		deed(t)
 	}
 }
@@ -23,7 +23,7 @@
 	short  = 1500 * time.Millisecond
 )
 
-func edges(t *Tier) []*Machine { return t.Edges }
+func edges(t *Tier) []*Machine { return t.Gateways }
 
 func cores(t *Tier) []*Machine { return t.Cores }
 
@@ -72,7 +72,7 @@
 // last has caught up: one is retired and others lose their disks right then, two
 // are wiped apart, one is replaced as planned work.
 func secondLosses(t *Tier) {
-	clock, catchUp := t.Callers.Clock(), t.Site.Bounds.CatchUp
+	clock, catchUp := t.CallerHost.Clock(), t.Site.Bounds.CatchUp
 	wiped := func(count int) {
 		t.each(t.some(t.Storage, count), func(m *Machine) { t.fall(m, "node_kill", short, true, true) })
 		clock.Sleep(catchUp)
@@ -112,7 +112,7 @@
 	return func(t *Tier) {
 		for _, m := range t.some(list(t), 3) {
 			t.term(m, "roll_term", 300*time.Millisecond)
-			t.Callers.Clock().Sleep(second)
+			t.CallerHost.Clock().Sleep(second)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 func burst(times float64) func(t *Tier) {
 	return func(t *Tier) {
 		t.times = times
-		t.Callers.Clock().Sleep(3 * second)
+		t.CallerHost.Clock().Sleep(3 * second)
 		t.times = 1
 	}
 }
@@ -138,14 +138,14 @@
 func changes(t *Tier) {
 	for range 4 {
 		t.change()
-		t.Callers.Clock().Sleep(2 * second)
+		t.CallerHost.Clock().Sleep(2 * second)
 	}
 }
 
 func races(t *Tier) {
 	for range 4 {
 		t.race()
-		t.Callers.Clock().Sleep(second)
+		t.CallerHost.Clock().Sleep(second)
 	}
 }
 
@@ -190,7 +190,7 @@
 	{Name: "srv_lying_health", Deeds: []func(t *Tier){
 		at(1, one("app", func(t *Tier, s *tierWorker) {
 			s.SetWell(false)
-			t.Callers.Clock().Sleep(6 * second)
+			t.CallerHost.Clock().Sleep(6 * second)
 			s.SetWell(true)
 		})),
 		at(1, one("model", func(t *Tier, s *tierWorker) {
@@ -202,7 +202,7 @@
 	{Name: "srv_flap", Deeds: []func(t *Tier){at(1, one("app", func(t *Tier, s *tierWorker) {
 		for place := range 8 {
 			s.SetWell(place%2 == 1)
-			t.Callers.Clock().Sleep(700 * time.Millisecond)
+			t.CallerHost.Clock().Sleep(700 * time.Millisecond)
 		}
 	}))}},
 	{Name: "workers crash", Deeds: []func(t *Tier){at(1, one("app", func(t *Tier, s *tierWorker) {
@@ -216,7 +216,7 @@
 		for _, s := range t.workers {
 			s.forget = 300 * time.Millisecond
 		}
-		t.Callers.Clock().Sleep(8 * second)
+		t.CallerHost.Clock().Sleep(8 * second)
 		for _, s := range t.workers {
 			s.forget = 0
 		}
@@ -267,7 +267,7 @@
 	{Name: "stores core_cut", Deeds: []func(t *Tier){at(2, cut(stores, false)), at(3, changes)}},
 	{Name: "stores retire", Traffic: 18 * second, Deeds: []func(t *Tier){at(1, func(t *Tier) {
 		t.add("storage")
-		t.Callers.Clock().Sleep(2 * second)
+		t.CallerHost.Clock().Sleep(2 * second)
 		t.each(t.some(t.Storage, 1), func(m *Machine) { t.retire(m) })
 	}), at(13, wipedAfterAck)}},
 
@@ -294,8 +294,8 @@
 		for _, m := range t.some(t.Storage, 3) {
 			t.fall(m, "node_kill", t.World.Between(100*time.Millisecond, short), true, true)
 			back := t.World.now
-			t.each(t.some(t.Edges, len(t.Edges)/2), func(m *Machine) { t.fall(m, "node_kill", 300*time.Millisecond, false, false) })
-			t.Callers.Clock().Sleep(back + t.Site.Bounds.CatchUp - t.World.now)
+			t.each(t.some(t.Gateways, len(t.Gateways)/2), func(m *Machine) { t.fall(m, "node_kill", 300*time.Millisecond, false, false) })
+			t.CallerHost.Clock().Sleep(back + t.Site.Bounds.CatchUp - t.World.now)
 		}
 	}}},
 
@@ -329,14 +329,14 @@
 	{Name: "mixed: all cores replaced one after the other, release", Traffic: 24 * second, Deeds: []func(t *Tier){at(1, func(t *Tier) {
 		for _, m := range append([]*Machine{}, t.Cores...) {
 			t.replace(m, 300*time.Millisecond)
-			t.Callers.Clock().Sleep(t.Site.Bounds.CatchUp)
+			t.CallerHost.Clock().Sleep(t.Site.Bounds.CatchUp)
 			t.change()
 		}
 	}), at(2, released("app"))}, Closing: func(t *Tier) { t.all(true, nil) }},
 	{Name: "mixed: all stores replaced one after the other", Traffic: 34 * second, Deeds: []func(t *Tier){func(t *Tier) { t.wander = true }, at(1, func(t *Tier) {
 		for _, m := range append([]*Machine{}, t.Storage[:min(4, len(t.Storage))]...) {
 			t.replace(m, 300*time.Millisecond)
-			t.Callers.Clock().Sleep(t.Site.Bounds.CatchUp + second)
+			t.CallerHost.Clock().Sleep(t.Site.Bounds.CatchUp + second)
 		}
 	}), at(9, killed(edges, 0.5, false)), at(19, killed(edges, 0.5, false))}, Closing: func(t *Tier) { t.all(true, nil) }},
 	{Name: "mixed: list_down, control killed, workers crash", Deeds: []func(t *Tier){at(1, func(t *Tier) { t.listDown(5 * second) }), at(2, killed(cores, 0.25, false)), at(2, one("app", func(t *Tier, s *tierWorker) {
@@ -350,15 +350,15 @@
 	{Name: "mixed: storm, closing power", Traffic: 16 * second, Deeds: []func(t *Tier){at(1, func(t *Tier) {
 		for end := t.World.now + 13*second; t.World.now < end; {
 			t.storm()
-			t.Callers.Clock().Sleep(t.World.Between(300*time.Millisecond, 2*second))
+			t.CallerHost.Clock().Sleep(t.World.Between(300*time.Millisecond, 2*second))
 		}
 	})}, Closing: func(t *Tier) { t.all(true, nil) }},
 	{Name: "mixed: storm, closing wipe and power", Traffic: 16 * second, Deeds: []func(t *Tier){at(1, func(t *Tier) {
 		for end := t.World.now + 12*second; t.World.now < end; {
 			t.storm()
-			t.Callers.Clock().Sleep(t.World.Between(300*time.Millisecond, 2*second))
+			t.CallerHost.Clock().Sleep(t.World.Between(300*time.Millisecond, 2*second))
 		}
-		t.Callers.Clock().Sleep(t.Site.Bounds.CatchUp + 3*second)
+		t.CallerHost.Clock().Sleep(t.Site.Bounds.CatchUp + 3*second)
 	})}, Closing: func(t *Tier) { t.all(true, t.some(t.Storage, t.Plan.Tolerate)) }},
 	{Name: "hunt", Traffic: 16 * second, Deeds: []func(t *Tier){hunt}, Closing: anyClosing},
 }
--- a/internal/simulate/tier_hunt.go
+++ b/internal/simulate/tier_hunt.go
@@ -12,7 +12,7 @@
 // loses a machine with a disk, unless one is lost or catches up.
 func (t *Tier) goes(deed func(t *Tier)) {
 	t.deeds++
-	t.Callers.Go(func() {
+	t.CallerHost.Go(func() {
 		deed(t)
 		t.deeds--
 	})
@@ -25,7 +25,7 @@
 	t.diskBusy = true
 	t.goes(func(t *Tier) {
 		deed(t)
-		t.Callers.Clock().Sleep(t.Site.Bounds.CatchUp)
+		t.CallerHost.Clock().Sleep(t.Site.Bounds.CatchUp)
 		t.diskBusy = false
 	})
 }
@@ -79,7 +79,7 @@
 			m.Host.Cost = 800 * time.Microsecond
 		}
 	}
-	clock := t.Callers.Clock()
+	clock := t.CallerHost.Clock()
 	for end := t.World.now + 16*second; t.World.now < end; clock.Sleep(t.World.Between(200*time.Millisecond, 2500*time.Millisecond)) {
 		if t.rng.IntN(2) == 0 {
 			t.storm()
--- a/internal/simulate/tier_operators.go
+++ b/internal/simulate/tier_operators.go
@@ -38,7 +38,7 @@
 }
 
 func (t *Tier) operator(name string) *parties.Operator {
-	return &parties.Operator{Name: name, Clock: t.Callers.Clock(), Ledger: t.record, Call: t.control, Rng: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(name))),
+	return &parties.Operator{Name: name, Clock: t.CallerHost.Clock(), Ledger: t.record, Call: t.control, Rng: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(name))),
 		Control: func() []string {
 			return base.Map(base.Filter(t.Cores, func(m *Machine) bool { return !m.gone }), func(m *Machine) string { return m.Host.Name })
 		}}
@@ -47,7 +47,7 @@
 // alone has one change of the configuration at a time.
 func (t *Tier) alone(step func()) {
 	for t.config.busy {
-		t.Callers.Clock().Sleep(20 * time.Millisecond)
+		t.CallerHost.Clock().Sleep(20 * time.Millisecond)
 	}
 	t.config.busy = true
 	step()
@@ -97,16 +97,16 @@
 				t.config.took(order)
 			}
 		})
-		t.Callers.Clock().Sleep(gap)
+		t.CallerHost.Clock().Sleep(gap)
 	}
 }
 
 // together runs steps at once and waits for all.
 func (t *Tier) together(count int, step func(place int)) {
 	left := count
-	bell := base.NewBell(t.Callers.Clock())
+	bell := base.NewBell(t.CallerHost.Clock())
 	for place := range count {
-		t.Callers.Go(func() {
+		t.CallerHost.Go(func() {
 			step(place)
 			left--
 			bell.Ring()
--- a/internal/simulate/tier_removal_test.go
+++ b/internal/simulate/tier_removal_test.go
@@ -37,7 +37,7 @@
 
 // onLedger changes what stores answer to gateways.
 func onLedger(f *Fleet, begin func(asked *ledger.BeginRequest, reply *ledger.BeginReply), write func(reply *ledger.WriteReply), chain func(reply *ledger.ChainReply)) {
-	f.Net.Meddle = func(m *Message) *http.Response {
+	f.Net.Intercept = func(m *Message) *http.Response {
 		pass := func(reply proto.Message, change func()) *http.Response {
 			_, response := passed(m, m.Body, reply)
 			if response == nil || response.StatusCode != 200 {
@@ -59,7 +59,7 @@
 			reply := &ledger.ChainReply{}
 			return pass(reply, func() { chain(reply) })
 		}
-		response, _ := m.Pass(m.Body)
+		response, _ := m.Forward(m.Body)
 		return response
 	}
 }
@@ -67,15 +67,15 @@
 // slowPulls has stores pull what they lack slowly, though within the time that
 // they have to catch up.
 func slowPulls(f *Fleet) {
-	pass := f.Net.Meddle
-	f.Net.Meddle = func(m *Message) *http.Response {
+	pass := f.Net.Intercept
+	f.Net.Intercept = func(m *Message) *http.Response {
 		if strings.HasSuffix(m.Path, "Ledger/Offer") {
 			m.From.Clock().Sleep(time.Second)
 		}
 		if pass != nil {
 			return pass(m)
 		}
-		response, _ := m.Pass(m.Body)
+		response, _ := m.Forward(m.Body)
 		return response
 	}
 }
@@ -107,7 +107,7 @@
 		}, "BUDGET", ""},
 		{"writes on one store more than may be lost", "stores wiped in turn, owners killed", func(t *Tier) {
 			first := map[string]string{}
-			t.Net.Meddle = func(m *Message) *http.Response {
+			t.Net.Intercept = func(m *Message) *http.Response {
 				kept := func(program, turn string) bool {
 					key := m.Path + " " + program + " " + turn
 					if first[key] == "" {
@@ -127,7 +127,7 @@
 						return replied(&ledger.WriteReply{Ack: &ledger.Ack{Whole: true}, Holder: asked.Claim})
 					}
 				}
-				response, _ := m.Pass(m.Body)
+				response, _ := m.Forward(m.Body)
 				return response
 			}
 		}, "LOST", ""},
@@ -163,7 +163,7 @@
 				_ = proto.Unmarshal(m.Body, &asked)
 				asked.Place = max(asked.Place, 1) - 1
 				raw, _ := proto.Marshal(&asked)
-				response, _ := m.Pass(raw)
+				response, _ := m.Forward(raw)
 				return response
 			})(t.Fleet)
 		}, "ORDER", ""},
@@ -222,7 +222,7 @@
 		}, "CONFIG", ""},
 		{"syncing before the answer", "closing power", func(t *Tier) {
 			for _, m := range t.Storage {
-				m.Files.Lying = true
+				m.Disk.IgnoresSync = true
 			}
 		}, "RECOVER", ""},
 		{"the hand-over of a planned stop", "roll_term", func(t *Tier) { t.lost.leave = true }, "LOST", ""},
--- a/internal/simulate/tier_test.go
+++ b/internal/simulate/tier_test.go
@@ -28,7 +28,7 @@
 					outcome := day.Run(seed, TierShapes[name]())
 					t.Logf("seed %d, %.0f s: %v", seed, outcome.VirtualS, outcome.Counts)
 					for _, breach := range outcome.Breaches {
-						t.Errorf("%s\n  %s", outcome.Replay(), breach)
+						t.Errorf("%s\n  %s", outcome.ReplayCommand(), breach)
 					}
 				}
 			})
--- a/internal/simulate/tier_troubles.go
+++ b/internal/simulate/tier_troubles.go
@@ -68,9 +68,9 @@
 	end := t.trouble(kind, m, nil)
 	t.down(m, power)
 	if wipe {
-		m.Files.Wipe()
+		m.Disk.Wipe()
 	}
-	t.Callers.Clock().Sleep(span)
+	t.CallerHost.Clock().Sleep(span)
 	if !m.gone {
 		t.begin(m)
 	}
@@ -84,7 +84,7 @@
 	end := t.trouble("node_freeze", m, nil)
 	life := m.Host.life
 	m.Host.Freeze()
-	t.Callers.Clock().Sleep(span)
+	t.CallerHost.Clock().Sleep(span)
 	if m.Host.life == life {
 		m.Host.Thaw()
 	}
@@ -99,7 +99,7 @@
 	if end == nil {
 		return
 	}
-	t.Callers.Clock().Sleep(after)
+	t.CallerHost.Clock().Sleep(after)
 	if !m.gone && !m.Host.alive {
 		t.begin(m)
 	}
@@ -113,7 +113,7 @@
 		return nil
 	}
 	end = t.trouble(kind, m, func(x *parties.Trouble) { x.Term = true })
-	clock, grace, life, began := t.Callers.Clock(), t.Site.Bounds.Grace, m.Host.life, t.World.now
+	clock, grace, life, began := t.CallerHost.Clock(), t.Site.Bounds.Grace, m.Host.life, t.World.now
 	m.leaving = true
 	if t.lost.leave {
 		t.down(m, false)
@@ -153,13 +153,13 @@
 // comes first, then the old one is told to stop and goes with its disk.
 func (t *Tier) succeed(m *Machine, ahead time.Duration) {
 	t.add(m.Role)
-	t.Callers.Clock().Sleep(ahead)
+	t.CallerHost.Clock().Sleep(ahead)
 	end := t.stop(m, "replace_core")
 	if end == nil {
 		return
 	}
 	m.gone = true
-	m.Files.Wipe()
+	m.Disk.Wipe()
 	end()
 }
 
@@ -168,8 +168,8 @@
 	end := t.trouble("replace_core", m, nil)
 	m.gone = true
 	t.down(m, true)
-	m.Files.Wipe()
-	t.Callers.Clock().Sleep(span)
+	m.Disk.Wipe()
+	t.CallerHost.Clock().Sleep(span)
 	t.add(m.Role)
 	end()
 }
@@ -203,11 +203,11 @@
 	for _, from := range all {
 		for _, to := range all {
 			if names[from.Host.Name] != names[to.Host.Name] {
-				t.Net.Cut(from.Host.Name, to.Host.Name)
+				t.Net.CutLink(from.Host.Name, to.Host.Name)
 			}
 		}
 	}
-	t.Callers.Clock().Sleep(span)
+	t.CallerHost.Clock().Sleep(span)
 	t.Net.Heal()
 	for _, end := range ends {
 		end()
@@ -216,10 +216,10 @@
 
 func (t *Tier) slowNode(m *Machine, span time.Duration) {
 	end := t.trouble("node_slow", m, func(x *parties.Trouble) { x.Slow = true })
-	quick, slow := m.Files.Quick, m.Files.Slow
-	m.Host.Lag, m.Files.Quick, m.Files.Slow = t.World.Between(10*time.Millisecond, 120*time.Millisecond), 20*time.Millisecond, 150*time.Millisecond
-	t.Callers.Clock().Sleep(span)
-	m.Host.Lag, m.Files.Quick, m.Files.Slow = 0, quick, slow
+	quick, slow := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
+	m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = t.World.Between(10*time.Millisecond, 120*time.Millisecond), 20*time.Millisecond, 150*time.Millisecond
+	t.CallerHost.Clock().Sleep(span)
+	m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, quick, slow
 	end()
 }
 
@@ -264,12 +264,12 @@
 		t.down(m, power)
 	}
 	for _, m := range wiped {
-		m.Files.Wipe()
+		m.Disk.Wipe()
 	}
-	t.Callers.Clock().Sleep(t.World.Between(500*time.Millisecond, 2*time.Second))
+	t.CallerHost.Clock().Sleep(t.World.Between(500*time.Millisecond, 2*time.Second))
 	for _, m := range list {
 		t.begin(m)
-		t.Callers.Clock().Sleep(t.World.Between(0, 30*time.Millisecond))
+		t.CallerHost.Clock().Sleep(t.World.Between(0, 30*time.Millisecond))
 	}
 	for _, end := range ends {
 		end()
@@ -284,7 +284,7 @@
 	end := t.trouble("retire", m, func(x *parties.Trouble) { x.Term = true })
 	m.gone = true
 	t.down(m, true)
-	m.Files.Wipe()
+	m.Disk.Wipe()
 	end()
 	return true
 }
@@ -297,7 +297,7 @@
 // drain takes a worker off in order: the list shows it as draining, it serves
 // for the drain's time and a little longer, then it ends.
 func (t *Tier) drain(s *tierWorker) {
-	clock, draining := t.Callers.Clock(), t.instance(s, parties.StateDraining)
+	clock, draining := t.CallerHost.Clock(), t.instance(s, parties.StateDraining)
 	t.list.Change(s.ID, &draining, 0)
 	clock.Sleep(t.list.Lag)
 	t.list.Settle()
@@ -314,7 +314,7 @@
 	old = old[:int(share*float64(len(old))+0.5)]
 	t.together(len(old), func(place int) {
 		s := old[place]
-		t.Callers.Clock().Sleep(time.Duration(place) * gap)
+		t.CallerHost.Clock().Sleep(time.Duration(place) * gap)
 		t.openWorker(s.Shape, s.Zone, "")
 		t.drain(s)
 		t.reuse(s)
@@ -323,7 +323,7 @@
 
 // reuse gives the address of a worker that has ended to another service.
 func (t *Tier) reuse(s *tierWorker) {
-	t.Callers.Clock().Sleep(t.Site.Bounds.ReuseAfter)
+	t.CallerHost.Clock().Sleep(t.Site.Bounds.ReuseAfter)
 	for _, other := range t.Site.Services {
 		if other.Name != s.Shape.Name && t.listening[s.Address] == nil {
 			t.openWorker(other, s.Zone, s.Address)
@@ -343,7 +343,7 @@
 // ill has the workers of a service, or one worker, do wrong for a while.
 func (t *Tier) ill(name string, share float64, span time.Duration, kinds ...parties.Fault) {
 	t.faults[name] = &tierFaults{share, kinds}
-	t.Callers.Clock().Sleep(span)
+	t.CallerHost.Clock().Sleep(span)
 	delete(t.faults, name)
 }
 
@@ -352,7 +352,7 @@
 	x := &parties.Trouble{Kind: "list_down", Machine: "list", Class: "list", From: t.World.now, To: 1 << 60}
 	t.record.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
 	t.list.SetDown(true)
-	t.Callers.Clock().Sleep(span)
+	t.CallerHost.Clock().Sleep(span)
 	t.list.SetDown(false)
 	x.To = t.World.now
 }
--- a/internal/simulate/transfer_test.go
+++ b/internal/simulate/transfer_test.go
@@ -16,15 +16,15 @@
 )
 
 // largePlan is a configuration of some 2 MB, with changes far apart.
-func largePlan(t *testing.T, size string, changes int) ChangesPlan {
+func largePlan(t *testing.T, size string, changes int) ChangeStreamPlan {
 	plan := planOf(t, size, changes)
-	plan.Padding, plan.Every, plan.BytesPerSecond = 1500<<10, 500*time.Millisecond, 100<<20
+	plan.Padding, plan.Interval, plan.BytesPerSecond = 1500<<10, 500*time.Millisecond, 100<<20
 	return plan
 }
 
 func TestMembersAreCurrentWithALargeConfiguration(t *testing.T) {
 	t.Parallel()
-	changesOf(t, largePlan(t, ChangesSizes[0], 12), uint64(*seeds))
+	changesOf(t, largePlan(t, ChangeStreamSizes[0], 12), uint64(*seeds))
 }
 
 // partTalk is what was said about parts to and from one machine.
@@ -35,17 +35,17 @@
 // onParts stands between owners and disks where content goes in parts; fails
 // says whether a message, or its answer, is lost.
 func onParts(f *Fleet, fails func(m *Message, part *register.InstallPartRequest) (before, after bool)) {
-	f.Net.Meddle = func(m *Message) *http.Response {
+	f.Net.Intercept = func(m *Message) *http.Response {
 		var part register.InstallPartRequest
 		if !strings.HasSuffix(m.Path, "Disk/InstallPart") || proto.Unmarshal(m.Body, &part) != nil {
-			response, _ := m.Pass(m.Body)
+			response, _ := m.Forward(m.Body)
 			return response
 		}
 		before, after := fails(m, &part)
 		if before {
 			return nil
 		}
-		response, _ := m.Pass(m.Body)
+		response, _ := m.Forward(m.Body)
 		if after {
 			return nil
 		}
@@ -59,13 +59,13 @@
 func TestATransferGoesOnWhereItBrokeOff(t *testing.T) {
 	t.Parallel()
 	plan := largePlan(t, "2/3/4", 3)
-	plan.Calm = true
+	plan.NoFaults = true
 	for seed := uint64(1); seed <= 3*uint64(*seeds); seed++ {
 		is := is.New(t)
 		var filled *Machine
 		var talk partTalk
 		killed := false
-		plan.Meddle = func(f *Fleet) {
+		plan.Prepare = func(f *Fleet) {
 			onParts(f, func(m *Message, part *register.InstallPartRequest) (before, after bool) {
 				if filled == nil || m.To != filled.Host || len(part.Data) == 0 {
 					return false, false
@@ -75,8 +75,8 @@
 				if talk.carried == 4 && !killed {
 					killed = true
 					f.PowerLoss(filled)
-					f.Callers.Go(func() {
-						f.Callers.Clock().Sleep(50 * time.Millisecond)
+					f.CallerHost.Go(func() {
+						f.CallerHost.Clock().Sleep(50 * time.Millisecond)
 						f.Start(filled)
 					})
 				}
@@ -86,12 +86,12 @@
 				}
 				return lost && talk.carried%2 == 0, lost && talk.carried%2 == 1
 			})
-			f.Callers.Go(func() {
+			f.CallerHost.Go(func() {
 				f.wipeLater(f.Storage[1])
 				filled = f.Storage[1]
 			})
 		}
-		report := RunChanges(seed, plan)
+		report := RunChangeStream(seed, plan)
 		t.Logf("seed %d: %+v, killed %v, breaches %v", seed, talk, killed, report.Breaches)
 		is.Equal(len(report.Breaches), 0)
 		is.True(killed && talk.lost > 0)
@@ -104,16 +104,16 @@
 // wipeLater has a disk come back empty once some changes were made.
 func (f *Fleet) wipeLater(m *Machine) {
 	for versionAt(f) < 3 {
-		f.Callers.Clock().Sleep(20 * time.Millisecond)
+		f.CallerHost.Clock().Sleep(20 * time.Millisecond)
 	}
 	f.wipe(m)
-	f.Callers.Clock().Sleep(100 * time.Millisecond)
+	f.CallerHost.Clock().Sleep(100 * time.Millisecond)
 	f.Start(m)
 }
 
 // versionAt is the newest version that a gateway shows.
 func versionAt(f *Fleet) (newest uint64) {
-	for _, m := range f.Edges {
+	for _, m := range f.Gateways {
 		if follower := m.feedFollower(); follower != nil {
 			newest = max(newest, versionOf(follower.Snapshot().Values))
 		}
@@ -126,13 +126,13 @@
 func TestADiskIsLostWhileTheNewestContentIsRead(t *testing.T) {
 	t.Parallel()
 	plan := largePlan(t, "2/3/4", 12)
-	plan.Calm = true
+	plan.NoFaults = true
 	for seed := uint64(1); seed <= 2*uint64(*seeds); seed++ {
 		is := is.New(t)
 		reads, lost := 0, 0
-		plan.Meddle = func(f *Fleet) {
+		plan.Prepare = func(f *Fleet) {
 			down := false
-			f.Net.Meddle = func(m *Message) *http.Response {
+			f.Net.Intercept = func(m *Message) *http.Response {
 				if strings.HasSuffix(m.Path, "Disk/Read") {
 					if reads++; reads%9 == 3 && !down {
 						lost++
@@ -140,22 +140,22 @@
 						for _, one := range f.Storage {
 							if one.Host == m.To {
 								f.PowerLoss(one)
-								f.Callers.Go(func() {
-									f.Callers.Clock().Sleep(time.Second)
+								f.CallerHost.Go(func() {
+									f.CallerHost.Clock().Sleep(time.Second)
 									f.Start(one)
-									f.Callers.Clock().Sleep(4 * time.Second)
+									f.CallerHost.Clock().Sleep(4 * time.Second)
 									down = false
 								})
 							}
 						}
 					}
 				}
-				response, _ := m.Pass(m.Body)
+				response, _ := m.Forward(m.Body)
 				return response
 			}
-			f.Callers.Go(func() {
+			f.CallerHost.Go(func() {
 				for {
-					f.Callers.Clock().Sleep(2500 * time.Millisecond)
+					f.CallerHost.Clock().Sleep(2500 * time.Millisecond)
 					for _, m := range f.Cores {
 						if versionAt(f) > 2 && m.Host.alive && m.core != nil && m.core.Owner.LeadsFeed() {
 							f.crash(m, 500*time.Millisecond, false)
@@ -165,7 +165,7 @@
 				}
 			})
 		}
-		report := RunChanges(seed, plan)
+		report := RunChangeStream(seed, plan)
 		t.Logf("seed %d: %d parts read, %d disks lost meanwhile, breaches %v", seed, reads, lost, report.Breaches)
 		is.Equal(len(report.Breaches), 0)
 		is.True(lost > 0)
@@ -177,11 +177,11 @@
 	t.Parallel()
 	is := is.New(t)
 	plan := largePlan(t, "2/3/4", 4)
-	plan.Calm = true
+	plan.NoFaults = true
 	parts, damaged := 0, 0
-	plan.Meddle = func(f *Fleet) {
-		f.Callers.Go(func() { f.wipeLater(f.Storage[1]) })
-		f.Net.Meddle = func(m *Message) *http.Response {
+	plan.Prepare = func(f *Fleet) {
+		f.CallerHost.Go(func() { f.wipeLater(f.Storage[1]) })
+		f.Net.Intercept = func(m *Message) *http.Response {
 			var part register.InstallPartRequest
 			body := m.Body
 			if strings.HasSuffix(m.Path, "Disk/InstallPart") && proto.Unmarshal(m.Body, &part) == nil && len(part.Data) > 0 {
@@ -192,7 +192,7 @@
 				part.Data[f.World.Int64N(int64(len(part.Data)))] ^= 1
 				body, _ = proto.Marshal(&part)
 			}
-			response, _ := m.Pass(body)
+			response, _ := m.Forward(body)
 			return response
 		}
 	}
@@ -203,10 +203,10 @@
 // ownersLostBesideALaggard kills the feed's owner whenever a disk that was cut
 // off is back.
 func (f *Fleet) ownersLostBesideALaggard() {
-	clock := f.Callers.Clock()
+	clock := f.CallerHost.Clock()
 	for {
 		clock.Sleep(2 * time.Second)
-		f.Net.CutOff(map[string]bool{f.Storage[0].Host.Name: true})
+		f.Net.Isolate(map[string]bool{f.Storage[0].Host.Name: true})
 		clock.Sleep(1500 * time.Millisecond)
 		f.Net.Heal()
 		for _, m := range f.Cores {
@@ -222,8 +222,8 @@
 func TestAnOwnerLeadsByTheNewestContent(t *testing.T) {
 	t.Parallel()
 	plan := planOf(t, "2/3/4", 60)
-	plan.Calm = true
-	plan.Meddle = func(f *Fleet) { f.Callers.Go(f.ownersLostBesideALaggard) }
+	plan.NoFaults = true
+	plan.Prepare = func(f *Fleet) { f.CallerHost.Go(f.ownersLostBesideALaggard) }
 	changesOf(t, plan, 4*uint64(*seeds))
 }
 
@@ -231,19 +231,19 @@
 func TestEachMechanismOfManyChangesTakenAwayIsCaught(t *testing.T) {
 	for _, row := range []struct {
 		mechanism string
-		plan      func() ChangesPlan
+		plan      func() ChangeStreamPlan
 		take      func(f *Fleet)
 		word      string
 	}{
-		{"the promises of a majority", func() ChangesPlan {
+		{"the promises of a majority", func() ChangeStreamPlan {
 			plan := planOf(t, "2/3/4", 60)
-			plan.Calm = true
+			plan.NoFaults = true
 			return plan
 		}, func(f *Fleet) {
-			f.Callers.Go(f.ownersLostBesideALaggard)
-			f.Net.Meddle = func(m *Message) *http.Response {
+			f.CallerHost.Go(f.ownersLostBesideALaggard)
+			f.Net.Intercept = func(m *Message) *http.Response {
 				if !strings.HasSuffix(m.Path, "Disk/Promise") || m.To == f.Storage[0].Host {
-					response, _ := m.Pass(m.Body)
+					response, _ := m.Forward(m.Body)
 					return response
 				}
 				reply, response := passed(m, m.Body, &register.PromiseReply{})
@@ -253,21 +253,21 @@
 				return replied(&register.PromiseReply{Ack: reply.Ack}) // as if it held nothing
 			}
 		}, "had been acknowledged"},
-		{"the confirmation of the epoch before a read", func() ChangesPlan { return planOf(t, "2/3/4", 150) }, onPath("Disk/Confirm", func(*Message) *http.Response {
+		{"the confirmation of the epoch before a read", func() ChangeStreamPlan { return planOf(t, "2/3/4", 150) }, onPath("Disk/Confirm", func(*Message) *http.Response {
 			return replied(&register.Ack{Ok: true})
 		}), "had been acknowledged"},
-		{"the wholeness of a content in parts", func() ChangesPlan { return largePlan(t, "2/3/4", 16) }, func(f *Fleet) {
-			f.Net.Meddle = func(m *Message) *http.Response {
+		{"the wholeness of a content in parts", func() ChangeStreamPlan { return largePlan(t, "2/3/4", 16) }, func(f *Fleet) {
+			f.Net.Intercept = func(m *Message) *http.Response {
 				var part register.InstallPartRequest
 				if strings.HasSuffix(m.Path, "Disk/InstallPart") && proto.Unmarshal(m.Body, &part) == nil && len(part.Data) > 0 {
 					// a disk that counts the first part as all
-					response, _ := m.Pass(m.Body)
+					response, _ := m.Forward(m.Body)
 					if response == nil {
 						return nil
 					}
 					return replied(&register.Ack{Ok: true, Seq: part.Snapshot.Seq, Staged: part.Snapshot.Size})
 				}
-				response, _ := m.Pass(m.Body)
+				response, _ := m.Forward(m.Body)
 				return response
 			}
 		}, "is not current"},
@@ -277,8 +277,8 @@
 			const most = 8
 			for seed := uint64(1); seed <= most; seed++ {
 				plan := row.plan()
-				plan.Meddle = row.take
-				for _, breach := range RunChanges(seed, plan).Breaches {
+				plan.Prepare = row.take
+				for _, breach := range RunChangeStream(seed, plan).Breaches {
 					if strings.Contains(breach, row.word) {
 						t.Logf("without %s: seed %d: %s", row.mechanism, seed, breach)
 						return
--- a/internal/simulate/tree_test.go
+++ b/internal/simulate/tree_test.go
@@ -15,7 +15,7 @@
 
 // followersOf are the living machines that follow the feed.
 func (f *Fleet) following() []*Machine {
-	return base.Filter(append(append([]*Machine{}, f.Cores...), f.Edges...), func(m *Machine) bool { return m.Host.alive && !m.Host.frozen })
+	return base.Filter(append(append([]*Machine{}, f.Cores...), f.Gateways...), func(m *Machine) bool { return m.Host.alive && !m.Host.frozen })
 }
 
 func (m *Machine) follower() interface {
@@ -35,9 +35,9 @@
 func (f *Fleet) appliedBy(core func() *Machine, based int) time.Duration {
 	done, stamp := false, uint64(based+1)
 	began := f.World.Now()
-	f.Callers.Go(func() {
+	f.CallerHost.Go(func() {
 		f.insist("apply", func() int {
-			status, _ := f.Operate(core(), "POST", "/v1/operator/settings/apply", map[string]any{"change": fmt.Sprint("c", based), "based_on": based, "document": f.marked(fmt.Sprint(based))})
+			status, _ := f.OperatorRequest(core(), "POST", "/v1/operator/settings/apply", map[string]any{"change": fmt.Sprint("c", based), "based_on": based, "document": f.marked(fmt.Sprint(based))})
 			return status
 		})
 		began, done = f.World.Now(), true
@@ -74,16 +74,16 @@
 	bound := base.DefaultBounds().Settings
 	owner := f.feeds()
 	before, _ := f.lapses()
-	f.Net.By = map[string]*Share{}
+	f.Net.TrafficByHost = map[string]*HostTraffic{}
 	f.World.Run(f.World.Now()+10*time.Second, nil)
-	asked := float64(f.Net.By[owner.Host.Name].Served) / 10
+	asked := float64(f.Net.TrafficByHost[owner.Host.Name].RequestsReceived) / 10
 	now, without := f.lapses()
 	t.Logf("at rest: the owner serves %.1f calls a second, %d permits lapsed", asked, now-before)
 	is.True(asked < 80)
 	is.Equal(now, before)
 	is.Equal(without, 0)
-	for _, m := range f.Edges {
-		is.Equal(m.gateway.Follower.GatewayCount(), len(f.Edges))
+	for _, m := range f.Gateways {
+		is.Equal(m.gateway.Follower.GatewayCount(), len(f.Gateways))
 	}
 	took := f.applied(1)
 	t.Logf("settings reach the last after %v", took)
@@ -93,8 +93,8 @@
 		do   func()
 	}{
 		{"a third of the gateways killed", func() {
-			for place := 0; place < len(f.Edges); place += 3 {
-				f.Kill(f.Edges[place])
+			for place := 0; place < len(f.Gateways); place += 3 {
+				f.Kill(f.Gateways[place])
 			}
 		}},
 		{"two cores killed", func() {
@@ -109,8 +109,8 @@
 			f.Start(f.Cores[0])
 		}},
 		{"gateways frozen", func() {
-			for place := 1; place < len(f.Edges); place += 3 {
-				f.Edges[place].Host.Freeze()
+			for place := 1; place < len(f.Gateways); place += 3 {
+				f.Gateways[place].Host.Freeze()
 			}
 		}},
 		{"the owner killed", func() { f.Kill(f.feeds()) }},
--- a/internal/whatif/run.go
+++ b/internal/whatif/run.go
@@ -83,40 +83,40 @@
 	f := simulate.NewFleet(q.Seed, shape)
 	defer f.World.Close()
 	formed := false
-	f.Callers.Go(func() { f.Form(); formed = true })
+	f.CallerHost.Go(func() { f.SetUp(); formed = true })
 	if !f.World.Run(time.Minute, func() bool { return formed }) {
 		return nil, errors.New("the fleet did not form")
 	}
-	quiet := f.Net.Messages
+	quiet := f.Net.MessageCount
 	f.World.Run(f.World.Now()+10*time.Second, nil)
-	idle := float64(f.Net.Messages-quiet) / 10
-	f.Report(time.Second)
+	idle := float64(f.Net.MessageCount-quiet) / 10
+	f.StartUsageReports(time.Second)
 	began := f.World.Now()
-	started, syncs, messages := 0, f.Syncs(), f.Net.Messages
+	started, syncs, messages := 0, f.SyncTotal(), f.Net.MessageCount
 	r := &Report{Seed: q.Seed, IdleMessages: idle, Conversations: map[string]int{}, Refusals: map[string]int{}}
 	moments := map[string][]time.Duration{}
 	f.Tally.Seen = func(name string) { moments[name] = append(moments[name], f.World.Now()-began) }
 	left, over := 0, false
-	f.Callers.Go(func() {
+	f.CallerHost.Go(func() {
 		for now := time.Duration(0); now < q.Load.Until; now = f.World.Now() - began {
 			rate := rateAt(q.Load.Steps, now)
 			if rate <= 0 {
-				f.Callers.Clock().Sleep(100 * time.Millisecond)
+				f.CallerHost.Clock().Sleep(100 * time.Millisecond)
 				continue
 			}
 			q.caller(f, started, &left)
 			started++
-			f.Callers.Clock().Sleep(time.Duration(float64(time.Second) / rate))
+			f.CallerHost.Clock().Sleep(time.Duration(float64(time.Second) / rate))
 		}
 		over = true
 	})
-	f.Callers.Go(func() { q.play(f, began) })
-	f.Callers.Go(func() { q.apply(f, r, began+q.Load.Until/2) })
+	f.CallerHost.Go(func() { q.play(f, began) })
+	f.CallerHost.Go(func() { q.apply(f, r, began+q.Load.Until/2) })
 	f.World.Run(began+q.Load.Until+settleTime, func() bool { return over && left == 0 })
 	r.VirtualS = (f.World.Now() - began).Seconds()
 	r.fill(q, f, moments, began, started-left)
-	r.MessagesTurn = float64(f.Net.Messages-messages) / float64(max(1, f.Tally.Counts["turns_whole"]))
-	r.SyncsTurn = float64(f.Syncs()-syncs) / float64(max(1, f.Tally.Counts["turns_whole"]))
+	r.MessagesTurn = float64(f.Net.MessageCount-messages) / float64(max(1, f.Tally.Counts["turns_whole"]))
+	r.SyncsTurn = float64(f.SyncTotal()-syncs) / float64(max(1, f.Tally.Counts["turns_whole"]))
 	return r, nil
 }
 
@@ -132,7 +132,7 @@
 
 func (q *Question) caller(f *simulate.Fleet, num int, left *int) {
 	w := f.World
-	c := &standin.Caller{Name: fmt.Sprintf("c%d", num), Clock: f.Callers.Clock(), Ask: f.Asker(f.Callers), Gateways: len(f.Edges), Home: int(w.Int64N(int64(len(f.Edges)))),
+	c := &standin.Caller{Name: fmt.Sprintf("c%d", num), Clock: f.CallerHost.Clock(), Ask: f.Asker(f.CallerHost), Gateways: len(f.Gateways), Home: int(w.Int64N(int64(len(f.Gateways)))),
 		Group: q.Deployment.Group, Site: q.Deployment.Site, Route: q.Deployment.Route, ToolRoute: q.Deployment.ToolRoute, Pieces: q.Deployment.Pieces,
 		Patience: q.Load.Patience, Tally: f.Tally}
 	c.Hasty = w.Chance(q.Load.Hasty)
@@ -148,7 +148,7 @@
 	}
 	c.Between = func(int) { c.Clock.Sleep(w.Between(0, 2*q.Load.Think)) }
 	*left++
-	f.Callers.Go(func() {
+	f.CallerHost.Go(func() {
 		if c.Start(q.Load.Budget) {
 			c.Converse(turns, q.Load.ToolCalls)
 		}
@@ -159,18 +159,18 @@
 // apply puts the same settings in force once more, in the middle of the
 // load, and times how long until the last living gateway goes by them.
 func (q *Question) apply(f *simulate.Fleet, r *Report, at time.Duration) {
-	clock := f.Callers.Clock()
+	clock := f.CallerHost.Clock()
 	clock.Sleep(at - f.World.Now())
 	taken := false
 	for tries := 0; !taken && tries < 100; tries++ {
-		status, _ := f.Operate(f.Cores[tries%len(f.Cores)], "POST", "/v1/operator/settings/apply",
+		status, _ := f.OperatorRequest(f.Cores[tries%len(f.Cores)], "POST", "/v1/operator/settings/apply",
 			map[string]any{"change": "again", "based_on": 1, "document": json.RawMessage(q.Settings)})
 		if taken = status == 200; !taken {
 			clock.Sleep(100 * time.Millisecond)
 		}
 	}
 	told := f.World.Now()
-	for _, m := range f.Edges {
+	for _, m := range f.Gateways {
 		for m.Serving() && m.Gateway().Stamp() < 2 {
 			clock.Sleep(time.Millisecond)
 		}
@@ -186,7 +186,7 @@
 	}
 	for _, event := range q.Script {
 		if wait := began + event.At - f.World.Now(); wait > 0 {
-			f.Callers.Clock().Sleep(wait)
+			f.CallerHost.Clock().Sleep(wait)
 		}
 		host, m := f.World.Hosts[event.Machine], machines[event.Machine]
 		switch event.Do {
@@ -211,19 +211,19 @@
 			host.Thaw()
 		case "stop":
 			if m != nil {
-				f.Callers.Go(func() { f.Stop(m) })
+				f.CallerHost.Go(func() { f.Stop(m) })
 			}
 		case "wipe":
 			if m != nil {
 				f.PowerLoss(m)
-				m.Files.Wipe()
+				m.Disk.Wipe()
 			}
 		case "stall", "unstall":
 			if m != nil {
-				m.Files.Stalled = event.Do == "stall"
+				m.Disk.SyncStalled = event.Do == "stall"
 			}
 		case "cut":
-			f.Net.CutOff(map[string]bool{event.Machine: true})
+			f.Net.Isolate(map[string]bool{event.Machine: true})
 		case "heal":
 			f.Net.Heal()
 		}
@@ -259,9 +259,9 @@
 		phase.Cut = len(base.Filter(moments["turns_cut"], within)) + len(base.Filter(moments["turns_dropped"], within))
 		r.Phases = append(r.Phases, phase)
 	}
-	r.Waited, r.Takeovers = f.Total("legs_waited"), f.Total("runs_succeeded")
+	r.Waited, r.Takeovers = f.CounterTotal("legs_waited"), f.CounterTotal("runs_succeeded")
 	if r.Takeovers > 0 {
-		r.TakeoverMs = float64(f.Total("takeover_ms")) / float64(r.Takeovers)
+		r.TakeoverMs = float64(f.CounterTotal("takeover_ms")) / float64(r.Takeovers)
 	}
 	r.LongestMs = millis(f.Tally.Slowest)
 	runs, hits, put, allowed := 0, 0, int64(0), int64(0)
@@ -287,7 +287,7 @@
 	if allowed > 0 {
 		r.BudgetUse = float64(put) / float64(allowed)
 	}
-	r.Breaches = append([]string{}, f.Check()...)
+	r.Breaches = append([]string{}, f.CheckInvariants()...)
 }
 
 // spread gives the median and the 99th of 100, in milliseconds.
