--- a/internal/node/daemon.go
+++ b/internal/node/daemon.go
@@ -116,7 +116,7 @@
 func Open(config *Config, names *relay.WireNames) (*Daemon, error) {
 	d := &Daemon{}
 	counters := base.NewCounters()
-	httpClient, err := conn.NewWire(func() { counters.Add("messages_sent", 1) })
+	httpClient, err := conn.NewClient(func() { counters.Add("messages_sent", 1) })
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -77,7 +77,7 @@
 	self := &membership.Member{Id: config.Addr + "/" + base.NewID(env.Clock, ""), Addr: config.Addr, PublicAddr: config.PublicAddr, Role: config.Role, Zone: config.Zone}
 	seeds := slices.Clone(config.Seeds)
 	if env.Files != nil {
-		seeds = append(seeds, disk.Neighbours(env.Files)...)
+		seeds = append(seeds, disk.ReadPeerAddresses(env.Files)...)
 	}
 	c.view = membership.NewView(env.Clock, env.HTTPClient, bounds, env.Counters, self, seeds, usageStore)
 	c.view.SetCluster(config.Cluster)
@@ -386,9 +386,9 @@
 		store.Close()
 		return nil, err
 	}
-	store.Tell(ledgerStore.NotifySetChange)
+	store.OnIdentityChange(ledgerStore.NotifySetChange)
 	service := disk.NewService(store, bounds.Load().DiskTimeout())
-	service.Node = config.NodeName
+	service.NodeName = config.NodeName
 	c.mount(register.NewDiskServer(service))
 	c.mount(ledger.NewLedgerServer(ledgerStore))
 	return &Storage{common: c, Store: store, Ledger: ledgerStore}, nil
@@ -406,11 +406,11 @@
 // storage nodes find the others after an outage even if all seeds have been
 // replaced.
 func (s *Storage) saveNeighbours() {
-	saved := disk.Neighbours(s.env.Files)
+	saved := disk.ReadPeerAddresses(s.env.Files)
 	for !s.view.Closed() {
 		s.env.Clock.Sleep(s.bounds.Load().SuspectTimeout())
 		if addresses := s.view.LiveAddresses(); s.Store.Cluster() != "" && len(addresses) > 0 && !slices.Equal(addresses, saved) {
-			if disk.KeepNeighbours(s.env.Files, addresses) == nil {
+			if disk.WritePeerAddresses(s.env.Files, addresses) == nil {
 				saved = addresses
 			}
 		}
