--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -13,7 +13,7 @@
 // configuration is reported by name.
 func TestConfigValidation(t *testing.T) {
 	is := is.New(t)
-	path := filepath.Join(t.TempDir(), "settings.json")
+	path := filepath.Join(t.TempDir(), "place.json")
 	readConfig := func(document string) error {
 		is.NoErr(os.WriteFile(path, []byte(document), 0o600))
 		return ReadConfigFile(path, &Config{})
--- a/internal/operate/access.go
+++ b/internal/operate/access.go
@@ -1,6 +1,3 @@
-// Access as operators see it: what each team may call and why, what a document
-// would change, and who holds which settings.
-
 package operate
 
 import (
@@ -12,25 +9,29 @@
 	"fordseam/internal/settings"
 )
 
-// AccessState is how far a change of the rules has come.
+// AccessState is the progress of a change of the access rules.
 type AccessState struct {
-	// Version is of the settings that stand; InForce of those whose rules decide.
-	Version uint64              `json:"stamp"`
-	InForce uint64              `json:"in_force"`
+	// Version is the version of the latest settings. InForce is the version of the
+	// settings whose rules decide.
+	Version uint64 `json:"stamp"`
+	InForce uint64 `json:"in_force"`
+	// Holders are the versions that the nodes hold.
 	Holders []feed.NodeSettings `json:"holders"`
 }
 
-// AccessView is the whole of it.
+// AccessView is the response to a query of the access rules.
 type AccessView struct {
 	AccessState
-	// Unrestricted tells that no teams are set, so that everything is allowed.
+	// Unrestricted reports that no teams are configured, so that every call is
+	// allowed.
 	Unrestricted bool              `json:"open"`
 	Teams        []access.TeamView `json:"teams"`
 }
 
-// readRules gives the rules that stand, in force or not yet.
-func (o *Handler) readRules(ctx *base.Ctx) (*settings.Record, *access.Table, error) {
-	record, err := o.readSettings(ctx)
+// readRules returns the latest settings and their access rules, whether these are
+// already in force or not.
+func (h *Handler) readRules(ctx *base.Ctx) (*settings.Record, *access.Table, error) {
+	record, err := h.readSettings(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -38,37 +39,41 @@
 	return record, tree.Access(), nil
 }
 
-func (o *Handler) readHolders(ctx *base.Ctx) ([]feed.NodeSettings, error) {
+// readHolders returns the versions of the settings that the nodes hold.
+func (h *Handler) readHolders(ctx *base.Ctx) ([]feed.NodeSettings, error) {
 	nodes := []feed.NodeSettings{}
-	err := o.Register.Change(ctx, register.FeedGroup, "access.holders", struct{}{}, &nodes)
+	err := h.Register.Change(ctx, register.FeedGroup, "access.holders", struct{}{}, &nodes)
 	return nodes, err
 }
 
-func (o *Handler) readAccessState(ctx *base.Ctx, record *settings.Record) (AccessState, error) {
+func (h *Handler) readAccessState(ctx *base.Ctx, record *settings.Record) (AccessState, error) {
 	state := AccessState{Version: record.Version, InForce: record.Version}
-	pending, err := access.ReadPending(ctx, o.Register)
+	pending, err := access.ReadPending(ctx, h.Register)
 	if err != nil {
 		return state, err
 	}
 	if pending != nil {
 		state.InForce = pending.InForce
 	}
-	state.Holders, err = o.readHolders(ctx)
+	state.Holders, err = h.readHolders(ctx)
 	return state, err
 }
 
-func (o *Handler) getAccess(ctx *base.Ctx) (any, error) {
-	record, table, err := o.readRules(ctx)
+// getAccess shows what each team may call.
+func (h *Handler) getAccess(ctx *base.Ctx) (any, error) {
+	record, table, err := h.readRules(ctx)
 	if err != nil {
 		return nil, err
 	}
-	state, err := o.readAccessState(ctx, record)
+	state, err := h.readAccessState(ctx, record)
 	return AccessView{AccessState: state, Unrestricted: table == nil, Teams: table.Teams()}, err
 }
 
-// accessStatus is nil where there are no rules, or nobody can say.
-func (o *Handler) accessStatus(ctx *base.Ctx) *AccessState {
-	values := o.FeedValues()
+// accessStatus returns the access state for the status of the fleet, or nil if
+// there are no access rules. It uses the values of the feed and leaves Holders
+// empty if the register does not answer, because the status must not depend on it.
+func (h *Handler) accessStatus(ctx *base.Ctx) *AccessState {
+	values := h.FeedValues()
 	pending := access.PendingFromFeed(values)
 	if pending == nil && !settings.HasTeams(values) {
 		return nil
@@ -78,13 +83,14 @@
 	if pending != nil {
 		state.InForce = pending.InForce
 	}
-	if holders, err := o.readHolders(ctx.WithTimeout(o.Bounds.Load().CoreCallTimeout())); err == nil {
+	if holders, err := h.readHolders(ctx.WithTimeout(h.Bounds.Load().CoreCallTimeout())); err == nil {
 		state.Holders = holders
 	}
 	return state
 }
 
-func (o *Handler) explainAccess(ctx *base.Ctx, r *front.Request) (any, error) {
+// explainAccess shows whether a team may call a model, and why.
+func (h *Handler) explainAccess(ctx *base.Ctx, r *front.Request) (any, error) {
 	team, model := r.Query["team"], r.Query["model"]
 	switch {
 	case team == "":
@@ -92,7 +98,7 @@
 	case model == "":
 		return nil, base.DeclineField("model", "must be given")
 	}
-	record, table, err := o.readRules(ctx)
+	record, table, err := h.readRules(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -103,12 +109,13 @@
 	return map[string]any{"stamp": record.Version, "reasons": reasons}, nil
 }
 
-func (o *Handler) diffAccess(ctx *base.Ctx, document []byte) (any, error) {
+// diffAccess shows how a document would change the access of teams.
+func (h *Handler) diffAccess(ctx *base.Ctx, document []byte) (any, error) {
 	tree, violations := settings.Parse(document)
 	if len(violations) > 0 {
 		return nil, settings.InvalidDocument(violations)
 	}
-	record, table, err := o.readRules(ctx)
+	record, table, err := h.readRules(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -1,5 +1,5 @@
-// Package operate is the operators' interface on a core, spoken to by the
-// controller's subcommands over HTTP and JSON.
+// Package operate implements the operators' API of a core. The subcommands of the
+// controller call it with JSON over HTTP.
 package operate
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/go-faster/jx"
 )
 
-// Handler answers operators.
+// Handler serves the operators' API.
 type Handler struct {
 	Clock      base.Clock
 	HTTPClient base.HTTPClient
@@ -30,21 +30,23 @@
 	Register   *register.Client
 	Server     *register.Server
 	Counters   *base.Counters
-	// FeedValues is the newest that this core has heard of the feed.
+	// FeedValues returns the latest values of the feed that this core has received.
 	FeedValues func() map[string][]byte
-	// ParseRoutes reads an operator's document of routes; nil where there are none.
-	ParseRoutes func(written []byte) (*route.Table, error)
+	// ParseRoutes parses an operator's document of routes. It is nil in a deployment
+	// without such routes.
+	ParseRoutes func(document []byte) (*route.Table, error)
 }
 
-// Handle answers one request.
-func (o *Handler) Handle(ctx *base.Ctx, r *front.Request) *front.Response {
-	body, err := o.dispatch(ctx.WithTimeout(o.Bounds.Load().Recovery), r)
+// Handle serves one request within the recovery bound.
+func (h *Handler) Handle(ctx *base.Ctx, r *front.Request) *front.Response {
+	result, err := h.dispatch(ctx.WithTimeout(h.Bounds.Load().Recovery), r)
 	if err != nil {
 		return front.ErrorResponse(err)
 	}
-	return &front.Response{Status: 200, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.MustMarshal(body), '\n')}
+	return &front.Response{Status: 200, Header: map[string]string{"Content-Type": "application/json"}, Body: append(base.MustMarshal(result), '\n')}
 }
 
+// rawField reads a value of any type without decoding it.
 func rawField(target *json.RawMessage) base.FieldReader {
 	return func(_ string, d *jx.Decoder) error {
 		value, err := d.Raw()
@@ -53,69 +55,74 @@
 	}
 }
 
-func (o *Handler) dispatch(ctx *base.Ctx, r *front.Request) (any, error) {
+// dispatch calls the method for a request and returns the value for the body.
+func (h *Handler) dispatch(ctx *base.Ctx, r *front.Request) (any, error) {
 	switch r.Method + " " + r.Path {
 	case "POST /v1/operator/init":
-		return o.initCluster(ctx, r)
+		return h.initCluster(ctx, r)
 	case "GET /v1/operator/settings":
-		return o.readSettings(ctx)
+		return h.readSettings(ctx)
 	case "POST /v1/operator/settings/check":
-		return o.checkSettings(r.Body)
+		return h.checkSettings(r.Body)
 	case "POST /v1/operator/settings/apply":
-		return o.applySettings(ctx, r)
+		return h.applySettings(ctx, r)
 	case "POST /v1/operator/settings/outcome":
-		return o.settingsOutcome(ctx, r)
+		return h.settingsOutcome(ctx, r)
 	case "GET /v1/operator/settings/effective":
-		return o.effectiveSettings(ctx, r)
+		return h.effectiveSettings(ctx, r)
 	case "GET /v1/operator/access":
-		return o.getAccess(ctx)
+		return h.getAccess(ctx)
 	case "GET /v1/operator/access/check":
-		return o.explainAccess(ctx, r)
+		return h.explainAccess(ctx, r)
 	case "POST /v1/operator/access/diff":
-		return o.diffAccess(ctx, r.Body)
+		return h.diffAccess(ctx, r.Body)
 	case "GET /v1/operator/status":
-		return o.getStatus(ctx), nil
+		return h.getStatus(ctx), nil
 	case "POST /v1/operator/settings/diff":
-		return o.diffSettings(ctx, r.Body)
+		return h.diffSettings(ctx, r.Body)
 	case "GET /v1/operator/workers":
-		return (&worker.Client{Register: o.Register}).List(ctx)
+		return (&worker.Client{Register: h.Register}).List(ctx)
 	case "GET /v1/operator/storage":
-		return o.listStorage(ctx)
+		return h.listStorage(ctx)
 	case "POST /v1/operator/storage/admit":
-		return o.admitDisk(ctx, r)
+		return h.admitDisk(ctx, r)
 	case "POST /v1/operator/storage/retire":
-		return o.retireDisk(ctx, r)
+		return h.retireDisk(ctx, r)
 	case "GET /v1/operator/routes":
-		return o.getRoutes(ctx)
+		return h.getRoutes(ctx)
 	case "POST /v1/operator/routes/check":
-		return o.checkRoutes(r.Body)
+		return h.checkRoutes(r.Body)
 	case "POST /v1/operator/routes/apply":
-		return o.applyRoutes(ctx, r)
+		return h.applyRoutes(ctx, r)
 	case "GET /v1/operator/roster":
-		return o.getRoster(ctx)
+		return h.getRoster(ctx)
 	case "POST /v1/operator/storage/empty":
-		return o.retireNode(ctx, r)
+		return h.retireNode(ctx, r)
 	case "GET /v1/operator/storage/empty":
-		return retirementState(register.GetRetirement(ctx, o.Register, r.Query["node"]))
+		return retirementState(register.GetRetirement(ctx, h.Register, r.Query["node"]))
 	case "POST /v1/operator/terminate":
-		return o.terminateProgram(ctx, r)
+		return h.terminateProgram(ctx, r)
 	}
-	return nil, base.Decline(404, "unknown_path", "there is nothing at this path")
+	return nil, base.Decline(404, "unknown_path", "no resource exists at this path")
 }
 
-func (o *Handler) readSettings(ctx *base.Ctx) (*settings.Record, error) {
+// readSettings returns the latest settings.
+func (h *Handler) readSettings(ctx *base.Ctx) (*settings.Record, error) {
 	var record settings.Record
-	return &record, o.Register.Read(ctx, register.FeedGroup, "settings.get", struct{}{}, &record)
+	return &record, h.Register.Read(ctx, register.FeedGroup, "settings.get", struct{}{}, &record)
 }
 
-func (o *Handler) checkSettings(document []byte) (any, error) {
+// checkSettings validates a document without applying it.
+func (h *Handler) checkSettings(document []byte) (any, error) {
 	if _, violations := settings.Parse(document); len(violations) > 0 {
 		return nil, settings.InvalidDocument(violations)
 	}
 	return map[string]bool{"valid": true}, nil
 }
 
-func (o *Handler) applySettings(ctx *base.Ctx, r *front.Request) (any, error) {
+// applySettings replaces the settings, provided that the version that the change is
+// based on is still the latest. The change's id lets operators query the outcome.
+func (h *Handler) applySettings(ctx *base.Ctx, r *front.Request) (any, error) {
 	var change settings.Change
 	basedOn := -1.0
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{
@@ -131,22 +138,23 @@
 	case change.Document == nil:
 		return nil, base.DeclineField("document", "must be given")
 	}
-	if _, err := o.checkSettings(change.Document); err != nil {
+	if _, err := h.checkSettings(change.Document); err != nil {
 		return nil, err
 	}
 	change.BasedOn = uint64(basedOn)
 	var outcome settings.Outcome
-	if err := o.Register.Change(ctx, register.FeedGroup, "settings.apply", change, &outcome); err != nil {
-		v := base.ToRequestError(err)
-		if v.Execution == base.MayHaveRun {
-			v = base.Indeterminate(504, "unknown", "the outcome is not known; ask again with change %s", change.ID)
+	if err := h.Register.Change(ctx, register.FeedGroup, "settings.apply", change, &outcome); err != nil {
+		requestErr := base.ToRequestError(err)
+		if requestErr.Execution == base.MayHaveRun {
+			requestErr = base.Indeterminate(504, "unknown", "the outcome is unknown; query it with change %s", change.ID)
 		}
-		return nil, v
+		return nil, requestErr
 	}
 	return outcome, nil
 }
 
-func (o *Handler) settingsOutcome(ctx *base.Ctx, r *front.Request) (any, error) {
+// settingsOutcome returns the outcome of a change of the settings.
+func (h *Handler) settingsOutcome(ctx *base.Ctx, r *front.Request) (any, error) {
 	var change settings.Change
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"change": base.StringField(&change.ID, 128)}); err != nil {
 		return nil, err
@@ -156,11 +164,13 @@
 	}
 	change.Document = json.RawMessage("null")
 	var outcome settings.Outcome
-	return &outcome, o.Register.Change(ctx, register.FeedGroup, "settings.outcome", change, &outcome)
+	return &outcome, h.Register.Change(ctx, register.FeedGroup, "settings.outcome", change, &outcome)
 }
 
-func (o *Handler) effectiveSettings(ctx *base.Ctx, r *front.Request) (any, error) {
-	record, err := o.readSettings(ctx)
+// effectiveSettings shows the values in effect for a group, site or route, and the
+// level that each comes from.
+func (h *Handler) effectiveSettings(ctx *base.Ctx, r *front.Request) (any, error) {
+	record, err := h.readSettings(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +179,7 @@
 		return nil, base.Decline(404, "no_settings", "no settings have been applied")
 	}
 	if r.Query["group"] == "" && r.Query["site"] != "" || r.Query["site"] == "" && r.Query["route"] != "" {
-		return nil, base.DeclineField("site", "a level needs the levels above it")
+		return nil, base.DeclineField("site", "a group is needed for a site, and a site for a route")
 	}
 	values, err := tree.Effective(r.Query["group"], r.Query["site"], r.Query["route"])
 	if err != nil {
@@ -178,7 +188,7 @@
 	return map[string]any{"stamp": record.Version, "values": values}, nil
 }
 
-// MemberView is a node in the status.
+// MemberView is a node in the status of the fleet.
 type MemberView struct {
 	ID             string `json:"id"`
 	Role           string `json:"role"`
@@ -190,47 +200,48 @@
 	NotReadyReason string `json:"unwell,omitempty"`
 }
 
-// StatusView is a core's view of the fleet.
+// StatusView is the status of the fleet as one core sees it.
 type StatusView struct {
 	Core           string       `json:"core"`
 	OwnedShards    []uint32     `json:"slots_owned"`
 	DiskSetVersion uint64       `json:"disk_set_stamp"`
 	Cluster        string       `json:"cluster"`
 	Members        []MemberView `json:"members"`
-	// ReconcileStatus says what is being done about the disks; the core that owns slot 0
-	// knows, the others see only what is being filled.
+	// ReconcileStatus lists the ongoing changes of the disk set. Only the leader of
+	// shard 0 knows all of them; other cores list only the disks being filled.
 	ReconcileStatus []string         `json:"mending"`
 	Counters        map[string]int64 `json:"counters"`
-	// Access says who holds which settings, where teams have rules.
+	// Access is the state of the access rules, if there are any.
 	Access *AccessState `json:"access,omitempty"`
-	// Unwell names what needs an operator's eye; empty when all is well.
+	// Problems lists what an operator should look at; empty if there is nothing.
 	Problems []string `json:"unwell"`
 }
 
-func (o *Handler) getStatus(ctx *base.Ctx) StatusView {
-	owned, set := o.Server.Status()
-	view := StatusView{Core: o.View.SelfID(), OwnedShards: owned, DiskSetVersion: set.GetStamp(), Cluster: set.GetCluster(), Counters: o.Counters.Snapshot()}
+// getStatus shows the status of the fleet.
+func (h *Handler) getStatus(ctx *base.Ctx) StatusView {
+	shards, diskSet := h.Server.Status()
+	view := StatusView{Core: h.View.SelfID(), OwnedShards: shards, DiskSetVersion: diskSet.GetStamp(), Cluster: diskSet.GetCluster(), Counters: h.Counters.Snapshot()}
 	for _, role := range []string{membership.RoleGateway, membership.RoleCore, membership.RoleStorage} {
-		for _, member := range o.View.Known(role) {
-			_, alive := o.View.Find(member.Id)
+		for _, member := range h.View.Known(role) {
+			_, alive := h.View.Find(member.Id)
 			view.Members = append(view.Members, MemberView{member.Id, role, member.Zone, member.Addr, member.PublicAddr, alive, member.Leaving, member.Unwell})
 		}
 	}
-	view.ReconcileStatus = append([]string{}, o.Server.ReconcileStatus()...)
+	view.ReconcileStatus = append([]string{}, h.Server.ReconcileStatus()...)
 	if len(view.ReconcileStatus) == 0 {
-		for _, entry := range set.GetDisks() {
+		for _, entry := range diskSet.GetDisks() {
 			if entry.Learner {
 				view.ReconcileStatus = append(view.ReconcileStatus, fmt.Sprintf("disk %s at %s is being filled", entry.Id, entry.Addr))
 			}
 		}
 	}
-	view.Access = o.accessStatus(ctx)
-	view.Problems = o.findProblems(view.Members, set)
+	view.Access = h.accessStatus(ctx)
+	view.Problems = h.findProblems(view.Members, diskSet)
 	return view
 }
 
-// findProblems looks over the machines, the disks of the set and the slots.
-func (o *Handler) findProblems(members []MemberView, set *register.DiskSet) []string {
+// findProblems checks the nodes, the disks of the set and the leaders of shards.
+func (h *Handler) findProblems(members []MemberView, set *register.DiskSet) []string {
 	problems := []string{}
 	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
 	for _, member := range members {
@@ -244,13 +255,13 @@
 		}
 	}
 	if set == nil {
-		report("no disk set is known; was init run, and do the storage machines run?")
+		report("no disk set is known; check that init was run and that the storage nodes are up")
 		return problems
 	}
 	var mu sync.Mutex
-	answering, voting, owned := 0, 0, map[uint32]bool{}
-	base.CallAll(o.Clock, set.Disks, o.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, entry *register.DiskEntry) {
-		state, err := o.diskClient(entry.Addr).Describe(ctx, &register.DescribeRequest{})
+	answering, voting, ledShards := 0, 0, map[uint32]bool{}
+	base.CallAll(h.Clock, set.Disks, h.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, entry *register.DiskEntry) {
+		state, err := h.diskClient(entry.Addr).Describe(ctx, &register.DescribeRequest{})
 		mu.Lock()
 		defer mu.Unlock()
 		healthy := err == nil && state.Id == entry.Id
@@ -261,55 +272,56 @@
 			answering++
 		}
 		if !healthy {
-			problems = append(problems, fmt.Sprintf("disk %s at %s does not answer; %s", entry.Id, entry.Addr, o.lostDiskAdvice()))
+			problems = append(problems, fmt.Sprintf("disk %s at %s does not answer; %s", entry.Id, entry.Addr, h.lostDiskAdvice()))
 		}
 	})
-	base.CallAll(o.Clock, o.View.Live(membership.RoleCore), o.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, member *membership.Member) {
-		reply, err := register.NewRegisterProtobufClient("http://"+member.Addr, o.HTTPClient).Census(ctx, &register.CensusRequest{Set: set})
+	base.CallAll(h.Clock, h.View.Live(membership.RoleCore), h.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, member *membership.Member) {
+		reply, err := register.NewRegisterProtobufClient("http://"+member.Addr, h.HTTPClient).Census(ctx, &register.CensusRequest{Set: set})
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil {
 			for _, num := range reply.Owned {
-				owned[num] = true
+				ledShards[num] = true
 			}
 		}
 	})
 	mu.Lock()
 	defer mu.Unlock()
-	switch need := voting/2 + 1; {
-	case answering < need:
-		report("%d of %d disks answer, %d must: nothing can be changed", answering, voting, need)
-	case answering == need && voting > need:
-		report("%d of %d disks answer, %d must: no other may be lost", answering, voting, need)
+	switch majority := voting/2 + 1; {
+	case answering < majority:
+		report("%d of %d disks answer, %d must: nothing can be changed", answering, voting, majority)
+	case answering == majority && voting > majority:
+		report("%d of %d disks answer, %d must: no other may be lost", answering, voting, majority)
 	}
-	if missing := register.ShardCount - len(owned); missing > 0 {
+	if missing := register.ShardCount - len(ledShards); missing > 0 {
 		report("%d of %d slots have no owner", missing, register.ShardCount)
 	}
 	slices.Sort(problems)
 	return problems
 }
 
-// lostDiskAdvice is what to do about a lost disk.
-func (o *Handler) lostDiskAdvice() string {
-	if o.Server.ReconcileEnabled() {
-		return "if it is lost, start an empty storage machine; it takes its place"
+// lostDiskAdvice tells the operator what to do about a lost disk.
+func (h *Handler) lostDiskAdvice() string {
+	if h.Server.ReconcileEnabled() {
+		return "if it is lost, start a storage machine with an empty disk; it replaces the lost one"
 	}
 	return "if it is lost, retire it and admit another"
 }
 
-// diffSettings shows what a document would change, before it is applied.
-func (o *Handler) diffSettings(ctx *base.Ctx, document []byte) (any, error) {
-	if _, err := o.checkSettings(document); err != nil {
+// diffSettings shows what a document would change.
+func (h *Handler) diffSettings(ctx *base.Ctx, document []byte) (any, error) {
+	if _, err := h.checkSettings(document); err != nil {
 		return nil, err
 	}
-	current, err := o.readSettings(ctx)
+	current, err := h.readSettings(ctx)
 	if err != nil {
 		return nil, err
 	}
 	return map[string]any{"stamp": current.Version, "differences": settings.Diff(current.Document, document)}, nil
 }
 
-func (o *Handler) terminateProgram(ctx *base.Ctx, r *front.Request) (any, error) {
+// terminateProgram terminates a program after draining it or immediately.
+func (h *Handler) terminateProgram(ctx *base.Ctx, r *front.Request) (any, error) {
 	var program, mode string
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{"program": base.StringField(&program, 128), "mode": base.StringField(&mode, 16)})
 	if err != nil {
@@ -321,7 +333,7 @@
 	if !budget.Termination(mode).Valid() {
 		return nil, base.DeclineField("mode", `must be "Drain" or "Immediate"`)
 	}
-	terminated, err := (&budget.Client{Register: o.Register}).Terminate(ctx, program, budget.Termination(mode))
+	terminated, err := (&budget.Client{Register: h.Register}).Terminate(ctx, program, budget.Termination(mode))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operate/routes.go
+++ b/internal/operate/routes.go
@@ -1,6 +1,3 @@
-// The operator's routes and the roster of workers, as
-// operators see and change them.
-
 package operate
 
 import (
@@ -13,15 +10,17 @@
 	"fordseam/internal/route"
 )
 
-// RoutesView is the configuration of routes in force.
+// RoutesView is the configuration of routes in force and the history of accepted
+// versions.
 type RoutesView struct {
 	Version          uint64                  `json:"version"`
 	Document         json.RawMessage         `json:"document,omitempty"`
 	AcceptedVersions []route.AcceptedVersion `json:"taken"`
 }
 
-func (o *Handler) getRoutes(ctx *base.Ctx) (any, error) {
-	document, err := route.ReadDocument(ctx, o.Register)
+// getRoutes shows the configuration of routes in force.
+func (h *Handler) getRoutes(ctx *base.Ctx) (any, error) {
+	document, err := route.ReadDocument(ctx, h.Register)
 	if err != nil {
 		return nil, err
 	}
@@ -34,23 +33,26 @@
 	return view, nil
 }
 
-// parseRoutes reads a document by the deployment's codec.
-func (o *Handler) parseRoutes(document []byte) (*route.Table, error) {
-	if o.ParseRoutes == nil {
-		return nil, base.Decline(404, "no_routes", "this deployment has no operator's routes")
+// parseRoutes parses a document in the deployment's format.
+func (h *Handler) parseRoutes(document []byte) (*route.Table, error) {
+	if h.ParseRoutes == nil {
+		return nil, base.Decline(404, "no_routes", "this deployment does not support operators' routes")
 	}
-	return o.ParseRoutes(document)
+	return h.ParseRoutes(document)
 }
 
-func (o *Handler) checkRoutes(document []byte) (any, error) {
-	table, err := o.parseRoutes(document)
+// checkRoutes validates a document without applying it.
+func (h *Handler) checkRoutes(document []byte) (any, error) {
+	table, err := h.parseRoutes(document)
 	if err != nil {
 		return nil, err
 	}
 	return map[string]any{"valid": true, "version": table.Version, "routes": len(table.Routes), "services": len(table.Services)}, nil
 }
 
-func (o *Handler) applyRoutes(ctx *base.Ctx, r *front.Request) (any, error) {
+// applyRoutes replaces the configuration of routes, provided that the version that
+// the change is based on is still in force.
+func (h *Handler) applyRoutes(ctx *base.Ctx, r *front.Request) (any, error) {
 	var document json.RawMessage
 	basedOn := -1.0
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"based_on": base.NumberField(&basedOn, 0, 1<<52, true), "document": rawField(&document)}); err != nil {
@@ -62,7 +64,7 @@
 	case document == nil:
 		return nil, base.DeclineField("document", "must be given")
 	}
-	table, err := o.parseRoutes(document)
+	table, err := h.parseRoutes(document)
 	if err != nil {
 		return nil, err
 	}
@@ -70,13 +72,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := route.SubmitChange(ctx, o.Register, change); err != nil {
+	if err := route.SubmitChange(ctx, h.Register, change); err != nil {
 		return nil, err
 	}
 	return map[string]any{"version": table.Version}, nil
 }
 
-func (o *Handler) getRoster(ctx *base.Ctx) (any, error) {
+// getRoster shows the workers of the operator's routes.
+func (h *Handler) getRoster(ctx *base.Ctx) (any, error) {
 	var workers map[string]relay.Worker
-	return &workers, o.Register.Change(ctx, register.FeedGroup, "roster.read", struct{}{}, &workers)
+	return &workers, h.Register.Change(ctx, register.FeedGroup, "roster.read", struct{}{}, &workers)
 }
--- a/internal/operate/storage.go
+++ b/internal/operate/storage.go
@@ -1,5 +1,3 @@
-// Storage as operators see it: forming the cluster once, and the disks.
-
 package operate
 
 import (
@@ -13,14 +11,14 @@
 	"github.com/go-faster/jx"
 )
 
-func (o *Handler) diskClient(addr string) register.Disk {
-	return register.NewDiskProtobufClient("http://"+addr, o.HTTPClient)
+// diskClient returns a client of the disk at an address.
+func (h *Handler) diskClient(addr string) register.Disk {
+	return register.NewDiskProtobufClient("http://"+addr, h.HTTPClient)
 }
 
-// initCluster forms the cluster once. It may be asked again after it broke off and
-// then goes on with the identity it began with; where a cluster stands, it
-// is declined.
-func (o *Handler) initCluster(ctx *base.Ctx, r *front.Request) (any, error) {
+// initCluster forms the cluster. A repeated call after an incomplete one continues
+// with the same cluster identity. Once the cluster exists, the call is rejected.
+func (h *Handler) initCluster(ctx *base.Ctx, r *front.Request) (any, error) {
 	var addrs []string
 	err := base.ReadFields(r.Body, map[string]base.FieldReader{"disks": func(path string, d *jx.Decoder) error {
 		if d.Next() != jx.Array {
@@ -39,15 +37,15 @@
 	if len(addrs) < 3 {
 		return nil, base.DeclineField("disks", "must name at least three storage machines")
 	}
-	set := &register.DiskSet{Stamp: 1, Cluster: base.NewID(o.Clock, "cluster-")}
+	set := &register.DiskSet{Stamp: 1, Cluster: base.NewID(h.Clock, "cluster-")}
 	zones := map[string]string{}
-	for _, member := range o.View.Known(membership.RoleStorage) {
+	for _, member := range h.View.Known(membership.RoleStorage) {
 		zones[member.Addr] = member.Zone
 	}
 	for _, addr := range addrs {
-		state, err := o.diskClient(addr).Format(ctx, &register.FormatRequest{})
+		state, err := h.diskClient(addr).Format(ctx, &register.FormatRequest{})
 		if err != nil {
-			return nil, base.Busy(503, "disk_unreachable", 1, "%s: %v; ask again", addr, base.ToRequestError(err).Message)
+			return nil, base.Busy(503, "disk_unreachable", 1, "storage node %s: %v; run init again", addr, base.ToRequestError(err).Message)
 		}
 		for _, entry := range set.Disks {
 			if entry.Id == state.Id || entry.Addr == addr {
@@ -56,7 +54,7 @@
 		}
 		if len(state.Set.GetDisks()) > 0 {
 			if state.Set.Stamp > 1 {
-				return nil, base.Decline(409, "cluster_exists", "%s already belongs to cluster %s", addr, state.Set.Cluster)
+				return nil, base.Decline(409, "cluster_exists", "storage node %s already belongs to cluster %s", addr, state.Set.Cluster)
 			}
 			set.Cluster = state.Set.Cluster
 		}
@@ -64,7 +62,7 @@
 	}
 	members := 0
 	for _, addr := range addrs {
-		state, err := o.diskClient(addr).Describe(ctx, &register.DescribeRequest{})
+		state, err := h.diskClient(addr).Describe(ctx, &register.DescribeRequest{})
 		if err == nil && len(state.Set.GetDisks()) > 0 {
 			members++
 		}
@@ -73,29 +71,30 @@
 		return nil, base.Decline(409, "cluster_exists", "these machines already form cluster %s", set.Cluster)
 	}
 	for _, entry := range set.Disks {
-		ack, err := o.diskClient(entry.Addr).Adopt(ctx, &register.AdoptRequest{Set: set})
+		ack, err := h.diskClient(entry.Addr).Adopt(ctx, &register.AdoptRequest{Set: set})
 		if err != nil || !ack.Ok {
-			return nil, base.Busy(503, "disk_unreachable", 1, "%s did not take the cluster identity (%s); ask again", entry.Addr, ack.GetWhy())
+			return nil, base.Busy(503, "disk_unreachable", 1, "storage node %s did not accept the cluster identity (%s); run init again", entry.Addr, ack.GetWhy())
 		}
 	}
 	return map[string]any{"cluster": set.Cluster, "disks": len(set.Disks)}, nil
 }
 
-// readDiskSet is the recorded set, or the one the disks themselves go by.
-func (o *Handler) readDiskSet(ctx *base.Ctx) (*register.DiskSetRecord, error) {
+// readDiskSet returns the recorded disk set or, if none is recorded, the one that
+// the disks report.
+func (h *Handler) readDiskSet(ctx *base.Ctx) (*register.DiskSetRecord, error) {
 	var record *register.DiskSetRecord
-	if err := o.Register.Change(ctx, register.FeedGroup, "disks.get", struct{}{}, &record); err != nil {
+	if err := h.Register.Change(ctx, register.FeedGroup, "disks.get", struct{}{}, &record); err != nil {
 		return nil, err
 	}
 	if record == nil {
-		record = &register.DiskSetRecord{Current: o.Server.LookupDiskSet(), Settled: true, SettledShards: register.ShardCount}
+		record = &register.DiskSetRecord{Current: h.Server.LookupDiskSet(), Settled: true, SettledShards: register.ShardCount}
 	}
 	return record, nil
 }
 
-// admitDisk takes a blank disk into the set: it is filled first, and then has a
-// vote.
-func (o *Handler) admitDisk(ctx *base.Ctx, r *front.Request) (any, error) {
+// admitDisk adds a blank disk to the set as a learner. It gets a vote once it has
+// been filled.
+func (h *Handler) admitDisk(ctx *base.Ctx, r *front.Request) (any, error) {
 	var addr string
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"address": base.StringField(&addr, 64)}); err != nil {
 		return nil, err
@@ -103,50 +102,52 @@
 	if addr == "" {
 		return nil, base.DeclineField("address", "must be the address of a storage machine")
 	}
-	record, err := o.readDiskSet(ctx)
+	record, err := h.readDiskSet(ctx)
 	if err != nil {
 		return nil, err
 	}
-	state, err := o.diskClient(addr).Format(ctx, &register.FormatRequest{})
+	state, err := h.diskClient(addr).Format(ctx, &register.FormatRequest{})
 	if err != nil {
-		return nil, base.Busy(503, "disk_unreachable", 1, "%s: %v", addr, base.ToRequestError(err).Message)
+		return nil, base.Busy(503, "disk_unreachable", 1, "storage node %s: %v", addr, base.ToRequestError(err).Message)
 	}
 	if state.Set != nil && (state.Set.Cluster != record.Current.Cluster || state.Retired) {
-		return nil, base.Decline(409, "disk_not_blank", "the disk at %s was retired or is another cluster's; empty its folder first", addr)
+		return nil, base.Decline(409, "disk_not_blank", "the disk at %s was retired or belongs to another cluster; empty its data folder first", addr)
 	}
 	zone := ""
-	for _, member := range o.View.Known(membership.RoleStorage) {
+	for _, member := range h.View.Known(membership.RoleStorage) {
 		if member.Addr == addr {
 			zone = member.Zone
 		}
 	}
-	return register.AdmitDisk(ctx, o.Register, record.Current, &register.DiskEntry{Id: state.Id, Addr: addr, Zone: zone, Node: state.Node})
+	return register.AdmitDisk(ctx, h.Register, record.Current, &register.DiskEntry{Id: state.Id, Addr: addr, Zone: zone, Node: state.Node})
 }
 
-func (o *Handler) retireDisk(ctx *base.Ctx, r *front.Request) (any, error) {
+// retireDisk removes a disk from the set.
+func (h *Handler) retireDisk(ctx *base.Ctx, r *front.Request) (any, error) {
 	var id string
 	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"disk": base.StringField(&id, 64)}); err != nil {
 		return nil, err
 	}
 	if id == "" {
-		return nil, base.DeclineField("disk", "must be a disk's id")
+		return nil, base.DeclineField("disk", "must be the id of a disk")
 	}
-	record, err := o.readDiskSet(ctx)
+	record, err := h.readDiskSet(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return register.RetireDisk(ctx, o.Register, record.Current, id)
+	return register.RetireDisk(ctx, h.Register, record.Current, id)
 }
 
-// retireNode retires a machine by its name.
-func (o *Handler) retireNode(ctx *base.Ctx, r *front.Request) (any, error) {
-	var node string
-	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"node": base.StringField(&node, 128)}); err != nil {
+// retireNode retires all disks of a machine, given its name.
+func (h *Handler) retireNode(ctx *base.Ctx, r *front.Request) (any, error) {
+	var name string
+	if err := base.ReadFields(r.Body, map[string]base.FieldReader{"node": base.StringField(&name, 128)}); err != nil {
 		return nil, err
 	}
-	return retirementState(register.RetireNode(ctx, o.Register, node))
+	return retirementState(register.RetireNode(ctx, h.Register, name))
 }
 
+// retirementState is the response to starting or querying a retirement.
 func retirementState(retirement *register.Retirement, err error) (any, error) {
 	if err != nil {
 		return nil, err
@@ -154,7 +155,7 @@
 	return map[string]string{"node": retirement.Node, "state": retirement.State()}, nil
 }
 
-// DiskView is a disk in the listing.
+// DiskView is a disk in the list of disks.
 type DiskView struct {
 	ID             string            `json:"id"`
 	Addr           string            `json:"addr"`
@@ -166,14 +167,15 @@
 	MissingEntries map[uint32]uint64 `json:"behind,omitempty"`
 }
 
-func (o *Handler) listStorage(ctx *base.Ctx) (any, error) {
-	record, err := o.readDiskSet(ctx)
+// listStorage lists the disks of the set and the disks that are not part of it.
+func (h *Handler) listStorage(ctx *base.Ctx) (any, error) {
+	record, err := h.readDiskSet(ctx)
 	if err != nil {
 		return nil, err
 	}
 	set := record.Current
 	if set == nil {
-		return nil, base.Busy(503, "no_disks", 1, "no disk set is known; was init run?")
+		return nil, base.Busy(503, "no_disks", 1, "no disk set is known; check that init was run")
 	}
 	var mu sync.Mutex
 	highest := map[uint32]uint64{}
@@ -182,19 +184,19 @@
 	for _, entry := range set.Disks {
 		zones[entry.Addr] = entry.Zone
 	}
-	for _, member := range o.View.Known(membership.RoleStorage) {
+	for _, member := range h.View.Known(membership.RoleStorage) {
 		zones[member.Addr] = member.Zone
 	}
-	base.CallAll(o.Clock, base.SortedKeys(zones), o.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, addr string) {
-		state, err := o.diskClient(addr).Describe(ctx, &register.DescribeRequest{})
+	base.CallAll(h.Clock, base.SortedKeys(zones), h.Bounds.Load().DiskTimeout(), func(ctx *base.Ctx, addr string) {
+		state, err := h.diskClient(addr).Describe(ctx, &register.DescribeRequest{})
 		if err != nil {
 			return
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		states[addr] = state
-		for slot, seq := range state.Seqs {
-			highest[slot] = max(highest[slot], seq)
+		for shard, seq := range state.Seqs {
+			highest[shard] = max(highest[shard], seq)
 		}
 	})
 	mu.Lock()
@@ -217,7 +219,7 @@
 	return StorageView{Cluster: set.Cluster, Version: set.Stamp, ChangePending: record.ChangePending(), SettledShards: record.SettledShards, TotalShards: register.ShardCount, Disks: views}, nil
 }
 
-// StorageView is the listing of the disks.
+// StorageView is the list of disks and the progress of a change of the disk set.
 type StorageView struct {
 	Cluster       string     `json:"cluster"`
 	Version       uint64     `json:"stamp"`
@@ -227,11 +229,13 @@
 	Disks         []DiskView `json:"disks"`
 }
 
+// missingEntries returns by shard how far a disk is behind the newest entry of any
+// disk.
 func missingEntries(state *register.DiskState, highest map[uint32]uint64) map[uint32]uint64 {
 	missing := map[uint32]uint64{}
-	for slot, seq := range highest {
-		if state.Seqs[slot] < seq {
-			missing[slot] = seq - state.Seqs[slot]
+	for shard, seq := range highest {
+		if state.Seqs[shard] < seq {
+			missing[shard] = seq - state.Seqs[shard]
 		}
 	}
 	return missing
