--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -39,21 +39,21 @@
 	return response, err
 }
 
-type bytesReader struct{ left []byte }
+type bytesReader struct{ remaining []byte }
 
 func (r *bytesReader) Read(into []byte) (int, error) {
-	if len(r.left) == 0 {
+	if len(r.remaining) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(into, r.left)
-	r.left = r.left[n:]
+	n := copy(into, r.remaining)
+	r.remaining = r.remaining[n:]
 	return n, nil
 }
 
 // benchCluster runs stores and clients on the real clock, over HTTP on loopback
 // addresses.
 type benchCluster struct {
-	b      testing.TB
+	tb     testing.TB
 	clock  base.Clock
 	wire   *countingWire
 	bounds *base.Table[base.Bounds]
@@ -69,70 +69,70 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-func newBench(b testing.TB) *benchCluster {
+func newBenchCluster(b testing.TB) *benchCluster {
 	wire, err := conn.NewWire(func() {})
 	if err != nil {
 		b.Fatal(err)
 	}
-	x := &benchCluster{b: b, clock: base.NewRealClock(), wire: &countingWire{Wire: wire}, bounds: &base.Table[base.Bounds]{}}
-	x.bounds.Swap(base.DefaultBounds())
+	cluster := &benchCluster{tb: b, clock: base.NewRealClock(), wire: &countingWire{Wire: wire}, bounds: &base.Table[base.Bounds]{}}
+	cluster.bounds.Swap(base.DefaultBounds())
 	b.Cleanup(wire.Close)
-	return x
+	return cluster
 }
 
 // newFolder returns files in a temporary directory of this machine.
-func (x *benchCluster) newFolder() disk.Files {
-	files, err := disk.OpenFolder(x.b.TempDir(), 0)
+func (cluster *benchCluster) newFolder() disk.Files {
+	files, err := disk.OpenFolder(cluster.tb.TempDir(), 0)
 	if err != nil {
-		x.b.Fatal(err)
+		cluster.tb.Fatal(err)
 	}
 	return files
 }
 
 // openStore opens the next store and serves it.
-func (x *benchCluster) openStore(files disk.Files) {
-	i := len(x.stores)
+func (cluster *benchCluster) openStore(files disk.Files) {
+	i := len(cluster.stores)
 	addr := fmt.Sprintf("127.%d.%d.%d:21840", 220+os.Getpid()%30, 1+os.Getpid()/30%250, i+1)
-	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: x.clock, Wire: x.wire.Wire, Files: files, Bounds: x.bounds, Counters: base.NewCounters(), FaultTolerance: 1,
-		LocalDisk: func() (string, *register.DiskSet) { return fmt.Sprintf("d%d", i), x.set.Load() }})
+	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: cluster.clock, Wire: cluster.wire.Wire, Files: files, Bounds: cluster.bounds, Counters: base.NewCounters(), FaultTolerance: 1,
+		LocalDisk: func() (string, *register.DiskSet) { return fmt.Sprintf("d%d", i), cluster.set.Load() }})
 	if err != nil {
-		x.b.Fatal(err)
+		cluster.tb.Fatal(err)
 	}
 	listener, err := conn.Listen(addr)
 	if err != nil {
-		x.b.Fatal(err)
+		cluster.tb.Fatal(err)
 	}
 	server := ledger.NewLedgerServer(store)
 	mux := http.NewServeMux()
 	mux.Handle(server.PathPrefix(), server)
-	go func() { _ = http.Serve(listener, base.Receive(x.clock, mux)) }()
+	go func() { _ = http.Serve(listener, base.Receive(cluster.clock, mux)) }()
 	go store.Run()
-	x.b.Cleanup(func() {
+	cluster.tb.Cleanup(func() {
 		store.Close()
 		_ = listener.Close()
 	})
-	x.stores, x.addrs = append(x.stores, store), append(x.addrs, addr)
+	cluster.stores, cluster.addrs = append(cluster.stores, store), append(cluster.addrs, addr)
 }
 
 // setMembers switches to a new disk set of the stores with these indexes.
-func (x *benchCluster) setMembers(indexes ...int) {
-	next := &register.DiskSet{Stamp: x.set.Load().GetStamp() + 1, Cluster: "c"}
+func (cluster *benchCluster) setMembers(indexes ...int) {
+	next := &register.DiskSet{Stamp: cluster.set.Load().GetStamp() + 1, Cluster: "c"}
 	for _, i := range indexes {
-		next.Disks = append(next.Disks, &register.DiskEntry{Id: fmt.Sprintf("d%d", i), Addr: x.addrs[i], Zone: fmt.Sprintf("z%d", i)})
+		next.Disks = append(next.Disks, &register.DiskEntry{Id: fmt.Sprintf("d%d", i), Addr: cluster.addrs[i], Zone: fmt.Sprintf("z%d", i)})
 	}
-	x.set.Store(next)
-	for _, store := range x.stores {
+	cluster.set.Store(next)
+	for _, store := range cluster.stores {
 		store.NotifySetChange()
 	}
 }
 
-func (x *benchCluster) client() *ledger.Client {
-	return ledger.NewClient(x.clock, x.wire, x.set.Load, "z0", 1, x.bounds, base.NewCounters(), nil)
+func (cluster *benchCluster) client() *ledger.Client {
+	return ledger.NewClient(cluster.clock, cluster.wire, cluster.set.Load, "z0", 1, cluster.bounds, base.NewCounters(), nil)
 }
 
 // runTurn begins and finishes one turn of a program.
-func (x *benchCluster) runTurn(c *ledger.Client, program string, number int, input, output []byte) {
-	ctx := base.NewCtx(x.clock, time.Minute)
+func (cluster *benchCluster) runTurn(c *ledger.Client, program string, number int, input, output []byte) {
+	ctx := base.NewCtx(cluster.clock, time.Minute)
 	id, previous := fmt.Sprintf("%s.%012d", program, number), ""
 	if number > 0 {
 		previous = fmt.Sprintf("%s.%012d", program, number-1)
@@ -140,44 +140,44 @@
 	begun, err := c.Begin(ctx, &ledger.BeginParams{Program: program, Session: "s" + program, Turn: id, Previous: previous, Owner: "10.0.0.1:7380/0123456789abcdef",
 		Run: "run-" + program, Epoch: 1, Confirmed: number > 0, Budgeted: true, MaxTokens: 136, Budget: 1 << 40, Retention: time.Minute})
 	if err != nil || !begun.Granted {
-		x.b.Fatal(err, begun)
+		cluster.tb.Fatal(err, begun)
 	}
 	if err := c.Finish(ctx, &ledger.FinishParams{Program: program, Session: "s" + program, Turn: id, Previous: previous, Owner: "10.0.0.1:7380/0123456789abcdef",
 		Run: "run-" + program, Epoch: 1, Input: input, Output: output, Budgeted: true, Tokens: 34, Retention: time.Minute}); err != nil {
-		x.b.Fatal(err)
+		cluster.tb.Fatal(err)
 	}
 }
 
 func BenchmarkTurn(b *testing.B) {
-	x := newBench(b)
+	cluster := newBenchCluster(b)
 	for i := 0; i < 4; i++ {
-		x.openStore(x.newFolder())
+		cluster.openStore(cluster.newFolder())
 	}
-	x.setMembers(0, 1, 2, 3)
-	c := x.client()
+	cluster.setMembers(0, 1, 2, 3)
+	c := cluster.client()
 	input, output := make([]byte, 2000), make([]byte, 1000)
 	var program atomic.Int64
 	b.SetParallelism(2)
 	b.ResetTimer()
-	used := processorTime()
+	cpuBefore := processorTime()
 	b.RunParallel(func(pb *testing.PB) {
 		name, number := "", 5
 		for pb.Next() {
 			if number++; number >= 5 {
 				name, number = fmt.Sprintf("p%d", program.Add(1)), 0
 			}
-			x.runTurn(c, name, number, input, output)
+			cluster.runTurn(c, name, number, input, output)
 		}
 	})
 	b.StopTimer()
-	b.ReportMetric(float64((processorTime()-used).Microseconds())/float64(b.N), "cpu-us/turn")
+	b.ReportMetric(float64((processorTime()-cpuBefore).Microseconds())/float64(b.N), "cpu-us/turn")
 	logged := int64(0)
-	for _, store := range x.stores {
+	for _, store := range cluster.stores {
 		state, _ := store.Describe(context.Background(), nil)
 		logged += state.LogBytes
 	}
-	b.ReportMetric(float64(x.wire.bytes.Load())/float64(b.N), "wire-bytes/turn")
-	b.ReportMetric(float64(x.wire.calls.Load())/float64(b.N), "messages/turn")
+	b.ReportMetric(float64(cluster.wire.bytes.Load())/float64(b.N), "wire-bytes/turn")
+	b.ReportMetric(float64(cluster.wire.calls.Load())/float64(b.N), "messages/turn")
 	b.ReportMetric(float64(logged)/float64(b.N), "log-bytes/turn")
 }
 
@@ -186,19 +186,19 @@
 func BenchmarkRefill(b *testing.B) {
 	for run := 0; run < b.N; run++ {
 		b.StopTimer()
-		x := newBench(b)
+		cluster := newBenchCluster(b)
 		for i := 0; i < 4; i++ {
-			x.openStore(x.newFolder())
+			cluster.openStore(cluster.newFolder())
 		}
-		x.setMembers(0, 1, 2, 3)
-		c := x.client()
+		cluster.setMembers(0, 1, 2, 3)
+		c := cluster.client()
 		input, output := make([]byte, 2000), make([]byte, 1000)
 		done := make(chan bool)
 		for worker := 0; worker < 32; worker++ {
 			go func() {
 				for program := worker; program < 2600; program += 32 {
 					for number := 0; number < 5; number++ {
-						x.runTurn(c, fmt.Sprintf("p%d", program), number, input, output)
+						cluster.runTurn(c, fmt.Sprintf("p%d", program), number, input, output)
 					}
 				}
 				done <- true
@@ -207,16 +207,16 @@
 		for worker := 0; worker < 32; worker++ {
 			<-done
 		}
-		x.openStore(x.newFolder())
+		cluster.openStore(cluster.newFolder())
 		b.StartTimer()
-		started, used := x.clock.Now(), processorTime()
-		x.setMembers(0, 1, 2, 4)
-		for !c.AllComplete(base.NewCtx(x.clock, time.Second)) {
+		started, cpuBefore := cluster.clock.Now(), processorTime()
+		cluster.setMembers(0, 1, 2, 4)
+		for !c.AllComplete(base.NewCtx(cluster.clock, time.Second)) {
 		}
 		b.StopTimer()
-		b.ReportMetric((processorTime()-used).Seconds()*1000, "cpu-ms-all")
-		state, _ := x.stores[4].Describe(context.Background(), nil)
-		b.ReportMetric(float64(x.clock.Now()-started)/float64(time.Millisecond), "ms-to-whole")
+		b.ReportMetric((processorTime()-cpuBefore).Seconds()*1000, "cpu-ms-all")
+		state, _ := cluster.stores[4].Describe(context.Background(), nil)
+		b.ReportMetric(float64(cluster.clock.Now()-started)/float64(time.Millisecond), "ms-to-whole")
 		b.ReportMetric(float64(state.Bytes)/(1<<20), "MB-held")
 	}
 }
@@ -271,35 +271,35 @@
 // TestConcurrentGatewaysDuringSetChange is meant for the race detector: concurrent
 // gateways over HTTP while the disk set changes.
 func TestConcurrentGatewaysDuringSetChange(t *testing.T) {
-	x := newBench(t)
+	cluster := newBenchCluster(t)
 	for i := 0; i < 5; i++ {
-		x.openStore(&discardingFiles{})
+		cluster.openStore(&discardingFiles{})
 	}
-	x.setMembers(0, 1, 2, 3)
+	cluster.setMembers(0, 1, 2, 3)
 	var done sync.WaitGroup
 	for gateway := 0; gateway < 8; gateway++ {
-		c := x.client()
+		c := cluster.client()
 		done.Add(1)
 		go func() {
 			defer done.Done()
 			program := fmt.Sprintf("p%d", gateway)
 			for number := 0; number < 40; number++ {
-				x.runTurn(c, program, number, []byte("in"), []byte("out"))
+				cluster.runTurn(c, program, number, []byte("in"), []byte("out"))
 				if number%10 == 9 {
-					chain, err := c.Chain(base.NewCtx(x.clock, time.Minute), program, fmt.Sprintf("%s.%012d", program, number))
+					chain, err := c.Chain(base.NewCtx(cluster.clock, time.Minute), program, fmt.Sprintf("%s.%012d", program, number))
 					if err != nil || len(chain) != number+1 {
 						t.Errorf("%s: %d turns, %v", program, len(chain), err)
 					}
 				}
 				if gateway == 0 && number == 20 {
-					x.setMembers(0, 2, 3, 4)
+					cluster.setMembers(0, 2, 3, 4)
 				}
 			}
 		}()
 	}
 	done.Wait()
-	for c, end := x.client(), x.clock.Now()+time.Minute; !c.AllComplete(base.NewCtx(x.clock, time.Second)); {
-		if x.clock.Now() > end {
+	for c, end := cluster.client(), cluster.clock.Now()+time.Minute; !c.AllComplete(base.NewCtx(cluster.clock, time.Second)); {
+		if cluster.clock.Now() > end {
 			t.Fatal("the stores did not become complete")
 		}
 	}
