--- a/internal/disk/commit.go
+++ b/internal/disk/commit.go
@@ -1,5 +1,3 @@
-// Writing: what was queued together shares one sync; the slots are written in turn.
-
 package disk
 
 import (
@@ -11,130 +9,137 @@
 	"google.golang.org/protobuf/proto"
 )
 
-type pending struct {
-	entry  []byte
-	done   base.Signal
-	failed error
+// pendingEntry is a log entry that is queued or being written. Its err is set before
+// done fires.
+type pendingEntry struct {
+	entry []byte
+	done  base.Signal
+	err   error
 }
 
-// enqueue puts a record in line for the committer and into force in memory;
-// the caller holds the lock and must not answer before done fires.
-func (s *Store) enqueue(kind byte, message proto.Message, freeing bool) (*pending, string) {
-	if s.broken != nil {
+// enqueue applies an entry in memory and queues it for the committer, or returns
+// the reason why it is declined. The caller holds the lock and must not acknowledge
+// the entry before done fires. Entries with freesSpace are accepted on a full disk.
+func (s *Store) enqueue(kind byte, message proto.Message, freesSpace bool) (*pendingEntry, string) {
+	if s.failure != nil {
 		return nil, "broken"
 	}
 	payload, err := proto.Marshal(message)
 	if err != nil {
 		panic(err)
 	}
-	free := s.files.FreeBytes() - 2*int64(s.queued) - int64(s.frameBytes+s.logBytes/2)
-	keptBack := int64(s.frameBytes+s.floor/4) / keptBackPart
-	if !freeing && (s.full || free < int64(2*len(payload)+sector)+keptBack) {
+	freeBytes := s.files.FreeBytes() - 2*int64(s.queuedBytes) - int64(s.checkpointBytes+s.logBytes/2)
+	reserved := int64(s.checkpointBytes+s.minLogBytes/4) / reserveDivisor
+	if !freesSpace && (s.full || freeBytes < int64(2*len(payload)+sectorSize)+reserved) {
 		s.counters.Add("disk_declined_full", 1)
-		if s.logBytes+s.formerLog > s.frameBytes/4+16*sector && !s.squeeze {
-			s.squeeze = true // a new frame may need less than the logs
-			s.bell.Ring()
+		if s.logBytes+s.previousLogBytes > s.checkpointBytes/4+16*sectorSize && !s.checkpointRequested {
+			s.checkpointRequested = true // a new checkpoint may need less space than the logs
+			s.commitBell.Ring()
 		}
 		return nil, "full"
 	}
-	if s.queued > queueLimit {
+	if s.queuedBytes > maxQueuedBytes {
 		s.counters.Add("disk_declined_stalled", 1)
 		return nil, "stalled"
 	}
-	if err := s.apply(kind, payload); err != nil {
+	if err := s.applyEntry(kind, payload); err != nil {
 		panic(err)
 	}
-	put := &pending{entry: entryOf(kind, payload), done: s.clock.NewSignal()}
-	s.queue = append(s.queue, put)
-	s.queued += len(put.entry)
-	s.bell.Ring()
-	return put, ""
+	p := &pendingEntry{entry: encodeEntry(kind, payload), done: s.clock.NewSignal()}
+	s.queue = append(s.queue, p)
+	s.queuedBytes += len(p.entry)
+	s.commitBell.Ring()
+	return p, ""
 }
 
-func (s *Store) commit() {
-	defer s.ended.Fire()
+// runCommitter writes queued entries in batches, and checkpoints when they are due,
+// until the store is closed.
+func (s *Store) runCommitter() {
+	defer s.committerDone.Fire()
 	for {
 		s.mu.Lock()
-		next := s.bell.Next()
+		wakeup := s.commitBell.Next()
 		batch := s.queue
 		s.queue = nil
 		closed := s.closed
-		turnOver := s.squeeze || s.logBytes > s.turnAt()
-		s.squeeze = false
+		checkpointDue := s.checkpointRequested || s.logBytes > s.checkpointThreshold()
+		s.checkpointRequested = false
 		s.mu.Unlock()
-		if len(batch) == 0 && !turnOver {
+		if len(batch) == 0 && !checkpointDue {
 			if closed {
 				return
 			}
-			next.Wait(-1)
+			wakeup.Wait(-1)
 			continue
 		}
 		if len(batch) > 0 {
-			failed := s.write(batch)
-			s.fail(failed)
-			for _, put := range batch {
-				put.failed = failed
-				put.done.Fire()
+			writeErr := s.writeBatch(batch)
+			s.recordFailure(writeErr)
+			for _, p := range batch {
+				p.err = writeErr
+				p.done.Fire()
 			}
 		}
-		if turnOver && !s.isBroken() {
-			if err := s.turn(); !isFull(err) {
-				s.fail(err)
+		if checkpointDue && !s.hasFailed() {
+			if err := s.writeCheckpoint(); !isFull(err) {
+				s.recordFailure(err)
 			}
 		}
 	}
 }
 
-// turnAt is how long the log may grow. Disks of one set see the same records,
-// so each has a ratio of its own, by its id, and they do not turn at once.
-func (s *Store) turnAt() int {
-	return int(float64(max(s.floor, 4*s.frameBytes)) * (1 + float64(base.Hash64("turn", s.id)%1024)/1024))
+// checkpointThreshold returns the size of the log above which a checkpoint is due.
+// All disks of a set write the same entries, so the threshold is varied by the
+// disk's id; otherwise all would write their checkpoints at the same time.
+func (s *Store) checkpointThreshold() int {
+	return int(float64(max(s.minLogBytes, 4*s.checkpointBytes)) * (1 + float64(base.Hash64("turn", s.id)%1024)/1024))
 }
 
-func (s *Store) fail(err error) {
+// recordFailure records an error, unless it is nil. It ends the disk's vote.
+func (s *Store) recordFailure(err error) {
 	if err != nil {
 		s.mu.Lock()
-		s.broken = err
+		s.failure = err
 		s.mu.Unlock()
 		s.counters.Add("disk_broken", 1)
 	}
 }
 
-func (s *Store) isBroken() bool {
+func (s *Store) hasFailed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.broken != nil
+	return s.failure != nil
 }
 
-// write has a batch synced. Where the disk has no room, what was written of
-// it is cut off again, a new frame is tried in place of the logs, and the
-// batch waits; nothing follows a partial one. Any other failure is final: what
-// the disk then holds is only known once it is read again.
-func (s *Store) write(batch []*pending) error {
+// writeBatch writes a batch to the log and syncs it. If the disk is full, it
+// truncates what was written, tries to replace the logs by a new checkpoint, and
+// retries; no other batch is written after a partial one. Any other error is final,
+// since what the disk then holds is unknown until the files are read again.
+func (s *Store) writeBatch(batch []*pendingEntry) error {
 	payload := []byte{}
-	for _, put := range batch {
-		payload = append(payload, put.entry...)
+	for _, p := range batch {
+		payload = append(payload, p.entry...)
 	}
 	defer func() {
 		s.mu.Lock()
-		s.queued -= len(payload)
+		s.queuedBytes -= len(payload)
 		s.full = false
 		s.mu.Unlock()
 	}()
 	for {
 		s.mu.Lock()
-		generation, number, offset, closed := s.generation, s.number+1, s.logBytes, s.closed
+		generation, number, offset, closed := s.generation, s.lastBatch+1, s.logBytes, s.closed
 		s.mu.Unlock()
-		data := sealTwice(generation, number, payload, offset)
-		err := s.files.Append(logName(generation), data)
+		data := encodeBatch(generation, number, payload, offset)
+		err := s.files.Append(logFileName(generation), data)
 		if err == nil {
-			err = s.files.Sync(logName(generation))
+			err = s.files.Sync(logFileName(generation))
 		}
 		if err == nil {
 			s.counters.Add("disk_syncs", 1)
 			s.counters.Add("disk_records", int64(len(batch)))
 			s.mu.Lock()
-			s.number, s.logBytes = number, offset+len(data)
+			s.lastBatch, s.logBytes = number, offset+len(data)
 			s.mu.Unlock()
 			return nil
 		}
@@ -145,10 +150,10 @@
 		s.mu.Lock()
 		s.full = true
 		s.mu.Unlock()
-		if err := s.files.Truncate(logName(generation), offset); err != nil {
+		if err := s.files.Truncate(logFileName(generation), offset); err != nil {
 			return errors.Trace(err)
 		}
-		if err := s.turn(); err != nil {
+		if err := s.writeCheckpoint(); err != nil {
 			if !isFull(err) {
 				return err
 			}
@@ -157,43 +162,46 @@
 	}
 }
 
-// turn writes the whole state to the other slot, and only then empties the
-// log that will follow it. Until the slot is synced the former one and its log
-// stand; where there is no room for it, they go on standing.
-func (s *Store) turn() error {
+// writeCheckpoint writes the whole state as the checkpoint of the next generation
+// and then empties that generation's log. The previous checkpoint and its log remain
+// valid until the new one is synced, and stay in use if there is no space for it.
+func (s *Store) writeCheckpoint() error {
 	s.mu.Lock()
-	next, number := s.generation+1, s.number
+	next, lastBatch := s.generation+1, s.lastBatch
 	s.mu.Unlock()
-	payload := s.encodeFrame()
-	if err := s.writeSlot(next, number, payload); err != nil {
+	payload := s.encodeCheckpoint()
+	if err := s.writeCheckpointFile(next, lastBatch, payload); err != nil {
 		if isFull(err) {
-			_ = s.files.Truncate(slotName(next), 0)
+			_ = s.files.Truncate(checkpointFileName(next), 0)
 		}
 		return err
 	}
-	// What is left in the log is of an older generation; the first batch's sync
-	// covers this too.
-	if err := s.files.Truncate(logName(next), 0); err != nil {
+	// No sync is needed here: batches left in this file are of an older generation and
+	// are ignored, and the sync of the first batch covers the truncation.
+	if err := s.files.Truncate(logFileName(next), 0); err != nil {
 		return errors.Trace(err)
 	}
 	s.mu.Lock()
-	s.formerLog = s.logBytes
-	s.generation, s.frameBytes, s.logBytes = next, len(payload), 0
+	s.previousLogBytes = s.logBytes
+	s.generation, s.checkpointBytes, s.logBytes = next, len(payload), 0
 	s.mu.Unlock()
 	return nil
 }
 
-func (s *Store) writeSlot(generation, number uint64, payload []byte) error {
-	if err := s.files.Replace(slotName(generation), seal(generation, number, 0, payload)); err != nil {
+// writeCheckpointFile writes and syncs a checkpoint that covers all batches up to
+// lastBatch.
+func (s *Store) writeCheckpointFile(generation, lastBatch uint64, payload []byte) error {
+	if err := s.files.Replace(checkpointFileName(generation), encodeRecord(generation, lastBatch, 0, payload)); err != nil {
 		return errors.Trace(err)
 	}
 	s.counters.Add("disk_frames", 1)
-	return errors.Trace(s.files.Sync(slotName(generation)))
+	return errors.Trace(s.files.Sync(checkpointFileName(generation)))
 }
 
-// wait gives the committer a bounded time.
-func (s *Store) wait(put *pending, limit time.Duration) string {
-	if !put.done.Wait(limit) {
+// awaitSync waits until an entry is synced. It returns "" or the reason for the
+// failure, which is part of the replies to the cores.
+func (s *Store) awaitSync(p *pendingEntry, timeout time.Duration) string {
+	if !p.done.Wait(timeout) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.full {
@@ -201,7 +209,7 @@
 		}
 		return "stalled"
 	}
-	if put.failed != nil {
+	if p.err != nil {
 		return "broken"
 	}
 	return ""
--- a/internal/disk/describe_test.go
+++ b/internal/disk/describe_test.go
@@ -1,4 +1,3 @@
-// A replica's description of itself.
 package disk
 
 import (
@@ -10,25 +9,25 @@
 	"github.com/matryer/is"
 )
 
-// TestAKnownSetIsLeftOut: an owner asks every replica, and the set names all of
-// them, so only one that the owner does not know is told. Whatever the stamp, the
-// set of another cluster is.
-func TestAKnownSetIsLeftOut(t *testing.T) {
+// A leader sends Describe to every replica, and the disk set lists all of them, so
+// the reply contains the set only if the leader does not know it. A set of another
+// cluster may have the same stamp and is not the known one.
+func TestDescribeOmitsKnownSet(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	defer b.finish()
+	d := newTestDisk(is, newMemFiles())
+	defer d.close()
 	for _, row := range []struct {
-		known *register.DescribeRequest
-		told  bool
+		request *register.DescribeRequest
+		wantSet bool
 	}{
 		{&register.DescribeRequest{}, true},
 		{&register.DescribeRequest{KnownCluster: "c", KnownStamp: 2}, true},
 		{&register.DescribeRequest{KnownCluster: "another", KnownStamp: 1}, true},
 		{&register.DescribeRequest{KnownCluster: "c", KnownStamp: 1}, false},
 	} {
-		state, err := b.service.Describe(context.Background(), row.known)
+		state, err := d.service.Describe(context.Background(), row.request)
 		is.NoErr(err)
-		is.Equal(state.Id, b.id)
-		is.Equal(state.Set != nil, row.told)
+		is.Equal(state.Id, d.id)
+		is.Equal(state.Set != nil, row.wantSet)
 	}
 }
--- a/internal/disk/files.go
+++ b/internal/disk/files.go
@@ -1,8 +1,3 @@
-// Files is the narrow way to stable storage. Append, Replace and Truncate only
-// count once Sync of the same name returned. The real one keeps plain files in
-// one data folder; the simulator keeps bytes in memory and drops what was not
-// synced when power goes.
-
 package disk
 
 import (
@@ -16,10 +11,15 @@
 	"github.com/juju/errors"
 )
 
+// Files is the stable storage that a Store and a SegmentLog write to, as named files.
+// Changes by Append, Replace and Truncate are durable only after Sync returned for
+// the same name. OpenFolder returns the implementation over a directory; the
+// simulator's keeps the files in memory and drops unsynced data on power loss.
 type Files interface {
+	// Read returns the content of a file, or nothing if it does not exist.
 	Read(name string) ([]byte, error)
-	// Append and Replace fail with ErrFull where there is no room; a part may
-	// have been written.
+	// Append and Replace return ErrFull if there is not enough space; a part of the
+	// data may have been written.
 	Append(name string, data []byte) error
 	Replace(name string, data []byte) error
 	Truncate(name string, size int) error
@@ -27,46 +27,48 @@
 	FreeBytes() int64
 }
 
-// ErrFull says that the disk has no room.
+// ErrFull means that there is no free space on the disk or within the folder's limit.
 var ErrFull = errors.New("no space left on the disk")
 
 func isFull(err error) bool { return errors.Cause(err) == ErrFull }
 
+// folder implements Files with plain files in one directory.
 type folder struct {
-	path  string
-	limit int64
-	mu    sync.Mutex
-	open  map[string]*os.File
-	sizes map[string]int64
+	path    string
+	limit   int64 // total size of the files; 0 means no limit
+	mu      sync.Mutex
+	handles map[string]*os.File
+	sizes   map[string]int64
 }
 
-var ownFiles = append(segmentNames(), slotName(0), slotName(1), logName(0), logName(1), neighboursName)
+// knownFileNames are the names of all files that a data folder may contain.
+var knownFileNames = append(segmentFileNames(), checkpointFileName(0), checkpointFileName(1), logFileName(0), logFileName(1), peerAddressesFileName)
 
-// OpenFolder uses a data folder, making it when absent. A limit above zero
-// bounds what the folder may hold. A folder that holds other files and none
-// of fordseam's is another program's.
+// OpenFolder opens a data folder, creating it if it does not exist. A limit above
+// zero bounds the total size of its files. It fails on a folder with other files and
+// none of fordseam's, since that belongs to another program.
 func OpenFolder(path string, limit int64) (Files, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, errors.Annotatef(err, "data folder %q", path)
 	}
-	f := &folder{path: path, limit: limit, open: map[string]*os.File{}, sizes: map[string]int64{}}
+	f := &folder{path: path, limit: limit, handles: map[string]*os.File{}, sizes: map[string]int64{}}
 	entries, err := os.ReadDir(path)
 	if err != nil {
 		return nil, errors.Annotatef(err, "data folder %q", path)
 	}
-	others := []string{}
+	foreignNames := []string{}
 	for _, entry := range entries {
 		info, err := entry.Info()
 		switch {
 		case err != nil:
-		case slices.Contains(ownFiles, entry.Name()):
+		case slices.Contains(knownFileNames, entry.Name()):
 			f.sizes[entry.Name()] = info.Size()
 		case entry.Name() != "lost+found":
-			others = append(others, entry.Name())
+			foreignNames = append(foreignNames, entry.Name())
 		}
 	}
-	if len(f.sizes) == 0 && len(others) > 0 {
-		return nil, errors.Errorf("data folder %q holds files that are not fordseam's: %s; give an empty folder", path, strings.Join(others, ", "))
+	if len(f.sizes) == 0 && len(foreignNames) > 0 {
+		return nil, errors.Errorf("data folder %q contains files that are not fordseam's: %s; use an empty folder", path, strings.Join(foreignNames, ", "))
 	}
 	return f, nil
 }
@@ -79,56 +81,59 @@
 	return data, errors.Trace(err)
 }
 
-func (f *folder) handle(name string) (*os.File, error) {
-	if held, ok := f.open[name]; ok {
-		return held, nil
+// openFile returns the open file with a name, creating it if necessary. The folder is
+// synced as well, so that a new file survives power loss. The caller holds the lock.
+func (f *folder) openFile(name string) (*os.File, error) {
+	if file, ok := f.handles[name]; ok {
+		return file, nil
 	}
-	opened, err := os.OpenFile(filepath.Join(f.path, name), os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o644)
+	file, err := os.OpenFile(filepath.Join(f.path, name), os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o644)
 	if err != nil {
-		return nil, full(err)
+		return nil, translateNoSpace(err)
 	}
-	f.open[name] = opened
-	if parent, err := os.Open(f.path); err == nil {
-		err = parent.Sync()
-		_ = parent.Close()
+	f.handles[name] = file
+	if directory, err := os.Open(f.path); err == nil {
+		err = directory.Sync()
+		_ = directory.Close()
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
 	}
-	return opened, nil
+	return file, nil
 }
 
-// full tells the kernel's ways of saying that there is no room.
-func full(err error) error {
-	for _, word := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG} {
-		if errors.Is(err, word) {
+// translateNoSpace returns ErrFull for the system's errors for a lack of space:
+// ENOSPC, EDQUOT for a quota and EFBIG for a file size limit.
+func translateNoSpace(err error) error {
+	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG} {
+		if errors.Is(err, errno) {
 			return errors.Trace(ErrFull)
 		}
 	}
 	return errors.Trace(err)
 }
 
-// change does one thing to a file and keeps its size in mind.
-func (f *folder) change(name string, do func(held *os.File) error) error {
+// modify runs an operation on a file and updates the file's recorded size.
+func (f *folder) modify(name string, operation func(file *os.File) error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	held, err := f.handle(name)
+	file, err := f.openFile(name)
 	if err != nil {
 		return err
 	}
-	failed := do(held)
-	if info, err := held.Stat(); err == nil {
+	opErr := operation(file)
+	if info, err := file.Stat(); err == nil {
 		f.sizes[name] = info.Size()
 	}
-	return full(failed)
+	return translateNoSpace(opErr)
 }
 
 func (f *folder) Append(name string, data []byte) error {
 	if f.limit > 0 && f.FreeBytes() < int64(len(data)) {
 		return errors.Trace(ErrFull)
 	}
-	return f.change(name, func(held *os.File) error {
-		_, err := held.Write(data)
+	return f.modify(name, func(file *os.File) error {
+		_, err := file.Write(data)
 		return err
 	})
 }
@@ -141,34 +146,35 @@
 }
 
 func (f *folder) Truncate(name string, size int) error {
-	return f.change(name, func(held *os.File) error { return held.Truncate(int64(size)) })
+	return f.modify(name, func(file *os.File) error { return file.Truncate(int64(size)) })
 }
 
 func (f *folder) Sync(name string) error {
 	f.mu.Lock()
-	held, err := f.handle(name)
+	file, err := f.openFile(name)
 	f.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	return full(held.Sync())
+	return translateNoSpace(file.Sync())
 }
 
-// FreeBytes is the room that is left, of the limit and of the file system.
+// FreeBytes returns the space that is left in the file system and within the limit,
+// whichever is less.
 func (f *folder) FreeBytes() int64 {
-	left := int64(1 << 40)
+	available := int64(1 << 40)
 	var stat syscall.Statfs_t
 	if syscall.Statfs(f.path, &stat) == nil {
-		left = int64(stat.Bavail) * stat.Bsize
+		available = int64(stat.Bavail) * stat.Bsize
 	}
 	if f.limit <= 0 {
-		return left
+		return available
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	within := f.limit
+	remaining := f.limit
 	for _, size := range f.sizes {
-		within -= size
+		remaining -= size
 	}
-	return min(left, within)
+	return min(available, remaining)
 }
--- a/internal/disk/generated_test.go
+++ b/internal/disk/generated_test.go
@@ -1,6 +1,3 @@
-// Generated runs of messages to a replica over the real store, with power lost
-// between any two messages and in the middle of any sync, against a reference
-// that keeps what was answered.
 package disk
 
 import (
@@ -19,14 +16,14 @@
 )
 
 const (
-	generatedSlot    = 3
-	generatedEpochs  = 4
-	generatedNumbers = 6
-	generatedEntries = 3
+	testShard           = 3
+	maxGeneratedEpoch   = 4
+	maxGeneratedSeq     = 6
+	maxGeneratedEntries = 3
 )
 
-// message is one that a leader sends.
-type message struct {
+// leaderMessage is a message of a leader to the replica.
+type leaderMessage struct {
 	kind   byte
 	epoch  uint64
 	leader string
@@ -34,50 +31,50 @@
 	count  uint64
 }
 
-// reference is what the replica must hold.
-type reference struct {
+// modelReplica is the model that the replica is compared with.
+type modelReplica struct {
 	shard  consensus.ShardState
 	values map[string]string
 }
 
-func (r reference) copy() reference {
-	return reference{shard: r.shard, values: maps.Clone(r.values)}
+func (r modelReplica) clone() modelReplica {
+	return modelReplica{shard: r.shard, values: maps.Clone(r.values)}
 }
 
-// valueOf tells the content of one change from any other's.
-func valueOf(epoch, seq uint64) (key, value string) {
+// keyAndValue returns the key and value of a change. The value is unique.
+func keyAndValue(epoch, seq uint64) (key, value string) {
 	return fmt.Sprint("key-", seq%2), fmt.Sprint(epoch, "/", seq)
 }
 
-func putOf(epoch, seq uint64) *register.Put {
-	key, value := valueOf(epoch, seq)
+func newPut(epoch, seq uint64) *register.Put {
+	key, value := keyAndValue(epoch, seq)
 	return &register.Put{Key: key, Value: []byte(value)}
 }
 
-// after is the reference after a message, and what the replica answers to it.
-func (r reference) after(sent message) (reference, consensus.Rejection) {
+// apply returns the model after a message, and the expected rejection.
+func (r modelReplica) apply(message leaderMessage) (modelReplica, consensus.Rejection) {
 	self := consensus.Identity{ID: "replica", SetVersion: 1}
-	claim := consensus.Claim{Epoch: sent.epoch, Leader: sent.leader, SetVersion: 1, Replica: "replica"}
+	claim := consensus.Claim{Epoch: message.epoch, Leader: message.leader, SetVersion: 1, Replica: "replica"}
 	if rejection := consensus.CheckClaim(self, r.shard, claim); rejection != consensus.Accepted {
 		return r, rejection
 	}
-	next := r.copy()
-	switch sent.kind {
+	next := r.clone()
+	switch message.kind {
 	case kindPromise:
-		next.shard = r.shard.Promise(sent.epoch, sent.leader)
+		next.shard = r.shard.Promise(message.epoch, message.leader)
 	case kindInstall:
-		next.shard = r.shard.Promise(sent.epoch, sent.leader)
-		if shard, taken := r.shard.Install(sent.epoch, sent.leader, sent.seq); taken {
-			key, value := valueOf(sent.epoch, sent.seq)
-			next = reference{shard: shard, values: map[string]string{key: value}}
+		next.shard = r.shard.Promise(message.epoch, message.leader)
+		if shard, installed := r.shard.Install(message.epoch, message.leader, message.seq); installed {
+			key, value := keyAndValue(message.epoch, message.seq)
+			next = modelReplica{shard: shard, values: map[string]string{key: value}}
 		}
 	case kindAppend:
-		if rejection := consensus.CheckAppend(r.shard, sent.epoch, sent.seq); rejection != consensus.Accepted {
+		if rejection := consensus.CheckAppend(r.shard, message.epoch, message.seq); rejection != consensus.Accepted {
 			return r, rejection
 		}
-		for seq := sent.seq; seq < sent.seq+sent.count; seq++ {
-			if shard, taken := next.shard.Append(sent.epoch, seq); taken {
-				key, value := valueOf(sent.epoch, seq)
+		for seq := message.seq; seq < message.seq+message.count; seq++ {
+			if shard, appended := next.shard.Append(message.epoch, seq); appended {
+				key, value := keyAndValue(message.epoch, seq)
 				next.shard, next.values[key] = shard, value
 			}
 		}
@@ -85,108 +82,113 @@
 	return next, consensus.Accepted
 }
 
-// deliver hands a message to the replica and gives its answer.
-func (b *bench) deliver(sent message) *register.Ack {
-	claim := b.claim(sent.epoch, sent.leader)
+// send sends a message to the replica and returns its acknowledgement.
+func (d *testDisk) send(message leaderMessage) *register.Ack {
+	claim := d.claim(message.epoch, message.leader)
 	ctx := context.Background()
-	switch sent.kind {
+	switch message.kind {
 	case kindPromise:
-		reply, err := b.service.Promise(ctx, &register.PromiseRequest{Claim: claim})
-		b.is.NoErr(err)
+		reply, err := d.service.Promise(ctx, &register.PromiseRequest{Claim: claim})
+		d.is.NoErr(err)
 		return reply.Ack
 	case kindInstall:
-		ack, err := b.service.Install(ctx, &register.InstallRequest{Claim: claim, Seq: sent.seq, Puts: []*register.Put{putOf(sent.epoch, sent.seq)}})
-		b.is.NoErr(err)
+		ack, err := d.service.Install(ctx, &register.InstallRequest{Claim: claim, Seq: message.seq, Puts: []*register.Put{newPut(message.epoch, message.seq)}})
+		d.is.NoErr(err)
 		return ack
 	}
 	request := &register.AppendRequest{Claim: claim}
-	for seq := sent.seq; seq < sent.seq+sent.count; seq++ {
-		request.Entries = append(request.Entries, &register.Entry{Seq: seq, Puts: []*register.Put{putOf(sent.epoch, seq)}})
+	for seq := message.seq; seq < message.seq+message.count; seq++ {
+		request.Entries = append(request.Entries, &register.Entry{Seq: seq, Puts: []*register.Put{newPut(message.epoch, seq)}})
 	}
-	ack, err := b.service.Append(ctx, request)
-	b.is.NoErr(err)
+	ack, err := d.service.Append(ctx, request)
+	d.is.NoErr(err)
 	return ack
 }
 
-// held is what the replica holds.
-func (b *bench) held() reference {
-	b.store.mu.Lock()
-	defer b.store.mu.Unlock()
-	found := b.store.replicaOf(generatedSlot)
+// replicaState returns the replica's state and content.
+func (d *testDisk) replicaState() modelReplica {
+	d.store.mu.Lock()
+	defer d.store.mu.Unlock()
+	r := d.store.replicaFor(testShard)
 	values := map[string]string{}
-	for key, value := range found.values {
+	for key, value := range r.values {
 		values[key] = string(value)
 	}
-	return reference{shard: found.ShardState, values: values}
+	return modelReplica{shard: r.ShardState, values: values}
 }
 
-func (r reference) equals(other reference) bool {
+func (r modelReplica) equal(other modelReplica) bool {
 	return r.shard == other.shard && maps.Equal(r.values, other.values)
 }
 
-// reopen starts the replica again on files.
-func (b *bench) reopen(files *memory) {
-	b.finish()
+// restartOn closes the disk and opens it again on files.
+func (d *testDisk) restartOn(files *memFiles) {
+	d.close()
 	store, err := Open(base.NewRealClock(), files, base.NewCounters())
-	b.is.NoErr(err)
-	b.files, b.store = files, store
-	b.service = NewService(store, b.service.limit)
+	d.is.NoErr(err)
+	d.files, d.store = files, store
+	d.service = NewService(store, d.service.timeout)
 }
 
-var messages = rapid.Custom(func(t *rapid.T) message {
-	return message{
+// leaderMessages generates messages of two competing leaders.
+var leaderMessages = rapid.Custom(func(t *rapid.T) leaderMessage {
+	return leaderMessage{
 		kind:   rapid.SampledFrom([]byte{kindPromise, kindInstall, kindAppend}).Draw(t, "kind"),
-		epoch:  rapid.Uint64Range(1, generatedEpochs).Draw(t, "epoch"),
+		epoch:  rapid.Uint64Range(1, maxGeneratedEpoch).Draw(t, "epoch"),
 		leader: rapid.SampledFrom([]string{"one", "other"}).Draw(t, "leader"),
-		seq:    rapid.Uint64Range(1, generatedNumbers).Draw(t, "seq"),
-		count:  rapid.Uint64Range(1, generatedEntries).Draw(t, "count"),
+		seq:    rapid.Uint64Range(1, maxGeneratedSeq).Draw(t, "seq"),
+		count:  rapid.Uint64Range(1, maxGeneratedEntries).Draw(t, "count"),
 	}
 })
 
+// Sends generated messages to a replica on a real store, with power losses between
+// messages and during syncs. The replica must reply like the model and hold the
+// model's state. A message that was interrupted by a power loss may be persisted or
+// not.
 func TestGeneratedMessagesAndPowerLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bench := openBench(is.New(t), newMemory())
-		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "sectors"), 0))
-		want := reference{values: map[string]string{}}
+		d := newTestDisk(is.New(t), newMemFiles())
+		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "sectors"), 0))
+		want := modelReplica{values: map[string]string{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"message": func(t *rapid.T) {
-				sent := messages.Draw(t, "message")
-				next, rejection := want.after(sent)
-				ack := bench.deliver(sent)
+				message := leaderMessages.Draw(t, "message")
+				next, rejection := want.apply(message)
+				ack := d.send(message)
 				if ack.Why != string(rejection) || ack.Ok != (rejection == consensus.Accepted) {
-					t.Fatalf("%+v was answered %v %q, wanted %q", sent, ack.Ok, ack.Why, rejection)
+					t.Fatalf("reply to %+v is %v %q, want %q", message, ack.Ok, ack.Why, rejection)
 				}
 				want = next
 			},
 			"power lost": func(_ *rapid.T) {
-				bench.finish()
-				bench.reopen(bench.files.powerLost(chance))
+				d.close()
+				d.restartOn(d.files.afterPowerLoss(random))
 			},
 			"power lost in a sync": func(t *rapid.T) {
-				sent := messages.Draw(t, "message")
-				next, _ := want.after(sent)
-				files := bench.files
-				var kept *memory
-				files.before = func(string) {
-					if kept == nil {
-						kept = files.powerLost(chance)
+				message := leaderMessages.Draw(t, "message")
+				next, _ := want.apply(message)
+				files := d.files
+				var remaining *memFiles
+				files.beforeSync = func(string) {
+					if remaining == nil {
+						remaining = files.afterPowerLoss(random)
 					}
 				}
-				bench.deliver(sent)
-				if kept == nil {
-					kept = files.copy() // nothing was written
+				d.send(message)
+				if remaining == nil {
+					remaining = files.clone() // nothing was written
 				}
-				bench.reopen(kept)
-				if bench.held().equals(next) {
-					want = next // it was kept, though nobody was told
+				d.restartOn(remaining)
+				if d.replicaState().equal(next) {
+					want = next // it was persisted, though not acknowledged
 				}
 			},
 			"": func(t *rapid.T) {
-				if found := bench.held(); !found.equals(want) {
-					t.Fatalf("the replica holds %+v, wanted %+v", found, want)
+				if got := d.replicaState(); !got.equal(want) {
+					t.Fatalf("the replica holds %+v, want %+v", got, want)
 				}
 			},
 		})
-		bench.finish()
+		d.close()
 	})
 }
--- a/internal/disk/install.go
+++ b/internal/disk/install.go
@@ -1,9 +1,3 @@
-// A slot's content in parts. Parts are staged as records of the log, so they
-// outlive the process, and the content counts only once all of it is there and
-// synced, and its digest is right. What is staged names its epoch, its number
-// and the digest; another owner that sends the same content goes on with it. A
-// disk that holds that very content already takes it over without any part.
-
 package disk
 
 import (
@@ -14,154 +8,160 @@
 	"fordseam/internal/register"
 )
 
-// inlineBytes is the largest content that comes along with a promise.
-const inlineBytes = 16 << 10
+// maxInlineBytes is the size of the largest content that a reply to Promise includes.
+const maxInlineBytes = 16 << 10
 
-// AppliedSeq is the number up to which the disk holds a slot, 0 if it holds none.
-func (s *Store) AppliedSeq(slot uint32) uint64 {
+// AppliedSeq returns the sequence number of a shard's newest change, or 0 if the disk
+// does not hold the shard.
+func (s *Store) AppliedSeq(shard uint32) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held := s.replicas[slot]; held != nil {
-		return held.Seq
+	if r := s.replicas[shard]; r != nil {
+		return r.Seq
 	}
 	return 0
 }
 
-// encoding is a replica's content as it is read in parts.
-type encoding struct {
+// encodedSnapshot is a replica's encoded content, which is read in parts.
+type encodedSnapshot struct {
 	snapshot *register.Snapshot
 	data     []byte
 }
 
-// encode gives a replica's content; it is kept until the replica changes or the
-// last part was read.
-func (r *replica) encode() *encoding {
+// encodeContent returns the encoded content. It is cached until the content changes.
+func (r *replica) encodeContent() *encodedSnapshot {
 	if r.encoded == nil {
-		snapshot, data := register.EncodeSnapshot(r.Seq, r.puts())
-		r.encoded = &encoding{snapshot, data}
+		snapshot, data := register.EncodeSnapshot(r.Seq, r.sortedPuts())
+		r.encoded = &encodedSnapshot{snapshot, data}
 	}
 	return r.encoded
 }
 
-// holds tells whether the replica's content is a snapshot's.
-func (r *replica) holds(snapshot *register.Snapshot) bool {
-	return r.Installed > 0 && r.Seq == snapshot.Seq && r.encode().snapshot.Equal(snapshot)
+// hasContentOf reports whether the replica's content is that of a snapshot.
+func (r *replica) hasContentOf(snapshot *register.Snapshot) bool {
+	return r.Installed > 0 && r.Seq == snapshot.Seq && r.encodeContent().snapshot.Equal(snapshot)
 }
 
-// install replaces a replica's content; the caller holds the lock.
-func (s *Store) install(held *replica, next consensus.ShardState, puts []*register.Put) {
-	was := replicaTime(held)
-	held.ShardState, held.values = next, map[string][]byte{}
-	held.staged, held.encoded = nil, nil
-	held.put(puts)
-	if replicaTime(held) != was {
-		held.touched = s.clock.Now() // another change than the one it had
+// installContent replaces a replica's content. The caller holds the lock.
+func (s *Store) installContent(r *replica, next consensus.ShardState, puts []*register.Put) {
+	oldTime := timeValue(r)
+	r.ShardState, r.values = next, map[string][]byte{}
+	r.staged, r.encoded = nil, nil
+	r.applyPuts(puts)
+	if timeValue(r) != oldTime {
+		r.updatedAt = s.clock.Now() // the newest change is not the one that it had
 	}
 }
 
-// staged is how many bytes of a snapshot are there under an epoch.
-func (r *replica) stagedOf(snapshot *register.Snapshot) uint64 {
+// stagedBytes returns how many bytes of a snapshot are staged.
+func (r *replica) stagedBytes(snapshot *register.Snapshot) uint64 {
 	if r.staged == nil || !r.staged.Snapshot.Equal(snapshot) {
 		return 0
 	}
 	return uint64(len(r.staged.Data))
 }
 
-// older tells that a part is of a copy before the one that is being staged.
-func (r *replica) older(request *register.InstallPartRequest) bool {
+// isOlderThanStaged reports whether a part belongs to an older snapshot of the same
+// epoch than the one that is being staged.
+func (r *replica) isOlderThanStaged(request *register.InstallPartRequest) bool {
 	return r.staged != nil && r.staged.Epoch == request.Claim.Epoch && request.Snapshot.Seq < r.staged.Snapshot.Seq
 }
 
-// applyPart stages a part that follows what is there, and installs the content
-// with the last one. A request without data takes over what the disk holds. The
-// staged message is replaced, never changed, so that it can be written down
-// without the lock.
-func (s *Store) applyPart(request *register.InstallPartRequest) {
-	held, claim, snapshot := s.replicaOf(request.Claim.Slot), request.Claim, request.Snapshot
-	next, taken := held.Install(claim.Epoch, claim.Owner, snapshot.Seq)
-	if !taken || held.older(request) {
+// applyInstallPart stages a part that continues what is staged, and installs the
+// content when the last part arrives and the digest matches. A request without data
+// takes over the content under the new epoch if the replica has the same content
+// already. The Staged message is replaced and never changed, so that a checkpoint
+// can encode it without the lock.
+func (s *Store) applyInstallPart(request *register.InstallPartRequest) {
+	r, claim, snapshot := s.replicaFor(request.Claim.Slot), request.Claim, request.Snapshot
+	next, installable := r.Install(claim.Epoch, claim.Owner, snapshot.Seq)
+	if !installable || r.isOlderThanStaged(request) {
 		return
 	}
 	if len(request.Data) == 0 {
-		if held.holds(snapshot) {
-			held.ShardState, held.staged, held.encoded = next, nil, nil
+		if r.hasContentOf(snapshot) {
+			r.ShardState, r.staged, r.encoded = next, nil, nil
 		}
 		return
 	}
-	there := held.stagedOf(snapshot)
-	if request.Offset != there {
+	staged := r.stagedBytes(snapshot)
+	if request.Offset != staged {
 		return
 	}
-	held.ShardState = held.Promise(claim.Epoch, claim.Owner)
+	r.ShardState = r.Promise(claim.Epoch, claim.Owner)
 	var data []byte
-	if there > 0 {
-		data = held.staged.Data
+	if staged > 0 {
+		data = r.staged.Data
 	}
-	held.staged = &Staged{Epoch: claim.Epoch, Snapshot: snapshot, Data: append(data, request.Data...)}
-	if uint64(len(held.staged.Data)) < snapshot.Size {
+	r.staged = &Staged{Epoch: claim.Epoch, Snapshot: snapshot, Data: append(data, request.Data...)}
+	if uint64(len(r.staged.Data)) < snapshot.Size {
 		return
 	}
-	puts, whole := snapshot.Decode(held.staged.Data)
-	held.staged = nil
-	if whole {
-		s.install(held, next, puts)
+	puts, valid := snapshot.Decode(r.staged.Data)
+	r.staged = nil
+	if valid {
+		s.installContent(r, next, puts)
 	}
 }
 
-// InstallPart stages a part and tells how many bytes are there; with the last
-// one the content counts. A part that does not follow what is there, or has no
-// data, only asks.
-func (v *Service) InstallPart(_ context.Context, request *register.InstallPartRequest) (*register.Ack, error) {
+// InstallPart stages a part of a snapshot and returns how many bytes are staged; the
+// last part installs the content. Parts are log entries, so they survive a restart. A
+// part that does not continue what is staged, or that has no data, only returns the
+// progress, so that another leader that sends the same content can resume the
+// transfer.
+func (svc *Service) InstallPart(_ context.Context, request *register.InstallPartRequest) (*register.Ack, error) {
 	if !request.Valid() {
-		return nil, base.ToWire(base.Decline(400, "bad_part", "the part does not lie within its snapshot"))
+		return nil, base.ToWire(base.Decline(400, "bad_part", "invalid part: it has no claim or no valid snapshot, is too large or lies outside its snapshot"))
 	}
-	s, claim, snapshot := v.store, request.Claim, request.Snapshot
+	s, claim, snapshot := svc.store, request.Claim, request.Snapshot
 	s.mu.Lock()
-	ack := s.judge(claim)
+	ack := s.checkClaim(claim)
 	if !ack.Ok {
 		s.mu.Unlock()
 		return ack, nil
 	}
-	held := s.replicaOf(claim.Slot)
-	installed := func() bool { return held.Covers(claim.Epoch, snapshot.Seq) }
-	asks := len(request.Data) == 0 && !held.holds(snapshot) || len(request.Data) > 0 && request.Offset != held.stagedOf(snapshot)
-	var put *pending
-	var why string
-	if installed() || asks || held.older(request) {
-		put, why = s.enqueue(kindPromise, claim, true)
+	r := s.replicaFor(claim.Slot)
+	installed := func() bool { return r.Covers(claim.Epoch, snapshot.Seq) }
+	probe := len(request.Data) == 0 && !r.hasContentOf(snapshot) || len(request.Data) > 0 && request.Offset != r.stagedBytes(snapshot)
+	var p *pendingEntry
+	var reason string
+	if installed() || probe || r.isOlderThanStaged(request) {
+		p, reason = s.enqueue(kindPromise, claim, true)
 	} else {
-		put, why = s.enqueue(kindPart, request, false)
+		p, reason = s.enqueue(kindInstallPart, request, false)
 	}
-	ack.Seq, ack.Staged = held.Seq, held.stagedOf(snapshot)
+	ack.Seq, ack.Staged = r.Seq, r.stagedBytes(snapshot)
 	switch last := request.Offset+uint64(len(request.Data)) == snapshot.Size; {
 	case installed():
 		ack.Staged = snapshot.Size
-	case why == "" && !asks && last:
+	case reason == "" && !probe && last:
 		ack.Ok, ack.Why = false, "damaged"
 	}
 	s.mu.Unlock()
-	return v.finish(ack, put, why), nil
+	return svc.awaitAck(ack, p, reason), nil
 }
 
-// Read gives a part of a slot's content to the owner-to-be that has the promise.
-func (v *Service) Read(_ context.Context, request *register.ReadRequest) (*register.ReadReply, error) {
-	s := v.store
+// Read returns a part of a shard's content to the prospective leader that holds the
+// promise. While the promise is the highest one, no other leader can change the
+// content.
+func (svc *Service) Read(_ context.Context, request *register.ReadRequest) (*register.ReadReply, error) {
+	s := svc.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ack := s.judge(request.Claim)
+	ack := s.checkClaim(request.Claim)
 	reply := &register.ReadReply{Ack: ack}
 	if !ack.Ok {
 		return reply, nil
 	}
-	held := s.replicaOf(request.Claim.Slot)
-	if held.Promised != request.Claim.Epoch || held.Installed != request.Installed || held.Seq != request.Seq {
+	r := s.replicaFor(request.Claim.Slot)
+	if r.Promised != request.Claim.Epoch || r.Installed != request.Installed || r.Seq != request.Seq {
 		ack.Ok, ack.Why = false, "moved"
 		return reply, nil
 	}
-	found := held.encode()
-	size := uint64(len(found.data))
+	content := r.encodeContent()
+	size := uint64(len(content.data))
 	from := min(request.Offset, size)
 	end := min(from+register.PartBytes, size)
-	reply.Snapshot, reply.Data = found.snapshot, found.data[from:end]
+	reply.Snapshot, reply.Data = content.snapshot, content.data[from:end]
 	return reply, nil
 }
--- a/internal/disk/install_test.go
+++ b/internal/disk/install_test.go
@@ -1,7 +1,3 @@
-// Content that comes and goes in parts: it counts only once it is whole, goes on
-// after restarts, losses of power and changes of the owner, and cannot change
-// while it is read.
-
 package disk
 
 import (
@@ -20,301 +16,311 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// largeContent is content of some parts, the same for the same seed.
+// largeContent returns content that is encoded in about this number of parts. It is
+// the same for the same seed.
 func largeContent(seed uint64, parts int) []*register.Put {
-	chance := rand.New(rand.NewPCG(seed, 2))
+	random := rand.New(rand.NewPCG(seed, 2))
 	var puts []*register.Put
-	for place := range parts * 2 {
+	for i := range parts * 2 {
 		value := make([]byte, register.PartBytes/2)
-		for at := range value {
-			value[at] = byte(chance.Uint32())
+		for j := range value {
+			value[j] = byte(random.Uint32())
 		}
-		puts = append(puts, &register.Put{Key: fmt.Sprintf("k%03d", place), Value: value})
+		puts = append(puts, &register.Put{Key: fmt.Sprintf("k%03d", i), Value: value})
 	}
 	return puts
 }
 
-// sending is one content on its way to a bench's disk.
-type sending struct {
-	*bench
+// transfer is a snapshot that is sent to a disk in parts.
+type transfer struct {
+	*testDisk
 	epoch    uint64
-	owner    string
+	leader   string
 	snapshot *register.Snapshot
 	data     []byte
 }
 
-func (b *bench) sending(epoch, seq uint64, puts []*register.Put) *sending {
+func (d *testDisk) newTransfer(epoch, seq uint64, puts []*register.Put) *transfer {
 	snapshot, data := register.EncodeSnapshot(seq, puts)
-	return &sending{bench: b, epoch: epoch, owner: "o", snapshot: snapshot, data: data}
+	return &transfer{testDisk: d, epoch: epoch, leader: "o", snapshot: snapshot, data: data}
 }
 
-// part sends what stands at a place; from a place at the end it only asks.
-func (x *sending) part(offset uint64) *register.Ack {
+// sendPart sends the part at an offset; at the end, it has no data and only returns
+// the progress.
+func (x *transfer) sendPart(offset uint64) *register.Ack {
 	end := min(offset+register.PartBytes, x.snapshot.Size)
-	ack, err := x.service.InstallPart(context.Background(), &register.InstallPartRequest{Claim: x.claim(x.epoch, x.owner),
+	ack, err := x.service.InstallPart(context.Background(), &register.InstallPartRequest{Claim: x.claim(x.epoch, x.leader),
 		Snapshot: x.snapshot, Offset: offset, Data: x.data[offset:end]})
 	x.is.NoErr(err)
 	return ack
 }
 
-func (x *sending) asked() *register.Ack { return x.part(x.snapshot.Size) }
+// probe returns the progress without sending data.
+func (x *transfer) probe() *register.Ack { return x.sendPart(x.snapshot.Size) }
 
-// rest sends all that the disk says it lacks.
-func (x *sending) rest() (parts int) {
-	for ack := x.asked(); ack.Staged < x.snapshot.Size; parts++ {
-		ack = x.part(ack.Staged)
+// sendRest sends all parts that the disk lacks and returns their number.
+func (x *transfer) sendRest() (parts int) {
+	for ack := x.probe(); ack.Staged < x.snapshot.Size; parts++ {
+		ack = x.sendPart(ack.Staged)
 		x.is.True(ack.Ok)
 	}
 	return parts
 }
 
-// reopened is the bench's disk in another life of its process.
-func (b *bench) reopened(files *memory) *bench {
+// reopenOn returns the disk as a new process opens it from files.
+func (d *testDisk) reopenOn(files *memFiles) *testDisk {
 	store, err := Open(base.NewRealClock(), files, base.NewCounters())
-	b.is.NoErr(err)
-	return &bench{is: b.is, files: files, store: store, service: NewService(store, b.service.limit), set: b.set, id: b.id}
+	d.is.NoErr(err)
+	return &testDisk{is: d.is, files: files, store: store, service: NewService(store, d.service.timeout), set: d.set, id: d.id}
 }
 
-func TestContentCountsOnceItIsWhole(t *testing.T) {
+// A snapshot replaces the content only when all parts are there; repeated, delayed
+// and out-of-order parts change nothing.
+func TestContentIsInstalledOnlyWhenComplete(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	is.True(b.take(1, "o").Ack.Ok)
-	is.True(b.install(1, 0).Ok)
-	is.True(b.put(1, 1, "former", "value").Ok)
-	is.True(b.take(2, "o").Ack.Ok)
-	x := b.sending(2, 9, largeContent(1, 3))
-	is.Equal(x.asked().Staged, uint64(0))
-	is.Equal(x.part(0).Staged, uint64(register.PartBytes))
-	is.Equal(x.part(0).Staged, uint64(register.PartBytes))                    // asked again
-	is.Equal(x.part(2*register.PartBytes).Staged, uint64(register.PartBytes)) // a gap
-	is.Equal(b.put(2, 10, "k", "v").Why, "behind")                            // not installed yet
-	is.Equal(string(b.store.replicas[3].values["former"]), "value")
-	is.Equal(b.store.replicas[3].Installed, uint64(1))
-	is.True(x.rest() == 3) // the encoding is a little longer than three parts
-	is.Equal(b.store.replicas[3].Installed, uint64(2))
-	is.Equal(b.store.replicas[3].Seq, uint64(9))
-	is.Equal(len(b.store.replicas[3].values), 6)
-	is.True(b.store.replicas[3].staged == nil)
-	is.Equal(x.part(0).Staged, x.snapshot.Size) // a late copy of a part changes nothing
-	is.True(b.put(2, 10, "k", "v").Ok)
-	b.finish()
+	d := newTestDisk(is, newMemFiles())
+	is.True(d.promise(1, "o").Ack.Ok)
+	is.True(d.install(1, 0).Ok)
+	is.True(d.append(1, 1, "former", "value").Ok)
+	is.True(d.promise(2, "o").Ack.Ok)
+	x := d.newTransfer(2, 9, largeContent(1, 3))
+	is.Equal(x.probe().Staged, uint64(0))
+	is.Equal(x.sendPart(0).Staged, uint64(register.PartBytes))
+	is.Equal(x.sendPart(0).Staged, uint64(register.PartBytes))                    // repeated
+	is.Equal(x.sendPart(2*register.PartBytes).Staged, uint64(register.PartBytes)) // a gap
+	is.Equal(d.append(2, 10, "k", "v").Why, "behind")                             // not installed yet
+	is.Equal(string(d.store.replicas[3].values["former"]), "value")
+	is.Equal(d.store.replicas[3].Installed, uint64(1))
+	is.True(x.sendRest() == 3) // the encoding is a little longer than three parts
+	is.Equal(d.store.replicas[3].Installed, uint64(2))
+	is.Equal(d.store.replicas[3].Seq, uint64(9))
+	is.Equal(len(d.store.replicas[3].values), 6)
+	is.True(d.store.replicas[3].staged == nil)
+	is.Equal(x.sendPart(0).Staged, x.snapshot.Size) // a delayed copy of a part changes nothing
+	is.True(d.append(2, 10, "k", "v").Ok)
+	d.close()
 }
 
-func TestStagedPartsOutliveTheProcessAndTheOwner(t *testing.T) {
+// A transfer continues after restarts, from the log and from a checkpoint, and under
+// another leader that sends the same content.
+func TestStagedPartsSurviveRestartAndLeaderChange(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	is.True(b.take(1, "o").Ack.Ok)
-	x := b.sending(1, 9, largeContent(1, 3))
-	x.part(0)
-	b.finish()
-	x.bench = b.reopened(b.files) // from the log
-	is.Equal(x.asked().Staged, uint64(register.PartBytes))
-	x.part(register.PartBytes)
-	is.NoErr(x.store.turn()) // from the slot
-	x.bench.finish()
-	x.bench = b.reopened(b.files)
-	is.Equal(x.asked().Staged, uint64(2*register.PartBytes))
-	is.True(x.take(2, "p").Ack.Ok) // another owner with the same content goes on
-	is.Equal(x.asked().Why, "epoch")
-	x.epoch, x.owner = 2, "p"
-	is.Equal(x.asked().Staged, uint64(2*register.PartBytes))
-	is.Equal(x.rest(), 2)
+	d := newTestDisk(is, newMemFiles())
+	is.True(d.promise(1, "o").Ack.Ok)
+	x := d.newTransfer(1, 9, largeContent(1, 3))
+	x.sendPart(0)
+	d.close()
+	x.testDisk = d.reopenOn(d.files) // restored from the log
+	is.Equal(x.probe().Staged, uint64(register.PartBytes))
+	x.sendPart(register.PartBytes)
+	is.NoErr(x.store.writeCheckpoint()) // restored from the checkpoint
+	x.testDisk.close()
+	x.testDisk = d.reopenOn(d.files)
+	is.Equal(x.probe().Staged, uint64(2*register.PartBytes))
+	is.True(x.promise(2, "p").Ack.Ok) // another leader that sends the same content continues
+	is.Equal(x.probe().Why, "epoch")
+	x.epoch, x.leader = 2, "p"
+	is.Equal(x.probe().Staged, uint64(2*register.PartBytes))
+	is.Equal(x.sendRest(), 2)
 	is.Equal(x.store.replicas[3].Installed, uint64(2))
-	x.bench.finish()
+	x.testDisk.close()
 }
 
-func TestAnotherContentIsStagedAnew(t *testing.T) {
+// A newer snapshot of the same leader discards the staged parts of an older one.
+func TestOtherContentReplacesStagedParts(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	is.True(b.take(1, "o").Ack.Ok)
-	older, newer := b.sending(1, 9, largeContent(1, 2)), b.sending(1, 12, largeContent(2, 2))
-	older.part(0)
-	is.Equal(newer.asked().Staged, uint64(0))
-	newer.part(0)
-	older.part(0) // a late copy of the one that was given up
-	is.Equal(newer.asked().Staged, uint64(register.PartBytes))
-	newer.rest()
-	is.Equal(b.store.replicas[3].Seq, uint64(12))
-	b.finish()
+	d := newTestDisk(is, newMemFiles())
+	is.True(d.promise(1, "o").Ack.Ok)
+	older, newer := d.newTransfer(1, 9, largeContent(1, 2)), d.newTransfer(1, 12, largeContent(2, 2))
+	older.sendPart(0)
+	is.Equal(newer.probe().Staged, uint64(0))
+	newer.sendPart(0)
+	older.sendPart(0) // a delayed part of the abandoned transfer
+	is.Equal(newer.probe().Staged, uint64(register.PartBytes))
+	newer.sendRest()
+	is.Equal(d.store.replicas[3].Seq, uint64(12))
+	d.close()
 }
 
-func TestDamagedContentIsDiscardedWhole(t *testing.T) {
+// Content whose digest does not match is discarded, and the transfer can start again.
+func TestCorruptContentIsDiscarded(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	is.True(b.take(1, "o").Ack.Ok)
-	x := b.sending(1, 9, largeContent(1, 1))
+	d := newTestDisk(is, newMemFiles())
+	is.True(d.promise(1, "o").Ack.Ok)
+	x := d.newTransfer(1, 9, largeContent(1, 1))
 	good := x.data
 	x.data = bytes.Clone(good)
 	x.data[100]++
-	is.Equal(x.part(0).Staged, uint64(register.PartBytes))
-	ack := x.part(register.PartBytes)
+	is.Equal(x.sendPart(0).Staged, uint64(register.PartBytes))
+	ack := x.sendPart(register.PartBytes)
 	is.True(!ack.Ok)
 	is.Equal(ack.Why, "damaged")
 	is.Equal(ack.Staged, uint64(0))
-	is.Equal(b.store.replicas[3].Installed, uint64(0))
+	is.Equal(d.store.replicas[3].Installed, uint64(0))
 	x.data = good
-	is.Equal(x.rest(), 2)
-	is.Equal(b.store.replicas[3].Installed, uint64(1))
-	b.finish()
+	is.Equal(x.sendRest(), 2)
+	is.Equal(d.store.replicas[3].Installed, uint64(1))
+	d.close()
 }
 
-func TestPartsOutsideTheirSnapshotAreRefused(t *testing.T) {
+func TestInvalidPartsAreRejected(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	is.True(b.take(1, "o").Ack.Ok)
+	d := newTestDisk(is, newMemFiles())
+	is.True(d.promise(1, "o").Ack.Ok)
 	snapshot, data := register.EncodeSnapshot(9, largeContent(1, 1))
 	for name, change := range map[string]func(x *register.InstallPartRequest){
-		"no snapshot":  func(x *register.InstallPartRequest) { x.Snapshot = nil },
-		"no claim":     func(x *register.InstallPartRequest) { x.Claim = nil },
-		"past the end": func(x *register.InstallPartRequest) { x.Offset = snapshot.Size },
-		"wraps around": func(x *register.InstallPartRequest) { x.Offset = 1<<64 - 8 },
-		"too large":    func(x *register.InstallPartRequest) { x.Data = make([]byte, register.PartBytes+1) },
+		"no snapshot":    func(x *register.InstallPartRequest) { x.Snapshot = nil },
+		"no claim":       func(x *register.InstallPartRequest) { x.Claim = nil },
+		"past the end":   func(x *register.InstallPartRequest) { x.Offset = snapshot.Size },
+		"wraps around":   func(x *register.InstallPartRequest) { x.Offset = 1<<64 - 8 },
+		"part too large": func(x *register.InstallPartRequest) { x.Data = make([]byte, register.PartBytes+1) },
 		"endless": func(x *register.InstallPartRequest) {
 			x.Snapshot = &register.Snapshot{Size: 1 << 40, Digest: snapshot.Digest}
 		},
-		"without digest": func(x *register.InstallPartRequest) { x.Snapshot = &register.Snapshot{Size: snapshot.Size} },
+		"no digest": func(x *register.InstallPartRequest) { x.Snapshot = &register.Snapshot{Size: snapshot.Size} },
 	} {
-		x := &register.InstallPartRequest{Claim: b.claim(1, "o"), Snapshot: snapshot, Data: data[:register.PartBytes]}
+		x := &register.InstallPartRequest{Claim: d.claim(1, "o"), Snapshot: snapshot, Data: data[:register.PartBytes]}
 		change(x)
-		_, err := b.service.InstallPart(context.Background(), x)
+		_, err := d.service.InstallPart(context.Background(), x)
 		is.True(err != nil) // name
 		_ = name
 	}
-	is.True(b.store.replicas[3].staged == nil)
-	b.finish()
+	is.True(d.store.replicas[3].staged == nil)
+	d.close()
 }
 
-// A disk that holds the very content takes it over under the new epoch.
-func TestContentThatIsThereIsNotSent(t *testing.T) {
+// A disk that already has the content of a snapshot takes it over under the new
+// epoch without receiving any part.
+func TestContentAlreadyOnDiskIsNotSent(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	is.True(b.take(1, "o").Ack.Ok)
+	d := newTestDisk(is, newMemFiles())
+	is.True(d.promise(1, "o").Ack.Ok)
 	puts := largeContent(1, 2)
-	b.sending(1, 9, puts).rest()
-	is.True(b.take(2, "p").Ack.Ok)
-	x := b.sending(2, 9, puts)
-	x.owner = "p"
-	is.Equal(x.rest(), 0)
-	is.Equal(b.store.replicas[3].Installed, uint64(2))
-	b.finish()
-	again := b.reopened(b.files)
-	is.Equal(again.store.replicas[3].Installed, uint64(2))
-	is.Equal(len(again.store.replicas[3].values), 4)
-	is.True(again.take(3, "p").Ack.Ok)
-	other := again.sending(3, 9, largeContent(2, 2)) // the same number, another content
-	other.owner = "p"
-	is.True(other.rest() > 2)
-	again.finish()
+	d.newTransfer(1, 9, puts).sendRest()
+	is.True(d.promise(2, "p").Ack.Ok)
+	x := d.newTransfer(2, 9, puts)
+	x.leader = "p"
+	is.Equal(x.sendRest(), 0)
+	is.Equal(d.store.replicas[3].Installed, uint64(2))
+	d.close()
+	reopened := d.reopenOn(d.files)
+	is.Equal(reopened.store.replicas[3].Installed, uint64(2))
+	is.Equal(len(reopened.store.replicas[3].values), 4)
+	is.True(reopened.promise(3, "p").Ack.Ok)
+	other := reopened.newTransfer(3, 9, largeContent(2, 2)) // the same sequence number, other content
+	other.leader = "p"
+	is.True(other.sendRest() > 2)
+	reopened.close()
 }
 
-// Power goes at any moment of a transfer and keeps any sectors of what was not
-// synced: the former content or the whole new one is there, what was answered is
-// staged, and the transfer goes on to its end.
-func TestPowerLossDuringATransfer(t *testing.T) {
+// After a power loss before any sync of a transfer, with any subset of the unsynced
+// sectors persisted, the disk has the previous content or the complete new one, all
+// acknowledged parts are staged, and the transfer can be completed.
+func TestPowerLossDuringTransfer(t *testing.T) {
 	is := is.New(t)
 	const seed = 11
 	t.Logf("seed %d", seed)
-	chance := rand.New(rand.NewPCG(seed, 1))
-	b := openBench(is, newMemory())
-	b.service.limit = time.Minute // the losses that are tried take their time
-	is.True(b.take(1, "o").Ack.Ok)
-	is.True(b.install(1, 0).Ok)
-	is.True(b.put(1, 1, "former", "value").Ok)
-	is.True(b.take(2, "o").Ack.Ok)
-	b.shorten(256 << 10)
-	x := b.sending(2, 9, largeContent(1, 6))
-	var answered atomic.Uint64 // written here, read by the committer
-	var whole atomic.Bool
-	tries, cut, ends := 0, int64(0), map[string]int{}
-	b.files.before = func(string) {
+	random := rand.New(rand.NewPCG(seed, 1))
+	d := newTestDisk(is, newMemFiles())
+	d.service.timeout = time.Minute // the simulated power losses delay the syncs
+	is.True(d.promise(1, "o").Ack.Ok)
+	is.True(d.install(1, 0).Ok)
+	is.True(d.append(1, 1, "former", "value").Ok)
+	is.True(d.promise(2, "o").Ack.Ok)
+	d.setMinLogBytes(256 << 10)
+	x := d.newTransfer(2, 9, largeContent(1, 6))
+	var acked atomic.Uint64 // written here, read by the committer
+	var complete atomic.Bool
+	losses, tornTails, outcomes := 0, int64(0), map[string]int{}
+	d.files.beforeSync = func(string) {
 		for range 8 {
-			tries++
+			losses++
 			counters := base.NewCounters()
-			lost := b.files.powerLost(chance)
-			store, err := Open(base.NewRealClock(), lost, counters)
+			files := d.files.afterPowerLoss(random)
+			store, err := Open(base.NewRealClock(), files, counters)
 			is.NoErr(err)
-			held := store.replicas[3]
+			r := store.replicas[3]
 			switch {
-			case held.Installed == 2:
-				ends["whole"]++
-				is.Equal(fmt.Sprint(held.Seq, len(held.values)), "9 12")
+			case r.Installed == 2:
+				outcomes["new"]++
+				is.Equal(fmt.Sprint(r.Seq, len(r.values)), "9 12")
 			default:
-				ends["former"]++
-				is.True(!whole.Load())
-				is.Equal(fmt.Sprintf("%d %d %s", held.Installed, held.Seq, held.values["former"]), "1 1 value")
-				is.True(held.stagedOf(x.snapshot) >= answered.Load())
+				outcomes["former"]++
+				is.True(!complete.Load())
+				is.Equal(fmt.Sprintf("%d %d %s", r.Installed, r.Seq, r.values["former"]), "1 1 value")
+				is.True(r.stagedBytes(x.snapshot) >= acked.Load())
 			}
-			cut += counters.Frame()["disk_tails_cut"]
+			tornTails += counters.Frame()["disk_tails_cut"]
 			other := *x
-			other.bench = &bench{is: is, files: lost, store: store, service: NewService(store, b.service.limit), set: b.set, id: b.id}
-			other.rest()
-			is.Equal(fmt.Sprint(held.Installed, held.Seq, len(store.replicas[3].values)), "2 9 12")
+			other.testDisk = &testDisk{is: is, files: files, store: store, service: NewService(store, d.service.timeout), set: d.set, id: d.id}
+			other.sendRest()
+			is.Equal(fmt.Sprint(r.Installed, r.Seq, len(store.replicas[3].values)), "2 9 12")
 			store.Close()
 		}
 	}
 	for offset := uint64(0); offset < x.snapshot.Size; {
-		ack := x.part(offset)
+		ack := x.sendPart(offset)
 		is.True(ack.Ok)
 		offset = ack.Staged
-		answered.Store(ack.Staged)
-		whole.Store(offset == x.snapshot.Size)
+		acked.Store(ack.Staged)
+		complete.Store(offset == x.snapshot.Size)
 	}
-	b.finish()
-	t.Logf("%d losses of power, %d torn tails cut, ends %v, %d turns", tries, cut, ends, b.store.counters.Frame()["disk_frames"])
-	// how often slots turn depends on the disk's random id: once at the least
-	is.True(cut > 0 && b.store.counters.Frame()["disk_frames"] >= 1)
+	d.close()
+	t.Logf("%d power losses, %d torn tails truncated, outcomes %v, %d checkpoints", losses, tornTails, outcomes, d.store.counters.Frame()["disk_frames"])
+	// The number of checkpoints depends on the disk's random id; it is at least one.
+	is.True(tornTails > 0 && d.store.counters.Frame()["disk_frames"] >= 1)
 }
 
-// A log may hold parts again that its slot covers.
-func TestPartsThatAreThereAlreadyChangeNothing(t *testing.T) {
+// A log may repeat parts that its checkpoint covers. Replaying them changes nothing.
+func TestReplayedPartsChangeNothing(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	var again [][]byte
-	tell := func(kind byte, message proto.Message) {
+	d := newTestDisk(is, newMemFiles())
+	var log [][]byte
+	logEntry := func(kind byte, message proto.Message) {
 		payload, err := proto.Marshal(message)
 		is.NoErr(err)
-		again = append(again, entryOf(kind, payload))
-		is.NoErr(b.store.apply(kind, payload))
+		log = append(log, encodeEntry(kind, payload))
+		is.NoErr(d.store.applyEntry(kind, payload))
 	}
-	part := func(x *sending, offset uint64) {
-		tell(kindPart, &register.InstallPartRequest{Claim: b.claim(x.epoch, x.owner), Snapshot: x.snapshot, Offset: offset,
+	logPart := func(x *transfer, offset uint64) {
+		logEntry(kindInstallPart, &register.InstallPartRequest{Claim: d.claim(x.epoch, x.leader), Snapshot: x.snapshot, Offset: offset,
 			Data: x.data[offset:min(offset+register.PartBytes, x.snapshot.Size)]})
 	}
-	outgrown, first := b.sending(1, 4, largeContent(1, 2)), b.sending(1, 7, largeContent(2, 1))
-	stale, second := b.sending(2, 8, largeContent(4, 2)), b.sending(2, 9, largeContent(3, 4))
-	part(outgrown, 0)
-	part(first, 0)
-	part(first, register.PartBytes)
-	tell(kindPromise, b.claim(2, "o"))
-	part(stale, 0)
-	part(second, 0)
-	part(second, register.PartBytes)
-	part(second, 3*register.PartBytes) // a gap
-	for upto := range again {
-		for _, entry := range again[:upto+1] {
-			is.NoErr(b.store.applyBatch(entry))
+	superseded, first := d.newTransfer(1, 4, largeContent(1, 2)), d.newTransfer(1, 7, largeContent(2, 1))
+	stale, second := d.newTransfer(2, 8, largeContent(4, 2)), d.newTransfer(2, 9, largeContent(3, 4))
+	logPart(superseded, 0)
+	logPart(first, 0)
+	logPart(first, register.PartBytes)
+	logEntry(kindPromise, d.claim(2, "o"))
+	logPart(stale, 0)
+	logPart(second, 0)
+	logPart(second, register.PartBytes)
+	logPart(second, 3*register.PartBytes) // a gap
+	for last := range log {
+		for _, entry := range log[:last+1] {
+			is.NoErr(d.store.applyBatch(entry))
 		}
-		held := b.store.replicas[3]
-		is.Equal(fmt.Sprintf("%d %d %d %d", held.Promised, held.Installed, held.Seq, held.stagedOf(second.snapshot)), fmt.Sprintf("2 1 7 %d", 2*register.PartBytes))
+		r := d.store.replicas[3]
+		is.Equal(fmt.Sprintf("%d %d %d %d", r.Promised, r.Installed, r.Seq, r.stagedBytes(second.snapshot)), fmt.Sprintf("2 1 7 %d", 2*register.PartBytes))
 	}
-	b.finish()
+	d.close()
 }
 
-// Content is read in parts under the epoch that was promised, and never changes
-// between them.
-func TestContentIsReadUnderItsPromise(t *testing.T) {
+// Content is read in parts only under a promised epoch, and does not change between
+// the parts.
+func TestReadRequiresPromise(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	is.True(b.take(1, "o").Ack.Ok)
-	is.True(!b.take(1, "o").Apart)
-	b.sending(1, 9, largeContent(1, 2)).rest()
+	d := newTestDisk(is, newMemFiles())
+	is.True(d.promise(1, "o").Ack.Ok)
+	is.True(!d.promise(1, "o").Apart)
+	d.newTransfer(1, 9, largeContent(1, 2)).sendRest()
 	read := func(epoch, installed, seq, offset uint64) *register.ReadReply {
-		reply, err := b.service.Read(context.Background(), &register.ReadRequest{Claim: b.claim(epoch, "p"), Installed: installed, Seq: seq, Offset: offset})
+		reply, err := d.service.Read(context.Background(), &register.ReadRequest{Claim: d.claim(epoch, "p"), Installed: installed, Seq: seq, Offset: offset})
 		is.NoErr(err)
 		return reply
 	}
 	is.Equal(read(2, 1, 9, 0).Ack.Why, "moved") // not promised, so it could still change
-	promise := b.take(2, "p")
+	promise := d.promise(2, "p")
 	is.True(promise.Ack.Ok && promise.Apart)
 	is.Equal(len(promise.Puts), 0)
 	var data []byte
@@ -322,17 +328,17 @@
 		reply := read(2, promise.Installed, promise.Seq, uint64(len(data)))
 		is.True(reply.Ack.Ok)
 		is.True(len(reply.Data) <= register.PartBytes)
-		is.Equal(b.put(1, 10, "k", "v").Why, "epoch") // nobody changes it meanwhile
+		is.Equal(d.append(1, 10, "k", "v").Why, "epoch") // no other leader can change it meanwhile
 		if data = append(data, reply.Data...); uint64(len(data)) == reply.Snapshot.Size {
-			puts, whole := reply.Snapshot.Decode(data)
-			is.True(whole)
+			puts, valid := reply.Snapshot.Decode(data)
+			is.True(valid)
 			is.Equal(len(puts), 4)
 			break
 		}
 	}
 	is.Equal(len(read(2, 1, 9, 1<<40).Data), 0)
 	is.Equal(read(2, 1, 8, 0).Ack.Why, "moved")
-	is.True(b.take(3, "q").Ack.Ok)
+	is.True(d.promise(3, "q").Ack.Ok)
 	is.Equal(read(2, 1, 9, 0).Ack.Why, "epoch")
-	b.finish()
+	d.close()
 }
--- a/internal/disk/load.go
+++ b/internal/disk/load.go
@@ -1,5 +1,3 @@
-// Opening a store: the newest slot that can be read, and the log behind it.
-
 package disk
 
 import (
@@ -8,105 +6,107 @@
 	"github.com/juju/errors"
 )
 
-// load takes the newest slot that can be read and the logs that follow it.
-// Numbers run on through all logs, so a part that is missing shows. Then the
-// state is written anew: what a sync that failed left in memory only, and
-// what was mended or cut, rests on nothing that was there before.
+// load restores the newest readable checkpoint and replays the logs after it. Batch
+// numbers are consecutive through all logs, so a missing batch is detected. The
+// state is then written as a new checkpoint, so that it does not depend on what was
+// read: after a failed sync, that may exist only in the kernel's page cache, and
+// repaired or truncated logs are no longer needed.
 func (s *Store) load() error {
-	best, unread, err := s.readSlots()
+	newest, unreadable, err := s.readNewestCheckpoint()
 	if err != nil {
 		return err
 	}
-	if best.payload != nil {
-		if err := s.readFrame(best.payload); err != nil {
-			return errors.Annotate(err, slotName(best.generation))
+	if newest.payload != nil {
+		if err := s.restoreCheckpoint(newest.payload); err != nil {
+			return errors.Annotate(err, checkpointFileName(newest.generation))
 		}
 	}
-	s.generation, s.number, s.frameBytes = best.generation, best.number, len(best.payload)
-	first, err := s.replay(s.generation)
+	s.generation, s.lastBatch, s.checkpointBytes = newest.generation, newest.number, len(newest.payload)
+	currentLogBytes, err := s.replayLog(s.generation)
 	if err != nil {
 		return err
 	}
-	later, err := s.replay(s.generation + 1)
+	nextLogBytes, err := s.replayLog(s.generation + 1)
 	if err != nil {
 		return err
 	}
-	s.logBytes = first
-	if unread != "" && best.payload == nil && s.number == 0 {
-		return errors.Annotatef(errDamaged, "%s cannot be read and no other slot is left", unread)
+	s.logBytes = currentLogBytes
+	if unreadable != "" && newest.payload == nil && s.lastBatch == 0 {
+		return errors.Annotatef(errCorrupt, "%s cannot be read and there is no other checkpoint", unreadable)
 	}
-	if s.number == 0 {
+	if s.lastBatch == 0 {
 		return nil
 	}
-	if later > 0 {
-		s.generation, s.logBytes = s.generation+1, later
-		return s.writeSlot(s.generation, s.number, s.encodeFrame())
+	if nextLogBytes > 0 {
+		s.generation, s.logBytes = s.generation+1, nextLogBytes
+		return s.writeCheckpointFile(s.generation, s.lastBatch, s.encodeCheckpoint())
 	}
-	if err := s.turn(); err != nil && !isFull(err) {
+	if err := s.writeCheckpoint(); err != nil && !isFull(err) {
 		return err
 	}
 	return nil
 }
 
-// readSlots finds the newest slot; unread names one that cannot be read.
-func (s *Store) readSlots() (best opened, unread string, err error) {
-	for turn := uint64(0); turn < 2; turn++ {
-		name := slotName(turn)
+// readNewestCheckpoint returns the newest readable checkpoint, and the name of a
+// checkpoint file that cannot be read, if any.
+func (s *Store) readNewestCheckpoint() (newest record, unreadable string, err error) {
+	for generation := uint64(0); generation < 2; generation++ {
+		name := checkpointFileName(generation)
 		data, err := s.files.Read(name)
 		if err != nil {
-			return best, "", errors.Trace(err)
+			return newest, "", errors.Trace(err)
 		}
-		found, _, err := open(data)
+		decoded, _, err := decodeRecord(data)
 		switch {
 		case err == nil:
-			if found.generation > best.generation {
-				best = found
+			if decoded.generation > newest.generation {
+				newest = decoded
 			}
-		case foreign(err):
-			return best, "", errors.Annotate(err, name)
-		case !blank(data):
-			unread = name
+		case isForeign(err):
+			return newest, "", errors.Annotate(err, name)
+		case !isZero(data):
+			unreadable = name
 		}
 	}
-	return best, unread, nil
+	return newest, unreadable, nil
 }
 
-// replay puts a log's batches in force, mends the end of the file and tells
-// where it is: a torn batch is cut off, one whose second copy is torn gets it
-// again.
-func (s *Store) replay(generation uint64) (int, error) {
-	name := logName(generation)
+// replayLog applies the batches of a log, repairs the end of the file and returns
+// its size. A torn batch is truncated; if only the second copy of the last batch is
+// torn, it is written again.
+func (s *Store) replayLog(generation uint64) (int, error) {
+	name := logFileName(generation)
 	data, err := s.files.Read(name)
 	if err != nil {
 		return 0, errors.Trace(err)
 	}
-	log, err := readLog(data, generation, s.number)
+	contents, err := parseLog(data, generation, s.lastBatch)
 	if err != nil {
 		return 0, errors.Annotate(err, name)
 	}
-	for _, batch := range log.batches {
+	for _, batch := range contents.batches {
 		if err := s.applyBatch(batch.payload); err != nil {
-			return 0, errors.Annotatef(err, "%s, batch %d", name, batch.number)
+			return 0, errors.Annotatef(err, "%s: batch %d", name, batch.number)
 		}
-		s.number = batch.number
+		s.lastBatch = batch.number
 	}
-	if log.mended > 0 {
-		s.counters.Add("disk_mended", int64(log.mended))
+	if contents.damagedCopies > 0 {
+		s.counters.Add("disk_mended", int64(contents.damagedCopies))
 	}
-	if log.end == len(data) && log.again == nil {
-		return log.end, nil
+	if contents.validSize == len(data) && contents.missingCopy == nil {
+		return contents.validSize, nil
 	}
-	if log.end < len(data) && log.end > 0 {
+	if contents.validSize < len(data) && contents.validSize > 0 {
 		s.counters.Add("disk_tails_cut", 1)
 	}
-	if err := s.files.Truncate(name, log.end); err != nil {
+	if err := s.files.Truncate(name, contents.validSize); err != nil {
 		return 0, errors.Trace(err)
 	}
-	end := log.end
-	if log.again != nil {
-		switch err := s.files.Append(name, log.again); {
+	end := contents.validSize
+	if contents.missingCopy != nil {
+		switch err := s.files.Append(name, contents.missingCopy); {
 		case err == nil:
-			end += len(log.again)
+			end += len(contents.missingCopy)
 		case !isFull(err):
 			return 0, errors.Trace(err)
 		default:
@@ -118,17 +118,17 @@
 	return end, errors.Trace(s.files.Sync(name))
 }
 
-// applyBatch puts a batch's entries in force one by one.
+// applyBatch applies the entries of a batch in order.
 func (s *Store) applyBatch(payload []byte) error {
 	for len(payload) > 0 {
-		if len(payload) < entryHead || len(payload) < entryHead+int(binary.LittleEndian.Uint32(payload[1:])) {
-			return errDamaged
+		if len(payload) < entryHeaderSize || len(payload) < entryHeaderSize+int(binary.LittleEndian.Uint32(payload[1:])) {
+			return errCorrupt
 		}
 		size := int(binary.LittleEndian.Uint32(payload[1:]))
-		if err := s.apply(payload[0], payload[entryHead:entryHead+size]); err != nil {
+		if err := s.applyEntry(payload[0], payload[entryHeaderSize:entryHeaderSize+size]); err != nil {
 			return err
 		}
-		payload = payload[entryHead+size:]
+		payload = payload[entryHeaderSize+size:]
 	}
 	return nil
 }
--- a/internal/disk/record.go
+++ b/internal/disk/record.go
@@ -1,14 +1,3 @@
-// What stands in the files. A slot is one sealed record. A log is a row of
-// batches, each written twice before the one sync that answers all of it, the
-// copies in sectors of their own. Power loss may keep any sectors of a batch
-// that was never synced, so a batch neither of whose copies can be read was
-// not answered, and is cut off where nothing follows it. Rot of one place
-// leaves the other copy of an answered batch, which is then taken in its
-// stead; where a later batch follows one that cannot be read, that one had
-// been answered, and the disk is damaged. A batch is written only after the
-// one before it was synced, and numbers run on without a gap through every
-// log and slot, so nothing answered can be missing unseen.
-
 package disk
 
 import (
@@ -21,179 +10,193 @@
 )
 
 const (
-	fileMark      = "fsd"
-	formatVersion = 2
-	headerSize    = 36
-	entryHead     = 5
-	sector        = 4096
+	fileMagic       = "fsd"
+	formatVersion   = 2
+	headerSize      = 36
+	entryHeaderSize = 5
+	sectorSize      = 4096
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	errTorn    = errors.New("record stops short")
-	errDamaged = errors.New("record damaged")
-	errForeign = errors.New("not a file of fordseam's; it is left as it is")
+	// errTruncated means that the data end before the record does.
+	errTruncated = errors.New("record is truncated")
+	// errCorrupt means that a checksum does not match, or that an acknowledged
+	// record is missing.
+	errCorrupt = errors.New("data is corrupt")
+	// errForeignFile means that the file was written by another program.
+	errForeignFile = errors.New("not a fordseam file; it is left unchanged")
 )
 
-// errVersion names a format this program does not know.
-type errVersion byte
+// unknownVersionError is a format version that this program does not support.
+type unknownVersionError byte
 
-func (e errVersion) Error() string {
-	return "format version " + strconv.Itoa(int(e)) + " is not known here, only " + strconv.Itoa(formatVersion) + "; it is left as it is"
+func (e unknownVersionError) Error() string {
+	return "unknown format version " + strconv.Itoa(int(e)) + ", supported is " + strconv.Itoa(formatVersion) + "; the file is left unchanged"
 }
 
-// foreign tells of a file that must be left alone.
-func foreign(err error) bool {
+// isForeign reports whether the error means that the file was written by another
+// program or in an unknown format version and must not be changed.
+func isForeign(err error) bool {
 	cause := errors.Cause(err)
-	_, version := cause.(errVersion)
-	return version || cause == errForeign
+	_, isUnknownVersion := cause.(unknownVersionError)
+	return isUnknownVersion || cause == errForeignFile
 }
 
-func slotName(generation uint64) string { return "slot-" + strconv.FormatUint(generation%2, 10) }
-func logName(generation uint64) string  { return "log-" + strconv.FormatUint(generation%2, 10) }
-
-// seal puts a head with two checksums before a payload.
-func seal(generation, number uint64, copied byte, payload []byte) []byte {
-	record := make([]byte, headerSize, headerSize+len(payload))
-	copy(record, fileMark)
-	record[3], record[4] = formatVersion, copied
-	binary.LittleEndian.PutUint64(record[8:], generation)
-	binary.LittleEndian.PutUint64(record[16:], number)
-	binary.LittleEndian.PutUint32(record[24:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(record[28:], crc32.Checksum(payload, crcTable))
-	binary.LittleEndian.PutUint32(record[32:], crc32.Checksum(record[:32], crcTable))
-	return append(record, payload...)
+func checkpointFileName(generation uint64) string {
+	return "slot-" + strconv.FormatUint(generation%2, 10)
+}
+func logFileName(generation uint64) string { return "log-" + strconv.FormatUint(generation%2, 10) }
+
+// encodeRecord returns a record: a header, with a checksum of the header and one of
+// the payload, and the payload. See record for the tag.
+func encodeRecord(generation, number uint64, tag byte, payload []byte) []byte {
+	encoded := make([]byte, headerSize, headerSize+len(payload))
+	copy(encoded, fileMagic)
+	encoded[3], encoded[4] = formatVersion, tag
+	binary.LittleEndian.PutUint64(encoded[8:], generation)
+	binary.LittleEndian.PutUint64(encoded[16:], number)
+	binary.LittleEndian.PutUint32(encoded[24:], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(encoded[28:], crc32.Checksum(payload, crcTable))
+	binary.LittleEndian.PutUint32(encoded[32:], crc32.Checksum(encoded[:32], crcTable))
+	return append(encoded, payload...)
 }
 
-// sealTwice is a batch as it goes into a log at an offset: the second copy
-// begins in a sector of its own.
-func sealTwice(generation, number uint64, payload []byte, offset int) []byte {
-	data := seal(generation, number, 0, payload)
-	return append(data, secondCopy(generation, number, payload, offset+len(data))...)
+// encodeBatch returns both copies of a batch that is written to a log at an offset.
+// The second copy starts in a new sector, so that one bad sector cannot damage both.
+func encodeBatch(generation, number uint64, payload []byte, offset int) []byte {
+	data := encodeRecord(generation, number, 0, payload)
+	return append(data, encodeSecondCopy(generation, number, payload, offset+len(data))...)
 }
 
-func secondCopy(generation, number uint64, payload []byte, offset int) []byte {
-	return append(make([]byte, aligned(offset)-offset), seal(generation, number, 1, payload)...)
+// encodeSecondCopy returns the second copy of a batch, preceded by padding up to the
+// next sector. The offset is the end of the first copy.
+func encodeSecondCopy(generation, number uint64, payload []byte, offset int) []byte {
+	return append(make([]byte, alignToSector(offset)-offset), encodeRecord(generation, number, 1, payload)...)
 }
 
-func aligned(offset int) int { return (offset + sector - 1) / sector * sector }
+func alignToSector(offset int) int { return (offset + sectorSize - 1) / sectorSize * sectorSize }
 
-func entryOf(kind byte, payload []byte) []byte {
-	entry := make([]byte, entryHead, entryHead+len(payload))
+// encodeEntry returns a log entry: its kind, the payload's length and the payload.
+func encodeEntry(kind byte, payload []byte) []byte {
+	entry := make([]byte, entryHeaderSize, entryHeaderSize+len(payload))
 	entry[0] = kind
 	binary.LittleEndian.PutUint32(entry[1:], uint32(len(payload)))
 	return append(entry, payload...)
 }
 
-type opened struct {
+// record is a decoded record of a file.
+type record struct {
 	generation uint64
-	number     uint64
-	copied     byte
-	payload    []byte
+	number     uint64 // batch number; of a checkpoint, the newest batch that it covers
+	// tag is 0 for the first copy of a batch in the register's log and 1 for the
+	// second. In a segment of the ledger's log, it is the number of older segments
+	// that were live when the batch was written.
+	tag     byte
+	payload []byte
 }
 
-func blank(data []byte) bool { return len(bytes.Trim(data, "\x00")) == 0 }
+func isZero(data []byte) bool { return len(bytes.Trim(data, "\x00")) == 0 }
 
-// open reads one record and tells its whole size.
-func open(data []byte) (opened, int, error) {
+// decodeRecord decodes the record at the start of data and returns its total size.
+func decodeRecord(data []byte) (record, int, error) {
 	switch {
-	case blank(data[:min(len(data), headerSize)]):
-		return opened{}, 0, errTorn
-	case len(data) >= 3 && string(data[:3]) != fileMark:
-		return opened{}, 0, errForeign
+	case isZero(data[:min(len(data), headerSize)]):
+		return record{}, 0, errTruncated
+	case len(data) >= 3 && string(data[:3]) != fileMagic:
+		return record{}, 0, errForeignFile
 	case len(data) < headerSize:
-		return opened{}, 0, errTorn
+		return record{}, 0, errTruncated
 	case binary.LittleEndian.Uint32(data[32:]) != crc32.Checksum(data[:32], crcTable):
-		return opened{}, 0, errDamaged
+		return record{}, 0, errCorrupt
 	case data[3] != formatVersion:
-		return opened{}, 0, errVersion(data[3])
+		return record{}, 0, unknownVersionError(data[3])
 	}
 	size := headerSize + int(binary.LittleEndian.Uint32(data[24:]))
 	if len(data) < size {
-		return opened{}, 0, errTorn
+		return record{}, 0, errTruncated
 	}
 	payload := data[headerSize:size]
 	if binary.LittleEndian.Uint32(data[28:]) != crc32.Checksum(payload, crcTable) {
-		return opened{}, 0, errDamaged
+		return record{}, 0, errCorrupt
 	}
-	return opened{binary.LittleEndian.Uint64(data[8:]), binary.LittleEndian.Uint64(data[16:]), data[4], payload}, size, nil
+	return record{binary.LittleEndian.Uint64(data[8:]), binary.LittleEndian.Uint64(data[16:]), data[4], payload}, size, nil
 }
 
-// logRead is what a log came to: the batches to put in force, how many had
-// one bad copy, where the good part ends, and what must be added there to give
-// the last batch its second copy again.
-type logRead struct {
-	batches []opened
-	mended  int
-	end     int
-	again   []byte
+// logContents is the result of parsing a log.
+type logContents struct {
+	batches       []record // batches to apply
+	damagedCopies int      // number of unreadable copies of batches whose other copy is readable
+	validSize     int      // offset at which the valid part ends
+	missingCopy   []byte   // what to append there to restore the last batch's second copy
 }
 
-// readLog reads a generation's log after a number. A log left by an earlier
-// generation counts as empty.
-func readLog(data []byte, generation, number uint64) (*logRead, error) {
-	read := &logRead{}
-	switch head, _, err := open(data); {
-	case blank(data) || err == nil && head.generation < generation:
-		return read, nil
-	case err == nil && head.generation > generation:
-		return nil, errors.Annotatef(errDamaged, "generation %d goes on past the slots' %d", head.generation, generation)
-	case foreign(err) && err != errForeign:
+// parseLog parses the log of a generation and returns its batches after lastBatch.
+// A log that an earlier generation left counts as empty.
+func parseLog(data []byte, generation, lastBatch uint64) (*logContents, error) {
+	contents := &logContents{}
+	switch first, _, err := decodeRecord(data); {
+	case isZero(data) || err == nil && first.generation < generation:
+		return contents, nil
+	case err == nil && first.generation > generation:
+		return nil, errors.Annotatef(errCorrupt, "the log has generation %d, which is newer than the expected %d", first.generation, generation)
+	case isForeign(err) && err != errForeignFile:
 		return nil, err
 	}
-	for place := 0; place < len(data); {
-		at, batch, size := nextCopy(data, place, generation)
-		if at < 0 {
-			if len(read.batches) == 0 && place == 0 && !blank(data[:min(len(data), headerSize)]) && string(data[:min(len(data), 3)]) != fileMark {
-				return nil, errForeign
+	for offset := 0; offset < len(data); {
+		start, batch, size := findRecordOfGeneration(data, offset, generation)
+		if start < 0 {
+			if len(contents.batches) == 0 && offset == 0 && !isZero(data[:min(len(data), headerSize)]) && string(data[:min(len(data), 3)]) != fileMagic {
+				return nil, errForeignFile
 			}
-			break // nothing follows that can be read: it was never answered
+			break // no readable batch follows, so the rest was never acknowledged
 		}
 		switch {
-		case batch.number > number+1:
-			return nil, errors.Annotatef(errDamaged, "batch %d is missing at byte %d", number+1, place)
-		case batch.number == number+1:
-			number++
-			read.batches = append(read.batches, batch)
-			if batch.copied == 1 {
-				read.mended++
+		case batch.number > lastBatch+1:
+			return nil, errors.Annotatef(errCorrupt, "batch %d is missing at byte %d", lastBatch+1, offset)
+		case batch.number == lastBatch+1:
+			lastBatch++
+			contents.batches = append(contents.batches, batch)
+			if batch.tag == 1 {
+				contents.damagedCopies++
 			}
 		}
-		place = at + size
-		read.end, read.again = place, nil
-		if batch.copied == 0 {
-			second, size, err := openAt(data, aligned(place))
+		offset = start + size
+		contents.validSize, contents.missingCopy = offset, nil
+		if batch.tag == 0 {
+			second, size, err := decodeRecordAt(data, alignToSector(offset))
 			if err == nil && second.number == batch.number && second.generation == generation {
-				place = aligned(place) + size
-				read.end = place
+				offset = alignToSector(offset) + size
+				contents.validSize = offset
 			} else {
-				read.mended++
-				read.again = secondCopy(generation, batch.number, batch.payload, place)
+				contents.damagedCopies++
+				contents.missingCopy = encodeSecondCopy(generation, batch.number, batch.payload, offset)
 			}
 		}
 	}
-	return read, nil
+	return contents, nil
 }
 
-func openAt(data []byte, place int) (opened, int, error) {
-	if place >= len(data) {
-		return opened{}, 0, errTorn
+func decodeRecordAt(data []byte, offset int) (record, int, error) {
+	if offset >= len(data) {
+		return record{}, 0, errTruncated
 	}
-	return open(data[place:])
+	return decodeRecord(data[offset:])
 }
 
-// nextCopy finds the first copy of any batch of a generation from a place on.
-func nextCopy(data []byte, place int, generation uint64) (at int, found opened, size int) {
-	for at = place; at < len(data); at++ {
-		step := bytes.Index(data[at:], []byte(fileMark))
-		if step < 0 {
+// findRecordOfGeneration returns the first readable record of a generation at or
+// after an offset, with its offset and size, or the offset -1 if there is none.
+func findRecordOfGeneration(data []byte, from int, generation uint64) (offset int, found record, size int) {
+	for offset = from; offset < len(data); offset++ {
+		distance := bytes.Index(data[offset:], []byte(fileMagic))
+		if distance < 0 {
 			break
 		}
-		at += step
-		if found, size, err := open(data[at:]); err == nil && found.generation == generation {
-			return at, found, size
+		offset += distance
+		if found, size, err := decodeRecord(data[offset:]); err == nil && found.generation == generation {
+			return offset, found, size
 		}
 	}
-	return -1, opened{}, 0
+	return -1, record{}, 0
 }
--- a/internal/disk/replica.go
+++ b/internal/disk/replica.go
@@ -1,5 +1,3 @@
-// A shard's replica in memory: records applied, and its snapshot's encoding.
-
 package disk
 
 import (
@@ -14,28 +12,31 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// replica is this machine's copy of one shard.
+// replica is this disk's copy of one shard, in memory.
 type replica struct {
 	consensus.ShardState
 	values map[string][]byte
-	// touched is when this process took in the newest of it.
-	touched time.Duration
-	// staged is what has come of a content that is being sent in parts, encoded
-	// the content as it is being read in parts.
-	staged  *Staged
-	encoded *encoding
+	// updatedAt is the clock reading when this process applied the newest change.
+	updatedAt time.Duration
+	// staged holds the parts received so far of a snapshot that is being installed.
+	staged *Staged
+	// encoded caches the encoding of the content while it is read in parts.
+	encoded *encodedSnapshot
 }
 
-func (s *Store) replicaOf(slot uint32) *replica {
-	held, ok := s.replicas[slot]
+// replicaFor returns the replica of a shard, creating it if necessary. The caller
+// holds the lock.
+func (s *Store) replicaFor(shard uint32) *replica {
+	r, ok := s.replicas[shard]
 	if !ok {
-		held = &replica{values: map[string][]byte{}, touched: s.clock.Now()}
-		s.replicas[slot] = held
+		r = &replica{values: map[string][]byte{}, updatedAt: s.clock.Now()}
+		s.replicas[shard] = r
 	}
-	return held
+	return r
 }
 
-func (r *replica) put(puts []*register.Put) {
+// applyPuts applies puts and deletions to the content.
+func (r *replica) applyPuts(puts []*register.Put) {
 	for _, put := range puts {
 		if put.Gone {
 			delete(r.values, put.Key)
@@ -45,9 +46,9 @@
 	}
 }
 
-// apply puts one entry in force. A log may hold again what the slot before it
-// covers, so what is already in force changes nothing.
-func (s *Store) apply(kind byte, payload []byte) error {
+// applyEntry applies one log entry to the state in memory. A log may repeat entries
+// that the checkpoint already covers, so applying an entry again changes nothing.
+func (s *Store) applyEntry(kind byte, payload []byte) error {
 	switch kind {
 	case kindFormat:
 		var message register.DiskState
@@ -56,7 +57,7 @@
 		}
 		if s.id == "" {
 			s.id, s.set = message.Id, message.Set
-			s.tell()
+			s.notifyIdentityChange()
 		}
 	case kindAdopt:
 		var message register.DiskSet
@@ -67,8 +68,8 @@
 			return nil
 		}
 		s.set = &message
-		s.tell()
-		if !s.member() {
+		s.notifyIdentityChange()
+		if !s.isMember() {
 			s.replicas = map[uint32]*replica{}
 		}
 	case kindPromise:
@@ -76,49 +77,51 @@
 		if err := proto.Unmarshal(payload, &message); err != nil {
 			return errors.Trace(err)
 		}
-		held := s.replicaOf(message.Slot)
-		held.ShardState = held.Promise(message.Epoch, message.Owner)
+		r := s.replicaFor(message.Slot)
+		r.ShardState = r.Promise(message.Epoch, message.Owner)
 	case kindInstall:
 		var message register.InstallRequest
 		if err := proto.Unmarshal(payload, &message); err != nil {
 			return errors.Trace(err)
 		}
-		held := s.replicaOf(message.Claim.Slot)
-		next, taken := held.Install(message.Claim.Epoch, message.Claim.Owner, message.Seq)
-		if !taken {
+		r := s.replicaFor(message.Claim.Slot)
+		next, installed := r.Install(message.Claim.Epoch, message.Claim.Owner, message.Seq)
+		if !installed {
 			return nil
 		}
-		s.install(held, next, message.Puts)
-	case kindPart:
+		s.installContent(r, next, message.Puts)
+	case kindInstallPart:
 		var message register.InstallPartRequest
 		if err := proto.Unmarshal(payload, &message); err != nil {
 			return errors.Trace(err)
 		}
-		s.applyPart(&message)
+		s.applyInstallPart(&message)
 	case kindAppend:
 		var message register.AppendRequest
 		if err := proto.Unmarshal(payload, &message); err != nil {
 			return errors.Trace(err)
 		}
-		held := s.replicaOf(message.Claim.Slot)
+		r := s.replicaFor(message.Claim.Slot)
 		for _, entry := range message.Entries {
-			next, taken := held.Append(message.Claim.Epoch, entry.Seq)
-			if !taken {
+			next, appended := r.Append(message.Claim.Epoch, entry.Seq)
+			if !appended {
 				continue
 			}
-			held.ShardState, held.encoded = next, nil
-			held.put(entry.Puts)
-			held.touched = s.clock.Now()
+			r.ShardState, r.encoded = next, nil
+			r.applyPuts(entry.Puts)
+			r.updatedAt = s.clock.Now()
 		}
 	default:
-		return errors.Errorf("unknown record kind %d", kind)
+		return errors.Errorf("unknown log entry kind %d", kind)
 	}
 	return nil
 }
 
-func replicaTime(held *replica) string { return string(held.values[register.TimeKey]) }
+// timeValue returns the value of the shard's time key.
+func timeValue(r *replica) string { return string(r.values[register.TimeKey]) }
 
-func (r *replica) puts() []*register.Put {
+// sortedPuts returns the content as puts, in the order of their keys.
+func (r *replica) sortedPuts() []*register.Put {
 	puts := make([]*register.Put, 0, len(r.values))
 	for _, key := range base.SortedKeys(r.values) {
 		puts = append(puts, &register.Put{Key: key, Value: r.values[key]})
@@ -126,41 +129,42 @@
 	return puts
 }
 
-// encodeFrame writes the whole state down. Values are never changed in place,
-// so the lock is held only while the tables are copied.
-func (s *Store) encodeFrame() []byte {
+// encodeCheckpoint encodes the whole state. Values are never changed in place, so
+// the lock is held only while the maps are copied.
+func (s *Store) encodeCheckpoint() []byte {
 	s.mu.Lock()
-	frame := &Frame{Id: s.id, Set: s.set}
+	checkpoint := &Frame{Id: s.id, Set: s.set}
 	copies := make([]*replica, 0, len(s.replicas))
-	slots := base.SortedKeys(s.replicas)
-	for _, slot := range slots {
-		held := *s.replicas[slot]
-		held.values = maps.Clone(held.values)
-		copies = append(copies, &held)
+	shards := base.SortedKeys(s.replicas)
+	for _, shard := range shards {
+		r := *s.replicas[shard]
+		r.values = maps.Clone(r.values)
+		copies = append(copies, &r)
 	}
 	s.mu.Unlock()
-	for place, held := range copies {
-		frame.Replicas = append(frame.Replicas, &Replica{Slot: slots[place], Promised: held.Promised, Owner: held.Leader,
-			Installed: held.Installed, Seq: held.Seq, Puts: held.puts(), Staged: held.staged})
+	for i, r := range copies {
+		checkpoint.Replicas = append(checkpoint.Replicas, &Replica{Slot: shards[i], Promised: r.Promised, Owner: r.Leader,
+			Installed: r.Installed, Seq: r.Seq, Puts: r.sortedPuts(), Staged: r.staged})
 	}
-	payload, err := proto.Marshal(frame)
+	payload, err := proto.Marshal(checkpoint)
 	if err != nil {
 		panic(err)
 	}
 	return payload
 }
 
-func (s *Store) readFrame(payload []byte) error {
-	var frame Frame
-	if err := proto.Unmarshal(payload, &frame); err != nil {
+// restoreCheckpoint decodes the payload of a checkpoint into the store.
+func (s *Store) restoreCheckpoint(payload []byte) error {
+	var checkpoint Frame
+	if err := proto.Unmarshal(payload, &checkpoint); err != nil {
 		return errors.Trace(err)
 	}
-	s.id, s.set = frame.Id, frame.Set
-	for _, found := range frame.Replicas {
-		held := s.replicaOf(found.Slot)
-		held.ShardState = consensus.ShardState{Promised: found.Promised, Leader: found.Owner, Installed: found.Installed, Seq: found.Seq}
-		held.staged = found.Staged
-		held.put(found.Puts)
+	s.id, s.set = checkpoint.Id, checkpoint.Set
+	for _, saved := range checkpoint.Replicas {
+		r := s.replicaFor(saved.Slot)
+		r.ShardState = consensus.ShardState{Promised: saved.Promised, Leader: saved.Owner, Installed: saved.Installed, Seq: saved.Seq}
+		r.staged = saved.Staged
+		r.applyPuts(saved.Puts)
 	}
 	return nil
 }
--- a/internal/disk/segments.go
+++ b/internal/disk/segments.go
@@ -1,12 +1,3 @@
-// SegmentLog is a log over a ring of files, for state that is kept as entries
-// and forgotten by age. A batch is one sealed record, begun only after the one
-// before it was synced, and numbers run on through all files, so a batch that
-// is missing in the middle shows. What cannot be read at the very end was
-// never answered, short of rot there, and is cut off. The keeper writes what
-// still counts of the oldest file again and then drops it; a batch says how
-// many files before its own count, so that one that is half emptied when power
-// goes is not missed.
-
 package disk
 
 import (
@@ -17,287 +8,312 @@
 	"github.com/juju/errors"
 )
 
-// SegmentCount is how many files a ring has; SpareSegments are kept empty.
 const (
-	SegmentCount  = 16
+	// SegmentCount is the number of files of a segment log.
+	SegmentCount = 16
+	// SpareSegments is the number of files that ReclaimDue aims to keep empty.
 	SpareSegments = 2
-	ledgerPrefix  = "ledger-"
+	segmentPrefix = "ledger-"
 )
 
+// segment is one file of a segment log; size is that of its valid part.
 type segment struct {
 	generation uint64
 	size       int
 }
 
-// SegmentLog is used by one task at a time.
+// SegmentLog is a log in a ring of files, called segments, for data that expires with
+// age. The user rewrites the live entries of the oldest segment into the newest one
+// and then drops the oldest.
+//
+// Each batch is one record. It is written only after the previous batch was synced,
+// and batch numbers increase by one through all segments, so a missing batch is
+// detected. Unreadable data at the very end was never acknowledged, unless it is
+// corrupt, and is truncated. Each batch also states how many older segments are live,
+// so that a segment whose removal was interrupted by power loss is not reported as
+// missing.
+//
+// A SegmentLog must be used by one goroutine at a time.
 type SegmentLog struct {
-	files  Files
-	floor  int
-	number uint64
-	held   []segment
+	files           Files
+	minSegmentBytes int
+	lastBatch       uint64
+	segments        []segment
 }
 
-func segmentName(generation uint64) string {
-	return ledgerPrefix + strconv.FormatUint(generation%SegmentCount, 10)
+// segmentFileName returns the name of a generation's file.
+func segmentFileName(generation uint64) string {
+	return segmentPrefix + strconv.FormatUint(generation%SegmentCount, 10)
 }
 
-func segmentNames() []string {
+// segmentFileNames returns the names of all files of a segment log.
+func segmentFileNames() []string {
 	names := []string{}
 	for generation := uint64(0); generation < SegmentCount; generation++ {
-		names = append(names, segmentName(generation))
+		names = append(names, segmentFileName(generation))
 	}
 	return names
 }
 
-// segmentRead is how far one file can be read.
-type segmentRead struct {
+// scannedSegment is the result of reading one file.
+type scannedSegment struct {
 	segment
-	batches []opened
-	// whole tells that nothing that can be read follows a part that cannot.
-	whole  bool
-	length int
-	first  uint64
-	last   opened
+	records []record
+	// intact means that no readable batch follows an unreadable part or a gap in the
+	// numbers.
+	intact     bool
+	fileSize   int
+	firstBatch uint64
+	lastRecord record
 }
 
-// OpenSegmentLog gives every batch that can be read to apply, oldest first. A
-// damaged log is told of, and is still read as far as it goes; floor is the
-// least size of a file before the next is begun.
-func OpenSegmentLog(files Files, floor int, apply func(generation uint64, payload []byte) error) (log *SegmentLog, damaged error, err error) {
-	s := &SegmentLog{files: files, floor: floor}
-	read := []*segmentRead{}
-	for place := uint64(0); place < SegmentCount; place++ {
-		found, err := readSegment(files, place)
+// OpenSegmentLog opens a log and passes the payload of every readable batch to apply,
+// oldest first. The result damage says that batches are corrupt or missing; the log
+// is still read as far as possible. A new segment is started once the newest one has
+// at least minSegmentBytes.
+func OpenSegmentLog(files Files, minSegmentBytes int, apply func(generation uint64, payload []byte) error) (log *SegmentLog, damage error, err error) {
+	s := &SegmentLog{files: files, minSegmentBytes: minSegmentBytes}
+	scanned := []*scannedSegment{}
+	for index := uint64(0); index < SegmentCount; index++ {
+		segment, err := scanSegment(files, index)
 		if err != nil {
-			return nil, nil, errors.Annotate(err, segmentName(place))
+			return nil, nil, errors.Annotate(err, segmentFileName(index))
 		}
-		if found != nil {
-			found.batches = nil // the files are read again one by one
-			read = append(read, found)
+		if segment != nil {
+			segment.records = nil // to save memory; each file is read again below
+			scanned = append(scanned, segment)
 		}
 	}
-	slices.SortFunc(read, func(a, b *segmentRead) int { return cmp.Compare(a.generation, b.generation) })
-	if len(read) > 0 {
-		newest := read[len(read)-1]
-		for counts := newest.generation - uint64(newest.last.copied); read[0].generation < counts; read = read[1:] {
-			if err := emptied(files, segmentName(read[0].generation)); err != nil {
+	slices.SortFunc(scanned, func(a, b *scannedSegment) int { return cmp.Compare(a.generation, b.generation) })
+	if len(scanned) > 0 {
+		newest := scanned[len(scanned)-1]
+		for oldestLive := newest.generation - uint64(newest.lastRecord.tag); scanned[0].generation < oldestLive; scanned = scanned[1:] {
+			if err := emptyFile(files, segmentFileName(scanned[0].generation)); err != nil {
 				return nil, nil, err
 			}
 		}
 	}
-	for place, found := range read {
-		name, last := segmentName(found.generation), place == len(read)-1
-		if s.number > 0 && found.first != s.number+1 {
-			damaged = errors.Annotatef(errDamaged, "%s, batch %d follows %d", name, found.first, s.number)
+	for index, segment := range scanned {
+		name, last := segmentFileName(segment.generation), index == len(scanned)-1
+		if s.lastBatch > 0 && segment.firstBatch != s.lastBatch+1 {
+			damage = errors.Annotatef(errCorrupt, "%s: batch %d follows batch %d", name, segment.firstBatch, s.lastBatch)
 		}
-		s.number = found.last.number
-		if !found.whole || !last && found.size < found.length {
-			damaged = errors.Annotate(errDamaged, name)
+		s.lastBatch = segment.lastRecord.number
+		if !segment.intact || !last && segment.size < segment.fileSize {
+			damage = errors.Annotate(errCorrupt, name)
 		}
-		again, err := readSegment(files, found.generation%SegmentCount)
-		if err == nil && again == nil {
-			err = errDamaged
+		rescanned, err := scanSegment(files, segment.generation%SegmentCount)
+		if err == nil && rescanned == nil {
+			err = errCorrupt
 		}
 		if err != nil {
 			return nil, nil, errors.Annotate(err, name)
 		}
-		for _, batch := range again.batches {
-			if err := apply(found.generation, batch.payload); err != nil {
-				return nil, nil, errors.Annotatef(err, "%s, batch %d", name, batch.number)
+		for _, batch := range rescanned.records {
+			if err := apply(segment.generation, batch.payload); err != nil {
+				return nil, nil, errors.Annotatef(err, "%s: batch %d", name, batch.number)
 			}
 		}
-		if found.size < found.length {
-			if err := s.cut(found.generation, found.size); err != nil {
+		if segment.size < segment.fileSize {
+			if err := s.truncateSegment(segment.generation, segment.size); err != nil {
 				return nil, nil, err
 			}
 		}
-		s.held = append(s.held, found.segment)
+		s.segments = append(s.segments, segment.segment)
 	}
-	if len(read) > 0 {
-		newest := read[len(read)-1]
-		if counts := newest.generation - uint64(newest.last.copied); damaged == nil && read[0].generation > counts {
-			damaged = errors.Annotatef(errDamaged, "%s is missing", segmentName(counts))
+	if len(scanned) > 0 {
+		newest := scanned[len(scanned)-1]
+		if oldestLive := newest.generation - uint64(newest.lastRecord.tag); damage == nil && scanned[0].generation > oldestLive {
+			damage = errors.Annotatef(errCorrupt, "%s is missing", segmentFileName(oldestLive))
 		}
 	}
-	return s, damaged, nil
+	return s, damage, nil
 }
 
-// readSegment reads one file as far as it goes.
-func readSegment(files Files, place uint64) (*segmentRead, error) {
-	name := segmentName(place)
+// scanSegment reads one file of the ring. It returns nil if no batch in it is
+// readable, after emptying the file.
+func scanSegment(files Files, index uint64) (*scannedSegment, error) {
+	name := segmentFileName(index)
 	data, err := files.Read(name)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	if blank(data) {
+	if isZero(data) {
 		if len(data) == 0 {
 			return nil, nil
 		}
-		return nil, emptied(files, name)
+		return nil, emptyFile(files, name)
 	}
-	found := &segmentRead{whole: true, length: len(data)}
-	for at := 0; at < len(data); {
-		batch, size, err := open(data[at:])
-		if err != nil && foreign(err) && errors.Cause(err) != errForeign {
+	scanned := &scannedSegment{intact: true, fileSize: len(data)}
+	for offset := 0; offset < len(data); {
+		batch, size, err := decodeRecord(data[offset:])
+		if err != nil && isForeign(err) && errors.Cause(err) != errForeignFile {
 			return nil, err
 		}
-		if err == nil && len(found.batches) > 0 && batch.generation != found.generation {
-			err = errDamaged
+		if err == nil && len(scanned.records) > 0 && batch.generation != scanned.generation {
+			err = errCorrupt
 		}
 		if err != nil {
-			next, batch, _ := nextSealed(data, at+1, found.generation)
+			next, batch, _ := findRecord(data, offset+1, scanned.generation)
 			if next < 0 {
-				if at == 0 && string(data[:min(len(data), len(fileMark))]) != fileMark && !blank(data[:min(len(data), headerSize)]) {
-					return nil, errForeign
+				if offset == 0 && string(data[:min(len(data), len(fileMagic))]) != fileMagic && !isZero(data[:min(len(data), headerSize)]) {
+					return nil, errForeignFile
 				}
 				break
 			}
-			found.whole, at = false, next
-			found.generation = batch.generation
+			scanned.intact, offset = false, next
+			scanned.generation = batch.generation
 			continue
 		}
-		if len(found.batches) == 0 {
-			found.first = batch.number
-		} else if batch.number != found.last.number+1 {
-			found.whole = false
+		if len(scanned.records) == 0 {
+			scanned.firstBatch = batch.number
+		} else if batch.number != scanned.lastRecord.number+1 {
+			scanned.intact = false
 		}
-		found.generation, found.last = batch.generation, opened{generation: batch.generation, number: batch.number, copied: batch.copied}
-		found.batches = append(found.batches, batch)
-		at += size
-		found.size = at
+		scanned.generation, scanned.lastRecord = batch.generation, record{generation: batch.generation, number: batch.number, tag: batch.tag}
+		scanned.records = append(scanned.records, batch)
+		offset += size
+		scanned.size = offset
 	}
-	if len(found.batches) == 0 {
-		return nil, emptied(files, name)
+	if len(scanned.records) == 0 {
+		return nil, emptyFile(files, name)
 	}
-	if found.generation%SegmentCount != place {
-		return nil, errForeign
+	if scanned.generation%SegmentCount != index {
+		return nil, errForeignFile
 	}
-	return found, nil
+	return scanned, nil
 }
 
-// nextSealed finds the first batch from a place on, of a generation unless that
-// is not known.
-func nextSealed(data []byte, place int, generation uint64) (int, opened, int) {
+// findRecord returns the first readable record at or after an offset, with its offset
+// and size, or the offset -1 if there is none. A generation above 0 selects records
+// of that generation only.
+func findRecord(data []byte, from int, generation uint64) (int, record, int) {
 	if generation > 0 {
-		return nextCopy(data, place, generation)
+		return findRecordOfGeneration(data, from, generation)
 	}
-	for at := place; at+headerSize <= len(data); at++ {
-		if data[at] != fileMark[0] {
+	for offset := from; offset+headerSize <= len(data); offset++ {
+		if data[offset] != fileMagic[0] {
 			continue
 		}
-		if found, size, err := open(data[at:]); err == nil {
-			return at, found, size
+		if found, size, err := decodeRecord(data[offset:]); err == nil {
+			return offset, found, size
 		}
 	}
-	return -1, opened{}, 0
+	return -1, record{}, 0
 }
 
-func emptied(files Files, name string) error {
+// emptyFile truncates a file to zero length and syncs it.
+func emptyFile(files Files, name string) error {
 	if err := files.Truncate(name, 0); err != nil {
 		return errors.Trace(err)
 	}
 	return errors.Trace(files.Sync(name))
 }
 
-func (s *SegmentLog) cut(generation uint64, size int) error {
-	if err := s.files.Truncate(segmentName(generation), size); err != nil {
+// truncateSegment truncates a segment and syncs it.
+func (s *SegmentLog) truncateSegment(generation uint64, size int) error {
+	if err := s.files.Truncate(segmentFileName(generation), size); err != nil {
 		return errors.Trace(err)
 	}
-	return errors.Trace(s.files.Sync(segmentName(generation)))
+	return errors.Trace(s.files.Sync(segmentFileName(generation)))
 }
 
-// Append has a batch synced and tells where it is. Where there is no room, what
-// was written of it is cut off again and the error is ErrFull.
-func (s *SegmentLog) Append(payload []byte, live int) (generation uint64, err error) {
-	last := len(s.held) - 1
-	if last < 0 || s.held[last].size >= max(s.floor, live/(SegmentCount/2)) && len(s.held) < SegmentCount {
+// Append writes and syncs a batch and returns the generation of its segment. A new
+// segment is started when the newest one has reached its size, which grows with the
+// total size of live data, liveBytes. If there is not enough space, what was written
+// is truncated and the error is ErrFull.
+func (s *SegmentLog) Append(payload []byte, liveBytes int) (generation uint64, err error) {
+	last := len(s.segments) - 1
+	if last < 0 || s.segments[last].size >= max(s.minSegmentBytes, liveBytes/(SegmentCount/2)) && len(s.segments) < SegmentCount {
 		next := uint64(1)
 		if last >= 0 {
-			next = s.held[last].generation + 1
+			next = s.segments[last].generation + 1
 		}
-		s.held = append(s.held, segment{generation: next})
+		s.segments = append(s.segments, segment{generation: next})
 		last++
 	}
-	return s.held[last].generation, s.writeBatch(payload, s.held[0].generation)
+	return s.segments[last].generation, s.writeBatch(payload, s.segments[0].generation)
 }
 
-// writeBatch has a batch synced that says which file is the oldest that counts.
-func (s *SegmentLog) writeBatch(payload []byte, oldest uint64) error {
-	head := &s.held[len(s.held)-1]
-	name := segmentName(head.generation)
-	data := seal(head.generation, s.number+1, byte(head.generation-oldest), payload)
+// writeBatch writes and syncs a batch that records which segment is the oldest live
+// one.
+func (s *SegmentLog) writeBatch(payload []byte, oldestLive uint64) error {
+	current := &s.segments[len(s.segments)-1]
+	name := segmentFileName(current.generation)
+	data := encodeRecord(current.generation, s.lastBatch+1, byte(current.generation-oldestLive), payload)
 	err := s.files.Append(name, data)
 	if err == nil {
 		err = s.files.Sync(name)
 	}
 	if err != nil {
 		if isFull(err) {
-			if err := s.files.Truncate(name, head.size); err != nil {
+			if err := s.files.Truncate(name, current.size); err != nil {
 				return errors.Trace(err)
 			}
 		}
 		return errors.Trace(err)
 	}
-	s.number++
-	head.size += len(data)
+	s.lastBatch++
+	current.size += len(data)
 	return nil
 }
 
-// ReclaimDue tells the oldest file's generation where it should be dropped soon, to
-// keep spare ones.
-func (s *SegmentLog) ReclaimDue() (oldest uint64, tight bool) {
-	if len(s.held) <= SegmentCount-SpareSegments {
+// ReclaimDue reports whether fewer than SpareSegments files are empty, and if so, the
+// generation of the oldest segment, which should be dropped soon.
+func (s *SegmentLog) ReclaimDue() (oldest uint64, due bool) {
+	if len(s.segments) <= SegmentCount-SpareSegments {
 		return 0, false
 	}
-	return s.held[0].generation, true
+	return s.segments[0].generation, true
 }
 
-// Newest is the generation that is written to.
+// Newest returns the generation of the segment that is written to, or 0 if there is
+// none.
 func (s *SegmentLog) Newest() uint64 {
-	if len(s.held) == 0 {
+	if len(s.segments) == 0 {
 		return 0
 	}
-	return s.held[len(s.held)-1].generation
+	return s.segments[len(s.segments)-1].generation
 }
 
-// Oldest is the generation of the oldest file.
+// Oldest returns the generation of the oldest segment, or 0 if there is none.
 func (s *SegmentLog) Oldest() uint64 {
-	if len(s.held) == 0 {
+	if len(s.segments) == 0 {
 		return 0
 	}
-	return s.held[0].generation
+	return s.segments[0].generation
 }
 
-// Rotate ends the file that is written to, so that it can be dropped later.
+// Rotate starts a new segment, so that the one written so far can be dropped later.
 func (s *SegmentLog) Rotate() {
-	if last := len(s.held) - 1; last >= 0 && s.held[last].size > 0 && len(s.held) < SegmentCount {
-		s.held = append(s.held, segment{generation: s.held[last].generation + 1})
+	if last := len(s.segments) - 1; last >= 0 && s.segments[last].size > 0 && len(s.segments) < SegmentCount {
+		s.segments = append(s.segments, segment{generation: s.segments[last].generation + 1})
 	}
 }
 
-// DropOldest says that the oldest file counts no more, and empties it.
+// DropOldest records that the oldest segment is no longer live and empties its file.
 func (s *SegmentLog) DropOldest() error {
-	if len(s.held) < 2 {
+	if len(s.segments) < 2 {
 		return nil
 	}
-	if err := s.writeBatch(nil, s.held[1].generation); err != nil && !isFull(err) {
+	if err := s.writeBatch(nil, s.segments[1].generation); err != nil && !isFull(err) {
 		return err
 	}
-	if err := emptied(s.files, segmentName(s.held[0].generation)); err != nil {
+	if err := emptyFile(s.files, segmentFileName(s.segments[0].generation)); err != nil {
 		return err
 	}
-	s.held = s.held[1:]
+	s.segments = s.segments[1:]
 	return nil
 }
 
-// Bytes is what the files hold.
+// Bytes returns the total size of the segments.
 func (s *SegmentLog) Bytes() int {
 	sum := 0
-	for _, held := range s.held {
-		sum += held.size
+	for _, segment := range s.segments {
+		sum += segment.size
 	}
 	return sum
 }
 
-// IsFull tells whether an error is want of room.
+// IsFull reports whether an error means that the disk has no space left.
 func IsFull(err error) bool { return isFull(err) }
--- a/internal/disk/service.go
+++ b/internal/disk/service.go
@@ -1,8 +1,3 @@
-// The service is what cores may ask of a disk. Every message names the disk
-// it is meant for, the disk set its sender goes by and the sender's epoch. A
-// disk that is blank, no longer in the set, asked under another disk's id or
-// under an older set or epoch says why and changes nothing.
-
 package disk
 
 import (
@@ -14,46 +9,57 @@
 	"fordseam/internal/register"
 )
 
-// Service answers the register's Disk calls from one store.
+// Service implements the register's RPC service Disk on a store.
+//
+// Every message that changes or reads a shard names the disk that it is meant for,
+// the disk set that its sender uses and the sender's epoch. A disk that is not
+// formatted, has another id, uses another set or has promised a higher epoch replies
+// with the reason and changes nothing.
 type Service struct {
-	store *Store
-	limit time.Duration
-	// NodeName is the machine's name, told with the disk's state.
+	store   *Store
+	timeout time.Duration
+	// NodeName is the name of the machine, which is part of the disk's state.
 	NodeName string
 }
 
-// NewService bounds every answer by limit.
-func NewService(store *Store, limit time.Duration) *Service {
-	return &Service{store: store, limit: limit}
+// NewService returns the service of a store. Calls wait for a sync for at most
+// timeout.
+func NewService(store *Store, timeout time.Duration) *Service {
+	return &Service{store: store, timeout: timeout}
 }
 
-func (v *Service) Describe(_ context.Context, request *register.DescribeRequest) (*register.DiskState, error) {
-	s := v.store
+// Describe returns the disk's state. It omits the disk set if the caller knows it.
+func (svc *Service) Describe(_ context.Context, request *register.DescribeRequest) (*register.DiskState, error) {
+	s := svc.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	state := v.describe()
+	state := svc.diskState()
 	if state.Set != nil && state.Set.Cluster == request.GetKnownCluster() && state.Set.Stamp == request.GetKnownStamp() {
 		state.Set = nil
 	}
 	return state, nil
 }
 
-func (v *Service) describe() *register.DiskState {
-	state := v.store.describe()
-	state.Node = v.NodeName
+// diskState returns the disk's state with the machine's name. The caller holds the
+// store's lock.
+func (svc *Service) diskState() *register.DiskState {
+	state := svc.store.diskState()
+	state.Node = svc.NodeName
 	return state
 }
 
-func (s *Store) describe() *register.DiskState {
-	state := &register.DiskState{Id: s.id, Set: s.set, Seqs: map[uint32]uint64{}, UsedBytes: int64(s.frameBytes + s.logBytes)}
-	for slot, held := range s.replicas {
-		state.Seqs[slot] = held.Seq
+// diskState returns the disk's state. The caller holds the lock.
+func (s *Store) diskState() *register.DiskState {
+	state := &register.DiskState{Id: s.id, Set: s.set, Seqs: map[uint32]uint64{}, UsedBytes: int64(s.checkpointBytes + s.logBytes)}
+	for shard, r := range s.replicas {
+		state.Seqs[shard] = r.Seq
 	}
-	state.Retired = s.set != nil && !s.member()
+	state.Retired = s.set != nil && !s.isMember()
 	return state
 }
 
-func (s *Store) member() bool {
+// isMember reports whether the disk is in the disk set. The caller holds the lock.
+func (s *Store) isMember() bool {
 	for _, entry := range s.set.GetDisks() {
 		if entry.Id == s.id {
 			return true
@@ -62,44 +68,46 @@
 	return false
 }
 
-// Format gives a blank disk its random id; asked again it only tells.
-func (v *Service) Format(_ context.Context, request *register.FormatRequest) (*register.DiskState, error) {
-	s := v.store
+// Format gives an unformatted disk a random id and returns its state. On a formatted
+// disk it only returns the state.
+func (svc *Service) Format(_ context.Context, request *register.FormatRequest) (*register.DiskState, error) {
+	s := svc.store
 	s.mu.Lock()
 	if s.id != "" {
 		defer s.mu.Unlock()
 		if request.Set.GetCluster() != "" && s.set != nil && s.set.Cluster != "" && s.set.Cluster != request.Set.Cluster {
-			return nil, base.ToWire(base.Decline(409, "other_cluster", "this disk belongs to another cluster"))
+			return nil, base.ToWire(base.Decline(409, "other_cluster", "disk %s belongs to another cluster", s.id))
 		}
-		return v.describe(), nil
+		return svc.diskState(), nil
 	}
-	put, why := s.enqueue(kindFormat, &register.DiskState{Id: base.NewID(s.clock, "d"), Set: request.Set}, true)
-	state := v.describe()
+	p, reason := s.enqueue(kindFormat, &register.DiskState{Id: base.NewID(s.clock, "d"), Set: request.Set}, true)
+	state := svc.diskState()
 	s.mu.Unlock()
-	if why == "" {
-		why = s.wait(put, v.limit)
+	if reason == "" {
+		reason = s.awaitSync(p, svc.timeout)
 	}
-	if why != "" {
-		return nil, base.ToWire(base.Unsure(503, "disk_"+why, "the disk could not be formatted: %s", why))
+	if reason != "" {
+		return nil, base.ToWire(base.Unsure(503, "disk_"+reason, "the disk could not be formatted: %s", reason))
 	}
 	return state, nil
 }
 
-// consensusIdentity is who the replica is in the protocol; the caller holds the
-// lock.
+// consensusIdentity returns the replica's identity in the consensus protocol. The
+// caller holds the lock.
 func (s *Store) consensusIdentity() consensus.Identity {
 	return consensus.Identity{ID: s.id, SetVersion: s.set.GetStamp()}
 }
 
-// judge looks at a claim; the caller holds the lock.
-func (s *Store) judge(claim *register.Claim) *register.Ack {
-	held := s.replicaOf(claim.Slot)
-	ack := &register.Ack{Epoch: held.Promised, Seq: held.Seq}
-	if s.broken != nil {
+// checkClaim checks whether the disk may act on a message with a claim. The caller
+// holds the lock.
+func (s *Store) checkClaim(claim *register.Claim) *register.Ack {
+	r := s.replicaFor(claim.Slot)
+	ack := &register.Ack{Epoch: r.Promised, Seq: r.Seq}
+	if s.failure != nil {
 		ack.Why = "broken"
 		return ack
 	}
-	rejection := consensus.CheckClaim(s.consensusIdentity(), held.ShardState, claim.ToConsensus())
+	rejection := consensus.CheckClaim(s.consensusIdentity(), r.ShardState, claim.ToConsensus())
 	if rejection == consensus.RejectedSet {
 		ack.Set = s.set
 	}
@@ -107,98 +115,104 @@
 	return ack
 }
 
-func (v *Service) finish(ack *register.Ack, put *pending, why string) *register.Ack {
-	if why == "" {
-		why = v.store.wait(put, v.limit)
+// awaitAck waits until an entry is synced, unless it was declined for a reason, and
+// completes the acknowledgement.
+func (svc *Service) awaitAck(ack *register.Ack, p *pendingEntry, reason string) *register.Ack {
+	if reason == "" {
+		reason = svc.store.awaitSync(p, svc.timeout)
 	}
-	if why != "" {
-		ack.Ok, ack.Why = false, why
+	if reason != "" {
+		ack.Ok, ack.Why = false, reason
 	}
 	return ack
 }
 
-func (v *Service) Promise(_ context.Context, request *register.PromiseRequest) (*register.PromiseReply, error) {
-	s := v.store
+// Promise promises to reject lower epochs and returns the position of the content.
+// The content itself is included if it is small; otherwise it is fetched with Read.
+func (svc *Service) Promise(_ context.Context, request *register.PromiseRequest) (*register.PromiseReply, error) {
+	s := svc.store
 	s.mu.Lock()
-	ack := s.judge(request.Claim)
+	ack := s.checkClaim(request.Claim)
 	if !ack.Ok {
 		s.mu.Unlock()
 		return &register.PromiseReply{Ack: ack}, nil
 	}
-	put, why := s.enqueue(kindPromise, request.Claim, true)
-	held := s.replicaOf(request.Claim.Slot)
-	reply := &register.PromiseReply{Ack: ack, Installed: held.Installed, Seq: held.Seq, AgeMs: (s.clock.Now() - held.touched).Milliseconds()}
-	if puts := held.puts(); register.ApproxSize(puts) <= inlineBytes {
+	p, reason := s.enqueue(kindPromise, request.Claim, true)
+	r := s.replicaFor(request.Claim.Slot)
+	reply := &register.PromiseReply{Ack: ack, Installed: r.Installed, Seq: r.Seq, AgeMs: (s.clock.Now() - r.updatedAt).Milliseconds()}
+	if puts := r.sortedPuts(); register.ApproxSize(puts) <= maxInlineBytes {
 		reply.Puts = puts
 	} else {
 		reply.Apart = true
 	}
 	s.mu.Unlock()
-	v.finish(ack, put, why)
+	svc.awaitAck(ack, p, reason)
 	return reply, nil
 }
 
-func (v *Service) Install(_ context.Context, request *register.InstallRequest) (*register.Ack, error) {
-	s := v.store
+// Install replaces the content of a shard by a snapshot that fits into one message.
+func (svc *Service) Install(_ context.Context, request *register.InstallRequest) (*register.Ack, error) {
+	s := svc.store
 	s.mu.Lock()
-	ack := s.judge(request.Claim)
+	ack := s.checkClaim(request.Claim)
 	if !ack.Ok {
 		s.mu.Unlock()
 		return ack, nil
 	}
-	held := s.replicaOf(request.Claim.Slot)
-	if held.Covers(request.Claim.Epoch, request.Seq) {
-		put, why := s.enqueue(kindPromise, request.Claim, true)
+	r := s.replicaFor(request.Claim.Slot)
+	if r.Covers(request.Claim.Epoch, request.Seq) {
+		p, reason := s.enqueue(kindPromise, request.Claim, true)
 		s.mu.Unlock()
-		return v.finish(ack, put, why), nil
+		return svc.awaitAck(ack, p, reason), nil
 	}
-	put, why := s.enqueue(kindInstall, request, false)
+	p, reason := s.enqueue(kindInstall, request, false)
 	ack.Seq = request.Seq
 	s.mu.Unlock()
-	return v.finish(ack, put, why), nil
+	return svc.awaitAck(ack, p, reason), nil
 }
 
-func (v *Service) Append(_ context.Context, request *register.AppendRequest) (*register.Ack, error) {
-	s := v.store
+// Append appends entries to a shard. Entries that the disk has already are skipped.
+func (svc *Service) Append(_ context.Context, request *register.AppendRequest) (*register.Ack, error) {
+	s := svc.store
 	s.mu.Lock()
-	ack := s.judge(request.Claim)
-	held := s.replicaOf(request.Claim.Slot)
+	ack := s.checkClaim(request.Claim)
+	r := s.replicaFor(request.Claim.Slot)
 	if ack.Ok {
-		rejection := consensus.CheckAppend(held.ShardState, request.Claim.Epoch, request.FirstSeq())
+		rejection := consensus.CheckAppend(r.ShardState, request.Claim.Epoch, request.FirstSeq())
 		ack.Ok, ack.Why = rejection == consensus.Accepted, string(rejection)
 	}
 	if !ack.Ok {
 		s.mu.Unlock()
 		return ack, nil
 	}
-	fresh := &register.AppendRequest{Claim: request.Claim}
-	freeing := true
+	newEntries := &register.AppendRequest{Claim: request.Claim}
+	freesSpace := true
 	for _, entry := range request.Entries {
-		if entry.Seq <= held.Seq {
+		if entry.Seq <= r.Seq {
 			continue
 		}
-		fresh.Entries = append(fresh.Entries, entry)
+		newEntries.Entries = append(newEntries.Entries, entry)
 		for _, put := range entry.Puts {
-			freeing = freeing && put.Gone
+			freesSpace = freesSpace && put.Gone
 		}
 	}
-	put, why := s.enqueue(kindAppend, fresh, freeing)
-	ack.Seq = held.Seq
+	p, reason := s.enqueue(kindAppend, newEntries, freesSpace)
+	ack.Seq = r.Seq
 	s.mu.Unlock()
-	return v.finish(ack, put, why), nil
+	return svc.awaitAck(ack, p, reason), nil
 }
 
-// Confirm tells an owner that no higher epoch has been promised here.
-func (v *Service) Confirm(_ context.Context, request *register.ConfirmRequest) (*register.Ack, error) {
-	s := v.store
+// Confirm confirms to a shard's leader that the disk has not promised a higher epoch.
+func (svc *Service) Confirm(_ context.Context, request *register.ConfirmRequest) (*register.Ack, error) {
+	s := svc.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.judge(request.Claim), nil
+	return s.checkClaim(request.Claim), nil
 }
 
-// Adopt takes a newer disk set.
-func (v *Service) Adopt(_ context.Context, request *register.AdoptRequest) (*register.Ack, error) {
-	s := v.store
+// Adopt adopts a disk set that is not older than the disk's own.
+func (svc *Service) Adopt(_ context.Context, request *register.AdoptRequest) (*register.Ack, error) {
+	s := svc.store
 	s.mu.Lock()
 	ack := &register.Ack{Set: s.set}
 	rejection := consensus.RejectedWrongReplica
@@ -211,7 +225,7 @@
 		return ack, nil
 	}
 	ack.Ok, ack.Set = true, request.Set
-	put, why := s.enqueue(kindAdopt, request.Set, true)
+	p, reason := s.enqueue(kindAdopt, request.Set, true)
 	s.mu.Unlock()
-	return v.finish(ack, put, why), nil
+	return svc.awaitAck(ack, p, reason), nil
 }
--- a/internal/disk/store_test.go
+++ b/internal/disk/store_test.go
@@ -1,5 +1,3 @@
-// What a disk keeps through losses of power at any moment, through rot, turns
-// of its slots and want of room, and what it refuses.
 package disk
 
 import (
@@ -26,292 +24,295 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// memory is a disk that syncs at once, unless told otherwise, and whose
-// power can be lost in the middle of anything.
-type memory struct {
-	mu     sync.Mutex
-	files  map[string][]byte
-	synced map[string][]byte
-	limit  int64
-	fail   error
-	stall  base.Signal
-	// before runs ahead of each sync, while what it will cover may be lost.
-	before func(name string)
+// memFiles implements Files in memory. Syncs return at once unless stallUntil is set,
+// and a power loss can be simulated before any of them.
+type memFiles struct {
+	mu         sync.Mutex
+	files      map[string][]byte
+	synced     map[string][]byte
+	capacity   int64       // total size of the files at most
+	err        error       // returned by each change and sync
+	stallUntil base.Signal // each sync waits for it
+	// beforeSync is called before each sync, while the data may still be lost.
+	beforeSync func(name string)
 }
 
-func newMemory() *memory {
-	return &memory{files: map[string][]byte{}, synced: map[string][]byte{}, limit: 1 << 30}
+func newMemFiles() *memFiles {
+	return &memFiles{files: map[string][]byte{}, synced: map[string][]byte{}, capacity: 1 << 30}
 }
 
-func (m *memory) Read(name string) ([]byte, error) { return slices.Clone(m.files[name]), nil }
-func (m *memory) Append(name string, data []byte) error {
-	room := m.FreeBytes()
+func (m *memFiles) Read(name string) ([]byte, error) { return slices.Clone(m.files[name]), nil }
+func (m *memFiles) Append(name string, data []byte) error {
+	free := m.FreeBytes()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if room < int64(len(data)) {
-		m.files[name] = append(slices.Clone(m.files[name]), data[:max(0, room)]...)
+	if free < int64(len(data)) {
+		m.files[name] = append(slices.Clone(m.files[name]), data[:max(0, free)]...)
 		return ErrFull
 	}
 	m.files[name] = append(slices.Clone(m.files[name]), data...)
-	return m.fail
+	return m.err
 }
-func (m *memory) Replace(name string, data []byte) error {
+func (m *memFiles) Replace(name string, data []byte) error {
 	_ = m.Truncate(name, 0)
 	return m.Append(name, data)
 }
-func (m *memory) Truncate(name string, size int) error {
+func (m *memFiles) Truncate(name string, size int) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.files[name] = slices.Clone(m.files[name][:min(size, len(m.files[name]))])
-	return m.fail
+	return m.err
 }
-func (m *memory) Sync(name string) error {
-	if m.stall != nil {
-		m.stall.Wait(-1)
+func (m *memFiles) Sync(name string) error {
+	if m.stallUntil != nil {
+		m.stallUntil.Wait(-1)
 	}
-	if m.before != nil {
-		m.before(name)
+	if m.beforeSync != nil {
+		m.beforeSync(name)
 	}
-	if m.fail == nil {
+	if m.err == nil {
 		m.synced[name] = slices.Clone(m.files[name])
 	}
-	return m.fail
+	return m.err
 }
-func (m *memory) FreeBytes() int64 {
+func (m *memFiles) FreeBytes() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	left := m.limit
+	free := m.capacity
 	for _, data := range m.files {
-		left -= int64(len(data))
+		free -= int64(len(data))
 	}
-	return left
+	return free
 }
 
-func (m *memory) copy() *memory {
-	copied := newMemory()
+func (m *memFiles) clone() *memFiles {
+	cloned := newMemFiles()
 	for name, data := range m.files {
-		copied.files[name] = slices.Clone(data)
-		copied.synced[name] = slices.Clone(data)
+		cloned.files[name] = slices.Clone(data)
+		cloned.synced[name] = slices.Clone(data)
 	}
-	return copied
+	return cloned
 }
 
-// powerLost is a disk after power went: of what was not synced any sectors
-// are kept, and the length is the old one, the new one or between.
-func (m *memory) powerLost(chance *rand.Rand) *memory {
-	lost := newMemory()
+// afterPowerLoss returns the files as they may be after a power loss: any subset of
+// the unsynced sectors is persisted, and the length of each file is the old one, the
+// new one or one in between.
+func (m *memFiles) afterPowerLoss(random *rand.Rand) *memFiles {
+	remaining := newMemFiles()
 	for _, name := range base.SortedKeys(m.files) {
-		was, now := m.synced[name], m.files[name]
-		size := []int{len(was), len(now), min(len(was), len(now)) + chance.IntN(max(len(was), len(now))-min(len(was), len(now))+1)}[chance.IntN(3)]
-		kept, share := make([]byte, size), chance.Float64()
-		copy(kept, was)
-		for place := 0; place < min(size, len(now)); place += 512 {
-			if chance.Float64() < share {
-				clear(kept[place:min(size, place+512)])
-				copy(kept[place:min(size, place+512)], now[place:min(len(now), place+512)])
+		before, after := m.synced[name], m.files[name]
+		size := []int{len(before), len(after), min(len(before), len(after)) + random.IntN(max(len(before), len(after))-min(len(before), len(after))+1)}[random.IntN(3)]
+		content, writtenShare := make([]byte, size), random.Float64()
+		copy(content, before)
+		for offset := 0; offset < min(size, len(after)); offset += 512 {
+			if random.Float64() < writtenShare {
+				clear(content[offset:min(size, offset+512)])
+				copy(content[offset:min(size, offset+512)], after[offset:min(len(after), offset+512)])
 			}
 		}
-		lost.files[name], lost.synced[name] = kept, slices.Clone(kept)
+		remaining.files[name], remaining.synced[name] = content, slices.Clone(content)
 	}
-	return lost
+	return remaining
 }
 
-type bench struct {
+// testDisk is a formatted disk that is the only member of its set.
+type testDisk struct {
 	is      *is.I
-	files   *memory
+	files   *memFiles
 	store   *Store
 	service *Service
 	set     *register.DiskSet
 	id      string
 }
 
-func openBench(is *is.I, files *memory) *bench {
+func newTestDisk(is *is.I, files *memFiles) *testDisk {
 	store, err := Open(base.NewRealClock(), files, base.NewCounters())
 	is.NoErr(err)
-	b := &bench{is: is, files: files, store: store, service: NewService(store, 5*time.Second)}
-	b.join()
-	return b
+	d := &testDisk{is: is, files: files, store: store, service: NewService(store, 5*time.Second)}
+	d.formatAndAdopt()
+	return d
 }
 
-// finish waits until the committer is done with what it was given.
-func (b *bench) finish() {
-	b.store.Close()
-	b.store.ended.Wait(-1)
+// close closes the store and waits until the committer has ended.
+func (d *testDisk) close() {
+	d.store.Close()
+	d.store.committerDone.Wait(-1)
 }
 
-// shorten has the slots turn after less.
-func (b *bench) shorten(floor int) {
-	b.store.mu.Lock()
-	b.store.floor = floor
-	b.store.mu.Unlock()
+// setMinLogBytes makes checkpoints due at a smaller size of the log.
+func (d *testDisk) setMinLogBytes(minLogBytes int) {
+	d.store.mu.Lock()
+	d.store.minLogBytes = minLogBytes
+	d.store.mu.Unlock()
 }
 
-// join formats the disk and makes it the one of its set.
-func (b *bench) join() {
-	is := b.is
-	state, err := b.service.Format(context.Background(), &register.FormatRequest{})
+// formatAndAdopt formats the disk and makes it the only member of its set.
+func (d *testDisk) formatAndAdopt() {
+	is := d.is
+	state, err := d.service.Format(context.Background(), &register.FormatRequest{})
 	is.NoErr(err)
-	b.id = state.Id
-	b.set = &register.DiskSet{Stamp: 1, Cluster: "c", Disks: []*register.DiskEntry{{Id: b.id, Addr: "a"}}}
-	ack, err := b.service.Adopt(context.Background(), &register.AdoptRequest{Set: b.set})
+	d.id = state.Id
+	d.set = &register.DiskSet{Stamp: 1, Cluster: "c", Disks: []*register.DiskEntry{{Id: d.id, Addr: "a"}}}
+	ack, err := d.service.Adopt(context.Background(), &register.AdoptRequest{Set: d.set})
 	is.NoErr(err)
 	is.True(ack.Ok)
 }
 
-func (b *bench) claim(epoch uint64, owner string) *register.Claim {
-	return &register.Claim{Slot: 3, Epoch: epoch, Owner: owner, SetStamp: 1, Disk: b.id}
+func (d *testDisk) claim(epoch uint64, leader string) *register.Claim {
+	return &register.Claim{Slot: 3, Epoch: epoch, Owner: leader, SetStamp: 1, Disk: d.id}
 }
 
-func (b *bench) put(epoch, seq uint64, key, value string) *register.Ack {
-	ack, err := b.service.Append(context.Background(), &register.AppendRequest{Claim: b.claim(epoch, "o"),
+func (d *testDisk) append(epoch, seq uint64, key, value string) *register.Ack {
+	ack, err := d.service.Append(context.Background(), &register.AppendRequest{Claim: d.claim(epoch, "o"),
 		Entries: []*register.Entry{{Seq: seq, Puts: []*register.Put{{Key: key, Value: []byte(value)}}}}})
-	b.is.NoErr(err)
+	d.is.NoErr(err)
 	return ack
 }
 
-func (b *bench) take(epoch uint64, owner string) *register.PromiseReply {
-	reply, err := b.service.Promise(context.Background(), &register.PromiseRequest{Claim: b.claim(epoch, owner)})
-	b.is.NoErr(err)
+func (d *testDisk) promise(epoch uint64, leader string) *register.PromiseReply {
+	reply, err := d.service.Promise(context.Background(), &register.PromiseRequest{Claim: d.claim(epoch, leader)})
+	d.is.NoErr(err)
 	return reply
 }
 
-func (b *bench) install(epoch, seq uint64) *register.Ack {
-	ack, err := b.service.Install(context.Background(), &register.InstallRequest{Claim: b.claim(epoch, "o"), Seq: seq})
-	b.is.NoErr(err)
+func (d *testDisk) install(epoch, seq uint64) *register.Ack {
+	ack, err := d.service.Install(context.Background(), &register.InstallRequest{Claim: d.claim(epoch, "o"), Seq: seq})
+	d.is.NoErr(err)
 	return ack
 }
 
-func TestDiskKeepsItsWordToEpochs(t *testing.T) {
+func TestPromisesFenceOlderEpochs(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	is.True(b.take(5, "o").Ack.Ok)
-	is.Equal(b.take(4, "p").Ack.Why, "epoch")
-	is.Equal(b.take(5, "p").Ack.Why, "epoch") // one owner an epoch
-	is.Equal(b.put(5, 1, "k", "v").Why, "behind")
-	is.True(b.install(5, 0).Ok)
-	is.True(b.put(5, 1, "k", "v").Ok)
-	is.Equal(b.put(5, 3, "k", "w").Why, "behind") // a gap
-	is.True(b.put(5, 1, "k", "v").Ok)             // asked again
-	is.True(b.take(6, "p").Ack.Ok)
-	is.Equal(b.put(5, 2, "k", "w").Why, "epoch") // fenced
-	confirm, err := b.service.Confirm(context.Background(), &register.ConfirmRequest{Claim: b.claim(5, "o")})
+	d := newTestDisk(is, newMemFiles())
+	is.True(d.promise(5, "o").Ack.Ok)
+	is.Equal(d.promise(4, "p").Ack.Why, "epoch")
+	is.Equal(d.promise(5, "p").Ack.Why, "epoch") // one leader per epoch
+	is.Equal(d.append(5, 1, "k", "v").Why, "behind")
+	is.True(d.install(5, 0).Ok)
+	is.True(d.append(5, 1, "k", "v").Ok)
+	is.Equal(d.append(5, 3, "k", "w").Why, "behind") // a gap
+	is.True(d.append(5, 1, "k", "v").Ok)             // repeated
+	is.True(d.promise(6, "p").Ack.Ok)
+	is.Equal(d.append(5, 2, "k", "w").Why, "epoch") // fenced
+	confirm, err := d.service.Confirm(context.Background(), &register.ConfirmRequest{Claim: d.claim(5, "o")})
 	is.NoErr(err)
 	is.Equal(confirm.Why, "epoch")
-	stale := b.claim(9, "o")
+	stale := d.claim(9, "o")
 	stale.SetStamp = 0
-	reply, err := b.service.Promise(context.Background(), &register.PromiseRequest{Claim: stale})
+	reply, err := d.service.Promise(context.Background(), &register.PromiseRequest{Claim: stale})
 	is.NoErr(err)
 	is.Equal(reply.Ack.Why, "set")
-	other := b.claim(9, "o")
+	other := d.claim(9, "o")
 	other.Disk = "another"
-	reply, err = b.service.Promise(context.Background(), &register.PromiseRequest{Claim: other})
+	reply, err = d.service.Promise(context.Background(), &register.PromiseRequest{Claim: other})
 	is.NoErr(err)
-	is.Equal(reply.Ack.Why, "blank") // asked under another disk's id
+	is.Equal(reply.Ack.Why, "blank") // addressed to another disk
 }
 
-// Power goes at any moment, turns of the slots included, and keeps any
-// sectors of what was not synced: what was answered is there, the disk opens,
-// and what it holds is a whole state that was once in force.
-func TestPowerLossKeepsAnySectors(t *testing.T) {
+// After a power loss before any sync, those of checkpoints included, with any subset
+// of the unsynced sectors persisted, the disk opens, has all acknowledged entries,
+// and its state is one that it had before.
+func TestPowerLossAtAnySync(t *testing.T) {
 	is := is.New(t)
 	const seed = 7
 	t.Logf("seed %d", seed)
-	chance := rand.New(rand.NewPCG(seed, 1))
-	b := openBench(is, newMemory())
-	is.True(b.take(1, "o").Ack.Ok)
-	is.True(b.install(1, 0).Ok)
-	b.shorten(64 << 10)
-	var answered, asked atomic.Uint64
-	tries, cut := 0, int64(0)
-	b.files.before = func(string) {
+	random := rand.New(rand.NewPCG(seed, 1))
+	d := newTestDisk(is, newMemFiles())
+	is.True(d.promise(1, "o").Ack.Ok)
+	is.True(d.install(1, 0).Ok)
+	d.setMinLogBytes(64 << 10)
+	var acked, sent atomic.Uint64
+	losses, tornTails := 0, int64(0)
+	d.files.beforeSync = func(string) {
 		for range 5 {
-			tries++
-			lost := b.files.powerLost(chance)
+			losses++
+			files := d.files.afterPowerLoss(random)
 			counters := base.NewCounters()
-			store, err := Open(base.NewRealClock(), lost, counters)
-			is.NoErr(err) // a torn tail mends itself
-			held := store.replicas[3]
-			is.True(held.Seq >= answered.Load() && held.Seq <= asked.Load())
-			for seq := held.Seq; seq > 0 && seq+4 > held.Seq; seq-- {
-				is.Equal(len(held.values[fmt.Sprint("k", seq%4)]), 2000+int(seq))
+			store, err := Open(base.NewRealClock(), files, counters)
+			is.NoErr(err) // a torn tail is truncated
+			r := store.replicas[3]
+			is.True(r.Seq >= acked.Load() && r.Seq <= sent.Load())
+			for seq := r.Seq; seq > 0 && seq+4 > r.Seq; seq-- {
+				is.Equal(len(r.values[fmt.Sprint("k", seq%4)]), 2000+int(seq))
 			}
-			cut += counters.Frame()["disk_tails_cut"]
+			tornTails += counters.Frame()["disk_tails_cut"]
 			store.Close()
 		}
 	}
 	for seq := uint64(1); seq <= 100; seq++ {
-		asked.Store(seq)
-		is.True(b.put(1, seq, fmt.Sprint("k", seq%4), string(make([]byte, 2000+int(seq)))).Ok)
-		answered.Store(seq)
+		sent.Store(seq)
+		is.True(d.append(1, seq, fmt.Sprint("k", seq%4), string(make([]byte, 2000+int(seq)))).Ok)
+		acked.Store(seq)
 	}
-	b.finish()
-	frames := b.store.counters.Frame()["disk_frames"]
-	t.Logf("%d losses of power, %d torn tails cut, %d turns of the slots", tries, cut, frames)
-	is.True(cut > 100 && frames >= 2)
+	d.close()
+	checkpoints := d.store.counters.Frame()["disk_frames"]
+	t.Logf("%d power losses, %d torn tails truncated, %d checkpoints", losses, tornTails, checkpoints)
+	is.True(tornTails > 100 && checkpoints >= 2)
 }
 
-// A log may hold again what its slot covers; no part of that may undo what
-// came after it.
-func TestWhatIsInForceAlreadyChangesNothing(t *testing.T) {
+// A log may repeat entries that its checkpoint covers. Replaying them must not undo
+// later entries.
+func TestReplayedEntriesChangeNothing(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	again := [][]byte{}
-	tell := func(kind byte, message proto.Message) {
+	d := newTestDisk(is, newMemFiles())
+	log := [][]byte{}
+	logEntry := func(kind byte, message proto.Message) {
 		payload, err := proto.Marshal(message)
 		is.NoErr(err)
-		again = append(again, entryOf(kind, payload))
-		is.NoErr(b.store.apply(kind, payload))
+		log = append(log, encodeEntry(kind, payload))
+		is.NoErr(d.store.applyEntry(kind, payload))
 	}
 	put := func(epoch, seq uint64, key, value string) {
-		tell(kindAppend, &register.AppendRequest{Claim: b.claim(epoch, "o"), Entries: []*register.Entry{{Seq: seq, Puts: []*register.Put{{Key: key, Value: []byte(value)}}}}})
+		logEntry(kindAppend, &register.AppendRequest{Claim: d.claim(epoch, "o"), Entries: []*register.Entry{{Seq: seq, Puts: []*register.Put{{Key: key, Value: []byte(value)}}}}})
 	}
-	tell(kindInstall, &register.InstallRequest{Claim: b.claim(1, "o"), Seq: 4})
+	logEntry(kindInstall, &register.InstallRequest{Claim: d.claim(1, "o"), Seq: 4})
 	put(1, 5, "k", "old")
 	put(1, 6, "k", "new")
-	tell(kindPromise, b.claim(2, "p"))
-	tell(kindInstall, &register.InstallRequest{Claim: b.claim(2, "p"), Seq: 6, Puts: []*register.Put{{Key: "k", Value: []byte("new")}}})
+	logEntry(kindPromise, d.claim(2, "p"))
+	logEntry(kindInstall, &register.InstallRequest{Claim: d.claim(2, "p"), Seq: 6, Puts: []*register.Put{{Key: "k", Value: []byte("new")}}})
 	put(2, 7, "k", "newer")
 	put(2, 8, "k", "newest")
-	for upto := range again {
-		for _, entry := range again[:upto+1] {
-			is.NoErr(b.store.applyBatch(entry))
+	for last := range log {
+		for _, entry := range log[:last+1] {
+			is.NoErr(d.store.applyBatch(entry))
 		}
-		held := b.store.replicas[3]
-		is.Equal(fmt.Sprintf("%d %s %d %d %s", held.Promised, held.Leader, held.Installed, held.Seq, held.values["k"]), "2 p 2 8 newest")
+		r := d.store.replicas[3]
+		is.Equal(fmt.Sprintf("%d %s %d %d %s", r.Promised, r.Leader, r.Installed, r.Seq, r.values["k"]), "2 p 2 8 newest")
 	}
-	b.finish()
+	d.close()
 }
 
-// Rot of any one sector, of any file: what was answered is there, or the disk
-// refuses by name. It is never taken for a torn tail.
-func TestRotIsNeverTakenForATornTail(t *testing.T) {
+// If any single sector of any file is corrupt, either all acknowledged entries are
+// there or the disk refuses to open with an error that names the reason. Corruption is
+// never taken for a torn tail, which would be truncated.
+func TestCorruptionIsNotTakenForTornTail(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	is.True(b.take(1, "o").Ack.Ok)
-	is.True(b.install(1, 0).Ok)
-	b.shorten(64 << 10)
+	d := newTestDisk(is, newMemFiles())
+	is.True(d.promise(1, "o").Ack.Ok)
+	is.True(d.install(1, 0).Ok)
+	d.setMinLogBytes(64 << 10)
 	seq := uint64(0)
-	for ; b.store.counters.Frame()["disk_frames"] < 2 || seq%5 != 0; seq++ {
-		is.True(b.put(1, seq+1, fmt.Sprint("k", seq%50), string(make([]byte, 3000))).Ok)
+	for ; d.store.counters.Frame()["disk_frames"] < 2 || seq%5 != 0; seq++ {
+		is.True(d.append(1, seq+1, fmt.Sprint("k", seq%50), string(make([]byte, 3000))).Ok)
 	}
 	for range 5 {
 		seq++
-		is.True(b.put(1, seq, "last", fmt.Sprint(seq)).Ok)
+		is.True(d.append(1, seq, "last", fmt.Sprint(seq)).Ok)
 	}
-	b.finish()
+	d.close()
 	opened, refused := 0, 0
-	for _, name := range ownFiles {
-		for place := 0; place < len(b.files.files[name]); place += sector {
-			if place > 40*sector && place+40*sector < len(b.files.files[name]) && place/sector%7 != 0 {
+	for _, name := range knownFileNames {
+		for offset := 0; offset < len(d.files.files[name]); offset += sectorSize {
+			if offset > 40*sectorSize && offset+40*sectorSize < len(d.files.files[name]) && offset/sectorSize%7 != 0 {
 				continue
 			}
-			for _, harm := range []func(part []byte){func(part []byte) { clear(part) }, func(part []byte) { part[len(part)/2] ^= 4 }, func(part []byte) { part[0] ^= 4 }} {
-				files := b.files.copy()
-				harm(files.files[name][place:min(len(files.files[name]), place+sector)])
+			for _, corrupt := range []func(part []byte){func(part []byte) { clear(part) }, func(part []byte) { part[len(part)/2] ^= 4 }, func(part []byte) { part[0] ^= 4 }} {
+				files := d.files.clone()
+				corrupt(files.files[name][offset:min(len(files.files[name]), offset+sectorSize)])
 				store, err := Open(base.NewRealClock(), files, base.NewCounters())
 				if err != nil {
 					refused++
-					is.True(errors.Cause(err) == errDamaged || foreign(err))
+					is.True(errors.Cause(err) == errCorrupt || isForeign(err))
 					continue
 				}
 				opened++
@@ -321,41 +322,42 @@
 			}
 		}
 	}
-	t.Logf("%d sectors rotten: %d times whole, %d refused", opened+refused, opened, refused)
+	t.Logf("%d corrupt sectors: %d times opened, %d times refused", opened+refused, opened, refused)
 	is.True(opened > refused*10)
-	// Where a later batch follows, a lost one was answered: both copies gone.
-	files := b.files.copy()
-	log := files.files[logName(b.store.generation)]
-	_, size, err := open(log)
+	// Both copies of a batch are lost and a later batch follows, so it had been
+	// acknowledged.
+	files := d.files.clone()
+	log := files.files[logFileName(d.store.generation)]
+	_, size, err := decodeRecord(log)
 	is.NoErr(err)
-	clear(log[:aligned(size)+size])
+	clear(log[:alignToSector(size)+size])
 	_, err = Open(base.NewRealClock(), files, base.NewCounters())
-	is.Equal(errors.Cause(err), errDamaged)
+	is.Equal(errors.Cause(err), errCorrupt)
 }
 
-// Files of another program, another format or another disk's past are named
-// and left as they are.
-func TestForeignFilesAreNamedAndLeft(t *testing.T) {
+// Files of another program or in an unknown format version are reported by name and
+// left unchanged.
+func TestForeignFilesAreReportedAndLeft(t *testing.T) {
 	for name, row := range map[string]struct {
 		content []byte
-		word    string
+		message string
 	}{
-		"slot-0": {[]byte("SQLite format 3"), "not a file of fordseam's"},
-		"log-0":  {[]byte("2026-01-01 12:00 an application's own log\n"), "not a file of fordseam's"},
+		"slot-0": {[]byte("SQLite format 3"), "not a fordseam file"},
+		"log-0":  {[]byte("2026-01-01 12:00 an application's own log\n"), "not a fordseam file"},
 		"slot-1": {func() []byte {
-			later := seal(5, 9, 0, []byte("later"))
+			later := encodeRecord(5, 9, 0, []byte("later"))
 			later[3] = 3
 			binary.LittleEndian.PutUint32(later[32:], crc32.Checksum(later[:32], crcTable))
 			return later
-		}(), "format version 3 is not known"},
+		}(), "unknown format version 3"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			files := newMemory()
+			files := newMemFiles()
 			files.files[name] = row.content
 			_, err := Open(base.NewRealClock(), files, base.NewCounters())
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), name) && strings.Contains(err.Error(), row.word))
+			is.True(strings.Contains(err.Error(), name) && strings.Contains(err.Error(), row.message))
 			is.Equal(files.files[name], row.content)
 		})
 	}
@@ -366,95 +368,100 @@
 	is.True(err != nil && strings.Contains(err.Error(), "payroll.db"))
 }
 
-func TestSlotsTurnAndFallBack(t *testing.T) {
+// If the newest checkpoint is unreadable, the state is restored from the previous one
+// and both logs.
+func TestCheckpointsRotateAndFallBack(t *testing.T) {
 	is := is.New(t)
-	b := openBench(is, newMemory())
-	is.True(b.take(1, "o").Ack.Ok)
-	is.True(b.install(1, 0).Ok)
-	b.shorten(1 << 20)
+	d := newTestDisk(is, newMemFiles())
+	is.True(d.promise(1, "o").Ack.Ok)
+	is.True(d.install(1, 0).Ok)
+	d.setMinLogBytes(1 << 20)
 	big := string(make([]byte, 100<<10))
 	seq := uint64(0)
-	for b.store.counters.Frame()["disk_frames"] < 3 {
+	for d.store.counters.Frame()["disk_frames"] < 3 {
 		seq++
-		is.True(b.put(1, seq, fmt.Sprint("k", seq%4), big).Ok)
+		is.True(d.append(1, seq, fmt.Sprint("k", seq%4), big).Ok)
 		is.True(seq < 500)
 	}
 	for range 3 {
 		seq++
-		is.True(b.put(1, seq, "last", fmt.Sprint(seq)).Ok)
+		is.True(d.append(1, seq, "last", fmt.Sprint(seq)).Ok)
 	}
-	b.finish()
-	is.True(len(b.files.files["log-0"])+len(b.files.files["log-1"]) < 16<<20) // the log stays short
-	reopened := func(files *memory) *Store {
+	d.close()
+	is.True(len(d.files.files["log-0"])+len(d.files.files["log-1"]) < 16<<20) // the logs stay short
+	reopen := func(files *memFiles) *Store {
 		store, err := Open(base.NewRealClock(), files, base.NewCounters())
 		is.NoErr(err)
 		is.Equal(store.replicas[3].Seq, seq)
 		is.Equal(string(store.replicas[3].values["last"]), fmt.Sprint(seq))
-		is.Equal(store.id, b.id)
+		is.Equal(store.id, d.id)
 		store.Close()
 		return store
 	}
-	generation := reopened(b.files.copy()).generation
-	for _, harm := range []func([]byte) []byte{
-		func(slot []byte) []byte { return slot[:len(slot)/2] },
-		func(slot []byte) []byte { slot[len(slot)/2] ^= 1; return slot },
+	generation := reopen(d.files.clone()).generation
+	for _, corrupt := range []func([]byte) []byte{
+		func(data []byte) []byte { return data[:len(data)/2] },
+		func(data []byte) []byte { data[len(data)/2] ^= 1; return data },
 	} {
-		files := b.files.copy()
-		files.files[slotName(generation)] = harm(files.files[slotName(generation)])
-		reopened(files) // from the former slot and both logs
-		reopened(files) // and again, after the repair
+		files := d.files.clone()
+		files.files[checkpointFileName(generation)] = corrupt(files.files[checkpointFileName(generation)])
+		reopen(files) // from the previous checkpoint and both logs
+		reopen(files) // again after the repair
 	}
 }
 
-func TestFullAndStalledDisksRefuseInTime(t *testing.T) {
+// A full or stalled disk declines requests within the timeout. A full disk still
+// accepts entries that free space and promises.
+func TestFullAndStalledDisksDeclineInTime(t *testing.T) {
 	is := is.New(t)
-	files := newMemory()
-	b := openBench(is, files)
-	is.True(b.take(1, "o").Ack.Ok)
-	is.True(b.install(1, 0).Ok)
-	files.limit = 400 << 10
+	files := newMemFiles()
+	d := newTestDisk(is, files)
+	is.True(d.promise(1, "o").Ack.Ok)
+	is.True(d.install(1, 0).Ok)
+	files.capacity = 400 << 10
 	value, seq := string(make([]byte, 20<<10)), uint64(1)
-	for ; b.put(1, seq, fmt.Sprint("k", seq), value).Ok; seq++ {
+	for ; d.append(1, seq, fmt.Sprint("k", seq), value).Ok; seq++ {
 		is.True(seq < 40)
 	}
-	is.Equal(b.put(1, seq, "k", value).Why, "full")
-	ack, err := b.service.Append(context.Background(), &register.AppendRequest{Claim: b.claim(1, "o"),
+	is.Equal(d.append(1, seq, "k", value).Why, "full")
+	ack, err := d.service.Append(context.Background(), &register.AppendRequest{Claim: d.claim(1, "o"),
 		Entries: []*register.Entry{{Seq: seq, Puts: []*register.Put{{Key: "k1", Gone: true}}}}})
 	is.NoErr(err)
-	is.True(ack.Ok)                // space is kept back for freeing
-	is.True(b.take(2, "p").Ack.Ok) // and for handing over
-	files.limit = 1 << 30
-	files.stall = base.NewRealClock().NewSignal()
-	defer files.stall.Fire()
-	b.service.limit = time.Millisecond
-	is.Equal(b.take(3, "q").Ack.Why, "stalled")
+	is.True(ack.Ok)                   // space is reserved for entries that free space
+	is.True(d.promise(2, "p").Ack.Ok) // and for promises to a new leader
+	files.capacity = 1 << 30
+	files.stallUntil = base.NewRealClock().NewSignal()
+	defer files.stallUntil.Fire()
+	d.service.timeout = time.Millisecond
+	is.Equal(d.promise(3, "q").Ack.Why, "stalled")
 }
 
-// A sync that failed leaves the disk without a vote until it was read again
-// and its state written anew: the kernel may show what the disk never got.
-func TestAFailedSyncEndsTheVote(t *testing.T) {
+// After a failed sync, the disk does not vote until its files were read again and the
+// state was written as a new checkpoint, since the kernel may return data from its
+// cache that are not on the disk.
+func TestFailedSyncEndsTheVote(t *testing.T) {
 	is := is.New(t)
-	files := newMemory()
-	b := openBench(is, files)
-	is.True(b.take(1, "o").Ack.Ok)
-	is.True(b.install(1, 0).Ok)
-	files.fail = errors.New("input/output error")
-	is.Equal(b.put(1, 1, "k", "v").Why, "broken")
-	files.fail = nil
-	is.Equal(b.take(2, "o").Ack.Why, "broken") // what memory holds may not be on the disk
-	is.True(strings.Contains(b.store.Ready().Error(), "restart"))
-	frames := b.store.counters.Frame()["disk_frames"]
-	again, err := Open(base.NewRealClock(), files, b.store.counters)
+	files := newMemFiles()
+	d := newTestDisk(is, files)
+	is.True(d.promise(1, "o").Ack.Ok)
+	is.True(d.install(1, 0).Ok)
+	files.err = errors.New("input/output error")
+	is.Equal(d.append(1, 1, "k", "v").Why, "broken")
+	files.err = nil
+	is.Equal(d.promise(2, "o").Ack.Why, "broken") // the state in memory may not be on the disk
+	is.True(strings.Contains(d.store.Ready().Error(), "restart"))
+	checkpoints := d.store.counters.Frame()["disk_frames"]
+	reopened, err := Open(base.NewRealClock(), files, d.store.counters)
 	is.NoErr(err)
-	is.Equal(b.store.counters.Frame()["disk_frames"], frames+1)
-	is.True(again.replicas[3].Promised >= 1)
-	again.Close()
+	is.Equal(d.store.counters.Frame()["disk_frames"], checkpoints+1)
+	is.True(reopened.replicas[3].Promised >= 1)
+	reopened.Close()
 }
 
-// The kernel's own short writes: where the file system takes only a part, what
-// was written of it is cut off, nothing is acknowledged, nothing that was is
-// lost, and the disk goes on by itself once there is room.
-func TestShortWritesOfTheKernel(t *testing.T) {
+// If the file system is out of space and the kernel writes only a part of the data,
+// the part is truncated, nothing is acknowledged, no acknowledged entry is lost, and
+// the disk recovers without a restart once there is space again.
+func TestShortWrites(t *testing.T) {
 	is := is.New(t)
 	signal.Ignore(syscall.SIGXFSZ)
 	path := t.TempDir()
@@ -462,35 +469,35 @@
 	is.NoErr(err)
 	store, err := Open(base.NewRealClock(), files, base.NewCounters())
 	is.NoErr(err)
-	b := &bench{is: is, store: store, service: NewService(store, 5*time.Second)}
-	b.join()
-	is.True(b.take(1, "o").Ack.Ok)
-	is.True(b.install(1, 0).Ok)
-	is.True(b.put(1, 1, "k1", "v1").Ok)
+	d := &testDisk{is: is, store: store, service: NewService(store, 5*time.Second)}
+	d.formatAndAdopt()
+	is.True(d.promise(1, "o").Ack.Ok)
+	is.True(d.install(1, 0).Ok)
+	is.True(d.append(1, 1, "k1", "v1").Ok)
 	before, err := files.Read("log-0")
 	is.NoErr(err)
 	var limit syscall.Rlimit
 	is.NoErr(syscall.Getrlimit(syscall.RLIMIT_FSIZE, &limit))
-	short := limit
-	short.Cur = uint64(len(before) + 1000)
-	is.NoErr(syscall.Setrlimit(syscall.RLIMIT_FSIZE, &short))
-	b.service.limit = 300 * time.Millisecond
-	why := b.put(1, 2, "k2", string(make([]byte, 64<<10))).Why
-	full := store.Ready()
+	reduced := limit
+	reduced.Cur = uint64(len(before) + 1000)
+	is.NoErr(syscall.Setrlimit(syscall.RLIMIT_FSIZE, &reduced))
+	d.service.timeout = 300 * time.Millisecond
+	reason := d.append(1, 2, "k2", string(make([]byte, 64<<10))).Why
+	fullErr := store.Ready()
 	is.NoErr(syscall.Setrlimit(syscall.RLIMIT_FSIZE, &limit))
-	is.Equal(why, "full")
-	is.True(full != nil && strings.Contains(full.Error(), "free space"))
-	b.service.limit = 5 * time.Second
-	is.True(b.take(1, "o").Ack.Ok) // room again: what waited is written, in order
-	is.True(b.put(1, 3, "k3", "v3").Ok)
+	is.Equal(reason, "full")
+	is.True(fullErr != nil && strings.Contains(fullErr.Error(), "free space"))
+	d.service.timeout = 5 * time.Second
+	is.True(d.promise(1, "o").Ack.Ok) // there is space again: the waiting entry is written first
+	is.True(d.append(1, 3, "k3", "v3").Ok)
 	is.True(store.counters.Frame()["disk_met_full"] > 0)
 	is.NoErr(store.Ready())
 	store.Close()
 	files, err = OpenFolder(path, 0)
 	is.NoErr(err)
-	again, err := Open(base.NewRealClock(), files, base.NewCounters())
+	reopened, err := Open(base.NewRealClock(), files, base.NewCounters())
 	is.NoErr(err)
-	is.Equal(again.replicas[3].Seq, uint64(3))
-	is.Equal(string(again.replicas[3].values["k1"])+string(again.replicas[3].values["k3"]), "v1v3")
-	again.Close()
+	is.Equal(reopened.replicas[3].Seq, uint64(3))
+	is.Equal(string(reopened.replicas[3].values["k1"])+string(reopened.replicas[3].values["k3"]), "v1v3")
+	reopened.Close()
 }
