--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -1,11 +1,10 @@
-// Package clientconn bounds how long clients' connections may rest and how long
-// a request may take to arrive, by the operator's limits of the moment. An HTTP
-// server's own timeouts are fixed when it starts; the limits come with the
-// configuration and change with it.
+// Package clientconn enforces idle and read timeouts on client connections. The
+// timeouts of an HTTP server are fixed when it starts, while these limits are part of
+// the configuration and may change at any time.
 //
-// A connection is closed only while no request of it is being served, and a
-// resting one only after the whole of the limit: clients take up connections
-// that have rested for up to four fifths of it.
+// A connection is closed only while none of its requests is being served. An idle
+// connection is closed only after the full idle timeout, since clients reuse
+// connections that have been idle for up to four fifths of it.
 package clientconn
 
 import (
@@ -20,183 +19,187 @@
 	"github.com/valyala/fasthttp"
 )
 
-// state is where a client's connection stands. Only next moves it.
+// state is the state of a client connection. It changes only by next.
 type state uint8
 
 const (
-	// stateOpened has carried nothing yet.
+	// stateOpened means that nothing was received yet.
 	stateOpened state = iota
-	// stateReading is from a request's first byte to its last.
+	// stateReading lasts from the first byte of a request until it is complete.
 	stateReading
-	// stateServing has a whole request and owes its answer.
+	// stateServing lasts from a complete request until its response.
 	stateServing
-	// stateIdle rests after an answer.
+	// stateIdle means that the last request was responded to and no other has begun.
 	stateIdle
-	// stateClosed is over.
+	// stateClosed means that the connection is closed or hijacked.
 	stateClosed
 )
 
-// event is what happens to a connection.
+// event is an event that changes a connection's state.
 type event uint8
 
 const (
-	eventByte event = iota
-	eventRequest
-	eventAnswered
-	eventClosed
+	eventFirstByte   event = iota // the first byte of a request was received
+	eventRequestRead              // a request was received completely
+	eventResponded                // the response was sent
+	eventClosed                   // the server has closed or given up the connection
 )
 
-// next gives the state after an event. An event that is not foreseen leaves the
-// state, so that a connection is never taken for a resting one by mistake.
+// next returns the state after an event. An unexpected event does not change the state,
+// so that a connection is never mistaken for an idle one.
 func (s state) next(e event) state {
 	switch {
 	case e == eventClosed:
 		return stateClosed
-	case e == eventByte && (s == stateOpened || s == stateIdle):
+	case e == eventFirstByte && (s == stateOpened || s == stateIdle):
 		return stateReading
-	case e == eventRequest && s == stateReading:
+	case e == eventRequestRead && s == stateReading:
 		return stateServing
-	case e == eventAnswered && (s == stateServing || s == stateReading):
+	case e == eventResponded && (s == stateServing || s == stateReading):
 		return stateIdle
 	}
 	return s
 }
 
-// Limits that hold where the configuration gives none.
+// Defaults for limits that the configuration does not set.
 const (
-	defaultRead = 10 * time.Second
-	defaultIdle = time.Minute
-	defaultBody = 8 << 20
+	defaultHeaderReadTimeout = 10 * time.Second
+	defaultIdleTimeout       = time.Minute
+	defaultMaxBodyBytes      = 8 << 20
 )
 
-// sweepShare is the part of the shortest limit after which connections are gone
-// through again, and thereby how much later than the limit one may be closed.
-const sweepShare = 8
+// sweepDivisor sets the interval at which connections are checked: this fraction of the
+// shorter timeout. A connection is closed by at most that much too late.
+const sweepDivisor = 8
 
-// tracked is one open connection.
-type tracked struct {
+// trackedConn is the state of one open connection.
+type trackedConn struct {
 	state state
-	since time.Duration // when it came to its state
+	since time.Duration // clock reading of its last event
 }
 
-// Tracker holds the open connections of one server.
+// Tracker tracks the open connections of one server and closes those that have
+// exceeded their timeouts.
 type Tracker struct {
 	clock    base.Clock
 	counters *base.Counters
-	limits   func() route.Limits
+	limits   func() route.Limits // the limits in force
 
 	mu    sync.Mutex
-	conns map[net.Conn]*tracked
+	conns map[net.Conn]*trackedConn
 }
 
-// NewTracker makes an empty table. limits gives the limits of the moment; those
-// that are 0 are not set.
+// NewTracker returns a tracker without connections. limits returns the limits in force;
+// those that are 0 have their defaults.
 func NewTracker(clock base.Clock, counters *base.Counters, limits func() route.Limits) *Tracker {
-	return &Tracker{clock: clock, counters: counters, limits: limits, conns: map[net.Conn]*tracked{}}
+	return &Tracker{clock: clock, counters: counters, limits: limits, conns: map[net.Conn]*trackedConn{}}
 }
 
-// Attach makes a server tell the table of its connections, and leaves timeouts
-// to the table. It is called before the server serves.
+// Attach makes the tracker follow a server's connections, disables the server's own
+// timeouts, and applies the limit of the body's size. It must be called before the
+// server starts and after its handler is set.
 func (t *Tracker) Attach(server *fasthttp.Server) {
-	server.ConnState = t.changed
+	server.ConnState = t.onConnState
 	server.ReadTimeout = 0
 	server.IdleTimeout = 0
 	server.HeaderReceived = func(*fasthttp.RequestHeader) fasthttp.RequestConfig {
-		return fasthttp.RequestConfig{MaxRequestBodySize: orDefault(t.limits().MaxBodyBytes, defaultBody)}
+		return fasthttp.RequestConfig{MaxRequestBodySize: orDefault(t.limits().MaxBodyBytes, defaultMaxBodyBytes)}
 	}
-	server.ErrorHandler = refuseUnread
+	server.ErrorHandler = writeReadError
 	handler := server.Handler
 	server.Handler = func(r *fasthttp.RequestCtx) {
-		t.move(r.Conn(), eventRequest)
+		t.transition(r.Conn(), eventRequestRead)
 		handler(r)
 	}
 }
 
-// refuseUnread answers a request that could not be read.
-func refuseUnread(r *fasthttp.RequestCtx, err error) {
-	var small *fasthttp.ErrSmallBuffer
+// writeReadError responds to a request that could not be read.
+func writeReadError(r *fasthttp.RequestCtx, err error) {
+	var smallBuffer *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		r.Error("the body is too large", fasthttp.StatusRequestEntityTooLarge)
-	case errors.As(err, &small):
-		r.Error("the head is too large", fasthttp.StatusRequestHeaderFieldsTooLarge)
+		r.Error("the request body is too large", fasthttp.StatusRequestEntityTooLarge)
+	case errors.As(err, &smallBuffer):
+		r.Error("the request header is too large", fasthttp.StatusRequestHeaderFieldsTooLarge)
 	default:
 		r.Error("the request could not be read", fasthttp.StatusBadRequest)
 	}
 }
 
-func orDefault[N int | time.Duration](limit, otherwise N) N {
+// orDefault returns the limit, or the fallback if the limit is not set.
+func orDefault[N int | time.Duration](limit, fallback N) N {
 	if limit > 0 {
 		return limit
 	}
-	return otherwise
+	return fallback
 }
 
-// changed takes in what the server tells of a connection.
-func (t *Tracker) changed(c net.Conn, to fasthttp.ConnState) {
-	switch to {
+// onConnState receives the state changes that the server reports.
+func (t *Tracker) onConnState(c net.Conn, newState fasthttp.ConnState) {
+	switch newState {
 	case fasthttp.StateNew:
 		t.mu.Lock()
-		t.conns[c] = &tracked{state: stateOpened, since: t.clock.Now()}
+		t.conns[c] = &trackedConn{state: stateOpened, since: t.clock.Now()}
 		t.mu.Unlock()
 	case fasthttp.StateActive:
-		t.move(c, eventByte)
+		t.transition(c, eventFirstByte)
 	case fasthttp.StateIdle:
-		t.move(c, eventAnswered)
+		t.transition(c, eventResponded)
 	case fasthttp.StateClosed, fasthttp.StateHijacked:
-		t.move(c, eventClosed)
+		t.transition(c, eventClosed)
 	}
 }
 
-func (t *Tracker) move(c net.Conn, e event) {
+// transition moves a connection to its next state and forgets it once it is closed.
+func (t *Tracker) transition(c net.Conn, e event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.conns[c]
-	if known == nil {
+	tracked := t.conns[c]
+	if tracked == nil {
 		return
 	}
-	known.state = known.state.next(e)
-	known.since = t.clock.Now()
-	if known.state == stateClosed {
+	tracked.state = tracked.state.next(e)
+	tracked.since = t.clock.Now()
+	if tracked.state == stateClosed {
 		delete(t.conns, c)
 	}
 }
 
-// CloseExpired closes the connections that have rested, or taken to send a request,
-// for longer than they may. It gives the time until the next sweep.
+// CloseExpired closes the connections that have been idle, or have been sending a
+// request, for longer than allowed. It returns the time until the next check.
 func (t *Tracker) CloseExpired() time.Duration {
 	limits := t.limits()
-	idle := orDefault(limits.IdleTimeout, defaultIdle)
-	head := orDefault(limits.HeaderReadTimeout, defaultRead)
+	idleTimeout := orDefault(limits.IdleTimeout, defaultIdleTimeout)
+	headerTimeout := orDefault(limits.HeaderReadTimeout, defaultHeaderReadTimeout)
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for c, known := range t.conns {
-		if now-known.since <= known.state.limit(head, idle) {
+	for c, tracked := range t.conns {
+		if now-tracked.since <= tracked.state.timeout(headerTimeout, idleTimeout) {
 			continue
 		}
-		// The server sees the end, and tells of it.
+		// The server notices the close and reports it to onConnState.
 		if err := c.Close(); err == nil {
 			t.counters.Add("client_connections_timed_out", 1)
 		}
 		delete(t.conns, c)
 	}
-	return min(idle, head) / sweepShare
+	return min(idleTimeout, headerTimeout) / sweepDivisor
 }
 
-// limit is how long a connection may stay in the state. A body may take as long
-// as a connection may rest.
-func (s state) limit(head, idle time.Duration) time.Duration {
+// timeout returns how long a connection may stay in the state. Reading a body may take
+// as long as a connection may be idle, in addition to the time for the header.
+func (s state) timeout(headerTimeout, idleTimeout time.Duration) time.Duration {
 	switch s {
 	case stateReading:
-		return head + idle
+		return headerTimeout + idleTimeout
 	case stateServing:
 		return time.Duration(1<<63 - 1) // the request's own deadline bounds it
 	}
-	return idle
+	return idleTimeout
 }
 
-// Run sweeps until closed says that the server is over.
+// Run closes expired connections periodically until closed returns true.
 func (t *Tracker) Run(closed func() bool) {
 	for !closed() {
 		t.clock.Sleep(t.CloseExpired())
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -1,8 +1,11 @@
-// Package conn carries node-to-node traffic over gnet. gnet speaks in
-// events; net/http, which twirp stands on, speaks in net.Conn and
-// net.Listener. The one adapter here joins the two: bytes that arrive in an
-// event go to a buffer that Read waits on, Write hands bytes to the event
-// loop and waits until it took them, and deadlines wake both.
+// Package conn is the transport between nodes: a listener and an HTTP client whose
+// connections are run by gnet event loops. gnet reports events, while net/http, which
+// twirp uses, expects net.Conn and net.Listener. eventConn adapts one to the other:
+// received bytes go to a buffer from which Read returns them, Write queues bytes in the
+// event loop and waits until the socket has accepted them, and deadlines wake both.
+//
+// Errors of the client tell whether any byte of a request may have been sent, since
+// a request that was not sent can always be repeated.
 package conn
 
 import (
@@ -15,31 +18,34 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// unreadLimit bounds the bytes of a connection that nobody has read, and with
-// them the size of one message.
-const unreadLimit = 64 << 20
+// maxUnreadBytes bounds the received bytes of a connection that are not read yet, and
+// with them the size of one message.
+const maxUnreadBytes = 64 << 20
 
-// eventConn is a net.Conn over a connection of an event loop.
+// eventConn is a net.Conn over a connection of a gnet event loop.
 type eventConn struct {
 	raw    gnet.Conn
 	local  net.Addr
 	remote net.Addr
 
-	mu        sync.Mutex
-	changed   *sync.Cond
-	state     state
-	unread    []byte
-	readEnd   deadline
-	writeEnd  deadline
-	closeOnce sync.Once
+	mu            sync.Mutex
+	cond          *sync.Cond
+	state         state
+	unread        []byte
+	readDeadline  deadline
+	writeDeadline deadline
+	closeOnce     sync.Once
 }
 
-// deadline wakes waiters at a moment. It belongs to its connection's lock.
+// deadline is a read or write deadline whose timer wakes waiters. It is guarded by its
+// connection's lock.
 type deadline struct {
 	at    time.Time
 	timer *time.Timer
 }
 
+// set replaces the deadline; the zero time removes it. A timer calls wake when it
+// expires.
 func (d *deadline) set(at time.Time, wake func()) {
 	if d.timer != nil {
 		d.timer.Stop()
@@ -49,191 +55,196 @@
 	if at.IsZero() {
 		return
 	}
-	if left := time.Until(at); left > 0 {
-		d.timer = time.AfterFunc(left, wake)
+	if remaining := time.Until(at); remaining > 0 {
+		d.timer = time.AfterFunc(remaining, wake)
 	}
 }
 
-func (d *deadline) passed() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
+func (d *deadline) expired() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
 
 func newEventConn(local, remote net.Addr) *eventConn {
 	c := &eventConn{local: local, remote: remote}
-	c.changed = sync.NewCond(&c.mu)
+	c.cond = sync.NewCond(&c.mu)
 	return c
 }
 
+// wake wakes all waiting reads and writes.
 func (c *eventConn) wake() {
 	c.mu.Lock()
-	c.changed.Broadcast()
+	c.cond.Broadcast()
 	c.mu.Unlock()
 }
 
-// Read gives bytes that have arrived, also after the peer has closed; after a
-// Close by this side it gives nothing more.
-func (c *eventConn) Read(into []byte) (int, error) {
+// Read returns received bytes, also after the peer has closed the connection. After
+// Close it returns none.
+func (c *eventConn) Read(buffer []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
 		switch {
 		case c.state == stateClosing:
 			return 0, net.ErrClosed
-		case c.readEnd.passed():
+		case c.readDeadline.expired():
 			return 0, os.ErrDeadlineExceeded
 		case len(c.unread) > 0:
-			n := copy(into, c.unread)
+			n := copy(buffer, c.unread)
 			c.unread = c.unread[n:]
 			return n, nil
 		case c.state == stateClosed:
 			return 0, io.EOF
 		}
-		c.changed.Wait()
+		c.cond.Wait()
 	}
 }
 
-// Write hands the data to the event loop and waits until the socket took it.
-// It tells 0 bytes only where it is certain that none has left or will leave.
+// Write queues the data in the event loop and waits until the socket has accepted them.
+// It returns 0 only if no byte was or will be sent; see writeOutcome.possiblySent.
 func (c *eventConn) Write(data []byte) (int, error) {
-	outcome, err := c.queue(data)
-	return outcome.written(len(data)), err
+	outcome, err := c.write(data)
+	return outcome.possiblySent(len(data)), err
 }
 
-// queue does the work of Write, and says what became of the data.
-func (c *eventConn) queue(data []byte) (writeState, error) {
+// write implements Write and returns the outcome.
+func (c *eventConn) write(data []byte) (writeOutcome, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state != stateOpen {
-		return writeRefused, net.ErrClosed
+		return writeNotSent, net.ErrClosed
 	}
-	outcome := writeQueued
-	var failed error
-	// A queued write goes ahead of a close that was asked for before it, so it
-	// is queued under the lock that Close takes as well.
+	outcome := writePending
+	var writeErr error
+	// The event loop runs a queued write even ahead of a close that was requested
+	// before it. The write is therefore queued under the lock that Close takes, so
+	// that none is queued after a close.
 	err := c.raw.AsyncWrite(append([]byte(nil), data...), func(_ gnet.Conn, err error) error {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		outcome = writeTaken
+		outcome = writeAccepted
 		if err != nil {
-			outcome = writeRefused
+			outcome = writeNotSent
 		}
-		failed = err
-		c.changed.Broadcast()
+		writeErr = err
+		c.cond.Broadcast()
 		return nil
 	})
 	if err != nil {
-		return writeRefused, err
+		return writeNotSent, err
 	}
-	for outcome == writeQueued {
+	for outcome == writePending {
 		switch {
 		case c.state != stateOpen:
-			return writeQueued, net.ErrClosed
-		case c.writeEnd.passed():
-			return writeQueued, os.ErrDeadlineExceeded
+			return writePending, net.ErrClosed
+		case c.writeDeadline.expired():
+			return writePending, os.ErrDeadlineExceeded
 		}
-		c.changed.Wait()
+		c.cond.Wait()
 	}
-	return outcome, failed
+	return outcome, writeErr
 }
 
-// Close ends the connection; it may be called more than once.
+// Close closes the connection. It may be called more than once.
 func (c *eventConn) Close() error {
-	c.move(eventClose)
-	c.closeOnce.Do(func() { _ = c.raw.Close() }) // the loop tells its end by OnClose
+	c.transition(eventLocalClose)
+	c.closeOnce.Do(func() { _ = c.raw.Close() }) // the event loop reports the end to OnClose
 	return nil
 }
 
-// move takes the connection on, and lets go of its timers.
-func (c *eventConn) move(e event) {
+// transition moves the connection to its next state, removes the deadlines and wakes
+// all waiters.
+func (c *eventConn) transition(e event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state = c.state.next(e)
-	c.readEnd.set(time.Time{}, nil)
-	c.writeEnd.set(time.Time{}, nil)
-	c.changed.Broadcast()
+	c.readDeadline.set(time.Time{}, nil)
+	c.writeDeadline.set(time.Time{}, nil)
+	c.cond.Broadcast()
 }
 
-// LocalAddr is this side's address.
+// LocalAddr returns this side's address.
 func (c *eventConn) LocalAddr() net.Addr { return c.local }
 
-// RemoteAddr is the peer's address.
+// RemoteAddr returns the peer's address.
 func (c *eventConn) RemoteAddr() net.Addr { return c.remote }
 
-// SetDeadline bounds reads and writes.
+// SetDeadline sets the read and the write deadline.
 func (c *eventConn) SetDeadline(at time.Time) error {
 	_ = c.SetReadDeadline(at) // cannot fail
 	return c.SetWriteDeadline(at)
 }
 
-// SetReadDeadline bounds reads, also those under way.
+// SetReadDeadline sets the deadline of reads, including those in progress.
 func (c *eventConn) SetReadDeadline(at time.Time) error {
-	return c.setDeadline(&c.readEnd, at)
+	return c.setDeadline(&c.readDeadline, at)
 }
 
-// SetWriteDeadline bounds writes, also those under way.
+// SetWriteDeadline sets the deadline of writes, including those in progress.
 func (c *eventConn) SetWriteDeadline(at time.Time) error {
-	return c.setDeadline(&c.writeEnd, at)
+	return c.setDeadline(&c.writeDeadline, at)
 }
 
-func (c *eventConn) setDeadline(of *deadline, at time.Time) error {
+func (c *eventConn) setDeadline(d *deadline, at time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	of.set(at, c.wake)
-	c.changed.Broadcast()
+	d.set(at, c.wake)
+	c.cond.Broadcast()
 	return nil
 }
 
-// arrived keeps bytes for Read, and says whether there is room for more.
-func (c *eventConn) arrived(data []byte) bool {
+// receive buffers bytes for Read, and reports whether the buffer is within its limit.
+func (c *eventConn) receive(data []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unread = append(c.unread, data...)
-	c.changed.Broadcast()
-	return len(c.unread) <= unreadLimit
+	c.cond.Broadcast()
+	return len(c.unread) <= maxUnreadBytes
 }
 
-// events joins an event loop to its connections.
-type events struct {
+// eventHandler passes the events of a gnet engine to its connections.
+type eventHandler struct {
 	gnet.BuiltinEventEngine
 	booted chan gnet.Engine
-	opened func(*eventConn)
+	onOpen func(*eventConn)
 }
 
-// OnBoot hands the engine on.
-func (e *events) OnBoot(engine gnet.Engine) gnet.Action {
+// OnBoot passes the started engine on.
+func (e *eventHandler) OnBoot(engine gnet.Engine) gnet.Action {
 	e.booted <- engine
 	return gnet.None
 }
 
-// OnOpen joins a new connection to its net.Conn.
-func (e *events) OnOpen(raw gnet.Conn) ([]byte, gnet.Action) {
+// OnOpen links a new connection to its eventConn, which exists already if this side
+// dialed.
+func (e *eventHandler) OnOpen(raw gnet.Conn) ([]byte, gnet.Action) {
 	c, ok := raw.Context().(*eventConn)
 	if !ok {
 		c = newEventConn(raw.LocalAddr(), raw.RemoteAddr())
 		raw.SetContext(c)
 	}
 	c.raw = raw
-	if e.opened != nil {
-		e.opened(c)
+	if e.onOpen != nil {
+		e.onOpen(c)
 	}
 	return nil, gnet.None
 }
 
-// OnTraffic takes what arrived.
-func (e *events) OnTraffic(raw gnet.Conn) gnet.Action {
+// OnTraffic passes received bytes to the connection, and closes it if too many are
+// unread.
+func (e *eventHandler) OnTraffic(raw gnet.Conn) gnet.Action {
 	c, ok := raw.Context().(*eventConn)
 	if !ok {
 		return gnet.Close
 	}
-	data, _ := raw.Next(-1) // all there is: it cannot fail
-	if !c.arrived(data) {
+	data, _ := raw.Next(-1) // everything available; cannot fail
+	if !c.receive(data) {
 		return gnet.Close
 	}
 	return gnet.None
 }
 
-// OnClose tells the end of a connection.
-func (e *events) OnClose(raw gnet.Conn, _ error) gnet.Action {
+// OnClose reports the end of the socket to the connection.
+func (e *eventHandler) OnClose(raw gnet.Conn, _ error) gnet.Action {
 	if c, ok := raw.Context().(*eventConn); ok {
-		c.move(eventGone)
+		c.transition(eventSocketClosed)
 	}
 	return gnet.None
 }
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -1,5 +1,3 @@
-// The adapter under net/http: exchanges both ways, and errors that tell
-// whether a byte may have left.
 package conn
 
 import (
@@ -18,16 +16,19 @@
 	"github.com/matryer/is"
 )
 
-func freeAddr(is *is.I) string {
+// unusedAddr returns a local address that nothing listens on.
+func unusedAddr(is *is.I) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
 	return listener.Addr().String()
 }
 
-func TestExchangesOverGnet(t *testing.T) {
+// Concurrent requests with large bodies are replied to completely, and a failed
+// connection attempt is reported as not sent.
+func TestRequestsOverGnet(t *testing.T) {
 	is := is.New(t)
-	addr := freeAddr(is)
+	addr := unusedAddr(is)
 	listener, err := Listen(addr)
 	is.NoErr(err)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -35,57 +36,61 @@
 		_, _ = w.Write(append([]byte(r.Header.Get("Fordseam-Within-Ms")+" "), body...))
 	})}
 	go func() { _ = server.Serve(listener) }()
-	wire, err := NewClient(func() {})
+	client, err := NewClient(func() {})
 	is.NoErr(err)
-	defer wire.Close()
+	defer client.Close()
 	clock := base.NewRealClock()
-	big := strings.Repeat("x", 3<<20)
+	large := strings.Repeat("x", 3<<20)
 	var group sync.WaitGroup
 	for range 8 {
 		group.Add(1)
 		go func() {
 			defer group.Done()
 			for range 5 {
-				request, _ := http.NewRequestWithContext(base.NewCtx(clock, 20*time.Second), "POST", "http://"+addr+"/", bytes.NewReader([]byte(big)))
-				response, err := wire.Do(request)
+				request, _ := http.NewRequestWithContext(base.NewCtx(clock, 20*time.Second), "POST", "http://"+addr+"/", bytes.NewReader([]byte(large)))
+				response, err := client.Do(request)
 				if err != nil {
 					t.Error(err)
 					return
 				}
 				body, _ := io.ReadAll(response.Body)
-				if len(body) < len(big) || body[0] == ' ' {
-					t.Errorf("got %d bytes back of %d", len(body), len(big))
+				if len(body) < len(large) || body[0] == ' ' {
+					t.Errorf("got a reply of %d bytes to %d bytes", len(body), len(large))
 				}
 			}
 		}()
 	}
 	group.Wait()
 	is.NoErr(server.Close())
-	request, _ := http.NewRequestWithContext(base.NewCtx(clock, time.Second), "POST", "http://"+freeAddr(is)+"/", nil)
-	_, err = wire.Do(request)
-	is.True(base.WasNotSent(err)) // nothing listens: no byte left
+	request, _ := http.NewRequestWithContext(base.NewCtx(clock, time.Second), "POST", "http://"+unusedAddr(is)+"/", nil)
+	_, err = client.Do(request)
+	is.True(base.WasNotSent(err)) // nothing listens there, so no byte was sent
 }
 
-func TestALostReplyIsNotCalledNotSent(t *testing.T) {
+// A request whose connection is closed before the reply may have been processed, so
+// its error must not say that it was not sent.
+func TestLostReplyIsNotReportedAsNotSent(t *testing.T) {
 	is := is.New(t)
-	addr := freeAddr(is)
+	addr := unusedAddr(is)
 	listener, err := Listen(addr)
 	is.NoErr(err)
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })}
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
-	wire, err := NewClient(func() {})
+	client, err := NewClient(func() {})
 	is.NoErr(err)
-	defer wire.Close()
+	defer client.Close()
 	request, _ := http.NewRequestWithContext(base.NewCtx(base.NewRealClock(), 5*time.Second), "POST", "http://"+addr+"/", strings.NewReader("x"))
-	_, err = wire.Do(request)
+	_, err = client.Do(request)
 	is.True(err != nil)
 	is.True(!base.WasNotSent(err))
 }
 
-func TestReadDeadlineWakesAReader(t *testing.T) {
+// A deadline ends a read in progress; after its removal, reads return data and, once
+// the peer has closed the connection, io.EOF.
+func TestReadDeadlineWakesReader(t *testing.T) {
 	is := is.New(t)
-	addr := freeAddr(is)
+	addr := unusedAddr(is)
 	listener, err := Listen(addr)
 	is.NoErr(err)
 	defer listener.Close()
--- a/internal/conn/generated_test.go
+++ b/internal/conn/generated_test.go
@@ -22,45 +22,45 @@
 	"pgregory.net/rapid"
 )
 
-// behaviour is what the fake partner does with one request.
-type behaviour int
+// peerBehaviour is what the fake peer does with one request.
+type peerBehaviour int
 
 const (
-	answers behaviour = iota
-	answersAndCloses
-	answersShort
-	answersTwice
-	answersTwiceEmpty
-	closesUnread
-	resetsUnread
-	readsAndCloses
-	readsAndResets
-	behaviours
+	replies peerBehaviour = iota
+	repliesThenCloses
+	truncatesReply
+	repliesTwice
+	repliesTwiceEmpty
+	closesWithoutReading
+	resetsWithoutReading
+	readsThenCloses
+	readsThenResets
+	behaviourCount
 )
 
 const (
 	behaviourHeader = "Behaviour"
-	idHeader        = "Request-Id"
+	requestIDHeader = "Request-Id"
 )
 
-// fakePartner answers as each request asks, and counts how often it has read
-// each one whole.
-type fakePartner struct {
+// fakePeer is an HTTP server that treats each request as the request's header asks,
+// and counts how often it has read each one completely.
+type fakePeer struct {
 	listener net.Listener
 
-	// withoutID leaves the message's id out of answers.
-	withoutID bool
+	// omitMessageID omits the message's id from replies.
+	omitMessageID bool
 
-	mu   sync.Mutex
-	read map[string]int
+	mu         sync.Mutex
+	readCounts map[string]int
 }
 
-func newFakePartner(t testing.TB, withoutID bool) *fakePartner {
+func newFakePeer(t testing.TB, omitMessageID bool) *fakePeer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &fakePartner{listener: listener, withoutID: withoutID, read: map[string]int{}}
+	p := &fakePeer{listener: listener, omitMessageID: omitMessageID, readCounts: map[string]int{}}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -74,13 +74,13 @@
 	return p
 }
 
-func (p *fakePartner) timesRead(id string) int {
+func (p *fakePeer) readCount(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.read[id]
+	return p.readCounts[id]
 }
 
-func (p *fakePartner) serve(c *net.TCPConn) {
+func (p *fakePeer) serve(c *net.TCPConn) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
 	for {
@@ -88,9 +88,9 @@
 		if err != nil {
 			return
 		}
-		asked, _ := strconv.Atoi(request.Header.Get(behaviourHeader))
-		if how := behaviour(asked); how == closesUnread || how == resetsUnread {
-			if how == resetsUnread {
+		requested, _ := strconv.Atoi(request.Header.Get(behaviourHeader))
+		if behaviour := peerBehaviour(requested); behaviour == closesWithoutReading || behaviour == resetsWithoutReading {
+			if behaviour == resetsWithoutReading {
 				_ = c.SetLinger(0)
 			}
 			return
@@ -99,64 +99,65 @@
 		if err != nil {
 			return
 		}
-		id := request.Header.Get(idHeader)
+		id := request.Header.Get(requestIDHeader)
 		p.mu.Lock()
-		p.read[id]++
+		p.readCounts[id]++
 		p.mu.Unlock()
-		if !p.answer(c, behaviour(asked), request.Header.Get(base.MessageIDHeader), body) {
+		if !p.reply(c, peerBehaviour(requested), request.Header.Get(base.MessageIDHeader), body) {
 			return
 		}
 	}
 }
 
-// answer says whether the connection goes on.
-func (p *fakePartner) answer(c *net.TCPConn, how behaviour, message string, body []byte) bool {
-	head := "HTTP/1.1 200 OK\r\n"
-	if !p.withoutID {
-		head += base.MessageIDHeader + ": " + message + "\r\n"
+// reply replies to a request and reports whether the connection stays open.
+func (p *fakePeer) reply(c *net.TCPConn, behaviour peerBehaviour, messageID string, body []byte) bool {
+	header := "HTTP/1.1 200 OK\r\n"
+	if !p.omitMessageID {
+		header += base.MessageIDHeader + ": " + messageID + "\r\n"
 	}
-	whole := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
-	switch how {
-	case answers:
-		_, err := io.WriteString(c, whole)
+	complete := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", header, len(body), body)
+	switch behaviour {
+	case replies:
+		_, err := io.WriteString(c, complete)
 		return err == nil
-	case answersTwice:
-		_, err := io.WriteString(c, whole+whole)
+	case repliesTwice:
+		_, err := io.WriteString(c, complete+complete)
 		return err == nil
-	case answersTwiceEmpty:
-		empty := head + "Content-Length: 0\r\n\r\n"
+	case repliesTwiceEmpty:
+		empty := header + "Content-Length: 0\r\n\r\n"
 		_, err := io.WriteString(c, empty+empty)
 		return err == nil
-	case answersAndCloses:
-		_, _ = io.WriteString(c, whole)
-	case answersShort:
-		_, _ = io.WriteString(c, whole[:len(whole)-1])
-	case readsAndResets:
+	case repliesThenCloses:
+		_, _ = io.WriteString(c, complete)
+	case truncatesReply:
+		_, _ = io.WriteString(c, complete[:len(complete)-1])
+	case readsThenResets:
 		_ = c.SetLinger(0)
 	}
 	return false
 }
 
-func newTestWire(t testing.TB) *Client {
-	log.SetOutput(io.Discard) // net/http tells of each surplus answer
+func newTestClient(t testing.TB) *Client {
+	log.SetOutput(io.Discard) // net/http logs each unsolicited response
 	t.Cleanup(func() { log.SetOutput(os.Stderr) })
-	wire, err := NewClient(func() {})
+	client, err := NewClient(func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(wire.Close)
-	return wire
+	t.Cleanup(client.Close)
+	return client
 }
 
-func ask(wire *Client, addr, id string, how behaviour, body []byte) (string, error) {
+// post sends a request and returns the body of the reply.
+func post(client *Client, addr, id string, behaviour peerBehaviour, body []byte) (string, error) {
 	ctx := base.NewCtx(base.NewRealClock(), 20*time.Second)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/", bytes.NewReader(body))
 	if err != nil {
 		return "", err
 	}
-	request.Header.Set(idHeader, id)
-	request.Header.Set(behaviourHeader, strconv.Itoa(int(how)))
-	response, err := wire.Do(request)
+	request.Header.Set(requestIDHeader, id)
+	request.Header.Set(behaviourHeader, strconv.Itoa(int(behaviour)))
+	response, err := client.Do(request)
 	if err != nil {
 		return "", err
 	}
@@ -164,100 +165,101 @@
 	return string(got), err
 }
 
-// plan is what several tasks ask of one partner, each one after the other.
-type plan struct {
-	lanes   [][]behaviour
-	padding int
+// requestPlan holds sequences of requests to one peer. The sequences run concurrently.
+type requestPlan struct {
+	sequences [][]peerBehaviour
+	padding   int
 }
 
-var plans = rapid.Custom(func(t *rapid.T) plan {
-	how := rapid.Custom(func(t *rapid.T) behaviour {
-		return behaviour(rapid.IntRange(0, int(behaviours)-1).Draw(t, "behaviour"))
+var requestPlans = rapid.Custom(func(t *rapid.T) requestPlan {
+	behaviour := rapid.Custom(func(t *rapid.T) peerBehaviour {
+		return peerBehaviour(rapid.IntRange(0, int(behaviourCount)-1).Draw(t, "behaviour"))
 	})
-	lanes := rapid.SliceOfN(rapid.SliceOfN(how, 1, 6), 1, 4).Draw(t, "lanes")
-	return plan{lanes: lanes, padding: rapid.SampledFrom([]int{0, 100, 20 << 10}).Draw(t, "padding")}
+	sequences := rapid.SliceOfN(rapid.SliceOfN(behaviour, 1, 6), 1, 4).Draw(t, "lanes")
+	return requestPlan{sequences: sequences, padding: rapid.SampledFrom([]int{0, 100, 20 << 10}).Draw(t, "padding")}
 })
 
-var played atomic.Int64
+var planCount atomic.Int64
 
-// play carries a plan out, and tells the first fault that it finds.
-func play(partner *fakePartner, wire *Client, p plan) string {
-	run := played.Add(1)
-	faults := make(chan string, 100)
+// runPlan runs a plan and returns the first violation found, or "".
+func runPlan(peer *fakePeer, client *Client, p requestPlan) string {
+	planID := planCount.Add(1)
+	violations := make(chan string, 100)
 	var group sync.WaitGroup
-	for lane, steps := range p.lanes {
+	for sequence, steps := range p.sequences {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for step, how := range steps {
-				id := fmt.Sprintf("%d-%d-%d", run, lane, step)
-				if fault := exchange(partner, wire, id, how, p.padding); fault != "" {
-					faults <- fault
+			for step, behaviour := range steps {
+				id := fmt.Sprintf("%d-%d-%d", planID, sequence, step)
+				if violation := postAndCheck(peer, client, id, behaviour, p.padding); violation != "" {
+					violations <- violation
 				}
 			}
 		}()
 	}
 	group.Wait()
-	close(faults)
-	return <-faults
+	close(violations)
+	return <-violations
 }
 
-// exchange asks once, and compares what is told with what the partner saw.
-func exchange(partner *fakePartner, wire *Client, id string, how behaviour, padding int) string {
+// postAndCheck sends a request and compares the result with what the peer has read.
+func postAndCheck(peer *fakePeer, client *Client, id string, behaviour peerBehaviour, padding int) string {
 	body := append([]byte(id), bytes.Repeat([]byte("x"), padding)...)
-	got, err := ask(wire, partner.listener.Addr().String(), id, how, body)
-	switch times := partner.timesRead(id); {
-	case times > 1:
-		return fmt.Sprintf("%s (%d) was read %d times", id, how, times)
-	case err == nil && got != string(body) && how != answersTwiceEmpty:
-		return fmt.Sprintf("%s (%d) got the answer of another", id, how)
-	case err == nil && times == 0:
-		return fmt.Sprintf("%s (%d) was answered but not read", id, how)
-	case err != nil && base.WasNotSent(err) && times > 0:
-		return fmt.Sprintf("%s (%d) was read, but told not to have been sent", id, how)
+	got, err := post(client, peer.listener.Addr().String(), id, behaviour, body)
+	switch reads := peer.readCount(id); {
+	case reads > 1:
+		return fmt.Sprintf("%s (%d) was read %d times", id, behaviour, reads)
+	case err == nil && got != string(body) && behaviour != repliesTwiceEmpty:
+		return fmt.Sprintf("%s (%d) got the reply to another request", id, behaviour)
+	case err == nil && reads == 0:
+		return fmt.Sprintf("%s (%d) was replied to but never read", id, behaviour)
+	case err != nil && base.WasNotSent(err) && reads > 0:
+		return fmt.Sprintf("%s (%d) was read, but reported as not sent", id, behaviour)
 	}
 	return ""
 }
 
-// Whatever a partner does, and however many requests share the connections, a
-// message is read by it at most once, an answer is the message's own, and what
-// is told not to have been sent was read by nobody.
-func TestAMessageIsSentOnce(t *testing.T) {
-	partner := newFakePartner(t, false)
-	wire := newTestWire(t)
+// Whatever a peer does, and however many requests share its connections, it reads each
+// message at most once, a reply belongs to its message, and a message that is reported
+// as not sent was not read.
+func TestMessageIsReadAtMostOnce(t *testing.T) {
+	peer := newFakePeer(t, false)
+	client := newTestClient(t)
 	rapid.Check(t, func(t *rapid.T) {
-		if fault := play(partner, wire, plans.Draw(t, "plan")); fault != "" {
-			t.Fatal(fault)
+		if violation := runPlan(peer, client, requestPlans.Draw(t, "plan")); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
-// finds plays generated plans until one shows a fault. Their messages leave in
-// one write each.
-func finds(partner *fakePartner, wire *Client) string {
+// findViolation runs generated plans until one shows a violation. The requests have no
+// padding, so that each is sent in a single write.
+func findViolation(peer *fakePeer, client *Client) string {
 	for seed := range 300 {
-		p := plans.Example(seed)
+		p := requestPlans.Example(seed)
 		p.padding = 0
-		if fault := play(partner, wire, p); fault != "" {
-			return fault
+		if violation := runPlan(peer, client, p); violation != "" {
+			return violation
 		}
 	}
 	return ""
 }
 
-// Where answers carry no id, some plan gets the answer of another.
-func TestWithoutTheIDAnswersAreMixed(t *testing.T) {
-	partner := newFakePartner(t, true)
-	if finds(partner, newTestWire(t)) == "" {
-		t.Fatal("nothing was found without the id")
+// If replies carry no message id, some request gets the reply to another one. This
+// shows that the check of the id is needed and that the plans would find its absence.
+func TestRepliesAreMixedUpWithoutMessageID(t *testing.T) {
+	peer := newFakePeer(t, true)
+	if findViolation(peer, newTestClient(t)) == "" {
+		t.Fatal("no violation was found without the message id")
 	}
 }
 
-// lyingConn tells that nothing left where the peer has closed meanwhile, as a
-// write would that was queued and not waited for.
-type lyingConn struct{ *eventConn }
+// zeroWriteConn returns 0 from a write if the peer closes the connection before it
+// replies, like a connection whose writes are queued and not waited for.
+type zeroWriteConn struct{ *eventConn }
 
-func (c lyingConn) Write(data []byte) (int, error) {
+func (c zeroWriteConn) Write(data []byte) (int, error) {
 	n, err := c.eventConn.Write(data)
 	if err != nil {
 		return n, err
@@ -265,7 +267,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.unread) == 0 && c.state == stateOpen {
-		c.changed.Wait()
+		c.cond.Wait()
 	}
 	if c.state != stateOpen {
 		return 0, net.ErrClosed
@@ -273,93 +275,93 @@
 	return n, nil
 }
 
-// Where a write that was queued tells 0 bytes, the HTTP client sends some
-// message twice: a write's word is what keeps it from that.
-func TestWithoutTheWritesWordAMessageIsRepeated(t *testing.T) {
-	partner := newFakePartner(t, false)
-	wire := newTestWire(t)
-	transport := wire.http.Transport.(*http.Transport)
+// If a write returns 0 although its data were sent, the HTTP client repeats some
+// message. This shows that the result of Write is what prevents it.
+func TestMessageIsRepeatedIfWriteReportsZeroBytes(t *testing.T) {
+	peer := newFakePeer(t, false)
+	client := newTestClient(t)
+	transport := client.httpClient.Transport.(*http.Transport)
 	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		dialed, err := wire.dial(ctx, network, addr)
+		dialed, err := client.dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return lyingConn{dialed.(*eventConn)}, nil
+		return zeroWriteConn{dialed.(*eventConn)}, nil
 	}
-	if finds(partner, wire) == "" {
-		t.Fatal("nothing was found without the write's word")
+	if findViolation(peer, client) == "" {
+		t.Fatal("no violation was found with writes that return 0")
 	}
 }
 
-// A kept connection that the partner resets after it has read a message: the
-// HTTP client does not send the message again by itself.
-func TestAResetOfAKeptConnectionRepeatsNothing(t *testing.T) {
+// If the peer resets or closes a pooled connection after reading a message, the HTTP
+// client does not repeat the message.
+func TestResetOfPooledConnectionRepeatsNothing(t *testing.T) {
 	is := is.New(t)
-	partner := newFakePartner(t, false)
-	addr := partner.listener.Addr().String()
-	wire := newTestWire(t)
-	_, err := ask(wire, addr, "first", answers, []byte("x"))
+	peer := newFakePeer(t, false)
+	addr := peer.listener.Addr().String()
+	client := newTestClient(t)
+	_, err := post(client, addr, "first", replies, []byte("x"))
 	is.NoErr(err)
-	for _, how := range []behaviour{readsAndResets, readsAndCloses} {
-		id := fmt.Sprint("second", how)
-		_, err = ask(wire, addr, id, how, []byte("y"))
+	for _, behaviour := range []peerBehaviour{readsThenResets, readsThenCloses} {
+		id := fmt.Sprint("second", behaviour)
+		_, err = post(client, addr, id, behaviour, []byte("y"))
 		is.True(err != nil)
 		is.True(!base.WasNotSent(err))
-		is.Equal(partner.timesRead(id), 1)
-		_, err = ask(wire, addr, fmt.Sprint("third", how), answers, []byte("z"))
+		is.Equal(peer.readCount(id), 1)
+		_, err = post(client, addr, fmt.Sprint("third", behaviour), replies, []byte("z"))
 		is.NoErr(err)
 	}
 }
 
-// Of a closed connection nothing leaves, whether the close comes before the
-// write or meanwhile: a write that tells 0 bytes left none.
-func TestAWriteThatTellsNothingLeftNothing(t *testing.T) {
+// If a connection is closed before or during a write that returns 0, the peer receives
+// no byte of it.
+func TestWriteReportingZeroBytesSentNothing(t *testing.T) {
 	is := is.New(t)
-	wire := newTestWire(t)
+	client := newTestClient(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
-	for round := range 300 {
-		dialed, err := wire.dial(t.Context(), "tcp", listener.Addr().String())
+	for i := range 300 {
+		dialed, err := client.dial(t.Context(), "tcp", listener.Addr().String())
 		is.NoErr(err)
 		accepted, err := listener.Accept()
 		is.NoErr(err)
 		closed := make(chan struct{})
-		closing := func() {
+		closeConn := func() {
 			_ = dialed.Close()
 			close(closed)
 		}
-		if round%2 == 0 {
-			closing()
+		if i%2 == 0 {
+			closeConn()
 		} else {
-			go closing()
+			go closeConn()
 		}
-		told, _ := dialed.Write([]byte("message"))
+		reported, _ := dialed.Write([]byte("message"))
 		<-closed
 		arrived, err := io.ReadAll(accepted)
 		is.NoErr(err)
-		if told < len(arrived) {
-			t.Fatalf("round %d: %d bytes were told to have left, and %d arrived", round, told, len(arrived))
+		if reported < len(arrived) {
+			t.Fatalf("round %d: %d bytes were reported as sent, but %d arrived", i, reported, len(arrived))
 		}
 		_ = accepted.Close()
 	}
 }
 
-// The moves of a connection, and that none leads back.
-func TestStatesNeverGoBack(t *testing.T) {
+// Lists all transitions of a connection. None leads back to an earlier state.
+func TestStateTransitions(t *testing.T) {
 	is := is.New(t)
 	for _, row := range []struct {
-		from state
-		on   event
-		to   state
+		from  state
+		event event
+		to    state
 	}{
-		{stateOpen, eventClose, stateClosing},
-		{stateOpen, eventGone, stateClosed},
-		{stateClosing, eventClose, stateClosing},
-		{stateClosing, eventGone, stateClosed},
-		{stateClosed, eventClose, stateClosed},
-		{stateClosed, eventGone, stateClosed},
+		{stateOpen, eventLocalClose, stateClosing},
+		{stateOpen, eventSocketClosed, stateClosed},
+		{stateClosing, eventLocalClose, stateClosing},
+		{stateClosing, eventSocketClosed, stateClosed},
+		{stateClosed, eventLocalClose, stateClosed},
+		{stateClosed, eventSocketClosed, stateClosed},
 	} {
-		is.Equal(row.from.next(row.on), row.to)
+		is.Equal(row.from.next(row.event), row.to)
 	}
 }
--- a/internal/conn/state.go
+++ b/internal/conn/state.go
@@ -1,15 +1,16 @@
 package conn
 
-// state is where a connection between two nodes stands. Only next moves it.
+// state is the state of a connection between two nodes. It changes only by next.
 type state uint8
 
 const (
 	// stateOpen carries bytes both ways.
 	stateOpen state = iota
-	// stateClosing was closed by this side. Bytes that were handed to the event
-	// loop before may still leave; nothing new is taken.
+	// stateClosing means that this side has closed the connection. Bytes that were
+	// queued in the event loop before may still be sent; no new ones are accepted.
 	stateClosing
-	// stateClosed is over for the event loop as well: nothing leaves any more.
+	// stateClosed means that the event loop has closed the socket as well, so nothing
+	// more is sent.
 	stateClosed
 )
 
@@ -25,21 +26,22 @@
 	return "unknown"
 }
 
-// event is what happens to a connection.
+// event is an event that changes a connection's state.
 type event uint8
 
 const (
-	// eventClose is a Close by this side.
-	eventClose event = iota
-	// eventGone is the event loop's word that the socket is closed, by the peer,
-	// by a failure or after a Close.
-	eventGone
+	// eventLocalClose is a call of Close by this side.
+	eventLocalClose event = iota
+	// eventSocketClosed means that the event loop has closed the socket: the peer
+	// closed it, it failed, or Close was called before.
+	eventSocketClosed
 )
 
-// next gives the state after an event. A connection never goes back.
+// next returns the state after an event. A connection never returns to an earlier
+// state.
 func (s state) next(e event) state {
 	switch {
-	case e == eventGone:
+	case e == eventSocketClosed:
 		return stateClosed
 	case s == stateOpen:
 		return stateClosing
@@ -47,23 +49,24 @@
 	return s
 }
 
-// writeState is what became of one Write.
-type writeState uint8
+// writeOutcome is the outcome of one Write.
+type writeOutcome uint8
 
 const (
-	// writeQueued waits for the event loop: its bytes may leave at any moment.
-	writeQueued writeState = iota
-	// writeTaken was accepted by the socket.
-	writeTaken
-	// writeRefused failed, and none of its bytes left.
-	writeRefused
+	// writePending means that the data are still queued in the event loop and may be
+	// sent at any time.
+	writePending writeOutcome = iota
+	// writeAccepted means that the socket has accepted the data.
+	writeAccepted
+	// writeNotSent means that the write failed and no byte was sent.
+	writeNotSent
 )
 
-// written is how many of a write's bytes may have left. net/http sends a
-// request once more on another connection when it hears of none, so none is
-// told only where that is certain.
-func (w writeState) written(length int) int {
-	if w == writeRefused {
+// possiblySent returns how many bytes of a write of this length may have been sent.
+// net/http repeats a request on another connection if a write returned 0, so the result
+// is 0 only if it is certain that nothing was or will be sent.
+func (o writeOutcome) possiblySent(length int) int {
+	if o == writeNotSent {
 		return 0
 	}
 	return length
--- /dev/null
+++ b/internal/conn/transport.go
@@ -0,0 +1,200 @@
+package conn
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"fordseam/internal/base"
+
+	"github.com/apex/log"
+	"github.com/juju/errors"
+	"github.com/panjf2000/gnet/v2"
+)
+
+// gnetLogger writes gnet's messages to the log at debug level, fatal ones at error
+// level.
+type gnetLogger struct{}
+
+func (gnetLogger) Debugf(format string, args ...any) { log.Debugf(format, args...) }
+func (gnetLogger) Infof(format string, args ...any)  { log.Debugf(format, args...) }
+func (gnetLogger) Warnf(format string, args ...any)  { log.Debugf(format, args...) }
+func (gnetLogger) Errorf(format string, args ...any) { log.Debugf(format, args...) }
+func (gnetLogger) Fatalf(format string, args ...any) { log.Errorf(format, args...) }
+
+// listener is a net.Listener over a gnet engine.
+type listener struct {
+	engine   gnet.Engine
+	addr     net.Addr
+	accepted chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
+}
+
+// Listen listens on an address of the form ip:port. Connections beyond the backlog of
+// those not yet accepted are closed.
+func Listen(addr string) (net.Listener, error) {
+	parsed, err := net.ResolveTCPAddr("tcp", addr)
+	if err != nil {
+		return nil, errors.Annotatef(err, "invalid listen address %q", addr)
+	}
+	l := &listener{addr: parsed, accepted: make(chan net.Conn, 256), closed: make(chan struct{})}
+	handler := &eventHandler{booted: make(chan gnet.Engine, 1)}
+	handler.onOpen = func(c *eventConn) {
+		select {
+		case l.accepted <- c:
+		default:
+			_ = c.raw.Close()
+		}
+	}
+	runErr := make(chan error, 1)
+	go func() {
+		runErr <- gnet.Run(handler, "tcp://"+addr, gnet.WithNumEventLoop(2), gnet.WithLogger(gnetLogger{}),
+			gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReuseAddr(true))
+	}()
+	select {
+	case l.engine = <-handler.booted:
+		return l, nil
+	case err := <-runErr:
+		return nil, errors.Annotatef(err, "cannot listen on %s", addr)
+	}
+}
+
+func (l *listener) Accept() (net.Conn, error) {
+	select {
+	case accepted := <-l.accepted:
+		return accepted, nil
+	case <-l.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *listener) Close() error {
+	l.once.Do(func() {
+		close(l.closed)
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		defer cancel()
+		_ = l.engine.Stop(ctx)
+	})
+	return nil
+}
+
+func (l *listener) Addr() net.Addr { return l.addr }
+
+// errWrongReply means that a reply has the id of another message.
+var errWrongReply = errors.New("the reply belongs to another message")
+
+// errReplyTooLarge means that a reply was not read to its end.
+var errReplyTooLarge = errors.New("the reply exceeds the size limit")
+
+// connectTimeout bounds the time to establish a connection. A machine without power
+// does not answer at all, so callers would otherwise wait for their whole deadline.
+var connectTimeout = base.DefaultBounds().Recover / 48
+
+// Client is the HTTP client that twirp's clients use between nodes.
+type Client struct {
+	gnetClient *gnet.Client
+	httpClient *http.Client
+	onSend     func() // called for each message
+
+	lastMessageID atomic.Uint64
+}
+
+// NewClient starts an event loop and returns a client. It calls onSend for each
+// message.
+func NewClient(onSend func()) (*Client, error) {
+	handler := &eventHandler{booted: make(chan gnet.Engine, 1)}
+	gnetClient, err := gnet.NewClient(handler, gnet.WithNumEventLoop(2), gnet.WithLogger(gnetLogger{}), gnet.WithTCPNoDelay(gnet.TCPNoDelay))
+	if err != nil {
+		return nil, errors.Trace(err)
+	}
+	if err := gnetClient.Start(); err != nil {
+		return nil, errors.Trace(err)
+	}
+	c := &Client{gnetClient: gnetClient, onSend: onSend}
+	transport := &http.Transport{
+		DialContext:         c.dial,
+		MaxIdleConnsPerHost: 32,
+		IdleConnTimeout:     30 * time.Second,
+		DisableCompression:  true,
+	}
+	c.httpClient = &http.Client{Transport: transport}
+	return c, nil
+}
+
+// dial establishes a connection. Its errors say that nothing was sent.
+func (c *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: connectTimeout}
+	tcpConn, err := dialer.DialContext(ctx, network, addr)
+	if err != nil {
+		return nil, &base.NotSent{Cause: err}
+	}
+	conn := newEventConn(tcpConn.LocalAddr(), tcpConn.RemoteAddr())
+	if _, err := c.gnetClient.EnrollContext(tcpConn, conn); err != nil {
+		_ = tcpConn.Close()
+		return nil, &base.NotSent{Cause: err}
+	}
+	if conn.raw == nil {
+		return nil, &base.NotSent{Cause: net.ErrClosed}
+	}
+	return conn, nil
+}
+
+// Do sends one message and reads the complete reply, so that the context's deadline
+// covers the body as well. The reply must have the message's id: a reply left over on a
+// pooled connection would otherwise be taken for the reply to the next message.
+func (c *Client) Do(request *http.Request) (*http.Response, error) {
+	ctx, ok := request.Context().Value(base.CtxKey).(*base.Ctx)
+	timeLeft := 10 * time.Second
+	if ok {
+		timeLeft = ctx.Left()
+	}
+	if timeLeft <= 0 {
+		return nil, &base.NotSent{Cause: context.DeadlineExceeded}
+	}
+	base.StampRequest(request, timeLeft)
+	id := strconv.FormatUint(c.lastMessageID.Add(1), 36)
+	request.Header.Set(base.MessageIDHeader, id)
+	c.onSend()
+	httpCtx, cancel := context.WithTimeout(request.Context(), timeLeft)
+	defer cancel()
+	response, err := c.httpClient.Do(request.WithContext(httpCtx))
+	if err != nil {
+		return nil, err
+	}
+	defer response.Body.Close()
+	// A node of an earlier version does not return the id.
+	if got := response.Header.Get(base.MessageIDHeader); got != "" && got != id {
+		c.discardConnection(response)
+		return nil, errWrongReply
+	}
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxUnreadBytes))
+	if err != nil {
+		return nil, err
+	}
+	if len(body) == maxUnreadBytes {
+		return nil, errReplyTooLarge
+	}
+	response.Body = io.NopCloser(bytes.NewReader(body))
+	return response, nil
+}
+
+// discardConnection closes the connection that a reply came on. If the reply has no
+// body, the HTTP client may have pooled the connection already, so all idle
+// connections are closed.
+func (c *Client) discardConnection(response *http.Response) {
+	_ = response.Body.Close() // the body is unread, so the HTTP client closes the connection
+	c.httpClient.CloseIdleConnections()
+}
+
+// Close closes the idle connections and ends the event loop.
+func (c *Client) Close() {
+	c.httpClient.CloseIdleConnections()
+	_ = c.gnetClient.Stop()
+}
