--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -18,14 +18,14 @@
 	"github.com/matryer/is"
 )
 
-func tenantShape() Shape {
+func shapeWithTenants() Shape {
 	shape := SmallShape()
-	shape.Settings = strings.Replace(tenantTree(nil), `"team":"clerks","sites":{"main":{`, `"team":"clerks","sites":{"main":{"hosts":["pay.example"],`, 1)
+	shape.Settings = strings.Replace(tenantSettings(nil), `"team":"clerks","sites":{"main":{`, `"team":"clerks","sites":{"main":{"hosts":["pay.example"],`, 1)
 	return shape
 }
 
-func TestAccessCommandsNameWhatIsWrong(t *testing.T) {
-	script(t, tenantShape(), func(is *is.I, f *Fleet, call *talker) {
+func TestAccessCommandsReportInvalidFields(t *testing.T) {
+	script(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(3 * time.Second)
 		read := func(path string, query map[string]string) (int, string) {
 			status, answer := f.OperatorRequestWithQuery(f.Cores[1], "GET", "/v1/operator/access"+path, query, nil)
@@ -69,7 +69,7 @@
 			is.Equal(status, 400)
 			is.True(strings.Contains(string(raw), "$.groups.dukabora.sites.main.routes.chat.model"))
 		}
-		status, _ = f.apply("wrong", 1, json.RawMessage(wrong))
+		status, _ = f.applySettings("wrong", 1, json.RawMessage(wrong))
 		is.Equal(status, 400)
 		_, raw = f.OperatorRequest(f.Cores[1], "GET", "/v1/operator/settings", nil)
 		is.True(strings.Contains(string(raw), `"stamp":1,`)) // nothing changed
@@ -77,19 +77,19 @@
 }
 
 // A change of the rules on top of one that is not in force yet is refused; other
-// changes are not.
-func TestOneChangeOfAccessAtATime(t *testing.T) {
-	script(t, tenantShape(), func(is *is.I, f *Fleet, call *talker) {
+// changeNumber are not.
+func TestOverlappingAccessChangeIsRejected(t *testing.T) {
+	script(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(3 * time.Second)
 		f.Gateways[2].Host.Freeze() // so that the change takes as long as a permit
 		call.sleep(100 * time.Millisecond)
 		denied := strings.Replace(f.Shape.Settings, `"tills":{"models":["checkout"]`, `"tills":{"models":["checkout"],"deny":["checkout"]`, 1)
-		status, _ := f.apply("first-change", 1, json.RawMessage(denied))
+		status, _ := f.applySettings("first-change", 1, json.RawMessage(denied))
 		is.Equal(status, 200)
-		status, raw := f.apply("second-change", 2, json.RawMessage(f.Shape.Settings))
+		status, raw := f.applySettings("second-change", 2, json.RawMessage(f.Shape.Settings))
 		is.Equal(status, 409)
 		is.True(strings.Contains(string(raw), "access_changing"))
-		status, _ = f.apply("another-value", 2, json.RawMessage(strings.Replace(denied, `"max_output_tokens":64`, `"max_output_tokens":32`, 1)))
+		status, _ = f.applySettings("another-value", 2, json.RawMessage(strings.Replace(denied, `"max_output_tokens":64`, `"max_output_tokens":32`, 1)))
 		is.Equal(status, 200)
 		call.sleep(base.DefaultBounds().Permit() + base.DefaultBounds().Beat())
 		_, raw = f.OperatorRequest(f.Cores[0], "GET", "/v1/operator/access", nil)
@@ -98,8 +98,8 @@
 	})
 }
 
-func TestTheOperatorsRoutesHoldTheRules(t *testing.T) {
-	script(t, tenantShape(), func(is *is.I, f *Fleet, call *talker) {
+func TestOperatorRoutesEnforceAccessRules(t *testing.T) {
+	script(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *talker) {
 		table := &route.Table{Version: 1, Services: map[string]*route.Service{"llm": {Name: "llm", Engine: &route.Engine{Slots: 1}}, "app": {Name: "app"}},
 			Routes: []route.Route{{Name: "ask", Host: "pay.example", Prefix: "/ask/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}},
 				{Name: "post", Host: "pay.example", Prefix: "/post/", Timeout: time.Second, Shares: []route.Share{{Service: "app", Weight: 1}}},
@@ -141,7 +141,7 @@
 // Where no teams are set, a gateway that cannot confirm anything still serves
 // the operator's routes, tells the cores nothing of itself, and asks for no
 // confirmation.
-func TestWithoutRulesNothingChanges(t *testing.T) {
+func TestGatewaysServeWithoutAccessRules(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(2 * time.Second)
 		edge := f.Gateways[0]
--- a/internal/simulate/campaign.go
+++ b/internal/simulate/campaign.go
@@ -1,5 +1,5 @@
 // A campaign runs scenarios over many seeds and sizes, across processors. Each
-// run stands by itself, so the report is the same however many run at once.
+// result stands by itself, so the report is the same however many run at once.
 
 package simulate
 
--- a/internal/simulate/manychanges.go
+++ b/internal/simulate/changestream.go
@@ -1,6 +1,6 @@
 // Many changes: a fleet takes one configuration after another while members are
 // killed, wiped, cut off and slowed, and each one that comes back must be
-// current within a bound, however many changes it missed. What it took, and
+// currentVersion within a bound, however many changes it missed. What it took, and
 // what the fleet holds in memory and on its disks, is told by the number of
 // changes.
 
@@ -84,7 +84,7 @@
 	// BytesPerChange a change between machines, since the figures before.
 	BytesPerChange int
 	// MaxDiskBytes are the fullest disk's files, KeptBytes the most that the owners
-	// kept in memory of content and changes, Keys those of the feed.
+	// maxMemory in memory of content and changes, Keys those of the feed.
 	MaxDiskBytes, MaxMemoryBytes, FeedKeys int
 }
 
@@ -98,41 +98,41 @@
 	Breaches     []string
 }
 
-// changesRun is one run under way.
-type changesRun struct {
-	plan    ChangeStreamPlan
-	fleet   *Fleet
-	report  *ChangeStreamReport
-	rng     *rand.Rand
-	tail    []byte
-	version uint64 // acknowledged
-	changes int
-	returns []MemberRecovery
-	sent    int
-	sentAt  int
-	over    bool
-	busy    int // troubles under way
-	kept    int // the most that owners kept in memory since the last figures
+// changeStream is one run under way.
+type changeStream struct {
+	plan           ChangeStreamPlan
+	fleet          *Fleet
+	report         *ChangeStreamReport
+	rng            *rand.Rand
+	documentSuffix []byte
+	ackedVersion   uint64 // acknowledged
+	changeNumber   int
+	recoveries     []MemberRecovery
+	bytesSent      int
+	sampledAt      int
+	done           bool
+	activeFaults   int // troubles under way
+	maxMemory      int // the most that owners kept in memory since the last figures
 }
 
-const changesTick = 5 * time.Millisecond
+const changeStreamPoll = 5 * time.Millisecond
 
 // RunChangeStream plays a plan with a seed.
 func RunChangeStream(seed uint64, plan ChangeStreamPlan) *ChangeStreamReport {
 	shape := Shape{Name: plan.Name, Group: "g", Zones: 4, Edges: plan.Gateways, Cores: plan.Cores, Storage: plan.Storage,
 		Tolerate: plan.FaultTolerance, Found: true, Capacity: 1, Pieces: 1, Settings: DefaultSettings}
-	f := layFleet(seed, shape)
+	f := buildFleet(seed, shape)
 	defer f.World.Close()
-	r := &changesRun{plan: plan, fleet: f, rng: rand.New(rand.NewPCG(seed, 0xc4a9)), report: &ChangeStreamReport{Plan: plan, Seed: seed}}
-	r.tail = r.documentTail()
+	r := &changeStream{plan: plan, fleet: f, rng: rand.New(rand.NewPCG(seed, 0xc4a9)), report: &ChangeStreamReport{Plan: plan, Seed: seed}}
+	r.documentSuffix = r.buildDocumentSuffix()
 	f.Net.BytesPerSecond = plan.BytesPerSecond
-	f.equip = func(_ *Machine, env *node.Env, place *node.Place) {
+	f.configure = func(_ *Machine, env *node.Env, place *node.Place) {
 		place.Bounds = base.DefaultBounds()
 		env.Names = &platform.Names
 	}
-	f.begins = func(m *Machine) {
+	f.onBuilt = func(m *Machine) {
 		if m.gateway != nil {
-			m.gateway.Table = versionOnly
+			m.gateway.Table = parseVersionOnly
 		}
 	}
 	if plan.Prepare != nil {
@@ -141,20 +141,20 @@
 	for _, m := range f.All() {
 		f.Start(m)
 	}
-	f.CallerHost.Go(r.play)
-	if !f.World.Run(time.Hour+time.Duration(plan.Changes)*20*plan.Interval, func() bool { return r.over }) {
-		r.breach("the run did not come to its end")
+	f.CallerHost.Go(r.run)
+	if !f.World.Run(time.Hour+time.Duration(plan.Changes)*20*plan.Interval, func() bool { return r.done }) {
+		r.addBreach("the run did not come to its end")
 	}
 	r.report.Breaches = append(r.report.Breaches, f.Tally.Breaches...)
 	return r.report
 }
 
-// documentHead is what stands before the version in a document.
-const documentHead = `{"generation":`
+// documentPrefix is what stands before the version in a document.
+const documentPrefix = `{"generation":`
 
-// documentTail is the part of a configuration that follows its version. The
+// buildDocumentSuffix is the part of a configuration that follows its version. The
 // padding does not compress below the bytes that the plan asks for.
-func (r *changesRun) documentTail() []byte {
+func (r *changeStream) buildDocumentSuffix() []byte {
 	var out bytes.Buffer
 	out.WriteString(`,"routes":[`)
 	for place := range r.plan.Routes {
@@ -172,100 +172,100 @@
 	return out.Bytes()
 }
 
-// versionOnly reads the version that stands at a document's head; gateways of
+// parseVersionOnly reads the version that stands at a document's head; gateways of
 // this scenario need no more.
-func versionOnly(document []byte) (*route.Table, error) {
-	rest := bytes.TrimPrefix(document, []byte(documentHead))
+func parseVersionOnly(document []byte) (*route.Table, error) {
+	rest := bytes.TrimPrefix(document, []byte(documentPrefix))
 	digits, _, _ := bytes.Cut(rest, []byte(","))
 	version, err := strconv.ParseUint(string(digits), 10, 64)
 	return &route.Table{Version: version}, err
 }
 
-func (r *changesRun) breach(format string, args ...any) {
+func (r *changeStream) addBreach(format string, args ...any) {
 	r.report.Breaches = append(r.report.Breaches, fmt.Sprintf(format, args...))
 }
 
-func (r *changesRun) clock() base.Clock { return r.fleet.CallerHost.Clock() }
+func (r *changeStream) clock() base.Clock { return r.fleet.CallerHost.Clock() }
 
-func (r *changesRun) play() {
-	defer func() { r.over = true }()
+func (r *changeStream) run() {
+	defer func() { r.done = true }()
 	f := r.fleet
-	if f.until(time.Minute, func() bool { return r.put() && f.whole() }) >= time.Minute {
-		r.breach("the fleet did not form")
+	if f.waitUntil(time.Minute, func() bool { return r.submit() && f.diskSetComplete() }) >= time.Minute {
+		r.addBreach("the fleet did not form")
 		return
 	}
 	ended := false
-	f.CallerHost.Go(func() { r.readBack(&ended) })
+	f.CallerHost.Go(func() { r.checkReads(&ended) })
 	switch {
 	case r.plan.LongAbsence:
 		for _, list := range [][]*Machine{f.Storage, f.Cores, f.Gateways} {
-			r.busy++
-			f.CallerHost.Go(func() { r.away(list[r.rng.IntN(len(list))], &ended) })
+			r.activeFaults++
+			f.CallerHost.Go(func() { r.longAbsence(list[r.rng.IntN(len(list))], &ended) })
 		}
 	case !r.plan.NoFaults:
-		f.CallerHost.Go(func() { r.troubles(&ended) })
+		f.CallerHost.Go(func() { r.injectFaults(&ended) })
 	}
-	for r.changes = 1; r.changes <= r.plan.Changes; r.changes++ {
-		if !r.insist() {
-			r.breach("change %d was not acknowledged in a minute", r.changes)
+	for r.changeNumber = 1; r.changeNumber <= r.plan.Changes; r.changeNumber++ {
+		if !r.submitUntilAcked() {
+			r.addBreach("change %d was not acknowledged in a minute", r.changeNumber)
 			break
 		}
-		r.weigh()
-		if slices.Contains(r.plan.SampleAt, r.changes) && r.changes < r.plan.Changes {
-			r.figure()
+		r.sampleMemory()
+		if slices.Contains(r.plan.SampleAt, r.changeNumber) && r.changeNumber < r.plan.Changes {
+			r.takeSample()
 		}
 		r.clock().Sleep(r.plan.Interval)
 	}
 	ended = true
-	f.until(2*time.Minute, func() bool { return r.busy == 0 })
-	r.figure()
-	if took := f.until(time.Minute, func() bool {
-		return f.whole() && r.allCurrent()
+	f.waitUntil(2*time.Minute, func() bool { return r.activeFaults == 0 })
+	r.takeSample()
+	if took := f.waitUntil(time.Minute, func() bool {
+		return f.diskSetComplete() && r.allCurrent()
 	}); took >= time.Minute {
-		r.breach("the fleet is not whole and current a minute after the last trouble")
+		r.addBreach("the fleet is not whole and current a minute after the last trouble")
 	}
 }
 
-// insist sends one change until it is acknowledged.
-func (r *changesRun) insist() bool {
+// retryUntilOK sends one change until it is acknowledged.
+func (r *changeStream) submitUntilAcked() bool {
 	for end := r.fleet.World.Now() + time.Minute; r.fleet.World.Now() < end; r.clock().Sleep(50 * time.Millisecond) {
-		if r.put() {
+		if r.submit() {
 			return true
 		}
 	}
 	return false
 }
 
-// put sends the change that follows the newest one to any core that is up.
-func (r *changesRun) put() bool {
+// submit sends the change that follows the newest one to any core that is up.
+func (r *changeStream) submit() bool {
 	m := r.anyCore()
 	if m == nil {
 		return false
 	}
-	document := append([]byte(fmt.Sprintf("%s%d", documentHead, r.version+1)), r.tail...)
-	change, malformed := route.NewChange(r.version, &route.Table{Version: r.version + 1}, document)
+	document := append([]byte(fmt.Sprintf("%s%d", documentPrefix, r.ackedVersion+1)), r.documentSuffix...)
+	change, malformed := route.NewChange(r.ackedVersion, &route.Table{Version: r.ackedVersion + 1}, document)
 	if malformed != nil {
-		r.breach("change %d is malformed: %v", r.changes, malformed)
+		r.addBreach("change %d is malformed: %v", r.changeNumber, malformed)
 		return false
 	}
-	err, answered := r.ask(m, func(ctx *base.Ctx, core *node.Core) error {
+	err, answered := r.callCore(m, func(ctx *base.Ctx, core *node.Core) error {
 		return route.SubmitChange(ctx, core.Register, change)
 	})
 	switch verdict := base.FromWire(err); {
 	case answered && err == nil:
-		r.version++
+		r.ackedVersion++
 		return true
 	case answered && verdict.Ran == base.NotRun && verdict.Status != 503:
 		r.report.RefusedCount++
-		r.breach("change %d on top of %d was refused: %v", r.changes, r.version, err)
+		r.addBreach("change %d on top of %d was refused: %v", r.changeNumber, r.ackedVersion, err)
 	default:
 		r.report.UnclearCount++
 	}
 	return false
 }
 
-// ask runs a step on a core's machine and waits for its answer.
-func (r *changesRun) ask(m *Machine, step func(ctx *base.Ctx, core *node.Core) error) (err error, answered bool) {
+// rejectableCallLoop runs a step on a core's machine and waits for its answer.
+func (r *changeStream) callCore(m *Machine, step func(ctx *base.Ctx, core *node.Core) error) (err error, answered bool) {
 	bell, core := base.NewBell(r.clock()), m.core
 	m.Host.Go(func() {
 		err = step(base.NewCtx(m.Host.Clock(), core.AnswerWithin()), core)
@@ -278,7 +278,7 @@
 	return err, answered
 }
 
-func (r *changesRun) anyCore() *Machine {
+func (r *changeStream) anyCore() *Machine {
 	up := base.Filter(r.fleet.Cores, func(m *Machine) bool { return m.Host.alive && !m.Host.frozen && m.core != nil })
 	if len(up) == 0 {
 		return nil
@@ -286,29 +286,29 @@
 	return up[r.rng.IntN(len(up))]
 }
 
-// readBack asks one core after another for the configuration: what was
+// checkReads asks one core after another for the configuration: what was
 // acknowledged before the question must be in the answer.
-func (r *changesRun) readBack(ended *bool) {
+func (r *changeStream) checkReads(ended *bool) {
 	for !*ended {
 		r.clock().Sleep(200 * time.Millisecond)
-		m, before := r.anyCore(), r.version
+		m, before := r.anyCore(), r.ackedVersion
 		if m == nil {
 			continue
 		}
 		var found *route.Document
-		err, answered := r.ask(m, func(ctx *base.Ctx, core *node.Core) (err error) {
+		err, answered := r.callCore(m, func(ctx *base.Ctx, core *node.Core) (err error) {
 			found, err = route.ReadDocument(ctx, core.Register)
 			return err
 		})
 		if answered && err == nil && found.Version < before {
-			r.breach("%s gave version %d after %d had been acknowledged", m.Host.Name, found.Version, before)
+			r.addBreach("%s gave version %d after %d had been acknowledged", m.Host.Name, found.Version, before)
 		}
 	}
 }
 
-// troubles bring members down one after another. As many disks as may be lost
+// injectFaults bring members down one after another. As many disks as may be lost
 // are down at once, and the next only once they are back.
-func (r *changesRun) troubles(ended *bool) {
+func (r *changeStream) injectFaults(ended *bool) {
 	f := r.fleet
 	for round := 0; !*ended; round++ {
 		lists := [][]*Machine{f.Storage, f.Cores, f.Gateways}
@@ -319,24 +319,24 @@
 		}
 		for place := range count {
 			m := list[(r.rng.IntN(len(list)/count))*count+place]
-			if owner := r.feedOwner(); owner != nil && list[0].Role == "core" && r.rng.IntN(2) == 0 {
+			if owner := r.feedLeader(); owner != nil && list[0].Role == "core" && r.rng.IntN(2) == 0 {
 				m = owner
 			}
-			r.busy++
+			r.activeFaults++
 			f.CallerHost.Go(func() {
-				r.trouble(m, r.rng.IntN(5))
-				r.busy--
+				r.injectFault(m, r.rng.IntN(5))
+				r.activeFaults--
 			})
 		}
-		for r.busy > 0 {
-			r.clock().Sleep(changesTick)
+		for r.activeFaults > 0 {
+			r.clock().Sleep(changeStreamPoll)
 		}
 		r.clock().Sleep(f.World.Between(0, time.Second))
 	}
 }
 
-// feedOwner is the core that owns the feed's slot.
-func (r *changesRun) feedOwner() *Machine {
+// feedLeader is the core that owns the feed's slot.
+func (r *changeStream) feedLeader() *Machine {
 	for _, m := range r.fleet.Cores {
 		if m.Host.alive && !m.Host.frozen && m.core != nil && m.core.Owner.LeadsFeed() {
 			return m
@@ -345,13 +345,13 @@
 	return nil
 }
 
-var changesTroubles = []string{"killed", "wiped", "without power", "cut off", "slowed"}
+var changeStreamFaults = []string{"killed", "wiped", "without power", "cut off", "slowed"}
 
-// trouble brings one member down for a while and times its return.
-func (r *changesRun) trouble(m *Machine, kind int) {
-	f, before := r.fleet, r.version
+// setWorkerFaultRates brings one member down for a while and times its return.
+func (r *changeStream) injectFault(m *Machine, kind int) {
+	f, before := r.fleet, r.ackedVersion
 	span := f.World.Between(100*time.Millisecond, 6*time.Second)
-	switch changesTroubles[kind] {
+	switch changeStreamFaults[kind] {
 	case "killed":
 		f.Kill(m)
 		r.clock().Sleep(span)
@@ -375,35 +375,35 @@
 		r.clock().Sleep(span)
 		m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, quick, slow
 	}
-	r.back(m, changesTroubles[kind], before)
+	r.measureRecovery(m, changeStreamFaults[kind], before)
 }
 
-// away keeps a member down until the last change was made.
-func (r *changesRun) away(m *Machine, ended *bool) {
-	before := r.version
+// longAbsence keeps a member down until the last change was made.
+func (r *changeStream) longAbsence(m *Machine, ended *bool) {
+	before := r.ackedVersion
 	r.fleet.PowerLoss(m)
 	for !*ended {
-		r.clock().Sleep(changesTick)
+		r.clock().Sleep(changeStreamPoll)
 	}
 	r.fleet.Start(m)
-	r.back(m, "away", before)
-	r.busy--
+	r.measureRecovery(m, "away", before)
+	r.activeFaults--
 }
 
-// back times how long a member that is up again takes to be current.
-func (r *changesRun) back(m *Machine, kind string, before uint64) {
-	f, back := r.fleet, MemberRecovery{Role: m.Role, Fault: kind, MissedChanges: int(r.version - before)}
-	version, place := r.version, r.place()
-	back.CatchUpTime = f.until(r.plan.CatchUpBound, func() bool { return r.current(m, version, place) })
-	r.returns = append(r.returns, back)
+// measureRecovery times how long a member that is up again takes to be current.
+func (r *changeStream) measureRecovery(m *Machine, kind string, before uint64) {
+	f, back := r.fleet, MemberRecovery{Role: m.Role, Fault: kind, MissedChanges: int(r.ackedVersion - before)}
+	version, place := r.ackedVersion, r.newestRevision()
+	back.CatchUpTime = f.waitUntil(r.plan.CatchUpBound, func() bool { return r.isCurrent(m, version, place) })
+	r.recoveries = append(r.recoveries, back)
 	if back.CatchUpTime >= r.plan.CatchUpBound {
-		r.breach("%s, %s, is not current after %v; it missed %d changes", m.Host.Name, back.Fault, back.CatchUpTime, back.MissedChanges)
-		f.until(time.Minute, func() bool { return r.current(m, version, place) })
+		r.addBreach("%s, %s, is not current after %v; it missed %d changes", m.Host.Name, back.Fault, back.CatchUpTime, back.MissedChanges)
+		f.waitUntil(time.Minute, func() bool { return r.isCurrent(m, version, place) })
 	}
 }
 
-// place is the newest place of the feed that any member has shown.
-func (r *changesRun) place() (newest uint64) {
+// newestRevision is the newest place of the feed that any member has shown.
+func (r *changeStream) newestRevision() (newest uint64) {
 	for _, m := range r.fleet.All() {
 		if follower := m.feedFollower(); follower != nil {
 			newest = max(newest, follower.Snapshot().Revision)
@@ -412,57 +412,57 @@
 	return newest
 }
 
-// current tells whether a member serves a version or a later one; a storage
+// currentVersion tells whether a member serves a version or a later one; a storage
 // machine has a vote and holds the feed up to a place.
-func (r *changesRun) current(m *Machine, version, place uint64) bool {
+func (r *changeStream) isCurrent(m *Machine, version, place uint64) bool {
 	if m.Role != "storage" {
 		follower := m.feedFollower()
-		return follower != nil && follower.HasLease() && follower.Snapshot().Revision >= place && versionOf(follower.Snapshot().Values) >= version
+		return follower != nil && follower.HasLease() && follower.Snapshot().Revision >= place && configVersion(follower.Snapshot().Values) >= version
 	}
 	if m.storage == nil || m.storage.Store.Ready() != nil || m.storage.Store.Held(0) < place {
 		return false
 	}
 	id := m.storage.Store.ID()
-	return slices.ContainsFunc(r.fleet.set().GetDisks(), func(entry *register.DiskEntry) bool { return entry.Id == id && !entry.Learner })
+	return slices.ContainsFunc(r.fleet.diskSet().GetDisks(), func(entry *register.DiskEntry) bool { return entry.Id == id && !entry.Learner })
 }
 
-func (r *changesRun) allCurrent() bool {
-	version, place := r.version, r.place()
-	return !slices.ContainsFunc(r.fleet.All(), func(m *Machine) bool { return !r.current(m, version, place) })
+func (r *changeStream) allCurrent() bool {
+	version, place := r.ackedVersion, r.newestRevision()
+	return !slices.ContainsFunc(r.fleet.All(), func(m *Machine) bool { return !r.isCurrent(m, version, place) })
 }
 
-func versionOf(values map[string][]byte) uint64 {
+func configVersion(values map[string][]byte) uint64 {
 	if found := route.DocumentFromFeed(values); found != nil {
 		return found.Version
 	}
 	return 0
 }
 
-// weigh looks at what the owners keep in memory.
-func (r *changesRun) weigh() {
+// sampleMemory looks at what the owners keep in memory.
+func (r *changeStream) sampleMemory() {
 	sum := 0
 	for _, m := range r.fleet.Cores {
 		if m.Host.alive && m.core != nil {
 			sum += m.core.Owner.MemoryBytes()
 		}
 	}
-	r.kept = max(r.kept, sum)
+	r.maxMemory = max(r.maxMemory, sum)
 }
 
-// figure takes figures.
-func (r *changesRun) figure() {
+// takeSample takes figures.
+func (r *changeStream) takeSample() {
 	f := r.fleet
-	now := ChangeStreamSample{Changes: min(r.changes, r.plan.Changes), Recoveries: r.returns}
+	now := ChangeStreamSample{Changes: min(r.changeNumber, r.plan.Changes), Recoveries: r.recoveries}
 	sent := 0
 	for _, talk := range f.Net.TrafficByPath {
 		sent += talk.Bytes
 	}
-	now.BytesPerChange = (sent - r.sent) / max(1, r.changes-r.sentAt)
-	r.sent, r.sentAt, r.returns = sent, r.changes, nil
+	now.BytesPerChange = (sent - r.bytesSent) / max(1, r.changeNumber-r.sampledAt)
+	r.bytesSent, r.sampledAt, r.recoveries = sent, r.changeNumber, nil
 	for _, m := range f.Storage {
 		now.MaxDiskBytes = max(now.MaxDiskBytes, m.Disk.TotalBytes())
 	}
-	now.MaxMemoryBytes, r.kept = r.kept, 0
+	now.MaxMemoryBytes, r.maxMemory = r.maxMemory, 0
 	for _, m := range f.Gateways {
 		if follower := m.feedFollower(); follower != nil {
 			now.FeedKeys = max(now.FeedKeys, len(follower.Snapshot().Values))
--- a/internal/simulate/manychanges_test.go
+++ b/internal/simulate/changestream_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// changesOf plays a plan over seeds and wants no breach.
-func changesOf(t *testing.T, plan ChangeStreamPlan, seeds uint64) {
+// runChangeStreams plays a plan over seeds and wants no breach.
+func runChangeStreams(t *testing.T, plan ChangeStreamPlan, seeds uint64) {
 	t.Helper()
 	for seed := uint64(1); seed <= seeds; seed++ {
 		report := RunChangeStream(seed, plan)
@@ -23,7 +23,7 @@
 	}
 }
 
-func planOf(t *testing.T, size string, changes int) ChangeStreamPlan {
+func newPlan(t *testing.T, size string, changes int) ChangeStreamPlan {
 	t.Helper()
 	plan, err := NewChangeStreamPlan(size, changes)
 	if err != nil {
@@ -32,27 +32,27 @@
 	return plan
 }
 
-func TestMembersAreCurrentHoweverManyChangesTheyMissed(t *testing.T) {
+func TestMembersCatchUpAfterMissedChanges(t *testing.T) {
 	for _, size := range ChangeStreamSizes {
 		t.Run(size, func(t *testing.T) {
 			t.Parallel()
-			plan := planOf(t, size, 200)
+			plan := newPlan(t, size, 200)
 			if plan.Gateways > 10 {
 				plan.Changes, plan.Interval = 60, 300*time.Millisecond
 			}
-			changesOf(t, plan, uint64(*seeds))
+			runChangeStreams(t, plan, uint64(*seedCount))
 		})
 	}
 }
 
 // One member of each kind is gone while all the changes are made.
-func TestMembersAreCurrentAfterAllChangesWereMissed(t *testing.T) {
+func TestMembersCatchUpAfterMissingAllChanges(t *testing.T) {
 	for _, size := range ChangeStreamSizes[:2] {
 		t.Run(size, func(t *testing.T) {
 			t.Parallel()
-			plan := planOf(t, size, 300)
+			plan := newPlan(t, size, 300)
 			plan.LongAbsence = true
-			changesOf(t, plan, uint64(*seeds))
+			runChangeStreams(t, plan, uint64(*seedCount))
 		})
 	}
 }
--- a/internal/simulate/chaos_test.go
+++ b/internal/simulate/chaos_test.go
@@ -8,14 +8,14 @@
 )
 
 // The fixed set that CI runs: two seeds of the small shape, one of the others.
-var seeds = flag.Int("seeds", 1, "seeds for each scenario and shape; the small shape gets twice as many")
+var seedCount = flag.Int("seeds", 1, "seeds for each scenario and shape; the small shape gets twice as many")
 
-func TestNothingThatMustNeverHappens(t *testing.T) {
+func TestInvariantsHoldUnderFaults(t *testing.T) {
 	for _, name := range []string{"small", "kiondo", "ljubljana"} {
 		for _, one := range Scenarios {
 			t.Run(name+"/"+one.Name, func(t *testing.T) {
 				t.Parallel()
-				count := uint64(*seeds)
+				count := uint64(*seedCount)
 				if name == "small" {
 					count *= 2
 				}
@@ -31,8 +31,8 @@
 	}
 }
 
-// harm does one scenario's deeds while it is wanted.
-func (f *Fleet) harm(name string, going func() bool) {
+// startScenarioFaults does one scenario's deeds while it is wanted.
+func (f *Fleet) startScenarioFaults(name string, going func() bool) {
 	one := FindScenario(name)
 	f.Net.Faults = one.Net
 	f.CallerHost.Go(func() {
--- a/internal/simulate/files.go
+++ b/internal/simulate/disk.go
@@ -12,9 +12,9 @@
 )
 
 // file is one file's bytes, and those of them that were synced. The two may
-// share an array: bytes that stand in it are never changed in place.
+// hostTraffic an array: bytes that stand in it are never changed in place.
 type file struct {
-	live   []byte
+	data   []byte
 	synced []byte
 }
 
@@ -39,7 +39,7 @@
 	return &Disk{host: host, files: map[string]*file{}, Capacity: 64 << 20, MinSyncTime: 500 * time.Microsecond, MaxSyncTime: 4 * time.Millisecond}
 }
 
-func (f *Disk) at(name string) *file {
+func (f *Disk) fileNamed(name string) *file {
 	held, ok := f.files[name]
 	if !ok {
 		held = &file{}
@@ -49,13 +49,13 @@
 }
 
 func (f *Disk) Read(name string) ([]byte, error) {
-	return append([]byte(nil), f.at(name).live...), nil
+	return append([]byte(nil), f.fileNamed(name).data...), nil
 }
 
 func (f *Disk) Append(name string, data []byte) error {
-	held := f.at(name)
+	held := f.fileNamed(name)
 	room := max(0, min(int64(len(data)), f.Free()))
-	held.live = append(held.live, data[:room]...)
+	held.data = append(held.data, data[:room]...)
 	if room < int64(len(data)) {
 		return disk.ErrFull // and a part was written
 	}
@@ -63,19 +63,19 @@
 }
 
 func (f *Disk) Replace(name string, data []byte) error {
-	f.at(name).live = nil
+	f.fileNamed(name).data = nil
 	return f.Append(name, data)
 }
 
 func (f *Disk) Trim(name string, size int) error {
-	held := f.at(name)
-	held.live = append([]byte(nil), held.live[:min(size, len(held.live))]...)
+	held := f.fileNamed(name)
+	held.data = append([]byte(nil), held.data[:min(size, len(held.data))]...)
 	return nil
 }
 
 func (f *Disk) Sync(name string) error {
-	held := f.at(name)
-	covered := held.live[:len(held.live):len(held.live)]
+	held := f.fileNamed(name)
+	covered := held.data[:len(held.data):len(held.data)]
 	f.SyncsInProgress++
 	clock := f.host.Clock()
 	for f.SyncStalled {
@@ -93,7 +93,7 @@
 func (f *Disk) Free() int64 {
 	left := f.Capacity
 	for _, held := range f.files {
-		left -= int64(len(held.live))
+		left -= int64(len(held.data))
 	}
 	return left
 }
@@ -108,27 +108,27 @@
 	f.SyncsInProgress = 0
 	for _, name := range base.SortedKeys(f.files) {
 		held := f.files[name]
-		if bytes.Equal(held.live, held.synced) {
+		if bytes.Equal(held.data, held.synced) {
 			continue
 		}
 		size := len(held.synced)
 		switch {
 		case w.Chance(0.5):
-			size = len(held.live)
-		case len(held.live) > size:
-			size += int(w.Int64N(int64(len(held.live)-size) + 1))
+			size = len(held.data)
+		case len(held.data) > size:
+			size += int(w.Int64N(int64(len(held.data)-size) + 1))
 		}
 		kept := make([]byte, size)
 		copy(kept, held.synced)
 		fresh := w.chance.Float64()
 		for place := 0; place < size; place += sectorSize {
 			end := min(size, place+sectorSize)
-			if w.Chance(fresh) && place < len(held.live) {
+			if w.Chance(fresh) && place < len(held.data) {
 				clear(kept[place:end])
-				copy(kept[place:end], held.live[place:min(end, len(held.live))])
+				copy(kept[place:end], held.data[place:min(end, len(held.data))])
 			}
 		}
-		held.live, held.synced = append([]byte(nil), kept...), kept
+		held.data, held.synced = append([]byte(nil), kept...), kept
 	}
 }
 
@@ -137,13 +137,13 @@
 
 // FlipBit flips one bit of a file, and tells whether there was one to flip.
 func (f *Disk) FlipBit(name string, place int) bool {
-	held := f.at(name)
-	if place >= len(held.live) {
+	held := f.fileNamed(name)
+	if place >= len(held.data) {
 		return false
 	}
-	rotten := append([]byte(nil), held.live...)
+	rotten := append([]byte(nil), held.data...)
 	rotten[place] ^= 0x10
-	held.live, held.synced = rotten, rotten[:len(rotten):len(rotten)]
+	held.data, held.synced = rotten, rotten[:len(rotten):len(rotten)]
 	f.Corrupted = true
 	return true
 }
@@ -152,10 +152,10 @@
 func (f *Disk) TotalBytes() int {
 	sum := 0
 	for _, held := range f.files {
-		sum += len(held.live)
+		sum += len(held.data)
 	}
 	return sum
 }
 
 // Size is how long a file is.
-func (f *Disk) Size(name string) int { return len(f.at(name).live) }
+func (f *Disk) Size(name string) int { return len(f.fileNamed(name).data) }
--- a/internal/simulate/mending.go
+++ b/internal/simulate/diskset.go
@@ -8,8 +8,8 @@
 	"fordseam/internal/register"
 )
 
-// set is the newest disk set that a living core knows.
-func (f *Fleet) set() *register.DiskSet {
+// diskSet is the newest disk set that a living core knows.
+func (f *Fleet) diskSet() *register.DiskSet {
 	var newest *register.DiskSet
 	for _, m := range f.Cores {
 		if m.Host.alive && !m.Host.frozen && m.core != nil {
@@ -21,11 +21,11 @@
 	return newest
 }
 
-// whole tells whether each living storage machine's disk, and no other, has a
+// diskSetComplete tells whether each living storage machine's disk, and no other, has a
 // vote.
-func (f *Fleet) whole() bool {
+func (f *Fleet) diskSetComplete() bool {
 	voting := map[string]bool{}
-	for _, entry := range f.set().GetDisks() {
+	for _, entry := range f.diskSet().GetDisks() {
 		voting[entry.Addr+"/"+entry.Id] = true
 		if entry.Learner {
 			return false
@@ -33,7 +33,7 @@
 	}
 	count := 0
 	for _, m := range f.Storage {
-		if m.gone {
+		if m.removed {
 			continue
 		}
 		if !m.Host.alive || m.Host.frozen || m.storage == nil || !voting[m.Host.Name+":1/"+m.storage.Store.ID()] {
@@ -44,8 +44,8 @@
 	return count == len(voting)
 }
 
-// until waits for something and tells how long it took.
-func (f *Fleet) until(limit time.Duration, reached func() bool) time.Duration {
+// waitUntil waits for something and tells how long it took.
+func (f *Fleet) waitUntil(limit time.Duration, reached func() bool) time.Duration {
 	began := f.World.Now()
 	for !reached() && f.World.Now()-began < limit {
 		f.CallerHost.Clock().Sleep(5 * time.Millisecond)
--- a/internal/simulate/mending_test.go
+++ b/internal/simulate/diskset_test.go
@@ -15,25 +15,25 @@
 	"github.com/matryer/is"
 )
 
-// mendingSeeds is how many seeds each of these runs has at the least.
-const mendingSeeds = 4
+// reconcileSeeds is how many seeds each of these runs has at the least.
+const reconcileSeeds = 4
 
-func mendingShape(storage, tolerate int) Shape {
+func reconcilingShape(storage, tolerate int) Shape {
 	shape := SmallShape()
 	shape.Cores, shape.Storage, shape.Tolerate, shape.Found = 4, storage, tolerate, true
 	return shape
 }
 
-// mending runs a script on several seeds.
-func mending(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
+// runReconciling runs a script on several seeds.
+func runReconciling(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
 	t.Helper()
-	mendingOver(t, mendingSeeds, shape, steps)
+	runReconcilingSeeds(t, reconcileSeeds, shape, steps)
 }
 
-// mendingOver runs a script on a number of seeds, times the seeds asked for.
-func mendingOver(t *testing.T, count int, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
+// runReconcilingSeeds runs a script on a number of seeds, times the seeds asked for.
+func runReconcilingSeeds(t *testing.T, count int, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
 	t.Helper()
-	bring(t, count**seeds, shape, func(t *testing.T, f *Fleet) {
+	bring(t, count**seedCount, shape, func(t *testing.T, f *Fleet) {
 		is := is.New(t)
 		formed(t, f)
 		done := false
@@ -45,10 +45,10 @@
 	})
 }
 
-// explain logs what the cores and the disks say.
-func (f *Fleet) explain(t *testing.T) {
+// logState logs what the cores and the disks say.
+func (f *Fleet) logState(t *testing.T) {
 	t.Helper()
-	t.Logf("seed %d at %v: %v", f.World.Seed, f.World.Now(), f.set())
+	t.Logf("seed %d at %v: %v", f.World.Seed, f.World.Now(), f.diskSet())
 	for _, m := range f.Cores {
 		if m.Host.alive && !m.Host.frozen && m.core != nil {
 			slots, _ := m.core.Owner.Status()
@@ -56,35 +56,35 @@
 		}
 	}
 	for _, m := range f.Storage {
-		t.Logf("%s alive %v frozen %v gone %v", m.Host.Name, m.Host.alive, m.Host.frozen, m.gone)
+		t.Logf("%s alive %v frozen %v gone %v", m.Host.Name, m.Host.alive, m.Host.frozen, m.removed)
 	}
 }
 
-// lose takes a machine away with its disk; a silent one does not even refuse
+// loseMachine takes a machine away with its disk; a silent one does not even refuse
 // connections.
-func (f *Fleet) lose(m *Machine, silent bool) {
+func (f *Fleet) loseMachine(m *Machine, silent bool) {
 	if silent {
 		m.Host.Freeze()
 	} else {
 		f.PowerLoss(m)
 	}
-	m.gone = true
+	m.removed = true
 }
 
-// wipe has a machine come back at its address with an empty disk.
-func (f *Fleet) wipe(m *Machine) {
+// wipeMachine has a machine come back at its address with an empty disk.
+func (f *Fleet) wipeMachine(m *Machine) {
 	f.PowerLoss(m)
 	m.Disk.Wipe()
 }
 
-// retiring asks a core to retire a machine, or how far that has come.
-func (f *Fleet) retiring(method, node string) string {
+// retireNode asks a core to retire a machine, or how far that has come.
+func (f *Fleet) retireNode(method, node string) string {
 	for {
 		path, body := "/v1/operator/storage/empty", any(nil)
 		if method == "POST" {
 			body = map[string]string{"node": node}
 		}
-		status, answer := f.OperatorRequestWithQuery(f.living(), method, path, map[string]string{"node": node}, body)
+		status, answer := f.OperatorRequestWithQuery(f.liveCore(), method, path, map[string]string{"node": node}, body)
 		var told struct {
 			State string `json:"state"`
 		}
@@ -95,14 +95,14 @@
 	}
 }
 
-// disks are the storage machines that are not gone.
-func (f *Fleet) disks() []*Machine {
-	return base.Filter(f.Storage, func(m *Machine) bool { return !m.gone })
+// remainingStorage are the storage machines that are not gone.
+func (f *Fleet) remainingStorage() []*Machine {
+	return base.Filter(f.Storage, func(m *Machine) bool { return !m.removed })
 }
 
 // Machines are lost with their disks one after another, each 4.1 s after the
-// last one's replacement began, in every way, and what was acknowledged stays.
-func TestReplacementsThenTheNextLoss(t *testing.T) {
+// lastTurn one's replacement began, in every way, and what was acknowledged stays.
+func TestReplacementBeforeNextLoss(t *testing.T) {
 	ways := map[string]struct {
 		silent, back, core bool
 		wait               time.Duration
@@ -119,26 +119,26 @@
 			t.Run(fmt.Sprint(name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				var longest time.Duration
-				mending(t, mendingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
 					left := f.StartCallers(3, 10, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
-					is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
+					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 					for round := range 4 {
-						status, _ := f.OperatorRequest(f.living(), "POST", "/v1/operator/settings/apply",
-							map[string]any{"change": fmt.Sprint("round-", round), "based_on": round + 1, "document": f.marked(fmt.Sprint(round))})
+						status, _ := f.OperatorRequest(f.liveCore(), "POST", "/v1/operator/settings/apply",
+							map[string]any{"change": fmt.Sprint("round-", round), "based_on": round + 1, "document": f.settingsWithMarker(fmt.Sprint(round))})
 						is.Equal(status, 200)
 						var lost []*Machine
 						for len(lost) < size.tolerate {
-							if m := f.pick(f.disks()); !slices.Contains(lost, m) {
+							if m := f.pickMachine(f.remainingStorage()); !slices.Contains(lost, m) {
 								lost = append(lost, m)
 							}
 						}
 						for _, m := range lost {
 							if way.back {
-								f.wipe(m)
+								f.wipeMachine(m)
 							} else {
-								f.lose(m, way.silent)
+								f.loseMachine(m, way.silent)
 							}
 						}
 						call.sleep(way.wait)
@@ -158,10 +158,10 @@
 							}
 						}
 						began := f.World.Now()
-						took := f.until(4*time.Second, f.whole)
+						took := f.waitUntil(4*time.Second, f.diskSetComplete)
 						longest = max(longest, took)
 						if took >= 4*time.Second {
-							f.explain(t)
+							f.logState(t)
 						}
 						is.True(took < 4*time.Second)
 						call.sleep(began + 4100*time.Millisecond - f.World.Now())
@@ -182,13 +182,13 @@
 
 // All that counts loses power at once, and as many machines as are tolerated
 // come back empty.
-func TestPowerCutWithDisksLost(t *testing.T) {
+func TestPowerLossWithLostDisks(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}, {3, 1}} {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
 			var longest, whole time.Duration
-			mending(t, mendingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
-				is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
+			runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				program, secret := call.program(1000, nil)
 				path, key := call.session(0, program, secret, nil)
 				last := ""
@@ -197,15 +197,15 @@
 					verdict, _, _ := call.turn(1, path, key, program, turn, last).final()
 					is.Equal(verdict, "success")
 					last = turn
-					status, _ := f.OperatorRequest(f.living(), "POST", "/v1/operator/settings/apply",
-						map[string]any{"change": turn, "based_on": round + 1, "document": f.marked(turn)})
+					status, _ := f.OperatorRequest(f.liveCore(), "POST", "/v1/operator/settings/apply",
+						map[string]any{"change": turn, "based_on": round + 1, "document": f.settingsWithMarker(turn)})
 					is.Equal(status, 200)
 					for _, m := range f.All() {
 						f.PowerLoss(m)
 					}
 					empty := map[*Machine]bool{}
 					for len(empty) < size.tolerate {
-						m := f.pick(f.Storage)
+						m := f.pickMachine(f.Storage)
 						m.Disk.Wipe()
 						empty[m] = true
 					}
@@ -214,17 +214,17 @@
 						f.Start(m)
 						call.sleep(f.World.Between(0, 50*time.Millisecond))
 					}
-					took := f.serving(time.Minute)
+					took := f.waitUntilServing(time.Minute)
 					longest = max(longest, took)
 					is.True(took < 5*time.Second)
 					for _, m := range f.Gateways {
 						is.Equal(m.gateway.Stamp(), uint64(round+2))
 					}
-					took += f.until(8*time.Second, f.whole)
-					if !f.whole() {
-						f.explain(t)
+					took += f.waitUntil(8*time.Second, f.diskSetComplete)
+					if !f.diskSetComplete() {
+						f.logState(t)
 					}
-					is.True(f.whole())
+					is.True(f.diskSetComplete())
 					whole = max(whole, took)
 				}
 				verdict, _, _ := call.turn(2, path, key, program, "end", last).final()
@@ -237,13 +237,13 @@
 
 // Machines frozen or cut off keep their votes while nobody can take their
 // place, and a stranger's or a retired disk is never taken in.
-func TestTroubledDisksKeepTheirVotes(t *testing.T) {
+func TestUnresponsiveDisksKeepTheirVotes(t *testing.T) {
 	t.Parallel()
-	mending(t, mendingShape(4, 1), func(is *is.I, f *Fleet, call *talker) {
-		is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
-		stamp := f.set().Stamp
+	runReconciling(t, reconcilingShape(4, 1), func(is *is.I, f *Fleet, call *talker) {
+		is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
+		stamp := f.diskSet().Stamp
 		for round := range 4 {
-			m := f.pick(f.Storage)
+			m := f.pickMachine(f.Storage)
 			if round%2 == 0 {
 				m.Host.Freeze()
 				call.sleep(3 * time.Second)
@@ -255,38 +255,38 @@
 			}
 			call.sleep(4 * time.Second)
 		}
-		f.crash(f.pick(f.Storage), 2*time.Second, true)
+		f.crash(f.pickMachine(f.Storage), 2*time.Second, true)
 		call.sleep(6 * time.Second)
-		is.Equal(f.set().Stamp, stamp)
+		is.Equal(f.diskSet().Stamp, stamp)
 		// One that is away for long is taken out, and back in when it returns.
-		away := f.pick(f.Storage)
+		away := f.pickMachine(f.Storage)
 		f.PowerLoss(away)
 		call.sleep(16 * time.Second)
-		is.Equal(len(f.set().Disks), 3)
+		is.Equal(len(f.diskSet().Disks), 3)
 		f.Start(away)
-		is.True(f.until(4*time.Second, f.whole) < 4*time.Second)
+		is.True(f.waitUntil(4*time.Second, f.diskSetComplete) < 4*time.Second)
 	})
 }
 
-// founding runs a fleet that has to form one cluster by itself, on several
+// runBootstrap runs a fleet that has to form one cluster by itself, on several
 // seeds, and checks that there is one.
-func founding(t *testing.T, storage int, trouble func(f *Fleet, call *talker)) (longest time.Duration) {
+func runBootstrap(t *testing.T, storage int, trouble func(f *Fleet, call *talker)) (longest time.Duration) {
 	t.Helper()
-	for seed := uint64(1); seed <= uint64(8**seeds); seed++ {
+	for seed := uint64(1); seed <= uint64(8**seedCount); seed++ {
 		is := is.New(t)
-		f := NewFleet(seed, mendingShape(storage, 1))
+		f := NewFleet(seed, reconcilingShape(storage, 1))
 		done := false
 		f.CallerHost.Go(func() {
 			trouble(f, &talker{f, f.Asker(f.CallerHost)})
-			took := f.until(20*time.Second, f.whole)
+			took := f.waitUntil(20*time.Second, f.diskSetComplete)
 			longest = max(longest, took)
-			if !f.whole() {
-				f.explain(t)
+			if !f.diskSetComplete() {
+				f.logState(t)
 			}
 			done = true
 		})
 		is.True(f.World.Run(time.Minute, func() bool { return done }))
-		is.True(f.whole())
+		is.True(f.diskSetComplete())
 		// A machine that came late may still be blank when the set is whole.
 		clusters := func() map[string]bool {
 			found := map[string]bool{}
@@ -315,14 +315,14 @@
 }
 
 // The machines form one cluster by themselves, whatever happens meanwhile.
-func TestFounding(t *testing.T) {
+func TestClusterBootstrap(t *testing.T) {
 	ways := map[string]func(f *Fleet, call *talker){
 		"in quiet":                   func(*Fleet, *talker) {},
 		"the first seed never comes": func(f *Fleet, _ *talker) { f.Kill(f.Cores[0]) },
 		"the founder is killed": func(f *Fleet, call *talker) {
 			call.sleep(f.World.Between(200*time.Millisecond, 800*time.Millisecond))
 			f.Kill(f.Cores[0])
-			f.later(time.Second, func() { f.Start(f.Cores[0]) })
+			f.scheduleRecovery(time.Second, func() { f.Start(f.Cores[0]) })
 		},
 		"the founder freezes": func(f *Fleet, call *talker) {
 			call.sleep(f.World.Between(200*time.Millisecond, 800*time.Millisecond))
@@ -345,36 +345,36 @@
 		"the founder is cut off": func(f *Fleet, call *talker) {
 			call.sleep(f.World.Between(200*time.Millisecond, 800*time.Millisecond))
 			f.Net.Isolate(map[string]bool{f.Cores[0].Host.Name: true, f.Storage[0].Host.Name: true})
-			f.later(5*time.Second, f.Net.Heal)
+			f.scheduleRecovery(5*time.Second, f.Net.Heal)
 		},
 		"two halves": func(f *Fleet, call *talker) {
 			call.sleep(f.World.Between(200*time.Millisecond, 700*time.Millisecond))
 			f.Net.Isolate(map[string]bool{f.Cores[0].Host.Name: true, f.Storage[0].Host.Name: true, f.Storage[1].Host.Name: true, f.Storage[2].Host.Name: true})
-			f.later(5*time.Second, f.Net.Heal)
+			f.scheduleRecovery(5*time.Second, f.Net.Heal)
 		},
 	}
 	for name, trouble := range ways {
 		for _, storage := range []int{4, 9} {
 			t.Run(fmt.Sprint(name, "/", storage), func(t *testing.T) {
 				t.Parallel()
-				t.Logf("%s, %d disks: formed within %v", name, storage, founding(t, storage, trouble))
+				t.Logf("%s, %d disks: formed within %v", name, storage, runBootstrap(t, storage, trouble))
 			})
 		}
 	}
 }
 
 // Who was not told that this is the first start never forms a cluster.
-func TestNobodyFoundsUntold(t *testing.T) {
+func TestNoBootstrapUnlessFirstStart(t *testing.T) {
 	t.Parallel()
-	f := NewFleet(1, mendingShape(4, 1))
+	f := NewFleet(1, reconcilingShape(4, 1))
 	for _, m := range f.All() {
 		f.Kill(m)
-		m.begun = true
+		m.startedBefore = true
 		f.Start(m)
 	}
 	is := is.New(t)
 	f.World.Run(30*time.Second, func() bool { return false })
-	is.True(f.set() == nil)
+	is.True(f.diskSet() == nil)
 	for _, m := range f.Storage {
 		is.Equal(m.storage.Store.Cluster(), "")
 	}
@@ -383,35 +383,35 @@
 
 // A machine is retired by its name, removed with its disk the moment that is
 // complete, and then another loses its disk.
-func TestRetiringByName(t *testing.T) {
+func TestRetireByNodeName(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}} {
 		for _, way := range []string{"in quiet", "its process disappears", "the change's core is lost", "its disk is lost"} {
 			t.Run(fmt.Sprint(way, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				var longest time.Duration
-				mending(t, mendingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
 					left := f.StartCallers(3, 8, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
-					is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
+					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 					held := map[string]bool{} // disks that something else keeps data on
 					for _, m := range f.Cores {
 						m.core.Owner.SetEmptyCheck(func(_ *base.Ctx, disk string) (bool, error) { return !held[disk], nil })
 					}
-					out := f.pick(f.Storage)
+					out := f.pickMachine(f.Storage)
 					id := out.storage.Store.ID()
 					held[id] = true
-					is.Equal(f.retiring("GET", "none"), "404")
-					is.Equal(f.retiring("GET", out.Host.Name), "404")
-					is.Equal(f.retiring("POST", "none"), "404")
+					is.Equal(f.retireNode("GET", "none"), "404")
+					is.Equal(f.retireNode("GET", out.Host.Name), "404")
+					is.Equal(f.retireNode("POST", "none"), "404")
 					began := f.World.Now()
-					is.Equal(f.retiring("POST", out.Host.Name), "200active")
-					is.Equal(f.retiring("POST", out.Host.Name), "200active")
+					is.Equal(f.retireNode("POST", out.Host.Name), "200active")
+					is.Equal(f.retireNode("POST", out.Host.Name), "200active")
 					switch way {
 					case "its process disappears":
 						f.Kill(out)
 					case "its disk is lost":
-						f.wipe(out)
+						f.wipeMachine(out)
 						f.Start(out)
 					case "the change's core is lost":
 						for _, m := range f.Cores {
@@ -421,32 +421,32 @@
 						}
 					}
 					call.sleep(3 * time.Second)
-					is.Equal(f.retiring("GET", out.Host.Name), "200active") // data is there yet
-					for _, entry := range f.set().Disks {
+					is.Equal(f.retireNode("GET", out.Host.Name), "200active") // data is there yet
+					for _, entry := range f.diskSet().Disks {
 						is.True(entry.Id != id)
 					}
 					for _, m := range f.Cores {
 						m.core.Owner.SetEmptyCheck(nil)
 					}
-					is.True(f.until(5*time.Second, func() bool { return f.retiring("GET", out.Host.Name) == "200complete" }) < 5*time.Second)
+					is.True(f.waitUntil(5*time.Second, func() bool { return f.retireNode("GET", out.Host.Name) == "200complete" }) < 5*time.Second)
 					longest = max(longest, f.World.Now()-began)
-					f.lose(out, false)
-					next := f.pick(f.disks())
-					f.wipe(next)
+					f.loseMachine(out, false)
+					next := f.pickMachine(f.remainingStorage())
+					f.wipeMachine(next)
 					call.sleep(time.Second)
 					f.Start(next)
-					is.True(f.until(4*time.Second, f.whole) < 4*time.Second)
-					is.Equal(f.retiring("POST", out.Host.Name), "200complete")
+					is.True(f.waitUntil(4*time.Second, f.diskSetComplete) < 4*time.Second)
+					is.Equal(f.retireNode("POST", out.Host.Name), "200complete")
 					if size.storage == 4 {
-						is.Equal(f.retiring("POST", f.disks()[0].Host.Name), "409")
+						is.Equal(f.retireNode("POST", f.remainingStorage()[0].Host.Name), "409")
 					}
-					out.gone = false
+					out.removed = false
 					out.Disk.Wipe()
 					f.Start(out) // it is not taken back
 					call.sleep(4 * time.Second)
 					is.True(out.storage.Ready() != nil)
-					out.gone = true
-					is.Equal(f.retiring("GET", out.Host.Name), "200complete")
+					out.removed = true
+					is.Equal(f.retireNode("GET", out.Host.Name), "200complete")
 					for left() > 0 {
 						call.sleep(time.Second)
 					}
@@ -458,13 +458,13 @@
 }
 
 // Interval scenario on a fleet that forms and mends itself.
-func TestNothingThatMustNeverHappensWhileMending(t *testing.T) {
+func TestInvariantsHoldWhileReconciling(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}} {
 		for _, one := range Scenarios {
 			t.Run(fmt.Sprint(one.Name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
-				for seed := uint64(1); seed <= uint64(*seeds); seed++ {
-					outcome := one.Run(seed, mendingShape(size.storage, size.tolerate))
+				for seed := uint64(1); seed <= uint64(*seedCount); seed++ {
+					outcome := one.Run(seed, reconcilingShape(size.storage, size.tolerate))
 					t.Logf("seed %d, %.0f s: %v", seed, outcome.VirtualS, outcome.Counts)
 					for _, breach := range outcome.Breaches {
 						t.Errorf("seed %d: %s", seed, breach)
--- a/internal/simulate/harms.go
+++ b/internal/simulate/faults.go
@@ -9,16 +9,16 @@
 	"fordseam/internal/standin"
 )
 
-func (f *Fleet) pick(list []*Machine) *Machine { return list[f.World.Int64N(int64(len(list)))] }
+func (f *Fleet) pickMachine(list []*Machine) *Machine { return list[f.World.Int64N(int64(len(list)))] }
 
-// later runs a step on the callers' host after a while; a scenario is not
-// over before.
-func (f *Fleet) later(after time.Duration, step func()) {
-	f.harms++
+// scheduleRecovery runs a step on the callers' host after a while; a scenario is not
+// done before.
+func (f *Fleet) scheduleRecovery(after time.Duration, step func()) {
+	f.pendingFaults++
 	f.CallerHost.Go(func() {
 		f.CallerHost.Clock().Sleep(after)
 		step()
-		f.harms--
+		f.pendingFaults--
 	})
 }
 
@@ -35,8 +35,8 @@
 	} else {
 		f.Kill(m)
 	}
-	f.later(down, func() {
-		if !m.gone && !m.Host.alive {
+	f.scheduleRecovery(down, func() {
+		if !m.removed && !m.Host.alive {
 			f.Start(m)
 		}
 	})
@@ -48,19 +48,19 @@
 	}
 	m.Host.Freeze()
 	life := m.Host.life
-	f.later(span, func() {
+	f.scheduleRecovery(span, func() {
 		if m.Host.life == life {
 			m.Host.Thaw()
 		}
 	})
 }
 
-// restart tells a machine to stop, as SIGTERM does, and starts it again.
-func (f *Fleet) restart(m *Machine) {
-	if m.Host.alive && !m.Host.frozen && !m.closing && !m.gone {
+// gracefulRestart tells a machine to stop, as SIGTERM does, and starts it again.
+func (f *Fleet) gracefulRestart(m *Machine) {
+	if m.Host.alive && !m.Host.frozen && !m.stopping && !m.removed {
 		f.Stop(m)
 		f.CallerHost.Clock().Sleep(500 * time.Millisecond)
-		if !m.Host.alive && !m.gone {
+		if !m.Host.alive && !m.removed {
 			f.Start(m)
 		}
 	}
@@ -69,11 +69,11 @@
 func (f *Fleet) killWorker(down time.Duration) {
 	host := f.World.Hosts[f.WorkerList.Workers[f.World.Int64N(int64(len(f.WorkerList.Workers)))].ID]
 	host.Kill()
-	f.later(down, func() { host.alive = true })
+	f.scheduleRecovery(down, func() { host.alive = true })
 }
 
-// zone lists what stands in one zone, workers included.
-func (f *Fleet) zone(name string) (machines []*Machine, workers []*Host) {
+// inZone lists what stands in one zone, workers included.
+func (f *Fleet) inZone(name string) (machines []*Machine, workers []*Host) {
 	machines = base.Filter(f.All(), func(m *Machine) bool { return m.Host.Zone == name })
 	for _, one := range f.WorkerList.Workers {
 		if one.Zone == name {
@@ -83,16 +83,16 @@
 	return machines, workers
 }
 
-// outage has everything lose power at once and come back in any order, and
+// totalOutage has everything lose power at once and come back in any order, and
 // times how long until all gateways serve.
-func (f *Fleet) outage() {
+func (f *Fleet) totalOutage() {
 	for _, m := range f.All() {
 		if m.Host.alive {
 			f.PowerLoss(m)
 		}
 	}
 	f.CallerHost.Clock().Sleep(f.World.Between(200*time.Millisecond, 2*time.Second))
-	back := base.Filter(f.All(), func(m *Machine) bool { return !m.gone })
+	back := base.Filter(f.All(), func(m *Machine) bool { return !m.removed })
 	for len(back) > 0 {
 		place := f.World.Int64N(int64(len(back)))
 		f.Start(back[place])
@@ -100,11 +100,11 @@
 		f.CallerHost.Clock().Sleep(f.World.Between(0, 100*time.Millisecond))
 	}
 	f.Tally.Count("outages")
-	f.Tally.Back(f.serving(time.Minute))
+	f.Tally.Back(f.waitUntilServing(time.Minute))
 }
 
-// serving is how long it takes from now until every living gateway serves.
-func (f *Fleet) serving(limit time.Duration) time.Duration {
+// waitUntilServing is how long it takes from now until every living gateway serves.
+func (f *Fleet) waitUntilServing(limit time.Duration) time.Duration {
 	began := f.World.Now()
 	for f.World.Now() < began+limit {
 		all := true
@@ -119,20 +119,20 @@
 	return f.World.Now() - began
 }
 
-// slow makes a machine answer late and its disk sync late, without failing.
-func (f *Fleet) slow(m *Machine, span time.Duration) {
+// slowDown makes a machine answer late and its disk sync late, without failing.
+func (f *Fleet) slowDown(m *Machine, span time.Duration) {
 	quick, slow := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
 	m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = f.World.Between(20*time.Millisecond, 250*time.Millisecond), 50*time.Millisecond, 400*time.Millisecond
-	f.later(span, func() { m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, quick, slow })
+	f.scheduleRecovery(span, func() { m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, quick, slow })
 }
 
-var workerTroubles = []standin.Trouble{standin.Cut, standin.Malformed, standin.NoFinish, standin.Busy, standin.Fail, standin.Overrun, standin.Silent, standin.Refuse}
+var workerFaults = []standin.Trouble{standin.Cut, standin.Malformed, standin.NoFinish, standin.Busy, standin.Fail, standin.Overrun, standin.Silent, standin.Refuse}
 
-func (f *Fleet) trouble(model, tool float64) {
+func (f *Fleet) setWorkerFaultRates(model, tool float64) {
 	for _, one := range f.Models {
 		one.Next = func() standin.Trouble {
 			if f.World.Chance(model) {
-				return workerTroubles[f.World.Int64N(5)]
+				return workerFaults[f.World.Int64N(5)]
 			}
 			return standin.Fine
 		}
@@ -147,74 +147,74 @@
 	}
 }
 
-// storm draws one deed of many.
-func (f *Fleet) storm() {
+// injectRandomFault draws one deed of many.
+func (f *Fleet) injectRandomFault() {
 	switch f.World.Int64N(14) {
 	case 0:
-		f.crash(f.pick(f.Gateways), f.World.Between(0, 3*time.Second), false)
+		f.crash(f.pickMachine(f.Gateways), f.World.Between(0, 3*time.Second), false)
 	case 1:
-		f.freeze(f.pick(f.Gateways), f.World.Between(time.Second, 5*time.Second))
+		f.freeze(f.pickMachine(f.Gateways), f.World.Between(time.Second, 5*time.Second))
 	case 2:
-		f.crash(f.pick(f.Cores), f.World.Between(0, 2*time.Second), false)
+		f.crash(f.pickMachine(f.Cores), f.World.Between(0, 2*time.Second), false)
 	case 3:
-		f.freeze(f.pick(f.Cores), f.World.Between(time.Second, 4*time.Second))
+		f.freeze(f.pickMachine(f.Cores), f.World.Between(time.Second, 4*time.Second))
 	case 4, 5:
-		f.crash(f.pick(f.Storage), f.World.Between(0, 2*time.Second), true)
+		f.crash(f.pickMachine(f.Storage), f.World.Between(0, 2*time.Second), true)
 	case 6:
-		f.freeze(f.pick(f.Storage), f.World.Between(time.Second, 3*time.Second))
+		f.freeze(f.pickMachine(f.Storage), f.World.Between(time.Second, 3*time.Second))
 	case 7, 8:
-		m := f.pick(f.All())
-		f.later(0, func() { f.restart(m) })
+		m := f.pickMachine(f.All())
+		f.scheduleRecovery(0, func() { f.gracefulRestart(m) })
 	case 9:
-		f.Net.CutLink(f.pick(f.All()).Host.Name, f.pick(f.All()).Host.Name)
-		f.later(3*time.Second, f.Net.Heal)
+		f.Net.CutLink(f.pickMachine(f.All()).Host.Name, f.pickMachine(f.All()).Host.Name)
+		f.scheduleRecovery(3*time.Second, f.Net.Heal)
 	case 10:
 		f.killWorker(time.Second)
 	case 11:
-		f.slow(f.pick(f.All()), f.World.Between(time.Second, 4*time.Second))
+		f.slowDown(f.pickMachine(f.All()), f.World.Between(time.Second, 4*time.Second))
 	case 12:
-		m := f.pick(f.Storage)
+		m := f.pickMachine(f.Storage)
 		m.Disk.SyncStalled = true
-		f.later(f.World.Between(time.Second, 3*time.Second), func() { m.Disk.SyncStalled = false })
+		f.scheduleRecovery(f.World.Between(time.Second, 3*time.Second), func() { m.Disk.SyncStalled = false })
 	case 13:
-		f.Net.Isolate(map[string]bool{f.pick(f.All()).Host.Name: true})
-		f.later(2*time.Second, f.Net.Heal)
+		f.Net.Isolate(map[string]bool{f.pickMachine(f.All()).Host.Name: true})
+		f.scheduleRecovery(2*time.Second, f.Net.Heal)
 	}
 }
 
 // Scenarios are all kinds of failure that runs and campaigns draw on.
 var Scenarios = []*Scenario{
 	{Name: "nothing but load"},
-	{Name: "edges killed", Every: 3 * time.Second, Do: func(f *Fleet, _ int) { f.crash(f.pick(f.Gateways), 1500*time.Millisecond, false) }},
-	{Name: "edges frozen and woken", Every: 6 * time.Second, Do: func(f *Fleet, _ int) { f.freeze(f.pick(f.Gateways), 4*time.Second) }},
-	{Name: "cores killed", Every: 5 * time.Second, Do: func(f *Fleet, _ int) { f.crash(f.pick(f.Cores), 2*time.Second, false) }},
-	{Name: "cores frozen and woken", Every: 7 * time.Second, Do: func(f *Fleet, _ int) { f.freeze(f.pick(f.Cores), 4*time.Second) }},
-	{Name: "disks lose power", Every: 4 * time.Second, Do: func(f *Fleet, _ int) { f.crash(f.pick(f.Storage), 1500*time.Millisecond, true) }},
-	{Name: "disks frozen and woken", Every: 5 * time.Second, Do: func(f *Fleet, _ int) { f.freeze(f.pick(f.Storage), 3*time.Second) }},
+	{Name: "edges killed", Every: 3 * time.Second, Do: func(f *Fleet, _ int) { f.crash(f.pickMachine(f.Gateways), 1500*time.Millisecond, false) }},
+	{Name: "edges frozen and woken", Every: 6 * time.Second, Do: func(f *Fleet, _ int) { f.freeze(f.pickMachine(f.Gateways), 4*time.Second) }},
+	{Name: "cores killed", Every: 5 * time.Second, Do: func(f *Fleet, _ int) { f.crash(f.pickMachine(f.Cores), 2*time.Second, false) }},
+	{Name: "cores frozen and woken", Every: 7 * time.Second, Do: func(f *Fleet, _ int) { f.freeze(f.pickMachine(f.Cores), 4*time.Second) }},
+	{Name: "disks lose power", Every: 4 * time.Second, Do: func(f *Fleet, _ int) { f.crash(f.pickMachine(f.Storage), 1500*time.Millisecond, true) }},
+	{Name: "disks frozen and woken", Every: 5 * time.Second, Do: func(f *Fleet, _ int) { f.freeze(f.pickMachine(f.Storage), 3*time.Second) }},
 	{Name: "disk stalls", Every: 6 * time.Second, Do: func(f *Fleet, _ int) {
-		m := f.pick(f.Storage)
+		m := f.pickMachine(f.Storage)
 		m.Disk.SyncStalled = true
-		f.later(3*time.Second, func() { m.Disk.SyncStalled = false })
+		f.scheduleRecovery(3*time.Second, func() { m.Disk.SyncStalled = false })
 	}},
 	{Name: "disk fills", Every: 5 * time.Second, Do: func(f *Fleet, _ int) {
-		m := f.pick(f.Storage)
+		m := f.pickMachine(f.Storage)
 		limit := m.Disk.Capacity
 		m.Disk.Capacity -= m.Disk.Free()
-		f.later(3*time.Second, func() { m.Disk.Capacity = limit })
+		f.scheduleRecovery(3*time.Second, func() { m.Disk.Capacity = limit })
 	}},
 	{Name: "disks lost and replaced", Span: 30 * time.Second, Every: 4 * time.Second, Do: func(f *Fleet, _ int) { f.replaceDisk() }},
 	{Name: "messages lost, late and twice", Net: NetworkFaults{LossRate: 0.01, DelayRate: 0.02, DuplicateRate: 0.02, MaxExtraDelay: 4 * time.Second}},
 	{Name: "a machine cut off", Every: 8 * time.Second, Do: func(f *Fleet, _ int) {
-		f.Net.Isolate(map[string]bool{f.pick(append(append([]*Machine{}, f.Gateways...), f.Cores...)).Host.Name: true})
-		f.later(4*time.Second, f.Net.Heal)
+		f.Net.Isolate(map[string]bool{f.pickMachine(append(append([]*Machine{}, f.Gateways...), f.Cores...)).Host.Name: true})
+		f.scheduleRecovery(4*time.Second, f.Net.Heal)
 	}},
 	{Name: "one-way loss", Every: 8 * time.Second, Do: func(f *Fleet, _ int) {
 		all := f.All()
-		f.Net.CutLink(f.pick(all).Host.Name, f.pick(all).Host.Name)
-		f.later(4*time.Second, f.Net.Heal)
+		f.Net.CutLink(f.pickMachine(all).Host.Name, f.pickMachine(all).Host.Name)
+		f.scheduleRecovery(4*time.Second, f.Net.Heal)
 	}},
 	{Name: "a zone cut off", Every: 10 * time.Second, Do: func(f *Fleet, _ int) {
-		machines, workers := f.zone(f.pick(f.All()).Host.Zone)
+		machines, workers := f.inZone(f.pickMachine(f.All()).Host.Zone)
 		apart := map[string]bool{}
 		for _, m := range machines {
 			apart[m.Host.Name] = true
@@ -223,47 +223,47 @@
 			apart[host.Name] = true
 		}
 		f.Net.Isolate(apart)
-		f.later(5*time.Second, f.Net.Heal)
+		f.scheduleRecovery(5*time.Second, f.Net.Heal)
 	}},
 	{Name: "a zone lost", Every: 10 * time.Second, Do: func(f *Fleet, _ int) {
-		machines, workers := f.zone(f.pick(f.All()).Host.Zone)
+		machines, workers := f.inZone(f.pickMachine(f.All()).Host.Zone)
 		down := f.World.Between(2*time.Second, 6*time.Second)
 		for _, m := range machines {
 			f.crash(m, down, true)
 		}
 		for _, host := range workers {
 			host.Kill()
-			f.later(down, func() { host.alive = true })
+			f.scheduleRecovery(down, func() { host.alive = true })
 		}
 	}},
 	{Name: "planned stops", Planned: true, Every: time.Second, Do: func(f *Fleet, round int) {
 		lists := [][]*Machine{f.Gateways, f.Cores, f.Gateways, f.Storage}
 		list := lists[round%len(lists)]
-		f.restart(list[round/len(lists)%len(list)])
+		f.gracefulRestart(list[round/len(lists)%len(list)])
 	}},
-	{Name: "workers in trouble", Begin: func(f *Fleet) { f.trouble(0.2, 0.3) }},
+	{Name: "workers in trouble", Begin: func(f *Fleet) { f.setWorkerFaultRates(0.2, 0.3) }},
 	{Name: "workers killed", Every: 2 * time.Second, Do: func(f *Fleet, _ int) { f.killWorker(time.Second) }},
 	{Name: "an urgent crowd", Crowd: 40, Fit: func(shape *Shape) { shape.Capacity = 3 }, Every: 5 * time.Second, Do: func(f *Fleet, _ int) {
-		f.crash(f.pick(f.Gateways), time.Second, false)
+		f.crash(f.pickMachine(f.Gateways), time.Second, false)
 	}},
-	{Name: "slow machines and disks", Every: 3 * time.Second, Do: func(f *Fleet, _ int) { f.slow(f.pick(f.All()), 4*time.Second) }},
+	{Name: "slow machines and disks", Every: 3 * time.Second, Do: func(f *Fleet, _ int) { f.slowDown(f.pickMachine(f.All()), 4*time.Second) }},
 	{Name: "frozen beyond every bound", Span: 30 * time.Second, Every: 9 * time.Second, Do: func(f *Fleet, round int) {
 		lists := [][]*Machine{f.Gateways, f.Cores, f.Storage}
-		f.freeze(f.pick(lists[round%len(lists)]), f.World.Between(14*time.Second, 20*time.Second))
+		f.freeze(f.pickMachine(lists[round%len(lists)]), f.World.Between(14*time.Second, 20*time.Second))
 	}},
-	{Name: "total outages", Span: 24 * time.Second, Every: 4 * time.Second, Do: func(f *Fleet, _ int) { f.outage() }},
-	{Name: "a storm", Every: 1500 * time.Millisecond, Net: NetworkFaults{LossRate: 0.03, DelayRate: 0.05, DuplicateRate: 0.05, MaxExtraDelay: 6 * time.Second}, Do: func(f *Fleet, _ int) { f.storm() }},
-	{Name: "everything at once", Every: 4 * time.Second, Net: NetworkFaults{LossRate: 0.005, DelayRate: 0.01, DuplicateRate: 0.01, MaxExtraDelay: 3 * time.Second}, Begin: func(f *Fleet) { f.trouble(0.05, 0.1) },
+	{Name: "total outages", Span: 24 * time.Second, Every: 4 * time.Second, Do: func(f *Fleet, _ int) { f.totalOutage() }},
+	{Name: "a storm", Every: 1500 * time.Millisecond, Net: NetworkFaults{LossRate: 0.03, DelayRate: 0.05, DuplicateRate: 0.05, MaxExtraDelay: 6 * time.Second}, Do: func(f *Fleet, _ int) { f.injectRandomFault() }},
+	{Name: "everything at once", Every: 4 * time.Second, Net: NetworkFaults{LossRate: 0.005, DelayRate: 0.01, DuplicateRate: 0.01, MaxExtraDelay: 3 * time.Second}, Begin: func(f *Fleet) { f.setWorkerFaultRates(0.05, 0.1) },
 		Do: func(f *Fleet, round int) {
 			switch round % 4 {
 			case 0:
-				f.crash(f.pick(f.Gateways), 2*time.Second, false)
+				f.crash(f.pickMachine(f.Gateways), 2*time.Second, false)
 			case 1:
-				f.freeze(f.pick(f.Gateways), 3500*time.Millisecond)
+				f.freeze(f.pickMachine(f.Gateways), 3500*time.Millisecond)
 			case 2:
-				f.crash(f.pick(f.Cores), time.Second, false)
+				f.crash(f.pickMachine(f.Cores), time.Second, false)
 			case 3:
-				f.crash(f.pick(f.Storage), time.Second, true)
+				f.crash(f.pickMachine(f.Storage), time.Second, true)
 			}
 		}},
 }
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -16,26 +16,26 @@
 	"fordseam/internal/worker"
 )
 
-type workerOf = worker.Worker
+type listedWorker = worker.Worker
 
 // Machine is one simulated process with its machine.
 type Machine struct {
-	Host       *Host
-	Role       string
-	Disk       *Disk
-	gateway    *node.Gateway
-	core       *node.Core
-	storage    *node.Storage
-	Counters   *base.Counters
-	StorageErr error
-	open       int
-	closing    bool
-	// gone machines never come back.
-	gone bool
-	// begun machines have had a life already.
-	begun bool
-	// leaving machines were told to stop.
-	leaving bool
+	Host         *Host
+	Role         string
+	Disk         *Disk
+	gateway      *node.Gateway
+	core         *node.Core
+	storage      *node.Storage
+	Counters     *base.Counters
+	StorageErr   error
+	openRequests int
+	stopping     bool
+	// removed machines never come back.
+	removed bool
+	// startedBefore machines have had a life already.
+	startedBefore bool
+	// stopRequested machines were told to stop.
+	stopRequested bool
 }
 
 // Fleet is all machines.
@@ -49,32 +49,32 @@
 	Models     []*standin.Model
 	Tools      []*standin.Tool
 	CallerHost *Host
-	models     map[string]*standin.Model
-	tools      map[string]*standin.Tool
+	modelsByID map[string]*standin.Model
+	toolsByID  map[string]*standin.Tool
 	WorkerList worker.List
 	Tally      *standin.Tally
 	// Seeds, when set, are every machine's; Pinned is the cluster in their places.
-	SeedAddrs []string
-	ClusterID string
-	lives     map[string]life
-	reports   int64
-	// harms counts failures whose end is still to come.
-	harms int
+	SeedAddrs      []string
+	ClusterID      string
+	reportedStates map[string]reportedState
+	reportCount    int64
+	// pendingFaults counts failures whose end is still to come.
+	pendingFaults int
 	// lost, set by tests only, takes mechanisms away that lie outside the wire.
-	lost mechanisms
+	disabled mechanisms
 	// equip, when set, changes what a process is given; begins sees it built, before it starts.
-	equip  func(m *Machine, env *node.Env, place *node.Place)
-	begins func(m *Machine)
+	configure func(m *Machine, env *node.Env, place *node.Place)
+	onBuilt   func(m *Machine)
 }
 
-// expect is the id that a worker is told to have, match the id that an answer
+// expectedID is the id that a worker is told to have, match the id that an answer
 // must carry back, proof the proof that a request has not run, stays the last
-// look at the list before a request leaves.
-type mechanisms struct{ leave, seeds, endMark, expect, match, proof, stays bool }
+// pollInForce at the list before a request leaves.
+type mechanisms struct{ gracefulStop, seeds, endMarker, expectedID, answerID, notRunProof, finalListCheck bool }
 
 // NewFleet builds and starts a fleet.
 func NewFleet(seed uint64, shape Shape) *Fleet {
-	f := layFleet(seed, shape)
+	f := buildFleet(seed, shape)
 	for _, m := range f.All() {
 		f.Start(m)
 	}
@@ -82,25 +82,25 @@
 	return f
 }
 
-// layFleet builds a fleet; nothing runs yet.
-func layFleet(seed uint64, shape Shape) *Fleet {
+// buildFleet builds a fleet; nothing runs yet.
+func buildFleet(seed uint64, shape Shape) *Fleet {
 	w := NewWorld(seed)
 	if shape.ModelPool == "" {
 		shape.ModelPool, shape.ToolPool = "models", "apps"
 	}
-	f := &Fleet{World: w, Net: NewNet(w), Shape: shape, models: map[string]*standin.Model{}, tools: map[string]*standin.Tool{}, Tally: standin.NewTally(), lives: map[string]life{}}
+	f := &Fleet{World: w, Net: NewNet(w), Shape: shape, modelsByID: map[string]*standin.Model{}, toolsByID: map[string]*standin.Tool{}, Tally: standin.NewTally(), reportedStates: map[string]reportedState{}}
 	f.CallerHost = w.NewHost("callers", "outside")
 	zone := shape.zone
 	for place := 0; place < shape.Models; place++ {
 		name := fmt.Sprintf("model-%d", place)
 		model := &standin.Model{ID: name, Clock: w.NewHost(name, zone(place)).Clock(), Pieces: shape.Pieces, Gap: shape.Gap, Prefill: shape.Prefill, Cache: shape.Cache, Capacity: shape.Capacity, Given: f.Tally.Given}
-		f.Models, f.models[name] = append(f.Models, model), model
+		f.Models, f.modelsByID[name] = append(f.Models, model), model
 		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ModelPool, Zone: zone(place), Capacity: shape.Capacity})
 	}
 	for place := 0; place < shape.Tools; place++ {
 		name := fmt.Sprintf("app-%d", place)
 		tool := &standin.Tool{ID: name, Clock: w.NewHost(name, zone(place)).Clock(), Pause: shape.Gap, Given: f.Tally.Given}
-		f.Tools, f.tools[name] = append(f.Tools, tool), tool
+		f.Tools, f.toolsByID[name] = append(f.Tools, tool), tool
 		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ToolPool, Zone: zone(place), Capacity: shape.Capacity})
 	}
 	f.WorkerList.Stamp = 1
@@ -124,12 +124,12 @@
 
 // AddMachine brings a new machine of a role into the fleet, at a new address.
 func (f *Fleet) AddMachine(role string) *Machine {
-	m := f.lay(role)
+	m := f.newMachine(role)
 	f.Start(m)
 	return m
 }
 
-func (f *Fleet) lay(role string) *Machine {
+func (f *Fleet) newMachine(role string) *Machine {
 	list := map[string]*[]*Machine{"storage": &f.Storage, "core": &f.Cores, "edge": &f.Gateways}[role]
 	place := len(*list)
 	m := &Machine{Host: f.World.NewHost(fmt.Sprintf("%s-%d", role, place), f.Shape.zone(place)), Role: role}
@@ -141,11 +141,11 @@
 // Start gives a machine a new life.
 func (f *Fleet) Start(m *Machine) {
 	h := m.Host
-	h.alive, h.dark, m.open, m.closing, m.leaving = true, false, 0, false, false
+	h.alive, h.dark, m.openRequests, m.stopping, m.stopRequested = true, false, 0, false, false
 	m.gateway, m.core, m.storage = nil, nil, nil
 	m.Counters = base.NewCounters()
 	env := node.Env{Clock: h.Clock(), Wire: f.Net.Wire(h), Files: m.Disk, Counters: m.Counters,
-		Backends: &Backends{net: f.Net, host: h, models: f.models, tools: f.tools, lost: &f.lost}}
+		Backends: &Backends{net: f.Net, host: h, models: f.modelsByID, tools: f.toolsByID, lost: &f.disabled}}
 	place := node.Place{Addr: h.Name + ":1", Public: h.Name + ":2", Zone: h.Zone, Seeds: []string{f.Cores[0].Host.Name + ":1", f.Cores[len(f.Cores)-1].Host.Name + ":1", f.Storage[0].Host.Name + ":1"}}
 	if f.SeedAddrs != nil {
 		place.Seeds = f.SeedAddrs
@@ -153,25 +153,25 @@
 	if f.Shape.Found && f.SeedAddrs == nil {
 		place.Seeds = base.Map(f.Cores[:min(3, len(f.Cores))], func(m *Machine) string { return m.Host.Name + ":1" })
 	}
-	place.Cluster, place.Node, place.Tolerate, place.Found = f.ClusterID, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.begun
-	if f.lost.seeds {
+	place.Cluster, place.Node, place.Tolerate, place.Found = f.ClusterID, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.startedBefore
+	if f.disabled.seeds {
 		place.Seeds = []string{"nowhere:1"}
 	}
-	if f.equip != nil {
-		f.equip(m, &env, &place)
+	if f.configure != nil {
+		f.configure(m, &env, &place)
 	}
 	h.Go(func() {
-		m.begun = true
+		m.startedBefore = true
 		switch m.Role {
 		case "edge":
 			m.gateway = node.NewGateway(env, place)
 			h.serve = m.gateway.Handler()
-			f.built(m)
+			f.notifyBuilt(m)
 			m.gateway.Start()
 		case "core":
 			m.core = node.NewCore(env, place)
 			h.serve = m.core.Handler()
-			f.built(m)
+			f.notifyBuilt(m)
 			m.core.Start()
 		case "storage":
 			m.storage, m.StorageErr = node.NewStorage(env, place)
@@ -188,9 +188,9 @@
 	})
 }
 
-func (f *Fleet) built(m *Machine) {
-	if f.begins != nil {
-		f.begins(m)
+func (f *Fleet) notifyBuilt(m *Machine) {
+	if f.onBuilt != nil {
+		f.onBuilt(m)
 	}
 }
 
@@ -235,35 +235,35 @@
 	m.Host.Go(func() {
 		switch {
 		case m.gateway != nil && m.Role == "edge":
-			m.gateway.Leave(stopLimit)
+			m.gateway.Leave(stopTimeout)
 			m.gateway.Stop()
 		case m.core != nil && m.Role == "core":
-			m.core.Leave(stopLimit)
+			m.core.Leave(stopTimeout)
 			m.core.Stop()
 		case m.storage != nil && m.Role == "storage":
-			m.storage.Leave(stopLimit)
+			m.storage.Leave(stopTimeout)
 			m.storage.Stop()
 		}
 		left = true
 		bell.Ring()
 	})
-	m.closing = true
-	if f.lost.leave {
-		f.Tally.Dropped(m.Host.Name, m.open)
+	m.stopping = true
+	if f.disabled.gracefulStop {
+		f.Tally.Dropped(m.Host.Name, m.openRequests)
 		f.Kill(m)
 	}
-	for end := f.World.now + stopLimit + time.Second; (!left || m.open > 0) && m.Host.life == life && f.World.now < end; {
+	for end := f.World.now + stopTimeout + time.Second; (!left || m.openRequests > 0) && m.Host.life == life && f.World.now < end; {
 		bell.Next().Wait(pollEvery)
 	}
-	m.closing = false
+	m.stopping = false
 	if m.Host.life == life {
-		f.Tally.Dropped(m.Host.Name, m.open)
+		f.Tally.Dropped(m.Host.Name, m.openRequests)
 		f.Kill(m)
 	}
 }
 
-// stopLimit is what a daemon told to stop takes at the most.
-const stopLimit = 24 * time.Second
+// stopTimeout is what a daemon told to stop takes at the most.
+const stopTimeout = 24 * time.Second
 
 // OperatorRequest sends an operator's request to a core and gives status and body.
 func (f *Fleet) OperatorRequest(m *Machine, method, path string, body any) (status int, answer []byte) {
@@ -298,18 +298,18 @@
 func (f *Fleet) SetUp() {
 	if !f.Shape.Found {
 		addrs := base.Map(f.Storage, func(m *Machine) string { return m.Host.Name + ":1" })
-		f.insist("form", func() int {
+		f.retryUntilOK("form", func() int {
 			status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
 			return status
 		})
 	}
-	f.insist("apply", func() int {
-		status, _ := f.OperatorRequest(f.living(), "POST", "/v1/operator/settings/apply",
+	f.retryUntilOK("apply", func() int {
+		status, _ := f.OperatorRequest(f.liveCore(), "POST", "/v1/operator/settings/apply",
 			map[string]any{"change": "first", "based_on": 0, "document": json.RawMessage(f.Shape.Settings)})
 		return status
 	})
 	ask := f.Asker(f.CallerHost)
-	f.insist("workers", func() int {
+	f.retryUntilOK("workers", func() int {
 		answer, err := ask(0, "PUT", "/v1/platform/workers", nil, base.Encode(f.WorkerList))
 		if err != nil {
 			return 0
@@ -318,8 +318,8 @@
 	})
 }
 
-// living is a core that is up.
-func (f *Fleet) living() *Machine {
+// liveCore is a core that is up.
+func (f *Fleet) liveCore() *Machine {
 	for _, m := range f.Cores {
 		if m.Host.alive && !m.Host.frozen {
 			return m
@@ -328,7 +328,7 @@
 	return f.Cores[0]
 }
 
-func (f *Fleet) insist(what string, step func() int) {
+func (f *Fleet) retryUntilOK(what string, step func() int) {
 	for tries := 0; tries < 200; tries++ {
 		if step() == 200 {
 			return
@@ -338,8 +338,8 @@
 	panic("fleet did not come up: " + what)
 }
 
-// feeds is the core that owns the feed.
-func (f *Fleet) feeds() *Machine {
+// feedLeader is the core that owns the feed.
+func (f *Fleet) feedLeader() *Machine {
 	for _, m := range f.Cores {
 		if m.Host.alive && m.core != nil && m.core.Owner.LeadsFeed() {
 			return m
--- a/internal/simulate/fleet_report.go
+++ b/internal/simulate/fleet_report.go
@@ -20,7 +20,7 @@
 			for turn := int(f.World.Int64N(int64(len(f.Gateways)))); ; turn++ {
 				f.CallerHost.Clock().Sleep(every)
 				if f.World.Hosts[model.ID].alive {
-					_, _ = ask(turn, "POST", "/v1/platform/workers/"+model.ID+"/usage", nil, base.Encode(f.usage(model.ID)))
+					_, _ = ask(turn, "POST", "/v1/platform/workers/"+model.ID+"/usage", nil, base.Encode(f.usageReport(model.ID)))
 				}
 			}
 		})
--- a/internal/simulate/follow_test.go
+++ b/internal/simulate/followers_test.go
@@ -11,14 +11,14 @@
 	"github.com/matryer/is"
 )
 
-func TestFollowersLeaveAnOwnerThatIsCutOff(t *testing.T) {
+func TestFollowersLeaveIsolatedLeader(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
 	f := rested(t, 14, applied)
 	defer f.World.Close()
 	bound := base.DefaultBounds().Settings
 	for round, both := range []bool{false, true} {
-		owner := f.feeds()
+		owner := f.feedLeader()
 		for _, m := range append(append([]*Machine{}, f.Cores...), f.Storage...) {
 			if m != owner {
 				f.Net.CutLink(owner.Host.Name, m.Host.Name)
--- a/internal/simulate/history_test.go
+++ b/internal/simulate/history_test.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	historyPrograms = 60
-	historyRetain   = 10 * time.Minute
+	historyPrograms  = 60
+	historyRetention = 10 * time.Minute
 )
 
 // historyWriter takes turns of many programs, one after the other, straight to
 // the storage machines.
 type historyWriter struct {
-	fleet    *Fleet
-	client   *ledger.Client
-	turns    [][]string // those acknowledged, by program
-	attempts int
-	epochs   []uint64
-	paused   bool
-	writing  bool // a round is under way
-	stopped  bool
+	fleet      *Fleet
+	client     *ledger.Client
+	ackedTurns [][]string // those acknowledged, by program
+	attempts   int
+	epochs     []uint64
+	paused     bool
+	writing    bool // a round is under way
+	stopped    bool
 }
 
 func newHistoryWriter(f *Fleet) *historyWriter {
 	bounds := &base.Table[base.Bounds]{}
 	bounds.Swap(base.DefaultBounds())
-	client := ledger.NewClient(f.CallerHost.Clock(), f.Net.Wire(f.CallerHost), f.set, f.CallerHost.Zone, f.Shape.Tolerate, bounds, base.NewCounters(), nil)
-	return &historyWriter{fleet: f, client: client, turns: make([][]string, historyPrograms), epochs: make([]uint64, historyPrograms)}
+	client := ledger.NewClient(f.CallerHost.Clock(), f.Net.Wire(f.CallerHost), f.diskSet, f.CallerHost.Zone, f.Shape.Tolerate, bounds, base.NewCounters(), nil)
+	return &historyWriter{fleet: f, client: client, ackedTurns: make([][]string, historyPrograms), epochs: make([]uint64, historyPrograms)}
 }
 
 func (w *historyWriter) ctx() *base.Ctx {
@@ -43,52 +43,52 @@
 
 func programName(place int) string { return fmt.Sprintf("program-%d", place) }
 
-// last is the newest acknowledged turn of a program.
-func (w *historyWriter) last(place int) string {
-	if count := len(w.turns[place]); count > 0 {
-		return w.turns[place][count-1]
+// lastTurn is the newest acknowledged turn of a program.
+func (w *historyWriter) lastTurn(place int) string {
+	if count := len(w.ackedTurns[place]); count > 0 {
+		return w.ackedTurns[place][count-1]
 	}
 	return ""
 }
 
-// turn takes one turn of a program and tells whether it was acknowledged.
-func (w *historyWriter) turn(place int) bool {
+// runTurn takes one turn of a program and tells whether it was acknowledged.
+func (w *historyWriter) runTurn(place int) bool {
 	w.attempts++
-	program, previous := programName(place), w.last(place)
+	program, previous := programName(place), w.lastTurn(place)
 	id := fmt.Sprintf("%s.%d", program, w.attempts)
 	run := "run-" + program
 	begun, err := w.client.Begin(w.ctx(), &ledger.BeginParams{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
-		Run: run, Epoch: w.epochs[place], Confirmed: w.epochs[place] > 0, Retention: historyRetain})
+		Run: run, Epoch: w.epochs[place], Confirmed: w.epochs[place] > 0, Retention: historyRetention})
 	if err != nil || !begun.Granted {
 		return false
 	}
 	w.epochs[place] = begun.Epoch
 	err = w.client.Finish(w.ctx(), &ledger.FinishParams{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
-		Run: run, Epoch: begun.Epoch, Input: []byte("in " + id), Output: []byte("out " + id), Retention: historyRetain})
+		Run: run, Epoch: begun.Epoch, Input: []byte("in " + id), Output: []byte("out " + id), Retention: historyRetention})
 	if err != nil {
 		return false
 	}
-	w.turns[place] = append(w.turns[place], id)
+	w.ackedTurns[place] = append(w.ackedTurns[place], id)
 	return true
 }
 
-// round takes one turn of each program.
-func (w *historyWriter) round() {
-	for place := range w.turns {
+// runRound takes one turn of each program.
+func (w *historyWriter) runRound() {
+	for place := range w.ackedTurns {
 		if w.paused {
 			return
 		}
-		w.turn(place)
+		w.runTurn(place)
 	}
 }
 
-// keepWriting goes on with turns until it is stopped.
-func (w *historyWriter) keepWriting() {
+// start goes on with turns until it is stopped.
+func (w *historyWriter) start() {
 	w.fleet.CallerHost.Go(func() {
 		for !w.stopped {
 			if !w.paused {
 				w.writing = true
-				w.round()
+				w.runRound()
 				w.writing = false
 			}
 			w.fleet.CallerHost.Clock().Sleep(200 * time.Millisecond)
@@ -96,10 +96,10 @@
 	})
 }
 
-// missing says which programs' acknowledged turns are not all found.
-func (w *historyWriter) missing() (lost []string) {
-	for place := range w.turns {
-		acknowledged := w.turns[place]
+// missingTurns says which programs' acknowledged turns are not all found.
+func (w *historyWriter) missingTurns() (lost []string) {
+	for place := range w.ackedTurns {
+		acknowledged := w.ackedTurns[place]
 		if len(acknowledged) == 0 {
 			continue
 		}
@@ -114,16 +114,16 @@
 	return lost
 }
 
-// nextTurnTries is how often a program tries to go on, as clients do that are
-// told to come back.
-const nextTurnTries = 3
+// nextTurnAttempts is how often a program tries to go on, as clients do that are
+// answeredAt to come back.
+const nextTurnAttempts = 3
 
-// stuck says which programs cannot go on.
-func (w *historyWriter) stuck() (stuck []string) {
-	for place := range w.turns {
+// stuckPrograms says which programs cannot go on.
+func (w *historyWriter) stuckPrograms() (stuck []string) {
+	for place := range w.ackedTurns {
 		taken := false
-		for try := 0; try < nextTurnTries && !taken; try++ {
-			taken = w.turn(place)
+		for try := 0; try < nextTurnAttempts && !taken; try++ {
+			taken = w.runTurn(place)
 		}
 		if !taken {
 			stuck = append(stuck, fmt.Sprintf("%s: cannot go on", programName(place)))
@@ -140,9 +140,9 @@
 	}
 }
 
-// slowHistory makes stores fill slowly: each request for what is missing takes
+// delayHistoryFetches makes stores fill slowly: each request for what is missing takes
 // a while, as it does with a whole retention window of turns.
-func slowHistory(f *Fleet, span time.Duration) {
+func delayHistoryFetches(f *Fleet, span time.Duration) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		if strings.HasSuffix(m.Path, "Ledger/Fetch") {
 			m.From.Clock().Sleep(span)
--- a/internal/simulate/cutoff.go
+++ b/internal/simulate/isolation.go
@@ -74,27 +74,27 @@
 	return form
 }
 
-// operatorSilence is how long an operator waits for an answer.
-const operatorSilence = time.Second
-
-// consultation is one call of an operator and its answer.
-type consultation struct {
-	kind       string
-	core       *Machine
-	sent       time.Duration
-	ended      time.Duration
-	base       uint64
-	version    uint64
-	status     int
-	retryAfter string
-	body       []byte
+// operatorTimeout is how long an operator waits for an answer.
+const operatorTimeout = time.Second
+
+// operatorCall is one call of an operator and its answer.
+type operatorCall struct {
+	kind        string
+	core        *Machine
+	sentAt      time.Duration
+	answeredAt  time.Duration
+	baseVersion uint64
+	version     uint64
+	status      int
+	retryAfter  string
+	body        []byte
 	// apart: the core could not reach a majority from before the call was sent
-	// until after it was answered; stopped: its process did not run all the while.
-	apart, stopped bool
+	// waitUntil after it was answered; stopped: its process did not run all the while.
+	isolated, hostStopped bool
 }
 
-func (c *consultation) String() string {
-	return fmt.Sprintf("%s of %d on %d to %s at %v: %d after %v %q", c.kind, c.version, c.base, c.core.Host.Name, c.sent, c.status, c.ended-c.sent, c.body)
+func (c *operatorCall) String() string {
+	return fmt.Sprintf("%s of %d on %d to %s at %v: %d after %v %q", c.kind, c.version, c.baseVersion, c.core.Host.Name, c.sentAt, c.status, c.answeredAt-c.sentAt, c.body)
 }
 
 // IsolationPlan is one cut: at which size, who, how, and for how long.
@@ -126,27 +126,27 @@
 	Breaches      []string
 }
 
-// cutPlay is a run under way.
-type cutPlay struct {
+// isolationRun is a run under way.
+type isolationRun struct {
 	*Tier
-	run     *IsolationResult
-	apart   map[*Machine]bool
-	from    time.Duration
-	to      time.Duration
-	calls   []*consultation
-	orders  []*cutOrder
-	serial  int
-	current uint64
+	result         *IsolationResult
+	isolated       map[*Machine]bool
+	isolatedAt     time.Duration
+	healedAt       time.Duration
+	calls          []*operatorCall
+	orders         []*sentOrder
+	serial         int
+	currentVersion uint64
 }
 
-// cutOrder is a document that was sent, and what is known of its fate.
-type cutOrder struct {
-	base, version uint64
-	raw           []byte
-	sent          time.Duration
-	// acked is when a first answer took it, 0 for never; refused that it got a
+// sentOrder is a document that was sent, and what is known of its fate.
+type sentOrder struct {
+	baseVersion, version uint64
+	document             []byte
+	sentAt               time.Duration
+	// ackedAt is when a first answer took it, 0 for never; refused that it got a
 	// clear refusal.
-	acked   time.Duration
+	ackedAt time.Duration
 	refused bool
 }
 
@@ -158,123 +158,123 @@
 	if change != nil {
 		change(t.Fleet)
 	}
-	p := &cutPlay{Tier: t, run: run, apart: map[*Machine]bool{}}
+	p := &isolationRun{Tier: t, result: run, isolated: map[*Machine]bool{}}
 	over := false
 	t.CallerHost.Go(func() {
-		p.play()
+		p.execute()
 		over = true
 	})
 	if !t.World.Run(5*time.Minute, func() bool { return over }) {
-		p.breach("the run does not end")
+		p.addBreach("the run does not end")
 	}
 	return run
 }
 
-func (p *cutPlay) breach(format string, args ...any) {
-	p.run.Breaches = append(p.run.Breaches, fmt.Sprintf(format, args...))
+func (p *isolationRun) addBreach(format string, args ...any) {
+	p.result.Breaches = append(p.result.Breaches, fmt.Sprintf(format, args...))
 }
 
-func (p *cutPlay) play() {
+func (p *isolationRun) execute() {
 	clock := p.CallerHost.Clock()
 	if !p.form() {
-		p.breach("the fleet did not form")
+		p.addBreach("the fleet did not form")
 		return
 	}
-	p.current = p.config.newest.Config.Generation
-	p.orders = append(p.orders, &cutOrder{version: p.current, acked: clock.Now(), raw: p.config.newest.Raw})
+	p.currentVersion = p.config.newest.Config.Generation
+	p.orders = append(p.orders, &sentOrder{version: p.currentVersion, ackedAt: clock.Now(), document: p.config.newest.Raw})
 	clock.Sleep(p.World.Between(2*time.Second, 4*time.Second))
-	if !p.until2(20*time.Second, func() bool { return p.feeds() != nil }) {
-		p.breach("no core owns the feed")
+	if !p.waitFor(20*time.Second, func() bool { return p.feedLeader() != nil }) {
+		p.addBreach("no core owns the feed")
 		return
 	}
-	end := p.World.now + time.Second + p.run.Duration + 6*time.Second
+	end := p.World.now + time.Second + p.result.Duration + 6*time.Second
 	left := 0
 	enter := func(task func()) {
 		left++
 		p.CallerHost.Go(func() { task(); left-- })
 	}
 	going := func() bool { return p.World.now < end }
-	enter(func() { p.write(going) })
+	enter(func() { p.writeLoop(going) })
 	for range 2 {
-		enter(func() { p.read(going) })
+		enter(func() { p.readLoop(going) })
 	}
-	enter(func() { p.ask(going) })
+	enter(func() { p.rejectableCallLoop(going) })
 	clock.Sleep(time.Second + p.World.Between(0, 300*time.Millisecond))
-	p.cut()
-	enter(p.firstAck)
-	clock.Sleep(p.run.Duration)
+	p.isolate()
+	enter(p.measureMajorityAck)
+	clock.Sleep(p.result.Duration)
 	p.heal()
-	enter(p.settle)
+	enter(p.measureRecovery)
 	p.until(2*time.Minute, func() bool { return left == 0 })
-	p.readAll()
-	p.judge()
+	p.readFromAllCores()
+	p.check()
 }
 
-func (p *cutPlay) until2(limit time.Duration, met func() bool) bool {
+func (p *isolationRun) waitFor(limit time.Duration, met func() bool) bool {
 	p.until(limit, met)
 	return met()
 }
 
-// cut brings the trouble about.
-func (p *cutPlay) cut() {
-	owner := p.feeds()
+// isolate brings the trouble about.
+func (p *isolationRun) isolate() {
+	owner := p.feedLeader()
 	if owner == nil {
-		owner = p.pick(p.Cores)
+		owner = p.pickMachine(p.Cores)
 	}
 	others := base.Filter(p.Cores, func(m *Machine) bool { return m != owner })
 	from := append(slices.Clone(p.Cores), p.Storage...)
-	switch p.run.Target {
+	switch p.result.Target {
 	case TargetLeader, TargetLeaderRestarted:
-		p.apart[owner] = true
+		p.isolated[owner] = true
 	case TargetLeaderAndDisk:
-		p.apart[owner], p.apart[p.pick(p.Storage)] = true, true
+		p.isolated[owner], p.isolated[p.pickMachine(p.Storage)] = true, true
 	case TargetLeaderFromDisks:
-		p.apart[owner], from = true, p.Storage
+		p.isolated[owner], from = true, p.Storage
 	case TargetOtherCore:
-		p.apart[p.pick(others)] = true
+		p.isolated[p.pickMachine(others)] = true
 	case TargetSeeds, TargetSeedsWithRestarts:
 		for _, m := range p.Cores[:3] {
-			p.apart[m] = true
+			p.isolated[m] = true
 		}
-		p.apart[p.pick(p.Storage)] = true
+		p.isolated[p.pickMachine(p.Storage)] = true
 	}
-	p.from, p.to = p.World.now, 1<<60
-	if p.stops() {
+	p.isolatedAt, p.healedAt = p.World.now, 1<<60
+	if p.stopsMachines() {
 		for _, m := range p.All() {
-			if p.apart[m] {
-				p.stop(m)
+			if p.isolated[m] {
+				p.stopMachine(m)
 			}
 		}
 		return
 	}
 	p.Net.ResetOnExit = true
-	p.Net.LinkFailure = map[IsolationMode]LinkFailure{IsolationReset: LinkReset, IsolationRefused: LinkRefused}[p.run.Mode]
+	p.Net.LinkFailure = map[IsolationMode]LinkFailure{IsolationReset: LinkReset, IsolationRefused: LinkRefused}[p.result.Mode]
 	for _, m := range p.All() {
-		if !p.apart[m] {
+		if !p.isolated[m] {
 			continue
 		}
 		for _, other := range from {
-			if p.apart[other] {
+			if p.isolated[other] {
 				continue
 			}
-			if p.run.Mode != IsolationInbound {
+			if p.result.Mode != IsolationInbound {
 				p.Net.CutLink(m.Host.Name, other.Host.Name)
 			}
-			if p.run.Mode != IsolationOutbound {
+			if p.result.Mode != IsolationOutbound {
 				p.Net.CutLink(other.Host.Name, m.Host.Name)
 			}
 		}
 	}
-	p.restarts()
+	p.scheduleRestarts()
 }
 
-// stops tells that the machines stand still or fall instead of being cut off.
-func (p *cutPlay) stops() bool {
-	return p.run.Mode == IsolationFrozen || p.run.Mode == IsolationKilled || p.run.Mode == IsolationPowerLoss
+// stopsMachines tells that the machines stand still or fall instead of being cut off.
+func (p *isolationRun) stopsMachines() bool {
+	return p.result.Mode == IsolationFrozen || p.result.Mode == IsolationKilled || p.result.Mode == IsolationPowerLoss
 }
 
-func (p *cutPlay) stop(m *Machine) {
-	switch p.run.Mode {
+func (p *isolationRun) stopMachine(m *Machine) {
+	switch p.result.Mode {
 	case IsolationFrozen:
 		m.Host.Freeze()
 	case IsolationKilled:
@@ -284,11 +284,11 @@
 	}
 }
 
-// restarts kills processes and starts them again while the cut lasts.
-func (p *cutPlay) restarts() {
+// scheduleRestarts kills processes and starts them again while the cut lasts.
+func (p *isolationRun) scheduleRestarts() {
 	var list []*Machine
 	for _, m := range p.Cores {
-		if p.run.Target == TargetLeaderRestarted && p.apart[m] || p.run.Target == TargetSeedsWithRestarts {
+		if p.result.Target == TargetLeaderRestarted && p.isolated[m] || p.result.Target == TargetSeedsWithRestarts {
 			list = append(list, m)
 		}
 	}
@@ -302,39 +302,39 @@
 	}
 }
 
-func (p *cutPlay) heal() {
+func (p *isolationRun) heal() {
 	p.Net.Heal()
 	p.Net.LinkFailure = LinkSilent
 	for _, m := range p.All() {
 		switch {
 		case m.Host.frozen:
 			m.Host.Thaw()
-		case p.stops() && p.apart[m]:
+		case p.stopsMachines() && p.isolated[m]:
 			p.begin(m)
 		}
 	}
-	p.to = p.World.now
+	p.healedAt = p.World.now
 }
 
-// consult makes one call to a core and waits for the answer as long as the
-// operator would; what comes later is judged all the same.
-func (p *cutPlay) consult(kind string, m *Machine, method, path string, order *cutOrder) *consultation {
+// callCore makes one call to a core and waits for the answer as long as the
+// runOperator would; what comes later is judged all the same.
+func (p *isolationRun) callCore(kind string, m *Machine, method, path string, order *sentOrder) *operatorCall {
 	clock := p.CallerHost.Clock()
-	c := &consultation{kind: kind, core: m, sent: clock.Now()}
+	c := &operatorCall{kind: kind, core: m, sentAt: clock.Now()}
 	var header [][2]string
 	var body []byte
 	if order != nil {
-		c.base, c.version, body = order.base, order.version, order.raw
-		header = [][2]string{{parties.HeaderIfMatch, strconv.FormatUint(order.base, 10)}}
+		c.baseVersion, c.version, body = order.baseVersion, order.version, order.document
+		header = [][2]string{{parties.HeaderIfMatch, strconv.FormatUint(order.baseVersion, 10)}}
 	}
 	p.calls = append(p.calls, c)
 	in := newPipe[int](p.CallerHost)
 	if !m.Host.alive || m.core == nil {
 		if m.Host.dark {
-			clock.Sleep(operatorSilence)
+			clock.Sleep(operatorTimeout)
 		}
 		clock.Sleep(p.way())
-		c.ended, c.stopped = clock.Now(), true
+		c.answeredAt, c.hostStopped = clock.Now(), true
 		return c
 	}
 	core, life := m.core, m.Host.life
@@ -343,39 +343,39 @@
 		r := inProcess(method, path, m.Host.Name, header, body)
 		platform.Operate(r, m.Host.Clock(), core)
 		c.status, c.retryAfter, c.body = r.Response.StatusCode(), string(r.Response.Header.Peek("Retry-After")), slices.Clone(r.Response.Body())
-		c.ended = p.World.now
-		overlaps := p.apart[m] && p.from > 0 && since < p.to && c.ended > p.from
-		c.stopped = overlaps && p.stops()
+		c.answeredAt = p.World.now
+		overlaps := p.isolated[m] && p.isolatedAt > 0 && since < p.healedAt && c.answeredAt > p.isolatedAt
+		c.hostStopped = overlaps && p.stopsMachines()
 		// Who is cut off from the disks only may ask the other cores.
-		c.apart = overlaps && since >= p.from && c.ended < p.to && p.run.Target != TargetLeaderFromDisks
+		c.isolated = overlaps && since >= p.isolatedAt && c.answeredAt < p.healedAt && p.result.Target != TargetLeaderFromDisks
 		in.put(p.way(), c.status)
 	})
-	if _, ok := in.next(clock.Now()+operatorSilence, nil); !ok {
-		c.stopped = c.stopped || m.Host.frozen || m.Host.life != life
-		return &consultation{kind: c.kind, core: m, sent: c.sent, ended: clock.Now(), stopped: true}
+	if _, ok := in.next(clock.Now()+operatorTimeout, nil); !ok {
+		c.hostStopped = c.hostStopped || m.Host.frozen || m.Host.life != life
+		return &operatorCall{kind: c.kind, core: m, sentAt: c.sentAt, answeredAt: clock.Now(), hostStopped: true}
 	}
 	return c
 }
 
-// draft is a new valid document on top of a version.
-func (p *cutPlay) draft(onto uint64) *cutOrder {
+// newOrder is a new valid document on top of a version.
+func (p *isolationRun) newOrder(onto uint64) *sentOrder {
 	next := p.drafts.Next(p.config.newest.Config)
 	p.serial += 1 + p.rng.IntN(3)
 	next.Generation = p.orders[0].version + uint64(p.serial)
-	order := &cutOrder{base: onto, version: next.Generation, raw: next.Encode(), sent: p.World.now}
+	order := &sentOrder{baseVersion: onto, version: next.Generation, document: next.Encode(), sentAt: p.World.now}
 	p.orders = append(p.orders, order)
 	return order
 }
 
-// send repeats an order until it is acknowledged or refused, or the time is
+// submit repeats an order until it is acknowledged or refused, or the time is
 // over, as an operator does.
-func (p *cutPlay) send(order *cutOrder, among func() []*Machine, until time.Duration) bool {
+func (p *isolationRun) submit(order *sentOrder, among func() []*Machine, until time.Duration) bool {
 	clock := p.CallerHost.Clock()
 	for tries := 1; clock.Now() < until; tries++ {
-		c := p.consult("PUT", p.pick(among()), "PUT", parties.PathConfig, order)
+		c := p.callCore("PUT", p.pickMachine(among()), "PUT", parties.PathConfig, order)
 		switch {
 		case c.status == 200:
-			p.took(order)
+			p.recordAck(order)
 			return true
 		case c.status >= 400 && c.status < 500:
 			order.refused = true
@@ -386,107 +386,107 @@
 	return false
 }
 
-func (p *cutPlay) took(order *cutOrder) {
-	if order.acked == 0 {
-		order.acked = p.World.now
+func (p *isolationRun) recordAck(order *sentOrder) {
+	if order.ackedAt == 0 {
+		order.ackedAt = p.World.now
 	}
-	p.current = max(p.current, order.version)
+	p.currentVersion = max(p.currentVersion, order.version)
 }
 
-// write sends one change after another on top of the newest.
-func (p *cutPlay) write(going func() bool) {
+// writeLoop sends one change after another on top of the newest.
+func (p *isolationRun) writeLoop(going func() bool) {
 	clock := p.CallerHost.Clock()
 	for going() {
-		order := p.draft(p.current)
-		if p.send(order, func() []*Machine { return p.Cores }, p.World.now+p.run.Duration*2) && p.from > 0 && p.run.AnyCoreAckTime == 0 {
-			p.run.AnyCoreAckTime = p.World.now - p.from
+		order := p.newOrder(p.currentVersion)
+		if p.submit(order, func() []*Machine { return p.Cores }, p.World.now+p.result.Duration*2) && p.isolatedAt > 0 && p.result.AnyCoreAckTime == 0 {
+			p.result.AnyCoreAckTime = p.World.now - p.isolatedAt
 		}
 		clock.Sleep(p.World.Between(50*time.Millisecond, 600*time.Millisecond))
 	}
 }
 
-// firstAck repeats the newest acknowledged order at the majority's side until
+// measureMajorityAck repeats the newest acknowledged order at the majority's side until
 // it is acknowledged again there: the change of hands is what it waits for.
-func (p *cutPlay) firstAck() {
-	order := p.newest()
-	near := base.Filter(p.Cores, func(m *Machine) bool { return !p.apart[m] })
-	for p.World.now < p.to {
-		c := p.consult("repeat", p.pick(near), "PUT", parties.PathConfig, order)
-		if c.status == 200 && c.sent >= p.from {
-			p.run.MajorityAckTime = p.World.now - p.from
+func (p *isolationRun) measureMajorityAck() {
+	order := p.newestAcked()
+	near := base.Filter(p.Cores, func(m *Machine) bool { return !p.isolated[m] })
+	for p.World.now < p.healedAt {
+		c := p.callCore("repeat", p.pickMachine(near), "PUT", parties.PathConfig, order)
+		if c.status == 200 && c.sentAt >= p.isolatedAt {
+			p.result.MajorityAckTime = p.World.now - p.isolatedAt
 			return
 		}
 		p.CallerHost.Clock().Sleep(50 * time.Millisecond)
 	}
-	p.breach("nothing was acknowledged on the majority's side while %s was cut off (%s)", p.run.Target, p.run.Mode)
+	p.addBreach("nothing was acknowledged on the majority's side while %s was cut off (%s)", p.result.Target, p.result.Mode)
 }
 
-func (p *cutPlay) newest() *cutOrder {
+func (p *isolationRun) newestAcked() *sentOrder {
 	for place := len(p.orders) - 1; place > 0; place-- {
-		if p.orders[place].acked > 0 {
+		if p.orders[place].ackedAt > 0 {
 			return p.orders[place]
 		}
 	}
 	return p.orders[0]
 }
 
-// read asks cores of both sides for the newest configuration.
-func (p *cutPlay) read(going func() bool) {
+// readLoop asks cores of both sides for the newest configuration.
+func (p *isolationRun) readLoop(going func() bool) {
 	for going() {
-		p.consult("GET", p.pick(p.Cores), "GET", parties.PathConfig, nil)
+		p.callCore("GET", p.pickMachine(p.Cores), "GET", parties.PathConfig, nil)
 		p.CallerHost.Clock().Sleep(p.World.Between(20*time.Millisecond, 400*time.Millisecond))
 	}
 }
 
-// ask sends what must be refused or was taken before: changes on a version of
+// rejectableCallLoop sends what must be refused or was taken before: changes on a version of
 // long ago, orders that were acknowledged, and retirements of machines that
 // are none.
-func (p *cutPlay) ask(going func() bool) {
+func (p *isolationRun) rejectableCallLoop(going func() bool) {
 	for round := 0; going(); round++ {
-		m := p.pick(p.Cores)
+		m := p.pickMachine(p.Cores)
 		switch round % 4 {
 		case 0:
-			stale := p.draft(p.orders[0].base)
+			stale := p.newOrder(p.orders[0].baseVersion)
 			stale.refused = true
-			p.consult("stale PUT", m, "PUT", parties.PathConfig, stale)
+			p.callCore("stale PUT", m, "PUT", parties.PathConfig, stale)
 		case 1:
-			if order := p.newest(); order != p.orders[0] {
-				p.consult("repeat", m, "PUT", parties.PathConfig, order)
+			if order := p.newestAcked(); order != p.orders[0] {
+				p.callCore("repeat", m, "PUT", parties.PathConfig, order)
 			}
 		case 2:
-			p.consult("GET retire", m, "GET", parties.PathRetire+"storage-none", nil)
+			p.callCore("GET retire", m, "GET", parties.PathRetire+"storage-none", nil)
 		case 3:
-			p.consult("POST retire", m, "POST", parties.PathRetire+"storage-none", nil)
+			p.callCore("POST retire", m, "POST", parties.PathRetire+"storage-none", nil)
 		}
 		p.CallerHost.Clock().Sleep(p.World.Between(20*time.Millisecond, 300*time.Millisecond))
 	}
 }
 
-// settle times how long it takes until every core gives the newest configuration.
-func (p *cutPlay) settle() {
+// measureRecovery times how long it takes until every core gives the newest configuration.
+func (p *isolationRun) measureRecovery() {
 	p.until(30*time.Second, func() bool {
-		newest := p.current
+		newest := p.currentVersion
 		for _, m := range p.Cores {
-			c := p.consult("GET", m, "GET", parties.PathConfig, nil)
-			if c.status != 200 || generationOf(c.body) < newest {
+			c := p.callCore("GET", m, "GET", parties.PathConfig, nil)
+			if c.status != 200 || parseGeneration(c.body) < newest {
 				return false
 			}
 		}
 		return true
 	})
-	p.run.RecoveryTime = p.World.now - p.to
+	p.result.RecoveryTime = p.World.now - p.healedAt
 }
 
-// readAll has every core give the configuration at the end.
-func (p *cutPlay) readAll() {
+// readFromAllCores has every core give the configuration at the end.
+func (p *isolationRun) readFromAllCores() {
 	for _, m := range p.Cores {
-		if c := p.consult("GET", m, "GET", parties.PathConfig, nil); c.status != 200 {
-			p.breach("after the cut: %s", c)
+		if c := p.callCore("GET", m, "GET", parties.PathConfig, nil); c.status != 200 {
+			p.addBreach("after the cut: %s", c)
 		}
 	}
 }
 
-func generationOf(raw []byte) uint64 {
+func parseGeneration(raw []byte) uint64 {
 	found, err := platform.ReadTable(raw)
 	if err != nil {
 		return 0
--- a/internal/simulate/cutoff_removal_test.go
+++ b/internal/simulate/isolation_removal_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func TestWithoutTheProofACutOffOwnerIsCaught(t *testing.T) {
+func TestDisabledMajorityProofIsDetected(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
 	for _, row := range []struct {
--- a/internal/simulate/cutoff_restarted_test.go
+++ b/internal/simulate/isolation_restart_test.go
@@ -11,20 +11,20 @@
 // A core that was restarted behind a cut knows no disks, and so never finds that
 // it lacks a majority of them. Gateways reach it, and it may be the first in the
 // order in which they look for the owner of the feed's shard.
-func TestGatewaysPassOverACoreThatKnowsNoDisks(t *testing.T) {
+func TestGatewaysSkipCoreWithoutDiskSet(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
 	for place := range IsolationSizes["tills"][1] {
 		for seed := uint64(1); seed <= 2; seed++ {
 			t.Run(fmt.Sprintf("core %d, seed %d", place, seed), func(t *testing.T) {
 				t.Parallel()
-				restartBehindACut(t, place, seed)
+				restartWhileIsolated(t, place, seed)
 			})
 		}
 	}
 }
 
-func restartBehindACut(t *testing.T, place int, seed uint64) {
+func restartWhileIsolated(t *testing.T, place int, seed uint64) {
 	tier := NewTier(seed, IsolationShape("tills"), nil)
 	defer tier.World.Close()
 	over := false
--- a/internal/simulate/cutoff_test.go
+++ b/internal/simulate/isolation_test.go
@@ -11,19 +11,19 @@
 	"github.com/apex/log"
 )
 
-// cutSeeds is how many seeds each size is played with; a run of more is asked
+// isolationSeeds is how many seeds each size is played with; a run of more is asked
 // for on the command line.
-var cutSeeds = flag.Int("cut-seeds", 0, "seeds of each size that is cut off (0: a few)")
+var isolationSeeds = flag.Int("cut-seeds", 0, "seeds of each size that is cut off (0: a few)")
 
-// cutDeal gives each seed a target and a way, so that a few seeds cover many
+// isolationCase gives each seed a target and a way, so that a few seeds cover many
 // pairs and many seeds cover all.
-func cutDeal(seed uint64) (IsolationTarget, IsolationMode) {
+func isolationCase(seed uint64) (IsolationTarget, IsolationMode) {
 	return IsolationTargets[seed%uint64(len(IsolationTargets))], IsolationModes[seed%uint64(len(IsolationModes))]
 }
 
-// TestCutOffMachinesGiveNothingOut has each target cut off in each way at the
+// TestIsolatedMachinesRefuseRequests has each target cut off in each way at the
 // sizes of the users' deployments.
-func TestCutOffMachinesGiveNothingOut(t *testing.T) {
+func TestIsolatedMachinesRefuseRequests(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
 	few := map[string]int{"tills": 21, "pay": 14, "grown tills": 2, "grown pay": 2}
@@ -31,20 +31,20 @@
 		t.Run(size, func(t *testing.T) {
 			t.Parallel()
 			count := few[size]
-			if *cutSeeds > 0 {
-				count = *cutSeeds
+			if *isolationSeeds > 0 {
+				count = *isolationSeeds
 			}
 			var runs []*IsolationResult
 			for seed := range uint64(count) {
-				target, way := cutDeal(seed)
-				runs = append(runs, played(t, IsolationPlan{Size: size, Target: target, Mode: way, Duration: 20 * time.Second, Seed: seed + 1}))
+				target, way := isolationCase(seed)
+				runs = append(runs, runPlan(t, IsolationPlan{Size: size, Target: target, Mode: way, Duration: 20 * time.Second, Seed: seed + 1}))
 			}
-			report(t, runs)
+			logTimes(t, runs)
 		})
 	}
 }
 
-func played(t *testing.T, plan IsolationPlan) *IsolationResult {
+func runPlan(t *testing.T, plan IsolationPlan) *IsolationResult {
 	t.Helper()
 	run := plan.Run(nil)
 	for _, breach := range run.Breaches[:min(5, len(run.Breaches))] {
@@ -53,10 +53,10 @@
 	return run
 }
 
-// TestTheNextAcknowledgementComesSoon has the owner of the feed's shard fall
+// TestMajorityAcknowledgesSoonAfterLeaderLoss has the owner of the feed's shard fall
 // silent or end in each way, and wants a change acknowledged on the others' side
 // soon after.
-func TestTheNextAcknowledgementComesSoon(t *testing.T) {
+func TestMajorityAcknowledgesSoonAfterLeaderLoss(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
 	few := map[string]int{"tills": 4, "pay": 4, "grown tills": 1, "grown pay": 1}
@@ -65,10 +65,10 @@
 			t.Run(size+", "+string(way), func(t *testing.T) {
 				t.Parallel()
 				var runs []*IsolationResult
-				for seed := range uint64(max(few[size], *cutSeeds)) {
-					runs = append(runs, played(t, IsolationPlan{Size: size, Target: TargetLeader, Mode: way, Duration: 6 * time.Second, Seed: seed + 1}))
+				for seed := range uint64(max(few[size], *isolationSeeds)) {
+					runs = append(runs, runPlan(t, IsolationPlan{Size: size, Target: TargetLeader, Mode: way, Duration: 6 * time.Second, Seed: seed + 1}))
 				}
-				report(t, runs)
+				logTimes(t, runs)
 				for _, run := range runs {
 					if bound := IsolationShape(size).Site.Bounds.Recovery / 6; run.MajorityAckTime > bound {
 						t.Errorf("%s: acknowledged after %v, %v at the most", run.IsolationPlan, run.MajorityAckTime, bound)
@@ -79,8 +79,8 @@
 	}
 }
 
-// report prints the times to the next acknowledgement: the median and the worst.
-func report(t *testing.T, runs []*IsolationResult) {
+// logTimes prints the times to the next acknowledgement: the median and the worst.
+func logTimes(t *testing.T, runs []*IsolationResult) {
 	t.Helper()
 	figure := func(name string, of func(run *IsolationResult) time.Duration) {
 		sorted := slices.SortedFunc(slices.Values(runs), func(a, b *IsolationResult) int { return cmp.Compare(of(a), of(b)) })
--- a/internal/simulate/long_test.go
+++ b/internal/simulate/limits_test.go
@@ -17,8 +17,8 @@
 )
 
 // Retention really deletes: with a short retain_s, waves of conversations
-// leave the disks no fuller than the first few did, and quiet empties them.
-func TestRetentionBoundsTheDisks(t *testing.T) {
+// gracefulStop the disks no fuller than the first few did, and quiet empties them.
+func TestRetentionBoundsDiskUse(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `{"pools"`, `{"bounds":{"settings_bound_s":2,"recover_bound_s":6,"retain_s":8},"pools"`, 1)
@@ -58,8 +58,8 @@
 }
 
 // Past saturation goodput does not collapse: refusals are early and say when
-// to come again, and the answers that are given stay whole.
-func TestACrowdIsRefusedEarly(t *testing.T) {
+// healedAt come again, and the answers that are given stay whole.
+func TestOverloadIsRefusedEarly(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
 	shape.Capacity, shape.Gap = 4, 50*time.Millisecond
@@ -82,7 +82,7 @@
 }
 
 // A runaway program with many helpers does not keep others from workers.
-func TestARunawayProgramLeavesRoom(t *testing.T) {
+func TestRunawayProgramDoesNotStarveOthers(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
 	shape.Models, shape.Capacity, shape.Gap = 1, 4, 50*time.Millisecond
--- a/internal/simulate/net.go
+++ b/internal/simulate/net.go
@@ -17,7 +17,7 @@
 	"fordseam/internal/base"
 )
 
-type handlerBox http.Handler
+type httpHandler http.Handler
 
 // NetworkFaults are the wire's chances of trouble per message.
 type NetworkFaults struct {
@@ -35,7 +35,7 @@
 	MaxDelay time.Duration
 	// BytesPerSecond is how fast a message's bytes go, unless 0.
 	BytesPerSecond int64
-	cuts           map[[2]string]bool
+	cutLinks       map[[2]string]bool
 	MessageCount   int
 	LostCount      int
 	// TrafficByPath counts the exchanges between machines by path, with their bytes as
@@ -69,15 +69,15 @@
 // HostTraffic is one machine's part in the talk.
 type HostTraffic struct{ RequestsSent, RequestsReceived, Bytes int }
 
-func (n *Net) share(host string) *HostTraffic {
+func (n *Net) hostTraffic(host string) *HostTraffic {
 	if n.TrafficByHost[host] == nil {
 		n.TrafficByHost[host] = &HostTraffic{}
 	}
 	return n.TrafficByHost[host]
 }
 
-// weigh is the size of a message's head and body on the wire.
-func weigh(line int, header http.Header, body int) int {
+// sampleMemory is the size of a message's head and body on the wire.
+func messageSize(line int, header http.Header, body int) int {
 	size := line + len("Content-Length: ") + len(strconv.Itoa(body)) + 4 + body
 	for name, values := range header {
 		for _, value := range values {
@@ -89,8 +89,8 @@
 	return size
 }
 
-func (n *Net) note(from, to, path string, calls, bytes int) {
-	asker, server := n.share(from), n.share(to)
+func (n *Net) recordTraffic(from, to, path string, calls, bytes int) {
+	asker, server := n.hostTraffic(from), n.hostTraffic(to)
 	asker.RequestsSent += calls
 	server.RequestsReceived += calls
 	asker.Bytes += bytes
@@ -111,12 +111,12 @@
 }
 
 func NewNet(world *World) *Net {
-	return &Net{World: world, MinDelay: 200 * time.Microsecond, MaxDelay: 1500 * time.Microsecond, cuts: map[[2]string]bool{}, TrafficByPath: map[string]*PathTraffic{}, TrafficByHost: map[string]*HostTraffic{}}
+	return &Net{World: world, MinDelay: 200 * time.Microsecond, MaxDelay: 1500 * time.Microsecond, cutLinks: map[[2]string]bool{}, TrafficByPath: map[string]*PathTraffic{}, TrafficByHost: map[string]*HostTraffic{}}
 }
 
 // CutLink stops messages from one host to another; Heal lets all through again.
-func (n *Net) CutLink(from, to string) { n.cuts[[2]string{from, to}] = true }
-func (n *Net) Heal()                   { n.cuts = map[[2]string]bool{} }
+func (n *Net) CutLink(from, to string) { n.cutLinks[[2]string{from, to}] = true }
+func (n *Net) Heal()                   { n.cutLinks = map[[2]string]bool{} }
 
 // Isolate stops all messages to and from some hosts except among themselves.
 func (n *Net) Isolate(apart map[string]bool) {
@@ -129,12 +129,12 @@
 	}
 }
 
-func (n *Net) cut(from, to string) bool { return n.cuts[[2]string{from, to}] }
+func (n *Net) isCut(from, to string) bool { return n.cutLinks[[2]string{from, to}] }
 
 func (n *Net) delay() time.Duration { return n.World.Between(n.MinDelay, n.MaxDelay) }
 
-// carriage is how long a message's bytes take on the way.
-func (n *Net) carriage(bytes int) time.Duration {
+// transmissionTime is how long a message's bytes take on the way.
+func (n *Net) transmissionTime(bytes int) time.Duration {
 	if n.BytesPerSecond <= 0 {
 		return 0
 	}
@@ -149,9 +149,9 @@
 	host *Host
 }
 
-var errLost = errors.New("no reply in time")
+var errNoReply = errors.New("no reply in time")
 
-func hostOf(addr string) string {
+func hostName(addr string) string {
 	for place := range addr {
 		if addr[place] == ':' {
 			return addr[:place]
@@ -175,57 +175,57 @@
 		return nil, err
 	}
 	if n.Intercept == nil {
-		return x.carry(request, body, left)
+		return x.roundTrip(request, body, left)
 	}
 	var failed error
-	response := n.Intercept(&Message{From: x.host, To: w.Hosts[hostOf(request.URL.Host)], Path: request.URL.Path, Body: body,
+	response := n.Intercept(&Message{From: x.host, To: w.Hosts[hostName(request.URL.Host)], Path: request.URL.Path, Body: body,
 		Forward: func(body []byte) (response *http.Response, err error) {
-			response, failed = x.carry(request, body, left)
+			response, failed = x.roundTrip(request, body, left)
 			return response, failed
 		}})
 	switch {
 	case response != nil:
 		return response, nil
 	case failed == nil:
-		return nil, errLost // it was not passed on
+		return nil, errNoReply // it was not passed on
 	}
 	return nil, failed
 }
 
-// call is a message whose answer is awaited.
-type call struct{ reset base.Signal }
+// pendingCall is a message whose answer is awaited.
+type pendingCall struct{ reset base.Signal }
 
-// carry takes a message to its machine and the reply back.
-func (x *wire) carry(request *http.Request, body []byte, left time.Duration) (*http.Response, error) {
+// roundTrip takes a message to its machine and the reply back.
+func (x *wire) roundTrip(request *http.Request, body []byte, left time.Duration) (*http.Response, error) {
 	n, w := x.net, x.net.World
 	n.MessageCount++
 	path := request.URL.Path
-	n.note(x.host.Name, hostOf(request.URL.Host), path, 1, weigh(len("POST  HTTP/1.1\r\nHost: \r\n")+len(path)+len(request.URL.Host), request.Header, len(body)))
-	target := w.Hosts[hostOf(request.URL.Host)]
+	n.recordTraffic(x.host.Name, hostName(request.URL.Host), path, 1, messageSize(len("POST  HTTP/1.1\r\nHost: \r\n")+len(path)+len(request.URL.Host), request.Header, len(body)))
+	target := w.Hosts[hostName(request.URL.Host)]
 	if target == nil || !target.alive && !target.dark {
 		x.host.Clock().Sleep(n.delay())
 		return nil, &base.NotSent{Cause: errors.New("connection refused")}
 	}
 	done := (&clock{x.host}).NewSignal()
-	if target.dark || n.cut(x.host.Name, target.Name) || n.cut(target.Name, x.host.Name) && w.Chance(0.5) {
+	if target.dark || n.isCut(x.host.Name, target.Name) || n.isCut(target.Name, x.host.Name) && w.Chance(0.5) {
 		n.LostCount++
 		if n.LinkFailure != LinkSilent && !target.dark {
 			x.host.Clock().Sleep(n.delay())
 			if n.LinkFailure == LinkRefused {
 				return nil, &base.NotSent{Cause: errors.New("connection refused")}
 			}
-			return nil, errLost
+			return nil, errNoReply
 		}
 		done.Wait(left)
 		if w.Chance(0.5) {
 			return nil, &base.NotSent{Cause: errors.New("no route")}
 		}
-		return nil, errLost
+		return nil, errNoReply
 	}
 	if n.ResetOnExit {
-		open := &call{reset: done}
+		open := &pendingCall{reset: done}
 		target.calls = append(target.calls, open)
-		defer func() { target.calls = base.Filter(target.calls, func(one *call) bool { return one != open }) }()
+		defer func() { target.calls = base.Filter(target.calls, func(one *pendingCall) bool { return one != open }) }()
 	}
 	var response *http.Response
 	deliver := func(after time.Duration, answered bool) {
@@ -239,20 +239,20 @@
 			arrived.Body, arrived.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 			arrived.RequestURI = request.URL.RequestURI()
 			target.serve.ServeHTTP(recorder, arrived)
-			if !answered || n.cut(target.Name, x.host.Name) || w.Chance(n.Faults.LossRate) {
+			if !answered || n.isCut(target.Name, x.host.Name) || w.Chance(n.Faults.LossRate) {
 				n.LostCount++
 				if answered && n.LinkFailure != LinkSilent {
 					done.Fire() // without a response: the connection was reset
 				}
 				return
 			}
-			target.Clock().Sleep(n.delay() + n.carriage(recorder.Body.Len()) + x.host.Lag + target.Lag + x.host.work())
+			target.Clock().Sleep(n.delay() + n.transmissionTime(recorder.Body.Len()) + x.host.Lag + target.Lag + x.host.work())
 			response = recorder.Result()
-			n.note(x.host.Name, target.Name, path, 0, weigh(len("HTTP/1.1 200 OK\r\n"), response.Header, recorder.Body.Len()))
+			n.recordTraffic(x.host.Name, target.Name, path, 0, messageSize(len("HTTP/1.1 200 OK\r\n"), response.Header, recorder.Body.Len()))
 			done.Fire()
 		})
 	}
-	after := n.delay() + n.carriage(len(body)) + x.host.Lag + target.Lag + target.work()
+	after := n.delay() + n.transmissionTime(len(body)) + x.host.Lag + target.Lag + target.work()
 	if w.Chance(n.Faults.DelayRate) {
 		after += w.Between(0, n.Faults.MaxExtraDelay)
 	}
@@ -265,7 +265,7 @@
 		}
 	}
 	if !done.Wait(left) || response == nil {
-		return nil, errLost
+		return nil, errNoReply
 	}
 	return response, nil
 }
--- a/internal/simulate/operate_test.go
+++ b/internal/simulate/operate_test.go
@@ -13,24 +13,24 @@
 	"github.com/matryer/is"
 )
 
-func (f *Fleet) unwell(m *Machine) string {
+func (f *Fleet) unwellReasons(m *Machine) string {
 	var shown operate.StatusView
 	_, answer := f.OperatorRequest(m, "GET", "/v1/operator/status", nil)
 	_ = json.Unmarshal(answer, &shown)
 	return strings.Join(shown.Unwell, "\n")
 }
 
-func TestStatusNamesWhatIsUnwell(t *testing.T) {
+func TestStatusReportsUnwellNodes(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(3 * time.Second)
-		is.Equal(f.unwell(f.Cores[0]), "")
+		is.Equal(f.unwellReasons(f.Cores[0]), "")
 		for _, core := range f.Cores { // its word still reaches the others by its neighbours
 			f.Net.CutLink(f.Gateways[1].Host.Name, core.Host.Name)
 		}
 		f.Kill(f.Storage[2])
 		f.Gateways[2].Host.Freeze()
 		call.sleep(6 * time.Second)
-		shown := f.unwell(f.Cores[0])
+		shown := f.unwellReasons(f.Cores[0])
 		for _, word := range []string{"edge edge-1:1 in zone-1 is not ready: no_confirmed_settings", "edge edge-2:1 in zone-0 is silent", "storage storage-2:1 in zone-0 is silent",
 			"at storage-2:1 does not answer; if it is lost, retire it", "2 of 3 disks answer, 2 must: no other may be lost"} {
 			is.True(strings.Contains(shown, word))
@@ -38,7 +38,7 @@
 		f.Kill(f.Storage[1])
 		f.Kill(f.Cores[1])
 		call.sleep(4 * time.Second)
-		shown = f.unwell(f.Cores[0])
+		shown = f.unwellReasons(f.Cores[0])
 		is.True(strings.Contains(shown, "1 of 3 disks answer, 2 must: nothing can be changed"))
 		is.True(strings.Contains(shown, "slots have no owner"))
 		f.Net.Heal()
@@ -47,11 +47,11 @@
 			f.Start(m)
 		}
 		call.sleep(8 * time.Second)
-		is.Equal(f.unwell(f.Cores[1]), "")
+		is.Equal(f.unwellReasons(f.Cores[1]), "")
 	})
 }
 
-func TestDiffShowsWhatADocumentWouldChange(t *testing.T) {
+func TestSettingsDiff(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, _ *talker) {
 		diff := func(document string) (int, string) {
 			status, answer := f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/settings/diff", json.RawMessage(document))
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -16,15 +16,15 @@
 	"fordseam/internal/settings"
 )
 
-const plainModel = `"model":"stand-in"`
+const defaultModelField = `"model":"stand-in"`
 
-// marked is the fleet's settings document with a change's mark in it.
-func (f *Fleet) marked(change string) json.RawMessage {
-	return json.RawMessage(strings.Replace(f.Shape.Settings, plainModel, `"model":"`+change+`"`, 1))
+// settingsWithMarker is the fleet's settings document with a change's mark in it.
+func (f *Fleet) settingsWithMarker(change string) json.RawMessage {
+	return json.RawMessage(strings.Replace(f.Shape.Settings, defaultModelField, `"model":"`+change+`"`, 1))
 }
 
-// markOf finds the mark in a document; a document without one gives "".
-func markOf(document []byte) string {
+// settingsMarker finds the mark in a document; a document without one gives "".
+func settingsMarker(document []byte) string {
 	_, rest, _ := strings.Cut(string(document), `"model":"`)
 	mark, _, _ := strings.Cut(rest, `"`)
 	if mark == "stand-in" {
@@ -34,43 +34,43 @@
 }
 
 // RunOperator applies changes one after another, each based on the stamp it
-// last saw, while it is wanted.
+// lastTurn saw, while it is wanted.
 func (f *Fleet) RunOperator(name string, going func() bool) {
 	clock := f.CallerHost.Clock()
 	stamp := uint64(1)
 	for round := 0; going(); round++ {
 		change := fmt.Sprintf("%s-%d", name, round)
 		if round%6 == 5 {
-			f.invalid(change, stamp)
+			f.applyInvalidSettings(change, stamp)
 		} else {
-			stamp = max(stamp, f.change(change, stamp))
+			stamp = max(stamp, f.applyAndResolve(change, stamp))
 		}
 		clock.Sleep(f.World.Between(100*time.Millisecond, 1200*time.Millisecond))
 	}
 }
 
-// change takes one change to its known end and gives the stamp that stands.
-func (f *Fleet) change(change string, stamp uint64) uint64 {
-	status, answer := f.apply(change, stamp, f.marked(change))
-	return f.resolve(change, stamp, status, answer)
+// applyAndResolve takes one change to its known end and gives the stamp that stands.
+func (f *Fleet) applyAndResolve(change string, stamp uint64) uint64 {
+	status, answer := f.applySettings(change, stamp, f.settingsWithMarker(change))
+	return f.resolveOutcome(change, stamp, status, answer)
 }
 
-func (f *Fleet) apply(change string, stamp uint64, document json.RawMessage) (status int, answer []byte) {
-	return f.OperatorRequest(f.pick(f.Cores), "POST", "/v1/operator/settings/apply", map[string]any{"change": change, "based_on": stamp, "document": document})
+func (f *Fleet) applySettings(change string, stamp uint64, document json.RawMessage) (status int, answer []byte) {
+	return f.OperatorRequest(f.pickMachine(f.Cores), "POST", "/v1/operator/settings/apply", map[string]any{"change": change, "based_on": stamp, "document": document})
 }
 
-// invalid asks for a change that must never be taken.
-func (f *Fleet) invalid(change string, stamp uint64) {
-	document := strings.Replace(string(f.marked(change)), `"pools"`, `"queue_size":0,"pools"`, 1)
-	status, answer := f.apply(change, stamp, json.RawMessage(document))
+// applyInvalidSettings asks for a change that must never be taken.
+func (f *Fleet) applyInvalidSettings(change string, stamp uint64) {
+	document := strings.Replace(string(f.settingsWithMarker(change)), `"pools"`, `"queue_size":0,"pools"`, 1)
+	status, answer := f.applySettings(change, stamp, json.RawMessage(document))
 	if status == 200 {
 		f.Tally.Breach("invalid change %s was acknowledged: %s", change, answer)
 	}
 	f.Tally.ChangeRefused(change)
 }
 
-// resolve asks by the change's id until its outcome is known.
-func (f *Fleet) resolve(change string, basedOn uint64, status int, answer []byte) uint64 {
+// resolveOutcome asks by the change's id until its outcome is known.
+func (f *Fleet) resolveOutcome(change string, basedOn uint64, status int, answer []byte) uint64 {
 	for tries := 0; tries < 400; tries++ {
 		var told struct {
 			Outcome string       `json:"outcome"`
@@ -88,7 +88,7 @@
 		}
 		f.Tally.Count("settings_unknown")
 		f.CallerHost.Clock().Sleep(300 * time.Millisecond)
-		status, answer = f.OperatorRequest(f.pick(f.Cores), "POST", "/v1/operator/settings/outcome", map[string]string{"change": change})
+		status, answer = f.OperatorRequest(f.pickMachine(f.Cores), "POST", "/v1/operator/settings/outcome", map[string]string{"change": change})
 	}
 	return 0
 }
@@ -100,7 +100,7 @@
 			if m.Serving() {
 				var record settings.Record
 				_ = json.Unmarshal(m.gateway.Follower.Snapshot().Values[settings.Key], &record)
-				f.Tally.Showed(m.Host.Name, record.Version, markOf(record.Document), f.World.Now())
+				f.Tally.Showed(m.Host.Name, record.Version, settingsMarker(record.Document), f.World.Now())
 			}
 		}
 		f.CallerHost.Clock().Sleep(40 * time.Millisecond)
@@ -113,15 +113,15 @@
 		status, answer := f.OperatorRequest(f.Cores[tries%len(f.Cores)], "GET", "/v1/operator/settings", nil)
 		var record settings.Record
 		if status == 200 && json.Unmarshal(answer, &record) == nil {
-			f.Tally.Stands(record.Version, markOf(record.Document))
+			f.Tally.Stands(record.Version, settingsMarker(record.Document))
 			return
 		}
 		f.CallerHost.Clock().Sleep(100 * time.Millisecond)
 	}
 }
 
-// life is what a worker says of itself in its reports.
-type life struct {
+// reportedState is what a worker says of itself in its reports.
+type reportedState struct {
 	incarnation string
 	leaving     bool
 }
@@ -134,52 +134,52 @@
 	for round := 0; going(); round++ {
 		clock.Sleep(f.World.Between(time.Second, 3*time.Second))
 		one := f.WorkerList.Workers[f.World.Int64N(int64(len(f.WorkerList.Workers)))]
-		others := base.Filter(f.WorkerList.Workers, func(other workerOf) bool { return other.Pool == one.Pool && other.ID != one.ID && !away[other.ID] })
+		others := base.Filter(f.WorkerList.Workers, func(other listedWorker) bool { return other.Pool == one.Pool && other.ID != one.ID && !away[other.ID] })
 		if away[one.ID] || len(others) == 0 {
 			continue
 		}
 		away[one.ID] = true
 		if f.World.Chance(0.5) {
-			f.patch(map[string]any{"remove": []string{one.ID}})
+			f.patchWorkerList(map[string]any{"remove": []string{one.ID}})
 			f.Tally.Leaves(one.ID, f.World.Now())
 			clock.Sleep(f.World.Between(4*time.Second, 6*time.Second))
 			f.Tally.Returns(one.ID)
-			f.patch(map[string]any{"put": []any{one}})
+			f.patchWorkerList(map[string]any{"put": []any{one}})
 		} else {
-			f.lives[one.ID] = life{f.lives[one.ID].incarnation, true}
-			f.tellUsage(one.ID)
+			f.reportedStates[one.ID] = reportedState{f.reportedStates[one.ID].incarnation, true}
+			f.reportUsage(one.ID)
 			f.Tally.Leaves(one.ID, f.World.Now())
 			clock.Sleep(f.World.Between(4*time.Second, 6*time.Second))
 			f.Tally.Returns(one.ID)
-			f.lives[one.ID] = life{fmt.Sprint("life-", round), false}
-			f.tellUsage(one.ID)
+			f.reportedStates[one.ID] = reportedState{fmt.Sprint("life-", round), false}
+			f.reportUsage(one.ID)
 		}
 		delete(away, one.ID)
 	}
 }
 
-// patch changes the list until it is known to have been taken.
-func (f *Fleet) patch(body map[string]any) {
+// patchWorkerList changes the list until it is known to have been taken.
+func (f *Fleet) patchWorkerList(body map[string]any) {
 	f.WorkerList.Stamp++
 	body["stamp"] = f.WorkerList.Stamp
-	f.untilTold("PATCH", "/v1/platform/workers", func() any { return body }, f.WorkerList.Stamp)
+	f.sendUntilAccepted("PATCH", "/v1/platform/workers", func() any { return body }, f.WorkerList.Stamp)
 }
 
-// tellUsage makes one report of a worker until a gateway has taken it.
-func (f *Fleet) tellUsage(id string) {
-	f.untilTold("POST", "/v1/platform/workers/"+id+"/usage", func() any { return f.usage(id) }, 0)
+// reportUsage makes one report of a worker until a gateway has taken it.
+func (f *Fleet) reportUsage(id string) {
+	f.sendUntilAccepted("POST", "/v1/platform/workers/"+id+"/usage", func() any { return f.usageReport(id) }, 0)
 }
 
-func (f *Fleet) usage(id string) map[string]any {
+func (f *Fleet) usageReport(id string) map[string]any {
 	load := 0
-	if model := f.models[id]; model != nil {
+	if model := f.modelsByID[id]; model != nil {
 		load = model.Busy()
 	}
-	f.reports++
-	return map[string]any{"number": f.World.Now().Milliseconds() + f.reports, "load": load, "incarnation": f.lives[id].incarnation, "leaving": f.lives[id].leaving}
+	f.reportCount++
+	return map[string]any{"number": f.World.Now().Milliseconds() + f.reportCount, "load": load, "incarnation": f.reportedStates[id].incarnation, "leaving": f.reportedStates[id].leaving}
 }
 
-func (f *Fleet) untilTold(method, path string, body func() any, stamp uint64) {
+func (f *Fleet) sendUntilAccepted(method, path string, body func() any, stamp uint64) {
 	ask := f.Asker(f.CallerHost)
 	for tries := int(f.World.Int64N(int64(len(f.Gateways)))); ; tries++ {
 		answer, err := ask(tries, method, path, nil, base.Encode(body()))
@@ -252,7 +252,7 @@
 // a new address take its place.
 func (f *Fleet) replaceDisk() {
 	lost := f.Storage[f.World.Int64N(int64(len(f.Storage)))]
-	if lost.gone || !lost.Host.alive || lost.Host.frozen {
+	if lost.removed || !lost.Host.alive || lost.Host.frozen {
 		return
 	}
 	id := f.FindDisk(lost.Host.Name).ID
@@ -260,11 +260,11 @@
 		return
 	}
 	f.PowerLoss(lost)
-	lost.gone = true
+	lost.removed = true
 	lost.Disk.Wipe()
 	fresh := f.AddMachine("storage")
 	if f.Shape.Tolerate > 0 {
-		if f.until(time.Minute, f.whole) < time.Minute {
+		if f.waitUntil(time.Minute, f.diskSetComplete) < time.Minute {
 			f.Tally.Count("disks_replaced")
 		}
 		return
--- a/internal/simulate/orders.go
+++ b/internal/simulate/orders.go
@@ -37,15 +37,15 @@
 }
 
 const (
-	orderSenders = 8 // orders under way at once
-	// orderTries is how often a sender sends an order that gets no clear answer;
+	orderClients = 8 // orders under way at once
+	// orderAttempts is how often a sender sends an order that gets no clear answer;
 	// one in impatientShare is left after its first.
-	orderTries     = 60
-	impatientShare = 0.1
-	// answerLost and orderLost are the shares of calls that the network loses
+	orderAttempts      = 60
+	singleAttemptShare = 0.1
+	// responseLossRate and orderLost are the shares of calls that the network loses
 	// after and before a core has dealt with them.
-	answerLost = 0.25
-	orderLost  = 0.05
+	responseLossRate = 0.25
+	requestLossRate  = 0.05
 )
 
 // OrderRun is one run.
@@ -61,10 +61,10 @@
 	// Breaches are what was seen wrong besides the order of events.
 	Breaches []string
 
-	sent   map[string][][]byte // what was written for a document, by version and document
-	known  uint64              // the newest version that operators have heard of
-	acked  []Order
-	killer leaderKiller
+	sentDocuments map[string][][]byte // what was written for a document, by version and document
+	newestVersion uint64              // the newest version that operators have heard of
+	ackedOrders   []Order
+	leaderKiller  leaderKiller
 }
 
 // Order is what identifies an order, and whether its document is invalid.
@@ -99,13 +99,13 @@
 // NewOrderRun builds a fleet and starts it; change, if not nil, changes the
 // fleet before it starts.
 func NewOrderRun(seed uint64, shape OrderShape, change func(f *Fleet)) *OrderRun {
-	f := layFleet(seed, Shape{Name: shape.Name, Zones: 4, Edges: shape.Gateways, Cores: shape.Cores, Storage: shape.Storage, Tolerate: shape.FaultTolerance, Found: true})
-	d := &OrderRun{Fleet: f, Rounds: 6, sent: map[string][][]byte{}, Kills: map[string]int{}}
-	f.equip = func(_ *Machine, env *node.Env, place *node.Place) {
+	f := buildFleet(seed, Shape{Name: shape.Name, Zones: 4, Edges: shape.Gateways, Cores: shape.Cores, Storage: shape.Storage, Tolerate: shape.FaultTolerance, Found: true})
+	d := &OrderRun{Fleet: f, Rounds: 6, sentDocuments: map[string][][]byte{}, Kills: map[string]int{}}
+	f.configure = func(_ *Machine, env *node.Env, place *node.Place) {
 		place.Bounds = &base.Bounds{Settings: 2 * time.Second, Leave: 3 * time.Second, Recover: shape.RecoveryBound, Retain: time.Minute}
 		env.Names = &platform.Names
 	}
-	f.begins = func(m *Machine) {
+	f.onBuilt = func(m *Machine) {
 		switch {
 		case m.gateway != nil:
 			m.gateway.Table = platform.ReadTable
@@ -117,16 +117,16 @@
 	if change != nil {
 		change(f)
 	}
-	d.killer = leaderKiller{day: d, inner: f.Net.Intercept}
-	f.Net.Intercept = d.killer.meddle
+	d.leaderKiller = leaderKiller{run: d, next: f.Net.Intercept}
+	f.Net.Intercept = d.leaderKiller.intercept
 	for _, m := range f.All() {
 		f.Start(m)
 	}
 	return d
 }
 
-// written spells an order's document; every spelling is of the same document.
-func (o Order) written(spelling int64) []byte {
+// encode spells an order's document; every spelling is of the same document.
+func (o Order) encode(spelling int64) []byte {
 	fill := map[bool]string{true: `"extra":1,"extra":2`, false: `"extra":[1.50,{"a":0}]`}[o.Invalid]
 	switch spelling {
 	case 0:
@@ -137,14 +137,14 @@
 	return fmt.Appendf(nil, `{%s,"limits":{"header_bytes":16384.00,"idle_ms":1.5E+4},"\u0067eneration":%d,"operator":%q}`, fill, o.Version, o.Document)
 }
 
-const spellings = 3
+const encodingVariants = 3
 
 func (o Order) key() string { return fmt.Sprintf("%d/%s", o.Version, o.Document) }
 
-// call makes one call to a core; status 0 is no clear answer.
-func (d *OrderRun) call(m *Machine, method, ifMatch string, body []byte) (status int, answer []byte) {
+// pendingCall makes one call to a core; status 0 is no clear answer.
+func (d *OrderRun) callCore(m *Machine, method, ifMatch string, body []byte) (status int, answer []byte) {
 	clock, patience := d.CallerHost.Clock(), parties.OrderPatience(len(body))
-	if m.Host.dark || d.World.Chance(orderLost) {
+	if m.Host.dark || d.World.Chance(requestLossRate) {
 		clock.Sleep(patience)
 		return 0, nil
 	}
@@ -161,7 +161,7 @@
 		}
 		r := inProcess(method, parties.PathConfig, m.Host.Name, header, body)
 		platform.Operate(r, m.Host.Clock(), core)
-		if !d.World.Chance(answerLost) {
+		if !d.World.Chance(responseLossRate) {
 			replies.put(way(), answered{kind: answeredHead, status: r.Response.StatusCode(), bytes: bytes.Clone(r.Response.Body())})
 		}
 	})
@@ -176,10 +176,10 @@
 // how it went.
 func (d *OrderRun) SubmitOrder(sender int, order Order, tries int) OrderOutcome {
 	event := OrderEvent{Client: sender, Order: order, Start: d.World.Now()}
-	body := order.written(d.World.Int64N(spellings))
-	d.sent[order.key()] = append(d.sent[order.key()], body)
+	body := order.encode(d.World.Int64N(encodingVariants))
+	d.sentDocuments[order.key()] = append(d.sentDocuments[order.key()], body)
 	for try := 1; try <= tries && event.Outcome == OrderUnknown; try++ {
-		status, answer := d.call(d.pick(d.Cores), "PUT", fmt.Sprint(order.Base), body)
+		status, answer := d.callCore(d.pickMachine(d.Cores), "PUT", fmt.Sprint(order.Base), body)
 		event.LastStatus = status
 		switch {
 		case status == 200:
@@ -195,8 +195,8 @@
 	event.End = d.World.Now()
 	d.History = append(d.History, event)
 	if event.Outcome == OrderAccepted && !order.Invalid {
-		d.acked = append(d.acked, order)
-		d.known = max(d.known, order.Version)
+		d.ackedOrders = append(d.ackedOrders, order)
+		d.newestVersion = max(d.newestVersion, order.Version)
 	}
 	return event.Outcome
 }
@@ -204,29 +204,29 @@
 // ReadConfig reads the configuration from any core, and notes what it was given.
 func (d *OrderRun) ReadConfig(sender int) (version uint64, ok bool) {
 	event := OrderEvent{Client: sender, Start: d.World.Now()}
-	status, raw := d.call(d.pick(d.Cores), "GET", "", nil)
+	status, raw := d.callCore(d.pickMachine(d.Cores), "GET", "", nil)
 	event.End, event.LastStatus = d.World.Now(), status
 	switch {
 	case status == 404:
 		event.Outcome = OrderRead
 	case status == 200:
-		event.Outcome, event.Order = OrderRead, d.recognise(raw)
+		event.Outcome, event.Order = OrderRead, d.identify(raw)
 	case status != 0 && status < 500:
 		d.Breaches = append(d.Breaches, fmt.Sprintf("a read was answered %d: %s", status, raw))
 	}
 	if event.Outcome == OrderRead {
 		d.History = append(d.History, event)
-		d.known = max(d.known, event.Order.Version)
+		d.newestVersion = max(d.newestVersion, event.Order.Version)
 	}
 	return event.Order.Version, event.Outcome == OrderRead
 }
 
-// recognise finds what was read among what was sent, byte for byte.
-func (d *OrderRun) recognise(raw []byte) Order {
+// identify finds what was read among what was sent, byte for byte.
+func (d *OrderRun) identify(raw []byte) Order {
 	version := parties.GenerationOf(raw)
 	for _, document := range documentNames() {
 		order := Order{Version: version, Document: document}
-		for _, body := range d.sent[order.key()] {
+		for _, body := range d.sentDocuments[order.key()] {
 			if bytes.Equal(body, raw) {
 				return order
 			}
@@ -237,9 +237,9 @@
 }
 
 // documentNames are the documents that senders send; two senders of the same
-// operator share one.
+// runOperator share one.
 func documentNames() (names []string) {
-	for sender := range orderSenders {
+	for sender := range orderClients {
 		names = append(names, documentName(sender))
 	}
 	return names
@@ -253,25 +253,25 @@
 // sends again in calm.
 func (d *OrderRun) Run() {
 	trouble := true
-	d.CallerHost.Go(func() { d.trouble(func() bool { return trouble }) })
-	d.rounds()
+	d.CallerHost.Go(func() { d.injectFaults(func() bool { return trouble }) })
+	d.runRounds()
 	trouble = false
-	d.calm()
+	d.stopFaults()
 	d.CallerHost.Clock().Sleep(10 * time.Second)
 	d.audit()
 }
 
-// rounds has each round start from one version, so that all senders collide.
-func (d *OrderRun) rounds() {
+// runRounds has each round start from one version, so that all senders collide.
+func (d *OrderRun) runRounds() {
 	clock := d.CallerHost.Clock()
 	for round := range d.Rounds {
-		start, step := d.known, 1+uint64(d.World.Int64N(3))
-		under := orderSenders
+		start, step := d.newestVersion, 1+uint64(d.World.Int64N(3))
+		under := orderClients
 		done := base.NewBell(clock)
-		for sender := range orderSenders {
+		for sender := range orderClients {
 			d.CallerHost.Go(func() {
 				clock.Sleep(d.World.Between(0, 30*time.Millisecond))
-				d.send(sender, round, Order{Base: start, Version: start + step, Document: documentName(sender)})
+				d.runClient(sender, round, Order{Base: start, Version: start + step, Document: documentName(sender)})
 				under--
 				done.Ring()
 			})
@@ -279,15 +279,15 @@
 		for next := done.Next(); under > 0; next = done.Next() {
 			next.Wait(time.Second)
 		}
-		if d.known == start { // nothing is known to have been taken
+		if d.newestVersion == start { // nothing is known to have been taken
 			d.ReadConfig(0)
 		}
 	}
 }
 
-// send is one sender's part of a round: an order, perhaps a bad one, the repeat
+// submit is one sender's part of a round: an order, perhaps a bad one, the repeat
 // of one that was acknowledged, and a read.
-func (d *OrderRun) send(sender, round int, order Order) {
+func (d *OrderRun) runClient(sender, round int, order Order) {
 	order.Invalid = (sender+round)%16 == 15
 	if order.Invalid {
 		order.Document += ", invalid"
@@ -298,13 +298,13 @@
 	if d.World.Chance(0.05) && order.Base > 0 {
 		order.Base-- // of a version that was in force long ago, or never
 	}
-	tries := orderTries
-	if d.World.Chance(impatientShare) {
+	tries := orderAttempts
+	if d.World.Chance(singleAttemptShare) {
 		tries = 1
 	}
 	d.SubmitOrder(sender, order, tries)
-	if d.World.Chance(0.5) && len(d.acked) > 0 {
-		d.SubmitOrder(sender, d.acked[d.World.Int64N(int64(len(d.acked)))], orderTries)
+	if d.World.Chance(0.5) && len(d.ackedOrders) > 0 {
+		d.SubmitOrder(sender, d.ackedOrders[d.World.Int64N(int64(len(d.ackedOrders)))], orderAttempts)
 	}
 	d.ReadConfig(sender)
 }
@@ -312,7 +312,7 @@
 // audit reads back and sends every order again that was acknowledged.
 func (d *OrderRun) audit() {
 	read := false
-	for range orderTries {
+	for range orderAttempts {
 		if _, read = d.ReadConfig(0); read {
 			break
 		}
@@ -322,12 +322,12 @@
 		d.Breaches = append(d.Breaches, "the configuration could not be read back in calm")
 	}
 	again := map[Order]bool{}
-	for _, order := range append([]Order(nil), d.acked...) {
+	for _, order := range append([]Order(nil), d.ackedOrders...) {
 		if again[order] {
 			continue
 		}
 		again[order] = true
-		if d.SubmitOrder(0, order, orderTries) != OrderAccepted {
+		if d.SubmitOrder(0, order, orderAttempts) != OrderAccepted {
 			d.Breaches = append(d.Breaches, fmt.Sprintf("order %+v was acknowledged, and is not acknowledged again", order))
 		}
 	}
--- a/internal/simulate/orders_faults.go
+++ b/internal/simulate/orders_faults.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// killPause is the least time between two ends of a leader, killSearch the
-	// longest that one kind of step is waited for.
-	killPause  = 600 * time.Millisecond
-	killSearch = 3 * time.Second
-	// killWithin is how many steps of the kind pass at most before the end.
-	killWithin = 4
+	// minKillInterval is the least time between two ends of a leader, killSearch the
+	// longestActivation that one kind of step is waited for.
+	minKillInterval   = 600 * time.Millisecond
+	stepSearchTimeout = 3 * time.Second
+	// maxStepsBeforeKill is how many steps of the kind pass at most before the end.
+	maxStepsBeforeKill = 4
 )
 
 // leaderSteps are the kinds of steps that a leader is killed at.
@@ -31,48 +31,48 @@
 // takes it over, between two of its steps: a step is a message about that shard
 // that it sends to a replica, or an operation that it is asked for.
 type leaderKiller struct {
-	day   *OrderRun
-	inner func(m *Message) *http.Response
+	run  *OrderRun
+	next func(m *Message) *http.Response
 
 	active bool
 	// spared is cut off or frozen, and is to act on what it knew.
-	spared *Machine
-	kind   string // of the step that comes next
-	before bool
-	steps  int64 // of that kind until then
-	last   time.Duration
+	spared    *Machine
+	nextStep  string // of the step that comes next
+	before    bool
+	stepsLeft int64 // of that kind until then
+	lastKill  time.Duration
 }
 
-func (k *leaderKiller) pass(m *Message) *http.Response {
-	if k.inner != nil {
-		return k.inner(m)
+func (k *leaderKiller) forward(m *Message) *http.Response {
+	if k.next != nil {
+		return k.next(m)
 	}
 	response, _ := m.Forward(m.Body)
 	return response
 }
 
-func (k *leaderKiller) meddle(m *Message) *http.Response {
+func (k *leaderKiller) intercept(m *Message) *http.Response {
 	kind := m.Path[strings.LastIndexByte(m.Path, '/')+1:]
 	victim := k.victim(m)
-	if victim == nil || victim == k.spared || !k.due(kind) {
-		return k.pass(m)
+	if victim == nil || victim == k.spared || !k.isDue(kind) {
+		return k.forward(m)
 	}
 	if k.before {
-		k.end(victim, "before "+kind)
-		k.halt(victim, m)
-		return k.pass(m)
+		k.kill(victim, "before "+kind)
+		k.haltSender(victim, m)
+		return k.forward(m)
 	}
 	life := victim.Host.life
-	response := k.pass(m)
+	response := k.forward(m)
 	if victim.Host.life == life {
-		k.end(victim, "after "+kind)
-		k.halt(victim, m)
+		k.kill(victim, "after "+kind)
+		k.haltSender(victim, m)
 	}
 	return response
 }
 
-// halt ends the task that sent the message if its process was killed.
-func (k *leaderKiller) halt(victim *Machine, m *Message) {
+// haltSender ends the task that sent the message if its process was killed.
+func (k *leaderKiller) haltSender(victim *Machine, m *Message) {
 	for victim.Host == m.From {
 		m.From.Clock().Sleep(time.Hour) // no event of a former life wakes it
 	}
@@ -99,7 +99,7 @@
 	default:
 		return nil
 	}
-	for _, core := range k.day.Cores {
+	for _, core := range k.run.Cores {
 		if core.Host == host && core.core != nil && host.alive && !host.frozen {
 			return core
 		}
@@ -107,31 +107,31 @@
 	return nil
 }
 
-// due tells whether a leader ends at this step, and draws the next.
-func (k *leaderKiller) due(kind string) bool {
-	w := k.day.World
-	since := w.now - k.last
-	if since < killPause {
+// isDue tells whether a leader ends at this step, and draws the next.
+func (k *leaderKiller) isDue(kind string) bool {
+	w := k.run.World
+	since := w.now - k.lastKill
+	if since < minKillInterval {
 		return false
 	}
-	if k.kind == "" || since > killSearch {
-		k.kind, k.before, k.steps = leaderSteps[w.Int64N(int64(len(leaderSteps)))], w.Chance(0.5), 1+w.Int64N(killWithin)
-		k.last = w.now - killPause
+	if k.nextStep == "" || since > stepSearchTimeout {
+		k.nextStep, k.before, k.stepsLeft = leaderSteps[w.Int64N(int64(len(leaderSteps)))], w.Chance(0.5), 1+w.Int64N(maxStepsBeforeKill)
+		k.lastKill = w.now - minKillInterval
 	}
-	if kind != k.kind {
+	if kind != k.nextStep {
 		return false
 	}
-	k.steps--
-	if k.steps > 0 {
+	k.stepsLeft--
+	if k.stepsLeft > 0 {
 		return false
 	}
-	k.kind, k.last = "", w.now
+	k.nextStep, k.lastKill = "", w.now
 	return true
 }
 
-// end kills a core and starts it again a while later.
-func (k *leaderKiller) end(m *Machine, step string) {
-	d := k.day
+// kill kills a core and starts it again a while later.
+func (k *leaderKiller) kill(m *Machine, step string) {
+	d := k.run
 	d.Kill(m)
 	d.Kills[step]++
 	d.CallerHost.Go(func() {
@@ -142,13 +142,13 @@
 	})
 }
 
-// trouble harms one machine after another while it goes on; at most one machine
+// setWorkerFaultRates harms one machine after another while it goes on; at most one machine
 // with a disk at a time.
-func (d *OrderRun) trouble(going func() bool) {
+func (d *OrderRun) injectFaults(going func() bool) {
 	clock := d.CallerHost.Clock()
 	clock.Sleep(4 * time.Second) // until the cluster was formed
 	d.Net.Faults = NetworkFaults{LossRate: 0.005, DelayRate: 0.02, DuplicateRate: 0.02, MaxExtraDelay: 400 * time.Millisecond}
-	d.killer.active = !d.StaleLeadersOnly
+	d.leaderKiller.active = !d.StaleLeadersOnly
 	kinds := int64(6)
 	if d.StaleLeadersOnly {
 		kinds = 2
@@ -158,17 +158,17 @@
 		span := d.World.Between(300*time.Millisecond, 4*time.Second)
 		switch d.World.Int64N(kinds) {
 		case 0:
-			d.cutOff(d.leader(), span)
+			d.isolateFor(d.leader(), span)
 		case 1:
-			d.freeze(d.leader(), span)
+			d.freezeFor(d.leader(), span)
 		case 2:
-			d.cutOff(d.pick(d.Cores), span)
+			d.isolateFor(d.pickMachine(d.Cores), span)
 		case 3:
-			d.freeze(d.pick(d.Storage), span)
+			d.freezeFor(d.pickMachine(d.Storage), span)
 		case 4:
-			d.restart(d.pick(d.Storage), d.PowerLoss, span)
+			d.restartAfter(d.pickMachine(d.Storage), d.PowerLoss, span)
 		case 5:
-			d.restart(d.pick(d.Storage), d.Kill, span)
+			d.restartAfter(d.pickMachine(d.Storage), d.Kill, span)
 		}
 	}
 }
@@ -179,16 +179,16 @@
 		return m.core != nil && m.Host.alive && m.core.Owner.LeadsFeed()
 	})
 	if len(serving) == 0 {
-		return d.pick(d.Cores)
+		return d.pickMachine(d.Cores)
 	}
 	return serving[0]
 }
 
-// cutOff separates a machine from all others, in both directions or in one;
+// isolateFor separates a machine from all others, in both directions or in one;
 // operators reach it throughout.
-func (d *OrderRun) cutOff(m *Machine, span time.Duration) {
-	d.killer.spared = m
-	defer func() { d.killer.spared = nil }()
+func (d *OrderRun) isolateFor(m *Machine, span time.Duration) {
+	d.leaderKiller.spared = m
+	defer func() { d.leaderKiller.spared = nil }()
 	into, out := d.World.Chance(0.8), d.World.Chance(0.8)
 	for _, other := range base.SortedKeys(d.World.Hosts) {
 		if other == m.Host.Name {
@@ -205,27 +205,27 @@
 	d.Net.Heal()
 }
 
-func (d *OrderRun) freeze(m *Machine, span time.Duration) {
+func (d *OrderRun) freezeFor(m *Machine, span time.Duration) {
 	if !m.Host.alive {
 		return
 	}
 	m.Host.Freeze()
 	d.CallerHost.Clock().Sleep(span)
-	d.killer.spared = m // for a while after it wakes
+	d.leaderKiller.spared = m // for a while after it wakes
 	m.Host.Thaw()
 	d.CallerHost.Clock().Sleep(500 * time.Millisecond)
-	d.killer.spared = nil
+	d.leaderKiller.spared = nil
 }
 
-func (d *OrderRun) restart(m *Machine, end func(*Machine), span time.Duration) {
+func (d *OrderRun) restartAfter(m *Machine, end func(*Machine), span time.Duration) {
 	end(m)
 	d.CallerHost.Clock().Sleep(span)
 	d.Start(m)
 }
 
-// calm ends all trouble.
-func (d *OrderRun) calm() {
-	d.killer.active = false
+// noFaults ends all trouble.
+func (d *OrderRun) stopFaults() {
+	d.leaderKiller.active = false
 	d.Net.Faults = NetworkFaults{}
 	d.Net.Heal()
 }
--- a/internal/simulate/orders_model.go
+++ b/internal/simulate/orders_model.go
@@ -13,7 +13,7 @@
 )
 
 // taken is a configuration that came into force.
-type takenOrder struct {
+type acceptedConfig struct {
 	version  uint64
 	document string
 }
@@ -21,23 +21,23 @@
 // orderState is the configuration in force and all that came into force before
 // it, as text, so that equal states compare as equal.
 type orderState struct {
-	now   takenOrder
-	chain string
+	current  acceptedConfig
+	accepted string
 }
 
-func link(base, version uint64, document string) string {
+func chainEntry(base, version uint64, document string) string {
 	return fmt.Sprintf("|%d>%d:%s|", base, version, document)
 }
 
 // step tells whether a register in a state may answer a call so, and gives the
 // state after.
 func (s orderState) step(order Order, outcome OrderOutcome) (bool, orderState) {
-	own := link(order.Base, order.Version, order.Document)
-	repeated := strings.Contains(s.chain, own)
-	applies := !order.Invalid && order.Base == s.now.version && order.Version > order.Base
+	own := chainEntry(order.Base, order.Version, order.Document)
+	repeated := strings.Contains(s.accepted, own)
+	applies := !order.Invalid && order.Base == s.current.version && order.Version > order.Base
 	next := s
 	if applies {
-		next = orderState{takenOrder{order.Version, order.Document}, s.chain + own}
+		next = orderState{acceptedConfig{order.Version, order.Document}, s.accepted + own}
 	}
 	switch outcome {
 	case OrderAccepted:
@@ -45,7 +45,7 @@
 	case OrderRefused:
 		return !repeated && !applies, s
 	case OrderRead:
-		return order.Version == s.now.version && order.Document == s.now.document, s
+		return order.Version == s.current.version && order.Document == s.current.document, s
 	}
 	return true, next // no clear answer: taken if it could be, at whatever time
 }
--- a/internal/simulate/orders_test.go
+++ b/internal/simulate/orders_test.go
@@ -18,11 +18,11 @@
 	"github.com/matryer/is"
 )
 
-// checkWithin bounds the check of one history, by the machine's clock.
-const checkWithin = 2 * time.Minute
+// linearizabilityTimeout bounds the check of one history, by the machine's clock.
+const linearizabilityTimeout = 2 * time.Minute
 
-// playOrders plays a day and gives what is wrong with it.
-func playOrders(seed uint64, shape OrderShape, stale bool, change func(f *Fleet)) (*OrderRun, []string) {
+// runOrders plays a day and gives what is wrong with it.
+func runOrders(seed uint64, shape OrderShape, stale bool, change func(f *Fleet)) (*OrderRun, []string) {
 	d := NewOrderRun(seed, shape, change)
 	d.StaleLeadersOnly = stale
 	defer d.World.Close()
@@ -35,18 +35,18 @@
 		return d, append(d.Breaches, "the day did not end")
 	}
 	wrong := d.Breaches
-	if result := CheckLinearizable(d.History, checkWithin); result != porcupine.Ok {
+	if result := CheckLinearizable(d.History, linearizabilityTimeout); result != porcupine.Ok {
 		wrong = append(wrong, fmt.Sprintf("the history of %d calls is not linearizable: %s", len(d.History), result))
 	}
 	return d, wrong
 }
 
-func (d *OrderRun) counts() string {
+func (d *OrderRun) summary() string {
 	count := map[OrderOutcome]int{}
 	for _, event := range d.History {
 		count[event.Outcome]++
 	}
-	return fmt.Sprintf("%d versions, %d acknowledged, %d refused, %d unclear, %d read, kills %v, %.0f s", d.known, count[OrderAccepted], count[OrderRefused], count[OrderUnknown],
+	return fmt.Sprintf("%d versions, %d acknowledged, %d refused, %d unclear, %d read, kills %v, %.0f s", d.newestVersion, count[OrderAccepted], count[OrderRefused], count[OrderUnknown],
 		count[OrderRead], d.Kills, d.World.Now().Seconds())
 }
 
@@ -54,9 +54,9 @@
 	for _, shape := range OrderShapes {
 		t.Run(shape.Name, func(t *testing.T) {
 			t.Parallel()
-			for seed := uint64(1); seed <= uint64(*seeds); seed++ {
-				d, wrong := playOrders(seed, shape, seed%4 == 0, nil)
-				t.Logf("seed %d: %s", seed, d.counts())
+			for seed := uint64(1); seed <= uint64(*seedCount); seed++ {
+				d, wrong := runOrders(seed, shape, seed%4 == 0, nil)
+				t.Logf("seed %d: %s", seed, d.summary())
 				for _, one := range wrong {
 					t.Errorf("seed %d: %s", seed, one)
 				}
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestTheModelOfOrdersRefusesEachBreach(t *testing.T) {
+func TestOrderModelRejectsViolations(t *testing.T) {
 	is := is.New(t)
 	event := func(began, ended int, outcome OrderOutcome, base, version uint64, document string) OrderEvent {
 		return OrderEvent{Order: Order{Base: base, Version: version, Document: document}, Outcome: outcome, Start: time.Duration(began), End: time.Duration(ended)}
@@ -90,7 +90,7 @@
 		{"a refused order in force", []OrderEvent{event(1, 2, OrderRefused, 0, 1, "a"), event(3, 4, OrderRead, 0, 1, "a")}, porcupine.Illegal},
 		{"an invalid order taken", []OrderEvent{invalid}, porcupine.Illegal},
 	} {
-		if found := CheckLinearizable(row.history, checkWithin); found != row.want {
+		if found := CheckLinearizable(row.history, linearizabilityTimeout); found != row.want {
 			t.Errorf("%s: %s", row.name, found)
 		}
 	}
@@ -99,7 +99,7 @@
 
 // Each mechanism that the history of orders rests on is taken away, and some
 // seed must show it.
-func TestEachMechanismOfOrdersTakenAwayIsCaught(t *testing.T) {
+func TestDisabledOrderMechanismsAreDetected(t *testing.T) {
 	for _, row := range []struct {
 		mechanism string
 		stale     bool
@@ -138,8 +138,8 @@
 			t.Parallel()
 			const most = 40 // a seed that shows the fault ends the search
 			for seed := uint64(1); seed <= most; seed++ {
-				if d, wrong := playOrders(seed, OrderShapes[0], row.stale, row.take); len(wrong) > 0 {
-					t.Logf("seed %d, %s: %s", seed, d.counts(), wrong)
+				if d, wrong := runOrders(seed, OrderShapes[0], row.stale, row.take); len(wrong) > 0 {
+					t.Logf("seed %d, %s: %s", seed, d.summary(), wrong)
 					return
 				}
 			}
@@ -150,30 +150,30 @@
 
 // An order is acknowledged again by every core after 65, 500 and 3,000 versions,
 // also after leaders were killed and all machines lost their power.
-func TestAnOrderIsAcknowledgedAgainAfterThousandsOfVersions(t *testing.T) {
+func TestRepeatedOrderIsAcknowledgedAfterManyVersions(t *testing.T) {
 	t.Parallel()
 	d := NewOrderRun(1, OrderShapes[0], nil)
 	defer d.World.Close()
 	done := false
 	orders := []Order{{}}
 	next := func(number int) Order {
-		return Order{Base: orders[number-1].Version, Version: uint64(3*number + number%2), Document: documentName(number % orderSenders)}
+		return Order{Base: orders[number-1].Version, Version: uint64(3*number + number%2), Document: documentName(number % orderClients)}
 	}
 	take := func(number int) {
 		order := next(number)
-		if d.SubmitOrder(0, order, orderTries) != OrderAccepted {
+		if d.SubmitOrder(0, order, orderAttempts) != OrderAccepted {
 			t.Errorf("order %d was not taken", number)
 		}
 		orders = append(orders, order)
 	}
 	repeat := func(number int, others []Order) {
 		for range d.Cores {
-			if outcome := d.SubmitOrder(0, orders[number], orderTries); outcome != OrderAccepted {
+			if outcome := d.SubmitOrder(0, orders[number], orderAttempts); outcome != OrderAccepted {
 				t.Errorf("order %d of %d: %d when repeated", number, len(orders)-1, outcome)
 			}
 		}
 		for _, other := range others {
-			if outcome := d.SubmitOrder(0, other, orderTries); outcome != OrderRefused {
+			if outcome := d.SubmitOrder(0, other, orderAttempts); outcome != OrderRefused {
 				t.Errorf("%+v, in the place of order %d of %d: %d", other, number, len(orders)-1, outcome)
 			}
 		}
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -14,9 +14,9 @@
 	"github.com/matryer/is"
 )
 
-func TestTotalOutageKeepsWhatWasAcknowledged(t *testing.T) {
+func TestTotalOutageKeepsAcknowledgedState(t *testing.T) {
 	t.Parallel()
-	for seed := 0; seed < *seeds+1; seed++ {
+	for seed := 0; seed < *seedCount+1; seed++ {
 		script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 			for range seed {
 				f.World.Int64N(2) // another draw, another run
@@ -28,14 +28,14 @@
 			tool := "/v1/programs/" + program + "/tools/loyalty"
 			is.Equal(call.send(1, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k").Status, 200)
 			before := call.send(1, "GET", "/v1/programs/"+program, secret, nil)
-			status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "last", "based_on": 1, "document": f.marked("last")})
+			status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "last", "based_on": 1, "document": f.settingsWithMarker("last")})
 			is.Equal(status, 200)
 			for _, m := range f.All() {
 				f.PowerLoss(m)
 			}
 			call.sleep(time.Second)
 			back := f.All()
-			lost := f.pick(f.Storage) // one disk does not come back
+			lost := f.pickMachine(f.Storage) // one disk does not come back
 			for len(back) > 0 {
 				place := f.World.Int64N(int64(len(back)))
 				if back[place] != lost {
@@ -44,7 +44,7 @@
 				back = append(back[:place], back[place+1:]...)
 				call.sleep(f.World.Between(0, 300*time.Millisecond))
 			}
-			took := f.serving(time.Minute)
+			took := f.waitUntilServing(time.Minute)
 			is.True(took < 12*time.Second) // inside recover_bound_s
 			for _, m := range f.Gateways {
 				is.Equal(m.gateway.Stamp(), uint64(2))
@@ -62,7 +62,7 @@
 
 // The machine with the disk that acknowledged something first is lost with
 // its disk, for ever, just after.
-func TestADiskLostJustAfterAcknowledging(t *testing.T) {
+func TestDiskLossAfterAcknowledgment(t *testing.T) {
 	for _, lost := range []int{0, 1, 2} {
 		script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 			program, secret := call.program(1000, nil)
@@ -78,7 +78,7 @@
 				f.Start(m)
 			}
 			f.Start(f.Storage[lost]) // comes back blank: it has no vote
-			f.serving(time.Minute)
+			f.waitUntilServing(time.Minute)
 			after := call.turn(1, path, key, program, "b", "a")
 			verdict, _, _ = after.final()
 			is.Equal(after.Raw, "")
@@ -107,16 +107,16 @@
 		verdict, _, _ := call.turn(3, path, key, program, "a", "").final()
 		is.Equal(verdict, "success")
 		is.Equal(call.send(0, "GET", "/v1/programs/"+program, secret, nil).Status, 503)
-		status, answer := f.OperatorRequest(f.Cores[2], "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.marked("new")})
-		f.resolve("new", 1, status, answer)
+		status, answer := f.OperatorRequest(f.Cores[2], "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.settingsWithMarker("new")})
+		f.resolveOutcome("new", 1, status, answer)
 		is.Equal(f.Tally.Counts["settings_taken"], 1)
-		status, _ = f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "old", "based_on": 1, "document": f.marked("old")})
+		status, _ = f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "old", "based_on": 1, "document": f.settingsWithMarker("old")})
 		is.True(status == 503 || status == 504)
 		f.Net.Heal()
 		call.sleep(6 * time.Second)
 		status, answer = f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/settings/outcome", map[string]string{"change": "old"})
 		is.Equal(status, 200)
-		f.resolve("old", 1, status, answer)
+		f.resolveOutcome("old", 1, status, answer)
 		is.Equal(f.Tally.Counts["settings_refused"], 1)
 		for _, m := range f.Gateways {
 			is.Equal(m.gateway.Stamp(), uint64(2))
@@ -128,9 +128,9 @@
 
 // A planned stop finishes what was read and hands sessions over: callers see
 // no failure but connections refused where nothing listens.
-func TestPlannedStopsDropNothing(t *testing.T) {
+func TestPlannedStopsDropNoRequests(t *testing.T) {
 	t.Parallel()
-	bring(t, *seeds, KiondoShape(), func(t *testing.T, f *Fleet) {
+	bring(t, *seedCount, KiondoShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
 		formed(t, f)
 		left := f.StartCallers(12, 8, true, func(c *standin.Caller) {
@@ -162,7 +162,7 @@
 
 // A frozen owner wakes after its Run was succeeded: nothing it had in hand
 // goes out any more.
-func TestWokenOwnerSendsNothing(t *testing.T) {
+func TestThawedOwnerSendsNothing(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
@@ -202,13 +202,13 @@
 
 // With two of three disks stalled nothing is acknowledged; what the third
 // disk alone was given is fenced before it is called refused.
-func TestAMinorityOfDisksAcknowledgesNothing(t *testing.T) {
+func TestMinorityOfDisksAcknowledgesNothing(t *testing.T) {
 	t.Parallel()
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
 		f.Storage[1].Disk.SyncStalled, f.Storage[2].Disk.SyncStalled = true, true
-		status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "lone", "based_on": 1, "document": f.marked("lone")})
+		status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "lone", "based_on": 1, "document": f.settingsWithMarker("lone")})
 		is.Equal(status, 504) // unknown
 		got := call.turn(0, path, key, program, "a", "")
 		verdict, _, _ := got.final()
@@ -222,7 +222,7 @@
 		for status = 0; status != 200; call.sleep(200 * time.Millisecond) {
 			status, answer = f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/settings/outcome", map[string]string{"change": "lone"})
 		}
-		f.resolve("lone", 1, status, answer)
+		f.resolveOutcome("lone", 1, status, answer)
 		f.Start(f.Storage[0]) // back, and still it never comes into force if it was refused
 		call.sleep(3 * time.Second)
 		f.Kill(f.Storage[1])
@@ -239,7 +239,7 @@
 
 // A core that is cut off with a gateway cannot keep that gateway serving, nor
 // answer operators from what it remembers, while others change the settings.
-func TestACutOffOwnerConfirmsNothing(t *testing.T) {
+func TestIsolatedLeaderConfirmsNothing(t *testing.T) {
 	t.Parallel()
 	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
 		var owner, other *Machine
@@ -255,7 +255,7 @@
 		f.Net.Isolate(map[string]bool{owner.Host.Name: true, f.Gateways[0].Host.Name: true})
 		status := 0
 		for status != 200 {
-			status, _ = f.OperatorRequest(other, "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.marked("new")})
+			status, _ = f.OperatorRequest(other, "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.settingsWithMarker("new")})
 			call.sleep(100 * time.Millisecond)
 		}
 		call.sleep(2 * time.Second)
@@ -270,8 +270,8 @@
 }
 
 // A turn whose leg was lost with its owner is not called not run, whatever
-// stops its next leg.
-func TestALostLegIsNeverCalledNotRun(t *testing.T) {
+// stopsMachines its next leg.
+func TestLostAttemptIsNotReportedAsNotRun(t *testing.T) {
 	shape := SmallShape()
 	shape.Gap = 300 * time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
@@ -291,7 +291,7 @@
 
 // A turn told not run stays so when its owner is lost and the same Turn-Id is
 // asked again.
-func TestARefusalOutlivesItsOwner(t *testing.T) {
+func TestRefusalSurvivesOwnerLoss(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
 	shape.Gap = 300 * time.Millisecond
@@ -325,7 +325,7 @@
 }
 
 // A refusal that cannot be kept is not called not run.
-func TestARefusalThatCannotBeKeptIsNotNotRun(t *testing.T) {
+func TestUnstoredRefusalIsNotReportedAsNotRun(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
 	shape.Gap = 300 * time.Millisecond
@@ -346,8 +346,8 @@
 }
 
 // The owner's permit lapses and its chain is read anew while the answer to the
-// change that finished a turn is still on its way: the turn is in it once.
-func TestATurnFinishedAndReadAnewIsInTheChainOnce(t *testing.T) {
+// applyAndResolve that finished a turn is still on its way: the turn is in it once.
+func TestFinishedTurnIsInReloadedChainOnce(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
--- a/internal/simulate/parties.go
+++ b/internal/simulate/parties.go
@@ -89,9 +89,9 @@
 
 func (b *Backends) Call(ctx *base.Ctx, addr string, request *base.BackRequest) (base.BackReply, error) {
 	w := b.net.World
-	target := w.Hosts[hostOf(addr)]
+	target := w.Hosts[hostName(addr)]
 	b.host.Clock().Sleep(b.net.delay())
-	if target == nil || !target.alive || b.net.cut(b.host.Name, target.Name) {
+	if target == nil || !target.alive || b.net.isCut(b.host.Name, target.Name) {
 		return nil, &base.NotSent{Cause: errors.New("connection refused")}
 	}
 	reply := &Reply{bell: base.NewBell(ctx.Clock), clock: ctx.Clock, host: target}
@@ -112,7 +112,7 @@
 			status, answer, answered := b.tools[target.Name].Serve(request.Header["Idempotency-Key"], body)
 			reply.status, reply.body, reply.begun, reply.died = status, answer, answered, !answered
 		}
-		if b.lost.endMark { // make up the end that the answer lacks
+		if b.lost.endMarker { // make up the end that the answer lacks
 			reply.lines = append(reply.lines, `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}`, "data: [DONE]")
 		}
 		reply.ended = true
@@ -135,7 +135,7 @@
 	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
 		edge := f.Gateways[gateway%len(f.Gateways)]
 		clock.Sleep(f.Net.delay())
-		if !edge.Host.alive || edge.gateway == nil || edge.closing {
+		if !edge.Host.alive || edge.gateway == nil || edge.stopping {
 			return nil, errors.New("connection refused")
 		}
 		bell := base.NewBell(clock)
@@ -143,9 +143,9 @@
 		events := []standin.Event{}
 		over := false
 		life, target := edge.Host.life, edge.gateway
-		edge.open++
+		edge.openRequests++
 		edge.Host.Go(func() {
-			defer func() { edge.open-- }()
+			defer func() { edge.openRequests-- }()
 			own := edge.Host.Clock()
 			response = target.Front.Handle(base.NewCtx(own, 10*time.Minute), &front.Request{Method: method, Path: path, Header: header, Query: map[string]string{}, Body: body})
 			bell.Ring()
--- a/internal/simulate/redundancy_test.go
+++ b/internal/simulate/redundancy_test.go
@@ -36,7 +36,7 @@
 var lossWays = map[string]func(f *Fleet, lost []*Machine, call *talker){
 	"wiped": func(f *Fleet, lost []*Machine, call *talker) {
 		for _, m := range lost {
-			f.wipe(m)
+			f.wipeMachine(m)
 		}
 		call.sleep(f.World.Between(100*time.Millisecond, time.Second))
 		for _, m := range lost {
@@ -45,7 +45,7 @@
 	},
 	"replaced": func(f *Fleet, lost []*Machine, call *talker) {
 		for _, m := range lost {
-			f.lose(m, f.World.Chance(0.5))
+			f.loseMachine(m, f.World.Chance(0.5))
 		}
 		call.sleep(f.World.Between(0, 2*time.Second))
 		for range lost {
@@ -72,7 +72,7 @@
 		}
 		call.sleep(f.World.Between(500*time.Millisecond, 2*time.Second))
 		for _, m := range f.All() {
-			if !m.gone {
+			if !m.removed {
 				f.Start(m)
 			}
 		}
@@ -83,7 +83,7 @@
 func (f *Fleet) drawn(count int) []*Machine {
 	var chosen []*Machine
 	for len(chosen) < count {
-		if m := f.pick(f.disks()); !slices.Contains(chosen, m) {
+		if m := f.pickMachine(f.remainingStorage()); !slices.Contains(chosen, m) {
 			chosen = append(chosen, m)
 		}
 	}
@@ -95,14 +95,14 @@
 func checkHistory(t *testing.T, is *is.I, f *Fleet, w *historyWriter) {
 	t.Helper()
 	w.pause()
-	lost := append(w.missing(), w.stuck()...)
+	lost := append(w.missingTurns(), w.stuckPrograms()...)
 	w.paused = false
 	for _, one := range lost {
 		t.Logf("seed %d at %v: %s", f.World.Seed, f.World.Now(), one)
 	}
 	if len(lost) > 0 {
-		t.Logf("gaps: %v", w.client.Gaps(w.ctx(), f.set()))
-		f.explain(t)
+		t.Logf("gaps: %v", w.client.Gaps(w.ctx(), f.diskSet()))
+		f.logState(t)
 	}
 	is.Equal(len(lost), 0)
 }
@@ -112,12 +112,12 @@
 		for _, size := range lossSizes {
 			t.Run(fmt.Sprint(name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
-				mendingOver(t, lossSeeds, mendingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
-					is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
+				runReconcilingSeeds(t, lossSeeds, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 					w := newHistoryWriter(f)
-					w.round()
-					slowHistory(f, fillSpan)
-					w.keepWriting()
+					w.runRound()
+					delayHistoryFetches(f, fillSpan)
+					w.start()
 					for range 4 {
 						call.sleep(f.World.Between(0, time.Second))
 						way(f, f.drawn(size.tolerate), call)
@@ -138,12 +138,12 @@
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
 			var longest time.Duration
-			mendingOver(t, lossSeeds, mendingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
-				is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
+			runReconcilingSeeds(t, lossSeeds, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				w := newHistoryWriter(f)
-				w.round()
-				slowHistory(f, fillSpan)
-				w.keepWriting()
+				w.runRound()
+				delayHistoryFetches(f, fillSpan)
+				w.start()
 				for _, out := range slices.Clone(f.Storage) {
 					longest = max(longest, retireThenLose(t, is, f, w, call, out))
 				}
@@ -161,17 +161,17 @@
 	f.AddMachine("storage")
 	call.sleep(time.Second)
 	began := f.World.Now()
-	is.Equal(f.retiring("POST", out.Host.Name), "200active")
-	took := f.until(20*time.Second, func() bool { return f.retiring("GET", out.Host.Name) == "200complete" })
+	is.Equal(f.retireNode("POST", out.Host.Name), "200active")
+	took := f.waitUntil(20*time.Second, func() bool { return f.retireNode("GET", out.Host.Name) == "200complete" })
 	if took >= 20*time.Second {
-		f.explain(t)
+		f.logState(t)
 	}
 	is.True(took < 20*time.Second)
 	took = f.World.Now() - began
-	f.lose(out, false)
+	f.loseMachine(out, false)
 	lost := f.drawn(f.Shape.Tolerate)
 	for _, m := range lost {
-		f.wipe(m)
+		f.wipeMachine(m)
 	}
 	call.sleep(300 * time.Millisecond)
 	for _, m := range lost {
@@ -188,34 +188,34 @@
 	for _, size := range []lossSize{{7, 1}, {9, 2}} {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
-			mendingOver(t, lossSeeds, mendingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
-				is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
+			runReconcilingSeeds(t, lossSeeds, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				w := newHistoryWriter(f)
-				w.round()
-				slowHistory(f, fillSpan)
-				w.keepWriting()
+				w.runRound()
+				delayHistoryFetches(f, fillSpan)
+				w.start()
 				var leaving []*Machine
 				for _, m := range slices.Clone(f.Storage) {
-					if f.retiring("POST", m.Host.Name) == "200active" {
+					if f.retireNode("POST", m.Host.Name) == "200active" {
 						leaving = append(leaving, m)
 					}
 				}
 				is.Equal(len(leaving), size.storage-2*size.tolerate-1) // the others are refused
 				call.sleep(f.World.Between(0, 2*time.Second))
-				victim := f.pick(f.disks())
-				f.wipe(victim)
+				victim := f.pickMachine(f.remainingStorage())
+				f.wipeMachine(victim)
 				call.sleep(300 * time.Millisecond)
 				f.Start(victim)
 				for _, m := range leaving {
-					taken := f.until(30*time.Second, func() bool { return f.retiring("GET", m.Host.Name) == "200complete" })
+					taken := f.waitUntil(30*time.Second, func() bool { return f.retireNode("GET", m.Host.Name) == "200complete" })
 					if taken >= 30*time.Second {
-						f.explain(t)
+						f.logState(t)
 					}
 					is.True(taken < 30*time.Second)
-					f.lose(m, false)
+					f.loseMachine(m, false)
 				}
-				next := f.pick(f.disks())
-				f.wipe(next)
+				next := f.pickMachine(f.remainingStorage())
+				f.wipeMachine(next)
 				call.sleep(300 * time.Millisecond)
 				f.Start(next)
 				call.sleep(catchUp)
@@ -233,10 +233,10 @@
 	for _, size := range lossSizes {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
-			mendingOver(t, lossSeeds, mendingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
-				is.True(f.until(10*time.Second, f.whole) < 10*time.Second)
+			runReconcilingSeeds(t, lossSeeds, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				w := newHistoryWriter(f)
-				w.keepWriting()
+				w.start()
 				for range 4 {
 					succeedFirst(f, w, call)
 					checkHistory(t, is, f, w)
@@ -251,12 +251,12 @@
 // then all lose power and as many as may be lost their disks.
 func succeedFirst(f *Fleet, w *historyWriter, call *talker) {
 	call.sleep(f.World.Between(0, time.Second))
-	out := f.pick(f.disks())
+	out := f.pickMachine(f.remainingStorage())
 	f.AddMachine("storage")
 	call.sleep(f.World.Between(500*time.Millisecond, 4*time.Second))
 	w.pause() // the next turn of a program would copy those before it
 	f.Stop(out)
-	f.lose(out, false)
+	f.loseMachine(out, false)
 	call.sleep(catchUp)
 	lossWays["power lost everywhere, some wiped"](f, f.drawn(f.Shape.Tolerate), call)
 	call.sleep(catchUp)
@@ -269,12 +269,12 @@
 	const tries = 4
 	for seed := uint64(1); seed <= tries; seed++ {
 		lost := 0
-		play(t, seed, mendingShape(9, 2), func(f *Fleet, call *talker) {
+		play(t, seed, reconcilingShape(9, 2), func(f *Fleet, call *talker) {
 			w := newHistoryWriter(f)
-			w.keepWriting()
-			f.lost.leave = true
+			w.start()
+			f.disabled.gracefulStop = true
 			succeedFirst(f, w, call)
-			lost = len(w.missing()) + len(w.stuck())
+			lost = len(w.missingTurns()) + len(w.stuckPrograms())
 			w.stopped = true
 		})
 		if lost > 0 {
@@ -294,7 +294,7 @@
 	done := false
 	f.CallerHost.Go(func() {
 		defer func() { done = true }()
-		f.until(10*time.Second, f.whole)
+		f.waitUntil(10*time.Second, f.diskSetComplete)
 		steps(f, &talker{f, f.Asker(f.CallerHost)})
 	})
 	if !f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done }) {
@@ -325,23 +325,23 @@
 // retiredWithoutWaiting tells how many programs lost turns.
 func retiredWithoutWaiting(t *testing.T, seed uint64) (lost int) {
 	t.Helper()
-	play(t, seed, mendingShape(5, 1), func(f *Fleet, call *talker) {
+	play(t, seed, reconcilingShape(5, 1), func(f *Fleet, call *talker) {
 		for _, m := range f.Cores {
 			m.core.Owner.SetRedundancyChecker(noContent{})
 		}
 		w := newHistoryWriter(f)
-		w.round()
-		slowHistory(f, 2*fillSpan)
-		out := f.pick(f.Storage)
-		f.retiring("POST", out.Host.Name)
-		f.until(20*time.Second, func() bool { return f.retiring("GET", out.Host.Name) == "200complete" })
-		f.lose(out, false)
-		next := f.pick(f.disks())
-		f.wipe(next)
+		w.runRound()
+		delayHistoryFetches(f, 2*fillSpan)
+		out := f.pickMachine(f.Storage)
+		f.retireNode("POST", out.Host.Name)
+		f.waitUntil(20*time.Second, func() bool { return f.retireNode("GET", out.Host.Name) == "200complete" })
+		f.loseMachine(out, false)
+		next := f.pickMachine(f.remainingStorage())
+		f.wipeMachine(next)
 		call.sleep(300 * time.Millisecond)
 		f.Start(next)
 		call.sleep(catchUp)
-		lost = len(w.missing())
+		lost = len(w.missingTurns())
 	})
 	return lost
 }
--- a/internal/simulate/removal_test.go
+++ b/internal/simulate/removal_test.go
@@ -126,7 +126,7 @@
 			response, _ := m.Forward(raw)
 			return response
 		}), "skipped, repeated or spliced"},
-		{"the end mark of an answer", "workers in trouble", "small", func(f *Fleet) { f.lost.endMark = true }, "was given as whole but reads"},
+		{"the end mark of an answer", "workers in trouble", "small", func(f *Fleet) { f.disabled.endMarker = true }, "was given as whole but reads"},
 		{"the stamp that a change is based on", "nothing but load", "small", onChange("settings.apply", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			now, response := pass("settings.get", []byte("{}"))
 			var record struct {
@@ -198,9 +198,9 @@
 			})
 			return replied(reply)
 		}), "got new work"},
-		{"the hand-over of a planned stop", "planned stops", "small", func(f *Fleet) { f.lost.leave = true }, "planned stop"},
+		{"the hand-over of a planned stop", "planned stops", "small", func(f *Fleet) { f.disabled.gracefulStop = true }, "planned stop"},
 		{"addresses to begin with", "total outages", "small", func(f *Fleet) {
-			f.CallerHost.Go(func() { f.CallerHost.Clock().Sleep(1); f.lost.seeds = true })
+			f.CallerHost.Go(func() { f.CallerHost.Clock().Sleep(1); f.disabled.seeds = true })
 		}, "service was back"},
 	}
 	for _, row := range rows {
--- a/internal/simulate/repair_test.go
+++ b/internal/simulate/repair_test.go
@@ -23,7 +23,7 @@
 		"the new disk down": func(f *Fleet) { f.crash(f.Storage[3], 2*time.Second, true) },
 		"in a partition": func(f *Fleet) {
 			f.Net.Isolate(map[string]bool{f.Storage[1].Host.Name: true, f.Cores[0].Host.Name: true})
-			f.later(5*time.Second, f.Net.Heal)
+			f.scheduleRecovery(5*time.Second, f.Net.Heal)
 		},
 	}
 	for name, trouble := range troubles {
@@ -273,7 +273,7 @@
 					f.AddMachine("core")
 					call.sleep(2 * time.Second)
 					f.Kill(f.Cores[place])
-					f.Cores[place].gone = true
+					f.Cores[place].removed = true
 				}
 				f.Cores = f.Cores[2:]
 				lost := f.FindDisk("storage-0").ID
@@ -286,14 +286,14 @@
 				is.Equal(status, 200)
 				is.True(f.AwaitDiskChange(time.Minute))
 				f.Kill(f.Storage[0])
-				f.Storage[0].gone = true
+				f.Storage[0].removed = true
 				call.sleep(10 * time.Second)
 				if way == "cluster named" {
 					f.ClusterID = cluster
 				} else {
 					f.SeedAddrs = []string{"core-2:1", "storage-3:1", "storage-1:1"}
 				}
-				f.outage()
+				f.totalOutage()
 				is.Equal(len(f.Tally.Breaches), 0)
 				verdict, _, _ = call.turn(1, path, key, program, "b", "a").final()
 				is.Equal(verdict, "success")
--- a/internal/simulate/scenario.go
+++ b/internal/simulate/scenario.go
@@ -71,7 +71,7 @@
 	}
 	left, going := s.people(f)
 	f.Net.Faults = s.Net
-	f.harms = 0
+	f.pendingFaults = 0
 	f.CallerHost.Go(func() {
 		if s.Begin != nil {
 			s.Begin(f)
@@ -85,7 +85,7 @@
 	if s.Limit > 0 {
 		limit = s.Limit
 	}
-	if !f.World.Run(f.World.Now()+limit, func() bool { return left() == 0 && f.harms == 0 }) {
+	if !f.World.Run(f.World.Now()+limit, func() bool { return left() == 0 && f.pendingFaults == 0 }) {
 		f.Tally.Breach("callers were left without an end after %v", limit)
 	}
 	s.aftermath(f)
@@ -166,7 +166,7 @@
 	for _, m := range f.All() {
 		m.Host.Lag, m.Disk.SyncStalled = 0, false
 		switch {
-		case m.gone:
+		case m.removed:
 		case !m.Host.alive:
 			f.Start(m)
 		case m.Host.frozen:
--- a/internal/simulate/settings_test.go
+++ b/internal/simulate/settings_test.go
@@ -17,7 +17,7 @@
 		"disks frozen and woken", "messages lost, late and twice", "a machine cut off", "one-way loss"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bring(t, *seeds+1, SmallShape(), func(t *testing.T, f *Fleet) {
+			bring(t, *seedCount+1, SmallShape(), func(t *testing.T, f *Fleet) {
 				is := is.New(t)
 				formed(t, f)
 				left, done := 2, 0
@@ -27,7 +27,7 @@
 						left--
 					})
 				}
-				f.harm(name, func() bool { return left > 0 })
+				f.startScenarioFaults(name, func() bool { return left > 0 })
 				is.True(f.World.Run(f.World.Now()+10*time.Minute, func() bool { return left == 0 }))
 				taken, refused := f.Tally.Counts["settings_taken"], f.Tally.Counts["settings_refused"]
 				t.Logf("%d taken, %d refused, %d asked again", taken, refused, f.Tally.Counts["settings_unknown"])
@@ -57,7 +57,7 @@
 			is.Equal(status, 200)
 			is.True(strings.Contains(string(answer), `"refused"`))
 			status, _ = f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/settings/apply",
-				map[string]any{"change": "late", "based_on": 1, "document": f.marked("late")})
+				map[string]any{"change": "late", "based_on": 1, "document": f.settingsWithMarker("late")})
 			is.Equal(status, 409)
 		})
 		is.True(f.World.Run(f.World.Now()+30*time.Second, func() bool { return done }))
--- a/internal/simulate/talk_churn.go
+++ b/internal/simulate/talk_churn.go
@@ -66,8 +66,8 @@
 
 // paceList has cores read the list no faster than the platform lets them.
 func paceList(t *Tier) {
-	start := t.Fleet.begins
-	t.Fleet.begins = func(m *Machine) {
+	start := t.Fleet.onBuilt
+	t.Fleet.onBuilt = func(m *Machine) {
 		start(m)
 		if m.core == nil {
 			return
--- a/internal/simulate/talk_churn_test.go
+++ b/internal/simulate/talk_churn_test.go
@@ -40,7 +40,7 @@
 		is.True(change.InForce < c.Site.Bounds.Apply/4)
 	}
 	is.True(c.CounterTotal("roster_changes") > before)
-	owner := c.feeds()
+	owner := c.feedLeader()
 	asked := float64(c.Net.TrafficByHost[owner.Host.Name].RequestsReceived) / took.Seconds()
 	said := float64(c.Net.TrafficByHost[owner.Host.Name].Bytes) / took.Seconds()
 	t.Logf("%d changes in force: %v; the owner serves %.0f calls a second and says %.0f bytes", len(changes), changes, asked, said)
--- a/internal/simulate/talk_test.go
+++ b/internal/simulate/talk_test.go
@@ -35,7 +35,7 @@
 		begun := false
 		f.CallerHost.Go(func() {
 			addrs := base.Map(f.Storage, func(m *Machine) string { return m.Host.Name + ":1" })
-			f.insist("form", func() int {
+			f.retryUntilOK("form", func() int {
 				status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
 				return status
 			})
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -135,7 +135,7 @@
 // NewTier lays a tier out and starts its machines and workers.
 func NewTier(seed uint64, form TierShape, change func(t *Tier)) *Tier {
 	site := form.Site
-	f := layFleet(seed, Shape{Name: form.Name, Zones: len(site.Zones), ZoneNames: site.Zones, Edges: site.Edges, Cores: site.Cores, Storage: site.Storage,
+	f := buildFleet(seed, Shape{Name: form.Name, Zones: len(site.Zones), ZoneNames: site.Zones, Edges: site.Edges, Cores: site.Cores, Storage: site.Storage,
 		Tolerate: form.Tolerate, Found: true})
 	t := &Tier{Fleet: f, Plan: form, Site: site, record: parties.NewLedger(site.Bounds, site.Stride(), site.Cores), entry: &parties.Entry{},
 		words: site.DrawWords(rand.New(rand.NewPCG(seed, 2))), names: map[string]*Machine{}, listening: map[string]*tierWorker{}, works: map[string]parties.Draw{},
@@ -145,7 +145,7 @@
 	t.list = &parties.Instances{Clock: clock, Ledger: t.record, Lag: site.Bounds.ListMaxLag / 2, PerS: site.ListPerS}
 	t.player = parties.NewPlayer(clock, &tierClients{t}, t.record, site, t.words, seed)
 	t.player.Persist = func() time.Duration { return t.persist }
-	f.equip, f.begins = t.equip, t.begins
+	f.configure, f.onBuilt = t.equip, t.begins
 	f.Net.ResetOnExit, t.cost = true, 150*time.Microsecond
 	if change != nil {
 		change(t)
@@ -180,7 +180,7 @@
 		t.entry.Add(entered)
 		t.CallerHost.Go(func() {
 			for {
-				up := m.Host.alive && !m.Host.frozen && !m.leaving && m.gateway != nil && m.gateway.Serves() == nil
+				up := m.Host.alive && !m.Host.frozen && !m.stopRequested && m.gateway != nil && m.gateway.Serves() == nil
 				t.entry.Heard(entered, up)
 				t.CallerHost.Clock().Sleep(time.Second)
 			}
--- a/internal/simulate/tier_clients.go
+++ b/internal/simulate/tier_clients.go
@@ -81,7 +81,7 @@
 		return
 	}
 	clock.Sleep(t.way())
-	if !m.Host.alive || m.gateway == nil || m.closing {
+	if !m.Host.alive || m.gateway == nil || m.stopping {
 		try.Unread = true
 		return
 	}
@@ -191,10 +191,10 @@
 	}
 	x.read = true
 	x.in.bell.Ring()
-	m.open++
+	m.openRequests++
 	defer func() {
 		if m.Host.life == life {
-			m.open--
+			m.openRequests--
 		}
 	}()
 	r := inProcess(try.Method, try.Target, try.Host, try.Header, try.Body)
@@ -238,7 +238,7 @@
 		return 0, nil
 	}
 	clock.Sleep(t.way())
-	if !m.Host.alive || m.core == nil || m.closing {
+	if !m.Host.alive || m.core == nil || m.stopping {
 		return 0, nil
 	}
 	core, life := m.core, m.Host.life
@@ -249,10 +249,10 @@
 	defer delete(t.exchanges, x)
 	t.World.spawn(m.Host, life, t.World.now+t.way(), func() {
 		x.read = true
-		m.open++
+		m.openRequests++
 		defer func() {
 			if m.Host.life == life {
-				m.open--
+				m.openRequests--
 			}
 		}()
 		r := inProcess(method, path, m.Host.Name, header, body)
--- a/internal/simulate/tier_operators.go
+++ b/internal/simulate/tier_operators.go
@@ -40,7 +40,7 @@
 func (t *Tier) operator(name string) *parties.Operator {
 	return &parties.Operator{Name: name, Clock: t.CallerHost.Clock(), Ledger: t.record, Call: t.control, Rng: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(name))),
 		Control: func() []string {
-			return base.Map(base.Filter(t.Cores, func(m *Machine) bool { return !m.gone }), func(m *Machine) string { return m.Host.Name })
+			return base.Map(base.Filter(t.Cores, func(m *Machine) bool { return !m.removed }), func(m *Machine) string { return m.Host.Name })
 		}}
 }
 
--- a/internal/simulate/tier_removal_test.go
+++ b/internal/simulate/tier_removal_test.go
@@ -153,10 +153,10 @@
 		{"the reservation of tokens of turns that are not kept", "quiet", func(t *Tier) {
 			onLedger(t.Fleet, func(_ *ledger.BeginRequest, reply *ledger.BeginReply) { reply.Others = nil }, nil, nil)
 		}, "BUDGET", "roaming"},
-		{"the worker's id on each request", "workers crash", func(t *Tier) { t.lost.expect = true }, "ROUTE", ""},
-		{"the id that an answer carries back", "answers garbled, cut, late and extra", func(t *Tier) { t.lost.match = true }, "MIXED", ""},
-		{"proof that a worker has not run a request", "answer_lost at plain workers", func(t *Tier) { t.lost.proof = true }, "TWICE", ""},
-		{"proof that a refused request has not run", "answer_lost at plain workers", func(t *Tier) { t.lost.proof = true }, "REFUSED", ""},
+		{"the worker's id on each request", "workers crash", func(t *Tier) { t.disabled.expectedID = true }, "ROUTE", ""},
+		{"the id that an answer carries back", "answers garbled, cut, late and extra", func(t *Tier) { t.disabled.answerID = true }, "MIXED", ""},
+		{"proof that a worker has not run a request", "answer_lost at plain workers", func(t *Tier) { t.disabled.notRunProof = true }, "TWICE", ""},
+		{"proof that a refused request has not run", "answer_lost at plain workers", func(t *Tier) { t.disabled.notRunProof = true }, "REFUSED", ""},
 		{"pieces pulled by place", "sessions wander, edges killed", func(t *Tier) {
 			onPath("line.Owner/Pull", func(m *Message) *http.Response {
 				var asked line.PullRequest
@@ -181,7 +181,7 @@
 				})
 			})(t.Fleet)
 		}, "DRAIN", ""},
-		{"the last look at the list before a request leaves", "release with a short drain, connections slow to come up", func(t *Tier) { t.lost.stays = true }, "DRAIN", ""},
+		{"the last look at the list before a request leaves", "release with a short drain, connections slow to come up", func(t *Tier) { t.disabled.finalListCheck = true }, "DRAIN", ""},
 		{"a follower's place that never falls", "config_change", func(t *Tier) {
 			// An older answer, taken for a new one, brings the older configuration back.
 			var older []byte
@@ -225,7 +225,7 @@
 				m.Disk.IgnoresSync = true
 			}
 		}, "RECOVER", ""},
-		{"the hand-over of a planned stop", "roll_term", func(t *Tier) { t.lost.leave = true }, "LOST", ""},
+		{"the hand-over of a planned stop", "roll_term", func(t *Tier) { t.disabled.gracefulStop = true }, "LOST", ""},
 	}
 	for _, row := range rows {
 		t.Run(row.mechanism, func(t *testing.T) {
--- a/internal/simulate/tier_test.go
+++ b/internal/simulate/tier_test.go
@@ -23,7 +23,7 @@
 			}
 			t.Run(name+"/"+day.Name, func(t *testing.T) {
 				t.Parallel()
-				count := uint64(*seeds)
+				count := uint64(*seedCount)
 				for seed := uint64(1); seed <= count; seed++ {
 					outcome := day.Run(seed, TierShapes[name]())
 					t.Logf("seed %d, %.0f s: %v", seed, outcome.VirtualS, outcome.Counts)
--- a/internal/simulate/tier_troubles.go
+++ b/internal/simulate/tier_troubles.go
@@ -62,7 +62,7 @@
 
 // fall ends a machine for a while.
 func (t *Tier) fall(m *Machine, kind string, span time.Duration, power, wipe bool) {
-	if m.gone || !m.Host.alive || m.leaving {
+	if m.removed || !m.Host.alive || m.stopRequested {
 		return
 	}
 	end := t.trouble(kind, m, nil)
@@ -71,7 +71,7 @@
 		m.Disk.Wipe()
 	}
 	t.CallerHost.Clock().Sleep(span)
-	if !m.gone {
+	if !m.removed {
 		t.begin(m)
 	}
 	end()
@@ -100,7 +100,7 @@
 		return
 	}
 	t.CallerHost.Clock().Sleep(after)
-	if !m.gone && !m.Host.alive {
+	if !m.removed && !m.Host.alive {
 		t.begin(m)
 	}
 	end()
@@ -109,13 +109,13 @@
 // stop is the first half of that; the trouble lasts until the step it gives back
 // is called. It gives none where the machine is down or stops already.
 func (t *Tier) stop(m *Machine, kind string) (end func()) {
-	if !m.Host.alive || m.Host.frozen || m.gone || m.leaving {
+	if !m.Host.alive || m.Host.frozen || m.removed || m.stopRequested {
 		return nil
 	}
 	end = t.trouble(kind, m, func(x *parties.Trouble) { x.Term = true })
 	clock, grace, life, began := t.CallerHost.Clock(), t.Site.Bounds.Grace, m.Host.life, t.World.now
-	m.leaving = true
-	if t.lost.leave {
+	m.stopRequested = true
+	if t.disabled.gracefulStop {
 		t.down(m, false)
 	}
 	limit := grace - grace/8
@@ -136,9 +136,9 @@
 	}
 	for m.Host.life == life && t.World.now < began+limit {
 		if m.Role == "edge" {
-			m.closing = true
+			m.stopping = true
 		}
-		if m.open == 0 && (left || m.Role == "edge") {
+		if m.openRequests == 0 && (left || m.Role == "edge") {
 			break
 		}
 		clock.Sleep(20 * time.Millisecond)
@@ -158,7 +158,7 @@
 	if end == nil {
 		return
 	}
-	m.gone = true
+	m.removed = true
 	m.Disk.Wipe()
 	end()
 }
@@ -166,7 +166,7 @@
 // replace puts an empty machine at another address in a lost one's place.
 func (t *Tier) replace(m *Machine, span time.Duration) {
 	end := t.trouble("replace_core", m, nil)
-	m.gone = true
+	m.removed = true
 	t.down(m, true)
 	m.Disk.Wipe()
 	t.CallerHost.Clock().Sleep(span)
@@ -176,8 +176,8 @@
 
 // add brings an empty machine into the fleet.
 func (t *Tier) add(role string) *Machine {
-	m := t.lay(role)
-	m.begun = true // it is not the very first start
+	m := t.newMachine(role)
+	m.startedBefore = true // it is not the very first start
 	t.begin(m)
 	return m
 }
@@ -225,7 +225,7 @@
 
 // living lists the machines of a class that are up.
 func (t *Tier) living(list []*Machine) []*Machine {
-	return base.Filter(list, func(m *Machine) bool { return m.Host.alive && !m.Host.frozen && !m.gone && !m.leaving })
+	return base.Filter(list, func(m *Machine) bool { return m.Host.alive && !m.Host.frozen && !m.removed && !m.stopRequested })
 }
 
 // some draws machines of a class that are up.
@@ -254,7 +254,7 @@
 
 // all ends every machine, does something to some of them, and brings all back.
 func (t *Tier) all(power bool, wiped []*Machine) {
-	list := base.Filter(t.All(), func(m *Machine) bool { return !m.gone })
+	list := base.Filter(t.All(), func(m *Machine) bool { return !m.removed })
 	var ends []func()
 	for _, m := range list {
 		ends = append(ends, t.trouble("kill_all", m, nil))
@@ -282,7 +282,7 @@
 		return false
 	}
 	end := t.trouble("retire", m, func(x *parties.Trouble) { x.Term = true })
-	m.gone = true
+	m.removed = true
 	t.down(m, true)
 	m.Disk.Wipe()
 	end()
--- a/internal/simulate/tier_workers.go
+++ b/internal/simulate/tier_workers.go
@@ -159,7 +159,7 @@
 	if target == nil {
 		return nil, errors.New("connection refused")
 	}
-	if t.Net.cut(b.host.Name, target.host.Name) || t.Net.cut(target.host.Name, b.host.Name) {
+	if t.Net.isCut(b.host.Name, target.host.Name) || t.Net.isCut(target.host.Name, b.host.Name) {
 		b.host.Clock().Sleep(min(bound, ctx.Left()))
 		return nil, errors.New("no route")
 	}
@@ -194,18 +194,18 @@
 		}
 		c.until = b.tier.World.now + b.connect*3/4
 	}
-	if ctx.Over() || request.Stays != nil && !request.Stays() && !b.tier.lost.stays {
+	if ctx.Over() || request.Stays != nil && !request.Stays() && !b.tier.disabled.finalListCheck {
 		b.keep(c, c.until-b.tier.World.now)
 		return nil, &base.NotSent{Cause: base.ErrLeaves}
 	}
 	c.send(request)
 	reply, match := &workerReply{calls: b, conn: c, clock: ctx.Clock}, request.Match
-	if b.tier.lost.match {
+	if b.tier.disabled.answerID {
 		match = base.HeaderLine{}
 	}
 	if err := reply.receive(ctx.Clock.Now()+ctx.Left(), match); err != nil {
 		c.close()
-		if b.tier.lost.proof {
+		if b.tier.disabled.notRunProof {
 			return nil, &base.NotSent{Cause: err}
 		}
 		return nil, errors.Annotate(err, "awaiting the answer")
@@ -237,7 +237,7 @@
 		header[strings.ToLower(name)] = value
 	}
 	for _, line := range request.Lines {
-		if t.lost.expect && strings.EqualFold(line.Name, parties.HeaderExpectInstance) {
+		if t.disabled.expectedID && strings.EqualFold(line.Name, parties.HeaderExpectInstance) {
 			continue
 		}
 		header[strings.ToLower(line.Name)] = line.Value
--- a/internal/simulate/transfer_test.go
+++ b/internal/simulate/transfer_test.go
@@ -17,14 +17,14 @@
 
 // largePlan is a configuration of some 2 MB, with changes far apart.
 func largePlan(t *testing.T, size string, changes int) ChangeStreamPlan {
-	plan := planOf(t, size, changes)
+	plan := newPlan(t, size, changes)
 	plan.Padding, plan.Interval, plan.BytesPerSecond = 1500<<10, 500*time.Millisecond, 100<<20
 	return plan
 }
 
 func TestMembersAreCurrentWithALargeConfiguration(t *testing.T) {
 	t.Parallel()
-	changesOf(t, largePlan(t, ChangeStreamSizes[0], 12), uint64(*seeds))
+	runChangeStreams(t, largePlan(t, ChangeStreamSizes[0], 12), uint64(*seedCount))
 }
 
 // partTalk is what was said about parts to and from one machine.
@@ -60,7 +60,7 @@
 	t.Parallel()
 	plan := largePlan(t, "2/3/4", 3)
 	plan.NoFaults = true
-	for seed := uint64(1); seed <= 3*uint64(*seeds); seed++ {
+	for seed := uint64(1); seed <= 3*uint64(*seedCount); seed++ {
 		is := is.New(t)
 		var filled *Machine
 		var talk partTalk
@@ -106,7 +106,7 @@
 	for versionAt(f) < 3 {
 		f.CallerHost.Clock().Sleep(20 * time.Millisecond)
 	}
-	f.wipe(m)
+	f.wipeMachine(m)
 	f.CallerHost.Clock().Sleep(100 * time.Millisecond)
 	f.Start(m)
 }
@@ -115,7 +115,7 @@
 func versionAt(f *Fleet) (newest uint64) {
 	for _, m := range f.Gateways {
 		if follower := m.feedFollower(); follower != nil {
-			newest = max(newest, versionOf(follower.Snapshot().Values))
+			newest = max(newest, configVersion(follower.Snapshot().Values))
 		}
 	}
 	return newest
@@ -127,7 +127,7 @@
 	t.Parallel()
 	plan := largePlan(t, "2/3/4", 12)
 	plan.NoFaults = true
-	for seed := uint64(1); seed <= 2*uint64(*seeds); seed++ {
+	for seed := uint64(1); seed <= 2*uint64(*seedCount); seed++ {
 		is := is.New(t)
 		reads, lost := 0, 0
 		plan.Prepare = func(f *Fleet) {
@@ -196,7 +196,7 @@
 			return response
 		}
 	}
-	changesOf(t, plan, uint64(*seeds))
+	runChangeStreams(t, plan, uint64(*seedCount))
 	is.True(damaged > 0)
 }
 
@@ -221,10 +221,10 @@
 // lacks it is among those that promise.
 func TestAnOwnerLeadsByTheNewestContent(t *testing.T) {
 	t.Parallel()
-	plan := planOf(t, "2/3/4", 60)
+	plan := newPlan(t, "2/3/4", 60)
 	plan.NoFaults = true
 	plan.Prepare = func(f *Fleet) { f.CallerHost.Go(f.ownersLostBesideALaggard) }
-	changesOf(t, plan, 4*uint64(*seeds))
+	runChangeStreams(t, plan, 4*uint64(*seedCount))
 }
 
 // Mechanisms taken away from owners and disks, and what then shows.
@@ -236,7 +236,7 @@
 		word      string
 	}{
 		{"the promises of a majority", func() ChangeStreamPlan {
-			plan := planOf(t, "2/3/4", 60)
+			plan := newPlan(t, "2/3/4", 60)
 			plan.NoFaults = true
 			return plan
 		}, func(f *Fleet) {
@@ -253,7 +253,7 @@
 				return replied(&register.PromiseReply{Ack: reply.Ack}) // as if it held nothing
 			}
 		}, "had been acknowledged"},
-		{"the confirmation of the epoch before a read", func() ChangeStreamPlan { return planOf(t, "2/3/4", 150) }, onPath("Disk/Confirm", func(*Message) *http.Response {
+		{"the confirmation of the epoch before a read", func() ChangeStreamPlan { return newPlan(t, "2/3/4", 150) }, onPath("Disk/Confirm", func(*Message) *http.Response {
 			return replied(&register.Ack{Ok: true})
 		}), "had been acknowledged"},
 		{"the wholeness of a content in parts", func() ChangeStreamPlan { return largePlan(t, "2/3/4", 16) }, func(f *Fleet) {
