--- a/internal/simulate/tree_test.go
+++ b/internal/simulate/tree_test.go
@@ -30,14 +30,14 @@
 }
 
 // applied puts new settings in force and tells how long the last follower took.
-func (f *Fleet) applied(based int) time.Duration { return f.appliedBy(f.living, based) }
+func (f *Fleet) applied(based int) time.Duration { return f.appliedBy(f.liveCore, based) }
 
 func (f *Fleet) appliedBy(core func() *Machine, based int) time.Duration {
 	done, stamp := false, uint64(based+1)
 	began := f.World.Now()
 	f.CallerHost.Go(func() {
-		f.insist("apply", func() int {
-			status, _ := f.OperatorRequest(core(), "POST", "/v1/operator/settings/apply", map[string]any{"change": fmt.Sprint("c", based), "based_on": based, "document": f.marked(fmt.Sprint(based))})
+		f.retryUntilOK("apply", func() int {
+			status, _ := f.OperatorRequest(core(), "POST", "/v1/operator/settings/apply", map[string]any{"change": fmt.Sprint("c", based), "based_on": based, "document": f.settingsWithMarker(fmt.Sprint(based))})
 			return status
 		})
 		began, done = f.World.Now(), true
@@ -72,7 +72,7 @@
 	f := rested(t, nodes, applied)
 	defer f.World.Close()
 	bound := base.DefaultBounds().Settings
-	owner := f.feeds()
+	owner := f.feedLeader()
 	before, _ := f.lapses()
 	f.Net.TrafficByHost = map[string]*HostTraffic{}
 	f.World.Run(f.World.Now()+10*time.Second, nil)
@@ -113,7 +113,7 @@
 				f.Gateways[place].Host.Freeze()
 			}
 		}},
-		{"the owner killed", func() { f.Kill(f.feeds()) }},
+		{"the owner killed", func() { f.Kill(f.feedLeader()) }},
 	} {
 		row.do()
 		took := f.applied(2 + round)
--- a/internal/simulate/world.go
+++ b/internal/simulate/world.go
@@ -39,7 +39,7 @@
 	alive  bool
 	frozen bool
 	kept   []*event
-	serve  handlerBox
+	serve  httpHandler
 	ends   map[*Reply]struct{}
 	// dark machines have no power: they say nothing, where a process that has
 	// ended refuses.
@@ -47,7 +47,7 @@
 	// Cost is the processor's time for each message, one after the other.
 	Cost  time.Duration
 	busy  time.Duration
-	calls []*call
+	calls []*pendingCall
 	// Lag is added to every message to and from the host.
 	Lag time.Duration
 }
