--- a/internal/base/containers.go
+++ b/internal/base/containers.go
@@ -1,7 +1,3 @@
-// Small generic containers and pipelines shared by the slices: a table that
-// is swapped whole, sorted key walks (so that the simulator replays), and
-// named counters.
-
 package base
 
 import (
@@ -17,25 +13,31 @@
 	"sync/atomic"
 )
 
-// Table is an immutable snapshot that readers load and a writer swaps whole.
-type Table[T any] struct{ held atomic.Pointer[T] }
+// AtomicPointer holds an immutable value that readers load and a writer
+// replaces as a whole.
+type AtomicPointer[T any] struct{ pointer atomic.Pointer[T] }
+
+// Load returns the current value; nil before the first Store.
+func (p *AtomicPointer[T]) Load() *T { return p.pointer.Load() }
 
-func (t *Table[T]) Load() *T      { return t.held.Load() }
-func (t *Table[T]) Swap(frame *T) { t.held.Store(frame) }
+// Store replaces the value.
+func (p *AtomicPointer[T]) Store(value *T) { p.pointer.Store(value) }
 
-// SortedKeys walks a map in a fixed order.
+// SortedKeys returns the keys of a map in ascending order. Go's order of map
+// iteration differs from run to run, which would keep the simulator from
+// replaying a seed.
 func SortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Map carries a pipeline step over a list.
-func Map[A, B any](list []A, step func(A) B) []B {
+// Map returns the results of convert for all items.
+func Map[A, B any](list []A, convert func(A) B) []B {
 	out := make([]B, 0, len(list))
 	for _, item := range list {
-		out = append(out, step(item))
+		out = append(out, convert(item))
 	}
 	return out
 }
 
-// Filter keeps what passes.
+// Filter returns the items for which keep is true.
 func Filter[A any](list []A, keep func(A) bool) []A {
 	out := make([]A, 0, len(list))
 	for _, item := range list {
@@ -46,7 +48,8 @@
 	return out
 }
 
-// Hash64 is a stable hash for placing keys.
+// Hash64 returns a hash of the parts that is the same on every node and in every
+// release, so that it can place keys.
 func Hash64(parts ...string) uint64 {
 	hash := sha256.New()
 	for _, part := range parts {
@@ -56,14 +59,16 @@
 	return binary.BigEndian.Uint64(hash.Sum(nil))
 }
 
-// Digest is a short hex digest for comparing bodies and credentials.
+// Digest returns the first 128 bits of the SHA-256 hash in hex, for comparing
+// bodies and credentials.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:16])
 }
 
-// Rendezvous orders candidates for a key, first the one that should have it.
-func Rendezvous(key string, candidates []string) []string {
+// RendezvousOrder orders candidates for a key by rendezvous hashing; the first
+// one should hold the key.
+func RendezvousOrder(key string, candidates []string) []string {
 	ordered := slices.Clone(candidates)
 	slices.SortFunc(ordered, func(a, b string) int {
 		if order := cmp.Compare(Hash64(key, b), Hash64(key, a)); order != 0 {
@@ -74,13 +79,15 @@
 	return ordered
 }
 
-// NewID makes a random name from the clock's own source of chance.
+// NewID returns the prefix followed by 64 random bits in hex. The random numbers
+// come from the clock, so that the simulator can replay them.
 func NewID(clock Clock, prefix string) string {
 	return fmt.Sprintf("%s%08x%08x", prefix, clock.Int64N(1<<32), clock.Int64N(1<<32))
 }
 
-// Encode writes a record of the project's own; such records always encode.
-func Encode(record any) []byte {
+// MustMarshal encodes a value as JSON. It panics on an error, which does not
+// occur for the record types of this project.
+func MustMarshal(record any) []byte {
 	raw, err := json.Marshal(record)
 	if err != nil {
 		panic(err)
@@ -88,22 +95,25 @@
 	return raw
 }
 
-// Counters are named counts, made on first use and added to without a lock.
+// Counters are named counters, created on first use. Add takes no lock.
 type Counters struct {
-	counts sync.Map
-	mu     sync.Mutex
-	also   []func(into map[string]int64)
+	counts  sync.Map
+	mu      sync.Mutex
+	sources []func(snapshot map[string]int64)
 }
 
+// NewCounters returns an empty set of counters.
 func NewCounters() *Counters { return &Counters{} }
 
-// Also adds counts that are kept elsewhere to each frame.
-func (c *Counters) Also(source func(into map[string]int64)) {
+// AddSource registers a function that adds counts kept elsewhere to each
+// snapshot.
+func (c *Counters) AddSource(source func(snapshot map[string]int64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.also = append(c.also, source)
+	c.sources = append(c.sources, source)
 }
 
+// Add adds n to a counter.
 func (c *Counters) Add(name string, n int64) {
 	count, ok := c.counts.Load(name)
 	if !ok {
@@ -112,17 +122,17 @@
 	count.(*atomic.Int64).Add(n)
 }
 
-// Frame is all counts as they stand.
-func (c *Counters) Frame() map[string]int64 {
+// Snapshot returns the current values of all counters.
+func (c *Counters) Snapshot() map[string]int64 {
 	out := map[string]int64{}
 	c.counts.Range(func(name, count any) bool {
 		out[name.(string)] = count.(*atomic.Int64).Load()
 		return true
 	})
 	c.mu.Lock()
-	also := c.also
+	sources := c.sources
 	c.mu.Unlock()
-	for _, source := range also {
+	for _, source := range sources {
 		source(out)
 	}
 	return out
--- a/internal/disk/install.go
+++ b/internal/disk/install.go
@@ -17,8 +17,8 @@
 // inlineBytes is the largest content that comes along with a promise.
 const inlineBytes = 16 << 10
 
-// Held is the number up to which the disk holds a slot, 0 if it holds none.
-func (s *Store) Held(slot uint32) uint64 {
+// AppliedSeq is the number up to which the disk holds a slot, 0 if it holds none.
+func (s *Store) AppliedSeq(slot uint32) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if held := s.replicas[slot]; held != nil {
@@ -113,7 +113,7 @@
 // data, only asks.
 func (v *Service) InstallPart(_ context.Context, request *register.InstallPartRequest) (*register.Ack, error) {
 	if !request.Valid() {
-		return nil, base.ToWire(base.Decline(400, "bad_part", "the part does not lie within its snapshot"))
+		return nil, base.ToTwirpError(base.Decline(400, "bad_part", "the part does not lie within its snapshot"))
 	}
 	s, claim, snapshot := v.store, request.Claim, request.Snapshot
 	s.mu.Lock()
--- a/internal/ledger/retention_test.go
+++ b/internal/ledger/retention_test.go
@@ -141,7 +141,7 @@
 			f.is.True(f.waitComplete(c))
 			f.restart(m)
 			f.is.True(f.waitComplete(c)) // the damaged segment was rewritten
-			f.is.Equal(m.counters.Frame()["ledger_damaged"], int64(0))
+			f.is.Equal(m.counters.Snapshot()["ledger_damaged"], int64(0))
 			f.wipe(f.machines[(seed+1)%4])
 			for _, s := range sessions {
 				s.checkChain(c, s.program)
@@ -173,7 +173,7 @@
 		}
 		for _, m := range f.machines {
 			f.is.True(m.describe().LogBytes < max(16<<20, 5*m.describe().Bytes/2))
-			f.is.True(m.files.Free() > m.files.Capacity-m.describe().LogBytes-(2<<20))
+			f.is.True(m.files.FreeBytes() > m.files.Capacity-m.describe().LogBytes-(2<<20))
 			f.powerOff(m)
 			f.start(m)
 		}
@@ -194,7 +194,7 @@
 		c := f.newClient(1)
 		sessions := f.newSessions(c, 10, 2)
 		full := f.machines[0]
-		full.files.Capacity = full.files.Capacity - full.files.Free() + 1000
+		full.files.Capacity = full.files.Capacity - full.files.FreeBytes() + 1000
 		for _, s := range sessions {
 			s.runTurn()
 			s.runTurn()
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -61,9 +61,9 @@
 // disk set that this disk knows.
 type StoreConfig struct {
 	Clock          base.Clock
-	Wire           base.Wire
+	Wire           base.HTTPClient
 	Files          disk.Files
-	Bounds         *base.Table[base.Bounds]
+	Bounds         *base.AtomicPointer[base.Bounds]
 	Counters       *base.Counters
 	FaultTolerance int
 	LocalDisk      func() (id string, set *register.DiskSet)
@@ -82,8 +82,8 @@
 // until the state that it is based on is synced.
 type Store struct {
 	clock          base.Clock
-	wire           base.Wire
-	bounds         *base.Table[base.Bounds]
+	wire           base.HTTPClient
+	bounds         *base.AtomicPointer[base.Bounds]
 	counters       *base.Counters
 	faultTolerance int
 	localDisk      func() (string, *register.DiskSet)
@@ -106,17 +106,17 @@
 	pulling       map[string]uint64     // disks being pulled from, with the stamp of the set
 	fetching      map[turnKey]bool      // turns being fetched from some peer
 
-	log                 *disk.Segments
+	log                 *disk.SegmentLog
 	segments            map[uint64]*segmentContents
 	rewriteThrough      uint64 // segments up to this one must be rewritten
 	logBytes            int
-	nextBatch           *batch     // takes new records
-	writingBatch        *batch     // being written, or nil
-	commitBell          *base.Bell // wakes the committer
-	setBell             *base.Bell // wakes pullLoop
-	full                bool       // the disk had too little free space when last checked
-	bytesSinceFreeCheck int        // bytes written since free space was last checked
-	logErr              error      // the failure that ended the committer
+	nextBatch           *batch         // takes new records
+	writingBatch        *batch         // being written, or nil
+	commitBell          *base.Notifier // wakes the committer
+	setBell             *base.Notifier // wakes pullLoop
+	full                bool           // the disk had too little free space when last checked
+	bytesSinceFreeCheck int            // bytes written since free space was last checked
+	logErr              error          // the failure that ended the committer
 	closed              bool
 	committerDone       base.Signal
 }
@@ -126,17 +126,17 @@
 	s := &Store{clock: config.Clock, wire: config.Wire, bounds: config.Bounds, counters: config.Counters, faultTolerance: max(1, config.FaultTolerance),
 		localDisk: config.LocalDisk, files: config.Files, programs: map[string]*program{}, turns: map[string]*turn{}, missing: map[turnKey]missingTurn{},
 		byArrival: list.New(), openedAt: config.Clock.Now(), peers: map[string]*peerState{}, pulling: map[string]uint64{}, fetching: map[turnKey]bool{}, segments: map[uint64]*segmentContents{},
-		bytesSinceFreeCheck: minFreeBytes, commitBell: base.NewBell(config.Clock), setBell: base.NewBell(config.Clock), committerDone: config.Clock.NewSignal()}
+		bytesSinceFreeCheck: minFreeBytes, commitBell: base.NewNotifier(config.Clock), setBell: base.NewNotifier(config.Clock), committerDone: config.Clock.NewSignal()}
 	s.nextBatch = &batch{done: s.clock.NewSignal()}
-	log, damaged, err := disk.OpenSegments(config.Files, minSegmentBytes, s.replayBatch)
+	log, damaged, err := disk.OpenSegmentLog(config.Files, minSegmentBytes, s.replayBatch)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	s.log, s.logBytes, s.openedAt = log, log.Bytes(), s.clock.Now()
 	if damaged != nil {
 		s.counters.Add("ledger_damaged", 1)
-		s.damaged, s.completeStamp, s.rewriteThrough = true, 0, log.Last()
-		s.log.Turn()
+		s.damaged, s.completeStamp, s.rewriteThrough = true, 0, log.Newest()
+		s.log.Rotate()
 		s.appendMarks()
 	}
 	s.clock.Go(s.runCommitter)
@@ -203,9 +203,9 @@
 func (s *Store) retainUntil(keepMs int64) int64 {
 	bounds := s.bounds.Load()
 	if keepMs <= 0 {
-		keepMs = bounds.Retain.Milliseconds()
+		keepMs = bounds.Retention.Milliseconds()
 	}
-	return s.storeTime() + keepMs*5/4 + 2*bounds.Recover.Milliseconds()
+	return s.storeTime() + keepMs*5/4 + 2*bounds.Recovery.Milliseconds()
 }
 
 // currentSet returns the newest disk set that the store uses, or nil.
@@ -252,11 +252,11 @@
 func (s *Store) unlockAndSync(ack *Ack) *Ack {
 	pending := s.lastPending()
 	s.mu.Unlock()
-	s.commitBell.Ring()
+	s.commitBell.Notify()
 	if pending == nil {
 		return ack
 	}
-	if !pending.done.Wait(s.bounds.Load().DiskLimit()) {
+	if !pending.done.Wait(s.bounds.Load().DiskTimeout()) {
 		s.counters.Add("ledger_declined_stalled", 1)
 		return &Ack{Why: "stalled"}
 	}
@@ -292,7 +292,7 @@
 		}
 		if err == nil && dropping {
 			oldest := s.log.Oldest()
-			if err = s.log.Drop(); err == nil {
+			if err = s.log.DropOldest(); err == nil {
 				s.mu.Lock()
 				delete(s.segments, oldest)
 				s.mu.Unlock()
@@ -323,10 +323,10 @@
 // is written meanwhile, and the store declines requests that add data.
 func (s *Store) writeBatch(current *batch, liveBytes int) error {
 	for {
-		generation, err := s.log.Write(current.payload, liveBytes)
+		generation, err := s.log.Append(current.payload, liveBytes)
 		s.mu.Lock()
 		if s.bytesSinceFreeCheck += len(current.payload); err != nil || s.full || s.bytesSinceFreeCheck > minFreeBytes/4 {
-			s.full, s.bytesSinceFreeCheck = disk.IsFull(err) || s.files.Free() < minFreeBytes+int64(len(current.payload)), 0
+			s.full, s.bytesSinceFreeCheck = disk.IsFull(err) || s.files.FreeBytes() < minFreeBytes+int64(len(current.payload)), 0
 		}
 		closed := s.closed
 		if err == nil {
@@ -344,7 +344,7 @@
 		if s.dropDeadSegment() {
 			continue
 		}
-		s.clock.Sleep(s.bounds.Load().DiskLimit() / 10)
+		s.clock.Sleep(s.bounds.Load().DiskTimeout() / 10)
 	}
 }
 
@@ -358,19 +358,19 @@
 	live := segment != nil && (slices.ContainsFunc(segment.programs, func(p *program) bool { return !p.removed && p.oldestSegment == oldest }) ||
 		slices.ContainsFunc(segment.turns, func(t *turn) bool { return !t.removed && t.segment == oldest }))
 	s.mu.Unlock()
-	return !live && oldest != s.log.Last() && s.log.Drop() == nil
+	return !live && oldest != s.log.Newest() && s.log.DropOldest() == nil
 }
 
 // rewriteOldest appends live contents of the oldest segment to the next batch if
 // that segment is due for removal. It reports whether the segment can be dropped
 // once the batch is written.
 func (s *Store) rewriteOldest() bool {
-	oldest, due := s.log.Tight()
+	oldest, due := s.log.ReclaimDue()
 	if !due && s.rewriteThrough > 0 {
 		oldest = s.log.Oldest()
 		due = oldest <= s.rewriteThrough && oldest > 0
 	}
-	if !due || oldest == s.log.Last() {
+	if !due || oldest == s.log.Newest() {
 		if s.rewriteThrough > 0 && oldest > s.rewriteThrough {
 			s.rewriteThrough = 0
 		}
@@ -396,7 +396,7 @@
 		}
 	}
 	if len(segment.programs) > 0 || len(segment.turns) > 0 {
-		s.commitBell.Ring()
+		s.commitBell.Notify()
 		return false
 	}
 	s.appendMarks()
@@ -408,8 +408,8 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.commitBell.Ring()
-	s.setBell.Ring()
+	s.commitBell.Notify()
+	s.setBell.Notify()
 }
 
 func (s *Store) isClosed() bool {
@@ -431,7 +431,7 @@
 			s.completeStamp = 1 // nothing was written before the first set
 		}
 		s.appendMarks()
-		s.setBell.Ring()
+		s.setBell.Notify()
 		return
 	}
 	s.adoptSet(set)
@@ -448,7 +448,7 @@
 	}
 	s.peers = map[string]*peerState{}
 	s.appendMarks()
-	s.setBell.Ring()
+	s.setBell.Notify()
 	s.counters.Add("ledger_sets", 1)
 }
 
@@ -477,7 +477,7 @@
 // declineReason returns why the store accepts no more data, or "".
 func (s *Store) declineReason() string {
 	switch {
-	case s.full && s.files.Free() < minFreeBytes:
+	case s.full && s.files.FreeBytes() < minFreeBytes:
 		s.counters.Add("ledger_declined_full", 1)
 		return "full"
 	case len(s.nextBatch.payload) > maxQueuedBytes:
@@ -494,14 +494,14 @@
 	switch {
 	case s.logErr != nil:
 		return base.Busy(503, "ledger_broken", 5, "the ledger's log failed: %v; restart the process, and replace the disk if it fails again", s.logErr)
-	case s.full && s.files.Free() < minFreeBytes:
+	case s.full && s.files.FreeBytes() < minFreeBytes:
 		return base.Busy(503, "ledger_full", 5, "no space left for the ledger; free space in its file system or raise disk_limit_bytes")
 	}
 	return nil
 }
 
 // NotifySetChange tells the store that its disk may know a newer set.
-func (s *Store) NotifySetChange() { s.setBell.Ring() }
+func (s *Store) NotifySetChange() { s.setBell.Notify() }
 
 // Run pulls what the store lacks and expires old data until the store is closed.
 func (s *Store) Run() {
@@ -513,7 +513,7 @@
 // expireLoop removes expired programs and turns until the store is closed.
 func (s *Store) expireLoop() {
 	for !s.isClosed() {
-		s.clock.Sleep(s.bounds.Load().Recover / 2)
+		s.clock.Sleep(s.bounds.Load().Recovery / 2)
 		s.mu.Lock()
 		programs, turns := s.expire(s.storeTime())
 		s.mu.Unlock()
--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -107,7 +107,7 @@
 		}
 		one := accessRequest{team: team, gateway: d.fleet.Gateways[gateway%len(d.fleet.Gateways)].Host.Name, sentAt: sent, firstSentAt: first, answeredAt: d.fleet.World.Now()}
 		var told struct {
-			Error base.Verdict `json:"error"`
+			Error base.RequestError `json:"error"`
 		}
 		if answer.Status < 300 {
 			one.allowed = true
@@ -118,8 +118,8 @@
 			if answer.Status != 403 {
 				return answer, err
 			}
-			one.version = told.Error.Stamp
-			if told.Error.Code != "model_not_allowed" || told.Error.Ran != base.NotRun || told.Error.Team != team || told.Error.Model == "" || one.version == 0 {
+			one.version = told.Error.CurrentVersion
+			if told.Error.Code != "model_not_allowed" || told.Error.Execution != base.NotRun || told.Error.Team != team || told.Error.Model == "" || one.version == 0 {
 				d.fleet.Tally.Breach("a refusal of access that does not say what decided: %s", answer.Body)
 			}
 		}
@@ -209,7 +209,7 @@
 			}
 		}
 	}
-	fresh, permit := base.DefaultBounds().AccessFresh(), base.DefaultBounds().Permit()
+	fresh, permit := base.DefaultBounds().AccessFreshness(), base.DefaultBounds().Lease()
 	for _, one := range d.requests {
 		fits, named, could := false, one.allowed, []uint64{}
 		for place, stamp := range stamps {
@@ -343,7 +343,7 @@
 		f.CallerHost.Go(func() {
 			id := fmt.Sprint("k", round)
 			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.Tag(program, id)}}, "max_output_tokens": f.Shape.Pieces + 2}
-			_, _ = ask(gateway, "POST", path+"/turns", map[string]string{"authorization": "Bearer " + secret, "turn-id": id}, base.Encode(body))
+			_, _ = ask(gateway, "POST", path+"/turns", map[string]string{"authorization": "Bearer " + secret, "turn-id": id}, base.MustMarshal(body))
 		})
 	}
 }
--- a/internal/simulate/changestream.go
+++ b/internal/simulate/changestream.go
@@ -126,13 +126,13 @@
 	r := &changeStream{plan: plan, fleet: f, rng: rand.New(rand.NewPCG(seed, 0xc4a9)), report: &ChangeStreamReport{Plan: plan, Seed: seed}}
 	r.documentSuffix = r.buildDocumentSuffix()
 	f.Net.BytesPerSecond = plan.BytesPerSecond
-	f.configure = func(_ *Machine, env *node.Env, place *node.Place) {
+	f.configure = func(_ *Machine, env *node.Env, place *node.Config) {
 		place.Bounds = base.DefaultBounds()
 		env.Names = &platform.Names
 	}
 	f.onBuilt = func(m *Machine) {
 		if m.gateway != nil {
-			m.gateway.Table = parseVersionOnly
+			m.gateway.ParseRoutes = parseVersionOnly
 		}
 	}
 	if plan.Prepare != nil {
@@ -251,11 +251,11 @@
 	err, answered := r.callCore(m, func(ctx *base.Ctx, core *node.Core) error {
 		return route.SubmitChange(ctx, core.Register, change)
 	})
-	switch verdict := base.FromWire(err); {
+	switch verdict := base.ToRequestError(err); {
 	case answered && err == nil:
 		r.ackedVersion++
 		return true
-	case answered && verdict.Ran == base.NotRun && verdict.Status != 503:
+	case answered && verdict.Execution == base.NotRun && verdict.Status != 503:
 		r.report.RefusedCount++
 		r.addBreach("change %d on top of %d was refused: %v", r.changeNumber, r.ackedVersion, err)
 	default:
@@ -266,11 +266,11 @@
 
 // rejectableCallLoop runs a step on a core's machine and waits for its answer.
 func (r *changeStream) callCore(m *Machine, step func(ctx *base.Ctx, core *node.Core) error) (err error, answered bool) {
-	bell, core := base.NewBell(r.clock()), m.core
+	bell, core := base.NewNotifier(r.clock()), m.core
 	m.Host.Go(func() {
-		err = step(base.NewCtx(m.Host.Clock(), core.AnswerWithin()), core)
+		err = step(base.NewCtx(m.Host.Clock(), core.OperatorTimeout()), core)
 		answered = true
-		bell.Ring()
+		bell.Notify()
 	})
 	for end := r.fleet.World.Now() + 3*time.Second; !answered && r.fleet.World.Now() < end; {
 		bell.Next().Wait(20 * time.Millisecond)
@@ -338,7 +338,7 @@
 // feedLeader is the core that owns the feed's slot.
 func (r *changeStream) feedLeader() *Machine {
 	for _, m := range r.fleet.Cores {
-		if m.Host.alive && !m.Host.frozen && m.core != nil && m.core.Owner.LeadsFeed() {
+		if m.Host.alive && !m.Host.frozen && m.core != nil && m.core.RegisterServer.LeadsFeed() {
 			return m
 		}
 	}
@@ -419,7 +419,7 @@
 		follower := m.feedFollower()
 		return follower != nil && follower.HasLease() && follower.Snapshot().Revision >= place && configVersion(follower.Snapshot().Values) >= version
 	}
-	if m.storage == nil || m.storage.Store.Ready() != nil || m.storage.Store.Held(0) < place {
+	if m.storage == nil || m.storage.Store.Ready() != nil || m.storage.Store.AppliedSeq(0) < place {
 		return false
 	}
 	id := m.storage.Store.ID()
@@ -443,7 +443,7 @@
 	sum := 0
 	for _, m := range r.fleet.Cores {
 		if m.Host.alive && m.core != nil {
-			sum += m.core.Owner.MemoryBytes()
+			sum += m.core.RegisterServer.MemoryBytes()
 		}
 	}
 	r.maxMemory = max(r.maxMemory, sum)
--- a/internal/simulate/disk.go
+++ b/internal/simulate/disk.go
@@ -54,7 +54,7 @@
 
 func (f *Disk) Append(name string, data []byte) error {
 	held := f.fileNamed(name)
-	room := max(0, min(int64(len(data)), f.Free()))
+	room := max(0, min(int64(len(data)), f.FreeBytes()))
 	held.data = append(held.data, data[:room]...)
 	if room < int64(len(data)) {
 		return disk.ErrFull // and a part was written
@@ -67,7 +67,7 @@
 	return f.Append(name, data)
 }
 
-func (f *Disk) Trim(name string, size int) error {
+func (f *Disk) Truncate(name string, size int) error {
 	held := f.fileNamed(name)
 	held.data = append([]byte(nil), held.data[:min(size, len(held.data))]...)
 	return nil
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func (f *Disk) Free() int64 {
+func (f *Disk) FreeBytes() int64 {
 	left := f.Capacity
 	for _, held := range f.files {
 		left -= int64(len(held.data))
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -199,7 +199,7 @@
 	{Name: "disk fills", Every: 5 * time.Second, Do: func(f *Fleet, _ int) {
 		m := f.pickMachine(f.Storage)
 		limit := m.Disk.Capacity
-		m.Disk.Capacity -= m.Disk.Free()
+		m.Disk.Capacity -= m.Disk.FreeBytes()
 		f.scheduleRecovery(3*time.Second, func() { m.Disk.Capacity = limit })
 	}},
 	{Name: "disks lost and replaced", Span: 30 * time.Second, Every: 4 * time.Second, Do: func(f *Fleet, _ int) { f.replaceDisk() }},
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -63,7 +63,7 @@
 	// lost, set by tests only, takes mechanisms away that lie outside the wire.
 	disabled mechanisms
 	// equip, when set, changes what a process is given; begins sees it built, before it starts.
-	configure func(m *Machine, env *node.Env, place *node.Place)
+	configure func(m *Machine, env *node.Env, place *node.Config)
 	onBuilt   func(m *Machine)
 }
 
@@ -144,16 +144,16 @@
 	h.alive, h.dark, m.openRequests, m.stopping, m.stopRequested = true, false, 0, false, false
 	m.gateway, m.core, m.storage = nil, nil, nil
 	m.Counters = base.NewCounters()
-	env := node.Env{Clock: h.Clock(), Wire: f.Net.Wire(h), Files: m.Disk, Counters: m.Counters,
+	env := node.Env{Clock: h.Clock(), HTTPClient: f.Net.Wire(h), Files: m.Disk, Counters: m.Counters,
 		Backends: &Backends{net: f.Net, host: h, models: f.modelsByID, tools: f.toolsByID, lost: &f.disabled}}
-	place := node.Place{Addr: h.Name + ":1", Public: h.Name + ":2", Zone: h.Zone, Seeds: []string{f.Cores[0].Host.Name + ":1", f.Cores[len(f.Cores)-1].Host.Name + ":1", f.Storage[0].Host.Name + ":1"}}
+	place := node.Config{Addr: h.Name + ":1", PublicAddr: h.Name + ":2", Zone: h.Zone, Seeds: []string{f.Cores[0].Host.Name + ":1", f.Cores[len(f.Cores)-1].Host.Name + ":1", f.Storage[0].Host.Name + ":1"}}
 	if f.SeedAddrs != nil {
 		place.Seeds = f.SeedAddrs
 	}
 	if f.Shape.Found && f.SeedAddrs == nil {
 		place.Seeds = base.Map(f.Cores[:min(3, len(f.Cores))], func(m *Machine) string { return m.Host.Name + ":1" })
 	}
-	place.Cluster, place.Node, place.Tolerate, place.Found = f.ClusterID, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.startedBefore
+	place.Cluster, place.NodeName, place.FaultTolerance, place.Bootstrap = f.ClusterID, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.startedBefore
 	if f.disabled.seeds {
 		place.Seeds = []string{"nowhere:1"}
 	}
@@ -230,22 +230,22 @@
 // Stop ends a machine as a signal would: it finishes what it read, hands
 // over, and ends.
 func (f *Fleet) Stop(m *Machine) {
-	bell := base.NewBell(f.CallerHost.Clock())
+	bell := base.NewNotifier(f.CallerHost.Clock())
 	left, life := false, m.Host.life
 	m.Host.Go(func() {
 		switch {
 		case m.gateway != nil && m.Role == "edge":
-			m.gateway.Leave(stopTimeout)
+			m.gateway.Drain(stopTimeout)
 			m.gateway.Stop()
 		case m.core != nil && m.Role == "core":
-			m.core.Leave(stopTimeout)
+			m.core.Drain(stopTimeout)
 			m.core.Stop()
 		case m.storage != nil && m.Role == "storage":
-			m.storage.Leave(stopTimeout)
+			m.storage.Drain(stopTimeout)
 			m.storage.Stop()
 		}
 		left = true
-		bell.Ring()
+		bell.Notify()
 	})
 	m.stopping = true
 	if f.disabled.gracefulStop {
@@ -272,15 +272,15 @@
 
 // OperatorRequestWithQuery does so with a query.
 func (f *Fleet) OperatorRequestWithQuery(m *Machine, method, path string, query map[string]string, body any) (status int, answer []byte) {
-	bell := base.NewBell(f.CallerHost.Clock())
+	bell := base.NewNotifier(f.CallerHost.Clock())
 	if !m.Host.alive || m.core == nil {
 		return 0, nil
 	}
 	done := false
 	m.Host.Go(func() {
-		response := m.core.Operate.Handle(base.NewCtx(m.Host.Clock(), 30*time.Second), &front.Request{Method: method, Path: path, Query: query, Body: base.Encode(body)})
+		response := m.core.OperatorAPI.Handle(base.NewCtx(m.Host.Clock(), 30*time.Second), &front.Request{Method: method, Path: path, Query: query, Body: base.MustMarshal(body)})
 		status, answer, done = response.Status, response.Body, true
-		bell.Ring()
+		bell.Notify()
 	})
 	end := f.World.now + 40*time.Second
 	for !done && f.World.now < end {
@@ -310,7 +310,7 @@
 	})
 	ask := f.Asker(f.CallerHost)
 	f.retryUntilOK("workers", func() int {
-		answer, err := ask(0, "PUT", "/v1/platform/workers", nil, base.Encode(f.WorkerList))
+		answer, err := ask(0, "PUT", "/v1/platform/workers", nil, base.MustMarshal(f.WorkerList))
 		if err != nil {
 			return 0
 		}
@@ -341,7 +341,7 @@
 // feedLeader is the core that owns the feed.
 func (f *Fleet) feedLeader() *Machine {
 	for _, m := range f.Cores {
-		if m.Host.alive && m.core != nil && m.core.Owner.LeadsFeed() {
+		if m.Host.alive && m.core != nil && m.core.RegisterServer.LeadsFeed() {
 			return m
 		}
 	}
--- a/internal/simulate/fleet_report.go
+++ b/internal/simulate/fleet_report.go
@@ -20,7 +20,7 @@
 			for turn := int(f.World.Int64N(int64(len(f.Gateways)))); ; turn++ {
 				f.CallerHost.Clock().Sleep(every)
 				if f.World.Hosts[model.ID].alive {
-					_, _ = ask(turn, "POST", "/v1/platform/workers/"+model.ID+"/usage", nil, base.Encode(f.usageReport(model.ID)))
+					_, _ = ask(turn, "POST", "/v1/platform/workers/"+model.ID+"/usage", nil, base.MustMarshal(f.usageReport(model.ID)))
 				}
 			}
 		})
@@ -49,7 +49,7 @@
 func (f *Fleet) CounterTotal(name string) int64 {
 	total := int64(0)
 	for _, m := range f.All() {
-		total += m.Counters.Frame()[name]
+		total += m.Counters.Snapshot()[name]
 	}
 	return total
 }
--- a/internal/simulate/history_test.go
+++ b/internal/simulate/history_test.go
@@ -31,8 +31,8 @@
 }
 
 func newHistoryWriter(f *Fleet) *historyWriter {
-	bounds := &base.Table[base.Bounds]{}
-	bounds.Swap(base.DefaultBounds())
+	bounds := &base.AtomicPointer[base.Bounds]{}
+	bounds.Store(base.DefaultBounds())
 	client := ledger.NewClient(f.CallerHost.Clock(), f.Net.Wire(f.CallerHost), f.diskSet, f.CallerHost.Zone, f.Shape.Tolerate, bounds, base.NewCounters(), nil)
 	return &historyWriter{fleet: f, client: client, ackedTurns: make([][]string, historyPrograms), epochs: make([]uint64, historyPrograms)}
 }
--- a/internal/simulate/limits_test.go
+++ b/internal/simulate/limits_test.go
@@ -26,7 +26,7 @@
 		keys := func() int {
 			most := 0
 			for _, m := range f.Storage {
-				most = max(most, m.storage.Store.Used())
+				most = max(most, m.storage.Store.KeyCount())
 			}
 			return most
 		}
@@ -46,7 +46,7 @@
 		call.sleep(2 * time.Minute)
 		is.True(keys() < 10+register.ShardCount) // settings, workers, the change log and each slot's time are left
 		for _, m := range f.Gateways {
-			sessions, copies, streams := m.gateway.Keeper.Sizes()
+			sessions, copies, streams := m.gateway.Sessions.Sizes()
 			is.Equal(copies, 0)
 			is.Equal(streams, 0)
 			is.Equal(sessions, 0)
@@ -111,7 +111,7 @@
 func TestPoliciesAtWork(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		apply := func(stamp int, change, source string) (int, string) {
-			document := strings.Replace(DefaultSettings, `"chat":{`, `"chat":{"policy":`+string(base.Encode(source))+`,`, 1)
+			document := strings.Replace(DefaultSettings, `"chat":{`, `"chat":{"policy":`+string(base.MustMarshal(source))+`,`, 1)
 			status, answer := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply",
 				map[string]any{"change": change, "based_on": stamp, "document": json.RawMessage(document)})
 			call.sleep(2 * time.Second)
--- a/internal/simulate/operate_test.go
+++ b/internal/simulate/operate_test.go
@@ -17,7 +17,7 @@
 	var shown operate.StatusView
 	_, answer := f.OperatorRequest(m, "GET", "/v1/operator/status", nil)
 	_ = json.Unmarshal(answer, &shown)
-	return strings.Join(shown.Unwell, "\n")
+	return strings.Join(shown.Problems, "\n")
 }
 
 func TestStatusReportsUnwellNodes(t *testing.T) {
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -73,9 +73,9 @@
 func (f *Fleet) resolveOutcome(change string, basedOn uint64, status int, answer []byte) uint64 {
 	for tries := 0; tries < 400; tries++ {
 		var told struct {
-			Outcome string       `json:"outcome"`
-			Stamp   uint64       `json:"stamp"`
-			Error   base.Verdict `json:"error"`
+			Outcome string            `json:"outcome"`
+			Stamp   uint64            `json:"stamp"`
+			Error   base.RequestError `json:"error"`
 		}
 		_ = json.Unmarshal(answer, &told)
 		switch {
@@ -84,7 +84,7 @@
 			return told.Stamp
 		case status == 200 || status == 409:
 			f.Tally.ChangeRefused(change)
-			return max(told.Stamp, told.Error.Stamp)
+			return max(told.Stamp, told.Error.CurrentVersion)
 		}
 		f.Tally.Count("settings_unknown")
 		f.CallerHost.Clock().Sleep(300 * time.Millisecond)
@@ -182,13 +182,13 @@
 func (f *Fleet) sendUntilAccepted(method, path string, body func() any, stamp uint64) {
 	ask := f.Asker(f.CallerHost)
 	for tries := int(f.World.Int64N(int64(len(f.Gateways)))); ; tries++ {
-		answer, err := ask(tries, method, path, nil, base.Encode(body()))
+		answer, err := ask(tries, method, path, nil, base.MustMarshal(body()))
 		if err == nil {
 			var told struct {
-				Error base.Verdict `json:"error"`
+				Error base.RequestError `json:"error"`
 			}
 			_ = json.Unmarshal(answer.Body, &told)
-			if answer.Status == 200 || stamp > 0 && told.Error.Stamp >= stamp {
+			if answer.Status == 200 || stamp > 0 && told.Error.CurrentVersion >= stamp {
 				return
 			}
 		}
@@ -241,7 +241,7 @@
 // AwaitDiskChange waits until no change of the disks is under way.
 func (f *Fleet) AwaitDiskChange(limit time.Duration) bool {
 	for end := f.World.Now() + limit; f.World.Now() < end; f.CallerHost.Clock().Sleep(200 * time.Millisecond) {
-		if shown := f.StorageStatus(); !shown.Moving && shown.Slots == shown.All {
+		if shown := f.StorageStatus(); !shown.ChangePending && shown.SettledShards == shown.TotalShards {
 			return true
 		}
 	}
--- a/internal/simulate/orders.go
+++ b/internal/simulate/orders.go
@@ -101,16 +101,16 @@
 func NewOrderRun(seed uint64, shape OrderShape, change func(f *Fleet)) *OrderRun {
 	f := buildFleet(seed, Shape{Name: shape.Name, Zones: 4, Edges: shape.Gateways, Cores: shape.Cores, Storage: shape.Storage, Tolerate: shape.FaultTolerance, Found: true})
 	d := &OrderRun{Fleet: f, Rounds: 6, sentDocuments: map[string][][]byte{}, Kills: map[string]int{}}
-	f.configure = func(_ *Machine, env *node.Env, place *node.Place) {
-		place.Bounds = &base.Bounds{Settings: 2 * time.Second, Leave: 3 * time.Second, Recover: shape.RecoveryBound, Retain: time.Minute}
+	f.configure = func(_ *Machine, env *node.Env, place *node.Config) {
+		place.Bounds = &base.Bounds{SettingsApply: 2 * time.Second, Drain: 3 * time.Second, Recovery: shape.RecoveryBound, Retention: time.Minute}
 		env.Names = &platform.Names
 	}
 	f.onBuilt = func(m *Machine) {
 		switch {
 		case m.gateway != nil:
-			m.gateway.Table = platform.ReadTable
+			m.gateway.ParseRoutes = platform.ReadTable
 		case m.core != nil:
-			m.core.Operate.Table = platform.ReadOrder
+			m.core.OperatorAPI.ParseRoutes = platform.ReadTableStrict
 		}
 	}
 	f.Net.ResetOnExit = true
@@ -160,7 +160,7 @@
 			header = append(header, [2]string{parties.HeaderIfMatch, ifMatch})
 		}
 		r := inProcess(method, parties.PathConfig, m.Host.Name, header, body)
-		platform.Operate(r, m.Host.Clock(), core)
+		platform.ServeOperator(r, m.Host.Clock(), core)
 		if !d.World.Chance(responseLossRate) {
 			replies.put(way(), answered{kind: answeredHead, status: r.Response.StatusCode(), bytes: bytes.Clone(r.Response.Body())})
 		}
@@ -267,13 +267,13 @@
 	for round := range d.Rounds {
 		start, step := d.newestVersion, 1+uint64(d.World.Int64N(3))
 		under := orderClients
-		done := base.NewBell(clock)
+		done := base.NewNotifier(clock)
 		for sender := range orderClients {
 			d.CallerHost.Go(func() {
 				clock.Sleep(d.World.Between(0, 30*time.Millisecond))
 				d.runClient(sender, round, Order{Base: start, Version: start + step, Document: documentName(sender)})
 				under--
-				done.Ring()
+				done.Notify()
 			})
 		}
 		for next := done.Next(); under > 0; next = done.Next() {
