--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -45,14 +45,14 @@
 		status, answer = read("/check", map[string]string{"team": "nobody", "model": "payslip"})
 		is.Equal(status, 400)
 		is.True(strings.Contains(answer, `"field":"team"`))
-		var shown operate.AccessView
+		var view operate.AccessView
 		_, answer = read("", nil)
-		is.NoErr(json.Unmarshal([]byte(answer), &shown))
-		is.Equal(shown.InForce, uint64(1))
-		is.Equal(len(shown.Teams), 3)
-		is.Equal(len(shown.Holders), len(f.Gateways)+len(f.Cores)) // who holds which stamp
-		for _, one := range shown.Holders {
-			is.Equal(one.Version, uint64(1))
+		is.NoErr(json.Unmarshal([]byte(answer), &view))
+		is.Equal(view.InForce, uint64(1))
+		is.Equal(len(view.Teams), 3)
+		is.Equal(len(view.Holders), len(f.Gateways)+len(f.Cores)) // who holds which stamp
+		for _, holder := range view.Holders {
+			is.Equal(holder.Version, uint64(1))
 		}
 		var state operate.StatusView
 		_, raw := f.OperatorRequest(f.Cores[0], "GET", "/v1/operator/status", nil)
@@ -63,13 +63,13 @@
 		status, raw = f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/access/diff", json.RawMessage(denied))
 		is.Equal(status, 200)
 		is.True(strings.Contains(string(raw), `"model":"checkout","change":"refused"`))
-		wrong := strings.Replace(f.Shape.Settings, `"model":"checkout"`, `"model":"payslip"`, 1)
+		invalid := strings.Replace(f.Shape.Settings, `"model":"checkout"`, `"model":"payslip"`, 1)
 		for _, path := range []string{"access/diff", "settings/check"} {
-			status, raw = f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/"+path, json.RawMessage(wrong))
+			status, raw = f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/"+path, json.RawMessage(invalid))
 			is.Equal(status, 400)
 			is.True(strings.Contains(string(raw), "$.groups.dukabora.sites.main.routes.chat.model"))
 		}
-		status, _ = f.applySettings("wrong", 1, json.RawMessage(wrong))
+		status, _ = f.applySettings("wrong", 1, json.RawMessage(invalid))
 		is.Equal(status, 400)
 		_, raw = f.OperatorRequest(f.Cores[1], "GET", "/v1/operator/settings", nil)
 		is.True(strings.Contains(string(raw), `"stamp":1,`)) // nothing changed
@@ -105,7 +105,7 @@
 				{Name: "post", Host: "pay.example", Prefix: "/post/", Timeout: time.Second, Shares: []route.Share{{Service: "app", Weight: 1}}},
 				{Name: "till", Host: "till.example", Prefix: "/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}}}}
 		is.NoErr(table.BuildIndex())
-		allows := func(m *Machine, host, target, model string) *base.RequestError {
+		authorize := func(m *Machine, host, target, model string) *base.RequestError {
 			var err error
 			done := base.NewNotifier(f.CallerHost.Clock())
 			next := done.Next()
@@ -119,22 +119,22 @@
 		}
 		call.sleep(3 * time.Second)
 		edge := f.Gateways[0]
-		is.True(allows(edge, "PAY.example:80", "/ask/x", "payslip") == nil)
-		is.True(allows(edge, "pay.example", "/post/x", "") == nil) // no model: not for these rules
-		v := allows(edge, "pay.example", "/ask/x", "checkout")
-		is.Equal(v.Status, 403)
-		is.Equal(v.Code, "model_not_allowed")
-		is.Equal(v.Team, "clerks")
-		is.Equal(v.CurrentVersion, uint64(1))
-		is.Equal(v.Execution, base.NotRun)
-		is.Equal(allows(edge, "till.example", "/x", "checkout").Code, "unknown_team")
+		is.True(authorize(edge, "PAY.example:80", "/ask/x", "payslip") == nil)
+		is.True(authorize(edge, "pay.example", "/post/x", "") == nil) // no model: not for these rules
+		refusal := authorize(edge, "pay.example", "/ask/x", "checkout")
+		is.Equal(refusal.Status, 403)
+		is.Equal(refusal.Code, "model_not_allowed")
+		is.Equal(refusal.Team, "clerks")
+		is.Equal(refusal.CurrentVersion, uint64(1))
+		is.Equal(refusal.Execution, base.NotRun)
+		is.Equal(authorize(edge, "till.example", "/x", "checkout").Code, "unknown_team")
 		f.Net.Isolate(map[string]bool{edge.Host.Name: true})
 		call.sleep(3 * time.Second)
-		is.Equal(allows(edge, "pay.example", "/ask/x", "payslip").Code, "no_confirmed_settings")
-		is.True(allows(edge, "pay.example", "/post/x", "") == nil)
+		is.Equal(authorize(edge, "pay.example", "/ask/x", "payslip").Code, "no_confirmed_settings")
+		is.True(authorize(edge, "pay.example", "/post/x", "") == nil)
 		f.Net.Heal()
 		call.sleep(2 * time.Second)
-		is.True(allows(edge, "pay.example", "/ask/x", "payslip") == nil)
+		is.True(authorize(edge, "pay.example", "/ask/x", "payslip") == nil)
 	})
 }
 
--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -37,13 +37,13 @@
 func tenantSettings(denied map[string]bool) string {
 	groups := []string{`"g":{"operation_timeout_s":30,"teams":{"shop":{"models":["stand-in"]}},"team":"shop","sites":{"main":{"routes":{
 "chat":{"kind":"model","pool":"models","model":"stand-in"},"loyalty":{"kind":"tool","pool":"apps","tool_timeout_s":5},"lookup":{"kind":"tool","pool":"apps","repeatable":true}}}}}`}
-	for _, one := range tenants {
+	for _, entry := range tenants {
 		deny := ""
-		if denied[one.team] {
-			deny = `,"deny":["` + one.model + `"]`
+		if denied[entry.team] {
+			deny = `,"deny":["` + entry.model + `"]`
 		}
 		groups = append(groups, fmt.Sprintf(`%q:{"operation_timeout_s":30,"teams":{%q:{"models":[%q]%s}},"team":%q,"sites":{"main":{"routes":{
-"chat":{"kind":"model","pool":"models","model":%q}}}}}`, one.group, one.team, one.model, deny, one.team, one.model))
+"chat":{"kind":"model","pool":"models","model":%q}}}}}`, entry.group, entry.team, entry.model, deny, entry.team, entry.model))
 	}
 	return `{"models":["stand-in","checkout","payslip"],"pools":{"models":{"kind":"model"},"apps":{"kind":"tool"}},"max_output_tokens":64,"groups":{` + strings.Join(groups, ",") + `}}`
 }
@@ -51,8 +51,8 @@
 // parseDenied reads a tree's denials back.
 func parseDenied(document string) map[string]bool {
 	denied := map[string]bool{}
-	for _, one := range tenants {
-		denied[one.team] = strings.Contains(document, `"deny":["`+one.model+`"]`)
+	for _, entry := range tenants {
+		denied[entry.team] = strings.Contains(document, `"deny":["`+entry.model+`"]`)
 	}
 	return denied
 }
@@ -85,85 +85,85 @@
 }
 
 // recordRequests notes every request that calls a model.
-func (d *accessRun) recordRequests(team string, ask standin.Asker) standin.Asker {
+func (r *accessRun) recordRequests(team string, ask standin.Asker) standin.Asker {
 	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
-		calls := method == "POST" && (strings.HasSuffix(path, "/turns") || strings.HasSuffix(path, "/sessions"))
-		sent := d.fleet.World.Now()
+		callsModel := method == "POST" && (strings.HasSuffix(path, "/turns") || strings.HasSuffix(path, "/sessions"))
+		sent := r.fleet.World.Now()
 		answer, err := ask(gateway, method, path, header, body)
-		if !calls {
+		if !callsModel {
 			return answer, err
 		}
 		first := sent
 		if id := header["turn-id"]; id != "" {
-			if earlier, ok := d.firstSent[path+id]; ok {
+			if earlier, ok := r.firstSent[path+id]; ok {
 				first = earlier
 			} else {
-				d.firstSent[path+id] = sent
+				r.firstSent[path+id] = sent
 			}
 		}
 		if err != nil {
-			d.responseCounts["connection"]++
+			r.responseCounts["connection"]++
 			return answer, err
 		}
-		one := accessRequest{team: team, gateway: d.fleet.Gateways[gateway%len(d.fleet.Gateways)].Host.Name, sentAt: sent, firstSentAt: first, answeredAt: d.fleet.World.Now()}
-		var told struct {
+		request := accessRequest{team: team, gateway: r.fleet.Gateways[gateway%len(r.fleet.Gateways)].Host.Name, sentAt: sent, firstSentAt: first, answeredAt: r.fleet.World.Now()}
+		var reply struct {
 			Error base.RequestError `json:"error"`
 		}
 		if answer.Status < 300 {
-			one.allowed = true
-			d.responseCounts["allowed"]++
+			request.allowed = true
+			r.responseCounts["allowed"]++
 		} else {
-			_ = json.Unmarshal(answer.Body, &told)
-			d.responseCounts[told.Error.Code]++
+			_ = json.Unmarshal(answer.Body, &reply)
+			r.responseCounts[reply.Error.Code]++
 			if answer.Status != 403 {
 				return answer, err
 			}
-			one.version = told.Error.CurrentVersion
-			if told.Error.Code != "model_not_allowed" || told.Error.Execution != base.NotRun || told.Error.Team != team || told.Error.Model == "" || one.version == 0 {
-				d.fleet.Tally.Breach("a refusal of access that does not say what decided: %s", answer.Body)
+			request.version = reply.Error.CurrentVersion
+			if reply.Error.Code != "model_not_allowed" || reply.Error.Execution != base.NotRun || reply.Error.Team != team || reply.Error.Model == "" || request.version == 0 {
+				r.fleet.Tally.Breach("a refusal of access that does not say what decided: %s", answer.Body)
 			}
 		}
-		if id := header["turn-id"]; id != "" && !one.allowed && first == sent {
-			d.fleet.Tally.Refuse(strings.Split(path, "/")[3], id, "model_not_allowed") // it must never run
+		if id := header["turn-id"]; id != "" && !request.allowed && first == sent {
+			r.fleet.Tally.Refuse(strings.Split(path, "/")[3], id, "model_not_allowed") // it must never run
 		}
-		d.requests = append(d.requests, one)
+		r.requests = append(r.requests, request)
 		return answer, err
 	}
 }
 
 // runOperator takes its tenant's model away and gives it back, again and again.
-func (d *accessRun) runOperator(name string, whose tenant) {
-	f := d.fleet
-	for round := 0; d.running(); round++ {
-		f.CallerHost.Clock().Sleep(d.changeInterval/2 + f.World.Between(0, d.changeInterval))
+func (r *accessRun) runOperator(name string, team tenant) {
+	f := r.fleet
+	for round := 0; r.running(); round++ {
+		f.CallerHost.Clock().Sleep(r.changeInterval/2 + f.World.Between(0, r.changeInterval))
 		status, answer := f.OperatorRequest(f.pickMachine(f.Cores), "GET", "/v1/operator/settings", nil)
-		var now struct {
+		var current struct {
 			Stamp    uint64          `json:"stamp"`
 			Document json.RawMessage `json:"document"`
 		}
-		if status != 200 || json.Unmarshal(answer, &now) != nil {
+		if status != 200 || json.Unmarshal(answer, &current) != nil {
 			continue
 		}
-		denied := parseDenied(string(now.Document))
-		denied[whose.team] = !denied[whose.team]
+		denied := parseDenied(string(current.Document))
+		denied[team.team] = !denied[team.team]
 		change, from := fmt.Sprintf("%s-%d", name, round), f.World.Now()
-		status, answer = f.applySettings(change, now.Stamp, json.RawMessage(tenantSettings(denied)))
-		d.resolveOutcome(change, now.Stamp, &accessChange{denied: denied, requestedAt: from, inForceAt: -1}, status, answer)
+		status, answer = f.applySettings(change, current.Stamp, json.RawMessage(tenantSettings(denied)))
+		r.resolveOutcome(change, current.Stamp, &accessChange{denied: denied, requestedAt: from, inForceAt: -1}, status, answer)
 	}
 }
 
-func (d *accessRun) resolveOutcome(change string, basedOn uint64, made *accessChange, status int, answer []byte) {
-	f := d.fleet
+func (r *accessRun) resolveOutcome(change string, basedOn uint64, applied *accessChange, status int, answer []byte) {
+	f := r.fleet
 	for {
-		var told struct {
+		var reply struct {
 			Outcome string `json:"outcome"`
 			Stamp   uint64 `json:"stamp"`
 		}
-		_ = json.Unmarshal(answer, &told)
+		_ = json.Unmarshal(answer, &reply)
 		switch {
-		case status == 200 && told.Outcome == "taken":
-			f.Tally.Taken(change, basedOn, told.Stamp, f.World.Now())
-			d.changes[told.Stamp] = made
+		case status == 200 && reply.Outcome == "taken":
+			f.Tally.Taken(change, basedOn, reply.Stamp, f.World.Now())
+			r.changes[reply.Stamp] = applied
 			return
 		case status == 200 || status == 409:
 			f.Tally.ChangeRefused(change)
@@ -175,18 +175,18 @@
 }
 
 // pollInForce asks the cores which settings are in force.
-func (d *accessRun) pollInForce() {
-	f := d.fleet
+func (r *accessRun) pollInForce() {
+	f := r.fleet
 	for {
 		f.CallerHost.Clock().Sleep(50 * time.Millisecond)
 		status, answer := f.OperatorRequest(f.liveCore(), "GET", "/v1/operator/access", nil)
-		var shown struct {
+		var view struct {
 			InForce uint64 `json:"in_force"`
 		}
-		if status == 200 && json.Unmarshal(answer, &shown) == nil {
-			for _, stamp := range base.SortedKeys(d.changes) {
-				if stamp <= shown.InForce && d.changes[stamp].inForceAt < 0 {
-					d.changes[stamp].inForceAt = f.World.Now()
+		if status == 200 && json.Unmarshal(answer, &view) == nil {
+			for _, stamp := range base.SortedKeys(r.changes) {
+				if stamp <= view.InForce && r.changes[stamp].inForceAt < 0 {
+					r.changes[stamp].inForceAt = f.World.Now()
 				}
 			}
 		}
@@ -194,129 +194,129 @@
 }
 
 // checkDecisions holds every request to what could decide it.
-func (d *accessRun) checkDecisions() {
-	stamps := base.SortedKeys(d.changes)
-	for place, stamp := range stamps {
-		if place > 0 && stamps[place-1] != stamp-1 {
-			d.fleet.Tally.Breach("settings %d and %d were taken, and none between", stamps[place-1], stamp)
+func (r *accessRun) checkDecisions() {
+	versions := base.SortedKeys(r.changes)
+	for index, version := range versions {
+		if index > 0 && versions[index-1] != version-1 {
+			r.fleet.Tally.Breach("settings %d and %d were taken, and none between", versions[index-1], version)
 		}
 	}
 	// Whoever was refused by a change knows that it is in force.
-	for _, one := range d.requests {
-		for _, stamp := range stamps {
-			if made := d.changes[stamp]; stamp <= one.version && (made.inForceAt < 0 || one.answeredAt < made.inForceAt) {
-				made.inForceAt = one.answeredAt
+	for _, request := range r.requests {
+		for _, version := range versions {
+			if change := r.changes[version]; version <= request.version && (change.inForceAt < 0 || request.answeredAt < change.inForceAt) {
+				change.inForceAt = request.answeredAt
 			}
 		}
 	}
-	fresh, permit := base.DefaultBounds().AccessFreshness(), base.DefaultBounds().Lease()
-	for _, one := range d.requests {
-		fits, named, could := false, one.allowed, []uint64{}
-		for place, stamp := range stamps {
-			made := d.changes[stamp]
+	freshness, lease := base.DefaultBounds().AccessFreshness(), base.DefaultBounds().Lease()
+	for _, request := range r.requests {
+		explained, versionMatches, candidates := false, request.allowed, []uint64{}
+		for index, version := range versions {
+			change := r.changes[version]
 			until := time.Duration(1 << 62)
-			for _, later := range stamps[place+1:] {
-				if known := d.changes[later].inForceAt; known >= 0 {
-					until = min(until, known+fresh)
+			for _, later := range versions[index+1:] {
+				if known := r.changes[later].inForceAt; known >= 0 {
+					until = min(until, known+freshness)
 				}
 			}
-			sent := one.sentAt
-			if one.allowed {
-				sent = one.firstSentAt
+			startedAt := request.sentAt
+			if request.allowed {
+				startedAt = request.firstSentAt
 			}
 			// Where the former and the next say the same a permit is enough, so that
 			// an older stamp may still be named.
-			named = named || one.version == stamp && made.denied[one.team] && one.answeredAt >= made.requestedAt && sent <= until-fresh+permit
-			if one.answeredAt < made.requestedAt || sent > until {
+			versionMatches = versionMatches || request.version == version && change.denied[request.team] && request.answeredAt >= change.requestedAt && startedAt <= until-freshness+lease
+			if request.answeredAt < change.requestedAt || startedAt > until {
 				continue
 			}
-			could = append(could, stamp)
-			fits = fits || made.denied[one.team] != one.allowed
+			candidates = append(candidates, version)
+			explained = explained || change.denied[request.team] != request.allowed
 		}
-		if !fits || !named {
-			d.fleet.Tally.Breach("%s at %s, sent at %v and told at %v: allowed %v by %d, which none of %v says", one.team, one.gateway, one.sentAt, one.answeredAt, one.allowed, one.version, could)
+		if !explained || !versionMatches {
+			r.fleet.Tally.Breach("%s at %s, sent at %v and told at %v: allowed %v by %d, which none of %v says", request.team, request.gateway, request.sentAt, request.answeredAt, request.allowed, request.version, candidates)
 		}
 	}
 }
 
 // result plays the day, and gives how many changes came into force.
-func (d *accessRun) run(t *testing.T, seed uint64, shape Shape, span time.Duration, harm string, take func(*Fleet)) {
+func (r *accessRun) run(t *testing.T, seed uint64, shape Shape, span time.Duration, fault string, prepare func(*Fleet)) {
 	shape.Settings = tenantSettings(nil)
 	f := NewFleet(seed, shape)
 	defer f.World.Close()
-	if take != nil {
-		take(f)
+	if prepare != nil {
+		prepare(f)
 	}
 	formed(t, f)
-	d.fleet, d.changes, d.firstSent, d.responseCounts = f, map[uint64]*accessChange{1: {denied: map[string]bool{}, inForceAt: 0}}, map[string]time.Duration{}, map[string]int{}
+	r.fleet, r.changes, r.firstSent, r.responseCounts = f, map[uint64]*accessChange{1: {denied: map[string]bool{}, inForceAt: 0}}, map[string]time.Duration{}, map[string]int{}
 	end := f.World.Now() + span
-	d.running = func() bool { return f.World.Now() < end }
-	left := 0
-	enter := func(task func()) {
-		left++
-		f.CallerHost.Go(func() { task(); left-- })
+	r.running = func() bool { return f.World.Now() < end }
+	remaining := 0
+	spawn := func(task func()) {
+		remaining++
+		f.CallerHost.Go(func() { task(); remaining-- })
 	}
 	// The first rules come into force in two steps like any others.
-	enter(func() {
-		for !d.inForce(1) {
+	spawn(func() {
+		for !r.inForce(1) {
 			f.CallerHost.Clock().Sleep(100 * time.Millisecond)
 		}
-		for place, whose := range tenants {
-			enter(func() { d.runOperator(fmt.Sprint("operator", place), whose) })
+		for index, team := range tenants {
+			spawn(func() { r.runOperator(fmt.Sprint("operator", index), team) })
 		}
-		d.startCallers(enter)
-		for _, whose := range tenants {
+		r.startCallers(spawn)
+		for _, team := range tenants {
 			for gateway := range f.Gateways {
-				enter(func() { d.runPinnedCaller(whose, gateway) })
+				spawn(func() { r.runPinnedCaller(team, gateway) })
 			}
 		}
 		f.Net.Faults = NetworkFaults{}
-		if harm != "" {
-			f.startScenarioFaults(harm, d.running)
+		if fault != "" {
+			f.startScenarioFaults(fault, r.running)
 		}
 	})
-	f.CallerHost.Go(d.pollInForce)
-	if !f.World.Run(end+3*time.Minute, func() bool { return left == 0 && f.pendingFaults == 0 }) {
+	f.CallerHost.Go(r.pollInForce)
+	if !f.World.Run(end+3*time.Minute, func() bool { return remaining == 0 && f.pendingFaults == 0 }) {
 		f.Tally.Breach("callers were left without an end")
 	}
 	f.Net.Heal()
 	f.Net.Faults = NetworkFaults{}
-	d.checkDecisions()
-	if refused := d.responseCounts["no_confirmed_settings"]; d.noFaults && refused > 0 {
-		f.Tally.Breach("%d requests found no confirmation though all was calm", refused)
+	r.checkDecisions()
+	if unconfirmed := r.responseCounts["no_confirmed_settings"]; r.noFaults && unconfirmed > 0 {
+		f.Tally.Breach("%d requests found no confirmation though all was calm", unconfirmed)
 	}
 	for _, name := range []string{"turns_dropped", "turns_cut", "turns_failed"} {
-		if n := f.Tally.Counts[name]; d.noFaults && n > 0 {
+		if n := f.Tally.Counts[name]; r.noFaults && n > 0 {
 			f.Tally.Breach("changes alone brought %d %s", n, name)
 		}
 	}
 	f.CheckInvariants()
-	t.Logf("seed %d: %d changes, %v, %d turns whole, took hold after %v", seed, len(d.changes)-1, d.responseCounts, f.Tally.Counts["turns_whole"], d.longestActivation())
+	t.Logf("seed %d: %d changes, %v, %d turns whole, took hold after %v", seed, len(r.changes)-1, r.responseCounts, f.Tally.Counts["turns_whole"], r.longestActivation())
 }
 
-func (d *accessRun) inForce(stamp uint64) bool {
-	status, answer := d.fleet.OperatorRequest(d.fleet.liveCore(), "GET", "/v1/operator/access", nil)
-	var shown struct {
+func (r *accessRun) inForce(version uint64) bool {
+	status, answer := r.fleet.OperatorRequest(r.fleet.liveCore(), "GET", "/v1/operator/access", nil)
+	var view struct {
 		InForce uint64 `json:"in_force"`
 	}
-	return status == 200 && json.Unmarshal(answer, &shown) == nil && shown.InForce >= stamp
+	return status == 200 && json.Unmarshal(answer, &view) == nil && view.InForce >= version
 }
 
 // startCallers are the tenants' callers, and a few of the group that may always call.
-func (d *accessRun) startCallers(enter func(func())) {
-	f := d.fleet
+func (r *accessRun) startCallers(spawn func(func())) {
+	f := r.fleet
 	for caller := range len(f.Gateways) * 3 {
-		whose := tenant{"shop", "g", "stand-in"}
+		team := tenant{"shop", "g", "stand-in"}
 		if caller%3 > 0 {
-			whose = tenants[caller%3-1]
+			team = tenants[caller%3-1]
 		}
-		enter(func() {
-			for round := 0; d.running(); round++ {
-				c := f.caller(fmt.Sprintf("%s%d-%d", whose.team, caller, round), caller+round)
-				c.Group, c.Ask, c.Patience = whose.group, d.recordRequests(whose.team, f.Asker(f.CallerHost)), 15*time.Second
+		spawn(func() {
+			for round := 0; r.running(); round++ {
+				c := f.caller(fmt.Sprintf("%s%d-%d", team.team, caller, round), caller+round)
+				c.Group, c.Ask, c.Patience = team.group, r.recordRequests(team.team, f.Asker(f.CallerHost)), 15*time.Second
 				c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 300*time.Millisecond)) }
 				if c.Start(int64(4 * f.Shape.Pieces * 8)) {
-					c.Converse(4, whose.team == "shop")
+					c.Converse(4, team.team == "shop")
 				}
 				c.Clock.Sleep(f.World.Between(20*time.Millisecond, 120*time.Millisecond))
 			}
@@ -326,19 +326,19 @@
 
 // runPinnedCaller asks one gateway for turns of one session, again and again, without ever
 // moving to another: what that gateway holds is what decides.
-func (d *accessRun) runPinnedCaller(whose tenant, gateway int) {
-	f := d.fleet
-	c := f.caller(fmt.Sprintf("knock-%s-%d", whose.team, gateway), gateway)
-	c.Group, c.Ask = whose.group, f.Asker(f.CallerHost)
-	for d.running() && !c.Start(1<<20) {
+func (r *accessRun) runPinnedCaller(team tenant, gateway int) {
+	f := r.fleet
+	c := f.caller(fmt.Sprintf("knock-%s-%d", team.team, gateway), gateway)
+	c.Group, c.Ask = team.group, f.Asker(f.CallerHost)
+	for r.running() && !c.Start(1<<20) {
 		c = f.caller(fmt.Sprintf("%s-", c.Name), gateway)
-		c.Group, c.Ask = whose.group, f.Asker(f.CallerHost)
+		c.Group, c.Ask = team.group, f.Asker(f.CallerHost)
 		c.Clock.Sleep(200 * time.Millisecond)
 	}
 	path, secret := c.Session()
 	program := strings.Split(path, "/")[3]
-	ask := d.recordRequests(whose.team, f.Asker(f.CallerHost))
-	for round := 0; d.running(); round++ {
+	ask := r.recordRequests(team.team, f.Asker(f.CallerHost))
+	for round := 0; r.running(); round++ {
 		c.Clock.Sleep(f.World.Between(100*time.Millisecond, 200*time.Millisecond))
 		f.CallerHost.Go(func() {
 			id := fmt.Sprint("k", round)
@@ -350,51 +350,51 @@
 
 // longestActivation is the longest that a change took from being asked for to be known in
 // force.
-func (d *accessRun) longestActivation() (longest time.Duration) {
-	for _, made := range d.changes {
-		if made.inForceAt >= 0 {
-			longest = max(longest, made.inForceAt-made.requestedAt)
+func (r *accessRun) longestActivation() (longest time.Duration) {
+	for _, change := range r.changes {
+		if change.inForceAt >= 0 {
+			longest = max(longest, change.inForceAt-change.requestedAt)
 		}
 	}
 	return longest
 }
 
 func TestAccessChangesUnderFaults(t *testing.T) {
-	saturday, monthEnd := KiondoShape(), LjubljanaShape()
+	kiondo, ljubljana := KiondoShape(), LjubljanaShape()
 	rows := []struct {
 		name  string
 		shape Shape
 		harm  string
 	}{
 		{"calm", SmallShape(), ""},
-		{"Saturday rush, calm", saturday, ""},
-		{"Saturday rush, edges killed", saturday, "edges killed"},
-		{"Saturday rush, edges frozen", saturday, "edges frozen and woken"},
-		{"Saturday rush, cores killed", saturday, "cores killed"},
-		{"Saturday rush, rolling restarts", saturday, "planned stops"},
-		{"Saturday rush, a machine cut off", saturday, "a machine cut off"},
-		{"Saturday rush, a storm", saturday, "a storm"},
-		{"month-end, calm", monthEnd, ""},
-		{"month-end, cores frozen", monthEnd, "cores frozen and woken"},
-		{"month-end, a zone cut off", monthEnd, "a zone cut off"},
-		{"month-end, late messages", monthEnd, "messages lost, late and twice"},
-		{"month-end, rolling restarts", monthEnd, "planned stops"},
-		{"month-end, everything at once", monthEnd, "everything at once"},
-		{"month-end, disks lose power", monthEnd, "disks lose power"},
+		{"Saturday rush, calm", kiondo, ""},
+		{"Saturday rush, edges killed", kiondo, "edges killed"},
+		{"Saturday rush, edges frozen", kiondo, "edges frozen and woken"},
+		{"Saturday rush, cores killed", kiondo, "cores killed"},
+		{"Saturday rush, rolling restarts", kiondo, "planned stops"},
+		{"Saturday rush, a machine cut off", kiondo, "a machine cut off"},
+		{"Saturday rush, a storm", kiondo, "a storm"},
+		{"month-end, calm", ljubljana, ""},
+		{"month-end, cores frozen", ljubljana, "cores frozen and woken"},
+		{"month-end, a zone cut off", ljubljana, "a zone cut off"},
+		{"month-end, late messages", ljubljana, "messages lost, late and twice"},
+		{"month-end, rolling restarts", ljubljana, "planned stops"},
+		{"month-end, everything at once", ljubljana, "everything at once"},
+		{"month-end, disks lose power", ljubljana, "disks lose power"},
 		{"small, a storm", SmallShape(), "a storm"},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= uint64(*accessSeeds); seed++ {
-				d := &accessRun{changeInterval: 3 * time.Second, noFaults: row.harm == ""}
-				d.run(t, seed, row.shape, 24*time.Second, row.harm, nil)
-				for _, breach := range d.fleet.Tally.Breaches {
+				run := &accessRun{changeInterval: 3 * time.Second, noFaults: row.harm == ""}
+				run.run(t, seed, row.shape, 24*time.Second, row.harm, nil)
+				for _, breach := range run.fleet.Tally.Breaches {
 					t.Errorf("seed %d: %s", seed, breach)
 				}
 				is := is.New(t)
-				is.True(d.responseCounts["allowed"] > 0)
-				is.True(d.responseCounts["model_not_allowed"] > 0)
+				is.True(run.responseCounts["allowed"] > 0)
+				is.True(run.responseCounts["model_not_allowed"] > 0)
 				if t.Failed() {
 					return
 				}
@@ -432,10 +432,10 @@
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 12; seed++ {
-				d := &accessRun{changeInterval: 3 * time.Second}
-				d.run(t, seed, SmallShape(), 40*time.Second, row.harm, row.take)
-				if place := slices.IndexFunc(d.fleet.Tally.Breaches, func(breach string) bool { return strings.Contains(breach, "which none of") }); place >= 0 {
-					t.Logf("without %s, seed %d: %s", row.mechanism, seed, d.fleet.Tally.Breaches[place])
+				run := &accessRun{changeInterval: 3 * time.Second}
+				run.run(t, seed, SmallShape(), 40*time.Second, row.harm, row.take)
+				if index := slices.IndexFunc(run.fleet.Tally.Breaches, func(breach string) bool { return strings.Contains(breach, "which none of") }); index >= 0 {
+					t.Logf("without %s, seed %d: %s", row.mechanism, seed, run.fleet.Tally.Breaches[index])
 					return
 				}
 			}
--- a/internal/simulate/campaign.go
+++ b/internal/simulate/campaign.go
@@ -53,29 +53,29 @@
 }
 
 // Run does all runs; told is called for each as it ends, one at a time.
-func (c *Campaign) Run(told func(*Outcome)) []*CampaignResult {
+func (c *Campaign) Run(onOutcome func(*Outcome)) []*CampaignResult {
 	type job struct {
 		row      *CampaignResult
 		scenario Runnable
 		seed     uint64
 	}
-	rows, jobs := []*CampaignResult{}, []job{}
+	results, jobs := []*CampaignResult{}, []job{}
 	for _, shape := range c.Shapes {
 		for _, scenario := range c.Scenarios {
-			row := &CampaignResult{Scenario: scenario.Title(), Shape: shape}
-			rows = append(rows, row)
+			result := &CampaignResult{Scenario: scenario.Title(), Shape: shape}
+			results = append(results, result)
 			for seed := c.FirstSeed; seed < c.FirstSeed+uint64(c.SeedCount); seed++ {
-				jobs = append(jobs, job{row, scenario, seed})
+				jobs = append(jobs, job{result, scenario, seed})
 			}
 		}
 	}
 	var mu sync.Mutex
-	var group sync.WaitGroup
+	var workers sync.WaitGroup
 	turns := map[*CampaignResult][]time.Duration{}
 	for range max(1, c.Parallelism) {
-		group.Add(1)
+		workers.Add(1)
 		go func() {
-			defer group.Done()
+			defer workers.Done()
 			for {
 				mu.Lock()
 				if len(jobs) == 0 {
@@ -93,20 +93,20 @@
 				if len(outcome.Breaches) > 0 {
 					next.row.FailedRuns = append(next.row.FailedRuns, outcome)
 				}
-				told(outcome)
+				onOutcome(outcome)
 				mu.Unlock()
 			}
 		}()
 	}
-	group.Wait()
-	for _, row := range rows {
-		slices.SortFunc(row.FailedRuns, func(a, b *Outcome) int { return int(a.Seed) - int(b.Seed) })
-		if took := turns[row]; len(took) > 0 {
-			slices.Sort(took)
-			row.P99Ms, row.LongestMs = took[len(took)*99/100].Seconds()*1000, took[len(took)-1].Seconds()*1000
+	workers.Wait()
+	for _, result := range results {
+		slices.SortFunc(result.FailedRuns, func(a, b *Outcome) int { return int(a.Seed) - int(b.Seed) })
+		if times := turns[result]; len(times) > 0 {
+			slices.Sort(times)
+			result.P99Ms, result.LongestMs = times[len(times)*99/100].Seconds()*1000, times[len(times)-1].Seconds()*1000
 		}
 	}
-	return rows
+	return results
 }
 
 // ReplayCommand is the command that plays a run again.
--- a/internal/simulate/changestream.go
+++ b/internal/simulate/changestream.go
@@ -54,12 +54,12 @@
 func NewChangeStreamPlan(size string, changes int) (ChangeStreamPlan, error) {
 	plan := ChangeStreamPlan{Name: size, Routes: 1000, Changes: changes, Interval: 100 * time.Millisecond, SampleAt: []int{100, 1000, 3000}, CatchUpBound: 4100 * time.Millisecond}
 	var counts [3]int
-	for place, text := range strings.SplitN(size, "/", 3) {
-		count, err := strconv.Atoi(text)
+	for i, part := range strings.SplitN(size, "/", 3) {
+		count, err := strconv.Atoi(part)
 		if err != nil || count < 1 {
 			return plan, fmt.Errorf("size %q: must be gateways/cores/storage machines", size)
 		}
-		counts[place] = count
+		counts[i] = count
 	}
 	plan.Gateways, plan.Cores, plan.Storage, plan.FaultTolerance = counts[0], counts[1], counts[2], 1
 	if plan.Storage >= 9 {
@@ -157,12 +157,12 @@
 func (r *changeStream) buildDocumentSuffix() []byte {
 	var out bytes.Buffer
 	out.WriteString(`,"routes":[`)
-	for place := range r.plan.Routes {
-		if place > 0 {
+	for i := range r.plan.Routes {
+		if i > 0 {
 			out.WriteByte(',')
 		}
 		fmt.Fprintf(&out, `{"name":"r-%d","host":"host%d.example","prefix":"/p-%x/","timeout_ms":%d,"service":"app"}`,
-			place, place%7, r.rng.Uint64(), 1000+place%9*100)
+			i, i%7, r.rng.Uint64(), 1000+i%9*100)
 	}
 	out.WriteString(`],"padding":"`)
 	for written := 0; written < r.plan.Padding; written += 8 {
@@ -194,16 +194,16 @@
 		r.addBreach("the fleet did not form")
 		return
 	}
-	ended := false
-	f.CallerHost.Go(func() { r.checkReads(&ended) })
+	stopped := false
+	f.CallerHost.Go(func() { r.checkReads(&stopped) })
 	switch {
 	case r.plan.LongAbsence:
 		for _, list := range [][]*Machine{f.Storage, f.Cores, f.Gateways} {
 			r.activeFaults++
-			f.CallerHost.Go(func() { r.longAbsence(list[r.rng.IntN(len(list))], &ended) })
+			f.CallerHost.Go(func() { r.longAbsence(list[r.rng.IntN(len(list))], &stopped) })
 		}
 	case !r.plan.NoFaults:
-		f.CallerHost.Go(func() { r.injectFaults(&ended) })
+		f.CallerHost.Go(func() { r.injectFaults(&stopped) })
 	}
 	for r.changeNumber = 1; r.changeNumber <= r.plan.Changes; r.changeNumber++ {
 		if !r.submitUntilAcked() {
@@ -216,7 +216,7 @@
 		}
 		r.clock().Sleep(r.plan.Interval)
 	}
-	ended = true
+	stopped = true
 	f.waitUntil(2*time.Minute, func() bool { return r.activeFaults == 0 })
 	r.takeSample()
 	if took := f.waitUntil(time.Minute, func() bool {
@@ -288,39 +288,39 @@
 
 // checkReads asks one core after another for the configuration: what was
 // acknowledged before the question must be in the answer.
-func (r *changeStream) checkReads(ended *bool) {
-	for !*ended {
+func (r *changeStream) checkReads(stopped *bool) {
+	for !*stopped {
 		r.clock().Sleep(200 * time.Millisecond)
-		m, before := r.anyCore(), r.ackedVersion
+		m, ackedBefore := r.anyCore(), r.ackedVersion
 		if m == nil {
 			continue
 		}
-		var found *route.Document
+		var document *route.Document
 		err, answered := r.callCore(m, func(ctx *base.Ctx, core *node.Core) (err error) {
-			found, err = route.ReadDocument(ctx, core.Register)
+			document, err = route.ReadDocument(ctx, core.Register)
 			return err
 		})
-		if answered && err == nil && found.Version < before {
-			r.addBreach("%s gave version %d after %d had been acknowledged", m.Host.Name, found.Version, before)
+		if answered && err == nil && document.Version < ackedBefore {
+			r.addBreach("%s gave version %d after %d had been acknowledged", m.Host.Name, document.Version, ackedBefore)
 		}
 	}
 }
 
 // injectFaults bring members down one after another. As many disks as may be lost
 // are down at once, and the next only once they are back.
-func (r *changeStream) injectFaults(ended *bool) {
+func (r *changeStream) injectFaults(stopped *bool) {
 	f := r.fleet
-	for round := 0; !*ended; round++ {
+	for round := 0; !*stopped; round++ {
 		lists := [][]*Machine{f.Storage, f.Cores, f.Gateways}
 		list := lists[round%len(lists)]
 		count := 1
 		if round%len(lists) == 0 {
 			count = f.Shape.Tolerate
 		}
-		for place := range count {
-			m := list[(r.rng.IntN(len(list)/count))*count+place]
-			if owner := r.feedLeader(); owner != nil && list[0].Role == "core" && r.rng.IntN(2) == 0 {
-				m = owner
+		for offset := range count {
+			m := list[(r.rng.IntN(len(list)/count))*count+offset]
+			if leader := r.feedLeader(); leader != nil && list[0].Role == "core" && r.rng.IntN(2) == 0 {
+				m = leader
 			}
 			r.activeFaults++
 			f.CallerHost.Go(func() {
@@ -349,7 +349,7 @@
 
 // setWorkerFaultRates brings one member down for a while and times its return.
 func (r *changeStream) injectFault(m *Machine, kind int) {
-	f, before := r.fleet, r.ackedVersion
+	f, ackedBefore := r.fleet, r.ackedVersion
 	span := f.World.Between(100*time.Millisecond, 6*time.Second)
 	switch changeStreamFaults[kind] {
 	case "killed":
@@ -370,35 +370,35 @@
 		r.clock().Sleep(span)
 		f.Net.Heal()
 	case "slowed":
-		quick, slow := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
+		minSync, maxSync := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
 		m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 100*time.Millisecond, 20*time.Millisecond, 150*time.Millisecond
 		r.clock().Sleep(span)
-		m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, quick, slow
+		m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, minSync, maxSync
 	}
-	r.measureRecovery(m, changeStreamFaults[kind], before)
+	r.measureRecovery(m, changeStreamFaults[kind], ackedBefore)
 }
 
 // longAbsence keeps a member down until the last change was made.
-func (r *changeStream) longAbsence(m *Machine, ended *bool) {
-	before := r.ackedVersion
+func (r *changeStream) longAbsence(m *Machine, stopped *bool) {
+	ackedBefore := r.ackedVersion
 	r.fleet.PowerLoss(m)
-	for !*ended {
+	for !*stopped {
 		r.clock().Sleep(changeStreamPoll)
 	}
 	r.fleet.Start(m)
-	r.measureRecovery(m, "away", before)
+	r.measureRecovery(m, "away", ackedBefore)
 	r.activeFaults--
 }
 
 // measureRecovery times how long a member that is up again takes to be current.
-func (r *changeStream) measureRecovery(m *Machine, kind string, before uint64) {
-	f, back := r.fleet, MemberRecovery{Role: m.Role, Fault: kind, MissedChanges: int(r.ackedVersion - before)}
-	version, place := r.ackedVersion, r.newestRevision()
-	back.CatchUpTime = f.waitUntil(r.plan.CatchUpBound, func() bool { return r.isCurrent(m, version, place) })
-	r.recoveries = append(r.recoveries, back)
-	if back.CatchUpTime >= r.plan.CatchUpBound {
-		r.addBreach("%s, %s, is not current after %v; it missed %d changes", m.Host.Name, back.Fault, back.CatchUpTime, back.MissedChanges)
-		f.waitUntil(time.Minute, func() bool { return r.isCurrent(m, version, place) })
+func (r *changeStream) measureRecovery(m *Machine, kind string, ackedBefore uint64) {
+	f, recovery := r.fleet, MemberRecovery{Role: m.Role, Fault: kind, MissedChanges: int(r.ackedVersion - ackedBefore)}
+	version, revision := r.ackedVersion, r.newestRevision()
+	recovery.CatchUpTime = f.waitUntil(r.plan.CatchUpBound, func() bool { return r.isCurrent(m, version, revision) })
+	r.recoveries = append(r.recoveries, recovery)
+	if recovery.CatchUpTime >= r.plan.CatchUpBound {
+		r.addBreach("%s, %s, is not current after %v; it missed %d changes", m.Host.Name, recovery.Fault, recovery.CatchUpTime, recovery.MissedChanges)
+		f.waitUntil(time.Minute, func() bool { return r.isCurrent(m, version, revision) })
 	}
 }
 
@@ -414,12 +414,12 @@
 
 // currentVersion tells whether a member serves a version or a later one; a storage
 // machine has a vote and holds the feed up to a place.
-func (r *changeStream) isCurrent(m *Machine, version, place uint64) bool {
+func (r *changeStream) isCurrent(m *Machine, version, revision uint64) bool {
 	if m.Role != "storage" {
 		follower := m.feedFollower()
-		return follower != nil && follower.HasLease() && follower.Snapshot().Revision >= place && configVersion(follower.Snapshot().Values) >= version
+		return follower != nil && follower.HasLease() && follower.Snapshot().Revision >= revision && configVersion(follower.Snapshot().Values) >= version
 	}
-	if m.storage == nil || m.storage.Store.Ready() != nil || m.storage.Store.AppliedSeq(0) < place {
+	if m.storage == nil || m.storage.Store.Ready() != nil || m.storage.Store.AppliedSeq(0) < revision {
 		return false
 	}
 	id := m.storage.Store.ID()
@@ -427,62 +427,62 @@
 }
 
 func (r *changeStream) allCurrent() bool {
-	version, place := r.ackedVersion, r.newestRevision()
-	return !slices.ContainsFunc(r.fleet.All(), func(m *Machine) bool { return !r.isCurrent(m, version, place) })
+	version, revision := r.ackedVersion, r.newestRevision()
+	return !slices.ContainsFunc(r.fleet.All(), func(m *Machine) bool { return !r.isCurrent(m, version, revision) })
 }
 
 func configVersion(values map[string][]byte) uint64 {
-	if found := route.DocumentFromFeed(values); found != nil {
-		return found.Version
+	if document := route.DocumentFromFeed(values); document != nil {
+		return document.Version
 	}
 	return 0
 }
 
 // sampleMemory looks at what the owners keep in memory.
 func (r *changeStream) sampleMemory() {
-	sum := 0
+	total := 0
 	for _, m := range r.fleet.Cores {
 		if m.Host.alive && m.core != nil {
-			sum += m.core.RegisterServer.MemoryBytes()
+			total += m.core.RegisterServer.MemoryBytes()
 		}
 	}
-	r.maxMemory = max(r.maxMemory, sum)
+	r.maxMemory = max(r.maxMemory, total)
 }
 
 // takeSample takes figures.
 func (r *changeStream) takeSample() {
 	f := r.fleet
-	now := ChangeStreamSample{Changes: min(r.changeNumber, r.plan.Changes), Recoveries: r.recoveries}
+	sample := ChangeStreamSample{Changes: min(r.changeNumber, r.plan.Changes), Recoveries: r.recoveries}
 	sent := 0
-	for _, talk := range f.Net.TrafficByPath {
-		sent += talk.Bytes
+	for _, traffic := range f.Net.TrafficByPath {
+		sent += traffic.Bytes
 	}
-	now.BytesPerChange = (sent - r.bytesSent) / max(1, r.changeNumber-r.sampledAt)
+	sample.BytesPerChange = (sent - r.bytesSent) / max(1, r.changeNumber-r.sampledAt)
 	r.bytesSent, r.sampledAt, r.recoveries = sent, r.changeNumber, nil
 	for _, m := range f.Storage {
-		now.MaxDiskBytes = max(now.MaxDiskBytes, m.Disk.TotalBytes())
+		sample.MaxDiskBytes = max(sample.MaxDiskBytes, m.Disk.TotalBytes())
 	}
-	now.MaxMemoryBytes, r.maxMemory = r.maxMemory, 0
+	sample.MaxMemoryBytes, r.maxMemory = r.maxMemory, 0
 	for _, m := range f.Gateways {
 		if follower := m.feedFollower(); follower != nil {
-			now.FeedKeys = max(now.FeedKeys, len(follower.Snapshot().Values))
+			sample.FeedKeys = max(sample.FeedKeys, len(follower.Snapshot().Values))
 		}
 	}
-	r.report.Samples = append(r.report.Samples, now)
+	r.report.Samples = append(r.report.Samples, sample)
 }
 
 // Write prints the report as a table.
-func (p *ChangeStreamReport) Write(out io.Writer) {
+func (r *ChangeStreamReport) Write(out io.Writer) {
 	fmt.Fprintf(out, "%s, %d routes, %d bytes of padding, seed %d: %d sent again without a clear answer, %d refused\n",
-		p.Plan.Name, p.Plan.Routes, p.Plan.Padding, p.Seed, p.UnclearCount, p.RefusedCount)
-	for _, now := range p.Samples {
+		r.Plan.Name, r.Plan.Routes, r.Plan.Padding, r.Seed, r.UnclearCount, r.RefusedCount)
+	for _, sample := range r.Samples {
 		fmt.Fprintf(out, "  %5d changes: %8d bytes sent a change, %9d on the fullest disk, %9d kept by owners, %d keys\n",
-			now.Changes, now.BytesPerChange, now.MaxDiskBytes, now.MaxMemoryBytes, now.FeedKeys)
+			sample.Changes, sample.BytesPerChange, sample.MaxDiskBytes, sample.MaxMemoryBytes, sample.FeedKeys)
 		for _, role := range []string{"storage", "core", "edge"} {
 			times, missed := []time.Duration{}, 0
-			for _, one := range now.Recoveries {
-				if one.Role == role {
-					times, missed = append(times, one.CatchUpTime), max(missed, one.MissedChanges)
+			for _, recovery := range sample.Recoveries {
+				if recovery.Role == role {
+					times, missed = append(times, recovery.CatchUpTime), max(missed, recovery.MissedChanges)
 				}
 			}
 			if len(times) > 0 {
@@ -492,7 +492,7 @@
 			}
 		}
 	}
-	for _, breach := range p.Breaches {
+	for _, breach := range r.Breaches {
 		fmt.Fprintf(out, "  %s\n", breach)
 	}
 }
--- a/internal/simulate/chaos_test.go
+++ b/internal/simulate/chaos_test.go
@@ -12,15 +12,15 @@
 
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	for _, name := range []string{"small", "kiondo", "ljubljana"} {
-		for _, one := range Scenarios {
-			t.Run(name+"/"+one.Name, func(t *testing.T) {
+		for _, scenario := range Scenarios {
+			t.Run(name+"/"+scenario.Name, func(t *testing.T) {
 				t.Parallel()
 				count := uint64(*seedCount)
 				if name == "small" {
 					count *= 2
 				}
 				for seed := uint64(1); seed <= count; seed++ {
-					outcome := one.Run(seed, Shapes[name]())
+					outcome := scenario.Run(seed, Shapes[name]())
 					t.Logf("seed %d, %.0f s: %v", seed, outcome.VirtualS, outcome.Counts)
 					for _, breach := range outcome.Breaches {
 						t.Errorf("seed %d: %s", seed, breach)
@@ -32,13 +32,13 @@
 }
 
 // startScenarioFaults does one scenario's deeds while it is wanted.
-func (f *Fleet) startScenarioFaults(name string, going func() bool) {
-	one := FindScenario(name)
-	f.Net.Faults = one.Net
+func (f *Fleet) startScenarioFaults(name string, running func() bool) {
+	scenario := FindScenario(name)
+	f.Net.Faults = scenario.Net
 	f.CallerHost.Go(func() {
-		for round := 0; one.Do != nil && going(); round++ {
-			one.Do(f, round)
-			f.CallerHost.Clock().Sleep(one.Every)
+		for round := 0; scenario.Do != nil && running(); round++ {
+			scenario.Do(f, round)
+			f.CallerHost.Clock().Sleep(scenario.Every)
 		}
 	})
 }
--- a/internal/simulate/disk.go
+++ b/internal/simulate/disk.go
@@ -39,63 +39,63 @@
 	return &Disk{host: host, files: map[string]*file{}, Capacity: 64 << 20, MinSyncTime: 500 * time.Microsecond, MaxSyncTime: 4 * time.Millisecond}
 }
 
-func (f *Disk) fileNamed(name string) *file {
-	held, ok := f.files[name]
+func (d *Disk) fileNamed(name string) *file {
+	entry, ok := d.files[name]
 	if !ok {
-		held = &file{}
-		f.files[name] = held
+		entry = &file{}
+		d.files[name] = entry
 	}
-	return held
+	return entry
 }
 
-func (f *Disk) Read(name string) ([]byte, error) {
-	return append([]byte(nil), f.fileNamed(name).data...), nil
+func (d *Disk) Read(name string) ([]byte, error) {
+	return append([]byte(nil), d.fileNamed(name).data...), nil
 }
 
-func (f *Disk) Append(name string, data []byte) error {
-	held := f.fileNamed(name)
-	room := max(0, min(int64(len(data)), f.FreeBytes()))
-	held.data = append(held.data, data[:room]...)
-	if room < int64(len(data)) {
+func (d *Disk) Append(name string, data []byte) error {
+	entry := d.fileNamed(name)
+	written := max(0, min(int64(len(data)), d.FreeBytes()))
+	entry.data = append(entry.data, data[:written]...)
+	if written < int64(len(data)) {
 		return disk.ErrFull // and a part was written
 	}
 	return nil
 }
 
-func (f *Disk) Replace(name string, data []byte) error {
-	f.fileNamed(name).data = nil
-	return f.Append(name, data)
+func (d *Disk) Replace(name string, data []byte) error {
+	d.fileNamed(name).data = nil
+	return d.Append(name, data)
 }
 
-func (f *Disk) Truncate(name string, size int) error {
-	held := f.fileNamed(name)
-	held.data = append([]byte(nil), held.data[:min(size, len(held.data))]...)
+func (d *Disk) Truncate(name string, size int) error {
+	entry := d.fileNamed(name)
+	entry.data = append([]byte(nil), entry.data[:min(size, len(entry.data))]...)
 	return nil
 }
 
-func (f *Disk) Sync(name string) error {
-	held := f.fileNamed(name)
-	covered := held.data[:len(held.data):len(held.data)]
-	f.SyncsInProgress++
-	clock := f.host.Clock()
-	for f.SyncStalled {
+func (d *Disk) Sync(name string) error {
+	entry := d.fileNamed(name)
+	covered := entry.data[:len(entry.data):len(entry.data)]
+	d.SyncsInProgress++
+	clock := d.host.Clock()
+	for d.SyncStalled {
 		clock.Sleep(100 * time.Millisecond)
 	}
-	clock.Sleep(f.host.World.Between(f.MinSyncTime, f.MaxSyncTime))
-	if !f.IgnoresSync {
-		held.synced = covered
+	clock.Sleep(d.host.World.Between(d.MinSyncTime, d.MaxSyncTime))
+	if !d.IgnoresSync {
+		entry.synced = covered
 	}
-	f.SyncsInProgress--
-	f.SyncCount++
+	d.SyncsInProgress--
+	d.SyncCount++
 	return nil
 }
 
-func (f *Disk) FreeBytes() int64 {
-	left := f.Capacity
-	for _, held := range f.files {
-		left -= int64(len(held.data))
+func (d *Disk) FreeBytes() int64 {
+	free := d.Capacity
+	for _, entry := range d.files {
+		free -= int64(len(entry.data))
 	}
-	return left
+	return free
 }
 
 const sectorSize = 512
@@ -103,59 +103,59 @@
 // LosePower drops what was not synced, by sectors: of a file that was being
 // changed any of them may be the new ones, in any order, and its length the
 // new one or the old.
-func (f *Disk) LosePower() {
-	w := f.host.World
-	f.SyncsInProgress = 0
-	for _, name := range base.SortedKeys(f.files) {
-		held := f.files[name]
-		if bytes.Equal(held.data, held.synced) {
+func (d *Disk) LosePower() {
+	world := d.host.World
+	d.SyncsInProgress = 0
+	for _, name := range base.SortedKeys(d.files) {
+		entry := d.files[name]
+		if bytes.Equal(entry.data, entry.synced) {
 			continue
 		}
-		size := len(held.synced)
+		size := len(entry.synced)
 		switch {
-		case w.Chance(0.5):
-			size = len(held.data)
-		case len(held.data) > size:
-			size += int(w.Int64N(int64(len(held.data)-size) + 1))
+		case world.Chance(0.5):
+			size = len(entry.data)
+		case len(entry.data) > size:
+			size += int(world.Int64N(int64(len(entry.data)-size) + 1))
 		}
-		kept := make([]byte, size)
-		copy(kept, held.synced)
-		fresh := w.chance.Float64()
-		for place := 0; place < size; place += sectorSize {
-			end := min(size, place+sectorSize)
-			if w.Chance(fresh) && place < len(held.data) {
-				clear(kept[place:end])
-				copy(kept[place:end], held.data[place:min(end, len(held.data))])
+		content := make([]byte, size)
+		copy(content, entry.synced)
+		newShare := world.chance.Float64()
+		for offset := 0; offset < size; offset += sectorSize {
+			end := min(size, offset+sectorSize)
+			if world.Chance(newShare) && offset < len(entry.data) {
+				clear(content[offset:end])
+				copy(content[offset:end], entry.data[offset:min(end, len(entry.data))])
 			}
 		}
-		held.data, held.synced = append([]byte(nil), kept...), kept
+		entry.data, entry.synced = append([]byte(nil), content...), content
 	}
 }
 
 // Wipe gives an empty disk.
-func (f *Disk) Wipe() { f.files = map[string]*file{} }
+func (d *Disk) Wipe() { d.files = map[string]*file{} }
 
 // FlipBit flips one bit of a file, and tells whether there was one to flip.
-func (f *Disk) FlipBit(name string, place int) bool {
-	held := f.fileNamed(name)
-	if place >= len(held.data) {
+func (d *Disk) FlipBit(name string, offset int) bool {
+	entry := d.fileNamed(name)
+	if offset >= len(entry.data) {
 		return false
 	}
-	rotten := append([]byte(nil), held.data...)
-	rotten[place] ^= 0x10
-	held.data, held.synced = rotten, rotten[:len(rotten):len(rotten)]
-	f.Corrupted = true
+	flipped := append([]byte(nil), entry.data...)
+	flipped[offset] ^= 0x10
+	entry.data, entry.synced = flipped, flipped[:len(flipped):len(flipped)]
+	d.Corrupted = true
 	return true
 }
 
 // TotalBytes is what all files hold together.
-func (f *Disk) TotalBytes() int {
-	sum := 0
-	for _, held := range f.files {
-		sum += len(held.data)
+func (d *Disk) TotalBytes() int {
+	total := 0
+	for _, entry := range d.files {
+		total += len(entry.data)
 	}
-	return sum
+	return total
 }
 
 // Size is how long a file is.
-func (f *Disk) Size(name string) int { return len(f.fileNamed(name).data) }
+func (d *Disk) Size(name string) int { return len(d.fileNamed(name).data) }
--- a/internal/simulate/diskset.go
+++ b/internal/simulate/diskset.go
@@ -45,10 +45,10 @@
 }
 
 // waitUntil waits for something and tells how long it took.
-func (f *Fleet) waitUntil(limit time.Duration, reached func() bool) time.Duration {
-	began := f.World.Now()
-	for !reached() && f.World.Now()-began < limit {
+func (f *Fleet) waitUntil(limit time.Duration, condition func() bool) time.Duration {
+	start := f.World.Now()
+	for !condition() && f.World.Now()-start < limit {
 		f.CallerHost.Clock().Sleep(5 * time.Millisecond)
 	}
-	return f.World.Now() - began
+	return f.World.Now() - start
 }
--- a/internal/simulate/diskset_test.go
+++ b/internal/simulate/diskset_test.go
@@ -85,11 +85,11 @@
 			body = map[string]string{"node": node}
 		}
 		status, answer := f.OperatorRequestWithQuery(f.liveCore(), method, path, map[string]string{"node": node}, body)
-		var told struct {
+		var reply struct {
 			State string `json:"state"`
 		}
-		if status != 0 && status != 503 && json.Unmarshal(answer, &told) == nil {
-			return fmt.Sprint(status, told.State)
+		if status != 0 && status != 503 && json.Unmarshal(answer, &reply) == nil {
+			return fmt.Sprint(status, reply.State)
 		}
 		f.CallerHost.Clock().Sleep(50 * time.Millisecond)
 	}
@@ -270,14 +270,14 @@
 
 // runBootstrap runs a fleet that has to form one cluster by itself, on several
 // seeds, and checks that there is one.
-func runBootstrap(t *testing.T, storage int, trouble func(f *Fleet, call *talker)) (longest time.Duration) {
+func runBootstrap(t *testing.T, storage int, injectFault func(f *Fleet, call *talker)) (longest time.Duration) {
 	t.Helper()
 	for seed := uint64(1); seed <= uint64(8**seedCount); seed++ {
 		is := is.New(t)
 		f := NewFleet(seed, reconcilingShape(storage, 1))
 		done := false
 		f.CallerHost.Go(func() {
-			trouble(f, &talker{f, f.Asker(f.CallerHost)})
+			injectFault(f, &talker{f, f.Asker(f.CallerHost)})
 			took := f.waitUntil(20*time.Second, f.diskSetComplete)
 			longest = max(longest, took)
 			if !f.diskSetComplete() {
@@ -289,20 +289,20 @@
 		is.True(f.diskSetComplete())
 		// A machine that came late may still be blank when the set is whole.
 		clusters := func() map[string]bool {
-			found := map[string]bool{}
+			ids := map[string]bool{}
 			for _, m := range f.Storage {
-				found[m.storage.Store.Cluster()] = true
+				ids[m.storage.Store.Cluster()] = true
 			}
-			return found
+			return ids
 		}
 		joined := f.runUntil(20*time.Second, func() bool { return !clusters()[""] })
 		is.True(joined < 20*time.Second)
 		is.Equal(len(clusters()), 1)
 		f.Net.Heal()
 		f.Net.Faults = NetworkFaults{}
-		up := false
-		f.CallerHost.Go(func() { f.SetUp(); up = true })
-		is.True(f.World.Run(f.World.Now()+time.Minute, func() bool { return up }))
+		formed := false
+		f.CallerHost.Go(func() { f.SetUp(); formed = true })
+		is.True(f.World.Run(f.World.Now()+time.Minute, func() bool { return formed }))
 		for _, breach := range f.CheckInvariants() {
 			t.Errorf("seed %d: %s", seed, breach)
 		}
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -13,20 +13,20 @@
 
 // scheduleRecovery runs a step on the callers' host after a while; a scenario is not
 // done before.
-func (f *Fleet) scheduleRecovery(after time.Duration, step func()) {
+func (f *Fleet) scheduleRecovery(delay time.Duration, recover func()) {
 	f.pendingFaults++
 	f.CallerHost.Go(func() {
-		f.CallerHost.Clock().Sleep(after)
-		step()
+		f.CallerHost.Clock().Sleep(delay)
+		recover()
 		f.pendingFaults--
 	})
 }
 
-func (f *Fleet) crash(m *Machine, down time.Duration, power bool) {
+func (f *Fleet) crash(m *Machine, downtime time.Duration, powerLoss bool) {
 	if !m.Host.alive {
 		return
 	}
-	if power {
+	if powerLoss {
 		// Most often in the middle of a sync, where it hurts.
 		for end := f.World.Now() + 100*time.Millisecond; m.Disk.SyncsInProgress == 0 && f.World.Now() < end; {
 			f.CallerHost.Clock().Sleep(200 * time.Microsecond)
@@ -35,7 +35,7 @@
 	} else {
 		f.Kill(m)
 	}
-	f.scheduleRecovery(down, func() {
+	f.scheduleRecovery(downtime, func() {
 		if !m.removed && !m.Host.alive {
 			f.Start(m)
 		}
@@ -66,18 +66,18 @@
 	}
 }
 
-func (f *Fleet) killWorker(down time.Duration) {
+func (f *Fleet) killWorker(downtime time.Duration) {
 	host := f.World.Hosts[f.WorkerList.Workers[f.World.Int64N(int64(len(f.WorkerList.Workers)))].ID]
 	host.Kill()
-	f.scheduleRecovery(down, func() { host.alive = true })
+	f.scheduleRecovery(downtime, func() { host.alive = true })
 }
 
 // inZone lists what stands in one zone, workers included.
 func (f *Fleet) inZone(name string) (machines []*Machine, workers []*Host) {
 	machines = base.Filter(f.All(), func(m *Machine) bool { return m.Host.Zone == name })
-	for _, one := range f.WorkerList.Workers {
-		if one.Zone == name {
-			workers = append(workers, f.World.Hosts[one.ID])
+	for _, listed := range f.WorkerList.Workers {
+		if listed.Zone == name {
+			workers = append(workers, f.World.Hosts[listed.ID])
 		}
 	}
 	return machines, workers
@@ -92,11 +92,11 @@
 		}
 	}
 	f.CallerHost.Clock().Sleep(f.World.Between(200*time.Millisecond, 2*time.Second))
-	back := base.Filter(f.All(), func(m *Machine) bool { return !m.removed })
-	for len(back) > 0 {
-		place := f.World.Int64N(int64(len(back)))
-		f.Start(back[place])
-		back = append(back[:place], back[place+1:]...)
+	pending := base.Filter(f.All(), func(m *Machine) bool { return !m.removed })
+	for len(pending) > 0 {
+		index := f.World.Int64N(int64(len(pending)))
+		f.Start(pending[index])
+		pending = append(pending[:index], pending[index+1:]...)
 		f.CallerHost.Clock().Sleep(f.World.Between(0, 100*time.Millisecond))
 	}
 	f.Tally.Count("outages")
@@ -105,41 +105,41 @@
 
 // waitUntilServing is how long it takes from now until every living gateway serves.
 func (f *Fleet) waitUntilServing(limit time.Duration) time.Duration {
-	began := f.World.Now()
-	for f.World.Now() < began+limit {
-		all := true
+	start := f.World.Now()
+	for f.World.Now() < start+limit {
+		allReady := true
 		for _, m := range f.Gateways {
-			all = all && (!m.Host.alive || m.gateway != nil && m.gateway.Ready() == nil)
+			allReady = allReady && (!m.Host.alive || m.gateway != nil && m.gateway.Ready() == nil)
 		}
-		if all {
+		if allReady {
 			break
 		}
 		f.CallerHost.Clock().Sleep(50 * time.Millisecond)
 	}
-	return f.World.Now() - began
+	return f.World.Now() - start
 }
 
 // slowDown makes a machine answer late and its disk sync late, without failing.
 func (f *Fleet) slowDown(m *Machine, span time.Duration) {
-	quick, slow := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
+	minSync, maxSync := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
 	m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = f.World.Between(20*time.Millisecond, 250*time.Millisecond), 50*time.Millisecond, 400*time.Millisecond
-	f.scheduleRecovery(span, func() { m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, quick, slow })
+	f.scheduleRecovery(span, func() { m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, minSync, maxSync })
 }
 
 var workerFaults = []standin.Trouble{standin.Cut, standin.Malformed, standin.NoFinish, standin.Busy, standin.Fail, standin.Overrun, standin.Silent, standin.Refuse}
 
-func (f *Fleet) setWorkerFaultRates(model, tool float64) {
-	for _, one := range f.Models {
-		one.Next = func() standin.Trouble {
-			if f.World.Chance(model) {
+func (f *Fleet) setWorkerFaultRates(modelRate, toolRate float64) {
+	for _, worker := range f.Models {
+		worker.Next = func() standin.Trouble {
+			if f.World.Chance(modelRate) {
 				return workerFaults[f.World.Int64N(5)]
 			}
 			return standin.Fine
 		}
 	}
-	for _, one := range f.Tools {
-		one.Next = func() standin.Trouble {
-			if f.World.Chance(tool) {
+	for _, worker := range f.Tools {
+		worker.Next = func() standin.Trouble {
+			if f.World.Chance(toolRate) {
 				return []standin.Trouble{standin.Silent, standin.Fail}[f.World.Int64N(2)]
 			}
 			return standin.Fine
@@ -270,9 +270,9 @@
 
 // FindScenario finds one.
 func FindScenario(name string) *Scenario {
-	for _, one := range Scenarios {
-		if one.Name == name {
-			return one
+	for _, scenario := range Scenarios {
+		if scenario.Name == name {
+			return scenario
 		}
 	}
 	return nil
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -84,29 +84,29 @@
 
 // buildFleet builds a fleet; nothing runs yet.
 func buildFleet(seed uint64, shape Shape) *Fleet {
-	w := NewWorld(seed)
+	world := NewWorld(seed)
 	if shape.ModelPool == "" {
 		shape.ModelPool, shape.ToolPool = "models", "apps"
 	}
-	f := &Fleet{World: w, Net: NewNet(w), Shape: shape, modelsByID: map[string]*standin.Model{}, toolsByID: map[string]*standin.Tool{}, Tally: standin.NewTally(), reportedStates: map[string]reportedState{}}
-	f.CallerHost = w.NewHost("callers", "outside")
+	f := &Fleet{World: world, Net: NewNet(world), Shape: shape, modelsByID: map[string]*standin.Model{}, toolsByID: map[string]*standin.Tool{}, Tally: standin.NewTally(), reportedStates: map[string]reportedState{}}
+	f.CallerHost = world.NewHost("callers", "outside")
 	zone := shape.zone
-	for place := 0; place < shape.Models; place++ {
-		name := fmt.Sprintf("model-%d", place)
-		model := &standin.Model{ID: name, Clock: w.NewHost(name, zone(place)).Clock(), Pieces: shape.Pieces, Gap: shape.Gap, Prefill: shape.Prefill, Cache: shape.Cache, Capacity: shape.Capacity, Given: f.Tally.Given}
+	for i := 0; i < shape.Models; i++ {
+		name := fmt.Sprintf("model-%d", i)
+		model := &standin.Model{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pieces: shape.Pieces, Gap: shape.Gap, Prefill: shape.Prefill, Cache: shape.Cache, Capacity: shape.Capacity, Given: f.Tally.Given}
 		f.Models, f.modelsByID[name] = append(f.Models, model), model
-		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ModelPool, Zone: zone(place), Capacity: shape.Capacity})
+		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ModelPool, Zone: zone(i), Capacity: shape.Capacity})
 	}
-	for place := 0; place < shape.Tools; place++ {
-		name := fmt.Sprintf("app-%d", place)
-		tool := &standin.Tool{ID: name, Clock: w.NewHost(name, zone(place)).Clock(), Pause: shape.Gap, Given: f.Tally.Given}
+	for i := 0; i < shape.Tools; i++ {
+		name := fmt.Sprintf("app-%d", i)
+		tool := &standin.Tool{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pause: shape.Gap, Given: f.Tally.Given}
 		f.Tools, f.toolsByID[name] = append(f.Tools, tool), tool
-		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ToolPool, Zone: zone(place), Capacity: shape.Capacity})
+		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ToolPool, Zone: zone(i), Capacity: shape.Capacity})
 	}
 	f.WorkerList.Stamp = 1
 	add := func(list *[]*Machine, role string, count int) {
-		for place := 0; place < count; place++ {
-			m := &Machine{Host: w.NewHost(fmt.Sprintf("%s-%d", role, place), zone(place)), Role: role}
+		for i := 0; i < count; i++ {
+			m := &Machine{Host: world.NewHost(fmt.Sprintf("%s-%d", role, i), zone(i)), Role: role}
 			m.Disk = NewDisk(m.Host)
 			*list = append(*list, m)
 		}
@@ -131,8 +131,8 @@
 
 func (f *Fleet) newMachine(role string) *Machine {
 	list := map[string]*[]*Machine{"storage": &f.Storage, "core": &f.Cores, "edge": &f.Gateways}[role]
-	place := len(*list)
-	m := &Machine{Host: f.World.NewHost(fmt.Sprintf("%s-%d", role, place), f.Shape.zone(place)), Role: role}
+	index := len(*list)
+	m := &Machine{Host: f.World.NewHost(fmt.Sprintf("%s-%d", role, index), f.Shape.zone(index)), Role: role}
 	m.Disk = NewDisk(m.Host)
 	*list = append(*list, m)
 	return m
@@ -146,35 +146,35 @@
 	m.Counters = base.NewCounters()
 	env := node.Env{Clock: h.Clock(), HTTPClient: f.Net.Wire(h), Files: m.Disk, Counters: m.Counters,
 		Backends: &Backends{net: f.Net, host: h, models: f.modelsByID, tools: f.toolsByID, lost: &f.disabled}}
-	place := node.Config{Addr: h.Name + ":1", PublicAddr: h.Name + ":2", Zone: h.Zone, Seeds: []string{f.Cores[0].Host.Name + ":1", f.Cores[len(f.Cores)-1].Host.Name + ":1", f.Storage[0].Host.Name + ":1"}}
+	config := node.Config{Addr: h.Name + ":1", PublicAddr: h.Name + ":2", Zone: h.Zone, Seeds: []string{f.Cores[0].Host.Name + ":1", f.Cores[len(f.Cores)-1].Host.Name + ":1", f.Storage[0].Host.Name + ":1"}}
 	if f.SeedAddrs != nil {
-		place.Seeds = f.SeedAddrs
+		config.Seeds = f.SeedAddrs
 	}
 	if f.Shape.Found && f.SeedAddrs == nil {
-		place.Seeds = base.Map(f.Cores[:min(3, len(f.Cores))], func(m *Machine) string { return m.Host.Name + ":1" })
+		config.Seeds = base.Map(f.Cores[:min(3, len(f.Cores))], func(m *Machine) string { return m.Host.Name + ":1" })
 	}
-	place.Cluster, place.NodeName, place.FaultTolerance, place.Bootstrap = f.ClusterID, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.startedBefore
+	config.Cluster, config.NodeName, config.FaultTolerance, config.Bootstrap = f.ClusterID, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.startedBefore
 	if f.disabled.seeds {
-		place.Seeds = []string{"nowhere:1"}
+		config.Seeds = []string{"nowhere:1"}
 	}
 	if f.configure != nil {
-		f.configure(m, &env, &place)
+		f.configure(m, &env, &config)
 	}
 	h.Go(func() {
 		m.startedBefore = true
 		switch m.Role {
 		case "edge":
-			m.gateway = node.NewGateway(env, place)
+			m.gateway = node.NewGateway(env, config)
 			h.serve = m.gateway.Handler()
 			f.notifyBuilt(m)
 			m.gateway.Start()
 		case "core":
-			m.core = node.NewCore(env, place)
+			m.core = node.NewCore(env, config)
 			h.serve = m.core.Handler()
 			f.notifyBuilt(m)
 			m.core.Start()
 		case "storage":
-			m.storage, m.StorageErr = node.NewStorage(env, place)
+			m.storage, m.StorageErr = node.NewStorage(env, config)
 			if m.StorageErr != nil {
 				if !m.Disk.Corrupted {
 					f.Tally.Breach("%s does not open though nothing rotted: %v", h.Name, m.StorageErr)
@@ -231,7 +231,7 @@
 // over, and ends.
 func (f *Fleet) Stop(m *Machine) {
 	bell := base.NewNotifier(f.CallerHost.Clock())
-	left, life := false, m.Host.life
+	drained, life := false, m.Host.life
 	m.Host.Go(func() {
 		switch {
 		case m.gateway != nil && m.Role == "edge":
@@ -244,7 +244,7 @@
 			m.storage.Drain(stopTimeout)
 			m.storage.Stop()
 		}
-		left = true
+		drained = true
 		bell.Notify()
 	})
 	m.stopping = true
@@ -252,7 +252,7 @@
 		f.Tally.Dropped(m.Host.Name, m.openRequests)
 		f.Kill(m)
 	}
-	for end := f.World.now + stopTimeout + time.Second; (!left || m.openRequests > 0) && m.Host.life == life && f.World.now < end; {
+	for end := f.World.now + stopTimeout + time.Second; (!drained || m.openRequests > 0) && m.Host.life == life && f.World.now < end; {
 		bell.Next().Wait(pollEvery)
 	}
 	m.stopping = false
@@ -328,14 +328,14 @@
 	return f.Cores[0]
 }
 
-func (f *Fleet) retryUntilOK(what string, step func() int) {
-	for tries := 0; tries < 200; tries++ {
-		if step() == 200 {
+func (f *Fleet) retryUntilOK(step string, attempt func() int) {
+	for try := 0; try < 200; try++ {
+		if attempt() == 200 {
 			return
 		}
 		f.CallerHost.Clock().Sleep(100 * time.Millisecond)
 	}
-	panic("fleet did not come up: " + what)
+	panic("fleet did not come up: " + step)
 }
 
 // feedLeader is the core that owns the feed.
--- a/internal/simulate/fleet_report.go
+++ b/internal/simulate/fleet_report.go
@@ -13,14 +13,14 @@
 
 // StartUsageReports has each model worker tell its load now and then, to one gateway
 // after another.
-func (f *Fleet) StartUsageReports(every time.Duration) {
+func (f *Fleet) StartUsageReports(interval time.Duration) {
 	ask := f.Asker(f.CallerHost)
 	for _, model := range f.Models {
 		f.CallerHost.Go(func() {
-			for turn := int(f.World.Int64N(int64(len(f.Gateways)))); ; turn++ {
-				f.CallerHost.Clock().Sleep(every)
+			for gateway := int(f.World.Int64N(int64(len(f.Gateways)))); ; gateway++ {
+				f.CallerHost.Clock().Sleep(interval)
 				if f.World.Hosts[model.ID].alive {
-					_, _ = ask(turn, "POST", "/v1/platform/workers/"+model.ID+"/usage", nil, base.MustMarshal(f.usageReport(model.ID)))
+					_, _ = ask(gateway, "POST", "/v1/platform/workers/"+model.ID+"/usage", nil, base.MustMarshal(f.usageReport(model.ID)))
 				}
 			}
 		})
@@ -29,7 +29,7 @@
 
 // StartCallers starts callers and returns a function telling how many are left.
 func (f *Fleet) StartCallers(callers, turns int, tools bool, prepare func(*standin.Caller)) func() int {
-	left := callers
+	remaining := callers
 	for caller := 0; caller < callers; caller++ {
 		c := f.caller(fmt.Sprintf("c%d", caller), caller)
 		if prepare != nil {
@@ -39,10 +39,10 @@
 			if c.Start(int64(turns * f.Shape.Pieces * 8)) {
 				c.Converse(turns, tools)
 			}
-			left--
+			remaining--
 		})
 	}
-	return func() int { return left }
+	return func() int { return remaining }
 }
 
 // CounterTotal adds up a counter over the living machines.
--- a/internal/simulate/history_test.go
+++ b/internal/simulate/history_test.go
@@ -57,14 +57,14 @@
 	program, previous := programName(place), w.lastTurn(place)
 	id := fmt.Sprintf("%s.%d", program, w.attempts)
 	run := "run-" + program
-	begun, err := w.client.Begin(w.ctx(), &ledger.BeginParams{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
+	claim, err := w.client.Begin(w.ctx(), &ledger.BeginParams{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
 		Run: run, Epoch: w.epochs[place], Confirmed: w.epochs[place] > 0, Retention: historyRetention})
-	if err != nil || !begun.Granted {
+	if err != nil || !claim.Granted {
 		return false
 	}
-	w.epochs[place] = begun.Epoch
+	w.epochs[place] = claim.Epoch
 	err = w.client.Finish(w.ctx(), &ledger.FinishParams{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
-		Run: run, Epoch: begun.Epoch, Input: []byte("in " + id), Output: []byte("out " + id), Retention: historyRetention})
+		Run: run, Epoch: claim.Epoch, Input: []byte("in " + id), Output: []byte("out " + id), Retention: historyRetention})
 	if err != nil {
 		return false
 	}
@@ -97,21 +97,21 @@
 }
 
 // missingTurns says which programs' acknowledged turns are not all found.
-func (w *historyWriter) missingTurns() (lost []string) {
+func (w *historyWriter) missingTurns() (missing []string) {
 	for place := range w.ackedTurns {
 		acknowledged := w.ackedTurns[place]
 		if len(acknowledged) == 0 {
 			continue
 		}
-		found, err := w.client.Chain(w.ctx(), programName(place), acknowledged[len(acknowledged)-1])
+		chain, err := w.client.Chain(w.ctx(), programName(place), acknowledged[len(acknowledged)-1])
 		switch {
 		case err != nil:
-			lost = append(lost, fmt.Sprintf("%s: %v", programName(place), err))
-		case len(found) < len(acknowledged):
-			lost = append(lost, fmt.Sprintf("%s: %d of %d turns", programName(place), len(found), len(acknowledged)))
+			missing = append(missing, fmt.Sprintf("%s: %v", programName(place), err))
+		case len(chain) < len(acknowledged):
+			missing = append(missing, fmt.Sprintf("%s: %d of %d turns", programName(place), len(chain), len(acknowledged)))
 		}
 	}
-	return lost
+	return missing
 }
 
 // nextTurnAttempts is how often a program tries to go on, as clients do that are
@@ -121,11 +121,11 @@
 // stuckPrograms says which programs cannot go on.
 func (w *historyWriter) stuckPrograms() (stuck []string) {
 	for place := range w.ackedTurns {
-		taken := false
-		for try := 0; try < nextTurnAttempts && !taken; try++ {
-			taken = w.runTurn(place)
+		acknowledged := false
+		for try := 0; try < nextTurnAttempts && !acknowledged; try++ {
+			acknowledged = w.runTurn(place)
 		}
-		if !taken {
+		if !acknowledged {
 			stuck = append(stuck, fmt.Sprintf("%s: cannot go on", programName(place)))
 		}
 	}
@@ -142,10 +142,10 @@
 
 // delayHistoryFetches makes stores fill slowly: each request for what is missing takes
 // a while, as it does with a whole retention window of turns.
-func delayHistoryFetches(f *Fleet, span time.Duration) {
+func delayHistoryFetches(f *Fleet, delay time.Duration) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		if strings.HasSuffix(m.Path, "Ledger/Fetch") {
-			m.From.Clock().Sleep(span)
+			m.From.Clock().Sleep(delay)
 		}
 		response, _ := m.Forward(m.Body)
 		return response
--- a/internal/simulate/isolation.go
+++ b/internal/simulate/isolation.go
@@ -61,17 +61,17 @@
 // IsolationShape is a deployment of a size whose gateways have nothing to serve.
 func IsolationShape(name string) TierShape {
 	size := IsolationSizes[name]
-	form := TierShapes["kiondo"]()
+	shape := TierShapes["kiondo"]()
 	if size[3] > 1 {
-		form = TierShapes["grown"]()
+		shape = TierShapes["grown"]()
 	}
-	site := form.Site
+	site := shape.Site
 	site.Edges, site.Cores, site.Storage = size[0], size[1], size[2]
-	for place := range site.Services {
-		site.Services[place].Workers = 1
+	for i := range site.Services {
+		site.Services[i].Workers = 1
 	}
-	form.Name, form.Tolerate = name, size[3]
-	return form
+	shape.Name, shape.Tolerate = name, size[3]
+	return shape
 }
 
 // operatorTimeout is how long an operator waits for an answer.
@@ -151,345 +151,345 @@
 }
 
 // Run has the target cut off; a test may change the fleet before.
-func (c IsolationPlan) Run(change func(f *Fleet)) *IsolationResult {
-	run := &IsolationResult{IsolationPlan: c}
+func (c IsolationPlan) Run(prepare func(f *Fleet)) *IsolationResult {
+	result := &IsolationResult{IsolationPlan: c}
 	t := NewTier(c.Seed, IsolationShape(c.Size), nil)
 	defer t.World.Close()
-	if change != nil {
-		change(t.Fleet)
+	if prepare != nil {
+		prepare(t.Fleet)
 	}
-	p := &isolationRun{Tier: t, result: run, isolated: map[*Machine]bool{}}
-	over := false
+	r := &isolationRun{Tier: t, result: result, isolated: map[*Machine]bool{}}
+	done := false
 	t.CallerHost.Go(func() {
-		p.execute()
-		over = true
+		r.execute()
+		done = true
 	})
-	if !t.World.Run(5*time.Minute, func() bool { return over }) {
-		p.addBreach("the run does not end")
+	if !t.World.Run(5*time.Minute, func() bool { return done }) {
+		r.addBreach("the run does not end")
 	}
-	return run
+	return result
 }
 
-func (p *isolationRun) addBreach(format string, args ...any) {
-	p.result.Breaches = append(p.result.Breaches, fmt.Sprintf(format, args...))
+func (r *isolationRun) addBreach(format string, args ...any) {
+	r.result.Breaches = append(r.result.Breaches, fmt.Sprintf(format, args...))
 }
 
-func (p *isolationRun) execute() {
-	clock := p.CallerHost.Clock()
-	if !p.form() {
-		p.addBreach("the fleet did not form")
+func (r *isolationRun) execute() {
+	clock := r.CallerHost.Clock()
+	if !r.form() {
+		r.addBreach("the fleet did not form")
 		return
 	}
-	p.currentVersion = p.config.newest.Config.Generation
-	p.orders = append(p.orders, &sentOrder{version: p.currentVersion, ackedAt: clock.Now(), document: p.config.newest.Raw})
-	clock.Sleep(p.World.Between(2*time.Second, 4*time.Second))
-	if !p.waitFor(20*time.Second, func() bool { return p.feedLeader() != nil }) {
-		p.addBreach("no core owns the feed")
+	r.currentVersion = r.config.newest.Config.Generation
+	r.orders = append(r.orders, &sentOrder{version: r.currentVersion, ackedAt: clock.Now(), document: r.config.newest.Raw})
+	clock.Sleep(r.World.Between(2*time.Second, 4*time.Second))
+	if !r.waitFor(20*time.Second, func() bool { return r.feedLeader() != nil }) {
+		r.addBreach("no core owns the feed")
 		return
 	}
-	end := p.World.now + time.Second + p.result.Duration + 6*time.Second
-	left := 0
-	enter := func(task func()) {
-		left++
-		p.CallerHost.Go(func() { task(); left-- })
+	end := r.World.now + time.Second + r.result.Duration + 6*time.Second
+	remaining := 0
+	spawn := func(task func()) {
+		remaining++
+		r.CallerHost.Go(func() { task(); remaining-- })
 	}
-	going := func() bool { return p.World.now < end }
-	enter(func() { p.writeLoop(going) })
+	running := func() bool { return r.World.now < end }
+	spawn(func() { r.writeLoop(running) })
 	for range 2 {
-		enter(func() { p.readLoop(going) })
+		spawn(func() { r.readLoop(running) })
 	}
-	enter(func() { p.rejectableCallLoop(going) })
-	clock.Sleep(time.Second + p.World.Between(0, 300*time.Millisecond))
-	p.isolate()
-	enter(p.measureMajorityAck)
-	clock.Sleep(p.result.Duration)
-	p.heal()
-	enter(p.measureRecovery)
-	p.until(2*time.Minute, func() bool { return left == 0 })
-	p.readFromAllCores()
-	p.check()
+	spawn(func() { r.rejectableCallLoop(running) })
+	clock.Sleep(time.Second + r.World.Between(0, 300*time.Millisecond))
+	r.isolate()
+	spawn(r.measureMajorityAck)
+	clock.Sleep(r.result.Duration)
+	r.heal()
+	spawn(r.measureRecovery)
+	r.until(2*time.Minute, func() bool { return remaining == 0 })
+	r.readFromAllCores()
+	r.check()
 }
 
-func (p *isolationRun) waitFor(limit time.Duration, met func() bool) bool {
-	p.until(limit, met)
-	return met()
+func (r *isolationRun) waitFor(limit time.Duration, condition func() bool) bool {
+	r.until(limit, condition)
+	return condition()
 }
 
 // isolate brings the trouble about.
-func (p *isolationRun) isolate() {
-	owner := p.feedLeader()
-	if owner == nil {
-		owner = p.pickMachine(p.Cores)
+func (r *isolationRun) isolate() {
+	leader := r.feedLeader()
+	if leader == nil {
+		leader = r.pickMachine(r.Cores)
 	}
-	others := base.Filter(p.Cores, func(m *Machine) bool { return m != owner })
-	from := append(slices.Clone(p.Cores), p.Storage...)
-	switch p.result.Target {
+	otherCores := base.Filter(r.Cores, func(m *Machine) bool { return m != leader })
+	peers := append(slices.Clone(r.Cores), r.Storage...)
+	switch r.result.Target {
 	case TargetLeader, TargetLeaderRestarted:
-		p.isolated[owner] = true
+		r.isolated[leader] = true
 	case TargetLeaderAndDisk:
-		p.isolated[owner], p.isolated[p.pickMachine(p.Storage)] = true, true
+		r.isolated[leader], r.isolated[r.pickMachine(r.Storage)] = true, true
 	case TargetLeaderFromDisks:
-		p.isolated[owner], from = true, p.Storage
+		r.isolated[leader], peers = true, r.Storage
 	case TargetOtherCore:
-		p.isolated[p.pickMachine(others)] = true
+		r.isolated[r.pickMachine(otherCores)] = true
 	case TargetSeeds, TargetSeedsWithRestarts:
-		for _, m := range p.Cores[:3] {
-			p.isolated[m] = true
+		for _, m := range r.Cores[:3] {
+			r.isolated[m] = true
 		}
-		p.isolated[p.pickMachine(p.Storage)] = true
+		r.isolated[r.pickMachine(r.Storage)] = true
 	}
-	p.isolatedAt, p.healedAt = p.World.now, 1<<60
-	if p.stopsMachines() {
-		for _, m := range p.All() {
-			if p.isolated[m] {
-				p.stopMachine(m)
+	r.isolatedAt, r.healedAt = r.World.now, 1<<60
+	if r.stopsMachines() {
+		for _, m := range r.All() {
+			if r.isolated[m] {
+				r.stopMachine(m)
 			}
 		}
 		return
 	}
-	p.Net.ResetOnExit = true
-	p.Net.LinkFailure = map[IsolationMode]LinkFailure{IsolationReset: LinkReset, IsolationRefused: LinkRefused}[p.result.Mode]
-	for _, m := range p.All() {
-		if !p.isolated[m] {
+	r.Net.ResetOnExit = true
+	r.Net.LinkFailure = map[IsolationMode]LinkFailure{IsolationReset: LinkReset, IsolationRefused: LinkRefused}[r.result.Mode]
+	for _, m := range r.All() {
+		if !r.isolated[m] {
 			continue
 		}
-		for _, other := range from {
-			if p.isolated[other] {
+		for _, other := range peers {
+			if r.isolated[other] {
 				continue
 			}
-			if p.result.Mode != IsolationInbound {
-				p.Net.CutLink(m.Host.Name, other.Host.Name)
+			if r.result.Mode != IsolationInbound {
+				r.Net.CutLink(m.Host.Name, other.Host.Name)
 			}
-			if p.result.Mode != IsolationOutbound {
-				p.Net.CutLink(other.Host.Name, m.Host.Name)
+			if r.result.Mode != IsolationOutbound {
+				r.Net.CutLink(other.Host.Name, m.Host.Name)
 			}
 		}
 	}
-	p.scheduleRestarts()
+	r.scheduleRestarts()
 }
 
 // stopsMachines tells that the machines stand still or fall instead of being cut off.
-func (p *isolationRun) stopsMachines() bool {
-	return p.result.Mode == IsolationFrozen || p.result.Mode == IsolationKilled || p.result.Mode == IsolationPowerLoss
+func (r *isolationRun) stopsMachines() bool {
+	return r.result.Mode == IsolationFrozen || r.result.Mode == IsolationKilled || r.result.Mode == IsolationPowerLoss
 }
 
-func (p *isolationRun) stopMachine(m *Machine) {
-	switch p.result.Mode {
+func (r *isolationRun) stopMachine(m *Machine) {
+	switch r.result.Mode {
 	case IsolationFrozen:
 		m.Host.Freeze()
 	case IsolationKilled:
-		p.down(m, false)
+		r.down(m, false)
 	case IsolationPowerLoss:
-		p.down(m, true)
+		r.down(m, true)
 	}
 }
 
 // scheduleRestarts kills processes and starts them again while the cut lasts.
-func (p *isolationRun) scheduleRestarts() {
-	var list []*Machine
-	for _, m := range p.Cores {
-		if p.result.Target == TargetLeaderRestarted && p.isolated[m] || p.result.Target == TargetSeedsWithRestarts {
-			list = append(list, m)
+func (r *isolationRun) scheduleRestarts() {
+	var restarting []*Machine
+	for _, m := range r.Cores {
+		if r.result.Target == TargetLeaderRestarted && r.isolated[m] || r.result.Target == TargetSeedsWithRestarts {
+			restarting = append(restarting, m)
 		}
 	}
-	for place, m := range list {
-		p.CallerHost.Go(func() {
-			p.CallerHost.Clock().Sleep(time.Duration(2+3*place) * time.Second)
-			p.down(m, false)
-			p.CallerHost.Clock().Sleep(500 * time.Millisecond)
-			p.begin(m)
+	for i, m := range restarting {
+		r.CallerHost.Go(func() {
+			r.CallerHost.Clock().Sleep(time.Duration(2+3*i) * time.Second)
+			r.down(m, false)
+			r.CallerHost.Clock().Sleep(500 * time.Millisecond)
+			r.begin(m)
 		})
 	}
 }
 
-func (p *isolationRun) heal() {
-	p.Net.Heal()
-	p.Net.LinkFailure = LinkSilent
-	for _, m := range p.All() {
+func (r *isolationRun) heal() {
+	r.Net.Heal()
+	r.Net.LinkFailure = LinkSilent
+	for _, m := range r.All() {
 		switch {
 		case m.Host.frozen:
 			m.Host.Thaw()
-		case p.stopsMachines() && p.isolated[m]:
-			p.begin(m)
+		case r.stopsMachines() && r.isolated[m]:
+			r.begin(m)
 		}
 	}
-	p.healedAt = p.World.now
+	r.healedAt = r.World.now
 }
 
 // callCore makes one call to a core and waits for the answer as long as the
 // runOperator would; what comes later is judged all the same.
-func (p *isolationRun) callCore(kind string, m *Machine, method, path string, order *sentOrder) *operatorCall {
-	clock := p.CallerHost.Clock()
-	c := &operatorCall{kind: kind, core: m, sentAt: clock.Now()}
+func (r *isolationRun) callCore(kind string, m *Machine, method, path string, order *sentOrder) *operatorCall {
+	clock := r.CallerHost.Clock()
+	call := &operatorCall{kind: kind, core: m, sentAt: clock.Now()}
 	var header [][2]string
 	var body []byte
 	if order != nil {
-		c.baseVersion, c.version, body = order.baseVersion, order.version, order.document
+		call.baseVersion, call.version, body = order.baseVersion, order.version, order.document
 		header = [][2]string{{parties.HeaderIfMatch, strconv.FormatUint(order.baseVersion, 10)}}
 	}
-	p.calls = append(p.calls, c)
-	in := newPipe[int](p.CallerHost)
+	r.calls = append(r.calls, call)
+	answers := newPipe[int](r.CallerHost)
 	if !m.Host.alive || m.core == nil {
 		if m.Host.dark {
 			clock.Sleep(operatorTimeout)
 		}
-		clock.Sleep(p.way())
-		c.answeredAt, c.hostStopped = clock.Now(), true
-		return c
+		clock.Sleep(r.way())
+		call.answeredAt, call.hostStopped = clock.Now(), true
+		return call
 	}
 	core, life := m.core, m.Host.life
-	since := p.World.now
-	p.World.spawn(m.Host, life, p.World.now+p.way(), func() {
-		r := inProcess(method, path, m.Host.Name, header, body)
-		platform.ServeOperator(r, m.Host.Clock(), core)
-		c.status, c.retryAfter, c.body = r.Response.StatusCode(), string(r.Response.Header.Peek("Retry-After")), slices.Clone(r.Response.Body())
-		c.answeredAt = p.World.now
-		overlaps := p.isolated[m] && p.isolatedAt > 0 && since < p.healedAt && c.answeredAt > p.isolatedAt
-		c.hostStopped = overlaps && p.stopsMachines()
+	startedAt := r.World.now
+	r.World.spawn(m.Host, life, r.World.now+r.way(), func() {
+		request := inProcess(method, path, m.Host.Name, header, body)
+		platform.ServeOperator(request, m.Host.Clock(), core)
+		call.status, call.retryAfter, call.body = request.Response.StatusCode(), string(request.Response.Header.Peek("Retry-After")), slices.Clone(request.Response.Body())
+		call.answeredAt = r.World.now
+		overlaps := r.isolated[m] && r.isolatedAt > 0 && startedAt < r.healedAt && call.answeredAt > r.isolatedAt
+		call.hostStopped = overlaps && r.stopsMachines()
 		// Who is cut off from the disks only may ask the other cores.
-		c.isolated = overlaps && since >= p.isolatedAt && c.answeredAt < p.healedAt && p.result.Target != TargetLeaderFromDisks
-		in.put(p.way(), c.status)
+		call.isolated = overlaps && startedAt >= r.isolatedAt && call.answeredAt < r.healedAt && r.result.Target != TargetLeaderFromDisks
+		answers.put(r.way(), call.status)
 	})
-	if _, ok := in.next(clock.Now()+operatorTimeout, nil); !ok {
-		c.hostStopped = c.hostStopped || m.Host.frozen || m.Host.life != life
-		return &operatorCall{kind: c.kind, core: m, sentAt: c.sentAt, answeredAt: clock.Now(), hostStopped: true}
+	if _, ok := answers.next(clock.Now()+operatorTimeout, nil); !ok {
+		call.hostStopped = call.hostStopped || m.Host.frozen || m.Host.life != life
+		return &operatorCall{kind: call.kind, core: m, sentAt: call.sentAt, answeredAt: clock.Now(), hostStopped: true}
 	}
-	return c
+	return call
 }
 
 // newOrder is a new valid document on top of a version.
-func (p *isolationRun) newOrder(onto uint64) *sentOrder {
-	next := p.drafts.Next(p.config.newest.Config)
-	p.serial += 1 + p.rng.IntN(3)
-	next.Generation = p.orders[0].version + uint64(p.serial)
-	order := &sentOrder{baseVersion: onto, version: next.Generation, document: next.Encode(), sentAt: p.World.now}
-	p.orders = append(p.orders, order)
+func (r *isolationRun) newOrder(baseVersion uint64) *sentOrder {
+	config := r.drafts.Next(r.config.newest.Config)
+	r.serial += 1 + r.rng.IntN(3)
+	config.Generation = r.orders[0].version + uint64(r.serial)
+	order := &sentOrder{baseVersion: baseVersion, version: config.Generation, document: config.Encode(), sentAt: r.World.now}
+	r.orders = append(r.orders, order)
 	return order
 }
 
 // submit repeats an order until it is acknowledged or refused, or the time is
 // over, as an operator does.
-func (p *isolationRun) submit(order *sentOrder, among func() []*Machine, until time.Duration) bool {
-	clock := p.CallerHost.Clock()
-	for tries := 1; clock.Now() < until; tries++ {
-		c := p.callCore("PUT", p.pickMachine(among()), "PUT", parties.PathConfig, order)
+func (r *isolationRun) submit(order *sentOrder, targets func() []*Machine, deadline time.Duration) bool {
+	clock := r.CallerHost.Clock()
+	for attempt := 1; clock.Now() < deadline; attempt++ {
+		call := r.callCore("PUT", r.pickMachine(targets()), "PUT", parties.PathConfig, order)
 		switch {
-		case c.status == 200:
-			p.recordAck(order)
+		case call.status == 200:
+			r.recordAck(order)
 			return true
-		case c.status >= 400 && c.status < 500:
+		case call.status >= 400 && call.status < 500:
 			order.refused = true
 			return false
 		}
-		clock.Sleep(parties.OrderPause(tries))
+		clock.Sleep(parties.OrderPause(attempt))
 	}
 	return false
 }
 
-func (p *isolationRun) recordAck(order *sentOrder) {
+func (r *isolationRun) recordAck(order *sentOrder) {
 	if order.ackedAt == 0 {
-		order.ackedAt = p.World.now
+		order.ackedAt = r.World.now
 	}
-	p.currentVersion = max(p.currentVersion, order.version)
+	r.currentVersion = max(r.currentVersion, order.version)
 }
 
 // writeLoop sends one change after another on top of the newest.
-func (p *isolationRun) writeLoop(going func() bool) {
-	clock := p.CallerHost.Clock()
-	for going() {
-		order := p.newOrder(p.currentVersion)
-		if p.submit(order, func() []*Machine { return p.Cores }, p.World.now+p.result.Duration*2) && p.isolatedAt > 0 && p.result.AnyCoreAckTime == 0 {
-			p.result.AnyCoreAckTime = p.World.now - p.isolatedAt
+func (r *isolationRun) writeLoop(running func() bool) {
+	clock := r.CallerHost.Clock()
+	for running() {
+		order := r.newOrder(r.currentVersion)
+		if r.submit(order, func() []*Machine { return r.Cores }, r.World.now+r.result.Duration*2) && r.isolatedAt > 0 && r.result.AnyCoreAckTime == 0 {
+			r.result.AnyCoreAckTime = r.World.now - r.isolatedAt
 		}
-		clock.Sleep(p.World.Between(50*time.Millisecond, 600*time.Millisecond))
+		clock.Sleep(r.World.Between(50*time.Millisecond, 600*time.Millisecond))
 	}
 }
 
 // measureMajorityAck repeats the newest acknowledged order at the majority's side until
 // it is acknowledged again there: the change of hands is what it waits for.
-func (p *isolationRun) measureMajorityAck() {
-	order := p.newestAcked()
-	near := base.Filter(p.Cores, func(m *Machine) bool { return !p.isolated[m] })
-	for p.World.now < p.healedAt {
-		c := p.callCore("repeat", p.pickMachine(near), "PUT", parties.PathConfig, order)
-		if c.status == 200 && c.sentAt >= p.isolatedAt {
-			p.result.MajorityAckTime = p.World.now - p.isolatedAt
+func (r *isolationRun) measureMajorityAck() {
+	order := r.newestAcked()
+	majority := base.Filter(r.Cores, func(m *Machine) bool { return !r.isolated[m] })
+	for r.World.now < r.healedAt {
+		call := r.callCore("repeat", r.pickMachine(majority), "PUT", parties.PathConfig, order)
+		if call.status == 200 && call.sentAt >= r.isolatedAt {
+			r.result.MajorityAckTime = r.World.now - r.isolatedAt
 			return
 		}
-		p.CallerHost.Clock().Sleep(50 * time.Millisecond)
+		r.CallerHost.Clock().Sleep(50 * time.Millisecond)
 	}
-	p.addBreach("nothing was acknowledged on the majority's side while %s was cut off (%s)", p.result.Target, p.result.Mode)
+	r.addBreach("nothing was acknowledged on the majority's side while %s was cut off (%s)", r.result.Target, r.result.Mode)
 }
 
-func (p *isolationRun) newestAcked() *sentOrder {
-	for place := len(p.orders) - 1; place > 0; place-- {
-		if p.orders[place].ackedAt > 0 {
-			return p.orders[place]
+func (r *isolationRun) newestAcked() *sentOrder {
+	for i := len(r.orders) - 1; i > 0; i-- {
+		if r.orders[i].ackedAt > 0 {
+			return r.orders[i]
 		}
 	}
-	return p.orders[0]
+	return r.orders[0]
 }
 
 // readLoop asks cores of both sides for the newest configuration.
-func (p *isolationRun) readLoop(going func() bool) {
-	for going() {
-		p.callCore("GET", p.pickMachine(p.Cores), "GET", parties.PathConfig, nil)
-		p.CallerHost.Clock().Sleep(p.World.Between(20*time.Millisecond, 400*time.Millisecond))
+func (r *isolationRun) readLoop(running func() bool) {
+	for running() {
+		r.callCore("GET", r.pickMachine(r.Cores), "GET", parties.PathConfig, nil)
+		r.CallerHost.Clock().Sleep(r.World.Between(20*time.Millisecond, 400*time.Millisecond))
 	}
 }
 
 // rejectableCallLoop sends what must be refused or was taken before: changes on a version of
 // long ago, orders that were acknowledged, and retirements of machines that
 // are none.
-func (p *isolationRun) rejectableCallLoop(going func() bool) {
-	for round := 0; going(); round++ {
-		m := p.pickMachine(p.Cores)
+func (r *isolationRun) rejectableCallLoop(running func() bool) {
+	for round := 0; running(); round++ {
+		m := r.pickMachine(r.Cores)
 		switch round % 4 {
 		case 0:
-			stale := p.newOrder(p.orders[0].baseVersion)
+			stale := r.newOrder(r.orders[0].baseVersion)
 			stale.refused = true
-			p.callCore("stale PUT", m, "PUT", parties.PathConfig, stale)
+			r.callCore("stale PUT", m, "PUT", parties.PathConfig, stale)
 		case 1:
-			if order := p.newestAcked(); order != p.orders[0] {
-				p.callCore("repeat", m, "PUT", parties.PathConfig, order)
+			if order := r.newestAcked(); order != r.orders[0] {
+				r.callCore("repeat", m, "PUT", parties.PathConfig, order)
 			}
 		case 2:
-			p.callCore("GET retire", m, "GET", parties.PathRetire+"storage-none", nil)
+			r.callCore("GET retire", m, "GET", parties.PathRetire+"storage-none", nil)
 		case 3:
-			p.callCore("POST retire", m, "POST", parties.PathRetire+"storage-none", nil)
+			r.callCore("POST retire", m, "POST", parties.PathRetire+"storage-none", nil)
 		}
-		p.CallerHost.Clock().Sleep(p.World.Between(20*time.Millisecond, 300*time.Millisecond))
+		r.CallerHost.Clock().Sleep(r.World.Between(20*time.Millisecond, 300*time.Millisecond))
 	}
 }
 
 // measureRecovery times how long it takes until every core gives the newest configuration.
-func (p *isolationRun) measureRecovery() {
-	p.until(30*time.Second, func() bool {
-		newest := p.currentVersion
-		for _, m := range p.Cores {
-			c := p.callCore("GET", m, "GET", parties.PathConfig, nil)
-			if c.status != 200 || parseGeneration(c.body) < newest {
+func (r *isolationRun) measureRecovery() {
+	r.until(30*time.Second, func() bool {
+		newest := r.currentVersion
+		for _, m := range r.Cores {
+			call := r.callCore("GET", m, "GET", parties.PathConfig, nil)
+			if call.status != 200 || parseGeneration(call.body) < newest {
 				return false
 			}
 		}
 		return true
 	})
-	p.result.RecoveryTime = p.World.now - p.healedAt
+	r.result.RecoveryTime = r.World.now - r.healedAt
 }
 
 // readFromAllCores has every core give the configuration at the end.
-func (p *isolationRun) readFromAllCores() {
-	for _, m := range p.Cores {
-		if c := p.callCore("GET", m, "GET", parties.PathConfig, nil); c.status != 200 {
-			p.addBreach("after the cut: %s", c)
+func (r *isolationRun) readFromAllCores() {
+	for _, m := range r.Cores {
+		if call := r.callCore("GET", m, "GET", parties.PathConfig, nil); call.status != 200 {
+			r.addBreach("after the cut: %s", call)
 		}
 	}
 }
 
-func parseGeneration(raw []byte) uint64 {
-	found, err := platform.ReadTable(raw)
+func parseGeneration(document []byte) uint64 {
+	table, err := platform.ReadTable(document)
 	if err != nil {
 		return 0
 	}
-	return found.Version
+	return table.Version
 }
--- a/internal/simulate/isolation_check.go
+++ b/internal/simulate/isolation_check.go
@@ -9,104 +9,104 @@
 
 // check looks over all calls: each by itself, and against the order in which
 // configurations were acknowledged.
-func (p *isolationRun) check() {
-	for _, c := range p.calls {
-		p.result.CallCount++
-		if c.status == 503 {
-			p.result.RefusalCount++
+func (r *isolationRun) check() {
+	for _, call := range r.calls {
+		r.result.CallCount++
+		if call.status == 503 {
+			r.result.RefusalCount++
 		}
-		if !c.hostStopped {
-			p.checkAnswer(c)
+		if !call.hostStopped {
+			r.checkAnswer(call)
 		}
-		p.checkVersion(c)
+		r.checkVersion(call)
 	}
-	p.checkForks()
+	r.checkForks()
 }
 
 // checkAnswer holds an answer to what its core could know, and in time.
-func (p *isolationRun) checkAnswer(c *operatorCall) {
-	if c.status == 0 {
-		if c.core.Host.life == 0 { // its process was not killed meanwhile
-			p.addBreach("no answer within the operator's patience: %s", c)
+func (r *isolationRun) checkAnswer(call *operatorCall) {
+	if call.status == 0 {
+		if call.core.Host.life == 0 { // its process was not killed meanwhile
+			r.addBreach("no answer within the operator's patience: %s", call)
 		}
 		return
 	}
-	took := c.answeredAt - c.sentAt
-	p.result.SlowestAnswer = max(p.result.SlowestAnswer, took)
+	took := call.answeredAt - call.sentAt
+	r.result.SlowestAnswer = max(r.result.SlowestAnswer, took)
 	if took > operatorTimeout {
-		p.addBreach("answered after the operator had given up: %s", c)
+		r.addBreach("answered after the operator had given up: %s", call)
 	}
-	if c.status == 503 && c.retryAfter == "" {
-		p.addBreach("a refusal that does not say when to come back: %s", c)
+	if call.status == 503 && call.retryAfter == "" {
+		r.addBreach("a refusal that does not say when to come back: %s", call)
 	}
-	reads := c.kind == "GET" || c.kind == "GET retire"
-	unknown := c.status == 502 || c.status == 504 // an order that may have been taken
-	if c.isolated && c.status != 503 && (reads || !unknown) {
-		p.addBreach("a core that was cut off answered: %s", c)
+	reads := call.kind == "GET" || call.kind == "GET retire"
+	ambiguous := call.status == 502 || call.status == 504 // an order that may have been taken
+	if call.isolated && call.status != 503 && (reads || !ambiguous) {
+		r.addBreach("a core that was cut off answered: %s", call)
 	}
 }
 
 // checkVersion holds an answer against the versions acknowledged before it was
 // asked for.
-func (p *isolationRun) checkVersion(c *operatorCall) {
-	before := uint64(0)
-	for _, order := range p.orders {
-		if order.ackedAt > 0 && order.ackedAt < c.sentAt {
-			before = max(before, order.version)
+func (r *isolationRun) checkVersion(call *operatorCall) {
+	ackedBefore := uint64(0)
+	for _, order := range r.orders {
+		if order.ackedAt > 0 && order.ackedAt < call.sentAt {
+			ackedBefore = max(ackedBefore, order.version)
 		}
 	}
 	switch {
-	case c.kind == "GET" && c.status == 200:
-		p.checkRead(c, before)
-	case c.kind == "GET" && c.status >= 400 && c.status < 500:
-		p.addBreach("no configuration, though one was acknowledged: %s", c)
-	case c.kind == "repeat" && c.status != 200 && c.status < 500 && c.status != 0:
-		p.addBreach("an order that was acknowledged is refused: %s", c)
-	case c.kind == "stale PUT" && c.status == 200:
-		p.addBreach("a change on an old version is acknowledged: %s", c)
-	case c.kind == "PUT" && c.status >= 400 && c.status < 500:
-		p.addBreach("a change on the newest version is refused: %s", c)
-	case (c.kind == "GET retire" || c.kind == "POST retire") && c.status != 404 && c.status < 500 && c.status != 0:
-		p.addBreach("a machine that is none was answered for: %s", c)
+	case call.kind == "GET" && call.status == 200:
+		r.checkRead(call, ackedBefore)
+	case call.kind == "GET" && call.status >= 400 && call.status < 500:
+		r.addBreach("no configuration, though one was acknowledged: %s", call)
+	case call.kind == "repeat" && call.status != 200 && call.status < 500 && call.status != 0:
+		r.addBreach("an order that was acknowledged is refused: %s", call)
+	case call.kind == "stale PUT" && call.status == 200:
+		r.addBreach("a change on an old version is acknowledged: %s", call)
+	case call.kind == "PUT" && call.status >= 400 && call.status < 500:
+		r.addBreach("a change on the newest version is refused: %s", call)
+	case (call.kind == "GET retire" || call.kind == "POST retire") && call.status != 404 && call.status < 500 && call.status != 0:
+		r.addBreach("a machine that is none was answered for: %s", call)
 	}
 }
 
-func (p *isolationRun) checkRead(c *operatorCall, before uint64) {
-	version := parseGeneration(c.body)
-	if version < before {
-		p.addBreach("version %d, %d was acknowledged before: %s", version, before, c)
+func (r *isolationRun) checkRead(call *operatorCall, ackedBefore uint64) {
+	version := parseGeneration(call.body)
+	if version < ackedBefore {
+		r.addBreach("version %d, %d was acknowledged before: %s", version, ackedBefore, call)
 	}
-	for _, order := range p.orders {
-		if order.version == version && bytes.Equal(order.document, c.body) {
+	for _, order := range r.orders {
+		if order.version == version && bytes.Equal(order.document, call.body) {
 			if order.refused {
-				p.addBreach("a configuration that was refused is in force: %s", c)
+				r.addBreach("a configuration that was refused is in force: %s", call)
 			}
 			if order.ackedAt == 0 {
-				order.ackedAt = c.answeredAt // it was in force, whatever its sender was told
+				order.ackedAt = call.answeredAt // it was in force, whatever its sender was told
 			}
 			return
 		}
 	}
-	p.addBreach("a configuration that nobody sent: %s", c)
+	r.addBreach("a configuration that nobody sent: %s", call)
 }
 
 // checkForks wants one acknowledged change on each version.
-func (p *isolationRun) checkForks() {
-	taken := map[uint64]*sentOrder{}
-	for _, order := range p.orders[1:] {
+func (r *isolationRun) checkForks() {
+	ackedByBase := map[uint64]*sentOrder{}
+	for _, order := range r.orders[1:] {
 		if order.ackedAt == 0 {
 			continue
 		}
-		if other := taken[order.baseVersion]; other != nil {
-			p.addBreach("versions %d and %d were both acknowledged on %d", other.version, order.version, order.baseVersion)
+		if other := ackedByBase[order.baseVersion]; other != nil {
+			r.addBreach("versions %d and %d were both acknowledged on %d", other.version, order.version, order.baseVersion)
 		}
-		taken[order.baseVersion] = order
+		ackedByBase[order.baseVersion] = order
 	}
-	if most := p.Site.Bounds.Recovery / 4; p.result.MajorityAckTime > most {
-		p.addBreach("a change was acknowledged on the majority's side after %v only, %v at the most", p.result.MajorityAckTime, most)
+	if limit := r.Site.Bounds.Recovery / 4; r.result.MajorityAckTime > limit {
+		r.addBreach("a change was acknowledged on the majority's side after %v only, %v at the most", r.result.MajorityAckTime, limit)
 	}
 	const bound = 12 * time.Second
-	if p.result.RecoveryTime > bound {
-		p.addBreach("cores gave the newest configuration %v after the cut only", p.result.RecoveryTime)
+	if r.result.RecoveryTime > bound {
+		r.addBreach("cores gave the newest configuration %v after the cut only", r.result.RecoveryTime)
 	}
 }
--- a/internal/simulate/isolation_removal_test.go
+++ b/internal/simulate/isolation_removal_test.go
@@ -41,8 +41,8 @@
 	} {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const most = 12 // a seed that shows the fault ends the search
-			for seed := uint64(1); seed <= most; seed++ {
+			const maxSeeds = 12 // a seed that shows the fault ends the search
+			for seed := uint64(1); seed <= maxSeeds; seed++ {
 				run := IsolationPlan{Size: "tills", Target: TargetLeader, Mode: IsolationSilent, Duration: 10 * time.Second, Seed: seed}.Run(row.take)
 				for _, breach := range run.Breaches {
 					if strings.Contains(breach, row.word) {
@@ -52,7 +52,7 @@
 				}
 				t.Logf("seed %d: %d breaches of other kinds", seed, len(run.Breaches))
 			}
-			t.Errorf("none of %d seeds was caught with %q", most, row.word)
+			t.Errorf("none of %d seeds was caught with %q", maxSeeds, row.word)
 		})
 	}
 }
--- a/internal/simulate/isolation_restart_test.go
+++ b/internal/simulate/isolation_restart_test.go
@@ -27,26 +27,26 @@
 func restartWhileIsolated(t *testing.T, place int, seed uint64) {
 	tier := NewTier(seed, IsolationShape("tills"), nil)
 	defer tier.World.Close()
-	over := false
+	done := false
 	tier.CallerHost.Go(func() {
-		defer func() { over = true }()
+		defer func() { done = true }()
 		if !tier.form() {
 			t.Error("the tier did not form")
 			return
 		}
 		clock := tier.CallerHost.Clock()
-		apart := tier.Cores[place]
+		isolated := tier.Cores[place]
 		for _, other := range append(append([]*Machine{}, tier.Cores...), tier.Storage...) {
-			if other != apart {
-				tier.Net.CutLink(apart.Host.Name, other.Host.Name)
-				tier.Net.CutLink(other.Host.Name, apart.Host.Name)
+			if other != isolated {
+				tier.Net.CutLink(isolated.Host.Name, other.Host.Name)
+				tier.Net.CutLink(other.Host.Name, isolated.Host.Name)
 			}
 		}
 		clock.Sleep(time.Second)
-		tier.fall(apart, "node_kill", 500*time.Millisecond, false, false)
+		tier.fall(isolated, "node_kill", 500*time.Millisecond, false, false)
 		clock.Sleep(2 * time.Second)
 		tier.each(tier.Cores, func(m *Machine) {
-			if m != apart {
+			if m != isolated {
 				tier.fall(m, "node_kill", 300*time.Millisecond, false, false)
 			}
 		})
@@ -60,7 +60,7 @@
 			}
 		}
 	})
-	if !tier.World.Run(2*time.Minute, func() bool { return over }) {
+	if !tier.World.Run(2*time.Minute, func() bool { return done }) {
 		t.Error("the run does not end")
 	}
 }
--- a/internal/simulate/isolation_test.go
+++ b/internal/simulate/isolation_test.go
@@ -26,11 +26,11 @@
 func TestIsolatedMachinesRefuseRequests(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
-	few := map[string]int{"tills": 21, "pay": 14, "grown tills": 2, "grown pay": 2}
+	seedsBySize := map[string]int{"tills": 21, "pay": 14, "grown tills": 2, "grown pay": 2}
 	for _, size := range []string{"tills", "pay", "grown tills", "grown pay"} {
 		t.Run(size, func(t *testing.T) {
 			t.Parallel()
-			count := few[size]
+			count := seedsBySize[size]
 			if *isolationSeeds > 0 {
 				count = *isolationSeeds
 			}
@@ -59,19 +59,19 @@
 func TestMajorityAcknowledgesSoonAfterLeaderLoss(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
-	few := map[string]int{"tills": 4, "pay": 4, "grown tills": 1, "grown pay": 1}
+	seedsBySize := map[string]int{"tills": 4, "pay": 4, "grown tills": 1, "grown pay": 1}
 	for _, size := range []string{"tills", "pay", "grown tills", "grown pay"} {
 		for _, way := range []IsolationMode{IsolationKilled, IsolationPowerLoss, IsolationFrozen, IsolationSilent} {
 			t.Run(size+", "+string(way), func(t *testing.T) {
 				t.Parallel()
 				var runs []*IsolationResult
-				for seed := range uint64(max(few[size], *isolationSeeds)) {
+				for seed := range uint64(max(seedsBySize[size], *isolationSeeds)) {
 					runs = append(runs, runPlan(t, IsolationPlan{Size: size, Target: TargetLeader, Mode: way, Duration: 6 * time.Second, Seed: seed + 1}))
 				}
 				logTimes(t, runs)
 				for _, run := range runs {
-					if bound := IsolationShape(size).Site.Bounds.Recovery / 6; run.MajorityAckTime > bound {
-						t.Errorf("%s: acknowledged after %v, %v at the most", run.IsolationPlan, run.MajorityAckTime, bound)
+					if limit := IsolationShape(size).Site.Bounds.Recovery / 6; run.MajorityAckTime > limit {
+						t.Errorf("%s: acknowledged after %v, %v at the most", run.IsolationPlan, run.MajorityAckTime, limit)
 					}
 				}
 			})
@@ -82,15 +82,15 @@
 // logTimes prints the times to the next acknowledgement: the median and the worst.
 func logTimes(t *testing.T, runs []*IsolationResult) {
 	t.Helper()
-	figure := func(name string, of func(run *IsolationResult) time.Duration) {
-		sorted := slices.SortedFunc(slices.Values(runs), func(a, b *IsolationResult) int { return cmp.Compare(of(a), of(b)) })
+	logTime := func(name string, timeOf func(run *IsolationResult) time.Duration) {
+		sorted := slices.SortedFunc(slices.Values(runs), func(a, b *IsolationResult) int { return cmp.Compare(timeOf(a), timeOf(b)) })
 		worst := sorted[len(sorted)-1]
-		t.Logf("%-28s median %v, worst %v (seed %d, %s, %s)", name, of(sorted[len(sorted)/2]), of(worst), worst.Seed, worst.Target, worst.Mode)
+		t.Logf("%-28s median %v, worst %v (seed %d, %s, %s)", name, timeOf(sorted[len(sorted)/2]), timeOf(worst), worst.Seed, worst.Target, worst.Mode)
 	}
-	figure("acknowledged, majority side", func(run *IsolationResult) time.Duration { return run.MajorityAckTime })
-	figure("acknowledged, any core", func(run *IsolationResult) time.Duration { return run.AnyCoreAckTime })
-	figure("all cores after the cut", func(run *IsolationResult) time.Duration { return run.RecoveryTime })
-	figure("slowest answer", func(run *IsolationResult) time.Duration { return run.SlowestAnswer })
+	logTime("acknowledged, majority side", func(run *IsolationResult) time.Duration { return run.MajorityAckTime })
+	logTime("acknowledged, any core", func(run *IsolationResult) time.Duration { return run.AnyCoreAckTime })
+	logTime("all cores after the cut", func(run *IsolationResult) time.Duration { return run.RecoveryTime })
+	logTime("slowest answer", func(run *IsolationResult) time.Duration { return run.SlowestAnswer })
 	calls, refusals := 0, 0
 	byPair := map[string][]time.Duration{}
 	for _, run := range runs {
--- a/internal/simulate/limits_test.go
+++ b/internal/simulate/limits_test.go
@@ -23,7 +23,7 @@
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `{"pools"`, `{"bounds":{"settings_bound_s":2,"recover_bound_s":6,"retain_s":8},"pools"`, 1)
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		keys := func() int {
+		maxKeys := func() int {
 			most := 0
 			for _, m := range f.Storage {
 				most = max(most, m.storage.Store.KeyCount())
@@ -36,7 +36,7 @@
 			for left() > 0 {
 				call.sleep(200 * time.Millisecond)
 			}
-			peaks = append(peaks, keys())
+			peaks = append(peaks, maxKeys())
 			call.sleep(8 * time.Second)
 		}
 		early := max(peaks[4], peaks[5])
@@ -44,7 +44,7 @@
 			is.True(peak <= early*3/2)
 		}
 		call.sleep(2 * time.Minute)
-		is.True(keys() < 10+register.ShardCount) // settings, workers, the change log and each slot's time are left
+		is.True(maxKeys() < 10+register.ShardCount) // settings, workers, the change log and each slot's time are left
 		for _, m := range f.Gateways {
 			sessions, copies, streams := m.gateway.Sessions.Sizes()
 			is.Equal(copies, 0)
@@ -74,10 +74,10 @@
 		return whole, counts
 	}
 	is := is.New(t)
-	full, _ := goodput(8)
-	crowd, counts := goodput(80)
-	t.Logf("at saturation %d turns, with ten times the callers %d: %v", full, crowd, counts)
-	is.True(crowd > full*7/10)
+	atSaturation, _ := goodput(8)
+	overloaded, counts := goodput(80)
+	t.Logf("at saturation %d turns, with ten times the callers %d: %v", atSaturation, overloaded, counts)
+	is.True(overloaded > atSaturation*7/10)
 	is.True(counts["final_refused_overloaded"] > 0)
 }
 
@@ -91,19 +91,19 @@
 		for place := 0; place < 40; place++ {
 			path, key := call.session(0, runaway, secret, nil)
 			f.CallerHost.Go(func() {
-				for num := 0; num < 100; num++ {
-					call.turn(0, path, key, runaway, fmt.Sprint("t", num), "")
+				for number := 0; number < 100; number++ {
+					call.turn(0, path, key, runaway, fmt.Sprint("t", number), "")
 				}
 			})
 		}
 		call.sleep(2 * time.Second)
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
-		for num := 0; num < 5; num++ {
-			began := f.World.Now()
-			verdict, _, _ := call.turn(0, path, key, program, fmt.Sprint("t", num), "").final()
+		for number := 0; number < 5; number++ {
+			start := f.World.Now()
+			verdict, _, _ := call.turn(0, path, key, program, fmt.Sprint("t", number), "").final()
 			is.Equal(verdict, "success")
-			is.True(f.World.Now()-began < 2*time.Second) // an answer takes 0.3 s, the runaway's line is 36 long
+			is.True(f.World.Now()-start < 2*time.Second) // an answer takes 0.3 s, the runaway's line is 36 long
 		}
 	})
 }
--- a/internal/simulate/net.go
+++ b/internal/simulate/net.go
@@ -77,8 +77,8 @@
 }
 
 // sampleMemory is the size of a message's head and body on the wire.
-func messageSize(line int, header http.Header, body int) int {
-	size := line + len("Content-Length: ") + len(strconv.Itoa(body)) + 4 + body
+func messageSize(startLineLen int, header http.Header, body int) int {
+	size := startLineLen + len("Content-Length: ") + len(strconv.Itoa(body)) + 4 + body
 	for name, values := range header {
 		for _, value := range values {
 			if value != "" && name != "Content-Length" {
@@ -90,11 +90,11 @@
 }
 
 func (n *Net) recordTraffic(from, to, path string, calls, bytes int) {
-	asker, server := n.hostTraffic(from), n.hostTraffic(to)
-	asker.RequestsSent += calls
-	server.RequestsReceived += calls
-	asker.Bytes += bytes
-	server.Bytes += bytes
+	sender, receiver := n.hostTraffic(from), n.hostTraffic(to)
+	sender.RequestsSent += calls
+	receiver.RequestsReceived += calls
+	sender.Bytes += bytes
+	receiver.Bytes += bytes
 	if n.TrafficByPath[path] == nil {
 		n.TrafficByPath[path] = &PathTraffic{}
 	}
@@ -119,10 +119,10 @@
 func (n *Net) Heal()                   { n.cutLinks = map[[2]string]bool{} }
 
 // Isolate stops all messages to and from some hosts except among themselves.
-func (n *Net) Isolate(apart map[string]bool) {
+func (n *Net) Isolate(isolated map[string]bool) {
 	for _, from := range base.SortedKeys(n.World.Hosts) {
 		for _, to := range base.SortedKeys(n.World.Hosts) {
-			if apart[from] != apart[to] {
+			if isolated[from] != isolated[to] {
 				n.CutLink(from, to)
 			}
 		}
@@ -152,9 +152,9 @@
 var errNoReply = errors.New("no reply in time")
 
 func hostName(addr string) string {
-	for place := range addr {
-		if addr[place] == ':' {
-			return addr[:place]
+	for i := range addr {
+		if addr[i] == ':' {
+			return addr[:i]
 		}
 	}
 	return addr
@@ -162,41 +162,41 @@
 
 func (x *wire) Do(request *http.Request) (*http.Response, error) {
 	n, w := x.net, x.net.World
-	left := 10 * time.Second
+	timeout := 10 * time.Second
 	if ctx, ok := request.Context().Value(base.CtxKey).(*base.Ctx); ok {
-		left = ctx.Remaining()
+		timeout = ctx.Remaining()
 	}
-	if left <= 0 {
+	if timeout <= 0 {
 		return nil, &base.NotSent{Cause: context.DeadlineExceeded}
 	}
-	base.SetMessageHeaders(request, left)
+	base.SetMessageHeaders(request, timeout)
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return nil, err
 	}
 	if n.Intercept == nil {
-		return x.roundTrip(request, body, left)
+		return x.roundTrip(request, body, timeout)
 	}
-	var failed error
+	var forwardErr error
 	response := n.Intercept(&Message{From: x.host, To: w.Hosts[hostName(request.URL.Host)], Path: request.URL.Path, Body: body,
 		Forward: func(body []byte) (response *http.Response, err error) {
-			response, failed = x.roundTrip(request, body, left)
-			return response, failed
+			response, forwardErr = x.roundTrip(request, body, timeout)
+			return response, forwardErr
 		}})
 	switch {
 	case response != nil:
 		return response, nil
-	case failed == nil:
+	case forwardErr == nil:
 		return nil, errNoReply // it was not passed on
 	}
-	return nil, failed
+	return nil, forwardErr
 }
 
 // pendingCall is a message whose answer is awaited.
 type pendingCall struct{ reset base.Signal }
 
 // roundTrip takes a message to its machine and the reply back.
-func (x *wire) roundTrip(request *http.Request, body []byte, left time.Duration) (*http.Response, error) {
+func (x *wire) roundTrip(request *http.Request, body []byte, timeout time.Duration) (*http.Response, error) {
 	n, w := x.net, x.net.World
 	n.MessageCount++
 	path := request.URL.Path
@@ -216,21 +216,23 @@
 			}
 			return nil, errNoReply
 		}
-		done.Wait(left)
+		done.Wait(timeout)
 		if w.Chance(0.5) {
 			return nil, &base.NotSent{Cause: errors.New("no route")}
 		}
 		return nil, errNoReply
 	}
 	if n.ResetOnExit {
-		open := &pendingCall{reset: done}
-		target.calls = append(target.calls, open)
-		defer func() { target.calls = base.Filter(target.calls, func(one *pendingCall) bool { return one != open }) }()
+		pending := &pendingCall{reset: done}
+		target.calls = append(target.calls, pending)
+		defer func() {
+			target.calls = base.Filter(target.calls, func(one *pendingCall) bool { return one != pending })
+		}()
 	}
 	var response *http.Response
-	deliver := func(after time.Duration, answered bool) {
+	deliver := func(delay time.Duration, answered bool) {
 		life := target.life
-		w.spawn(target, life, w.now+after, func() {
+		w.spawn(target, life, w.now+delay, func() {
 			if target.serve == nil {
 				return
 			}
@@ -252,19 +254,19 @@
 			done.Fire()
 		})
 	}
-	after := n.delay() + n.transmissionTime(len(body)) + x.host.Lag + target.Lag + target.work()
+	delay := n.delay() + n.transmissionTime(len(body)) + x.host.Lag + target.Lag + target.work()
 	if w.Chance(n.Faults.DelayRate) {
-		after += w.Between(0, n.Faults.MaxExtraDelay)
+		delay += w.Between(0, n.Faults.MaxExtraDelay)
 	}
 	if w.Chance(n.Faults.LossRate) {
 		n.LostCount++
 	} else {
-		deliver(after, true)
+		deliver(delay, true)
 		if w.Chance(n.Faults.DuplicateRate) {
-			deliver(after+w.Between(0, n.Faults.MaxExtraDelay), false)
+			deliver(delay+w.Between(0, n.Faults.MaxExtraDelay), false)
 		}
 	}
-	if !done.Wait(left) || response == nil {
+	if !done.Wait(timeout) || response == nil {
 		return nil, errNoReply
 	}
 	return response, nil
--- a/internal/simulate/operate_test.go
+++ b/internal/simulate/operate_test.go
@@ -14,10 +14,10 @@
 )
 
 func (f *Fleet) unwellReasons(m *Machine) string {
-	var shown operate.StatusView
+	var view operate.StatusView
 	_, answer := f.OperatorRequest(m, "GET", "/v1/operator/status", nil)
-	_ = json.Unmarshal(answer, &shown)
-	return strings.Join(shown.Problems, "\n")
+	_ = json.Unmarshal(answer, &view)
+	return strings.Join(view.Problems, "\n")
 }
 
 func TestStatusReportsUnwellNodes(t *testing.T) {
@@ -30,17 +30,17 @@
 		f.Kill(f.Storage[2])
 		f.Gateways[2].Host.Freeze()
 		call.sleep(6 * time.Second)
-		shown := f.unwellReasons(f.Cores[0])
+		reasons := f.unwellReasons(f.Cores[0])
 		for _, word := range []string{"edge edge-1:1 in zone-1 is not ready: no_confirmed_settings", "edge edge-2:1 in zone-0 is silent", "storage storage-2:1 in zone-0 is silent",
 			"at storage-2:1 does not answer; if it is lost, retire it", "2 of 3 disks answer, 2 must: no other may be lost"} {
-			is.True(strings.Contains(shown, word))
+			is.True(strings.Contains(reasons, word))
 		}
 		f.Kill(f.Storage[1])
 		f.Kill(f.Cores[1])
 		call.sleep(4 * time.Second)
-		shown = f.unwellReasons(f.Cores[0])
-		is.True(strings.Contains(shown, "1 of 3 disks answer, 2 must: nothing can be changed"))
-		is.True(strings.Contains(shown, "slots have no owner"))
+		reasons = f.unwellReasons(f.Cores[0])
+		is.True(strings.Contains(reasons, "1 of 3 disks answer, 2 must: nothing can be changed"))
+		is.True(strings.Contains(reasons, "slots have no owner"))
 		f.Net.Heal()
 		f.Gateways[2].Host.Thaw()
 		for _, m := range []*Machine{f.Storage[1], f.Storage[2], f.Cores[1]} {
@@ -62,9 +62,9 @@
 		is.True(strings.Contains(answer, `"differences":[]`) && strings.Contains(answer, `"stamp":1`))
 		changed := strings.Replace(strings.Replace(DefaultSettings, `"operation_timeout_s":30,`, "", 1), `"tool_timeout_s":5`, `"tool_timeout_s":7`, 1)
 		_, answer = diff(changed)
-		var shown struct{ Differences []settings.Difference }
-		is.NoErr(json.Unmarshal([]byte(answer), &shown))
-		is.Equal(shown.Differences, []settings.Difference{{Path: "$.groups.g.operation_timeout_s", Old: "30"},
+		var view struct{ Differences []settings.Difference }
+		is.NoErr(json.Unmarshal([]byte(answer), &view))
+		is.Equal(view.Differences, []settings.Difference{{Path: "$.groups.g.operation_timeout_s", Old: "30"},
 			{Path: "$.groups.g.sites.main.routes.loyalty.tool_timeout_s", Old: "5", New: "7"}})
 		status, answer = diff(`{"queue_size":0}`)
 		is.Equal(status, 400)
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -19,50 +19,50 @@
 const defaultModelField = `"model":"stand-in"`
 
 // settingsWithMarker is the fleet's settings document with a change's mark in it.
-func (f *Fleet) settingsWithMarker(change string) json.RawMessage {
-	return json.RawMessage(strings.Replace(f.Shape.Settings, defaultModelField, `"model":"`+change+`"`, 1))
+func (f *Fleet) settingsWithMarker(marker string) json.RawMessage {
+	return json.RawMessage(strings.Replace(f.Shape.Settings, defaultModelField, `"model":"`+marker+`"`, 1))
 }
 
 // settingsMarker finds the mark in a document; a document without one gives "".
 func settingsMarker(document []byte) string {
 	_, rest, _ := strings.Cut(string(document), `"model":"`)
-	mark, _, _ := strings.Cut(rest, `"`)
-	if mark == "stand-in" {
+	marker, _, _ := strings.Cut(rest, `"`)
+	if marker == "stand-in" {
 		return ""
 	}
-	return mark
+	return marker
 }
 
 // RunOperator applies changes one after another, each based on the stamp it
 // lastTurn saw, while it is wanted.
-func (f *Fleet) RunOperator(name string, going func() bool) {
+func (f *Fleet) RunOperator(name string, running func() bool) {
 	clock := f.CallerHost.Clock()
-	stamp := uint64(1)
-	for round := 0; going(); round++ {
+	version := uint64(1)
+	for round := 0; running(); round++ {
 		change := fmt.Sprintf("%s-%d", name, round)
 		if round%6 == 5 {
-			f.applyInvalidSettings(change, stamp)
+			f.applyInvalidSettings(change, version)
 		} else {
-			stamp = max(stamp, f.applyAndResolve(change, stamp))
+			version = max(version, f.applyAndResolve(change, version))
 		}
 		clock.Sleep(f.World.Between(100*time.Millisecond, 1200*time.Millisecond))
 	}
 }
 
 // applyAndResolve takes one change to its known end and gives the stamp that stands.
-func (f *Fleet) applyAndResolve(change string, stamp uint64) uint64 {
-	status, answer := f.applySettings(change, stamp, f.settingsWithMarker(change))
-	return f.resolveOutcome(change, stamp, status, answer)
+func (f *Fleet) applyAndResolve(change string, version uint64) uint64 {
+	status, answer := f.applySettings(change, version, f.settingsWithMarker(change))
+	return f.resolveOutcome(change, version, status, answer)
 }
 
-func (f *Fleet) applySettings(change string, stamp uint64, document json.RawMessage) (status int, answer []byte) {
-	return f.OperatorRequest(f.pickMachine(f.Cores), "POST", "/v1/operator/settings/apply", map[string]any{"change": change, "based_on": stamp, "document": document})
+func (f *Fleet) applySettings(change string, version uint64, document json.RawMessage) (status int, answer []byte) {
+	return f.OperatorRequest(f.pickMachine(f.Cores), "POST", "/v1/operator/settings/apply", map[string]any{"change": change, "based_on": version, "document": document})
 }
 
 // applyInvalidSettings asks for a change that must never be taken.
-func (f *Fleet) applyInvalidSettings(change string, stamp uint64) {
+func (f *Fleet) applyInvalidSettings(change string, version uint64) {
 	document := strings.Replace(string(f.settingsWithMarker(change)), `"pools"`, `"queue_size":0,"pools"`, 1)
-	status, answer := f.applySettings(change, stamp, json.RawMessage(document))
+	status, answer := f.applySettings(change, version, json.RawMessage(document))
 	if status == 200 {
 		f.Tally.Breach("invalid change %s was acknowledged: %s", change, answer)
 	}
@@ -71,20 +71,20 @@
 
 // resolveOutcome asks by the change's id until its outcome is known.
 func (f *Fleet) resolveOutcome(change string, basedOn uint64, status int, answer []byte) uint64 {
-	for tries := 0; tries < 400; tries++ {
-		var told struct {
+	for attempt := 0; attempt < 400; attempt++ {
+		var reply struct {
 			Outcome string            `json:"outcome"`
 			Stamp   uint64            `json:"stamp"`
 			Error   base.RequestError `json:"error"`
 		}
-		_ = json.Unmarshal(answer, &told)
+		_ = json.Unmarshal(answer, &reply)
 		switch {
-		case status == 200 && told.Outcome == "taken":
-			f.Tally.Taken(change, basedOn, told.Stamp, f.World.Now())
-			return told.Stamp
+		case status == 200 && reply.Outcome == "taken":
+			f.Tally.Taken(change, basedOn, reply.Stamp, f.World.Now())
+			return reply.Stamp
 		case status == 200 || status == 409:
 			f.Tally.ChangeRefused(change)
-			return max(told.Stamp, told.Error.CurrentVersion)
+			return max(reply.Stamp, reply.Error.CurrentVersion)
 		}
 		f.Tally.Count("settings_unknown")
 		f.CallerHost.Clock().Sleep(300 * time.Millisecond)
@@ -109,8 +109,8 @@
 
 // CheckStoredSettings looks at what the control state holds, once some core says so.
 func (f *Fleet) CheckStoredSettings() {
-	for tries := 0; tries < 100; tries++ {
-		status, answer := f.OperatorRequest(f.Cores[tries%len(f.Cores)], "GET", "/v1/operator/settings", nil)
+	for attempt := 0; attempt < 100; attempt++ {
+		status, answer := f.OperatorRequest(f.Cores[attempt%len(f.Cores)], "GET", "/v1/operator/settings", nil)
 		var record settings.Record
 		if status == 200 && json.Unmarshal(answer, &record) == nil {
 			f.Tally.Stands(record.Version, settingsMarker(record.Document))
@@ -128,33 +128,35 @@
 
 // RunPlatform takes workers away one by one, off the list or by their own
 // report, and brings each back later, while it is wanted.
-func (f *Fleet) RunPlatform(going func() bool) {
+func (f *Fleet) RunPlatform(running func() bool) {
 	clock := f.CallerHost.Clock()
 	away := map[string]bool{}
-	for round := 0; going(); round++ {
+	for round := 0; running(); round++ {
 		clock.Sleep(f.World.Between(time.Second, 3*time.Second))
-		one := f.WorkerList.Workers[f.World.Int64N(int64(len(f.WorkerList.Workers)))]
-		others := base.Filter(f.WorkerList.Workers, func(other listedWorker) bool { return other.Pool == one.Pool && other.ID != one.ID && !away[other.ID] })
-		if away[one.ID] || len(others) == 0 {
+		listed := f.WorkerList.Workers[f.World.Int64N(int64(len(f.WorkerList.Workers)))]
+		others := base.Filter(f.WorkerList.Workers, func(other listedWorker) bool {
+			return other.Pool == listed.Pool && other.ID != listed.ID && !away[other.ID]
+		})
+		if away[listed.ID] || len(others) == 0 {
 			continue
 		}
-		away[one.ID] = true
+		away[listed.ID] = true
 		if f.World.Chance(0.5) {
-			f.patchWorkerList(map[string]any{"remove": []string{one.ID}})
-			f.Tally.Leaves(one.ID, f.World.Now())
+			f.patchWorkerList(map[string]any{"remove": []string{listed.ID}})
+			f.Tally.Leaves(listed.ID, f.World.Now())
 			clock.Sleep(f.World.Between(4*time.Second, 6*time.Second))
-			f.Tally.Returns(one.ID)
-			f.patchWorkerList(map[string]any{"put": []any{one}})
+			f.Tally.Returns(listed.ID)
+			f.patchWorkerList(map[string]any{"put": []any{listed}})
 		} else {
-			f.reportedStates[one.ID] = reportedState{f.reportedStates[one.ID].incarnation, true}
-			f.reportUsage(one.ID)
-			f.Tally.Leaves(one.ID, f.World.Now())
+			f.reportedStates[listed.ID] = reportedState{f.reportedStates[listed.ID].incarnation, true}
+			f.reportUsage(listed.ID)
+			f.Tally.Leaves(listed.ID, f.World.Now())
 			clock.Sleep(f.World.Between(4*time.Second, 6*time.Second))
-			f.Tally.Returns(one.ID)
-			f.reportedStates[one.ID] = reportedState{fmt.Sprint("life-", round), false}
-			f.reportUsage(one.ID)
+			f.Tally.Returns(listed.ID)
+			f.reportedStates[listed.ID] = reportedState{fmt.Sprint("life-", round), false}
+			f.reportUsage(listed.ID)
 		}
-		delete(away, one.ID)
+		delete(away, listed.ID)
 	}
 }
 
@@ -179,16 +181,16 @@
 	return map[string]any{"number": f.World.Now().Milliseconds() + f.reportCount, "load": load, "incarnation": f.reportedStates[id].incarnation, "leaving": f.reportedStates[id].leaving}
 }
 
-func (f *Fleet) sendUntilAccepted(method, path string, body func() any, stamp uint64) {
+func (f *Fleet) sendUntilAccepted(method, path string, body func() any, version uint64) {
 	ask := f.Asker(f.CallerHost)
-	for tries := int(f.World.Int64N(int64(len(f.Gateways)))); ; tries++ {
-		answer, err := ask(tries, method, path, nil, base.MustMarshal(body()))
+	for attempt := int(f.World.Int64N(int64(len(f.Gateways)))); ; attempt++ {
+		answer, err := ask(attempt, method, path, nil, base.MustMarshal(body()))
 		if err == nil {
-			var told struct {
+			var reply struct {
 				Error base.RequestError `json:"error"`
 			}
-			_ = json.Unmarshal(answer.Body, &told)
-			if answer.Status == 200 || stamp > 0 && told.Error.CurrentVersion >= stamp {
+			_ = json.Unmarshal(answer.Body, &reply)
+			if answer.Status == 200 || version > 0 && reply.Error.CurrentVersion >= version {
 				return
 			}
 		}
@@ -201,9 +203,9 @@
 	for {
 		for _, m := range f.Cores {
 			status, answer := f.OperatorRequest(m, "GET", "/v1/operator/storage", nil)
-			var shown operate.StorageView
-			if status == 200 && json.Unmarshal(answer, &shown) == nil {
-				return shown
+			var view operate.StorageView
+			if status == 200 && json.Unmarshal(answer, &view) == nil {
+				return view
 			}
 		}
 		f.CallerHost.Clock().Sleep(200 * time.Millisecond)
@@ -212,27 +214,27 @@
 
 // FindDisk is the disk of a machine.
 func (f *Fleet) FindDisk(host string) operate.DiskView {
-	for _, one := range f.StorageStatus().Disks {
-		if one.Addr == host+":1" {
-			return one
+	for _, disk := range f.StorageStatus().Disks {
+		if disk.Addr == host+":1" {
+			return disk
 		}
 	}
 	return operate.DiskView{}
 }
 
 // RequestDiskChange asks for a change of the disks until it is under way or refused.
-func (f *Fleet) RequestDiskChange(what, field, named string) (status int, code string) {
-	for tries := 0; ; tries++ {
-		core := f.Cores[tries%len(f.Cores)]
-		status, answer := f.OperatorRequest(core, "POST", "/v1/operator/storage/"+what, map[string]string{field: named})
-		var told struct {
+func (f *Fleet) RequestDiskChange(action, field, value string) (status int, code string) {
+	for attempt := 0; ; attempt++ {
+		core := f.Cores[attempt%len(f.Cores)]
+		status, answer := f.OperatorRequest(core, "POST", "/v1/operator/storage/"+action, map[string]string{field: value})
+		var reply struct {
 			Error struct {
 				Code string `json:"code"`
 			} `json:"error"`
 		}
-		_ = json.Unmarshal(answer, &told)
-		if status == 200 || (status >= 400 && status < 500 && told.Error.Code != "disks_moving") || tries > 300 {
-			return status, told.Error.Code
+		_ = json.Unmarshal(answer, &reply)
+		if status == 200 || (status >= 400 && status < 500 && reply.Error.Code != "disks_moving") || attempt > 300 {
+			return status, reply.Error.Code
 		}
 		f.CallerHost.Clock().Sleep(200 * time.Millisecond)
 	}
@@ -241,7 +243,7 @@
 // AwaitDiskChange waits until no change of the disks is under way.
 func (f *Fleet) AwaitDiskChange(limit time.Duration) bool {
 	for end := f.World.Now() + limit; f.World.Now() < end; f.CallerHost.Clock().Sleep(200 * time.Millisecond) {
-		if shown := f.StorageStatus(); !shown.ChangePending && shown.SettledShards == shown.TotalShards {
+		if view := f.StorageStatus(); !view.ChangePending && view.SettledShards == view.TotalShards {
 			return true
 		}
 	}
@@ -262,7 +264,7 @@
 	f.PowerLoss(lost)
 	lost.removed = true
 	lost.Disk.Wipe()
-	fresh := f.AddMachine("storage")
+	replacement := f.AddMachine("storage")
 	if f.Shape.Tolerate > 0 {
 		if f.waitUntil(time.Minute, f.diskSetComplete) < time.Minute {
 			f.Tally.Count("disks_replaced")
@@ -270,7 +272,7 @@
 		return
 	}
 	f.CallerHost.Clock().Sleep(time.Second)
-	if status, _ := f.RequestDiskChange("admit", "address", fresh.Host.Name+":1"); status == 200 && f.AwaitDiskChange(time.Minute) {
+	if status, _ := f.RequestDiskChange("admit", "address", replacement.Host.Name+":1"); status == 200 && f.AwaitDiskChange(time.Minute) {
 		f.Tally.Count("disks_admitted")
 	}
 	if status, _ := f.RequestDiskChange("retire", "disk", id); status == 200 && f.AwaitDiskChange(time.Minute) {
--- a/internal/simulate/orders.go
+++ b/internal/simulate/orders.go
@@ -98,9 +98,9 @@
 
 // NewOrderRun builds a fleet and starts it; change, if not nil, changes the
 // fleet before it starts.
-func NewOrderRun(seed uint64, shape OrderShape, change func(f *Fleet)) *OrderRun {
+func NewOrderRun(seed uint64, shape OrderShape, prepare func(f *Fleet)) *OrderRun {
 	f := buildFleet(seed, Shape{Name: shape.Name, Zones: 4, Edges: shape.Gateways, Cores: shape.Cores, Storage: shape.Storage, Tolerate: shape.FaultTolerance, Found: true})
-	d := &OrderRun{Fleet: f, Rounds: 6, sentDocuments: map[string][][]byte{}, Kills: map[string]int{}}
+	r := &OrderRun{Fleet: f, Rounds: 6, sentDocuments: map[string][][]byte{}, Kills: map[string]int{}}
 	f.configure = func(_ *Machine, env *node.Env, place *node.Config) {
 		place.Bounds = &base.Bounds{SettingsApply: 2 * time.Second, Drain: 3 * time.Second, Recovery: shape.RecoveryBound, Retention: time.Minute}
 		env.Names = &platform.Names
@@ -114,27 +114,27 @@
 		}
 	}
 	f.Net.ResetOnExit = true
-	if change != nil {
-		change(f)
+	if prepare != nil {
+		prepare(f)
 	}
-	d.leaderKiller = leaderKiller{run: d, next: f.Net.Intercept}
-	f.Net.Intercept = d.leaderKiller.intercept
+	r.leaderKiller = leaderKiller{run: r, next: f.Net.Intercept}
+	f.Net.Intercept = r.leaderKiller.intercept
 	for _, m := range f.All() {
 		f.Start(m)
 	}
-	return d
+	return r
 }
 
 // encode spells an order's document; every spelling is of the same document.
-func (o Order) encode(spelling int64) []byte {
-	fill := map[bool]string{true: `"extra":1,"extra":2`, false: `"extra":[1.50,{"a":0}]`}[o.Invalid]
-	switch spelling {
+func (o Order) encode(variant int64) []byte {
+	extra := map[bool]string{true: `"extra":1,"extra":2`, false: `"extra":[1.50,{"a":0}]`}[o.Invalid]
+	switch variant {
 	case 0:
-		return fmt.Appendf(nil, `{"generation":%d,"limits":{"idle_ms":15000,"header_bytes":16384},"operator":%q,%s}`, o.Version, o.Document, fill)
+		return fmt.Appendf(nil, `{"generation":%d,"limits":{"idle_ms":15000,"header_bytes":16384},"operator":%q,%s}`, o.Version, o.Document, extra)
 	case 1:
-		return fmt.Appendf(nil, "{\n  \"operator\": %q, %s,\n  \"generation\": %d.0,\n  \"limits\": {\"header_bytes\": 1.6384e4, \"idle_ms\": 15000}\n}\n", o.Document, fill, o.Version)
+		return fmt.Appendf(nil, "{\n  \"operator\": %q, %s,\n  \"generation\": %d.0,\n  \"limits\": {\"header_bytes\": 1.6384e4, \"idle_ms\": 15000}\n}\n", o.Document, extra, o.Version)
 	}
-	return fmt.Appendf(nil, `{%s,"limits":{"header_bytes":16384.00,"idle_ms":1.5E+4},"\u0067eneration":%d,"operator":%q}`, fill, o.Version, o.Document)
+	return fmt.Appendf(nil, `{%s,"limits":{"header_bytes":16384.00,"idle_ms":1.5E+4},"\u0067eneration":%d,"operator":%q}`, extra, o.Version, o.Document)
 }
 
 const encodingVariants = 3
@@ -142,44 +142,44 @@
 func (o Order) key() string { return fmt.Sprintf("%d/%s", o.Version, o.Document) }
 
 // pendingCall makes one call to a core; status 0 is no clear answer.
-func (d *OrderRun) callCore(m *Machine, method, ifMatch string, body []byte) (status int, answer []byte) {
-	clock, patience := d.CallerHost.Clock(), parties.OrderPatience(len(body))
-	if m.Host.dark || d.World.Chance(requestLossRate) {
-		clock.Sleep(patience)
+func (r *OrderRun) callCore(m *Machine, method, ifMatch string, body []byte) (status int, answer []byte) {
+	clock, timeout := r.CallerHost.Clock(), parties.OrderPatience(len(body))
+	if m.Host.dark || r.World.Chance(requestLossRate) {
+		clock.Sleep(timeout)
 		return 0, nil
 	}
-	way := func() time.Duration { return d.World.Between(500*time.Microsecond, 3*time.Millisecond) }
-	clock.Sleep(way())
+	delay := func() time.Duration { return r.World.Between(500*time.Microsecond, 3*time.Millisecond) }
+	clock.Sleep(delay())
 	if !m.Host.alive || m.core == nil {
 		return 0, nil
 	}
-	core, replies := m.core, newPipe[answered](d.CallerHost)
-	d.World.spawn(m.Host, m.Host.life, d.World.now+way(), func() {
+	core, replies := m.core, newPipe[answered](r.CallerHost)
+	r.World.spawn(m.Host, m.Host.life, r.World.now+delay(), func() {
 		var header [][2]string
 		if ifMatch != "" {
 			header = append(header, [2]string{parties.HeaderIfMatch, ifMatch})
 		}
-		r := inProcess(method, parties.PathConfig, m.Host.Name, header, body)
-		platform.ServeOperator(r, m.Host.Clock(), core)
-		if !d.World.Chance(responseLossRate) {
-			replies.put(way(), answered{kind: answeredHead, status: r.Response.StatusCode(), bytes: bytes.Clone(r.Response.Body())})
+		request := inProcess(method, parties.PathConfig, m.Host.Name, header, body)
+		platform.ServeOperator(request, m.Host.Clock(), core)
+		if !r.World.Chance(responseLossRate) {
+			replies.put(delay(), answered{kind: answeredHead, status: request.Response.StatusCode(), bytes: bytes.Clone(request.Response.Body())})
 		}
 	})
-	one, ok := replies.next(clock.Now()+patience, nil)
+	reply, ok := replies.next(clock.Now()+timeout, nil)
 	if !ok {
 		return 0, nil
 	}
-	return one.status, one.bytes
+	return reply.status, reply.bytes
 }
 
 // SubmitOrder sends an order until it has a clear answer, or tries are over, and notes
 // how it went.
-func (d *OrderRun) SubmitOrder(sender int, order Order, tries int) OrderOutcome {
-	event := OrderEvent{Client: sender, Order: order, Start: d.World.Now()}
-	body := order.encode(d.World.Int64N(encodingVariants))
-	d.sentDocuments[order.key()] = append(d.sentDocuments[order.key()], body)
-	for try := 1; try <= tries && event.Outcome == OrderUnknown; try++ {
-		status, answer := d.callCore(d.pickMachine(d.Cores), "PUT", fmt.Sprint(order.Base), body)
+func (r *OrderRun) SubmitOrder(client int, order Order, maxAttempts int) OrderOutcome {
+	event := OrderEvent{Client: client, Order: order, Start: r.World.Now()}
+	body := order.encode(r.World.Int64N(encodingVariants))
+	r.sentDocuments[order.key()] = append(r.sentDocuments[order.key()], body)
+	for attempt := 1; attempt <= maxAttempts && event.Outcome == OrderUnknown; attempt++ {
+		status, answer := r.callCore(r.pickMachine(r.Cores), "PUT", fmt.Sprint(order.Base), body)
 		event.LastStatus = status
 		switch {
 		case status == 200:
@@ -187,148 +187,148 @@
 		case status == 400 || status == 412:
 			event.Outcome = OrderRefused
 		case status != 0 && status < 500:
-			d.Breaches = append(d.Breaches, fmt.Sprintf("order %+v was answered %d: %s", order, status, answer))
+			r.Breaches = append(r.Breaches, fmt.Sprintf("order %+v was answered %d: %s", order, status, answer))
 		default:
-			d.CallerHost.Clock().Sleep(parties.OrderPause(try))
+			r.CallerHost.Clock().Sleep(parties.OrderPause(attempt))
 		}
 	}
-	event.End = d.World.Now()
-	d.History = append(d.History, event)
+	event.End = r.World.Now()
+	r.History = append(r.History, event)
 	if event.Outcome == OrderAccepted && !order.Invalid {
-		d.ackedOrders = append(d.ackedOrders, order)
-		d.newestVersion = max(d.newestVersion, order.Version)
+		r.ackedOrders = append(r.ackedOrders, order)
+		r.newestVersion = max(r.newestVersion, order.Version)
 	}
 	return event.Outcome
 }
 
 // ReadConfig reads the configuration from any core, and notes what it was given.
-func (d *OrderRun) ReadConfig(sender int) (version uint64, ok bool) {
-	event := OrderEvent{Client: sender, Start: d.World.Now()}
-	status, raw := d.callCore(d.pickMachine(d.Cores), "GET", "", nil)
-	event.End, event.LastStatus = d.World.Now(), status
+func (r *OrderRun) ReadConfig(client int) (version uint64, ok bool) {
+	event := OrderEvent{Client: client, Start: r.World.Now()}
+	status, document := r.callCore(r.pickMachine(r.Cores), "GET", "", nil)
+	event.End, event.LastStatus = r.World.Now(), status
 	switch {
 	case status == 404:
 		event.Outcome = OrderRead
 	case status == 200:
-		event.Outcome, event.Order = OrderRead, d.identify(raw)
+		event.Outcome, event.Order = OrderRead, r.identify(document)
 	case status != 0 && status < 500:
-		d.Breaches = append(d.Breaches, fmt.Sprintf("a read was answered %d: %s", status, raw))
+		r.Breaches = append(r.Breaches, fmt.Sprintf("a read was answered %d: %s", status, document))
 	}
 	if event.Outcome == OrderRead {
-		d.History = append(d.History, event)
-		d.newestVersion = max(d.newestVersion, event.Order.Version)
+		r.History = append(r.History, event)
+		r.newestVersion = max(r.newestVersion, event.Order.Version)
 	}
 	return event.Order.Version, event.Outcome == OrderRead
 }
 
 // identify finds what was read among what was sent, byte for byte.
-func (d *OrderRun) identify(raw []byte) Order {
-	version := parties.GenerationOf(raw)
+func (r *OrderRun) identify(content []byte) Order {
+	version := parties.GenerationOf(content)
 	for _, document := range documentNames() {
 		order := Order{Version: version, Document: document}
-		for _, body := range d.sentDocuments[order.key()] {
-			if bytes.Equal(body, raw) {
+		for _, body := range r.sentDocuments[order.key()] {
+			if bytes.Equal(body, content) {
 				return order
 			}
 		}
 	}
-	d.Breaches = append(d.Breaches, fmt.Sprintf("what was read was never sent: %s", raw))
+	r.Breaches = append(r.Breaches, fmt.Sprintf("what was read was never sent: %s", content))
 	return Order{Version: version}
 }
 
 // documentNames are the documents that senders send; two senders of the same
 // runOperator share one.
 func documentNames() (names []string) {
-	for sender := range orderClients {
-		names = append(names, documentName(sender))
+	for client := range orderClients {
+		names = append(names, documentName(client))
 	}
 	return names
 }
 
-func documentName(sender int) string {
-	return fmt.Sprintf("operator %d, draft %d", sender%2, sender/4)
+func documentName(client int) string {
+	return fmt.Sprintf("operator %d, draft %d", client%2, client/4)
 }
 
 // Run has the senders send their orders under trouble, and then reads back and
 // sends again in calm.
-func (d *OrderRun) Run() {
-	trouble := true
-	d.CallerHost.Go(func() { d.injectFaults(func() bool { return trouble }) })
-	d.runRounds()
-	trouble = false
-	d.stopFaults()
-	d.CallerHost.Clock().Sleep(10 * time.Second)
-	d.audit()
+func (r *OrderRun) Run() {
+	faultsOn := true
+	r.CallerHost.Go(func() { r.injectFaults(func() bool { return faultsOn }) })
+	r.runRounds()
+	faultsOn = false
+	r.stopFaults()
+	r.CallerHost.Clock().Sleep(10 * time.Second)
+	r.audit()
 }
 
 // runRounds has each round start from one version, so that all senders collide.
-func (d *OrderRun) runRounds() {
-	clock := d.CallerHost.Clock()
-	for round := range d.Rounds {
-		start, step := d.newestVersion, 1+uint64(d.World.Int64N(3))
-		under := orderClients
+func (r *OrderRun) runRounds() {
+	clock := r.CallerHost.Clock()
+	for round := range r.Rounds {
+		baseVersion, step := r.newestVersion, 1+uint64(r.World.Int64N(3))
+		remaining := orderClients
 		done := base.NewNotifier(clock)
-		for sender := range orderClients {
-			d.CallerHost.Go(func() {
-				clock.Sleep(d.World.Between(0, 30*time.Millisecond))
-				d.runClient(sender, round, Order{Base: start, Version: start + step, Document: documentName(sender)})
-				under--
+		for client := range orderClients {
+			r.CallerHost.Go(func() {
+				clock.Sleep(r.World.Between(0, 30*time.Millisecond))
+				r.runClient(client, round, Order{Base: baseVersion, Version: baseVersion + step, Document: documentName(client)})
+				remaining--
 				done.Notify()
 			})
 		}
-		for next := done.Next(); under > 0; next = done.Next() {
+		for next := done.Next(); remaining > 0; next = done.Next() {
 			next.Wait(time.Second)
 		}
-		if d.newestVersion == start { // nothing is known to have been taken
-			d.ReadConfig(0)
+		if r.newestVersion == baseVersion { // nothing is known to have been taken
+			r.ReadConfig(0)
 		}
 	}
 }
 
 // submit is one sender's part of a round: an order, perhaps a bad one, the repeat
 // of one that was acknowledged, and a read.
-func (d *OrderRun) runClient(sender, round int, order Order) {
-	order.Invalid = (sender+round)%16 == 15
+func (r *OrderRun) runClient(client, round int, order Order) {
+	order.Invalid = (client+round)%16 == 15
 	if order.Invalid {
 		order.Document += ", invalid"
 	}
-	if d.World.Chance(0.1) {
-		order.Version += uint64(1 + d.World.Int64N(3))
+	if r.World.Chance(0.1) {
+		order.Version += uint64(1 + r.World.Int64N(3))
 	}
-	if d.World.Chance(0.05) && order.Base > 0 {
+	if r.World.Chance(0.05) && order.Base > 0 {
 		order.Base-- // of a version that was in force long ago, or never
 	}
-	tries := orderAttempts
-	if d.World.Chance(singleAttemptShare) {
-		tries = 1
+	attempts := orderAttempts
+	if r.World.Chance(singleAttemptShare) {
+		attempts = 1
 	}
-	d.SubmitOrder(sender, order, tries)
-	if d.World.Chance(0.5) && len(d.ackedOrders) > 0 {
-		d.SubmitOrder(sender, d.ackedOrders[d.World.Int64N(int64(len(d.ackedOrders)))], orderAttempts)
+	r.SubmitOrder(client, order, attempts)
+	if r.World.Chance(0.5) && len(r.ackedOrders) > 0 {
+		r.SubmitOrder(client, r.ackedOrders[r.World.Int64N(int64(len(r.ackedOrders)))], orderAttempts)
 	}
-	d.ReadConfig(sender)
+	r.ReadConfig(client)
 }
 
 // audit reads back and sends every order again that was acknowledged.
-func (d *OrderRun) audit() {
+func (r *OrderRun) audit() {
 	read := false
 	for range orderAttempts {
-		if _, read = d.ReadConfig(0); read {
+		if _, read = r.ReadConfig(0); read {
 			break
 		}
-		d.CallerHost.Clock().Sleep(500 * time.Millisecond)
+		r.CallerHost.Clock().Sleep(500 * time.Millisecond)
 	}
 	if !read {
-		d.Breaches = append(d.Breaches, "the configuration could not be read back in calm")
+		r.Breaches = append(r.Breaches, "the configuration could not be read back in calm")
 	}
-	again := map[Order]bool{}
-	for _, order := range append([]Order(nil), d.ackedOrders...) {
-		if again[order] {
+	repeated := map[Order]bool{}
+	for _, order := range append([]Order(nil), r.ackedOrders...) {
+		if repeated[order] {
 			continue
 		}
-		again[order] = true
-		if d.SubmitOrder(0, order, orderAttempts) != OrderAccepted {
-			d.Breaches = append(d.Breaches, fmt.Sprintf("order %+v was acknowledged, and is not acknowledged again", order))
+		repeated[order] = true
+		if r.SubmitOrder(0, order, orderAttempts) != OrderAccepted {
+			r.Breaches = append(r.Breaches, fmt.Sprintf("order %+v was acknowledged, and is not acknowledged again", order))
 		}
 	}
 }
--- a/internal/simulate/orders_faults.go
+++ b/internal/simulate/orders_faults.go
@@ -52,20 +52,20 @@
 }
 
 func (k *leaderKiller) intercept(m *Message) *http.Response {
-	kind := m.Path[strings.LastIndexByte(m.Path, '/')+1:]
+	step := m.Path[strings.LastIndexByte(m.Path, '/')+1:]
 	victim := k.victim(m)
-	if victim == nil || victim == k.spared || !k.isDue(kind) {
+	if victim == nil || victim == k.spared || !k.isDue(step) {
 		return k.forward(m)
 	}
 	if k.before {
-		k.kill(victim, "before "+kind)
+		k.kill(victim, "before "+step)
 		k.haltSender(victim, m)
 		return k.forward(m)
 	}
 	life := victim.Host.life
 	response := k.forward(m)
 	if victim.Host.life == life {
-		k.kill(victim, "after "+kind)
+		k.kill(victim, "after "+step)
 		k.haltSender(victim, m)
 	}
 	return response
@@ -86,13 +86,13 @@
 	host := m.From
 	switch {
 	case strings.Contains(m.Path, "Disk/"):
-		var claimed register.ConfirmRequest // the claim stands first in all of them
-		if proto.Unmarshal(m.Body, &claimed) != nil || claimed.Claim == nil || claimed.Claim.Slot != register.ShardOf(register.FeedGroup) {
+		var request register.ConfirmRequest // the claim stands first in all of them
+		if proto.Unmarshal(m.Body, &request) != nil || request.Claim == nil || request.Claim.Slot != register.ShardOf(register.FeedGroup) {
 			return nil
 		}
 	case strings.HasSuffix(m.Path, "Register/Change"):
-		var asked register.ChangeRequest
-		if proto.Unmarshal(m.Body, &asked) != nil || asked.Group != register.FeedGroup {
+		var change register.ChangeRequest
+		if proto.Unmarshal(m.Body, &change) != nil || change.Group != register.FeedGroup {
 			return nil
 		}
 		host = m.To
@@ -108,124 +108,124 @@
 }
 
 // isDue tells whether a leader ends at this step, and draws the next.
-func (k *leaderKiller) isDue(kind string) bool {
-	w := k.run.World
-	since := w.now - k.lastKill
-	if since < minKillInterval {
+func (k *leaderKiller) isDue(step string) bool {
+	world := k.run.World
+	sinceLast := world.now - k.lastKill
+	if sinceLast < minKillInterval {
 		return false
 	}
-	if k.nextStep == "" || since > stepSearchTimeout {
-		k.nextStep, k.before, k.stepsLeft = leaderSteps[w.Int64N(int64(len(leaderSteps)))], w.Chance(0.5), 1+w.Int64N(maxStepsBeforeKill)
-		k.lastKill = w.now - minKillInterval
+	if k.nextStep == "" || sinceLast > stepSearchTimeout {
+		k.nextStep, k.before, k.stepsLeft = leaderSteps[world.Int64N(int64(len(leaderSteps)))], world.Chance(0.5), 1+world.Int64N(maxStepsBeforeKill)
+		k.lastKill = world.now - minKillInterval
 	}
-	if kind != k.nextStep {
+	if step != k.nextStep {
 		return false
 	}
 	k.stepsLeft--
 	if k.stepsLeft > 0 {
 		return false
 	}
-	k.nextStep, k.lastKill = "", w.now
+	k.nextStep, k.lastKill = "", world.now
 	return true
 }
 
 // kill kills a core and starts it again a while later.
 func (k *leaderKiller) kill(m *Machine, step string) {
-	d := k.run
-	d.Kill(m)
-	d.Kills[step]++
-	d.CallerHost.Go(func() {
-		d.CallerHost.Clock().Sleep(d.World.Between(100*time.Millisecond, 1500*time.Millisecond))
+	r := k.run
+	r.Kill(m)
+	r.Kills[step]++
+	r.CallerHost.Go(func() {
+		r.CallerHost.Clock().Sleep(r.World.Between(100*time.Millisecond, 1500*time.Millisecond))
 		if !m.Host.alive {
-			d.Start(m)
+			r.Start(m)
 		}
 	})
 }
 
 // setWorkerFaultRates harms one machine after another while it goes on; at most one machine
 // with a disk at a time.
-func (d *OrderRun) injectFaults(going func() bool) {
-	clock := d.CallerHost.Clock()
+func (r *OrderRun) injectFaults(running func() bool) {
+	clock := r.CallerHost.Clock()
 	clock.Sleep(4 * time.Second) // until the cluster was formed
-	d.Net.Faults = NetworkFaults{LossRate: 0.005, DelayRate: 0.02, DuplicateRate: 0.02, MaxExtraDelay: 400 * time.Millisecond}
-	d.leaderKiller.active = !d.StaleLeadersOnly
+	r.Net.Faults = NetworkFaults{LossRate: 0.005, DelayRate: 0.02, DuplicateRate: 0.02, MaxExtraDelay: 400 * time.Millisecond}
+	r.leaderKiller.active = !r.StaleLeadersOnly
 	kinds := int64(6)
-	if d.StaleLeadersOnly {
+	if r.StaleLeadersOnly {
 		kinds = 2
 	}
-	for going() {
-		clock.Sleep(d.World.Between(200*time.Millisecond, 1500*time.Millisecond))
-		span := d.World.Between(300*time.Millisecond, 4*time.Second)
-		switch d.World.Int64N(kinds) {
+	for running() {
+		clock.Sleep(r.World.Between(200*time.Millisecond, 1500*time.Millisecond))
+		span := r.World.Between(300*time.Millisecond, 4*time.Second)
+		switch r.World.Int64N(kinds) {
 		case 0:
-			d.isolateFor(d.leader(), span)
+			r.isolateFor(r.leader(), span)
 		case 1:
-			d.freezeFor(d.leader(), span)
+			r.freezeFor(r.leader(), span)
 		case 2:
-			d.isolateFor(d.pickMachine(d.Cores), span)
+			r.isolateFor(r.pickMachine(r.Cores), span)
 		case 3:
-			d.freezeFor(d.pickMachine(d.Storage), span)
+			r.freezeFor(r.pickMachine(r.Storage), span)
 		case 4:
-			d.restartAfter(d.pickMachine(d.Storage), d.PowerLoss, span)
+			r.restartAfter(r.pickMachine(r.Storage), r.PowerLoss, span)
 		case 5:
-			d.restartAfter(d.pickMachine(d.Storage), d.Kill, span)
+			r.restartAfter(r.pickMachine(r.Storage), r.Kill, span)
 		}
 	}
 }
 
 // leader is the core that serves the configuration's shard, or any.
-func (d *OrderRun) leader() *Machine {
-	serving := base.Filter(d.Cores, func(m *Machine) bool {
+func (r *OrderRun) leader() *Machine {
+	serving := base.Filter(r.Cores, func(m *Machine) bool {
 		return m.core != nil && m.Host.alive && m.core.RegisterServer.LeadsFeed()
 	})
 	if len(serving) == 0 {
-		return d.pickMachine(d.Cores)
+		return r.pickMachine(r.Cores)
 	}
 	return serving[0]
 }
 
 // isolateFor separates a machine from all others, in both directions or in one;
 // operators reach it throughout.
-func (d *OrderRun) isolateFor(m *Machine, span time.Duration) {
-	d.leaderKiller.spared = m
-	defer func() { d.leaderKiller.spared = nil }()
-	into, out := d.World.Chance(0.8), d.World.Chance(0.8)
-	for _, other := range base.SortedKeys(d.World.Hosts) {
+func (r *OrderRun) isolateFor(m *Machine, span time.Duration) {
+	r.leaderKiller.spared = m
+	defer func() { r.leaderKiller.spared = nil }()
+	inbound, outbound := r.World.Chance(0.8), r.World.Chance(0.8)
+	for _, other := range base.SortedKeys(r.World.Hosts) {
 		if other == m.Host.Name {
 			continue
 		}
-		if into || !out {
-			d.Net.CutLink(other, m.Host.Name)
+		if inbound || !outbound {
+			r.Net.CutLink(other, m.Host.Name)
 		}
-		if out {
-			d.Net.CutLink(m.Host.Name, other)
+		if outbound {
+			r.Net.CutLink(m.Host.Name, other)
 		}
 	}
-	d.CallerHost.Clock().Sleep(span)
-	d.Net.Heal()
+	r.CallerHost.Clock().Sleep(span)
+	r.Net.Heal()
 }
 
-func (d *OrderRun) freezeFor(m *Machine, span time.Duration) {
+func (r *OrderRun) freezeFor(m *Machine, span time.Duration) {
 	if !m.Host.alive {
 		return
 	}
 	m.Host.Freeze()
-	d.CallerHost.Clock().Sleep(span)
-	d.leaderKiller.spared = m // for a while after it wakes
+	r.CallerHost.Clock().Sleep(span)
+	r.leaderKiller.spared = m // for a while after it wakes
 	m.Host.Thaw()
-	d.CallerHost.Clock().Sleep(500 * time.Millisecond)
-	d.leaderKiller.spared = nil
+	r.CallerHost.Clock().Sleep(500 * time.Millisecond)
+	r.leaderKiller.spared = nil
 }
 
-func (d *OrderRun) restartAfter(m *Machine, end func(*Machine), span time.Duration) {
+func (r *OrderRun) restartAfter(m *Machine, end func(*Machine), span time.Duration) {
 	end(m)
-	d.CallerHost.Clock().Sleep(span)
-	d.Start(m)
+	r.CallerHost.Clock().Sleep(span)
+	r.Start(m)
 }
 
 // noFaults ends all trouble.
-func (d *OrderRun) stopFaults() {
-	d.leaderKiller.active = false
-	d.Net.Faults = NetworkFaults{}
-	d.Net.Heal()
+func (r *OrderRun) stopFaults() {
+	r.leaderKiller.active = false
+	r.Net.Faults = NetworkFaults{}
+	r.Net.Heal()
 }
--- a/internal/simulate/orders_model.go
+++ b/internal/simulate/orders_model.go
@@ -32,12 +32,12 @@
 // step tells whether a register in a state may answer a call so, and gives the
 // state after.
 func (s orderState) step(order Order, outcome OrderOutcome) (bool, orderState) {
-	own := chainEntry(order.Base, order.Version, order.Document)
-	repeated := strings.Contains(s.accepted, own)
+	entry := chainEntry(order.Base, order.Version, order.Document)
+	repeated := strings.Contains(s.accepted, entry)
 	applies := !order.Invalid && order.Base == s.current.version && order.Version > order.Base
 	next := s
 	if applies {
-		next = orderState{acceptedConfig{order.Version, order.Document}, s.accepted + own}
+		next = orderState{acceptedConfig{order.Version, order.Document}, s.accepted + entry}
 	}
 	switch outcome {
 	case OrderAccepted:
@@ -61,14 +61,14 @@
 
 // CheckLinearizable checks a history: Ok, Illegal, or Unknown when the time that is
 // given is over before it is known.
-func CheckLinearizable(history []OrderEvent, within time.Duration) porcupine.CheckResult {
+func CheckLinearizable(history []OrderEvent, timeout time.Duration) porcupine.CheckResult {
 	operations := make([]porcupine.Operation, 0, len(history))
 	for _, event := range history {
-		ended := int64(event.End)
+		end := int64(event.End)
 		if event.Outcome == OrderUnknown {
-			ended = math.MaxInt64 // it may be taken at any time after it was sent
+			end = math.MaxInt64 // it may be taken at any time after it was sent
 		}
-		operations = append(operations, porcupine.Operation{ClientId: event.Client, Input: event.Order, Call: int64(event.Start), Output: event.Outcome, Return: ended})
+		operations = append(operations, porcupine.Operation{ClientId: event.Client, Input: event.Order, Call: int64(event.Start), Output: event.Outcome, Return: end})
 	}
-	return porcupine.CheckOperationsTimeout(orderModel, operations, within)
+	return porcupine.CheckOperationsTimeout(orderModel, operations, timeout)
 }
--- a/internal/simulate/orders_test.go
+++ b/internal/simulate/orders_test.go
@@ -22,32 +22,32 @@
 const linearizabilityTimeout = 2 * time.Minute
 
 // runOrders plays a day and gives what is wrong with it.
-func runOrders(seed uint64, shape OrderShape, stale bool, change func(f *Fleet)) (*OrderRun, []string) {
-	d := NewOrderRun(seed, shape, change)
-	d.StaleLeadersOnly = stale
-	defer d.World.Close()
+func runOrders(seed uint64, shape OrderShape, staleLeadersOnly bool, prepare func(f *Fleet)) (*OrderRun, []string) {
+	run := NewOrderRun(seed, shape, prepare)
+	run.StaleLeadersOnly = staleLeadersOnly
+	defer run.World.Close()
 	done := false
-	d.CallerHost.Go(func() {
-		d.Run()
+	run.CallerHost.Go(func() {
+		run.Run()
 		done = true
 	})
-	if !d.World.Run(time.Hour, func() bool { return done }) {
-		return d, append(d.Breaches, "the day did not end")
+	if !run.World.Run(time.Hour, func() bool { return done }) {
+		return run, append(run.Breaches, "the day did not end")
 	}
-	wrong := d.Breaches
-	if result := CheckLinearizable(d.History, linearizabilityTimeout); result != porcupine.Ok {
-		wrong = append(wrong, fmt.Sprintf("the history of %d calls is not linearizable: %s", len(d.History), result))
+	breaches := run.Breaches
+	if result := CheckLinearizable(run.History, linearizabilityTimeout); result != porcupine.Ok {
+		breaches = append(breaches, fmt.Sprintf("the history of %d calls is not linearizable: %s", len(run.History), result))
 	}
-	return d, wrong
+	return run, breaches
 }
 
-func (d *OrderRun) summary() string {
+func (r *OrderRun) summary() string {
 	count := map[OrderOutcome]int{}
-	for _, event := range d.History {
+	for _, event := range r.History {
 		count[event.Outcome]++
 	}
-	return fmt.Sprintf("%d versions, %d acknowledged, %d refused, %d unclear, %d read, kills %v, %.0f s", d.newestVersion, count[OrderAccepted], count[OrderRefused], count[OrderUnknown],
-		count[OrderRead], d.Kills, d.World.Now().Seconds())
+	return fmt.Sprintf("%d versions, %d acknowledged, %d refused, %d unclear, %d read, kills %v, %.0f s", r.newestVersion, count[OrderAccepted], count[OrderRefused], count[OrderUnknown],
+		count[OrderRead], r.Kills, r.World.Now().Seconds())
 }
 
 func TestOrdersAreLinearizable(t *testing.T) {
@@ -55,10 +55,10 @@
 		t.Run(shape.Name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= uint64(*seedCount); seed++ {
-				d, wrong := runOrders(seed, shape, seed%4 == 0, nil)
-				t.Logf("seed %d: %s", seed, d.summary())
-				for _, one := range wrong {
-					t.Errorf("seed %d: %s", seed, one)
+				run, breaches := runOrders(seed, shape, seed%4 == 0, nil)
+				t.Logf("seed %d: %s", seed, run.summary())
+				for _, breach := range breaches {
+					t.Errorf("seed %d: %s", seed, breach)
 				}
 			}
 		})
@@ -136,14 +136,14 @@
 	} {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const most = 40 // a seed that shows the fault ends the search
-			for seed := uint64(1); seed <= most; seed++ {
-				if d, wrong := runOrders(seed, OrderShapes[0], row.stale, row.take); len(wrong) > 0 {
-					t.Logf("seed %d, %s: %s", seed, d.summary(), wrong)
+			const maxSeeds = 40 // a seed that shows the fault ends the search
+			for seed := uint64(1); seed <= maxSeeds; seed++ {
+				if run, breaches := runOrders(seed, OrderShapes[0], row.stale, row.take); len(breaches) > 0 {
+					t.Logf("seed %d, %s: %s", seed, run.summary(), breaches)
 					return
 				}
 			}
-			t.Errorf("%d seeds showed nothing", most)
+			t.Errorf("%d seeds showed nothing", maxSeeds)
 		})
 	}
 }
@@ -152,28 +152,28 @@
 // also after leaders were killed and all machines lost their power.
 func TestRepeatedOrderIsAcknowledgedAfterManyVersions(t *testing.T) {
 	t.Parallel()
-	d := NewOrderRun(1, OrderShapes[0], nil)
-	defer d.World.Close()
+	run := NewOrderRun(1, OrderShapes[0], nil)
+	defer run.World.Close()
 	done := false
 	orders := []Order{{}}
 	next := func(number int) Order {
 		return Order{Base: orders[number-1].Version, Version: uint64(3*number + number%2), Document: documentName(number % orderClients)}
 	}
-	take := func(number int) {
+	submit := func(number int) {
 		order := next(number)
-		if d.SubmitOrder(0, order, orderAttempts) != OrderAccepted {
+		if run.SubmitOrder(0, order, orderAttempts) != OrderAccepted {
 			t.Errorf("order %d was not taken", number)
 		}
 		orders = append(orders, order)
 	}
 	repeat := func(number int, others []Order) {
-		for range d.Cores {
-			if outcome := d.SubmitOrder(0, orders[number], orderAttempts); outcome != OrderAccepted {
+		for range run.Cores {
+			if outcome := run.SubmitOrder(0, orders[number], orderAttempts); outcome != OrderAccepted {
 				t.Errorf("order %d of %d: %d when repeated", number, len(orders)-1, outcome)
 			}
 		}
 		for _, other := range others {
-			if outcome := d.SubmitOrder(0, other, orderAttempts); outcome != OrderRefused {
+			if outcome := run.SubmitOrder(0, other, orderAttempts); outcome != OrderRefused {
 				t.Errorf("%+v, in the place of order %d of %d: %d", other, number, len(orders)-1, outcome)
 			}
 		}
@@ -189,44 +189,44 @@
 			}
 		}
 	}
-	d.CallerHost.Go(func() {
-		d.CallerHost.Clock().Sleep(3 * time.Second)
+	run.CallerHost.Go(func() {
+		run.CallerHost.Clock().Sleep(3 * time.Second)
 		for number := 1; number <= 3001; number++ {
-			take(number)
+			submit(number)
 			switch number {
 			case 66, 501, 3001:
 				repeats()
 			}
 			if number%500 == 250 {
-				leader := d.leader()
-				d.Kill(leader)
-				d.Start(leader)
+				leader := run.leader()
+				run.Kill(leader)
+				run.Start(leader)
 			}
 		}
-		for _, m := range d.All() {
-			d.PowerLoss(m)
+		for _, m := range run.All() {
+			run.PowerLoss(m)
 		}
-		for _, m := range d.All() {
-			d.Start(m)
+		for _, m := range run.All() {
+			run.Start(m)
 		}
 		repeats()
 		done = true
 	})
-	if !d.World.Run(5*time.Hour, func() bool { return done }) {
+	if !run.World.Run(5*time.Hour, func() bool { return done }) {
 		t.Fatal("it did not end")
 	}
-	told := 0
-	for key, value := range d.Gateways[0].gateway.Follower.Snapshot().Values {
+	received := 0
+	for key, value := range run.Gateways[0].gateway.Follower.Snapshot().Values {
 		if key != route.FeedKey && strings.HasPrefix(key, "routes/") {
 			t.Errorf("a gateway was told %s", key)
 		}
-		told += len(key) + len(value)
+		received += len(key) + len(value)
 	}
-	t.Logf("%d versions in %.0f s; a gateway was told %d bytes", len(orders)-1, d.World.Now().Seconds(), told)
-	if told > 4096 {
-		t.Errorf("a gateway was told %d bytes", told)
+	t.Logf("%d versions in %.0f s; a gateway was told %d bytes", len(orders)-1, run.World.Now().Seconds(), received)
+	if received > 4096 {
+		t.Errorf("a gateway was told %d bytes", received)
 	}
-	for _, one := range d.Breaches {
-		t.Error(one)
+	for _, breach := range run.Breaches {
+		t.Error(breach)
 	}
 }
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -34,14 +34,14 @@
 				f.PowerLoss(m)
 			}
 			call.sleep(time.Second)
-			back := f.All()
+			pending := f.All()
 			lost := f.pickMachine(f.Storage) // one disk does not come back
-			for len(back) > 0 {
-				place := f.World.Int64N(int64(len(back)))
-				if back[place] != lost {
-					f.Start(back[place])
+			for len(pending) > 0 {
+				index := f.World.Int64N(int64(len(pending)))
+				if pending[index] != lost {
+					f.Start(pending[index])
 				}
-				back = append(back[:place], back[place+1:]...)
+				pending = append(pending[:index], pending[index+1:]...)
 				call.sleep(f.World.Between(0, 300*time.Millisecond))
 			}
 			took := f.waitUntilServing(time.Minute)
@@ -242,17 +242,17 @@
 func TestIsolatedLeaderConfirmsNothing(t *testing.T) {
 	t.Parallel()
 	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
-		var owner, other *Machine
+		var leader, other *Machine
 		for _, m := range f.Cores {
 			slots, _ := m.core.RegisterServer.Status()
 			if slices.Contains(slots, 0) {
-				owner = m
+				leader = m
 			} else {
 				other = m
 			}
 		}
-		is.True(owner != nil && other != nil)
-		f.Net.Isolate(map[string]bool{owner.Host.Name: true, f.Gateways[0].Host.Name: true})
+		is.True(leader != nil && other != nil)
+		f.Net.Isolate(map[string]bool{leader.Host.Name: true, f.Gateways[0].Host.Name: true})
 		status := 0
 		for status != 200 {
 			status, _ = f.OperatorRequest(other, "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.settingsWithMarker("new")})
@@ -260,7 +260,7 @@
 		}
 		call.sleep(2 * time.Second)
 		is.True(!f.Gateways[0].gateway.Follower.HasLease())
-		status, _ = f.OperatorRequest(owner, "GET", "/v1/operator/settings", nil)
+		status, _ = f.OperatorRequest(leader, "GET", "/v1/operator/settings", nil)
 		is.Equal(status, 503)
 		for _, m := range f.Gateways[1:] {
 			is.True(m.gateway.Follower.HasLease())
