--- a/internal/conn/transport.go
+++ b/internal/conn/transport.go
@@ -95,7 +95,7 @@
 
 // connectTimeout bounds the time to establish a connection. A machine without power
 // does not answer at all, so callers would otherwise wait for their whole deadline.
-var connectTimeout = base.DefaultBounds().Recover / 48
+var connectTimeout = base.DefaultBounds().Recovery / 48
 
 // Client is the HTTP client that twirp's clients use between nodes.
 type Client struct {
@@ -153,12 +153,12 @@
 	ctx, ok := request.Context().Value(base.CtxKey).(*base.Ctx)
 	timeLeft := 10 * time.Second
 	if ok {
-		timeLeft = ctx.Left()
+		timeLeft = ctx.Remaining()
 	}
 	if timeLeft <= 0 {
 		return nil, &base.NotSent{Cause: context.DeadlineExceeded}
 	}
-	base.StampRequest(request, timeLeft)
+	base.SetMessageHeaders(request, timeLeft)
 	id := strconv.FormatUint(c.lastMessageID.Add(1), 36)
 	request.Header.Set(base.MessageIDHeader, id)
 	c.onSend()
--- a/internal/disk/commit.go
+++ b/internal/disk/commit.go
@@ -34,7 +34,7 @@
 		s.counters.Add("disk_declined_full", 1)
 		if s.logBytes+s.previousLogBytes > s.checkpointBytes/4+16*sectorSize && !s.checkpointRequested {
 			s.checkpointRequested = true // a new checkpoint may need less space than the logs
-			s.commitBell.Ring()
+			s.commitBell.Notify()
 		}
 		return nil, "full"
 	}
@@ -48,7 +48,7 @@
 	p := &pendingEntry{entry: encodeEntry(kind, payload), done: s.clock.NewSignal()}
 	s.queue = append(s.queue, p)
 	s.queuedBytes += len(p.entry)
-	s.commitBell.Ring()
+	s.commitBell.Notify()
 	return p, ""
 }
 
@@ -157,7 +157,7 @@
 			if !isFull(err) {
 				return err
 			}
-			s.clock.Sleep(base.DefaultBounds().DiskLimit() / 10)
+			s.clock.Sleep(base.DefaultBounds().DiskTimeout() / 10)
 		}
 	}
 }
--- a/internal/disk/install.go
+++ b/internal/disk/install.go
@@ -111,7 +111,7 @@
 // transfer.
 func (svc *Service) InstallPart(_ context.Context, request *register.InstallPartRequest) (*register.Ack, error) {
 	if !request.Valid() {
-		return nil, base.ToWire(base.Decline(400, "bad_part", "invalid part: it has no claim or no valid snapshot, is too large or lies outside its snapshot"))
+		return nil, base.ToTwirpError(base.Decline(400, "bad_part", "invalid part: it has no claim or no valid snapshot, is too large or lies outside its snapshot"))
 	}
 	s, claim, snapshot := svc.store, request.Claim, request.Snapshot
 	s.mu.Lock()
--- a/internal/disk/install_test.go
+++ b/internal/disk/install_test.go
@@ -250,7 +250,7 @@
 				is.Equal(fmt.Sprintf("%d %d %s", r.Installed, r.Seq, r.values["former"]), "1 1 value")
 				is.True(r.stagedBytes(x.snapshot) >= acked.Load())
 			}
-			tornTails += counters.Frame()["disk_tails_cut"]
+			tornTails += counters.Snapshot()["disk_tails_cut"]
 			other := *x
 			other.testDisk = &testDisk{is: is, files: files, store: store, service: NewService(store, d.service.timeout), set: d.set, id: d.id}
 			other.sendRest()
@@ -266,9 +266,9 @@
 		complete.Store(offset == x.snapshot.Size)
 	}
 	d.close()
-	t.Logf("%d power losses, %d torn tails truncated, outcomes %v, %d checkpoints", losses, tornTails, outcomes, d.store.counters.Frame()["disk_frames"])
+	t.Logf("%d power losses, %d torn tails truncated, outcomes %v, %d checkpoints", losses, tornTails, outcomes, d.store.counters.Snapshot()["disk_frames"])
 	// The number of checkpoints depends on the disk's random id; it is at least one.
-	is.True(tornTails > 0 && d.store.counters.Frame()["disk_frames"] >= 1)
+	is.True(tornTails > 0 && d.store.counters.Snapshot()["disk_frames"] >= 1)
 }
 
 // A log may repeat parts that its checkpoint covers. Replaying them changes nothing.
--- a/internal/disk/peer_addresses.go
+++ b/internal/disk/peer_addresses.go
@@ -27,7 +27,7 @@
 
 // WritePeerAddresses saves the addresses of the fleet's nodes and syncs the file.
 func WritePeerAddresses(files Files, addresses []string) error {
-	if err := files.Replace(peerAddressesFileName, encodeRecord(0, 0, 0, base.Encode(addresses))); err != nil {
+	if err := files.Replace(peerAddressesFileName, encodeRecord(0, 0, 0, base.MustMarshal(addresses))); err != nil {
 		return errors.Trace(err)
 	}
 	return errors.Trace(files.Sync(peerAddressesFileName))
--- a/internal/disk/service.go
+++ b/internal/disk/service.go
@@ -76,7 +76,7 @@
 	if s.id != "" {
 		defer s.mu.Unlock()
 		if request.Set.GetCluster() != "" && s.set != nil && s.set.Cluster != "" && s.set.Cluster != request.Set.Cluster {
-			return nil, base.ToWire(base.Decline(409, "other_cluster", "disk %s belongs to another cluster", s.id))
+			return nil, base.ToTwirpError(base.Decline(409, "other_cluster", "disk %s belongs to another cluster", s.id))
 		}
 		return svc.diskState(), nil
 	}
@@ -87,7 +87,7 @@
 		reason = s.awaitSync(p, svc.timeout)
 	}
 	if reason != "" {
-		return nil, base.ToWire(base.Unsure(503, "disk_"+reason, "the disk could not be formatted: %s", reason))
+		return nil, base.ToTwirpError(base.Indeterminate(503, "disk_"+reason, "the disk could not be formatted: %s", reason))
 	}
 	return state, nil
 }
--- a/internal/disk/store_test.go
+++ b/internal/disk/store_test.go
@@ -235,7 +235,7 @@
 			for seq := r.Seq; seq > 0 && seq+4 > r.Seq; seq-- {
 				is.Equal(len(r.values[fmt.Sprint("k", seq%4)]), 2000+int(seq))
 			}
-			tornTails += counters.Frame()["disk_tails_cut"]
+			tornTails += counters.Snapshot()["disk_tails_cut"]
 			store.Close()
 		}
 	}
@@ -245,7 +245,7 @@
 		acked.Store(seq)
 	}
 	d.close()
-	checkpoints := d.store.counters.Frame()["disk_frames"]
+	checkpoints := d.store.counters.Snapshot()["disk_frames"]
 	t.Logf("%d power losses, %d torn tails truncated, %d checkpoints", losses, tornTails, checkpoints)
 	is.True(tornTails > 100 && checkpoints >= 2)
 }
@@ -292,7 +292,7 @@
 	is.True(d.install(1, 0).Ok)
 	d.setMinLogBytes(64 << 10)
 	seq := uint64(0)
-	for ; d.store.counters.Frame()["disk_frames"] < 2 || seq%5 != 0; seq++ {
+	for ; d.store.counters.Snapshot()["disk_frames"] < 2 || seq%5 != 0; seq++ {
 		is.True(d.append(1, seq+1, fmt.Sprint("k", seq%50), string(make([]byte, 3000))).Ok)
 	}
 	for range 5 {
@@ -378,7 +378,7 @@
 	d.setMinLogBytes(1 << 20)
 	big := string(make([]byte, 100<<10))
 	seq := uint64(0)
-	for d.store.counters.Frame()["disk_frames"] < 3 {
+	for d.store.counters.Snapshot()["disk_frames"] < 3 {
 		seq++
 		is.True(d.append(1, seq, fmt.Sprint("k", seq%4), big).Ok)
 		is.True(seq < 500)
@@ -450,10 +450,10 @@
 	files.err = nil
 	is.Equal(d.promise(2, "o").Ack.Why, "broken") // the state in memory may not be on the disk
 	is.True(strings.Contains(d.store.Ready().Error(), "restart"))
-	checkpoints := d.store.counters.Frame()["disk_frames"]
+	checkpoints := d.store.counters.Snapshot()["disk_frames"]
 	reopened, err := Open(base.NewRealClock(), files, d.store.counters)
 	is.NoErr(err)
-	is.Equal(d.store.counters.Frame()["disk_frames"], checkpoints+1)
+	is.Equal(d.store.counters.Snapshot()["disk_frames"], checkpoints+1)
 	is.True(reopened.replicas[3].Promised >= 1)
 	reopened.Close()
 }
@@ -490,7 +490,7 @@
 	d.service.timeout = 5 * time.Second
 	is.True(d.promise(1, "o").Ack.Ok) // there is space again: the waiting entry is written first
 	is.True(d.append(1, 3, "k3", "v3").Ok)
-	is.True(store.counters.Frame()["disk_met_full"] > 0)
+	is.True(store.counters.Snapshot()["disk_met_full"] > 0)
 	is.NoErr(store.Ready())
 	store.Close()
 	files, err = OpenFolder(path, 0)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -21,7 +21,7 @@
 // machine is a simulated storage machine.
 type machine struct {
 	host       *simulate.Host
-	files      *simulate.Files
+	files      *simulate.Disk
 	counters   *base.Counters
 	diskID     string
 	set        *register.DiskSet
@@ -41,7 +41,7 @@
 	t              *testing.T
 	world          *simulate.World
 	net            *simulate.Net
-	bounds         *base.Table[base.Bounds]
+	bounds         *base.AtomicPointer[base.Bounds]
 	faultTolerance int
 	machines       []*machine
 	set            *register.DiskSet
@@ -53,9 +53,9 @@
 // runFleet builds a fleet and runs a test as a task on a host of its own.
 func runFleet(t *testing.T, seed uint64, storeCount, faultTolerance int, test func(f *fleet)) {
 	t.Helper()
-	f := &fleet{is: is.New(t), t: t, world: simulate.NewWorld(seed), faultTolerance: faultTolerance, bounds: &base.Table[base.Bounds]{}}
+	f := &fleet{is: is.New(t), t: t, world: simulate.NewWorld(seed), faultTolerance: faultTolerance, bounds: &base.AtomicPointer[base.Bounds]{}}
 	f.net = simulate.NewNet(f.world)
-	f.bounds.Swap(base.DefaultBounds())
+	f.bounds.Store(base.DefaultBounds())
 	f.testHost = f.world.NewHost("test", "zone-0")
 	f.set = &register.DiskSet{Stamp: 1, Cluster: "c"}
 	for i := 0; i < storeCount; i++ {
@@ -92,7 +92,7 @@
 		report += fmt.Sprintf("\n%s %s up %v", m.host.Name, m.diskID, m.running)
 		if m.store != nil {
 			state, _ := m.store.Describe(context.Background(), nil)
-			report += fmt.Sprintf(" %v %v", state, m.counters.Frame())
+			report += fmt.Sprintf(" %v %v", state, m.counters.Snapshot())
 		}
 	}
 	return report
@@ -102,7 +102,7 @@
 func (f *fleet) addMachine() *machine {
 	i := len(f.machines)
 	m := &machine{host: f.world.NewHost(fmt.Sprintf("store-%d", i), fmt.Sprintf("zone-%d", i%4)), diskID: fmt.Sprintf("d%d", i)}
-	m.files = simulate.NewFiles(m.host)
+	m.files = simulate.NewDisk(m.host)
 	f.machines = append(f.machines, m)
 	return m
 }
@@ -119,7 +119,7 @@
 		server := ledger.NewLedgerServer(opened)
 		mux := http.NewServeMux()
 		mux.Handle(server.PathPrefix(), server)
-		m.host.Serve(base.Receive(m.host.Clock(), mux))
+		m.host.Serve(base.HandleMessages(m.host.Clock(), mux))
 		opened.Run()
 	})
 }
@@ -285,12 +285,12 @@
 	runFleet(t, 1, 4, 1, func(f *fleet) {
 		c := f.newClient(1)
 		sessions := f.newSessions(c, 20, 4)
-		messages := f.net.Messages
+		messages := f.net.MessageCount
 		sessions[3].runTurn()
-		f.is.Equal(f.net.Messages-messages, 4) // Begin and Finish to two stores each
-		messages = f.net.Messages
+		f.is.Equal(f.net.MessageCount-messages, 4) // Begin and Finish to two stores each
+		messages = f.net.MessageCount
 		sessions[3].checkChain(f.newClient(2), sessions[3].program)
-		f.is.True(f.net.Messages-messages <= 4)
+		f.is.True(f.net.MessageCount-messages <= 4)
 		for _, s := range sessions {
 			s.checkChain(c, s.program)
 			s.checkChain(c, "another")
--- a/internal/simulate/mending.go
+++ b/internal/simulate/mending.go
@@ -13,7 +13,7 @@
 	var newest *register.DiskSet
 	for _, m := range f.Cores {
 		if m.Host.alive && !m.Host.frozen && m.core != nil {
-			if known := m.core.Owner.KnownDiskSet(); known.GetStamp() > newest.GetStamp() {
+			if known := m.core.RegisterServer.KnownDiskSet(); known.GetStamp() > newest.GetStamp() {
 				newest = known
 			}
 		}
@@ -48,7 +48,7 @@
 func (f *Fleet) until(limit time.Duration, reached func() bool) time.Duration {
 	began := f.World.Now()
 	for !reached() && f.World.Now()-began < limit {
-		f.Callers.Clock().Sleep(5 * time.Millisecond)
+		f.CallerHost.Clock().Sleep(5 * time.Millisecond)
 	}
 	return f.World.Now() - began
 }
