--- a/internal/disk/commit.go
+++ b/internal/disk/commit.go
@@ -28,13 +28,15 @@
 	if err != nil {
 		panic(err)
 	}
+	// Each batch is written twice, and the next checkpoint may need as much space as the
+	// current one and one copy of the log.
 	freeBytes := s.files.FreeBytes() - 2*int64(s.queuedBytes) - int64(s.checkpointBytes+s.logBytes/2)
 	reserved := int64(s.checkpointBytes+s.minLogBytes/4) / reserveDivisor
 	if !freesSpace && (s.full || freeBytes < int64(2*len(payload)+sectorSize)+reserved) {
 		s.counters.Add("disk_declined_full", 1)
 		if s.logBytes+s.previousLogBytes > s.checkpointBytes/4+16*sectorSize && !s.checkpointRequested {
 			s.checkpointRequested = true // a new checkpoint may need less space than the logs
-			s.commitBell.Notify()
+			s.commitNotifier.Notify()
 		}
 		return nil, "full"
 	}
@@ -48,7 +50,7 @@
 	p := &pendingEntry{entry: encodeEntry(kind, payload), done: s.clock.NewSignal()}
 	s.queue = append(s.queue, p)
 	s.queuedBytes += len(p.entry)
-	s.commitBell.Notify()
+	s.commitNotifier.Notify()
 	return p, ""
 }
 
@@ -58,7 +60,7 @@
 	defer s.committerDone.Fire()
 	for {
 		s.mu.Lock()
-		wakeup := s.commitBell.Next()
+		wakeup := s.commitNotifier.Next()
 		batch := s.queue
 		s.queue = nil
 		closed := s.closed
--- a/internal/disk/files.go
+++ b/internal/disk/files.go
@@ -24,6 +24,7 @@
 	Replace(name string, data []byte) error
 	Truncate(name string, size int) error
 	Sync(name string) error
+	// FreeBytes returns the space that is left for all files.
 	FreeBytes() int64
 }
 
--- a/internal/disk/install_test.go
+++ b/internal/disk/install_test.go
@@ -47,22 +47,22 @@
 
 // sendPart sends the part at an offset; at the end, it has no data and only returns
 // the progress.
-func (x *transfer) sendPart(offset uint64) *register.Ack {
-	end := min(offset+register.PartBytes, x.snapshot.Size)
-	ack, err := x.service.InstallPart(context.Background(), &register.InstallPartRequest{Claim: x.claim(x.epoch, x.leader),
-		Snapshot: x.snapshot, Offset: offset, Data: x.data[offset:end]})
-	x.is.NoErr(err)
+func (t *transfer) sendPart(offset uint64) *register.Ack {
+	end := min(offset+register.PartBytes, t.snapshot.Size)
+	ack, err := t.service.InstallPart(context.Background(), &register.InstallPartRequest{Claim: t.claim(t.epoch, t.leader),
+		Snapshot: t.snapshot, Offset: offset, Data: t.data[offset:end]})
+	t.is.NoErr(err)
 	return ack
 }
 
 // probe returns the progress without sending data.
-func (x *transfer) probe() *register.Ack { return x.sendPart(x.snapshot.Size) }
+func (t *transfer) probe() *register.Ack { return t.sendPart(t.snapshot.Size) }
 
 // sendRest sends all parts that the disk lacks and returns their number.
-func (x *transfer) sendRest() (parts int) {
-	for ack := x.probe(); ack.Staged < x.snapshot.Size; parts++ {
-		ack = x.sendPart(ack.Staged)
-		x.is.True(ack.Ok)
+func (t *transfer) sendRest() (parts int) {
+	for ack := t.probe(); ack.Staged < t.snapshot.Size; parts++ {
+		ack = t.sendPart(ack.Staged)
+		t.is.True(ack.Ok)
 	}
 	return parts
 }
@@ -83,20 +83,20 @@
 	is.True(d.install(1, 0).Ok)
 	is.True(d.append(1, 1, "former", "value").Ok)
 	is.True(d.promise(2, "o").Ack.Ok)
-	x := d.newTransfer(2, 9, largeContent(1, 3))
-	is.Equal(x.probe().Staged, uint64(0))
-	is.Equal(x.sendPart(0).Staged, uint64(register.PartBytes))
-	is.Equal(x.sendPart(0).Staged, uint64(register.PartBytes))                    // repeated
-	is.Equal(x.sendPart(2*register.PartBytes).Staged, uint64(register.PartBytes)) // a gap
-	is.Equal(d.append(2, 10, "k", "v").Why, "behind")                             // not installed yet
+	transfer := d.newTransfer(2, 9, largeContent(1, 3))
+	is.Equal(transfer.probe().Staged, uint64(0))
+	is.Equal(transfer.sendPart(0).Staged, uint64(register.PartBytes))
+	is.Equal(transfer.sendPart(0).Staged, uint64(register.PartBytes))                    // repeated
+	is.Equal(transfer.sendPart(2*register.PartBytes).Staged, uint64(register.PartBytes)) // a gap
+	is.Equal(d.append(2, 10, "k", "v").Why, "behind")                                    // not installed yet
 	is.Equal(string(d.store.replicas[3].values["former"]), "value")
 	is.Equal(d.store.replicas[3].Installed, uint64(1))
-	is.True(x.sendRest() == 3) // the encoding is a little longer than three parts
+	is.True(transfer.sendRest() == 3) // the encoding is a little longer than three parts
 	is.Equal(d.store.replicas[3].Installed, uint64(2))
 	is.Equal(d.store.replicas[3].Seq, uint64(9))
 	is.Equal(len(d.store.replicas[3].values), 6)
 	is.True(d.store.replicas[3].staged == nil)
-	is.Equal(x.sendPart(0).Staged, x.snapshot.Size) // a delayed copy of a part changes nothing
+	is.Equal(transfer.sendPart(0).Staged, transfer.snapshot.Size) // a delayed copy of a part changes nothing
 	is.True(d.append(2, 10, "k", "v").Ok)
 	d.close()
 }
@@ -107,23 +107,23 @@
 	is := is.New(t)
 	d := newTestDisk(is, newMemFiles())
 	is.True(d.promise(1, "o").Ack.Ok)
-	x := d.newTransfer(1, 9, largeContent(1, 3))
-	x.sendPart(0)
+	transfer := d.newTransfer(1, 9, largeContent(1, 3))
+	transfer.sendPart(0)
 	d.close()
-	x.testDisk = d.reopenOn(d.files) // restored from the log
-	is.Equal(x.probe().Staged, uint64(register.PartBytes))
-	x.sendPart(register.PartBytes)
-	is.NoErr(x.store.writeCheckpoint()) // restored from the checkpoint
-	x.testDisk.close()
-	x.testDisk = d.reopenOn(d.files)
-	is.Equal(x.probe().Staged, uint64(2*register.PartBytes))
-	is.True(x.promise(2, "p").Ack.Ok) // another leader that sends the same content continues
-	is.Equal(x.probe().Why, "epoch")
-	x.epoch, x.leader = 2, "p"
-	is.Equal(x.probe().Staged, uint64(2*register.PartBytes))
-	is.Equal(x.sendRest(), 2)
-	is.Equal(x.store.replicas[3].Installed, uint64(2))
-	x.testDisk.close()
+	transfer.testDisk = d.reopenOn(d.files) // restored from the log
+	is.Equal(transfer.probe().Staged, uint64(register.PartBytes))
+	transfer.sendPart(register.PartBytes)
+	is.NoErr(transfer.store.writeCheckpoint()) // the next restart reads the checkpoint
+	transfer.testDisk.close()
+	transfer.testDisk = d.reopenOn(d.files)
+	is.Equal(transfer.probe().Staged, uint64(2*register.PartBytes))
+	is.True(transfer.promise(2, "p").Ack.Ok) // another leader that sends the same content continues
+	is.Equal(transfer.probe().Why, "epoch")
+	transfer.epoch, transfer.leader = 2, "p"
+	is.Equal(transfer.probe().Staged, uint64(2*register.PartBytes))
+	is.Equal(transfer.sendRest(), 2)
+	is.Equal(transfer.store.replicas[3].Installed, uint64(2))
+	transfer.testDisk.close()
 }
 
 // A newer snapshot of the same leader discards the staged parts of an older one.
@@ -147,18 +147,18 @@
 	is := is.New(t)
 	d := newTestDisk(is, newMemFiles())
 	is.True(d.promise(1, "o").Ack.Ok)
-	x := d.newTransfer(1, 9, largeContent(1, 1))
-	good := x.data
-	x.data = bytes.Clone(good)
-	x.data[100]++
-	is.Equal(x.sendPart(0).Staged, uint64(register.PartBytes))
-	ack := x.sendPart(register.PartBytes)
+	transfer := d.newTransfer(1, 9, largeContent(1, 1))
+	good := transfer.data
+	transfer.data = bytes.Clone(good)
+	transfer.data[100]++
+	is.Equal(transfer.sendPart(0).Staged, uint64(register.PartBytes))
+	ack := transfer.sendPart(register.PartBytes)
 	is.True(!ack.Ok)
 	is.Equal(ack.Why, "damaged")
 	is.Equal(ack.Staged, uint64(0))
 	is.Equal(d.store.replicas[3].Installed, uint64(0))
-	x.data = good
-	is.Equal(x.sendRest(), 2)
+	transfer.data = good
+	is.Equal(transfer.sendRest(), 2)
 	is.Equal(d.store.replicas[3].Installed, uint64(1))
 	d.close()
 }
@@ -168,20 +168,20 @@
 	d := newTestDisk(is, newMemFiles())
 	is.True(d.promise(1, "o").Ack.Ok)
 	snapshot, data := register.EncodeSnapshot(9, largeContent(1, 1))
-	for name, change := range map[string]func(x *register.InstallPartRequest){
-		"no snapshot":    func(x *register.InstallPartRequest) { x.Snapshot = nil },
-		"no claim":       func(x *register.InstallPartRequest) { x.Claim = nil },
-		"past the end":   func(x *register.InstallPartRequest) { x.Offset = snapshot.Size },
-		"wraps around":   func(x *register.InstallPartRequest) { x.Offset = 1<<64 - 8 },
-		"part too large": func(x *register.InstallPartRequest) { x.Data = make([]byte, register.PartBytes+1) },
-		"endless": func(x *register.InstallPartRequest) {
-			x.Snapshot = &register.Snapshot{Size: 1 << 40, Digest: snapshot.Digest}
+	for name, change := range map[string]func(request *register.InstallPartRequest){
+		"no snapshot":    func(request *register.InstallPartRequest) { request.Snapshot = nil },
+		"no claim":       func(request *register.InstallPartRequest) { request.Claim = nil },
+		"past the end":   func(request *register.InstallPartRequest) { request.Offset = snapshot.Size },
+		"wraps around":   func(request *register.InstallPartRequest) { request.Offset = 1<<64 - 8 },
+		"part too large": func(request *register.InstallPartRequest) { request.Data = make([]byte, register.PartBytes+1) },
+		"endless": func(request *register.InstallPartRequest) {
+			request.Snapshot = &register.Snapshot{Size: 1 << 40, Digest: snapshot.Digest}
 		},
-		"no digest": func(x *register.InstallPartRequest) { x.Snapshot = &register.Snapshot{Size: snapshot.Size} },
+		"no digest": func(request *register.InstallPartRequest) { request.Snapshot = &register.Snapshot{Size: snapshot.Size} },
 	} {
-		x := &register.InstallPartRequest{Claim: d.claim(1, "o"), Snapshot: snapshot, Data: data[:register.PartBytes]}
-		change(x)
-		_, err := d.service.InstallPart(context.Background(), x)
+		request := &register.InstallPartRequest{Claim: d.claim(1, "o"), Snapshot: snapshot, Data: data[:register.PartBytes]}
+		change(request)
+		_, err := d.service.InstallPart(context.Background(), request)
 		is.True(err != nil) // name
 		_ = name
 	}
@@ -198,18 +198,18 @@
 	puts := largeContent(1, 2)
 	d.newTransfer(1, 9, puts).sendRest()
 	is.True(d.promise(2, "p").Ack.Ok)
-	x := d.newTransfer(2, 9, puts)
-	x.leader = "p"
-	is.Equal(x.sendRest(), 0)
+	transfer := d.newTransfer(2, 9, puts)
+	transfer.leader = "p"
+	is.Equal(transfer.sendRest(), 0)
 	is.Equal(d.store.replicas[3].Installed, uint64(2))
 	d.close()
 	reopened := d.reopenOn(d.files)
 	is.Equal(reopened.store.replicas[3].Installed, uint64(2))
 	is.Equal(len(reopened.store.replicas[3].values), 4)
 	is.True(reopened.promise(3, "p").Ack.Ok)
-	other := reopened.newTransfer(3, 9, largeContent(2, 2)) // the same sequence number, other content
-	other.leader = "p"
-	is.True(other.sendRest() > 2)
+	otherContent := reopened.newTransfer(3, 9, largeContent(2, 2)) // the same sequence number, other content
+	otherContent.leader = "p"
+	is.True(otherContent.sendRest() > 2)
 	reopened.close()
 }
 
@@ -228,7 +228,7 @@
 	is.True(d.append(1, 1, "former", "value").Ok)
 	is.True(d.promise(2, "o").Ack.Ok)
 	d.setMinLogBytes(256 << 10)
-	x := d.newTransfer(2, 9, largeContent(1, 6))
+	transfer := d.newTransfer(2, 9, largeContent(1, 6))
 	var acked atomic.Uint64 // written here, read by the committer
 	var complete atomic.Bool
 	losses, tornTails, outcomes := 0, int64(0), map[string]int{}
@@ -248,22 +248,22 @@
 				outcomes["former"]++
 				is.True(!complete.Load())
 				is.Equal(fmt.Sprintf("%d %d %s", r.Installed, r.Seq, r.values["former"]), "1 1 value")
-				is.True(r.stagedBytes(x.snapshot) >= acked.Load())
+				is.True(r.stagedBytes(transfer.snapshot) >= acked.Load())
 			}
 			tornTails += counters.Snapshot()["disk_tails_cut"]
-			other := *x
-			other.testDisk = &testDisk{is: is, files: files, store: store, service: NewService(store, d.service.timeout), set: d.set, id: d.id}
-			other.sendRest()
+			resumed := *transfer
+			resumed.testDisk = &testDisk{is: is, files: files, store: store, service: NewService(store, d.service.timeout), set: d.set, id: d.id}
+			resumed.sendRest()
 			is.Equal(fmt.Sprint(r.Installed, r.Seq, len(store.replicas[3].values)), "2 9 12")
 			store.Close()
 		}
 	}
-	for offset := uint64(0); offset < x.snapshot.Size; {
-		ack := x.sendPart(offset)
+	for offset := uint64(0); offset < transfer.snapshot.Size; {
+		ack := transfer.sendPart(offset)
 		is.True(ack.Ok)
 		offset = ack.Staged
 		acked.Store(ack.Staged)
-		complete.Store(offset == x.snapshot.Size)
+		complete.Store(offset == transfer.snapshot.Size)
 	}
 	d.close()
 	t.Logf("%d power losses, %d torn tails truncated, outcomes %v, %d checkpoints", losses, tornTails, outcomes, d.store.counters.Snapshot()["disk_frames"])
@@ -282,9 +282,9 @@
 		log = append(log, encodeEntry(kind, payload))
 		is.NoErr(d.store.applyEntry(kind, payload))
 	}
-	logPart := func(x *transfer, offset uint64) {
-		logEntry(kindInstallPart, &register.InstallPartRequest{Claim: d.claim(x.epoch, x.leader), Snapshot: x.snapshot, Offset: offset,
-			Data: x.data[offset:min(offset+register.PartBytes, x.snapshot.Size)]})
+	logPart := func(from *transfer, offset uint64) {
+		logEntry(kindInstallPart, &register.InstallPartRequest{Claim: d.claim(from.epoch, from.leader), Snapshot: from.snapshot, Offset: offset,
+			Data: from.data[offset:min(offset+register.PartBytes, from.snapshot.Size)]})
 	}
 	superseded, first := d.newTransfer(1, 4, largeContent(1, 2)), d.newTransfer(1, 7, largeContent(2, 1))
 	stale, second := d.newTransfer(2, 8, largeContent(4, 2)), d.newTransfer(2, 9, largeContent(3, 4))
--- a/internal/disk/record.go
+++ b/internal/disk/record.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	fileMagic       = "fsd"
+	fileMagic       = "fsd" // first bytes of each record
 	formatVersion   = 2
-	headerSize      = 36
-	entryHeaderSize = 5
+	headerSize      = 36 // of a record
+	entryHeaderSize = 5  // of a log entry: one byte for the kind, four for the length
 	sectorSize      = 4096
 )
 
@@ -44,9 +44,12 @@
 	return isUnknownVersion || cause == errForeignFile
 }
 
+// checkpointFileName returns the name of the file of a generation's checkpoint.
 func checkpointFileName(generation uint64) string {
 	return "slot-" + strconv.FormatUint(generation%2, 10)
 }
+
+// logFileName returns the name of the file of a generation's log.
 func logFileName(generation uint64) string { return "log-" + strconv.FormatUint(generation%2, 10) }
 
 // encodeRecord returns a record: a header, with a checksum of the header and one of
--- a/internal/disk/store.go
+++ b/internal/disk/store.go
@@ -82,7 +82,7 @@
 	previousLogBytes    int                 // size of the log before the newest checkpoint
 	queue               []*pendingEntry     // entries of the next batch
 	queuedBytes         int                 // size of entries that are queued or being written
-	commitBell          *base.Notifier      // wakes the committer
+	commitNotifier      *base.Notifier      // wakes the committer
 	checkpointRequested bool                // a checkpoint is wanted before the log is long enough
 	full                bool                // the batch being written waits for free space
 	failure             error               // the write error that ended the disk's vote
@@ -94,7 +94,7 @@
 
 // Open loads the state from the files and starts the committer.
 func Open(clock base.Clock, files Files, counters *base.Counters) (*Store, error) {
-	s := &Store{clock: clock, files: files, counters: counters, replicas: map[uint32]*replica{}, commitBell: base.NewNotifier(clock), committerDone: clock.NewSignal(), minLogBytes: defaultMinLogBytes}
+	s := &Store{clock: clock, files: files, counters: counters, replicas: map[uint32]*replica{}, commitNotifier: base.NewNotifier(clock), committerDone: clock.NewSignal(), minLogBytes: defaultMinLogBytes}
 	if err := s.load(); err != nil {
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.commitBell.Notify()
+	s.commitNotifier.Notify()
 }
 
 // Ready returns nil if the disk may vote, or the reason why not.
--- a/internal/disk/store_test.go
+++ b/internal/disk/store_test.go
@@ -262,16 +262,16 @@
 		log = append(log, encodeEntry(kind, payload))
 		is.NoErr(d.store.applyEntry(kind, payload))
 	}
-	put := func(epoch, seq uint64, key, value string) {
+	logPut := func(epoch, seq uint64, key, value string) {
 		logEntry(kindAppend, &register.AppendRequest{Claim: d.claim(epoch, "o"), Entries: []*register.Entry{{Seq: seq, Puts: []*register.Put{{Key: key, Value: []byte(value)}}}}})
 	}
 	logEntry(kindInstall, &register.InstallRequest{Claim: d.claim(1, "o"), Seq: 4})
-	put(1, 5, "k", "old")
-	put(1, 6, "k", "new")
+	logPut(1, 5, "k", "old")
+	logPut(1, 6, "k", "new")
 	logEntry(kindPromise, d.claim(2, "p"))
 	logEntry(kindInstall, &register.InstallRequest{Claim: d.claim(2, "p"), Seq: 6, Puts: []*register.Put{{Key: "k", Value: []byte("new")}}})
-	put(2, 7, "k", "newer")
-	put(2, 8, "k", "newest")
+	logPut(2, 7, "k", "newer")
+	logPut(2, 8, "k", "newest")
 	for last := range log {
 		for _, entry := range log[:last+1] {
 			is.NoErr(d.store.applyBatch(entry))
@@ -376,11 +376,11 @@
 	is.True(d.promise(1, "o").Ack.Ok)
 	is.True(d.install(1, 0).Ok)
 	d.setMinLogBytes(1 << 20)
-	big := string(make([]byte, 100<<10))
+	large := string(make([]byte, 100<<10))
 	seq := uint64(0)
 	for d.store.counters.Snapshot()["disk_frames"] < 3 {
 		seq++
-		is.True(d.append(1, seq, fmt.Sprint("k", seq%4), big).Ok)
+		is.True(d.append(1, seq, fmt.Sprint("k", seq%4), large).Ok)
 		is.True(seq < 500)
 	}
 	for range 3 {
