--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -241,7 +241,7 @@
 		return base.Busy(503, "no_settings", 1, "no settings have been applied")
 	}
 	if !g.Follower.HasLease() {
-		return base.Busy(503, "no_confirmed_settings", 1, "the lease on the settings has expired and is not renewed yet")
+		return base.Busy(503, "no_confirmed_settings", 1, "this node holds no valid lease on the settings")
 	}
 	if g.view.Self().Leaving {
 		return base.Busy(503, "draining", 1, "this node is leaving")
@@ -335,7 +335,7 @@
 // Ready returns nil if this core can reach the control state.
 func (c *Core) Ready() error {
 	if !c.Follower.HasLease() {
-		return base.Busy(503, "no_confirmed_state", 1, "the lease on the control state has expired and is not renewed yet")
+		return base.Busy(503, "no_confirmed_state", 1, "this core holds no valid lease on the control state")
 	}
 	return nil
 }
--- a/internal/operate/storage.go
+++ b/internal/operate/storage.go
@@ -60,14 +60,14 @@
 		}
 		set.Disks = append(set.Disks, &register.DiskEntry{Id: state.Id, Addr: addr, Zone: zones[addr], Node: state.Node})
 	}
-	members := 0
+	joined := 0
 	for _, addr := range addrs {
 		state, err := h.diskClient(addr).Describe(ctx, &register.DescribeRequest{})
 		if err == nil && len(state.Set.GetDisks()) > 0 {
-			members++
+			joined++
 		}
 	}
-	if members == len(addrs) {
+	if joined == len(addrs) {
 		return nil, base.Decline(409, "cluster_exists", "these machines already form cluster %s", set.Cluster)
 	}
 	for _, entry := range set.Disks {
@@ -178,7 +178,7 @@
 		return nil, base.Busy(503, "no_disks", 1, "no disk set is known; check that init was run")
 	}
 	var mu sync.Mutex
-	highest := map[uint32]uint64{}
+	highestSeqs := map[uint32]uint64{}
 	states := map[string]*register.DiskState{}
 	zones := map[string]string{}
 	for _, entry := range set.Disks {
@@ -196,7 +196,7 @@
 		defer mu.Unlock()
 		states[addr] = state
 		for shard, seq := range state.Seqs {
-			highest[shard] = max(highest[shard], seq)
+			highestSeqs[shard] = max(highestSeqs[shard], seq)
 		}
 	})
 	mu.Lock()
@@ -206,7 +206,7 @@
 	for _, entry := range set.Disks {
 		view := DiskView{ID: entry.Id, Addr: entry.Addr, Zone: zones[entry.Addr], Node: entry.Node, Voting: !entry.Learner}
 		if state := states[entry.Addr]; state != nil && state.Id == entry.Id {
-			view.Alive, view.UsedBytes, view.MissingEntries = true, state.UsedBytes, missingEntries(state, highest)
+			view.Alive, view.UsedBytes, view.MissingEntries = true, state.UsedBytes, missingEntries(state, highestSeqs)
 		}
 		listed[entry.Id] = true
 		views = append(views, view)
@@ -231,9 +231,9 @@
 
 // missingEntries returns by shard how far a disk is behind the newest entry of any
 // disk.
-func missingEntries(state *register.DiskState, highest map[uint32]uint64) map[uint32]uint64 {
+func missingEntries(state *register.DiskState, highestSeqs map[uint32]uint64) map[uint32]uint64 {
 	missing := map[uint32]uint64{}
-	for shard, seq := range highest {
+	for shard, seq := range highestSeqs {
 		if state.Seqs[shard] < seq {
 			missing[shard] = seq - state.Seqs[shard]
 		}
--- a/internal/simulate/parties.go
+++ b/internal/simulate/parties.go
@@ -126,7 +126,7 @@
 	return reply, nil
 }
 
-// Forget has nothing to do: connections in memory are not kept.
+// DropIdle has nothing to do: connections in memory are not kept.
 func (b *Backends) DropIdle(string) {}
 
 // Asker sends callers' requests to the simulated gateways.
--- a/internal/workerconn/client.go
+++ b/internal/workerconn/client.go
@@ -33,7 +33,7 @@
 	return &Client{dialTimeout: dialTimeout, pool: newPool(dialTimeout, counters)}
 }
 
-// Forget closes the idle connections of a worker incarnation.
+// DropIdle closes the idle connections of a worker incarnation.
 func (c *Client) DropIdle(worker string) { c.pool.forget(worker) }
 
 // unpooledReply is a reply on a connection used for one request only. Both the
@@ -139,10 +139,10 @@
 	}
 }
 
-// Closes reports whether the worker will close the connection.
+// ClosesConnection reports whether the worker will close the connection.
 func (r *unpooledReply) ClosesConnection() bool { return r.response.ConnectionClose() }
 
-// Line returns the next line of the body including its line ending, and io.EOF
+// ReadLine returns the next line of the body including its line ending, and io.EOF
 // after a complete body.
 func (r *unpooledReply) ReadLine(timeout time.Duration) ([]byte, error) {
 	var line []byte
@@ -157,7 +157,7 @@
 	return line, nil
 }
 
-// Body returns the whole body, which may not exceed maxBytes.
+// ReadBody returns the whole body, which may not exceed maxBytes.
 func (r *unpooledReply) ReadBody(timeout time.Duration, maxBytes int) ([]byte, error) {
 	length := r.response.Header.ContentLength()
 	if length == lengthUntilClose {
--- a/internal/workerconn/reply.go
+++ b/internal/workerconn/reply.go
@@ -106,7 +106,7 @@
 // Header returns the value of a response header.
 func (r *pooledReply) Header(name string) string { return string(r.response.Header.Peek(name)) }
 
-// Closes reports whether the worker will close the connection.
+// ClosesConnection reports whether the worker will close the connection.
 func (r *pooledReply) ClosesConnection() bool { return r.response.ConnectionClose() }
 
 // EachHeader calls visit for every header line.
@@ -157,7 +157,7 @@
 	return err
 }
 
-// Line returns the next line of the body including its line ending, and io.EOF
+// ReadLine returns the next line of the body including its line ending, and io.EOF
 // after a complete body.
 func (r *pooledReply) ReadLine(timeout time.Duration) ([]byte, error) {
 	if r.endErr != nil {
@@ -196,7 +196,7 @@
 	}
 }
 
-// Body returns the whole body, which may not exceed maxBytes.
+// ReadBody returns the whole body, which may not exceed maxBytes.
 func (r *pooledReply) ReadBody(timeout time.Duration, maxBytes int) ([]byte, error) {
 	switch {
 	case r.body == nil:
