--- a/internal/model/bootstrap.go
+++ b/internal/model/bootstrap.go
@@ -11,30 +11,30 @@
 	maxBallots = 12
 )
 
-// Bootstrap is the world of the seeds that decide on the first set. Each try of
-// a seed brings a set of its own, named by its ballot. A seed may come back
-// without memory at any step; a message may arrive at any time after it was
-// sent, again, or never.
+// Bootstrap models the seeds that decide on the first replica set by
+// single-decree Paxos. Each ballot of a seed proposes a set of its own, which is
+// identified by the ballot. A seed may restart without its state at any step. A
+// message may be delayed, duplicated or lost.
 type Bootstrap struct {
 	Rules BootstrapRules
 	Seeds int
-	// MaxBallot is the highest ballot that is tried.
+	// MaxBallot is the highest ballot that a seed starts.
 	MaxBallot uint8
-	// MaxRestarts is how many seeds come back without memory.
+	// MaxRestarts is how many restarts of seeds there may be in all.
 	MaxRestarts int
 }
 
-// BootstrapRules are the decisions of the seeds.
+// BootstrapRules are the decision functions of the seeds.
 type BootstrapRules struct {
 	Prepare func(vote consensus.Acceptor[uint8], ballot uint64) (consensus.Acceptor[uint8], bool)
 	Accept  func(vote consensus.Acceptor[uint8], ballot uint64, value uint8) (consensus.Acceptor[uint8], bool)
 	Learn   func(proposal consensus.Proposal[uint8], accepted uint64, value uint8) consensus.Proposal[uint8]
 	Quorum  func(seeds int) int
-	// FirstIncarnationOnly has a seed that came back neither vote nor propose.
+	// FirstIncarnationOnly keeps a seed that has restarted from voting and proposing.
 	FirstIncarnationOnly bool
 }
 
-// ImplementedBootstrapRules are the decisions that run in production.
+// ImplementedBootstrapRules returns the rules that run in production.
 func ImplementedBootstrapRules() BootstrapRules {
 	return BootstrapRules{
 		Prepare:              consensus.Acceptor[uint8].Prepare,
@@ -45,190 +45,196 @@
 	}
 }
 
-// seedState is a seed's vote and its own try.
+// seedState is a seed's state as an acceptor and as the proposer of its own
+// ballot.
 type seedState struct {
-	promised uint8
-	accepted uint8
-	value    uint8
-	restarts uint8
-	// ballot is that of its try, 0 while it has none; the proposal is what it
-	// would have the others vote for, and prepared and supported are those that
-	// answered.
-	ballot    uint8
-	proposed  uint8
-	newest    uint8
-	prepared  uint8
-	supported uint8
-}
-
-// BootstrapState is a state of Bootstrap.
+	promisedBallot uint8
+	acceptedBallot uint8
+	acceptedValue  uint8
+	restarts       uint8
+	// ballot is the seed's own ballot, 0 before it starts one. proposedValue is
+	// the value to propose under it, and highestAccepted is the ballot under which
+	// that value was accepted before, 0 if it is the seed's own. preparedBy and
+	// acceptedBy are bit masks of the seeds whose answers arrived.
+	ballot          uint8
+	proposedValue   uint8
+	highestAccepted uint8
+	preparedBy      uint8
+	acceptedBy      uint8
+}
+
+// BootstrapState is a state of the Bootstrap model.
 type BootstrapState struct {
 	seeds [maxSeeds]seedState
-	// sent is what each ballot asked the seeds to accept, 0 before it did; its
-	// messages may still arrive.
-	sent    [maxBallots + 1]uint8
-	begun   uint16
-	decided uint8
-	broken  violation
+	// sentValues are the values that the seeds were asked to accept, by ballot, 0
+	// if not asked yet. The messages may arrive at any later time.
+	sentValues     [maxBallots + 1]uint8
+	startedBallots uint16
+	decided        uint8
+	violation      violation
 }
 
 const (
-	stepTry uint8 = iota + 128
+	stepNewBallot uint8 = iota + 128
 	stepPrepare
-	stepAsk
+	stepSendAccept
 	stepAccept
 	stepRestart
 )
 
-// Initial has seeds that have not voted.
-func (w *Bootstrap) Initial() BootstrapState { return BootstrapState{} }
+// Initial returns a state in which no seed has voted.
+func (b *Bootstrap) Initial() BootstrapState { return BootstrapState{} }
 
-// Violation names the invariant that is broken.
-func (w *Bootstrap) Violation(state *BootstrapState) string { return invariantNames[state.broken] }
+// Violation returns the name of the violated invariant, if any.
+func (b *Bootstrap) Violation(state *BootstrapState) string { return invariantNames[state.violation] }
 
-func (s seedState) vote() consensus.Acceptor[uint8] {
-	return consensus.Acceptor[uint8]{Promised: uint64(s.promised), Accepted: uint64(s.accepted), Value: s.value}
+func (s seedState) acceptor() consensus.Acceptor[uint8] {
+	return consensus.Acceptor[uint8]{Promised: uint64(s.promisedBallot), Accepted: uint64(s.acceptedBallot), Value: s.acceptedValue}
 }
 
-func (s seedState) withVote(next consensus.Acceptor[uint8]) seedState {
-	s.promised, s.accepted, s.value = uint8(next.Promised), uint8(next.Accepted), next.Value
+func (s seedState) withAcceptor(next consensus.Acceptor[uint8]) seedState {
+	s.promisedBallot, s.acceptedBallot, s.acceptedValue = uint8(next.Promised), uint8(next.Accepted), next.Value
 	return s
 }
 
 func (s seedState) proposal() consensus.Proposal[uint8] {
-	return consensus.Proposal[uint8]{Accepted: uint64(s.newest), Value: s.proposed}
+	return consensus.Proposal[uint8]{Accepted: uint64(s.highestAccepted), Value: s.proposedValue}
 }
 
-// takesPart tells that a seed votes and proposes.
-func (w *Bootstrap) takesPart(seed seedState) bool {
-	return seed.restarts == 0 || !w.Rules.FirstIncarnationOnly
+// participates reports whether a seed votes and proposes.
+func (b *Bootstrap) participates(seed seedState) bool {
+	return seed.restarts == 0 || !b.Rules.FirstIncarnationOnly
 }
 
-// Steps visits every step of every seed.
-func (w *Bootstrap) Steps(state *BootstrapState, visit func(Step, *BootstrapState)) {
-	for place := range uint8(w.Seeds) {
-		if w.takesPart(state.seeds[place]) {
-			w.tries(state, place, visit)
+// Steps visits the state after each possible step of each seed.
+func (b *Bootstrap) Steps(state *BootstrapState, visit func(Step, *BootstrapState)) {
+	for index := range uint8(b.Seeds) {
+		if b.participates(state.seeds[index]) {
+			b.proposerSteps(state, index, visit)
 		}
-		w.restarts(state, place, visit)
+		b.restartSteps(state, index, visit)
 	}
-	for ballot := uint8(1); ballot <= w.MaxBallot; ballot++ {
-		if state.begun&(1<<ballot) == 0 {
+	for ballot := uint8(1); ballot <= b.MaxBallot; ballot++ {
+		if state.startedBallots&(1<<ballot) == 0 {
 			continue
 		}
-		for place := range uint8(w.Seeds) {
-			if w.takesPart(state.seeds[place]) {
-				w.votes(state, ballot, place, visit)
+		for index := range uint8(b.Seeds) {
+			if b.participates(state.seeds[index]) {
+				b.acceptorSteps(state, ballot, index, visit)
 			}
 		}
 	}
 }
 
-// tries has a seed begin a try, and go on with it once enough have promised.
-func (w *Bootstrap) tries(state *BootstrapState, place uint8, visit func(Step, *BootstrapState)) {
-	seed := state.seeds[place]
-	ballot := consensus.NextBallot(uint64(seed.promised), w.Seeds, int(place))
-	if ballot <= uint64(w.MaxBallot) {
+// proposerSteps lets a seed start a ballot, or ask the seeds to accept its
+// proposal once a quorum has promised the ballot.
+func (b *Bootstrap) proposerSteps(state *BootstrapState, index uint8, visit func(Step, *BootstrapState)) {
+	seed := state.seeds[index]
+	ballot := consensus.NextBallot(uint64(seed.promisedBallot), b.Seeds, int(index))
+	if ballot <= uint64(b.MaxBallot) {
 		next := *state
-		trying := &next.seeds[place]
-		trying.promised, trying.ballot = uint8(ballot), uint8(ballot)
-		trying.proposed, trying.newest = uint8(ballot), 0
-		trying.prepared, trying.supported = 0, 0
-		next.begun |= 1 << ballot
-		visit(Step{stepTry, [4]uint8{place, uint8(ballot)}}, &next)
+		proposer := &next.seeds[index]
+		proposer.promisedBallot, proposer.ballot = uint8(ballot), uint8(ballot)
+		proposer.proposedValue, proposer.highestAccepted = uint8(ballot), 0
+		proposer.preparedBy, proposer.acceptedBy = 0, 0
+		next.startedBallots |= 1 << ballot
+		visit(Step{stepNewBallot, [4]uint8{index, uint8(ballot)}}, &next)
 	}
-	if seed.ballot > 0 && state.sent[seed.ballot] == 0 && countBits(int(seed.prepared)) >= w.Rules.Quorum(w.Seeds) {
+	if seed.ballot > 0 && state.sentValues[seed.ballot] == 0 && countBits(int(seed.preparedBy)) >= b.Rules.Quorum(b.Seeds) {
 		next := *state
-		next.sent[seed.ballot] = seed.proposed
-		visit(Step{stepAsk, [4]uint8{place, seed.ballot, seed.proposed}}, &next)
+		next.sentValues[seed.ballot] = seed.proposedValue
+		visit(Step{stepSendAccept, [4]uint8{index, seed.ballot, seed.proposedValue}}, &next)
 	}
 }
 
-// votes delivers a ballot's messages to a seed, with and without the answer.
-func (w *Bootstrap) votes(state *BootstrapState, ballot, place uint8, visit func(Step, *BootstrapState)) {
-	proposer := ballot % uint8(w.Seeds)
-	for _, answers := range []bool{true, false} {
-		if vote, ok := w.Rules.Prepare(state.seeds[place].vote(), uint64(ballot)); ok {
+// acceptorSteps delivers the messages of a ballot to a seed, each once with its
+// answer delivered and once with its answer lost.
+func (b *Bootstrap) acceptorSteps(state *BootstrapState, ballot, index uint8, visit func(Step, *BootstrapState)) {
+	proposerIndex := ballot % uint8(b.Seeds)
+	for _, answerArrives := range []bool{true, false} {
+		if acceptor, ok := b.Rules.Prepare(state.seeds[index].acceptor(), uint64(ballot)); ok {
 			next := *state
-			next.seeds[place] = next.seeds[place].withVote(vote)
-			trying := &next.seeds[proposer]
-			if answers && trying.ballot == ballot && state.sent[ballot] == 0 {
-				learnt := w.Rules.Learn(trying.proposal(), vote.Accepted, vote.Value)
-				trying.newest, trying.proposed = uint8(learnt.Accepted), learnt.Value
-				trying.prepared |= 1 << place
+			next.seeds[index] = next.seeds[index].withAcceptor(acceptor)
+			proposer := &next.seeds[proposerIndex]
+			if answerArrives && proposer.ballot == ballot && state.sentValues[ballot] == 0 {
+				learned := b.Rules.Learn(proposer.proposal(), acceptor.Accepted, acceptor.Value)
+				proposer.highestAccepted, proposer.proposedValue = uint8(learned.Accepted), learned.Value
+				proposer.preparedBy |= 1 << index
 			}
-			visit(Step{stepPrepare, [4]uint8{place, ballot, 0, flag(answers)}}, &next)
+			visit(Step{stepPrepare, [4]uint8{index, ballot, 0, boolToByte(answerArrives)}}, &next)
 		}
-		value := state.sent[ballot]
+		value := state.sentValues[ballot]
 		if value == 0 {
 			continue
 		}
-		if vote, ok := w.Rules.Accept(state.seeds[place].vote(), uint64(ballot), value); ok {
+		if acceptor, ok := b.Rules.Accept(state.seeds[index].acceptor(), uint64(ballot), value); ok {
 			next := *state
-			next.seeds[place] = next.seeds[place].withVote(vote)
-			if trying := &next.seeds[proposer]; answers && trying.ballot == ballot {
-				trying.supported |= 1 << place
-				w.decide(&next, trying.supported, value)
+			next.seeds[index] = next.seeds[index].withAcceptor(acceptor)
+			if proposer := &next.seeds[proposerIndex]; answerArrives && proposer.ballot == ballot {
+				proposer.acceptedBy |= 1 << index
+				b.recordDecision(&next, proposer.acceptedBy, value)
 			}
-			visit(Step{stepAccept, [4]uint8{place, ballot, value, flag(answers)}}, &next)
+			visit(Step{stepAccept, [4]uint8{index, ballot, value, boolToByte(answerArrives)}}, &next)
 		}
 	}
 }
 
-// decide notes a set that enough seeds voted for.
-func (w *Bootstrap) decide(state *BootstrapState, supported, value uint8) {
-	if countBits(int(supported)) < w.Rules.Quorum(w.Seeds) {
+// recordDecision records the value as decided once a quorum has accepted it, and
+// a violation if another one was decided before.
+func (b *Bootstrap) recordDecision(state *BootstrapState, acceptedBy, value uint8) {
+	if countBits(int(acceptedBy)) < b.Rules.Quorum(b.Seeds) {
 		return
 	}
 	if state.decided != 0 && state.decided != value {
-		state.broken = brokenCluster
+		state.violation = firstSetViolation
 	}
 	state.decided = value
 }
 
-// restarts has a seed come back without memory.
-func (w *Bootstrap) restarts(state *BootstrapState, place uint8, visit func(Step, *BootstrapState)) {
+// restartSteps restarts a seed, which loses its state.
+func (b *Bootstrap) restartSteps(state *BootstrapState, index uint8, visit func(Step, *BootstrapState)) {
 	count := 0
 	for _, seed := range state.seeds {
 		count += int(seed.restarts)
 	}
-	if count >= w.MaxRestarts {
+	if count >= b.MaxRestarts {
 		return
 	}
 	next := *state
-	next.seeds[place] = seedState{restarts: state.seeds[place].restarts + 1}
-	visit(Step{stepRestart, [4]uint8{place}}, &next)
+	next.seeds[index] = seedState{restarts: state.seeds[index].restarts + 1}
+	visit(Step{stepRestart, [4]uint8{index}}, &next)
 }
 
-// Key appends the whole state: seeds differ by their ballots.
-func (w *Bootstrap) Key(state *BootstrapState, key []byte) []byte {
-	for place := range state.seeds[:w.Seeds] {
-		seed := &state.seeds[place]
-		key = append(key, seed.promised, seed.accepted, seed.value, seed.restarts,
-			seed.ballot, seed.proposed, seed.newest, seed.prepared, seed.supported)
+// Key appends the whole state. Seeds are not interchangeable, since each has
+// ballots of its own.
+func (b *Bootstrap) Key(state *BootstrapState, key []byte) []byte {
+	for index := range state.seeds[:b.Seeds] {
+		seed := &state.seeds[index]
+		key = append(key, seed.promisedBallot, seed.acceptedBallot, seed.acceptedValue, seed.restarts,
+			seed.ballot, seed.proposedValue, seed.highestAccepted, seed.preparedBy, seed.acceptedBy)
 	}
-	key = append(key, state.sent[:]...)
-	return append(key, uint8(state.begun), uint8(state.begun>>8), state.decided, uint8(state.broken))
+	key = append(key, state.sentValues[:]...)
+	return append(key, uint8(state.startedBallots), uint8(state.startedBallots>>8), state.decided, uint8(state.violation))
 }
 
-// Describe puts a step into words.
-func (w *Bootstrap) Describe(step Step) string {
-	place, ballot, value := step.Operands[0], step.Operands[1], step.Operands[2]
-	answer := "; its answer arrives"
+// Describe returns a step's line in a trace.
+func (b *Bootstrap) Describe(step Step) string {
+	index, ballot, value := step.Operands[0], step.Operands[1], step.Operands[2]
+	answer := "; the answer arrives"
 	if step.Operands[3] == 0 {
-		answer = "; its answer is lost"
+		answer = "; the answer is lost"
 	}
 	switch step.Kind {
-	case stepTry:
-		return fmt.Sprintf("seed %d tries ballot %d", place, ballot)
+	case stepNewBallot:
+		return fmt.Sprintf("seed %d starts ballot %d", index, ballot)
 	case stepPrepare:
-		return fmt.Sprintf("seed %d promises ballot %d%s", place, ballot, answer)
-	case stepAsk:
-		return fmt.Sprintf("seed %d asks for votes for set %d under ballot %d", place, value, ballot)
+		return fmt.Sprintf("seed %d promises ballot %d%s", index, ballot, answer)
+	case stepSendAccept:
+		return fmt.Sprintf("seed %d asks the seeds to accept set %d under ballot %d", index, value, ballot)
 	case stepAccept:
-		return fmt.Sprintf("seed %d votes for set %d under ballot %d%s", place, value, ballot, answer)
+		return fmt.Sprintf("seed %d accepts set %d under ballot %d%s", index, value, ballot, answer)
 	case stepRestart:
-		return fmt.Sprintf("seed %d comes back without memory", place)
+		return fmt.Sprintf("seed %d restarts and loses its state", index)
 	}
-	return fmt.Sprint("step ", step.Kind)
+	return fmt.Sprint("unknown step kind ", step.Kind)
 }
--- a/internal/model/bootstrap_test.go
+++ b/internal/model/bootstrap_test.go
@@ -9,66 +9,67 @@
 	"github.com/matryer/is"
 )
 
-func TestBootstrapHolds(t *testing.T) {
+func TestBootstrapInvariantsHold(t *testing.T) {
 	for _, row := range []struct {
-		name  string
-		world model.Bootstrap
+		name   string
+		system model.Bootstrap
 	}{
-		{"three tries", model.Bootstrap{Seeds: 3, MaxBallot: 5}},
-		{"a seed comes back without memory", model.Bootstrap{Seeds: 3, MaxBallot: 5, MaxRestarts: 1}},
-		{"two seeds come back without memory", model.Bootstrap{Seeds: 3, MaxBallot: 5, MaxRestarts: 2}},
+		{"no restart", model.Bootstrap{Seeds: 3, MaxBallot: 5}},
+		{"one restart", model.Bootstrap{Seeds: 3, MaxBallot: 5, MaxRestarts: 1}},
+		{"two restarts", model.Bootstrap{Seeds: 3, MaxBallot: 5, MaxRestarts: 2}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
-			row.world.Rules = model.ImplementedBootstrapRules()
-			result := check(t, &row.world)
+			row.system.Rules = model.ImplementedBootstrapRules()
+			result := check(t, &row.system)
 			is.Equal(result.Violation, "")
 			is.True(result.Complete)
 		})
 	}
 }
 
+// Each row removes the rule that it is named after.
 func TestBootstrapRulesRemoved(t *testing.T) {
 	for _, row := range []struct {
 		name   string
-		world  model.Bootstrap
+		system model.Bootstrap
 		remove func(rules *model.BootstrapRules)
 	}{
 		{
-			"votes by the first life only",
+			"no votes after a restart",
 			model.Bootstrap{MaxRestarts: 1},
 			func(rules *model.BootstrapRules) { rules.FirstIncarnationOnly = false },
 		},
 		{
-			"a majority of the seeds",
+			"a majority decides",
 			model.Bootstrap{},
 			func(rules *model.BootstrapRules) { rules.Quorum = func(int) int { return 1 } },
 		},
 		{
-			"what was voted for is taken up",
+			"a value already accepted is proposed again",
 			model.Bootstrap{},
-			func(rules *model.BootstrapRules) { rules.Learn = learnNothing },
+			func(rules *model.BootstrapRules) { rules.Learn = ignoreAcceptedValue },
 		},
 		{
-			"no vote below a promised ballot",
+			"no vote below the promised ballot",
 			model.Bootstrap{},
-			func(rules *model.BootstrapRules) { rules.Accept = acceptAnyway },
+			func(rules *model.BootstrapRules) { rules.Accept = acceptAnyBallot },
 		},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			world := row.world
-			world.Seeds, world.MaxBallot = 3, 5
-			world.Rules = model.ImplementedBootstrapRules()
-			row.remove(&world.Rules)
-			is.New(t).Equal(check(t, &world).Violation, model.OneFirstSet)
+			system := row.system
+			system.Seeds, system.MaxBallot = 3, 5
+			system.Rules = model.ImplementedBootstrapRules()
+			row.remove(&system.Rules)
+			is.New(t).Equal(check(t, &system).Violation, model.OneFirstSet)
 		})
 	}
 }
 
-func learnNothing(proposal consensus.Proposal[uint8], _ uint64, _ uint8) consensus.Proposal[uint8] {
+func ignoreAcceptedValue(proposal consensus.Proposal[uint8], _ uint64, _ uint8) consensus.Proposal[uint8] {
 	return proposal
 }
 
-func acceptAnyway(vote consensus.Acceptor[uint8], ballot uint64, value uint8) (consensus.Acceptor[uint8], bool) {
-	return consensus.Acceptor[uint8]{Promised: max(vote.Promised, ballot), Accepted: ballot, Value: value}, true
+func acceptAnyBallot(acceptor consensus.Acceptor[uint8], ballot uint64, value uint8) (consensus.Acceptor[uint8], bool) {
+	return consensus.Acceptor[uint8]{Promised: max(acceptor.Promised, ballot), Accepted: ballot, Value: value}, true
 }
--- a/internal/model/checker.go
+++ b/internal/model/checker.go
@@ -1,12 +1,14 @@
-// Package model checks the control protocol by explicit-state search. A world
-// is a bounded system of replicas, leaders, seeds or followers whose every step
-// calls the decisions of internal/consensus, the ones that run in production;
-// the checker visits each state that any order of steps reaches, breadth first,
-// so that the first violation of an invariant has a shortest trace.
+// Package model is an explicit-state model checker for the control protocol. A
+// System is a bounded model of replicas, leaders, seeds or followers whose steps
+// call the decision functions of package consensus, the same that run in
+// production. The checker visits each state that is reachable by any
+// interleaving of steps, breadth first, so that the trace of the first violation
+// found is a shortest one.
 //
-// A violation of a world under the rules as implemented is a fault of the
-// protocol. Each rule can also be removed from a world, and the checker must
-// then find a violation; otherwise the world would not test the rule.
+// If a system violates an invariant under the rules as implemented, the protocol
+// is wrong. Each rule of a system can also be replaced by a weaker one. The
+// checker must then find a violation; otherwise the system does not test the
+// rule.
 package model
 
 import (
@@ -16,105 +18,112 @@
 	"fordseam/internal/base"
 )
 
-// Step is one step of a world: a kind and its operands, which the world puts
-// into words.
+// Step identifies a transition of a system. Its kind and operands have a meaning
+// only to that system, whose Describe renders them.
 type Step struct {
 	Kind     uint8
 	Operands [4]uint8
 }
 
-// System is a bounded system. A state must be a plain value: copying it copies
-// all of it.
+// System is a bounded transition system. Its state S must be a plain value, so
+// that an assignment copies all of it.
 type System[S any] interface {
-	// Initial is where each run begins.
+	// Initial returns the initial state.
 	Initial() S
-	// Steps calls visit with each state that one step leads to; visit keeps no
-	// reference to next.
+	// Steps calls visit with each possible step from a state and the state after
+	// it. visit must not retain next.
 	Steps(state *S, visit func(step Step, next *S))
-	// Violation names the invariant that a state violates, or is "".
+	// Violation returns the name of the invariant that a state violates, or "".
 	Violation(state *S) string
-	// Key appends what tells a state from others. States that differ only in
-	// which of several alike parties is which may have the same key.
+	// Key appends an encoding of the state by which equal states are found. States
+	// that are equal but for a permutation of interchangeable parties may have the
+	// same key (symmetry reduction).
 	Key(state *S, key []byte) []byte
-	// Describe puts a step into words.
+	// Describe returns a step's line in a trace.
 	Describe(step Step) string
 }
 
-// Limits bound a search; zero means no bound.
+// Limits bound a search. A zero field is no limit.
 type Limits struct {
 	States int
 	Depth  int
 	Time   time.Duration
 }
 
-// Result is what a search found.
+// Result is the result of a search.
 type Result struct {
-	// States counts the different states visited, Depth is the longest of the
-	// shortest ways to one.
+	// States is the number of distinct states visited, and Depth is the largest
+	// number of steps from the initial state at which one was found.
 	States int
 	Depth  int
 	Time   time.Duration
-	// Complete tells that every reachable state was visited.
+	// Complete tells that every reachable state was visited: no limit and no
+	// violation ended the search.
 	Complete bool
-	// Violation names the invariant that does not hold, "" where all hold, and
-	// Trace is a shortest way to break it.
+	// Violation is the name of the violated invariant, "" if there is none, and
+	// Trace lists the steps of a shortest path to the violation.
 	Violation string
 	Trace     []string
 }
 
-// fingerprint stands for a state; that two states of one search share one is
-// less likely than a fault of the machine.
+// fingerprint is a 128-bit hash that stands for a state. That two states of one
+// search have the same one is less likely than a hardware error.
 type fingerprint [2]uint64
 
-// visited is how a state was first reached.
-type visited struct {
+// transition is the step by which a state was first reached, and the index of
+// the state before it, -1 for the initial state.
+type transition struct {
 	parent int32
 	step   Step
 }
 
-// search is a breadth-first search in progress.
+// search is the state of a breadth-first search. transitions has an element for
+// each state, in the order of discovery.
 type search[S any] struct {
-	world System[S]
-	seeds [2]maphash.Seed
-	known map[fingerprint]struct{}
-	order []visited
-	key   []byte
+	system      System[S]
+	seeds       [2]maphash.Seed
+	seen        map[fingerprint]struct{}
+	transitions []transition
+	keyBuffer   []byte
 }
 
-// reached is a state whose steps are not yet visited.
-type reached[S any] struct {
-	place int32
+// frontierState is a discovered state that is yet to be expanded, with its index
+// in search.transitions.
+type frontierState[S any] struct {
+	index int32
 	state S
 }
 
-// clockInterval is how many states are expanded between two looks at the clock.
-const clockInterval = 1024
+// clockCheckInterval is how many states are expanded between two checks of the
+// time limit.
+const clockCheckInterval = 1024
 
-// Check searches a world up to the limits, or until an invariant is violated.
-func Check[S any](clock base.Clock, world System[S], limits Limits) Result {
-	began := clock.Now()
-	current := &search[S]{
-		world: world,
-		seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()},
-		known: map[fingerprint]struct{}{},
+// Check searches the states of a system until all are visited, a limit is
+// reached or an invariant is violated.
+func Check[S any](clock base.Clock, system System[S], limits Limits) Result {
+	started := clock.Now()
+	run := &search[S]{
+		system: system,
+		seeds:  [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()},
+		seen:   map[fingerprint]struct{}{},
 	}
-	initial := world.Initial()
-	current.add(&initial, visited{parent: -1})
-	result := Result{Violation: world.Violation(&initial)}
-	frontier := []reached[S]{{state: initial}}
+	initial := system.Initial()
+	run.add(&initial, transition{parent: -1})
+	result := Result{Violation: system.Violation(&initial)}
+	frontier := []frontierState[S]{{state: initial}}
 	stopped := result.Violation != ""
 	expanded := 0
 	for len(frontier) > 0 && !stopped {
 		if limits.Depth > 0 && result.Depth >= limits.Depth {
 			break
 		}
-		var next []reached[S]
-		for place := range frontier {
-			next = current.expand(&frontier[place], next, &result)
+		var next []frontierState[S]
+		for index := range frontier {
+			next = run.expand(&frontier[index], next, &result)
 			expanded++
-			overTime := limits.Time > 0 && expanded%clockInterval == 0 && clock.Now()-began > limits.Time
-			overStates := limits.States > 0 && len(current.order) >= limits.States
-			if result.Violation != "" || overTime || overStates {
+			timeExceeded := limits.Time > 0 && expanded%clockCheckInterval == 0 && clock.Now()-started > limits.Time
+			statesExceeded := limits.States > 0 && len(run.transitions) >= limits.States
+			if result.Violation != "" || timeExceeded || statesExceeded {
 				stopped = true
 				break
 			}
@@ -124,52 +133,54 @@
 		}
 		frontier = next
 	}
-	result.States = len(current.order)
+	result.States = len(run.transitions)
 	result.Complete = !stopped && len(frontier) == 0
-	result.Time = clock.Now() - began
+	result.Time = clock.Now() - started
 	return result
 }
 
-// expand visits the steps of one state and adds the new states to next.
-func (s *search[S]) expand(from *reached[S], next []reached[S], result *Result) []reached[S] {
-	s.world.Steps(&from.state, func(step Step, state *S) {
-		if result.Violation != "" || !s.add(state, visited{parent: from.place, step: step}) {
+// expand visits the successors of a state and appends the new ones to next.
+func (s *search[S]) expand(from *frontierState[S], next []frontierState[S], result *Result) []frontierState[S] {
+	s.system.Steps(&from.state, func(step Step, state *S) {
+		if result.Violation != "" || !s.add(state, transition{parent: from.index, step: step}) {
 			return
 		}
-		place := int32(len(s.order) - 1)
-		if violation := s.world.Violation(state); violation != "" {
+		index := int32(len(s.transitions) - 1)
+		if violation := s.system.Violation(state); violation != "" {
 			result.Violation = violation
-			result.Trace = s.trace(place)
+			result.Trace = s.trace(index)
 			return
 		}
-		next = append(next, reached[S]{place: place, state: *state})
+		next = append(next, frontierState[S]{index: index, state: *state})
 	})
 	return next
 }
 
-// add notes a state and reports whether it is new.
-func (s *search[S]) add(state *S, how visited) bool {
-	s.key = s.world.Key(state, s.key[:0])
-	print := fingerprint{maphash.Bytes(s.seeds[0], s.key), maphash.Bytes(s.seeds[1], s.key)}
-	if _, known := s.known[print]; known {
+// add records a state and the transition to it, and reports whether the state is
+// new.
+func (s *search[S]) add(state *S, via transition) bool {
+	s.keyBuffer = s.system.Key(state, s.keyBuffer[:0])
+	sum := fingerprint{maphash.Bytes(s.seeds[0], s.keyBuffer), maphash.Bytes(s.seeds[1], s.keyBuffer)}
+	if _, known := s.seen[sum]; known {
 		return false
 	}
-	s.known[print] = struct{}{}
-	s.order = append(s.order, how)
+	s.seen[sum] = struct{}{}
+	s.transitions = append(s.transitions, via)
 	return true
 }
 
-// trace lists the steps that first led to a state.
-func (s *search[S]) trace(place int32) []string {
-	var backwards []string
-	for place > 0 {
-		how := s.order[place]
-		backwards = append(backwards, s.world.Describe(how.step))
-		place = how.parent
+// trace lists the descriptions of the steps from the initial state to the one
+// with this index.
+func (s *search[S]) trace(index int32) []string {
+	var reversed []string
+	for index > 0 {
+		via := s.transitions[index]
+		reversed = append(reversed, s.system.Describe(via.step))
+		index = via.parent
 	}
-	trace := make([]string, 0, len(backwards))
-	for last := len(backwards) - 1; last >= 0; last-- {
-		trace = append(trace, backwards[last])
+	trace := make([]string, 0, len(reversed))
+	for position := len(reversed) - 1; position >= 0; position-- {
+		trace = append(trace, reversed[position])
 	}
 	return trace
 }
--- a/internal/model/lease.go
+++ b/internal/model/lease.go
@@ -9,40 +9,46 @@
 
 const (
 	maxFollowers = 3
-	// tickLength is what a tick lasts in true time; a clock shows a little more
+	// tickDuration is the true length of a tick. A follower's clock may show more
 	// or less.
-	tickLength = 20 * time.Millisecond
+	tickDuration = 20 * time.Millisecond
 )
 
-// Lease is the world of followers that serve a configuration under a lease. The
-// first follower asks the source, and each other one the follower before it, so
-// that there are as many levels of fan-out as followers but one. A question and
-// its answer may each take any time. One change is acknowledged by the source at
-// any moment. A state holds how long ago things were, not when, so that the
-// states are few however long the world goes on.
+// Lease models followers that serve a configuration under a lease. The first
+// follower asks the source, and each other one asks the follower before it as its
+// relay, so that there is one level of relays less than there are followers. A
+// request and its answer may each be delayed for any time. The source
+// acknowledges one change, at any time.
+//
+// A state has ages instead of points in time, and an age stops growing once it
+// makes no more difference. The number of states is thus finite, although time is
+// not bounded.
 type Lease struct {
 	Rules LeaseRules
-	// ClockRates are how much the followers' clocks show for a tick, in milliseconds.
+	// ClockRates are the milliseconds by which each follower's clock advances in a
+	// tick.
 	ClockRates []uint8
-	// LeaseTicks is the lease.
+	// LeaseTicks is the length of the lease in ticks.
 	LeaseTicks uint8
-	// SourceRequests has any follower ask the source instead, where it likes to.
+	// SourceRequests lets any follower ask the source instead of its relay.
 	SourceRequests bool
-	// RelayDelay has a relay answer at any time after a question arrived.
+	// RelayDelay lets a relay answer at any time after a request has arrived,
+	// instead of at once.
 	RelayDelay bool
 }
 
-// LeaseRules are the decisions of the followers.
+// LeaseRules are the decision functions of the followers.
 type LeaseRules struct {
 	LeaseEnd        func(asked, behind, lease time.Duration) time.Duration
 	ConfirmationAge func(arrived, confirmed time.Duration) time.Duration
 	MayRelay        func(now, confirmed, lease time.Duration) bool
 	AcceptsRevision func(revision, current uint64) bool
-	// FromRequest counts a lease from the question, not from its answer.
+	// FromRequest starts a lease when the request is sent, not when the answer
+	// arrives.
 	FromRequest bool
 }
 
-// ImplementedLeaseRules are the decisions that run in production.
+// ImplementedLeaseRules returns the rules that run in production.
 func ImplementedLeaseRules() LeaseRules {
 	return LeaseRules{
 		LeaseEnd:        consensus.LeaseEnd,
@@ -53,235 +59,239 @@
 	}
 }
 
-// questionState is how far a follower's question has come.
-type questionState uint8
+// requestState is the progress of a follower's request.
+type requestState uint8
 
 const (
-	noQuestion questionState = iota
-	questionSent
-	questionArrived
+	noRequest requestState = iota
+	requestSent
+	requestArrived
 	answerSent
 )
 
-// followerState is a follower; its spans are milliseconds by its own clock.
+// followerState is the state of a follower. Its durations are in milliseconds by
+// the follower's own clock, if not said otherwise.
 type followerState struct {
-	revision uint8
-	begun    bool
-	// left is how much of its lease is left, and confirmedAge how long ago its
+	revision  uint8
+	hasConfig bool
+	// leaseLeft is the rest of its lease, and confirmationAge is how long ago its
 	// configuration was confirmed.
-	left         uint16
-	confirmedAge uint16
+	leaseLeft       uint16
+	confirmationAge uint16
 
-	question questionState
-	// direct tells that it asked the source.
-	direct bool
-	// askedAge and arrivedAge are the ticks since its question was asked, and
-	// since it arrived.
-	askedAge   uint8
-	arrivedAge uint8
-	// The answer that is on its way back.
+	request requestState
+	// toSource tells that the request goes to the source, not to the relay.
+	toSource bool
+	// requestAge and arrivalAge are the ticks since the request was sent, and since
+	// it arrived.
+	requestAge uint8
+	arrivalAge uint8
+	// The answer in flight: its revision, and the age of its confirmation when the
+	// request arrived.
 	answerRevision uint8
-	answerBehind   uint16
+	answerAge      uint16
 }
 
-// LeaseState is a state of Lease.
+// LeaseState is a state of the Lease model.
 type LeaseState struct {
 	changed bool
-	// changedAge is the ticks since the change.
-	changedAge uint8
-	followers  [maxFollowers]followerState
+	// changeAge is the ticks since the change.
+	changeAge uint8
+	followers [maxFollowers]followerState
 }
 
 const (
 	stepTick uint8 = iota + 160
 	stepChange
-	stepQuestion
-	stepArrive
-	stepTell
+	stepSendRequest
+	stepRequestArrives
+	stepSendAnswer
 	stepDecline
-	stepTakeAnswer
+	stepReceiveAnswer
 )
 
-// Initial has followers that know nothing yet.
-func (w *Lease) Initial() LeaseState {
+// Initial returns a state in which no follower has a configuration.
+func (l *Lease) Initial() LeaseState {
 	var state LeaseState
-	for place := range state.followers {
-		state.followers[place].confirmedAge = w.oldest()
+	for index := range state.followers {
+		state.followers[index].confirmationAge = l.maxAgeMs()
 	}
 	return state
 }
 
-func (w *Lease) lease() time.Duration { return time.Duration(w.LeaseTicks) * tickLength }
+func (l *Lease) duration() time.Duration { return time.Duration(l.LeaseTicks) * tickDuration }
 
-// oldestTicks is an age in ticks from which on a question or an arrival is as
-// good as any older one: by the slowest clock it is a lease ago.
-func (w *Lease) oldestTicks() uint8 { return w.LeaseTicks + 2 }
+// maxAgeTicks caps the ages of requests and arrivals, in ticks. By the slowest
+// clock, that is a lease ago, so that greater ages make no difference.
+func (l *Lease) maxAgeTicks() uint8 { return l.LeaseTicks + 2 }
 
-// oldest is an age in milliseconds from which on a confirmation is as good as
-// any older one.
-func (w *Lease) oldest() uint16 { return uint16(w.lease().Milliseconds()) + 1 }
+// maxAgeMs caps the age of a confirmation, in milliseconds. Greater ages make no
+// difference.
+func (l *Lease) maxAgeMs() uint16 { return uint16(l.duration().Milliseconds()) + 1 }
 
-func milliseconds(short uint16) time.Duration { return time.Duration(short) * time.Millisecond }
+func milliseconds(count uint16) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// since is how long ago something was, by a follower's clock.
-func (w *Lease) since(place, ticks uint8) time.Duration {
-	return time.Duration(ticks) * milliseconds(uint16(w.ClockRates[place]))
+// elapsed converts ticks to a duration by a follower's clock.
+func (l *Lease) elapsed(index, ticks uint8) time.Duration {
+	return time.Duration(ticks) * milliseconds(uint16(l.ClockRates[index]))
 }
 
-// Violation names the invariant that is broken: a follower serves the
-// configuration from before a change, more than a lease after its
-// acknowledgement.
-func (w *Lease) Violation(state *LeaseState) string {
-	if !state.changed || state.changedAge <= w.LeaseTicks {
+// Violation returns ServingWithinLease if a follower serves the configuration
+// from before the change more than a lease after the change was acknowledged.
+func (l *Lease) Violation(state *LeaseState) string {
+	if !state.changed || state.changeAge <= l.LeaseTicks {
 		return ""
 	}
-	for place := range w.ClockRates {
-		follower := &state.followers[place]
-		if follower.begun && follower.revision == 0 && follower.left > 0 {
+	for index := range l.ClockRates {
+		follower := &state.followers[index]
+		if follower.hasConfig && follower.revision == 0 && follower.leaseLeft > 0 {
 			return ServingWithinLease
 		}
 	}
 	return ""
 }
 
-// Steps visits every step of the source and the followers.
-func (w *Lease) Steps(state *LeaseState, visit func(Step, *LeaseState)) {
+// Steps visits the state after each possible step of the source and the
+// followers.
+func (l *Lease) Steps(state *LeaseState, visit func(Step, *LeaseState)) {
 	next := *state
-	w.tick(&next)
+	l.tick(&next)
 	visit(Step{Kind: stepTick}, &next)
 	if !state.changed {
 		next := *state
 		next.changed = true
 		visit(Step{Kind: stepChange}, &next)
 	}
-	for place := range uint8(len(w.ClockRates)) {
-		w.follow(state, place, visit)
+	for index := range uint8(len(l.ClockRates)) {
+		l.followerSteps(state, index, visit)
 	}
 }
 
-// tick lets time pass.
-func (w *Lease) tick(next *LeaseState) {
+// tick advances the time by a tick.
+func (l *Lease) tick(next *LeaseState) {
 	if next.changed {
-		next.changedAge = min(next.changedAge+1, w.LeaseTicks+1)
+		next.changeAge = min(next.changeAge+1, l.LeaseTicks+1)
 	}
-	for place, rate := range w.ClockRates {
-		follower := &next.followers[place]
-		follower.left -= min(follower.left, uint16(rate))
-		follower.confirmedAge = min(follower.confirmedAge+uint16(rate), w.oldest())
-		if follower.question != noQuestion {
-			follower.askedAge = min(follower.askedAge+1, w.oldestTicks())
+	for index, rate := range l.ClockRates {
+		follower := &next.followers[index]
+		follower.leaseLeft -= min(follower.leaseLeft, uint16(rate))
+		follower.confirmationAge = min(follower.confirmationAge+uint16(rate), l.maxAgeMs())
+		if follower.request != noRequest {
+			follower.requestAge = min(follower.requestAge+1, l.maxAgeTicks())
 		}
-		if follower.question == questionArrived {
-			follower.arrivedAge = min(follower.arrivedAge+1, w.oldestTicks())
+		if follower.request == requestArrived {
+			follower.arrivalAge = min(follower.arrivalAge+1, l.maxAgeTicks())
 		}
 	}
 }
 
-// follow moves a follower's question on by a step.
-func (w *Lease) follow(state *LeaseState, place uint8, visit func(Step, *LeaseState)) {
+// followerSteps advances a follower's request by a step.
+func (l *Lease) followerSteps(state *LeaseState, index uint8, visit func(Step, *LeaseState)) {
 	next := *state
-	follower := &next.followers[place]
-	switch follower.question {
-	case noQuestion:
-		follower.question, follower.askedAge, follower.direct = questionSent, 0, true
-		if w.SourceRequests || place == 0 {
-			visit(Step{stepQuestion, [4]uint8{place, 1}}, &next)
+	follower := &next.followers[index]
+	switch follower.request {
+	case noRequest:
+		follower.request, follower.requestAge, follower.toSource = requestSent, 0, true
+		if l.SourceRequests || index == 0 {
+			visit(Step{stepSendRequest, [4]uint8{index, 1}}, &next)
 		}
-		if place > 0 {
-			follower.direct = false
-			visit(Step{stepQuestion, [4]uint8{place, 0}}, &next)
+		if index > 0 {
+			follower.toSource = false
+			visit(Step{stepSendRequest, [4]uint8{index, 0}}, &next)
 		}
-	case questionSent:
-		follower.question, follower.arrivedAge = questionArrived, 0
-		if !w.RelayDelay || follower.direct {
-			w.tell(&next, place, visit)
+	case requestSent:
+		follower.request, follower.arrivalAge = requestArrived, 0
+		if !l.RelayDelay || follower.toSource {
+			l.answerRequest(&next, index, visit)
 			return
 		}
-		visit(Step{stepArrive, [4]uint8{place}}, &next)
-	case questionArrived:
-		w.tell(&next, place, visit)
+		visit(Step{stepRequestArrives, [4]uint8{index}}, &next)
+	case requestArrived:
+		l.answerRequest(&next, index, visit)
 	case answerSent:
-		w.take(&next, place)
-		visit(Step{stepTakeAnswer, [4]uint8{place, follower.revision}}, &next)
+		l.receiveAnswer(&next, index)
+		visit(Step{stepReceiveAnswer, [4]uint8{index, follower.revision}}, &next)
 	}
 }
 
-// tell has the source or a relay answer, or decline.
-func (w *Lease) tell(next *LeaseState, place uint8, visit func(Step, *LeaseState)) {
-	follower := &next.followers[place]
-	if follower.direct {
-		follower.question, follower.arrivedAge = answerSent, 0
-		follower.answerRevision, follower.answerBehind = flag(next.changed), 0
-		visit(Step{stepTell, [4]uint8{place, follower.answerRevision}}, next)
+// answerRequest lets the source or the relay answer a follower's request. A relay
+// declines if its own configuration is older than the follower's, or its
+// confirmation too old to be relayed.
+func (l *Lease) answerRequest(next *LeaseState, index uint8, visit func(Step, *LeaseState)) {
+	follower := &next.followers[index]
+	if follower.toSource {
+		follower.request, follower.arrivalAge = answerSent, 0
+		follower.answerRevision, follower.answerAge = boolToByte(next.changed), 0
+		visit(Step{stepSendAnswer, [4]uint8{index, follower.answerRevision}}, next)
 		return
 	}
-	relay := &next.followers[place-1]
-	confirmed := -milliseconds(relay.confirmedAge)
-	follows := relay.begun && w.Rules.AcceptsRevision(uint64(relay.revision), uint64(follower.revision))
-	if !follows || !w.Rules.MayRelay(0, confirmed, w.lease()) {
-		follower.question, follower.askedAge, follower.arrivedAge, follower.direct = noQuestion, 0, 0, false
-		visit(Step{stepDecline, [4]uint8{place}}, next)
+	relay := &next.followers[index-1]
+	confirmedAt := -milliseconds(relay.confirmationAge)
+	upToDate := relay.hasConfig && l.Rules.AcceptsRevision(uint64(relay.revision), uint64(follower.revision))
+	if !upToDate || !l.Rules.MayRelay(0, confirmedAt, l.duration()) {
+		follower.request, follower.requestAge, follower.arrivalAge, follower.toSource = noRequest, 0, 0, false
+		visit(Step{stepDecline, [4]uint8{index}}, next)
 		return
 	}
-	behind := w.Rules.ConfirmationAge(-w.since(place-1, follower.arrivedAge), confirmed)
-	follower.question, follower.arrivedAge = answerSent, 0
-	follower.answerRevision, follower.answerBehind = relay.revision, uint16(behind.Milliseconds())
-	visit(Step{stepTell, [4]uint8{place, follower.answerRevision}}, next)
+	age := l.Rules.ConfirmationAge(-l.elapsed(index-1, follower.arrivalAge), confirmedAt)
+	follower.request, follower.arrivalAge = answerSent, 0
+	follower.answerRevision, follower.answerAge = relay.revision, uint16(age.Milliseconds())
+	visit(Step{stepSendAnswer, [4]uint8{index, follower.answerRevision}}, next)
 }
 
-// take has an answer count for a follower.
-func (w *Lease) take(next *LeaseState, place uint8) {
-	follower := &next.followers[place]
-	asked := -w.since(place, follower.askedAge)
-	if !w.Rules.FromRequest {
-		asked = 0
+// receiveAnswer applies the answer to a follower.
+func (l *Lease) receiveAnswer(next *LeaseState, index uint8) {
+	follower := &next.followers[index]
+	requestedAt := -l.elapsed(index, follower.requestAge)
+	if !l.Rules.FromRequest {
+		requestedAt = 0
 	}
-	if w.Rules.AcceptsRevision(uint64(follower.answerRevision), uint64(follower.revision)) {
-		behind := milliseconds(follower.answerBehind)
-		follower.begun, follower.revision = true, follower.answerRevision
-		left := max(0, w.Rules.LeaseEnd(asked, behind, w.lease()))
-		follower.left = max(follower.left, uint16(left.Milliseconds()))
-		age := min(behind-asked, milliseconds(w.oldest()))
-		follower.confirmedAge = min(follower.confirmedAge, uint16(age.Milliseconds()))
+	if l.Rules.AcceptsRevision(uint64(follower.answerRevision), uint64(follower.revision)) {
+		age := milliseconds(follower.answerAge)
+		follower.hasConfig, follower.revision = true, follower.answerRevision
+		left := max(0, l.Rules.LeaseEnd(requestedAt, age, l.duration()))
+		follower.leaseLeft = max(follower.leaseLeft, uint16(left.Milliseconds()))
+		confirmationAge := min(age-requestedAt, milliseconds(l.maxAgeMs()))
+		follower.confirmationAge = min(follower.confirmationAge, uint16(confirmationAge.Milliseconds()))
 	}
-	follower.question, follower.askedAge, follower.direct = noQuestion, 0, false
-	follower.answerRevision, follower.answerBehind = 0, 0
+	follower.request, follower.requestAge, follower.toSource = noRequest, 0, false
+	follower.answerRevision, follower.answerAge = 0, 0
 }
 
 // Key appends the whole state.
-func (w *Lease) Key(state *LeaseState, key []byte) []byte {
-	key = append(key, flag(state.changed), state.changedAge)
-	for place := range w.ClockRates {
-		follower := &state.followers[place]
-		key = append(key, follower.revision, flag(follower.begun)|flag(follower.direct)<<1,
-			uint8(follower.left), uint8(follower.left>>8), uint8(follower.confirmedAge), uint8(follower.confirmedAge>>8),
-			uint8(follower.question), follower.askedAge, follower.arrivedAge,
-			follower.answerRevision, uint8(follower.answerBehind), uint8(follower.answerBehind>>8))
+func (l *Lease) Key(state *LeaseState, key []byte) []byte {
+	key = append(key, boolToByte(state.changed), state.changeAge)
+	for index := range l.ClockRates {
+		follower := &state.followers[index]
+		key = append(key, follower.revision, boolToByte(follower.hasConfig)|boolToByte(follower.toSource)<<1,
+			uint8(follower.leaseLeft), uint8(follower.leaseLeft>>8), uint8(follower.confirmationAge), uint8(follower.confirmationAge>>8),
+			uint8(follower.request), follower.requestAge, follower.arrivalAge,
+			follower.answerRevision, uint8(follower.answerAge), uint8(follower.answerAge>>8))
 	}
 	return key
 }
 
-// Describe puts a step into words.
-func (w *Lease) Describe(step Step) string {
-	place, revision := step.Operands[0], step.Operands[1]
+// Describe returns a step's line in a trace.
+func (l *Lease) Describe(step Step) string {
+	index, revision := step.Operands[0], step.Operands[1]
 	switch step.Kind {
 	case stepTick:
-		return "a tick passes"
+		return "time advances by a tick"
 	case stepChange:
-		return "a change is acknowledged"
-	case stepQuestion:
+		return "the source acknowledges the change"
+	case stepSendRequest:
 		if revision == 0 {
-			return fmt.Sprintf("follower %d asks follower %d", place, place-1)
+			return fmt.Sprintf("follower %d sends a request to follower %d", index, index-1)
 		}
-		return fmt.Sprintf("follower %d asks the source", place)
-	case stepArrive:
-		return fmt.Sprintf("the question of follower %d arrives", place)
-	case stepTell:
-		return fmt.Sprintf("follower %d is answered with revision %d", place, revision)
+		return fmt.Sprintf("follower %d sends a request to the source", index)
+	case stepRequestArrives:
+		return fmt.Sprintf("the request of follower %d arrives", index)
+	case stepSendAnswer:
+		return fmt.Sprintf("follower %d is sent an answer with revision %d", index, revision)
 	case stepDecline:
-		return fmt.Sprintf("follower %d is declined", place)
-	case stepTakeAnswer:
-		return fmt.Sprintf("the answer reaches follower %d, which is at revision %d", place, revision)
+		return fmt.Sprintf("the request of follower %d is declined", index)
+	case stepReceiveAnswer:
+		return fmt.Sprintf("the answer reaches follower %d, which is now at revision %d", index, revision)
 	}
-	return fmt.Sprint("step ", step.Kind)
+	return fmt.Sprint("unknown step kind ", step.Kind)
 }
--- a/internal/model/membership_change.go
+++ b/internal/model/membership_change.go
@@ -1,164 +1,170 @@
-// How the set changes: census, proposals, adoption, and disks that are lost.
-
 package model
 
 import (
 	"fordseam/internal/consensus"
 )
 
-// census has a serving leader tell that its shard is whole on a majority, and
-// on which learners.
-func (w *Membership) census(state *MembershipState, leader uint8, visit func(Step, *MembershipState)) {
-	owner := &state.leaders[leader]
-	if !owner.serving || owner.set != state.current || state.proposed != 0 {
+// censusSteps lets a serving leader report whether a majority holds its whole
+// shard, and which learners do. On this report, a change of the set is settled
+// and a learner may get a vote.
+func (m *Membership) censusSteps(state *MembershipState, leaderIndex uint8, visit func(Step, *MembershipState)) {
+	leader := &state.leaders[leaderIndex]
+	if !leader.serving || leader.setVersion != state.current || state.proposed != 0 {
 		return
 	}
 	next := *state
-	committed, version := uint64(owner.committed), uint64(owner.set)
-	next.settled = state.settled || w.Rules.Settled(committed, version, state.voters(leader, owner.set))
-	for place := range w.places() {
-		if state.sets[owner.set].learners.has(place) && owner.replicas[place].progress().AckedUnder(committed, version) {
-			next.filled |= 1 << place
+	committed, version := uint64(leader.committed), uint64(leader.setVersion)
+	next.settled = state.settled || m.Rules.Settled(committed, version, state.voterProgress(leaderIndex, leader.setVersion))
+	for replicaIndex := range m.replicaCount() {
+		if state.sets[leader.setVersion].learners.has(replicaIndex) && leader.replicas[replicaIndex].toConsensus().AckedUnder(committed, version) {
+			next.filledLearners |= 1 << replicaIndex
 		}
 	}
-	if next.settled != state.settled || next.filled != state.filled {
-		visit(Step{stepCensus, [4]uint8{leader, owner.epoch}}, &next)
+	if next.settled != state.settled || next.filledLearners != state.filledLearners {
+		visit(Step{stepCensus, [4]uint8{leaderIndex, leader.epoch}}, &next)
 	}
 }
 
-// proposals has the set's next version proposed: a blank replica learns, a
-// whole learner gets a vote, a voter is dropped, or replaced by a blank one at
-// its address.
-func (w *Membership) proposals(state *MembershipState, visit func(Step, *MembershipState)) {
-	if int(state.newest()) >= w.SetVersions {
+// proposalSteps proposes each possible next version of the set: a spare is added
+// as a learner, a filled learner is promoted to a voter, a voter is removed, or a
+// voter is replaced by a filled learner, or by a spare as a learner (a blank disk
+// at the voter's address).
+func (m *Membership) proposalSteps(state *MembershipState, visit func(Step, *MembershipState)) {
+	if int(state.newestVersion()) >= m.SetVersions {
 		return
 	}
 	current := state.sets[state.current]
-	for place := range w.places() {
-		bit := replicaMask(1) << place
+	for replicaIndex := range m.replicaCount() {
+		bit := replicaMask(1) << replicaIndex
 		switch {
-		case current.voters.has(place):
-			w.propose(state, setState{current.voters &^ bit, current.learners}, visit)
-			for spare := range w.places() {
-				if w.isSpare(state, spare) {
-					w.propose(state, setState{current.voters &^ bit, current.learners | 1<<spare}, visit)
+		case current.voters.has(replicaIndex):
+			m.proposeSet(state, setMembers{current.voters &^ bit, current.learners}, visit)
+			for spare := range m.replicaCount() {
+				if m.isSpare(state, spare) {
+					m.proposeSet(state, setMembers{current.voters &^ bit, current.learners | 1<<spare}, visit)
 				}
 			}
-		case current.learners.has(place):
-			if state.filled.has(place) {
-				w.propose(state, setState{current.voters | bit, current.learners &^ bit}, visit)
-				for other := range w.places() {
+		case current.learners.has(replicaIndex):
+			if state.filledLearners.has(replicaIndex) {
+				m.proposeSet(state, setMembers{current.voters | bit, current.learners &^ bit}, visit)
+				for other := range m.replicaCount() {
 					if current.voters.has(other) {
-						w.propose(state, setState{current.voters&^(1<<other) | bit, current.learners &^ bit}, visit)
+						m.proposeSet(state, setMembers{current.voters&^(1<<other) | bit, current.learners &^ bit}, visit)
 					}
 				}
 			}
-		case w.isSpare(state, place):
-			w.propose(state, setState{current.voters, current.learners | bit}, visit)
+		case m.isSpare(state, replicaIndex):
+			m.proposeSet(state, setMembers{current.voters, current.learners | bit}, visit)
 		}
 	}
 }
 
-// isSpare tells that a replica is in no set now; it may be blank, or have been
-// dropped with what it holds.
-func (w *Membership) isSpare(state *MembershipState, place uint8) bool {
+// isSpare reports whether a replica is not in the current set and not wiped. It
+// may be blank, or have been removed and still hold its content.
+func (m *Membership) isSpare(state *MembershipState, replicaIndex uint8) bool {
 	current := state.sets[state.current]
-	return !(current.voters | current.learners).has(place) && !state.members[place].wiped
+	return !(current.voters | current.learners).has(replicaIndex) && !state.members[replicaIndex].wiped
 }
 
-func (w *Membership) propose(state *MembershipState, set setState, visit func(Step, *MembershipState)) {
-	if countBits(int(set.voters)) < leastVoters {
+// proposeSet makes a set the proposed one, if the record accepts the proposal.
+func (m *Membership) proposeSet(state *MembershipState, set setMembers, visit func(Step, *MembershipState)) {
+	if countBits(int(set.voters)) < minVoters {
 		return
 	}
 	next := *state
-	version := state.newest() + 1
+	version := state.newestVersion() + 1
 	next.sets[version] = set
-	if w.Rules.CheckProposal(state.record(), next.replicaSet(version)) != consensus.ProposalAccepted {
+	if m.Rules.CheckProposal(state.setRecord(), next.replicaSet(version)) != consensus.ProposalAccepted {
 		return
 	}
 	next.proposed = version
-	next.took = 0
-	visit(Step{stepPropose, [4]uint8{uint8(set.voters), uint8(set.learners), version}}, &next)
+	next.adoptedBy = 0
+	visit(Step{stepProposeSet, [4]uint8{uint8(set.voters), uint8(set.learners), version}}, &next)
 }
 
-// adoptions has replicas adopt sets, and a change concluded.
-func (w *Membership) adoptions(state *MembershipState, visit func(Step, *MembershipState)) {
-	for version := uint8(1); version <= state.newest(); version++ {
-		for place := range w.places() {
-			w.adopt(state, place, version, visit)
+// adoptionSteps lets replicas adopt sets, and concludes the pending change once
+// enough replicas have adopted the proposed set.
+func (m *Membership) adoptionSteps(state *MembershipState, visit func(Step, *MembershipState)) {
+	for version := uint8(1); version <= state.newestVersion(); version++ {
+		for replicaIndex := range m.replicaCount() {
+			m.adoptSet(state, replicaIndex, version, visit)
 		}
 	}
 	if state.proposed == 0 {
 		return
 	}
-	took := func(id string) bool {
-		for place, name := range replicaNames {
+	adopted := func(id string) bool {
+		for replicaIndex, name := range replicaNames {
 			if name == id {
-				return state.took.has(uint8(place))
+				return state.adoptedBy.has(uint8(replicaIndex))
 			}
 		}
 		return false
 	}
-	if w.Rules.Adopted(state.replicaSet(state.current), state.replicaSet(state.proposed), took) {
+	if m.Rules.Adopted(state.replicaSet(state.current), state.replicaSet(state.proposed), adopted) {
 		next := *state
 		next.current, next.proposed, next.settled = state.proposed, 0, false
-		next.took, next.filled = 0, 0
-		visit(Step{stepConclude, [4]uint8{next.current}}, &next)
+		next.adoptedBy, next.filledLearners = 0, 0
+		visit(Step{stepConcludeChange, [4]uint8{next.current}}, &next)
 	}
 }
 
-func (w *Membership) adopt(state *MembershipState, place, version uint8, visit func(Step, *MembershipState)) {
-	replica := state.members[place]
-	inSet := (state.sets[version].voters | state.sets[version].learners).has(place)
-	leaving := version == state.proposed && (state.sets[state.current].voters | state.sets[state.current].learners).has(place)
+// adoptSet lets a replica adopt a version of the set, if it is a member of that
+// version or is being removed by the pending change. A removed replica drops its
+// content.
+func (m *Membership) adoptSet(state *MembershipState, replicaIndex, version uint8, visit func(Step, *MembershipState)) {
+	replica := state.members[replicaIndex]
+	inSet := (state.sets[version].voters | state.sets[version].learners).has(replicaIndex)
+	leaving := version == state.proposed && (state.sets[state.current].voters | state.sets[state.current].learners).has(replicaIndex)
 	if replica.wiped || !inSet && !leaving {
 		return
 	}
 	var before *consensus.ReplicaSet
-	if replica.set > 0 {
-		set := state.replicaSet(replica.set)
+	if replica.setVersion > 0 {
+		set := state.replicaSet(replica.setVersion)
 		before = &set
 	}
-	if w.Rules.CheckSet(before, state.replicaSet(version)) != consensus.Accepted {
+	if m.Rules.CheckSet(before, state.replicaSet(version)) != consensus.Accepted {
 		return
 	}
 	next := *state
-	next.members[place].set = version
+	next.members[replicaIndex].setVersion = version
 	if !inSet {
-		next.members[place].held = shardCopy{}
+		next.members[replicaIndex].shard = shardCopy{}
 	}
 	if version == state.proposed {
-		next.took |= 1 << place
+		next.adoptedBy |= 1 << replicaIndex
 	}
-	next.adopted = max(state.adopted, version)
-	if next.members[place] != state.members[place] || next.took != state.took {
-		visit(Step{stepAdopt, [4]uint8{place, version}}, &next)
+	next.maxAdopted = max(state.maxAdopted, version)
+	if next.members[replicaIndex] != state.members[replicaIndex] || next.adoptedBy != state.adoptedBy {
+		visit(Step{stepAdoptSet, [4]uint8{replicaIndex, version}}, &next)
 	}
 }
 
-// wipes has replicas lose their disks, each once the one before was replaced.
-func (w *Membership) wipes(state *MembershipState, visit func(Step, *MembershipState)) {
-	if int(state.wipes) >= w.Wipes || w.lost(state) >= w.FaultBudget {
+// wipeSteps lets a replica lose its disk, as long as the fault budget allows it.
+func (m *Membership) wipeSteps(state *MembershipState, visit func(Step, *MembershipState)) {
+	if int(state.wipes) >= m.Wipes || m.lostReplicas(state) >= m.FaultBudget {
 		return
 	}
-	for place := range w.places() {
-		if state.members[place].wiped || state.members[place].set == 0 {
+	for replicaIndex := range m.replicaCount() {
+		if state.members[replicaIndex].wiped || state.members[replicaIndex].setVersion == 0 {
 			continue
 		}
 		next := *state
-		next.members[place] = member{wiped: true}
+		next.members[replicaIndex] = member{wiped: true}
 		next.wipes++
-		visit(Step{stepWipe, [4]uint8{place}}, &next)
+		visit(Step{stepWipe, [4]uint8{replicaIndex}}, &next)
 	}
 }
 
-// lost counts the replicas that are lost and not yet replaced: they have votes,
-// or their places are not filled by a settled set.
-func (w *Membership) lost(state *MembershipState) int {
+// lostReplicas counts the wiped replicas that are not yet replaced: those that
+// are voters, and all of them while a change is not settled or the set has fewer
+// voters than the first one.
+func (m *Membership) lostReplicas(state *MembershipState) int {
 	count, voters := 0, state.sets[state.current].voters
 	unsettled := !state.settled || state.proposed != 0
-	for place := range w.places() {
-		if state.members[place].wiped && (voters.has(place) || unsettled || countBits(int(voters)) < w.Voters) {
+	for replicaIndex := range m.replicaCount() {
+		if state.members[replicaIndex].wiped && (voters.has(replicaIndex) || unsettled || countBits(int(voters)) < m.Voters) {
 			count++
 		}
 	}
--- a/internal/model/membership_leader.go
+++ b/internal/model/membership_leader.go
@@ -1,279 +1,284 @@
-// What a leader of a shard with a changing set does.
-
 package model
 
 import (
 	"fordseam/internal/consensus"
 )
 
-// Steps visits every step of every party.
-func (w *Membership) Steps(state *MembershipState, visit func(Step, *MembershipState)) {
-	for leader := range uint8(w.Leaders) {
-		w.begins(state, leader, visit)
-		w.learns(state, leader, visit)
-		owner := &state.leaders[leader]
-		if owner.epoch == 0 {
+// Steps visits the state after each possible step of the leaders, the replicas
+// and the record of the set.
+func (m *Membership) Steps(state *MembershipState, visit func(Step, *MembershipState)) {
+	for leaderIndex := range uint8(m.Leaders) {
+		m.startSteps(state, leaderIndex, visit)
+		m.learnSetSteps(state, leaderIndex, visit)
+		leader := &state.leaders[leaderIndex]
+		if leader.epoch == 0 {
 			continue
 		}
-		w.takesOver(state, leader, visit)
-		w.replicates(state, leader, visit)
-		w.decides(state, leader, visit)
-		w.reads(state, leader, visit)
-		w.census(state, leader, visit)
+		m.takeoverSteps(state, leaderIndex, visit)
+		m.replicationSteps(state, leaderIndex, visit)
+		m.writeSteps(state, leaderIndex, visit)
+		m.readSteps(state, leaderIndex, visit)
+		m.censusSteps(state, leaderIndex, visit)
 	}
-	w.proposals(state, visit)
-	w.adoptions(state, visit)
-	w.wipes(state, visit)
+	m.proposalSteps(state, visit)
+	m.adoptionSteps(state, visit)
+	m.wipeSteps(state, visit)
 }
 
-// begins has a leader begin to take the shard.
-func (w *Membership) begins(state *MembershipState, leader uint8, visit func(Step, *MembershipState)) {
-	for epoch := state.leaders[leader].epoch + 1; int(epoch) <= w.Epochs; epoch++ {
-		if w.SingleAttempt && epoch != leader+1 {
+// startSteps lets a leader start an attempt to take over the shard, under any
+// higher epoch.
+func (m *Membership) startSteps(state *MembershipState, leaderIndex uint8, visit func(Step, *MembershipState)) {
+	for epoch := state.leaders[leaderIndex].epoch + 1; int(epoch) <= m.Epochs; epoch++ {
+		if m.SingleAttempt && epoch != leaderIndex+1 {
 			continue
 		}
 		next := *state
-		set := state.leaders[leader].set
-		next.leaders[leader] = candidate{epoch: epoch, set: set, askedAt: set}
-		visit(Step{stepStart, [4]uint8{leader, epoch}}, &next)
+		set := state.leaders[leaderIndex].setVersion
+		next.leaders[leaderIndex] = membershipLeader{epoch: epoch, setVersion: set, promiseSetVersion: set}
+		visit(Step{stepStart, [4]uint8{leaderIndex, epoch}}, &next)
 	}
 }
 
-// learns has a leader learn of a newer set, which a replica adopted.
-func (w *Membership) learns(state *MembershipState, leader uint8, visit func(Step, *MembershipState)) {
-	for version := state.leaders[leader].set + 1; version <= state.adopted; version++ {
+// learnSetSteps lets a leader learn of a newer set that some replica has adopted.
+func (m *Membership) learnSetSteps(state *MembershipState, leaderIndex uint8, visit func(Step, *MembershipState)) {
+	for version := state.leaders[leaderIndex].setVersion + 1; version <= state.maxAdopted; version++ {
 		next := *state
-		next.leaders[leader].set = version
-		visit(Step{stepLearn, [4]uint8{leader, version}}, &next)
+		next.leaders[leaderIndex].setVersion = version
+		visit(Step{stepLearnSet, [4]uint8{leaderIndex, version}}, &next)
 	}
 }
 
-// judge asks a replica whether it may act for a leader that goes by a version.
-func (w *Membership) judge(state *MembershipState, leader, place, version uint8) bool {
-	replica := &state.members[place]
-	self := consensus.Identity{ID: replicaNames[place], SetVersion: uint64(replica.set)}
+// acceptsClaim reports whether a replica accepts messages of a leader that uses a
+// version of the set.
+func (m *Membership) acceptsClaim(state *MembershipState, leaderIndex, replicaIndex, version uint8) bool {
+	replica := &state.members[replicaIndex]
+	self := consensus.Identity{ID: replicaNames[replicaIndex], SetVersion: uint64(replica.setVersion)}
 	if replica.wiped {
-		self.ID = wipedName
+		self.ID = wipedReplicaName
 	}
-	claim := consensus.Claim{Epoch: uint64(state.leaders[leader].epoch), Leader: leaderNames[leader], SetVersion: uint64(version), Replica: replicaNames[place]}
-	return w.Rules.CheckClaim(self, replica.held.shard(), claim) == consensus.Accepted
+	claim := consensus.Claim{Epoch: uint64(state.leaders[leaderIndex].epoch), Leader: leaderNames[leaderIndex], SetVersion: uint64(version), Replica: replicaNames[replicaIndex]}
+	return m.Rules.CheckClaim(self, replica.shard.state(), claim) == consensus.Accepted
 }
 
-// takesOver asks for promises and chooses the newest content of a majority.
-func (w *Membership) takesOver(state *MembershipState, leader uint8, visit func(Step, *MembershipState)) {
-	owner := &state.leaders[leader]
-	if owner.taken {
+// takeoverSteps collects promises from the voters, and has the leader choose the
+// newest content among those of a majority.
+func (m *Membership) takeoverSteps(state *MembershipState, leaderIndex uint8, visit func(Step, *MembershipState)) {
+	leader := &state.leaders[leaderIndex]
+	if leader.contentChosen {
 		return
 	}
-	voters := state.sets[owner.askedAt].voters
-	for place := range w.places() {
-		if !voters.has(place) || owner.promises[place].given || !w.judge(state, leader, place, owner.askedAt) {
+	voters := state.sets[leader.promiseSetVersion].voters
+	for replicaIndex := range m.replicaCount() {
+		if !voters.has(replicaIndex) || leader.promises[replicaIndex].received || !m.acceptsClaim(state, leaderIndex, replicaIndex, leader.promiseSetVersion) {
 			continue
 		}
 		next := *state
-		replica := &next.members[place]
-		replica.held = replica.held.withShard(replica.held.shard().Promise(uint64(owner.epoch), leaderNames[leader]))
-		next.leaders[leader].promises[place] = promiseReply{given: true, installed: replica.held.installed, seq: replica.held.seq, content: replica.held.content}
-		visit(Step{stepPromise, [4]uint8{leader, owner.epoch, place}}, &next)
+		replica := &next.members[replicaIndex]
+		replica.shard = replica.shard.withState(replica.shard.state().Promise(uint64(leader.epoch), leaderNames[leaderIndex]))
+		next.leaders[leaderIndex].promises[replicaIndex] = promiseReply{received: true, installedEpoch: replica.shard.installedEpoch, seq: replica.shard.seq, content: replica.shard.content}
+		visit(Step{stepPromise, [4]uint8{leaderIndex, leader.epoch, replicaIndex}}, &next)
 	}
-	quorum := w.Rules.PromiseQuorum(countBits(int(voters)))
-	for members := range 1 << w.places() {
-		if members&^int(voters) != 0 || countBits(members) != quorum {
+	quorum := m.Rules.PromiseQuorum(countBits(int(voters)))
+	for subset := range 1 << m.replicaCount() {
+		if subset&^int(voters) != 0 || countBits(subset) != quorum {
 			continue
 		}
-		newest, complete := newestOf(w.Rules.Newer, &owner.promises, members)
+		newest, complete := newestPromise(m.Rules.Newer, &leader.promises, subset)
 		if !complete {
 			continue
 		}
 		next := *state
-		taker := &next.leaders[leader]
-		taker.taken, taker.base, taker.tail, taker.content = true, newest.seq, newest.seq, newest.content
-		taker.promises = [maxReplicas]promiseReply{}
-		visit(Step{stepTake, [4]uint8{leader, owner.epoch, uint8(members)}}, &next)
+		nextLeader := &next.leaders[leaderIndex]
+		nextLeader.contentChosen, nextLeader.base, nextLeader.tail, nextLeader.content = true, newest.seq, newest.seq, newest.content
+		nextLeader.promises = [maxReplicas]promiseReply{}
+		visit(Step{stepChooseContent, [4]uint8{leaderIndex, leader.epoch, uint8(subset)}}, &next)
 	}
 }
 
-// replicates exchanges messages with the replicas of the set that the leader
-// knows.
-func (w *Membership) replicates(state *MembershipState, leader uint8, visit func(Step, *MembershipState)) {
-	owner := &state.leaders[leader]
-	if !owner.taken {
+// replicationSteps delivers or loses the next message, or the answer in flight, of
+// each replica in the set that the leader knows.
+func (m *Membership) replicationSteps(state *MembershipState, leaderIndex uint8, visit func(Step, *MembershipState)) {
+	leader := &state.leaders[leaderIndex]
+	if !leader.contentChosen {
 		return
 	}
-	set := state.sets[owner.set]
-	for place := range w.places() {
-		about := &owner.replicas[place]
-		if about.answer.underWay {
-			w.answers(state, leader, place, visit)
+	set := state.sets[leader.setVersion]
+	for replicaIndex := range m.replicaCount() {
+		progress := &leader.replicas[replicaIndex]
+		if progress.answer.inFlight {
+			m.answerSteps(state, leaderIndex, replicaIndex, visit)
 			continue
 		}
-		if !(set.voters | set.learners).has(place) {
+		if !(set.voters | set.learners).has(replicaIndex) {
 			continue
 		}
-		kind := about.progress().Next(uint64(owner.base)+1, uint64(owner.tail), uint64(owner.set))
+		kind := progress.toConsensus().Next(uint64(leader.base)+1, uint64(leader.tail), uint64(leader.setVersion))
 		if kind == consensus.SendNothing {
 			continue
 		}
-		w.exchange(state, leader, place, kind, visit)
-		if w.MessageLoss && !about.mute {
+		m.deliver(state, leaderIndex, replicaIndex, kind, visit)
+		if m.MessageLoss && !progress.unresponsive {
 			next := *state
-			lost := &next.leaders[leader].replicas[place]
-			lost.mute = true
-			lost.installed = lost.installed && kind != consensus.SendSnapshot
-			visit(Step{stepLostRequest, [4]uint8{leader, owner.epoch, place}}, &next)
+			nextProgress := &next.leaders[leaderIndex].replicas[replicaIndex]
+			nextProgress.unresponsive = true
+			nextProgress.installed = nextProgress.installed && kind != consensus.SendSnapshot
+			visit(Step{stepLostRequest, [4]uint8{leaderIndex, leader.epoch, replicaIndex}}, &next)
 		}
 	}
 }
 
-// exchange has a replica act on the leader's next message.
-func (w *Membership) exchange(state *MembershipState, leader, place uint8, kind consensus.MessageKind, visit func(Step, *MembershipState)) {
-	owner := &state.leaders[leader]
-	if !w.judge(state, leader, place, owner.set) {
+// deliver lets a replica apply the leader's next message and answer it.
+func (m *Membership) deliver(state *MembershipState, leaderIndex, replicaIndex uint8, kind consensus.MessageKind, visit func(Step, *MembershipState)) {
+	leader := &state.leaders[leaderIndex]
+	if !m.acceptsClaim(state, leaderIndex, replicaIndex, leader.setVersion) {
 		return
 	}
 	next := *state
-	replica, about := &next.members[place], &next.leaders[leader].replicas[place]
-	epoch := uint64(owner.epoch)
+	replica, progress := &next.members[replicaIndex], &next.leaders[leaderIndex].replicas[replicaIndex]
+	epoch := uint64(leader.epoch)
 	if kind == consensus.SendSnapshot {
-		about.installed = false
-		held, taken := w.Rules.Install(replica.held.shard(), epoch, leaderNames[leader], uint64(owner.tail))
-		if taken {
-			replica.held = replica.held.withShard(held)
-			replica.held.content = owner.content
+		progress.installed = false
+		shard, applied := m.Rules.Install(replica.shard.state(), epoch, leaderNames[leaderIndex], uint64(leader.tail))
+		if applied {
+			replica.shard = replica.shard.withState(shard)
+			replica.shard.content = leader.content
 		}
 	} else {
 		first := uint64(0)
 		if kind == consensus.SendEntries {
-			first = uint64(about.acked) + 1
+			first = uint64(progress.acked) + 1
 		}
-		if w.Rules.CheckAppend(replica.held.shard(), epoch, first) != consensus.Accepted {
-			about.installed, about.mute = false, false
-			visit(Step{stepExchange, [4]uint8{leader, owner.epoch, place, uint8(kind)}}, &next)
+		if m.Rules.CheckAppend(replica.shard.state(), epoch, first) != consensus.Accepted {
+			progress.installed, progress.unresponsive = false, false
+			visit(Step{stepDeliver, [4]uint8{leaderIndex, leader.epoch, replicaIndex, uint8(kind)}}, &next)
 			return
 		}
-		for seq := first; seq > 0 && seq <= uint64(owner.tail); seq++ {
-			held, taken := replica.held.shard().Append(epoch, seq)
-			if taken {
-				replica.held = replica.held.withShard(held)
-				replica.held.content = owner.content.upTo(uint8(seq))
+		for seq := first; seq > 0 && seq <= uint64(leader.tail); seq++ {
+			shard, applied := replica.shard.state().Append(epoch, seq)
+			if applied {
+				replica.shard = replica.shard.withState(shard)
+				replica.shard.content = leader.content.prefix(uint8(seq))
 			}
 		}
 	}
-	about.answer = answerState{underWay: true, set: owner.set, seq: replica.held.seq}
-	if w.ImmediateAnswers {
-		w.hear(&next, leader, place)
+	progress.answer = answerState{inFlight: true, setVersion: leader.setVersion, seq: replica.shard.seq}
+	if m.ImmediateAnswers {
+		m.receiveAnswer(&next, leaderIndex, replicaIndex)
 	}
-	visit(Step{stepExchange, [4]uint8{leader, owner.epoch, place, uint8(kind)}}, &next)
+	visit(Step{stepDeliver, [4]uint8{leaderIndex, leader.epoch, replicaIndex, uint8(kind)}}, &next)
 }
 
-// answers brings a replica's answer to the leader, or loses it.
-func (w *Membership) answers(state *MembershipState, leader, place uint8, visit func(Step, *MembershipState)) {
-	owner := &state.leaders[leader]
+// answerSteps delivers a replica's answer to the leader, or loses it.
+func (m *Membership) answerSteps(state *MembershipState, leaderIndex, replicaIndex uint8, visit func(Step, *MembershipState)) {
+	leader := &state.leaders[leaderIndex]
 	next := *state
-	w.hear(&next, leader, place)
-	visit(Step{stepAnswer, [4]uint8{leader, owner.epoch, place}}, &next)
-	if w.MessageLoss {
+	m.receiveAnswer(&next, leaderIndex, replicaIndex)
+	visit(Step{stepAnswerArrives, [4]uint8{leaderIndex, leader.epoch, replicaIndex}}, &next)
+	if m.MessageLoss {
 		next := *state
-		next.leaders[leader].replicas[place].answer = answerState{}
-		next.leaders[leader].replicas[place].mute = true
-		visit(Step{stepLostAnswer, [4]uint8{leader, owner.epoch, place}}, &next)
+		next.leaders[leaderIndex].replicas[replicaIndex].answer = answerState{}
+		next.leaders[leaderIndex].replicas[replicaIndex].unresponsive = true
+		visit(Step{stepLostAnswer, [4]uint8{leaderIndex, leader.epoch, replicaIndex}}, &next)
 	}
 }
 
-// hear has a leader take in a replica's answer.
-func (w *Membership) hear(next *MembershipState, leader, place uint8) {
-	about := &next.leaders[leader].replicas[place]
-	answer := about.answer
-	about.answer = answerState{}
-	*about = about.withProgress(about.progress().Acknowledge(uint64(answer.seq), uint64(answer.set)))
-	w.recount(next, leader, answer.set)
+// receiveAnswer applies a replica's answer to the leader's progress.
+func (m *Membership) receiveAnswer(next *MembershipState, leaderIndex, replicaIndex uint8) {
+	progress := &next.leaders[leaderIndex].replicas[replicaIndex]
+	answer := progress.answer
+	progress.answer = answerState{}
+	*progress = progress.withProgress(progress.toConsensus().Acknowledge(uint64(answer.seq), uint64(answer.setVersion)))
+	m.updateCommitted(next, leaderIndex, answer.setVersion)
 }
 
-// recount finds what is committed once an answer came to a message that was
-// sent under a version, and has clients told of it.
-func (w *Membership) recount(state *MembershipState, leader, sent uint8) {
-	owner := &state.leaders[leader]
-	version := w.Rules.CountingVersion(sent, owner.set)
-	committed, reached := w.Rules.Committed(uint64(owner.committed), uint64(version), state.voters(leader, version))
+// updateCommitted determines what is committed after the answer to a message that
+// was sent under a version of the set, and acknowledges it to the clients.
+func (m *Membership) updateCommitted(state *MembershipState, leaderIndex, messageVersion uint8) {
+	leader := &state.leaders[leaderIndex]
+	version := m.Rules.CountingVersion(messageVersion, leader.setVersion)
+	committed, reached := m.Rules.Committed(uint64(leader.committed), uint64(version), state.voterProgress(leaderIndex, version))
 	if !reached {
 		return
 	}
-	owner.serving, owner.committed = true, uint8(committed)
-	w.confirmed(state, leader)
-	if !state.told.tell(owner.content, owner.base, owner.committed) {
-		state.broken = brokenDocument
+	leader.serving, leader.committed = true, uint8(committed)
+	m.recordConfirmation(state, leaderIndex)
+	if !state.observed.record(leader.content, leader.base, leader.committed) {
+		state.violation = documentViolation
 	}
 }
 
-// confirmed notes that a majority went by a leader under its epoch.
-func (w *Membership) confirmed(state *MembershipState, leader uint8) {
-	by := &state.confirmedBy[state.leaders[leader].epoch-1]
-	if *by != 0 && *by != leader+1 {
-		state.broken = brokenLeader
+// recordConfirmation records that a majority confirmed a leader under its epoch,
+// and a violation if it was another leader before.
+func (m *Membership) recordConfirmation(state *MembershipState, leaderIndex uint8) {
+	confirmer := &state.confirmedBy[state.leaders[leaderIndex].epoch-1]
+	if *confirmer != 0 && *confirmer != leaderIndex+1 {
+		state.violation = leaderViolation
 	}
-	*by = leader + 1
+	*confirmer = leaderIndex + 1
 }
 
-// decides has a serving leader take a client's document.
-func (w *Membership) decides(state *MembershipState, leader uint8, visit func(Step, *MembershipState)) {
-	owner := &state.leaders[leader]
-	if !owner.serving {
+// writeSteps lets a serving leader append a client's document that builds on the
+// leader's newest version.
+func (m *Membership) writeSteps(state *MembershipState, leaderIndex uint8, visit func(Step, *MembershipState)) {
+	leader := &state.leaders[leaderIndex]
+	if !leader.serving {
 		return
 	}
-	for place, base := range w.BaseVersions {
-		document := uint8(place) + 1
-		if base != owner.tail || owner.content.has(document, owner.tail) {
+	for index, base := range m.BaseVersions {
+		document := uint8(index) + 1
+		if base != leader.tail || leader.content.contains(document, leader.tail) {
 			continue
 		}
 		next := *state
-		grown := &next.leaders[leader]
-		grown.content = grown.content.with(grown.tail, document)
-		grown.tail++
-		visit(Step{stepDecide, [4]uint8{leader, owner.epoch, document}}, &next)
+		nextLeader := &next.leaders[leaderIndex]
+		nextLeader.content = nextLeader.content.withDocument(nextLeader.tail, document)
+		nextLeader.tail++
+		visit(Step{stepWrite, [4]uint8{leaderIndex, leader.epoch, document}}, &next)
 	}
 }
 
-// reads has a serving leader begin a read, and voters confirm it.
-func (w *Membership) reads(state *MembershipState, leader uint8, visit func(Step, *MembershipState)) {
-	owner := &state.leaders[leader]
-	if !w.Reads || !owner.serving {
+// readSteps lets a client start a read at a serving leader, and voters confirm
+// it.
+func (m *Membership) readSteps(state *MembershipState, leaderIndex uint8, visit func(Step, *MembershipState)) {
+	leader := &state.leaders[leaderIndex]
+	if !m.Reads || !leader.serving {
 		return
 	}
-	if !owner.read.active {
-		if owner.committed < owner.tail {
+	if !leader.read.active {
+		if leader.committed < leader.tail {
 			return
 		}
 		next := *state
-		reader := &next.leaders[leader]
-		reader.read = readState{active: true, version: owner.tail, floor: state.told.length}
-		reader.readSet = owner.set
-		w.answerRead(&next, leader)
-		visit(Step{stepRead, [4]uint8{leader, owner.epoch}}, &next)
+		nextLeader := &next.leaders[leaderIndex]
+		nextLeader.read = readState{active: true, version: leader.tail, observedLength: state.observed.length}
+		nextLeader.readSetVersion = leader.setVersion
+		m.completeRead(&next, leaderIndex)
+		visit(Step{stepRead, [4]uint8{leaderIndex, leader.epoch}}, &next)
 		return
 	}
-	for place := range w.places() {
-		if !state.sets[owner.readSet].voters.has(place) || owner.read.confirmed&(1<<place) != 0 || !w.judge(state, leader, place, owner.readSet) {
+	for replicaIndex := range m.replicaCount() {
+		if !state.sets[leader.readSetVersion].voters.has(replicaIndex) || leader.read.confirmedBy&(1<<replicaIndex) != 0 || !m.acceptsClaim(state, leaderIndex, replicaIndex, leader.readSetVersion) {
 			continue
 		}
 		next := *state
-		next.leaders[leader].read.confirmed |= 1 << place
-		w.answerRead(&next, leader)
-		visit(Step{stepConfirm, [4]uint8{leader, owner.epoch, place}}, &next)
+		next.leaders[leaderIndex].read.confirmedBy |= 1 << replicaIndex
+		m.completeRead(&next, leaderIndex)
+		visit(Step{stepConfirmRead, [4]uint8{leaderIndex, leader.epoch, replicaIndex}}, &next)
 	}
 }
 
-// answerRead answers a read that enough voters have confirmed.
-func (w *Membership) answerRead(state *MembershipState, leader uint8) {
-	owner := &state.leaders[leader]
-	quorum := w.Rules.ReadQuorum(countBits(int(state.sets[owner.readSet].voters)))
-	if countBits(int(owner.read.confirmed)) < quorum {
+// completeRead answers the read if enough voters have confirmed it.
+func (m *Membership) completeRead(state *MembershipState, leaderIndex uint8) {
+	leader := &state.leaders[leaderIndex]
+	quorum := m.Rules.ReadQuorum(countBits(int(state.sets[leader.readSetVersion].voters)))
+	if countBits(int(leader.read.confirmedBy)) < quorum {
 		return
 	}
-	if owner.read.version < owner.read.floor {
-		state.broken = brokenRead
+	if leader.read.version < leader.read.observedLength {
+		state.violation = readViolation
 	}
-	if !state.told.tell(owner.content, 0, owner.read.version) {
-		state.broken = brokenDocument
+	if !state.observed.record(leader.content, 0, leader.read.version) {
+		state.violation = documentViolation
 	}
-	owner.read, owner.readSet = readState{}, 0
+	leader.read, leader.readSetVersion = readState{}, 0
 }
--- a/internal/model/replication_key.go
+++ b/internal/model/replication_key.go
@@ -1,5 +1,3 @@
-// States and steps of replication told apart.
-
 package model
 
 import (
@@ -8,109 +6,110 @@
 	"slices"
 )
 
-// Key appends the state with its replicas in an order of their own: which of
-// them is which makes no difference.
-func (w *Replication) Key(state *ReplicationState, key []byte) []byte {
-	for leader := range state.leaders[:w.Leaders] {
-		owner := &state.leaders[leader]
-		key = append(key, owner.epoch, owner.highest, flag(owner.serving), owner.committed,
-			flag(owner.read.active), owner.read.version, owner.read.floor)
+// Key appends the state with the replicas sorted by their keys, since replicas
+// are interchangeable.
+func (r *Replication) Key(state *ReplicationState, key []byte) []byte {
+	for leaderIndex := range state.leaders[:r.Leaders] {
+		leader := &state.leaders[leaderIndex]
+		key = append(key, leader.epoch, leader.highestEpoch, boolToByte(leader.serving), leader.committed,
+			boolToByte(leader.read.active), leader.read.version, leader.read.observedLength)
 	}
-	for epoch := range state.attempts[:w.Epochs] {
-		for leader := range state.attempts[epoch][:w.Leaders] {
-			try := &state.attempts[epoch][leader]
-			key = append(key, flag(try.begun), flag(try.taken), try.base, try.tail, uint8(try.content))
+	for epoch := range state.attempts[:r.Epochs] {
+		for leaderIndex := range state.attempts[epoch][:r.Leaders] {
+			attempt := &state.attempts[epoch][leaderIndex]
+			key = append(key, boolToByte(attempt.started), boolToByte(attempt.contentChosen), attempt.base, attempt.tail, uint8(attempt.content))
 		}
 		key = append(key, state.confirmedBy[epoch])
 	}
-	key = append(key, state.told.length, uint8(state.told.history), state.wipes, uint8(state.broken))
+	key = append(key, state.observed.length, uint8(state.observed.history), state.wipes, uint8(state.violation))
 
 	var parts [maxReplicas][]byte
-	var room [maxReplicas * maxReplicaKey]byte
-	for place := range w.Replicas {
-		parts[place] = w.replicaKey(state, place, room[place*maxReplicaKey:place*maxReplicaKey])
+	var buffer [maxReplicas * maxReplicaKey]byte
+	for replicaIndex := range r.Replicas {
+		parts[replicaIndex] = r.replicaKey(state, replicaIndex, buffer[replicaIndex*maxReplicaKey:replicaIndex*maxReplicaKey])
 	}
-	slices.SortFunc(parts[:w.Replicas], bytes.Compare)
-	for _, part := range parts[:w.Replicas] {
+	slices.SortFunc(parts[:r.Replicas], bytes.Compare)
+	for _, part := range parts[:r.Replicas] {
 		key = append(key, part...)
 	}
 	return key
 }
 
-// maxReplicaKey bounds what tells one replica from another.
+// maxReplicaKey bounds the length of a replicaKey.
 const maxReplicaKey = 16 + 6*maxEpochs*maxLeaders + maxLeaders
 
-// replicaKey appends all that concerns one replica.
-func (w *Replication) replicaKey(state *ReplicationState, place int, key []byte) []byte {
-	replica := &state.replicas[place]
-	for _, held := range [...]shardCopy{replica.memory, replica.durable} {
-		key = append(key, held.promised, held.leader, held.installed, held.seq, uint8(held.content))
+// replicaKey appends all state that belongs to one replica. Acknowledgements to
+// an attempt that its leader has abandoned are left out: they have no effect.
+func (r *Replication) replicaKey(state *ReplicationState, replicaIndex int, key []byte) []byte {
+	replica := &state.replicas[replicaIndex]
+	for _, shard := range [...]shardCopy{replica.memory, replica.durable} {
+		key = append(key, shard.promisedEpoch, shard.leader, shard.installedEpoch, shard.seq, uint8(shard.content))
 	}
-	key = append(key, flag(replica.wiped))
-	for epoch := range state.attempts[:w.Epochs] {
-		for leader := range state.attempts[epoch][:w.Leaders] {
-			try := &state.attempts[epoch][leader]
-			reply := try.promises[place]
-			key = append(key, flag(reply.given), reply.installed, reply.seq, uint8(reply.content))
-			if int(state.leaders[leader].epoch) == epoch+1 {
-				key = append(key, try.acked[place])
+	key = append(key, boolToByte(replica.wiped))
+	for epoch := range state.attempts[:r.Epochs] {
+		for leaderIndex := range state.attempts[epoch][:r.Leaders] {
+			attempt := &state.attempts[epoch][leaderIndex]
+			reply := attempt.promises[replicaIndex]
+			key = append(key, boolToByte(reply.received), reply.installedEpoch, reply.seq, uint8(reply.content))
+			if int(state.leaders[leaderIndex].epoch) == epoch+1 {
+				key = append(key, attempt.acked[replicaIndex])
 			}
 		}
 	}
-	for leader := range state.leaders[:w.Leaders] {
-		key = append(key, state.leaders[leader].read.confirmed>>place&1)
+	for leaderIndex := range state.leaders[:r.Leaders] {
+		key = append(key, state.leaders[leaderIndex].read.confirmedBy>>replicaIndex&1)
 	}
 	return key
 }
 
-func flag(set bool) uint8 {
+func boolToByte(set bool) uint8 {
 	if set {
 		return 1
 	}
 	return 0
 }
 
-// Describe puts a step into words.
-func (w *Replication) Describe(step Step) string {
-	who, epoch, replica, detail := step.Operands[0], step.Operands[1], step.Operands[2], step.Operands[3]
-	how := "; it syncs and answers"
-	if step.Kind == stepPromise && detail == unsynced || step.Kind != stepPromise && detail>>4 == unsynced {
-		how = "; not yet synced"
+// Describe returns a step's line in a trace.
+func (r *Replication) Describe(step Step) string {
+	leaderOrReplica, epoch, replica, detail := step.Operands[0], step.Operands[1], step.Operands[2], step.Operands[3]
+	outcomeText := "; its answer arrives"
+	if step.Kind == stepPromise && detail == outcomeUnsynced || step.Kind != stepPromise && detail>>4 == outcomeUnsynced {
+		outcomeText = "; not yet synced, no answer"
 	}
 	switch step.Kind {
 	case stepStart:
-		return fmt.Sprintf("leader %d begins to take the shard under epoch %d", who, epoch)
+		return fmt.Sprintf("leader %d starts to take over the shard under epoch %d", leaderOrReplica, epoch)
 	case stepPromise:
-		return fmt.Sprintf("replica %d promises epoch %d to leader %d%s", replica, epoch, who, how)
-	case stepTake:
-		return fmt.Sprintf("leader %d takes the newest content of replicas %s under epoch %d", who, members(replica), epoch)
+		return fmt.Sprintf("replica %d promises epoch %d to leader %d%s", replica, epoch, leaderOrReplica, outcomeText)
+	case stepChooseContent:
+		return fmt.Sprintf("leader %d chooses the newest content of replicas %s under epoch %d", leaderOrReplica, formatReplicas(replica), epoch)
 	case stepInstall:
-		return fmt.Sprintf("replica %d gets the snapshot up to %d of leader %d, epoch %d%s", replica, detail&15, who, epoch, how)
+		return fmt.Sprintf("replica %d receives the snapshot up to %d from leader %d, epoch %d%s", replica, detail&15, leaderOrReplica, epoch, outcomeText)
 	case stepAppend:
-		return fmt.Sprintf("replica %d gets the entries from %d on of leader %d, epoch %d%s", replica, detail&15, who, epoch, how)
-	case stepDecide:
-		return fmt.Sprintf("leader %d decides on document %d under epoch %d", who, replica, epoch)
+		return fmt.Sprintf("replica %d receives the entries starting at %d from leader %d, epoch %d%s", replica, detail&15, leaderOrReplica, epoch, outcomeText)
+	case stepWrite:
+		return fmt.Sprintf("leader %d appends document %d under epoch %d", leaderOrReplica, replica, epoch)
 	case stepRead:
-		return fmt.Sprintf("a client reads from leader %d, epoch %d", who, epoch)
-	case stepConfirm:
-		return fmt.Sprintf("replica %d confirms epoch %d to leader %d", replica, epoch, who)
-	case stepPower:
-		return fmt.Sprintf("replica %d loses power", who)
+		return fmt.Sprintf("a client starts a read at leader %d, epoch %d", leaderOrReplica, epoch)
+	case stepConfirmRead:
+		return fmt.Sprintf("replica %d confirms epoch %d to leader %d", replica, epoch, leaderOrReplica)
+	case stepPowerLoss:
+		return fmt.Sprintf("replica %d loses power", leaderOrReplica)
 	case stepWipe:
-		return fmt.Sprintf("replica %d loses its disk", who)
+		return fmt.Sprintf("replica %d loses its disk", leaderOrReplica)
 	case stepCrash:
-		return fmt.Sprintf("leader %d is restarted under the same name", who)
+		return fmt.Sprintf("leader %d restarts under the same name and loses its state", leaderOrReplica)
 	}
-	return fmt.Sprint("step ", step.Kind)
+	return fmt.Sprint("unknown step kind ", step.Kind)
 }
 
-// members lists the places of a set of replicas.
-func members(set uint8) string {
-	var places []int
-	for place := range maxReplicas {
-		if set&(1<<place) != 0 {
-			places = append(places, place)
+// formatReplicas lists the indexes of the replicas in a bit mask.
+func formatReplicas(mask uint8) string {
+	var indexes []int
+	for index := range maxReplicas {
+		if mask&(1<<index) != 0 {
+			indexes = append(indexes, index)
 		}
 	}
-	return fmt.Sprint(places)
+	return fmt.Sprint(indexes)
 }
--- a/internal/model/replication_steps.go
+++ b/internal/model/replication_steps.go
@@ -1,121 +1,125 @@
-// The steps of leaders and replicas under epochs.
-
 package model
 
 import (
 	"fordseam/internal/consensus"
 )
 
-// Steps visits every step of every party.
-func (w *Replication) Steps(state *ReplicationState, visit func(Step, *ReplicationState)) {
-	for leader := range uint8(w.Leaders) {
-		w.starts(state, leader, visit)
-		w.decisions(state, leader, visit)
-		w.reads(state, leader, visit)
-		for epoch := uint8(1); int(epoch) <= w.Epochs; epoch++ {
-			if state.attempts[epoch-1][leader].begun {
-				w.messages(state, epoch, leader, visit)
+// Steps visits the state after each possible step of the leaders and the
+// replicas.
+func (r *Replication) Steps(state *ReplicationState, visit func(Step, *ReplicationState)) {
+	for leaderIndex := range uint8(r.Leaders) {
+		r.startSteps(state, leaderIndex, visit)
+		r.writeSteps(state, leaderIndex, visit)
+		r.readSteps(state, leaderIndex, visit)
+		for epoch := uint8(1); int(epoch) <= r.Epochs; epoch++ {
+			if state.attempts[epoch-1][leaderIndex].started {
+				r.messageSteps(state, epoch, leaderIndex, visit)
 			}
 		}
 	}
-	w.faults(state, visit)
+	r.faultSteps(state, visit)
 }
 
-// starts has a leader begin to take the shard, under any higher epoch that it
-// may have learnt of.
-func (w *Replication) starts(state *ReplicationState, leader uint8, visit func(Step, *ReplicationState)) {
-	for epoch := state.leaders[leader].highest + 1; int(epoch) <= w.Epochs; epoch++ {
+// startSteps lets a leader start an attempt to take over the shard, under any
+// higher epoch that it may have learned of, or crash.
+func (r *Replication) startSteps(state *ReplicationState, leaderIndex uint8, visit func(Step, *ReplicationState)) {
+	for epoch := state.leaders[leaderIndex].highestEpoch + 1; int(epoch) <= r.Epochs; epoch++ {
 		next := *state
-		next.leaders[leader] = leaderState{epoch: epoch, highest: epoch}
-		next.attempts[epoch-1][leader] = attempt{begun: true}
-		visit(Step{stepStart, [4]uint8{leader, epoch}}, &next)
+		next.leaders[leaderIndex] = leaderState{epoch: epoch, highestEpoch: epoch}
+		next.attempts[epoch-1][leaderIndex] = leaderAttempt{started: true}
+		visit(Step{stepStart, [4]uint8{leaderIndex, epoch}}, &next)
 	}
-	if w.LeaderCrashes && state.leaders[leader].highest > 0 && !w.Rules.UniqueLeaderNames {
+	if r.LeaderCrashes && state.leaders[leaderIndex].highestEpoch > 0 && !r.Rules.UniqueLeaderNames {
 		next := *state
-		next.leaders[leader] = leaderState{}
-		visit(Step{stepCrash, [4]uint8{leader}}, &next)
+		next.leaders[leaderIndex] = leaderState{}
+		visit(Step{stepCrash, [4]uint8{leaderIndex}}, &next)
 	}
 }
 
-// messages delivers what a leader sends under an epoch, and has it choose the
-// content.
-func (w *Replication) messages(state *ReplicationState, epoch, leader uint8, visit func(Step, *ReplicationState)) {
-	try := &state.attempts[epoch-1][leader]
-	for replica := range uint8(w.Replicas) {
-		if !w.judge(state, epoch, leader, replica) {
+// messageSteps delivers the messages that a leader sends under an epoch, and has
+// the leader choose its content.
+func (r *Replication) messageSteps(state *ReplicationState, epoch, leaderIndex uint8, visit func(Step, *ReplicationState)) {
+	attempt := &state.attempts[epoch-1][leaderIndex]
+	for replicaIndex := range uint8(r.Replicas) {
+		if !r.acceptsClaim(state, epoch, leaderIndex, replicaIndex) {
 			continue
 		}
-		for _, how := range w.outcomes() {
-			w.promise(state, epoch, leader, replica, how, visit)
-			if !try.taken {
+		for _, outcome := range r.outcomes() {
+			r.deliverPromise(state, epoch, leaderIndex, replicaIndex, outcome, visit)
+			if !attempt.contentChosen {
 				continue
 			}
-			for seq := try.base; seq <= try.tail; seq++ {
-				w.install(state, epoch, leader, replica, seq, how, visit)
+			for seq := attempt.base; seq <= attempt.tail; seq++ {
+				r.deliverSnapshot(state, epoch, leaderIndex, replicaIndex, seq, outcome, visit)
 			}
-			for first := try.base + 1; first <= try.tail; first++ {
-				w.append(state, epoch, leader, replica, first, how, visit)
+			for first := attempt.base + 1; first <= attempt.tail; first++ {
+				r.deliverEntries(state, epoch, leaderIndex, replicaIndex, first, outcome, visit)
 			}
 		}
 	}
-	if state.leaders[leader].epoch == epoch && !try.taken {
-		w.takes(state, epoch, leader, visit)
+	if state.leaders[leaderIndex].epoch == epoch && !attempt.contentChosen {
+		r.chooseContentSteps(state, epoch, leaderIndex, visit)
 	}
 }
 
-func (w *Replication) outcomes() []uint8 {
-	if w.PowerLoss {
-		return []uint8{answered, unsynced}
+// outcomes lists the possible outcomes of a message that reaches a replica.
+func (r *Replication) outcomes() []uint8 {
+	if r.PowerLoss {
+		return []uint8{outcomeAnswered, outcomeUnsynced}
 	}
-	return []uint8{answered}
+	return []uint8{outcomeAnswered}
 }
 
-// settle ends a replica's step: it syncs, if it is to.
-func (w *Replication) settle(replica *replicaState, how uint8) {
-	if how == answered && w.Rules.SyncBeforeAnswer || !w.PowerLoss {
+// maybeSync makes a replica's memory durable, unless the outcome or the rules
+// leave it unsynced.
+func (r *Replication) maybeSync(replica *replicaState, outcome uint8) {
+	if outcome == outcomeAnswered && r.Rules.SyncBeforeAnswer || !r.PowerLoss {
 		replica.durable = replica.memory
 	}
 }
 
-func (w *Replication) promise(state *ReplicationState, epoch, leader, replica, how uint8, visit func(Step, *ReplicationState)) {
+// deliverPromise asks a replica to promise an epoch to a leader.
+func (r *Replication) deliverPromise(state *ReplicationState, epoch, leaderIndex, replicaIndex, outcome uint8, visit func(Step, *ReplicationState)) {
 	next := *state
-	taker := &next.replicas[replica]
-	taker.memory = taker.memory.withShard(taker.memory.shard().Promise(uint64(epoch), leaderNames[leader]))
-	w.settle(taker, how)
-	try := &next.attempts[epoch-1][leader]
-	if how == answered && !try.taken && !try.promises[replica].given {
-		try.promises[replica] = promiseReply{given: true, installed: taker.memory.installed, seq: taker.memory.seq, content: taker.memory.content}
+	replica := &next.replicas[replicaIndex]
+	replica.memory = replica.memory.withState(replica.memory.state().Promise(uint64(epoch), leaderNames[leaderIndex]))
+	r.maybeSync(replica, outcome)
+	attempt := &next.attempts[epoch-1][leaderIndex]
+	if outcome == outcomeAnswered && !attempt.contentChosen && !attempt.promises[replicaIndex].received {
+		attempt.promises[replicaIndex] = promiseReply{received: true, installedEpoch: replica.memory.installedEpoch, seq: replica.memory.seq, content: replica.memory.content}
 	}
-	visit(Step{stepPromise, [4]uint8{leader, epoch, replica, how}}, &next)
+	visit(Step{stepPromise, [4]uint8{leaderIndex, epoch, replicaIndex, outcome}}, &next)
 }
 
-// takes has a leader choose the newest content that a majority told of.
-func (w *Replication) takes(state *ReplicationState, epoch, leader uint8, visit func(Step, *ReplicationState)) {
-	for members := range 1 << w.Replicas {
-		if countBits(members) != w.Rules.PromiseQuorum(w.Replicas) {
+// chooseContentSteps has a leader choose the newest content among the promises of
+// a majority.
+func (r *Replication) chooseContentSteps(state *ReplicationState, epoch, leaderIndex uint8, visit func(Step, *ReplicationState)) {
+	for subset := range 1 << r.Replicas {
+		if countBits(subset) != r.Rules.PromiseQuorum(r.Replicas) {
 			continue
 		}
-		newest, complete := newestOf(w.Rules.Newer, &state.attempts[epoch-1][leader].promises, members)
+		newest, complete := newestPromise(r.Rules.Newer, &state.attempts[epoch-1][leaderIndex].promises, subset)
 		if !complete {
 			continue
 		}
 		next := *state
-		next.attempts[epoch-1][leader] = attempt{begun: true, taken: true, base: newest.seq, tail: newest.seq, content: newest.content.upTo(newest.seq)}
-		next.leaders[leader].serving = !w.Rules.InstallBeforeServing
-		visit(Step{stepTake, [4]uint8{leader, epoch, uint8(members)}}, &next)
+		next.attempts[epoch-1][leaderIndex] = leaderAttempt{started: true, contentChosen: true, base: newest.seq, tail: newest.seq, content: newest.content.prefix(newest.seq)}
+		next.leaders[leaderIndex].serving = !r.Rules.InstallBeforeServing
+		visit(Step{stepChooseContent, [4]uint8{leaderIndex, epoch, uint8(subset)}}, &next)
 	}
 }
 
-// newestOf is the newest content of some replicas, if all of them answered.
-func newestOf(newer func(position, other consensus.Position) bool, promises *[maxReplicas]promiseReply, members int) (newest promiseReply, complete bool) {
-	for place, reply := range promises {
-		if members&(1<<place) == 0 {
+// newestPromise returns the promise with the newest content of a subset of the
+// replicas. complete is false if not all of them have promised.
+func newestPromise(newer func(position, other consensus.Position) bool, promises *[maxReplicas]promiseReply, subset int) (newest promiseReply, complete bool) {
+	for replicaIndex, reply := range promises {
+		if subset&(1<<replicaIndex) == 0 {
 			continue
 		}
-		if !reply.given {
+		if !reply.received {
 			return newest, false
 		}
-		if !newest.given || newer(reply.position(), newest.position()) {
+		if !newest.received || newer(reply.position(), newest.position()) {
 			newest = reply
 		}
 	}
@@ -123,167 +127,172 @@
 }
 
 func (p promiseReply) position() consensus.Position {
-	return consensus.Position{Installed: uint64(p.installed), Seq: uint64(p.seq)}
+	return consensus.Position{Installed: uint64(p.installedEpoch), Seq: uint64(p.seq)}
 }
 
-func (w *Replication) install(state *ReplicationState, epoch, leader, replica, seq, how uint8, visit func(Step, *ReplicationState)) {
+// deliverSnapshot delivers a snapshot of the leader's content up to seq.
+func (r *Replication) deliverSnapshot(state *ReplicationState, epoch, leaderIndex, replicaIndex, seq, outcome uint8, visit func(Step, *ReplicationState)) {
 	next := *state
-	taker := &next.replicas[replica]
-	try := &next.attempts[epoch-1][leader]
-	held, taken := w.Rules.Install(taker.memory.shard(), uint64(epoch), leaderNames[leader], uint64(seq))
-	if taken {
-		taker.memory = taker.memory.withShard(held)
-		taker.memory.content = try.content.upTo(seq)
+	replica := &next.replicas[replicaIndex]
+	attempt := &next.attempts[epoch-1][leaderIndex]
+	shard, installed := r.Rules.Install(replica.memory.state(), uint64(epoch), leaderNames[leaderIndex], uint64(seq))
+	if installed {
+		replica.memory = replica.memory.withState(shard)
+		replica.memory.content = attempt.content.prefix(seq)
 	}
-	w.settle(taker, how)
-	if how == answered {
-		w.acknowledge(&next, epoch, leader, replica, taker.memory.seq)
+	r.maybeSync(replica, outcome)
+	if outcome == outcomeAnswered {
+		r.receiveAck(&next, epoch, leaderIndex, replicaIndex, replica.memory.seq)
 	}
-	visit(Step{stepInstall, [4]uint8{leader, epoch, replica, how<<4 | seq}}, &next)
+	visit(Step{stepInstall, [4]uint8{leaderIndex, epoch, replicaIndex, outcome<<4 | seq}}, &next)
 }
 
-// append delivers the entries from first to the leader's newest.
-func (w *Replication) append(state *ReplicationState, epoch, leader, replica, first, how uint8, visit func(Step, *ReplicationState)) {
-	if w.Rules.CheckAppend(state.replicas[replica].memory.shard(), uint64(epoch), uint64(first)) != consensus.Accepted {
+// deliverEntries delivers the entries from first up to the leader's newest.
+func (r *Replication) deliverEntries(state *ReplicationState, epoch, leaderIndex, replicaIndex, first, outcome uint8, visit func(Step, *ReplicationState)) {
+	if r.Rules.CheckAppend(state.replicas[replicaIndex].memory.state(), uint64(epoch), uint64(first)) != consensus.Accepted {
 		return
 	}
 	next := *state
-	taker := &next.replicas[replica]
-	try := &next.attempts[epoch-1][leader]
-	for seq := first; seq <= try.tail; seq++ {
-		held, taken := taker.memory.shard().Append(uint64(epoch), uint64(seq))
-		if !taken {
+	replica := &next.replicas[replicaIndex]
+	attempt := &next.attempts[epoch-1][leaderIndex]
+	for seq := first; seq <= attempt.tail; seq++ {
+		shard, appended := replica.memory.state().Append(uint64(epoch), uint64(seq))
+		if !appended {
 			continue
 		}
-		taker.memory = taker.memory.withShard(held)
-		taker.memory.content = taker.memory.content.upTo(seq-1).with(seq-1, try.content.at(seq-1))
+		replica.memory = replica.memory.withState(shard)
+		replica.memory.content = replica.memory.content.prefix(seq-1).withDocument(seq-1, attempt.content.documentAt(seq-1))
 	}
-	w.settle(taker, how)
-	if how == answered {
-		w.acknowledge(&next, epoch, leader, replica, taker.memory.seq)
+	r.maybeSync(replica, outcome)
+	if outcome == outcomeAnswered {
+		r.receiveAck(&next, epoch, leaderIndex, replicaIndex, replica.memory.seq)
 	}
-	visit(Step{stepAppend, [4]uint8{leader, epoch, replica, how<<4 | first}}, &next)
+	visit(Step{stepAppend, [4]uint8{leaderIndex, epoch, replicaIndex, outcome<<4 | first}}, &next)
 }
 
-// acknowledge brings a replica's answer to the leader, if that still cares, and
-// has clients told of what a majority has.
-func (w *Replication) acknowledge(state *ReplicationState, epoch, leader, replica, seq uint8) {
-	owner := &state.leaders[leader]
-	if owner.epoch != epoch {
+// receiveAck delivers a replica's acknowledgement to the leader, unless the leader
+// has abandoned the attempt, and acknowledges to the clients what is committed.
+func (r *Replication) receiveAck(state *ReplicationState, epoch, leaderIndex, replicaIndex, seq uint8) {
+	leader := &state.leaders[leaderIndex]
+	if leader.epoch != epoch {
 		return
 	}
-	try := &state.attempts[epoch-1][leader]
-	try.acked[replica] = max(try.acked[replica], seq+1)
-	voters := make([]consensus.Progress, w.Replicas)
-	for place := range voters {
-		if acked := try.acked[place]; acked > 0 {
-			voters[place] = consensus.Progress{Installed: true, Acked: uint64(acked - 1), SetVersion: setVersion}
+	attempt := &state.attempts[epoch-1][leaderIndex]
+	attempt.acked[replicaIndex] = max(attempt.acked[replicaIndex], seq+1)
+	voters := make([]consensus.Progress, r.Replicas)
+	for index := range voters {
+		if acked := attempt.acked[index]; acked > 0 {
+			voters[index] = consensus.Progress{Installed: true, Acked: uint64(acked - 1), SetVersion: setVersion}
 		}
 	}
-	committed, reached := w.Rules.Committed(uint64(owner.committed), setVersion, voters)
+	committed, reached := r.Rules.Committed(uint64(leader.committed), setVersion, voters)
 	if !reached {
 		return
 	}
-	owner.serving = true
-	owner.committed = uint8(committed)
-	w.confirmed(state, epoch, leader)
-	if !state.told.tell(try.content, try.base, owner.committed) {
-		state.broken = brokenDocument
+	leader.serving = true
+	leader.committed = uint8(committed)
+	r.recordConfirmation(state, epoch, leaderIndex)
+	if !state.observed.record(attempt.content, attempt.base, leader.committed) {
+		state.violation = documentViolation
 	}
 }
 
-// confirmed notes that a majority went by a leader under an epoch.
-func (w *Replication) confirmed(state *ReplicationState, epoch, leader uint8) {
-	by := &state.confirmedBy[epoch-1]
-	if *by != 0 && *by != leader+1 {
-		state.broken = brokenLeader
+// recordConfirmation records that a majority confirmed a leader under an epoch,
+// and a violation if it was another leader before.
+func (r *Replication) recordConfirmation(state *ReplicationState, epoch, leaderIndex uint8) {
+	confirmer := &state.confirmedBy[epoch-1]
+	if *confirmer != 0 && *confirmer != leaderIndex+1 {
+		state.violation = leaderViolation
 	}
-	*by = leader + 1
+	*confirmer = leaderIndex + 1
 }
 
-// decisions has a serving leader take a client's document.
-func (w *Replication) decisions(state *ReplicationState, leader uint8, visit func(Step, *ReplicationState)) {
-	owner := &state.leaders[leader]
-	if !owner.serving {
+// writeSteps lets a serving leader append a client's document that builds on the
+// leader's newest version.
+func (r *Replication) writeSteps(state *ReplicationState, leaderIndex uint8, visit func(Step, *ReplicationState)) {
+	leader := &state.leaders[leaderIndex]
+	if !leader.serving {
 		return
 	}
-	try := &state.attempts[owner.epoch-1][leader]
-	for place, base := range w.BaseVersions {
-		document := uint8(place) + 1
-		if base != try.tail || try.content.has(document, try.tail) {
+	attempt := &state.attempts[leader.epoch-1][leaderIndex]
+	for index, base := range r.BaseVersions {
+		document := uint8(index) + 1
+		if base != attempt.tail || attempt.content.contains(document, attempt.tail) {
 			continue
 		}
 		next := *state
-		grown := &next.attempts[owner.epoch-1][leader]
-		grown.content = grown.content.with(grown.tail, document)
-		grown.tail++
-		visit(Step{stepDecide, [4]uint8{leader, owner.epoch, document}}, &next)
+		nextAttempt := &next.attempts[leader.epoch-1][leaderIndex]
+		nextAttempt.content = nextAttempt.content.withDocument(nextAttempt.tail, document)
+		nextAttempt.tail++
+		visit(Step{stepWrite, [4]uint8{leaderIndex, leader.epoch, document}}, &next)
 	}
 }
 
-// reads has a serving leader begin a read, and replicas confirm it.
-func (w *Replication) reads(state *ReplicationState, leader uint8, visit func(Step, *ReplicationState)) {
-	owner := &state.leaders[leader]
-	if !w.Reads || !owner.serving {
+// readSteps lets a client start a read at a serving leader, and replicas confirm
+// it.
+func (r *Replication) readSteps(state *ReplicationState, leaderIndex uint8, visit func(Step, *ReplicationState)) {
+	leader := &state.leaders[leaderIndex]
+	if !r.Reads || !leader.serving {
 		return
 	}
-	if !owner.read.active {
+	if !leader.read.active {
 		next := *state
-		next.leaders[leader].read = readState{active: true, version: state.attempts[owner.epoch-1][leader].tail, floor: state.told.length}
-		w.answerRead(&next, leader)
-		visit(Step{stepRead, [4]uint8{leader, owner.epoch}}, &next)
+		next.leaders[leaderIndex].read = readState{active: true, version: state.attempts[leader.epoch-1][leaderIndex].tail, observedLength: state.observed.length}
+		r.completeRead(&next, leaderIndex)
+		visit(Step{stepRead, [4]uint8{leaderIndex, leader.epoch}}, &next)
 		return
 	}
-	if owner.committed < owner.read.version {
+	if leader.committed < leader.read.version {
 		return
 	}
-	for replica := range uint8(w.Replicas) {
-		if owner.read.confirmed&(1<<replica) != 0 || !w.judge(state, owner.epoch, leader, replica) {
+	for replicaIndex := range uint8(r.Replicas) {
+		if leader.read.confirmedBy&(1<<replicaIndex) != 0 || !r.acceptsClaim(state, leader.epoch, leaderIndex, replicaIndex) {
 			continue
 		}
 		next := *state
-		next.leaders[leader].read.confirmed |= 1 << replica
-		w.answerRead(&next, leader)
-		visit(Step{stepConfirm, [4]uint8{leader, owner.epoch, replica}}, &next)
+		next.leaders[leaderIndex].read.confirmedBy |= 1 << replicaIndex
+		r.completeRead(&next, leaderIndex)
+		visit(Step{stepConfirmRead, [4]uint8{leaderIndex, leader.epoch, replicaIndex}}, &next)
 	}
 }
 
-// answerRead answers a read that enough replicas have confirmed.
-func (w *Replication) answerRead(state *ReplicationState, leader uint8) {
-	owner := &state.leaders[leader]
-	quorum := w.Rules.ReadQuorum(w.Replicas)
-	if owner.committed < owner.read.version || countBits(int(owner.read.confirmed)) < quorum {
+// completeRead answers the read if enough replicas have confirmed it and its
+// version is committed.
+func (r *Replication) completeRead(state *ReplicationState, leaderIndex uint8) {
+	leader := &state.leaders[leaderIndex]
+	quorum := r.Rules.ReadQuorum(r.Replicas)
+	if leader.committed < leader.read.version || countBits(int(leader.read.confirmedBy)) < quorum {
 		return
 	}
 	if quorum > 0 {
-		w.confirmed(state, owner.epoch, leader)
+		r.recordConfirmation(state, leader.epoch, leaderIndex)
 	}
-	if owner.read.version < owner.read.floor {
-		state.broken = brokenRead
+	if leader.read.version < leader.read.observedLength {
+		state.violation = readViolation
 	}
-	if !state.told.tell(state.attempts[owner.epoch-1][leader].content, 0, owner.read.version) {
-		state.broken = brokenDocument
+	if !state.observed.record(state.attempts[leader.epoch-1][leaderIndex].content, 0, leader.read.version) {
+		state.violation = documentViolation
 	}
-	owner.read = readState{}
+	leader.read = readState{}
 }
 
-// faults has replicas lose power and disks.
-func (w *Replication) faults(state *ReplicationState, visit func(Step, *ReplicationState)) {
-	for place := range uint8(w.Replicas) {
-		replica := &state.replicas[place]
+// faultSteps lets a replica lose power or its disk.
+func (r *Replication) faultSteps(state *ReplicationState, visit func(Step, *ReplicationState)) {
+	for replicaIndex := range uint8(r.Replicas) {
+		replica := &state.replicas[replicaIndex]
 		if replica.wiped {
 			continue
 		}
 		if replica.memory != replica.durable {
 			next := *state
-			next.replicas[place].memory = replica.durable
-			visit(Step{stepPower, [4]uint8{place}}, &next)
+			next.replicas[replicaIndex].memory = replica.durable
+			visit(Step{stepPowerLoss, [4]uint8{replicaIndex}}, &next)
 		}
-		if int(state.wipes) < w.Wipes {
+		if int(state.wipes) < r.Wipes {
 			next := *state
-			next.replicas[place] = replicaState{wiped: true}
+			next.replicas[replicaIndex] = replicaState{wiped: true}
 			next.wipes++
-			visit(Step{stepWipe, [4]uint8{place}}, &next)
+			visit(Step{stepWipe, [4]uint8{replicaIndex}}, &next)
 		}
 	}
 }
