--- a/cmd/fordseam-controller/access.go
+++ b/cmd/fordseam-controller/access.go
@@ -1,5 +1,3 @@
-// The operators' commands for which models teams may call. The rules are part
-// of the settings tree and are changed with it.
 package main
 
 import (
@@ -13,83 +11,87 @@
 	"github.com/urfave/cli/v3"
 )
 
+// accessCommands returns the operators' commands that show which models teams may
+// call. The rules are part of the settings tree and are changed with it.
 func accessCommands() *cli.Command {
-	return &cli.Command{Name: "access", Usage: "see which models teams may call; settings apply changes it", Commands: []*cli.Command{
-		client("show", "show teams, their models, and who holds which settings", "", nil, showAccess),
-		client("check", "tell whether a team may call a model, where, and why", "TEAM MODEL", nil, checkAccess),
-		client("diff", "show what a document would give teams or take from them", "FILE", nil, diffAccess),
+	return &cli.Command{Name: "access", Usage: "show which models teams may call; change it with settings apply", Commands: []*cli.Command{
+		clientCommand("show", "show the teams, their models, and which node holds which settings", "", nil, showAccess),
+		clientCommand("check", "show whether a team may call a model, and by which rules", "TEAM MODEL", nil, checkAccess),
+		clientCommand("diff", "show the access that a settings document would grant or revoke", "FILE", nil, diffAccess),
 	}}
 }
 
-func showAccess(c *caller) error {
-	var shown operate.AccessView
-	if err := c.call("GET", "/v1/operator/access", nil, &shown); err != nil || c.quiet() {
+func showAccess(c *coreClient) error {
+	var view operate.AccessView
+	if err := c.call("GET", "/v1/operator/access", nil, &view); err != nil || c.jsonOutput() {
 		return err
 	}
-	if shown.Open {
-		fmt.Println("no teams are set: everything is allowed")
+	if view.Open {
+		fmt.Println("no teams are configured: everything is allowed")
 	}
 	rows := [][]string{{"TEAM", "GROUP", "UNDER", "MODELS", "DENIED"}}
-	for _, one := range shown.Teams {
-		rows = append(rows, []string{one.Team, one.Group, one.Parent, strings.Join(one.Models, " "), strings.Join(one.Denied, " ")})
+	for _, team := range view.Teams {
+		rows = append(rows, []string{team.Team, team.Group, team.Parent, strings.Join(team.Models, " "), strings.Join(team.Denied, " ")})
 	}
-	if !shown.Open {
-		table(rows)
+	if !view.Open {
+		printTable(rows)
 	}
-	showHolders(&shown.AccessState)
+	printAccessState(&view.AccessState)
 	return nil
 }
 
-func showHolders(state *operate.AccessState) {
+// printAccessState prints which version of the access rules is in force, and the
+// version that each node holds.
+func printAccessState(state *operate.AccessState) {
 	if state.InForce == state.Stamp {
 		fmt.Printf("access: settings %d are in force\n", state.Stamp)
 	} else {
-		fmt.Printf("access: settings %d are being learnt, those of %d are in force\n", state.Stamp, state.InForce)
+		fmt.Printf("access: settings %d are being distributed, settings %d are in force\n", state.Stamp, state.InForce)
 	}
 	rows := [][]string{{"NODE", "HOLDS", "ASKED MS AGO"}}
-	for _, one := range state.Holders {
-		rows = append(rows, []string{one.Node, fmt.Sprint(one.Version), fmt.Sprint(one.AgoMs)})
+	for _, holder := range state.Holders {
+		rows = append(rows, []string{holder.Node, fmt.Sprint(holder.Version), fmt.Sprint(holder.AgoMs)})
 	}
 	if len(state.Holders) > 0 {
-		table(rows)
+		printTable(rows)
 	}
 }
 
-func checkAccess(c *caller) error {
+func checkAccess(c *coreClient) error {
 	query := url.Values{"team": {c.command.Args().Get(0)}, "model": {c.command.Args().Get(1)}}
-	var shown struct {
+	var reply struct {
 		Stamp   uint64          `json:"stamp"`
 		Reasons []access.Reason `json:"reasons"`
 	}
-	if err := c.call("GET", "/v1/operator/access/check?"+query.Encode(), nil, &shown); err != nil || c.quiet() {
+	if err := c.call("GET", "/v1/operator/access/check?"+query.Encode(), nil, &reply); err != nil || c.jsonOutput() {
 		return err
 	}
-	fmt.Printf("by settings %d\n", shown.Stamp)
+	fmt.Printf("according to settings %d\n", reply.Stamp)
 	rows := [][]string{{"PLACE", "TEAM", "", "WHY"}}
-	for _, one := range shown.Reasons {
-		rows = append(rows, []string{one.Path, one.Team, map[bool]string{true: "allowed", false: "refused"}[one.Allowed], one.Why})
+	for _, reason := range reply.Reasons {
+		rows = append(rows, []string{reason.Path, reason.Team, map[bool]string{true: "allowed", false: "refused"}[reason.Allowed], reason.Why})
 	}
-	table(rows)
+	printTable(rows)
 	return nil
 }
 
-func diffAccess(c *caller) error {
-	content, err := document(c)
+func diffAccess(c *coreClient) error {
+	content, err := readSettingsDocument(c)
 	if err != nil {
 		return err
 	}
-	var shown struct {
+	var reply struct {
 		Stamp   uint64              `json:"stamp"`
 		Changes []access.Difference `json:"changes"`
 	}
-	if err := c.call("POST", "/v1/operator/access/diff", content, &shown); err != nil || c.quiet() {
+	if err := c.call("POST", "/v1/operator/access/diff", content, &reply); err != nil || c.jsonOutput() {
 		return err
 	}
-	fmt.Printf("against stamp %d: %d changes\n", shown.Stamp, len(shown.Changes))
+	fmt.Printf("against stamp %d: %d changes\n", reply.Stamp, len(reply.Changes))
 	rows := [][]string{}
-	for _, one := range shown.Changes {
-		rows = append(rows, []string{one.Effect, one.Team, one.Model, one.Path})
+	for _, change := range reply.Changes {
+		rows = append(rows, []string{change.Effect, change.Team, change.Model, change.Path})
 	}
-	table(rows)
+	printTable(rows)
 	return nil
 }
--- a/cmd/fordseam-controller/client.go
+++ b/cmd/fordseam-controller/client.go
@@ -1,5 +1,3 @@
-// The operators' client: each subcommand is one HTTP exchange with a core,
-// shown for people or, with --json, as the core gave it.
 package main
 
 import (
@@ -23,79 +21,86 @@
 	"github.com/valyala/fasthttp"
 )
 
+// clientCommands returns the commands of the operators' client. Each sends one HTTP
+// request to a core and prints the reply for people or, with --json, unchanged.
 func clientCommands() []*cli.Command {
 	return []*cli.Command{
-		client("init", "form the cluster, once, from blank storage machines", "STORAGE-ADDRESS...", nil, initCluster),
+		clientCommand("init", "form the cluster, once, from blank storage nodes", "STORAGE-ADDRESS...", nil, initCluster),
 		{Name: "settings", Usage: "read and change the settings tree", Commands: []*cli.Command{
-			client("get", "show the settings in force", "", nil, getSettings),
-			client("check", "check a document without applying it", "FILE", nil, checkSettings),
-			client("diff", "show what a document would change", "FILE", nil, diffSettings),
-			client("apply", "apply a document", "FILE", []cli.Flag{
-				&cli.Int64Flag{Name: "based-on", Value: -1, Usage: "`STAMP` the document was based on; required"},
-				&cli.StringFlag{Name: "change", Usage: "change `ID`, to ask again by; made up when absent"}}, applySettings),
-			client("outcome", "ask what became of a change", "CHANGE-ID", nil, changeOutcome),
-			client("effective", "show the values in force at a level and where each comes from", "[GROUP [SITE [ROUTE]]]", nil, effective),
+			clientCommand("get", "show the settings in force", "", nil, getSettings),
+			clientCommand("check", "check a document without applying it", "FILE", nil, checkSettings),
+			clientCommand("diff", "show what a document would change", "FILE", nil, diffSettings),
+			clientCommand("apply", "apply a document", "FILE", []cli.Flag{
+				&cli.Int64Flag{Name: "based-on", Value: -1, Usage: "`STAMP` of the settings that the document is based on; required"},
+				&cli.StringFlag{Name: "change", Usage: "`ID` of the change, by which to retry it or ask for its outcome; generated if not given"}}, applySettings),
+			clientCommand("outcome", "show the outcome of a change", "CHANGE-ID", nil, getOutcome),
+			clientCommand("effective", "show the values in force at a level, and the level at which each is set", "[GROUP [SITE [ROUTE]]]", nil, effectiveSettings),
 		}},
-		client("status", "show the fleet as one core sees it", "", nil, status),
-		client("workers", "show the platform's worker list", "", nil, workers),
+		clientCommand("status", "show the fleet as one core sees it", "", nil, showStatus),
+		clientCommand("workers", "show the platform's worker list", "", nil, listWorkers),
 		routeCommands(),
 		accessCommands(),
-		client("roster", "show the workers of the routes' services", "", nil, showRoster),
-		{Name: "storage", Usage: "see to the disks", Commands: []*cli.Command{
-			client("list", "show the disks and how far a change has come", "", nil, listStorage),
-			client("admit", "take a blank storage machine in", "STORAGE-ADDRESS", nil, admitStorage),
-			client("retire", "take a disk out and empty it", "DISK-ID", nil, retireStorage),
-			client("empty", "empty a machine, where the disk set mends itself; asked again, tells its state", "NODE-NAME", nil, emptyStorage),
-			client("emptying", "tell how far that is: active or complete", "MACHINE", nil, emptyingMachine),
+		clientCommand("roster", "show the workers of the routes' services", "", nil, showRoster),
+		{Name: "storage", Usage: "manage the disks", Commands: []*cli.Command{
+			clientCommand("list", "show the disks and the progress of a change", "", nil, listStorage),
+			clientCommand("admit", "add a blank storage node", "STORAGE-ADDRESS", nil, admitStorage),
+			clientCommand("retire", "remove a disk and empty it", "DISK-ID", nil, retireStorage),
+			clientCommand("empty", "empty a node, if disks are replaced automatically; if repeated, show the state", "NODE-NAME", nil, emptyStorage),
+			clientCommand("emptying", "show the state of emptying a node: active or complete", "MACHINE", nil, emptyingState),
 		}},
-		client("terminate", "end a program", "PROGRAM", []cli.Flag{
-			&cli.StringFlag{Name: "mode", Value: "Drain", Usage: "`MODE`: Drain or Immediate; it only escalates"}}, terminate),
+		clientCommand("terminate", "end a program", "PROGRAM", []cli.Flag{
+			&cli.StringFlag{Name: "mode", Value: "Drain", Usage: "`MODE`: Drain or Immediate; a later call can only change Drain to Immediate"}}, terminateProgram),
 	}
 }
 
-type caller struct {
+// coreClient runs one command against one core.
+type coreClient struct {
 	command *cli.Command
 	core    string
 }
 
-func client(name, usage, args string, flags []cli.Flag, act func(*caller) error) *cli.Command {
+// clientCommand returns a command that takes args, one word each. A word in
+// brackets is optional, and one that ends in "..." may be repeated.
+func clientCommand(name, usage, args string, flags []cli.Flag, action func(*coreClient) error) *cli.Command {
 	return &cli.Command{Name: name, Usage: usage, ArgsUsage: args,
 		Flags: append(flags,
-			&cli.StringFlag{Name: "core", Sources: cli.EnvVars("FORDSEAM_CORE"), Usage: "public `IP:PORT` of any core; required"},
+			&cli.StringFlag{Name: "core", Sources: cli.EnvVars("FORDSEAM_CORE"), Usage: "public address `IP:PORT` of any core; required"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"}),
 		Action: func(_ context.Context, command *cli.Command) error {
 			core := command.String("core")
 			if core == "" {
-				return cli.Exit("--core must be given (or FORDSEAM_CORE set)", node.ExitUsage)
+				return cli.Exit("--core is required (or set FORDSEAM_CORE)", node.ExitUsage)
 			}
-			named := strings.Fields(args)
-			least := len(base.Filter(named, func(name string) bool { return !strings.HasPrefix(name, "[") }))
-			most := len(named)
+			argNames := strings.Fields(args)
+			minArgs := len(base.Filter(argNames, func(name string) bool { return !strings.HasPrefix(name, "[") }))
+			maxArgs := len(argNames)
 			if strings.HasSuffix(args, "...") {
-				most = 64
+				maxArgs = 64
 			}
-			if count := command.Args().Len(); count < least || count > most {
+			if count := command.Args().Len(); count < minArgs || count > maxArgs {
 				return cli.Exit(fmt.Sprintf("%s takes %s", name, strings.TrimSpace("arguments: "+args)), node.ExitUsage)
 			}
-			return act(&caller{command, core})
+			return action(&coreClient{command, core})
 		}}
 }
 
-// call makes one exchange and reads a good answer into into.
-func (c *caller) call(method, path string, body any, into any) error {
+// call sends one request to the core. If it succeeds, call prints the reply with
+// --json, and otherwise decodes it into reply.
+func (c *coreClient) call(method, path string, body any, reply any) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.Header.SetMethod(method)
 	request.SetRequestURI("http://" + c.core + path)
-	switch held := body.(type) {
+	switch content := body.(type) {
 	case nil:
 	case []byte:
-		request.SetBody(held)
+		request.SetBody(content)
 	default:
-		request.SetBody(base.Encode(held))
+		request.SetBody(base.Encode(content))
 	}
 	if err := fasthttp.DoTimeout(request, response, 30*time.Second); err != nil {
+		// A change may have been applied although its reply did not arrive.
 		code := node.ExitFailed
 		if strings.HasSuffix(path, "/apply") {
 			code = node.ExitUnknown
@@ -103,48 +108,51 @@
 		return cli.Exit(fmt.Sprintf("%s: %v", c.core, err), code)
 	}
 	if response.StatusCode() != 200 {
-		var failed struct {
+		var failure struct {
 			Error base.Verdict `json:"error"`
 		}
-		if json.Unmarshal(response.Body(), &failed) != nil || failed.Error.Code == "" {
-			return cli.Exit(fmt.Sprintf("%s answered %d", c.core, response.StatusCode()), node.ExitFailed)
+		if json.Unmarshal(response.Body(), &failure) != nil || failure.Error.Code == "" {
+			return cli.Exit(fmt.Sprintf("%s replied with status %d", c.core, response.StatusCode()), node.ExitFailed)
 		}
 		if c.command.Bool("json") {
 			fmt.Print(string(response.Body()))
 		}
-		return cli.Exit(describe(&failed.Error), exitCode(&failed.Error))
+		return cli.Exit(failureMessage(&failure.Error), exitCode(&failure.Error))
 	}
 	if c.command.Bool("json") {
 		fmt.Print(string(response.Body()))
 		return nil
 	}
-	return json.Unmarshal(response.Body(), into)
+	return json.Unmarshal(response.Body(), reply)
 }
 
-func describe(v *base.Verdict) string {
-	line := v.Message
-	if v.Field != "" && !strings.HasPrefix(line, v.Field) {
-		line = v.Field + ": " + line
+// failureMessage returns the text of an error reply, with its code and the field
+// that it is about.
+func failureMessage(verdict *base.Verdict) string {
+	message := verdict.Message
+	if verdict.Field != "" && !strings.HasPrefix(message, verdict.Field) {
+		message = verdict.Field + ": " + message
 	}
-	if v.Code == "unknown" {
-		return "unknown: " + line
+	if verdict.Code == "unknown" {
+		return "outcome unknown: " + message
 	}
-	return "refused (" + v.Code + "): " + line
+	return "refused (" + verdict.Code + "): " + message
 }
 
-func exitCode(v *base.Verdict) int {
+func exitCode(verdict *base.Verdict) int {
 	switch {
-	case v.Code == "unknown":
+	case verdict.Code == "unknown":
 		return node.ExitUnknown
-	case v.Status == 400:
+	case verdict.Status == 400:
 		return node.ExitUsage
 	}
 	return node.ExitFailed
 }
 
-func (c *caller) quiet() bool { return c.command.Bool("json") }
+func (c *coreClient) jsonOutput() bool { return c.command.Bool("json") }
 
-func table(rows [][]string) {
+// printTable prints rows of cells in aligned columns.
+func printTable(rows [][]string) {
 	writer := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
 		fmt.Fprintln(writer, strings.Join(row, "\t"))
@@ -152,40 +160,42 @@
 	_ = writer.Flush()
 }
 
-func initCluster(c *caller) error {
-	var formed struct {
+func initCluster(c *coreClient) error {
+	var reply struct {
 		Cluster string `json:"cluster"`
 		Disks   int    `json:"disks"`
 	}
-	err := c.call("POST", "/v1/operator/init", map[string]any{"disks": c.command.Args().Slice()}, &formed)
-	if err == nil && !c.quiet() {
-		fmt.Printf("formed %s on %d disks\n", formed.Cluster, formed.Disks)
+	err := c.call("POST", "/v1/operator/init", map[string]any{"disks": c.command.Args().Slice()}, &reply)
+	if err == nil && !c.jsonOutput() {
+		fmt.Printf("formed %s on %d disks\n", reply.Cluster, reply.Disks)
 	}
 	return err
 }
 
-func getSettings(c *caller) error {
+func getSettings(c *coreClient) error {
 	var record settings.Record
 	err := c.call("GET", "/v1/operator/settings", nil, &record)
-	if err == nil && !c.quiet() {
+	if err == nil && !c.jsonOutput() {
 		fmt.Printf("stamp %d\n%s\n", record.Version, record.Document)
 	}
 	return err
 }
 
-func document(c *caller) ([]byte, error) {
+// readSettingsDocument reads the file named by the first argument and checks it, so
+// that an invalid document is never sent.
+func readSettingsDocument(c *coreClient) ([]byte, error) {
 	content, err := os.ReadFile(c.command.Args().First())
 	if err != nil {
 		return nil, cli.Exit(err.Error(), node.ExitUsage)
 	}
-	if _, faults := settings.Parse(content); len(faults) > 0 {
-		return nil, cli.Exit("refused:\n  "+strings.ReplaceAll(settings.InvalidDocument(faults).Message, "\n", "\n  "), node.ExitUsage)
+	if _, problems := settings.Parse(content); len(problems) > 0 {
+		return nil, cli.Exit("invalid settings:\n  "+strings.ReplaceAll(settings.InvalidDocument(problems).Message, "\n", "\n  "), node.ExitUsage)
 	}
 	return content, nil
 }
 
-func checkSettings(c *caller) error {
-	content, err := document(c)
+func checkSettings(c *coreClient) error {
+	content, err := readSettingsDocument(c)
 	if err != nil {
 		return err
 	}
@@ -193,106 +203,106 @@
 	if err := c.call("POST", "/v1/operator/settings/check", content, &valid); err != nil {
 		return err
 	}
-	if !c.quiet() {
+	if !c.jsonOutput() {
 		fmt.Println("valid")
 	}
 	return nil
 }
 
-func diffSettings(c *caller) error {
-	content, err := document(c)
+func diffSettings(c *coreClient) error {
+	content, err := readSettingsDocument(c)
 	if err != nil {
 		return err
 	}
-	var shown struct {
+	var reply struct {
 		Stamp       uint64                `json:"stamp"`
 		Differences []settings.Difference `json:"differences"`
 	}
-	if err := c.call("POST", "/v1/operator/settings/diff", content, &shown); err != nil || c.quiet() {
+	if err := c.call("POST", "/v1/operator/settings/diff", content, &reply); err != nil || c.jsonOutput() {
 		return err
 	}
-	fmt.Printf("against stamp %d: %d values differ\n", shown.Stamp, len(shown.Differences))
+	fmt.Printf("against stamp %d: %d values differ\n", reply.Stamp, len(reply.Differences))
 	rows := [][]string{}
-	for _, one := range shown.Differences {
-		if one.Old != "" {
-			rows = append(rows, []string{"-", one.Path, one.Old})
+	for _, difference := range reply.Differences {
+		if difference.Old != "" {
+			rows = append(rows, []string{"-", difference.Path, difference.Old})
 		}
-		if one.New != "" {
-			rows = append(rows, []string{"+", one.Path, one.New})
+		if difference.New != "" {
+			rows = append(rows, []string{"+", difference.Path, difference.New})
 		}
 	}
-	table(rows)
+	printTable(rows)
 	return nil
 }
 
-func applySettings(c *caller) error {
+func applySettings(c *coreClient) error {
 	if c.command.Int64("based-on") < 0 {
-		return cli.Exit("--based-on must name the stamp the document was based on (0 for the first)", node.ExitUsage)
+		return cli.Exit("--based-on is required: the stamp of the settings that the document is based on (0 for the first document)", node.ExitUsage)
 	}
-	content, err := document(c)
+	content, err := readSettingsDocument(c)
 	if err != nil {
 		return err
 	}
-	change := c.command.String("change")
-	if change == "" {
-		change = base.NewID(base.NewRealClock(), "change-")
+	changeID := c.command.String("change")
+	if changeID == "" {
+		changeID = base.NewID(base.NewRealClock(), "change-")
 	}
-	if !c.quiet() {
-		fmt.Fprintf(os.Stderr, "change %s\n", change)
+	if !c.jsonOutput() {
+		fmt.Fprintf(os.Stderr, "change %s\n", changeID)
 	}
 	var outcome settings.Outcome
-	err = c.call("POST", "/v1/operator/settings/apply", settings.Change{ID: change, BasedOn: uint64(c.command.Int64("based-on")), Document: content}, &outcome)
-	return showOutcome(c, outcome, err)
+	err = c.call("POST", "/v1/operator/settings/apply", settings.Change{ID: changeID, BasedOn: uint64(c.command.Int64("based-on")), Document: content}, &outcome)
+	return printOutcome(c, outcome, err)
 }
 
-func changeOutcome(c *caller) error {
+func getOutcome(c *coreClient) error {
 	var outcome settings.Outcome
 	err := c.call("POST", "/v1/operator/settings/outcome", map[string]string{"change": c.command.Args().First()}, &outcome)
-	return showOutcome(c, outcome, err)
+	return printOutcome(c, outcome, err)
 }
 
-func showOutcome(c *caller, outcome settings.Outcome, err error) error {
-	if err == nil && !c.quiet() {
-		fmt.Printf("%s, the settings stand at stamp %d\n", outcome.Outcome, outcome.Version)
+func printOutcome(c *coreClient, outcome settings.Outcome, err error) error {
+	if err == nil && !c.jsonOutput() {
+		fmt.Printf("%s, the settings are at stamp %d\n", outcome.Outcome, outcome.Version)
 	}
 	return err
 }
 
-func effective(c *caller) error {
+func effectiveSettings(c *coreClient) error {
 	query := ""
-	for place, name := range []string{"group", "site", "route"} {
-		if given := c.command.Args().Get(place); given != "" {
-			query += "&" + name + "=" + given
+	for index, name := range []string{"group", "site", "route"} {
+		if arg := c.command.Args().Get(index); arg != "" {
+			query += "&" + name + "=" + arg
 		}
 	}
-	var shown struct {
+	var reply struct {
 		Stamp  uint64                    `json:"stamp"`
 		Values []settings.EffectiveValue `json:"values"`
 	}
-	err := c.call("GET", "/v1/operator/settings/effective?"+strings.TrimPrefix(query, "&"), nil, &shown)
-	if err != nil || c.quiet() {
+	err := c.call("GET", "/v1/operator/settings/effective?"+strings.TrimPrefix(query, "&"), nil, &reply)
+	if err != nil || c.jsonOutput() {
 		return err
 	}
 	rows := [][]string{{"KEY", "VALUE", "FROM"}}
-	for _, origin := range shown.Values {
-		value := fmt.Sprint(origin.Value)
-		if number, ok := origin.Value.(float64); ok {
+	for _, entry := range reply.Values {
+		value := fmt.Sprint(entry.Value)
+		if number, ok := entry.Value.(float64); ok {
 			value = strconv.FormatFloat(number, 'f', -1, 64)
 		}
-		rows = append(rows, []string{origin.Key, value, origin.From})
+		rows = append(rows, []string{entry.Key, value, entry.From})
 	}
-	table(rows)
+	printTable(rows)
 	return nil
 }
 
-func status(c *caller) error {
-	var shown operate.StatusView
-	if err := c.call("GET", "/v1/operator/status", nil, &shown); err != nil || c.quiet() {
+func showStatus(c *coreClient) error {
+	var view operate.StatusView
+	if err := c.call("GET", "/v1/operator/status", nil, &view); err != nil || c.jsonOutput() {
 		return err
 	}
-	fmt.Printf("core %s\ncluster %s, disk set %d, owns %d slots\n", shown.Core, shown.Cluster, shown.SetStamp, len(shown.Slots))
+	fmt.Printf("core %s\ncluster %s, disk set %d, owns %d slots\n", view.Core, view.Cluster, view.SetStamp, len(view.Slots))
 	rows := [][]string{{"ROLE", "ZONE", "ADDRESS", "PUBLIC", "STATE"}}
-	for _, member := range shown.Members {
+	for _, member := range view.Members {
 		state := map[bool]string{true: "alive", false: "silent"}[member.Alive]
 		switch {
 		case !member.Alive:
@@ -303,94 +313,96 @@
 		}
 		rows = append(rows, []string{member.Role, member.Zone, member.Addr, member.Public, state})
 	}
-	table(rows)
-	if shown.Access != nil {
-		showHolders(shown.Access)
+	printTable(rows)
+	if view.Access != nil {
+		printAccessState(view.Access)
 	}
-	for _, word := range shown.Mending {
-		fmt.Println("mending:", word)
+	for _, message := range view.Mending {
+		fmt.Println("mending:", message)
 	}
-	if len(shown.Unwell) == 0 {
+	if len(view.Unwell) == 0 {
 		fmt.Println("all is well")
 	}
-	for _, word := range shown.Unwell {
-		fmt.Println("UNWELL:", word)
+	for _, message := range view.Unwell {
+		fmt.Println("UNWELL:", message)
 	}
 	return nil
 }
 
-func workers(c *caller) error {
+func listWorkers(c *coreClient) error {
 	var list worker.List
-	if err := c.call("GET", "/v1/operator/workers", nil, &list); err != nil || c.quiet() {
+	if err := c.call("GET", "/v1/operator/workers", nil, &list); err != nil || c.jsonOutput() {
 		return err
 	}
 	rows := [][]string{{"ID", "POOL", "ZONE", "ADDRESS", "CAPACITY"}}
-	for _, one := range list.Workers {
-		rows = append(rows, []string{one.ID, one.Pool, one.Zone, one.Addr, fmt.Sprint(one.Capacity)})
+	for _, entry := range list.Workers {
+		rows = append(rows, []string{entry.ID, entry.Pool, entry.Zone, entry.Addr, fmt.Sprint(entry.Capacity)})
 	}
 	fmt.Printf("stamp %d\n", list.Stamp)
-	table(rows)
+	printTable(rows)
 	return nil
 }
 
-func listStorage(c *caller) error {
-	var shown operate.StorageView
-	if err := c.call("GET", "/v1/operator/storage", nil, &shown); err != nil || c.quiet() {
+func listStorage(c *coreClient) error {
+	var view operate.StorageView
+	if err := c.call("GET", "/v1/operator/storage", nil, &view); err != nil || c.jsonOutput() {
 		return err
 	}
 	rows := [][]string{{"DISK", "ADDRESS", "ZONE", "VOTE", "STATE", "USED", "BEHIND"}}
-	for _, one := range shown.Disks {
+	for _, disk := range view.Disks {
 		behind := uint64(0)
-		for _, lacking := range one.Behind {
-			behind += lacking
+		for _, missing := range disk.Behind {
+			behind += missing
 		}
-		rows = append(rows, []string{one.ID, one.Addr, one.Zone, map[bool]string{true: "yes", false: "no"}[one.Voting],
-			map[bool]string{true: "alive", false: "silent"}[one.Alive], fmt.Sprint(one.Used), fmt.Sprint(behind)})
+		rows = append(rows, []string{disk.ID, disk.Addr, disk.Zone, map[bool]string{true: "yes", false: "no"}[disk.Voting],
+			map[bool]string{true: "alive", false: "silent"}[disk.Alive], fmt.Sprint(disk.Used), fmt.Sprint(behind)})
 	}
-	fmt.Printf("%s, disk set %d, %d of %d slots whole on a majority%s\n", shown.Cluster, shown.Stamp, shown.Slots, shown.All,
-		map[bool]string{true: ", a change is under way", false: ""}[shown.Moving])
-	table(rows)
+	fmt.Printf("%s, disk set %d, %d of %d slots complete on a majority%s\n", view.Cluster, view.Stamp, view.Slots, view.All,
+		map[bool]string{true: ", a change is in progress", false: ""}[view.Moving])
+	printTable(rows)
 	return nil
 }
 
-func admitStorage(c *caller) error {
-	return changeStorage(c, "admit", "address", "is being filled and will have a vote once it is whole")
+func admitStorage(c *coreClient) error {
+	return changeStorage(c, "admit", "address", "is being filled and will become a voter when it holds all data")
 }
 
-func retireStorage(c *caller) error {
-	return changeStorage(c, "retire", "disk", "is being taken out; once no change is under way it may be switched off")
+func retireStorage(c *coreClient) error {
+	return changeStorage(c, "retire", "disk", "is being removed; it may be switched off when no change is in progress")
 }
 
-func emptyStorage(c *caller) error {
-	named := c.command.Args().First()
-	var shown struct {
+func emptyStorage(c *coreClient) error {
+	nodeName := c.command.Args().First()
+	var reply struct {
 		State string `json:"state"`
 	}
-	err := c.call("POST", "/v1/operator/storage/empty", map[string]string{"node": named}, &shown)
-	if err == nil && !c.quiet() {
-		fmt.Printf("%s: %s\n", named, shown.State)
+	err := c.call("POST", "/v1/operator/storage/empty", map[string]string{"node": nodeName}, &reply)
+	if err == nil && !c.jsonOutput() {
+		fmt.Printf("%s: %s\n", nodeName, reply.State)
 	}
 	return err
 }
 
-func changeStorage(c *caller, what, field, words string) error {
-	named := c.command.Args().First()
-	var shown register.DiskSetRecord
-	err := c.call("POST", "/v1/operator/storage/"+what, map[string]string{field: named}, &shown)
-	if err == nil && !c.quiet() {
-		fmt.Printf("%s %s; watch it with storage list\n", named, words)
+// changeStorage admits or retires the disk that the first argument names, and
+// prints its outcome.
+func changeStorage(c *coreClient, operation, field, outcome string) error {
+	target := c.command.Args().First()
+	var record register.DiskSetRecord
+	err := c.call("POST", "/v1/operator/storage/"+operation, map[string]string{field: target}, &record)
+	if err == nil && !c.jsonOutput() {
+		fmt.Printf("%s %s; see its progress with storage list\n", target, outcome)
 	}
 	return err
 }
 
-func terminate(c *caller) error {
-	var shown struct {
+func terminateProgram(c *coreClient) error {
+	var reply struct {
 		Program     string `json:"program"`
 		Termination string `json:"termination"`
 	}
-	err := c.call("POST", "/v1/operator/terminate", map[string]string{"program": c.command.Args().First(), "mode": c.command.String("mode")}, &shown)
-	if err == nil && !c.quiet() {
-		fmt.Printf("%s: %s\n", shown.Program, shown.Termination)
+	err := c.call("POST", "/v1/operator/terminate", map[string]string{"program": c.command.Args().First(), "mode": c.command.String("mode")}, &reply)
+	if err == nil && !c.jsonOutput() {
+		fmt.Printf("%s: %s\n", reply.Program, reply.Termination)
 	}
 	return err
 }
--- a/cmd/fordseam-controller/main.go
+++ b/cmd/fordseam-controller/main.go
@@ -1,6 +1,6 @@
-// fordseam-controller is the control plane: as core it owns keys, duties and
-// the feed; as storage it keeps a disk. Its other subcommands are the
-// operators' client.
+// Command fordseam-controller runs the control plane, and is the operators'
+// client. A core leads shards of the register, runs background tasks and serves
+// the feed; a storage node keeps a disk.
 package main
 
 import (
@@ -16,12 +16,12 @@
 func main() {
 	command := &cli.Command{
 		Name: "fordseam-controller", Version: node.Version,
-		Usage: "run the control plane, and operate it",
-		Description: "Exit codes: 0 done; 1 refused or failed; 2 wrong command line, settings file or document;\n" +
-			"3 the outcome is not known and can be asked for by its change id.",
+		Usage: "run the control plane and operate it",
+		Description: "Exit codes: 0 success; 1 refused or failed; 2 invalid command line, settings file or document;\n" +
+			"3 the outcome is unknown: ask for it by the id of the change.",
 		Commands: append([]*cli.Command{runCommand(),
 			platform.Command("core", "core", "run a core on the users' platform"),
-			platform.Command("storage", "storage", "run a storage machine on the users' platform")}, clientCommands()...),
+			platform.Command("storage", "storage", "run a storage node on the users' platform")}, clientCommands()...),
 	}
 	node.Main(command, os.Args)
 }
@@ -33,7 +33,7 @@
 		Flags: append(node.PlaceFlags(),
 			&cli.StringFlag{Name: "role", Usage: "`ROLE`: core or storage"},
 			&cli.StringFlag{Name: "data", Usage: "data `FOLDER` (storage only)"},
-			&cli.Int64Flag{Name: "disk-limit-bytes", Usage: "most `BYTES` the data folder may hold (storage only; 0: no limit)"}),
+			&cli.Int64Flag{Name: "disk-limit-bytes", Usage: "largest size of the data folder in `BYTES` (storage only; 0: no limit)"}),
 		Action: func(_ context.Context, command *cli.Command) error {
 			place, err := node.PlaceOf(command, node.Place{}, "core", "storage")
 			if err != nil {
--- a/cmd/fordseam-controller/routes.go
+++ b/cmd/fordseam-controller/routes.go
@@ -1,4 +1,3 @@
-// The operators' commands for routes, the roster and machines being retired.
 package main
 
 import (
@@ -14,26 +13,27 @@
 	"github.com/urfave/cli/v3"
 )
 
+// routeCommands returns the operators' commands for the configuration of routes.
 func routeCommands() *cli.Command {
-	return &cli.Command{Name: "routes", Usage: "read and change the configuration of routes", Commands: []*cli.Command{
-		client("get", "show the configuration in force, as it was written", "", nil, getRoutes),
-		client("check", "check a document without applying it", "FILE", nil, checkRoutes),
-		client("apply", "put a document in force", "FILE", []cli.Flag{
-			&cli.Int64Flag{Name: "based-on", Value: -1, Usage: "`VERSION` the document builds on; required"}}, applyRoutes),
+	return &cli.Command{Name: "routes", Usage: "show and change the configuration of routes", Commands: []*cli.Command{
+		clientCommand("get", "show the document of the configuration in force, as it was applied", "", nil, getRoutes),
+		clientCommand("check", "check a document without applying it", "FILE", nil, checkRoutes),
+		clientCommand("apply", "apply a document", "FILE", []cli.Flag{
+			&cli.Int64Flag{Name: "based-on", Value: -1, Usage: "`VERSION` of the configuration that the document is based on; required"}}, applyRoutes),
 	}}
 }
 
-func getRoutes(c *caller) error {
-	var shown operate.RoutesView
-	if err := c.call("GET", "/v1/operator/routes", nil, &shown); err != nil || c.quiet() {
+func getRoutes(c *coreClient) error {
+	var view operate.RoutesView
+	if err := c.call("GET", "/v1/operator/routes", nil, &view); err != nil || c.jsonOutput() {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "version %d\n", shown.Version)
-	fmt.Println(string(shown.Document))
+	fmt.Fprintf(os.Stderr, "version %d\n", view.Version)
+	fmt.Println(string(view.Document))
 	return nil
 }
 
-func readDocument(c *caller) ([]byte, error) {
+func readDocument(c *coreClient) ([]byte, error) {
 	document, err := os.ReadFile(c.command.Args().First())
 	if err != nil {
 		return nil, cli.Exit(err.Error(), node.ExitUsage)
@@ -41,65 +41,66 @@
 	return document, nil
 }
 
-func checkRoutes(c *caller) error {
+func checkRoutes(c *coreClient) error {
 	document, err := readDocument(c)
 	if err != nil {
 		return err
 	}
-	var shown struct {
+	var reply struct {
 		Version  uint64 `json:"version"`
 		Routes   int    `json:"routes"`
 		Services int    `json:"services"`
 	}
-	if err := c.call("POST", "/v1/operator/routes/check", document, &shown); err != nil || c.quiet() {
+	if err := c.call("POST", "/v1/operator/routes/check", document, &reply); err != nil || c.jsonOutput() {
 		return err
 	}
-	fmt.Printf("valid: version %d, %d routes, %d services\n", shown.Version, shown.Routes, shown.Services)
+	fmt.Printf("valid: version %d, %d routes, %d services\n", reply.Version, reply.Routes, reply.Services)
 	return nil
 }
 
-func applyRoutes(c *caller) error {
-	based := c.command.Int64("based-on")
-	if based < 0 {
-		return cli.Exit("--based-on must be given", node.ExitUsage)
+func applyRoutes(c *coreClient) error {
+	basedOn := c.command.Int64("based-on")
+	if basedOn < 0 {
+		return cli.Exit("--based-on is required: the version of the configuration that the document is based on", node.ExitUsage)
 	}
 	document, err := readDocument(c)
 	if err != nil {
 		return err
 	}
-	body := append(fmt.Appendf(nil, `{"based_on":%d,"document":`, based), document...)
-	var shown struct {
+	body := append(fmt.Appendf(nil, `{"based_on":%d,"document":`, basedOn), document...)
+	var reply struct {
 		Version uint64 `json:"version"`
 	}
-	if err := c.call("POST", "/v1/operator/routes/apply", append(body, '}'), &shown); err != nil || c.quiet() {
+	if err := c.call("POST", "/v1/operator/routes/apply", append(body, '}'), &reply); err != nil || c.jsonOutput() {
 		return err
 	}
-	fmt.Printf("version %d is in force\n", shown.Version)
+	fmt.Printf("version %d is in force\n", reply.Version)
 	return nil
 }
 
-func showRoster(c *caller) error {
-	var found map[string]relay.Worker
-	if err := c.call("GET", "/v1/operator/roster", nil, &found); err != nil || c.quiet() {
+func showRoster(c *coreClient) error {
+	var workers map[string]relay.Worker
+	if err := c.call("GET", "/v1/operator/roster", nil, &workers); err != nil || c.jsonOutput() {
 		return err
 	}
 	rows := [][]string{{"ID", "SERVICE", "ZONE", "ADDRESS", "CAPACITY", "STATE"}}
-	for _, id := range base.SortedKeys(found) {
-		one := found[id]
-		rows = append(rows, []string{id, one.Service, one.Zone, one.Addr, fmt.Sprint(one.Capacity), map[bool]string{true: "draining", false: "ready"}[one.Draining]})
+	for _, id := range base.SortedKeys(workers) {
+		worker := workers[id]
+		rows = append(rows, []string{id, worker.Service, worker.Zone, worker.Addr, fmt.Sprint(worker.Capacity), map[bool]string{true: "draining", false: "ready"}[worker.Draining]})
 	}
-	table(rows)
+	printTable(rows)
 	return nil
 }
 
-func emptyingMachine(c *caller) error {
-	var shown struct {
+// emptyingState prints the progress of emptying a storage node.
+func emptyingState(c *coreClient) error {
+	var reply struct {
 		Node  string `json:"node"`
 		State string `json:"state"`
 	}
-	err := c.call("GET", "/v1/operator/storage/empty?node="+url.QueryEscape(c.command.Args().First()), nil, &shown)
-	if err == nil && !c.quiet() {
-		fmt.Printf("%s: %s\n", shown.Node, shown.State)
+	err := c.call("GET", "/v1/operator/storage/empty?node="+url.QueryEscape(c.command.Args().First()), nil, &reply)
+	if err == nil && !c.jsonOutput() {
+		fmt.Printf("%s: %s\n", reply.Node, reply.State)
 	}
 	return err
 }
--- a/cmd/fordseam-fleet/main.go
+++ b/cmd/fordseam-fleet/main.go
@@ -1,5 +1,5 @@
-// fordseam-fleet runs a whole fleet on one machine, with stand-in workers
-// and callers, and reports what they saw.
+// Command fordseam-fleet runs a whole fleet on one machine, with simulated workers
+// and callers, and reports what these observed.
 package main
 
 import (
@@ -21,11 +21,11 @@
 )
 
 func main() {
-	shared := func() []cli.Flag {
+	commonFlags := func() []cli.Flag {
 		return []cli.Flag{
 			&cli.StringFlag{Name: "shape", Value: "kiondo", Usage: "`SHAPE`: kiondo, ljubljana or small"},
-			&cli.StringFlag{Name: "folder", Value: "fleet-data", Usage: "`FOLDER` for data and logs; emptied first"},
-			&cli.IntFlag{Name: "pieces", Value: 8, Usage: "`PIECES` in a model's answer"},
+			&cli.StringFlag{Name: "folder", Value: "fleet-data", Usage: "`FOLDER` for data and logs; its content is deleted first"},
+			&cli.IntFlag{Name: "pieces", Value: 8, Usage: "number of `PIECES` in a model's answer"},
 			&cli.DurationFlag{Name: "gap", Value: 10 * time.Millisecond, Usage: "`TIME` between pieces"},
 		}
 	}
@@ -33,16 +33,16 @@
 		Name: "fordseam-fleet", Version: node.Version,
 		Usage: "run a whole fleet on this machine's loopback addresses",
 		Commands: []*cli.Command{
-			{Name: "up", Usage: "start a fleet and keep it until interrupted", Flags: shared(), Action: up},
-			{Name: "run", Usage: "start a fleet, let callers converse, kill a machine now and then, report", Action: run,
-				Flags: append(shared(),
-					&cli.IntFlag{Name: "callers", Value: 24, Usage: "`CALLERS` at once"},
-					&cli.IntFlag{Name: "conversations", Value: 4, Usage: "`CONVERSATIONS` each"},
-					&cli.StringSliceFlag{Name: "kill", Usage: "kill and later restart a machine, as `NAME@SECONDS`, such as edge-2@3"},
+			{Name: "up", Usage: "start a fleet and run it until interrupted", Flags: commonFlags(), Action: up},
+			{Name: "run", Usage: "start a fleet, run conversations, optionally kill machines, and report", Action: run,
+				Flags: append(commonFlags(),
+					&cli.IntFlag{Name: "callers", Value: 24, Usage: "number of concurrent `CALLERS`"},
+					&cli.IntFlag{Name: "conversations", Value: 4, Usage: "number of `CONVERSATIONS` of each caller"},
+					&cli.StringSliceFlag{Name: "kill", Usage: "kill a machine and restart it 5 s later, as `NAME@SECONDS`, such as edge-2@3"},
 					&cli.BoolFlag{Name: "json", Usage: "print JSON"})},
-			{Name: "chaos", Usage: "start a fleet and put it through a scripted chaos scenario under load", Action: chaos,
-				Flags: append(shared(),
-					&cli.IntFlag{Name: "callers", Value: 24, Usage: "`CALLERS` at once"},
+			{Name: "chaos", Usage: "start a fleet and run a scripted chaos scenario under load", Action: chaos,
+				Flags: append(commonFlags(),
+					&cli.IntFlag{Name: "callers", Value: 24, Usage: "number of concurrent `CALLERS`"},
 					&cli.BoolFlag{Name: "json", Usage: "print JSON"})},
 			platformCommand(),
 			daysCommand(),
@@ -51,7 +51,8 @@
 	node.Main(command, os.Args)
 }
 
-func start(command *cli.Command) (*fleet.Fleet, *fleet.Parties, error) {
+// startFleet starts the machines and the simulated workers, and forms the cluster.
+func startFleet(command *cli.Command) (*fleet.Fleet, *fleet.Parties, error) {
 	shape, ok := fleet.Shapes[command.String("shape")]
 	if !ok {
 		return nil, nil, cli.Exit("shape: must be kiondo, ljubljana or small", node.ExitUsage)
@@ -60,11 +61,11 @@
 	if err := fleet.EmptyFolder(folder); err != nil {
 		return nil, nil, cli.Exit("folder: "+err.Error(), node.ExitUsage)
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, nil, err
 	}
-	f, err := fleet.New(shape, folder, filepath.Dir(self), rand.IntN(50000))
+	f, err := fleet.New(shape, folder, filepath.Dir(executable), rand.IntN(50000))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -80,44 +81,45 @@
 }
 
 func up(_ context.Context, command *cli.Command) error {
-	f, _, err := start(command)
+	f, _, err := startFleet(command)
 	if err != nil {
 		return err
 	}
 	defer f.Stop()
-	for _, p := range f.All() {
-		fmt.Printf("%-10s zone %-8s  partners %-22s  public %s\n", p.Name, p.Zone, p.Addr, p.Public)
+	for _, process := range f.All() {
+		fmt.Printf("%-10s zone %-8s  internal %-22s  public %s\n", process.Name, process.Zone, process.Addr, process.Public)
 	}
-	fmt.Println("running; interrupt to stop")
+	fmt.Println("fleet is running; press Ctrl-C to stop")
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
 	<-signals
 	return nil
 }
 
-// observed starts a fleet, puts it through something, and reports what the
-// parties saw; through gives the counts from before, if they can be compared.
-func observed(command *cli.Command, through func(f *fleet.Fleet, parties *fleet.Parties, tally *standin.Tally) (before map[string]int64, err error)) error {
-	f, parties, err := start(command)
+// runAndReport starts a fleet, exercises it and reports what the workers and
+// callers observed. exercise returns the counters from before the load, or nil if
+// they cannot be compared with those after it.
+func runAndReport(command *cli.Command, exercise func(f *fleet.Fleet, parties *fleet.Parties, tally *standin.Tally) (before map[string]int64, err error)) error {
+	f, parties, err := startFleet(command)
 	if err != nil {
 		return err
 	}
 	defer f.Stop()
 	defer parties.Stop()
 	tally, clock := standin.NewTally(), base.NewRealClock()
-	before, err := through(f, parties, tally)
+	before, err := exercise(f, parties, tally)
 	if err != nil {
 		return err
 	}
-	took := clock.Now()
+	elapsed := clock.Now()
 	tally.Check(parties.Models, parties.Tools, int64(command.Int("pieces")))
-	return f.Report(os.Stdout, tally, parties, before, took, command.Bool("json"))
+	return f.Report(os.Stdout, tally, parties, before, elapsed, command.Bool("json"))
 }
 
 func run(_ context.Context, command *cli.Command) error {
-	return observed(command, func(f *fleet.Fleet, _ *fleet.Parties, tally *standin.Tally) (map[string]int64, error) {
+	return runAndReport(command, func(f *fleet.Fleet, _ *fleet.Parties, tally *standin.Tally) (map[string]int64, error) {
 		for _, plan := range command.StringSlice("kill") {
-			if err := killLater(f, plan); err != nil {
+			if err := scheduleKill(f, plan); err != nil {
 				return nil, err
 			}
 		}
@@ -128,31 +130,33 @@
 }
 
 func chaos(_ context.Context, command *cli.Command) error {
-	return observed(command, func(f *fleet.Fleet, parties *fleet.Parties, tally *standin.Tally) (map[string]int64, error) {
+	return runAndReport(command, func(f *fleet.Fleet, parties *fleet.Parties, tally *standin.Tally) (map[string]int64, error) {
 		return nil, f.Chaos(parties, tally, command.Int("callers"), command.Int("pieces"), os.Stderr)
 	})
 }
 
-func killLater(f *fleet.Fleet, plan string) error {
+// scheduleKill kills the machine in a plan NAME@SECONDS after that time, and
+// restarts it 5 s later.
+func scheduleKill(f *fleet.Fleet, plan string) error {
 	var name string
 	var seconds float64
-	for place := len(plan) - 1; place > 0; place-- {
-		if plan[place] == '@' {
-			name = plan[:place]
-			if _, err := fmt.Sscanf(plan[place+1:], "%f", &seconds); err != nil {
+	for index := len(plan) - 1; index > 0; index-- {
+		if plan[index] == '@' {
+			name = plan[:index]
+			if _, err := fmt.Sscanf(plan[index+1:], "%f", &seconds); err != nil {
 				name = ""
 			}
 			break
 		}
 	}
-	for _, p := range f.All() {
-		if p.Name == name {
+	for _, process := range f.All() {
+		if process.Name == name {
 			time.AfterFunc(time.Duration(seconds*float64(time.Second)), func() {
-				p.Kill()
-				time.AfterFunc(5*time.Second, func() { _ = f.Start(p) })
+				process.Kill()
+				time.AfterFunc(5*time.Second, func() { _ = f.Start(process) })
 			})
 			return nil
 		}
 	}
-	return cli.Exit(fmt.Sprintf("kill: %q must be NAME@SECONDS with a machine's name", plan), node.ExitUsage)
+	return cli.Exit(fmt.Sprintf("kill: must be NAME@SECONDS with the name of a machine, is %q", plan), node.ExitUsage)
 }
--- a/cmd/fordseam-fleet/platform.go
+++ b/cmd/fordseam-fleet/platform.go
@@ -1,5 +1,3 @@
-// The platform subcommand: the fleet as the platform runs it, with the
-// platform's stand-ins round it, checked against the platform's rules.
 package main
 
 import (
@@ -20,25 +18,28 @@
 	"github.com/urfave/cli/v3"
 )
 
+// platformCommand returns the command that runs a fleet as the users' platform
+// does, with a simulated platform around it, and checks it against the platform's
+// rules.
 func platformCommand() *cli.Command {
 	return &cli.Command{
-		Name: "platform", DisableSliceFlagSeparator: true, Usage: "run a fleet as the platform does, with its workers, list, operators and programs, and name the rules broken",
-		Description: "A trouble is KIND[:CLASS]@SECONDS[+FOR][,wipe][,count=N][,share=N][,gap=SECONDS], SECONDS after traffic began.\n" +
-			"Kinds: " + strings.Join(fleet.TroubleKinds, ", ") + ".\nThe exit code is 1 when a rule was broken.",
+		Name: "platform", DisableSliceFlagSeparator: true, Usage: "run a fleet as the platform does, with simulated workers, worker list, operators and programs, and report violated rules",
+		Description: "A trouble is a fault or planned operation, KIND[:CLASS]@SECONDS[+FOR][,wipe][,count=N][,share=N][,gap=SECONDS], SECONDS after the start of traffic.\n" +
+			"Kinds: " + strings.Join(fleet.TroubleKinds, ", ") + ".\nThe exit code is 1 if a rule was violated.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "site", Value: "small", Usage: "`SITE`: kiondo, ljubljana or small"},
-			&cli.StringFlag{Name: "folder", Value: "fleet-data", Usage: "`FOLDER` for settings, data and logs; emptied first"},
-			&cli.StringFlag{Name: "root", Value: ".", Usage: "`FOLDER` that programs start in"},
-			&cli.StringFlag{Name: "edge", Value: "target/fordseam-gateway platform", Usage: "`COMMAND` of an edge machine"},
-			&cli.StringFlag{Name: "core", Value: "target/fordseam-controller core", Usage: "`COMMAND` of a core machine"},
-			&cli.StringFlag{Name: "storage", Value: "target/fordseam-controller storage", Usage: "`COMMAND` of a storage machine"},
-			&cli.DurationFlag{Name: "traffic", Value: 20 * time.Second, Usage: "how long programs begin"},
-			&cli.FloatFlag{Name: "rate", Value: 1, Usage: "`TIMES` the site's usual rate"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of names, programs and troubles' places"},
-			&cli.StringSliceFlag{Name: "trouble", Usage: "a `TROUBLE` at its time; may be given several times"},
-			&cli.StringFlag{Name: "closing", Usage: "closing `FAULT`: kill_all, or wipe (one disk is lost too)"},
-			&cli.StringFlag{Name: "record", Usage: "write everything that was seen to a `FILE`, as JSON"},
-			&cli.DurationFlag{Name: "formation", Value: 30 * time.Second, Usage: "how long the fleet may take until it serves"},
+			&cli.StringFlag{Name: "folder", Value: "fleet-data", Usage: "`FOLDER` for settings, data and logs; its content is deleted first"},
+			&cli.StringFlag{Name: "root", Value: ".", Usage: "working `FOLDER` of the machines' commands"},
+			&cli.StringFlag{Name: "edge", Value: "target/fordseam-gateway platform", Usage: "`COMMAND` that starts an edge machine"},
+			&cli.StringFlag{Name: "core", Value: "target/fordseam-controller core", Usage: "`COMMAND` that starts a core machine"},
+			&cli.StringFlag{Name: "storage", Value: "target/fordseam-controller storage", Usage: "`COMMAND` that starts a storage machine"},
+			&cli.DurationFlag{Name: "traffic", Value: 20 * time.Second, Usage: "for how long new programs start"},
+			&cli.FloatFlag{Name: "rate", Value: 1, Usage: "rate of programs, as a `MULTIPLE` of the site's usual rate"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of names, of programs and of the machines that troubles hit"},
+			&cli.StringSliceFlag{Name: "trouble", Usage: "a `TROUBLE` to run; may be repeated"},
+			&cli.StringFlag{Name: "closing", Usage: "`FAULT` at the end: kill_all, or wipe (kill all, with one disk lost)"},
+			&cli.StringFlag{Name: "record", Usage: "write all observations to a `FILE`, as JSON"},
+			&cli.DurationFlag{Name: "formation", Value: 30 * time.Second, Usage: "time within which the fleet must serve"},
 		},
 		Action: runPlatform,
 	}
@@ -52,10 +53,10 @@
 		return cli.Exit("site: must be one of "+strings.Join(base.SortedKeys(platform.Sites()), ", "), node.ExitUsage)
 	}
 	if plan.Closing != "" && plan.Closing != "kill_all" && plan.Closing != "wipe" {
-		return cli.Exit("closing: must be kill_all or wipe", node.ExitUsage)
+		return cli.Exit(fmt.Sprintf("closing: must be kill_all or wipe, is %q", plan.Closing), node.ExitUsage)
 	}
-	for _, written := range command.StringSlice("trouble") {
-		trouble, err := fleet.ParseTrouble(written)
+	for _, spec := range command.StringSlice("trouble") {
+		trouble, err := fleet.ParseTrouble(spec)
 		if err != nil {
 			return cli.Exit(err.Error(), node.ExitUsage)
 		}
@@ -78,7 +79,7 @@
 		return err
 	}
 	if len(breaches) > 0 {
-		return cli.Exit(fmt.Sprintf("%d rules broken", len(breaches)), 1)
+		return cli.Exit(fmt.Sprintf("%d rules violated", len(breaches)), 1)
 	}
 	return nil
 }
--- a/cmd/fordseam-gateway/main.go
+++ b/cmd/fordseam-gateway/main.go
@@ -1,5 +1,5 @@
-// fordseam-gateway is the data plane: it takes callers' requests, owns
-// sessions and is understudy for others.
+// Command fordseam-gateway runs the data plane: a gateway accepts callers'
+// requests, owns sessions and is the standby for sessions of other gateways.
 package main
 
 import (
@@ -16,9 +16,9 @@
 func main() {
 	command := &cli.Command{
 		Name: "fordseam-gateway", Version: node.Version,
-		Usage:    "serve callers, own sessions, stand in for other gateways",
+		Usage:    "serve callers, own sessions, take over sessions of other gateways",
 		Flags:    node.PlaceFlags(),
-		Commands: []*cli.Command{platform.Command("platform", "edge", "serve the users' platform; the place comes from its settings file")},
+		Commands: []*cli.Command{platform.Command("platform", "edge", "serve on the users' platform; role, addresses and zone come from its settings file")},
 		Action: func(_ context.Context, command *cli.Command) error {
 			if command.Args().Len() > 0 {
 				return cli.Exit(fmt.Sprintf("unexpected argument %q", command.Args().First()), node.ExitUsage)
--- a/cmd/fordseam-sim/account.go
+++ b/cmd/fordseam-sim/account.go
@@ -1,5 +1,3 @@
-// The account command: where the worth of days of the users' bench went.
-
 package main
 
 import (
@@ -13,20 +11,22 @@
 	"github.com/urfave/cli/v3"
 )
 
+// accountCommand returns the command that shows, by cause, the score that days of
+// the users' bench lost.
 func accountCommand() *cli.Command {
-	return &cli.Command{Name: "account", Usage: "tell by cause what the days of a journal entry lost, as a table whose columns add up to the whole loss",
+	return &cli.Command{Name: "account", Usage: "show by cause what the days of a journal entry lost, as a table whose columns add up to the total loss",
 		ArgsUsage: "ENTRY.json...",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "plot", Usage: "draw it into `FILE` as well (.svg, .png or .pdf); one entry only"},
+			&cli.StringFlag{Name: "plot", Usage: "also plot it to `FILE` (.svg, .png or .pdf); one entry only"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
 			paths := command.Args().Slice()
 			plot := command.String("plot")
 			if len(paths) == 0 || plot != "" && len(paths) != 1 {
-				return cli.Exit("name the journal's entries, and one only for a plot", 2)
+				return cli.Exit("one or more journal entries are required, and exactly one with --plot", 2)
 			}
 			for _, path := range paths {
-				if err := showAccount(path, plot); err != nil {
+				if err := printAccount(path, plot); err != nil {
 					return cli.Exit(err.Error(), 1)
 				}
 			}
@@ -34,8 +34,9 @@
 		}}
 }
 
-// showAccount prints one entry's table, and draws it where a file is named.
-func showAccount(path, plot string) error {
+// printAccount prints the table of a journal entry, and plots it if a file is
+// given.
+func printAccount(path, plot string) error {
 	entry, err := account.Read(path)
 	if err != nil {
 		return err
@@ -43,7 +44,7 @@
 	fmt.Printf("%s, entry %s: %s\n\n", entry.Site, entry.ID, entry.Why)
 	for _, day := range entry.Days {
 		if broken := day.Broken(); len(broken) > 0 {
-			fmt.Printf("%s broke %v\n", day.Name, broken)
+			fmt.Printf("%s violated %v\n", day.Name, broken)
 		}
 	}
 	if err := account.Table(os.Stdout, entry.Days); err != nil {
@@ -53,5 +54,5 @@
 	if plot == "" {
 		return nil
 	}
-	return errors.Annotatef(account.Plot(plot, entry.Site, entry.Days), "drawing %s", plot)
+	return errors.Annotatef(account.Plot(plot, entry.Site, entry.Days), "plotting %s", plot)
 }
--- a/cmd/fordseam-sim/campaign.go
+++ b/cmd/fordseam-sim/campaign.go
@@ -1,5 +1,3 @@
-// The campaign and tier subcommands: any number of seeds of any scenarios, at
-// any of the known sizes, across processors.
 package main
 
 import (
@@ -17,83 +15,89 @@
 	"github.com/urfave/cli/v3"
 )
 
+// campaignCommand returns the command that runs the failure scenarios of simulated
+// fleets.
 func campaignCommand() *cli.Command {
-	return seedsCommand("campaign", "run scenarios of failure over many seeds", base.Map(simulate.Scenarios, func(s *simulate.Scenario) simulate.Played { return s }), base.SortedKeys(simulate.Shapes))
+	return seedsCommand("campaign", "run failure scenarios over many seeds", base.Map(simulate.Scenarios, func(s *simulate.Scenario) simulate.Played { return s }), base.SortedKeys(simulate.Shapes))
 }
 
+// tierCommand returns the command that runs simulated fleets on the users' platform
+// through its faults and planned operations.
 func tierCommand() *cli.Command {
-	return seedsCommand("tier", "run days of the platform's troubles over many seeds", base.Map(simulate.TierDays, func(d *simulate.TierDay) simulate.Played { return d }), base.SortedKeys(simulate.TierShapes))
+	return seedsCommand("tier", "run days of faults of the users' platform over many seeds", base.Map(simulate.TierDays, func(d *simulate.TierDay) simulate.Played { return d }), base.SortedKeys(simulate.TierShapes))
 }
 
+// seedsCommand returns a command that runs scenarios at each of the selected
+// shapes with many seeds, in parallel.
 func seedsCommand(name, usage string, scenarios []simulate.Played, shapes []string) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, DisableSliceFlagSeparator: true, // names have commas
-		Description: "Prints each failing seed with the command that plays it again. Exit code 1 when a rule was broken.",
+		Description: "Prints the command that repeats the run of each failing seed. Exit code 1 if a rule was violated.",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "scenario", Usage: "`NAME` of a scenario; may be repeated; all unless given"},
-			&cli.StringSliceFlag{Name: "shape", Usage: "`SHAPE`: " + strings.Join(shapes, ", ") + "; may be repeated; all unless given"},
+			&cli.StringSliceFlag{Name: "scenario", Usage: "`NAME` of a scenario; may be repeated; all if not given"},
+			&cli.StringSliceFlag{Name: "shape", Usage: "`SHAPE`: " + strings.Join(shapes, ", ") + "; may be repeated; all if not given"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "first `SEED`"},
-			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "how `MANY` seeds of each"},
-			&cli.IntFlag{Name: "processors", Value: runtime.NumCPU(), Usage: "how `MANY` runs at once"},
-			&cli.BoolFlag{Name: "list", Usage: "list the scenarios and end"},
+			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "`NUMBER` of seeds for each scenario and shape"},
+			&cli.IntFlag{Name: "processors", Value: runtime.NumCPU(), Usage: "`NUMBER` of concurrent runs"},
+			&cli.BoolFlag{Name: "list", Usage: "list the scenarios and exit"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 		},
-		Action: func(_ context.Context, command *cli.Command) error { return campaign(command, scenarios, shapes) },
+		Action: func(_ context.Context, command *cli.Command) error { return runCampaign(command, scenarios, shapes) },
 	}
 }
 
-func campaign(command *cli.Command, scenarios []simulate.Played, shapes []string) error {
+func runCampaign(command *cli.Command, scenarios []simulate.Played, shapes []string) error {
 	if command.Bool("list") {
-		for _, one := range scenarios {
-			fmt.Println(one.Named())
+		for _, scenario := range scenarios {
+			fmt.Println(scenario.Named())
 		}
 		return nil
 	}
 	c := &simulate.Campaign{Scenarios: scenarios, Shapes: shapes, First: command.Uint64("seed"),
 		Seeds: command.Int("seeds"), Processors: command.Int("processors")}
-	usage := func(format string, args ...any) error { return cli.Exit(fmt.Sprintf(format, args...), node.ExitUsage) }
+	usageError := func(format string, args ...any) error { return cli.Exit(fmt.Sprintf(format, args...), node.ExitUsage) }
 	if names := command.StringSlice("scenario"); len(names) > 0 {
 		c.Scenarios = nil
 		for _, name := range names {
-			place := slices.IndexFunc(scenarios, func(one simulate.Played) bool { return one.Named() == name })
-			if place < 0 {
-				return usage("scenario: none is named %q; see --list", name)
+			index := slices.IndexFunc(scenarios, func(scenario simulate.Played) bool { return scenario.Named() == name })
+			if index < 0 {
+				return usageError("scenario: no scenario is named %q; see --list", name)
 			}
-			c.Scenarios = append(c.Scenarios, scenarios[place])
+			c.Scenarios = append(c.Scenarios, scenarios[index])
 		}
 	}
 	if names := command.StringSlice("shape"); len(names) > 0 {
 		for _, name := range names {
 			if !slices.Contains(c.Shapes, name) {
-				return usage("shape: must be one of %s, is %q", strings.Join(c.Shapes, ", "), name)
+				return usageError("shape: must be one of %s, is %q", strings.Join(c.Shapes, ", "), name)
 			}
 		}
 		c.Shapes = names
 	}
 	switch {
 	case command.Args().Len() > 0:
-		return usage("%s takes no arguments, was given %q", command.Name, command.Args().First())
+		return usageError("%s takes no arguments, got %q", command.Name, command.Args().First())
 	case c.Seeds < 1 || c.Seeds > 1000000:
-		return usage("seeds: must be between 1 and 1000000, is %d", c.Seeds)
+		return usageError("seeds: must be between 1 and 1000000, is %d", c.Seeds)
 	case c.Processors < 1 || c.Processors > 1024:
-		return usage("processors: must be between 1 and 1024, is %d", c.Processors)
+		return usageError("processors: must be between 1 and 1024, is %d", c.Processors)
 	}
 	rows := c.Run(func(outcome *simulate.Outcome) {
 		if len(outcome.Breaches) > 0 {
 			fmt.Fprintf(os.Stderr, "failing: %s\n", outcome.Replay())
 		}
 	})
-	failed := 0
+	failedRuns := 0
 	if command.Bool("json") {
 		fmt.Println(string(base.Encode(rows)))
 		for _, row := range rows {
-			failed += len(row.Failing)
+			failedRuns += len(row.Failing)
 		}
 	} else {
-		failed = simulate.WriteCampaign(os.Stdout, rows)
+		failedRuns = simulate.WriteCampaign(os.Stdout, rows)
 	}
-	if failed > 0 {
-		return cli.Exit(fmt.Sprintf("%d runs broke a rule", failed), node.ExitFailed)
+	if failedRuns > 0 {
+		return cli.Exit(fmt.Sprintf("%d runs violated a rule", failedRuns), node.ExitFailed)
 	}
 	return nil
 }
--- a/cmd/fordseam-sim/campaign_test.go
+++ b/cmd/fordseam-sim/campaign_test.go
@@ -10,12 +10,12 @@
 	"github.com/matryer/is"
 )
 
-func TestAPrintedCommandPlaysItsRunAgain(t *testing.T) {
+func TestReplayCommandRuns(t *testing.T) {
 	is := is.New(t)
-	printed := (&simulate.Outcome{Scenario: "answers garbled, cut, late and extra", Tier: true, Shape: "small", Seed: 1}).Replay()
-	is.Equal(printed, `fordseam-sim tier --shape small --scenario "answers garbled, cut, late and extra" --seed 1 --seeds 1`)
-	head, rest, _ := strings.Cut(strings.TrimPrefix(printed, "fordseam-sim "), `"`)
-	name, tail, _ := strings.Cut(rest, `"`)
-	args := append(append(strings.Fields(head), name), strings.Fields(tail)...)
+	replay := (&simulate.Outcome{Scenario: "answers garbled, cut, late and extra", Tier: true, Shape: "small", Seed: 1}).Replay()
+	is.Equal(replay, `fordseam-sim tier --shape small --scenario "answers garbled, cut, late and extra" --seed 1 --seeds 1`)
+	flags, rest, _ := strings.Cut(strings.TrimPrefix(replay, "fordseam-sim "), `"`)
+	name, remaining, _ := strings.Cut(rest, `"`)
+	args := append(append(strings.Fields(flags), name), strings.Fields(remaining)...)
 	is.NoErr(tierCommand().Run(context.Background(), args))
 }
--- a/cmd/fordseam-sim/changes.go
+++ b/cmd/fordseam-sim/changes.go
@@ -1,6 +1,3 @@
-// The changes subcommand: how soon members are current again, and what a fleet
-// holds, after hundreds and thousands of configurations.
-
 package main
 
 import (
@@ -14,21 +11,23 @@
 	"github.com/urfave/cli/v3"
 )
 
+// changesCommand returns the command that measures, over thousands of changes of
+// the configuration, how soon members are up to date and how much a fleet stores.
 func changesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "changes", Usage: "send one configuration after another to fleets whose members fail, and show how soon they are current again",
-		Description: "Exit code 1 when a member was late, or an old configuration was given out.",
+		Name: "changes", Usage: "apply one configuration after another to fleets whose members fail, and show how soon members are up to date again",
+		Description: "Exit code 1 if a member was late or served an old configuration.",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "size", Value: simulate.ChangesSizes, Usage: "`GATEWAYS/CORES/STORAGE`; may be repeated"},
-			&cli.IntFlag{Name: "changes", Value: 3000, Usage: "how `MANY` changes"},
-			&cli.IntFlag{Name: "routes", Value: 1000, Usage: "how `MANY` routes a configuration has"},
-			&cli.IntFlag{Name: "padding", Usage: "`BYTES` beside the routes that cannot be compressed"},
-			&cli.Int64Flag{Name: "bytes-per-second", Usage: "how fast a message's `BYTES` go; at once unless given"},
-			&cli.BoolFlag{Name: "away", Usage: "have one member of each kind gone from the first change to the last, in place of the other troubles"},
+			&cli.IntFlag{Name: "changes", Value: 3000, Usage: "`NUMBER` of changes"},
+			&cli.IntFlag{Name: "routes", Value: 1000, Usage: "`NUMBER` of routes in a configuration"},
+			&cli.IntFlag{Name: "padding", Usage: "incompressible `BYTES` in a configuration besides the routes"},
+			&cli.Int64Flag{Name: "bytes-per-second", Usage: "bandwidth of a message in `BYTES` per second; unlimited if not given"},
+			&cli.BoolFlag{Name: "away", Usage: "instead of the other faults, keep one member of each kind away from the first change to the last"},
 			&cli.DurationFlag{Name: "every", Value: 100 * time.Millisecond, Usage: "`TIME` between changes"},
-			&cli.DurationFlag{Name: "bound", Value: 4100 * time.Millisecond, Usage: "`TIME` within which a member must be current"},
+			&cli.DurationFlag{Name: "bound", Value: 4100 * time.Millisecond, Usage: "`TIME` within which a member must be up to date"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "first `SEED`"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how `MANY` seeds"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "`NUMBER` of seeds"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
 			failed := false
--- a/cmd/fordseam-sim/main.go
+++ b/cmd/fordseam-sim/main.go
@@ -1,5 +1,5 @@
-// fordseam-sim answers what-if questions in virtual time, on the same code
-// as the daemons.
+// Command fordseam-sim simulates deployments in virtual time, with the code that
+// the daemons run.
 package main
 
 import (
@@ -19,15 +19,15 @@
 	node.Main(&cli.Command{
 		Name: "fordseam-sim", Version: node.Version,
 		Usage: "simulate a deployment under a load and failures, in virtual time",
-		Description: "Without files it runs the Kiondo deployment through a quiet, rush and quiet load.\n" +
-			"The same files and seed give the same bytes out. Exit code 1 when a must-never was broken.",
+		Description: "Without files it simulates the Kiondo deployment under a low, a peak and a low load.\n" +
+			"The same files and seed give the same output. Exit code 1 if an invariant was violated.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "deployment", Usage: "deployment `FILE` (JSON)"},
-			&cli.StringFlag{Name: "settings", Usage: "settings `FILE` (JSON), as applied to a fleet"},
-			&cli.StringFlag{Name: "against", Usage: "a second settings `FILE`, to be compared side by side"},
+			&cli.StringFlag{Name: "settings", Usage: "settings `FILE` (JSON), as it is applied to a fleet"},
+			&cli.StringFlag{Name: "against", Usage: "second settings `FILE`, to compare side by side"},
 			&cli.StringFlag{Name: "load", Usage: "load `FILE` (JSON)"},
-			&cli.StringFlag{Name: "script", Usage: "script `FILE`, one JSON event a line"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of all chance"},
+			&cli.StringFlag{Name: "script", Usage: "script `FILE`, one JSON event per line"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of all random choices"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 		},
 		Commands: []*cli.Command{campaignCommand(), modelCommand(), accountCommand(), talkCommand(), tierCommand(), changesCommand()},
@@ -83,7 +83,7 @@
 	}
 	for _, report := range reports {
 		if len(report.Breaches) > 0 {
-			return cli.Exit("must-nevers were broken", node.ExitFailed)
+			return cli.Exit("invariants were violated", node.ExitFailed)
 		}
 	}
 	return nil
--- a/cmd/fordseam-sim/model_test.go
+++ b/cmd/fordseam-sim/model_test.go
@@ -10,20 +10,20 @@
 	"github.com/matryer/is"
 )
 
-func TestModelPrintsWhatItSearched(t *testing.T) {
+func TestModelPrintsSearchExtent(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
-	is.NoErr(checkWorlds(&out, base.NewRealClock(), "bootstrap", model.Limits{Depth: 4}))
+	is.NoErr(checkSystems(&out, base.NewRealClock(), "bootstrap", model.Limits{Depth: 4}))
 	is.True(strings.Contains(out.String(), "depth   4"))
 	is.True(strings.Contains(out.String(), "stopped at a limit"))
 }
 
-func TestModelNamesAnUnknownWorld(t *testing.T) {
-	err := checkWorlds(&strings.Builder{}, base.NewRealClock(), "none", model.Limits{})
+func TestModelRejectsUnknownName(t *testing.T) {
+	err := checkSystems(&strings.Builder{}, base.NewRealClock(), "none", model.Limits{})
 	is.New(t).True(err != nil)
 }
 
-func TestModelPrintsAViolationsTrace(t *testing.T) {
+func TestModelPrintsViolationTrace(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
 	is.NoErr(printResult(&out, "world", model.Result{Violation: model.NoAcknowledgedLoss, Trace: []string{"first", "second"}}))
--- a/cmd/fordseam-sim/talk.go
+++ b/cmd/fordseam-sim/talk.go
@@ -1,4 +1,3 @@
-// The talk subcommand: what a fleet at rest says, by size.
 package main
 
 import (
@@ -13,16 +12,18 @@
 	"github.com/urfave/cli/v3"
 )
 
+// talkCommand returns the command that measures the background traffic of idle
+// fleets of several sizes.
 func talkCommand() *cli.Command {
 	return &cli.Command{
-		Name: "talk", Usage: "count the calls and bytes of a fleet at rest, by kind and for the busiest machine of each role",
+		Name: "talk", Usage: "count the calls and bytes of an idle fleet, by kind and for the busiest machine of each role",
 		Flags: []cli.Flag{
-			&cli.IntSliceFlag{Name: "nodes", Value: []int{14, 78, 200}, Usage: "`SIZES` of the fleet"},
-			&cli.IntFlag{Name: "cores", Value: 10, Usage: "`MOST` cores; there are 4 and one for each 30 nodes"},
-			&cli.DurationFlag{Name: "span", Value: 30 * time.Second, Usage: "`TIME` that is counted"},
-			&cli.BoolFlag{Name: "churn", Usage: "instead of rest, ten workers a node that come and go and a configuration that changes, with 4 cores and three storage machines in ten"},
-			&cli.IntFlag{Name: "settings-bound", Value: 2, Usage: "`SECONDS` within which settings are in force"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of all chance"},
+			&cli.IntSliceFlag{Name: "nodes", Value: []int{14, 78, 200}, Usage: "`SIZES` of the fleets, in nodes"},
+			&cli.IntFlag{Name: "cores", Value: 10, Usage: "largest `NUMBER` of cores; there are 4 and one more for each 30 nodes"},
+			&cli.DurationFlag{Name: "span", Value: 30 * time.Second, Usage: "length of `TIME` to count"},
+			&cli.BoolFlag{Name: "churn", Usage: "instead of an idle fleet, ten workers per node that come and go and a configuration that changes, with 4 cores and three storage machines in ten"},
+			&cli.IntFlag{Name: "settings-bound", Value: 2, Usage: "`SECONDS` within which new settings must be in force"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of all random choices"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
 			for _, nodes := range command.IntSlice("nodes") {
@@ -35,7 +36,7 @@
 				shape := simulate.Sized(nodes, command.Int("cores"))
 				shape.Settings = fmt.Sprintf(`{"bounds":{"settings_bound_s":%d},%s`, command.Int("settings-bound"), shape.Settings[1:])
 				if shape.Edges < 1 {
-					return cli.Exit("nodes: must leave a gateway beside cores and storage machines", node.ExitUsage)
+					return cli.Exit(fmt.Sprintf("nodes: %d are too few to have a gateway besides cores and storage machines", nodes), node.ExitUsage)
 				}
 				if err := simulate.WriteTalk(os.Stdout, command.Uint64("seed"), shape, command.Duration("span")); err != nil {
 					return err
