--- a/cmd/fordseam-controller/access.go
+++ b/cmd/fordseam-controller/access.go
@@ -26,14 +26,14 @@
 	if err := c.call("GET", "/v1/operator/access", nil, &view); err != nil || c.jsonOutput() {
 		return err
 	}
-	if view.Open {
+	if view.Unrestricted {
 		fmt.Println("no teams are configured: everything is allowed")
 	}
 	rows := [][]string{{"TEAM", "GROUP", "UNDER", "MODELS", "DENIED"}}
 	for _, team := range view.Teams {
 		rows = append(rows, []string{team.Team, team.Group, team.Parent, strings.Join(team.Models, " "), strings.Join(team.Denied, " ")})
 	}
-	if !view.Open {
+	if !view.Unrestricted {
 		printTable(rows)
 	}
 	printAccessState(&view.AccessState)
@@ -43,10 +43,10 @@
 // printAccessState prints which version of the access rules is in force, and the
 // version that each node holds.
 func printAccessState(state *operate.AccessState) {
-	if state.InForce == state.Stamp {
-		fmt.Printf("access: settings %d are in force\n", state.Stamp)
+	if state.InForce == state.Version {
+		fmt.Printf("access: settings %d are in force\n", state.Version)
 	} else {
-		fmt.Printf("access: settings %d are being distributed, settings %d are in force\n", state.Stamp, state.InForce)
+		fmt.Printf("access: settings %d are being distributed, settings %d are in force\n", state.Version, state.InForce)
 	}
 	rows := [][]string{{"NODE", "HOLDS", "ASKED MS AGO"}}
 	for _, holder := range state.Holders {
--- a/cmd/fordseam-controller/client.go
+++ b/cmd/fordseam-controller/client.go
@@ -97,7 +97,7 @@
 	case []byte:
 		request.SetBody(content)
 	default:
-		request.SetBody(base.Encode(content))
+		request.SetBody(base.MustMarshal(content))
 	}
 	if err := fasthttp.DoTimeout(request, response, 30*time.Second); err != nil {
 		// A change may have been applied although its reply did not arrive.
@@ -109,7 +109,7 @@
 	}
 	if response.StatusCode() != 200 {
 		var failure struct {
-			Error base.Verdict `json:"error"`
+			Error base.RequestError `json:"error"`
 		}
 		if json.Unmarshal(response.Body(), &failure) != nil || failure.Error.Code == "" {
 			return cli.Exit(fmt.Sprintf("%s replied with status %d", c.core, response.StatusCode()), node.ExitFailed)
@@ -128,7 +128,7 @@
 
 // failureMessage returns the text of an error reply, with its code and the field
 // that it is about.
-func failureMessage(verdict *base.Verdict) string {
+func failureMessage(verdict *base.RequestError) string {
 	message := verdict.Message
 	if verdict.Field != "" && !strings.HasPrefix(message, verdict.Field) {
 		message = verdict.Field + ": " + message
@@ -139,7 +139,7 @@
 	return "refused (" + verdict.Code + "): " + message
 }
 
-func exitCode(verdict *base.Verdict) int {
+func exitCode(verdict *base.RequestError) int {
 	switch {
 	case verdict.Code == "unknown":
 		return node.ExitUnknown
@@ -300,7 +300,7 @@
 	if err := c.call("GET", "/v1/operator/status", nil, &view); err != nil || c.jsonOutput() {
 		return err
 	}
-	fmt.Printf("core %s\ncluster %s, disk set %d, owns %d slots\n", view.Core, view.Cluster, view.SetStamp, len(view.Slots))
+	fmt.Printf("core %s\ncluster %s, disk set %d, owns %d slots\n", view.Core, view.Cluster, view.DiskSetVersion, len(view.OwnedShards))
 	rows := [][]string{{"ROLE", "ZONE", "ADDRESS", "PUBLIC", "STATE"}}
 	for _, member := range view.Members {
 		state := map[bool]string{true: "alive", false: "silent"}[member.Alive]
@@ -308,8 +308,8 @@
 		case !member.Alive:
 		case member.Leaving:
 			state = "leaving"
-		case member.Unwell != "":
-			state = "not ready: " + member.Unwell
+		case member.NotReadyReason != "":
+			state = "not ready: " + member.NotReadyReason
 		}
 		rows = append(rows, []string{member.Role, member.Zone, member.Addr, member.Public, state})
 	}
@@ -317,13 +317,13 @@
 	if view.Access != nil {
 		printAccessState(view.Access)
 	}
-	for _, message := range view.Mending {
+	for _, message := range view.ReconcileStatus {
 		fmt.Println("mending:", message)
 	}
-	if len(view.Unwell) == 0 {
+	if len(view.Problems) == 0 {
 		fmt.Println("all is well")
 	}
-	for _, message := range view.Unwell {
+	for _, message := range view.Problems {
 		fmt.Println("UNWELL:", message)
 	}
 	return nil
@@ -351,14 +351,14 @@
 	rows := [][]string{{"DISK", "ADDRESS", "ZONE", "VOTE", "STATE", "USED", "BEHIND"}}
 	for _, disk := range view.Disks {
 		behind := uint64(0)
-		for _, missing := range disk.Behind {
+		for _, missing := range disk.MissingEntries {
 			behind += missing
 		}
 		rows = append(rows, []string{disk.ID, disk.Addr, disk.Zone, map[bool]string{true: "yes", false: "no"}[disk.Voting],
-			map[bool]string{true: "alive", false: "silent"}[disk.Alive], fmt.Sprint(disk.Used), fmt.Sprint(behind)})
+			map[bool]string{true: "alive", false: "silent"}[disk.Alive], fmt.Sprint(disk.UsedBytes), fmt.Sprint(behind)})
 	}
-	fmt.Printf("%s, disk set %d, %d of %d slots complete on a majority%s\n", view.Cluster, view.Stamp, view.Slots, view.All,
-		map[bool]string{true: ", a change is in progress", false: ""}[view.Moving])
+	fmt.Printf("%s, disk set %d, %d of %d slots complete on a majority%s\n", view.Cluster, view.Version, view.SettledShards, view.TotalShards,
+		map[bool]string{true: ", a change is in progress", false: ""}[view.ChangePending])
 	printTable(rows)
 	return nil
 }
--- a/cmd/fordseam-sim/campaign.go
+++ b/cmd/fordseam-sim/campaign.go
@@ -18,18 +18,18 @@
 // campaignCommand returns the command that runs the failure scenarios of simulated
 // fleets.
 func campaignCommand() *cli.Command {
-	return seedsCommand("campaign", "run failure scenarios over many seeds", base.Map(simulate.Scenarios, func(s *simulate.Scenario) simulate.Played { return s }), base.SortedKeys(simulate.Shapes))
+	return seedsCommand("campaign", "run failure scenarios over many seeds", base.Map(simulate.Scenarios, func(s *simulate.Scenario) simulate.Runnable { return s }), base.SortedKeys(simulate.Shapes))
 }
 
 // tierCommand returns the command that runs simulated fleets on the users' platform
 // through its faults and planned operations.
 func tierCommand() *cli.Command {
-	return seedsCommand("tier", "run days of faults of the users' platform over many seeds", base.Map(simulate.TierDays, func(d *simulate.TierDay) simulate.Played { return d }), base.SortedKeys(simulate.TierShapes))
+	return seedsCommand("tier", "run days of faults of the users' platform over many seeds", base.Map(simulate.TierDays, func(d *simulate.TierDay) simulate.Runnable { return d }), base.SortedKeys(simulate.TierShapes))
 }
 
 // seedsCommand returns a command that runs scenarios at each of the selected
 // shapes with many seeds, in parallel.
-func seedsCommand(name, usage string, scenarios []simulate.Played, shapes []string) *cli.Command {
+func seedsCommand(name, usage string, scenarios []simulate.Runnable, shapes []string) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, DisableSliceFlagSeparator: true, // names have commas
 		Description: "Prints the command that repeats the run of each failing seed. Exit code 1 if a rule was violated.",
@@ -46,20 +46,20 @@
 	}
 }
 
-func runCampaign(command *cli.Command, scenarios []simulate.Played, shapes []string) error {
+func runCampaign(command *cli.Command, scenarios []simulate.Runnable, shapes []string) error {
 	if command.Bool("list") {
 		for _, scenario := range scenarios {
-			fmt.Println(scenario.Named())
+			fmt.Println(scenario.Title())
 		}
 		return nil
 	}
-	c := &simulate.Campaign{Scenarios: scenarios, Shapes: shapes, First: command.Uint64("seed"),
-		Seeds: command.Int("seeds"), Processors: command.Int("processors")}
+	c := &simulate.Campaign{Scenarios: scenarios, Shapes: shapes, FirstSeed: command.Uint64("seed"),
+		SeedCount: command.Int("seeds"), Parallelism: command.Int("processors")}
 	usageError := func(format string, args ...any) error { return cli.Exit(fmt.Sprintf(format, args...), node.ExitUsage) }
 	if names := command.StringSlice("scenario"); len(names) > 0 {
 		c.Scenarios = nil
 		for _, name := range names {
-			index := slices.IndexFunc(scenarios, func(scenario simulate.Played) bool { return scenario.Named() == name })
+			index := slices.IndexFunc(scenarios, func(scenario simulate.Runnable) bool { return scenario.Title() == name })
 			if index < 0 {
 				return usageError("scenario: no scenario is named %q; see --list", name)
 			}
@@ -77,21 +77,21 @@
 	switch {
 	case command.Args().Len() > 0:
 		return usageError("%s takes no arguments, got %q", command.Name, command.Args().First())
-	case c.Seeds < 1 || c.Seeds > 1000000:
-		return usageError("seeds: must be between 1 and 1000000, is %d", c.Seeds)
-	case c.Processors < 1 || c.Processors > 1024:
-		return usageError("processors: must be between 1 and 1024, is %d", c.Processors)
+	case c.SeedCount < 1 || c.SeedCount > 1000000:
+		return usageError("seeds: must be between 1 and 1000000, is %d", c.SeedCount)
+	case c.Parallelism < 1 || c.Parallelism > 1024:
+		return usageError("processors: must be between 1 and 1024, is %d", c.Parallelism)
 	}
 	rows := c.Run(func(outcome *simulate.Outcome) {
 		if len(outcome.Breaches) > 0 {
-			fmt.Fprintf(os.Stderr, "failing: %s\n", outcome.Replay())
+			fmt.Fprintf(os.Stderr, "failing: %s\n", outcome.ReplayCommand())
 		}
 	})
 	failedRuns := 0
 	if command.Bool("json") {
-		fmt.Println(string(base.Encode(rows)))
+		fmt.Println(string(base.MustMarshal(rows)))
 		for _, row := range rows {
-			failedRuns += len(row.Failing)
+			failedRuns += len(row.FailedRuns)
 		}
 	} else {
 		failedRuns = simulate.WriteCampaign(os.Stdout, rows)
--- a/cmd/fordseam-sim/campaign_test.go
+++ b/cmd/fordseam-sim/campaign_test.go
@@ -12,7 +12,7 @@
 
 func TestReplayCommandRuns(t *testing.T) {
 	is := is.New(t)
-	replay := (&simulate.Outcome{Scenario: "answers garbled, cut, late and extra", Tier: true, Shape: "small", Seed: 1}).Replay()
+	replay := (&simulate.Outcome{Scenario: "answers garbled, cut, late and extra", Tier: true, Shape: "small", Seed: 1}).ReplayCommand()
 	is.Equal(replay, `fordseam-sim tier --shape small --scenario "answers garbled, cut, late and extra" --seed 1 --seeds 1`)
 	flags, rest, _ := strings.Cut(strings.TrimPrefix(replay, "fordseam-sim "), `"`)
 	name, remaining, _ := strings.Cut(rest, `"`)
--- a/internal/disk/store.go
+++ b/internal/disk/store.go
@@ -7,7 +7,7 @@
 // them. How a torn tail is told from rot is in record.go.
 
 // Package disk is the durable part of a storage machine: a replica of the
-// register's shards (Store), the log of the ledger (Segments), and the call
+// register's shards (Store), the log of the ledger (SegmentLog), and the call
 // interface by which the cores reach the replica (Service). A record counts as
 // stored only after its file has been synced.
 package disk
@@ -51,7 +51,7 @@
 	formerLog  int
 	queue      []*pending
 	queued     int
-	bell       *base.Bell
+	bell       *base.Notifier
 	squeeze    bool
 	full       bool
 	broken     error
@@ -64,7 +64,7 @@
 
 // Open reads what the files hold and starts the committer.
 func Open(clock base.Clock, files Files, counters *base.Counters) (*Store, error) {
-	s := &Store{clock: clock, files: files, counters: counters, replicas: map[uint32]*replica{}, bell: base.NewBell(clock), ended: clock.NewSignal(), floor: logFloor}
+	s := &Store{clock: clock, files: files, counters: counters, replicas: map[uint32]*replica{}, bell: base.NewNotifier(clock), ended: clock.NewSignal(), floor: logFloor}
 	if err := s.load(); err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.bell.Ring()
+	s.bell.Notify()
 }
 
 // Ready reports whether the disk has a vote.
@@ -104,8 +104,8 @@
 	return s.id
 }
 
-// Tell calls back whenever Identity tells something newer; it must not block.
-func (s *Store) Tell(learnt func()) {
+// OnIdentityChange calls back whenever Identity tells something newer; it must not block.
+func (s *Store) OnIdentityChange(learnt func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.learnt = learnt
@@ -132,8 +132,8 @@
 	return s.set.GetCluster()
 }
 
-// Used counts the keys the disk holds.
-func (s *Store) Used() int {
+// KeyCount counts the keys the disk holds.
+func (s *Store) KeyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	count := 0
--- a/internal/ledger/set_change_test.go
+++ b/internal/ledger/set_change_test.go
@@ -13,8 +13,8 @@
 
 // partition cuts the network between two hosts in both directions.
 func (f *fleet) partition(a, b *simulate.Host) {
-	f.net.Cut(a.Name, b.Name)
-	f.net.Cut(b.Name, a.Name)
+	f.net.CutLink(a.Name, b.Name)
+	f.net.CutLink(b.Name, a.Name)
 }
 
 // TestStoresDeclineAfterTooManyLosses loses one machine more than is tolerated: the
@@ -75,7 +75,7 @@
 				byID[m.diskID] = m
 			}
 			program := fmt.Sprintf("p%d", seed)
-			order := base.Rendezvous(program, base.SortedKeys(byID))
+			order := base.RendezvousOrder(program, base.SortedKeys(byID))
 			a, b, c, d := byID[order[0]], byID[order[1]], byID[order[2]], byID[order[3]]
 			writer := f.world.NewHost("edge-former", a.host.Zone)
 			f.partition(writer, b.host)
--- a/internal/simulate/follow_test.go
+++ b/internal/simulate/follow_test.go
@@ -16,14 +16,14 @@
 	is := is.NewRelaxed(t)
 	f := rested(t, 14, applied)
 	defer f.World.Close()
-	bound := base.DefaultBounds().Settings
+	bound := base.DefaultBounds().SettingsApply
 	for round, both := range []bool{false, true} {
 		owner := f.feeds()
 		for _, m := range append(append([]*Machine{}, f.Cores...), f.Storage...) {
 			if m != owner {
-				f.Net.Cut(owner.Host.Name, m.Host.Name)
+				f.Net.CutLink(owner.Host.Name, m.Host.Name)
 				if both {
-					f.Net.Cut(m.Host.Name, owner.Host.Name)
+					f.Net.CutLink(m.Host.Name, owner.Host.Name)
 				}
 			}
 		}
--- a/internal/simulate/tier_test.go
+++ b/internal/simulate/tier_test.go
@@ -28,7 +28,7 @@
 					outcome := day.Run(seed, TierShapes[name]())
 					t.Logf("seed %d, %.0f s: %v", seed, outcome.VirtualS, outcome.Counts)
 					for _, breach := range outcome.Breaches {
-						t.Errorf("%s\n  %s", outcome.Replay(), breach)
+						t.Errorf("%s\n  %s", outcome.ReplayCommand(), breach)
 					}
 				}
 			})
@@ -43,7 +43,7 @@
 		var kept *Tier
 		TierDayNamed("mixed: storm, closing power").RunWith(3, TierShapes["small"](), func(t *Tier) { kept = t })
 		record := kept.record.Record()
-		return base.Digest(base.Encode(record.Tries)), base.Digest(base.Encode(record.Arrivals))
+		return base.Digest(base.MustMarshal(record.Tries)), base.Digest(base.MustMarshal(record.Arrivals))
 	}
 	tries, arrivals := seen()
 	again, arrivedAgain := seen()
