--- a/cmd/fordseam-controller/client.go
+++ b/cmd/fordseam-controller/client.go
@@ -25,7 +25,7 @@
 // request to a core and prints the reply for people or, with --json, unchanged.
 func clientCommands() []*cli.Command {
 	return []*cli.Command{
-		clientCommand("init", "form the cluster, once, from blank storage nodes", "STORAGE-ADDRESS...", nil, initCluster),
+		clientCommand("init", "form the cluster, once, from blank storage machines", "STORAGE-ADDRESS...", nil, initCluster),
 		{Name: "settings", Usage: "read and change the settings tree", Commands: []*cli.Command{
 			clientCommand("get", "show the settings in force", "", nil, getSettings),
 			clientCommand("check", "check a document without applying it", "FILE", nil, checkSettings),
@@ -43,10 +43,10 @@
 		clientCommand("roster", "show the workers of the routes' services", "", nil, showRoster),
 		{Name: "storage", Usage: "manage the disks", Commands: []*cli.Command{
 			clientCommand("list", "show the disks and the progress of a change", "", nil, listStorage),
-			clientCommand("admit", "add a blank storage node", "STORAGE-ADDRESS", nil, admitStorage),
+			clientCommand("admit", "add a blank storage machine", "STORAGE-ADDRESS", nil, admitStorage),
 			clientCommand("retire", "remove a disk and empty it", "DISK-ID", nil, retireStorage),
-			clientCommand("empty", "empty a node, if disks are replaced automatically; if repeated, show the state", "NODE-NAME", nil, emptyStorage),
-			clientCommand("emptying", "show the state of emptying a node: active or complete", "MACHINE", nil, emptyingState),
+			clientCommand("empty", "empty a storage machine, if disks are replaced automatically; if repeated, show the state", "NODE-NAME", nil, emptyStorage),
+			clientCommand("emptying", "show the state of emptying a storage machine: active or complete", "MACHINE", nil, emptyingState),
 		}},
 		clientCommand("terminate", "end a program", "PROGRAM", []cli.Flag{
 			&cli.StringFlag{Name: "mode", Value: "Drain", Usage: "`MODE`: Drain or Immediate; a later call can only change Drain to Immediate"}}, terminateProgram),
--- a/cmd/fordseam-controller/main.go
+++ b/cmd/fordseam-controller/main.go
@@ -1,6 +1,6 @@
 // Command fordseam-controller runs the control plane, and is the operators'
 // client. A core leads shards of the register, runs background tasks and serves
-// the feed; a storage node keeps a disk.
+// the feed; a storage machine keeps a disk.
 package main
 
 import (
@@ -21,7 +21,7 @@
 			"3 the outcome is unknown: ask for it by the id of the change.",
 		Commands: append([]*cli.Command{runCommand(),
 			platform.Command("core", "core", "run a core on the users' platform"),
-			platform.Command("storage", "storage", "run a storage node on the users' platform")}, clientCommands()...),
+			platform.Command("storage", "storage", "run a storage machine on the users' platform")}, clientCommands()...),
 	}
 	node.Main(command, os.Args)
 }
@@ -35,11 +35,11 @@
 			&cli.StringFlag{Name: "data", Usage: "data `FOLDER` (storage only)"},
 			&cli.Int64Flag{Name: "disk-limit-bytes", Usage: "largest size of the data folder in `BYTES` (storage only; 0: no limit)"}),
 		Action: func(_ context.Context, command *cli.Command) error {
-			place, err := node.LoadConfig(command, node.Config{}, "core", "storage")
+			config, err := node.LoadConfig(command, node.Config{}, "core", "storage")
 			if err != nil {
 				return err
 			}
-			return node.RunDaemon(place)
+			return node.RunDaemon(config)
 		},
 	}
 }
--- a/cmd/fordseam-controller/routes.go
+++ b/cmd/fordseam-controller/routes.go
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// emptyingState prints the progress of emptying a storage node.
+// emptyingState prints the progress of emptying a storage machine.
 func emptyingState(c *coreClient) error {
 	var reply struct {
 		Node  string `json:"node"`
--- a/cmd/fordseam-gateway/main.go
+++ b/cmd/fordseam-gateway/main.go
@@ -23,11 +23,11 @@
 			if command.Args().Len() > 0 {
 				return cli.Exit(fmt.Sprintf("unexpected argument %q", command.Args().First()), node.ExitUsage)
 			}
-			place, err := node.LoadConfig(command, node.Config{Role: "edge"}, "edge")
+			config, err := node.LoadConfig(command, node.Config{Role: "edge"}, "edge")
 			if err != nil {
 				return err
 			}
-			return node.RunDaemon(place)
+			return node.RunDaemon(config)
 		},
 	}
 	node.Main(command, os.Args)
--- a/internal/model/membership.go
+++ b/internal/model/membership.go
@@ -54,7 +54,7 @@
 	Rules
 	CheckProposal func(record consensus.SetRecord, next consensus.ReplicaSet) consensus.ProposalRejection
 	CheckSet      func(known *consensus.ReplicaSet, offered consensus.ReplicaSet) consensus.Rejection
-	Adopted       func(before, after consensus.ReplicaSet, took func(id string) bool) bool
+	Adopted       func(before, after consensus.ReplicaSet, accepted func(id string) bool) bool
 	Settled       func(committed, setVersion uint64, voters []consensus.Progress) bool
 	// CountingVersion returns the version of the set whose voters a leader counts
 	// when the answer to a message sent under one version arrives and the leader
