--- a/cmd/fordseam-gateway/main.go
+++ b/cmd/fordseam-gateway/main.go
@@ -18,7 +18,7 @@
 		Name: "fordseam-gateway", Version: node.Version,
 		Usage:    "serve callers, own sessions, take over sessions of other gateways",
 		Flags:    node.ConfigFlags(),
-		Commands: []*cli.Command{platform.Command("platform", "edge", "serve on the users' platform; role, addresses and zone come from its settings file")},
+		Commands: []*cli.Command{platform.Command("platform", "edge", "serve on the users' platform; addresses and zone come from its settings file")},
 		Action: func(_ context.Context, command *cli.Command) error {
 			if command.Args().Len() > 0 {
 				return cli.Exit(fmt.Sprintf("unexpected argument %q", command.Args().First()), node.ExitUsage)
