--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -1,7 +1,6 @@
-// Access as operators and the operator's routes meet it: every command's bad
-// input is named by its field and changes nothing, the answers say why, and the
-// routes' gateways take the rules from the tree without leaning on permits where
-// there are none.
+// Tests of the operator API for model access and of its enforcement on the operator's
+// routes: invalid input is reported by its field and changes nothing, refusals say what
+// decided, and gateways need no confirmed settings when no access rules are set.
 package simulate
 
 import (
@@ -50,7 +49,7 @@
 		is.NoErr(json.Unmarshal([]byte(answer), &view))
 		is.Equal(view.InForce, uint64(1))
 		is.Equal(len(view.Teams), 3)
-		is.Equal(len(view.Holders), len(f.Gateways)+len(f.Cores)) // who holds which stamp
+		is.Equal(len(view.Holders), len(f.Gateways)+len(f.Cores)) // each node reports the version that it has
 		for _, holder := range view.Holders {
 			is.Equal(holder.Version, uint64(1))
 		}
@@ -72,16 +71,16 @@
 		status, _ = f.applySettings("wrong", 1, json.RawMessage(invalid))
 		is.Equal(status, 400)
 		_, raw = f.OperatorRequest(f.Cores[1], "GET", "/v1/operator/settings", nil)
-		is.True(strings.Contains(string(raw), `"stamp":1,`)) // nothing changed
+		is.True(strings.Contains(string(raw), `"stamp":1,`)) // the settings are unchanged
 	})
 }
 
-// A change of the rules on top of one that is not in force yet is refused; other
-// changeNumber are not.
+// A change of the access rules is refused while an earlier change of them is not in force
+// yet; changes of other settings are accepted.
 func TestOverlappingAccessChangeIsRejected(t *testing.T) {
 	script(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(3 * time.Second)
-		f.Gateways[2].Host.Freeze() // so that the change takes as long as a permit
+		f.Gateways[2].Host.Freeze() // delays the change until this gateway's lease expires
 		call.sleep(100 * time.Millisecond)
 		denied := strings.Replace(f.Shape.Settings, `"tills":{"models":["checkout"]`, `"tills":{"models":["checkout"],"deny":["checkout"]`, 1)
 		status, _ := f.applySettings("first-change", 1, json.RawMessage(denied))
@@ -120,7 +119,7 @@
 		call.sleep(3 * time.Second)
 		edge := f.Gateways[0]
 		is.True(authorize(edge, "PAY.example:80", "/ask/x", "payslip") == nil)
-		is.True(authorize(edge, "pay.example", "/post/x", "") == nil) // no model: not for these rules
+		is.True(authorize(edge, "pay.example", "/post/x", "") == nil) // calls no model, so the rules do not apply
 		refusal := authorize(edge, "pay.example", "/ask/x", "checkout")
 		is.Equal(refusal.Status, 403)
 		is.Equal(refusal.Code, "model_not_allowed")
@@ -138,8 +137,8 @@
 	})
 }
 
-// Where no teams are set, a gateway that cannot confirm anything still serves
-// the operator's routes, tells the cores nothing of itself, and asks for no
+// If no teams are configured, a gateway that is cut off from the cores still serves the
+// operator's routes, reports nothing about its settings to the cores and asks for no
 // confirmation.
 func TestGatewaysServeWithoutAccessRules(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -1,8 +1,7 @@
-// Which models teams may call, changed every few seconds on live traffic while
-// machines fail. The checker stands outside: it knows when each change was asked
-// for and when it was first known to be in force, and so for each request what
-// could decide it. A request of a time when one thing only could be in force
-// must have been decided by that.
+// Tests of model access rules that change every few seconds under traffic and machine
+// failures. The checker is independent of the code under test: it knows when each change was
+// requested and when it was first observed in force, and so which versions of the rules
+// could decide each request. Every answer must agree with one of them.
 package simulate
 
 import (
@@ -25,15 +24,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-var accessSeeds = flag.Int("access-seeds", 1, "seeds for each day with changes of access")
+var accessSeeds = flag.Int("access-seeds", 1, "seeds for each run with changes of access")
 
-// tenant is a team with the group and the model that are its own.
+// tenant is a team with a group and a model of its own.
 type tenant struct{ team, group, model string }
 
 var tenants = []tenant{{"tills", "dukabora", "checkout"}, {"clerks", "plc", "payslip"}}
 
-// tenantSettings is a tree in which each tenant's model is denied or not, beside
-// the group of the fleet's other callers, who may always call theirs.
+// tenantSettings returns a settings document that denies the models of the given teams. The
+// other callers' group may always call its model.
 func tenantSettings(denied map[string]bool) string {
 	groups := []string{`"g":{"operation_timeout_s":30,"teams":{"shop":{"models":["stand-in"]}},"team":"shop","sites":{"main":{"routes":{
 "chat":{"kind":"model","pool":"models","model":"stand-in"},"loyalty":{"kind":"tool","pool":"apps","tool_timeout_s":5},"lookup":{"kind":"tool","pool":"apps","repeatable":true}}}}}`}
@@ -48,7 +47,7 @@
 	return `{"models":["stand-in","checkout","payslip"],"pools":{"models":{"kind":"model"},"apps":{"kind":"tool"}},"max_output_tokens":64,"groups":{` + strings.Join(groups, ",") + `}}`
 }
 
-// parseDenied reads a tree's denials back.
+// parseDenied returns the teams whose model a settings document denies.
 func parseDenied(document string) map[string]bool {
 	denied := map[string]bool{}
 	for _, entry := range tenants {
@@ -57,14 +56,14 @@
 	return denied
 }
 
-// accessChange is one taken change.
+// accessChange is an accepted change of the access rules.
 type accessChange struct {
 	denied      map[string]bool
-	requestedAt time.Duration // asked for: before this it cannot decide
-	inForceAt   time.Duration // in force at this moment at the latest; below 0 while nobody knows
+	requestedAt time.Duration // no request answered before this can be decided by the change
+	inForceAt   time.Duration // first time it was known to be in force; negative while unknown
 }
 
-// accessRequest is one request for a team's model, and what came of it.
+// accessRequest is a request for a team's model and its answer.
 type accessRequest struct {
 	team, gateway                   string
 	sentAt, firstSentAt, answeredAt time.Duration
@@ -72,7 +71,7 @@
 	version                         uint64
 }
 
-// accessRun is a day with changes of access.
+// accessRun changes access rules while callers send requests, and checks every answer.
 type accessRun struct {
 	fleet          *Fleet
 	changes        map[uint64]*accessChange
@@ -84,7 +83,7 @@
 	running        func() bool
 }
 
-// recordRequests notes every request that calls a model.
+// recordRequests wraps ask and records every request that calls a model.
 func (r *accessRun) recordRequests(team string, ask standin.Asker) standin.Asker {
 	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
 		callsModel := method == "POST" && (strings.HasSuffix(path, "/turns") || strings.HasSuffix(path, "/sessions"))
@@ -120,18 +119,18 @@
 			}
 			request.version = reply.Error.CurrentVersion
 			if reply.Error.Code != "model_not_allowed" || reply.Error.Execution != base.NotRun || reply.Error.Team != team || reply.Error.Model == "" || request.version == 0 {
-				r.fleet.Tally.Breach("a refusal of access that does not say what decided: %s", answer.Body)
+				r.fleet.Tally.Breach("access refusal without team, model, version or execution state: %s", answer.Body)
 			}
 		}
 		if id := header["turn-id"]; id != "" && !request.allowed && first == sent {
-			r.fleet.Tally.Refuse(strings.Split(path, "/")[3], id, "model_not_allowed") // it must never run
+			r.fleet.Tally.Refuse(strings.Split(path, "/")[3], id, "model_not_allowed") // a refused turn must never run
 		}
 		r.requests = append(r.requests, request)
 		return answer, err
 	}
 }
 
-// runOperator takes its tenant's model away and gives it back, again and again.
+// runOperator alternately denies and allows its team's model.
 func (r *accessRun) runOperator(name string, team tenant) {
 	f := r.fleet
 	for round := 0; r.running(); round++ {
@@ -174,7 +173,8 @@
 	}
 }
 
-// pollInForce asks the cores which settings are in force.
+// pollInForce asks the cores which version is in force and records when each version was
+// first seen in force.
 func (r *accessRun) pollInForce() {
 	f := r.fleet
 	for {
@@ -193,15 +193,16 @@
 	}
 }
 
-// checkDecisions holds every request to what could decide it.
+// checkDecisions checks each recorded answer against the versions that could decide the
+// request.
 func (r *accessRun) checkDecisions() {
 	versions := base.SortedKeys(r.changes)
 	for index, version := range versions {
 		if index > 0 && versions[index-1] != version-1 {
-			r.fleet.Tally.Breach("settings %d and %d were taken, and none between", versions[index-1], version)
+			r.fleet.Tally.Breach("settings versions %d and %d were accepted, but none in between", versions[index-1], version)
 		}
 	}
-	// Whoever was refused by a change knows that it is in force.
+	// A refusal that names a version shows that this version is in force.
 	for _, request := range r.requests {
 		for _, version := range versions {
 			if change := r.changes[version]; version <= request.version && (change.inForceAt < 0 || request.answeredAt < change.inForceAt) {
@@ -224,8 +225,8 @@
 			if request.allowed {
 				startedAt = request.firstSentAt
 			}
-			// Where the former and the next say the same a permit is enough, so that
-			// an older stamp may still be named.
+			// While two successive versions agree on the team, a lease is enough to answer,
+			// so a refusal may still name the older version.
 			versionMatches = versionMatches || request.version == version && change.denied[request.team] && request.answeredAt >= change.requestedAt && startedAt <= until-freshness+lease
 			if request.answeredAt < change.requestedAt || startedAt > until {
 				continue
@@ -234,12 +235,12 @@
 			explained = explained || change.denied[request.team] != request.allowed
 		}
 		if !explained || !versionMatches {
-			r.fleet.Tally.Breach("%s at %s, sent at %v and told at %v: allowed %v by %d, which none of %v says", request.team, request.gateway, request.sentAt, request.answeredAt, request.allowed, request.version, candidates)
+			r.fleet.Tally.Breach("%s at %s, sent at %v and answered at %v: allowed %v by version %d, which disagrees with all of versions %v", request.team, request.gateway, request.sentAt, request.answeredAt, request.allowed, request.version, candidates)
 		}
 	}
 }
 
-// result plays the day, and gives how many changes came into force.
+// run plays the run with one seed and adds what it finds to the tally's breaches.
 func (r *accessRun) run(t *testing.T, seed uint64, shape Shape, span time.Duration, fault string, prepare func(*Fleet)) {
 	shape.Settings = tenantSettings(nil)
 	f := NewFleet(seed, shape)
@@ -256,7 +257,7 @@
 		remaining++
 		f.CallerHost.Go(func() { task(); remaining-- })
 	}
-	// The first rules come into force in two steps like any others.
+	// The first rules are activated in two steps, like any later change.
 	spawn(func() {
 		for !r.inForce(1) {
 			f.CallerHost.Clock().Sleep(100 * time.Millisecond)
@@ -277,21 +278,21 @@
 	})
 	f.CallerHost.Go(r.pollInForce)
 	if !f.World.Run(end+3*time.Minute, func() bool { return remaining == 0 && f.pendingFaults == 0 }) {
-		f.Tally.Breach("callers were left without an end")
+		f.Tally.Breach("callers did not finish")
 	}
 	f.Net.Heal()
 	f.Net.Faults = NetworkFaults{}
 	r.checkDecisions()
 	if unconfirmed := r.responseCounts["no_confirmed_settings"]; r.noFaults && unconfirmed > 0 {
-		f.Tally.Breach("%d requests found no confirmation though all was calm", unconfirmed)
+		f.Tally.Breach("%d requests were refused for unconfirmed settings although no fault was injected", unconfirmed)
 	}
 	for _, name := range []string{"turns_dropped", "turns_cut", "turns_failed"} {
 		if n := f.Tally.Counts[name]; r.noFaults && n > 0 {
-			f.Tally.Breach("changes alone brought %d %s", n, name)
+			f.Tally.Breach("changes without faults caused %d %s", n, name)
 		}
 	}
 	f.CheckInvariants()
-	t.Logf("seed %d: %d changes, %v, %d turns whole, took hold after %v", seed, len(r.changes)-1, r.responseCounts, f.Tally.Counts["turns_whole"], r.longestActivation())
+	t.Logf("seed %d: %d changes, responses %v, %d turns completed, longest activation %v", seed, len(r.changes)-1, r.responseCounts, f.Tally.Counts["turns_whole"], r.longestActivation())
 }
 
 func (r *accessRun) inForce(version uint64) bool {
@@ -302,7 +303,8 @@
 	return status == 200 && json.Unmarshal(answer, &view) == nil && view.InForce >= version
 }
 
-// startCallers are the tenants' callers, and a few of the group that may always call.
+// startCallers starts the tenants' callers and some callers of the group that is always
+// allowed.
 func (r *accessRun) startCallers(spawn func(func())) {
 	f := r.fleet
 	for caller := range len(f.Gateways) * 3 {
@@ -324,8 +326,8 @@
 	}
 }
 
-// runPinnedCaller asks one gateway for turns of one session, again and again, without ever
-// moving to another: what that gateway holds is what decides.
+// runPinnedCaller sends turns of one session to one gateway only and never moves to another,
+// so that the rules of that gateway alone decide.
 func (r *accessRun) runPinnedCaller(team tenant, gateway int) {
 	f := r.fleet
 	c := f.caller(fmt.Sprintf("knock-%s-%d", team.team, gateway), gateway)
@@ -348,8 +350,8 @@
 	}
 }
 
-// longestActivation is the longest that a change took from being asked for to be known in
-// force.
+// longestActivation returns the longest time from the request of a change until it was known
+// to be in force.
 func (r *accessRun) longestActivation() (longest time.Duration) {
 	for _, change := range r.changes {
 		if change.inForceAt >= 0 {
@@ -403,8 +405,9 @@
 	}
 }
 
-// Without the mark of a change under way gateways go by the newest tree that
-// each has heard of, and without permits by whatever they hold.
+// Without the record of a pending change, gateways apply the newest settings that each of
+// them has received; without leases, they apply whatever they hold. The checker must detect
+// both.
 func TestDisabledAccessMechanismsAreDetected(t *testing.T) {
 	rows := []struct {
 		mechanism, harm string
@@ -434,12 +437,12 @@
 			for seed := uint64(1); seed <= 12; seed++ {
 				run := &accessRun{changeInterval: 3 * time.Second}
 				run.run(t, seed, SmallShape(), 40*time.Second, row.harm, row.take)
-				if index := slices.IndexFunc(run.fleet.Tally.Breaches, func(breach string) bool { return strings.Contains(breach, "which none of") }); index >= 0 {
+				if index := slices.IndexFunc(run.fleet.Tally.Breaches, func(breach string) bool { return strings.Contains(breach, "which disagrees with all of") }); index >= 0 {
 					t.Logf("without %s, seed %d: %s", row.mechanism, seed, run.fleet.Tally.Breaches[index])
 					return
 				}
 			}
-			t.Errorf("no seed was caught without %s", row.mechanism)
+			t.Errorf("no seed detected the missing mechanism: %s", row.mechanism)
 		})
 	}
 }
--- a/internal/simulate/campaign.go
+++ b/internal/simulate/campaign.go
@@ -1,6 +1,3 @@
-// A campaign runs scenarios over many seeds and sizes, across processors. Each
-// result stands by itself, so the report is the same however many run at once.
-
 package simulate
 
 import (
@@ -18,21 +15,22 @@
 	RunShape(seed uint64, shape string) *Outcome
 }
 
-// Title is the scenario's name.
+// Title returns the scenario's name.
 func (s *Scenario) Title() string { return s.Name }
 
-// RunShape runs the scenario at one of the Shapes.
+// RunShape runs the scenario at the size of the named entry of Shapes.
 func (s *Scenario) RunShape(seed uint64, shape string) *Outcome { return s.Run(seed, Shapes[shape]()) }
 
-// Title is the day's name.
+// Title returns the name of the day.
 func (d *TierDay) Title() string { return d.Name }
 
-// RunShape runs the scenario at one of the TierShapes.
+// RunShape runs the day at the size of the named entry of TierShapes.
 func (d *TierDay) RunShape(seed uint64, shape string) *Outcome {
 	return d.Run(seed, TierShapes[shape]())
 }
 
-// Campaign is what to run.
+// Campaign runs scenarios over many seeds and sizes in parallel. Runs are independent of
+// each other, so the results do not depend on the parallelism.
 type Campaign struct {
 	Scenarios   []Runnable
 	Shapes      []string
@@ -41,7 +39,7 @@
 	Parallelism int
 }
 
-// CampaignResult is what came of one scenario at one size, over all seeds.
+// CampaignResult is the result of one scenario at one size over all seeds.
 type CampaignResult struct {
 	Scenario       string     `json:"scenario"`
 	Shape          string     `json:"shape"`
@@ -52,7 +50,8 @@
 	FailedRuns     []*Outcome `json:"failing"`
 }
 
-// Run does all runs; told is called for each as it ends, one at a time.
+// Run executes all runs and returns their results by size and scenario. It calls onOutcome
+// after each run, one call at a time.
 func (c *Campaign) Run(onOutcome func(*Outcome)) []*CampaignResult {
 	type job struct {
 		row      *CampaignResult
@@ -109,7 +108,7 @@
 	return results
 }
 
-// ReplayCommand is the command that plays a run again.
+// ReplayCommand returns the command line that repeats the run.
 func (o *Outcome) ReplayCommand() string {
 	command := "campaign"
 	if o.Tier {
@@ -118,7 +117,8 @@
 	return fmt.Sprintf("fordseam-sim %s --shape %s --scenario %q --seed %d --seeds 1", command, o.Shape, o.Scenario, o.Seed)
 }
 
-// WriteCampaign shows a campaign's rows, and tells how many runs failed.
+// WriteCampaign writes a campaign's results as a table and returns the number of failed
+// runs.
 func WriteCampaign(out io.Writer, rows []*CampaignResult) (failed int) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "SHAPE\tSCENARIO\tRUNS\tFAILING\tTURNS WHOLE\tP99 TURN MS\tLONGEST MS")
--- a/internal/simulate/changestream.go
+++ b/internal/simulate/changestream.go
@@ -1,9 +1,3 @@
-// Many changes: a fleet takes one configuration after another while members are
-// killed, wiped, cut off and slowed, and each one that comes back must be
-// currentVersion within a bound, however many changes it missed. What it took, and
-// what the fleet holds in memory and on its disks, is told by the number of
-// changes.
-
 package simulate
 
 import (
@@ -23,41 +17,44 @@
 	"fordseam/platform"
 )
 
-// ChangeStreamPlan is a fleet and the stream of changes that it takes.
+// ChangeStreamPlan describes a fleet and a stream of configuration changes. Members are
+// killed, wiped, cut off and slowed meanwhile; each one that returns must be current within
+// a bound, however many changes it missed.
 type ChangeStreamPlan struct {
 	Name                                     string
 	Gateways, Cores, Storage, FaultTolerance int
-	// Routes are in each configuration, whose packed form grows by Padding bytes
-	// that cannot be compressed.
+	// Routes is the number of routes in each configuration. Padding bytes that cannot be
+	// compressed are added to its compressed form.
 	Routes, Padding int
-	// Changes come Every so often.
+	// Changes is the number of changes, Interval the time between two of them.
 	Changes  int
 	Interval time.Duration
-	// NoFaults leaves the troubles out. Away has one member of each kind gone from
-	// the first changes until the last, in place of the other troubles.
+	// NoFaults disables all faults. LongAbsence takes one member of each role down from the
+	// first change to the last, instead of the other faults.
 	NoFaults, LongAbsence bool
-	// BytesPerSecond bounds each message between machines, unless 0.
+	// BytesPerSecond is the bandwidth for each message between machines; 0 is unlimited.
 	BytesPerSecond int64
-	// SampleAt are the numbers of changes at which figures are taken.
+	// SampleAt lists the numbers of changes after which a sample is taken.
 	SampleAt []int
-	// CatchUpBound is how long a member that came back may take to be current.
+	// CatchUpBound is the time within which a returning member must be current.
 	CatchUpBound time.Duration
-	// Meddle, set by tests only, takes a mechanism away.
+	// Prepare, set by tests only, disables a mechanism of the fleet.
 	Prepare func(f *Fleet)
 }
 
-// ChangeStreamSizes are the sizes of the known sites.
+// ChangeStreamSizes lists the sizes of the known deployments as gateways/cores/storage
+// machines.
 var ChangeStreamSizes = []string{"6/4/4", "9/4/4", "64/5/9", "55/8/9"}
 
-// NewChangeStreamPlan is a stream of changes of a configuration with 1,000 routes at
-// one of the known sizes, given as gateways, cores and storage machines.
+// NewChangeStreamPlan returns a plan for a configuration with 1,000 routes at a size given
+// as gateways/cores/storage machines.
 func NewChangeStreamPlan(size string, changes int) (ChangeStreamPlan, error) {
 	plan := ChangeStreamPlan{Name: size, Routes: 1000, Changes: changes, Interval: 100 * time.Millisecond, SampleAt: []int{100, 1000, 3000}, CatchUpBound: 4100 * time.Millisecond}
 	var counts [3]int
 	for i, part := range strings.SplitN(size, "/", 3) {
 		count, err := strconv.Atoi(part)
 		if err != nil || count < 1 {
-			return plan, fmt.Errorf("size %q: must be gateways/cores/storage machines", size)
+			return plan, fmt.Errorf("size %q: must be GATEWAYS/CORES/STORAGE, each a number from 1", size)
 		}
 		counts[i] = count
 	}
@@ -68,7 +65,7 @@
 	return plan, nil
 }
 
-// MemberRecovery is one member's way back to the newest configuration.
+// MemberRecovery is the return of one member to the newest configuration.
 type MemberRecovery struct {
 	Role          string
 	Fault         string
@@ -76,19 +73,21 @@
 	CatchUpTime   time.Duration
 }
 
-// ChangeStreamSample are what a fleet holds after some number of changes.
+// ChangeStreamSample describes the fleet after a number of changes.
 type ChangeStreamSample struct {
 	Changes int
-	// Recoveries since the figures before.
+	// Recoveries are those since the previous sample.
 	Recoveries []MemberRecovery
-	// BytesPerChange a change between machines, since the figures before.
+	// BytesPerChange is the mean traffic between machines for each change since the previous
+	// sample.
 	BytesPerChange int
-	// MaxDiskBytes are the fullest disk's files, KeptBytes the most that the owners
-	// maxMemory in memory of content and changes, Keys those of the feed.
+	// MaxDiskBytes is the size of the files on the fullest disk. MaxMemoryBytes is the most
+	// memory that the cores' register servers used for content and changes. FeedKeys is the
+	// number of keys in the feed.
 	MaxDiskBytes, MaxMemoryBytes, FeedKeys int
 }
 
-// ChangeStreamReport is what came of a run.
+// ChangeStreamReport is the result of a change stream.
 type ChangeStreamReport struct {
 	Plan         ChangeStreamPlan
 	Seed         uint64
@@ -98,26 +97,26 @@
 	Breaches     []string
 }
 
-// changeStream is one run under way.
+// changeStream is the state of a running change stream.
 type changeStream struct {
 	plan           ChangeStreamPlan
 	fleet          *Fleet
 	report         *ChangeStreamReport
 	rng            *rand.Rand
 	documentSuffix []byte
-	ackedVersion   uint64 // acknowledged
+	ackedVersion   uint64 // newest acknowledged version
 	changeNumber   int
 	recoveries     []MemberRecovery
 	bytesSent      int
 	sampledAt      int
 	done           bool
-	activeFaults   int // troubles under way
-	maxMemory      int // the most that owners kept in memory since the last figures
+	activeFaults   int // members that are down or catching up
+	maxMemory      int // most memory used by register servers since the last sample
 }
 
 const changeStreamPoll = 5 * time.Millisecond
 
-// RunChangeStream plays a plan with a seed.
+// RunChangeStream runs a plan with a seed.
 func RunChangeStream(seed uint64, plan ChangeStreamPlan) *ChangeStreamReport {
 	shape := Shape{Name: plan.Name, Group: "g", Zones: 4, Edges: plan.Gateways, Cores: plan.Cores, Storage: plan.Storage,
 		Tolerate: plan.FaultTolerance, Found: true, Capacity: 1, Pieces: 1, Settings: DefaultSettings}
@@ -143,17 +142,17 @@
 	}
 	f.CallerHost.Go(r.run)
 	if !f.World.Run(time.Hour+time.Duration(plan.Changes)*20*plan.Interval, func() bool { return r.done }) {
-		r.addBreach("the run did not come to its end")
+		r.addBreach("the run did not finish")
 	}
 	r.report.Breaches = append(r.report.Breaches, f.Tally.Breaches...)
 	return r.report
 }
 
-// documentPrefix is what stands before the version in a document.
+// documentPrefix precedes the version in a document.
 const documentPrefix = `{"generation":`
 
-// buildDocumentSuffix is the part of a configuration that follows its version. The
-// padding does not compress below the bytes that the plan asks for.
+// buildDocumentSuffix returns the part of a configuration that follows its version. The
+// padding is random, so that it cannot be compressed below the planned size.
 func (r *changeStream) buildDocumentSuffix() []byte {
 	var out bytes.Buffer
 	out.WriteString(`,"routes":[`)
@@ -172,8 +171,8 @@
 	return out.Bytes()
 }
 
-// parseVersionOnly reads the version that stands at a document's head; gateways of
-// this scenario need no more.
+// parseVersionOnly reads the version at the head of a document. The gateways of this
+// scenario serve no requests and need no routes.
 func parseVersionOnly(document []byte) (*route.Table, error) {
 	rest := bytes.TrimPrefix(document, []byte(documentPrefix))
 	digits, _, _ := bytes.Cut(rest, []byte(","))
@@ -207,7 +206,7 @@
 	}
 	for r.changeNumber = 1; r.changeNumber <= r.plan.Changes; r.changeNumber++ {
 		if !r.submitUntilAcked() {
-			r.addBreach("change %d was not acknowledged in a minute", r.changeNumber)
+			r.addBreach("change %d was not acknowledged within a minute", r.changeNumber)
 			break
 		}
 		r.sampleMemory()
@@ -222,11 +221,11 @@
 	if took := f.waitUntil(time.Minute, func() bool {
 		return f.diskSetComplete() && r.allCurrent()
 	}); took >= time.Minute {
-		r.addBreach("the fleet is not whole and current a minute after the last trouble")
+		r.addBreach("the fleet is not complete and current a minute after the last fault")
 	}
 }
 
-// retryUntilOK sends one change until it is acknowledged.
+// submitUntilAcked submits one change until it is acknowledged, for at most a minute.
 func (r *changeStream) submitUntilAcked() bool {
 	for end := r.fleet.World.Now() + time.Minute; r.fleet.World.Now() < end; r.clock().Sleep(50 * time.Millisecond) {
 		if r.submit() {
@@ -236,7 +235,8 @@
 	return false
 }
 
-// submit sends the change that follows the newest one to any core that is up.
+// submit sends the successor of the newest configuration to a random live core and reports
+// whether it was acknowledged.
 func (r *changeStream) submit() bool {
 	m := r.anyCore()
 	if m == nil {
@@ -264,7 +264,7 @@
 	return false
 }
 
-// rejectableCallLoop runs a step on a core's machine and waits for its answer.
+// callCore runs step on a core's host and waits for its result.
 func (r *changeStream) callCore(m *Machine, step func(ctx *base.Ctx, core *node.Core) error) (err error, answered bool) {
 	bell, core := base.NewNotifier(r.clock()), m.core
 	m.Host.Go(func() {
@@ -286,8 +286,8 @@
 	return up[r.rng.IntN(len(up))]
 }
 
-// checkReads asks one core after another for the configuration: what was
-// acknowledged before the question must be in the answer.
+// checkReads reads the configuration from random cores. A read must return every version
+// that was acknowledged before it was sent.
 func (r *changeStream) checkReads(stopped *bool) {
 	for !*stopped {
 		r.clock().Sleep(200 * time.Millisecond)
@@ -301,13 +301,13 @@
 			return err
 		})
 		if answered && err == nil && document.Version < ackedBefore {
-			r.addBreach("%s gave version %d after %d had been acknowledged", m.Host.Name, document.Version, ackedBefore)
+			r.addBreach("%s returned version %d after %d had been acknowledged", m.Host.Name, document.Version, ackedBefore)
 		}
 	}
 }
 
-// injectFaults bring members down one after another. As many disks as may be lost
-// are down at once, and the next only once they are back.
+// injectFaults takes members of one role after another down, as many storage machines at a
+// time as the fleet tolerates, and waits for their return before the next round.
 func (r *changeStream) injectFaults(stopped *bool) {
 	f := r.fleet
 	for round := 0; !*stopped; round++ {
@@ -335,7 +335,7 @@
 	}
 }
 
-// feedLeader is the core that owns the feed's slot.
+// feedLeader returns the core that leads the feed's shard, or nil.
 func (r *changeStream) feedLeader() *Machine {
 	for _, m := range r.fleet.Cores {
 		if m.Host.alive && !m.Host.frozen && m.core != nil && m.core.RegisterServer.LeadsFeed() {
@@ -347,7 +347,7 @@
 
 var changeStreamFaults = []string{"killed", "wiped", "without power", "cut off", "slowed"}
 
-// setWorkerFaultRates brings one member down for a while and times its return.
+// injectFault takes one member down for a while and measures its return.
 func (r *changeStream) injectFault(m *Machine, kind int) {
 	f, ackedBefore := r.fleet, r.ackedVersion
 	span := f.World.Between(100*time.Millisecond, 6*time.Second)
@@ -390,19 +390,19 @@
 	r.activeFaults--
 }
 
-// measureRecovery times how long a member that is up again takes to be current.
+// measureRecovery measures how long a returned member takes to be current.
 func (r *changeStream) measureRecovery(m *Machine, kind string, ackedBefore uint64) {
 	f, recovery := r.fleet, MemberRecovery{Role: m.Role, Fault: kind, MissedChanges: int(r.ackedVersion - ackedBefore)}
 	version, revision := r.ackedVersion, r.newestRevision()
 	recovery.CatchUpTime = f.waitUntil(r.plan.CatchUpBound, func() bool { return r.isCurrent(m, version, revision) })
 	r.recoveries = append(r.recoveries, recovery)
 	if recovery.CatchUpTime >= r.plan.CatchUpBound {
-		r.addBreach("%s, %s, is not current after %v; it missed %d changes", m.Host.Name, recovery.Fault, recovery.CatchUpTime, recovery.MissedChanges)
+		r.addBreach("%s (%s) is not current %v after its return; it missed %d changes", m.Host.Name, recovery.Fault, recovery.CatchUpTime, recovery.MissedChanges)
 		f.waitUntil(time.Minute, func() bool { return r.isCurrent(m, version, revision) })
 	}
 }
 
-// newestRevision is the newest place of the feed that any member has shown.
+// newestRevision returns the newest revision of the feed that any member has applied.
 func (r *changeStream) newestRevision() (newest uint64) {
 	for _, m := range r.fleet.All() {
 		if follower := m.feedFollower(); follower != nil {
@@ -412,8 +412,8 @@
 	return newest
 }
 
-// currentVersion tells whether a member serves a version or a later one; a storage
-// machine has a vote and holds the feed up to a place.
+// isCurrent reports whether a gateway or core serves at least a version, or a storage
+// machine has a vote and holds the feed up to a revision.
 func (r *changeStream) isCurrent(m *Machine, version, revision uint64) bool {
 	if m.Role != "storage" {
 		follower := m.feedFollower()
@@ -438,7 +438,7 @@
 	return 0
 }
 
-// sampleMemory looks at what the owners keep in memory.
+// sampleMemory records the memory that the register servers use.
 func (r *changeStream) sampleMemory() {
 	total := 0
 	for _, m := range r.fleet.Cores {
@@ -449,7 +449,7 @@
 	r.maxMemory = max(r.maxMemory, total)
 }
 
-// takeSample takes figures.
+// takeSample adds a sample to the report.
 func (r *changeStream) takeSample() {
 	f := r.fleet
 	sample := ChangeStreamSample{Changes: min(r.changeNumber, r.plan.Changes), Recoveries: r.recoveries}
@@ -471,12 +471,12 @@
 	r.report.Samples = append(r.report.Samples, sample)
 }
 
-// Write prints the report as a table.
+// Write writes the report as a table.
 func (r *ChangeStreamReport) Write(out io.Writer) {
-	fmt.Fprintf(out, "%s, %d routes, %d bytes of padding, seed %d: %d sent again without a clear answer, %d refused\n",
+	fmt.Fprintf(out, "%s, %d routes, %d bytes of padding, seed %d: %d submissions without a definite answer, %d refused\n",
 		r.Plan.Name, r.Plan.Routes, r.Plan.Padding, r.Seed, r.UnclearCount, r.RefusedCount)
 	for _, sample := range r.Samples {
-		fmt.Fprintf(out, "  %5d changes: %8d bytes sent a change, %9d on the fullest disk, %9d kept by owners, %d keys\n",
+		fmt.Fprintf(out, "  %5d changes: %8d bytes sent per change, %9d bytes on the fullest disk, %9d bytes in register memory, %d feed keys\n",
 			sample.Changes, sample.BytesPerChange, sample.MaxDiskBytes, sample.MaxMemoryBytes, sample.FeedKeys)
 		for _, role := range []string{"storage", "core", "edge"} {
 			times, missed := []time.Duration{}, 0
@@ -487,7 +487,7 @@
 			}
 			if len(times) > 0 {
 				slices.Sort(times)
-				fmt.Fprintf(out, "    %-8s %3d returns, current after %v (middle), %v (longest); up to %d changes missed\n",
+				fmt.Fprintf(out, "    %-8s %3d recoveries, current after %v (median), %v (longest); up to %d changes missed\n",
 					role, len(times), times[len(times)/2], times[len(times)-1], missed)
 			}
 		}
--- a/internal/simulate/changestream_test.go
+++ b/internal/simulate/changestream_test.go
@@ -1,5 +1,5 @@
-// Many changes while members fail, at the sizes of all known sites. The long
-// form, with thousands of changes, is fordseam-sim changes.
+// Tests of many configuration changes while members fail, at the sizes of all known
+// deployments. The subcommand changes of fordseam-sim runs thousands of changes.
 
 package simulate
 
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// runChangeStreams plays a plan over seeds and wants no breach.
+// runChangeStreams runs a plan with several seeds and fails on any breach.
 func runChangeStreams(t *testing.T, plan ChangeStreamPlan, seeds uint64) {
 	t.Helper()
 	for seed := uint64(1); seed <= seeds; seed++ {
@@ -45,7 +45,7 @@
 	}
 }
 
-// One member of each kind is gone while all the changes are made.
+// One member of each role is down while all the changes are made.
 func TestMembersCatchUpAfterMissingAllChanges(t *testing.T) {
 	for _, size := range ChangeStreamSizes[:2] {
 		t.Run(size, func(t *testing.T) {
--- a/internal/simulate/chaos_test.go
+++ b/internal/simulate/chaos_test.go
@@ -1,5 +1,5 @@
-// Interval scenario, on the small shape and on both deployments' sizes, with a
-// fixed set of seeds.
+// Runs every scenario at the small size and at the sizes of both deployments, with a fixed
+// set of seeds.
 package simulate
 
 import (
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The fixed set that CI runs: two seeds of the small shape, one of the others.
+// seedCount is one by default, for CI; the small size gets two seeds.
 var seedCount = flag.Int("seeds", 1, "seeds for each scenario and shape; the small shape gets twice as many")
 
 func TestInvariantsHoldUnderFaults(t *testing.T) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// startScenarioFaults does one scenario's deeds while it is wanted.
+// startScenarioFaults injects one scenario's faults while running returns true.
 func (f *Fleet) startScenarioFaults(name string, running func() bool) {
 	scenario := FindScenario(name)
 	f.Net.Faults = scenario.Net
--- a/internal/simulate/disk.go
+++ b/internal/simulate/disk.go
@@ -1,6 +1,3 @@
-// StorageStatus in memory. Of what was not synced when power goes any sectors may be
-// kept. A disk can stall, fill up, or rot.
-
 package simulate
 
 import (
@@ -11,30 +8,32 @@
 	"fordseam/internal/disk"
 )
 
-// file is one file's bytes, and those of them that were synced. The two may
-// hostTraffic an array: bytes that stand in it are never changed in place.
+// file holds a file's current bytes and those that were synced. The two slices may share an
+// array, whose bytes are never changed in place.
 type file struct {
 	data   []byte
 	synced []byte
 }
 
-// Disk is one machine's disk.
+// Disk is a simulated disk in memory. A power loss keeps any of the sectors that were not
+// synced. A disk can stall, fill up and be corrupted.
 type Disk struct {
 	host        *Host
 	files       map[string]*file
 	Capacity    int64
 	SyncStalled bool
 	SyncCount   int
-	// IgnoresSync disks say that they synced and did not.
+	// IgnoresSync makes Sync report success without syncing.
 	IgnoresSync bool
-	// Corrupted tells that some of it was changed behind its back.
+	// Corrupted is set once a bit was flipped.
 	Corrupted bool
-	// SyncsInProgress counts syncs under way.
+	// SyncsInProgress counts the running calls of Sync.
 	SyncsInProgress int
 	MinSyncTime     time.Duration
 	MaxSyncTime     time.Duration
 }
 
+// NewDisk returns an empty disk of a host.
 func NewDisk(host *Host) *Disk {
 	return &Disk{host: host, files: map[string]*file{}, Capacity: 64 << 20, MinSyncTime: 500 * time.Microsecond, MaxSyncTime: 4 * time.Millisecond}
 }
@@ -48,31 +47,38 @@
 	return entry
 }
 
+// Read returns a copy of a file's content, nil if there is no such file.
 func (d *Disk) Read(name string) ([]byte, error) {
 	return append([]byte(nil), d.fileNamed(name).data...), nil
 }
 
+// Append adds data to the end of a file. If the disk fills up it writes a part of the
+// data and returns disk.ErrFull.
 func (d *Disk) Append(name string, data []byte) error {
 	entry := d.fileNamed(name)
 	written := max(0, min(int64(len(data)), d.FreeBytes()))
 	entry.data = append(entry.data, data[:written]...)
 	if written < int64(len(data)) {
-		return disk.ErrFull // and a part was written
+		return disk.ErrFull // after a partial write
 	}
 	return nil
 }
 
+// Replace sets the content of a file.
 func (d *Disk) Replace(name string, data []byte) error {
 	d.fileNamed(name).data = nil
 	return d.Append(name, data)
 }
 
+// Truncate cuts a file to at most a size.
 func (d *Disk) Truncate(name string, size int) error {
 	entry := d.fileNamed(name)
 	entry.data = append([]byte(nil), entry.data[:min(size, len(entry.data))]...)
 	return nil
 }
 
+// Sync makes a file's content as of the call survive a power loss. It blocks while syncs
+// are stalled.
 func (d *Disk) Sync(name string) error {
 	entry := d.fileNamed(name)
 	covered := entry.data[:len(entry.data):len(entry.data)]
@@ -90,6 +96,7 @@
 	return nil
 }
 
+// FreeBytes returns the unused capacity.
 func (d *Disk) FreeBytes() int64 {
 	free := d.Capacity
 	for _, entry := range d.files {
@@ -100,9 +107,8 @@
 
 const sectorSize = 512
 
-// LosePower drops what was not synced, by sectors: of a file that was being
-// changed any of them may be the new ones, in any order, and its length the
-// new one or the old.
+// LosePower drops unsynced changes by sector. Of each changed file any sectors may have
+// their new content, in any order; its length is the old one, the new one or one in between.
 func (d *Disk) LosePower() {
 	world := d.host.World
 	d.SyncsInProgress = 0
@@ -132,10 +138,10 @@
 	}
 }
 
-// Wipe gives an empty disk.
+// Wipe removes all files.
 func (d *Disk) Wipe() { d.files = map[string]*file{} }
 
-// FlipBit flips one bit of a file, and tells whether there was one to flip.
+// FlipBit flips one bit of a file and reports whether the offset was inside the file.
 func (d *Disk) FlipBit(name string, offset int) bool {
 	entry := d.fileNamed(name)
 	if offset >= len(entry.data) {
@@ -148,7 +154,7 @@
 	return true
 }
 
-// TotalBytes is what all files hold together.
+// TotalBytes returns the size of all files.
 func (d *Disk) TotalBytes() int {
 	total := 0
 	for _, entry := range d.files {
@@ -157,5 +163,5 @@
 	return total
 }
 
-// Size is how long a file is.
+// Size returns the length of a file.
 func (d *Disk) Size(name string) int { return len(d.fileNamed(name).data) }
--- a/internal/simulate/diskset.go
+++ b/internal/simulate/diskset.go
@@ -1,5 +1,3 @@
-// What there is to see of a disk set that mends itself.
-
 package simulate
 
 import (
@@ -8,7 +6,7 @@
 	"fordseam/internal/register"
 )
 
-// diskSet is the newest disk set that a living core knows.
+// diskSet returns the newest disk set that a live core knows, or nil.
 func (f *Fleet) diskSet() *register.DiskSet {
 	var newest *register.DiskSet
 	for _, m := range f.Cores {
@@ -21,8 +19,8 @@
 	return newest
 }
 
-// diskSetComplete tells whether each living storage machine's disk, and no other, has a
-// vote.
+// diskSetComplete reports whether every storage machine that was not removed is live and its
+// disk has a vote, and no other disk is in the disk set.
 func (f *Fleet) diskSetComplete() bool {
 	voting := map[string]bool{}
 	for _, entry := range f.diskSet().GetDisks() {
@@ -44,7 +42,7 @@
 	return count == len(voting)
 }
 
-// waitUntil waits for something and tells how long it took.
+// waitUntil waits for a condition, at most up to a limit, and returns how long it waited.
 func (f *Fleet) waitUntil(limit time.Duration, condition func() bool) time.Duration {
 	start := f.World.Now()
 	for !condition() && f.World.Now()-start < limit {
--- a/internal/simulate/diskset_test.go
+++ b/internal/simulate/diskset_test.go
@@ -1,5 +1,5 @@
-// A fleet that forms and mends itself: founding, lost disks and their
-// replacements, machines retired by name.
+// Tests of a fleet that bootstraps its cluster and reconciles its disk set by itself:
+// bootstrap, lost and replaced disks, and machines that are retired by name.
 package simulate
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/matryer/is"
 )
 
-// reconcileSeeds is how many seeds each of these runs has at the least.
+// reconcileSeeds is the least number of seeds for each of these tests.
 const reconcileSeeds = 4
 
 func reconcilingShape(storage, tolerate int) Shape {
@@ -24,13 +24,13 @@
 	return shape
 }
 
-// runReconciling runs a script on several seeds.
+// runReconciling runs a script with several seeds.
 func runReconciling(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
 	t.Helper()
 	runReconcilingSeeds(t, reconcileSeeds, shape, steps)
 }
 
-// runReconcilingSeeds runs a script on a number of seeds, times the seeds asked for.
+// runReconcilingSeeds runs a script with count seeds, multiplied by the flag seeds.
 func runReconcilingSeeds(t *testing.T, count int, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
 	t.Helper()
 	bring(t, count**seedCount, shape, func(t *testing.T, f *Fleet) {
@@ -41,26 +41,26 @@
 			defer func() { done = true }()
 			steps(is, f, &talker{f, f.Asker(f.CallerHost)})
 		})
-		is.True(f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done })) // the script came to its end
+		is.True(f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done }))
 	})
 }
 
-// logState logs what the cores and the disks say.
+// logState logs the state of the cores and storage machines.
 func (f *Fleet) logState(t *testing.T) {
 	t.Helper()
 	t.Logf("seed %d at %v: %v", f.World.Seed, f.World.Now(), f.diskSet())
 	for _, m := range f.Cores {
 		if m.Host.alive && !m.Host.frozen && m.core != nil {
 			slots, _ := m.core.RegisterServer.Status()
-			t.Logf("%s owns %v, mends %q, known %d", m.Host.Name, slots, m.core.RegisterServer.ReconcileStatus(), m.core.RegisterServer.KnownDiskSet().GetStamp())
+			t.Logf("%s leads shards %v, reconciling %q, knows disk set %d", m.Host.Name, slots, m.core.RegisterServer.ReconcileStatus(), m.core.RegisterServer.KnownDiskSet().GetStamp())
 		}
 	}
 	for _, m := range f.Storage {
-		t.Logf("%s alive %v frozen %v gone %v", m.Host.Name, m.Host.alive, m.Host.frozen, m.removed)
+		t.Logf("%s alive %v frozen %v removed %v", m.Host.Name, m.Host.alive, m.Host.frozen, m.removed)
 	}
 }
 
-// loseMachine takes a machine away with its disk; a silent one does not even refuse
+// loseMachine removes a machine and its disk for good. A silent one does not even refuse
 // connections.
 func (f *Fleet) loseMachine(m *Machine, silent bool) {
 	if silent {
@@ -71,13 +71,14 @@
 	m.removed = true
 }
 
-// wipeMachine has a machine come back at its address with an empty disk.
+// wipeMachine takes a machine down and empties its disk.
 func (f *Fleet) wipeMachine(m *Machine) {
 	f.PowerLoss(m)
 	m.Disk.Wipe()
 }
 
-// retireNode asks a core to retire a machine, or how far that has come.
+// retireNode asks a core to retire a machine (POST) or for the state of its retirement
+// (GET), and returns status and state.
 func (f *Fleet) retireNode(method, node string) string {
 	for {
 		path, body := "/v1/operator/storage/empty", any(nil)
@@ -95,13 +96,14 @@
 	}
 }
 
-// remainingStorage are the storage machines that are not gone.
+// remainingStorage returns the storage machines that were not removed.
 func (f *Fleet) remainingStorage() []*Machine {
 	return base.Filter(f.Storage, func(m *Machine) bool { return !m.removed })
 }
 
-// Machines are lost with their disks one after another, each 4.1 s after the
-// lastTurn one's replacement began, in every way, and what was acknowledged stays.
+// Machines are lost with their disks one after another, each 4.1 s after the replacement of
+// the one before was started. The replacement must have a vote by then, whatever the kind of
+// the loss, and acknowledged settings and turns must survive.
 func TestReplacementBeforeNextLoss(t *testing.T) {
 	ways := map[string]struct {
 		silent, back, core bool
@@ -174,14 +176,13 @@
 						is.Equal(m.gateway.SettingsVersion(), uint64(5))
 					}
 				})
-				t.Logf("%s, %d disks: mended within %v", name, size.storage, longest)
+				t.Logf("%s, %d disks: disk set complete within %v", name, size.storage, longest)
 			})
 		}
 	}
 }
 
-// All that counts loses power at once, and as many machines as are tolerated
-// come back empty.
+// All machines lose power at once, and as many disks as are tolerated come back empty.
 func TestPowerLossWithLostDisks(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}, {3, 1}} {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
@@ -230,13 +231,13 @@
 				verdict, _, _ := call.turn(2, path, key, program, "end", last).final()
 				is.Equal(verdict, "success")
 			})
-			t.Logf("%d disks: served within %v, whole within %v", size.storage, longest, whole)
+			t.Logf("%d disks: serving within %v, disk set complete within %v", size.storage, longest, whole)
 		})
 	}
 }
 
-// Machines frozen or cut off keep their votes while nobody can take their
-// place, and a stranger's or a retired disk is never taken in.
+// Disks that are frozen or cut off for a while keep their votes. A disk that is away for
+// long loses its vote and gets it back when it returns.
 func TestUnresponsiveDisksKeepTheirVotes(t *testing.T) {
 	t.Parallel()
 	runReconciling(t, reconcilingShape(4, 1), func(is *is.I, f *Fleet, call *talker) {
@@ -258,7 +259,7 @@
 		f.crash(f.pickMachine(f.Storage), 2*time.Second, true)
 		call.sleep(6 * time.Second)
 		is.Equal(f.diskSet().Stamp, stamp)
-		// One that is away for long is taken out, and back in when it returns.
+		// A disk that is away for long leaves the disk set and rejoins when it returns.
 		away := f.pickMachine(f.Storage)
 		f.PowerLoss(away)
 		call.sleep(16 * time.Second)
@@ -268,8 +269,8 @@
 	})
 }
 
-// runBootstrap runs a fleet that has to form one cluster by itself, on several
-// seeds, and checks that there is one.
+// runBootstrap lets fleets bootstrap by themselves while a fault is injected, and checks
+// that exactly one cluster was formed.
 func runBootstrap(t *testing.T, storage int, injectFault func(f *Fleet, call *talker)) (longest time.Duration) {
 	t.Helper()
 	for seed := uint64(1); seed <= uint64(8**seedCount); seed++ {
@@ -287,7 +288,7 @@
 		})
 		is.True(f.World.Run(time.Minute, func() bool { return done }))
 		is.True(f.diskSetComplete())
-		// A machine that came late may still be blank when the set is whole.
+		// A machine that started late may not have joined yet when the disk set is complete.
 		clusters := func() map[string]bool {
 			ids := map[string]bool{}
 			for _, m := range f.Storage {
@@ -314,7 +315,7 @@
 	return longest
 }
 
-// The machines form one cluster by themselves, whatever happens meanwhile.
+// The machines form exactly one cluster by themselves, whatever fails meanwhile.
 func TestClusterBootstrap(t *testing.T) {
 	ways := map[string]func(f *Fleet, call *talker){
 		"in quiet":                   func(*Fleet, *talker) {},
@@ -363,7 +364,7 @@
 	}
 }
 
-// Who was not told that this is the first start never forms a cluster.
+// Machines that were not told that this is the first start never bootstrap a cluster.
 func TestNoBootstrapUnlessFirstStart(t *testing.T) {
 	t.Parallel()
 	f := NewFleet(1, reconcilingShape(4, 1))
@@ -381,8 +382,8 @@
 	f.World.Close()
 }
 
-// A machine is retired by its name, removed with its disk the moment that is
-// complete, and then another loses its disk.
+// A machine is retired by its node name and removed with its disk as soon as the retirement
+// is complete; then another machine loses its disk.
 func TestRetireByNodeName(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}} {
 		for _, way := range []string{"in quiet", "its process disappears", "the change's core is lost", "its disk is lost"} {
@@ -394,7 +395,7 @@
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
 					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
-					held := map[string]bool{} // disks that something else keeps data on
+					held := map[string]bool{} // disks that still hold data of other services
 					for _, m := range f.Cores {
 						m.core.RegisterServer.SetEmptyCheck(func(_ *base.Ctx, disk string) (bool, error) { return !held[disk], nil })
 					}
@@ -421,7 +422,7 @@
 						}
 					}
 					call.sleep(3 * time.Second)
-					is.Equal(f.retireNode("GET", out.Host.Name), "200active") // data is there yet
+					is.Equal(f.retireNode("GET", out.Host.Name), "200active") // the disk still holds data
 					for _, entry := range f.diskSet().Disks {
 						is.True(entry.Id != id)
 					}
@@ -442,7 +443,7 @@
 					}
 					out.removed = false
 					out.Disk.Wipe()
-					f.Start(out) // it is not taken back
+					f.Start(out) // a retired disk is not admitted again
 					call.sleep(4 * time.Second)
 					is.True(out.storage.Ready() != nil)
 					out.removed = true
@@ -457,7 +458,7 @@
 	}
 }
 
-// Interval scenario on a fleet that forms and mends itself.
+// Runs every scenario on a fleet that bootstraps and reconciles its disk set by itself.
 func TestInvariantsHoldWhileReconciling(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}} {
 		for _, one := range Scenarios {
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -1,5 +1,3 @@
-// The kinds of failure of the brief, each as a scenario.
-
 package simulate
 
 import (
@@ -9,10 +7,11 @@
 	"fordseam/internal/standin"
 )
 
+// pickMachine returns a random machine of a list.
 func (f *Fleet) pickMachine(list []*Machine) *Machine { return list[f.World.Int64N(int64(len(list)))] }
 
-// scheduleRecovery runs a step on the callers' host after a while; a scenario is not
-// done before.
+// scheduleRecovery runs recover on the callers' host after a delay. A scenario does not end
+// before all recoveries have run.
 func (f *Fleet) scheduleRecovery(delay time.Duration, recover func()) {
 	f.pendingFaults++
 	f.CallerHost.Go(func() {
@@ -22,12 +21,15 @@
 	})
 }
 
+// crash kills a machine's process, or cuts its power, and starts it again after the
+// downtime.
 func (f *Fleet) crash(m *Machine, downtime time.Duration, powerLoss bool) {
 	if !m.Host.alive {
 		return
 	}
 	if powerLoss {
-		// Most often in the middle of a sync, where it hurts.
+		// Wait for a sync in progress, up to 100 ms: power lost during a sync is the hardest
+		// case.
 		for end := f.World.Now() + 100*time.Millisecond; m.Disk.SyncsInProgress == 0 && f.World.Now() < end; {
 			f.CallerHost.Clock().Sleep(200 * time.Microsecond)
 		}
@@ -42,6 +44,7 @@
 	})
 }
 
+// freeze suspends a machine for a while.
 func (f *Fleet) freeze(m *Machine, span time.Duration) {
 	if !m.Host.alive || m.Host.frozen {
 		return
@@ -55,7 +58,7 @@
 	})
 }
 
-// gracefulRestart tells a machine to stop, as SIGTERM does, and starts it again.
+// gracefulRestart stops a machine as SIGTERM does and starts it again.
 func (f *Fleet) gracefulRestart(m *Machine) {
 	if m.Host.alive && !m.Host.frozen && !m.stopping && !m.removed {
 		f.Stop(m)
@@ -66,13 +69,14 @@
 	}
 }
 
+// killWorker takes a random worker down for a while.
 func (f *Fleet) killWorker(downtime time.Duration) {
 	host := f.World.Hosts[f.WorkerList.Workers[f.World.Int64N(int64(len(f.WorkerList.Workers)))].ID]
 	host.Kill()
 	f.scheduleRecovery(downtime, func() { host.alive = true })
 }
 
-// inZone lists what stands in one zone, workers included.
+// inZone returns the machines and the worker hosts of a zone.
 func (f *Fleet) inZone(name string) (machines []*Machine, workers []*Host) {
 	machines = base.Filter(f.All(), func(m *Machine) bool { return m.Host.Zone == name })
 	for _, listed := range f.WorkerList.Workers {
@@ -83,8 +87,8 @@
 	return machines, workers
 }
 
-// totalOutage has everything lose power at once and come back in any order, and
-// times how long until all gateways serve.
+// totalOutage makes all machines lose power at once, starts them in random order and records
+// how long it takes until all gateways serve.
 func (f *Fleet) totalOutage() {
 	for _, m := range f.All() {
 		if m.Host.alive {
@@ -103,7 +107,8 @@
 	f.Tally.Back(f.waitUntilServing(time.Minute))
 }
 
-// waitUntilServing is how long it takes from now until every living gateway serves.
+// waitUntilServing waits until every live gateway is ready, at most up to a limit, and
+// returns how long it waited.
 func (f *Fleet) waitUntilServing(limit time.Duration) time.Duration {
 	start := f.World.Now()
 	for f.World.Now() < start+limit {
@@ -119,7 +124,7 @@
 	return f.World.Now() - start
 }
 
-// slowDown makes a machine answer late and its disk sync late, without failing.
+// slowDown delays a machine's messages and syncs for a while; nothing fails.
 func (f *Fleet) slowDown(m *Machine, span time.Duration) {
 	minSync, maxSync := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
 	m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = f.World.Between(20*time.Millisecond, 250*time.Millisecond), 50*time.Millisecond, 400*time.Millisecond
@@ -128,6 +133,7 @@
 
 var workerFaults = []standin.Trouble{standin.Cut, standin.Malformed, standin.NoFinish, standin.Busy, standin.Fail, standin.Overrun, standin.Silent, standin.Refuse}
 
+// setWorkerFaultRates makes model and tool workers fail requests at the given rates.
 func (f *Fleet) setWorkerFaultRates(modelRate, toolRate float64) {
 	for _, worker := range f.Models {
 		worker.Next = func() standin.Trouble {
@@ -147,7 +153,7 @@
 	}
 }
 
-// injectRandomFault draws one deed of many.
+// injectRandomFault injects one of 14 faults, drawn at random.
 func (f *Fleet) injectRandomFault() {
 	switch f.World.Int64N(14) {
 	case 0:
@@ -182,7 +188,7 @@
 	}
 }
 
-// Scenarios are all kinds of failure that runs and campaigns draw on.
+// Scenarios lists the kinds of failure that tests and campaigns run.
 var Scenarios = []*Scenario{
 	{Name: "nothing but load"},
 	{Name: "edges killed", Every: 3 * time.Second, Do: func(f *Fleet, _ int) { f.crash(f.pickMachine(f.Gateways), 1500*time.Millisecond, false) }},
@@ -268,7 +274,7 @@
 		}},
 }
 
-// FindScenario finds one.
+// FindScenario returns the scenario of a name, or nil.
 func FindScenario(name string) *Scenario {
 	for _, scenario := range Scenarios {
 		if scenario.Name == name {
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -1,6 +1,3 @@
-// A fleet in virtual time: gateways, cores and storage machines built from
-// the same parts as the daemons, with stand-in workers behind them.
-
 package simulate
 
 import (
@@ -16,9 +13,10 @@
 	"fordseam/internal/worker"
 )
 
+// listedWorker is an entry of the worker list.
 type listedWorker = worker.Worker
 
-// Machine is one simulated process with its machine.
+// Machine is a simulated machine and the process that runs on it.
 type Machine struct {
 	Host         *Host
 	Role         string
@@ -32,13 +30,14 @@
 	stopping     bool
 	// removed machines never come back.
 	removed bool
-	// startedBefore machines have had a life already.
+	// startedBefore is set from the machine's first start on.
 	startedBefore bool
-	// stopRequested machines were told to stop.
+	// stopRequested is set once the process was told to stop.
 	stopRequested bool
 }
 
-// Fleet is all machines.
+// Fleet is a set of gateways, cores and storage machines in virtual time. They are built
+// from the same parts as the daemons; simulated workers stand behind them.
 type Fleet struct {
 	World      *World
 	Net        *Net
@@ -53,26 +52,29 @@
 	toolsByID  map[string]*standin.Tool
 	WorkerList worker.List
 	Tally      *standin.Tally
-	// Seeds, when set, are every machine's; Pinned is the cluster in their places.
+	// SeedAddrs, if set, replaces the seed addresses of every machine. ClusterID is the
+	// cluster that their configuration names, if any.
 	SeedAddrs      []string
 	ClusterID      string
 	reportedStates map[string]reportedState
 	reportCount    int64
-	// pendingFaults counts failures whose end is still to come.
+	// pendingFaults counts injected faults that are not undone yet.
 	pendingFaults int
-	// lost, set by tests only, takes mechanisms away that lie outside the wire.
+	// disabled, set by tests only, disables mechanisms that Net.Intercept cannot reach.
 	disabled mechanisms
-	// equip, when set, changes what a process is given; begins sees it built, before it starts.
+	// configure, if set, changes a process's environment and configuration. onBuilt, if set,
+	// is called after a gateway or core was built, before it starts.
 	configure func(m *Machine, env *node.Env, place *node.Config)
 	onBuilt   func(m *Machine)
 }
 
-// expectedID is the id that a worker is told to have, match the id that an answer
-// must carry back, proof the proof that a request has not run, stays the last
-// pollInForce at the list before a request leaves.
+// disabledMechanisms selects the mechanisms that a test disables: the graceful stop, the
+// seed addresses, the end marker of an answer, the id that a worker is expected to have, the
+// id that an answer must carry, the proof that a request has not run, and the last check of
+// the worker list before a request is sent.
 type mechanisms struct{ gracefulStop, seeds, endMarker, expectedID, answerID, notRunProof, finalListCheck bool }
 
-// NewFleet builds and starts a fleet.
+// NewFleet builds a fleet and starts its machines.
 func NewFleet(seed uint64, shape Shape) *Fleet {
 	f := buildFleet(seed, shape)
 	for _, m := range f.All() {
@@ -82,7 +84,7 @@
 	return f
 }
 
-// buildFleet builds a fleet; nothing runs yet.
+// buildFleet builds a fleet and starts nothing.
 func buildFleet(seed uint64, shape Shape) *Fleet {
 	world := NewWorld(seed)
 	if shape.ModelPool == "" {
@@ -117,18 +119,19 @@
 	return f
 }
 
-// All lists every machine, storage first.
+// All returns every machine: storage machines, cores, gateways.
 func (f *Fleet) All() []*Machine {
 	return append(append(append([]*Machine{}, f.Storage...), f.Cores...), f.Gateways...)
 }
 
-// AddMachine brings a new machine of a role into the fleet, at a new address.
+// AddMachine adds a machine of a role at a new address and starts it.
 func (f *Fleet) AddMachine(role string) *Machine {
 	m := f.newMachine(role)
 	f.Start(m)
 	return m
 }
 
+// newMachine adds a machine of a role without starting it.
 func (f *Fleet) newMachine(role string) *Machine {
 	list := map[string]*[]*Machine{"storage": &f.Storage, "core": &f.Cores, "edge": &f.Gateways}[role]
 	index := len(*list)
@@ -138,7 +141,7 @@
 	return m
 }
 
-// Start gives a machine a new life.
+// Start starts a machine's process.
 func (f *Fleet) Start(m *Machine) {
 	h := m.Host
 	h.alive, h.dark, m.openRequests, m.stopping, m.stopRequested = true, false, 0, false, false
@@ -177,7 +180,7 @@
 			m.storage, m.StorageErr = node.NewStorage(env, config)
 			if m.StorageErr != nil {
 				if !m.Disk.Corrupted {
-					f.Tally.Breach("%s does not open though nothing rotted: %v", h.Name, m.StorageErr)
+					f.Tally.Breach("%s does not open although its disk is not corrupted: %v", h.Name, m.StorageErr)
 				}
 				h.alive = false
 				return
@@ -188,16 +191,17 @@
 	})
 }
 
+// notifyBuilt calls onBuilt, if set.
 func (f *Fleet) notifyBuilt(m *Machine) {
 	if f.onBuilt != nil {
 		f.onBuilt(m)
 	}
 }
 
-// Gateway is a machine's gateway in its present life.
+// Gateway returns the gateway of the running process, nil if there is none.
 func (m *Machine) Gateway() *node.Gateway { return m.gateway }
 
-// feedFollower is what a gateway or core follows the feed with.
+// feedFollower returns the feed follower of a running gateway or core, or nil.
 func (m *Machine) feedFollower() *feed.Follower {
 	switch {
 	case !m.Host.alive || m.Host.frozen:
@@ -210,25 +214,25 @@
 	return nil
 }
 
-// Serving tells whether a gateway lives and may serve.
+// Serving reports whether a gateway runs and holds a lease.
 func (m *Machine) Serving() bool {
 	return m.Host.alive && !m.Host.frozen && m.gateway != nil && m.gateway.Follower.HasLease()
 }
 
-// Kill ends a machine's process; PowerLoss ends it and drops what its disk
-// had not synced.
+// Kill ends a machine's process without a graceful stop.
 func (f *Fleet) Kill(m *Machine) {
 	m.Host.Kill()
 	m.gateway, m.core, m.storage = nil, nil, nil
 }
 
+// PowerLoss ends a machine's process and drops what its disk had not synced.
 func (f *Fleet) PowerLoss(m *Machine) {
 	f.Kill(m)
 	m.Disk.LosePower()
 }
 
-// Stop ends a machine as a signal would: it finishes what it read, hands
-// over, and ends.
+// Stop ends a machine as SIGTERM does: the process drains and stops, and is killed when it
+// takes longer than stopTimeout.
 func (f *Fleet) Stop(m *Machine) {
 	bell := base.NewNotifier(f.CallerHost.Clock())
 	drained, life := false, m.Host.life
@@ -262,15 +266,16 @@
 	}
 }
 
-// stopTimeout is what a daemon told to stop takes at the most.
+// stopTimeout is the longest time that a graceful stop may take.
 const stopTimeout = 24 * time.Second
 
-// OperatorRequest sends an operator's request to a core and gives status and body.
+// OperatorRequest sends a request to a core's operator API and returns status and body,
+// status 0 without an answer.
 func (f *Fleet) OperatorRequest(m *Machine, method, path string, body any) (status int, answer []byte) {
 	return f.OperatorRequestWithQuery(m, method, path, map[string]string{}, body)
 }
 
-// OperatorRequestWithQuery does so with a query.
+// OperatorRequestWithQuery is OperatorRequest with query parameters.
 func (f *Fleet) OperatorRequestWithQuery(m *Machine, method, path string, query map[string]string, body any) (status int, answer []byte) {
 	bell := base.NewNotifier(f.CallerHost.Clock())
 	if !m.Host.alive || m.core == nil {
@@ -293,8 +298,8 @@
 	return status, answer
 }
 
-// SetUp makes the cluster, applies the settings and gives the worker list;
-// it runs as a task of the callers' host.
+// SetUp forms the cluster, applies the settings and submits the worker list. It must run as
+// a task of the callers' host.
 func (f *Fleet) SetUp() {
 	if !f.Shape.Found {
 		addrs := base.Map(f.Storage, func(m *Machine) string { return m.Host.Name + ":1" })
@@ -318,7 +323,7 @@
 	})
 }
 
-// liveCore is a core that is up.
+// liveCore returns the first core that runs, or the first core if none does.
 func (f *Fleet) liveCore() *Machine {
 	for _, m := range f.Cores {
 		if m.Host.alive && !m.Host.frozen {
@@ -328,6 +333,7 @@
 	return f.Cores[0]
 }
 
+// retryUntilOK repeats an attempt until its status is 200; it panics after 200 attempts.
 func (f *Fleet) retryUntilOK(step string, attempt func() int) {
 	for try := 0; try < 200; try++ {
 		if attempt() == 200 {
@@ -335,10 +341,10 @@
 		}
 		f.CallerHost.Clock().Sleep(100 * time.Millisecond)
 	}
-	panic("fleet did not come up: " + step)
+	panic("simulate: fleet did not come up: step " + step)
 }
 
-// feedLeader is the core that owns the feed.
+// feedLeader returns the core that leads the feed's shard, or nil.
 func (f *Fleet) feedLeader() *Machine {
 	for _, m := range f.Cores {
 		if m.Host.alive && m.core != nil && m.core.RegisterServer.LeadsFeed() {
--- a/internal/simulate/fleet_report.go
+++ b/internal/simulate/fleet_report.go
@@ -1,6 +1,3 @@
-// What a simulated fleet is asked after or while it runs: conversations, counters
-// and breaches.
-
 package simulate
 
 import (
@@ -11,7 +8,7 @@
 	"fordseam/internal/standin"
 )
 
-// StartUsageReports has each model worker tell its load now and then, to one gateway
+// StartUsageReports makes each model worker report its load at an interval, to one gateway
 // after another.
 func (f *Fleet) StartUsageReports(interval time.Duration) {
 	ask := f.Asker(f.CallerHost)
@@ -27,7 +24,8 @@
 	}
 }
 
-// StartCallers starts callers and returns a function telling how many are left.
+// StartCallers starts callers and returns a function that returns how many have not
+// finished.
 func (f *Fleet) StartCallers(callers, turns int, tools bool, prepare func(*standin.Caller)) func() int {
 	remaining := callers
 	for caller := 0; caller < callers; caller++ {
@@ -45,7 +43,7 @@
 	return func() int { return remaining }
 }
 
-// CounterTotal adds up a counter over the living machines.
+// CounterTotal returns the sum of a counter over all machines.
 func (f *Fleet) CounterTotal(name string) int64 {
 	total := int64(0)
 	for _, m := range f.All() {
@@ -54,7 +52,7 @@
 	return total
 }
 
-// SyncTotal adds up the disks' syncs.
+// SyncTotal returns the number of syncs of all storage machines' disks.
 func (f *Fleet) SyncTotal() int {
 	total := 0
 	for _, m := range f.Storage {
@@ -63,7 +61,7 @@
 	return total
 }
 
-// CheckInvariants looks over callers' and workers' records.
+// CheckInvariants checks the callers' and workers' records and returns all breaches.
 func (f *Fleet) CheckInvariants() []string {
 	f.Tally.Check(f.Models, f.Tools, int64(f.Shape.Pieces))
 	return f.Tally.Breaches
--- a/internal/simulate/followers_test.go
+++ b/internal/simulate/followers_test.go
@@ -1,5 +1,5 @@
-// Followers of an owner that the other cores and the disks cannot hear: it looks
-// alive to the gateways, and must not keep them from its successor's news.
+// A leader that neither the other cores nor the disks can hear still looks alive to the
+// gateways that follow it. They must switch to its successor and get new settings in time.
 package simulate
 
 import (
--- a/internal/simulate/history_test.go
+++ b/internal/simulate/history_test.go
@@ -1,5 +1,4 @@
-// A writer of turn histories: it keeps what storage machines acknowledged, and
-// looks for all of it again.
+// A writer of turn histories that tests use to check that no acknowledged turn is lost.
 package simulate
 
 import (
@@ -17,16 +16,15 @@
 	historyRetention = 10 * time.Minute
 )
 
-// historyWriter takes turns of many programs, one after the other, straight to
-// the storage machines.
+// historyWriter writes turns of many programs directly to the storage machines.
 type historyWriter struct {
 	fleet      *Fleet
 	client     *ledger.Client
-	ackedTurns [][]string // those acknowledged, by program
+	ackedTurns [][]string // acknowledged turns by program
 	attempts   int
 	epochs     []uint64
 	paused     bool
-	writing    bool // a round is under way
+	writing    bool // a round is running
 	stopped    bool
 }
 
@@ -43,7 +41,7 @@
 
 func programName(place int) string { return fmt.Sprintf("program-%d", place) }
 
-// lastTurn is the newest acknowledged turn of a program.
+// lastTurn returns the newest acknowledged turn of a program, or "".
 func (w *historyWriter) lastTurn(place int) string {
 	if count := len(w.ackedTurns[place]); count > 0 {
 		return w.ackedTurns[place][count-1]
@@ -51,7 +49,7 @@
 	return ""
 }
 
-// runTurn takes one turn of a program and tells whether it was acknowledged.
+// runTurn begins and finishes a program's next turn and reports whether it was acknowledged.
 func (w *historyWriter) runTurn(place int) bool {
 	w.attempts++
 	program, previous := programName(place), w.lastTurn(place)
@@ -72,7 +70,7 @@
 	return true
 }
 
-// runRound takes one turn of each program.
+// runRound runs one turn of each program.
 func (w *historyWriter) runRound() {
 	for place := range w.ackedTurns {
 		if w.paused {
@@ -82,7 +80,7 @@
 	}
 }
 
-// start goes on with turns until it is stopped.
+// start runs rounds until the writer is stopped.
 func (w *historyWriter) start() {
 	w.fleet.CallerHost.Go(func() {
 		for !w.stopped {
@@ -96,7 +94,7 @@
 	})
 }
 
-// missingTurns says which programs' acknowledged turns are not all found.
+// missingTurns lists the programs whose acknowledged turns cannot all be read.
 func (w *historyWriter) missingTurns() (missing []string) {
 	for place := range w.ackedTurns {
 		acknowledged := w.ackedTurns[place]
@@ -114,11 +112,11 @@
 	return missing
 }
 
-// nextTurnAttempts is how often a program tries to go on, as clients do that are
-// answeredAt to come back.
+// nextTurnAttempts is how often a program attempts its next turn, as a client that is told
+// to retry does.
 const nextTurnAttempts = 3
 
-// stuckPrograms says which programs cannot go on.
+// stuckPrograms lists the programs whose next turn is not acknowledged.
 func (w *historyWriter) stuckPrograms() (stuck []string) {
 	for place := range w.ackedTurns {
 		acknowledged := false
@@ -126,13 +124,13 @@
 			acknowledged = w.runTurn(place)
 		}
 		if !acknowledged {
-			stuck = append(stuck, fmt.Sprintf("%s: cannot go on", programName(place)))
+			stuck = append(stuck, fmt.Sprintf("%s: next turn not acknowledged", programName(place)))
 		}
 	}
 	return stuck
 }
 
-// pause ends the round that is under way and begins no other.
+// pause waits for the running round to end and starts no other.
 func (w *historyWriter) pause() {
 	w.paused = true
 	for w.writing {
@@ -140,8 +138,8 @@
 	}
 }
 
-// delayHistoryFetches makes stores fill slowly: each request for what is missing takes
-// a while, as it does with a whole retention window of turns.
+// delayHistoryFetches delays every fetch of missing turns, as large histories do, so that
+// stores fill slowly.
 func delayHistoryFetches(f *Fleet, delay time.Duration) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		if strings.HasSuffix(m.Path, "Ledger/Fetch") {
--- a/internal/simulate/isolation.go
+++ b/internal/simulate/isolation.go
@@ -1,9 +1,3 @@
-// Machines that count are cut off from the others that count, while operators
-// reach both sides. What each operator was answered is kept and judged: a
-// machine that cannot reach a majority refuses with 503 and says when to come
-// back, an acknowledged configuration stands, one that got no clear answer is
-// either in force everywhere or never, and the others go on.
-
 package simulate
 
 import (
@@ -17,10 +11,11 @@
 	"fordseam/platform"
 )
 
-// IsolationMode is how machines are cut off.
+// IsolationMode is the way in which machines are isolated.
 type IsolationMode string
 
-// The ways: in both directions or one, noticed or not, and frozen instead.
+// Modes that cut links in both directions or one, with or without a sign to the sender, and
+// modes that stop the machines.
 const (
 	IsolationSilent   IsolationMode = "silent"
 	IsolationOutbound IsolationMode = "outbound"
@@ -28,19 +23,19 @@
 	IsolationReset    IsolationMode = "resets"
 	IsolationRefused  IsolationMode = "refused"
 	IsolationFrozen   IsolationMode = "frozen"
-	// IsolationKilled and CutDark end the process, or the machine's power, instead.
+	// IsolationKilled ends the process, IsolationPowerLoss cuts the machine's power.
 	IsolationKilled    IsolationMode = "killed"
 	IsolationPowerLoss IsolationMode = "without power"
 )
 
-// IsolationModes lists those that leave the machines alive.
+// IsolationModes lists the modes that leave the processes alive.
 var IsolationModes = []IsolationMode{IsolationSilent, IsolationOutbound, IsolationInbound, IsolationReset, IsolationRefused, IsolationFrozen}
 
-// IsolationTarget is who is cut off.
+// IsolationTarget selects the machines that are isolated.
 type IsolationTarget string
 
-// The targets. The owner of the feed's shard is the core that reads the
-// platform's list of workers as well.
+// Targets of an isolation. The leader is that of the feed's shard, which also reads the
+// platform's list of workers.
 const (
 	TargetLeader            IsolationTarget = "owner"
 	TargetLeaderAndDisk     IsolationTarget = "owner and a disk"
@@ -51,14 +46,14 @@
 	TargetLeaderRestarted   IsolationTarget = "owner, restarted behind the cut"
 )
 
-// IsolationTargets lists them.
+// IsolationTargets lists all targets.
 var IsolationTargets = []IsolationTarget{TargetLeader, TargetLeaderAndDisk, TargetLeaderFromDisks, TargetOtherCore, TargetSeeds, TargetSeedsWithRestarts, TargetLeaderRestarted}
 
-// IsolationSizes are the users' four deployments: gateways, cores, storage machines
-// and how many of those with a disk may be lost at once.
+// IsolationSizes holds the users' four deployments: the numbers of gateways, cores and
+// storage machines, and how many of the latter may be lost at once.
 var IsolationSizes = map[string][4]int{"tills": {6, 4, 4, 1}, "pay": {9, 4, 4, 1}, "grown tills": {64, 5, 9, 2}, "grown pay": {55, 8, 9, 2}}
 
-// IsolationShape is a deployment of a size whose gateways have nothing to serve.
+// IsolationShape returns a deployment of a size with one worker for each service.
 func IsolationShape(name string) TierShape {
 	size := IsolationSizes[name]
 	shape := TierShapes["kiondo"]()
@@ -77,7 +72,7 @@
 // operatorTimeout is how long an operator waits for an answer.
 const operatorTimeout = time.Second
 
-// operatorCall is one call of an operator and its answer.
+// operatorCall is a call of an operator and its answer.
 type operatorCall struct {
 	kind        string
 	core        *Machine
@@ -88,16 +83,18 @@
 	status      int
 	retryAfter  string
 	body        []byte
-	// apart: the core could not reach a majority from before the call was sent
-	// waitUntil after it was answered; stopped: its process did not run all the while.
+	// isolated: the core could not reach a majority at any time from before the call was
+	// sent until after it was answered. hostStopped: its process was stopped during the
+	// call.
 	isolated, hostStopped bool
 }
 
 func (c *operatorCall) String() string {
-	return fmt.Sprintf("%s of %d on %d to %s at %v: %d after %v %q", c.kind, c.version, c.baseVersion, c.core.Host.Name, c.sentAt, c.status, c.answeredAt-c.sentAt, c.body)
+	return fmt.Sprintf("%s of version %d on %d to %s at %v: status %d after %v %q", c.kind, c.version, c.baseVersion, c.core.Host.Name, c.sentAt, c.status, c.answeredAt-c.sentAt, c.body)
 }
 
-// IsolationPlan is one cut: at which size, who, how, and for how long.
+// IsolationPlan describes one isolation: the size of the deployment, the machines, the mode
+// and the duration.
 type IsolationPlan struct {
 	Size     string
 	Target   IsolationTarget
@@ -110,15 +107,15 @@
 	return fmt.Sprintf("%s, seed %d, %s, %s", c.Size, c.Seed, c.Target, c.Mode)
 }
 
-// IsolationResult is one cut and what came of it.
+// IsolationResult is the result of an isolation.
 type IsolationResult struct {
 	IsolationPlan
-	// MajorityAckTime is how long after the cut a change was acknowledged by a core on the
-	// majority's side, to an operator who calls that side only; Everywhere is the
-	// same for one who calls cores of both sides as they come.
+	// MajorityAckTime is the time from the start of the isolation until a core on the
+	// majority's side acknowledged a change to an operator who calls that side only.
+	// AnyCoreAckTime is the same for an operator who calls all cores.
 	MajorityAckTime, AnyCoreAckTime time.Duration
-	// RecoveryTime is how long after the end of the cut all cores gave the newest
-	// configuration.
+	// RecoveryTime is the time from the end of the isolation until all cores returned the
+	// newest configuration.
 	RecoveryTime  time.Duration
 	CallCount     int
 	RefusalCount  int
@@ -126,7 +123,11 @@
 	Breaches      []string
 }
 
-// isolationRun is a run under way.
+// isolationRun is the state of a running isolation. Operators call the cores of both sides
+// meanwhile, and every answer is kept and checked: a core that cannot reach a majority
+// refuses with 503 and Retry-After, an acknowledged configuration stays in force, one
+// without a definite answer is in force everywhere or never, and the other cores continue to
+// serve.
 type isolationRun struct {
 	*Tier
 	result         *IsolationResult
@@ -139,18 +140,18 @@
 	currentVersion uint64
 }
 
-// sentOrder is a document that was sent, and what is known of its fate.
+// sentOrder is a configuration that an operator sent and what is known of its fate.
 type sentOrder struct {
 	baseVersion, version uint64
 	document             []byte
 	sentAt               time.Duration
-	// ackedAt is when a first answer took it, 0 for never; refused that it got a
-	// clear refusal.
+	// ackedAt is the time of the first acknowledgement, 0 without one; refused is set by a
+	// definite refusal.
 	ackedAt time.Duration
 	refused bool
 }
 
-// Run has the target cut off; a test may change the fleet before.
+// Run runs the plan. prepare, if not nil, may change the fleet before.
 func (c IsolationPlan) Run(prepare func(f *Fleet)) *IsolationResult {
 	result := &IsolationResult{IsolationPlan: c}
 	t := NewTier(c.Seed, IsolationShape(c.Size), nil)
@@ -165,7 +166,7 @@
 		done = true
 	})
 	if !t.World.Run(5*time.Minute, func() bool { return done }) {
-		r.addBreach("the run does not end")
+		r.addBreach("the run did not finish")
 	}
 	return result
 }
@@ -174,6 +175,7 @@
 	r.result.Breaches = append(r.result.Breaches, fmt.Sprintf(format, args...))
 }
 
+// execute runs the operators, isolates the target, heals it and checks the calls.
 func (r *isolationRun) execute() {
 	clock := r.CallerHost.Clock()
 	if !r.form() {
@@ -184,7 +186,7 @@
 	r.orders = append(r.orders, &sentOrder{version: r.currentVersion, ackedAt: clock.Now(), document: r.config.newest.Raw})
 	clock.Sleep(r.World.Between(2*time.Second, 4*time.Second))
 	if !r.waitFor(20*time.Second, func() bool { return r.feedLeader() != nil }) {
-		r.addBreach("no core owns the feed")
+		r.addBreach("no core leads the feed's shard")
 		return
 	}
 	end := r.World.now + time.Second + r.result.Duration + 6*time.Second
@@ -210,12 +212,13 @@
 	r.check()
 }
 
+// waitFor waits for a condition and reports whether it was met within the limit.
 func (r *isolationRun) waitFor(limit time.Duration, condition func() bool) bool {
 	r.until(limit, condition)
 	return condition()
 }
 
-// isolate brings the trouble about.
+// isolate cuts the target's links or stops its machines.
 func (r *isolationRun) isolate() {
 	leader := r.feedLeader()
 	if leader == nil {
@@ -268,7 +271,7 @@
 	r.scheduleRestarts()
 }
 
-// stopsMachines tells that the machines stand still or fall instead of being cut off.
+// stopsMachines reports whether the mode stops the machines instead of cutting their links.
 func (r *isolationRun) stopsMachines() bool {
 	return r.result.Mode == IsolationFrozen || r.result.Mode == IsolationKilled || r.result.Mode == IsolationPowerLoss
 }
@@ -284,7 +287,8 @@
 	}
 }
 
-// scheduleRestarts kills processes and starts them again while the cut lasts.
+// scheduleRestarts kills processes and starts them again during the isolation, if the target
+// asks for it.
 func (r *isolationRun) scheduleRestarts() {
 	var restarting []*Machine
 	for _, m := range r.Cores {
@@ -302,6 +306,7 @@
 	}
 }
 
+// heal ends the isolation and starts stopped machines.
 func (r *isolationRun) heal() {
 	r.Net.Heal()
 	r.Net.LinkFailure = LinkSilent
@@ -316,8 +321,8 @@
 	r.healedAt = r.World.now
 }
 
-// callCore makes one call to a core and waits for the answer as long as the
-// runOperator would; what comes later is judged all the same.
+// callCore makes one call to a core and waits up to operatorTimeout for the answer. Later
+// answers are recorded and checked as well.
 func (r *isolationRun) callCore(kind string, m *Machine, method, path string, order *sentOrder) *operatorCall {
 	clock := r.CallerHost.Clock()
 	call := &operatorCall{kind: kind, core: m, sentAt: clock.Now()}
@@ -346,7 +351,7 @@
 		call.answeredAt = r.World.now
 		overlaps := r.isolated[m] && r.isolatedAt > 0 && startedAt < r.healedAt && call.answeredAt > r.isolatedAt
 		call.hostStopped = overlaps && r.stopsMachines()
-		// Who is cut off from the disks only may ask the other cores.
+		// A core that is cut off from the disks only may still ask the other cores.
 		call.isolated = overlaps && startedAt >= r.isolatedAt && call.answeredAt < r.healedAt && r.result.Target != TargetLeaderFromDisks
 		answers.put(r.way(), call.status)
 	})
@@ -357,7 +362,7 @@
 	return call
 }
 
-// newOrder is a new valid document on top of a version.
+// newOrder returns a new valid configuration on top of a version.
 func (r *isolationRun) newOrder(baseVersion uint64) *sentOrder {
 	config := r.drafts.Next(r.config.newest.Config)
 	r.serial += 1 + r.rng.IntN(3)
@@ -367,8 +372,8 @@
 	return order
 }
 
-// submit repeats an order until it is acknowledged or refused, or the time is
-// over, as an operator does.
+// submit repeats an order, as an operator does, until it is acknowledged or refused or the
+// deadline has passed. It reports whether the order was acknowledged.
 func (r *isolationRun) submit(order *sentOrder, targets func() []*Machine, deadline time.Duration) bool {
 	clock := r.CallerHost.Clock()
 	for attempt := 1; clock.Now() < deadline; attempt++ {
@@ -386,6 +391,7 @@
 	return false
 }
 
+// recordAck records that an order was acknowledged.
 func (r *isolationRun) recordAck(order *sentOrder) {
 	if order.ackedAt == 0 {
 		order.ackedAt = r.World.now
@@ -393,7 +399,7 @@
 	r.currentVersion = max(r.currentVersion, order.version)
 }
 
-// writeLoop sends one change after another on top of the newest.
+// writeLoop submits one change after another on top of the newest version.
 func (r *isolationRun) writeLoop(running func() bool) {
 	clock := r.CallerHost.Clock()
 	for running() {
@@ -405,8 +411,8 @@
 	}
 }
 
-// measureMajorityAck repeats the newest acknowledged order at the majority's side until
-// it is acknowledged again there: the change of hands is what it waits for.
+// measureMajorityAck repeats the newest acknowledged order at the majority's side until it
+// is acknowledged again there, which needs a leader on that side.
 func (r *isolationRun) measureMajorityAck() {
 	order := r.newestAcked()
 	majority := base.Filter(r.Cores, func(m *Machine) bool { return !r.isolated[m] })
@@ -418,9 +424,10 @@
 		}
 		r.CallerHost.Clock().Sleep(50 * time.Millisecond)
 	}
-	r.addBreach("nothing was acknowledged on the majority's side while %s was cut off (%s)", r.result.Target, r.result.Mode)
+	r.addBreach("nothing was acknowledged on the majority's side during the isolation of: %s (%s)", r.result.Target, r.result.Mode)
 }
 
+// newestAcked returns the order that was acknowledged last, or the initial one.
 func (r *isolationRun) newestAcked() *sentOrder {
 	for i := len(r.orders) - 1; i > 0; i-- {
 		if r.orders[i].ackedAt > 0 {
@@ -430,7 +437,7 @@
 	return r.orders[0]
 }
 
-// readLoop asks cores of both sides for the newest configuration.
+// readLoop reads the newest configuration from cores of both sides.
 func (r *isolationRun) readLoop(running func() bool) {
 	for running() {
 		r.callCore("GET", r.pickMachine(r.Cores), "GET", parties.PathConfig, nil)
@@ -438,9 +445,8 @@
 	}
 }
 
-// rejectableCallLoop sends what must be refused or was taken before: changes on a version of
-// long ago, orders that were acknowledged, and retirements of machines that
-// are none.
+// rejectableCallLoop sends calls whose result is known in advance: changes on an outdated
+// version, orders that were acknowledged before, and retirements of unknown machines.
 func (r *isolationRun) rejectableCallLoop(running func() bool) {
 	for round := 0; running(); round++ {
 		m := r.pickMachine(r.Cores)
@@ -462,7 +468,8 @@
 	}
 }
 
-// measureRecovery times how long it takes until every core gives the newest configuration.
+// measureRecovery measures how long it takes until every core returns the newest
+// configuration.
 func (r *isolationRun) measureRecovery() {
 	r.until(30*time.Second, func() bool {
 		newest := r.currentVersion
@@ -477,15 +484,16 @@
 	r.result.RecoveryTime = r.World.now - r.healedAt
 }
 
-// readFromAllCores has every core give the configuration at the end.
+// readFromAllCores reads the configuration from every core at the end of the run.
 func (r *isolationRun) readFromAllCores() {
 	for _, m := range r.Cores {
 		if call := r.callCore("GET", m, "GET", parties.PathConfig, nil); call.status != 200 {
-			r.addBreach("after the cut: %s", call)
+			r.addBreach("no configuration after the isolation: %s", call)
 		}
 	}
 }
 
+// parseGeneration returns the version of a document, 0 if it cannot be parsed.
 func parseGeneration(document []byte) uint64 {
 	table, err := platform.ReadTable(document)
 	if err != nil {
--- a/internal/simulate/isolation_check.go
+++ b/internal/simulate/isolation_check.go
@@ -1,5 +1,3 @@
-// Judging what operators were answered while machines were cut off.
-
 package simulate
 
 import (
@@ -7,8 +5,8 @@
 	"time"
 )
 
-// check looks over all calls: each by itself, and against the order in which
-// configurations were acknowledged.
+// check checks every call by itself and against the order in which configurations were
+// acknowledged.
 func (r *isolationRun) check() {
 	for _, call := range r.calls {
 		r.result.CallCount++
@@ -23,31 +21,30 @@
 	r.checkForks()
 }
 
-// checkAnswer holds an answer to what its core could know, and in time.
+// checkAnswer checks that an answer came in time and is one that its core could give.
 func (r *isolationRun) checkAnswer(call *operatorCall) {
 	if call.status == 0 {
-		if call.core.Host.life == 0 { // its process was not killed meanwhile
-			r.addBreach("no answer within the operator's patience: %s", call)
+		if call.core.Host.life == 0 { // the process was never killed
+			r.addBreach("no answer within the operator's timeout: %s", call)
 		}
 		return
 	}
 	took := call.answeredAt - call.sentAt
 	r.result.SlowestAnswer = max(r.result.SlowestAnswer, took)
 	if took > operatorTimeout {
-		r.addBreach("answered after the operator had given up: %s", call)
+		r.addBreach("answered after the operator's timeout: %s", call)
 	}
 	if call.status == 503 && call.retryAfter == "" {
-		r.addBreach("a refusal that does not say when to come back: %s", call)
+		r.addBreach("refused without Retry-After: %s", call)
 	}
 	reads := call.kind == "GET" || call.kind == "GET retire"
-	ambiguous := call.status == 502 || call.status == 504 // an order that may have been taken
+	ambiguous := call.status == 502 || call.status == 504 // the order may have been accepted
 	if call.isolated && call.status != 503 && (reads || !ambiguous) {
-		r.addBreach("a core that was cut off answered: %s", call)
+		r.addBreach("an isolated core answered: %s", call)
 	}
 }
 
-// checkVersion holds an answer against the versions acknowledged before it was
-// asked for.
+// checkVersion checks an answer against the versions that were acknowledged before the call.
 func (r *isolationRun) checkVersion(call *operatorCall) {
 	ackedBefore := uint64(0)
 	for _, order := range r.orders {
@@ -59,38 +56,41 @@
 	case call.kind == "GET" && call.status == 200:
 		r.checkRead(call, ackedBefore)
 	case call.kind == "GET" && call.status >= 400 && call.status < 500:
-		r.addBreach("no configuration, though one was acknowledged: %s", call)
+		r.addBreach("no configuration returned although one was acknowledged: %s", call)
 	case call.kind == "repeat" && call.status != 200 && call.status < 500 && call.status != 0:
-		r.addBreach("an order that was acknowledged is refused: %s", call)
+		r.addBreach("the repeat of an acknowledged order was refused: %s", call)
 	case call.kind == "stale PUT" && call.status == 200:
-		r.addBreach("a change on an old version is acknowledged: %s", call)
+		r.addBreach("a change on an outdated version was acknowledged: %s", call)
 	case call.kind == "PUT" && call.status >= 400 && call.status < 500:
-		r.addBreach("a change on the newest version is refused: %s", call)
+		r.addBreach("a change on the newest version was refused: %s", call)
 	case (call.kind == "GET retire" || call.kind == "POST retire") && call.status != 404 && call.status < 500 && call.status != 0:
-		r.addBreach("a machine that is none was answered for: %s", call)
+		r.addBreach("the retirement of an unknown machine was not answered with 404: %s", call)
 	}
 }
 
+// checkRead checks that a read returned a configuration that was sent, not refused and
+// not older than the newest one acknowledged before.
 func (r *isolationRun) checkRead(call *operatorCall, ackedBefore uint64) {
 	version := parseGeneration(call.body)
 	if version < ackedBefore {
-		r.addBreach("version %d, %d was acknowledged before: %s", version, ackedBefore, call)
+		r.addBreach("version %d returned, but %d was acknowledged before: %s", version, ackedBefore, call)
 	}
 	for _, order := range r.orders {
 		if order.version == version && bytes.Equal(order.document, call.body) {
 			if order.refused {
-				r.addBreach("a configuration that was refused is in force: %s", call)
+				r.addBreach("a refused configuration is in force: %s", call)
 			}
 			if order.ackedAt == 0 {
-				order.ackedAt = call.answeredAt // it was in force, whatever its sender was told
+				order.ackedAt = call.answeredAt // in force, so accepted, whatever the sender was answered
 			}
 			return
 		}
 	}
-	r.addBreach("a configuration that nobody sent: %s", call)
+	r.addBreach("a configuration was returned that nobody sent: %s", call)
 }
 
-// checkForks wants one acknowledged change on each version.
+// checkForks checks that at most one change was acknowledged on each version, and that the
+// majority and, after the isolation, all cores answered in time.
 func (r *isolationRun) checkForks() {
 	ackedByBase := map[uint64]*sentOrder{}
 	for _, order := range r.orders[1:] {
@@ -98,15 +98,15 @@
 			continue
 		}
 		if other := ackedByBase[order.baseVersion]; other != nil {
-			r.addBreach("versions %d and %d were both acknowledged on %d", other.version, order.version, order.baseVersion)
+			r.addBreach("versions %d and %d were both acknowledged on top of version %d", other.version, order.version, order.baseVersion)
 		}
 		ackedByBase[order.baseVersion] = order
 	}
 	if limit := r.Site.Bounds.Recovery / 4; r.result.MajorityAckTime > limit {
-		r.addBreach("a change was acknowledged on the majority's side after %v only, %v at the most", r.result.MajorityAckTime, limit)
+		r.addBreach("the majority's side acknowledged a change only after %v; the limit is %v", r.result.MajorityAckTime, limit)
 	}
 	const bound = 12 * time.Second
 	if r.result.RecoveryTime > bound {
-		r.addBreach("cores gave the newest configuration %v after the cut only", r.result.RecoveryTime)
+		r.addBreach("all cores returned the newest configuration only %v after the isolation", r.result.RecoveryTime)
 	}
 }
--- a/internal/simulate/isolation_removal_test.go
+++ b/internal/simulate/isolation_removal_test.go
@@ -1,6 +1,6 @@
-// What cut-off machines are kept from rests on two proofs by a majority of the
-// disks. Each is taken away from outside the daemons' code, and some seed must
-// then be caught by the judgement that every cut gets.
+// An isolated core may neither acknowledge nor read on its own, because both need a majority
+// of the disks. Each of these checks is disabled by changing messages between the machines,
+// and the checks of every isolation run must detect that with some seed.
 package simulate
 
 import (
@@ -28,7 +28,7 @@
 		}), "was acknowledged before: GET"},
 		{"the confirmation before a refusal", onPath("Disk/Confirm", func(*Message) *http.Response {
 			return replied(&register.Ack{Ok: true})
-		}), "a core that was cut off answered: stale PUT"},
+		}), "an isolated core answered: stale PUT"},
 		{"the majority before an acknowledgement", onPath("Disk/Append", func(m *Message) *http.Response {
 			var asked register.AppendRequest
 			_ = proto.Unmarshal(m.Body, &asked)
@@ -37,11 +37,11 @@
 				return response
 			}
 			return replied(&register.Ack{Ok: true, Seq: asked.Entries[len(asked.Entries)-1].Seq})
-		}), "a core that was cut off answered: PUT"},
+		}), "an isolated core answered: PUT"},
 	} {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const maxSeeds = 12 // a seed that shows the fault ends the search
+			const maxSeeds = 12 // the first seed that detects it ends the test
 			for seed := uint64(1); seed <= maxSeeds; seed++ {
 				run := IsolationPlan{Size: "tills", Target: TargetLeader, Mode: IsolationSilent, Duration: 10 * time.Second, Seed: seed}.Run(row.take)
 				for _, breach := range run.Breaches {
@@ -50,9 +50,9 @@
 						return
 					}
 				}
-				t.Logf("seed %d: %d breaches of other kinds", seed, len(run.Breaches))
+				t.Logf("seed %d: %d other breaches", seed, len(run.Breaches))
 			}
-			t.Errorf("none of %d seeds was caught with %q", maxSeeds, row.word)
+			t.Errorf("none of %d seeds reported %q", maxSeeds, row.word)
 		})
 	}
 }
--- a/internal/simulate/isolation_restart_test.go
+++ b/internal/simulate/isolation_restart_test.go
@@ -8,9 +8,10 @@
 	"github.com/apex/log"
 )
 
-// A core that was restarted behind a cut knows no disks, and so never finds that
-// it lacks a majority of them. Gateways reach it, and it may be the first in the
-// order in which they look for the owner of the feed's shard.
+// A core that restarts while it is isolated knows no disk set, so it cannot notice that it
+// lacks a majority of the disks. Gateways still reach it, and it may be the first core that
+// they try when they look for the leader of the feed's shard. They must move on to a core
+// that answers.
 func TestGatewaysSkipCoreWithoutDiskSet(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
@@ -56,11 +57,11 @@
 		clock.Sleep(tier.Site.Bounds.Apply)
 		for _, edge := range tier.Gateways {
 			if table := edge.gateway.Routes.Load(); table == nil || table.Version != newest {
-				t.Errorf("%s does not have version %d, %v after it was acknowledged", edge.Host.Name, newest, tier.Site.Bounds.Apply)
+				t.Errorf("%s does not have version %d %v after it was acknowledged", edge.Host.Name, newest, tier.Site.Bounds.Apply)
 			}
 		}
 	})
 	if !tier.World.Run(2*time.Minute, func() bool { return done }) {
-		t.Error("the run does not end")
+		t.Error("the run did not finish")
 	}
 }
--- a/internal/simulate/isolation_test.go
+++ b/internal/simulate/isolation_test.go
@@ -11,18 +11,17 @@
 	"github.com/apex/log"
 )
 
-// isolationSeeds is how many seeds each size is played with; a run of more is asked
-// for on the command line.
-var isolationSeeds = flag.Int("cut-seeds", 0, "seeds of each size that is cut off (0: a few)")
+// isolationSeeds sets the number of seeds for each size; by default there are a few.
+var isolationSeeds = flag.Int("cut-seeds", 0, "seeds of each size that is isolated (0: a few)")
 
-// isolationCase gives each seed a target and a way, so that a few seeds cover many
-// pairs and many seeds cover all.
+// isolationCase spreads the seeds over targets and modes, so that a few seeds cover many
+// combinations and many seeds cover all.
 func isolationCase(seed uint64) (IsolationTarget, IsolationMode) {
 	return IsolationTargets[seed%uint64(len(IsolationTargets))], IsolationModes[seed%uint64(len(IsolationModes))]
 }
 
-// TestIsolatedMachinesRefuseRequests has each target cut off in each way at the
-// sizes of the users' deployments.
+// TestIsolatedMachinesRefuseRequests isolates each target in each mode, at the sizes of the
+// users' deployments.
 func TestIsolatedMachinesRefuseRequests(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
@@ -44,6 +43,7 @@
 	}
 }
 
+// runPlan runs a plan and reports its first five breaches.
 func runPlan(t *testing.T, plan IsolationPlan) *IsolationResult {
 	t.Helper()
 	run := plan.Run(nil)
@@ -53,9 +53,8 @@
 	return run
 }
 
-// TestMajorityAcknowledgesSoonAfterLeaderLoss has the owner of the feed's shard fall
-// silent or end in each way, and wants a change acknowledged on the others' side
-// soon after.
+// TestMajorityAcknowledgesSoonAfterLeaderLoss stops or isolates the leader of the feed's
+// shard in each way. The other cores must acknowledge a change soon after.
 func TestMajorityAcknowledgesSoonAfterLeaderLoss(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
@@ -71,7 +70,7 @@
 				logTimes(t, runs)
 				for _, run := range runs {
 					if limit := IsolationShape(size).Site.Bounds.Recovery / 6; run.MajorityAckTime > limit {
-						t.Errorf("%s: acknowledged after %v, %v at the most", run.IsolationPlan, run.MajorityAckTime, limit)
+						t.Errorf("%s: acknowledged after %v; the limit is %v", run.IsolationPlan, run.MajorityAckTime, limit)
 					}
 				}
 			})
@@ -79,7 +78,8 @@
 	}
 }
 
-// logTimes prints the times to the next acknowledgement: the median and the worst.
+// logTimes logs the median and the longest time to the next acknowledgement, to the recovery
+// and of an answer.
 func logTimes(t *testing.T, runs []*IsolationResult) {
 	t.Helper()
 	logTime := func(name string, timeOf func(run *IsolationResult) time.Duration) {
@@ -89,7 +89,7 @@
 	}
 	logTime("acknowledged, majority side", func(run *IsolationResult) time.Duration { return run.MajorityAckTime })
 	logTime("acknowledged, any core", func(run *IsolationResult) time.Duration { return run.AnyCoreAckTime })
-	logTime("all cores after the cut", func(run *IsolationResult) time.Duration { return run.RecoveryTime })
+	logTime("all cores after isolation", func(run *IsolationResult) time.Duration { return run.RecoveryTime })
 	logTime("slowest answer", func(run *IsolationResult) time.Duration { return run.SlowestAnswer })
 	calls, refusals := 0, 0
 	byPair := map[string][]time.Duration{}
--- a/internal/simulate/limits_test.go
+++ b/internal/simulate/limits_test.go
@@ -1,5 +1,4 @@
-// What must stay bounded over a long run, load beyond what workers can do,
-// and policies at work.
+// Tests of resource bounds over long runs, of load beyond capacity, and of policies.
 package simulate
 
 import (
@@ -16,8 +15,8 @@
 	"github.com/matryer/is"
 )
 
-// Retention really deletes: with a short retain_s, waves of conversations
-// gracefulStop the disks no fuller than the first few did, and quiet empties them.
+// With a short retain_s, waves of conversations must not fill the disks beyond what the
+// first waves did, and an idle fleet must delete almost all keys.
 func TestRetentionBoundsDiskUse(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
@@ -44,7 +43,7 @@
 			is.True(peak <= early*3/2)
 		}
 		call.sleep(2 * time.Minute)
-		is.True(maxKeys() < 10+register.ShardCount) // settings, workers, the change log and each slot's time are left
+		is.True(maxKeys() < 10+register.ShardCount) // settings, workers, the change log and each shard's time remain
 		for _, m := range f.Gateways {
 			sessions, copies, streams := m.gateway.Sessions.Sizes()
 			is.Equal(copies, 0)
@@ -57,8 +56,8 @@
 	})
 }
 
-// Past saturation goodput does not collapse: refusals are early and say when
-// healedAt come again, and the answers that are given stay whole.
+// Beyond saturation the goodput must not collapse: requests are refused early, and accepted
+// turns still complete.
 func TestOverloadIsRefusedEarly(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
@@ -76,12 +75,12 @@
 	is := is.New(t)
 	atSaturation, _ := goodput(8)
 	overloaded, counts := goodput(80)
-	t.Logf("at saturation %d turns, with ten times the callers %d: %v", atSaturation, overloaded, counts)
+	t.Logf("%d turns at saturation, %d with ten times as many callers: %v", atSaturation, overloaded, counts)
 	is.True(overloaded > atSaturation*7/10)
 	is.True(counts["final_refused_overloaded"] > 0)
 }
 
-// A runaway program with many helpers does not keep others from workers.
+// A runaway program with many sessions must not keep other programs from the workers.
 func TestRunawayProgramDoesNotStarveOthers(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
@@ -103,7 +102,7 @@
 			start := f.World.Now()
 			verdict, _, _ := call.turn(0, path, key, program, fmt.Sprint("t", number), "").final()
 			is.Equal(verdict, "success")
-			is.True(f.World.Now()-start < 2*time.Second) // an answer takes 0.3 s, the runaway's line is 36 long
+			is.True(f.World.Now()-start < 2*time.Second) // a turn takes 0.3 s; 36 turns of the runaway program are queued
 		}
 	})
 }
@@ -130,11 +129,11 @@
 		}
 		_, _, first, _ := f.Models[0].Record()
 		_, _, last, _ := f.Models[1].Record()
-		is.Equal([]int{first, last}, []int{0, 3}) // always the last one listed
+		is.Equal([]int{first, last}, []int{0, 3}) // always the last worker listed
 		low, secret := call.program(1000, map[string]any{"urgency": "low"})
 		refused := call.send(0, "POST", "/v1/programs/"+low+"/sessions", secret, `{"route":"chat"}`)
 		is.Equal(refused.text("error", "code"), "not_admitted")
-		// One that faults on live data counts, and the rule goes on.
+		// A policy that fails on live data is counted, and the default choice applies.
 		status, _ = apply(2, "two", "def nominate(leg, workers):\n  return workers[0]['id'] if workers[0]['id'].startswith('worker') else 1 // 0")
 		is.Equal(status, 200)
 		program, secret = call.program(1000, nil)
--- a/internal/simulate/main_test.go
+++ b/internal/simulate/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// gcPercent trades memory for time: runs make much garbage and hold little.
+// gcPercent makes the garbage collector run less often: runs allocate much and keep little.
 const gcPercent = 400
 
 func TestMain(m *testing.M) {
--- a/internal/simulate/net.go
+++ b/internal/simulate/net.go
@@ -1,7 +1,3 @@
-// The wire in memory: messages take a while, and by the seed are lost on the
-// way or on the way back, come late, or come twice. Machines can be cut from
-// each other in one direction or both.
-
 package simulate
 
 import (
@@ -19,7 +15,7 @@
 
 type httpHandler http.Handler
 
-// NetworkFaults are the wire's chances of trouble per message.
+// NetworkFaults are the probabilities of faults per message.
 type NetworkFaults struct {
 	LossRate      float64
 	DelayRate     float64
@@ -27,46 +23,48 @@
 	MaxExtraDelay time.Duration
 }
 
-// Net joins the hosts.
+// Net is the simulated network between the hosts. Messages are delayed and, drawn from the
+// seed, lost on the way or on the way back, delayed further or delivered twice. Links can be
+// cut in one direction or both.
 type Net struct {
 	World    *World
 	Faults   NetworkFaults
 	MinDelay time.Duration
 	MaxDelay time.Duration
-	// BytesPerSecond is how fast a message's bytes go, unless 0.
+	// BytesPerSecond is the bandwidth for each message; 0 is unlimited.
 	BytesPerSecond int64
 	cutLinks       map[[2]string]bool
 	MessageCount   int
 	LostCount      int
-	// TrafficByPath counts the exchanges between machines by path, with their bytes as
-	// HTTP carries them, both ways.
+	// TrafficByPath counts the exchanges between machines by path, with their size as HTTP
+	// messages, in both directions.
 	TrafficByPath map[string]*PathTraffic
-	// TrafficByHost is each machine's share of it, sent and received.
+	// TrafficByHost is each machine's part of this traffic, sent and received.
 	TrafficByHost map[string]*HostTraffic
-	// ResetOnExit has the end of a process reset its connections, so that those who
-	// wait for its answer learn at once; without it they wait their time out.
+	// ResetOnExit makes the end of a process reset its connections, so that callers notice
+	// at once; otherwise they wait until their timeout.
 	ResetOnExit bool
-	// LinkFailure is what the sender notices of a message that a cut stops.
+	// LinkFailure is what the sender notices when a cut link drops its message.
 	LinkFailure LinkFailure
-	// Meddle, set by tests only, stands between the machines and takes a
-	// mechanism away: it may answer a message itself, or change what passes.
+	// Intercept, set by tests only, is called for each message between machines. It may
+	// answer the message itself or change what is forwarded.
 	Intercept func(m *Message) *http.Response
 }
 
-// LinkFailure is what the sender of a message notices of a cut.
+// LinkFailure is what the sender of a message notices of a cut link.
 type LinkFailure int
 
-// A cut drops messages in silence, resets connections, or has them refused.
+// A cut link drops messages silently, resets connections or refuses them.
 const (
 	LinkSilent LinkFailure = iota
 	LinkReset
 	LinkRefused
 )
 
-// PathTraffic is what was said on one path.
+// PathTraffic is the traffic of one path.
 type PathTraffic struct{ Calls, Bytes int }
 
-// HostTraffic is one machine's part in the talk.
+// HostTraffic is one machine's part of the traffic.
 type HostTraffic struct{ RequestsSent, RequestsReceived, Bytes int }
 
 func (n *Net) hostTraffic(host string) *HostTraffic {
@@ -76,7 +74,7 @@
 	return n.TrafficByHost[host]
 }
 
-// sampleMemory is the size of a message's head and body on the wire.
+// messageSize returns the size of an HTTP message with its start line, header and body.
 func messageSize(startLineLen int, header http.Header, body int) int {
 	size := startLineLen + len("Content-Length: ") + len(strconv.Itoa(body)) + 4 + body
 	for name, values := range header {
@@ -89,6 +87,7 @@
 	return size
 }
 
+// recordTraffic adds calls and bytes to the traffic of both hosts and of the path.
 func (n *Net) recordTraffic(from, to, path string, calls, bytes int) {
 	sender, receiver := n.hostTraffic(from), n.hostTraffic(to)
 	sender.RequestsSent += calls
@@ -102,7 +101,8 @@
 	n.TrafficByPath[path].Bytes += bytes
 }
 
-// Message is one exchange between machines; Pass carries it to its end.
+// Message is an exchange between machines. Forward delivers the request and returns the
+// response.
 type Message struct {
 	From, To *Host
 	Path     string
@@ -110,15 +110,18 @@
 	Forward  func(body []byte) (*http.Response, error)
 }
 
+// NewNet returns a network without faults between the hosts of a world.
 func NewNet(world *World) *Net {
 	return &Net{World: world, MinDelay: 200 * time.Microsecond, MaxDelay: 1500 * time.Microsecond, cutLinks: map[[2]string]bool{}, TrafficByPath: map[string]*PathTraffic{}, TrafficByHost: map[string]*HostTraffic{}}
 }
 
-// CutLink stops messages from one host to another; Heal lets all through again.
+// CutLink stops messages from one host to another.
 func (n *Net) CutLink(from, to string) { n.cutLinks[[2]string{from, to}] = true }
-func (n *Net) Heal()                   { n.cutLinks = map[[2]string]bool{} }
 
-// Isolate stops all messages to and from some hosts except among themselves.
+// Heal restores all links.
+func (n *Net) Heal() { n.cutLinks = map[[2]string]bool{} }
+
+// Isolate stops all messages between a set of hosts and the others.
 func (n *Net) Isolate(isolated map[string]bool) {
 	for _, from := range base.SortedKeys(n.World.Hosts) {
 		for _, to := range base.SortedKeys(n.World.Hosts) {
@@ -133,7 +136,7 @@
 
 func (n *Net) delay() time.Duration { return n.World.Between(n.MinDelay, n.MaxDelay) }
 
-// transmissionTime is how long a message's bytes take on the way.
+// transmissionTime returns the time that a message's bytes take at the bandwidth.
 func (n *Net) transmissionTime(bytes int) time.Duration {
 	if n.BytesPerSecond <= 0 {
 		return 0
@@ -141,7 +144,8 @@
 	return time.Duration(bytes) * time.Second / time.Duration(n.BytesPerSecond)
 }
 
-// Wire is a host's way to partners; addresses are host names with a port.
+// Wire returns a host's client for requests to other machines; addresses are host names with
+// a port.
 func (n *Net) Wire(h *Host) base.HTTPClient { return &wire{n, h} }
 
 type wire struct {
@@ -187,15 +191,15 @@
 	case response != nil:
 		return response, nil
 	case forwardErr == nil:
-		return nil, errNoReply // it was not passed on
+		return nil, errNoReply // Intercept dropped the message
 	}
 	return nil, forwardErr
 }
 
-// pendingCall is a message whose answer is awaited.
+// pendingCall is a request whose response is awaited.
 type pendingCall struct{ reset base.Signal }
 
-// roundTrip takes a message to its machine and the reply back.
+// roundTrip delivers a request to its machine and returns the response.
 func (x *wire) roundTrip(request *http.Request, body []byte, timeout time.Duration) (*http.Response, error) {
 	n, w := x.net, x.net.World
 	n.MessageCount++
@@ -244,7 +248,7 @@
 			if !answered || n.isCut(target.Name, x.host.Name) || w.Chance(n.Faults.LossRate) {
 				n.LostCount++
 				if answered && n.LinkFailure != LinkSilent {
-					done.Fire() // without a response: the connection was reset
+					done.Fire() // without a response, as a connection reset
 				}
 				return
 			}
--- a/internal/simulate/operate_test.go
+++ b/internal/simulate/operate_test.go
@@ -1,4 +1,5 @@
-// What operators are shown: what is unwell, and what a document would change.
+// Tests of the operator API's status, which names unhealthy machines and disks, and of its
+// diff of a settings document.
 package simulate
 
 import (
@@ -24,7 +25,7 @@
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(3 * time.Second)
 		is.Equal(f.unwellReasons(f.Cores[0]), "")
-		for _, core := range f.Cores { // its word still reaches the others by its neighbours
+		for _, core := range f.Cores { // its state still reaches them through its neighbours
 			f.Net.CutLink(f.Gateways[1].Host.Name, core.Host.Name)
 		}
 		f.Kill(f.Storage[2])
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -1,8 +1,3 @@
-// The fleet's other hands in a run: operators who change the settings at
-// once and resolve what they were not told, the platform that takes workers
-// off its list and puts them back, and those who replace disks. What they
-// are told goes into the ledger, and so does what gateways show meanwhile.
-
 package simulate
 
 import (
@@ -18,12 +13,12 @@
 
 const defaultModelField = `"model":"stand-in"`
 
-// settingsWithMarker is the fleet's settings document with a change's mark in it.
+// settingsWithMarker returns the fleet's settings document with a marker in it.
 func (f *Fleet) settingsWithMarker(marker string) json.RawMessage {
 	return json.RawMessage(strings.Replace(f.Shape.Settings, defaultModelField, `"model":"`+marker+`"`, 1))
 }
 
-// settingsMarker finds the mark in a document; a document without one gives "".
+// settingsMarker returns the marker in a document, "" without one.
 func settingsMarker(document []byte) string {
 	_, rest, _ := strings.Cut(string(document), `"model":"`)
 	marker, _, _ := strings.Cut(rest, `"`)
@@ -33,8 +28,9 @@
 	return marker
 }
 
-// RunOperator applies changes one after another, each based on the stamp it
-// lastTurn saw, while it is wanted.
+// RunOperator applies one change after another, each based on the version last seen, while
+// running returns true. Every sixth change is invalid. Several operators may run at once;
+// the tally records every outcome.
 func (f *Fleet) RunOperator(name string, running func() bool) {
 	clock := f.CallerHost.Clock()
 	version := uint64(1)
@@ -49,17 +45,19 @@
 	}
 }
 
-// applyAndResolve takes one change to its known end and gives the stamp that stands.
+// applyAndResolve applies a change, waits until its outcome is known and returns the version
+// in force.
 func (f *Fleet) applyAndResolve(change string, version uint64) uint64 {
 	status, answer := f.applySettings(change, version, f.settingsWithMarker(change))
 	return f.resolveOutcome(change, version, status, answer)
 }
 
+// applySettings sends a change of the settings to a random core.
 func (f *Fleet) applySettings(change string, version uint64, document json.RawMessage) (status int, answer []byte) {
 	return f.OperatorRequest(f.pickMachine(f.Cores), "POST", "/v1/operator/settings/apply", map[string]any{"change": change, "based_on": version, "document": document})
 }
 
-// applyInvalidSettings asks for a change that must never be taken.
+// applyInvalidSettings applies a change that must be refused.
 func (f *Fleet) applyInvalidSettings(change string, version uint64) {
 	document := strings.Replace(string(f.settingsWithMarker(change)), `"pools"`, `"queue_size":0,"pools"`, 1)
 	status, answer := f.applySettings(change, version, json.RawMessage(document))
@@ -69,7 +67,7 @@
 	f.Tally.ChangeRefused(change)
 }
 
-// resolveOutcome asks by the change's id until its outcome is known.
+// resolveOutcome asks for the outcome of a change until it is known.
 func (f *Fleet) resolveOutcome(change string, basedOn uint64, status int, answer []byte) uint64 {
 	for attempt := 0; attempt < 400; attempt++ {
 		var reply struct {
@@ -93,7 +91,8 @@
 	return 0
 }
 
-// WatchGateways looks at every gateway that serves, for as long as the world runs.
+// WatchGateways records which settings each serving gateway shows, for as long as the world
+// runs.
 func (f *Fleet) WatchGateways() {
 	for {
 		for _, m := range f.Gateways {
@@ -107,7 +106,7 @@
 	}
 }
 
-// CheckStoredSettings looks at what the control state holds, once some core says so.
+// CheckStoredSettings gives the tally the settings that a core reads from the register.
 func (f *Fleet) CheckStoredSettings() {
 	for attempt := 0; attempt < 100; attempt++ {
 		status, answer := f.OperatorRequest(f.Cores[attempt%len(f.Cores)], "GET", "/v1/operator/settings", nil)
@@ -120,14 +119,14 @@
 	}
 }
 
-// reportedState is what a worker says of itself in its reports.
+// reportedState is what a worker reports about itself.
 type reportedState struct {
 	incarnation string
 	leaving     bool
 }
 
-// RunPlatform takes workers away one by one, off the list or by their own
-// report, and brings each back later, while it is wanted.
+// RunPlatform removes workers one at a time, from the worker list or by a report that they
+// are leaving, and brings each back a few seconds later, while running returns true.
 func (f *Fleet) RunPlatform(running func() bool) {
 	clock := f.CallerHost.Clock()
 	away := map[string]bool{}
@@ -160,18 +159,19 @@
 	}
 }
 
-// patchWorkerList changes the list until it is known to have been taken.
+// patchWorkerList repeats a patch of the worker list until it is known to be accepted.
 func (f *Fleet) patchWorkerList(body map[string]any) {
 	f.WorkerList.Stamp++
 	body["stamp"] = f.WorkerList.Stamp
 	f.sendUntilAccepted("PATCH", "/v1/platform/workers", func() any { return body }, f.WorkerList.Stamp)
 }
 
-// reportUsage makes one report of a worker until a gateway has taken it.
+// reportUsage repeats a worker's usage report until a gateway has accepted it.
 func (f *Fleet) reportUsage(id string) {
 	f.sendUntilAccepted("POST", "/v1/platform/workers/"+id+"/usage", func() any { return f.usageReport(id) }, 0)
 }
 
+// usageReport returns a worker's next usage report.
 func (f *Fleet) usageReport(id string) map[string]any {
 	load := 0
 	if model := f.modelsByID[id]; model != nil {
@@ -181,6 +181,8 @@
 	return map[string]any{"number": f.World.Now().Milliseconds() + f.reportCount, "load": load, "incarnation": f.reportedStates[id].incarnation, "leaving": f.reportedStates[id].leaving}
 }
 
+// sendUntilAccepted repeats a request to random gateways until it succeeds, or until a
+// refusal shows that the worker list already has the version.
 func (f *Fleet) sendUntilAccepted(method, path string, body func() any, version uint64) {
 	ask := f.Asker(f.CallerHost)
 	for attempt := int(f.World.Int64N(int64(len(f.Gateways)))); ; attempt++ {
@@ -198,7 +200,7 @@
 	}
 }
 
-// StorageStatus lists the disks as an operator sees them.
+// StorageStatus returns the state of the disks as the operator API shows it.
 func (f *Fleet) StorageStatus() operate.StorageView {
 	for {
 		for _, m := range f.Cores {
@@ -212,7 +214,7 @@
 	}
 }
 
-// FindDisk is the disk of a machine.
+// FindDisk returns the disk at a host, an empty view if there is none.
 func (f *Fleet) FindDisk(host string) operate.DiskView {
 	for _, disk := range f.StorageStatus().Disks {
 		if disk.Addr == host+":1" {
@@ -222,7 +224,8 @@
 	return operate.DiskView{}
 }
 
-// RequestDiskChange asks for a change of the disks until it is under way or refused.
+// RequestDiskChange repeats a request to change the disk set until it is accepted or
+// refused, and returns status and error code.
 func (f *Fleet) RequestDiskChange(action, field, value string) (status int, code string) {
 	for attempt := 0; ; attempt++ {
 		core := f.Cores[attempt%len(f.Cores)]
@@ -240,7 +243,8 @@
 	}
 }
 
-// AwaitDiskChange waits until no change of the disks is under way.
+// AwaitDiskChange waits until no change of the disk set is pending and reports whether that
+// was within the limit.
 func (f *Fleet) AwaitDiskChange(limit time.Duration) bool {
 	for end := f.World.Now() + limit; f.World.Now() < end; f.CallerHost.Clock().Sleep(200 * time.Millisecond) {
 		if view := f.StorageStatus(); !view.ChangePending && view.SettledShards == view.TotalShards {
@@ -250,8 +254,8 @@
 	return false
 }
 
-// replaceDisk loses a machine with its disk for ever, and has an empty one at
-// a new address take its place.
+// replaceDisk removes a random storage machine with its disk for good and adds one with an
+// empty disk at a new address.
 func (f *Fleet) replaceDisk() {
 	lost := f.Storage[f.World.Int64N(int64(len(f.Storage)))]
 	if lost.removed || !lost.Host.alive || lost.Host.frozen {
--- a/internal/simulate/orders.go
+++ b/internal/simulate/orders.go
@@ -1,9 +1,3 @@
-// Days of configuration orders: two operators send eight orders at once on the
-// same version and under the same numbers, lose acknowledgements, send again,
-// and read back from any core, while the leader of the configuration's shard is
-// killed between its steps. What they were told is a history, and is checked
-// against a register with compare-and-set and idempotent repeats.
-
 package simulate
 
 import (
@@ -17,18 +11,18 @@
 	"fordseam/platform"
 )
 
-// OrderShape is a deployment at the size of one of the sites.
+// OrderShape is the size of a deployment on which an OrderRun runs.
 type OrderShape struct {
 	Name           string
 	Gateways       int
 	Cores          int
 	Storage        int
 	FaultTolerance int
-	// RecoveryBound is the deployment's bound of a recovery.
+	// RecoveryBound is the deployment's bound for a recovery.
 	RecoveryBound time.Duration
 }
 
-// OrderShapes are the sizes of the four sites.
+// OrderShapes are the sizes of the users' four deployments.
 var OrderShapes = []OrderShape{
 	{"tills", 6, 4, 4, 1, 12 * time.Second},
 	{"pay centre", 9, 4, 4, 1, 12 * time.Second},
@@ -37,67 +31,71 @@
 }
 
 const (
-	orderClients = 8 // orders under way at once
-	// orderAttempts is how often a sender sends an order that gets no clear answer;
-	// one in impatientShare is left after its first.
+	orderClients = 8 // concurrent clients
+	// orderAttempts is how often a client sends an order without a definite answer; a share
+	// of singleAttemptShare gives up after the first attempt.
 	orderAttempts      = 60
 	singleAttemptShare = 0.1
-	// responseLossRate and orderLost are the shares of calls that the network loses
-	// after and before a core has dealt with them.
+	// responseLossRate and requestLossRate are the shares of calls that are lost after and
+	// before a core has handled them.
 	responseLossRate = 0.25
 	requestLossRate  = 0.05
 )
 
-// OrderRun is one run.
+// OrderRun submits concurrent orders under faults. An order is an operator's request to put
+// a configuration in force on top of a given version. Two operators with four clients each
+// send orders on the same version and with the same numbers, lose answers, repeat orders and
+// read from any core, while the leader of the configuration's shard is killed between its
+// steps. The history of their calls must be linearizable.
 type OrderRun struct {
 	*Fleet
-	// Rounds is how often all senders send an order each.
+	// Rounds is how often every client sends an order.
 	Rounds int
-	// StaleLeadersOnly has the leader cut off and frozen, and nothing else happen.
+	// StaleLeadersOnly limits the faults to leaders that are cut off or frozen.
 	StaleLeadersOnly bool
 	History          []OrderEvent
-	// Kills counts the leader's ends by the step that they came before or after.
+	// Kills counts the kills of leaders by the step that they came before or after.
 	Kills map[string]int
-	// Breaches are what was seen wrong besides the order of events.
+	// Breaches lists what was found wrong besides the order of events.
 	Breaches []string
 
-	sentDocuments map[string][][]byte // what was written for a document, by version and document
-	newestVersion uint64              // the newest version that operators have heard of
+	sentDocuments map[string][][]byte // encodings sent, by version and document name
+	newestVersion uint64              // newest version that a client knows
 	ackedOrders   []Order
 	leaderKiller  leaderKiller
 }
 
-// Order is what identifies an order, and whether its document is invalid.
+// Order identifies an order and tells whether its document is invalid.
 type Order struct {
 	Base, Version uint64
 	Document      string
 	Invalid       bool
 }
 
-// OrderOutcome is how a call of an operator ended.
+// OrderOutcome is the result of an operator's call.
 type OrderOutcome int
 
 const (
-	// OrderUnknown is an order that may or may not have been taken.
+	// OrderUnknown: the order may have been accepted or not.
 	OrderUnknown OrderOutcome = iota
 	OrderAccepted
 	OrderRefused
-	// OrderRead is a read that was answered.
+	// OrderRead: a read was answered.
 	OrderRead
 )
 
-// OrderEvent is a call of an operator, from its first try to its end.
+// OrderEvent is an operator's call, from its first attempt to its end.
 type OrderEvent struct {
 	Client     int
-	Order      Order // of a read, what it was given
+	Order      Order // for a read, the order that was returned
 	Outcome    OrderOutcome
 	Start      time.Duration
 	End        time.Duration
 	LastStatus int
 }
 
-// NewOrderRun builds a fleet and starts it; change, if not nil, changes the
-// fleet before it starts.
+// NewOrderRun builds a fleet and starts it. prepare, if not nil, may change the fleet
+// before.
 func NewOrderRun(seed uint64, shape OrderShape, prepare func(f *Fleet)) *OrderRun {
 	f := buildFleet(seed, Shape{Name: shape.Name, Zones: 4, Edges: shape.Gateways, Cores: shape.Cores, Storage: shape.Storage, Tolerate: shape.FaultTolerance, Found: true})
 	r := &OrderRun{Fleet: f, Rounds: 6, sentDocuments: map[string][][]byte{}, Kills: map[string]int{}}
@@ -125,7 +123,7 @@
 	return r
 }
 
-// encode spells an order's document; every spelling is of the same document.
+// encode returns one of several encodings of the order's document.
 func (o Order) encode(variant int64) []byte {
 	extra := map[bool]string{true: `"extra":1,"extra":2`, false: `"extra":[1.50,{"a":0}]`}[o.Invalid]
 	switch variant {
@@ -141,7 +139,7 @@
 
 func (o Order) key() string { return fmt.Sprintf("%d/%s", o.Version, o.Document) }
 
-// pendingCall makes one call to a core; status 0 is no clear answer.
+// callCore makes one call to a core; status 0 means that there was no answer.
 func (r *OrderRun) callCore(m *Machine, method, ifMatch string, body []byte) (status int, answer []byte) {
 	clock, timeout := r.CallerHost.Clock(), parties.OrderPatience(len(body))
 	if m.Host.dark || r.World.Chance(requestLossRate) {
@@ -172,8 +170,8 @@
 	return reply.status, reply.bytes
 }
 
-// SubmitOrder sends an order until it has a clear answer, or tries are over, and notes
-// how it went.
+// SubmitOrder sends an order until it has a definite answer or the attempts are used up, and
+// records the event.
 func (r *OrderRun) SubmitOrder(client int, order Order, maxAttempts int) OrderOutcome {
 	event := OrderEvent{Client: client, Order: order, Start: r.World.Now()}
 	body := order.encode(r.World.Int64N(encodingVariants))
@@ -187,7 +185,7 @@
 		case status == 400 || status == 412:
 			event.Outcome = OrderRefused
 		case status != 0 && status < 500:
-			r.Breaches = append(r.Breaches, fmt.Sprintf("order %+v was answered %d: %s", order, status, answer))
+			r.Breaches = append(r.Breaches, fmt.Sprintf("order %+v was answered with status %d: %s", order, status, answer))
 		default:
 			r.CallerHost.Clock().Sleep(parties.OrderPause(attempt))
 		}
@@ -201,7 +199,7 @@
 	return event.Outcome
 }
 
-// ReadConfig reads the configuration from any core, and notes what it was given.
+// ReadConfig reads the configuration from a random core and records the event.
 func (r *OrderRun) ReadConfig(client int) (version uint64, ok bool) {
 	event := OrderEvent{Client: client, Start: r.World.Now()}
 	status, document := r.callCore(r.pickMachine(r.Cores), "GET", "", nil)
@@ -212,7 +210,7 @@
 	case status == 200:
 		event.Outcome, event.Order = OrderRead, r.identify(document)
 	case status != 0 && status < 500:
-		r.Breaches = append(r.Breaches, fmt.Sprintf("a read was answered %d: %s", status, document))
+		r.Breaches = append(r.Breaches, fmt.Sprintf("a read was answered with status %d: %s", status, document))
 	}
 	if event.Outcome == OrderRead {
 		r.History = append(r.History, event)
@@ -221,7 +219,7 @@
 	return event.Order.Version, event.Outcome == OrderRead
 }
 
-// identify finds what was read among what was sent, byte for byte.
+// identify returns the order whose document was read, byte for byte.
 func (r *OrderRun) identify(content []byte) Order {
 	version := parties.GenerationOf(content)
 	for _, document := range documentNames() {
@@ -232,12 +230,12 @@
 			}
 		}
 	}
-	r.Breaches = append(r.Breaches, fmt.Sprintf("what was read was never sent: %s", content))
+	r.Breaches = append(r.Breaches, fmt.Sprintf("a read returned a configuration that was never sent: %s", content))
 	return Order{Version: version}
 }
 
-// documentNames are the documents that senders send; two senders of the same
-// runOperator share one.
+// documentNames returns the names of the documents that clients send; two clients of the
+// same operator share one.
 func documentNames() (names []string) {
 	for client := range orderClients {
 		names = append(names, documentName(client))
@@ -249,8 +247,8 @@
 	return fmt.Sprintf("operator %d, draft %d", client%2, client/4)
 }
 
-// Run has the senders send their orders under trouble, and then reads back and
-// sends again in calm.
+// Run lets the clients send orders under faults, stops the faults, and then reads back and
+// repeats the accepted orders.
 func (r *OrderRun) Run() {
 	faultsOn := true
 	r.CallerHost.Go(func() { r.injectFaults(func() bool { return faultsOn }) })
@@ -261,7 +259,7 @@
 	r.audit()
 }
 
-// runRounds has each round start from one version, so that all senders collide.
+// runRounds starts all orders of a round from the same version, so that they conflict.
 func (r *OrderRun) runRounds() {
 	clock := r.CallerHost.Clock()
 	for round := range r.Rounds {
@@ -279,14 +277,14 @@
 		for next := done.Next(); remaining > 0; next = done.Next() {
 			next.Wait(time.Second)
 		}
-		if r.newestVersion == baseVersion { // nothing is known to have been taken
+		if r.newestVersion == baseVersion { // no order is known to be accepted
 			r.ReadConfig(0)
 		}
 	}
 }
 
-// submit is one sender's part of a round: an order, perhaps a bad one, the repeat
-// of one that was acknowledged, and a read.
+// runClient runs one client's part of a round: an order, sometimes an invalid one, sometimes
+// the repeat of an acknowledged order, and a read.
 func (r *OrderRun) runClient(client, round int, order Order) {
 	order.Invalid = (client+round)%16 == 15
 	if order.Invalid {
@@ -296,7 +294,7 @@
 		order.Version += uint64(1 + r.World.Int64N(3))
 	}
 	if r.World.Chance(0.05) && order.Base > 0 {
-		order.Base-- // of a version that was in force long ago, or never
+		order.Base-- // an outdated version, or one that was never in force
 	}
 	attempts := orderAttempts
 	if r.World.Chance(singleAttemptShare) {
@@ -309,7 +307,7 @@
 	r.ReadConfig(client)
 }
 
-// audit reads back and sends every order again that was acknowledged.
+// audit reads the configuration and repeats every acknowledged order.
 func (r *OrderRun) audit() {
 	read := false
 	for range orderAttempts {
@@ -319,7 +317,7 @@
 		r.CallerHost.Clock().Sleep(500 * time.Millisecond)
 	}
 	if !read {
-		r.Breaches = append(r.Breaches, "the configuration could not be read back in calm")
+		r.Breaches = append(r.Breaches, "the configuration could not be read after the faults")
 	}
 	repeated := map[Order]bool{}
 	for _, order := range append([]Order(nil), r.ackedOrders...) {
@@ -328,7 +326,7 @@
 		}
 		repeated[order] = true
 		if r.SubmitOrder(0, order, orderAttempts) != OrderAccepted {
-			r.Breaches = append(r.Breaches, fmt.Sprintf("order %+v was acknowledged, and is not acknowledged again", order))
+			r.Breaches = append(r.Breaches, fmt.Sprintf("acknowledged order %+v is not acknowledged when repeated", order))
 		}
 	}
 }
--- a/internal/simulate/orders_faults.go
+++ b/internal/simulate/orders_faults.go
@@ -1,7 +1,3 @@
-// The trouble of a day of orders: the leader of the configuration's shard is
-// killed right before or after any of its messages, and machines are cut off,
-// frozen, killed and lose their power meanwhile.
-
 package simulate
 
 import (
@@ -16,33 +12,34 @@
 )
 
 const (
-	// minKillInterval is the least time between two ends of a leader, killSearch the
-	// longestActivation that one kind of step is waited for.
+	// minKillInterval is the least time between two kills, stepSearchTimeout the longest
+	// time that a step of one kind is waited for.
 	minKillInterval   = 600 * time.Millisecond
 	stepSearchTimeout = 3 * time.Second
-	// maxStepsBeforeKill is how many steps of the kind pass at most before the end.
+	// maxStepsBeforeKill is the largest number of steps of a kind up to the kill.
 	maxStepsBeforeKill = 4
 )
 
-// leaderSteps are the kinds of steps that a leader is killed at.
+// leaderSteps are the kinds of steps at which a leader is killed.
 var leaderSteps = []string{"Promise", "Install", "Append", "Confirm", "Change"}
 
-// leaderKiller kills the leader of the configuration's shard, or the core that
-// takes it over, between two of its steps: a step is a message about that shard
-// that it sends to a replica, or an operation that it is asked for.
+// leaderKiller kills the leader of the configuration's shard, or the core that is taking it
+// over, right before or after one of its steps. A step is a message about that shard that
+// the core sends to a replica, or a change that it receives.
 type leaderKiller struct {
 	run  *OrderRun
 	next func(m *Message) *http.Response
 
 	active bool
-	// spared is cut off or frozen, and is to act on what it knew.
+	// spared is cut off or frozen; it stays alive to act on outdated knowledge.
 	spared    *Machine
-	nextStep  string // of the step that comes next
+	nextStep  string // kind of the step to kill at
 	before    bool
-	stepsLeft int64 // of that kind until then
+	stepsLeft int64 // steps of that kind up to the kill
 	lastKill  time.Duration
 }
 
+// forward delivers a message, through the interceptor that was set before.
 func (k *leaderKiller) forward(m *Message) *http.Response {
 	if k.next != nil {
 		return k.next(m)
@@ -51,6 +48,7 @@
 	return response
 }
 
+// intercept is called for each message between machines.
 func (k *leaderKiller) intercept(m *Message) *http.Response {
 	step := m.Path[strings.LastIndexByte(m.Path, '/')+1:]
 	victim := k.victim(m)
@@ -74,11 +72,11 @@
 // haltSender ends the task that sent the message if its process was killed.
 func (k *leaderKiller) haltSender(victim *Machine, m *Message) {
 	for victim.Host == m.From {
-		m.From.Clock().Sleep(time.Hour) // no event of a former life wakes it
+		m.From.Clock().Sleep(time.Hour) // tasks of a killed process are never resumed
 	}
 }
 
-// victim is the core whose step the message is, nil when it is none.
+// victim returns the core whose step the message is, or nil.
 func (k *leaderKiller) victim(m *Message) *Machine {
 	if !k.active {
 		return nil
@@ -86,7 +84,7 @@
 	host := m.From
 	switch {
 	case strings.Contains(m.Path, "Disk/"):
-		var request register.ConfirmRequest // the claim stands first in all of them
+		var request register.ConfirmRequest // the claim is the first field in all requests to a disk
 		if proto.Unmarshal(m.Body, &request) != nil || request.Claim == nil || request.Claim.Slot != register.ShardOf(register.FeedGroup) {
 			return nil
 		}
@@ -107,7 +105,7 @@
 	return nil
 }
 
-// isDue tells whether a leader ends at this step, and draws the next.
+// isDue reports whether the leader is to be killed at this step, and draws the next kill.
 func (k *leaderKiller) isDue(step string) bool {
 	world := k.run.World
 	sinceLast := world.now - k.lastKill
@@ -129,7 +127,7 @@
 	return true
 }
 
-// kill kills a core and starts it again a while later.
+// kill kills a core and starts it again later.
 func (k *leaderKiller) kill(m *Machine, step string) {
 	r := k.run
 	r.Kill(m)
@@ -142,11 +140,11 @@
 	})
 }
 
-// setWorkerFaultRates harms one machine after another while it goes on; at most one machine
-// with a disk at a time.
+// injectFaults injects faults into one machine after another while running returns true,
+// into at most one storage machine at a time.
 func (r *OrderRun) injectFaults(running func() bool) {
 	clock := r.CallerHost.Clock()
-	clock.Sleep(4 * time.Second) // until the cluster was formed
+	clock.Sleep(4 * time.Second) // while the cluster forms
 	r.Net.Faults = NetworkFaults{LossRate: 0.005, DelayRate: 0.02, DuplicateRate: 0.02, MaxExtraDelay: 400 * time.Millisecond}
 	r.leaderKiller.active = !r.StaleLeadersOnly
 	kinds := int64(6)
@@ -173,7 +171,7 @@
 	}
 }
 
-// leader is the core that serves the configuration's shard, or any.
+// leader returns the core that leads the configuration's shard, or a random core.
 func (r *OrderRun) leader() *Machine {
 	serving := base.Filter(r.Cores, func(m *Machine) bool {
 		return m.core != nil && m.Host.alive && m.core.RegisterServer.LeadsFeed()
@@ -184,8 +182,8 @@
 	return serving[0]
 }
 
-// isolateFor separates a machine from all others, in both directions or in one;
-// operators reach it throughout.
+// isolateFor cuts a machine off from all others for a while, in both directions or in one;
+// operators still reach it.
 func (r *OrderRun) isolateFor(m *Machine, span time.Duration) {
 	r.leaderKiller.spared = m
 	defer func() { r.leaderKiller.spared = nil }()
@@ -205,25 +203,27 @@
 	r.Net.Heal()
 }
 
+// freezeFor freezes a machine for a while and thaws it.
 func (r *OrderRun) freezeFor(m *Machine, span time.Duration) {
 	if !m.Host.alive {
 		return
 	}
 	m.Host.Freeze()
 	r.CallerHost.Clock().Sleep(span)
-	r.leaderKiller.spared = m // for a while after it wakes
+	r.leaderKiller.spared = m // and for a while after the thaw
 	m.Host.Thaw()
 	r.CallerHost.Clock().Sleep(500 * time.Millisecond)
 	r.leaderKiller.spared = nil
 }
 
+// restartAfter ends a machine's process with end and starts it again later.
 func (r *OrderRun) restartAfter(m *Machine, end func(*Machine), span time.Duration) {
 	end(m)
 	r.CallerHost.Clock().Sleep(span)
 	r.Start(m)
 }
 
-// noFaults ends all trouble.
+// stopFaults ends all faults.
 func (r *OrderRun) stopFaults() {
 	r.leaderKiller.active = false
 	r.Net.Faults = NetworkFaults{}
--- a/internal/simulate/orders_model.go
+++ b/internal/simulate/orders_model.go
@@ -1,6 +1,3 @@
-// What a history of orders is checked against: a register that holds one
-// configuration and changes by compare-and-set, with idempotent repeats.
-
 package simulate
 
 import (
@@ -12,25 +9,26 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// taken is a configuration that came into force.
+// acceptedConfig is a configuration that came into force.
 type acceptedConfig struct {
 	version  uint64
 	document string
 }
 
-// orderState is the configuration in force and all that came into force before
-// it, as text, so that equal states compare as equal.
+// orderState is the state of the model: the configuration in force and the history of all
+// that were, as text, so that equal states compare equal.
 type orderState struct {
 	current  acceptedConfig
 	accepted string
 }
 
+// chainEntry is an accepted order as text.
 func chainEntry(base, version uint64, document string) string {
 	return fmt.Sprintf("|%d>%d:%s|", base, version, document)
 }
 
-// step tells whether a register in a state may answer a call so, and gives the
-// state after.
+// step reports whether the model may answer a call with an outcome, and returns the state
+// after it.
 func (s orderState) step(order Order, outcome OrderOutcome) (bool, orderState) {
 	entry := chainEntry(order.Base, order.Version, order.Document)
 	repeated := strings.Contains(s.accepted, entry)
@@ -47,10 +45,11 @@
 	case OrderRead:
 		return order.Version == s.current.version && order.Document == s.current.document, s
 	}
-	return true, next // no clear answer: taken if it could be, at whatever time
+	return true, next // unknown: it took effect if it could
 }
 
-// orderModel is the sequential model.
+// orderModel is the sequential model of a register that holds one configuration and changes
+// by compare-and-set; repeats of accepted orders succeed.
 var orderModel = porcupine.Model{
 	Init: func() any { return orderState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -59,14 +58,13 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v: %d", input, output) },
 }
 
-// CheckLinearizable checks a history: Ok, Illegal, or Unknown when the time that is
-// given is over before it is known.
+// CheckLinearizable checks a history: Ok, Illegal, or Unknown if the timeout expires.
 func CheckLinearizable(history []OrderEvent, timeout time.Duration) porcupine.CheckResult {
 	operations := make([]porcupine.Operation, 0, len(history))
 	for _, event := range history {
 		end := int64(event.End)
 		if event.Outcome == OrderUnknown {
-			end = math.MaxInt64 // it may be taken at any time after it was sent
+			end = math.MaxInt64 // it may take effect at any time after it was sent
 		}
 		operations = append(operations, porcupine.Operation{ClientId: event.Client, Input: event.Order, Call: int64(event.Start), Output: event.Outcome, Return: end})
 	}
--- a/internal/simulate/orders_test.go
+++ b/internal/simulate/orders_test.go
@@ -1,5 +1,5 @@
-// Histories of configuration orders are linearizable, whatever fails between
-// the steps of those who decide them.
+// The history of configuration orders must be linearizable, whatever fails between the steps
+// of the cores that decide them.
 package simulate
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/matryer/is"
 )
 
-// linearizabilityTimeout bounds the check of one history, by the machine's clock.
+// linearizabilityTimeout bounds the check of one history, in real time.
 const linearizabilityTimeout = 2 * time.Minute
 
-// runOrders plays a day and gives what is wrong with it.
+// runOrders runs an OrderRun and returns it with its breaches.
 func runOrders(seed uint64, shape OrderShape, staleLeadersOnly bool, prepare func(f *Fleet)) (*OrderRun, []string) {
 	run := NewOrderRun(seed, shape, prepare)
 	run.StaleLeadersOnly = staleLeadersOnly
@@ -32,7 +32,7 @@
 		done = true
 	})
 	if !run.World.Run(time.Hour, func() bool { return done }) {
-		return run, append(run.Breaches, "the day did not end")
+		return run, append(run.Breaches, "the run did not finish")
 	}
 	breaches := run.Breaches
 	if result := CheckLinearizable(run.History, linearizabilityTimeout); result != porcupine.Ok {
@@ -46,7 +46,7 @@
 	for _, event := range r.History {
 		count[event.Outcome]++
 	}
-	return fmt.Sprintf("%d versions, %d acknowledged, %d refused, %d unclear, %d read, kills %v, %.0f s", r.newestVersion, count[OrderAccepted], count[OrderRefused], count[OrderUnknown],
+	return fmt.Sprintf("%d versions, %d accepted, %d refused, %d unknown, %d reads, kills %v, %.0f s", r.newestVersion, count[OrderAccepted], count[OrderRefused], count[OrderUnknown],
 		count[OrderRead], r.Kills, r.World.Now().Seconds())
 }
 
@@ -91,14 +91,13 @@
 		{"an invalid order taken", []OrderEvent{invalid}, porcupine.Illegal},
 	} {
 		if found := CheckLinearizable(row.history, linearizabilityTimeout); found != row.want {
-			t.Errorf("%s: %s", row.name, found)
+			t.Errorf("%s: result %s", row.name, found)
 		}
 	}
 	is.True(len(OrderShapes) == 4)
 }
 
-// Each mechanism that the history of orders rests on is taken away, and some
-// seed must show it.
+// Each mechanism that linearizability depends on is disabled; some seed must detect that.
 func TestDisabledOrderMechanismsAreDetected(t *testing.T) {
 	for _, row := range []struct {
 		mechanism string
@@ -106,7 +105,8 @@
 		take      func(f *Fleet)
 	}{
 		{"the history of orders", false, onChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
-			// An order that builds on what is no longer in force is decided by that alone.
+			// Change the digest of outdated orders, so that they are not recognized as
+			// repeats.
 			var change route.Change
 			var now route.Document
 			reply, response := pass("route.read", []byte("{}"))
@@ -136,20 +136,20 @@
 	} {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const maxSeeds = 40 // a seed that shows the fault ends the search
+			const maxSeeds = 40 // the first seed that detects it ends the test
 			for seed := uint64(1); seed <= maxSeeds; seed++ {
 				if run, breaches := runOrders(seed, OrderShapes[0], row.stale, row.take); len(breaches) > 0 {
 					t.Logf("seed %d, %s: %s", seed, run.summary(), breaches)
 					return
 				}
 			}
-			t.Errorf("%d seeds showed nothing", maxSeeds)
+			t.Errorf("none of %d seeds detected the missing mechanism", maxSeeds)
 		})
 	}
 }
 
-// An order is acknowledged again by every core after 65, 500 and 3,000 versions,
-// also after leaders were killed and all machines lost their power.
+// Every core acknowledges an order again after 65, 500 and 3,000 versions, also after
+// leaders were killed and all machines lost power.
 func TestRepeatedOrderIsAcknowledgedAfterManyVersions(t *testing.T) {
 	t.Parallel()
 	run := NewOrderRun(1, OrderShapes[0], nil)
@@ -162,19 +162,19 @@
 	submit := func(number int) {
 		order := next(number)
 		if run.SubmitOrder(0, order, orderAttempts) != OrderAccepted {
-			t.Errorf("order %d was not taken", number)
+			t.Errorf("order %d was not accepted", number)
 		}
 		orders = append(orders, order)
 	}
 	repeat := func(number int, others []Order) {
 		for range run.Cores {
 			if outcome := run.SubmitOrder(0, orders[number], orderAttempts); outcome != OrderAccepted {
-				t.Errorf("order %d of %d: %d when repeated", number, len(orders)-1, outcome)
+				t.Errorf("repeat of order %d of %d: outcome %d", number, len(orders)-1, outcome)
 			}
 		}
 		for _, other := range others {
 			if outcome := run.SubmitOrder(0, other, orderAttempts); outcome != OrderRefused {
-				t.Errorf("%+v, in the place of order %d of %d: %d", other, number, len(orders)-1, outcome)
+				t.Errorf("%+v, instead of order %d of %d: outcome %d", other, number, len(orders)-1, outcome)
 			}
 		}
 	}
@@ -213,18 +213,18 @@
 		done = true
 	})
 	if !run.World.Run(5*time.Hour, func() bool { return done }) {
-		t.Fatal("it did not end")
+		t.Fatal("the run did not finish")
 	}
 	received := 0
 	for key, value := range run.Gateways[0].gateway.Follower.Snapshot().Values {
 		if key != route.FeedKey && strings.HasPrefix(key, "routes/") {
-			t.Errorf("a gateway was told %s", key)
+			t.Errorf("a gateway received the key %s", key)
 		}
 		received += len(key) + len(value)
 	}
-	t.Logf("%d versions in %.0f s; a gateway was told %d bytes", len(orders)-1, run.World.Now().Seconds(), received)
+	t.Logf("%d versions in %.0f s; a gateway received %d bytes", len(orders)-1, run.World.Now().Seconds(), received)
 	if received > 4096 {
-		t.Errorf("a gateway was told %d bytes", received)
+		t.Errorf("a gateway received %d bytes, more than 4096", received)
 	}
 	for _, breach := range run.Breaches {
 		t.Error(breach)
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -1,4 +1,5 @@
-// Losses of many machines at once, planned stops, and what must outlive them.
+// Tests of the loss of many machines at once, of partitions and of planned stops: what was
+// acknowledged must survive, and nothing else may be acknowledged.
 package simulate
 
 import (
@@ -19,7 +20,7 @@
 	for seed := 0; seed < *seedCount+1; seed++ {
 		script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 			for range seed {
-				f.World.Int64N(2) // another draw, another run
+				f.World.Int64N(2) // changes the draws that follow
 			}
 			program, secret := call.program(1000, nil)
 			path, key := call.session(0, program, secret, nil)
@@ -35,7 +36,7 @@
 			}
 			call.sleep(time.Second)
 			pending := f.All()
-			lost := f.pickMachine(f.Storage) // one disk does not come back
+			lost := f.pickMachine(f.Storage) // this disk does not come back
 			for len(pending) > 0 {
 				index := f.World.Int64N(int64(len(pending)))
 				if pending[index] != lost {
@@ -45,7 +46,7 @@
 				call.sleep(f.World.Between(0, 300*time.Millisecond))
 			}
 			took := f.waitUntilServing(time.Minute)
-			is.True(took < 12*time.Second) // inside recover_bound_s
+			is.True(took < 12*time.Second) // within recover_bound_s
 			for _, m := range f.Gateways {
 				is.Equal(m.gateway.SettingsVersion(), uint64(2))
 			}
@@ -60,8 +61,7 @@
 	}
 }
 
-// The machine with the disk that acknowledged something first is lost with
-// its disk, for ever, just after.
+// The machine whose disk acknowledged a change first is lost with its disk right after.
 func TestDiskLossAfterAcknowledgment(t *testing.T) {
 	for _, lost := range []int{0, 1, 2} {
 		script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
@@ -77,7 +77,7 @@
 			for _, m := range append(append([]*Machine{}, f.Cores...), f.Gateways...) {
 				f.Start(m)
 			}
-			f.Start(f.Storage[lost]) // comes back blank: it has no vote
+			f.Start(f.Storage[lost]) // returns with an empty disk and without a vote
 			f.waitUntilServing(time.Minute)
 			after := call.turn(1, path, key, program, "b", "a")
 			verdict, _, _ = after.final()
@@ -88,8 +88,8 @@
 	}
 }
 
-// Split in two, the side without a majority of disks declines, the other
-// goes on, and healing brings nobody back to older settings.
+// In a partition, the side without a majority of disks refuses and the other side continues.
+// After healing no machine returns to older settings.
 func TestPartitionOfCoreAndStorage(t *testing.T) {
 	t.Parallel()
 	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
@@ -126,8 +126,8 @@
 	})
 }
 
-// A planned stop finishes what was read and hands sessions over: callers see
-// no failure but connections refused where nothing listens.
+// A planned stop finishes the requests that were read and hands sessions over: callers see
+// no failures except refused connections.
 func TestPlannedStopsDropNoRequests(t *testing.T) {
 	t.Parallel()
 	bring(t, *seedCount, KiondoShape(), func(t *testing.T, f *Fleet) {
@@ -135,7 +135,7 @@
 		formed(t, f)
 		left := f.StartCallers(12, 8, true, func(c *standin.Caller) {
 			c.Between = func(int) {
-				c.Home = int(f.World.Int64N(int64(len(f.Gateways)))) // so that turns are carried to their owners
+				c.Home = int(f.World.Int64N(int64(len(f.Gateways)))) // so that turns are forwarded to their owners
 				c.Clock.Sleep(f.World.Between(0, time.Second))
 			}
 		})
@@ -160,8 +160,8 @@
 	})
 }
 
-// A frozen owner wakes after its Run was succeeded: nothing it had in hand
-// goes out any more.
+// A frozen owner thaws after another gateway took over its run: it must not send anything
+// that it still held.
 func TestThawedOwnerSendsNothing(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
@@ -177,7 +177,7 @@
 		frozen := f.World.Now()
 		verdict, _, _ = call.turn(1, path, key, program, "e", "a").final()
 		is.Equal(verdict, "success")
-		is.True(f.World.Now()-frozen < 4*time.Second) // it was told from a slow one, and succeeded
+		is.True(f.World.Now()-frozen < 4*time.Second) // the owner was taken for lost, not slow, and taken over
 		sent := f.Gateways[0].Counters.Snapshot()["legs_sent"]
 		f.Gateways[0].Host.Thaw()
 		call.sleep(20 * time.Second)
@@ -190,7 +190,7 @@
 			if ran == "not_run" {
 				is.Equal(f.modelRuns(program, id), 0)
 			}
-			// What went on did so through the session's new owner.
+			// A successful turn ran through the session's new owner.
 			if verdict == "success" {
 				is.True(f.modelRuns(program, id) >= 1)
 			}
@@ -200,8 +200,8 @@
 	})
 }
 
-// With two of three disks stalled nothing is acknowledged; what the third
-// disk alone was given is fenced before it is called refused.
+// With two of three disks stalled nothing is acknowledged. What only the third disk received
+// is fenced before it is reported as refused.
 func TestMinorityOfDisksAcknowledgesNothing(t *testing.T) {
 	t.Parallel()
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
@@ -209,21 +209,21 @@
 		path, key := call.session(0, program, secret, nil)
 		f.Storage[1].Disk.SyncStalled, f.Storage[2].Disk.SyncStalled = true, true
 		status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "lone", "based_on": 1, "document": f.settingsWithMarker("lone")})
-		is.Equal(status, 504) // unknown
+		is.Equal(status, 504) // outcome unknown
 		got := call.turn(0, path, key, program, "a", "")
 		verdict, _, _ := got.final()
 		is.True(verdict != "success")
 		is.True(call.send(1, "POST", "/v1/programs", "", map[string]any{"group": "g", "site": "main", "budget_tokens": 10}).Status != 201)
 		is.True(call.send(1, "POST", "/v1/programs/"+program+"/tools/loyalty", secret, `{}`, "idempotency-key", "k").Status != 200)
-		is.Equal(f.toolRuns(program+"/k"), 0) // no claim, no call
-		f.PowerLoss(f.Storage[0])             // the one disk that may have it is away
+		is.Equal(f.toolRuns(program+"/k"), 0) // without a claim the tool is not called
+		f.PowerLoss(f.Storage[0])             // the only disk that may hold the change is down
 		f.Storage[1].Disk.SyncStalled, f.Storage[2].Disk.SyncStalled = false, false
 		var answer []byte
 		for status = 0; status != 200; call.sleep(200 * time.Millisecond) {
 			status, answer = f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/settings/outcome", map[string]string{"change": "lone"})
 		}
 		f.resolveOutcome("lone", 1, status, answer)
-		f.Start(f.Storage[0]) // back, and still it never comes into force if it was refused
+		f.Start(f.Storage[0]) // the disk returns; a refused change must still not come into force
 		call.sleep(3 * time.Second)
 		f.Kill(f.Storage[1])
 		call.sleep(5 * time.Second)
@@ -237,8 +237,8 @@
 	})
 }
 
-// A core that is cut off with a gateway cannot keep that gateway serving, nor
-// answer operators from what it remembers, while others change the settings.
+// A core that is isolated with a gateway must neither extend that gateway's lease nor answer
+// operators from its memory while others change the settings.
 func TestIsolatedLeaderConfirmsNothing(t *testing.T) {
 	t.Parallel()
 	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
@@ -269,8 +269,8 @@
 	})
 }
 
-// A turn whose leg was lost with its owner is not called not run, whatever
-// stopsMachines its next leg.
+// A turn whose attempt was lost with its owner must not be reported as not run, whatever
+// stops its next attempt.
 func TestLostAttemptIsNotReportedAsNotRun(t *testing.T) {
 	shape := SmallShape()
 	shape.Gap = 300 * time.Millisecond
@@ -282,15 +282,15 @@
 		is.Equal(f.modelRuns(program, "a"), 1)
 		f.Kill(f.Gateways[0])
 		verdict, ran, code := call.turn(1, path, key, program, "a", "").final()
-		is.Equal(verdict+" "+ran+" "+code, "failed may_have_run worker_lost") // the lost leg counts as spent
+		is.Equal(verdict+" "+ran+" "+code, "failed may_have_run worker_lost") // the lost attempt's tokens count as spent
 		is.Equal(f.modelRuns(program, "a"), 1)
 		_, ran, code = call.turn(1, path, key, program, "b", "").final()
 		is.Equal(ran+" "+code, "not_run over_budget")
 	})
 }
 
-// A turn told not run stays so when its owner is lost and the same Turn-Id is
-// asked again.
+// A turn that was reported as not run stays so when its owner is lost and the same Turn-Id
+// is sent again.
 func TestRefusalSurvivesOwnerLoss(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
@@ -324,7 +324,7 @@
 	})
 }
 
-// A refusal that cannot be kept is not called not run.
+// A refusal that cannot be stored must not be reported as not run.
 func TestUnstoredRefusalIsNotReportedAsNotRun(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
@@ -339,14 +339,14 @@
 		f.Storage[0].Disk.SyncStalled, f.Storage[1].Disk.SyncStalled = true, true
 		began := f.World.Now()
 		got := call.turn(0, path, key, program, "full", "")
-		is.True(f.World.Now()-began < 500*time.Millisecond) // and it is told at once
+		is.True(f.World.Now()-began < 500*time.Millisecond) // without a wait for the disks
 		is.Equal(got.text("error", "request"), "may_have_run")
 		is.True(got.Header["Retry-After"] != "")
 	})
 }
 
-// The owner's permit lapses and its chain is read anew while the answer to the
-// applyAndResolve that finished a turn is still on its way: the turn is in it once.
+// The owner's lease expires and it reloads the chain while the reply to the change that
+// finished a turn is still on its way. The chain must contain the turn once.
 func TestFinishedTurnIsInReloadedChainOnce(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
@@ -380,6 +380,6 @@
 		next := call.turn(0, path, key, program, "b", "a")
 		verdict, _, _ := next.final()
 		is.Equal(verdict, "success")
-		is.True(strings.Contains(string(next.Events[0].Data), "3 messages")) // a's two and b's own
+		is.True(strings.Contains(string(next.Events[0].Data), "3 messages")) // two of turn a and one of turn b
 	})
 }
