--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -112,7 +112,7 @@
 	m.running = true
 	m.counters = base.NewCounters()
 	m.host.Go(func() {
-		opened, err := ledger.OpenStore(ledger.StoreConfig{Clock: m.host.Clock(), Wire: f.net.Wire(m.host), Files: m.files, Bounds: f.bounds,
+		opened, err := ledger.OpenStore(ledger.StoreConfig{Clock: m.host.Clock(), Wire: f.net.HTTPClient(m.host), Files: m.files, Bounds: f.bounds,
 			Counters: m.counters, FaultTolerance: f.faultTolerance, LocalDisk: func() (string, *register.DiskSet) { return m.diskID, m.set }})
 		f.is.NoErr(err)
 		m.store = opened
@@ -177,7 +177,7 @@
 
 // newClientOn returns a client whose tasks run on a host.
 func (f *fleet) newClientOn(host *simulate.Host) *ledger.Client {
-	return ledger.NewClient(host.Clock(), f.net.Wire(host), func() *register.DiskSet { return f.set }, host.Zone, f.faultTolerance, f.bounds, base.NewCounters(), nil)
+	return ledger.NewClient(host.Clock(), f.net.HTTPClient(host), func() *register.DiskSet { return f.set }, host.Zone, f.faultTolerance, f.bounds, base.NewCounters(), nil)
 }
 
 func (f *fleet) ctx() *base.Ctx        { return base.NewCtx(f.testHost.Clock(), 4*time.Second) }
--- a/internal/ledger/set_change_test.go
+++ b/internal/ledger/set_change_test.go
@@ -87,7 +87,7 @@
 			d.store.NotifySetChange()
 			f.sleep(3 * time.Second)
 			f.is.Equal(d.describe().Whole, uint64(2))
-			client := ledger.NewClient(writer.Clock(), f.net.Wire(writer), func() *register.DiskSet { return former }, writer.Zone, 1, f.bounds, base.NewCounters(), nil)
+			client := ledger.NewClient(writer.Clock(), f.net.HTTPClient(writer), func() *register.DiskSet { return former }, writer.Zone, 1, f.bounds, base.NewCounters(), nil)
 			s := f.newSession(client, program)
 			begun, err := s.begin("late")
 			f.is.NoErr(err)
--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -17,6 +17,8 @@
 	"github.com/matryer/is"
 )
 
+// shapeWithTenants returns a small shape with the tenants' settings, in which one site has a
+// host.
 func shapeWithTenants() Shape {
 	shape := SmallShape()
 	shape.Settings = strings.Replace(tenantSettings(nil), `"team":"clerks","sites":{"main":{`, `"team":"clerks","sites":{"main":{"hosts":["pay.example"],`, 1)
--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -27,7 +27,7 @@
 var accessSeeds = flag.Int("access-seeds", 1, "seeds for each run with changes of access")
 
 // tenant is a team with a group and a model of its own.
-type tenant struct{ team, group, model string }
+type tenant struct{ name, group, model string }
 
 var tenants = []tenant{{"tills", "dukabora", "checkout"}, {"clerks", "plc", "payslip"}}
 
@@ -38,11 +38,11 @@
 "chat":{"kind":"model","pool":"models","model":"stand-in"},"loyalty":{"kind":"tool","pool":"apps","tool_timeout_s":5},"lookup":{"kind":"tool","pool":"apps","repeatable":true}}}}}`}
 	for _, entry := range tenants {
 		deny := ""
-		if denied[entry.team] {
+		if denied[entry.name] {
 			deny = `,"deny":["` + entry.model + `"]`
 		}
 		groups = append(groups, fmt.Sprintf(`%q:{"operation_timeout_s":30,"teams":{%q:{"models":[%q]%s}},"team":%q,"sites":{"main":{"routes":{
-"chat":{"kind":"model","pool":"models","model":%q}}}}}`, entry.group, entry.team, entry.model, deny, entry.team, entry.model))
+"chat":{"kind":"model","pool":"models","model":%q}}}}}`, entry.group, entry.name, entry.model, deny, entry.name, entry.model))
 	}
 	return `{"models":["stand-in","checkout","payslip"],"pools":{"models":{"kind":"model"},"apps":{"kind":"tool"}},"max_output_tokens":64,"groups":{` + strings.Join(groups, ",") + `}}`
 }
@@ -51,7 +51,7 @@
 func parseDenied(document string) map[string]bool {
 	denied := map[string]bool{}
 	for _, entry := range tenants {
-		denied[entry.team] = strings.Contains(document, `"deny":["`+entry.model+`"]`)
+		denied[entry.name] = strings.Contains(document, `"deny":["`+entry.model+`"]`)
 	}
 	return denied
 }
@@ -87,24 +87,24 @@
 func (r *accessRun) recordRequests(team string, ask standin.Asker) standin.Asker {
 	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
 		callsModel := method == "POST" && (strings.HasSuffix(path, "/turns") || strings.HasSuffix(path, "/sessions"))
-		sent := r.fleet.World.Now()
+		sentAt := r.fleet.World.Now()
 		answer, err := ask(gateway, method, path, header, body)
 		if !callsModel {
 			return answer, err
 		}
-		first := sent
+		firstSentAt := sentAt
 		if id := header["turn-id"]; id != "" {
 			if earlier, ok := r.firstSent[path+id]; ok {
-				first = earlier
+				firstSentAt = earlier
 			} else {
-				r.firstSent[path+id] = sent
+				r.firstSent[path+id] = sentAt
 			}
 		}
 		if err != nil {
 			r.responseCounts["connection"]++
 			return answer, err
 		}
-		request := accessRequest{team: team, gateway: r.fleet.Gateways[gateway%len(r.fleet.Gateways)].Host.Name, sentAt: sent, firstSentAt: first, answeredAt: r.fleet.World.Now()}
+		request := accessRequest{team: team, gateway: r.fleet.Gateways[gateway%len(r.fleet.Gateways)].Host.Name, sentAt: sentAt, firstSentAt: firstSentAt, answeredAt: r.fleet.World.Now()}
 		var reply struct {
 			Error base.RequestError `json:"error"`
 		}
@@ -122,7 +122,7 @@
 				r.fleet.Tally.Breach("access refusal without team, model, version or execution state: %s", answer.Body)
 			}
 		}
-		if id := header["turn-id"]; id != "" && !request.allowed && first == sent {
+		if id := header["turn-id"]; id != "" && !request.allowed && firstSentAt == sentAt {
 			r.fleet.Tally.Refuse(strings.Split(path, "/")[3], id, "model_not_allowed") // a refused turn must never run
 		}
 		r.requests = append(r.requests, request)
@@ -144,13 +144,15 @@
 			continue
 		}
 		denied := parseDenied(string(current.Document))
-		denied[team.team] = !denied[team.team]
-		change, from := fmt.Sprintf("%s-%d", name, round), f.World.Now()
+		denied[team.name] = !denied[team.name]
+		change, requestedAt := fmt.Sprintf("%s-%d", name, round), f.World.Now()
 		status, answer = f.applySettings(change, current.Stamp, json.RawMessage(tenantSettings(denied)))
-		r.resolveOutcome(change, current.Stamp, &accessChange{denied: denied, requestedAt: from, inForceAt: -1}, status, answer)
+		r.resolveOutcome(change, current.Stamp, &accessChange{denied: denied, requestedAt: requestedAt, inForceAt: -1}, status, answer)
 	}
 }
 
+// resolveOutcome asks for the outcome of a change until it is known, and records an accepted
+// change under its version.
 func (r *accessRun) resolveOutcome(change string, basedOn uint64, applied *accessChange, status int, answer []byte) {
 	f := r.fleet
 	for {
@@ -184,9 +186,9 @@
 			InForce uint64 `json:"in_force"`
 		}
 		if status == 200 && json.Unmarshal(answer, &view) == nil {
-			for _, stamp := range base.SortedKeys(r.changes) {
-				if stamp <= view.InForce && r.changes[stamp].inForceAt < 0 {
-					r.changes[stamp].inForceAt = f.World.Now()
+			for _, version := range base.SortedKeys(r.changes) {
+				if version <= view.InForce && r.changes[version].inForceAt < 0 {
+					r.changes[version].inForceAt = f.World.Now()
 				}
 			}
 		}
@@ -217,8 +219,8 @@
 			change := r.changes[version]
 			until := time.Duration(1 << 62)
 			for _, later := range versions[index+1:] {
-				if known := r.changes[later].inForceAt; known >= 0 {
-					until = min(until, known+freshness)
+				if inForceAt := r.changes[later].inForceAt; inForceAt >= 0 {
+					until = min(until, inForceAt+freshness)
 				}
 			}
 			startedAt := request.sentAt
@@ -295,6 +297,7 @@
 	t.Logf("seed %d: %d changes, responses %v, %d turns completed, longest activation %v", seed, len(r.changes)-1, r.responseCounts, f.Tally.Counts["turns_whole"], r.longestActivation())
 }
 
+// inForce reports whether a core says that a version is in force.
 func (r *accessRun) inForce(version uint64) bool {
 	status, answer := r.fleet.OperatorRequest(r.fleet.liveCore(), "GET", "/v1/operator/access", nil)
 	var view struct {
@@ -314,11 +317,11 @@
 		}
 		spawn(func() {
 			for round := 0; r.running(); round++ {
-				c := f.caller(fmt.Sprintf("%s%d-%d", team.team, caller, round), caller+round)
-				c.Group, c.Ask, c.Patience = team.group, r.recordRequests(team.team, f.Asker(f.CallerHost)), 15*time.Second
+				c := f.caller(fmt.Sprintf("%s%d-%d", team.name, caller, round), caller+round)
+				c.Group, c.Ask, c.Patience = team.group, r.recordRequests(team.name, f.Asker(f.CallerHost)), 15*time.Second
 				c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 300*time.Millisecond)) }
 				if c.Start(int64(4 * f.Shape.Pieces * 8)) {
-					c.Converse(4, team.team == "shop")
+					c.Converse(4, team.name == "shop")
 				}
 				c.Clock.Sleep(f.World.Between(20*time.Millisecond, 120*time.Millisecond))
 			}
@@ -330,18 +333,18 @@
 // so that the rules of that gateway alone decide.
 func (r *accessRun) runPinnedCaller(team tenant, gateway int) {
 	f := r.fleet
-	c := f.caller(fmt.Sprintf("knock-%s-%d", team.team, gateway), gateway)
-	c.Group, c.Ask = team.group, f.Asker(f.CallerHost)
-	for r.running() && !c.Start(1<<20) {
-		c = f.caller(fmt.Sprintf("%s-", c.Name), gateway)
-		c.Group, c.Ask = team.group, f.Asker(f.CallerHost)
-		c.Clock.Sleep(200 * time.Millisecond)
+	caller := f.caller(fmt.Sprintf("knock-%s-%d", team.name, gateway), gateway)
+	caller.Group, caller.Ask = team.group, f.Asker(f.CallerHost)
+	for r.running() && !caller.Start(1<<20) {
+		caller = f.caller(fmt.Sprintf("%s-", caller.Name), gateway)
+		caller.Group, caller.Ask = team.group, f.Asker(f.CallerHost)
+		caller.Clock.Sleep(200 * time.Millisecond)
 	}
-	path, secret := c.Session()
+	path, secret := caller.Session()
 	program := strings.Split(path, "/")[3]
-	ask := r.recordRequests(team.team, f.Asker(f.CallerHost))
+	ask := r.recordRequests(team.name, f.Asker(f.CallerHost))
 	for round := 0; r.running(); round++ {
-		c.Clock.Sleep(f.World.Between(100*time.Millisecond, 200*time.Millisecond))
+		caller.Clock.Sleep(f.World.Between(100*time.Millisecond, 200*time.Millisecond))
 		f.CallerHost.Go(func() {
 			id := fmt.Sprint("k", round)
 			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.Tag(program, id)}}, "max_output_tokens": f.Shape.Pieces + 2}
@@ -366,7 +369,7 @@
 	rows := []struct {
 		name  string
 		shape Shape
-		harm  string
+		fault string
 	}{
 		{"calm", SmallShape(), ""},
 		{"Saturday rush, calm", kiondo, ""},
@@ -389,8 +392,8 @@
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= uint64(*accessSeeds); seed++ {
-				run := &accessRun{changeInterval: 3 * time.Second, noFaults: row.harm == ""}
-				run.run(t, seed, row.shape, 24*time.Second, row.harm, nil)
+				run := &accessRun{changeInterval: 3 * time.Second, noFaults: row.fault == ""}
+				run.run(t, seed, row.shape, 24*time.Second, row.fault, nil)
 				for _, breach := range run.fleet.Tally.Breaches {
 					t.Errorf("seed %d: %s", seed, breach)
 				}
@@ -410,8 +413,8 @@
 // both.
 func TestDisabledAccessMechanismsAreDetected(t *testing.T) {
 	rows := []struct {
-		mechanism, harm string
-		take            func(f *Fleet)
+		mechanism, fault string
+		disable          func(f *Fleet)
 	}{
 		{"the two steps", "a machine cut off", onPath("Feed/Follow", func(m *Message) *http.Response {
 			reply, response := passed(m, m.Body, &feed.FollowReply{})
@@ -422,11 +425,11 @@
 			return replied(reply)
 		})},
 		{"the permit", "a machine cut off", onPath("Feed/Follow", func(m *Message) *http.Response {
-			var asked feed.FollowRequest
-			_ = proto.Unmarshal(m.Body, &asked)
+			var request feed.FollowRequest
+			_ = proto.Unmarshal(m.Body, &request)
 			response, _ := m.Forward(m.Body)
-			if response == nil && asked.Place > 0 {
-				return replied(&feed.FollowReply{Place: asked.Place})
+			if response == nil && request.Place > 0 {
+				return replied(&feed.FollowReply{Place: request.Place})
 			}
 			return response
 		})},
@@ -436,7 +439,7 @@
 			t.Parallel()
 			for seed := uint64(1); seed <= 12; seed++ {
 				run := &accessRun{changeInterval: 3 * time.Second}
-				run.run(t, seed, SmallShape(), 40*time.Second, row.harm, row.take)
+				run.run(t, seed, SmallShape(), 40*time.Second, row.fault, row.disable)
 				if index := slices.IndexFunc(run.fleet.Tally.Breaches, func(breach string) bool { return strings.Contains(breach, "which disagrees with all of") }); index >= 0 {
 					t.Logf("without %s, seed %d: %s", row.mechanism, seed, run.fleet.Tally.Breaches[index])
 					return
--- a/internal/simulate/campaign.go
+++ b/internal/simulate/campaign.go
@@ -54,7 +54,7 @@
 // after each run, one call at a time.
 func (c *Campaign) Run(onOutcome func(*Outcome)) []*CampaignResult {
 	type job struct {
-		row      *CampaignResult
+		result   *CampaignResult
 		scenario Runnable
 		seed     uint64
 	}
@@ -84,13 +84,13 @@
 				next := jobs[0]
 				jobs = jobs[1:]
 				mu.Unlock()
-				outcome := next.scenario.RunShape(next.seed, next.row.Shape)
+				outcome := next.scenario.RunShape(next.seed, next.result.Shape)
 				mu.Lock()
-				next.row.Runs++
-				next.row.CompletedTurns += outcome.Counts["turns_whole"]
-				turns[next.row] = append(turns[next.row], outcome.Turns...)
+				next.result.Runs++
+				next.result.CompletedTurns += outcome.Counts["turns_whole"]
+				turns[next.result] = append(turns[next.result], outcome.Turns...)
 				if len(outcome.Breaches) > 0 {
-					next.row.FailedRuns = append(next.row.FailedRuns, outcome)
+					next.result.FailedRuns = append(next.result.FailedRuns, outcome)
 				}
 				onOutcome(outcome)
 				mu.Unlock()
@@ -119,16 +119,16 @@
 
 // WriteCampaign writes a campaign's results as a table and returns the number of failed
 // runs.
-func WriteCampaign(out io.Writer, rows []*CampaignResult) (failed int) {
+func WriteCampaign(out io.Writer, results []*CampaignResult) (failed int) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "SHAPE\tSCENARIO\tRUNS\tFAILING\tTURNS WHOLE\tP99 TURN MS\tLONGEST MS")
-	for _, row := range rows {
-		failed += len(row.FailedRuns)
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%.0f\t%.0f\n", row.Shape, row.Scenario, row.Runs, len(row.FailedRuns), row.CompletedTurns, row.P99Ms, row.LongestMs)
+	for _, result := range results {
+		failed += len(result.FailedRuns)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%.0f\t%.0f\n", result.Shape, result.Scenario, result.Runs, len(result.FailedRuns), result.CompletedTurns, result.P99Ms, result.LongestMs)
 	}
 	_ = w.Flush()
-	for _, row := range rows {
-		for _, outcome := range row.FailedRuns {
+	for _, result := range results {
+		for _, outcome := range result.FailedRuns {
 			fmt.Fprintf(out, "FAILING: %s\n", outcome.ReplayCommand())
 			for _, breach := range outcome.Breaches {
 				fmt.Fprintf(out, "  %s\n", breach)
--- a/internal/simulate/changestream.go
+++ b/internal/simulate/changestream.go
@@ -114,6 +114,7 @@
 	maxMemory      int // most memory used by register servers since the last sample
 }
 
+// changeStreamPoll is the interval at which the ends of faults are polled.
 const changeStreamPoll = 5 * time.Millisecond
 
 // RunChangeStream runs a plan with a seed.
@@ -125,8 +126,8 @@
 	r := &changeStream{plan: plan, fleet: f, rng: rand.New(rand.NewPCG(seed, 0xc4a9)), report: &ChangeStreamReport{Plan: plan, Seed: seed}}
 	r.documentSuffix = r.buildDocumentSuffix()
 	f.Net.BytesPerSecond = plan.BytesPerSecond
-	f.configure = func(_ *Machine, env *node.Env, place *node.Config) {
-		place.Bounds = base.DefaultBounds()
+	f.configure = func(_ *Machine, env *node.Env, config *node.Config) {
+		config.Bounds = base.DefaultBounds()
 		env.Names = &platform.Names
 	}
 	f.onBuilt = func(m *Machine) {
@@ -186,6 +187,8 @@
 
 func (r *changeStream) clock() base.Clock { return r.fleet.CallerHost.Clock() }
 
+// run waits for the fleet to form, sends the changes under faults and checks that every
+// member is current in the end.
 func (r *changeStream) run() {
 	defer func() { r.done = true }()
 	f := r.fleet
@@ -251,11 +254,11 @@
 	err, answered := r.callCore(m, func(ctx *base.Ctx, core *node.Core) error {
 		return route.SubmitChange(ctx, core.Register, change)
 	})
-	switch verdict := base.ToRequestError(err); {
+	switch requestErr := base.ToRequestError(err); {
 	case answered && err == nil:
 		r.ackedVersion++
 		return true
-	case answered && verdict.Execution == base.NotRun && verdict.Status != 503:
+	case answered && requestErr.Execution == base.NotRun && requestErr.Status != 503:
 		r.report.RefusedCount++
 		r.addBreach("change %d on top of %d was refused: %v", r.changeNumber, r.ackedVersion, err)
 	default:
@@ -266,18 +269,19 @@
 
 // callCore runs step on a core's host and waits for its result.
 func (r *changeStream) callCore(m *Machine, step func(ctx *base.Ctx, core *node.Core) error) (err error, answered bool) {
-	bell, core := base.NewNotifier(r.clock()), m.core
+	notifier, core := base.NewNotifier(r.clock()), m.core
 	m.Host.Go(func() {
 		err = step(base.NewCtx(m.Host.Clock(), core.OperatorTimeout()), core)
 		answered = true
-		bell.Notify()
+		notifier.Notify()
 	})
 	for end := r.fleet.World.Now() + 3*time.Second; !answered && r.fleet.World.Now() < end; {
-		bell.Next().Wait(20 * time.Millisecond)
+		notifier.Next().Wait(20 * time.Millisecond)
 	}
 	return err, answered
 }
 
+// anyCore returns a random live core, or nil.
 func (r *changeStream) anyCore() *Machine {
 	up := base.Filter(r.fleet.Cores, func(m *Machine) bool { return m.Host.alive && !m.Host.frozen && m.core != nil })
 	if len(up) == 0 {
@@ -345,6 +349,7 @@
 	return nil
 }
 
+// changeStreamFaults are the faults that injectFault injects.
 var changeStreamFaults = []string{"killed", "wiped", "without power", "cut off", "slowed"}
 
 // injectFault takes one member down for a while and measures its return.
@@ -391,8 +396,8 @@
 }
 
 // measureRecovery measures how long a returned member takes to be current.
-func (r *changeStream) measureRecovery(m *Machine, kind string, ackedBefore uint64) {
-	f, recovery := r.fleet, MemberRecovery{Role: m.Role, Fault: kind, MissedChanges: int(r.ackedVersion - ackedBefore)}
+func (r *changeStream) measureRecovery(m *Machine, fault string, ackedBefore uint64) {
+	f, recovery := r.fleet, MemberRecovery{Role: m.Role, Fault: fault, MissedChanges: int(r.ackedVersion - ackedBefore)}
 	version, revision := r.ackedVersion, r.newestRevision()
 	recovery.CatchUpTime = f.waitUntil(r.plan.CatchUpBound, func() bool { return r.isCurrent(m, version, revision) })
 	r.recoveries = append(r.recoveries, recovery)
@@ -426,11 +431,14 @@
 	return slices.ContainsFunc(r.fleet.diskSet().GetDisks(), func(entry *register.DiskEntry) bool { return entry.Id == id && !entry.Learner })
 }
 
+// allCurrent reports whether every member is current.
 func (r *changeStream) allCurrent() bool {
 	version, revision := r.ackedVersion, r.newestRevision()
 	return !slices.ContainsFunc(r.fleet.All(), func(m *Machine) bool { return !r.isCurrent(m, version, revision) })
 }
 
+// configVersion returns the version of the configuration in a feed's values, 0 if there is
+// none.
 func configVersion(values map[string][]byte) uint64 {
 	if document := route.DocumentFromFeed(values); document != nil {
 		return document.Version
--- a/internal/simulate/changestream_test.go
+++ b/internal/simulate/changestream_test.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// newPlan returns a plan for a size.
 func newPlan(t *testing.T, size string, changes int) ChangeStreamPlan {
 	t.Helper()
 	plan, err := NewChangeStreamPlan(size, changes)
--- a/internal/simulate/disk.go
+++ b/internal/simulate/disk.go
@@ -38,6 +38,7 @@
 	return &Disk{host: host, files: map[string]*file{}, Capacity: 64 << 20, MinSyncTime: 500 * time.Microsecond, MaxSyncTime: 4 * time.Millisecond}
 }
 
+// fileNamed returns a file and creates it if needed.
 func (d *Disk) fileNamed(name string) *file {
 	entry, ok := d.files[name]
 	if !ok {
@@ -105,6 +106,7 @@
 	return free
 }
 
+// sectorSize is the unit that a power loss keeps or drops.
 const sectorSize = 512
 
 // LosePower drops unsynced changes by sector. Of each changed file any sectors may have
--- a/internal/simulate/diskset_test.go
+++ b/internal/simulate/diskset_test.go
@@ -18,6 +18,8 @@
 // reconcileSeeds is the least number of seeds for each of these tests.
 const reconcileSeeds = 4
 
+// reconcilingShape returns a shape whose machines bootstrap the cluster and reconcile the
+// disk set by themselves.
 func reconcilingShape(storage, tolerate int) Shape {
 	shape := SmallShape()
 	shape.Cores, shape.Storage, shape.Tolerate, shape.Found = 4, storage, tolerate, true
@@ -51,8 +53,8 @@
 	t.Logf("seed %d at %v: %v", f.World.Seed, f.World.Now(), f.diskSet())
 	for _, m := range f.Cores {
 		if m.Host.alive && !m.Host.frozen && m.core != nil {
-			slots, _ := m.core.RegisterServer.Status()
-			t.Logf("%s leads shards %v, reconciling %q, knows disk set %d", m.Host.Name, slots, m.core.RegisterServer.ReconcileStatus(), m.core.RegisterServer.KnownDiskSet().GetStamp())
+			shards, _ := m.core.RegisterServer.Status()
+			t.Logf("%s leads shards %v, reconciling %q, knows disk set %d", m.Host.Name, shards, m.core.RegisterServer.ReconcileStatus(), m.core.RegisterServer.KnownDiskSet().GetStamp())
 		}
 	}
 	for _, m := range f.Storage {
@@ -105,24 +107,24 @@
 // the one before was started. The replacement must have a vote by then, whatever the kind of
 // the loss, and acknowledged settings and turns must survive.
 func TestReplacementBeforeNextLoss(t *testing.T) {
-	ways := map[string]struct {
-		silent, back, core bool
-		wait               time.Duration
+	losses := map[string]struct {
+		silent, sameAddress, freezeLeader bool
+		wait                              time.Duration
 	}{
 		"refusing, another address":         {wait: time.Second},
 		"silent, another address":           {silent: true, wait: time.Second},
 		"silent, at once":                   {silent: true},
 		"silent, late":                      {silent: true, wait: 5 * time.Second},
-		"same address, empty":               {back: true, wait: 300 * time.Millisecond},
-		"silent, the change's core as well": {silent: true, core: true, wait: time.Second},
+		"same address, empty":               {sameAddress: true, wait: 300 * time.Millisecond},
+		"silent, the change's core as well": {silent: true, freezeLeader: true, wait: time.Second},
 	}
-	for name, way := range ways {
+	for name, loss := range losses {
 		for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}, {3, 1}} {
 			t.Run(fmt.Sprint(name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				var longest time.Duration
 				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
-					left := f.StartCallers(3, 10, true, func(c *standin.Caller) {
+					remaining := f.StartCallers(3, 10, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
 					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
@@ -137,38 +139,38 @@
 							}
 						}
 						for _, m := range lost {
-							if way.back {
+							if loss.sameAddress {
 								f.wipeMachine(m)
 							} else {
-								f.loseMachine(m, way.silent)
+								f.loseMachine(m, loss.silent)
 							}
 						}
-						call.sleep(way.wait)
-						if way.core {
+						call.sleep(loss.wait)
+						if loss.freezeLeader {
 							for _, m := range f.Cores {
-								if slots, _ := m.core.RegisterServer.Status(); slices.Contains(slots, 0) && !m.Host.frozen {
+								if shards, _ := m.core.RegisterServer.Status(); slices.Contains(shards, 0) && !m.Host.frozen {
 									f.freeze(m, 3*time.Second)
 									break
 								}
 							}
 						}
 						for _, m := range lost {
-							if way.back {
+							if loss.sameAddress {
 								f.Start(m)
 							} else {
 								f.AddMachine("storage")
 							}
 						}
-						began := f.World.Now()
+						start := f.World.Now()
 						took := f.waitUntil(4*time.Second, f.diskSetComplete)
 						longest = max(longest, took)
 						if took >= 4*time.Second {
 							f.logState(t)
 						}
 						is.True(took < 4*time.Second)
-						call.sleep(began + 4100*time.Millisecond - f.World.Now())
+						call.sleep(start + 4100*time.Millisecond - f.World.Now())
 					}
-					for left() > 0 {
+					for remaining() > 0 {
 						call.sleep(time.Second)
 					}
 					is.Equal(f.Tally.Counts["conversations_whole"], 3)
@@ -187,7 +189,7 @@
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}, {3, 1}} {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
-			var longest, whole time.Duration
+			var longestServing, longestComplete time.Duration
 			runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
 				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				program, secret := call.program(1000, nil)
@@ -195,8 +197,8 @@
 				last := ""
 				for round := range 3 {
 					turn := fmt.Sprint("t", round)
-					verdict, _, _ := call.turn(1, path, key, program, turn, last).final()
-					is.Equal(verdict, "success")
+					outcome, _, _ := call.turn(1, path, key, program, turn, last).final()
+					is.Equal(outcome, "success")
 					last = turn
 					status, _ := f.OperatorRequest(f.liveCore(), "POST", "/v1/operator/settings/apply",
 						map[string]any{"change": turn, "based_on": round + 1, "document": f.settingsWithMarker(turn)})
@@ -216,7 +218,7 @@
 						call.sleep(f.World.Between(0, 50*time.Millisecond))
 					}
 					took := f.waitUntilServing(time.Minute)
-					longest = max(longest, took)
+					longestServing = max(longestServing, took)
 					is.True(took < 5*time.Second)
 					for _, m := range f.Gateways {
 						is.Equal(m.gateway.SettingsVersion(), uint64(round+2))
@@ -226,12 +228,12 @@
 						f.logState(t)
 					}
 					is.True(f.diskSetComplete())
-					whole = max(whole, took)
+					longestComplete = max(longestComplete, took)
 				}
-				verdict, _, _ := call.turn(2, path, key, program, "end", last).final()
-				is.Equal(verdict, "success")
+				outcome, _, _ := call.turn(2, path, key, program, "end", last).final()
+				is.Equal(outcome, "success")
 			})
-			t.Logf("%d disks: serving within %v, disk set complete within %v", size.storage, longest, whole)
+			t.Logf("%d disks: serving within %v, disk set complete within %v", size.storage, longestServing, longestComplete)
 		})
 	}
 }
@@ -242,7 +244,7 @@
 	t.Parallel()
 	runReconciling(t, reconcilingShape(4, 1), func(is *is.I, f *Fleet, call *talker) {
 		is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
-		stamp := f.diskSet().Stamp
+		version := f.diskSet().Stamp
 		for round := range 4 {
 			m := f.pickMachine(f.Storage)
 			if round%2 == 0 {
@@ -258,7 +260,7 @@
 		}
 		f.crash(f.pickMachine(f.Storage), 2*time.Second, true)
 		call.sleep(6 * time.Second)
-		is.Equal(f.diskSet().Stamp, stamp)
+		is.Equal(f.diskSet().Stamp, version)
 		// A disk that is away for long leaves the disk set and rejoins when it returns.
 		away := f.pickMachine(f.Storage)
 		f.PowerLoss(away)
@@ -317,7 +319,7 @@
 
 // The machines form exactly one cluster by themselves, whatever fails meanwhile.
 func TestClusterBootstrap(t *testing.T) {
-	ways := map[string]func(f *Fleet, call *talker){
+	faults := map[string]func(f *Fleet, call *talker){
 		"in quiet":                   func(*Fleet, *talker) {},
 		"the first seed never comes": func(f *Fleet, _ *talker) { f.Kill(f.Cores[0]) },
 		"the founder is killed": func(f *Fleet, call *talker) {
@@ -354,11 +356,11 @@
 			f.scheduleRecovery(5*time.Second, f.Net.Heal)
 		},
 	}
-	for name, trouble := range ways {
+	for name, injectFault := range faults {
 		for _, storage := range []int{4, 9} {
 			t.Run(fmt.Sprint(name, "/", storage), func(t *testing.T) {
 				t.Parallel()
-				t.Logf("%s, %d disks: formed within %v", name, storage, runBootstrap(t, storage, trouble))
+				t.Logf("%s, %d disks: formed within %v", name, storage, runBootstrap(t, storage, injectFault))
 			})
 		}
 	}
@@ -386,69 +388,69 @@
 // is complete; then another machine loses its disk.
 func TestRetireByNodeName(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}} {
-		for _, way := range []string{"in quiet", "its process disappears", "the change's core is lost", "its disk is lost"} {
-			t.Run(fmt.Sprint(way, "/", size.storage), func(t *testing.T) {
+		for _, fault := range []string{"in quiet", "its process disappears", "the change's core is lost", "its disk is lost"} {
+			t.Run(fmt.Sprint(fault, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				var longest time.Duration
 				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
-					left := f.StartCallers(3, 8, true, func(c *standin.Caller) {
+					remaining := f.StartCallers(3, 8, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
 					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
-					held := map[string]bool{} // disks that still hold data of other services
+					occupied := map[string]bool{} // disks that still hold data of other services
 					for _, m := range f.Cores {
-						m.core.RegisterServer.SetEmptyCheck(func(_ *base.Ctx, disk string) (bool, error) { return !held[disk], nil })
+						m.core.RegisterServer.SetEmptyCheck(func(_ *base.Ctx, disk string) (bool, error) { return !occupied[disk], nil })
 					}
-					out := f.pickMachine(f.Storage)
-					id := out.storage.Store.ID()
-					held[id] = true
+					retired := f.pickMachine(f.Storage)
+					id := retired.storage.Store.ID()
+					occupied[id] = true
 					is.Equal(f.retireNode("GET", "none"), "404")
-					is.Equal(f.retireNode("GET", out.Host.Name), "404")
+					is.Equal(f.retireNode("GET", retired.Host.Name), "404")
 					is.Equal(f.retireNode("POST", "none"), "404")
-					began := f.World.Now()
-					is.Equal(f.retireNode("POST", out.Host.Name), "200active")
-					is.Equal(f.retireNode("POST", out.Host.Name), "200active")
-					switch way {
+					start := f.World.Now()
+					is.Equal(f.retireNode("POST", retired.Host.Name), "200active")
+					is.Equal(f.retireNode("POST", retired.Host.Name), "200active")
+					switch fault {
 					case "its process disappears":
-						f.Kill(out)
+						f.Kill(retired)
 					case "its disk is lost":
-						f.wipeMachine(out)
-						f.Start(out)
+						f.wipeMachine(retired)
+						f.Start(retired)
 					case "the change's core is lost":
 						for _, m := range f.Cores {
-							if slots, _ := m.core.RegisterServer.Status(); slices.Contains(slots, 0) {
+							if shards, _ := m.core.RegisterServer.Status(); slices.Contains(shards, 0) {
 								f.freeze(m, 2*time.Second)
 							}
 						}
 					}
 					call.sleep(3 * time.Second)
-					is.Equal(f.retireNode("GET", out.Host.Name), "200active") // the disk still holds data
+					is.Equal(f.retireNode("GET", retired.Host.Name), "200active") // the disk still holds data
 					for _, entry := range f.diskSet().Disks {
 						is.True(entry.Id != id)
 					}
 					for _, m := range f.Cores {
 						m.core.RegisterServer.SetEmptyCheck(nil)
 					}
-					is.True(f.waitUntil(5*time.Second, func() bool { return f.retireNode("GET", out.Host.Name) == "200complete" }) < 5*time.Second)
-					longest = max(longest, f.World.Now()-began)
-					f.loseMachine(out, false)
+					is.True(f.waitUntil(5*time.Second, func() bool { return f.retireNode("GET", retired.Host.Name) == "200complete" }) < 5*time.Second)
+					longest = max(longest, f.World.Now()-start)
+					f.loseMachine(retired, false)
 					next := f.pickMachine(f.remainingStorage())
 					f.wipeMachine(next)
 					call.sleep(time.Second)
 					f.Start(next)
 					is.True(f.waitUntil(4*time.Second, f.diskSetComplete) < 4*time.Second)
-					is.Equal(f.retireNode("POST", out.Host.Name), "200complete")
+					is.Equal(f.retireNode("POST", retired.Host.Name), "200complete")
 					if size.storage == 4 {
 						is.Equal(f.retireNode("POST", f.remainingStorage()[0].Host.Name), "409")
 					}
-					out.removed = false
-					out.Disk.Wipe()
-					f.Start(out) // a retired disk is not admitted again
+					retired.removed = false
+					retired.Disk.Wipe()
+					f.Start(retired) // a retired disk is not admitted again
 					call.sleep(4 * time.Second)
-					is.True(out.storage.Ready() != nil)
-					out.removed = true
-					is.Equal(f.retireNode("GET", out.Host.Name), "200complete")
-					for left() > 0 {
+					is.True(retired.storage.Ready() != nil)
+					retired.removed = true
+					is.Equal(f.retireNode("GET", retired.Host.Name), "200complete")
+					for remaining() > 0 {
 						call.sleep(time.Second)
 					}
 					is.Equal(f.Tally.Counts["conversations_whole"], 3)
@@ -461,11 +463,11 @@
 // Runs every scenario on a fleet that bootstraps and reconciles its disk set by itself.
 func TestInvariantsHoldWhileReconciling(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}} {
-		for _, one := range Scenarios {
-			t.Run(fmt.Sprint(one.Name, "/", size.storage), func(t *testing.T) {
+		for _, scenario := range Scenarios {
+			t.Run(fmt.Sprint(scenario.Name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				for seed := uint64(1); seed <= uint64(*seedCount); seed++ {
-					outcome := one.Run(seed, reconcilingShape(size.storage, size.tolerate))
+					outcome := scenario.Run(seed, reconcilingShape(size.storage, size.tolerate))
 					t.Logf("seed %d, %.0f s: %v", seed, outcome.VirtualS, outcome.Counts)
 					for _, breach := range outcome.Breaches {
 						t.Errorf("seed %d: %s", seed, breach)
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -12,11 +12,11 @@
 
 // scheduleRecovery runs recover on the callers' host after a delay. A scenario does not end
 // before all recoveries have run.
-func (f *Fleet) scheduleRecovery(delay time.Duration, recover func()) {
+func (f *Fleet) scheduleRecovery(delay time.Duration, undo func()) {
 	f.pendingFaults++
 	f.CallerHost.Go(func() {
 		f.CallerHost.Clock().Sleep(delay)
-		recover()
+		undo()
 		f.pendingFaults--
 	})
 }
@@ -131,6 +131,7 @@
 	f.scheduleRecovery(span, func() { m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, minSync, maxSync })
 }
 
+// workerFaults are the faults of model workers; setWorkerFaultRates draws from the first five.
 var workerFaults = []standin.Trouble{standin.Cut, standin.Malformed, standin.NoFinish, standin.Busy, standin.Fail, standin.Overrun, standin.Silent, standin.Refuse}
 
 // setWorkerFaultRates makes model and tool workers fail requests at the given rates.
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -27,7 +27,8 @@
 	Counters     *base.Counters
 	StorageErr   error
 	openRequests int
-	stopping     bool
+	// stopping machines accept no new requests.
+	stopping bool
 	// removed machines never come back.
 	removed bool
 	// startedBefore is set from the machine's first start on.
@@ -61,10 +62,10 @@
 	// pendingFaults counts injected faults that are not undone yet.
 	pendingFaults int
 	// disabled, set by tests only, disables mechanisms that Net.Intercept cannot reach.
-	disabled mechanisms
+	disabled disabledMechanisms
 	// configure, if set, changes a process's environment and configuration. onBuilt, if set,
 	// is called after a gateway or core was built, before it starts.
-	configure func(m *Machine, env *node.Env, place *node.Config)
+	configure func(m *Machine, env *node.Env, config *node.Config)
 	onBuilt   func(m *Machine)
 }
 
@@ -72,7 +73,7 @@
 // seed addresses, the end marker of an answer, the id that a worker is expected to have, the
 // id that an answer must carry, the proof that a request has not run, and the last check of
 // the worker list before a request is sent.
-type mechanisms struct{ gracefulStop, seeds, endMarker, expectedID, answerID, notRunProof, finalListCheck bool }
+type disabledMechanisms struct{ gracefulStop, seeds, endMarker, expectedID, answerID, notRunProof, finalListCheck bool }
 
 // NewFleet builds a fleet and starts its machines.
 func NewFleet(seed uint64, shape Shape) *Fleet {
@@ -147,7 +148,7 @@
 	h.alive, h.dark, m.openRequests, m.stopping, m.stopRequested = true, false, 0, false, false
 	m.gateway, m.core, m.storage = nil, nil, nil
 	m.Counters = base.NewCounters()
-	env := node.Env{Clock: h.Clock(), HTTPClient: f.Net.Wire(h), Files: m.Disk, Counters: m.Counters,
+	env := node.Env{Clock: h.Clock(), HTTPClient: f.Net.HTTPClient(h), Files: m.Disk, Counters: m.Counters,
 		Backends: &Backends{net: f.Net, host: h, models: f.modelsByID, tools: f.toolsByID, lost: &f.disabled}}
 	config := node.Config{Addr: h.Name + ":1", PublicAddr: h.Name + ":2", Zone: h.Zone, Seeds: []string{f.Cores[0].Host.Name + ":1", f.Cores[len(f.Cores)-1].Host.Name + ":1", f.Storage[0].Host.Name + ":1"}}
 	if f.SeedAddrs != nil {
@@ -234,7 +235,7 @@
 // Stop ends a machine as SIGTERM does: the process drains and stops, and is killed when it
 // takes longer than stopTimeout.
 func (f *Fleet) Stop(m *Machine) {
-	bell := base.NewNotifier(f.CallerHost.Clock())
+	notifier := base.NewNotifier(f.CallerHost.Clock())
 	drained, life := false, m.Host.life
 	m.Host.Go(func() {
 		switch {
@@ -249,7 +250,7 @@
 			m.storage.Stop()
 		}
 		drained = true
-		bell.Notify()
+		notifier.Notify()
 	})
 	m.stopping = true
 	if f.disabled.gracefulStop {
@@ -257,7 +258,7 @@
 		f.Kill(m)
 	}
 	for end := f.World.now + stopTimeout + time.Second; (!drained || m.openRequests > 0) && m.Host.life == life && f.World.now < end; {
-		bell.Next().Wait(pollEvery)
+		notifier.Next().Wait(pollEvery)
 	}
 	m.stopping = false
 	if m.Host.life == life {
@@ -277,7 +278,7 @@
 
 // OperatorRequestWithQuery is OperatorRequest with query parameters.
 func (f *Fleet) OperatorRequestWithQuery(m *Machine, method, path string, query map[string]string, body any) (status int, answer []byte) {
-	bell := base.NewNotifier(f.CallerHost.Clock())
+	notifier := base.NewNotifier(f.CallerHost.Clock())
 	if !m.Host.alive || m.core == nil {
 		return 0, nil
 	}
@@ -285,11 +286,11 @@
 	m.Host.Go(func() {
 		response := m.core.OperatorAPI.Handle(base.NewCtx(m.Host.Clock(), 30*time.Second), &front.Request{Method: method, Path: path, Query: query, Body: base.MustMarshal(body)})
 		status, answer, done = response.Status, response.Body, true
-		bell.Notify()
+		notifier.Notify()
 	})
 	end := f.World.now + 40*time.Second
 	for !done && f.World.now < end {
-		next := bell.Next()
+		next := notifier.Next()
 		if done {
 			break
 		}
--- a/internal/simulate/followers_test.go
+++ b/internal/simulate/followers_test.go
@@ -18,18 +18,18 @@
 	defer f.World.Close()
 	bound := base.DefaultBounds().SettingsApply
 	for round, both := range []bool{false, true} {
-		owner := f.feedLeader()
+		leader := f.feedLeader()
 		for _, m := range append(append([]*Machine{}, f.Cores...), f.Storage...) {
-			if m != owner {
-				f.Net.CutLink(owner.Host.Name, m.Host.Name)
+			if m != leader {
+				f.Net.CutLink(leader.Host.Name, m.Host.Name)
 				if both {
-					f.Net.CutLink(m.Host.Name, owner.Host.Name)
+					f.Net.CutLink(m.Host.Name, leader.Host.Name)
 				}
 			}
 		}
 		f.World.Run(f.World.Now()+2*time.Second, nil)
 		took := f.appliedBy(func() *Machine {
-			return base.Filter(f.Cores, func(m *Machine) bool { return m != owner })[0]
+			return base.Filter(f.Cores, func(m *Machine) bool { return m != leader })[0]
 		}, 1+round)
 		t.Logf("both ways %v: settings reach the last gateway %v after they were acknowledged", both, took)
 		is.True(took < bound)
--- a/internal/simulate/history_test.go
+++ b/internal/simulate/history_test.go
@@ -31,7 +31,7 @@
 func newHistoryWriter(f *Fleet) *historyWriter {
 	bounds := &base.AtomicPointer[base.Bounds]{}
 	bounds.Store(base.DefaultBounds())
-	client := ledger.NewClient(f.CallerHost.Clock(), f.Net.Wire(f.CallerHost), f.diskSet, f.CallerHost.Zone, f.Shape.Tolerate, bounds, base.NewCounters(), nil)
+	client := ledger.NewClient(f.CallerHost.Clock(), f.Net.HTTPClient(f.CallerHost), f.diskSet, f.CallerHost.Zone, f.Shape.Tolerate, bounds, base.NewCounters(), nil)
 	return &historyWriter{fleet: f, client: client, ackedTurns: make([][]string, historyPrograms), epochs: make([]uint64, historyPrograms)}
 }
 
@@ -39,44 +39,45 @@
 	return base.NewCtx(w.fleet.CallerHost.Clock(), 6*time.Second)
 }
 
-func programName(place int) string { return fmt.Sprintf("program-%d", place) }
+// programName returns the name of the program at an index.
+func programName(index int) string { return fmt.Sprintf("program-%d", index) }
 
 // lastTurn returns the newest acknowledged turn of a program, or "".
-func (w *historyWriter) lastTurn(place int) string {
-	if count := len(w.ackedTurns[place]); count > 0 {
-		return w.ackedTurns[place][count-1]
+func (w *historyWriter) lastTurn(index int) string {
+	if count := len(w.ackedTurns[index]); count > 0 {
+		return w.ackedTurns[index][count-1]
 	}
 	return ""
 }
 
 // runTurn begins and finishes a program's next turn and reports whether it was acknowledged.
-func (w *historyWriter) runTurn(place int) bool {
+func (w *historyWriter) runTurn(index int) bool {
 	w.attempts++
-	program, previous := programName(place), w.lastTurn(place)
+	program, previous := programName(index), w.lastTurn(index)
 	id := fmt.Sprintf("%s.%d", program, w.attempts)
 	run := "run-" + program
 	claim, err := w.client.Begin(w.ctx(), &ledger.BeginParams{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
-		Run: run, Epoch: w.epochs[place], Confirmed: w.epochs[place] > 0, Retention: historyRetention})
+		Run: run, Epoch: w.epochs[index], Confirmed: w.epochs[index] > 0, Retention: historyRetention})
 	if err != nil || !claim.Granted {
 		return false
 	}
-	w.epochs[place] = claim.Epoch
+	w.epochs[index] = claim.Epoch
 	err = w.client.Finish(w.ctx(), &ledger.FinishParams{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
 		Run: run, Epoch: claim.Epoch, Input: []byte("in " + id), Output: []byte("out " + id), Retention: historyRetention})
 	if err != nil {
 		return false
 	}
-	w.ackedTurns[place] = append(w.ackedTurns[place], id)
+	w.ackedTurns[index] = append(w.ackedTurns[index], id)
 	return true
 }
 
 // runRound runs one turn of each program.
 func (w *historyWriter) runRound() {
-	for place := range w.ackedTurns {
+	for index := range w.ackedTurns {
 		if w.paused {
 			return
 		}
-		w.runTurn(place)
+		w.runTurn(index)
 	}
 }
 
@@ -96,17 +97,17 @@
 
 // missingTurns lists the programs whose acknowledged turns cannot all be read.
 func (w *historyWriter) missingTurns() (missing []string) {
-	for place := range w.ackedTurns {
-		acknowledged := w.ackedTurns[place]
+	for index := range w.ackedTurns {
+		acknowledged := w.ackedTurns[index]
 		if len(acknowledged) == 0 {
 			continue
 		}
-		chain, err := w.client.Chain(w.ctx(), programName(place), acknowledged[len(acknowledged)-1])
+		chain, err := w.client.Chain(w.ctx(), programName(index), acknowledged[len(acknowledged)-1])
 		switch {
 		case err != nil:
-			missing = append(missing, fmt.Sprintf("%s: %v", programName(place), err))
+			missing = append(missing, fmt.Sprintf("%s: %v", programName(index), err))
 		case len(chain) < len(acknowledged):
-			missing = append(missing, fmt.Sprintf("%s: %d of %d turns", programName(place), len(chain), len(acknowledged)))
+			missing = append(missing, fmt.Sprintf("%s: %d of %d turns", programName(index), len(chain), len(acknowledged)))
 		}
 	}
 	return missing
@@ -118,13 +119,13 @@
 
 // stuckPrograms lists the programs whose next turn is not acknowledged.
 func (w *historyWriter) stuckPrograms() (stuck []string) {
-	for place := range w.ackedTurns {
+	for index := range w.ackedTurns {
 		acknowledged := false
 		for try := 0; try < nextTurnAttempts && !acknowledged; try++ {
-			acknowledged = w.runTurn(place)
+			acknowledged = w.runTurn(index)
 		}
 		if !acknowledged {
-			stuck = append(stuck, fmt.Sprintf("%s: next turn not acknowledged", programName(place)))
+			stuck = append(stuck, fmt.Sprintf("%s: next turn not acknowledged", programName(index)))
 		}
 	}
 	return stuck
--- a/internal/simulate/isolation.go
+++ b/internal/simulate/isolation.go
@@ -103,8 +103,8 @@
 	Seed     uint64
 }
 
-func (c IsolationPlan) String() string {
-	return fmt.Sprintf("%s, seed %d, %s, %s", c.Size, c.Seed, c.Target, c.Mode)
+func (p IsolationPlan) String() string {
+	return fmt.Sprintf("%s, seed %d, %s, %s", p.Size, p.Seed, p.Target, p.Mode)
 }
 
 // IsolationResult is the result of an isolation.
@@ -152,9 +152,9 @@
 }
 
 // Run runs the plan. prepare, if not nil, may change the fleet before.
-func (c IsolationPlan) Run(prepare func(f *Fleet)) *IsolationResult {
-	result := &IsolationResult{IsolationPlan: c}
-	t := NewTier(c.Seed, IsolationShape(c.Size), nil)
+func (p IsolationPlan) Run(prepare func(f *Fleet)) *IsolationResult {
+	result := &IsolationResult{IsolationPlan: p}
+	t := NewTier(p.Seed, IsolationShape(p.Size), nil)
 	defer t.World.Close()
 	if prepare != nil {
 		prepare(t.Fleet)
@@ -200,7 +200,7 @@
 	for range 2 {
 		spawn(func() { r.readLoop(running) })
 	}
-	spawn(func() { r.rejectableCallLoop(running) })
+	spawn(func() { r.predictableCallLoop(running) })
 	clock.Sleep(time.Second + r.World.Between(0, 300*time.Millisecond))
 	r.isolate()
 	spawn(r.measureMajorityAck)
@@ -276,6 +276,7 @@
 	return r.result.Mode == IsolationFrozen || r.result.Mode == IsolationKilled || r.result.Mode == IsolationPowerLoss
 }
 
+// stopMachine freezes a machine, kills its process or cuts its power.
 func (r *isolationRun) stopMachine(m *Machine) {
 	switch r.result.Mode {
 	case IsolationFrozen:
@@ -445,9 +446,9 @@
 	}
 }
 
-// rejectableCallLoop sends calls whose result is known in advance: changes on an outdated
+// predictableCallLoop sends calls whose result is known in advance: changes on an outdated
 // version, orders that were acknowledged before, and retirements of unknown machines.
-func (r *isolationRun) rejectableCallLoop(running func() bool) {
+func (r *isolationRun) predictableCallLoop(running func() bool) {
 	for round := 0; running(); round++ {
 		m := r.pickMachine(r.Cores)
 		switch round % 4 {
--- a/internal/simulate/isolation_removal_test.go
+++ b/internal/simulate/isolation_removal_test.go
@@ -20,8 +20,8 @@
 	log.SetLevel(log.ErrorLevel)
 	for _, row := range []struct {
 		mechanism string
-		take      func(f *Fleet)
-		word      string
+		disable   func(f *Fleet)
+		expected  string
 	}{
 		{"the confirmation before a read", onPath("Disk/Confirm", func(*Message) *http.Response {
 			return replied(&register.Ack{Ok: true})
@@ -30,29 +30,29 @@
 			return replied(&register.Ack{Ok: true})
 		}), "an isolated core answered: stale PUT"},
 		{"the majority before an acknowledgement", onPath("Disk/Append", func(m *Message) *http.Response {
-			var asked register.AppendRequest
-			_ = proto.Unmarshal(m.Body, &asked)
-			if len(asked.Entries) == 0 {
+			var request register.AppendRequest
+			_ = proto.Unmarshal(m.Body, &request)
+			if len(request.Entries) == 0 {
 				response, _ := m.Forward(m.Body)
 				return response
 			}
-			return replied(&register.Ack{Ok: true, Seq: asked.Entries[len(asked.Entries)-1].Seq})
+			return replied(&register.Ack{Ok: true, Seq: request.Entries[len(request.Entries)-1].Seq})
 		}), "an isolated core answered: PUT"},
 	} {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
 			const maxSeeds = 12 // the first seed that detects it ends the test
 			for seed := uint64(1); seed <= maxSeeds; seed++ {
-				run := IsolationPlan{Size: "tills", Target: TargetLeader, Mode: IsolationSilent, Duration: 10 * time.Second, Seed: seed}.Run(row.take)
+				run := IsolationPlan{Size: "tills", Target: TargetLeader, Mode: IsolationSilent, Duration: 10 * time.Second, Seed: seed}.Run(row.disable)
 				for _, breach := range run.Breaches {
-					if strings.Contains(breach, row.word) {
+					if strings.Contains(breach, row.expected) {
 						t.Logf("without %s: seed %d: %.300s", row.mechanism, seed, breach)
 						return
 					}
 				}
 				t.Logf("seed %d: %d other breaches", seed, len(run.Breaches))
 			}
-			t.Errorf("none of %d seeds reported %q", maxSeeds, row.word)
+			t.Errorf("none of %d seeds reported %q", maxSeeds, row.expected)
 		})
 	}
 }
--- a/internal/simulate/isolation_restart_test.go
+++ b/internal/simulate/isolation_restart_test.go
@@ -15,17 +15,19 @@
 func TestGatewaysSkipCoreWithoutDiskSet(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
-	for place := range IsolationSizes["tills"][1] {
+	for index := range IsolationSizes["tills"][1] {
 		for seed := uint64(1); seed <= 2; seed++ {
-			t.Run(fmt.Sprintf("core %d, seed %d", place, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("core %d, seed %d", index, seed), func(t *testing.T) {
 				t.Parallel()
-				restartWhileIsolated(t, place, seed)
+				restartWhileIsolated(t, index, seed)
 			})
 		}
 	}
 }
 
-func restartWhileIsolated(t *testing.T, place int, seed uint64) {
+// restartWhileIsolated isolates one core, restarts it and the other cores, and checks that
+// every gateway gets the next configuration in time.
+func restartWhileIsolated(t *testing.T, index int, seed uint64) {
 	tier := NewTier(seed, IsolationShape("tills"), nil)
 	defer tier.World.Close()
 	done := false
@@ -36,7 +38,7 @@
 			return
 		}
 		clock := tier.CallerHost.Clock()
-		isolated := tier.Cores[place]
+		isolated := tier.Cores[index]
 		for _, other := range append(append([]*Machine{}, tier.Cores...), tier.Storage...) {
 			if other != isolated {
 				tier.Net.CutLink(isolated.Host.Name, other.Host.Name)
--- a/internal/simulate/isolation_test.go
+++ b/internal/simulate/isolation_test.go
@@ -35,8 +35,8 @@
 			}
 			var runs []*IsolationResult
 			for seed := range uint64(count) {
-				target, way := isolationCase(seed)
-				runs = append(runs, runPlan(t, IsolationPlan{Size: size, Target: target, Mode: way, Duration: 20 * time.Second, Seed: seed + 1}))
+				target, mode := isolationCase(seed)
+				runs = append(runs, runPlan(t, IsolationPlan{Size: size, Target: target, Mode: mode, Duration: 20 * time.Second, Seed: seed + 1}))
 			}
 			logTimes(t, runs)
 		})
@@ -60,12 +60,12 @@
 	log.SetLevel(log.ErrorLevel)
 	seedsBySize := map[string]int{"tills": 4, "pay": 4, "grown tills": 1, "grown pay": 1}
 	for _, size := range []string{"tills", "pay", "grown tills", "grown pay"} {
-		for _, way := range []IsolationMode{IsolationKilled, IsolationPowerLoss, IsolationFrozen, IsolationSilent} {
-			t.Run(size+", "+string(way), func(t *testing.T) {
+		for _, mode := range []IsolationMode{IsolationKilled, IsolationPowerLoss, IsolationFrozen, IsolationSilent} {
+			t.Run(size+", "+string(mode), func(t *testing.T) {
 				t.Parallel()
 				var runs []*IsolationResult
 				for seed := range uint64(max(seedsBySize[size], *isolationSeeds)) {
-					runs = append(runs, runPlan(t, IsolationPlan{Size: size, Target: TargetLeader, Mode: way, Duration: 6 * time.Second, Seed: seed + 1}))
+					runs = append(runs, runPlan(t, IsolationPlan{Size: size, Target: TargetLeader, Mode: mode, Duration: 6 * time.Second, Seed: seed + 1}))
 				}
 				logTimes(t, runs)
 				for _, run := range runs {
--- a/internal/simulate/limits_test.go
+++ b/internal/simulate/limits_test.go
@@ -31,8 +31,8 @@
 		}
 		peaks := []int{}
 		for wave := 0; wave < 12; wave++ {
-			left := f.StartCallers(6, 3, true, func(c *standin.Caller) { c.Name = fmt.Sprint("w", wave, c.Name) })
-			for left() > 0 {
+			remaining := f.StartCallers(6, 3, true, func(c *standin.Caller) { c.Name = fmt.Sprint("w", wave, c.Name) })
+			for remaining() > 0 {
 				call.sleep(200 * time.Millisecond)
 			}
 			peaks = append(peaks, maxKeys())
@@ -63,14 +63,14 @@
 	shape := SmallShape()
 	shape.Capacity, shape.Gap = 4, 50*time.Millisecond
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":4,"waiting":16`, 1)
-	goodput := func(callers int) (whole int, counts map[string]int) {
+	goodput := func(callers int) (completed int, counts map[string]int) {
 		script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 			f.StartUsageReports(500 * time.Millisecond)
 			f.StartCallers(callers, 1000, false, func(c *standin.Caller) { c.Patience = time.Hour })
 			call.sleep(20 * time.Second)
-			whole, counts = f.Tally.Counts["turns_whole"], f.Tally.Counts
+			completed, counts = f.Tally.Counts["turns_whole"], f.Tally.Counts
 		})
-		return whole, counts
+		return completed, counts
 	}
 	is := is.New(t)
 	atSaturation, _ := goodput(8)
@@ -87,7 +87,7 @@
 	shape.Models, shape.Capacity, shape.Gap = 1, 4, 50*time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		runaway, secret := call.program(100000, nil)
-		for place := 0; place < 40; place++ {
+		for i := 0; i < 40; i++ {
 			path, key := call.session(0, runaway, secret, nil)
 			f.CallerHost.Go(func() {
 				for number := 0; number < 100; number++ {
@@ -100,8 +100,8 @@
 		path, key := call.session(0, program, secret, nil)
 		for number := 0; number < 5; number++ {
 			start := f.World.Now()
-			verdict, _, _ := call.turn(0, path, key, program, fmt.Sprint("t", number), "").final()
-			is.Equal(verdict, "success")
+			outcome, _, _ := call.turn(0, path, key, program, fmt.Sprint("t", number), "").final()
+			is.Equal(outcome, "success")
 			is.True(f.World.Now()-start < 2*time.Second) // a turn takes 0.3 s; 36 turns of the runaway program are queued
 		}
 	})
@@ -122,10 +122,10 @@
 		status, _ = apply(1, "one", "def nominate(leg, workers):\n  return workers[-1]['id']\ndef admit(session):\n  return session['urgency'] != 'low'")
 		is.Equal(status, 200)
 		program, secret := call.program(1000, nil)
-		for place := 0; place < 3; place++ {
-			path, key := call.session(place, program, secret, nil)
-			verdict, _, _ := call.turn(place, path, key, program, fmt.Sprint("p", place), "").final()
-			is.Equal(verdict, "success")
+		for i := 0; i < 3; i++ {
+			path, key := call.session(i, program, secret, nil)
+			outcome, _, _ := call.turn(i, path, key, program, fmt.Sprint("p", i), "").final()
+			is.Equal(outcome, "success")
 		}
 		_, _, first, _ := f.Models[0].Record()
 		_, _, last, _ := f.Models[1].Record()
@@ -138,8 +138,8 @@
 		is.Equal(status, 200)
 		program, secret = call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
-		verdict, _, _ := call.turn(0, path, key, program, "x", "").final()
-		is.Equal(verdict, "success")
+		outcome, _, _ := call.turn(0, path, key, program, "x", "").final()
+		is.Equal(outcome, "success")
 		is.True(f.CounterTotal("policy_faults") > 0)
 	})
 }
--- a/internal/simulate/net.go
+++ b/internal/simulate/net.go
@@ -13,7 +13,8 @@
 	"fordseam/internal/base"
 )
 
-type httpHandler http.Handler
+// handler serves the requests that reach a host.
+type handler http.Handler
 
 // NetworkFaults are the probabilities of faults per message.
 type NetworkFaults struct {
@@ -67,6 +68,7 @@
 // HostTraffic is one machine's part of the traffic.
 type HostTraffic struct{ RequestsSent, RequestsReceived, Bytes int }
 
+// hostTraffic returns the entry of a host in TrafficByHost.
 func (n *Net) hostTraffic(host string) *HostTraffic {
 	if n.TrafficByHost[host] == nil {
 		n.TrafficByHost[host] = &HostTraffic{}
@@ -144,17 +146,20 @@
 	return time.Duration(bytes) * time.Second / time.Duration(n.BytesPerSecond)
 }
 
-// Wire returns a host's client for requests to other machines; addresses are host names with
+// HTTPClient returns a host's client for requests to other machines; addresses are host names with
 // a port.
-func (n *Net) Wire(h *Host) base.HTTPClient { return &wire{n, h} }
+func (n *Net) HTTPClient(h *Host) base.HTTPClient { return &hostClient{n, h} }
 
-type wire struct {
+// hostClient is the HTTP client of one host.
+type hostClient struct {
 	net  *Net
 	host *Host
 }
 
+// errNoReply reports a request that may have been processed.
 var errNoReply = errors.New("no reply in time")
 
+// hostName returns an address without its port.
 func hostName(addr string) string {
 	for i := range addr {
 		if addr[i] == ':' {
@@ -164,8 +169,10 @@
 	return addr
 }
 
-func (x *wire) Do(request *http.Request) (*http.Response, error) {
-	n, w := x.net, x.net.World
+// Do sends a request through Intercept, if set, and returns the response. The request's
+// context bounds the wait; without one it is 10 s.
+func (c *hostClient) Do(request *http.Request) (*http.Response, error) {
+	n, world := c.net, c.net.World
 	timeout := 10 * time.Second
 	if ctx, ok := request.Context().Value(base.CtxKey).(*base.Ctx); ok {
 		timeout = ctx.Remaining()
@@ -179,12 +186,12 @@
 		return nil, err
 	}
 	if n.Intercept == nil {
-		return x.roundTrip(request, body, timeout)
+		return c.roundTrip(request, body, timeout)
 	}
 	var forwardErr error
-	response := n.Intercept(&Message{From: x.host, To: w.Hosts[hostName(request.URL.Host)], Path: request.URL.Path, Body: body,
+	response := n.Intercept(&Message{From: c.host, To: world.Hosts[hostName(request.URL.Host)], Path: request.URL.Path, Body: body,
 		Forward: func(body []byte) (response *http.Response, err error) {
-			response, forwardErr = x.roundTrip(request, body, timeout)
+			response, forwardErr = c.roundTrip(request, body, timeout)
 			return response, forwardErr
 		}})
 	switch {
@@ -200,28 +207,28 @@
 type pendingCall struct{ reset base.Signal }
 
 // roundTrip delivers a request to its machine and returns the response.
-func (x *wire) roundTrip(request *http.Request, body []byte, timeout time.Duration) (*http.Response, error) {
-	n, w := x.net, x.net.World
+func (c *hostClient) roundTrip(request *http.Request, body []byte, timeout time.Duration) (*http.Response, error) {
+	n, world := c.net, c.net.World
 	n.MessageCount++
 	path := request.URL.Path
-	n.recordTraffic(x.host.Name, hostName(request.URL.Host), path, 1, messageSize(len("POST  HTTP/1.1\r\nHost: \r\n")+len(path)+len(request.URL.Host), request.Header, len(body)))
-	target := w.Hosts[hostName(request.URL.Host)]
+	n.recordTraffic(c.host.Name, hostName(request.URL.Host), path, 1, messageSize(len("POST  HTTP/1.1\r\nHost: \r\n")+len(path)+len(request.URL.Host), request.Header, len(body)))
+	target := world.Hosts[hostName(request.URL.Host)]
 	if target == nil || !target.alive && !target.dark {
-		x.host.Clock().Sleep(n.delay())
+		c.host.Clock().Sleep(n.delay())
 		return nil, &base.NotSent{Cause: errors.New("connection refused")}
 	}
-	done := (&clock{x.host}).NewSignal()
-	if target.dark || n.isCut(x.host.Name, target.Name) || n.isCut(target.Name, x.host.Name) && w.Chance(0.5) {
+	done := (&clock{c.host}).NewSignal()
+	if target.dark || n.isCut(c.host.Name, target.Name) || n.isCut(target.Name, c.host.Name) && world.Chance(0.5) {
 		n.LostCount++
 		if n.LinkFailure != LinkSilent && !target.dark {
-			x.host.Clock().Sleep(n.delay())
+			c.host.Clock().Sleep(n.delay())
 			if n.LinkFailure == LinkRefused {
 				return nil, &base.NotSent{Cause: errors.New("connection refused")}
 			}
 			return nil, errNoReply
 		}
 		done.Wait(timeout)
-		if w.Chance(0.5) {
+		if world.Chance(0.5) {
 			return nil, &base.NotSent{Cause: errors.New("no route")}
 		}
 		return nil, errNoReply
@@ -230,44 +237,44 @@
 		pending := &pendingCall{reset: done}
 		target.calls = append(target.calls, pending)
 		defer func() {
-			target.calls = base.Filter(target.calls, func(one *pendingCall) bool { return one != pending })
+			target.calls = base.Filter(target.calls, func(call *pendingCall) bool { return call != pending })
 		}()
 	}
 	var response *http.Response
 	deliver := func(delay time.Duration, answered bool) {
 		life := target.life
-		w.spawn(target, life, w.now+delay, func() {
+		world.spawn(target, life, world.now+delay, func() {
 			if target.serve == nil {
 				return
 			}
 			recorder := httptest.NewRecorder()
-			arrived := request.Clone(context.Background())
-			arrived.Body, arrived.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
-			arrived.RequestURI = request.URL.RequestURI()
-			target.serve.ServeHTTP(recorder, arrived)
-			if !answered || n.isCut(target.Name, x.host.Name) || w.Chance(n.Faults.LossRate) {
+			delivered := request.Clone(context.Background())
+			delivered.Body, delivered.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
+			delivered.RequestURI = request.URL.RequestURI()
+			target.serve.ServeHTTP(recorder, delivered)
+			if !answered || n.isCut(target.Name, c.host.Name) || world.Chance(n.Faults.LossRate) {
 				n.LostCount++
 				if answered && n.LinkFailure != LinkSilent {
 					done.Fire() // without a response, as a connection reset
 				}
 				return
 			}
-			target.Clock().Sleep(n.delay() + n.transmissionTime(recorder.Body.Len()) + x.host.Lag + target.Lag + x.host.work())
+			target.Clock().Sleep(n.delay() + n.transmissionTime(recorder.Body.Len()) + c.host.Lag + target.Lag + c.host.work())
 			response = recorder.Result()
-			n.recordTraffic(x.host.Name, target.Name, path, 0, messageSize(len("HTTP/1.1 200 OK\r\n"), response.Header, recorder.Body.Len()))
+			n.recordTraffic(c.host.Name, target.Name, path, 0, messageSize(len("HTTP/1.1 200 OK\r\n"), response.Header, recorder.Body.Len()))
 			done.Fire()
 		})
 	}
-	delay := n.delay() + n.transmissionTime(len(body)) + x.host.Lag + target.Lag + target.work()
-	if w.Chance(n.Faults.DelayRate) {
-		delay += w.Between(0, n.Faults.MaxExtraDelay)
+	delay := n.delay() + n.transmissionTime(len(body)) + c.host.Lag + target.Lag + target.work()
+	if world.Chance(n.Faults.DelayRate) {
+		delay += world.Between(0, n.Faults.MaxExtraDelay)
 	}
-	if w.Chance(n.Faults.LossRate) {
+	if world.Chance(n.Faults.LossRate) {
 		n.LostCount++
 	} else {
 		deliver(delay, true)
-		if w.Chance(n.Faults.DuplicateRate) {
-			deliver(delay+w.Between(0, n.Faults.MaxExtraDelay), false)
+		if world.Chance(n.Faults.DuplicateRate) {
+			deliver(delay+world.Between(0, n.Faults.MaxExtraDelay), false)
 		}
 	}
 	if !done.Wait(timeout) || response == nil {
--- a/internal/simulate/operate_test.go
+++ b/internal/simulate/operate_test.go
@@ -14,6 +14,7 @@
 	"github.com/matryer/is"
 )
 
+// unwellReasons returns what a core's status reports as unwell.
 func (f *Fleet) unwellReasons(m *Machine) string {
 	var view operate.StatusView
 	_, answer := f.OperatorRequest(m, "GET", "/v1/operator/status", nil)
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -11,6 +11,7 @@
 	"fordseam/internal/settings"
 )
 
+// defaultModelField is replaced in the settings document to mark a change.
 const defaultModelField = `"model":"stand-in"`
 
 // settingsWithMarker returns the fleet's settings document with a marker in it.
--- a/internal/simulate/orders.go
+++ b/internal/simulate/orders.go
@@ -99,8 +99,8 @@
 func NewOrderRun(seed uint64, shape OrderShape, prepare func(f *Fleet)) *OrderRun {
 	f := buildFleet(seed, Shape{Name: shape.Name, Zones: 4, Edges: shape.Gateways, Cores: shape.Cores, Storage: shape.Storage, Tolerate: shape.FaultTolerance, Found: true})
 	r := &OrderRun{Fleet: f, Rounds: 6, sentDocuments: map[string][][]byte{}, Kills: map[string]int{}}
-	f.configure = func(_ *Machine, env *node.Env, place *node.Config) {
-		place.Bounds = &base.Bounds{SettingsApply: 2 * time.Second, Drain: 3 * time.Second, Recovery: shape.RecoveryBound, Retention: time.Minute}
+	f.configure = func(_ *Machine, env *node.Env, config *node.Config) {
+		config.Bounds = &base.Bounds{SettingsApply: 2 * time.Second, Drain: 3 * time.Second, Recovery: shape.RecoveryBound, Retention: time.Minute}
 		env.Names = &platform.Names
 	}
 	f.onBuilt = func(m *Machine) {
@@ -135,6 +135,7 @@
 	return fmt.Appendf(nil, `{%s,"limits":{"header_bytes":16384.00,"idle_ms":1.5E+4},"\u0067eneration":%d,"operator":%q}`, extra, o.Version, o.Document)
 }
 
+// encodingVariants is the number of encodings that encode knows.
 const encodingVariants = 3
 
 func (o Order) key() string { return fmt.Sprintf("%d/%s", o.Version, o.Document) }
@@ -243,6 +244,7 @@
 	return names
 }
 
+// documentName returns the name of the document that a client sends.
 func documentName(client int) string {
 	return fmt.Sprintf("operator %d, draft %d", client%2, client/4)
 }
--- a/internal/simulate/orders_test.go
+++ b/internal/simulate/orders_test.go
@@ -41,6 +41,7 @@
 	return run, breaches
 }
 
+// summary returns counts of the history as text.
 func (r *OrderRun) summary() string {
 	count := map[OrderOutcome]int{}
 	for _, event := range r.History {
@@ -67,8 +68,8 @@
 
 func TestOrderModelRejectsViolations(t *testing.T) {
 	is := is.New(t)
-	event := func(began, ended int, outcome OrderOutcome, base, version uint64, document string) OrderEvent {
-		return OrderEvent{Order: Order{Base: base, Version: version, Document: document}, Outcome: outcome, Start: time.Duration(began), End: time.Duration(ended)}
+	event := func(start, end int, outcome OrderOutcome, base, version uint64, document string) OrderEvent {
+		return OrderEvent{Order: Order{Base: base, Version: version, Document: document}, Outcome: outcome, Start: time.Duration(start), End: time.Duration(end)}
 	}
 	invalid := event(1, 2, OrderAccepted, 0, 1, "a")
 	invalid.Order.Invalid = true
@@ -90,8 +91,8 @@
 		{"a refused order in force", []OrderEvent{event(1, 2, OrderRefused, 0, 1, "a"), event(3, 4, OrderRead, 0, 1, "a")}, porcupine.Illegal},
 		{"an invalid order taken", []OrderEvent{invalid}, porcupine.Illegal},
 	} {
-		if found := CheckLinearizable(row.history, linearizabilityTimeout); found != row.want {
-			t.Errorf("%s: result %s", row.name, found)
+		if result := CheckLinearizable(row.history, linearizabilityTimeout); result != row.want {
+			t.Errorf("%s: result %s", row.name, result)
 		}
 	}
 	is.True(len(OrderShapes) == 4)
@@ -100,20 +101,20 @@
 // Each mechanism that linearizability depends on is disabled; some seed must detect that.
 func TestDisabledOrderMechanismsAreDetected(t *testing.T) {
 	for _, row := range []struct {
-		mechanism string
-		stale     bool
-		take      func(f *Fleet)
+		mechanism        string
+		staleLeadersOnly bool
+		disable          func(f *Fleet)
 	}{
-		{"the history of orders", false, onChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+		{"the history of orders", false, onChange("route.change", func(_ *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			// Change the digest of outdated orders, so that they are not recognized as
 			// repeats.
 			var change route.Change
-			var now route.Document
+			var current route.Document
 			reply, response := pass("route.read", []byte("{}"))
-			if response == nil || response.StatusCode != http.StatusOK || json.Unmarshal(reply.Result, &now) != nil || json.Unmarshal(asked.Args, &change) != nil {
+			if response == nil || response.StatusCode != http.StatusOK || json.Unmarshal(reply.Result, &current) != nil || json.Unmarshal(request.Args, &change) != nil {
 				return response
 			}
-			if change.Base != now.Version {
+			if change.Base != current.Version {
 				change.Digest = base.Digest(nil)
 			}
 			_, response = pass("route.change", base.MustMarshal(change))
@@ -122,14 +123,14 @@
 		{"the confirmation before a refusal or a read", true, onPath("Disk/Confirm", func(*Message) *http.Response {
 			return replied(&register.Ack{Ok: true})
 		})},
-		{"the version that an order builds on", false, onChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+		{"the version that an order builds on", false, onChange("route.change", func(_ *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			var change route.Change
-			var now route.Document
+			var current route.Document
 			reply, response := pass("route.read", []byte("{}"))
-			if response == nil || response.StatusCode != http.StatusOK || json.Unmarshal(reply.Result, &now) != nil || json.Unmarshal(asked.Args, &change) != nil {
+			if response == nil || response.StatusCode != http.StatusOK || json.Unmarshal(reply.Result, &current) != nil || json.Unmarshal(request.Args, &change) != nil {
 				return response
 			}
-			change.Base = now.Version
+			change.Base = current.Version
 			_, response = pass("route.change", base.MustMarshal(change))
 			return response
 		})},
@@ -138,7 +139,7 @@
 			t.Parallel()
 			const maxSeeds = 40 // the first seed that detects it ends the test
 			for seed := uint64(1); seed <= maxSeeds; seed++ {
-				if run, breaches := runOrders(seed, OrderShapes[0], row.stale, row.take); len(breaches) > 0 {
+				if run, breaches := runOrders(seed, OrderShapes[0], row.staleLeadersOnly, row.disable); len(breaches) > 0 {
 					t.Logf("seed %d, %s: %s", seed, run.summary(), breaches)
 					return
 				}
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -24,8 +24,8 @@
 			}
 			program, secret := call.program(1000, nil)
 			path, key := call.session(0, program, secret, nil)
-			verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
-			is.Equal(verdict, "success")
+			outcome, _, _ := call.turn(1, path, key, program, "a", "").final()
+			is.Equal(outcome, "success")
 			tool := "/v1/programs/" + program + "/tools/loyalty"
 			is.Equal(call.send(1, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k").Status, 200)
 			before := call.send(1, "GET", "/v1/programs/"+program, secret, nil)
@@ -52,10 +52,10 @@
 			}
 			after := call.send(1, "GET", "/v1/programs/"+program, secret, nil)
 			is.Equal(after.text("spent_tokens"), before.text("spent_tokens"))
-			again := call.send(2, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k")
-			is.Equal(again.Header["Idempotent-Replayed"], "true")
-			verdict, _, _ = call.turn(2, path, key, program, "b", "a").final()
-			is.Equal(verdict, "success")
+			replayed := call.send(2, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k")
+			is.Equal(replayed.Header["Idempotent-Replayed"], "true")
+			outcome, _, _ = call.turn(2, path, key, program, "b", "a").final()
+			is.Equal(outcome, "success")
 			is.Equal(f.toolRuns(program+"/k"), 1)
 		})
 	}
@@ -67,8 +67,8 @@
 		script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 			program, secret := call.program(1000, nil)
 			path, key := call.session(0, program, secret, nil)
-			verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
-			is.Equal(verdict, "success")
+			outcome, _, _ := call.turn(1, path, key, program, "a", "").final()
+			is.Equal(outcome, "success")
 			f.PowerLoss(f.Storage[lost])
 			f.Storage[lost].Disk.Wipe()
 			for _, m := range append(append([]*Machine{}, f.Cores...), f.Gateways...) {
@@ -80,9 +80,9 @@
 			f.Start(f.Storage[lost]) // returns with an empty disk and without a vote
 			f.waitUntilServing(time.Minute)
 			after := call.turn(1, path, key, program, "b", "a")
-			verdict, _, _ = after.final()
+			outcome, _, _ = after.final()
 			is.Equal(after.Raw, "")
-			is.Equal(verdict, "success")
+			is.Equal(outcome, "success")
 			is.True(f.Storage[lost].storage.Ready() != nil)
 		})
 	}
@@ -104,8 +104,8 @@
 			is.True(tries < 20)
 		}
 		path, key := call.session(4, program, secret, nil)
-		verdict, _, _ := call.turn(3, path, key, program, "a", "").final()
-		is.Equal(verdict, "success")
+		outcome, _, _ := call.turn(3, path, key, program, "a", "").final()
+		is.Equal(outcome, "success")
 		is.Equal(call.send(0, "GET", "/v1/programs/"+program, secret, nil).Status, 503)
 		status, answer := f.OperatorRequest(f.Cores[2], "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.settingsWithMarker("new")})
 		f.resolveOutcome("new", 1, status, answer)
@@ -121,8 +121,8 @@
 		for _, m := range f.Gateways {
 			is.Equal(m.gateway.SettingsVersion(), uint64(2))
 		}
-		verdict, _, _ = call.turn(0, path, key, program, "b", "a").final()
-		is.Equal(verdict, "success")
+		outcome, _, _ = call.turn(0, path, key, program, "b", "a").final()
+		is.Equal(outcome, "success")
 	})
 }
 
@@ -133,14 +133,14 @@
 	bring(t, *seedCount, KiondoShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
 		formed(t, f)
-		left := f.StartCallers(12, 8, true, func(c *standin.Caller) {
+		remaining := f.StartCallers(12, 8, true, func(c *standin.Caller) {
 			c.Between = func(int) {
 				c.Home = int(f.World.Int64N(int64(len(f.Gateways)))) // so that turns are forwarded to their owners
 				c.Clock.Sleep(f.World.Between(0, time.Second))
 			}
 		})
 		f.CallerHost.Go(func() {
-			for round := 0; left() > 0; round++ {
+			for round := 0; remaining() > 0; round++ {
 				m := f.Gateways[round%len(f.Gateways)]
 				if round%3 == 2 {
 					m = f.Cores[round%len(f.Cores)]
@@ -151,7 +151,7 @@
 				f.CallerHost.Clock().Sleep(2 * time.Second)
 			}
 		})
-		is.True(f.World.Run(f.World.Now()+5*time.Minute, func() bool { return left() == 0 }))
+		is.True(f.World.Run(f.World.Now()+5*time.Minute, func() bool { return remaining() == 0 }))
 		t.Logf("%v", f.Tally.Counts)
 		is.Equal(f.Tally.Counts["conversations_whole"], 12)
 		is.Equal(f.Tally.Counts["turns_dropped"], 0)
@@ -166,8 +166,8 @@
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
-		verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
-		is.Equal(verdict, "success")
+		outcome, _, _ := call.turn(1, path, key, program, "a", "").final()
+		is.Equal(outcome, "success")
 		answers := map[string]told{}
 		for _, id := range []string{"b", "c", "d"} {
 			f.CallerHost.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
@@ -175,23 +175,23 @@
 		call.sleep(3 * time.Millisecond)
 		f.Gateways[0].Host.Freeze()
 		frozen := f.World.Now()
-		verdict, _, _ = call.turn(1, path, key, program, "e", "a").final()
-		is.Equal(verdict, "success")
+		outcome, _, _ = call.turn(1, path, key, program, "e", "a").final()
+		is.Equal(outcome, "success")
 		is.True(f.World.Now()-frozen < 4*time.Second) // the owner was taken for lost, not slow, and taken over
 		sent := f.Gateways[0].Counters.Snapshot()["legs_sent"]
 		f.Gateways[0].Host.Thaw()
 		call.sleep(20 * time.Second)
 		is.Equal(f.Gateways[0].Counters.Snapshot()["legs_sent"], sent)
 		for _, id := range []string{"b", "c", "d"} {
-			verdict, ran, _ := answers[id].final()
+			outcome, execution, _ := answers[id].final()
 			if answers[id].Status != 200 {
-				ran = answers[id].text("error", "request")
+				execution = answers[id].text("error", "request")
 			}
-			if ran == "not_run" {
+			if execution == "not_run" {
 				is.Equal(f.modelRuns(program, id), 0)
 			}
 			// A successful turn ran through the session's new owner.
-			if verdict == "success" {
+			if outcome == "success" {
 				is.True(f.modelRuns(program, id) >= 1)
 			}
 		}
@@ -211,8 +211,8 @@
 		status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "lone", "based_on": 1, "document": f.settingsWithMarker("lone")})
 		is.Equal(status, 504) // outcome unknown
 		got := call.turn(0, path, key, program, "a", "")
-		verdict, _, _ := got.final()
-		is.True(verdict != "success")
+		outcome, _, _ := got.final()
+		is.True(outcome != "success")
 		is.True(call.send(1, "POST", "/v1/programs", "", map[string]any{"group": "g", "site": "main", "budget_tokens": 10}).Status != 201)
 		is.True(call.send(1, "POST", "/v1/programs/"+program+"/tools/loyalty", secret, `{}`, "idempotency-key", "k").Status != 200)
 		is.Equal(f.toolRuns(program+"/k"), 0) // without a claim the tool is not called
@@ -244,8 +244,8 @@
 	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
 		var leader, other *Machine
 		for _, m := range f.Cores {
-			slots, _ := m.core.RegisterServer.Status()
-			if slices.Contains(slots, 0) {
+			shards, _ := m.core.RegisterServer.Status()
+			if slices.Contains(shards, 0) {
 				leader = m
 			} else {
 				other = m
@@ -281,11 +281,11 @@
 		call.sleep(700 * time.Millisecond)
 		is.Equal(f.modelRuns(program, "a"), 1)
 		f.Kill(f.Gateways[0])
-		verdict, ran, code := call.turn(1, path, key, program, "a", "").final()
-		is.Equal(verdict+" "+ran+" "+code, "failed may_have_run worker_lost") // the lost attempt's tokens count as spent
+		outcome, execution, code := call.turn(1, path, key, program, "a", "").final()
+		is.Equal(outcome+" "+execution+" "+code, "failed may_have_run worker_lost") // the lost attempt's tokens count as spent
 		is.Equal(f.modelRuns(program, "a"), 1)
-		_, ran, code = call.turn(1, path, key, program, "b", "").final()
-		is.Equal(ran+" "+code, "not_run over_budget")
+		_, execution, code = call.turn(1, path, key, program, "b", "").final()
+		is.Equal(execution+" "+code, "not_run over_budget")
 	})
 }
 
@@ -304,23 +304,23 @@
 			call.sleep(20 * time.Millisecond)
 		}
 		call.sleep(200 * time.Millisecond)
-		_, ran, code := answers["full"].final()
-		is.Equal(code+" "+ran, "queue_full not_run")
+		_, execution, code := answers["full"].final()
+		is.Equal(code+" "+execution, "queue_full not_run")
 		is.Equal(call.send(1, "POST", path+"/turns/waits/cancel", key, nil).text("state"), "Cancelled")
-		poor, poorSecret := call.program(1, nil)
-		poorPath, poorKey := call.session(0, poor, poorSecret, nil)
-		verdict, _, _ := call.turn(0, poorPath, poorKey, poor, "first", "").final()
-		is.Equal(verdict, "success")
-		_, ran, code = call.turn(0, poorPath, poorKey, poor, "over", "").final()
-		is.Equal(code+" "+ran, "over_budget not_run")
+		limited, limitedSecret := call.program(1, nil)
+		limitedPath, limitedKey := call.session(0, limited, limitedSecret, nil)
+		outcome, _, _ := call.turn(0, limitedPath, limitedKey, limited, "first", "").final()
+		is.Equal(outcome, "success")
+		_, execution, code = call.turn(0, limitedPath, limitedKey, limited, "over", "").final()
+		is.Equal(code+" "+execution, "over_budget not_run")
 		f.Kill(f.Gateways[0])
 		for _, id := range []string{"full", "waits"} {
-			_, ran, code = call.turn(1, path, key, program, id, "").final()
-			is.Equal(id+" "+code+" "+ran, id+" turn_refused not_run")
+			_, execution, code = call.turn(1, path, key, program, id, "").final()
+			is.Equal(id+" "+code+" "+execution, id+" turn_refused not_run")
 			is.Equal(f.modelRuns(program, id), 0)
 		}
-		verdict, _, _ = call.turn(1, path, key, program, "new", "").final()
-		is.Equal(verdict, "success")
+		outcome, _, _ = call.turn(1, path, key, program, "new", "").final()
+		is.Equal(outcome, "success")
 	})
 }
 
@@ -337,11 +337,11 @@
 			call.sleep(20 * time.Millisecond)
 		}
 		f.Storage[0].Disk.SyncStalled, f.Storage[1].Disk.SyncStalled = true, true
-		began := f.World.Now()
-		got := call.turn(0, path, key, program, "full", "")
-		is.True(f.World.Now()-began < 500*time.Millisecond) // without a wait for the disks
-		is.Equal(got.text("error", "request"), "may_have_run")
-		is.True(got.Header["Retry-After"] != "")
+		start := f.World.Now()
+		refused := call.turn(0, path, key, program, "full", "")
+		is.True(f.World.Now()-start < 500*time.Millisecond) // without a wait for the disks
+		is.Equal(refused.text("error", "request"), "may_have_run")
+		is.True(refused.Header["Retry-After"] != "")
 	})
 }
 
@@ -351,35 +351,35 @@
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
-		owner, held, silent, read := f.Gateways[0].Host, false, false, false
+		owner, replyHeld, followsBlocked, reloaded := f.Gateways[0].Host, false, false, false
 		f.Net.Intercept = func(m *Message) *http.Response {
-			for m.From == owner && silent && strings.HasSuffix(m.Path, "/Follow") {
+			for m.From == owner && followsBlocked && strings.HasSuffix(m.Path, "/Follow") {
 				owner.Clock().Sleep(20 * time.Millisecond)
 			}
 			response, _ := m.Forward(m.Body)
-			if m.From == owner && !held && bytes.Contains(m.Body, []byte("session.finish")) {
-				held, silent = true, true
+			if m.From == owner && !replyHeld && bytes.Contains(m.Body, []byte("session.finish")) {
+				replyHeld, followsBlocked = true, true
 				owner.Clock().Sleep(1500 * time.Millisecond)
-				for silent = false; !read; {
+				for followsBlocked = false; !reloaded; {
 					owner.Clock().Sleep(20 * time.Millisecond)
 				}
 			}
 			return response
 		}
 		f.CallerHost.Go(func() { call.turn(0, path, key, program, "a", "") })
-		for !held || silent {
+		for !replyHeld || followsBlocked {
 			call.sleep(10 * time.Millisecond)
 		}
 		for call.send(0, "GET", path, key, nil).text("turns") != "1" {
 			call.sleep(50 * time.Millisecond)
 		}
-		read = true
+		reloaded = true
 		is.True(f.Gateways[0].gateway.Follower.LeaseExpirations() > 0)
 		call.sleep(200 * time.Millisecond)
 		f.Net.Intercept = nil
 		next := call.turn(0, path, key, program, "b", "a")
-		verdict, _, _ := next.final()
-		is.Equal(verdict, "success")
+		outcome, _, _ := next.final()
+		is.Equal(outcome, "success")
 		is.True(strings.Contains(string(next.Events[0].Data), "3 messages")) // two of turn a and one of turn b
 	})
 }
--- a/internal/simulate/parties.go
+++ b/internal/simulate/parties.go
@@ -84,7 +84,7 @@
 	host   *Host
 	models map[string]*standin.Model
 	tools  map[string]*standin.Tool
-	lost   *mechanisms
+	lost   *disabledMechanisms
 }
 
 func (b *Backends) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
--- a/internal/simulate/world.go
+++ b/internal/simulate/world.go
@@ -39,7 +39,7 @@
 	alive  bool
 	frozen bool
 	kept   []*event
-	serve  httpHandler
+	serve  handler
 	ends   map[*Reply]struct{}
 	// dark machines have no power: they say nothing, where a process that has
 	// ended refuses.
