--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -119,23 +119,23 @@
 			return base.ToRequestError(err)
 		}
 		call.sleep(3 * time.Second)
-		edge := f.Gateways[0]
-		is.True(authorize(edge, "PAY.example:80", "/ask/x", "payslip") == nil)
-		is.True(authorize(edge, "pay.example", "/post/x", "") == nil) // calls no model, so the rules do not apply
-		refusal := authorize(edge, "pay.example", "/ask/x", "checkout")
+		gateway := f.Gateways[0]
+		is.True(authorize(gateway, "PAY.example:80", "/ask/x", "payslip") == nil)
+		is.True(authorize(gateway, "pay.example", "/post/x", "") == nil) // calls no model, so the rules do not apply
+		refusal := authorize(gateway, "pay.example", "/ask/x", "checkout")
 		is.Equal(refusal.Status, 403)
 		is.Equal(refusal.Code, "model_not_allowed")
 		is.Equal(refusal.Team, "clerks")
 		is.Equal(refusal.CurrentVersion, uint64(1))
 		is.Equal(refusal.Execution, base.NotRun)
-		is.Equal(authorize(edge, "till.example", "/x", "checkout").Code, "unknown_team")
-		f.Net.Isolate(map[string]bool{edge.Host.Name: true})
+		is.Equal(authorize(gateway, "till.example", "/x", "checkout").Code, "unknown_team")
+		f.Net.Isolate(map[string]bool{gateway.Host.Name: true})
 		call.sleep(3 * time.Second)
-		is.Equal(authorize(edge, "pay.example", "/ask/x", "payslip").Code, "no_confirmed_settings")
-		is.True(authorize(edge, "pay.example", "/post/x", "") == nil)
+		is.Equal(authorize(gateway, "pay.example", "/ask/x", "payslip").Code, "no_confirmed_settings")
+		is.True(authorize(gateway, "pay.example", "/post/x", "") == nil)
 		f.Net.Heal()
 		call.sleep(2 * time.Second)
-		is.True(authorize(edge, "pay.example", "/ask/x", "payslip") == nil)
+		is.True(authorize(gateway, "pay.example", "/ask/x", "payslip") == nil)
 	})
 }
 
@@ -145,14 +145,14 @@
 func TestGatewaysServeWithoutAccessRules(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(2 * time.Second)
-		edge := f.Gateways[0]
-		is.True(!edge.gateway.Access.HasRules())
-		f.Net.Isolate(map[string]bool{edge.Host.Name: true})
+		gateway := f.Gateways[0]
+		is.True(!gateway.gateway.Access.HasRules())
+		f.Net.Isolate(map[string]bool{gateway.Host.Name: true})
 		call.sleep(5 * time.Second)
 		table := &route.Table{Version: 1, Services: map[string]*route.Service{"llm": {Name: "llm", Engine: &route.Engine{Slots: 1}}},
 			Routes: []route.Route{{Name: "ask", Host: "pay.example", Prefix: "/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}}}}
 		is.NoErr(table.BuildIndex())
-		is.NoErr(edge.gateway.Authorize(base.NewCtx(edge.Host.Clock(), time.Second), &table.Routes[0], &relay.Call{Host: "pay.example", Model: "m"}))
+		is.NoErr(gateway.gateway.Authorize(base.NewCtx(gateway.Host.Clock(), time.Second), &table.Routes[0], &relay.Call{Host: "pay.example", Model: "m"}))
 		f.Net.Heal()
 		call.sleep(2 * time.Second)
 		_, raw := f.OperatorRequest(f.Cores[0], "GET", "/v1/operator/access", nil)
--- a/internal/simulate/disk.go
+++ b/internal/simulate/disk.go
@@ -15,7 +15,7 @@
 	synced []byte
 }
 
-// Disk is a simulated disk in memory. A power loss keeps any of the sectors that were not
+// Disk is a simulated disk in memory. A power loss may keep any of the sectors that were not
 // synced. A disk can stall, fill up and be corrupted.
 type Disk struct {
 	host        *Host
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -222,25 +222,25 @@
 	}},
 	{Name: "a zone cut off", Every: 10 * time.Second, Do: func(f *Fleet, _ int) {
 		machines, workers := f.inZone(f.pickMachine(f.All()).Host.Zone)
-		apart := map[string]bool{}
+		isolated := map[string]bool{}
 		for _, m := range machines {
-			apart[m.Host.Name] = true
+			isolated[m.Host.Name] = true
 		}
 		for _, host := range workers {
-			apart[host.Name] = true
+			isolated[host.Name] = true
 		}
-		f.Net.Isolate(apart)
+		f.Net.Isolate(isolated)
 		f.scheduleRecovery(5*time.Second, f.Net.Heal)
 	}},
 	{Name: "a zone lost", Every: 10 * time.Second, Do: func(f *Fleet, _ int) {
 		machines, workers := f.inZone(f.pickMachine(f.All()).Host.Zone)
-		down := f.World.Between(2*time.Second, 6*time.Second)
+		downtime := f.World.Between(2*time.Second, 6*time.Second)
 		for _, m := range machines {
-			f.crash(m, down, true)
+			f.crash(m, downtime, true)
 		}
 		for _, host := range workers {
 			host.Kill()
-			f.scheduleRecovery(down, func() { host.alive = true })
+			f.scheduleRecovery(downtime, func() { host.alive = true })
 		}
 	}},
 	{Name: "planned stops", Planned: true, Every: time.Second, Do: func(f *Fleet, round int) {
--- a/internal/simulate/history_test.go
+++ b/internal/simulate/history_test.go
@@ -28,6 +28,7 @@
 	stopped    bool
 }
 
+// newHistoryWriter returns a writer that runs on the callers' host.
 func newHistoryWriter(f *Fleet) *historyWriter {
 	bounds := &base.AtomicPointer[base.Bounds]{}
 	bounds.Store(base.DefaultBounds())
@@ -35,6 +36,7 @@
 	return &historyWriter{fleet: f, client: client, ackedTurns: make([][]string, historyPrograms), epochs: make([]uint64, historyPrograms)}
 }
 
+// ctx returns a context with a timeout of 6 s.
 func (w *historyWriter) ctx() *base.Ctx {
 	return base.NewCtx(w.fleet.CallerHost.Clock(), 6*time.Second)
 }
--- a/internal/simulate/isolation_restart_test.go
+++ b/internal/simulate/isolation_restart_test.go
@@ -57,9 +57,9 @@
 		tier.change()
 		newest := tier.config.newest.Config.Generation
 		clock.Sleep(tier.Site.Bounds.Apply)
-		for _, edge := range tier.Gateways {
-			if table := edge.gateway.Routes.Load(); table == nil || table.Version != newest {
-				t.Errorf("%s does not have version %d %v after it was acknowledged", edge.Host.Name, newest, tier.Site.Bounds.Apply)
+		for _, gateway := range tier.Gateways {
+			if table := gateway.gateway.Routes.Load(); table == nil || table.Version != newest {
+				t.Errorf("%s does not have version %d %v after it was acknowledged", gateway.Host.Name, newest, tier.Site.Bounds.Apply)
 			}
 		}
 	})
--- a/internal/simulate/limits_test.go
+++ b/internal/simulate/limits_test.go
@@ -23,11 +23,11 @@
 	shape.Settings = strings.Replace(DefaultSettings, `{"pools"`, `{"bounds":{"settings_bound_s":2,"recover_bound_s":6,"retain_s":8},"pools"`, 1)
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		maxKeys := func() int {
-			most := 0
+			highest := 0
 			for _, m := range f.Storage {
-				most = max(most, m.storage.Store.KeyCount())
+				highest = max(highest, m.storage.Store.KeyCount())
 			}
-			return most
+			return highest
 		}
 		peaks := []int{}
 		for wave := 0; wave < 12; wave++ {
@@ -109,10 +109,10 @@
 
 func TestPoliciesAtWork(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		apply := func(stamp int, change, source string) (int, string) {
+		apply := func(version int, change, source string) (int, string) {
 			document := strings.Replace(DefaultSettings, `"chat":{`, `"chat":{"policy":`+string(base.MustMarshal(source))+`,`, 1)
 			status, answer := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply",
-				map[string]any{"change": change, "based_on": stamp, "document": json.RawMessage(document)})
+				map[string]any{"change": change, "based_on": version, "document": json.RawMessage(document)})
 			call.sleep(2 * time.Second)
 			return status, string(answer)
 		}
@@ -130,8 +130,8 @@
 		_, _, first, _ := f.Models[0].Record()
 		_, _, last, _ := f.Models[1].Record()
 		is.Equal([]int{first, last}, []int{0, 3}) // always the last worker listed
-		low, secret := call.program(1000, map[string]any{"urgency": "low"})
-		refused := call.send(0, "POST", "/v1/programs/"+low+"/sessions", secret, `{"route":"chat"}`)
+		lowUrgency, secret := call.program(1000, map[string]any{"urgency": "low"})
+		refused := call.send(0, "POST", "/v1/programs/"+lowUrgency+"/sessions", secret, `{"route":"chat"}`)
 		is.Equal(refused.text("error", "code"), "not_admitted")
 		// A policy that fails on live data is counted, and the default choice applies.
 		status, _ = apply(2, "two", "def nominate(leg, workers):\n  return workers[0]['id'] if workers[0]['id'].startswith('worker') else 1 // 0")
--- a/internal/simulate/operate_test.go
+++ b/internal/simulate/operate_test.go
@@ -33,9 +33,9 @@
 		f.Gateways[2].Host.Freeze()
 		call.sleep(6 * time.Second)
 		reasons := f.unwellReasons(f.Cores[0])
-		for _, word := range []string{"edge edge-1:1 in zone-1 is not ready: no_confirmed_settings", "edge edge-2:1 in zone-0 is silent", "storage storage-2:1 in zone-0 is silent",
+		for _, reason := range []string{"edge edge-1:1 in zone-1 is not ready: no_confirmed_settings", "edge edge-2:1 in zone-0 is silent", "storage storage-2:1 in zone-0 is silent",
 			"at storage-2:1 does not answer; if it is lost, retire it", "2 of 3 disks answer, 2 must: no other may be lost"} {
-			is.True(strings.Contains(reasons, word))
+			is.True(strings.Contains(reasons, reason))
 		}
 		f.Kill(f.Storage[1])
 		f.Kill(f.Cores[1])
--- a/internal/simulate/orders_faults.go
+++ b/internal/simulate/orders_faults.go
@@ -69,10 +69,10 @@
 	return response
 }
 
-// haltSender ends the task that sent the message if its process was killed.
+// haltSender blocks the task that sent the message, if the killed core sent it.
 func (k *leaderKiller) haltSender(victim *Machine, m *Message) {
 	for victim.Host == m.From {
-		m.From.Clock().Sleep(time.Hour) // tasks of a killed process are never resumed
+		m.From.Clock().Sleep(time.Hour) // the process was killed, so its task never resumes
 	}
 }
 
@@ -173,13 +173,13 @@
 
 // leader returns the core that leads the configuration's shard, or a random core.
 func (r *OrderRun) leader() *Machine {
-	serving := base.Filter(r.Cores, func(m *Machine) bool {
+	leaders := base.Filter(r.Cores, func(m *Machine) bool {
 		return m.core != nil && m.Host.alive && m.core.RegisterServer.LeadsFeed()
 	})
-	if len(serving) == 0 {
+	if len(leaders) == 0 {
 		return r.pickMachine(r.Cores)
 	}
-	return serving[0]
+	return leaders[0]
 }
 
 // isolateFor cuts a machine off from all others for a while, in both directions or in one;
--- a/internal/simulate/orders_test.go
+++ b/internal/simulate/orders_test.go
@@ -182,11 +182,11 @@
 	repeats := func() {
 		for _, since := range []int{1, 63, 64, 65, 500, 3000} {
 			if number := len(orders) - 1 - since; number > 0 {
-				otherwise := orders[number]
-				otherwise.Document = "operator 0, draft 9"
-				onAnother := orders[number]
-				onAnother.Base++
-				repeat(number, []Order{otherwise, onAnother})
+				otherDocument := orders[number]
+				otherDocument.Document = "operator 0, draft 9"
+				otherBase := orders[number]
+				otherBase.Base++
+				repeat(number, []Order{otherDocument, otherBase})
 			}
 		}
 	}
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -62,7 +62,7 @@
 }
 
 // The machine whose disk acknowledged a change first is lost with its disk right after.
-func TestDiskLossAfterAcknowledgment(t *testing.T) {
+func TestDiskLossAfterAcknowledgement(t *testing.T) {
 	for _, lost := range []int{0, 1, 2} {
 		script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 			program, secret := call.program(1000, nil)
@@ -98,10 +98,10 @@
 		f.Net.Isolate(minority)
 		call.sleep(8 * time.Second)
 		program, secret := "", ""
-		for tries := 0; program == "" || program == "<nil>"; tries++ {
-			made := call.send(3, "POST", "/v1/programs", "", map[string]any{"group": "g", "site": "main", "budget_tokens": 1000})
-			program, secret = made.text("program"), made.text("secret")
-			is.True(tries < 20)
+		for attempt := 0; program == "" || program == "<nil>"; attempt++ {
+			created := call.send(3, "POST", "/v1/programs", "", map[string]any{"group": "g", "site": "main", "budget_tokens": 1000})
+			program, secret = created.text("program"), created.text("secret")
+			is.True(attempt < 20)
 		}
 		path, key := call.session(4, program, secret, nil)
 		outcome, _, _ := call.turn(3, path, key, program, "a", "").final()
@@ -210,8 +210,8 @@
 		f.Storage[1].Disk.SyncStalled, f.Storage[2].Disk.SyncStalled = true, true
 		status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "lone", "based_on": 1, "document": f.settingsWithMarker("lone")})
 		is.Equal(status, 504) // outcome unknown
-		got := call.turn(0, path, key, program, "a", "")
-		outcome, _, _ := got.final()
+		reply := call.turn(0, path, key, program, "a", "")
+		outcome, _, _ := reply.final()
 		is.True(outcome != "success")
 		is.True(call.send(1, "POST", "/v1/programs", "", map[string]any{"group": "g", "site": "main", "budget_tokens": 10}).Status != 201)
 		is.True(call.send(1, "POST", "/v1/programs/"+program+"/tools/loyalty", secret, `{}`, "idempotency-key", "k").Status != 200)
