--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -1,7 +1,6 @@
-// Access as operators and the operator's routes meet it: every command's bad
-// input is named by its field and changes nothing, the answers say why, and the
-// routes' gateways take the rules from the tree without leaning on permits where
-// there are none.
+// Tests of the operator API for model access and of its enforcement on the operator's
+// routes: invalid input is reported by its field and changes nothing, refusals say what
+// decided, and gateways need no confirmed settings when no access rules are set.
 package simulate
 
 import (
@@ -18,6 +17,8 @@
 	"github.com/matryer/is"
 )
 
+// shapeWithTenants returns a small shape with the tenants' settings, in which one site has a
+// host.
 func shapeWithTenants() Shape {
 	shape := SmallShape()
 	shape.Settings = strings.Replace(tenantSettings(nil), `"team":"clerks","sites":{"main":{`, `"team":"clerks","sites":{"main":{"hosts":["pay.example"],`, 1)
@@ -50,7 +51,7 @@
 		is.NoErr(json.Unmarshal([]byte(answer), &view))
 		is.Equal(view.InForce, uint64(1))
 		is.Equal(len(view.Teams), 3)
-		is.Equal(len(view.Holders), len(f.Gateways)+len(f.Cores)) // who holds which stamp
+		is.Equal(len(view.Holders), len(f.Gateways)+len(f.Cores)) // each node reports the version that it has
 		for _, holder := range view.Holders {
 			is.Equal(holder.Version, uint64(1))
 		}
@@ -72,16 +73,16 @@
 		status, _ = f.applySettings("wrong", 1, json.RawMessage(invalid))
 		is.Equal(status, 400)
 		_, raw = f.OperatorRequest(f.Cores[1], "GET", "/v1/operator/settings", nil)
-		is.True(strings.Contains(string(raw), `"stamp":1,`)) // nothing changed
+		is.True(strings.Contains(string(raw), `"stamp":1,`)) // the settings are unchanged
 	})
 }
 
-// A change of the rules on top of one that is not in force yet is refused; other
-// changeNumber are not.
+// A change of the access rules is refused while an earlier change of them is not in force
+// yet; changes of other settings are accepted.
 func TestOverlappingAccessChangeIsRejected(t *testing.T) {
 	script(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(3 * time.Second)
-		f.Gateways[2].Host.Freeze() // so that the change takes as long as a permit
+		f.Gateways[2].Host.Freeze() // delays the change until this gateway's lease expires
 		call.sleep(100 * time.Millisecond)
 		denied := strings.Replace(f.Shape.Settings, `"tills":{"models":["checkout"]`, `"tills":{"models":["checkout"],"deny":["checkout"]`, 1)
 		status, _ := f.applySettings("first-change", 1, json.RawMessage(denied))
@@ -118,40 +119,40 @@
 			return base.ToRequestError(err)
 		}
 		call.sleep(3 * time.Second)
-		edge := f.Gateways[0]
-		is.True(authorize(edge, "PAY.example:80", "/ask/x", "payslip") == nil)
-		is.True(authorize(edge, "pay.example", "/post/x", "") == nil) // no model: not for these rules
-		refusal := authorize(edge, "pay.example", "/ask/x", "checkout")
+		gateway := f.Gateways[0]
+		is.True(authorize(gateway, "PAY.example:80", "/ask/x", "payslip") == nil)
+		is.True(authorize(gateway, "pay.example", "/post/x", "") == nil) // calls no model, so the rules do not apply
+		refusal := authorize(gateway, "pay.example", "/ask/x", "checkout")
 		is.Equal(refusal.Status, 403)
 		is.Equal(refusal.Code, "model_not_allowed")
 		is.Equal(refusal.Team, "clerks")
 		is.Equal(refusal.CurrentVersion, uint64(1))
 		is.Equal(refusal.Execution, base.NotRun)
-		is.Equal(authorize(edge, "till.example", "/x", "checkout").Code, "unknown_team")
-		f.Net.Isolate(map[string]bool{edge.Host.Name: true})
+		is.Equal(authorize(gateway, "till.example", "/x", "checkout").Code, "unknown_team")
+		f.Net.Isolate(map[string]bool{gateway.Host.Name: true})
 		call.sleep(3 * time.Second)
-		is.Equal(authorize(edge, "pay.example", "/ask/x", "payslip").Code, "no_confirmed_settings")
-		is.True(authorize(edge, "pay.example", "/post/x", "") == nil)
+		is.Equal(authorize(gateway, "pay.example", "/ask/x", "payslip").Code, "no_confirmed_settings")
+		is.True(authorize(gateway, "pay.example", "/post/x", "") == nil)
 		f.Net.Heal()
 		call.sleep(2 * time.Second)
-		is.True(authorize(edge, "pay.example", "/ask/x", "payslip") == nil)
+		is.True(authorize(gateway, "pay.example", "/ask/x", "payslip") == nil)
 	})
 }
 
-// Where no teams are set, a gateway that cannot confirm anything still serves
-// the operator's routes, tells the cores nothing of itself, and asks for no
+// If no teams are configured, a gateway that is cut off from the cores still serves the
+// operator's routes, reports nothing about its settings to the cores and asks for no
 // confirmation.
 func TestGatewaysServeWithoutAccessRules(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(2 * time.Second)
-		edge := f.Gateways[0]
-		is.True(!edge.gateway.Access.HasRules())
-		f.Net.Isolate(map[string]bool{edge.Host.Name: true})
+		gateway := f.Gateways[0]
+		is.True(!gateway.gateway.Access.HasRules())
+		f.Net.Isolate(map[string]bool{gateway.Host.Name: true})
 		call.sleep(5 * time.Second)
 		table := &route.Table{Version: 1, Services: map[string]*route.Service{"llm": {Name: "llm", Engine: &route.Engine{Slots: 1}}},
 			Routes: []route.Route{{Name: "ask", Host: "pay.example", Prefix: "/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}}}}
 		is.NoErr(table.BuildIndex())
-		is.NoErr(edge.gateway.Authorize(base.NewCtx(edge.Host.Clock(), time.Second), &table.Routes[0], &relay.Call{Host: "pay.example", Model: "m"}))
+		is.NoErr(gateway.gateway.Authorize(base.NewCtx(gateway.Host.Clock(), time.Second), &table.Routes[0], &relay.Call{Host: "pay.example", Model: "m"}))
 		f.Net.Heal()
 		call.sleep(2 * time.Second)
 		_, raw := f.OperatorRequest(f.Cores[0], "GET", "/v1/operator/access", nil)
--- a/internal/simulate/limits_test.go
+++ b/internal/simulate/limits_test.go
@@ -1,5 +1,4 @@
-// What must stay bounded over a long run, load beyond what workers can do,
-// and policies at work.
+// Tests of resource bounds over long runs, of load beyond capacity, and of policies.
 package simulate
 
 import (
@@ -16,24 +15,24 @@
 	"github.com/matryer/is"
 )
 
-// Retention really deletes: with a short retain_s, waves of conversations
-// gracefulStop the disks no fuller than the first few did, and quiet empties them.
+// With a short retain_s, waves of conversations must not fill the disks beyond what the
+// first waves did, and an idle fleet must delete almost all keys.
 func TestRetentionBoundsDiskUse(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `{"pools"`, `{"bounds":{"settings_bound_s":2,"recover_bound_s":6,"retain_s":8},"pools"`, 1)
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		maxKeys := func() int {
-			most := 0
+			highest := 0
 			for _, m := range f.Storage {
-				most = max(most, m.storage.Store.KeyCount())
+				highest = max(highest, m.storage.Store.KeyCount())
 			}
-			return most
+			return highest
 		}
 		peaks := []int{}
 		for wave := 0; wave < 12; wave++ {
-			left := f.StartCallers(6, 3, true, func(c *standin.Caller) { c.Name = fmt.Sprint("w", wave, c.Name) })
-			for left() > 0 {
+			remaining := f.StartCallers(6, 3, true, func(c *standin.Caller) { c.Name = fmt.Sprint("w", wave, c.Name) })
+			for remaining() > 0 {
 				call.sleep(200 * time.Millisecond)
 			}
 			peaks = append(peaks, maxKeys())
@@ -44,7 +43,7 @@
 			is.True(peak <= early*3/2)
 		}
 		call.sleep(2 * time.Minute)
-		is.True(maxKeys() < 10+register.ShardCount) // settings, workers, the change log and each slot's time are left
+		is.True(maxKeys() < 10+register.ShardCount) // settings, workers, the change log and each shard's time remain
 		for _, m := range f.Gateways {
 			sessions, copies, streams := m.gateway.Sessions.Sizes()
 			is.Equal(copies, 0)
@@ -57,38 +56,38 @@
 	})
 }
 
-// Past saturation goodput does not collapse: refusals are early and say when
-// healedAt come again, and the answers that are given stay whole.
+// Beyond saturation the goodput must not collapse: requests are refused early, and accepted
+// turns still complete.
 func TestOverloadIsRefusedEarly(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
 	shape.Capacity, shape.Gap = 4, 50*time.Millisecond
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":4,"waiting":16`, 1)
-	goodput := func(callers int) (whole int, counts map[string]int) {
+	goodput := func(callers int) (completed int, counts map[string]int) {
 		script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 			f.StartUsageReports(500 * time.Millisecond)
 			f.StartCallers(callers, 1000, false, func(c *standin.Caller) { c.Patience = time.Hour })
 			call.sleep(20 * time.Second)
-			whole, counts = f.Tally.Counts["turns_whole"], f.Tally.Counts
+			completed, counts = f.Tally.Counts["turns_whole"], f.Tally.Counts
 		})
-		return whole, counts
+		return completed, counts
 	}
 	is := is.New(t)
 	atSaturation, _ := goodput(8)
 	overloaded, counts := goodput(80)
-	t.Logf("at saturation %d turns, with ten times the callers %d: %v", atSaturation, overloaded, counts)
+	t.Logf("%d turns at saturation, %d with ten times as many callers: %v", atSaturation, overloaded, counts)
 	is.True(overloaded > atSaturation*7/10)
 	is.True(counts["final_refused_overloaded"] > 0)
 }
 
-// A runaway program with many helpers does not keep others from workers.
+// A runaway program with many sessions must not keep other programs from the workers.
 func TestRunawayProgramDoesNotStarveOthers(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
 	shape.Models, shape.Capacity, shape.Gap = 1, 4, 50*time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		runaway, secret := call.program(100000, nil)
-		for place := 0; place < 40; place++ {
+		for i := 0; i < 40; i++ {
 			path, key := call.session(0, runaway, secret, nil)
 			f.CallerHost.Go(func() {
 				for number := 0; number < 100; number++ {
@@ -101,19 +100,19 @@
 		path, key := call.session(0, program, secret, nil)
 		for number := 0; number < 5; number++ {
 			start := f.World.Now()
-			verdict, _, _ := call.turn(0, path, key, program, fmt.Sprint("t", number), "").final()
-			is.Equal(verdict, "success")
-			is.True(f.World.Now()-start < 2*time.Second) // an answer takes 0.3 s, the runaway's line is 36 long
+			outcome, _, _ := call.turn(0, path, key, program, fmt.Sprint("t", number), "").final()
+			is.Equal(outcome, "success")
+			is.True(f.World.Now()-start < 2*time.Second) // a turn takes 0.3 s; 36 turns of the runaway program are queued
 		}
 	})
 }
 
 func TestPoliciesAtWork(t *testing.T) {
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		apply := func(stamp int, change, source string) (int, string) {
+		apply := func(version int, change, source string) (int, string) {
 			document := strings.Replace(DefaultSettings, `"chat":{`, `"chat":{"policy":`+string(base.MustMarshal(source))+`,`, 1)
 			status, answer := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply",
-				map[string]any{"change": change, "based_on": stamp, "document": json.RawMessage(document)})
+				map[string]any{"change": change, "based_on": version, "document": json.RawMessage(document)})
 			call.sleep(2 * time.Second)
 			return status, string(answer)
 		}
@@ -123,24 +122,24 @@
 		status, _ = apply(1, "one", "def nominate(leg, workers):\n  return workers[-1]['id']\ndef admit(session):\n  return session['urgency'] != 'low'")
 		is.Equal(status, 200)
 		program, secret := call.program(1000, nil)
-		for place := 0; place < 3; place++ {
-			path, key := call.session(place, program, secret, nil)
-			verdict, _, _ := call.turn(place, path, key, program, fmt.Sprint("p", place), "").final()
-			is.Equal(verdict, "success")
+		for i := 0; i < 3; i++ {
+			path, key := call.session(i, program, secret, nil)
+			outcome, _, _ := call.turn(i, path, key, program, fmt.Sprint("p", i), "").final()
+			is.Equal(outcome, "success")
 		}
 		_, _, first, _ := f.Models[0].Record()
 		_, _, last, _ := f.Models[1].Record()
-		is.Equal([]int{first, last}, []int{0, 3}) // always the last one listed
-		low, secret := call.program(1000, map[string]any{"urgency": "low"})
-		refused := call.send(0, "POST", "/v1/programs/"+low+"/sessions", secret, `{"route":"chat"}`)
+		is.Equal([]int{first, last}, []int{0, 3}) // always the last worker listed
+		lowUrgency, secret := call.program(1000, map[string]any{"urgency": "low"})
+		refused := call.send(0, "POST", "/v1/programs/"+lowUrgency+"/sessions", secret, `{"route":"chat"}`)
 		is.Equal(refused.text("error", "code"), "not_admitted")
-		// One that faults on live data counts, and the rule goes on.
+		// A policy that fails on live data is counted, and the default choice applies.
 		status, _ = apply(2, "two", "def nominate(leg, workers):\n  return workers[0]['id'] if workers[0]['id'].startswith('worker') else 1 // 0")
 		is.Equal(status, 200)
 		program, secret = call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
-		verdict, _, _ := call.turn(0, path, key, program, "x", "").final()
-		is.Equal(verdict, "success")
+		outcome, _, _ := call.turn(0, path, key, program, "x", "").final()
+		is.Equal(outcome, "success")
 		is.True(f.CounterTotal("policy_faults") > 0)
 	})
 }
--- a/internal/simulate/operate_test.go
+++ b/internal/simulate/operate_test.go
@@ -1,4 +1,5 @@
-// What operators are shown: what is unwell, and what a document would change.
+// Tests of the operator API's status, which names unhealthy machines and disks, and of its
+// diff of a settings document.
 package simulate
 
 import (
@@ -13,6 +14,7 @@
 	"github.com/matryer/is"
 )
 
+// unwellReasons returns what a core's status reports as unwell.
 func (f *Fleet) unwellReasons(m *Machine) string {
 	var view operate.StatusView
 	_, answer := f.OperatorRequest(m, "GET", "/v1/operator/status", nil)
@@ -24,16 +26,16 @@
 	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
 		call.sleep(3 * time.Second)
 		is.Equal(f.unwellReasons(f.Cores[0]), "")
-		for _, core := range f.Cores { // its word still reaches the others by its neighbours
+		for _, core := range f.Cores { // its state still reaches them through its neighbours
 			f.Net.CutLink(f.Gateways[1].Host.Name, core.Host.Name)
 		}
 		f.Kill(f.Storage[2])
 		f.Gateways[2].Host.Freeze()
 		call.sleep(6 * time.Second)
 		reasons := f.unwellReasons(f.Cores[0])
-		for _, word := range []string{"edge edge-1:1 in zone-1 is not ready: no_confirmed_settings", "edge edge-2:1 in zone-0 is silent", "storage storage-2:1 in zone-0 is silent",
+		for _, reason := range []string{"edge edge-1:1 in zone-1 is not ready: no_confirmed_settings", "edge edge-2:1 in zone-0 is silent", "storage storage-2:1 in zone-0 is silent",
 			"at storage-2:1 does not answer; if it is lost, retire it", "2 of 3 disks answer, 2 must: no other may be lost"} {
-			is.True(strings.Contains(reasons, word))
+			is.True(strings.Contains(reasons, reason))
 		}
 		f.Kill(f.Storage[1])
 		f.Kill(f.Cores[1])
