--- a/cmd/fordseam-sim/campaign.go
+++ b/cmd/fordseam-sim/campaign.go
@@ -22,7 +22,7 @@
 }
 
 func tierCommand() *cli.Command {
-	return seedsCommand("tier", "run days of the platform's troubles over many seeds", base.Map(simulate.TierDays, func(d *simulate.TierDay) simulate.Runnable { return d }), base.SortedKeys(simulate.TierShapes))
+	return seedsCommand("tier", "run days of the platform's troubles over many seeds", base.Map(simulate.TierScenarios, func(d *simulate.TierScenario) simulate.Runnable { return d }), base.SortedKeys(simulate.TierShapes))
 }
 
 func seedsCommand(name, usage string, scenarios []simulate.Runnable, shapes []string) *cli.Command {
--- a/cmd/fordseam-sim/talk.go
+++ b/cmd/fordseam-sim/talk.go
@@ -27,17 +27,17 @@
 		Action: func(_ context.Context, command *cli.Command) error {
 			for _, nodes := range command.IntSlice("nodes") {
 				if command.Bool("churn") {
-					if err := simulate.WriteChurn(os.Stdout, command.Uint64("seed"), nodes, command.Duration("span")); err != nil {
+					if err := simulate.WriteChurnTraffic(os.Stdout, command.Uint64("seed"), nodes, command.Duration("span")); err != nil {
 						return err
 					}
 					continue
 				}
-				shape := simulate.Sized(nodes, command.Int("cores"))
+				shape := simulate.ShapeOfSize(nodes, command.Int("cores"))
 				shape.Settings = fmt.Sprintf(`{"bounds":{"settings_bound_s":%d},%s`, command.Int("settings-bound"), shape.Settings[1:])
-				if shape.Edges < 1 {
+				if shape.Gateways < 1 {
 					return cli.Exit("nodes: must leave a gateway beside cores and storage machines", node.ExitUsage)
 				}
-				if err := simulate.WriteTalk(os.Stdout, command.Uint64("seed"), shape, command.Duration("span")); err != nil {
+				if err := simulate.WriteIdleTraffic(os.Stdout, command.Uint64("seed"), shape, command.Duration("span")); err != nil {
 					return err
 				}
 			}
--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -313,9 +313,9 @@
 		spawn(func() {
 			for round := 0; r.running(); round++ {
 				c := f.caller(fmt.Sprintf("%s%d-%d", team.team, caller, round), caller+round)
-				c.Group, c.Ask, c.Patience = team.group, r.recordRequests(team.team, f.Asker(f.CallerHost)), 15*time.Second
+				c.Group, c.Ask, c.Patience = team.group, r.recordRequests(team.team, f.RequestSender(f.CallerHost)), 15*time.Second
 				c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 300*time.Millisecond)) }
-				if c.Start(int64(4 * f.Shape.Pieces * 8)) {
+				if c.Start(int64(4 * f.Shape.PiecesPerTurn * 8)) {
 					c.Converse(4, team.team == "shop")
 				}
 				c.Clock.Sleep(f.World.Between(20*time.Millisecond, 120*time.Millisecond))
@@ -329,20 +329,20 @@
 func (r *accessRun) runPinnedCaller(team tenant, gateway int) {
 	f := r.fleet
 	c := f.caller(fmt.Sprintf("knock-%s-%d", team.team, gateway), gateway)
-	c.Group, c.Ask = team.group, f.Asker(f.CallerHost)
+	c.Group, c.Ask = team.group, f.RequestSender(f.CallerHost)
 	for r.running() && !c.Start(1<<20) {
 		c = f.caller(fmt.Sprintf("%s-", c.Name), gateway)
-		c.Group, c.Ask = team.group, f.Asker(f.CallerHost)
+		c.Group, c.Ask = team.group, f.RequestSender(f.CallerHost)
 		c.Clock.Sleep(200 * time.Millisecond)
 	}
 	path, secret := c.Session()
 	program := strings.Split(path, "/")[3]
-	ask := r.recordRequests(team.team, f.Asker(f.CallerHost))
+	ask := r.recordRequests(team.team, f.RequestSender(f.CallerHost))
 	for round := 0; r.running(); round++ {
 		c.Clock.Sleep(f.World.Between(100*time.Millisecond, 200*time.Millisecond))
 		f.CallerHost.Go(func() {
 			id := fmt.Sprint("k", round)
-			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.Tag(program, id)}}, "max_output_tokens": f.Shape.Pieces + 2}
+			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.Tag(program, id)}}, "max_output_tokens": f.Shape.PiecesPerTurn + 2}
 			_, _ = ask(gateway, "POST", path+"/turns", map[string]string{"authorization": "Bearer " + secret, "turn-id": id}, base.MustMarshal(body))
 		})
 	}
--- a/internal/simulate/campaign.go
+++ b/internal/simulate/campaign.go
@@ -25,10 +25,10 @@
 func (s *Scenario) RunShape(seed uint64, shape string) *Outcome { return s.Run(seed, Shapes[shape]()) }
 
 // Title is the day's name.
-func (d *TierDay) Title() string { return d.Name }
+func (d *TierScenario) Title() string { return d.Name }
 
 // RunShape runs the scenario at one of the TierShapes.
-func (d *TierDay) RunShape(seed uint64, shape string) *Outcome {
+func (d *TierScenario) RunShape(seed uint64, shape string) *Outcome {
 	return d.Run(seed, TierShapes[shape]())
 }
 
@@ -89,7 +89,7 @@
 				mu.Lock()
 				next.row.Runs++
 				next.row.CompletedTurns += outcome.Counts["turns_whole"]
-				turns[next.row] = append(turns[next.row], outcome.Turns...)
+				turns[next.row] = append(turns[next.row], outcome.TurnTimes...)
 				if len(outcome.Breaches) > 0 {
 					next.row.FailedRuns = append(next.row.FailedRuns, outcome)
 				}
--- a/internal/simulate/changestream.go
+++ b/internal/simulate/changestream.go
@@ -119,8 +119,8 @@
 
 // RunChangeStream plays a plan with a seed.
 func RunChangeStream(seed uint64, plan ChangeStreamPlan) *ChangeStreamReport {
-	shape := Shape{Name: plan.Name, Group: "g", Zones: 4, Edges: plan.Gateways, Cores: plan.Cores, Storage: plan.Storage,
-		Tolerate: plan.FaultTolerance, Found: true, Capacity: 1, Pieces: 1, Settings: DefaultSettings}
+	shape := Shape{Name: plan.Name, Group: "g", Zones: 4, Gateways: plan.Gateways, Cores: plan.Cores, Storage: plan.Storage,
+		FaultTolerance: plan.FaultTolerance, Bootstrap: true, WorkerCapacity: 1, PiecesPerTurn: 1, Settings: DefaultSettings}
 	f := buildFleet(seed, shape)
 	defer f.World.Close()
 	r := &changeStream{plan: plan, fleet: f, rng: rand.New(rand.NewPCG(seed, 0xc4a9)), report: &ChangeStreamReport{Plan: plan, Seed: seed}}
@@ -315,7 +315,7 @@
 		list := lists[round%len(lists)]
 		count := 1
 		if round%len(lists) == 0 {
-			count = f.Shape.Tolerate
+			count = f.Shape.FaultTolerance
 		}
 		for offset := range count {
 			m := list[(r.rng.IntN(len(list)/count))*count+offset]
@@ -371,9 +371,9 @@
 		f.Net.Heal()
 	case "slowed":
 		minSync, maxSync := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
-		m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 100*time.Millisecond, 20*time.Millisecond, 150*time.Millisecond
+		m.Host.ExtraDelay, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 100*time.Millisecond, 20*time.Millisecond, 150*time.Millisecond
 		r.clock().Sleep(span)
-		m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, minSync, maxSync
+		m.Host.ExtraDelay, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, minSync, maxSync
 	}
 	r.measureRecovery(m, changeStreamFaults[kind], ackedBefore)
 }
--- a/internal/simulate/chaos_test.go
+++ b/internal/simulate/chaos_test.go
@@ -36,9 +36,9 @@
 	scenario := FindScenario(name)
 	f.Net.Faults = scenario.Net
 	f.CallerHost.Go(func() {
-		for round := 0; scenario.Do != nil && running(); round++ {
-			scenario.Do(f, round)
-			f.CallerHost.Clock().Sleep(scenario.Every)
+		for round := 0; scenario.Inject != nil && running(); round++ {
+			scenario.Inject(f, round)
+			f.CallerHost.Clock().Sleep(scenario.Interval)
 		}
 	})
 }
--- a/internal/simulate/diskset_test.go
+++ b/internal/simulate/diskset_test.go
@@ -20,7 +20,7 @@
 
 func reconcilingShape(storage, tolerate int) Shape {
 	shape := SmallShape()
-	shape.Cores, shape.Storage, shape.Tolerate, shape.Found = 4, storage, tolerate, true
+	shape.Cores, shape.Storage, shape.FaultTolerance, shape.Bootstrap = 4, storage, tolerate, true
 	return shape
 }
 
@@ -39,7 +39,7 @@
 		done := false
 		f.CallerHost.Go(func() {
 			defer func() { done = true }()
-			steps(is, f, &talker{f, f.Asker(f.CallerHost)})
+			steps(is, f, &talker{f, f.RequestSender(f.CallerHost)})
 		})
 		is.True(f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done })) // the script came to its end
 	})
@@ -277,7 +277,7 @@
 		f := NewFleet(seed, reconcilingShape(storage, 1))
 		done := false
 		f.CallerHost.Go(func() {
-			injectFault(f, &talker{f, f.Asker(f.CallerHost)})
+			injectFault(f, &talker{f, f.RequestSender(f.CallerHost)})
 			took := f.waitUntil(20*time.Second, f.diskSetComplete)
 			longest = max(longest, took)
 			if !f.diskSetComplete() {
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -122,8 +122,8 @@
 // slowDown makes a machine answer late and its disk sync late, without failing.
 func (f *Fleet) slowDown(m *Machine, span time.Duration) {
 	minSync, maxSync := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
-	m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = f.World.Between(20*time.Millisecond, 250*time.Millisecond), 50*time.Millisecond, 400*time.Millisecond
-	f.scheduleRecovery(span, func() { m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, minSync, maxSync })
+	m.Host.ExtraDelay, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = f.World.Between(20*time.Millisecond, 250*time.Millisecond), 50*time.Millisecond, 400*time.Millisecond
+	f.scheduleRecovery(span, func() { m.Host.ExtraDelay, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, minSync, maxSync })
 }
 
 var workerFaults = []standin.Trouble{standin.Cut, standin.Malformed, standin.NoFinish, standin.Busy, standin.Fail, standin.Overrun, standin.Silent, standin.Refuse}
@@ -185,35 +185,35 @@
 // Scenarios are all kinds of failure that runs and campaigns draw on.
 var Scenarios = []*Scenario{
 	{Name: "nothing but load"},
-	{Name: "edges killed", Every: 3 * time.Second, Do: func(f *Fleet, _ int) { f.crash(f.pickMachine(f.Gateways), 1500*time.Millisecond, false) }},
-	{Name: "edges frozen and woken", Every: 6 * time.Second, Do: func(f *Fleet, _ int) { f.freeze(f.pickMachine(f.Gateways), 4*time.Second) }},
-	{Name: "cores killed", Every: 5 * time.Second, Do: func(f *Fleet, _ int) { f.crash(f.pickMachine(f.Cores), 2*time.Second, false) }},
-	{Name: "cores frozen and woken", Every: 7 * time.Second, Do: func(f *Fleet, _ int) { f.freeze(f.pickMachine(f.Cores), 4*time.Second) }},
-	{Name: "disks lose power", Every: 4 * time.Second, Do: func(f *Fleet, _ int) { f.crash(f.pickMachine(f.Storage), 1500*time.Millisecond, true) }},
-	{Name: "disks frozen and woken", Every: 5 * time.Second, Do: func(f *Fleet, _ int) { f.freeze(f.pickMachine(f.Storage), 3*time.Second) }},
-	{Name: "disk stalls", Every: 6 * time.Second, Do: func(f *Fleet, _ int) {
+	{Name: "edges killed", Interval: 3 * time.Second, Inject: func(f *Fleet, _ int) { f.crash(f.pickMachine(f.Gateways), 1500*time.Millisecond, false) }},
+	{Name: "edges frozen and woken", Interval: 6 * time.Second, Inject: func(f *Fleet, _ int) { f.freeze(f.pickMachine(f.Gateways), 4*time.Second) }},
+	{Name: "cores killed", Interval: 5 * time.Second, Inject: func(f *Fleet, _ int) { f.crash(f.pickMachine(f.Cores), 2*time.Second, false) }},
+	{Name: "cores frozen and woken", Interval: 7 * time.Second, Inject: func(f *Fleet, _ int) { f.freeze(f.pickMachine(f.Cores), 4*time.Second) }},
+	{Name: "disks lose power", Interval: 4 * time.Second, Inject: func(f *Fleet, _ int) { f.crash(f.pickMachine(f.Storage), 1500*time.Millisecond, true) }},
+	{Name: "disks frozen and woken", Interval: 5 * time.Second, Inject: func(f *Fleet, _ int) { f.freeze(f.pickMachine(f.Storage), 3*time.Second) }},
+	{Name: "disk stalls", Interval: 6 * time.Second, Inject: func(f *Fleet, _ int) {
 		m := f.pickMachine(f.Storage)
 		m.Disk.SyncStalled = true
 		f.scheduleRecovery(3*time.Second, func() { m.Disk.SyncStalled = false })
 	}},
-	{Name: "disk fills", Every: 5 * time.Second, Do: func(f *Fleet, _ int) {
+	{Name: "disk fills", Interval: 5 * time.Second, Inject: func(f *Fleet, _ int) {
 		m := f.pickMachine(f.Storage)
 		limit := m.Disk.Capacity
 		m.Disk.Capacity -= m.Disk.FreeBytes()
 		f.scheduleRecovery(3*time.Second, func() { m.Disk.Capacity = limit })
 	}},
-	{Name: "disks lost and replaced", Span: 30 * time.Second, Every: 4 * time.Second, Do: func(f *Fleet, _ int) { f.replaceDisk() }},
+	{Name: "disks lost and replaced", LoadDuration: 30 * time.Second, Interval: 4 * time.Second, Inject: func(f *Fleet, _ int) { f.replaceDisk() }},
 	{Name: "messages lost, late and twice", Net: NetworkFaults{LossRate: 0.01, DelayRate: 0.02, DuplicateRate: 0.02, MaxExtraDelay: 4 * time.Second}},
-	{Name: "a machine cut off", Every: 8 * time.Second, Do: func(f *Fleet, _ int) {
+	{Name: "a machine cut off", Interval: 8 * time.Second, Inject: func(f *Fleet, _ int) {
 		f.Net.Isolate(map[string]bool{f.pickMachine(append(append([]*Machine{}, f.Gateways...), f.Cores...)).Host.Name: true})
 		f.scheduleRecovery(4*time.Second, f.Net.Heal)
 	}},
-	{Name: "one-way loss", Every: 8 * time.Second, Do: func(f *Fleet, _ int) {
+	{Name: "one-way loss", Interval: 8 * time.Second, Inject: func(f *Fleet, _ int) {
 		all := f.All()
 		f.Net.CutLink(f.pickMachine(all).Host.Name, f.pickMachine(all).Host.Name)
 		f.scheduleRecovery(4*time.Second, f.Net.Heal)
 	}},
-	{Name: "a zone cut off", Every: 10 * time.Second, Do: func(f *Fleet, _ int) {
+	{Name: "a zone cut off", Interval: 10 * time.Second, Inject: func(f *Fleet, _ int) {
 		machines, workers := f.inZone(f.pickMachine(f.All()).Host.Zone)
 		apart := map[string]bool{}
 		for _, m := range machines {
@@ -225,7 +225,7 @@
 		f.Net.Isolate(apart)
 		f.scheduleRecovery(5*time.Second, f.Net.Heal)
 	}},
-	{Name: "a zone lost", Every: 10 * time.Second, Do: func(f *Fleet, _ int) {
+	{Name: "a zone lost", Interval: 10 * time.Second, Inject: func(f *Fleet, _ int) {
 		machines, workers := f.inZone(f.pickMachine(f.All()).Host.Zone)
 		down := f.World.Between(2*time.Second, 6*time.Second)
 		for _, m := range machines {
@@ -236,25 +236,25 @@
 			f.scheduleRecovery(down, func() { host.alive = true })
 		}
 	}},
-	{Name: "planned stops", Planned: true, Every: time.Second, Do: func(f *Fleet, round int) {
+	{Name: "planned stops", PlannedOnly: true, Interval: time.Second, Inject: func(f *Fleet, round int) {
 		lists := [][]*Machine{f.Gateways, f.Cores, f.Gateways, f.Storage}
 		list := lists[round%len(lists)]
 		f.gracefulRestart(list[round/len(lists)%len(list)])
 	}},
-	{Name: "workers in trouble", Begin: func(f *Fleet) { f.setWorkerFaultRates(0.2, 0.3) }},
-	{Name: "workers killed", Every: 2 * time.Second, Do: func(f *Fleet, _ int) { f.killWorker(time.Second) }},
-	{Name: "an urgent crowd", Crowd: 40, Fit: func(shape *Shape) { shape.Capacity = 3 }, Every: 5 * time.Second, Do: func(f *Fleet, _ int) {
+	{Name: "workers in trouble", OnStart: func(f *Fleet) { f.setWorkerFaultRates(0.2, 0.3) }},
+	{Name: "workers killed", Interval: 2 * time.Second, Inject: func(f *Fleet, _ int) { f.killWorker(time.Second) }},
+	{Name: "an urgent crowd", BurstCallers: 40, AdjustShape: func(shape *Shape) { shape.WorkerCapacity = 3 }, Interval: 5 * time.Second, Inject: func(f *Fleet, _ int) {
 		f.crash(f.pickMachine(f.Gateways), time.Second, false)
 	}},
-	{Name: "slow machines and disks", Every: 3 * time.Second, Do: func(f *Fleet, _ int) { f.slowDown(f.pickMachine(f.All()), 4*time.Second) }},
-	{Name: "frozen beyond every bound", Span: 30 * time.Second, Every: 9 * time.Second, Do: func(f *Fleet, round int) {
+	{Name: "slow machines and disks", Interval: 3 * time.Second, Inject: func(f *Fleet, _ int) { f.slowDown(f.pickMachine(f.All()), 4*time.Second) }},
+	{Name: "frozen beyond every bound", LoadDuration: 30 * time.Second, Interval: 9 * time.Second, Inject: func(f *Fleet, round int) {
 		lists := [][]*Machine{f.Gateways, f.Cores, f.Storage}
 		f.freeze(f.pickMachine(lists[round%len(lists)]), f.World.Between(14*time.Second, 20*time.Second))
 	}},
-	{Name: "total outages", Span: 24 * time.Second, Every: 4 * time.Second, Do: func(f *Fleet, _ int) { f.totalOutage() }},
-	{Name: "a storm", Every: 1500 * time.Millisecond, Net: NetworkFaults{LossRate: 0.03, DelayRate: 0.05, DuplicateRate: 0.05, MaxExtraDelay: 6 * time.Second}, Do: func(f *Fleet, _ int) { f.injectRandomFault() }},
-	{Name: "everything at once", Every: 4 * time.Second, Net: NetworkFaults{LossRate: 0.005, DelayRate: 0.01, DuplicateRate: 0.01, MaxExtraDelay: 3 * time.Second}, Begin: func(f *Fleet) { f.setWorkerFaultRates(0.05, 0.1) },
-		Do: func(f *Fleet, round int) {
+	{Name: "total outages", LoadDuration: 24 * time.Second, Interval: 4 * time.Second, Inject: func(f *Fleet, _ int) { f.totalOutage() }},
+	{Name: "a storm", Interval: 1500 * time.Millisecond, Net: NetworkFaults{LossRate: 0.03, DelayRate: 0.05, DuplicateRate: 0.05, MaxExtraDelay: 6 * time.Second}, Inject: func(f *Fleet, _ int) { f.injectRandomFault() }},
+	{Name: "everything at once", Interval: 4 * time.Second, Net: NetworkFaults{LossRate: 0.005, DelayRate: 0.01, DuplicateRate: 0.01, MaxExtraDelay: 3 * time.Second}, OnStart: func(f *Fleet) { f.setWorkerFaultRates(0.05, 0.1) },
+		Inject: func(f *Fleet, round int) {
 			switch round % 4 {
 			case 0:
 				f.crash(f.pickMachine(f.Gateways), 2*time.Second, false)
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -91,17 +91,17 @@
 	f := &Fleet{World: world, Net: NewNet(world), Shape: shape, modelsByID: map[string]*standin.Model{}, toolsByID: map[string]*standin.Tool{}, Tally: standin.NewTally(), reportedStates: map[string]reportedState{}}
 	f.CallerHost = world.NewHost("callers", "outside")
 	zone := shape.zone
-	for i := 0; i < shape.Models; i++ {
+	for i := 0; i < shape.ModelWorkers; i++ {
 		name := fmt.Sprintf("model-%d", i)
-		model := &standin.Model{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pieces: shape.Pieces, Gap: shape.Gap, Prefill: shape.Prefill, Cache: shape.Cache, Capacity: shape.Capacity, Given: f.Tally.Given}
+		model := &standin.Model{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pieces: shape.PiecesPerTurn, Gap: shape.PieceInterval, Prefill: shape.PrefillTime, Cache: shape.CachedPrefixes, Capacity: shape.WorkerCapacity, Given: f.Tally.Given}
 		f.Models, f.modelsByID[name] = append(f.Models, model), model
-		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ModelPool, Zone: zone(i), Capacity: shape.Capacity})
+		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ModelPool, Zone: zone(i), Capacity: shape.WorkerCapacity})
 	}
-	for i := 0; i < shape.Tools; i++ {
+	for i := 0; i < shape.ToolWorkers; i++ {
 		name := fmt.Sprintf("app-%d", i)
-		tool := &standin.Tool{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pause: shape.Gap, Given: f.Tally.Given}
+		tool := &standin.Tool{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pause: shape.PieceInterval, Given: f.Tally.Given}
 		f.Tools, f.toolsByID[name] = append(f.Tools, tool), tool
-		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ToolPool, Zone: zone(i), Capacity: shape.Capacity})
+		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ToolPool, Zone: zone(i), Capacity: shape.WorkerCapacity})
 	}
 	f.WorkerList.Stamp = 1
 	add := func(list *[]*Machine, role string, count int) {
@@ -113,7 +113,7 @@
 	}
 	add(&f.Storage, "storage", shape.Storage)
 	add(&f.Cores, "core", shape.Cores)
-	add(&f.Gateways, "edge", shape.Edges)
+	add(&f.Gateways, "edge", shape.Gateways)
 	return f
 }
 
@@ -150,10 +150,10 @@
 	if f.SeedAddrs != nil {
 		config.Seeds = f.SeedAddrs
 	}
-	if f.Shape.Found && f.SeedAddrs == nil {
+	if f.Shape.Bootstrap && f.SeedAddrs == nil {
 		config.Seeds = base.Map(f.Cores[:min(3, len(f.Cores))], func(m *Machine) string { return m.Host.Name + ":1" })
 	}
-	config.Cluster, config.NodeName, config.FaultTolerance, config.Bootstrap = f.ClusterID, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.startedBefore
+	config.Cluster, config.NodeName, config.FaultTolerance, config.Bootstrap = f.ClusterID, h.Name, f.Shape.FaultTolerance, f.Shape.Bootstrap && !m.startedBefore
 	if f.disabled.seeds {
 		config.Seeds = []string{"nowhere:1"}
 	}
@@ -296,7 +296,7 @@
 // SetUp makes the cluster, applies the settings and gives the worker list;
 // it runs as a task of the callers' host.
 func (f *Fleet) SetUp() {
-	if !f.Shape.Found {
+	if !f.Shape.Bootstrap {
 		addrs := base.Map(f.Storage, func(m *Machine) string { return m.Host.Name + ":1" })
 		f.retryUntilOK("form", func() int {
 			status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
@@ -308,7 +308,7 @@
 			map[string]any{"change": "first", "based_on": 0, "document": json.RawMessage(f.Shape.Settings)})
 		return status
 	})
-	ask := f.Asker(f.CallerHost)
+	ask := f.RequestSender(f.CallerHost)
 	f.retryUntilOK("workers", func() int {
 		answer, err := ask(0, "PUT", "/v1/platform/workers", nil, base.MustMarshal(f.WorkerList))
 		if err != nil {
--- a/internal/simulate/fleet_report.go
+++ b/internal/simulate/fleet_report.go
@@ -14,7 +14,7 @@
 // StartUsageReports has each model worker tell its load now and then, to one gateway
 // after another.
 func (f *Fleet) StartUsageReports(interval time.Duration) {
-	ask := f.Asker(f.CallerHost)
+	ask := f.RequestSender(f.CallerHost)
 	for _, model := range f.Models {
 		f.CallerHost.Go(func() {
 			for gateway := int(f.World.Int64N(int64(len(f.Gateways)))); ; gateway++ {
@@ -36,7 +36,7 @@
 			prepare(c)
 		}
 		f.CallerHost.Go(func() {
-			if c.Start(int64(turns * f.Shape.Pieces * 8)) {
+			if c.Start(int64(turns * f.Shape.PiecesPerTurn * 8)) {
 				c.Converse(turns, tools)
 			}
 			remaining--
@@ -65,6 +65,6 @@
 
 // CheckInvariants looks over callers' and workers' records.
 func (f *Fleet) CheckInvariants() []string {
-	f.Tally.Check(f.Models, f.Tools, int64(f.Shape.Pieces))
+	f.Tally.Check(f.Models, f.Tools, int64(f.Shape.PiecesPerTurn))
 	return f.Tally.Breaches
 }
--- a/internal/simulate/history_test.go
+++ b/internal/simulate/history_test.go
@@ -33,7 +33,7 @@
 func newHistoryWriter(f *Fleet) *historyWriter {
 	bounds := &base.AtomicPointer[base.Bounds]{}
 	bounds.Store(base.DefaultBounds())
-	client := ledger.NewClient(f.CallerHost.Clock(), f.Net.Wire(f.CallerHost), f.diskSet, f.CallerHost.Zone, f.Shape.Tolerate, bounds, base.NewCounters(), nil)
+	client := ledger.NewClient(f.CallerHost.Clock(), f.Net.Wire(f.CallerHost), f.diskSet, f.CallerHost.Zone, f.Shape.FaultTolerance, bounds, base.NewCounters(), nil)
 	return &historyWriter{fleet: f, client: client, ackedTurns: make([][]string, historyPrograms), epochs: make([]uint64, historyPrograms)}
 }
 
--- a/internal/simulate/isolation.go
+++ b/internal/simulate/isolation.go
@@ -70,7 +70,7 @@
 	for i := range site.Services {
 		site.Services[i].Workers = 1
 	}
-	shape.Name, shape.Tolerate = name, size[3]
+	shape.Name, shape.FaultTolerance = name, size[3]
 	return shape
 }
 
--- a/internal/simulate/limits_test.go
+++ b/internal/simulate/limits_test.go
@@ -62,7 +62,7 @@
 func TestOverloadIsRefusedEarly(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
-	shape.Capacity, shape.Gap = 4, 50*time.Millisecond
+	shape.WorkerCapacity, shape.PieceInterval = 4, 50*time.Millisecond
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":4,"waiting":16`, 1)
 	goodput := func(callers int) (whole int, counts map[string]int) {
 		script(t, shape, func(is *is.I, f *Fleet, call *talker) {
@@ -85,7 +85,7 @@
 func TestRunawayProgramDoesNotStarveOthers(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
-	shape.Models, shape.Capacity, shape.Gap = 1, 4, 50*time.Millisecond
+	shape.ModelWorkers, shape.WorkerCapacity, shape.PieceInterval = 1, 4, 50*time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		runaway, secret := call.program(100000, nil)
 		for place := 0; place < 40; place++ {
--- a/internal/simulate/net.go
+++ b/internal/simulate/net.go
@@ -248,13 +248,13 @@
 				}
 				return
 			}
-			target.Clock().Sleep(n.delay() + n.transmissionTime(recorder.Body.Len()) + x.host.Lag + target.Lag + x.host.work())
+			target.Clock().Sleep(n.delay() + n.transmissionTime(recorder.Body.Len()) + x.host.ExtraDelay + target.ExtraDelay + x.host.work())
 			response = recorder.Result()
 			n.recordTraffic(x.host.Name, target.Name, path, 0, messageSize(len("HTTP/1.1 200 OK\r\n"), response.Header, recorder.Body.Len()))
 			done.Fire()
 		})
 	}
-	delay := n.delay() + n.transmissionTime(len(body)) + x.host.Lag + target.Lag + target.work()
+	delay := n.delay() + n.transmissionTime(len(body)) + x.host.ExtraDelay + target.ExtraDelay + target.work()
 	if w.Chance(n.Faults.DelayRate) {
 		delay += w.Between(0, n.Faults.MaxExtraDelay)
 	}
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -182,7 +182,7 @@
 }
 
 func (f *Fleet) sendUntilAccepted(method, path string, body func() any, version uint64) {
-	ask := f.Asker(f.CallerHost)
+	ask := f.RequestSender(f.CallerHost)
 	for attempt := int(f.World.Int64N(int64(len(f.Gateways)))); ; attempt++ {
 		answer, err := ask(attempt, method, path, nil, base.MustMarshal(body()))
 		if err == nil {
@@ -265,7 +265,7 @@
 	lost.removed = true
 	lost.Disk.Wipe()
 	replacement := f.AddMachine("storage")
-	if f.Shape.Tolerate > 0 {
+	if f.Shape.FaultTolerance > 0 {
 		if f.waitUntil(time.Minute, f.diskSetComplete) < time.Minute {
 			f.Tally.Count("disks_replaced")
 		}
--- a/internal/simulate/orders.go
+++ b/internal/simulate/orders.go
@@ -99,7 +99,7 @@
 // NewOrderRun builds a fleet and starts it; change, if not nil, changes the
 // fleet before it starts.
 func NewOrderRun(seed uint64, shape OrderShape, prepare func(f *Fleet)) *OrderRun {
-	f := buildFleet(seed, Shape{Name: shape.Name, Zones: 4, Edges: shape.Gateways, Cores: shape.Cores, Storage: shape.Storage, Tolerate: shape.FaultTolerance, Found: true})
+	f := buildFleet(seed, Shape{Name: shape.Name, Zones: 4, Gateways: shape.Gateways, Cores: shape.Cores, Storage: shape.Storage, FaultTolerance: shape.FaultTolerance, Bootstrap: true})
 	r := &OrderRun{Fleet: f, Rounds: 6, sentDocuments: map[string][][]byte{}, Kills: map[string]int{}}
 	f.configure = func(_ *Machine, env *node.Env, place *node.Config) {
 		place.Bounds = &base.Bounds{SettingsApply: 2 * time.Second, Drain: 3 * time.Second, Recovery: shape.RecoveryBound, Retention: time.Minute}
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -273,7 +273,7 @@
 // stopsMachines its next leg.
 func TestLostAttemptIsNotReportedAsNotRun(t *testing.T) {
 	shape := SmallShape()
-	shape.Gap = 300 * time.Millisecond
+	shape.PieceInterval = 300 * time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(8, nil)
 		path, key := call.session(0, program, secret, nil)
@@ -294,7 +294,7 @@
 func TestRefusalSurvivesOwnerLoss(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
-	shape.Gap = 300 * time.Millisecond
+	shape.PieceInterval = 300 * time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, map[string]any{"queue_size": 1})
@@ -328,7 +328,7 @@
 func TestUnstoredRefusalIsNotReportedAsNotRun(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
-	shape.Gap = 300 * time.Millisecond
+	shape.PieceInterval = 300 * time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, map[string]any{"queue_size": 1})
--- a/internal/simulate/parties.go
+++ b/internal/simulate/parties.go
@@ -13,8 +13,8 @@
 	"fordseam/internal/standin"
 )
 
-// Reply is a worker's reply under way.
-type Reply struct {
+// BackendReply is a worker's reply under way.
+type BackendReply struct {
 	bell   *base.Notifier
 	status int
 	begun  bool
@@ -30,7 +30,7 @@
 
 const pollEvery = 50 * time.Millisecond
 
-func (r *Reply) await(limit time.Duration, ready func() bool) error {
+func (r *BackendReply) await(limit time.Duration, ready func() bool) error {
 	end := r.clock.Now() + limit
 	for {
 		next := r.bell.Next()
@@ -50,15 +50,15 @@
 	}
 }
 
-func (r *Reply) Status() int            { return r.status }
-func (r *Reply) Header(string) string   { return "application/json" }
-func (r *Reply) ClosesConnection() bool { return r.closes }
+func (r *BackendReply) Status() int            { return r.status }
+func (r *BackendReply) Header(string) string   { return "application/json" }
+func (r *BackendReply) ClosesConnection() bool { return r.closes }
 
-func (r *Reply) EachHeader(visit func(name, value []byte)) {
+func (r *BackendReply) EachHeader(visit func(name, value []byte)) {
 	visit([]byte("Content-Type"), []byte(r.Header("")))
 }
 
-func (r *Reply) ReadLine(limit time.Duration) ([]byte, error) {
+func (r *BackendReply) ReadLine(limit time.Duration) ([]byte, error) {
 	if err := r.await(limit, func() bool { return len(r.lines) > 0 }); err != nil {
 		return nil, err
 	}
@@ -67,12 +67,12 @@
 	return []byte(line), nil
 }
 
-func (r *Reply) ReadBody(limit time.Duration, _ int) ([]byte, error) {
+func (r *BackendReply) ReadBody(limit time.Duration, _ int) ([]byte, error) {
 	err := r.await(limit, func() bool { return r.ended && !r.died })
 	return r.body, err
 }
 
-func (r *Reply) Close() {
+func (r *BackendReply) Close() {
 	r.closed = true
 	delete(r.host.ends, r)
 	r.bell.Notify()
@@ -94,7 +94,7 @@
 	if target == nil || !target.alive || b.net.isCut(b.host.Name, target.Name) {
 		return nil, &base.NotSent{Cause: errors.New("connection refused")}
 	}
-	reply := &Reply{bell: base.NewNotifier(ctx.Clock), clock: ctx.Clock, host: target}
+	reply := &BackendReply{bell: base.NewNotifier(ctx.Clock), clock: ctx.Clock, host: target}
 	target.ends[reply] = struct{}{}
 	body := append([]byte(nil), request.Body...)
 	target.Go(func() {
@@ -129,8 +129,8 @@
 // Forget has nothing to do: connections in memory are not kept.
 func (b *Backends) DropIdle(string) {}
 
-// Asker sends callers' requests to the simulated gateways.
-func (f *Fleet) Asker(host *Host) standin.Asker {
+// RequestSender sends callers' requests to the simulated gateways.
+func (f *Fleet) RequestSender(host *Host) standin.Asker {
 	clock := host.Clock()
 	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
 		edge := f.Gateways[gateway%len(f.Gateways)]
--- a/internal/simulate/path_test.go
+++ b/internal/simulate/path_test.go
@@ -140,7 +140,7 @@
 		done := false
 		f.CallerHost.Go(func() {
 			defer func() { done = true }()
-			steps(is, f, &talker{f, f.Asker(f.CallerHost)})
+			steps(is, f, &talker{f, f.RequestSender(f.CallerHost)})
 		})
 		is.True(f.World.Run(f.World.Now()+time.Hour, func() bool { return done })) // the script came to its end
 	})
@@ -288,7 +288,7 @@
 
 func TestQueueIsBoundedAndOrdered(t *testing.T) {
 	shape := SmallShape()
-	shape.Gap = 300 * time.Millisecond
+	shape.PieceInterval = 300 * time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(10000, nil)
 		path, key := call.session(0, program, secret, map[string]any{"queue_size": 2})
@@ -323,7 +323,7 @@
 
 func TestDrainFinishesWhatWasAccepted(t *testing.T) {
 	shape := SmallShape()
-	shape.Gap = 100 * time.Millisecond
+	shape.PieceInterval = 100 * time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(10000, nil)
 		path, key := call.session(0, program, secret, nil)
@@ -357,7 +357,7 @@
 
 func TestTerminationOnlyEscalates(t *testing.T) {
 	shape := SmallShape()
-	shape.Gap = 400 * time.Millisecond
+	shape.PieceInterval = 400 * time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(10000, nil)
 		path, key := call.session(0, program, secret, nil)
@@ -623,7 +623,7 @@
 // Urgent programs go first when workers are full, and none starves.
 func TestUrgentGoesFirstAndNoneStarves(t *testing.T) {
 	shape := SmallShape()
-	shape.Models, shape.Capacity, shape.Gap = 1, 1, 100*time.Millisecond
+	shape.ModelWorkers, shape.WorkerCapacity, shape.PieceInterval = 1, 1, 100*time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		order := []string{}
 		left := 0
@@ -693,7 +693,7 @@
 // A worker that leaves while it is busy finishes what it has.
 func TestAWorkerLeavingWhileBusyFinishes(t *testing.T) {
 	shape := SmallShape()
-	shape.Gap = 500 * time.Millisecond
+	shape.PieceInterval = 500 * time.Millisecond
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
--- a/internal/simulate/redundancy_test.go
+++ b/internal/simulate/redundancy_test.go
@@ -169,7 +169,7 @@
 	is.True(took < 20*time.Second)
 	took = f.World.Now() - began
 	f.loseMachine(out, false)
-	lost := f.drawn(f.Shape.Tolerate)
+	lost := f.drawn(f.Shape.FaultTolerance)
 	for _, m := range lost {
 		f.wipeMachine(m)
 	}
@@ -258,7 +258,7 @@
 	f.Stop(out)
 	f.loseMachine(out, false)
 	call.sleep(catchUp)
-	lossWays["power lost everywhere, some wiped"](f, f.drawn(f.Shape.Tolerate), call)
+	lossWays["power lost everywhere, some wiped"](f, f.drawn(f.Shape.FaultTolerance), call)
 	call.sleep(catchUp)
 }
 
@@ -295,7 +295,7 @@
 	f.CallerHost.Go(func() {
 		defer func() { done = true }()
 		f.waitUntil(10*time.Second, f.diskSetComplete)
-		steps(f, &talker{f, f.Asker(f.CallerHost)})
+		steps(f, &talker{f, f.RequestSender(f.CallerHost)})
 	})
 	if !f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done }) {
 		t.Fatalf("seed %d did not end", seed)
--- a/internal/simulate/removal_test.go
+++ b/internal/simulate/removal_test.go
@@ -209,7 +209,7 @@
 			const most = 48 // a seed that shows the harm ends the search
 			for seed := uint64(1); seed <= most; seed++ {
 				scenario := *FindScenario(row.scenario)
-				scenario.Limit = time.Minute // a fleet that is broken for good is broken in the first
+				scenario.Timeout = time.Minute // a fleet that is broken for good is broken in the first
 				outcome := scenario.RunWith(seed, Shapes[row.shape](), row.take)
 				for _, breach := range outcome.Breaches {
 					if strings.Contains(breach, row.word) {
--- a/internal/simulate/repair_test.go
+++ b/internal/simulate/repair_test.go
@@ -167,7 +167,7 @@
 // The owner is lost while its understudy is leaving: another goes on.
 func TestTakeOverWhileTheUnderstudyDrains(t *testing.T) {
 	shape := SmallShape()
-	shape.Edges = 4
+	shape.Gateways = 4
 	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
 		program, secret := call.program(1000, nil)
 		path, key := call.session(0, program, secret, nil)
--- a/internal/simulate/scenario.go
+++ b/internal/simulate/scenario.go
@@ -18,31 +18,31 @@
 	Name string
 	Net  NetworkFaults
 	// Fit changes the shape it runs on.
-	Fit func(shape *Shape)
+	AdjustShape func(shape *Shape)
 	// Begin runs once, when all is set up; Do again and again.
-	Begin func(f *Fleet)
-	Every time.Duration
-	Do    func(f *Fleet, round int)
+	OnStart  func(f *Fleet)
+	Interval time.Duration
+	Inject   func(f *Fleet, round int)
 	// Planned: nothing but planned stops and changes, so nothing may be cut.
-	Planned bool
+	PlannedOnly bool
 	// Limit bounds the run, scenarioLimit unless set.
-	Limit time.Duration
+	Timeout time.Duration
 	// Span is how long callers begin conversations.
-	Span time.Duration
+	LoadDuration time.Duration
 	// Crowd is how many callers more arrive at once, most of them urgent.
-	Crowd int
+	BurstCallers int
 }
 
 // Outcome is what came of one run.
 type Outcome struct {
-	Scenario string          `json:"scenario"`
-	Tier     bool            `json:"tier,omitempty"`
-	Shape    string          `json:"shape"`
-	Seed     uint64          `json:"seed"`
-	VirtualS float64         `json:"virtual_s"`
-	Counts   map[string]int  `json:"counts"`
-	Turns    []time.Duration `json:"-"`
-	Breaches []string        `json:"breaches"`
+	Scenario  string          `json:"scenario"`
+	Tier      bool            `json:"tier,omitempty"`
+	Shape     string          `json:"shape"`
+	Seed      uint64          `json:"seed"`
+	VirtualS  float64         `json:"virtual_s"`
+	Counts    map[string]int  `json:"counts"`
+	TurnTimes []time.Duration `json:"-"`
+	Breaches  []string        `json:"breaches"`
 }
 
 const (
@@ -55,8 +55,8 @@
 
 // RunWith lets a test change the fleet before it forms.
 func (s *Scenario) RunWith(seed uint64, shape Shape, change func(f *Fleet)) *Outcome {
-	if s.Fit != nil {
-		s.Fit(&shape)
+	if s.AdjustShape != nil {
+		s.AdjustShape(&shape)
 	}
 	f := NewFleet(seed, shape)
 	defer f.World.Close()
@@ -73,17 +73,17 @@
 	f.Net.Faults = s.Net
 	f.pendingFaults = 0
 	f.CallerHost.Go(func() {
-		if s.Begin != nil {
-			s.Begin(f)
+		if s.OnStart != nil {
+			s.OnStart(f)
 		}
-		for round := 0; s.Do != nil && going(); round++ {
-			s.Do(f, round)
-			f.CallerHost.Clock().Sleep(s.Every)
+		for round := 0; s.Inject != nil && going(); round++ {
+			s.Inject(f, round)
+			f.CallerHost.Clock().Sleep(s.Interval)
 		}
 	})
 	limit := scenarioLimit
-	if s.Limit > 0 {
-		limit = s.Limit
+	if s.Timeout > 0 {
+		limit = s.Timeout
 	}
 	if !f.World.Run(f.World.Now()+limit, func() bool { return left() == 0 && f.pendingFaults == 0 }) {
 		f.Tally.Breach("callers were left without an end after %v", limit)
@@ -95,7 +95,7 @@
 // people starts all who use the fleet: callers, a runaway with helpers,
 // operators and the platform.
 func (s *Scenario) people(f *Fleet) (left func() int, going func() bool) {
-	span := s.Span
+	span := s.LoadDuration
 	if span == 0 {
 		span = scenarioSpan
 	}
@@ -109,13 +109,13 @@
 	for caller := range len(f.Gateways) * 2 {
 		enter(func() {
 			for round := 0; going(); round++ {
-				turns := f.Shape.Turns[0]
+				turns := f.Shape.ConversationTurns[0]
 				if (caller+round)%4 == 0 {
-					turns = f.Shape.Turns[1]
+					turns = f.Shape.ConversationTurns[1]
 				}
 				c := f.caller(fmt.Sprintf("c%d-%d", caller, round), caller)
 				c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
-				if c.Start(int64(turns * f.Shape.Pieces * 8)) {
+				if c.Start(int64(turns * f.Shape.PiecesPerTurn * 8)) {
 					c.Converse(turns, true)
 				}
 			}
@@ -123,7 +123,7 @@
 	}
 	runaway := f.caller("runaway", 1)
 	enter(func() {
-		if !runaway.Start(int64(f.Shape.Pieces*12 + 3)) {
+		if !runaway.Start(int64(f.Shape.PiecesPerTurn*12 + 3)) {
 			return
 		}
 		for helper := range 3 {
@@ -135,12 +135,12 @@
 			})
 		}
 	})
-	for crowd := range s.Crowd {
+	for crowd := range s.BurstCallers {
 		enter(func() {
 			f.CallerHost.Clock().Sleep(span/4 + f.World.Between(0, 50*time.Millisecond))
 			c := f.caller(fmt.Sprint("crowd", crowd), crowd)
 			c.Urgency = map[bool]string{true: "urgent", false: "normal"}[crowd%4 > 0]
-			if c.Start(int64(f.Shape.Pieces * 24)) {
+			if c.Start(int64(f.Shape.PiecesPerTurn * 24)) {
 				c.Converse(2, false)
 			}
 		})
@@ -154,8 +154,8 @@
 }
 
 func (f *Fleet) caller(name string, home int) *standin.Caller {
-	return &standin.Caller{Name: name, Clock: f.CallerHost.Clock(), Ask: f.Asker(f.CallerHost), Gateways: len(f.Gateways), Home: home,
-		Group: f.Shape.Group, Site: "main", Pieces: f.Shape.Pieces, Patience: 90 * time.Second, Tally: f.Tally}
+	return &standin.Caller{Name: name, Clock: f.CallerHost.Clock(), Ask: f.RequestSender(f.CallerHost), Gateways: len(f.Gateways), Home: home,
+		Group: f.Shape.Group, Site: "main", Pieces: f.Shape.PiecesPerTurn, Patience: 90 * time.Second, Tally: f.Tally}
 }
 
 // aftermath ends all harm, and then the fleet must serve, with the settings
@@ -164,7 +164,7 @@
 	f.Net.Heal()
 	f.Net.Faults = NetworkFaults{}
 	for _, m := range f.All() {
-		m.Host.Lag, m.Disk.SyncStalled = 0, false
+		m.Host.ExtraDelay, m.Disk.SyncStalled = 0, false
 		switch {
 		case m.removed:
 		case !m.Host.alive:
@@ -188,7 +188,7 @@
 	if !f.World.Run(f.World.Now()+2*time.Minute, func() bool { return done }) || f.Tally.Counts["conversations_whole"] == whole {
 		f.Tally.Breach("the fleet does not serve once the failures are over")
 	}
-	if s.Planned {
+	if s.PlannedOnly {
 		for _, name := range []string{"turns_dropped", "turns_cut", "final_cut_cut", "cut_connections"} {
 			if n := f.Tally.Counts[name]; n > 0 {
 				f.Tally.Breach("planned stops and changes brought %d %s", n, name)
@@ -199,5 +199,5 @@
 
 func (s *Scenario) outcome(f *Fleet) *Outcome {
 	return &Outcome{Scenario: s.Name, Shape: f.Shape.Name, Seed: f.World.Seed, VirtualS: f.World.Now().Seconds(), Counts: f.Tally.Counts,
-		Turns: base.Map(f.Tally.Turns, func(one standin.TurnTime) time.Duration { return one.Took }), Breaches: f.CheckInvariants()}
+		TurnTimes: base.Map(f.Tally.Turns, func(one standin.TurnTime) time.Duration { return one.Took }), Breaches: f.CheckInvariants()}
 }
--- a/internal/simulate/settings_test.go
+++ b/internal/simulate/settings_test.go
@@ -74,7 +74,7 @@
 		cutAt := f.World.Now()
 		declinedAt := time.Duration(0)
 		f.CallerHost.Go(func() {
-			ask := f.Asker(f.CallerHost)
+			ask := f.RequestSender(f.CallerHost)
 			for declinedAt == 0 {
 				answer, err := ask(0, "GET", "/v1/platform/workers", nil, nil)
 				is.NoErr(err)
--- a/internal/simulate/shape.go
+++ b/internal/simulate/shape.go
@@ -12,23 +12,23 @@
 	Name  string
 	Group string
 	// Turns are those of a short conversation and of a long one.
-	Turns    [2]int
-	Zones    int
-	Edges    int
-	Cores    int
-	Storage  int
-	Models   int
-	Tools    int
-	Capacity int
-	Pieces   int
-	Gap      time.Duration
-	Prefill  time.Duration
-	Cache    int
-	Settings string
+	ConversationTurns [2]int
+	Zones             int
+	Gateways          int
+	Cores             int
+	Storage           int
+	ModelWorkers      int
+	ToolWorkers       int
+	WorkerCapacity    int
+	PiecesPerTurn     int
+	PieceInterval     time.Duration
+	PrefillTime       time.Duration
+	CachedPrefixes    int
+	Settings          string
 	// Tolerate is how many disks may be lost at once, 0 where operators mend the
 	// disk set; Found has the machines form the cluster by themselves.
-	Tolerate int
-	Found    bool
+	FaultTolerance int
+	Bootstrap      bool
 	// ZoneNames are the zones, "zone-0" and on unless given.
 	ZoneNames []string
 	// ModelPool and ToolPool are "models" and "apps" unless set.
@@ -46,23 +46,23 @@
 
 // SmallShape is enough for every duty to have a second machine.
 func SmallShape() Shape {
-	return Shape{Name: "small", Group: "g", Turns: [2]int{2, 4}, Zones: 2, Edges: 3, Cores: 2, Storage: 3, Models: 2, Tools: 2, Capacity: 16, Pieces: 6, Gap: 20 * time.Millisecond, Settings: DefaultSettings}
+	return Shape{Name: "small", Group: "g", ConversationTurns: [2]int{2, 4}, Zones: 2, Gateways: 3, Cores: 2, Storage: 3, ModelWorkers: 2, ToolWorkers: 2, WorkerCapacity: 16, PiecesPerTurn: 6, PieceInterval: 20 * time.Millisecond, Settings: DefaultSettings}
 }
 
 // KiondoShape is the first deployment's.
 func KiondoShape() Shape {
-	return Shape{Name: "kiondo", Group: "g", Turns: [2]int{3, 5}, Zones: 4, Edges: 6, Cores: 4, Storage: 4, Models: 9, Tools: 4, Capacity: 16, Pieces: 6, Gap: 20 * time.Millisecond, Settings: DefaultSettings}
+	return Shape{Name: "kiondo", Group: "g", ConversationTurns: [2]int{3, 5}, Zones: 4, Gateways: 6, Cores: 4, Storage: 4, ModelWorkers: 9, ToolWorkers: 4, WorkerCapacity: 16, PiecesPerTurn: 6, PieceInterval: 20 * time.Millisecond, Settings: DefaultSettings}
 }
 
 // LjubljanaShape is the second deployment's.
 func LjubljanaShape() Shape {
-	return Shape{Name: "ljubljana", Group: "g", Turns: [2]int{3, 7}, Zones: 4, Edges: 9, Cores: 4, Storage: 4, Models: 12, Tools: 5, Capacity: 16, Pieces: 6, Gap: 20 * time.Millisecond, Settings: DefaultSettings}
+	return Shape{Name: "ljubljana", Group: "g", ConversationTurns: [2]int{3, 7}, Zones: 4, Gateways: 9, Cores: 4, Storage: 4, ModelWorkers: 12, ToolWorkers: 5, WorkerCapacity: 16, PiecesPerTurn: 6, PieceInterval: 20 * time.Millisecond, Settings: DefaultSettings}
 }
 
 // WideShape has more gateways than the feed's owner tells by itself.
 func WideShape() Shape {
 	shape := KiondoShape()
-	shape.Name, shape.Edges, shape.Cores, shape.Storage = "wide", 28, 5, 5
+	shape.Name, shape.Gateways, shape.Cores, shape.Storage = "wide", 28, 5, 5
 	return shape
 }
 
--- a/internal/simulate/talk.go
+++ b/internal/simulate/talk.go
@@ -12,14 +12,14 @@
 	"fordseam/internal/base"
 )
 
-// Sized is a fleet of a size, a fifth of it cores and storage machines up to
+// ShapeOfSize is a fleet of a size, a fifth of it cores and storage machines up to
 // most each.
-func Sized(nodes, most int) Shape {
+func ShapeOfSize(nodes, most int) Shape {
 	shape := KiondoShape()
 	shape.Cores = min(4+nodes/30, most)
 	shape.Storage = min(shape.Cores, 9)
-	shape.Edges = nodes - shape.Cores - shape.Storage
-	shape.Models, shape.Tools = 2, 2
+	shape.Gateways = nodes - shape.Cores - shape.Storage
+	shape.ModelWorkers, shape.ToolWorkers = 2, 2
 	return shape
 }
 
@@ -31,8 +31,8 @@
 	most                         string
 }
 
-// WriteTalk measures a fleet of a shape at rest over a span.
-func WriteTalk(out io.Writer, seed uint64, shape Shape, span time.Duration) error {
+// WriteIdleTraffic measures a fleet of a shape at rest over a span.
+func WriteIdleTraffic(out io.Writer, seed uint64, shape Shape, span time.Duration) error {
 	f := NewFleet(seed, shape)
 	defer f.World.Close()
 	begun := false
@@ -46,7 +46,7 @@
 	f.World.Run(f.World.Now()+20*time.Second, nil)
 	f.Net.TrafficByPath, f.Net.TrafficByHost = map[string]*PathTraffic{}, map[string]*HostTraffic{}
 	f.World.Run(f.World.Now()+span, nil)
-	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %v at rest\n", len(f.All()), shape.Edges, shape.Cores, shape.Storage, span)
+	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %v at rest\n", len(f.All()), shape.Gateways, shape.Cores, shape.Storage, span)
 	f.Net.writeTalk(out, f, span)
 	return nil
 }
--- a/internal/simulate/talk_churn.go
+++ b/internal/simulate/talk_churn.go
@@ -38,18 +38,18 @@
 	site.Edges = machines - site.Cores - site.Storage
 	site.Services[0].Workers = machines * 5
 	site.Services[1].Workers = machines * 5
-	return TierShape{Name: site.Name, Site: site, Tolerate: 1}
+	return TierShape{Name: site.Name, Site: site, FaultTolerance: 1}
 }
 
-// Churn is a fleet under such a load.
-type Churn struct {
+// ChurnRun is a fleet under such a load.
+type ChurnRun struct {
 	*Tier
 	over bool
 }
 
-// NewChurn forms a fleet and begins to replace its workers.
-func NewChurn(seed uint64, machines int) (*Churn, error) {
-	c := &Churn{Tier: NewTier(seed, ChurnShape(machines), paceList)}
+// NewChurnRun forms a fleet and begins to replace its workers.
+func NewChurnRun(seed uint64, machines int) (*ChurnRun, error) {
+	c := &ChurnRun{Tier: NewTier(seed, ChurnShape(machines), paceList)}
 	formed, done := false, false
 	c.CallerHost.Go(func() {
 		formed = c.form()
@@ -82,7 +82,7 @@
 
 // replaceWorkers takes one worker after another off the list, as a release
 // does, and puts a new one on it.
-func (c *Churn) replaceWorkers() {
+func (c *ChurnRun) replaceWorkers() {
 	gap := churnGap * 1000 / time.Duration(len(c.workers))
 	for place := 0; !c.over; place++ {
 		c.CallerHost.Clock().Sleep(gap)
@@ -91,7 +91,7 @@
 	}
 }
 
-func (c *Churn) replaceWorker(leaving *tierWorker) {
+func (c *ChurnRun) replaceWorker(leaving *tierWorker) {
 	c.openWorker(leaving.Shape, leaving.Zone, "")
 	draining := c.instance(leaving, parties.StateDraining)
 	c.list.Change(leaving.ID, &draining, 0)
@@ -100,16 +100,16 @@
 	leaving.end(c.Tier)
 }
 
-// Applied is how one change of the configuration fared.
-type Applied struct {
+// AppliedChange is how one change of the configuration fared.
+type AppliedChange struct {
 	// Acked is how long the operator waited, InForce how long after that the
 	// last gateway went by it.
-	Acked, InForce time.Duration
+	AckTime, PropagationTime time.Duration
 }
 
-// Apply changes the configuration and waits until all gateways that live go by
+// ApplyChange changes the configuration and waits until all gateways that live go by
 // it, or a limit is over.
-func (c *Churn) Apply(limit time.Duration) (Applied, error) {
+func (c *ChurnRun) ApplyChange(limit time.Duration) (AppliedChange, error) {
 	var order *parties.Order
 	began, acked := c.World.Now(), time.Duration(0)
 	c.CallerHost.Go(func() {
@@ -118,20 +118,20 @@
 	})
 	c.World.Run(began+limit, func() bool { return acked > 0 })
 	if order == nil || !order.Acked() {
-		return Applied{}, fmt.Errorf("the change was not acknowledged within %v", limit)
+		return AppliedChange{}, fmt.Errorf("the change was not acknowledged within %v", limit)
 	}
 	version := order.Config.Generation
 	for c.behind(version) > 0 {
 		if c.World.Now() > acked+limit {
-			return Applied{}, fmt.Errorf("%d gateways do not go by version %d after %v", c.behind(version), version, limit)
+			return AppliedChange{}, fmt.Errorf("%d gateways do not go by version %d after %v", c.behind(version), version, limit)
 		}
 		c.World.Run(c.World.Now()+20*time.Millisecond, nil)
 	}
-	return Applied{Acked: acked - began, InForce: c.World.Now() - acked}, nil
+	return AppliedChange{AckTime: acked - began, PropagationTime: c.World.Now() - acked}, nil
 }
 
 // behind counts the living gateways that go by an older configuration.
-func (c *Churn) behind(version uint64) int {
+func (c *ChurnRun) behind(version uint64) int {
 	return len(base.Filter(c.Gateways, func(m *Machine) bool {
 		if !m.Host.alive || m.gateway == nil {
 			return false
@@ -141,13 +141,13 @@
 	}))
 }
 
-// Measure counts what is said over a span in which the configuration changes
+// MeasureChanges counts what is said over a span in which the configuration changes
 // once a period, and gives how the changes fared.
-func (c *Churn) Measure(span, period time.Duration) (changes []Applied, err error) {
+func (c *ChurnRun) MeasureChanges(span, period time.Duration) (changes []AppliedChange, err error) {
 	c.Net.TrafficByPath, c.Net.TrafficByHost = map[string]*PathTraffic{}, map[string]*HostTraffic{}
 	for end := c.World.Now() + span; c.World.Now() < end; {
 		next := c.World.Now() + period
-		one, err := c.Apply(30 * time.Second)
+		one, err := c.ApplyChange(30 * time.Second)
 		if err != nil {
 			return changes, err
 		}
@@ -157,29 +157,29 @@
 	return changes, nil
 }
 
-// Busiest gives the bytes a second of the busiest machine of a role.
-func (c *Churn) Busiest(role string, span time.Duration) float64 {
+// BusiestBytesPerSecond gives the bytes a second of the busiest machine of a role.
+func (c *ChurnRun) BusiestBytesPerSecond(role string, span time.Duration) float64 {
 	list := map[string][]*Machine{membership.RoleGateway: c.Gateways, membership.RoleCore: c.Cores, membership.RoleStorage: c.Storage}[role]
 	return c.Net.loadOf(role, list, span).mostBytes
 }
 
-// WriteChurn measures a fleet of a size.
-func WriteChurn(out io.Writer, seed uint64, machines int, span time.Duration) error {
-	c, err := NewChurn(seed, machines)
+// WriteChurnTraffic measures a fleet of a size.
+func WriteChurnTraffic(out io.Writer, seed uint64, machines int, span time.Duration) error {
+	c, err := NewChurnRun(seed, machines)
 	if err != nil {
 		return err
 	}
 	defer c.World.Close()
 	began := c.World.Now()
-	changes, err := c.Measure(span, 2*time.Second)
+	changes, err := c.MeasureChanges(span, 2*time.Second)
 	if err != nil {
 		return err
 	}
 	span = c.World.Now() - began
 	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %d workers that come and go, %v\n", machines, len(c.Gateways), len(c.Cores), len(c.Storage), len(c.listening), span)
 	c.Net.writeTalk(out, c.Fleet, span)
-	slices.SortFunc(changes, func(a, b Applied) int { return int(a.InForce - b.InForce) })
+	slices.SortFunc(changes, func(a, b AppliedChange) int { return int(a.PropagationTime - b.PropagationTime) })
 	middle, last := changes[len(changes)/2], changes[len(changes)-1]
-	fmt.Fprintf(out, "  %d changes of the configuration, in force everywhere after %v in the middle, %v at the longest\n", len(changes), middle.InForce, last.InForce)
+	fmt.Fprintf(out, "  %d changes of the configuration, in force everywhere after %v in the middle, %v at the longest\n", len(changes), middle.PropagationTime, last.PropagationTime)
 	return nil
 }
--- a/internal/simulate/talk_churn_test.go
+++ b/internal/simulate/talk_churn_test.go
@@ -17,7 +17,7 @@
 func TestAConfigurationReachesALargeFleetWhoseWorkersChange(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
-	c, err := NewChurn(1, 300)
+	c, err := NewChurnRun(1, 300)
 	is.NoErr(err)
 	if err != nil {
 		return
@@ -33,11 +33,11 @@
 	const span = 10 * time.Second
 	before := c.CounterTotal("roster_changes")
 	began := c.World.Now()
-	changes, err := c.Measure(span, time.Second)
+	changes, err := c.MeasureChanges(span, time.Second)
 	is.NoErr(err)
 	took := c.World.Now() - began
 	for _, change := range changes {
-		is.True(change.InForce < c.Site.Bounds.Apply/4)
+		is.True(change.PropagationTime < c.Site.Bounds.Apply/4)
 	}
 	is.True(c.CounterTotal("roster_changes") > before)
 	owner := c.feedLeader()
@@ -64,7 +64,7 @@
 func TestALargeFleetServesSoonAfterAllWasKilled(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
-	c, err := NewChurn(2, 300)
+	c, err := NewChurnRun(2, 300)
 	is.NoErr(err)
 	if err != nil {
 		return
--- a/internal/simulate/talk_test.go
+++ b/internal/simulate/talk_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-func sized(nodes int) Shape { return Sized(nodes, 7) }
+func sized(nodes int) Shape { return ShapeOfSize(nodes, 7) }
 
 // stage is how far a fleet was brought up.
 type stage string
@@ -221,7 +221,7 @@
 	f := rested(t, 14, applied)
 	defer f.World.Close()
 	m := f.Gateways[2]
-	m.Host.Lag = 250 * time.Millisecond
+	m.Host.ExtraDelay = 250 * time.Millisecond
 	id := m.view().SelfID()
 	// What the slow machine makes of others is its own affair.
 	suspected := func() int64 { return f.CounterTotal("members_suspected") - m.Counters.Snapshot()["members_suspected"] }
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -26,9 +26,9 @@
 	Name string
 	Site *parties.Site
 	// Tolerate is how many machines with a disk may be lost at once.
-	Tolerate int
+	FaultTolerance int
 	// Rate is how many times the site's usual load comes.
-	Rate float64
+	LoadFactor float64
 }
 
 // TierShapes are the sizes that the tier's days run at.
@@ -36,16 +36,16 @@
 	"small": func() TierShape {
 		site := parties.Sites()["small"]
 		site.Storage = 4 // one may be lost while another is replaced
-		return TierShape{Name: "small", Site: site, Tolerate: 1, Rate: 1.5}
+		return TierShape{Name: "small", Site: site, FaultTolerance: 1, LoadFactor: 1.5}
 	},
 	"kiondo": func() TierShape {
-		return TierShape{Name: "kiondo", Site: parties.Sites()["kiondo"], Tolerate: 1, Rate: 0.4}
+		return TierShape{Name: "kiondo", Site: parties.Sites()["kiondo"], FaultTolerance: 1, LoadFactor: 0.4}
 	},
 	"grown": grownShape,
 	"roaming": func() TierShape {
 		site := parties.Sites()["small"]
 		site.Storage = 4
-		return TierShape{Name: "roaming", Site: roaming(site), Tolerate: 1, Rate: 1.5}
+		return TierShape{Name: "roaming", Site: roaming(site), FaultTolerance: 1, LoadFactor: 1.5}
 	},
 	"roaming-grown": func() TierShape {
 		form := grownShape()
@@ -80,13 +80,13 @@
 	b := &site.Bounds
 	b.Contact, b.Ack, b.CatchUp, b.Drain, b.Apply, b.Stretch, b.Recovery, b.Pass = 4000*ms, 5000*ms, 6000*ms, 4000*ms, 2500*ms, 6000*ms, 15000*ms, 200*ms
 	site.Services[0].Workers, site.Services[0].Capacity, site.Services[1].Workers = 16, 16, 10
-	return TierShape{Name: "grown", Site: site, Tolerate: 2, Rate: 0.35}
+	return TierShape{Name: "grown", Site: site, FaultTolerance: 2, LoadFactor: 0.35}
 }
 
 // Tier is one run.
 type Tier struct {
 	*Fleet
-	Plan      TierShape
+	TierShape TierShape
 	Site      *parties.Site
 	record    *parties.Ledger
 	words     *parties.Words
@@ -135,9 +135,9 @@
 // NewTier lays a tier out and starts its machines and workers.
 func NewTier(seed uint64, form TierShape, change func(t *Tier)) *Tier {
 	site := form.Site
-	f := buildFleet(seed, Shape{Name: form.Name, Zones: len(site.Zones), ZoneNames: site.Zones, Edges: site.Edges, Cores: site.Cores, Storage: site.Storage,
-		Tolerate: form.Tolerate, Found: true})
-	t := &Tier{Fleet: f, Plan: form, Site: site, record: parties.NewLedger(site.Bounds, site.Stride(), site.Cores), entry: &parties.Entry{},
+	f := buildFleet(seed, Shape{Name: form.Name, Zones: len(site.Zones), ZoneNames: site.Zones, Gateways: site.Edges, Cores: site.Cores, Storage: site.Storage,
+		FaultTolerance: form.FaultTolerance, Bootstrap: true})
+	t := &Tier{Fleet: f, TierShape: form, Site: site, record: parties.NewLedger(site.Bounds, site.Stride(), site.Cores), entry: &parties.Entry{},
 		words: site.DrawWords(rand.New(rand.NewPCG(seed, 2))), names: map[string]*Machine{}, listening: map[string]*tierWorker{}, works: map[string]parties.Draw{},
 		faults: map[string]*tierFaults{}, conns: map[*workerConn]bool{}, exchanges: map[*exchange]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), times: 1}
 	t.drafts = &parties.Drafts{Site: site, Words: t.words, Rng: rand.New(rand.NewPCG(seed, 3))}
@@ -190,7 +190,7 @@
 
 // equip gives a process what the platform's settings file would.
 func (t *Tier) equip(m *Machine, env *node.Env, place *node.Config) {
-	m.Host.Cost = t.cost
+	m.Host.MessageCost = t.cost
 	b := t.Site.Bounds
 	place.Bounds = &base.Bounds{SettingsApply: b.Apply, Drain: b.Drain, Recovery: b.Recovery, Retention: time.Minute}
 	env.Names = &platform.Names
@@ -280,7 +280,7 @@
 			t.CallerHost.Go(func() {
 				defer func() { t.programs-- }()
 				for {
-					clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * t.Plan.Rate * t.times) * float64(time.Second)))
+					clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * t.TierShape.LoadFactor * t.times) * float64(time.Second)))
 					if clock.Now() >= end {
 						return
 					}
--- a/internal/simulate/tier_day.go
+++ b/internal/simulate/tier_day.go
@@ -11,31 +11,31 @@
 	parties "fordseam/internal/standin/platform"
 )
 
-// TierDay is a day with its troubles, named after them.
-type TierDay struct {
+// TierScenario is a day with its troubles, named after them.
+type TierScenario struct {
 	Name string
 	// Fit changes the deployment that the day is played on.
-	Fit func(site *parties.Site)
+	AdjustSite func(site *parties.Site)
 	// Deeds bring the day's troubles about while traffic goes on.
-	Deeds []func(t *Tier)
+	Faults []func(t *Tier)
 	// Rests tells that service may rest for a while: more is lost than has to be
 	// borne, though no more disks.
-	Rests bool
+	AllowUnavailable bool
 	// Closing, when set, is the fault that ends the day.
-	Closing func(t *Tier)
+	FinalFault func(t *Tier)
 	// Traffic is how long clients come, tierTraffic unless set.
-	Traffic time.Duration
+	LoadDuration time.Duration
 }
 
 const tierTraffic = 12 * time.Second
 
 // Run plays the day with a seed.
-func (d *TierDay) Run(seed uint64, form TierShape) *Outcome { return d.RunWith(seed, form, nil) }
+func (d *TierScenario) Run(seed uint64, form TierShape) *Outcome { return d.RunWith(seed, form, nil) }
 
 // RunWith lets a test change the tier before it starts.
-func (d *TierDay) RunWith(seed uint64, form TierShape, change func(t *Tier)) *Outcome {
-	if d.Fit != nil {
-		d.Fit(form.Site)
+func (d *TierScenario) RunWith(seed uint64, form TierShape, change func(t *Tier)) *Outcome {
+	if d.AdjustSite != nil {
+		d.AdjustSite(form.Site)
 	}
 	t := NewTier(seed, form, change)
 	defer t.World.Close()
@@ -54,7 +54,7 @@
 	out.VirtualS, out.Counts = t.World.now.Seconds(), countsOf(record)
 	for _, try := range record.Tries {
 		if try.Retain > 0 && try.OK() {
-			out.Turns = append(out.Turns, try.Ended-try.Sent)
+			out.TurnTimes = append(out.TurnTimes, try.Ended-try.Sent)
 		}
 	}
 	for _, m := range t.All() {
@@ -66,7 +66,7 @@
 		out.Breaches = append(out.Breaches, "FAULT: the tier did not form")
 		return out
 	}
-	if !d.Rests && 2*out.Counts["served"] < out.Counts["tries"] {
+	if !d.AllowUnavailable && 2*out.Counts["served"] < out.Counts["tries"] {
 		out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: %d of %d tries were served", out.Counts["served"], out.Counts["tries"]))
 	}
 	for _, breach := range record.Check() {
@@ -75,16 +75,16 @@
 	return out
 }
 
-func (d *TierDay) play(t *Tier) {
+func (d *TierScenario) play(t *Tier) {
 	if !t.form() {
 		return
 	}
-	span := d.Traffic
+	span := d.LoadDuration
 	if span == 0 {
 		span = tierTraffic
 	}
 	end := t.World.now + span
-	for _, deed := range d.Deeds {
+	for _, deed := range d.Faults {
 		t.deeds++
 		t.CallerHost.Go(func() {
 			deed(t)
@@ -93,8 +93,8 @@
 	}
 	t.traffic(end)
 	t.until(time.Minute, func() bool { return t.deeds == 0 })
-	if d.Closing != nil {
-		t.closing(d.Closing)
+	if d.FinalFault != nil {
+		t.closing(d.FinalFault)
 	}
 	t.until(2*time.Minute, func() bool { return t.programs == 0 && t.deeds == 0 })
 	t.config.operator.ReadBack(t.Site.Bounds.Contact, t.Site.Bounds.Contact+20*time.Second)
--- a/internal/simulate/tier_hunt.go
+++ b/internal/simulate/tier_hunt.go
@@ -76,7 +76,7 @@
 	t.wander = t.rng.IntN(3) == 0
 	if t.rng.IntN(4) == 0 {
 		for _, m := range t.All() {
-			m.Host.Cost = 800 * time.Microsecond
+			m.Host.MessageCost = 800 * time.Microsecond
 		}
 	}
 	clock := t.CallerHost.Clock()
@@ -137,8 +137,8 @@
 	case 1:
 		t.all(false, nil)
 	case 2:
-		t.all(true, t.some(t.Storage, t.Plan.Tolerate))
+		t.all(true, t.some(t.Storage, t.TierShape.FaultTolerance))
 	case 3:
-		t.each(t.some(t.Storage, t.Plan.Tolerate), func(m *Machine) { t.fall(m, "after_ack_wipe", short, true, true) })
+		t.each(t.some(t.Storage, t.TierShape.FaultTolerance), func(m *Machine) { t.fall(m, "after_ack_wipe", short, true, true) })
 	}
 }
--- a/internal/simulate/tier_removal_test.go
+++ b/internal/simulate/tier_removal_test.go
@@ -83,7 +83,7 @@
 func TestSlowPullsLoseNothing(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 3; seed++ {
-		outcome := TierDayNamed("stores wiped in turn, owners killed").RunWith(seed, TierShapes["small"](), func(t *Tier) { slowPulls(t.Fleet) })
+		outcome := FindTierScenario("stores wiped in turn, owners killed").RunWith(seed, TierShapes["small"](), func(t *Tier) { slowPulls(t.Fleet) })
 		for _, breach := range outcome.Breaches {
 			t.Errorf("seed %d: %s", seed, breach)
 		}
@@ -232,7 +232,7 @@
 			t.Parallel()
 			const most = 48 // a seed that shows the harm ends the search
 			for seed := uint64(1); seed <= most; seed++ {
-				outcome := TierDayNamed(row.day).RunWith(seed, TierShapes[cmp.Or(row.shape, "small")](), row.take)
+				outcome := FindTierScenario(row.day).RunWith(seed, TierShapes[cmp.Or(row.shape, "small")](), row.take)
 				for _, breach := range outcome.Breaches {
 					if strings.HasPrefix(breach, row.word+":") {
 						t.Logf("without %s, %q: seed %d: %s", row.mechanism, row.day, seed, breach)
--- a/internal/simulate/tier_test.go
+++ b/internal/simulate/tier_test.go
@@ -17,7 +17,7 @@
 
 func TestTheTierKeepsEveryRule(t *testing.T) {
 	for _, name := range []string{"small", "roaming", "kiondo", "grown"} {
-		for _, day := range TierDays {
+		for _, day := range TierScenarios {
 			if name == "grown" && !atGrown.MatchString(day.Name) {
 				continue
 			}
@@ -41,7 +41,7 @@
 	is := is.New(t)
 	seen := func() (tries, arrivals string) {
 		var kept *Tier
-		TierDayNamed("mixed: storm, closing power").RunWith(3, TierShapes["small"](), func(t *Tier) { kept = t })
+		FindTierScenario("mixed: storm, closing power").RunWith(3, TierShapes["small"](), func(t *Tier) { kept = t })
 		record := kept.record.Record()
 		return base.Digest(base.MustMarshal(record.Tries)), base.Digest(base.MustMarshal(record.Arrivals))
 	}
--- a/internal/simulate/tier_troubles.go
+++ b/internal/simulate/tier_troubles.go
@@ -217,9 +217,9 @@
 func (t *Tier) slowNode(m *Machine, span time.Duration) {
 	end := t.trouble("node_slow", m, func(x *parties.Trouble) { x.Slow = true })
 	quick, slow := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
-	m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = t.World.Between(10*time.Millisecond, 120*time.Millisecond), 20*time.Millisecond, 150*time.Millisecond
+	m.Host.ExtraDelay, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = t.World.Between(10*time.Millisecond, 120*time.Millisecond), 20*time.Millisecond, 150*time.Millisecond
 	t.CallerHost.Clock().Sleep(span)
-	m.Host.Lag, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, quick, slow
+	m.Host.ExtraDelay, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, quick, slow
 	end()
 }
 
--- a/internal/simulate/tier_workers.go
+++ b/internal/simulate/tier_workers.go
@@ -244,7 +244,7 @@
 	}
 	asked := &parties.Asked{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), Gone: c.gone,
 		Header: func(name string) string { return header[strings.ToLower(name)] }}
-	t.World.spawn(s.host, s.host.life, t.World.now+t.Net.delay()+c.from.Lag, func() {
+	t.World.spawn(s.host, s.host.life, t.World.now+t.Net.delay()+c.from.ExtraDelay, func() {
 		idle := t.World.now - c.idle
 		if s.gone || c.served > 0 && (s.forget > 0 && idle > s.forget || s.KeepIdle > 0 && idle > s.KeepIdle) {
 			c.in.put(t.Net.delay(), arrived{kind: arrivedClose})
@@ -272,7 +272,7 @@
 	if c.closed || r.broken || c.at.gone {
 		return errors.New("the connection is closed")
 	}
-	c.in.put(c.tier.Net.delay()+c.from.Lag, one)
+	c.in.put(c.tier.Net.delay()+c.from.ExtraDelay, one)
 	return nil
 }
 
--- a/internal/simulate/world.go
+++ b/internal/simulate/world.go
@@ -40,16 +40,16 @@
 	frozen bool
 	kept   []*event
 	serve  httpHandler
-	ends   map[*Reply]struct{}
+	ends   map[*BackendReply]struct{}
 	// dark machines have no power: they say nothing, where a process that has
 	// ended refuses.
 	dark bool
 	// Cost is the processor's time for each message, one after the other.
-	Cost  time.Duration
-	busy  time.Duration
-	calls []*pendingCall
+	MessageCost time.Duration
+	busy        time.Duration
+	calls       []*pendingCall
 	// Lag is added to every message to and from the host.
-	Lag time.Duration
+	ExtraDelay time.Duration
 }
 
 type task struct {
@@ -93,7 +93,7 @@
 
 // NewHost adds a machine that is up.
 func (w *World) NewHost(name, zone string) *Host {
-	h := &Host{World: w, Name: name, Zone: zone, alive: true, ends: map[*Reply]struct{}{}}
+	h := &Host{World: w, Name: name, Zone: zone, alive: true, ends: map[*BackendReply]struct{}{}}
 	w.Hosts[name] = h
 	return h
 }
@@ -208,10 +208,10 @@
 
 // work is how long a message waits until the processor has dealt with it.
 func (h *Host) work() time.Duration {
-	if h.Cost == 0 {
+	if h.MessageCost == 0 {
 		return 0
 	}
-	h.busy = max(h.busy, h.World.now) + h.Cost
+	h.busy = max(h.busy, h.World.now) + h.MessageCost
 	return h.busy - h.World.now
 }
 
@@ -226,7 +226,7 @@
 	for reply := range h.ends {
 		reply.died = true
 	}
-	h.ends = map[*Reply]struct{}{}
+	h.ends = map[*BackendReply]struct{}{}
 }
 
 // Revive brings a worker's machine back after Kill.
--- a/internal/whatif/run.go
+++ b/internal/whatif/run.go
@@ -78,8 +78,8 @@
 	}
 	chat, _ := tree.Route(d.Group, d.Site, d.Route)
 	tools, _ := tree.Route(d.Group, d.Site, d.ToolRoute)
-	shape := simulate.Shape{Group: d.Group, Zones: d.Zones, Edges: d.Edges, Cores: d.Cores, Storage: d.Storage, Models: d.Models, Tools: d.Tools,
-		Capacity: d.Capacity, Pieces: d.Pieces, Gap: d.Gap, Prefill: d.Prefill, Cache: d.Cache, Settings: string(q.Settings), ModelPool: chat.Pool, ToolPool: tools.Pool}
+	shape := simulate.Shape{Group: d.Group, Zones: d.Zones, Gateways: d.Edges, Cores: d.Cores, Storage: d.Storage, ModelWorkers: d.Models, ToolWorkers: d.Tools,
+		WorkerCapacity: d.Capacity, PiecesPerTurn: d.Pieces, PieceInterval: d.Gap, PrefillTime: d.Prefill, CachedPrefixes: d.Cache, Settings: string(q.Settings), ModelPool: chat.Pool, ToolPool: tools.Pool}
 	f := simulate.NewFleet(q.Seed, shape)
 	defer f.World.Close()
 	formed := false
@@ -132,7 +132,7 @@
 
 func (q *Question) caller(f *simulate.Fleet, num int, left *int) {
 	w := f.World
-	c := &standin.Caller{Name: fmt.Sprintf("c%d", num), Clock: f.CallerHost.Clock(), Ask: f.Asker(f.CallerHost), Gateways: len(f.Gateways), Home: int(w.Int64N(int64(len(f.Gateways)))),
+	c := &standin.Caller{Name: fmt.Sprintf("c%d", num), Clock: f.CallerHost.Clock(), Ask: f.RequestSender(f.CallerHost), Gateways: len(f.Gateways), Home: int(w.Int64N(int64(len(f.Gateways)))),
 		Group: q.Deployment.Group, Site: q.Deployment.Site, Route: q.Deployment.Route, ToolRoute: q.Deployment.ToolRoute, Pieces: q.Deployment.Pieces,
 		Patience: q.Load.Patience, Tally: f.Tally}
 	c.Hasty = w.Chance(q.Load.Hasty)
