--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestAccessCommandsReportInvalidFields(t *testing.T) {
-	script(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *apiClient) {
 		call.sleep(3 * time.Second)
 		read := func(path string, query map[string]string) (int, string) {
 			status, answer := f.OperatorRequestWithQuery(f.Cores[1], "GET", "/v1/operator/access"+path, query, nil)
@@ -79,7 +79,7 @@
 // A change of the rules on top of one that is not in force yet is refused; other
 // changeNumber are not.
 func TestOverlappingAccessChangeIsRejected(t *testing.T) {
-	script(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *apiClient) {
 		call.sleep(3 * time.Second)
 		f.Gateways[2].Host.Freeze() // so that the change takes as long as a permit
 		call.sleep(100 * time.Millisecond)
@@ -99,7 +99,7 @@
 }
 
 func TestOperatorRoutesEnforceAccessRules(t *testing.T) {
-	script(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *apiClient) {
 		table := &route.Table{Version: 1, Services: map[string]*route.Service{"llm": {Name: "llm", Engine: &route.Engine{Slots: 1}}, "app": {Name: "app"}},
 			Routes: []route.Route{{Name: "ask", Host: "pay.example", Prefix: "/ask/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}},
 				{Name: "post", Host: "pay.example", Prefix: "/post/", Timeout: time.Second, Shares: []route.Share{{Service: "app", Weight: 1}}},
@@ -142,7 +142,7 @@
 // the operator's routes, tells the cores nothing of itself, and asks for no
 // confirmation.
 func TestGatewaysServeWithoutAccessRules(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		call.sleep(2 * time.Second)
 		edge := f.Gateways[0]
 		is.True(!edge.gateway.Access.HasRules())
--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -247,7 +247,7 @@
 	if prepare != nil {
 		prepare(f)
 	}
-	formed(t, f)
+	waitUntilFormed(t, f)
 	r.fleet, r.changes, r.firstSent, r.responseCounts = f, map[uint64]*accessChange{1: {denied: map[string]bool{}, inForceAt: 0}}, map[string]time.Duration{}, map[string]int{}
 	end := f.World.Now() + span
 	r.running = func() bool { return f.World.Now() < end }
@@ -410,20 +410,20 @@
 		mechanism, harm string
 		take            func(f *Fleet)
 	}{
-		{"the two steps", "a machine cut off", onPath("Feed/Follow", func(m *Message) *http.Response {
-			reply, response := passed(m, m.Body, &feed.FollowReply{})
+		{"the two steps", "a machine cut off", interceptPath("Feed/Follow", func(m *Message) *http.Response {
+			reply, response := forwardAndDecode(m, m.Body, &feed.FollowReply{})
 			if response == nil || response.StatusCode != 200 || !strings.HasPrefix(m.From.Name, "edge") {
 				return response
 			}
 			reply.Puts = base.Filter(reply.Puts, func(put *register.Put) bool { return put.Key != access.PendingKey })
-			return replied(reply)
+			return protoResponse(reply)
 		})},
-		{"the permit", "a machine cut off", onPath("Feed/Follow", func(m *Message) *http.Response {
+		{"the permit", "a machine cut off", interceptPath("Feed/Follow", func(m *Message) *http.Response {
 			var asked feed.FollowRequest
 			_ = proto.Unmarshal(m.Body, &asked)
 			response, _ := m.Forward(m.Body)
 			if response == nil && asked.Place > 0 {
-				return replied(&feed.FollowReply{Place: asked.Place})
+				return protoResponse(&feed.FollowReply{Place: asked.Place})
 			}
 			return response
 		})},
--- a/internal/simulate/path_test.go
+++ b/internal/simulate/api_test.go
@@ -18,12 +18,12 @@
 )
 
 // talker makes single requests as a caller.
-type talker struct {
-	f   *Fleet
-	ask standin.Asker
+type apiClient struct {
+	fleet       *Fleet
+	sendRequest standin.Asker
 }
 
-type told struct {
+type apiResponse struct {
 	Status int
 	Raw    string
 	JSON   map[string]any
@@ -31,7 +31,7 @@
 	Events []standin.Event
 }
 
-func (a told) text(names ...string) string {
+func (a apiResponse) field(names ...string) string {
 	var at any = a.JSON
 	for _, name := range names {
 		inner, ok := at.(map[string]any)
@@ -46,13 +46,13 @@
 // final is a turn's end, a plain status before any piece or a stream's last
 // event: the verdict, the word on whether it ran, and the error's code of
 // a stream's last event.
-func (a told) final() (verdict, ran, code string) {
+func (a apiResponse) finalResult() (verdict, ran, code string) {
 	if a.Status >= 400 {
-		verdict = map[string]string{"not_run": "refused"}[a.text("error", "request")]
+		verdict = map[string]string{"not_run": "refused"}[a.field("error", "request")]
 		if verdict == "" {
 			verdict = "failed"
 		}
-		return verdict, a.text("error", "request"), a.text("error", "code")
+		return verdict, a.field("error", "request"), a.field("error", "code")
 	}
 	if len(a.Events) == 0 || a.Events[len(a.Events)-1].Kind != "final" {
 		return "none", "", ""
@@ -66,7 +66,7 @@
 	return final.Verdict, final.Ran, final.Error["code"]
 }
 
-func (t *talker) send(gateway int, method, path, secret string, body any, headers ...string) told {
+func (t *apiClient) send(gateway int, method, path, secret string, body any, headers ...string) apiResponse {
 	header := map[string]string{"authorization": "Bearer " + secret}
 	for place := 0; place+1 < len(headers); place += 2 {
 		header[headers[place]] = headers[place+1]
@@ -79,11 +79,11 @@
 	default:
 		raw = base.MustMarshal(held)
 	}
-	answer, err := t.ask(gateway, method, path, header, raw)
+	answer, err := t.sendRequest(gateway, method, path, header, raw)
 	if err != nil {
-		return told{Raw: err.Error()}
+		return apiResponse{Raw: err.Error()}
 	}
-	got := told{Status: answer.Status, Raw: string(answer.Body), Header: answer.Header}
+	got := apiResponse{Status: answer.Status, Raw: string(answer.Body), Header: answer.Header}
 	_ = json.Unmarshal(answer.Body, &got.JSON)
 	for answer.NextEvent != nil {
 		event, ok := answer.NextEvent()
@@ -95,29 +95,29 @@
 	return got
 }
 
-func (t *talker) program(tokens int, more map[string]any) (id, secret string) {
+func (t *apiClient) createProgram(tokens int, more map[string]any) (id, secret string) {
 	body := map[string]any{"group": "g", "site": "main", "budget_tokens": tokens}
 	for name, value := range more {
 		body[name] = value
 	}
 	made := t.send(0, "POST", "/v1/programs", "", body)
-	return made.text("program"), made.text("secret")
+	return made.field("program"), made.field("secret")
 }
 
-func (t *talker) session(gateway int, program, secret string, more map[string]any) (path, key string) {
+func (t *apiClient) openSession(gateway int, program, secret string, more map[string]any) (path, key string) {
 	body := map[string]any{"route": "chat"}
 	for name, value := range more {
 		body[name] = value
 	}
 	made := t.send(gateway, "POST", "/v1/programs/"+program+"/sessions", secret, body)
-	return "/v1/programs/" + program + "/sessions/" + made.text("session"), made.text("secret")
+	return "/v1/programs/" + program + "/sessions/" + made.field("session"), made.field("secret")
 }
 
 func turnBody(program, turn string) map[string]any {
 	return map[string]any{"messages": []standin.Message{{Role: "user", Content: "question " + standin.Tag(program, turn)}}, "max_output_tokens": 8}
 }
 
-func (t *talker) turn(gateway int, path, key, program, id, previous string) told {
+func (t *apiClient) sendTurn(gateway int, path, key, program, id, previous string) apiResponse {
 	headers := []string{"turn-id", id}
 	if previous != "" {
 		headers = append(headers, "previous-turn", previous)
@@ -125,29 +125,29 @@
 	return t.send(gateway, "POST", path+"/turns", key, turnBody(program, id), headers...)
 }
 
-func requestOf(method, path, secret string, query map[string]string) *front.Request {
+func newFrontRequest(method, path, secret string, query map[string]string) *front.Request {
 	return &front.Request{Method: method, Path: path, Query: query, Header: map[string]string{"authorization": "Bearer " + secret}}
 }
 
-func (t *talker) sleep(d time.Duration) { t.f.CallerHost.Clock().Sleep(d) }
+func (t *apiClient) sleep(d time.Duration) { t.fleet.CallerHost.Clock().Sleep(d) }
 
 // script runs one caller's steps to their end.
-func script(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
+func runScript(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *apiClient)) {
 	t.Helper()
-	bring(t, 1, shape, func(t *testing.T, f *Fleet) {
+	runSeeds(t, 1, shape, func(t *testing.T, f *Fleet) {
 		is := is.New(t)
-		formed(t, f)
+		waitUntilFormed(t, f)
 		done := false
 		f.CallerHost.Go(func() {
 			defer func() { done = true }()
-			steps(is, f, &talker{f, f.RequestSender(f.CallerHost)})
+			steps(is, f, &apiClient{f, f.RequestSender(f.CallerHost)})
 		})
 		is.True(f.World.Run(f.World.Now()+time.Hour, func() bool { return done })) // the script came to its end
 	})
 }
 
 // modelRuns counts how often a turn was given to any model worker.
-func (f *Fleet) modelRuns(program, turn string) int {
+func (f *Fleet) modelWorkerRuns(program, turn string) int {
 	total := 0
 	for _, model := range f.Models {
 		runs, _, _, _ := model.Record()
@@ -156,7 +156,7 @@
 	return total
 }
 
-func (f *Fleet) toolRuns(key string) int {
+func (f *Fleet) toolWorkerRuns(key string) int {
 	total := 0
 	for _, tool := range f.Tools {
 		total += tool.Runs()[key]
@@ -164,14 +164,14 @@
 	return total
 }
 
-func TestTurnIdJoinsReplaysAndIsOneRun(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
-		joined := make([]told, 2)
+func TestTurnIDJoinsAndReplaysOneRun(t *testing.T) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		joined := make([]apiResponse, 2)
 		left := 2
 		for place := range joined {
-			f.CallerHost.Go(func() { joined[place] = call.turn(place, path, key, program, "t1", ""); left-- })
+			f.CallerHost.Go(func() { joined[place] = call.sendTurn(place, path, key, program, "t1", ""); left-- })
 		}
 		for left > 0 {
 			call.sleep(50 * time.Millisecond)
@@ -181,17 +181,17 @@
 		is.Equal(fmt.Sprint(first.Events), fmt.Sprint(second.Events))
 		replay := call.send(1, "POST", path+"/turns", key, turnBody(program, "t1"), "turn-id", "t1", "last-event-id", first.Events[3].ID)
 		is.Equal(fmt.Sprint(replay.Events), fmt.Sprint(first.Events[4:]))
-		is.Equal(f.modelRuns(program, "t1"), 1)
+		is.Equal(f.modelWorkerRuns(program, "t1"), 1)
 		other := call.send(2, "POST", path+"/turns", key, turnBody(program, "else"), "turn-id", "t1")
 		is.Equal(other.Status, 409)
-		is.Equal(other.text("error", "code"), "turn_id_reused")
+		is.Equal(other.field("error", "code"), "turn_id_reused")
 	})
 }
 
-func TestBadInputIsDeclinedByName(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, _ *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
+func TestInvalidRequestsAreRejectedWithField(t *testing.T) {
+	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
 		base := "/v1/programs/" + program
 		rows := []struct {
 			method, path, secret string
@@ -239,27 +239,27 @@
 			got := call.send(1, row.method, row.path, row.secret, row.body, row.headers...)
 			name := row.method + " " + row.path + " " + fmt.Sprint(row.headers, row.status, row.field)
 			is.Equal(name+fmt.Sprint(got.Status), name+fmt.Sprint(row.status))
-			is.Equal(got.text("error", "request"), "not_run")
-			is.True(got.text("error", "code") != "")
+			is.Equal(got.field("error", "request"), "not_run")
+			is.True(got.field("error", "code") != "")
 			if row.field != "" {
-				is.Equal(got.text("error", "field"), row.field)
+				is.Equal(got.field("error", "field"), row.field)
 			}
 		}
 	})
 }
 
-func TestListingPagesByCursor(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, _ *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
+func TestTurnListingPagesByCursor(t *testing.T) {
+	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
 		for _, id := range []string{"a", "b", "c"} {
-			verdict, _, _ := call.turn(1, path, key, program, id, "").final()
+			verdict, _, _ := call.sendTurn(1, path, key, program, id, "").finalResult()
 			is.Equal(verdict, "success")
 		}
 		seen, cursor := "", ""
 		ask := func(query map[string]string) (response map[string]any, status int) {
-			edge := call.f.Gateways[2]
-			got := edge.gateway.Front.Handle(base.NewCtx(edge.Host.Clock(), time.Minute), requestOf("GET", path+"/turns", key, query))
+			edge := call.fleet.Gateways[2]
+			got := edge.gateway.Front.Handle(base.NewCtx(edge.Host.Clock(), time.Minute), newFrontRequest("GET", path+"/turns", key, query))
 			_ = json.Unmarshal(got.Body, &response)
 			return response, got.Status
 		}
@@ -281,110 +281,110 @@
 			is.True(got["error"].(map[string]any)["field"] != "")
 		}
 		read := call.send(2, "GET", path+"/turns/b", key, nil)
-		is.Equal(read.text("state"), "Succeeded")
-		is.True(strings.Contains(read.text("answer"), "3 messages"))
+		is.Equal(read.field("state"), "Succeeded")
+		is.True(strings.Contains(read.field("answer"), "3 messages"))
 	})
 }
 
-func TestQueueIsBoundedAndOrdered(t *testing.T) {
+func TestSessionQueueIsBoundedAndOrdered(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 300 * time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(10000, nil)
-		path, key := call.session(0, program, secret, map[string]any{"queue_size": 2})
-		answers := map[string]told{}
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(10000, nil)
+		path, key := call.openSession(0, program, secret, map[string]any{"queue_size": 2})
+		answers := map[string]apiResponse{}
 		for _, id := range []string{"a", "b", "c", "d"} {
-			f.CallerHost.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
+			f.CallerHost.Go(func() { answers[id] = call.sendTurn(0, path, key, program, id, "") })
 			call.sleep(20 * time.Millisecond)
 		}
 		call.sleep(50 * time.Millisecond)
 		is.Equal(answers["d"].Status, 429) // one runs, two wait, the fourth is declined at once
-		is.Equal(answers["d"].text("error", "code"), "queue_full")
+		is.Equal(answers["d"].field("error", "code"), "queue_full")
 		is.True(answers["d"].Header["Retry-After"] != "")
 		status := call.send(1, "GET", path, key, nil) // a read does not wait for the queue
-		is.Equal(status.text("queued"), "2")
-		is.Equal(status.text("running_turn"), "a")
-		again := call.turn(1, path, key, program, "d", "")
+		is.Equal(status.field("queued"), "2")
+		is.Equal(status.field("running_turn"), "a")
+		again := call.sendTurn(1, path, key, program, "d", "")
 		is.Equal(again.Status, 429) // a refused id stays refused
 		cancelled := call.send(2, "POST", path+"/turns/c/cancel", key, nil)
-		is.Equal(cancelled.text("state"), "Cancelled")
+		is.Equal(cancelled.field("state"), "Cancelled")
 		for len(answers) < 4 {
 			call.sleep(100 * time.Millisecond)
 		}
-		verdict, ran, _ := answers["c"].final()
+		verdict, ran, _ := answers["c"].finalResult()
 		is.Equal(verdict+ran, "refusednot_run")
 		for _, id := range []string{"a", "b"} {
-			verdict, _, _ := answers[id].final()
+			verdict, _, _ := answers[id].finalResult()
 			is.Equal(verdict, "success")
 		}
-		is.Equal(f.modelRuns(program, "c")+f.modelRuns(program, "d"), 0)
+		is.Equal(f.modelWorkerRuns(program, "c")+f.modelWorkerRuns(program, "d"), 0)
 	})
 }
 
-func TestDrainFinishesWhatWasAccepted(t *testing.T) {
+func TestDrainFinishesAcceptedTurns(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 100 * time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(10000, nil)
-		path, key := call.session(0, program, secret, nil)
-		var running told
-		f.CallerHost.Go(func() { running = call.turn(1, path, key, program, "a", "") })
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(10000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		var running apiResponse
+		f.CallerHost.Go(func() { running = call.sendTurn(1, path, key, program, "a", "") })
 		call.sleep(150 * time.Millisecond)
 		closing := call.send(2, "POST", path+"/close", key, nil)
-		is.Equal(closing.text("phase"), "Finalizing")
-		late := call.turn(0, path, key, program, "b", "")
+		is.Equal(closing.field("phase"), "Finalizing")
+		late := call.sendTurn(0, path, key, program, "b", "")
 		is.Equal(late.Status, 503)
-		is.Equal(late.text("error", "request"), "not_run")
+		is.Equal(late.field("error", "request"), "not_run")
 		for running.Status == 0 {
 			call.sleep(100 * time.Millisecond)
 		}
-		verdict, _, _ := running.final()
+		verdict, _, _ := running.finalResult()
 		is.Equal(verdict, "success")
 		call.sleep(time.Second)
 		after := call.send(1, "GET", path, key, nil)
-		is.Equal(after.text("phase"), "Succeeded")
-		is.Equal(call.turn(1, path, key, program, "c", "").text("error", "code"), "run_over")
-		next := call.turn(1, path, key, program, "d", "a") // the chain outlives its Run
-		verdict, _, _ = next.final()
+		is.Equal(after.field("phase"), "Succeeded")
+		is.Equal(call.sendTurn(1, path, key, program, "c", "").field("error", "code"), "run_over")
+		next := call.sendTurn(1, path, key, program, "d", "a") // the chain outlives its Run
+		verdict, _, _ = next.finalResult()
 		is.Equal(verdict, "success")
 		status := call.send(0, "GET", path, key, nil)
-		is.Equal(status.text("phase"), "Ready")
-		is.Equal(status.text("epoch"), "2")
-		is.True(status.text("run") != after.text("run"))
-		is.Equal(f.modelRuns(program, "b"), 0)
+		is.Equal(status.field("phase"), "Ready")
+		is.Equal(status.field("epoch"), "2")
+		is.True(status.field("run") != after.field("run"))
+		is.Equal(f.modelWorkerRuns(program, "b"), 0)
 	})
 }
 
 func TestTerminationOnlyEscalates(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 400 * time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(10000, nil)
-		path, key := call.session(0, program, secret, nil)
-		var running, queued told
-		f.CallerHost.Go(func() { running = call.turn(1, path, key, program, "a", "") })
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(10000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		var running, queued apiResponse
+		f.CallerHost.Go(func() { running = call.sendTurn(1, path, key, program, "a", "") })
 		call.sleep(50 * time.Millisecond)
-		f.CallerHost.Go(func() { queued = call.turn(1, path, key, program, "b", "") })
+		f.CallerHost.Go(func() { queued = call.sendTurn(1, path, key, program, "b", "") })
 		call.sleep(600 * time.Millisecond)
-		is.Equal(call.send(0, "POST", path+"/terminate", key, `{"mode":"Drain"}`).text("termination"), "Drain")
-		is.Equal(call.send(0, "POST", path+"/terminate", key, `{"mode":"Immediate"}`).text("termination"), "Immediate")
-		is.Equal(call.send(0, "POST", path+"/close", key, nil).text("termination"), "Immediate")
+		is.Equal(call.send(0, "POST", path+"/terminate", key, `{"mode":"Drain"}`).field("termination"), "Drain")
+		is.Equal(call.send(0, "POST", path+"/terminate", key, `{"mode":"Immediate"}`).field("termination"), "Immediate")
+		is.Equal(call.send(0, "POST", path+"/close", key, nil).field("termination"), "Immediate")
 		for running.Status == 0 || queued.Status == 0 {
 			call.sleep(50 * time.Millisecond)
 		}
-		verdict, ran, _ := queued.final()
+		verdict, ran, _ := queued.finalResult()
 		is.Equal(verdict+ran, "refusednot_run")
-		_, ran, _ = running.final()
+		_, ran, _ = running.finalResult()
 		is.Equal(ran, "may_have_run")
 		call.sleep(time.Second)
-		is.Equal(call.send(2, "GET", path, key, nil).text("phase"), "Cancelled")
-		is.Equal(f.modelRuns(program, "b"), 0)
+		is.Equal(call.send(2, "GET", path, key, nil).field("phase"), "Cancelled")
+		is.Equal(f.modelWorkerRuns(program, "b"), 0)
 	})
 }
 
-func TestBudgetIsOneForHelpersAndTurns(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(30, nil)
+func TestBudgetIsSharedWithHelperPrograms(t *testing.T) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(30, nil)
 		helper := call.send(1, "POST", "/v1/programs", secret, map[string]any{"parent": program, "program": "helper"})
 		is.Equal(helper.Status, 201)
 		is.Equal(call.send(1, "POST", "/v1/programs", "wrong", map[string]any{"parent": program}).Status, 403)
@@ -392,16 +392,16 @@
 		for place := 0; place < 6; place++ {
 			owner, opener := program, secret
 			if place%2 == 1 {
-				owner, opener = helper.text("program"), helper.text("secret")
+				owner, opener = helper.field("program"), helper.field("secret")
 			}
-			path, key := call.session(place, owner, opener, nil)
+			path, key := call.openSession(place, owner, opener, nil)
 			paths = append(paths, [3]string{path, key, owner})
 		}
-		answers := make([]told, len(paths))
+		answers := make([]apiResponse, len(paths))
 		left := len(paths)
 		for place, one := range paths {
 			f.CallerHost.Go(func() {
-				answers[place] = call.turn(place, one[0], one[1], one[2], fmt.Sprint("t", place), "")
+				answers[place] = call.sendTurn(place, one[0], one[1], one[2], fmt.Sprint("t", place), "")
 				left--
 			})
 		}
@@ -410,14 +410,14 @@
 		}
 		whole, over := 0, 0
 		for place, answer := range answers {
-			verdict, ran, code := answer.final()
+			verdict, ran, code := answer.finalResult()
 			if verdict == "success" {
 				whole++
 			}
 			if code == "over_budget" {
 				over++
 				is.Equal(ran, "not_run")
-				is.Equal(f.modelRuns(paths[place][2], fmt.Sprint("t", place)), 0)
+				is.Equal(f.modelWorkerRuns(paths[place][2], fmt.Sprint("t", place)), 0)
 			}
 		}
 		is.True(whole >= 3 && over >= 1)
@@ -430,74 +430,74 @@
 		}
 		is.True(put <= 30)
 		shown := call.send(2, "GET", "/v1/programs/"+program, secret, nil)
-		is.Equal(shown.text("spent_tokens"), fmt.Sprint(put))
-		is.Equal(shown.text("reserved_tokens"), "0")
+		is.Equal(shown.field("spent_tokens"), fmt.Sprint(put))
+		is.Equal(shown.field("reserved_tokens"), "0")
 	})
 }
 
 func TestDeadlineAndProgramTermination(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, map[string]any{"deadline_s": 5})
-		path, key := call.session(0, program, secret, nil)
-		verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, map[string]any{"deadline_s": 5})
+		path, key := call.openSession(0, program, secret, nil)
+		verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
 		call.sleep(6 * time.Second)
-		_, ran, code := call.turn(1, path, key, program, "b", "").final()
+		_, ran, code := call.sendTurn(1, path, key, program, "b", "").finalResult()
 		is.Equal(code+ran, "past_deadlinenot_run")
-		is.Equal(f.modelRuns(program, "b"), 0)
+		is.Equal(f.modelWorkerRuns(program, "b"), 0)
 
-		ending, secret := call.program(1000, nil)
-		path, key = call.session(0, ending, secret, nil)
-		is.Equal(call.send(1, "POST", "/v1/programs/"+ending+"/terminate", secret, `{"mode":"Drain"}`).text("termination"), "Drain")
+		ending, secret := call.createProgram(1000, nil)
+		path, key = call.openSession(0, ending, secret, nil)
+		is.Equal(call.send(1, "POST", "/v1/programs/"+ending+"/terminate", secret, `{"mode":"Drain"}`).field("termination"), "Drain")
 		is.Equal(call.send(1, "POST", "/v1/programs/"+ending+"/sessions", secret, `{"route":"chat"}`).Status, 503)
 		is.Equal(call.send(1, "POST", "/v1/programs/"+ending+"/tools/loyalty", secret, `{}`, "idempotency-key", "k").Status, 503)
 		call.sleep(2 * time.Second)
-		is.Equal(call.send(2, "GET", path, key, nil).text("phase"), "Succeeded")
+		is.Equal(call.send(2, "GET", path, key, nil).field("phase"), "Succeeded")
 	})
 }
 
-func TestLeaseEndsTheRunAndNotTheHistory(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, _ *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, map[string]any{"lease_s": 2})
+func TestLeaseExpiryEndsRunAndKeepsHistory(t *testing.T) {
+	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, map[string]any{"lease_s": 2})
 		for place := 0; place < 4; place++ { // calls the owner sees renew the lease
 			call.sleep(1500 * time.Millisecond)
-			is.Equal(call.send(1, "POST", path+"/renew", key, nil).text("phase"), "Ready")
+			is.Equal(call.send(1, "POST", path+"/renew", key, nil).field("phase"), "Ready")
 		}
-		verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
+		verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
 		call.sleep(4 * time.Second)
 		ended := call.send(2, "GET", path, key, nil)
-		is.Equal(ended.text("phase"), "Failed")
-		is.Equal(ended.text("reason"), "lease_expired")
-		verdict, _, _ = call.turn(1, path, key, program, "b", "a").final()
+		is.Equal(ended.field("phase"), "Failed")
+		is.Equal(ended.field("reason"), "lease_expired")
+		verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		is.Equal(call.send(2, "GET", path, key, nil).text("turns"), "2")
+		is.Equal(call.send(2, "GET", path, key, nil).field("turns"), "2")
 	})
 }
 
-func TestToolCallWhoseAnswerNeverCameIsNotRepeated(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(100, nil)
+func TestToolCallWithLostAnswerIsNotRepeated(t *testing.T) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(100, nil)
 		path := "/v1/programs/" + program + "/tools/loyalty"
 		for _, tool := range f.Tools {
 			tool.Next = func() standin.Trouble { return standin.Silent } // it ran, the answer is lost
 		}
 		first := call.send(0, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
-		is.Equal(first.text("error", "request"), "may_have_run")
+		is.Equal(first.field("error", "request"), "may_have_run")
 		for _, tool := range f.Tools {
 			tool.Next = nil
 		}
 		again := call.send(1, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
-		is.Equal(again.text("error", "request"), "may_have_run")
-		is.Equal(f.toolRuns(program+"/k1"), 1)
+		is.Equal(again.field("error", "request"), "may_have_run")
+		is.Equal(f.toolWorkerRuns(program+"/k1"), 1)
 		done := call.send(1, "POST", path, secret, `{"points":2}`, "idempotency-key", "k2")
 		is.Equal(done.Status, 200)
 		replayed := call.send(2, "POST", path, secret, `{"points":2}`, "idempotency-key", "k2")
 		is.Equal(replayed.Raw, done.Raw)
 		is.Equal(replayed.Header["Idempotent-Replayed"], "true")
-		is.Equal(f.toolRuns(program+"/k2"), 1)
-		is.Equal(call.send(2, "POST", path, secret, `{"points":3}`, "idempotency-key", "k2").text("error", "code"), "key_reused")
+		is.Equal(f.toolWorkerRuns(program+"/k2"), 1)
+		is.Equal(call.send(2, "POST", path, secret, `{"points":3}`, "idempotency-key", "k2").field("error", "code"), "key_reused")
 		// A worker that cannot be reached was not run: another takes the call.
 		f.World.Hosts["app-0"].Kill()
 		for place := 0; place < 4; place++ {
@@ -506,24 +506,24 @@
 		f.World.Hosts["app-1"].Kill()
 		down := call.send(0, "POST", path, secret, `{}`, "idempotency-key", "down")
 		is.Equal(down.Status, 503)
-		is.Equal(down.text("error", "request"), "not_run")
+		is.Equal(down.field("error", "request"), "not_run")
 		f.World.Hosts["app-1"].alive = true
 		call.sleep(2 * time.Second)
 		is.Equal(call.send(0, "POST", path, secret, `{}`, "idempotency-key", "down").Status, 200) // not run, so it may run now
-		is.Equal(f.toolRuns(program+"/down"), 1)
+		is.Equal(f.toolWorkerRuns(program+"/down"), 1)
 	})
 }
 
 func TestLeavingWorkerGetsNoNewWork(t *testing.T) {
 	for _, way := range []string{"report", "list", "refusal", "closing"} {
 		t.Run(way, func(t *testing.T) {
-			script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-				program, secret := call.program(100000, nil)
-				path, key := call.session(0, program, secret, nil)
+			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+				program, secret := call.createProgram(100000, nil)
+				path, key := call.openSession(0, program, secret, nil)
 				previous := ""
 				for num := 0; num < 3; num++ {
 					id := fmt.Sprint("t", num)
-					call.turn(num, path, key, program, id, previous)
+					call.sendTurn(num, path, key, program, id, previous)
 					previous = id
 				}
 				leaving := f.Models[0]
@@ -543,7 +543,7 @@
 				knownAt := f.World.Now()
 				for num := 3; num < 30; num++ {
 					id := fmt.Sprint("t", num)
-					verdict, _, _ := call.turn(num, path, key, program, id, previous).final()
+					verdict, _, _ := call.sendTurn(num, path, key, program, id, previous).finalResult()
 					is.Equal(verdict, "success")
 					previous = id
 					if (way == "refusal" || way == "closing") && num == 5 {
@@ -562,42 +562,42 @@
 	}
 }
 
-func TestUnderstudyGoesOnFromItsCopy(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(10000, nil)
-		path, key := call.session(0, program, secret, nil)
+func TestUnderstudyContinuesFromItsCopy(t *testing.T) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(10000, nil)
+		path, key := call.openSession(0, program, secret, nil)
 		for num, previous := range []string{"", "t0", "t1"} {
-			verdict, _, _ := call.turn(1, path, key, program, fmt.Sprint("t", num), previous).final()
+			verdict, _, _ := call.sendTurn(1, path, key, program, fmt.Sprint("t", num), previous).finalResult()
 			is.Equal(verdict, "success")
 		}
 		before := call.send(1, "GET", path, key, nil)
-		is.True(strings.HasPrefix(before.text("owner"), "edge-0"))
-		is.True(strings.HasPrefix(before.text("understudy"), "edge-1")) // the other zone
+		is.True(strings.HasPrefix(before.field("owner"), "edge-0"))
+		is.True(strings.HasPrefix(before.field("understudy"), "edge-1")) // the other zone
 		f.Kill(f.Gateways[0])
 		began := f.World.Now()
-		verdict, _, _ := call.turn(2, path, key, program, "t3", "t2").final()
+		verdict, _, _ := call.sendTurn(2, path, key, program, "t3", "t2").finalResult()
 		is.Equal(verdict, "success")
 		is.True(f.World.Now()-began < 2*time.Second) // a short pause
 		after := call.send(2, "GET", path, key, nil)
-		is.Equal(after.text("owner"), before.text("understudy"))
-		is.Equal(after.text("epoch"), "2")
+		is.Equal(after.field("owner"), before.field("understudy"))
+		is.Equal(after.field("epoch"), "2")
 		is.Equal(f.CounterTotal("chains_read_from_register"), int64(0))
 		// The next loss: the new understudy is caught up before it counts.
 		call.sleep(2 * time.Second)
 		f.Kill(f.Gateways[1])
-		verdict, _, _ = call.turn(2, path, key, program, "t4", "t3").final()
+		verdict, _, _ = call.sendTurn(2, path, key, program, "t4", "t3").finalResult()
 		is.Equal(verdict, "success")
-		is.Equal(call.send(2, "GET", path, key, nil).text("turns"), "5")
+		is.Equal(call.send(2, "GET", path, key, nil).field("turns"), "5")
 	})
 }
 
 // A call that carries an assignment identity the node does not hold is
 // refused by it, and is never carried further.
-func TestOwnerChecksAssignmentAndForwardsNoFurther(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
-		call.turn(0, path, key, program, "a", "")
+func TestOwnerChecksAssignmentAndForwardsOnce(t *testing.T) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		call.sendTurn(0, path, key, program, "a", "")
 		forwarded := f.CounterTotal("visits_forwarded")
 		is.Equal(call.send(1, "GET", path, key, nil).Status, 200)
 		is.Equal(f.CounterTotal("visits_forwarded"), forwarded+1)
@@ -606,33 +606,33 @@
 		is.Equal(call.send(2, "GET", path, key, nil).Status, 200)
 		f.Kill(f.Gateways[0])
 		f.Start(f.Gateways[0]) // another life at the same address, which others take for the former
-		verdict, _, _ := call.turn(1, path, key, program, "b", "a").final()
+		verdict, _, _ := call.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		is.Equal(call.send(2, "GET", path, key, nil).text("epoch"), "2")
-		verdict, _, _ = call.turn(0, path, key, program, "c", "b").final()
+		is.Equal(call.send(2, "GET", path, key, nil).field("epoch"), "2")
+		verdict, _, _ = call.sendTurn(0, path, key, program, "c", "b").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
 
-func reversed(list []string) []string {
+func reverse(list []string) []string {
 	turned := slices.Clone(list)
 	slices.Reverse(turned)
 	return turned
 }
 
 // Urgent programs go first when workers are full, and none starves.
-func TestUrgentGoesFirstAndNoneStarves(t *testing.T) {
+func TestUrgentProgramsGoFirstWithoutStarvation(t *testing.T) {
 	shape := SmallShape()
 	shape.ModelWorkers, shape.WorkerCapacity, shape.PieceInterval = 1, 1, 100*time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
 		order := []string{}
 		left := 0
 		start := func(name, urgency string) {
-			program, secret := call.program(1000, map[string]any{"urgency": urgency})
-			path, key := call.session(0, program, secret, nil)
+			program, secret := call.createProgram(1000, map[string]any{"urgency": urgency})
+			path, key := call.openSession(0, program, secret, nil)
 			left++
 			f.CallerHost.Go(func() {
-				verdict, _, _ := call.turn(0, path, key, program, "t", "").final()
+				verdict, _, _ := call.sendTurn(0, path, key, program, "t", "").finalResult()
 				order = append(order, name+" "+verdict)
 				left--
 			})
@@ -652,7 +652,7 @@
 		for left > 0 {
 			call.sleep(100 * time.Millisecond)
 		}
-		is.True(slices.Index(order, "old success") < len(order)-slices.Index(reversed(order), "rush success")-1) // an old one ended before the last of the rush
+		is.True(slices.Index(order, "old success") < len(order)-slices.Index(reverse(order), "rush success")-1) // an old one ended before the last of the rush
 		for _, done := range order {
 			is.True(strings.HasSuffix(done, " success"))
 		}
@@ -660,7 +660,7 @@
 }
 
 // No trouble of a worker is ever shown as success.
-func TestWorkersTroublesAreNeverSuccess(t *testing.T) {
+func TestWorkerFaultsAreNeverReportedAsSuccess(t *testing.T) {
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":10,"legs":1`, 1)
 	for trouble, want := range map[standin.Trouble]string{
@@ -668,22 +668,22 @@
 		standin.Hang: "cut may_have_run", standin.Fail: "failed may_have_run", standin.Silent: "failed may_have_run", standin.Refuse: "refused not_run",
 	} {
 		t.Run(string(trouble), func(t *testing.T) {
-			script(t, shape, func(is *is.I, f *Fleet, call *talker) {
+			runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
 				for _, model := range f.Models {
 					model.Next = func() standin.Trouble { return trouble }
 				}
-				program, secret := call.program(100, nil)
-				path, key := call.session(0, program, secret, nil)
+				program, secret := call.createProgram(100, nil)
+				path, key := call.openSession(0, program, secret, nil)
 				body := turnBody(program, "t")
 				body["max_output_tokens"] = 3 // of six: one that overruns is seen
 				got := call.send(1, "POST", path+"/turns", key, body, "turn-id", "t")
-				verdict, ran, _ := got.final()
+				verdict, ran, _ := got.finalResult()
 				is.Equal(verdict+" "+ran, want)
-				is.Equal(call.send(1, "GET", path+"/turns/t", key, nil).text("answer"), "<nil>")
+				is.Equal(call.send(1, "GET", path+"/turns/t", key, nil).field("answer"), "<nil>")
 				if ran == "not_run" {
-					is.Equal(f.modelRuns(program, "t"), 0)
+					is.Equal(f.modelWorkerRuns(program, "t"), 0)
 				} else { // what is not known to have ended counts as spent in full
-					is.Equal(call.send(1, "GET", "/v1/programs/"+program, secret, nil).text("spent_tokens"), "3")
+					is.Equal(call.send(1, "GET", "/v1/programs/"+program, secret, nil).field("spent_tokens"), "3")
 				}
 			})
 		})
@@ -691,14 +691,14 @@
 }
 
 // A worker that leaves while it is busy finishes what it has.
-func TestAWorkerLeavingWhileBusyFinishes(t *testing.T) {
+func TestLeavingBusyWorkerFinishesItsRequest(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 500 * time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
-		var running told
-		f.CallerHost.Go(func() { running = call.turn(1, path, key, program, "a", "") })
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		var running apiResponse
+		f.CallerHost.Go(func() { running = call.sendTurn(1, path, key, program, "a", "") })
 		call.sleep(700 * time.Millisecond)
 		busy := f.Models[0]
 		if f.Models[1].Busy() > 0 {
@@ -710,9 +710,9 @@
 		for running.Status == 0 {
 			call.sleep(100 * time.Millisecond)
 		}
-		verdict, _, _ := running.final()
+		verdict, _, _ := running.finalResult()
 		is.Equal(verdict, "success")
-		verdict, _, _ = call.turn(1, path, key, program, "b", "a").final()
+		verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 		_, _, runs, _ := busy.Record()
 		is.Equal(runs, 1) // the next turn went elsewhere
@@ -721,11 +721,11 @@
 
 // A leg that waited for the control state, on a gateway that was cut off from
 // it, does not go out to a worker that has left meanwhile.
-func TestAWorkerThatLeftWhileALegWaited(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
-		call.turn(0, path, key, program, "a", "")
+func TestDelayedAttemptSkipsWorkerThatLeft(t *testing.T) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		call.sendTurn(0, path, key, program, "a", "")
 		former, other := f.Models[0], f.Models[1]
 		if other.Latest() > former.Latest() {
 			former, other = other, former
@@ -733,8 +733,8 @@
 		for _, m := range f.Cores {
 			f.Net.CutLink(f.Gateways[0].Host.Name, m.Host.Name)
 		}
-		var waited told
-		f.CallerHost.Go(func() { waited = call.turn(0, path, key, program, "b", "a") })
+		var waited apiResponse
+		f.CallerHost.Go(func() { waited = call.sendTurn(0, path, key, program, "b", "a") })
 		call.sleep(200 * time.Millisecond)
 		is.Equal(call.send(1, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{former.ID}}).Status, 200)
 		left := f.World.Now()
@@ -743,7 +743,7 @@
 		for waited.Status == 0 {
 			call.sleep(100 * time.Millisecond)
 		}
-		verdict, _, _ := waited.final()
+		verdict, _, _ := waited.finalResult()
 		is.Equal(verdict, "success")
 		is.True(former.Latest() < left && other.Latest() > left)
 	})
--- a/internal/simulate/parties.go
+++ b/internal/simulate/backends.go
@@ -15,51 +15,51 @@
 
 // BackendReply is a worker's reply under way.
 type BackendReply struct {
-	bell   *base.Notifier
-	status int
-	begun  bool
-	closes bool
-	lines  []string
-	ended  bool
-	died   bool
-	closed bool
-	clock  base.Clock
-	host   *Host
-	body   []byte
+	changed        *base.Notifier
+	status         int
+	started        bool
+	closesConn     bool
+	lines          []string
+	ended          bool
+	connectionLost bool
+	closed         bool
+	clock          base.Clock
+	host           *Host
+	body           []byte
 }
 
-const pollEvery = 50 * time.Millisecond
+const pollInterval = 50 * time.Millisecond
 
-func (r *BackendReply) await(limit time.Duration, ready func() bool) error {
+func (r *BackendReply) waitFor(limit time.Duration, ready func() bool) error {
 	end := r.clock.Now() + limit
 	for {
-		next := r.bell.Next()
+		next := r.changed.Next()
 		switch {
 		case r.closed:
 			return errors.New("closed")
 		case ready():
 			return nil
-		case r.died:
+		case r.connectionLost:
 			return errors.New("connection lost")
 		case r.ended:
 			return io.EOF
 		case r.clock.Now() >= end:
 			return errors.New("no answer in time")
 		}
-		next.Wait(min(pollEvery, end-r.clock.Now()))
+		next.Wait(min(pollInterval, end-r.clock.Now()))
 	}
 }
 
 func (r *BackendReply) Status() int            { return r.status }
 func (r *BackendReply) Header(string) string   { return "application/json" }
-func (r *BackendReply) ClosesConnection() bool { return r.closes }
+func (r *BackendReply) ClosesConnection() bool { return r.closesConn }
 
 func (r *BackendReply) EachHeader(visit func(name, value []byte)) {
 	visit([]byte("Content-Type"), []byte(r.Header("")))
 }
 
 func (r *BackendReply) ReadLine(limit time.Duration) ([]byte, error) {
-	if err := r.await(limit, func() bool { return len(r.lines) > 0 }); err != nil {
+	if err := r.waitFor(limit, func() bool { return len(r.lines) > 0 }); err != nil {
 		return nil, err
 	}
 	line := r.lines[0]
@@ -68,23 +68,23 @@
 }
 
 func (r *BackendReply) ReadBody(limit time.Duration, _ int) ([]byte, error) {
-	err := r.await(limit, func() bool { return r.ended && !r.died })
+	err := r.waitFor(limit, func() bool { return r.ended && !r.connectionLost })
 	return r.body, err
 }
 
 func (r *BackendReply) Close() {
 	r.closed = true
-	delete(r.host.ends, r)
-	r.bell.Notify()
+	delete(r.host.openReplies, r)
+	r.changed.Notify()
 }
 
 // Backends is a host's way to the stand-in workers.
 type Backends struct {
-	net    *Net
-	host   *Host
-	models map[string]*standin.Model
-	tools  map[string]*standin.Tool
-	lost   *mechanisms
+	net      *Net
+	host     *Host
+	models   map[string]*standin.Model
+	tools    map[string]*standin.Tool
+	disabled *mechanisms
 }
 
 func (b *Backends) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
@@ -94,32 +94,32 @@
 	if target == nil || !target.alive || b.net.isCut(b.host.Name, target.Name) {
 		return nil, &base.NotSent{Cause: errors.New("connection refused")}
 	}
-	reply := &BackendReply{bell: base.NewNotifier(ctx.Clock), clock: ctx.Clock, host: target}
-	target.ends[reply] = struct{}{}
+	reply := &BackendReply{changed: base.NewNotifier(ctx.Clock), clock: ctx.Clock, host: target}
+	target.openReplies[reply] = struct{}{}
 	body := append([]byte(nil), request.Body...)
 	target.Go(func() {
 		if model := b.models[target.Name]; model != nil {
-			reply.closes = model.Closing
-			model.Serve(body, func(status int) { reply.status, reply.begun = status, true; reply.bell.Notify() }, func(line string) error {
+			reply.closesConn = model.Closing
+			model.Serve(body, func(status int) { reply.status, reply.started = status, true; reply.changed.Notify() }, func(line string) error {
 				if reply.closed {
 					return io.ErrClosedPipe
 				}
 				reply.lines = append(reply.lines, line)
-				reply.bell.Notify()
+				reply.changed.Notify()
 				return nil
 			})
 		} else {
 			status, answer, answered := b.tools[target.Name].Serve(request.Header["Idempotency-Key"], body)
-			reply.status, reply.body, reply.begun, reply.died = status, answer, answered, !answered
+			reply.status, reply.body, reply.started, reply.connectionLost = status, answer, answered, !answered
 		}
-		if b.lost.endMarker { // make up the end that the answer lacks
+		if b.disabled.endMarker { // make up the end that the answer lacks
 			reply.lines = append(reply.lines, `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}`, "data: [DONE]")
 		}
 		reply.ended = true
-		delete(target.ends, reply)
-		reply.bell.Notify()
+		delete(target.openReplies, reply)
+		reply.changed.Notify()
 	})
-	if err := reply.await(ctx.Remaining(), func() bool { return reply.begun }); err != nil {
+	if err := reply.waitFor(ctx.Remaining(), func() bool { return reply.started }); err != nil {
 		reply.Close()
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 		var response *front.Response
 		events := []standin.Event{}
 		over := false
-		life, target := edge.Host.life, edge.gateway
+		life, target := edge.Host.incarnation, edge.gateway
 		edge.openRequests++
 		edge.Host.Go(func() {
 			defer func() { edge.openRequests-- }()
@@ -155,13 +155,13 @@
 			for !over {
 				pieces, leg, done := response.Stream.Next()
 				for _, piece := range pieces {
-					events = append(events, eventOf(piece, leg))
+					events = append(events, newEvent(piece, leg))
 				}
 				over = done
 				bell.Notify()
 			}
 		})
-		gone := func() bool { return edge.Host.life != life }
+		gone := func() bool { return edge.Host.incarnation != life }
 		end := clock.Now() + 40*time.Second
 		for response == nil {
 			next := bell.Next()
@@ -169,7 +169,7 @@
 				f.Tally.Count("cut_connections")
 				return nil, errors.New("connection lost")
 			}
-			next.Wait(pollEvery)
+			next.Wait(pollInterval)
 		}
 		answer := &standin.Answer{Status: response.Status, Header: response.Header, Body: response.Body}
 		if response.Stream == nil {
@@ -187,14 +187,14 @@
 				case over || gone() || clock.Now() > silent:
 					return standin.Event{}, false
 				}
-				next.Wait(pollEvery)
+				next.Wait(pollInterval)
 			}
 		}
 		return answer, nil
 	}
 }
 
-func eventOf(piece *session.Piece, leg string) standin.Event {
+func newEvent(piece *session.Piece, leg string) standin.Event {
 	kind, data, id := "piece", base.MustMarshal(map[string]string{"text": string(piece.Data)}), leg+"#"+string(base.MustMarshal(piece.Place))
 	if piece.Final {
 		kind, data = "final", piece.Data
--- a/internal/simulate/repair_test.go
+++ b/internal/simulate/cluster_change_test.go
@@ -15,7 +15,7 @@
 
 // A lost disk is replaced by an empty machine at a new address while callers
 // converse, with every kind of trouble on the way; then another disk is lost.
-func TestReplacingALostDisk(t *testing.T) {
+func TestReplacingLostDisk(t *testing.T) {
 	troubles := map[string]func(f *Fleet){
 		"in quiet":          func(*Fleet) {},
 		"a core killed":     func(f *Fleet) { f.crash(f.Cores[0], 2*time.Second, false) },
@@ -29,7 +29,7 @@
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
+			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 				left := f.StartCallers(4, 12, true, func(c *standin.Caller) {
 					c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 				})
@@ -63,13 +63,13 @@
 	}
 }
 
-func TestRetiringADisk(t *testing.T) {
+func TestRetiringDisk(t *testing.T) {
 	shape := SmallShape()
 	shape.Storage = 4
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
-		call.turn(0, path, key, program, "a", "")
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		call.sendTurn(0, path, key, program, "a", "")
 		gone := f.FindDisk(f.Storage[0].Host.Name)
 		status, code := f.RequestDiskChange("retire", "disk", "none")
 		is.Equal(fmt.Sprint(status, code), "404unknown_disk")
@@ -89,15 +89,15 @@
 		status, code = f.RequestDiskChange("admit", "address", f.Storage[0].Host.Name+":1")
 		is.Equal(fmt.Sprint(status, code), "409disk_not_blank")
 		f.Kill(f.Storage[1]) // two of three must do
-		verdict, _, _ := call.turn(1, path, key, program, "b", "a").final()
+		verdict, _, _ := call.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
 
 // Duties move only as far as they must when a core or gateway comes.
-func TestDutiesMoveOnlyAsTheyMust(t *testing.T) {
+func TestNewMachinesMoveFewShards(t *testing.T) {
 	t.Parallel()
-	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		owners := func() map[uint32]string {
 			found := map[uint32]string{}
 			for _, m := range f.Cores {
@@ -123,19 +123,19 @@
 			}
 		}
 		is.True(moved > 0 && moved <= 16)
-		program, secret := call.program(1000, nil)
+		program, secret := call.createProgram(1000, nil)
 		edge := f.AddMachine("edge")
 		call.sleep(3 * time.Second)
-		path, key := call.session(len(f.Gateways)-1, program, secret, nil)
+		path, key := call.openSession(len(f.Gateways)-1, program, secret, nil)
 		is.True(edge.gateway.Ready() == nil)
-		verdict, _, _ := call.turn(0, path, key, program, "a", "").final()
+		verdict, _, _ := call.sendTurn(0, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
 
 // The cluster is formed once; nothing forms it again by itself or by hand.
-func TestAClusterIsFormedOnce(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
+func TestClusterIsBootstrappedOnce(t *testing.T) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		cluster := f.StorageStatus().Cluster
 		addrs := []string{"storage-0:1", "storage-1:1", "storage-2:1"}
 		status, answer := f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
@@ -165,15 +165,15 @@
 }
 
 // The owner is lost while its understudy is leaving: another goes on.
-func TestTakeOverWhileTheUnderstudyDrains(t *testing.T) {
+func TestTakeOverWhileStandbyDrains(t *testing.T) {
 	shape := SmallShape()
 	shape.Gateways = 4
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
-		verdict, _, _ := call.turn(2, path, key, program, "a", "").final()
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		verdict, _, _ := call.sendTurn(2, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		understudy := call.send(2, "GET", path, key, nil).text("understudy")
+		understudy := call.send(2, "GET", path, key, nil).field("understudy")
 		for _, m := range f.Gateways {
 			if strings.HasPrefix(understudy, m.Host.Name) {
 				f.CallerHost.Go(func() { f.Stop(m) })
@@ -181,18 +181,18 @@
 		}
 		call.sleep(10 * time.Millisecond)
 		f.Kill(f.Gateways[0])
-		verdict, _, _ = call.turn(2, path, key, program, "b", "a").final()
+		verdict, _, _ = call.sendTurn(2, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 		after := call.send(2, "GET", path, key, nil)
-		is.True(after.text("owner") != understudy)
-		is.Equal(after.text("turns"), "2")
+		is.True(after.field("owner") != understudy)
+		is.Equal(after.field("turns"), "2")
 	})
 }
 
 // All seeds but one dead: machines still find the fleet.
 func TestOneSeedIsEnough(t *testing.T) {
 	t.Parallel()
-	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		f.Kill(f.Cores[0])
 		f.Kill(f.Cores[len(f.Cores)-1])
 		call.sleep(5 * time.Second)
@@ -203,8 +203,8 @@
 }
 
 // Bad input at the operators' interface is declined by name, nothing done.
-func TestOperatorsBadInput(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
+func TestInvalidOperatorRequestsAreRejected(t *testing.T) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		before := f.StorageStatus()
 		rows := []struct {
 			path   string
@@ -258,16 +258,16 @@
 // everything falls at once. With the cluster's name in their places the
 // machines find each other by what the disks remember; without it, operators
 // start them with new seeds.
-func TestAllSeedsReplacedThenAnOutage(t *testing.T) {
+func TestTotalOutageAfterAllSeedsReplaced(t *testing.T) {
 	for _, way := range []string{"cluster named", "new seeds"} {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
-			script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
+			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 				cluster := f.StorageStatus().Cluster
 				f.SeedAddrs = []string{"core-0:1", "core-1:1", "storage-0:1"}
-				program, secret := call.program(1000, nil)
-				path, key := call.session(0, program, secret, nil)
-				verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
+				program, secret := call.createProgram(1000, nil)
+				path, key := call.openSession(0, program, secret, nil)
+				verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 				is.Equal(verdict, "success")
 				for place := range 2 {
 					f.AddMachine("core")
@@ -295,7 +295,7 @@
 				}
 				f.totalOutage()
 				is.Equal(len(f.Tally.Breaches), 0)
-				verdict, _, _ = call.turn(1, path, key, program, "b", "a").final()
+				verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
 				is.Equal(verdict, "success")
 			})
 		})
--- a/internal/simulate/disk.go
+++ b/internal/simulate/disk.go
@@ -120,7 +120,7 @@
 		}
 		content := make([]byte, size)
 		copy(content, entry.synced)
-		newShare := world.chance.Float64()
+		newShare := world.rng.Float64()
 		for offset := 0; offset < size; offset += sectorSize {
 			end := min(size, offset+sectorSize)
 			if world.Chance(newShare) && offset < len(entry.data) {
--- a/internal/simulate/diskset_test.go
+++ b/internal/simulate/diskset_test.go
@@ -25,21 +25,21 @@
 }
 
 // runReconciling runs a script on several seeds.
-func runReconciling(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
+func runReconciling(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *apiClient)) {
 	t.Helper()
 	runReconcilingSeeds(t, reconcileSeeds, shape, steps)
 }
 
 // runReconcilingSeeds runs a script on a number of seeds, times the seeds asked for.
-func runReconcilingSeeds(t *testing.T, count int, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
+func runReconcilingSeeds(t *testing.T, count int, shape Shape, steps func(is *is.I, f *Fleet, call *apiClient)) {
 	t.Helper()
-	bring(t, count**seedCount, shape, func(t *testing.T, f *Fleet) {
+	runSeeds(t, count**seedCount, shape, func(t *testing.T, f *Fleet) {
 		is := is.New(t)
-		formed(t, f)
+		waitUntilFormed(t, f)
 		done := false
 		f.CallerHost.Go(func() {
 			defer func() { done = true }()
-			steps(is, f, &talker{f, f.RequestSender(f.CallerHost)})
+			steps(is, f, &apiClient{f, f.RequestSender(f.CallerHost)})
 		})
 		is.True(f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done })) // the script came to its end
 	})
@@ -119,7 +119,7 @@
 			t.Run(fmt.Sprint(name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				var longest time.Duration
-				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 					left := f.StartCallers(3, 10, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
@@ -187,14 +187,14 @@
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
 			var longest, whole time.Duration
-			runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+			runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
-				program, secret := call.program(1000, nil)
-				path, key := call.session(0, program, secret, nil)
+				program, secret := call.createProgram(1000, nil)
+				path, key := call.openSession(0, program, secret, nil)
 				last := ""
 				for round := range 3 {
 					turn := fmt.Sprint("t", round)
-					verdict, _, _ := call.turn(1, path, key, program, turn, last).final()
+					verdict, _, _ := call.sendTurn(1, path, key, program, turn, last).finalResult()
 					is.Equal(verdict, "success")
 					last = turn
 					status, _ := f.OperatorRequest(f.liveCore(), "POST", "/v1/operator/settings/apply",
@@ -227,7 +227,7 @@
 					is.True(f.diskSetComplete())
 					whole = max(whole, took)
 				}
-				verdict, _, _ := call.turn(2, path, key, program, "end", last).final()
+				verdict, _, _ := call.sendTurn(2, path, key, program, "end", last).finalResult()
 				is.Equal(verdict, "success")
 			})
 			t.Logf("%d disks: served within %v, whole within %v", size.storage, longest, whole)
@@ -239,7 +239,7 @@
 // place, and a stranger's or a retired disk is never taken in.
 func TestUnresponsiveDisksKeepTheirVotes(t *testing.T) {
 	t.Parallel()
-	runReconciling(t, reconcilingShape(4, 1), func(is *is.I, f *Fleet, call *talker) {
+	runReconciling(t, reconcilingShape(4, 1), func(is *is.I, f *Fleet, call *apiClient) {
 		is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 		stamp := f.diskSet().Stamp
 		for round := range 4 {
@@ -270,14 +270,14 @@
 
 // runBootstrap runs a fleet that has to form one cluster by itself, on several
 // seeds, and checks that there is one.
-func runBootstrap(t *testing.T, storage int, injectFault func(f *Fleet, call *talker)) (longest time.Duration) {
+func runBootstrap(t *testing.T, storage int, injectFault func(f *Fleet, call *apiClient)) (longest time.Duration) {
 	t.Helper()
 	for seed := uint64(1); seed <= uint64(8**seedCount); seed++ {
 		is := is.New(t)
 		f := NewFleet(seed, reconcilingShape(storage, 1))
 		done := false
 		f.CallerHost.Go(func() {
-			injectFault(f, &talker{f, f.RequestSender(f.CallerHost)})
+			injectFault(f, &apiClient{f, f.RequestSender(f.CallerHost)})
 			took := f.waitUntil(20*time.Second, f.diskSetComplete)
 			longest = max(longest, took)
 			if !f.diskSetComplete() {
@@ -316,19 +316,19 @@
 
 // The machines form one cluster by themselves, whatever happens meanwhile.
 func TestClusterBootstrap(t *testing.T) {
-	ways := map[string]func(f *Fleet, call *talker){
-		"in quiet":                   func(*Fleet, *talker) {},
-		"the first seed never comes": func(f *Fleet, _ *talker) { f.Kill(f.Cores[0]) },
-		"the founder is killed": func(f *Fleet, call *talker) {
+	ways := map[string]func(f *Fleet, call *apiClient){
+		"in quiet":                   func(*Fleet, *apiClient) {},
+		"the first seed never comes": func(f *Fleet, _ *apiClient) { f.Kill(f.Cores[0]) },
+		"the founder is killed": func(f *Fleet, call *apiClient) {
 			call.sleep(f.World.Between(200*time.Millisecond, 800*time.Millisecond))
 			f.Kill(f.Cores[0])
 			f.scheduleRecovery(time.Second, func() { f.Start(f.Cores[0]) })
 		},
-		"the founder freezes": func(f *Fleet, call *talker) {
+		"the founder freezes": func(f *Fleet, call *apiClient) {
 			call.sleep(f.World.Between(200*time.Millisecond, 800*time.Millisecond))
 			f.freeze(f.Cores[0], 5*time.Second)
 		},
-		"storage comes late": func(f *Fleet, call *talker) {
+		"storage comes late": func(f *Fleet, call *apiClient) {
 			for _, m := range f.Storage {
 				f.Kill(m)
 			}
@@ -337,17 +337,17 @@
 				f.Start(m)
 			}
 		},
-		"messages lost and late": func(f *Fleet, call *talker) {
+		"messages lost and late": func(f *Fleet, call *apiClient) {
 			f.Net.Faults = NetworkFaults{LossRate: 0.2, DelayRate: 0.2, DuplicateRate: 0.2, MaxExtraDelay: 3 * time.Second}
 			call.sleep(8 * time.Second)
 			f.Net.Faults = NetworkFaults{}
 		},
-		"the founder is cut off": func(f *Fleet, call *talker) {
+		"the founder is cut off": func(f *Fleet, call *apiClient) {
 			call.sleep(f.World.Between(200*time.Millisecond, 800*time.Millisecond))
 			f.Net.Isolate(map[string]bool{f.Cores[0].Host.Name: true, f.Storage[0].Host.Name: true})
 			f.scheduleRecovery(5*time.Second, f.Net.Heal)
 		},
-		"two halves": func(f *Fleet, call *talker) {
+		"two halves": func(f *Fleet, call *apiClient) {
 			call.sleep(f.World.Between(200*time.Millisecond, 700*time.Millisecond))
 			f.Net.Isolate(map[string]bool{f.Cores[0].Host.Name: true, f.Storage[0].Host.Name: true, f.Storage[1].Host.Name: true, f.Storage[2].Host.Name: true})
 			f.scheduleRecovery(5*time.Second, f.Net.Heal)
@@ -389,7 +389,7 @@
 			t.Run(fmt.Sprint(way, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				var longest time.Duration
-				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 					left := f.StartCallers(3, 8, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
--- a/internal/simulate/time_test.go
+++ b/internal/simulate/expiry_test.go
@@ -11,33 +11,33 @@
 
 // Every core is lost again and again between the moments that matter; nothing
 // is over early, and what is over does end.
-func TestTimeOutlivesItsKeepers(t *testing.T) {
+func TestRetentionAndDeadlinesSurviveCoreLoss(t *testing.T) {
 	t.Parallel()
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
-		verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		is.Equal(call.send(1, "POST", path+"/close", key, nil).text("phase"), "Succeeded")
+		is.Equal(call.send(1, "POST", path+"/close", key, nil).field("phase"), "Succeeded")
 		tool := "/v1/programs/" + program + "/tools/loyalty"
 		is.Equal(call.send(1, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k").Status, 200)
-		bounded, boundedSecret := call.program(1000, map[string]any{"deadline_s": 100})
-		short, shortKey := call.session(0, bounded, boundedSecret, nil)
-		verdict, _, _ = call.turn(1, short, shortKey, bounded, "a", "").final()
+		bounded, boundedSecret := call.createProgram(1000, map[string]any{"deadline_s": 100})
+		short, shortKey := call.openSession(0, bounded, boundedSecret, nil)
+		verdict, _, _ = call.sendTurn(1, short, shortKey, bounded, "a", "").finalResult()
 		is.Equal(verdict, "success")
 		for round := 0; round < 8; round++ { // 80 s, and a sweep under each keeper
 			f.crash(f.Cores[round%2], time.Second, false)
 			call.sleep(10 * time.Second)
 		}
-		verdict, _, _ = call.turn(1, short, shortKey, bounded, "b", "a").final()
+		verdict, _, _ = call.sendTurn(1, short, shortKey, bounded, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		verdict, _, _ = call.turn(1, path, key, program, "b", "a").final()
+		verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 		again := call.send(2, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k")
 		is.Equal(again.Header["Idempotent-Replayed"], "true")
-		is.Equal(f.toolRuns(program+"/k"), 1)
+		is.Equal(f.toolWorkerRuns(program+"/k"), 1)
 		call.sleep(60 * time.Second)
-		_, ran, code := call.turn(1, short, shortKey, bounded, "c", "b").final()
+		_, ran, code := call.sendTurn(1, short, shortKey, bounded, "c", "b").finalResult()
 		is.Equal(code+" "+ran, "past_deadline not_run")
 	})
 }
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -47,9 +47,9 @@
 		return
 	}
 	m.Host.Freeze()
-	life := m.Host.life
+	life := m.Host.incarnation
 	f.scheduleRecovery(span, func() {
-		if m.Host.life == life {
+		if m.Host.incarnation == life {
 			m.Host.Thaw()
 		}
 	})
--- a/internal/simulate/tree_test.go
+++ b/internal/simulate/feed_tree_test.go
@@ -14,11 +14,11 @@
 )
 
 // followersOf are the living machines that follow the feed.
-func (f *Fleet) following() []*Machine {
+func (f *Fleet) liveFollowers() []*Machine {
 	return base.Filter(append(append([]*Machine{}, f.Cores...), f.Gateways...), func(m *Machine) bool { return m.Host.alive && !m.Host.frozen })
 }
 
-func (m *Machine) follower() interface {
+func (m *Machine) leaseFollower() interface {
 	HasLease() bool
 	LeaseExpirations() uint64
 	GatewayCount() int
@@ -30,9 +30,11 @@
 }
 
 // applied puts new settings in force and tells how long the last follower took.
-func (f *Fleet) applied(based int) time.Duration { return f.appliedBy(f.liveCore, based) }
+func (f *Fleet) measureApply(based int) time.Duration {
+	return f.measureApplyThrough(f.liveCore, based)
+}
 
-func (f *Fleet) appliedBy(core func() *Machine, based int) time.Duration {
+func (f *Fleet) measureApplyThrough(core func() *Machine, based int) time.Duration {
 	done, stamp := false, uint64(based+1)
 	began := f.World.Now()
 	f.CallerHost.Go(func() {
@@ -44,7 +46,7 @@
 	})
 	f.World.Run(f.World.Now()+30*time.Second, func() bool { return done })
 	f.runUntil(20*time.Second, func() bool {
-		for _, m := range f.following() {
+		for _, m := range f.liveFollowers() {
 			if m.gateway != nil && m.gateway.SettingsVersion() < stamp {
 				return false
 			}
@@ -55,29 +57,29 @@
 }
 
 // lapses counts permits that ran out, and the nodes without one.
-func (f *Fleet) lapses() (lapsed uint64, without int) {
-	for _, m := range f.following() {
-		lapsed += m.follower().LeaseExpirations()
-		if !m.follower().HasLease() {
+func (f *Fleet) leaseExpirations() (lapsed uint64, without int) {
+	for _, m := range f.liveFollowers() {
+		lapsed += m.leaseFollower().LeaseExpirations()
+		if !m.leaseFollower().HasLease() {
 			without++
 		}
 	}
 	return lapsed, without
 }
 
-func TestTheFeedOfALargeFleet(t *testing.T) {
+func TestFeedTreeOfLargeFleet(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
 	const nodes = 150
-	f := rested(t, nodes, applied)
+	f := idleFleet(t, nodes, settingsApplied)
 	defer f.World.Close()
 	bound := base.DefaultBounds().SettingsApply
 	owner := f.feedLeader()
-	before, _ := f.lapses()
+	before, _ := f.leaseExpirations()
 	f.Net.TrafficByHost = map[string]*HostTraffic{}
 	f.World.Run(f.World.Now()+10*time.Second, nil)
 	asked := float64(f.Net.TrafficByHost[owner.Host.Name].RequestsReceived) / 10
-	now, without := f.lapses()
+	now, without := f.leaseExpirations()
 	t.Logf("at rest: the owner serves %.1f calls a second, %d permits lapsed", asked, now-before)
 	is.True(asked < 80)
 	is.Equal(now, before)
@@ -85,7 +87,7 @@
 	for _, m := range f.Gateways {
 		is.Equal(m.gateway.Follower.GatewayCount(), len(f.Gateways))
 	}
-	took := f.applied(1)
+	took := f.measureApply(1)
 	t.Logf("settings reach the last after %v", took)
 	is.True(took < bound/4)
 	for round, row := range []struct {
@@ -102,7 +104,7 @@
 				if m != owner && m.Host.alive {
 					f.Kill(m)
 				}
-				if len(f.following()) < len(f.Cores)-2 {
+				if len(f.liveFollowers()) < len(f.Cores)-2 {
 					break
 				}
 			}
@@ -116,9 +118,9 @@
 		{"the owner killed", func() { f.Kill(f.feedLeader()) }},
 	} {
 		row.do()
-		took := f.applied(2 + round)
+		took := f.measureApply(2 + round)
 		f.World.Run(f.World.Now()+10*time.Second, nil)
-		_, without := f.lapses()
+		_, without := f.leaseExpirations()
 		t.Logf("%s: settings reach the last after %v", row.name, took)
 		is.True(took < 2*bound)
 		is.Equal(without, 0)
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -141,11 +141,11 @@
 // Start gives a machine a new life.
 func (f *Fleet) Start(m *Machine) {
 	h := m.Host
-	h.alive, h.dark, m.openRequests, m.stopping, m.stopRequested = true, false, 0, false, false
+	h.alive, h.poweredOff, m.openRequests, m.stopping, m.stopRequested = true, false, 0, false, false
 	m.gateway, m.core, m.storage = nil, nil, nil
 	m.Counters = base.NewCounters()
 	env := node.Env{Clock: h.Clock(), HTTPClient: f.Net.Wire(h), Files: m.Disk, Counters: m.Counters,
-		Backends: &Backends{net: f.Net, host: h, models: f.modelsByID, tools: f.toolsByID, lost: &f.disabled}}
+		Backends: &Backends{net: f.Net, host: h, models: f.modelsByID, tools: f.toolsByID, disabled: &f.disabled}}
 	config := node.Config{Addr: h.Name + ":1", PublicAddr: h.Name + ":2", Zone: h.Zone, Seeds: []string{f.Cores[0].Host.Name + ":1", f.Cores[len(f.Cores)-1].Host.Name + ":1", f.Storage[0].Host.Name + ":1"}}
 	if f.SeedAddrs != nil {
 		config.Seeds = f.SeedAddrs
@@ -231,7 +231,7 @@
 // over, and ends.
 func (f *Fleet) Stop(m *Machine) {
 	bell := base.NewNotifier(f.CallerHost.Clock())
-	drained, life := false, m.Host.life
+	drained, life := false, m.Host.incarnation
 	m.Host.Go(func() {
 		switch {
 		case m.gateway != nil && m.Role == "edge":
@@ -252,11 +252,11 @@
 		f.Tally.Dropped(m.Host.Name, m.openRequests)
 		f.Kill(m)
 	}
-	for end := f.World.now + stopTimeout + time.Second; (!drained || m.openRequests > 0) && m.Host.life == life && f.World.now < end; {
-		bell.Next().Wait(pollEvery)
+	for end := f.World.now + stopTimeout + time.Second; (!drained || m.openRequests > 0) && m.Host.incarnation == life && f.World.now < end; {
+		bell.Next().Wait(pollInterval)
 	}
 	m.stopping = false
-	if m.Host.life == life {
+	if m.Host.incarnation == life {
 		f.Tally.Dropped(m.Host.Name, m.openRequests)
 		f.Kill(m)
 	}
@@ -288,7 +288,7 @@
 		if done {
 			break
 		}
-		next.Wait(pollEvery)
+		next.Wait(pollInterval)
 	}
 	return status, answer
 }
--- a/internal/simulate/followers_test.go
+++ b/internal/simulate/followers_test.go
@@ -14,7 +14,7 @@
 func TestFollowersLeaveIsolatedLeader(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
-	f := rested(t, 14, applied)
+	f := idleFleet(t, 14, settingsApplied)
 	defer f.World.Close()
 	bound := base.DefaultBounds().SettingsApply
 	for round, both := range []bool{false, true} {
@@ -28,7 +28,7 @@
 			}
 		}
 		f.World.Run(f.World.Now()+2*time.Second, nil)
-		took := f.appliedBy(func() *Machine {
+		took := f.measureApplyThrough(func() *Machine {
 			return base.Filter(f.Cores, func(m *Machine) bool { return m != owner })[0]
 		}, 1+round)
 		t.Logf("both ways %v: settings reach the last gateway %v after they were acknowledged", both, took)
--- a/internal/simulate/isolation.go
+++ b/internal/simulate/isolation.go
@@ -176,12 +176,12 @@
 
 func (r *isolationRun) execute() {
 	clock := r.CallerHost.Clock()
-	if !r.form() {
+	if !r.applyFirstConfig() {
 		r.addBreach("the fleet did not form")
 		return
 	}
-	r.currentVersion = r.config.newest.Config.Generation
-	r.orders = append(r.orders, &sentOrder{version: r.currentVersion, ackedAt: clock.Now(), document: r.config.newest.Raw})
+	r.currentVersion = r.config.newestAcked.Config.Generation
+	r.orders = append(r.orders, &sentOrder{version: r.currentVersion, ackedAt: clock.Now(), document: r.config.newestAcked.Raw})
 	clock.Sleep(r.World.Between(2*time.Second, 4*time.Second))
 	if !r.waitFor(20*time.Second, func() bool { return r.feedLeader() != nil }) {
 		r.addBreach("no core owns the feed")
@@ -205,13 +205,13 @@
 	clock.Sleep(r.result.Duration)
 	r.heal()
 	spawn(r.measureRecovery)
-	r.until(2*time.Minute, func() bool { return remaining == 0 })
+	r.pollUntil(2*time.Minute, func() bool { return remaining == 0 })
 	r.readFromAllCores()
 	r.check()
 }
 
 func (r *isolationRun) waitFor(limit time.Duration, condition func() bool) bool {
-	r.until(limit, condition)
+	r.pollUntil(limit, condition)
 	return condition()
 }
 
@@ -278,9 +278,9 @@
 	case IsolationFrozen:
 		m.Host.Freeze()
 	case IsolationKilled:
-		r.down(m, false)
+		r.endProcess(m, false)
 	case IsolationPowerLoss:
-		r.down(m, true)
+		r.endProcess(m, true)
 	}
 }
 
@@ -295,9 +295,9 @@
 	for i, m := range restarting {
 		r.CallerHost.Go(func() {
 			r.CallerHost.Clock().Sleep(time.Duration(2+3*i) * time.Second)
-			r.down(m, false)
+			r.endProcess(m, false)
 			r.CallerHost.Clock().Sleep(500 * time.Millisecond)
-			r.begin(m)
+			r.startMachine(m)
 		})
 	}
 }
@@ -310,7 +310,7 @@
 		case m.Host.frozen:
 			m.Host.Thaw()
 		case r.stopsMachines() && r.isolated[m]:
-			r.begin(m)
+			r.startMachine(m)
 		}
 	}
 	r.healedAt = r.World.now
@@ -330,17 +330,17 @@
 	r.calls = append(r.calls, call)
 	answers := newPipe[int](r.CallerHost)
 	if !m.Host.alive || m.core == nil {
-		if m.Host.dark {
+		if m.Host.poweredOff {
 			clock.Sleep(operatorTimeout)
 		}
-		clock.Sleep(r.way())
+		clock.Sleep(r.clientDelay())
 		call.answeredAt, call.hostStopped = clock.Now(), true
 		return call
 	}
-	core, life := m.core, m.Host.life
+	core, life := m.core, m.Host.incarnation
 	startedAt := r.World.now
-	r.World.spawn(m.Host, life, r.World.now+r.way(), func() {
-		request := inProcess(method, path, m.Host.Name, header, body)
+	r.World.spawn(m.Host, life, r.World.now+r.clientDelay(), func() {
+		request := newRequestCtx(method, path, m.Host.Name, header, body)
 		platform.ServeOperator(request, m.Host.Clock(), core)
 		call.status, call.retryAfter, call.body = request.Response.StatusCode(), string(request.Response.Header.Peek("Retry-After")), slices.Clone(request.Response.Body())
 		call.answeredAt = r.World.now
@@ -348,10 +348,10 @@
 		call.hostStopped = overlaps && r.stopsMachines()
 		// Who is cut off from the disks only may ask the other cores.
 		call.isolated = overlaps && startedAt >= r.isolatedAt && call.answeredAt < r.healedAt && r.result.Target != TargetLeaderFromDisks
-		answers.put(r.way(), call.status)
+		answers.send(r.clientDelay(), call.status)
 	})
-	if _, ok := answers.next(clock.Now()+operatorTimeout, nil); !ok {
-		call.hostStopped = call.hostStopped || m.Host.frozen || m.Host.life != life
+	if _, ok := answers.receive(clock.Now()+operatorTimeout, nil); !ok {
+		call.hostStopped = call.hostStopped || m.Host.frozen || m.Host.incarnation != life
 		return &operatorCall{kind: call.kind, core: m, sentAt: call.sentAt, answeredAt: clock.Now(), hostStopped: true}
 	}
 	return call
@@ -359,7 +359,7 @@
 
 // newOrder is a new valid document on top of a version.
 func (r *isolationRun) newOrder(baseVersion uint64) *sentOrder {
-	config := r.drafts.Next(r.config.newest.Config)
+	config := r.drafts.Next(r.config.newestAcked.Config)
 	r.serial += 1 + r.rng.IntN(3)
 	config.Generation = r.orders[0].version + uint64(r.serial)
 	order := &sentOrder{baseVersion: baseVersion, version: config.Generation, document: config.Encode(), sentAt: r.World.now}
@@ -464,7 +464,7 @@
 
 // measureRecovery times how long it takes until every core gives the newest configuration.
 func (r *isolationRun) measureRecovery() {
-	r.until(30*time.Second, func() bool {
+	r.pollUntil(30*time.Second, func() bool {
 		newest := r.currentVersion
 		for _, m := range r.Cores {
 			call := r.callCore("GET", m, "GET", parties.PathConfig, nil)
--- a/internal/simulate/isolation_check.go
+++ b/internal/simulate/isolation_check.go
@@ -26,7 +26,7 @@
 // checkAnswer holds an answer to what its core could know, and in time.
 func (r *isolationRun) checkAnswer(call *operatorCall) {
 	if call.status == 0 {
-		if call.core.Host.life == 0 { // its process was not killed meanwhile
+		if call.core.Host.incarnation == 0 { // its process was not killed meanwhile
 			r.addBreach("no answer within the operator's patience: %s", call)
 		}
 		return
--- a/internal/simulate/isolation_removal_test.go
+++ b/internal/simulate/isolation_removal_test.go
@@ -23,20 +23,20 @@
 		take      func(f *Fleet)
 		word      string
 	}{
-		{"the confirmation before a read", onPath("Disk/Confirm", func(*Message) *http.Response {
-			return replied(&register.Ack{Ok: true})
+		{"the confirmation before a read", interceptPath("Disk/Confirm", func(*Message) *http.Response {
+			return protoResponse(&register.Ack{Ok: true})
 		}), "was acknowledged before: GET"},
-		{"the confirmation before a refusal", onPath("Disk/Confirm", func(*Message) *http.Response {
-			return replied(&register.Ack{Ok: true})
+		{"the confirmation before a refusal", interceptPath("Disk/Confirm", func(*Message) *http.Response {
+			return protoResponse(&register.Ack{Ok: true})
 		}), "a core that was cut off answered: stale PUT"},
-		{"the majority before an acknowledgement", onPath("Disk/Append", func(m *Message) *http.Response {
+		{"the majority before an acknowledgement", interceptPath("Disk/Append", func(m *Message) *http.Response {
 			var asked register.AppendRequest
 			_ = proto.Unmarshal(m.Body, &asked)
 			if len(asked.Entries) == 0 {
 				response, _ := m.Forward(m.Body)
 				return response
 			}
-			return replied(&register.Ack{Ok: true, Seq: asked.Entries[len(asked.Entries)-1].Seq})
+			return protoResponse(&register.Ack{Ok: true, Seq: asked.Entries[len(asked.Entries)-1].Seq})
 		}), "a core that was cut off answered: PUT"},
 	} {
 		t.Run(row.mechanism, func(t *testing.T) {
--- a/internal/simulate/isolation_restart_test.go
+++ b/internal/simulate/isolation_restart_test.go
@@ -30,7 +30,7 @@
 	done := false
 	tier.CallerHost.Go(func() {
 		defer func() { done = true }()
-		if !tier.form() {
+		if !tier.applyFirstConfig() {
 			t.Error("the tier did not form")
 			return
 		}
@@ -43,16 +43,16 @@
 			}
 		}
 		clock.Sleep(time.Second)
-		tier.fall(isolated, "node_kill", 500*time.Millisecond, false, false)
+		tier.crashFor(isolated, "node_kill", 500*time.Millisecond, false, false)
 		clock.Sleep(2 * time.Second)
-		tier.each(tier.Cores, func(m *Machine) {
+		tier.forEachMachine(tier.Cores, func(m *Machine) {
 			if m != isolated {
-				tier.fall(m, "node_kill", 300*time.Millisecond, false, false)
+				tier.crashFor(m, "node_kill", 300*time.Millisecond, false, false)
 			}
 		})
 		clock.Sleep(2 * time.Second)
-		tier.change()
-		newest := tier.config.newest.Config.Generation
+		tier.changeConfig()
+		newest := tier.config.newestAcked.Config.Generation
 		clock.Sleep(tier.Site.Bounds.Apply)
 		for _, edge := range tier.Gateways {
 			if table := edge.gateway.Routes.Load(); table == nil || table.Version != newest {
--- a/internal/simulate/limits_test.go
+++ b/internal/simulate/limits_test.go
@@ -22,7 +22,7 @@
 	t.Parallel()
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `{"pools"`, `{"bounds":{"settings_bound_s":2,"recover_bound_s":6,"retain_s":8},"pools"`, 1)
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
 		maxKeys := func() int {
 			most := 0
 			for _, m := range f.Storage {
@@ -65,7 +65,7 @@
 	shape.WorkerCapacity, shape.PieceInterval = 4, 50*time.Millisecond
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":4,"waiting":16`, 1)
 	goodput := func(callers int) (whole int, counts map[string]int) {
-		script(t, shape, func(is *is.I, f *Fleet, call *talker) {
+		runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
 			f.StartUsageReports(500 * time.Millisecond)
 			f.StartCallers(callers, 1000, false, func(c *standin.Caller) { c.Patience = time.Hour })
 			call.sleep(20 * time.Second)
@@ -86,22 +86,22 @@
 	t.Parallel()
 	shape := SmallShape()
 	shape.ModelWorkers, shape.WorkerCapacity, shape.PieceInterval = 1, 4, 50*time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		runaway, secret := call.program(100000, nil)
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		runaway, secret := call.createProgram(100000, nil)
 		for place := 0; place < 40; place++ {
-			path, key := call.session(0, runaway, secret, nil)
+			path, key := call.openSession(0, runaway, secret, nil)
 			f.CallerHost.Go(func() {
 				for number := 0; number < 100; number++ {
-					call.turn(0, path, key, runaway, fmt.Sprint("t", number), "")
+					call.sendTurn(0, path, key, runaway, fmt.Sprint("t", number), "")
 				}
 			})
 		}
 		call.sleep(2 * time.Second)
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
 		for number := 0; number < 5; number++ {
 			start := f.World.Now()
-			verdict, _, _ := call.turn(0, path, key, program, fmt.Sprint("t", number), "").final()
+			verdict, _, _ := call.sendTurn(0, path, key, program, fmt.Sprint("t", number), "").finalResult()
 			is.Equal(verdict, "success")
 			is.True(f.World.Now()-start < 2*time.Second) // an answer takes 0.3 s, the runaway's line is 36 long
 		}
@@ -109,7 +109,7 @@
 }
 
 func TestPoliciesAtWork(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		apply := func(stamp int, change, source string) (int, string) {
 			document := strings.Replace(DefaultSettings, `"chat":{`, `"chat":{"policy":`+string(base.MustMarshal(source))+`,`, 1)
 			status, answer := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply",
@@ -122,24 +122,24 @@
 		is.True(strings.Contains(answer, "routes.chat.policy"))
 		status, _ = apply(1, "one", "def nominate(leg, workers):\n  return workers[-1]['id']\ndef admit(session):\n  return session['urgency'] != 'low'")
 		is.Equal(status, 200)
-		program, secret := call.program(1000, nil)
+		program, secret := call.createProgram(1000, nil)
 		for place := 0; place < 3; place++ {
-			path, key := call.session(place, program, secret, nil)
-			verdict, _, _ := call.turn(place, path, key, program, fmt.Sprint("p", place), "").final()
+			path, key := call.openSession(place, program, secret, nil)
+			verdict, _, _ := call.sendTurn(place, path, key, program, fmt.Sprint("p", place), "").finalResult()
 			is.Equal(verdict, "success")
 		}
 		_, _, first, _ := f.Models[0].Record()
 		_, _, last, _ := f.Models[1].Record()
 		is.Equal([]int{first, last}, []int{0, 3}) // always the last one listed
-		low, secret := call.program(1000, map[string]any{"urgency": "low"})
+		low, secret := call.createProgram(1000, map[string]any{"urgency": "low"})
 		refused := call.send(0, "POST", "/v1/programs/"+low+"/sessions", secret, `{"route":"chat"}`)
-		is.Equal(refused.text("error", "code"), "not_admitted")
+		is.Equal(refused.field("error", "code"), "not_admitted")
 		// One that faults on live data counts, and the rule goes on.
 		status, _ = apply(2, "two", "def nominate(leg, workers):\n  return workers[0]['id'] if workers[0]['id'].startswith('worker') else 1 // 0")
 		is.Equal(status, 200)
-		program, secret = call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
-		verdict, _, _ := call.turn(0, path, key, program, "x", "").final()
+		program, secret = call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		verdict, _, _ := call.sendTurn(0, path, key, program, "x", "").finalResult()
 		is.Equal(verdict, "success")
 		is.True(f.CounterTotal("policy_faults") > 0)
 	})
--- a/internal/simulate/removal_test.go
+++ b/internal/simulate/mechanisms_test.go
@@ -21,7 +21,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func replied(message proto.Message) *http.Response {
+func protoResponse(message proto.Message) *http.Response {
 	recorder := httptest.NewRecorder()
 	recorder.Header().Set("Content-Type", "application/protobuf")
 	raw, _ := proto.Marshal(message)
@@ -30,7 +30,7 @@
 }
 
 // passed carries a message on and reads the reply; nil when none came.
-func passed[M proto.Message](m *Message, body []byte, into M) (M, *http.Response) {
+func forwardAndDecode[M proto.Message](m *Message, body []byte, into M) (M, *http.Response) {
 	response, err := m.Forward(body)
 	if err != nil || response == nil {
 		return into, nil
@@ -44,14 +44,14 @@
 }
 
 // onChange meddles with one op of the register.
-func onChange(op string, meddle func(m *Message, asked *register.ChangeRequest, pass func(op string, args []byte) (*register.ChangeReply, *http.Response)) *http.Response) func(f *Fleet) {
+func interceptChange(op string, meddle func(m *Message, asked *register.ChangeRequest, pass func(op string, args []byte) (*register.ChangeReply, *http.Response)) *http.Response) func(f *Fleet) {
 	return func(f *Fleet) {
 		f.Net.Intercept = func(m *Message) *http.Response {
 			var asked register.ChangeRequest
 			if strings.HasSuffix(m.Path, "Register/Change") && proto.Unmarshal(m.Body, &asked) == nil && (asked.Op == op || op == "") {
 				return meddle(m, &asked, func(op string, args []byte) (*register.ChangeReply, *http.Response) {
 					raw, _ := proto.Marshal(&register.ChangeRequest{Group: asked.Group, Op: op, Args: args})
-					return passed(m, raw, &register.ChangeReply{})
+					return forwardAndDecode(m, raw, &register.ChangeReply{})
 				})
 			}
 			response, _ := m.Forward(m.Body)
@@ -61,7 +61,7 @@
 }
 
 // onPath meddles with one kind of message.
-func onPath(suffix string, meddle func(m *Message) *http.Response) func(f *Fleet) {
+func interceptPath(suffix string, meddle func(m *Message) *http.Response) func(f *Fleet) {
 	return func(f *Fleet) {
 		f.Net.Intercept = func(m *Message) *http.Response {
 			if strings.HasSuffix(m.Path, suffix) {
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestEachMechanismTakenAwayIsCaught(t *testing.T) {
+func TestDisabledMechanismsAreDetected(t *testing.T) {
 	rows := []struct {
 		mechanism string
 		scenario  string
@@ -81,10 +81,10 @@
 		take      func(f *Fleet)
 		word      string
 	}{
-		{"the claim on a tool call's key", "workers in trouble", "small", onChange("toolcall.claim", func(_ *Message, _ *register.ChangeRequest, _ func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
-			return replied(&register.ChangeReply{Result: []byte(`{"go":true}`)})
+		{"the claim on a tool call's key", "workers in trouble", "small", interceptChange("toolcall.claim", func(_ *Message, _ *register.ChangeRequest, _ func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+			return protoResponse(&register.ChangeReply{Result: []byte(`{"go":true}`)})
 		}), "ran 2 times"},
-		{"the reservation of tokens", "nothing but load", "small", onChange("session.reserve", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+		{"the reservation of tokens", "nothing but load", "small", interceptChange("session.reserve", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			var wanted struct {
 				Tokens int64 `json:"tokens"`
 			}
@@ -96,12 +96,12 @@
 			var told map[string]any
 			_ = json.Unmarshal(reply.Result, &told)
 			told["granted"] = wanted.Tokens
-			return replied(&register.ChangeReply{Result: base.MustMarshal(told)})
+			return protoResponse(&register.ChangeReply{Result: base.MustMarshal(told)})
 		}), "put out"},
-		{"the memory of lost legs", "everything at once", "small", onChange("", func(m *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+		{"the memory of lost legs", "everything at once", "small", interceptChange("", func(m *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			reply, response := pass(asked.Op, asked.Args)
 			if asked.Op == "session.refuse" && response != nil && len(reply.Result) > 0 {
-				return replied(&register.ChangeReply{Result: []byte(`{"refused":true}`)}) // it would not mark such a turn
+				return protoResponse(&register.ChangeReply{Result: []byte(`{"refused":true}`)}) // it would not mark such a turn
 			}
 			if response == nil || !strings.Contains(string(reply.Result), `"unsure"`) {
 				return response
@@ -109,16 +109,16 @@
 			var told map[string]any
 			_ = json.Unmarshal(reply.Result, &told)
 			delete(told["record"].(map[string]any), "unsure")
-			return replied(&register.ChangeReply{Result: base.MustMarshal(told)})
+			return protoResponse(&register.ChangeReply{Result: base.MustMarshal(told)})
 		}), "was refused"},
-		{"the chain on a majority", "edges killed", "small", onChange("session.finish", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+		{"the chain on a majority", "edges killed", "small", interceptChange("session.finish", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			_, response := pass("session.get", asked.Args)
 			return response
 		}), "history of"},
-		{"the fence of a request whose reply was lost", "a storm", "small", onPath("Owner/Withdraw", func(*Message) *http.Response {
-			return replied(&session.WithdrawReply{Fenced: true})
+		{"the fence of a request whose reply was lost", "a storm", "small", interceptPath("Owner/Withdraw", func(*Message) *http.Response {
+			return protoResponse(&session.WithdrawReply{Fenced: true})
 		}), "was refused"},
-		{"pieces pulled by place", "edges killed", "small", onPath("Owner/Pull", func(m *Message) *http.Response {
+		{"pieces pulled by place", "edges killed", "small", interceptPath("Owner/Pull", func(m *Message) *http.Response {
 			var asked session.PullRequest
 			_ = proto.Unmarshal(m.Body, &asked)
 			asked.Place = max(asked.Place, 1) - 1
@@ -127,7 +127,7 @@
 			return response
 		}), "skipped, repeated or spliced"},
 		{"the end mark of an answer", "workers in trouble", "small", func(f *Fleet) { f.disabled.endMarker = true }, "was given as whole but reads"},
-		{"the stamp that a change is based on", "nothing but load", "small", onChange("settings.apply", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+		{"the stamp that a change is based on", "nothing but load", "small", interceptChange("settings.apply", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			now, response := pass("settings.get", []byte("{}"))
 			var record struct {
 				Stamp uint64 `json:"stamp"`
@@ -141,20 +141,20 @@
 			_, response = pass("settings.apply", base.MustMarshal(change))
 			return response
 		}), "a losing change was acknowledged"},
-		{"the fence of a refused change", "a zone lost", "small", onChange("settings.outcome", func(*Message, *register.ChangeRequest, func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
-			return replied(&register.ChangeReply{Result: []byte(`{"outcome":"refused","stamp":1}`)})
+		{"the fence of a refused change", "a zone lost", "small", interceptChange("settings.outcome", func(*Message, *register.ChangeRequest, func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+			return protoResponse(&register.ChangeReply{Result: []byte(`{"outcome":"refused","stamp":1}`)})
 		}), "refused change"},
-		{"the permit", "a machine cut off", "small", onPath("Feed/Follow", func(m *Message) *http.Response {
+		{"the permit", "a machine cut off", "small", interceptPath("Feed/Follow", func(m *Message) *http.Response {
 			var asked feed.FollowRequest
 			_ = proto.Unmarshal(m.Body, &asked)
 			response, _ := m.Forward(m.Body)
 			if response == nil && asked.Place > 0 {
-				return replied(&feed.FollowReply{Place: asked.Place})
+				return protoResponse(&feed.FollowReply{Place: asked.Place})
 			}
 			return response
 		}), "serves by stamp"},
-		{"an owner's proof of its epoch", "a zone cut off", "kiondo", onPath("Disk/Confirm", func(*Message) *http.Response {
-			return replied(&register.Ack{Ok: true})
+		{"an owner's proof of its epoch", "a zone cut off", "kiondo", interceptPath("Disk/Confirm", func(*Message) *http.Response {
+			return protoResponse(&register.Ack{Ok: true})
 		}), "serves by stamp"},
 		{"the fence of a former owner's epoch", "cores frozen and woken", "small", func(f *Fleet) {
 			f.Net.Intercept = func(m *Message) *http.Response {
@@ -162,7 +162,7 @@
 					response, _ := m.Forward(m.Body)
 					return response
 				}
-				ack, response := passed(m, m.Body, &register.Ack{})
+				ack, response := forwardAndDecode(m, m.Body, &register.Ack{})
 				if response == nil || ack.Why != "epoch" {
 					return response
 				}
@@ -171,32 +171,32 @@
 				for _, entry := range asked.Entries {
 					ack.Seq = entry.Seq
 				}
-				return replied(&register.Ack{Ok: true, Seq: ack.Seq})
+				return protoResponse(&register.Ack{Ok: true, Seq: ack.Seq})
 			}
 		}, "history of"},
-		{"a majority of disks", "total outages", "small", onPath("Disk/Append", func(m *Message) *http.Response {
+		{"a majority of disks", "total outages", "small", interceptPath("Disk/Append", func(m *Message) *http.Response {
 			var asked register.AppendRequest
 			_ = proto.Unmarshal(m.Body, &asked)
 			if m.To.Name == "storage-0" || len(asked.Entries) == 0 {
 				response, _ := m.Forward(m.Body)
 				return response
 			}
-			return replied(&register.Ack{Ok: true, Seq: asked.Entries[len(asked.Entries)-1].Seq})
+			return protoResponse(&register.Ack{Ok: true, Seq: asked.Entries[len(asked.Entries)-1].Seq})
 		}), "history of"},
 		{"syncing before the answer", "total outages", "small", func(f *Fleet) {
 			for _, m := range f.Storage {
 				m.Disk.IgnoresSync = true
 			}
 		}, "service was back"},
-		{"news of leaving workers", "nothing but load", "small", onPath("Feed/Follow", func(m *Message) *http.Response {
-			reply, response := passed(m, m.Body, &feed.FollowReply{})
+		{"news of leaving workers", "nothing but load", "small", interceptPath("Feed/Follow", func(m *Message) *http.Response {
+			reply, response := forwardAndDecode(m, m.Body, &feed.FollowReply{})
 			if response == nil || response.StatusCode != 200 {
 				return response
 			}
 			reply.Puts = base.Filter(reply.Puts, func(put *register.Put) bool {
 				return !strings.HasPrefix(put.Key, "feed/leaving/") && (put.Key != "feed/workers" || strings.Contains(string(put.Value), `"stamp":1,`))
 			})
-			return replied(reply)
+			return protoResponse(reply)
 		}), "got new work"},
 		{"the hand-over of a planned stop", "planned stops", "small", func(f *Fleet) { f.disabled.gracefulStop = true }, "planned stop"},
 		{"addresses to begin with", "total outages", "small", func(f *Fleet) {
--- a/internal/simulate/net.go
+++ b/internal/simulate/net.go
@@ -202,14 +202,14 @@
 	path := request.URL.Path
 	n.recordTraffic(x.host.Name, hostName(request.URL.Host), path, 1, messageSize(len("POST  HTTP/1.1\r\nHost: \r\n")+len(path)+len(request.URL.Host), request.Header, len(body)))
 	target := w.Hosts[hostName(request.URL.Host)]
-	if target == nil || !target.alive && !target.dark {
+	if target == nil || !target.alive && !target.poweredOff {
 		x.host.Clock().Sleep(n.delay())
 		return nil, &base.NotSent{Cause: errors.New("connection refused")}
 	}
 	done := (&clock{x.host}).NewSignal()
-	if target.dark || n.isCut(x.host.Name, target.Name) || n.isCut(target.Name, x.host.Name) && w.Chance(0.5) {
+	if target.poweredOff || n.isCut(x.host.Name, target.Name) || n.isCut(target.Name, x.host.Name) && w.Chance(0.5) {
 		n.LostCount++
-		if n.LinkFailure != LinkSilent && !target.dark {
+		if n.LinkFailure != LinkSilent && !target.poweredOff {
 			x.host.Clock().Sleep(n.delay())
 			if n.LinkFailure == LinkRefused {
 				return nil, &base.NotSent{Cause: errors.New("connection refused")}
@@ -224,14 +224,14 @@
 	}
 	if n.ResetOnExit {
 		pending := &pendingCall{reset: done}
-		target.calls = append(target.calls, pending)
+		target.pendingCalls = append(target.pendingCalls, pending)
 		defer func() {
-			target.calls = base.Filter(target.calls, func(one *pendingCall) bool { return one != pending })
+			target.pendingCalls = base.Filter(target.pendingCalls, func(one *pendingCall) bool { return one != pending })
 		}()
 	}
 	var response *http.Response
 	deliver := func(delay time.Duration, answered bool) {
-		life := target.life
+		life := target.incarnation
 		w.spawn(target, life, w.now+delay, func() {
 			if target.serve == nil {
 				return
@@ -248,13 +248,13 @@
 				}
 				return
 			}
-			target.Clock().Sleep(n.delay() + n.transmissionTime(recorder.Body.Len()) + x.host.ExtraDelay + target.ExtraDelay + x.host.work())
+			target.Clock().Sleep(n.delay() + n.transmissionTime(recorder.Body.Len()) + x.host.ExtraDelay + target.ExtraDelay + x.host.processingDelay())
 			response = recorder.Result()
 			n.recordTraffic(x.host.Name, target.Name, path, 0, messageSize(len("HTTP/1.1 200 OK\r\n"), response.Header, recorder.Body.Len()))
 			done.Fire()
 		})
 	}
-	delay := n.delay() + n.transmissionTime(len(body)) + x.host.ExtraDelay + target.ExtraDelay + target.work()
+	delay := n.delay() + n.transmissionTime(len(body)) + x.host.ExtraDelay + target.ExtraDelay + target.processingDelay()
 	if w.Chance(n.Faults.DelayRate) {
 		delay += w.Between(0, n.Faults.MaxExtraDelay)
 	}
--- a/internal/simulate/operate_test.go
+++ b/internal/simulate/operate_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestStatusReportsUnwellNodes(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		call.sleep(3 * time.Second)
 		is.Equal(f.unwellReasons(f.Cores[0]), "")
 		for _, core := range f.Cores { // its word still reaches the others by its neighbours
@@ -52,7 +52,7 @@
 }
 
 func TestSettingsDiff(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, _ *talker) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, _ *apiClient) {
 		diff := func(document string) (int, string) {
 			status, answer := f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/settings/diff", json.RawMessage(document))
 			return status, string(answer)
--- a/internal/simulate/orders.go
+++ b/internal/simulate/orders.go
@@ -144,7 +144,7 @@
 // pendingCall makes one call to a core; status 0 is no clear answer.
 func (r *OrderRun) callCore(m *Machine, method, ifMatch string, body []byte) (status int, answer []byte) {
 	clock, timeout := r.CallerHost.Clock(), parties.OrderPatience(len(body))
-	if m.Host.dark || r.World.Chance(requestLossRate) {
+	if m.Host.poweredOff || r.World.Chance(requestLossRate) {
 		clock.Sleep(timeout)
 		return 0, nil
 	}
@@ -153,19 +153,19 @@
 	if !m.Host.alive || m.core == nil {
 		return 0, nil
 	}
-	core, replies := m.core, newPipe[answered](r.CallerHost)
-	r.World.spawn(m.Host, m.Host.life, r.World.now+delay(), func() {
+	core, replies := m.core, newPipe[responsePart](r.CallerHost)
+	r.World.spawn(m.Host, m.Host.incarnation, r.World.now+delay(), func() {
 		var header [][2]string
 		if ifMatch != "" {
 			header = append(header, [2]string{parties.HeaderIfMatch, ifMatch})
 		}
-		request := inProcess(method, parties.PathConfig, m.Host.Name, header, body)
+		request := newRequestCtx(method, parties.PathConfig, m.Host.Name, header, body)
 		platform.ServeOperator(request, m.Host.Clock(), core)
 		if !r.World.Chance(responseLossRate) {
-			replies.put(delay(), answered{kind: answeredHead, status: request.Response.StatusCode(), bytes: bytes.Clone(request.Response.Body())})
+			replies.send(delay(), responsePart{kind: responseHead, status: request.Response.StatusCode(), bytes: bytes.Clone(request.Response.Body())})
 		}
 	})
-	reply, ok := replies.next(clock.Now()+timeout, nil)
+	reply, ok := replies.receive(clock.Now()+timeout, nil)
 	if !ok {
 		return 0, nil
 	}
--- a/internal/simulate/orders_faults.go
+++ b/internal/simulate/orders_faults.go
@@ -62,9 +62,9 @@
 		k.haltSender(victim, m)
 		return k.forward(m)
 	}
-	life := victim.Host.life
+	life := victim.Host.incarnation
 	response := k.forward(m)
-	if victim.Host.life == life {
+	if victim.Host.incarnation == life {
 		k.kill(victim, "after "+step)
 		k.haltSender(victim, m)
 	}
--- a/internal/simulate/orders_test.go
+++ b/internal/simulate/orders_test.go
@@ -105,7 +105,7 @@
 		stale     bool
 		take      func(f *Fleet)
 	}{
-		{"the history of orders", false, onChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+		{"the history of orders", false, interceptChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			// An order that builds on what is no longer in force is decided by that alone.
 			var change route.Change
 			var now route.Document
@@ -119,10 +119,10 @@
 			_, response = pass("route.change", base.MustMarshal(change))
 			return response
 		})},
-		{"the confirmation before a refusal or a read", true, onPath("Disk/Confirm", func(*Message) *http.Response {
-			return replied(&register.Ack{Ok: true})
+		{"the confirmation before a refusal or a read", true, interceptPath("Disk/Confirm", func(*Message) *http.Response {
+			return protoResponse(&register.Ack{Ok: true})
 		})},
-		{"the version that an order builds on", false, onChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+		{"the version that an order builds on", false, interceptChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			var change route.Change
 			var now route.Document
 			reply, response := pass("route.read", []byte("{}"))
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -17,13 +17,13 @@
 func TestTotalOutageKeepsAcknowledgedState(t *testing.T) {
 	t.Parallel()
 	for seed := 0; seed < *seedCount+1; seed++ {
-		script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
+		runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 			for range seed {
 				f.World.Int64N(2) // another draw, another run
 			}
-			program, secret := call.program(1000, nil)
-			path, key := call.session(0, program, secret, nil)
-			verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
+			program, secret := call.createProgram(1000, nil)
+			path, key := call.openSession(0, program, secret, nil)
+			verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 			is.Equal(verdict, "success")
 			tool := "/v1/programs/" + program + "/tools/loyalty"
 			is.Equal(call.send(1, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k").Status, 200)
@@ -50,12 +50,12 @@
 				is.Equal(m.gateway.SettingsVersion(), uint64(2))
 			}
 			after := call.send(1, "GET", "/v1/programs/"+program, secret, nil)
-			is.Equal(after.text("spent_tokens"), before.text("spent_tokens"))
+			is.Equal(after.field("spent_tokens"), before.field("spent_tokens"))
 			again := call.send(2, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k")
 			is.Equal(again.Header["Idempotent-Replayed"], "true")
-			verdict, _, _ = call.turn(2, path, key, program, "b", "a").final()
+			verdict, _, _ = call.sendTurn(2, path, key, program, "b", "a").finalResult()
 			is.Equal(verdict, "success")
-			is.Equal(f.toolRuns(program+"/k"), 1)
+			is.Equal(f.toolWorkerRuns(program+"/k"), 1)
 		})
 	}
 }
@@ -64,10 +64,10 @@
 // its disk, for ever, just after.
 func TestDiskLossAfterAcknowledgment(t *testing.T) {
 	for _, lost := range []int{0, 1, 2} {
-		script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-			program, secret := call.program(1000, nil)
-			path, key := call.session(0, program, secret, nil)
-			verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
+		runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+			program, secret := call.createProgram(1000, nil)
+			path, key := call.openSession(0, program, secret, nil)
+			verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 			is.Equal(verdict, "success")
 			f.PowerLoss(f.Storage[lost])
 			f.Storage[lost].Disk.Wipe()
@@ -79,8 +79,8 @@
 			}
 			f.Start(f.Storage[lost]) // comes back blank: it has no vote
 			f.waitUntilServing(time.Minute)
-			after := call.turn(1, path, key, program, "b", "a")
-			verdict, _, _ = after.final()
+			after := call.sendTurn(1, path, key, program, "b", "a")
+			verdict, _, _ = after.finalResult()
 			is.Equal(after.Raw, "")
 			is.Equal(verdict, "success")
 			is.True(f.Storage[lost].storage.Ready() != nil)
@@ -92,7 +92,7 @@
 // goes on, and healing brings nobody back to older settings.
 func TestPartitionOfCoreAndStorage(t *testing.T) {
 	t.Parallel()
-	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		minority := map[string]bool{f.Storage[0].Host.Name: true, f.Cores[0].Host.Name: true, f.Cores[1].Host.Name: true,
 			f.Gateways[0].Host.Name: true, f.Gateways[1].Host.Name: true}
 		f.Net.Isolate(minority)
@@ -100,11 +100,11 @@
 		program, secret := "", ""
 		for tries := 0; program == "" || program == "<nil>"; tries++ {
 			made := call.send(3, "POST", "/v1/programs", "", map[string]any{"group": "g", "site": "main", "budget_tokens": 1000})
-			program, secret = made.text("program"), made.text("secret")
+			program, secret = made.field("program"), made.field("secret")
 			is.True(tries < 20)
 		}
-		path, key := call.session(4, program, secret, nil)
-		verdict, _, _ := call.turn(3, path, key, program, "a", "").final()
+		path, key := call.openSession(4, program, secret, nil)
+		verdict, _, _ := call.sendTurn(3, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
 		is.Equal(call.send(0, "GET", "/v1/programs/"+program, secret, nil).Status, 503)
 		status, answer := f.OperatorRequest(f.Cores[2], "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.settingsWithMarker("new")})
@@ -121,7 +121,7 @@
 		for _, m := range f.Gateways {
 			is.Equal(m.gateway.SettingsVersion(), uint64(2))
 		}
-		verdict, _, _ = call.turn(0, path, key, program, "b", "a").final()
+		verdict, _, _ = call.sendTurn(0, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
@@ -130,9 +130,9 @@
 // no failure but connections refused where nothing listens.
 func TestPlannedStopsDropNoRequests(t *testing.T) {
 	t.Parallel()
-	bring(t, *seedCount, KiondoShape(), func(t *testing.T, f *Fleet) {
+	runSeeds(t, *seedCount, KiondoShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
-		formed(t, f)
+		waitUntilFormed(t, f)
 		left := f.StartCallers(12, 8, true, func(c *standin.Caller) {
 			c.Between = func(int) {
 				c.Home = int(f.World.Int64N(int64(len(f.Gateways)))) // so that turns are carried to their owners
@@ -163,19 +163,19 @@
 // A frozen owner wakes after its Run was succeeded: nothing it had in hand
 // goes out any more.
 func TestThawedOwnerSendsNothing(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
-		verdict, _, _ := call.turn(1, path, key, program, "a", "").final()
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		answers := map[string]told{}
+		answers := map[string]apiResponse{}
 		for _, id := range []string{"b", "c", "d"} {
-			f.CallerHost.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
+			f.CallerHost.Go(func() { answers[id] = call.sendTurn(0, path, key, program, id, "") })
 		}
 		call.sleep(3 * time.Millisecond)
 		f.Gateways[0].Host.Freeze()
 		frozen := f.World.Now()
-		verdict, _, _ = call.turn(1, path, key, program, "e", "a").final()
+		verdict, _, _ = call.sendTurn(1, path, key, program, "e", "a").finalResult()
 		is.Equal(verdict, "success")
 		is.True(f.World.Now()-frozen < 4*time.Second) // it was told from a slow one, and succeeded
 		sent := f.Gateways[0].Counters.Snapshot()["legs_sent"]
@@ -183,20 +183,20 @@
 		call.sleep(20 * time.Second)
 		is.Equal(f.Gateways[0].Counters.Snapshot()["legs_sent"], sent)
 		for _, id := range []string{"b", "c", "d"} {
-			verdict, ran, _ := answers[id].final()
+			verdict, ran, _ := answers[id].finalResult()
 			if answers[id].Status != 200 {
-				ran = answers[id].text("error", "request")
+				ran = answers[id].field("error", "request")
 			}
 			if ran == "not_run" {
-				is.Equal(f.modelRuns(program, id), 0)
+				is.Equal(f.modelWorkerRuns(program, id), 0)
 			}
 			// What went on did so through the session's new owner.
 			if verdict == "success" {
-				is.True(f.modelRuns(program, id) >= 1)
+				is.True(f.modelWorkerRuns(program, id) >= 1)
 			}
 		}
 		status := call.send(1, "GET", path, key, nil)
-		is.Equal(status.text("epoch"), "2")
+		is.Equal(status.field("epoch"), "2")
 	})
 }
 
@@ -204,19 +204,19 @@
 // disk alone was given is fenced before it is called refused.
 func TestMinorityOfDisksAcknowledgesNothing(t *testing.T) {
 	t.Parallel()
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
 		f.Storage[1].Disk.SyncStalled, f.Storage[2].Disk.SyncStalled = true, true
 		status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "lone", "based_on": 1, "document": f.settingsWithMarker("lone")})
 		is.Equal(status, 504) // unknown
-		got := call.turn(0, path, key, program, "a", "")
-		verdict, _, _ := got.final()
+		got := call.sendTurn(0, path, key, program, "a", "")
+		verdict, _, _ := got.finalResult()
 		is.True(verdict != "success")
 		is.True(call.send(1, "POST", "/v1/programs", "", map[string]any{"group": "g", "site": "main", "budget_tokens": 10}).Status != 201)
 		is.True(call.send(1, "POST", "/v1/programs/"+program+"/tools/loyalty", secret, `{}`, "idempotency-key", "k").Status != 200)
-		is.Equal(f.toolRuns(program+"/k"), 0) // no claim, no call
-		f.PowerLoss(f.Storage[0])             // the one disk that may have it is away
+		is.Equal(f.toolWorkerRuns(program+"/k"), 0) // no claim, no call
+		f.PowerLoss(f.Storage[0])                   // the one disk that may have it is away
 		f.Storage[1].Disk.SyncStalled, f.Storage[2].Disk.SyncStalled = false, false
 		var answer []byte
 		for status = 0; status != 200; call.sleep(200 * time.Millisecond) {
@@ -241,7 +241,7 @@
 // answer operators from what it remembers, while others change the settings.
 func TestIsolatedLeaderConfirmsNothing(t *testing.T) {
 	t.Parallel()
-	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		var leader, other *Machine
 		for _, m := range f.Cores {
 			slots, _ := m.core.RegisterServer.Status()
@@ -274,17 +274,17 @@
 func TestLostAttemptIsNotReportedAsNotRun(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 300 * time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(8, nil)
-		path, key := call.session(0, program, secret, nil)
-		f.CallerHost.Go(func() { call.turn(0, path, key, program, "a", "") })
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(8, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		f.CallerHost.Go(func() { call.sendTurn(0, path, key, program, "a", "") })
 		call.sleep(700 * time.Millisecond)
-		is.Equal(f.modelRuns(program, "a"), 1)
+		is.Equal(f.modelWorkerRuns(program, "a"), 1)
 		f.Kill(f.Gateways[0])
-		verdict, ran, code := call.turn(1, path, key, program, "a", "").final()
+		verdict, ran, code := call.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(verdict+" "+ran+" "+code, "failed may_have_run worker_lost") // the lost leg counts as spent
-		is.Equal(f.modelRuns(program, "a"), 1)
-		_, ran, code = call.turn(1, path, key, program, "b", "").final()
+		is.Equal(f.modelWorkerRuns(program, "a"), 1)
+		_, ran, code = call.sendTurn(1, path, key, program, "b", "").finalResult()
 		is.Equal(ran+" "+code, "not_run over_budget")
 	})
 }
@@ -295,31 +295,31 @@
 	t.Parallel()
 	shape := SmallShape()
 	shape.PieceInterval = 300 * time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, map[string]any{"queue_size": 1})
-		answers := map[string]told{}
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, map[string]any{"queue_size": 1})
+		answers := map[string]apiResponse{}
 		for _, id := range []string{"runs", "waits", "full"} {
-			f.CallerHost.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
+			f.CallerHost.Go(func() { answers[id] = call.sendTurn(0, path, key, program, id, "") })
 			call.sleep(20 * time.Millisecond)
 		}
 		call.sleep(200 * time.Millisecond)
-		_, ran, code := answers["full"].final()
+		_, ran, code := answers["full"].finalResult()
 		is.Equal(code+" "+ran, "queue_full not_run")
-		is.Equal(call.send(1, "POST", path+"/turns/waits/cancel", key, nil).text("state"), "Cancelled")
-		poor, poorSecret := call.program(1, nil)
-		poorPath, poorKey := call.session(0, poor, poorSecret, nil)
-		verdict, _, _ := call.turn(0, poorPath, poorKey, poor, "first", "").final()
+		is.Equal(call.send(1, "POST", path+"/turns/waits/cancel", key, nil).field("state"), "Cancelled")
+		poor, poorSecret := call.createProgram(1, nil)
+		poorPath, poorKey := call.openSession(0, poor, poorSecret, nil)
+		verdict, _, _ := call.sendTurn(0, poorPath, poorKey, poor, "first", "").finalResult()
 		is.Equal(verdict, "success")
-		_, ran, code = call.turn(0, poorPath, poorKey, poor, "over", "").final()
+		_, ran, code = call.sendTurn(0, poorPath, poorKey, poor, "over", "").finalResult()
 		is.Equal(code+" "+ran, "over_budget not_run")
 		f.Kill(f.Gateways[0])
 		for _, id := range []string{"full", "waits"} {
-			_, ran, code = call.turn(1, path, key, program, id, "").final()
+			_, ran, code = call.sendTurn(1, path, key, program, id, "").finalResult()
 			is.Equal(id+" "+code+" "+ran, id+" turn_refused not_run")
-			is.Equal(f.modelRuns(program, id), 0)
+			is.Equal(f.modelWorkerRuns(program, id), 0)
 		}
-		verdict, _, _ = call.turn(1, path, key, program, "new", "").final()
+		verdict, _, _ = call.sendTurn(1, path, key, program, "new", "").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
@@ -329,18 +329,18 @@
 	t.Parallel()
 	shape := SmallShape()
 	shape.PieceInterval = 300 * time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, map[string]any{"queue_size": 1})
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, map[string]any{"queue_size": 1})
 		for _, id := range []string{"runs", "waits"} {
-			f.CallerHost.Go(func() { call.turn(0, path, key, program, id, "") })
+			f.CallerHost.Go(func() { call.sendTurn(0, path, key, program, id, "") })
 			call.sleep(20 * time.Millisecond)
 		}
 		f.Storage[0].Disk.SyncStalled, f.Storage[1].Disk.SyncStalled = true, true
 		began := f.World.Now()
-		got := call.turn(0, path, key, program, "full", "")
+		got := call.sendTurn(0, path, key, program, "full", "")
 		is.True(f.World.Now()-began < 500*time.Millisecond) // and it is told at once
-		is.Equal(got.text("error", "request"), "may_have_run")
+		is.Equal(got.field("error", "request"), "may_have_run")
 		is.True(got.Header["Retry-After"] != "")
 	})
 }
@@ -348,9 +348,9 @@
 // The owner's permit lapses and its chain is read anew while the answer to the
 // applyAndResolve that finished a turn is still on its way: the turn is in it once.
 func TestFinishedTurnIsInReloadedChainOnce(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
 		owner, held, silent, read := f.Gateways[0].Host, false, false, false
 		f.Net.Intercept = func(m *Message) *http.Response {
 			for m.From == owner && silent && strings.HasSuffix(m.Path, "/Follow") {
@@ -366,19 +366,19 @@
 			}
 			return response
 		}
-		f.CallerHost.Go(func() { call.turn(0, path, key, program, "a", "") })
+		f.CallerHost.Go(func() { call.sendTurn(0, path, key, program, "a", "") })
 		for !held || silent {
 			call.sleep(10 * time.Millisecond)
 		}
-		for call.send(0, "GET", path, key, nil).text("turns") != "1" {
+		for call.send(0, "GET", path, key, nil).field("turns") != "1" {
 			call.sleep(50 * time.Millisecond)
 		}
 		read = true
 		is.True(f.Gateways[0].gateway.Follower.LeaseExpirations() > 0)
 		call.sleep(200 * time.Millisecond)
 		f.Net.Intercept = nil
-		next := call.turn(0, path, key, program, "b", "a")
-		verdict, _, _ := next.final()
+		next := call.sendTurn(0, path, key, program, "b", "a")
+		verdict, _, _ := next.finalResult()
 		is.Equal(verdict, "success")
 		is.True(strings.Contains(string(next.Events[0].Data), "3 messages")) // a's two and b's own
 	})
--- a/internal/simulate/redundancy_test.go
+++ b/internal/simulate/redundancy_test.go
@@ -18,13 +18,13 @@
 const (
 	// catchUp is how long a machine that is back still counts as lost at the
 	// sites with the shortest such time.
-	catchUp = 4100 * time.Millisecond
+	catchUpTime = 4100 * time.Millisecond
 	// fillSpan is how long a store takes to fill in these runs, per request.
-	fillSpan = 400 * time.Millisecond
+	historyFetchDelay = 400 * time.Millisecond
 )
 
 // lossSeeds is how many seeds each of these runs has at the least.
-const lossSeeds = 1
+const lossSeedCount = 1
 
 // lossSize is a number of storage machines and how many may be lost at once.
 type lossSize struct{ storage, tolerate int }
@@ -33,8 +33,8 @@
 
 // lossWays have machines go in one way and come back or be replaced; they end
 // when the last is back.
-var lossWays = map[string]func(f *Fleet, lost []*Machine, call *talker){
-	"wiped": func(f *Fleet, lost []*Machine, call *talker) {
+var lossKinds = map[string]func(f *Fleet, lost []*Machine, call *apiClient){
+	"wiped": func(f *Fleet, lost []*Machine, call *apiClient) {
 		for _, m := range lost {
 			f.wipeMachine(m)
 		}
@@ -43,7 +43,7 @@
 			f.Start(m)
 		}
 	},
-	"replaced": func(f *Fleet, lost []*Machine, call *talker) {
+	"replaced": func(f *Fleet, lost []*Machine, call *apiClient) {
 		for _, m := range lost {
 			f.loseMachine(m, f.World.Chance(0.5))
 		}
@@ -52,7 +52,7 @@
 			f.AddMachine("storage")
 		}
 	},
-	"cut off": func(f *Fleet, lost []*Machine, call *talker) {
+	"cut off": func(f *Fleet, lost []*Machine, call *apiClient) {
 		apart := map[string]bool{}
 		for _, m := range lost {
 			apart[m.Host.Name] = true
@@ -61,7 +61,7 @@
 		call.sleep(f.World.Between(time.Second, 6*time.Second))
 		f.Net.Heal()
 	},
-	"power lost everywhere, some wiped": func(f *Fleet, lost []*Machine, call *talker) {
+	"power lost everywhere, some wiped": func(f *Fleet, lost []*Machine, call *apiClient) {
 		for _, m := range f.All() {
 			if m.Host.alive {
 				f.PowerLoss(m)
@@ -80,7 +80,7 @@
 }
 
 // drawn picks different storage machines that are not gone.
-func (f *Fleet) drawn(count int) []*Machine {
+func (f *Fleet) pickDistinctStorage(count int) []*Machine {
 	var chosen []*Machine
 	for len(chosen) < count {
 		if m := f.pickMachine(f.remainingStorage()); !slices.Contains(chosen, m) {
@@ -107,21 +107,21 @@
 	is.Equal(len(lost), 0)
 }
 
-func TestTheNextLossAfterCatchingUp(t *testing.T) {
-	for name, way := range lossWays {
+func TestStorageLossAfterCatchUp(t *testing.T) {
+	for name, way := range lossKinds {
 		for _, size := range lossSizes {
 			t.Run(fmt.Sprint(name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
-				runReconcilingSeeds(t, lossSeeds, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+				runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 					w := newHistoryWriter(f)
 					w.runRound()
-					delayHistoryFetches(f, fillSpan)
+					delayHistoryFetches(f, historyFetchDelay)
 					w.start()
 					for range 4 {
 						call.sleep(f.World.Between(0, time.Second))
-						way(f, f.drawn(size.tolerate), call)
-						call.sleep(catchUp)
+						way(f, f.pickDistinctStorage(size.tolerate), call)
+						call.sleep(catchUpTime)
 						checkHistory(t, is, f, w)
 					}
 					w.stopped = true
@@ -133,16 +133,16 @@
 
 // Every machine in turn is retired, replaced by another, and taken away with its
 // disk the moment that is complete; others lose their disks right then.
-func TestRetiringEachMachineInTurn(t *testing.T) {
+func TestRetiringEachStorageMachineInTurn(t *testing.T) {
 	for _, size := range []lossSize{{4, 1}, {9, 2}} {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
 			var longest time.Duration
-			runReconcilingSeeds(t, lossSeeds, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+			runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				w := newHistoryWriter(f)
 				w.runRound()
-				delayHistoryFetches(f, fillSpan)
+				delayHistoryFetches(f, historyFetchDelay)
 				w.start()
 				for _, out := range slices.Clone(f.Storage) {
 					longest = max(longest, retireThenLose(t, is, f, w, call, out))
@@ -156,7 +156,7 @@
 
 // retireThenLose retires one machine, takes it away, and has as many others as
 // may be lost wiped at that moment. It tells how long the retirement took.
-func retireThenLose(t *testing.T, is *is.I, f *Fleet, w *historyWriter, call *talker, out *Machine) time.Duration {
+func retireThenLose(t *testing.T, is *is.I, f *Fleet, w *historyWriter, call *apiClient, out *Machine) time.Duration {
 	t.Helper()
 	f.AddMachine("storage")
 	call.sleep(time.Second)
@@ -169,7 +169,7 @@
 	is.True(took < 20*time.Second)
 	took = f.World.Now() - began
 	f.loseMachine(out, false)
-	lost := f.drawn(f.Shape.FaultTolerance)
+	lost := f.pickDistinctStorage(f.Shape.FaultTolerance)
 	for _, m := range lost {
 		f.wipeMachine(m)
 	}
@@ -177,22 +177,22 @@
 	for _, m := range lost {
 		f.Start(m)
 	}
-	call.sleep(catchUp)
+	call.sleep(catchUpTime)
 	checkHistory(t, is, f, w)
 	return took
 }
 
 // Retirement is asked for on every machine at once; each that is complete goes
 // with its disk, and one that may be lost is lost during the hand-over.
-func TestRetirementsAtOnceWithALoss(t *testing.T) {
+func TestConcurrentRetirementsWithDiskLoss(t *testing.T) {
 	for _, size := range []lossSize{{7, 1}, {9, 2}} {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
-			runReconcilingSeeds(t, lossSeeds, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+			runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				w := newHistoryWriter(f)
 				w.runRound()
-				delayHistoryFetches(f, fillSpan)
+				delayHistoryFetches(f, historyFetchDelay)
 				w.start()
 				var leaving []*Machine
 				for _, m := range slices.Clone(f.Storage) {
@@ -218,7 +218,7 @@
 				f.wipeMachine(next)
 				call.sleep(300 * time.Millisecond)
 				f.Start(next)
-				call.sleep(catchUp)
+				call.sleep(catchUpTime)
 				checkHistory(t, is, f, w)
 				w.stopped = true
 			})
@@ -229,16 +229,16 @@
 // A machine is replaced as planned work: the new one comes first, then the old
 // one is told to stop and never comes back. Once its successor has had the time
 // to catch up, all lose power and as many as may be lost come back empty.
-func TestASuccessorThatCameFirst(t *testing.T) {
+func TestReplacementThatJoinsFirst(t *testing.T) {
 	for _, size := range lossSizes {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
-			runReconcilingSeeds(t, lossSeeds, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+			runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				w := newHistoryWriter(f)
 				w.start()
 				for range 4 {
-					succeedFirst(f, w, call)
+					replaceAfterJoinThenOutage(f, w, call)
 					checkHistory(t, is, f, w)
 				}
 				w.stopped = true
@@ -249,7 +249,7 @@
 
 // succeedFirst has one machine's successor come before it is told to stop, and
 // then all lose power and as many as may be lost their disks.
-func succeedFirst(f *Fleet, w *historyWriter, call *talker) {
+func replaceAfterJoinThenOutage(f *Fleet, w *historyWriter, call *apiClient) {
 	call.sleep(f.World.Between(0, time.Second))
 	out := f.pickMachine(f.remainingStorage())
 	f.AddMachine("storage")
@@ -257,23 +257,23 @@
 	w.pause() // the next turn of a program would copy those before it
 	f.Stop(out)
 	f.loseMachine(out, false)
-	call.sleep(catchUp)
-	lossWays["power lost everywhere, some wiped"](f, f.drawn(f.Shape.FaultTolerance), call)
-	call.sleep(catchUp)
+	call.sleep(catchUpTime)
+	lossKinds["power lost everywhere, some wiped"](f, f.pickDistinctStorage(f.Shape.FaultTolerance), call)
+	call.sleep(catchUpTime)
 }
 
 // Without word of its leave a machine that stopped keeps its place, and the next
 // loss takes more copies than are tolerated.
-func TestWithoutWordOfLeavingTheNextLossIsOneTooMany(t *testing.T) {
+func TestDisabledGracefulStopLosesTurns(t *testing.T) {
 	t.Parallel()
 	const tries = 4
 	for seed := uint64(1); seed <= tries; seed++ {
 		lost := 0
-		play(t, seed, reconcilingShape(9, 2), func(f *Fleet, call *talker) {
+		runOnFleet(t, seed, reconcilingShape(9, 2), func(f *Fleet, call *apiClient) {
 			w := newHistoryWriter(f)
 			w.start()
 			f.disabled.gracefulStop = true
-			succeedFirst(f, w, call)
+			replaceAfterJoinThenOutage(f, w, call)
 			lost = len(w.missingTurns()) + len(w.stuckPrograms())
 			w.stopped = true
 		})
@@ -286,16 +286,16 @@
 }
 
 // play runs a script on one fleet that is whole, whose tally nobody reads.
-func play(t *testing.T, seed uint64, shape Shape, steps func(f *Fleet, call *talker)) {
+func runOnFleet(t *testing.T, seed uint64, shape Shape, steps func(f *Fleet, call *apiClient)) {
 	t.Helper()
 	f := NewFleet(seed, shape)
 	defer f.World.Close()
-	formed(t, f)
+	waitUntilFormed(t, f)
 	done := false
 	f.CallerHost.Go(func() {
 		defer func() { done = true }()
 		f.waitUntil(10*time.Second, f.diskSetComplete)
-		steps(f, &talker{f, f.RequestSender(f.CallerHost)})
+		steps(f, &apiClient{f, f.RequestSender(f.CallerHost)})
 	})
 	if !f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done }) {
 		t.Fatalf("seed %d did not end", seed)
@@ -304,17 +304,17 @@
 
 // noContent is content that always has its copies: what planned changes waited
 // for is taken away.
-type noContent struct{}
+type noGaps struct{}
 
-func (noContent) Gaps(*base.Ctx, *register.DiskSet) []register.DiskGap { return nil }
+func (noGaps) Gaps(*base.Ctx, *register.DiskSet) []register.DiskGap { return nil }
 
 // Without the wait for copies, a retirement that is called complete too soon
 // loses what was acknowledged.
-func TestPlannedChangesThatDoNotWaitLoseTurns(t *testing.T) {
+func TestRetirementWithoutRedundancyCheckLosesTurns(t *testing.T) {
 	t.Parallel()
 	const tries = 8
 	for seed := uint64(1); seed <= tries; seed++ {
-		if retiredWithoutWaiting(t, seed) > 0 {
+		if turnsLostWithoutWaiting(t, seed) > 0 {
 			t.Logf("seed %d shows the loss", seed)
 			return
 		}
@@ -323,15 +323,15 @@
 }
 
 // retiredWithoutWaiting tells how many programs lost turns.
-func retiredWithoutWaiting(t *testing.T, seed uint64) (lost int) {
+func turnsLostWithoutWaiting(t *testing.T, seed uint64) (lost int) {
 	t.Helper()
-	play(t, seed, reconcilingShape(5, 1), func(f *Fleet, call *talker) {
+	runOnFleet(t, seed, reconcilingShape(5, 1), func(f *Fleet, call *apiClient) {
 		for _, m := range f.Cores {
-			m.core.RegisterServer.SetRedundancyChecker(noContent{})
+			m.core.RegisterServer.SetRedundancyChecker(noGaps{})
 		}
 		w := newHistoryWriter(f)
 		w.runRound()
-		delayHistoryFetches(f, 2*fillSpan)
+		delayHistoryFetches(f, 2*historyFetchDelay)
 		out := f.pickMachine(f.Storage)
 		f.retireNode("POST", out.Host.Name)
 		f.waitUntil(20*time.Second, func() bool { return f.retireNode("GET", out.Host.Name) == "200complete" })
@@ -340,7 +340,7 @@
 		f.wipeMachine(next)
 		call.sleep(300 * time.Millisecond)
 		f.Start(next)
-		call.sleep(catchUp)
+		call.sleep(catchUpTime)
 		lost = len(w.missingTurns())
 	})
 	return lost
--- a/internal/simulate/scenario.go
+++ b/internal/simulate/scenario.go
@@ -46,22 +46,22 @@
 }
 
 const (
-	scenarioSpan  = 16 * time.Second
-	scenarioLimit = 8 * time.Minute
+	defaultLoadDuration = 16 * time.Second
+	defaultTimeout      = 8 * time.Minute
 )
 
 // Run plays a scenario with a seed.
 func (s *Scenario) Run(seed uint64, shape Shape) *Outcome { return s.RunWith(seed, shape, nil) }
 
 // RunWith lets a test change the fleet before it forms.
-func (s *Scenario) RunWith(seed uint64, shape Shape, change func(f *Fleet)) *Outcome {
+func (s *Scenario) RunWith(seed uint64, shape Shape, prepare func(f *Fleet)) *Outcome {
 	if s.AdjustShape != nil {
 		s.AdjustShape(&shape)
 	}
 	f := NewFleet(seed, shape)
 	defer f.World.Close()
-	if change != nil {
-		change(f)
+	if prepare != nil {
+		prepare(f)
 	}
 	formed := false
 	f.CallerHost.Go(func() { f.SetUp(); formed = true })
@@ -69,35 +69,35 @@
 		f.Tally.Breach("the fleet did not form")
 		return s.outcome(f)
 	}
-	left, going := s.people(f)
+	remaining, running := s.startClients(f)
 	f.Net.Faults = s.Net
 	f.pendingFaults = 0
 	f.CallerHost.Go(func() {
 		if s.OnStart != nil {
 			s.OnStart(f)
 		}
-		for round := 0; s.Inject != nil && going(); round++ {
+		for round := 0; s.Inject != nil && running(); round++ {
 			s.Inject(f, round)
 			f.CallerHost.Clock().Sleep(s.Interval)
 		}
 	})
-	limit := scenarioLimit
+	limit := defaultTimeout
 	if s.Timeout > 0 {
 		limit = s.Timeout
 	}
-	if !f.World.Run(f.World.Now()+limit, func() bool { return left() == 0 && f.pendingFaults == 0 }) {
+	if !f.World.Run(f.World.Now()+limit, func() bool { return remaining() == 0 && f.pendingFaults == 0 }) {
 		f.Tally.Breach("callers were left without an end after %v", limit)
 	}
-	s.aftermath(f)
+	s.checkRecovery(f)
 	return s.outcome(f)
 }
 
 // people starts all who use the fleet: callers, a runaway with helpers,
 // operators and the platform.
-func (s *Scenario) people(f *Fleet) (left func() int, going func() bool) {
+func (s *Scenario) startClients(f *Fleet) (left func() int, going func() bool) {
 	span := s.LoadDuration
 	if span == 0 {
-		span = scenarioSpan
+		span = defaultLoadDuration
 	}
 	end := f.World.Now() + span
 	going = func() bool { return f.World.Now() < end }
@@ -160,7 +160,7 @@
 
 // aftermath ends all harm, and then the fleet must serve, with the settings
 // that were acknowledged.
-func (s *Scenario) aftermath(f *Fleet) {
+func (s *Scenario) checkRecovery(f *Fleet) {
 	f.Net.Heal()
 	f.Net.Faults = NetworkFaults{}
 	for _, m := range f.All() {
--- a/internal/simulate/settings_test.go
+++ b/internal/simulate/settings_test.go
@@ -12,14 +12,14 @@
 	"github.com/matryer/is"
 )
 
-func TestSettingsCollideUnderFailure(t *testing.T) {
+func TestConcurrentSettingsChangesUnderFaults(t *testing.T) {
 	for _, name := range []string{"edges killed", "edges frozen and woken", "cores killed", "cores frozen and woken", "disks lose power",
 		"disks frozen and woken", "messages lost, late and twice", "a machine cut off", "one-way loss"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bring(t, *seedCount+1, SmallShape(), func(t *testing.T, f *Fleet) {
+			runSeeds(t, *seedCount+1, SmallShape(), func(t *testing.T, f *Fleet) {
 				is := is.New(t)
-				formed(t, f)
+				waitUntilFormed(t, f)
 				left, done := 2, 0
 				for _, operator := range []string{"one", "two"} {
 					f.CallerHost.Go(func() {
@@ -39,9 +39,9 @@
 }
 
 func TestInvalidSettingsAreNeverStored(t *testing.T) {
-	bring(t, 1, SmallShape(), func(t *testing.T, f *Fleet) {
+	runSeeds(t, 1, SmallShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
-		formed(t, f)
+		waitUntilFormed(t, f)
 		done := false
 		f.CallerHost.Go(func() {
 			defer func() { done = true }()
@@ -66,10 +66,10 @@
 
 // A gateway that cannot confirm its settings holds visits briefly and then
 // declines them as not run, inside the bound.
-func TestAGatewayCutOffStopsServing(t *testing.T) {
-	bring(t, 2, SmallShape(), func(t *testing.T, f *Fleet) {
+func TestIsolatedGatewayStopsServing(t *testing.T) {
+	runSeeds(t, 2, SmallShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
-		formed(t, f)
+		waitUntilFormed(t, f)
 		f.Net.Isolate(map[string]bool{f.Gateways[0].Host.Name: true})
 		cutAt := f.World.Now()
 		declinedAt := time.Duration(0)
--- a/internal/simulate/simulate_test.go
+++ b/internal/simulate/simulate_test.go
@@ -11,7 +11,7 @@
 )
 
 // bring runs a fleet through a scenario for a few seeds.
-func bring(t *testing.T, seeds int, shape Shape, scenario func(t *testing.T, f *Fleet)) {
+func runSeeds(t *testing.T, seeds int, shape Shape, scenario func(t *testing.T, f *Fleet)) {
 	t.Helper()
 	for seed := uint64(1); seed <= uint64(seeds); seed++ {
 		f := NewFleet(seed, shape)
@@ -28,7 +28,7 @@
 }
 
 // formed runs the world until the fleet serves.
-func formed(t *testing.T, f *Fleet) {
+func waitUntilFormed(t *testing.T, f *Fleet) {
 	t.Helper()
 	up := false
 	f.CallerHost.Go(func() { f.SetUp(); up = true })
@@ -38,9 +38,9 @@
 }
 
 func TestOrdinaryPath(t *testing.T) {
-	bring(t, 2, SmallShape(), func(t *testing.T, f *Fleet) {
+	runSeeds(t, 2, SmallShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
-		formed(t, f)
+		waitUntilFormed(t, f)
 		left := f.StartCallers(4, 3, true, nil)
 		is.True(f.World.Run(f.World.Now()+60*time.Second, func() bool { return left() == 0 }))
 		is.Equal(f.Tally.Counts["conversations_whole"], 4)
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -45,11 +45,11 @@
 	"roaming": func() TierShape {
 		site := parties.Sites()["small"]
 		site.Storage = 4
-		return TierShape{Name: "roaming", Site: roaming(site), FaultTolerance: 1, LoadFactor: 1.5}
+		return TierShape{Name: "roaming", Site: withUnkeptTurns(site), FaultTolerance: 1, LoadFactor: 1.5}
 	},
 	"roaming-grown": func() TierShape {
 		form := grownShape()
-		form.Name, form.Site = "roaming-grown", roaming(form.Site)
+		form.Name, form.Site = "roaming-grown", withUnkeptTurns(form.Site)
 		form.Site.Edges = 16
 		return form
 	},
@@ -63,7 +63,7 @@
 
 // roaming has the short chats' whole prompt come with each turn, so that none is
 // kept, and their streams continued where they break off; many programs run away.
-func roaming(site *parties.Site) *parties.Site {
+func withUnkeptTurns(site *parties.Site) *parties.Site {
 	site.Name = "roaming"
 	short := &site.Classes[0]
 	short.Spending, short.Retain, short.Resumable, short.Runaway = short.Retain, 0, true, 0.06
@@ -86,49 +86,49 @@
 // Tier is one run.
 type Tier struct {
 	*Fleet
-	TierShape TierShape
-	Site      *parties.Site
-	record    *parties.Ledger
-	words     *parties.Words
-	drafts    *parties.Drafts
-	list      *parties.Instances
-	entry     *parties.Entry
-	player    *parties.Player
-	names     map[string]*Machine
-	workers   []*tierWorker
-	listening map[string]*tierWorker
-	works     map[string]parties.Draw
-	faults    map[string]*tierFaults // by worker or service
-	conns     map[*workerConn]bool
-	exchanges map[*exchange]bool
-	config    tierConfig
-	rng       *rand.Rand
-	serial    int
-	addresses int
-	times     float64 // the load, for a while
-	persist   time.Duration
-	during    bool          // traffic goes on
-	programs  int           // under way
-	deeds     int           // troubles under way
-	cost      time.Duration // of a message, on each machine
-	wander    bool          // each connection of a client reaches another node
-	dialing   time.Duration // most that a connection to a worker takes to come up
-	diskBusy  bool          // a machine with a disk is lost or catches up
+	TierShape          TierShape
+	Site               *parties.Site
+	recorder           *parties.Ledger
+	words              *parties.Words
+	drafts             *parties.Drafts
+	instances          *parties.Instances
+	entryPoint         *parties.Entry
+	programRunner      *parties.Player
+	machinesByName     map[string]*Machine
+	workers            []*tierWorker
+	workersByAddress   map[string]*tierWorker
+	workDistributions  map[string]parties.Draw
+	workerFaults       map[string]*workerFaultRate // by worker or service
+	conns              map[*workerConn]bool
+	clientExchanges    map[*clientExchange]bool
+	config             tierConfig
+	rng                *rand.Rand
+	lastNumber         int
+	addressCount       int
+	loadMultiplier     float64 // the load, for a while
+	retryUntil         time.Duration
+	trafficRunning     bool          // traffic goes on
+	openPrograms       int           // under way
+	runningFaults      int           // troubles under way
+	messageCost        time.Duration // of a message, on each machine
+	rotateGateways     bool          // each connection of a client reaches another node
+	maxDialTime        time.Duration // most that a connection to a worker takes to come up
+	storageFaultActive bool          // a machine with a disk is lost or catches up
 }
 
 // tierFaults are what a worker does wrong for a while.
-type tierFaults struct {
-	share float64
-	kinds []parties.Fault
+type workerFaultRate struct {
+	probability float64
+	kinds       []parties.Fault
 }
 
 // inOrder lists connections as they were made.
-func (t *Tier) inOrder(conns map[*workerConn]bool) []*workerConn {
+func (t *Tier) sortedConns(conns map[*workerConn]bool) []*workerConn {
 	return slices.SortedFunc(maps.Keys(conns), func(a, b *workerConn) int { return cmp.Compare(a.number, b.number) })
 }
 
 // way is how long a message takes between a client or an operator and a node.
-func (t *Tier) way() time.Duration {
+func (t *Tier) clientDelay() time.Duration {
 	return t.World.Between(800*time.Microsecond, 1500*time.Microsecond)
 }
 
@@ -137,51 +137,51 @@
 	site := form.Site
 	f := buildFleet(seed, Shape{Name: form.Name, Zones: len(site.Zones), ZoneNames: site.Zones, Gateways: site.Edges, Cores: site.Cores, Storage: site.Storage,
 		FaultTolerance: form.FaultTolerance, Bootstrap: true})
-	t := &Tier{Fleet: f, TierShape: form, Site: site, record: parties.NewLedger(site.Bounds, site.Stride(), site.Cores), entry: &parties.Entry{},
-		words: site.DrawWords(rand.New(rand.NewPCG(seed, 2))), names: map[string]*Machine{}, listening: map[string]*tierWorker{}, works: map[string]parties.Draw{},
-		faults: map[string]*tierFaults{}, conns: map[*workerConn]bool{}, exchanges: map[*exchange]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), times: 1}
+	t := &Tier{Fleet: f, TierShape: form, Site: site, recorder: parties.NewLedger(site.Bounds, site.Stride(), site.Cores), entryPoint: &parties.Entry{},
+		words: site.DrawWords(rand.New(rand.NewPCG(seed, 2))), machinesByName: map[string]*Machine{}, workersByAddress: map[string]*tierWorker{}, workDistributions: map[string]parties.Draw{},
+		workerFaults: map[string]*workerFaultRate{}, conns: map[*workerConn]bool{}, clientExchanges: map[*clientExchange]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), loadMultiplier: 1}
 	t.drafts = &parties.Drafts{Site: site, Words: t.words, Rng: rand.New(rand.NewPCG(seed, 3))}
 	clock := f.CallerHost.Clock()
-	t.list = &parties.Instances{Clock: clock, Ledger: t.record, Lag: site.Bounds.ListMaxLag / 2, PerS: site.ListPerS}
-	t.player = parties.NewPlayer(clock, &tierClients{t}, t.record, site, t.words, seed)
-	t.player.Persist = func() time.Duration { return t.persist }
-	f.configure, f.onBuilt = t.equip, t.begins
-	f.Net.ResetOnExit, t.cost = true, 150*time.Microsecond
+	t.instances = &parties.Instances{Clock: clock, Ledger: t.recorder, Lag: site.Bounds.ListMaxLag / 2, PerS: site.ListPerS}
+	t.programRunner = parties.NewPlayer(clock, &tierClients{t}, t.recorder, site, t.words, seed)
+	t.programRunner.Persist = func() time.Duration { return t.retryUntil }
+	f.configure, f.onBuilt = t.configureMachine, t.machineBuilt
+	f.Net.ResetOnExit, t.messageCost = true, 150*time.Microsecond
 	if change != nil {
 		change(t)
 	}
 	for _, m := range f.All() {
-		t.begin(m)
+		t.startMachine(m)
 	}
 	for _, class := range site.Classes {
-		t.works[t.words.Prefixes[class.Name]] = class.Work
+		t.workDistributions[t.words.Prefixes[class.Name]] = class.Work
 	}
 	for _, shape := range site.Services {
 		for place := range shape.Workers {
-			t.openWorker(shape, site.Zones[place%len(site.Zones)], "")
+			t.startWorker(shape, site.Zones[place%len(site.Zones)], "")
 		}
 	}
 	return t
 }
 
-func (t *Tier) named(name string) *Machine { return t.names[name] }
+func (t *Tier) machineNamed(name string) *Machine { return t.machinesByName[name] }
 
 // begin starts a machine's process, and asks an edge machine whether it is
 // ready from then on.
-func (t *Tier) begin(m *Machine) {
-	known := t.names[m.Host.Name] != nil
-	t.names[m.Host.Name] = m
-	t.record.Note(func(r *parties.Record) {
+func (t *Tier) startMachine(m *Machine) {
+	known := t.machinesByName[m.Host.Name] != nil
+	t.machinesByName[m.Host.Name] = m
+	t.recorder.Note(func(r *parties.Record) {
 		r.Starts = append(r.Starts, parties.Start{Machine: m.Host.Name, Class: m.Role, At: t.World.now})
 	})
 	t.Start(m)
 	if m.Role == "edge" && !known {
 		entered := &parties.EntryNode{Name: m.Host.Name, Zone: m.Host.Zone, Front: m.Host.Name}
-		t.entry.Add(entered)
+		t.entryPoint.Add(entered)
 		t.CallerHost.Go(func() {
 			for {
 				up := m.Host.alive && !m.Host.frozen && !m.stopRequested && m.gateway != nil && m.gateway.RoutesReady() == nil
-				t.entry.Heard(entered, up)
+				t.entryPoint.Heard(entered, up)
 				t.CallerHost.Clock().Sleep(time.Second)
 			}
 		})
@@ -189,66 +189,66 @@
 }
 
 // equip gives a process what the platform's settings file would.
-func (t *Tier) equip(m *Machine, env *node.Env, place *node.Config) {
-	m.Host.MessageCost = t.cost
+func (t *Tier) configureMachine(m *Machine, env *node.Env, place *node.Config) {
+	m.Host.MessageCost = t.messageCost
 	b := t.Site.Bounds
 	place.Bounds = &base.Bounds{SettingsApply: b.Apply, Drain: b.Drain, Recovery: b.Recovery, Retention: time.Minute}
 	env.Names = &platform.Names
-	env.Backends = &workerCalls{tier: t, host: m.Host, connect: base.DefaultBounds().Recovery / 12, stocks: map[string]*workerStock{}}
+	env.Backends = &workerTransport{tier: t, host: m.Host, connectTimeout: base.DefaultBounds().Recovery / 12, pools: map[string]*workerPool{}}
 }
 
-func (t *Tier) begins(m *Machine) {
+func (t *Tier) machineBuilt(m *Machine) {
 	switch {
 	case m.gateway != nil:
 		m.gateway.ParseRoutes = platform.ReadTable
 	case m.core != nil:
 		m.core.OperatorAPI.ParseRoutes = platform.ReadTable
-		m.core.Lister = platform.NewLister(t.readList(m))
+		m.core.Lister = platform.NewLister(t.listReader(m))
 	}
 }
 
 // readList is a core's way to the platform's list.
-func (t *Tier) readList(m *Machine) platform.FetchPage {
+func (t *Tier) listReader(m *Machine) platform.FetchPage {
 	return func(token string, _ time.Duration) (int, []byte, error) {
-		m.Host.Clock().Sleep(t.way())
-		status, body := t.list.Get("", token)
-		m.Host.Clock().Sleep(t.way())
+		m.Host.Clock().Sleep(t.clientDelay())
+		status, body := t.instances.Get("", token)
+		m.Host.Clock().Sleep(t.clientDelay())
 		return status, body, nil
 	}
 }
 
 // openWorker starts one life of a worker, at an address of its own unless one
 // is given, and puts it on the list.
-func (t *Tier) openWorker(shape parties.ServiceShape, zone, address string) *tierWorker {
+func (t *Tier) startWorker(shape parties.ServiceShape, zone, address string) *tierWorker {
 	id := fmt.Sprintf("i-%08x", uint32(t.rng.Uint32()))
 	if address == "" {
-		t.addresses++
-		address = fmt.Sprintf("worker-%d:1", t.addresses)
+		t.addressCount++
+		address = fmt.Sprintf("worker-%d:1", t.addressCount)
 	}
 	host := t.World.NewHost(id, zone)
 	rng := rand.New(rand.NewPCG(t.World.Seed, base.Hash64(id)))
 	service := t.words.Services[shape.Name]
 	s := &tierWorker{host: host, conns: map[*workerConn]bool{}}
-	s.Worker = &parties.Worker{ID: id, Service: service, Zone: zone, Address: address, Clock: host.Clock(), Ledger: t.record, Shape: shape, KeepIdle: 5 * time.Second,
-		Speed: []float64{1, 1, 1.3}[t.rng.IntN(3)], Draws: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(id, "own"))), Next: func() parties.Fault { return t.fault(id, service) },
+	s.Worker = &parties.Worker{ID: id, Service: service, Zone: zone, Address: address, Clock: host.Clock(), Ledger: t.recorder, Shape: shape, KeepIdle: 5 * time.Second,
+		Speed: []float64{1, 1, 1.3}[t.rng.IntN(3)], Draws: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(id, "own"))), Next: func() parties.Fault { return t.drawFault(id, service) },
 		Work: func(target string) (time.Duration, int) {
 			work := parties.Draw{Mean: 50, Spread: 1, Most: 200}
-			for _, prefix := range base.SortedKeys(t.works) {
-				if one := t.works[prefix]; strings.HasPrefix(target, prefix) && one.Mean > 0 {
+			for _, prefix := range base.SortedKeys(t.workDistributions) {
+				if one := t.workDistributions[prefix]; strings.HasPrefix(target, prefix) && one.Mean > 0 {
 					work = one
 				}
 			}
 			return time.Duration(work.Value(rng) * float64(time.Millisecond)), 800
 		}}
 	s.Start()
-	t.listening[address] = s
+	t.workersByAddress[address] = s
 	t.workers = append(t.workers, s)
-	one := t.instance(s, parties.StateReady)
-	t.list.Change(id, &one, 0)
+	one := t.instanceEntry(s, parties.StateReady)
+	t.instances.Change(id, &one, 0)
 	return s
 }
 
-func (t *Tier) instance(s *tierWorker, state string) parties.Instance {
+func (t *Tier) instanceEntry(s *tierWorker, state string) parties.Instance {
 	one := parties.Instance{ID: s.ID, Service: s.Service, Address: s.Address, Zone: s.Zone, Generation: "v1", Capacity: s.Shape.Capacity, State: state}
 	if s.Shape.Engine != nil {
 		one.Model = t.words.Model
@@ -256,9 +256,9 @@
 	return one
 }
 
-func (t *Tier) fault(id, service string) parties.Fault {
+func (t *Tier) drawFault(id, service string) parties.Fault {
 	for _, name := range []string{id, service} {
-		if f := t.faults[name]; f != nil && t.rng.Float64() < f.share {
+		if f := t.workerFaults[name]; f != nil && t.rng.Float64() < f.probability {
 			return f.kinds[t.rng.IntN(len(f.kinds))]
 		}
 	}
@@ -266,8 +266,8 @@
 }
 
 // traffic begins programs in every zone until its time is over.
-func (t *Tier) traffic(end time.Duration) {
-	t.during = true
+func (t *Tier) runTraffic(end time.Duration) {
+	t.trafficRunning = true
 	clock := t.CallerHost.Clock()
 	for place := range t.Site.Classes {
 		class := &t.Site.Classes[place]
@@ -276,77 +276,77 @@
 		}
 		for number, zone := range t.Site.Zones {
 			rng := rand.New(rand.NewPCG(t.World.Seed+uint64(t.World.now), uint64(100+100*place+number)))
-			t.programs++
+			t.openPrograms++
 			t.CallerHost.Go(func() {
-				defer func() { t.programs-- }()
+				defer func() { t.openPrograms-- }()
 				for {
-					clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * t.TierShape.LoadFactor * t.times) * float64(time.Second)))
+					clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * t.TierShape.LoadFactor * t.loadMultiplier) * float64(time.Second)))
 					if clock.Now() >= end {
 						return
 					}
-					t.program(class, zone, rng.IntN(t.Site.Clients), end, "")
+					t.startProgram(class, zone, rng.IntN(t.Site.Clients), end, "")
 				}
 			})
 		}
 	}
-	t.programs++
+	t.openPrograms++
 	t.CallerHost.Go(func() {
-		defer func() { t.programs-- }()
+		defer func() { t.openPrograms-- }()
 		for clock.Now() < end {
-			t.probe()
+			t.probeGateways()
 			clock.Sleep(500 * time.Millisecond)
 		}
 	})
 	clock.Sleep(end - clock.Now())
-	t.during = false
+	t.trafficRunning = false
 }
 
 // program starts one program; one that ought to end too late does not begin.
-func (t *Tier) program(class *parties.Class, zone string, client int, end time.Duration, previous string) {
+func (t *Tier) startProgram(class *parties.Class, zone string, client int, end time.Duration, previous string) {
 	var plan *parties.ProgramPlan
-	t.player.Draw(func(g *parties.Generator) { plan = g.Program(class, zone, client) })
+	t.programRunner.Draw(func(g *parties.Generator) { plan = g.Program(class, zone, client) })
 	if t.World.now+plan.Aim > end+t.Site.Bounds.Finish {
 		return
 	}
-	t.programs++
+	t.openPrograms++
 	t.CallerHost.Go(func() {
-		t.player.Program(plan, previous)
-		t.programs--
+		t.programRunner.Program(plan, previous)
+		t.openPrograms--
 	})
 }
 
 // probe asks every node that is in directly, on routes that were just added or
 // removed and on one that never was.
-func (t *Tier) probe() {
-	routes := append(slices.Clone(t.config.added), t.config.dropped...)
+func (t *Tier) probeGateways() {
+	routes := append(slices.Clone(t.config.addedRoutes), t.config.removedRoutes...)
 	routes = append(routes, parties.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", t.rng.IntN(1000)), Kind: parties.Idempotent})
-	for _, in := range t.entry.In() {
+	for _, in := range t.entryPoint.In() {
 		route := routes[t.rng.IntN(len(routes))]
 		if route.Kind != parties.Idempotent {
 			continue
 		}
 		class := &parties.Class{Name: "probe", Kind: parties.Idempotent, Method: "GET", Aim: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond}
-		t.programs++
+		t.openPrograms++
 		t.CallerHost.Go(func() {
-			t.player.Request(class, 0, func(try *parties.Try) {
+			t.programRunner.Request(class, 0, func(try *parties.Try) {
 				try.Probe, try.Node, try.Host, try.Target, try.Client = true, parties.Probe(in), route.Host, route.Prefix+"probe", "probe"
 			})
-			t.programs--
+			t.openPrograms--
 		})
 	}
 }
 
 // form waits until the tier has taken its first configuration and all gateways
 // are ready.
-func (t *Tier) form() bool {
-	t.config.operator = t.operator("first")
+func (t *Tier) applyFirstConfig() bool {
+	t.config.operator = t.newOperator("first")
 	first := t.drafts.First()
 	order := t.config.operator.Put(0, first, first.Encode(), "", 20*time.Second)
 	if !order.Acked() {
 		return false
 	}
-	t.config.took(order)
-	for end := t.World.now + 20*time.Second; t.entry.Ready() < len(t.Gateways); {
+	t.config.recordAcked(order)
+	for end := t.World.now + 20*time.Second; t.entryPoint.Ready() < len(t.Gateways); {
 		if t.World.now > end {
 			return false
 		}
--- a/internal/simulate/tier_clients.go
+++ b/internal/simulate/tier_clients.go
@@ -17,12 +17,12 @@
 	"github.com/valyala/fasthttp"
 )
 
-type silentLog struct{}
+type discardLogger struct{}
 
-func (silentLog) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // inProcess makes a request as the daemons' server would have read it.
-func inProcess(method, target, host string, header [][2]string, body []byte) *fasthttp.RequestCtx {
+func newRequestCtx(method, target, host string, header [][2]string, body []byte) *fasthttp.RequestCtx {
 	var request fasthttp.Request
 	request.Header.SetMethod(method)
 	request.SetRequestURI(target)
@@ -34,18 +34,18 @@
 		request.SetBody(body)
 	}
 	r := &fasthttp.RequestCtx{}
-	r.Init(&request, nil, silentLog{})
+	r.Init(&request, nil, discardLogger{})
 	return r
 }
 
 const (
-	answeredHead = iota
-	answeredBytes
-	answeredEnd
-	answeredClose // the connection closed
+	responseHead = iota
+	responseBytes
+	responseEnd
+	responseConnClosed // the connection closed
 )
 
-type answered struct {
+type responsePart struct {
 	kind   int
 	status int
 	header map[string]string
@@ -53,12 +53,12 @@
 }
 
 // exchange is one request of a client on its connection.
-type exchange struct {
-	host   *Host
-	in     *pipe[answered]
-	read   bool
-	closed bool // by the client
-	number int
+type clientExchange struct {
+	host        *Host
+	responses   *pipe[responsePart]
+	requestRead bool
+	closed      bool // by the client
+	number      int
 }
 
 // tierClients carries tries to the gateways.
@@ -72,33 +72,33 @@
 	if try.Probe {
 		try.Node, _, _ = strings.Cut(try.Node, "@")
 	} else {
-		try.Node, _ = t.entry.Pick(try.Zone, try.Client, try.Fresh || t.wander)
+		try.Node, _ = t.entryPoint.Pick(try.Zone, try.Client, try.Fresh || t.rotateGateways)
 	}
-	m := t.named(try.Node)
-	if m.Host.dark {
+	m := t.machineNamed(try.Node)
+	if m.Host.poweredOff {
 		clock.Sleep(min(parties.ConnectPatience, try.Deadline))
 		try.Unread = true
 		return
 	}
-	clock.Sleep(t.way())
+	clock.Sleep(t.clientDelay())
 	if !m.Host.alive || m.gateway == nil || m.stopping {
 		try.Unread = true
 		return
 	}
 	try.Written = clock.Now()
-	t.serial++
-	x := &exchange{host: m.Host, in: newPipe[answered](t.CallerHost), number: t.serial}
-	t.exchanges[x] = true
+	t.lastNumber++
+	x := &clientExchange{host: m.Host, responses: newPipe[responsePart](t.CallerHost), number: t.lastNumber}
+	t.clientExchanges[x] = true
 	defer func() {
 		x.closed = true
-		delete(t.exchanges, x)
+		delete(t.clientExchanges, x)
 	}()
-	t.World.spawn(m.Host, m.Host.life, t.World.now+t.way()+m.Host.work(), func() { t.serve(m, try, x) })
-	c.await(try, x)
+	t.World.spawn(m.Host, m.Host.incarnation, t.World.now+t.clientDelay()+m.Host.processingDelay(), func() { t.serveClient(m, try, x) })
+	c.readResponse(try, x)
 }
 
 // await reads the answer as a client does.
-func (c *tierClients) await(try *parties.Try, x *exchange) {
+func (c *tierClients) readResponse(try *parties.Try, x *clientExchange) {
 	end := try.Sent + try.Deadline
 	silence := try.Deadline
 	if try.Kind == parties.Streaming {
@@ -107,10 +107,10 @@
 	now := func() time.Duration { return c.tier.World.now }
 	until := min(end, now()+silence)
 	if try.Kind == parties.Idempotent {
-		for patience := now() + parties.ReadPatience(try.Deadline); !x.read && !x.in.due() && now() < patience; {
-			x.in.bell.Next().Wait(patience - now())
+		for patience := now() + parties.ReadPatience(try.Deadline); !x.requestRead && !x.responses.ready() && now() < patience; {
+			x.responses.changed.Next().Wait(patience - now())
 		}
-		if !x.read && !x.in.due() {
+		if !x.requestRead && !x.responses.ready() {
 			try.GaveUp, try.Unread = true, true
 			return
 		}
@@ -118,34 +118,34 @@
 	var body []byte
 	streams := false
 	for {
-		one, ok := x.in.next(until, nil)
+		one, ok := x.responses.receive(until, nil)
 		if !ok {
 			try.GaveUp = true
 			return
 		}
 		switch one.kind {
-		case answeredClose:
-			try.Unread = !x.read
+		case responseConnClosed:
+			try.Unread = !x.requestRead
 			return
-		case answeredHead:
+		case responseHead:
 			try.Status, try.Echo, try.Seal = one.status, one.header[parties.HeaderID], one.header[parties.HeaderSeal]
 			try.Encoding = one.header["Content-Encoding"]
 			if seconds, err := strconv.ParseFloat(one.header[parties.HeaderRetryAfter], 64); err == nil {
 				try.RetryAfter = time.Duration(seconds * float64(time.Second))
 			}
 			streams = try.Kind == parties.Streaming && strings.HasPrefix(one.header["Content-Type"], "text/event-stream")
-		case answeredBytes:
+		case responseBytes:
 			body = append(body, one.bytes...)
 			if streams {
 				var events []parties.Event
-				events, body = eventsIn(body, now())
+				events, body = parseEvents(body, now())
 				if len(events) > 0 && try.First == 0 {
 					try.First = now()
 				}
 				try.Events = append(try.Events, events...)
 				until = min(end, now()+silence)
 			}
-		case answeredEnd:
+		case responseEnd:
 			switch {
 			case !streams:
 				try.First, try.Answer = now(), base.Digest(body)
@@ -159,7 +159,7 @@
 }
 
 // eventsIn takes whole events off what has come of a stream.
-func eventsIn(some []byte, at time.Duration) (events []parties.Event, rest []byte) {
+func parseEvents(some []byte, at time.Duration) (events []parties.Event, rest []byte) {
 	for {
 		place := bytes.Index(some, []byte("\n\n"))
 		if place < 0 {
@@ -184,30 +184,30 @@
 }
 
 // serve is the gateway's side of an exchange.
-func (t *Tier) serve(m *Machine, try *parties.Try, x *exchange) {
-	gateway, life := m.gateway, m.Host.life
+func (t *Tier) serveClient(m *Machine, try *parties.Try, x *clientExchange) {
+	gateway, life := m.gateway, m.Host.incarnation
 	if gateway == nil {
 		return
 	}
-	x.read = true
-	x.in.bell.Notify()
+	x.requestRead = true
+	x.responses.changed.Notify()
 	m.openRequests++
 	defer func() {
-		if m.Host.life == life {
+		if m.Host.incarnation == life {
 			m.openRequests--
 		}
 	}()
-	r := inProcess(try.Method, try.Target, try.Host, try.Header, try.Body)
+	r := newRequestCtx(try.Method, try.Target, try.Host, try.Header, try.Body)
 	platform.ServeClient(r, gateway)
-	head := answered{kind: answeredHead, status: r.Response.StatusCode(), header: map[string]string{}}
+	head := responsePart{kind: responseHead, status: r.Response.StatusCode(), header: map[string]string{}}
 	for name, value := range r.Response.Header.All() {
 		head.header[string(name)] = string(value)
 	}
-	x.in.put(t.way(), head)
+	x.responses.send(t.clientDelay(), head)
 	stream := r.Response.BodyStream()
 	if stream == nil {
-		x.in.put(0, answered{kind: answeredBytes, bytes: bytes.Clone(r.Response.Body())})
-		x.in.put(0, answered{kind: answeredEnd})
+		x.responses.send(0, responsePart{kind: responseBytes, bytes: bytes.Clone(r.Response.Body())})
+		x.responses.send(0, responsePart{kind: responseEnd})
 		return
 	}
 	defer func() { _ = r.Response.CloseBodyStream() }()
@@ -215,52 +215,52 @@
 	for !x.closed {
 		n, err := stream.Read(piece)
 		if n > 0 {
-			x.in.put(t.way(), answered{kind: answeredBytes, bytes: bytes.Clone(piece[:n])})
+			x.responses.send(t.clientDelay(), responsePart{kind: responseBytes, bytes: bytes.Clone(piece[:n])})
 		}
 		if err != nil {
-			kind := answeredClose
+			kind := responseConnClosed
 			if err == io.EOF {
-				kind = answeredEnd
+				kind = responseEnd
 			}
-			x.in.put(t.way(), answered{kind: kind})
+			x.responses.send(t.clientDelay(), responsePart{kind: kind})
 			return
 		}
 	}
 }
 
 // control makes an operator's call to a core.
-func (t *Tier) control(method, address, path string, header [][2]string, body []byte) (status int, answer []byte) {
+func (t *Tier) callControl(method, address, path string, header [][2]string, body []byte) (status int, answer []byte) {
 	clock := t.CallerHost.Clock()
-	m := t.named(address)
+	m := t.machineNamed(address)
 	patience := parties.OrderPatience(len(body))
-	if m == nil || m.Host.dark {
+	if m == nil || m.Host.poweredOff {
 		clock.Sleep(patience)
 		return 0, nil
 	}
-	clock.Sleep(t.way())
+	clock.Sleep(t.clientDelay())
 	if !m.Host.alive || m.core == nil || m.stopping {
 		return 0, nil
 	}
-	core, life := m.core, m.Host.life
-	in := newPipe[answered](t.CallerHost)
-	t.serial++
-	x := &exchange{host: m.Host, in: in, number: t.serial}
-	t.exchanges[x] = true
-	defer delete(t.exchanges, x)
-	t.World.spawn(m.Host, life, t.World.now+t.way(), func() {
-		x.read = true
+	core, life := m.core, m.Host.incarnation
+	in := newPipe[responsePart](t.CallerHost)
+	t.lastNumber++
+	x := &clientExchange{host: m.Host, responses: in, number: t.lastNumber}
+	t.clientExchanges[x] = true
+	defer delete(t.clientExchanges, x)
+	t.World.spawn(m.Host, life, t.World.now+t.clientDelay(), func() {
+		x.requestRead = true
 		m.openRequests++
 		defer func() {
-			if m.Host.life == life {
+			if m.Host.incarnation == life {
 				m.openRequests--
 			}
 		}()
-		r := inProcess(method, path, m.Host.Name, header, body)
+		r := newRequestCtx(method, path, m.Host.Name, header, body)
 		platform.ServeOperator(r, m.Host.Clock(), core)
-		in.put(t.way(), answered{kind: answeredHead, status: r.Response.StatusCode(), bytes: bytes.Clone(r.Response.Body())})
+		in.send(t.clientDelay(), responsePart{kind: responseHead, status: r.Response.StatusCode(), bytes: bytes.Clone(r.Response.Body())})
 	})
-	one, ok := in.next(clock.Now()+patience, nil)
-	if !ok || one.kind == answeredClose {
+	one, ok := in.receive(clock.Now()+patience, nil)
+	if !ok || one.kind == responseConnClosed {
 		return 0, nil
 	}
 	return one.status, one.bytes
--- a/internal/simulate/tier_troubles.go
+++ b/internal/simulate/tier_faults.go
@@ -14,78 +14,78 @@
 )
 
 // trouble notes a trouble of a machine until the step it gives back is called.
-func (t *Tier) trouble(kind string, m *Machine, change func(x *parties.Trouble)) (end func()) {
+func (t *Tier) recordTrouble(kind string, m *Machine, change func(x *parties.Trouble)) (end func()) {
 	x := &parties.Trouble{Kind: kind, Machine: m.Host.Name, Class: m.Role, From: t.World.now, To: 1 << 60}
 	if change != nil {
 		change(x)
 	}
-	t.record.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
+	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
 	return func() { x.To = t.World.now }
 }
 
 // sever closes what a process had open when it ended; the other sides are told
 // unless the machine has gone dark.
-func (t *Tier) sever(m *Machine, dark bool) {
-	m.Host.dark = dark
-	for _, c := range t.inOrder(t.conns) {
-		if c.from != m.Host {
+func (t *Tier) dropConnections(m *Machine, dark bool) {
+	m.Host.poweredOff = dark
+	for _, c := range t.sortedConns(t.conns) {
+		if c.gatewayHost != m.Host {
 			continue
 		}
 		delete(t.conns, c)
-		if c.at != nil {
-			delete(c.at.conns, c)
+		if c.worker != nil {
+			delete(c.worker.conns, c)
 		}
 		if !dark {
 			c.closed = true
-			c.gone.Fire()
+			c.closedSignal.Fire()
 		}
 	}
-	open := slices.SortedFunc(maps.Keys(t.exchanges), func(a, b *exchange) int { return cmp.Compare(a.number, b.number) })
+	open := slices.SortedFunc(maps.Keys(t.clientExchanges), func(a, b *clientExchange) int { return cmp.Compare(a.number, b.number) })
 	for _, x := range open {
 		if x.host == m.Host && !dark {
-			x.in.last = t.World.now // what was on its way is lost with the reset
-			x.in.put(time.Millisecond, answered{kind: answeredClose})
+			x.responses.lastArrival = t.World.now // what was on its way is lost with the reset
+			x.responses.send(time.Millisecond, responsePart{kind: responseConnClosed})
 		}
 	}
 }
 
 // down ends a machine's process, or its power.
-func (t *Tier) down(m *Machine, power bool) {
+func (t *Tier) endProcess(m *Machine, power bool) {
 	if power {
-		m.Host.calls = nil // nobody is told
+		m.Host.pendingCalls = nil // nobody is told
 		t.PowerLoss(m)
 	} else {
 		t.Kill(m)
 	}
-	t.sever(m, power)
+	t.dropConnections(m, power)
 }
 
 // fall ends a machine for a while.
-func (t *Tier) fall(m *Machine, kind string, span time.Duration, power, wipe bool) {
+func (t *Tier) crashFor(m *Machine, kind string, span time.Duration, power, wipe bool) {
 	if m.removed || !m.Host.alive || m.stopRequested {
 		return
 	}
-	end := t.trouble(kind, m, nil)
-	t.down(m, power)
+	end := t.recordTrouble(kind, m, nil)
+	t.endProcess(m, power)
 	if wipe {
 		m.Disk.Wipe()
 	}
 	t.CallerHost.Clock().Sleep(span)
 	if !m.removed {
-		t.begin(m)
+		t.startMachine(m)
 	}
 	end()
 }
 
-func (t *Tier) freezeNode(m *Machine, span time.Duration) {
+func (t *Tier) freezeFor(m *Machine, span time.Duration) {
 	if !m.Host.alive || m.Host.frozen {
 		return
 	}
-	end := t.trouble("node_freeze", m, nil)
-	life := m.Host.life
+	end := t.recordTrouble("node_freeze", m, nil)
+	life := m.Host.incarnation
 	m.Host.Freeze()
 	t.CallerHost.Clock().Sleep(span)
-	if m.Host.life == life {
+	if m.Host.incarnation == life {
 		m.Host.Thaw()
 	}
 	end()
@@ -94,29 +94,29 @@
 // term stops a machine as the platform does: SIGTERM, and SIGKILL after the
 // grace. A gateway is asked each second whether it is ready and goes on serving
 // for a while; then it takes no new connection and ends what it has read.
-func (t *Tier) term(m *Machine, kind string, after time.Duration) {
-	end := t.stop(m, kind)
+func (t *Tier) restartGracefully(m *Machine, kind string, after time.Duration) {
+	end := t.stopGracefully(m, kind)
 	if end == nil {
 		return
 	}
 	t.CallerHost.Clock().Sleep(after)
 	if !m.removed && !m.Host.alive {
-		t.begin(m)
+		t.startMachine(m)
 	}
 	end()
 }
 
 // stop is the first half of that; the trouble lasts until the step it gives back
 // is called. It gives none where the machine is down or stops already.
-func (t *Tier) stop(m *Machine, kind string) (end func()) {
+func (t *Tier) stopGracefully(m *Machine, kind string) (end func()) {
 	if !m.Host.alive || m.Host.frozen || m.removed || m.stopRequested {
 		return nil
 	}
-	end = t.trouble(kind, m, func(x *parties.Trouble) { x.Term = true })
-	clock, grace, life, began := t.CallerHost.Clock(), t.Site.Bounds.Grace, m.Host.life, t.World.now
+	end = t.recordTrouble(kind, m, func(x *parties.Trouble) { x.Term = true })
+	clock, grace, life, began := t.CallerHost.Clock(), t.Site.Bounds.Grace, m.Host.incarnation, t.World.now
 	m.stopRequested = true
 	if t.disabled.gracefulStop {
-		t.down(m, false)
+		t.endProcess(m, false)
 	}
 	limit := grace - grace/8
 	left := false
@@ -134,7 +134,7 @@
 	if m.Role == "edge" {
 		clock.Sleep(grace * 3 / 10)
 	}
-	for m.Host.life == life && t.World.now < began+limit {
+	for m.Host.incarnation == life && t.World.now < began+limit {
 		if m.Role == "edge" {
 			m.stopping = true
 		}
@@ -143,18 +143,18 @@
 		}
 		clock.Sleep(20 * time.Millisecond)
 	}
-	if m.Host.life == life {
-		t.down(m, false)
+	if m.Host.incarnation == life {
+		t.endProcess(m, false)
 	}
 	return end
 }
 
 // succeed replaces a machine as planned work: an empty one at another address
 // comes first, then the old one is told to stop and goes with its disk.
-func (t *Tier) succeed(m *Machine, ahead time.Duration) {
-	t.add(m.Role)
+func (t *Tier) replaceAfterJoin(m *Machine, ahead time.Duration) {
+	t.joinMachine(m.Role)
 	t.CallerHost.Clock().Sleep(ahead)
-	end := t.stop(m, "replace_core")
+	end := t.stopGracefully(m, "replace_core")
 	if end == nil {
 		return
 	}
@@ -164,41 +164,41 @@
 }
 
 // replace puts an empty machine at another address in a lost one's place.
-func (t *Tier) replace(m *Machine, span time.Duration) {
-	end := t.trouble("replace_core", m, nil)
+func (t *Tier) replaceLost(m *Machine, span time.Duration) {
+	end := t.recordTrouble("replace_core", m, nil)
 	m.removed = true
-	t.down(m, true)
+	t.endProcess(m, true)
 	m.Disk.Wipe()
 	t.CallerHost.Clock().Sleep(span)
-	t.add(m.Role)
+	t.joinMachine(m.Role)
 	end()
 }
 
 // add brings an empty machine into the fleet.
-func (t *Tier) add(role string) *Machine {
+func (t *Tier) joinMachine(role string) *Machine {
 	m := t.newMachine(role)
 	m.startedBefore = true // it is not the very first start
-	t.begin(m)
+	t.startMachine(m)
 	return m
 }
 
 // cutOff cuts machines off from all other machines of the fleet.
-func (t *Tier) cutOff(apart []*Machine, span time.Duration) { t.cutAmong(apart, t.All(), span) }
+func (t *Tier) isolateFor(apart []*Machine, span time.Duration) { t.isolateFrom(apart, t.All(), span) }
 
 // halve cuts the machines that count, cores and storage together, into two halves.
 // Gateways, clients and operators reach both.
-func (t *Tier) halve(span time.Duration) {
-	counted := append(t.living(t.Cores), t.living(t.Storage)...)
-	t.cutAmong(t.some(counted, len(counted)/2), counted, span)
+func (t *Tier) partitionFor(span time.Duration) {
+	counted := append(t.available(t.Cores), t.available(t.Storage)...)
+	t.isolateFrom(t.drawMachines(counted, len(counted)/2), counted, span)
 }
 
 // cutAmong cuts machines off from the others of some.
-func (t *Tier) cutAmong(apart, all []*Machine, span time.Duration) {
+func (t *Tier) isolateFrom(apart, all []*Machine, span time.Duration) {
 	names := map[string]bool{}
 	var ends []func()
 	for _, m := range apart {
 		names[m.Host.Name] = true
-		ends = append(ends, t.trouble("core_cut", m, nil))
+		ends = append(ends, t.recordTrouble("core_cut", m, nil))
 	}
 	for _, from := range all {
 		for _, to := range all {
@@ -214,8 +214,8 @@
 	}
 }
 
-func (t *Tier) slowNode(m *Machine, span time.Duration) {
-	end := t.trouble("node_slow", m, func(x *parties.Trouble) { x.Slow = true })
+func (t *Tier) slowFor(m *Machine, span time.Duration) {
+	end := t.recordTrouble("node_slow", m, func(x *parties.Trouble) { x.Slow = true })
 	quick, slow := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
 	m.Host.ExtraDelay, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = t.World.Between(10*time.Millisecond, 120*time.Millisecond), 20*time.Millisecond, 150*time.Millisecond
 	t.CallerHost.Clock().Sleep(span)
@@ -224,51 +224,51 @@
 }
 
 // living lists the machines of a class that are up.
-func (t *Tier) living(list []*Machine) []*Machine {
+func (t *Tier) available(list []*Machine) []*Machine {
 	return base.Filter(list, func(m *Machine) bool { return m.Host.alive && !m.Host.frozen && !m.removed && !m.stopRequested })
 }
 
 // some draws machines of a class that are up.
-func (t *Tier) some(list []*Machine, count int) []*Machine {
-	list = t.living(list)
+func (t *Tier) drawMachines(list []*Machine, count int) []*Machine {
+	list = t.available(list)
 	t.rng.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 	return list[:min(count, len(list))]
 }
 
 // each brings a step to machines at once and waits for all.
-func (t *Tier) each(list []*Machine, step func(m *Machine)) {
-	t.together(len(list), func(place int) { step(list[place]) })
+func (t *Tier) forEachMachine(list []*Machine, step func(m *Machine)) {
+	t.runParallel(len(list), func(place int) { step(list[place]) })
 }
 
 // afterAck brings a step to the core that has just acknowledged a
 // configuration, or to storage machines at that moment.
-func (t *Tier) afterAck(step func(m *Machine), stores int) {
-	order := t.change()
+func (t *Tier) afterConfigAck(step func(m *Machine), stores int) {
+	order := t.changeConfig()
 	switch {
 	case stores > 0:
-		t.each(t.some(t.Storage, stores), step)
-	case order.Acked() && t.named(order.Node) != nil:
-		step(t.named(order.Node))
+		t.forEachMachine(t.drawMachines(t.Storage, stores), step)
+	case order.Acked() && t.machineNamed(order.Node) != nil:
+		step(t.machineNamed(order.Node))
 	}
 }
 
 // all ends every machine, does something to some of them, and brings all back.
-func (t *Tier) all(power bool, wiped []*Machine) {
+func (t *Tier) restartAll(power bool, wiped []*Machine) {
 	list := base.Filter(t.All(), func(m *Machine) bool { return !m.removed })
 	var ends []func()
 	for _, m := range list {
-		ends = append(ends, t.trouble("kill_all", m, nil))
+		ends = append(ends, t.recordTrouble("kill_all", m, nil))
 		if m.Host.frozen {
 			m.Host.Thaw()
 		}
-		t.down(m, power)
+		t.endProcess(m, power)
 	}
 	for _, m := range wiped {
 		m.Disk.Wipe()
 	}
 	t.CallerHost.Clock().Sleep(t.World.Between(500*time.Millisecond, 2*time.Second))
 	for _, m := range list {
-		t.begin(m)
+		t.startMachine(m)
 		t.CallerHost.Clock().Sleep(t.World.Between(0, 30*time.Millisecond))
 	}
 	for _, end := range ends {
@@ -277,56 +277,56 @@
 }
 
 // retire has a storage machine emptied and takes it away once it is.
-func (t *Tier) retire(m *Machine) bool {
-	if err := t.operator("retire").Retire(m.Host.Name, 10*time.Second, 20*time.Second); err != nil {
+func (t *Tier) retireStorage(m *Machine) bool {
+	if err := t.newOperator("retire").Retire(m.Host.Name, 10*time.Second, 20*time.Second); err != nil {
 		return false
 	}
-	end := t.trouble("retire", m, func(x *parties.Trouble) { x.Term = true })
+	end := t.recordTrouble("retire", m, func(x *parties.Trouble) { x.Term = true })
 	m.removed = true
-	t.down(m, true)
+	t.endProcess(m, true)
 	m.Disk.Wipe()
 	end()
 	return true
 }
 
 // serving lists the workers of a service's shape that are not leaving.
-func (t *Tier) serving(shape string) []*tierWorker {
+func (t *Tier) activeWorkers(shape string) []*tierWorker {
 	return base.Filter(t.workers, func(s *tierWorker) bool { return !s.Leaving() && s.Shape.Name == shape })
 }
 
 // drain takes a worker off in order: the list shows it as draining, it serves
 // for the drain's time and a little longer, then it ends.
-func (t *Tier) drain(s *tierWorker) {
-	clock, draining := t.CallerHost.Clock(), t.instance(s, parties.StateDraining)
-	t.list.Change(s.ID, &draining, 0)
-	clock.Sleep(t.list.Lag)
-	t.list.Settle()
+func (t *Tier) drainWorker(s *tierWorker) {
+	clock, draining := t.CallerHost.Clock(), t.instanceEntry(s, parties.StateDraining)
+	t.instances.Change(s.ID, &draining, 0)
+	clock.Sleep(t.instances.Lag)
+	t.instances.Settle()
 	s.Leave()
 	clock.Sleep(t.Site.Bounds.Drain + 1500*time.Millisecond)
-	t.list.Change(s.ID, nil, 0)
-	s.end(t)
+	t.instances.Change(s.ID, nil, 0)
+	s.terminate(t)
 }
 
 // release replaces a share of a service's workers one after the other; another
 // service takes the addresses of those that have ended.
-func (t *Tier) release(shape string, share float64, gap time.Duration) {
-	old := t.serving(shape)
+func (t *Tier) releaseWorkers(shape string, share float64, gap time.Duration) {
+	old := t.activeWorkers(shape)
 	old = old[:int(share*float64(len(old))+0.5)]
-	t.together(len(old), func(place int) {
+	t.runParallel(len(old), func(place int) {
 		s := old[place]
 		t.CallerHost.Clock().Sleep(time.Duration(place) * gap)
-		t.openWorker(s.Shape, s.Zone, "")
-		t.drain(s)
-		t.reuse(s)
+		t.startWorker(s.Shape, s.Zone, "")
+		t.drainWorker(s)
+		t.reuseAddress(s)
 	})
 }
 
 // reuse gives the address of a worker that has ended to another service.
-func (t *Tier) reuse(s *tierWorker) {
+func (t *Tier) reuseAddress(s *tierWorker) {
 	t.CallerHost.Clock().Sleep(t.Site.Bounds.ReuseAfter)
 	for _, other := range t.Site.Services {
-		if other.Name != s.Shape.Name && t.listening[s.Address] == nil {
-			t.openWorker(other, s.Zone, s.Address)
+		if other.Name != s.Shape.Name && t.workersByAddress[s.Address] == nil {
+			t.startWorker(other, s.Zone, s.Address)
 			return
 		}
 	}
@@ -335,24 +335,24 @@
 // crashWorker ends a worker at once; the list shows it for some seconds more,
 // and the platform starts another in its place.
 func (t *Tier) crashWorker(s *tierWorker) {
-	t.openWorker(s.Shape, s.Zone, "")
-	s.end(t)
-	t.list.Change(s.ID, nil, 4*time.Second)
+	t.startWorker(s.Shape, s.Zone, "")
+	s.terminate(t)
+	t.instances.Change(s.ID, nil, 4*time.Second)
 }
 
 // ill has the workers of a service, or one worker, do wrong for a while.
-func (t *Tier) ill(name string, share float64, span time.Duration, kinds ...parties.Fault) {
-	t.faults[name] = &tierFaults{share, kinds}
+func (t *Tier) injectWorkerFaults(name string, share float64, span time.Duration, kinds ...parties.Fault) {
+	t.workerFaults[name] = &workerFaultRate{share, kinds}
 	t.CallerHost.Clock().Sleep(span)
-	delete(t.faults, name)
+	delete(t.workerFaults, name)
 }
 
 // listDown has the list of workers answer nothing for a while.
-func (t *Tier) listDown(span time.Duration) {
+func (t *Tier) failList(span time.Duration) {
 	x := &parties.Trouble{Kind: "list_down", Machine: "list", Class: "list", From: t.World.now, To: 1 << 60}
-	t.record.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
-	t.list.SetDown(true)
+	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
+	t.instances.SetDown(true)
 	t.CallerHost.Clock().Sleep(span)
-	t.list.SetDown(false)
+	t.instances.SetDown(false)
 	x.To = t.World.now
 }
--- a/internal/simulate/tier_removal_test.go
+++ b/internal/simulate/tier_mechanisms_test.go
@@ -24,27 +24,27 @@
 )
 
 // onFeed changes what followers are told.
-func onFeed(meddle func(m *Message, reply *feed.FollowReply)) func(f *Fleet) {
-	return onPath("Feed/Follow", func(m *Message) *http.Response {
-		reply, response := passed(m, m.Body, &feed.FollowReply{})
+func interceptFeed(meddle func(m *Message, reply *feed.FollowReply)) func(f *Fleet) {
+	return interceptPath("Feed/Follow", func(m *Message) *http.Response {
+		reply, response := forwardAndDecode(m, m.Body, &feed.FollowReply{})
 		if response == nil || response.StatusCode != 200 {
 			return response
 		}
 		meddle(m, reply)
-		return replied(reply)
+		return protoResponse(reply)
 	})
 }
 
 // onLedger changes what stores answer to gateways.
-func onLedger(f *Fleet, begin func(asked *ledger.BeginRequest, reply *ledger.BeginReply), write func(reply *ledger.WriteReply), chain func(reply *ledger.ChainReply)) {
+func interceptLedger(f *Fleet, begin func(asked *ledger.BeginRequest, reply *ledger.BeginReply), write func(reply *ledger.WriteReply), chain func(reply *ledger.ChainReply)) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		pass := func(reply proto.Message, change func()) *http.Response {
-			_, response := passed(m, m.Body, reply)
+			_, response := forwardAndDecode(m, m.Body, reply)
 			if response == nil || response.StatusCode != 200 {
 				return response
 			}
 			change()
-			return replied(reply)
+			return protoResponse(reply)
 		}
 		switch {
 		case begin != nil && strings.HasSuffix(m.Path, "Ledger/Begin"):
@@ -66,7 +66,7 @@
 
 // slowPulls has stores pull what they lack slowly, though within the time that
 // they have to catch up.
-func slowPulls(f *Fleet) {
+func delayCatchUp(f *Fleet) {
 	pass := f.Net.Intercept
 	f.Net.Intercept = func(m *Message) *http.Response {
 		if strings.HasSuffix(m.Path, "Ledger/Offer") {
@@ -80,17 +80,17 @@
 	}
 }
 
-func TestSlowPullsLoseNothing(t *testing.T) {
+func TestSlowCatchUpLosesNothing(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 3; seed++ {
-		outcome := FindTierScenario("stores wiped in turn, owners killed").RunWith(seed, TierShapes["small"](), func(t *Tier) { slowPulls(t.Fleet) })
+		outcome := FindTierScenario("stores wiped in turn, owners killed").RunWith(seed, TierShapes["small"](), func(t *Tier) { delayCatchUp(t.Fleet) })
 		for _, breach := range outcome.Breaches {
 			t.Errorf("seed %d: %s", seed, breach)
 		}
 	}
 }
 
-func TestEachMechanismOfTheTierTakenAwayIsCaught(t *testing.T) {
+func TestDisabledTierMechanismsAreDetected(t *testing.T) {
 	rows := []struct {
 		mechanism string
 		day       string
@@ -99,7 +99,7 @@
 		shape     string // small unless set
 	}{
 		{"the fence of a Run that was succeeded", "sessions wander, edges frozen", func(t *Tier) {
-			onLedger(t.Fleet, func(asked *ledger.BeginRequest, reply *ledger.BeginReply) {
+			interceptLedger(t.Fleet, func(asked *ledger.BeginRequest, reply *ledger.BeginReply) {
 				if reply.Ack.GetWhy() == "held" {
 					reply.Ack, reply.Holder = &ledger.Ack{Whole: true}, asked.Claim
 				}
@@ -119,12 +119,12 @@
 				case strings.HasSuffix(m.Path, "Ledger/Begin"):
 					var asked ledger.BeginRequest
 					if _ = proto.Unmarshal(m.Body, &asked); !kept(asked.Program, asked.Turn) {
-						return replied(&ledger.BeginReply{Ack: &ledger.Ack{Whole: true}, Holder: asked.Claim})
+						return protoResponse(&ledger.BeginReply{Ack: &ledger.Ack{Whole: true}, Holder: asked.Claim})
 					}
 				case strings.HasSuffix(m.Path, "Ledger/Finish"):
 					var asked ledger.FinishRequest
 					if _ = proto.Unmarshal(m.Body, &asked); !kept(asked.Program, asked.Turn) {
-						return replied(&ledger.WriteReply{Ack: &ledger.Ack{Whole: true}, Holder: asked.Claim})
+						return protoResponse(&ledger.WriteReply{Ack: &ledger.Ack{Whole: true}, Holder: asked.Claim})
 					}
 				}
 				response, _ := m.Forward(m.Body)
@@ -137,28 +137,28 @@
 					ack.Why, ack.Whole = "", true
 				}
 			}
-			onLedger(t.Fleet, func(asked *ledger.BeginRequest, reply *ledger.BeginReply) {
+			interceptLedger(t.Fleet, func(asked *ledger.BeginRequest, reply *ledger.BeginReply) {
 				if whole(reply.Ack); reply.Holder == nil {
 					reply.Holder = asked.Claim
 				}
 			}, func(reply *ledger.WriteReply) { whole(reply.Ack) }, func(reply *ledger.ChainReply) { whole(reply.Ack) })
-			slowPulls(t.Fleet)
+			delayCatchUp(t.Fleet)
 		}, "LOST", ""},
 		{"the reservation of tokens", "quiet", func(t *Tier) {
 			for place := range t.Site.Classes {
 				t.Site.Classes[place].Runaway = 0.3
 			}
-			onLedger(t.Fleet, func(_ *ledger.BeginRequest, reply *ledger.BeginReply) { reply.Others = nil }, nil, nil)
+			interceptLedger(t.Fleet, func(_ *ledger.BeginRequest, reply *ledger.BeginReply) { reply.Others = nil }, nil, nil)
 		}, "BUDGET", ""},
 		{"the reservation of tokens of turns that are not kept", "quiet", func(t *Tier) {
-			onLedger(t.Fleet, func(_ *ledger.BeginRequest, reply *ledger.BeginReply) { reply.Others = nil }, nil, nil)
+			interceptLedger(t.Fleet, func(_ *ledger.BeginRequest, reply *ledger.BeginReply) { reply.Others = nil }, nil, nil)
 		}, "BUDGET", "roaming"},
 		{"the worker's id on each request", "workers crash", func(t *Tier) { t.disabled.expectedID = true }, "ROUTE", ""},
 		{"the id that an answer carries back", "answers garbled, cut, late and extra", func(t *Tier) { t.disabled.answerID = true }, "MIXED", ""},
 		{"proof that a worker has not run a request", "answer_lost at plain workers", func(t *Tier) { t.disabled.notRunProof = true }, "TWICE", ""},
 		{"proof that a refused request has not run", "answer_lost at plain workers", func(t *Tier) { t.disabled.notRunProof = true }, "REFUSED", ""},
 		{"pieces pulled by place", "sessions wander, edges killed", func(t *Tier) {
-			onPath("line.Owner/Pull", func(m *Message) *http.Response {
+			interceptPath("line.Owner/Pull", func(m *Message) *http.Response {
 				var asked line.PullRequest
 				_ = proto.Unmarshal(m.Body, &asked)
 				asked.Place = max(asked.Place, 1) - 1
@@ -168,14 +168,14 @@
 			})(t.Fleet)
 		}, "ORDER", ""},
 		{"a turn's place in its chain", "sessions wander, edges killed", func(t *Tier) {
-			onLedger(t.Fleet, nil, nil, func(reply *ledger.ChainReply) {
+			interceptLedger(t.Fleet, nil, nil, func(reply *ledger.ChainReply) {
 				for _, turn := range reply.Turns {
 					turn.Previous = ""
 				}
 			})
 		}, "UNASKED", ""},
 		{"news of workers that leave", "release of plain workers", func(t *Tier) {
-			onFeed(func(_ *Message, reply *feed.FollowReply) {
+			interceptFeed(func(_ *Message, reply *feed.FollowReply) {
 				reply.Puts = base.Filter(reply.Puts, func(put *register.Put) bool {
 					return !strings.HasPrefix(put.Key, relay.RosterKeyPrefix) || len(put.Value) > 0 && !strings.Contains(string(put.Value), `"d":true`)
 				})
@@ -186,7 +186,7 @@
 			// An older answer, taken for a new one, brings the older configuration back.
 			var older []byte
 			told := map[string]int{}
-			onFeed(func(m *Message, reply *feed.FollowReply) {
+			interceptFeed(func(m *Message, reply *feed.FollowReply) {
 				for _, put := range reply.Puts {
 					if put.Key != route.FeedKey {
 						continue
@@ -201,7 +201,7 @@
 			})(t.Fleet)
 		}, "CONFIG", ""},
 		{"the version that a configuration builds on", "config_race", func(t *Tier) {
-			onChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+			interceptChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 				var response *http.Response
 				for range 5 {
 					var now *register.ChangeReply
--- a/internal/simulate/tier_operators.go
+++ b/internal/simulate/tier_operators.go
@@ -13,88 +13,88 @@
 
 // tierConfig is the operators' view of the configuration.
 type tierConfig struct {
-	operator *parties.Operator
-	newest   *parties.Order
-	added    []parties.Route
-	dropped  []parties.Route
-	busy     bool // one change at a time
+	operator      *parties.Operator
+	newestAcked   *parties.Order
+	addedRoutes   []parties.Route
+	removedRoutes []parties.Route
+	changing      bool // one change at a time
 }
 
-func (c *tierConfig) took(order *parties.Order) {
-	if c.newest != nil {
-		c.added, c.dropped = nil, nil
+func (c *tierConfig) recordAcked(order *parties.Order) {
+	if c.newestAcked != nil {
+		c.addedRoutes, c.removedRoutes = nil, nil
 		for _, r := range order.Config.Routes {
-			if was := c.newest.Config.Match(r.Host, r.Prefix); was == nil || was.Prefix != r.Prefix {
-				c.added = append(c.added, r)
+			if was := c.newestAcked.Config.Match(r.Host, r.Prefix); was == nil || was.Prefix != r.Prefix {
+				c.addedRoutes = append(c.addedRoutes, r)
 			}
 		}
-		for _, r := range c.newest.Config.Routes {
+		for _, r := range c.newestAcked.Config.Routes {
 			if order.Config.Match(r.Host, r.Prefix) == nil {
-				c.dropped = append(c.dropped, r)
+				c.removedRoutes = append(c.removedRoutes, r)
 			}
 		}
 	}
-	c.newest = order
+	c.newestAcked = order
 }
 
-func (t *Tier) operator(name string) *parties.Operator {
-	return &parties.Operator{Name: name, Clock: t.CallerHost.Clock(), Ledger: t.record, Call: t.control, Rng: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(name))),
+func (t *Tier) newOperator(name string) *parties.Operator {
+	return &parties.Operator{Name: name, Clock: t.CallerHost.Clock(), Ledger: t.recorder, Call: t.callControl, Rng: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(name))),
 		Control: func() []string {
 			return base.Map(base.Filter(t.Cores, func(m *Machine) bool { return !m.removed }), func(m *Machine) string { return m.Host.Name })
 		}}
 }
 
 // alone has one change of the configuration at a time.
-func (t *Tier) alone(step func()) {
-	for t.config.busy {
+func (t *Tier) exclusively(step func()) {
+	for t.config.changing {
 		t.CallerHost.Clock().Sleep(20 * time.Millisecond)
 	}
-	t.config.busy = true
+	t.config.changing = true
 	step()
-	t.config.busy = false
+	t.config.changing = false
 }
 
 // change sends one valid configuration on top of the newest.
-func (t *Tier) change() (order *parties.Order) {
-	t.alone(func() {
-		newest := t.config.newest.Config
+func (t *Tier) changeConfig() (order *parties.Order) {
+	t.exclusively(func() {
+		newest := t.config.newestAcked.Config
 		next := t.drafts.Next(newest)
 		order = t.config.operator.Put(newest.Generation, next, next.Encode(), "", 30*time.Second)
 		if order.Acked() {
-			t.config.took(order)
+			t.config.recordAcked(order)
 		}
 	})
 	return order
 }
 
 // race has two operators build on the same version at once.
-func (t *Tier) race() {
-	t.alone(func() {
-		newest := t.config.newest.Config
+func (t *Tier) raceConfigs() {
+	t.exclusively(func() {
+		newest := t.config.newestAcked.Config
 		drafts := []*parties.Config{t.drafts.Next(newest), t.drafts.Next(newest)}
 		if drafts[0].Generation == drafts[1].Generation {
 			drafts[1].Generation++
 		}
 		orders := make([]*parties.Order, len(drafts))
-		t.together(len(drafts), func(place int) {
-			operator := t.operator(fmt.Sprintf("racer-%d-%d", place, drafts[place].Generation))
+		t.runParallel(len(drafts), func(place int) {
+			operator := t.newOperator(fmt.Sprintf("racer-%d-%d", place, drafts[place].Generation))
 			orders[place] = operator.Put(newest.Generation, drafts[place], drafts[place].Encode(), "", 30*time.Second)
 		})
 		for _, order := range orders {
 			if order.Acked() {
-				t.config.took(order)
+				t.config.recordAcked(order)
 			}
 		}
 	})
 }
 
-func (t *Tier) badConfigs(gap time.Duration) {
+func (t *Tier) sendInvalidConfigs(gap time.Duration) {
 	for _, kind := range parties.InvalidKinds {
-		t.alone(func() {
-			newest := t.config.newest.Config
+		t.exclusively(func() {
+			newest := t.config.newestAcked.Config
 			config, raw, fault := t.drafts.Invalid(newest, kind)
 			if order := t.config.operator.Put(newest.Generation, config, raw, fault, 10*time.Second); order.Acked() && config != nil {
-				t.config.took(order)
+				t.config.recordAcked(order)
 			}
 		})
 		t.CallerHost.Clock().Sleep(gap)
@@ -102,7 +102,7 @@
 }
 
 // together runs steps at once and waits for all.
-func (t *Tier) together(count int, step func(place int)) {
+func (t *Tier) runParallel(count int, step func(place int)) {
 	left := count
 	bell := base.NewNotifier(t.CallerHost.Clock())
 	for place := range count {
--- a/internal/simulate/tier_day.go
+++ b/internal/simulate/tier_scenario.go
@@ -27,31 +27,31 @@
 	LoadDuration time.Duration
 }
 
-const tierTraffic = 12 * time.Second
+const defaultTierLoadDuration = 12 * time.Second
 
 // Run plays the day with a seed.
 func (d *TierScenario) Run(seed uint64, form TierShape) *Outcome { return d.RunWith(seed, form, nil) }
 
 // RunWith lets a test change the tier before it starts.
-func (d *TierScenario) RunWith(seed uint64, form TierShape, change func(t *Tier)) *Outcome {
+func (d *TierScenario) RunWith(seed uint64, form TierShape, prepare func(t *Tier)) *Outcome {
 	if d.AdjustSite != nil {
 		d.AdjustSite(form.Site)
 	}
-	t := NewTier(seed, form, change)
+	t := NewTier(seed, form, prepare)
 	defer t.World.Close()
 	over := false
 	t.CallerHost.Go(func() {
-		d.play(t)
+		d.execute(t)
 		over = true
 	})
 	out := &Outcome{Scenario: d.Name, Tier: true, Shape: form.Name, Seed: seed}
 	if !t.World.Run(4*time.Minute, func() bool { return over }) {
 		out.Breaches = append(out.Breaches, "FAULT: the day does not end")
 	}
-	t.list.Settle()
-	t.record.Note(func(r *parties.Record) { r.Over = t.World.now })
-	record := t.record.Record()
-	out.VirtualS, out.Counts = t.World.now.Seconds(), countsOf(record)
+	t.instances.Settle()
+	t.recorder.Note(func(r *parties.Record) { r.Over = t.World.now })
+	record := t.recorder.Record()
+	out.VirtualS, out.Counts = t.World.now.Seconds(), countOutcomes(record)
 	for _, try := range record.Tries {
 		if try.Retain > 0 && try.OK() {
 			out.TurnTimes = append(out.TurnTimes, try.Ended-try.Sent)
@@ -62,7 +62,7 @@
 			out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: %s does not open: %v", m.Host.Name, m.StorageErr))
 		}
 	}
-	if t.config.newest == nil || t.entry.Ready() == 0 && out.Counts["served"] == 0 {
+	if t.config.newestAcked == nil || t.entryPoint.Ready() == 0 && out.Counts["served"] == 0 {
 		out.Breaches = append(out.Breaches, "FAULT: the tier did not form")
 		return out
 	}
@@ -75,33 +75,33 @@
 	return out
 }
 
-func (d *TierScenario) play(t *Tier) {
-	if !t.form() {
+func (d *TierScenario) execute(t *Tier) {
+	if !t.applyFirstConfig() {
 		return
 	}
 	span := d.LoadDuration
 	if span == 0 {
-		span = tierTraffic
+		span = defaultTierLoadDuration
 	}
 	end := t.World.now + span
 	for _, deed := range d.Faults {
-		t.deeds++
+		t.runningFaults++
 		t.CallerHost.Go(func() {
 			deed(t)
-			t.deeds--
+			t.runningFaults--
 		})
 	}
-	t.traffic(end)
-	t.until(time.Minute, func() bool { return t.deeds == 0 })
+	t.runTraffic(end)
+	t.pollUntil(time.Minute, func() bool { return t.runningFaults == 0 })
 	if d.FinalFault != nil {
-		t.closing(d.FinalFault)
+		t.runFinalFault(d.FinalFault)
 	}
-	t.until(2*time.Minute, func() bool { return t.programs == 0 && t.deeds == 0 })
+	t.pollUntil(2*time.Minute, func() bool { return t.openPrograms == 0 && t.runningFaults == 0 })
 	t.config.operator.ReadBack(t.Site.Bounds.Contact, t.Site.Bounds.Contact+20*time.Second)
 }
 
 // until waits for a condition within a bound.
-func (t *Tier) until(limit time.Duration, met func() bool) {
+func (t *Tier) pollUntil(limit time.Duration, met func() bool) {
 	for end := t.World.now + limit; !met() && t.World.now < end; {
 		t.CallerHost.Clock().Sleep(20 * time.Millisecond)
 	}
@@ -109,25 +109,25 @@
 
 // closing brings the fault at the end of a day about, right after a
 // configuration was acknowledged, and has programs continue from before it.
-func (t *Tier) closing(fault func(t *Tier)) {
-	t.change()
-	before := t.endedTurns()
+func (t *Tier) runFinalFault(fault func(t *Tier)) {
+	t.changeConfig()
+	before := t.completedTurns()
 	closing := &parties.Closing{From: t.World.now, Back: 1 << 59}
-	t.record.Note(func(r *parties.Record) { r.Closing = closing })
+	t.recorder.Note(func(r *parties.Record) { r.Closing = closing })
 	fault(t)
 	closing.Back = t.World.now
-	t.persist = closing.Back + t.Site.Bounds.Recovery
-	end := t.persist + 6*time.Second
+	t.retryUntil = closing.Back + t.Site.Bounds.Recovery
+	end := t.retryUntil + 6*time.Second
 	for _, turn := range before {
-		t.program(t.Site.Class(turn.Class), turn.Zone, t.rng.IntN(t.Site.Clients), end, turn.ID)
+		t.startProgram(t.Site.Class(turn.Class), turn.Zone, t.rng.IntN(t.Site.Clients), end, turn.ID)
 	}
-	t.traffic(end)
+	t.runTraffic(end)
 }
 
 // endedTurns gives some turns that were answered whole and are still kept.
-func (t *Tier) endedTurns() (turns []*parties.Try) {
+func (t *Tier) completedTurns() (turns []*parties.Try) {
 	last := map[string]*parties.Try{}
-	record := t.record.Record()
+	record := t.recorder.Record()
 	for _, try := range record.Tries {
 		if try.Retain > 0 && try.OK() && t.World.now-try.Ended < try.Retain/2 {
 			last[try.Program] = try
@@ -141,7 +141,7 @@
 	return turns
 }
 
-func countsOf(r *parties.Record) map[string]int {
+func countOutcomes(r *parties.Record) map[string]int {
 	counts := map[string]int{"tries": len(r.Tries), "arrivals": len(r.Arrivals), "orders": len(r.Orders)}
 	for _, try := range r.Tries {
 		switch {
--- a/internal/simulate/tier_test.go
+++ b/internal/simulate/tier_test.go
@@ -13,12 +13,12 @@
 
 // atGrown are the days of the fixed set at the grown size: those that rest on
 // how many machines there are. Campaigns play all.
-var atGrown = regexp.MustCompile("^(mixed|closing|stores|hunt|herd_kill|core_cut|quiet|counted|more stores)")
+var grownSizeScenarios = regexp.MustCompile("^(mixed|closing|stores|hunt|herd_kill|core_cut|quiet|counted|more stores)")
 
-func TestTheTierKeepsEveryRule(t *testing.T) {
+func TestTierKeepsInvariants(t *testing.T) {
 	for _, name := range []string{"small", "roaming", "kiondo", "grown"} {
 		for _, day := range TierScenarios {
-			if name == "grown" && !atGrown.MatchString(day.Name) {
+			if name == "grown" && !grownSizeScenarios.MatchString(day.Name) {
 				continue
 			}
 			t.Run(name+"/"+day.Name, func(t *testing.T) {
@@ -36,13 +36,13 @@
 	}
 }
 
-func TestTierDaysReplayExactly(t *testing.T) {
+func TestTierScenariosReplayExactly(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	seen := func() (tries, arrivals string) {
 		var kept *Tier
 		FindTierScenario("mixed: storm, closing power").RunWith(3, TierShapes["small"](), func(t *Tier) { kept = t })
-		record := kept.record.Record()
+		record := kept.recorder.Record()
 		return base.Digest(base.MustMarshal(record.Tries)), base.Digest(base.MustMarshal(record.Arrivals))
 	}
 	tries, arrivals := seen()
