--- a/internal/simulate/tier_worker_reply.go
+++ b/internal/simulate/tier_worker_reply.go
@@ -18,74 +18,74 @@
 
 // workerReply is an answer as the gateway reads it.
 type workerReply struct {
-	calls   *workerCalls
-	conn    *workerConn
-	clock   base.Clock
-	head    arrived
-	foreign int
-	pending []byte
-	over    error
-	closed  bool
+	transport      *workerTransport
+	conn           *workerConn
+	clock          base.Clock
+	head           workerPart
+	foreignAnswers int
+	pending        []byte
+	endErr         error
+	closed         bool
 }
 
-func (r *workerReply) next(until time.Duration) (arrived, error) {
-	one, ok := r.conn.in.next(until, func() bool { return r.closed })
+func (r *workerReply) nextPart(until time.Duration) (workerPart, error) {
+	one, ok := r.conn.incoming.receive(until, func() bool { return r.closed })
 	switch {
 	case r.closed:
-		return one, errCut
+		return one, errConnClosed
 	case !ok:
-		return one, errSilence
-	case one.kind == arrivedClose:
-		return one, errCut
+		return one, errTimeout
+	case one.kind == partConnClosed:
+		return one, errConnClosed
 	}
 	return one, nil
 }
 
 // receive reads up to the head of the answer that is due.
-func (r *workerReply) receive(until time.Duration, match base.HeaderLine) error {
+func (r *workerReply) readHead(until time.Duration, match base.HeaderLine) error {
 	for {
-		one, err := r.next(until)
+		one, err := r.nextPart(until)
 		if err != nil {
 			return err
 		}
 		switch one.kind {
-		case arrivedHead:
+		case partHead:
 			r.head = one
 			if match.Name == "" || r.Header(match.Name) == match.Value {
 				return nil
 			}
-			if r.foreign++; r.foreign > foreignMost || r.ClosesConnection() {
+			if r.foreignAnswers++; r.foreignAnswers > maxForeignAnswers || r.ClosesConnection() {
 				return errors.New("the answer belongs to another request")
 			}
-			for one.kind != arrivedEnd {
-				if one, err = r.next(until); err != nil || one.kind == arrivedRaw {
+			for one.kind != partEnd {
+				if one, err = r.nextPart(until); err != nil || one.kind == partRaw {
 					return errors.Annotate(err, "another request's answer")
 				}
 			}
-		case arrivedRaw:
+		case partRaw:
 			// A whole answer among the bytes belongs to an earlier request.
 			answer, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(one.bytes)), nil)
 			if err != nil {
-				return errGarbled
+				return errMalformed
 			}
 			whole, err := io.ReadAll(answer.Body)
 			if err != nil {
-				return errGarbled
+				return errMalformed
 			}
 			if match.Name == "" || answer.Header.Get(match.Name) == match.Value {
 				// Its id is right: it stands for the answer itself.
-				r.head = arrived{kind: arrivedHead, status: answer.StatusCode, length: len(whole)}
+				r.head = workerPart{kind: partHead, status: answer.StatusCode, length: len(whole)}
 				for name := range answer.Header {
 					r.head.header = append(r.head.header, [2]string{name, answer.Header.Get(name)})
 				}
-				r.conn.in.items = append([]onTheWay[arrived]{{item: arrived{kind: arrivedPiece, bytes: whole}}, {item: arrived{kind: arrivedEnd}}}, r.conn.in.items...)
+				r.conn.incoming.items = append([]inTransit[workerPart]{{item: workerPart{kind: partBytes, bytes: whole}}, {item: workerPart{kind: partEnd}}}, r.conn.incoming.items...)
 				return nil
 			}
-			if r.foreign++; r.foreign > foreignMost {
+			if r.foreignAnswers++; r.foreignAnswers > maxForeignAnswers {
 				return errors.New("the answer belongs to another request")
 			}
 		default:
-			return errGarbled
+			return errMalformed
 		}
 	}
 }
@@ -110,41 +110,41 @@
 func (r *workerReply) ClosesConnection() bool { return r.Header("Connection") == "close" }
 
 // ended keeps the connection when it can carry another request.
-func (r *workerReply) ended() {
-	r.over = io.EOF
+func (r *workerReply) releaseConn() {
+	r.endErr = io.EOF
 	if r.closed {
 		return
 	}
 	r.closed = true
-	if r.ClosesConnection() || r.foreign > 0 || r.conn.in.due() {
+	if r.ClosesConnection() || r.foreignAnswers > 0 || r.conn.incoming.ready() {
 		r.conn.close()
 		return
 	}
-	span := r.calls.connect * 3 / 4
+	span := r.transport.connectTimeout * 3 / 4
 	if told, found := strings.CutPrefix(r.Header("Keep-Alive"), "timeout="); found {
 		if seconds, err := strconv.Atoi(told); err == nil {
-			span = min(time.Duration(seconds)*time.Second*4/5, 30*r.calls.connect)
+			span = min(time.Duration(seconds)*time.Second*4/5, 30*r.transport.connectTimeout)
 		}
 	}
-	r.calls.keep(r.conn, span)
+	r.transport.release(r.conn, span)
 }
 
 // piece reads on; io.EOF at the end of the answer.
-func (r *workerReply) piece(until time.Duration) ([]byte, error) {
-	if r.over != nil {
-		return nil, r.over
+func (r *workerReply) readPiece(until time.Duration) ([]byte, error) {
+	if r.endErr != nil {
+		return nil, r.endErr
 	}
-	one, err := r.next(until)
+	one, err := r.nextPart(until)
 	switch {
 	case err != nil:
 		return nil, err
-	case one.kind == arrivedPiece:
+	case one.kind == partBytes:
 		return one.bytes, nil
-	case one.kind == arrivedEnd:
-		r.ended()
+	case one.kind == partEnd:
+		r.releaseConn()
 		return nil, io.EOF
 	}
-	return nil, errGarbled
+	return nil, errMalformed
 }
 
 func (r *workerReply) ReadLine(limit time.Duration) ([]byte, error) {
@@ -155,7 +155,7 @@
 			r.pending = r.pending[place+1:]
 			return line, nil
 		}
-		some, err := r.piece(until)
+		some, err := r.readPiece(until)
 		if err == io.EOF && len(r.pending) > 0 {
 			line := r.pending
 			r.pending = nil
@@ -172,7 +172,7 @@
 	until := r.clock.Now() + limit
 	var body []byte
 	for {
-		some, err := r.piece(until)
+		some, err := r.readPiece(until)
 		if err == io.EOF {
 			if r.head.length >= 0 && len(body) != r.head.length {
 				return nil, io.ErrUnexpectedEOF
--- a/internal/simulate/tier_workers.go
+++ b/internal/simulate/tier_workers.go
@@ -19,16 +19,16 @@
 // tierWorker is one life of a worker at its address.
 type tierWorker struct {
 	*parties.Worker
-	host   *Host
-	conns  map[*workerConn]bool
-	opened int
+	host        *Host
+	conns       map[*workerConn]bool
+	openedConns int
 	// forget, when set, drops connections idle for so long without a word.
-	forget time.Duration
-	gone   bool
+	silentDropAfter time.Duration
+	ended           bool
 }
 
 // full tells whether the worker resets one more connection.
-func (s *tierWorker) full() bool {
+func (s *tierWorker) atConnLimit() bool {
 	most := s.Shape.MaxConns
 	if queued := s.Queued(); queued > s.Shape.Queue/2 {
 		most = max(s.Shape.Capacity, most/2)
@@ -37,28 +37,28 @@
 }
 
 // end ends the worker's process: its connections close.
-func (s *tierWorker) end(t *Tier) {
+func (s *tierWorker) terminate(t *Tier) {
 	s.End()
-	s.gone = true
-	if t.listening[s.Address] == s {
-		delete(t.listening, s.Address)
+	s.ended = true
+	if t.workersByAddress[s.Address] == s {
+		delete(t.workersByAddress, s.Address)
 	}
-	for _, c := range t.inOrder(s.conns) {
-		c.gone.Fire()
-		c.in.put(t.Net.delay(), arrived{kind: arrivedClose})
+	for _, c := range t.sortedConns(s.conns) {
+		c.closedSignal.Fire()
+		c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 	}
 	s.conns = map[*workerConn]bool{}
 }
 
 const (
-	arrivedHead = iota
-	arrivedPiece
-	arrivedEnd
-	arrivedRaw
-	arrivedClose
+	partHead = iota
+	partBytes
+	partEnd
+	partRaw
+	partConnClosed
 )
 
-type arrived struct {
+type workerPart struct {
 	kind   int
 	status int
 	header [][2]string
@@ -68,20 +68,20 @@
 
 // workerConn is one connection from a gateway to a worker.
 type workerConn struct {
-	number int
-	tier   *Tier
-	from   *Host
-	life   int
-	at     *tierWorker // nil when it is reset as soon as it is used
-	addr   string
-	stock  *workerStock
-	in     *pipe[arrived]
-	gone   base.Signal // fires when the other side has closed
-	closed bool
-	until  time.Duration // the gateway's
-	idle   time.Duration // since when, for the worker
-	served int
-	later  []byte
+	number         int
+	tier           *Tier
+	gatewayHost    *Host
+	life           int
+	worker         *tierWorker // nil when it is reset as soon as it is used
+	addr           string
+	pool           *workerPool
+	incoming       *pipe[workerPart]
+	closedSignal   base.Signal // fires when the other side has closed
+	closed         bool
+	idleDeadline   time.Duration // the gateway's
+	idleSince      time.Duration // since when, for the worker
+	servedRequests int
+	delayedBytes   []byte
 }
 
 func (c *workerConn) close() {
@@ -89,37 +89,37 @@
 		return
 	}
 	c.closed = true
-	c.stock.open--
-	c.gone.Fire()
-	c.in.bell.Notify()
-	if c.at != nil {
-		delete(c.at.conns, c)
+	c.pool.open--
+	c.closedSignal.Fire()
+	c.incoming.changed.Notify()
+	if c.worker != nil {
+		delete(c.worker.conns, c)
 	}
 	delete(c.tier.conns, c)
 }
 
 // workerStock is what a gateway keeps for one life of a worker.
-type workerStock struct {
-	open int
-	idle []*workerConn
-	gone bool
+type workerPool struct {
+	open      int
+	idle      []*workerConn
+	discarded bool
 }
 
 // workerCalls is one gateway life's way to the workers.
-type workerCalls struct {
-	tier    *Tier
-	host    *Host
-	connect time.Duration
-	stocks  map[string]*workerStock
+type workerTransport struct {
+	tier           *Tier
+	host           *Host
+	connectTimeout time.Duration
+	pools          map[string]*workerPool
 }
 
-func (b *workerCalls) DropIdle(worker string) {
-	held := b.stocks[worker]
+func (b *workerTransport) DropIdle(worker string) {
+	held := b.pools[worker]
 	if held == nil {
 		return
 	}
-	delete(b.stocks, worker)
-	held.gone = true
+	delete(b.pools, worker)
+	held.discarded = true
 	for _, c := range held.idle {
 		c.close()
 	}
@@ -127,17 +127,17 @@
 }
 
 // take gives an idle connection that is quiet, or the right to make one.
-func (b *workerCalls) take(worker, addr string, most int) (*workerConn, *workerStock, error) {
+func (b *workerTransport) acquire(worker, addr string, most int) (*workerConn, *workerPool, error) {
 	now := b.tier.World.now
-	held := b.stocks[worker]
+	held := b.pools[worker]
 	if held == nil {
-		held = &workerStock{}
-		b.stocks[worker] = held
+		held = &workerPool{}
+		b.pools[worker] = held
 	}
 	for len(held.idle) > 0 {
 		c := held.idle[len(held.idle)-1]
 		held.idle = held.idle[:len(held.idle)-1]
-		if c.addr == addr && now < c.until && !c.in.due() {
+		if c.addr == addr && now < c.idleDeadline && !c.incoming.ready() {
 			return c, held, nil
 		}
 		c.close()
@@ -149,13 +149,13 @@
 	return nil, held, nil
 }
 
-func (b *workerCalls) dial(ctx *base.Ctx, addr string, bound time.Duration, held *workerStock) (*workerConn, error) {
+func (b *workerTransport) dial(ctx *base.Ctx, addr string, bound time.Duration, held *workerPool) (*workerConn, error) {
 	t := b.tier
-	if bound <= 0 || bound > b.connect {
-		bound = b.connect
+	if bound <= 0 || bound > b.connectTimeout {
+		bound = b.connectTimeout
 	}
 	b.host.Clock().Sleep(t.Net.delay() + t.Net.delay() + time.Millisecond)
-	target := t.listening[addr]
+	target := t.workersByAddress[addr]
 	if target == nil {
 		return nil, errors.New("connection refused")
 	}
@@ -163,27 +163,27 @@
 		b.host.Clock().Sleep(min(bound, ctx.Remaining()))
 		return nil, errors.New("no route")
 	}
-	if t.dialing > 0 {
-		took := t.World.Between(0, t.dialing)
+	if t.maxDialTime > 0 {
+		took := t.World.Between(0, t.maxDialTime)
 		b.host.Clock().Sleep(min(took, bound))
-		if took > bound || t.listening[addr] != target {
+		if took > bound || t.workersByAddress[addr] != target {
 			return nil, errors.New("the connection did not come up in time")
 		}
 	}
-	t.serial++
-	c := &workerConn{number: t.serial, tier: t, from: b.host, life: b.host.life, at: target, addr: addr, stock: held, in: newPipe[arrived](b.host), gone: b.host.Clock().NewSignal()}
+	t.lastNumber++
+	c := &workerConn{number: t.lastNumber, tier: t, gatewayHost: b.host, life: b.host.incarnation, worker: target, addr: addr, pool: held, incoming: newPipe[workerPart](b.host), closedSignal: b.host.Clock().NewSignal()}
 	t.conns[c] = true
-	target.opened++
-	if target.full() {
-		c.at = nil
+	target.openedConns++
+	if target.atConnLimit() {
+		c.worker = nil
 		return c, nil
 	}
 	target.conns[c] = true
 	return c, nil
 }
 
-func (b *workerCalls) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
-	c, held, err := b.take(request.Incarnation, addr, request.MaxConns)
+func (b *workerTransport) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
+	c, held, err := b.acquire(request.Incarnation, addr, request.MaxConns)
 	if err != nil {
 		return nil, &base.NotSent{Cause: err}
 	}
@@ -192,18 +192,18 @@
 			held.open--
 			return nil, &base.NotSent{Cause: err}
 		}
-		c.until = b.tier.World.now + b.connect*3/4
+		c.idleDeadline = b.tier.World.now + b.connectTimeout*3/4
 	}
 	if ctx.Expired() || request.ConfirmSend != nil && !request.ConfirmSend() && !b.tier.disabled.finalListCheck {
-		b.keep(c, c.until-b.tier.World.now)
+		b.release(c, c.idleDeadline-b.tier.World.now)
 		return nil, &base.NotSent{Cause: base.ErrDraining}
 	}
 	c.send(request)
-	reply, match := &workerReply{calls: b, conn: c, clock: ctx.Clock}, request.EchoedHeader
+	reply, match := &workerReply{transport: b, conn: c, clock: ctx.Clock}, request.EchoedHeader
 	if b.tier.disabled.answerID {
 		match = base.HeaderLine{}
 	}
-	if err := reply.receive(ctx.Clock.Now()+ctx.Remaining(), match); err != nil {
+	if err := reply.readHead(ctx.Clock.Now()+ctx.Remaining(), match); err != nil {
 		c.close()
 		if b.tier.disabled.notRunProof {
 			return nil, &base.NotSent{Cause: err}
@@ -213,23 +213,23 @@
 	return reply, nil
 }
 
-func (b *workerCalls) keep(c *workerConn, span time.Duration) {
+func (b *workerTransport) release(c *workerConn, span time.Duration) {
 	if c.closed {
 		return
 	}
-	c.until = b.tier.World.now + span
-	if c.stock.gone || span <= 0 {
+	c.idleDeadline = b.tier.World.now + span
+	if c.pool.discarded || span <= 0 {
 		c.close()
 		return
 	}
-	c.stock.idle = append(c.stock.idle, c)
+	c.pool.idle = append(c.pool.idle, c)
 }
 
 // send takes a request to the worker.
 func (c *workerConn) send(request *base.BackendRequest) {
-	t, s := c.tier, c.at
+	t, s := c.tier, c.worker
 	if s == nil {
-		c.in.put(t.Net.delay(), arrived{kind: arrivedClose})
+		c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 		return
 	}
 	header := map[string]string{}
@@ -242,70 +242,72 @@
 		}
 		header[strings.ToLower(line.Name)] = line.Value
 	}
-	asked := &parties.Asked{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), Gone: c.gone,
+	asked := &parties.Asked{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), Gone: c.closedSignal,
 		Header: func(name string) string { return header[strings.ToLower(name)] }}
-	t.World.spawn(s.host, s.host.life, t.World.now+t.Net.delay()+c.from.ExtraDelay, func() {
-		idle := t.World.now - c.idle
-		if s.gone || c.served > 0 && (s.forget > 0 && idle > s.forget || s.KeepIdle > 0 && idle > s.KeepIdle) {
-			c.in.put(t.Net.delay(), arrived{kind: arrivedClose})
+	t.World.spawn(s.host, s.host.incarnation, t.World.now+t.Net.delay()+c.gatewayHost.ExtraDelay, func() {
+		idle := t.World.now - c.idleSince
+		if s.ended || c.servedRequests > 0 && (s.silentDropAfter > 0 && idle > s.silentDropAfter || s.KeepIdle > 0 && idle > s.KeepIdle) {
+			c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 			return
 		}
-		reply := &workerSide{conn: c, closing: t.World.Int64N(50) == 0}
+		reply := &workerResponseWriter{conn: c, closeAfter: t.World.Int64N(50) == 0}
 		s.Serve(asked, reply)
-		c.served++
-		c.idle = t.World.now
-		if reply.broken || reply.closing {
-			c.in.put(t.Net.delay(), arrived{kind: arrivedClose})
+		c.servedRequests++
+		c.idleSince = t.World.now
+		if reply.broken || reply.closeAfter {
+			c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 		}
 	})
 }
 
 // workerSide writes answers into a connection.
-type workerSide struct {
-	conn    *workerConn
-	closing bool
-	broken  bool
+type workerResponseWriter struct {
+	conn       *workerConn
+	closeAfter bool
+	broken     bool
 }
 
-func (r *workerSide) put(one arrived) error {
+func (r *workerResponseWriter) send(one workerPart) error {
 	c := r.conn
-	if c.closed || r.broken || c.at.gone {
+	if c.closed || r.broken || c.worker.ended {
 		return errors.New("the connection is closed")
 	}
-	c.in.put(c.tier.Net.delay()+c.from.ExtraDelay, one)
+	c.incoming.send(c.tier.Net.delay()+c.gatewayHost.ExtraDelay, one)
 	return nil
 }
 
-func (r *workerSide) Head(status int, header [][2]string, length int) error {
-	if later := r.conn.later; len(later) > 0 {
-		r.conn.later = nil
+func (r *workerResponseWriter) Head(status int, header [][2]string, length int) error {
+	if later := r.conn.delayedBytes; len(later) > 0 {
+		r.conn.delayedBytes = nil
 		r.Raw(later)
 	}
 	for _, line := range header {
-		r.closing = r.closing || line[0] == "Connection"
+		r.closeAfter = r.closeAfter || line[0] == "Connection"
 	}
-	if r.closing {
+	if r.closeAfter {
 		header = append(base.Filter(header, func(line [2]string) bool { return line[0] != "Connection" }), [2]string{"Connection", "close"})
 	}
-	return r.put(arrived{kind: arrivedHead, status: status, header: header, length: length})
+	return r.send(workerPart{kind: partHead, status: status, header: header, length: length})
 }
 
-func (r *workerSide) Write(piece []byte) error {
-	return r.put(arrived{kind: arrivedPiece, bytes: bytes.Clone(piece)})
+func (r *workerResponseWriter) Write(piece []byte) error {
+	return r.send(workerPart{kind: partBytes, bytes: bytes.Clone(piece)})
 }
 
-func (r *workerSide) End() error { return r.put(arrived{kind: arrivedEnd}) }
+func (r *workerResponseWriter) End() error { return r.send(workerPart{kind: partEnd}) }
 
-func (r *workerSide) Raw(some []byte) { _ = r.put(arrived{kind: arrivedRaw, bytes: bytes.Clone(some)}) }
+func (r *workerResponseWriter) Raw(some []byte) {
+	_ = r.send(workerPart{kind: partRaw, bytes: bytes.Clone(some)})
+}
 
-func (r *workerSide) Later(some []byte) { r.conn.later = bytes.Clone(some) }
+func (r *workerResponseWriter) Later(some []byte) { r.conn.delayedBytes = bytes.Clone(some) }
 
-func (r *workerSide) Break(hard bool) { r.broken = true }
+func (r *workerResponseWriter) Break(hard bool) { r.broken = true }
 
-const foreignMost = 2
+const maxForeignAnswers = 2
 
 var (
-	errCut     = errors.New("the connection was closed")
-	errGarbled = errors.New("bytes that form no answer")
-	errSilence = errors.New("no answer in time")
+	errConnClosed = errors.New("the connection was closed")
+	errMalformed  = errors.New("bytes that form no answer")
+	errTimeout    = errors.New("no answer in time")
 )
--- a/internal/simulate/talk.go
+++ b/internal/simulate/traffic.go
@@ -24,11 +24,11 @@
 }
 
 // busiest is what a role's machines said a second: their mean and their most.
-type busiest struct {
-	role                         string
-	calls, bytes                 float64
-	mostCalls, mostBytes, served float64
-	most                         string
+type roleTraffic struct {
+	role                          string
+	meanCalls, meanBytes          float64
+	maxCalls, maxBytes, maxServed float64
+	busiestHost                   string
 }
 
 // WriteIdleTraffic measures a fleet of a shape at rest over a span.
@@ -47,26 +47,26 @@
 	f.Net.TrafficByPath, f.Net.TrafficByHost = map[string]*PathTraffic{}, map[string]*HostTraffic{}
 	f.World.Run(f.World.Now()+span, nil)
 	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %v at rest\n", len(f.All()), shape.Gateways, shape.Cores, shape.Storage, span)
-	f.Net.writeTalk(out, f, span)
+	f.Net.writeTraffic(out, f, span)
 	return nil
 }
 
 // writeTalk writes what was counted over a span: by kind, and by role.
-func (n *Net) writeTalk(out io.Writer, f *Fleet, span time.Duration) {
+func (n *Net) writeTraffic(out io.Writer, f *Fleet, span time.Duration) {
 	share := span.Seconds() * float64(len(f.All()))
 	for _, path := range base.SortedKeys(n.TrafficByPath) {
 		talk := n.TrafficByPath[path]
 		fmt.Fprintf(out, "  %-46s %7.3f calls %8.1f bytes a node and second, %6.0f bytes a call\n", path, float64(talk.Calls)/share, float64(talk.Bytes)/share, float64(talk.Bytes)/float64(max(1, talk.Calls)))
 	}
-	for _, load := range []busiest{n.loadOf("gateway", f.Gateways, span), n.loadOf("core", f.Cores, span), n.loadOf("storage", f.Storage, span)} {
+	for _, load := range []roleTraffic{n.trafficOf("gateway", f.Gateways, span), n.trafficOf("core", f.Cores, span), n.trafficOf("storage", f.Storage, span)} {
 		fmt.Fprintf(out, "  %-8s mean %7.1f calls %9.0f bytes a second; most (%s) %7.1f calls %9.0f bytes, %7.1f of the calls served\n",
-			load.role, load.calls, load.bytes, load.most, load.mostCalls, load.mostBytes, load.served)
+			load.role, load.meanCalls, load.meanBytes, load.busiestHost, load.maxCalls, load.maxBytes, load.maxServed)
 	}
 }
 
 // loadOf sums up what the machines of a role said over a span.
-func (n *Net) loadOf(role string, machines []*Machine, span time.Duration) busiest {
-	sum := busiest{role: role}
+func (n *Net) trafficOf(role string, machines []*Machine, span time.Duration) roleTraffic {
+	sum := roleTraffic{role: role}
 	for _, m := range machines {
 		mine := n.TrafficByHost[m.Host.Name]
 		if mine == nil {
@@ -74,12 +74,12 @@
 		}
 		calls := float64(mine.RequestsSent+mine.RequestsReceived) / span.Seconds()
 		bytes := float64(mine.Bytes) / span.Seconds()
-		sum.calls += calls / float64(len(machines))
-		sum.bytes += bytes / float64(len(machines))
-		if bytes > sum.mostBytes {
-			sum.most = m.Host.Name
-			sum.mostCalls, sum.mostBytes = calls, bytes
-			sum.served = float64(mine.RequestsReceived) / span.Seconds()
+		sum.meanCalls += calls / float64(len(machines))
+		sum.meanBytes += bytes / float64(len(machines))
+		if bytes > sum.maxBytes {
+			sum.busiestHost = m.Host.Name
+			sum.maxCalls, sum.maxBytes = calls, bytes
+			sum.maxServed = float64(mine.RequestsReceived) / span.Seconds()
 		}
 	}
 	return sum
--- a/internal/simulate/talk_churn.go
+++ b/internal/simulate/traffic_churn.go
@@ -22,11 +22,11 @@
 	churnCores   = 4
 	churnStorage = 0.3
 	// churnGap is how long one of a thousand workers stays the newest.
-	churnGap = time.Second
+	churnInterval = time.Second
 	// listShare is how much of the platform's rate the list is read at.
-	listShare = 0.8
+	listRateShare = 0.8
 	// churnLead is how long a fleet is left alone before it is measured.
-	churnLead = 10 * time.Second
+	churnWarmUp = 10 * time.Second
 )
 
 // ChurnShape is a deployment of a size, ten workers for each of its machines.
@@ -44,15 +44,15 @@
 // ChurnRun is a fleet under such a load.
 type ChurnRun struct {
 	*Tier
-	over bool
+	stopped bool
 }
 
 // NewChurnRun forms a fleet and begins to replace its workers.
 func NewChurnRun(seed uint64, machines int) (*ChurnRun, error) {
-	c := &ChurnRun{Tier: NewTier(seed, ChurnShape(machines), paceList)}
+	c := &ChurnRun{Tier: NewTier(seed, ChurnShape(machines), limitListRate)}
 	formed, done := false, false
 	c.CallerHost.Go(func() {
-		formed = c.form()
+		formed = c.applyFirstConfig()
 		done = true
 	})
 	if !c.World.Run(c.World.Now()+2*time.Minute, func() bool { return done }) || !formed {
@@ -60,21 +60,21 @@
 		return nil, fmt.Errorf("the fleet of %d did not form", machines)
 	}
 	c.CallerHost.Go(c.replaceWorkers)
-	c.World.Run(c.World.Now()+churnLead, nil)
+	c.World.Run(c.World.Now()+churnWarmUp, nil)
 	return c, nil
 }
 
 // paceList has cores read the list no faster than the platform lets them.
-func paceList(t *Tier) {
+func limitListRate(t *Tier) {
 	start := t.Fleet.onBuilt
 	t.Fleet.onBuilt = func(m *Machine) {
 		start(m)
 		if m.core == nil {
 			return
 		}
-		read := t.readList(m)
+		read := t.listReader(m)
 		m.core.Lister = platform.NewLister(func(token string, limit time.Duration) (int, []byte, error) {
-			m.Host.Clock().Sleep(time.Duration(float64(time.Second) / (listShare * t.Site.ListPerS)))
+			m.Host.Clock().Sleep(time.Duration(float64(time.Second) / (listRateShare * t.Site.ListPerS)))
 			return read(token, limit)
 		})
 	}
@@ -83,8 +83,8 @@
 // replaceWorkers takes one worker after another off the list, as a release
 // does, and puts a new one on it.
 func (c *ChurnRun) replaceWorkers() {
-	gap := churnGap * 1000 / time.Duration(len(c.workers))
-	for place := 0; !c.over; place++ {
+	gap := churnInterval * 1000 / time.Duration(len(c.workers))
+	for place := 0; !c.stopped; place++ {
 		c.CallerHost.Clock().Sleep(gap)
 		leaving := c.workers[place]
 		c.CallerHost.Go(func() { c.replaceWorker(leaving) })
@@ -92,12 +92,12 @@
 }
 
 func (c *ChurnRun) replaceWorker(leaving *tierWorker) {
-	c.openWorker(leaving.Shape, leaving.Zone, "")
-	draining := c.instance(leaving, parties.StateDraining)
-	c.list.Change(leaving.ID, &draining, 0)
+	c.startWorker(leaving.Shape, leaving.Zone, "")
+	draining := c.instanceEntry(leaving, parties.StateDraining)
+	c.instances.Change(leaving.ID, &draining, 0)
 	c.CallerHost.Clock().Sleep(c.Site.Bounds.Drain)
-	c.list.Change(leaving.ID, nil, 0)
-	leaving.end(c.Tier)
+	c.instances.Change(leaving.ID, nil, 0)
+	leaving.terminate(c.Tier)
 }
 
 // AppliedChange is how one change of the configuration fared.
@@ -113,7 +113,7 @@
 	var order *parties.Order
 	began, acked := c.World.Now(), time.Duration(0)
 	c.CallerHost.Go(func() {
-		order = c.change()
+		order = c.changeConfig()
 		acked = c.World.Now()
 	})
 	c.World.Run(began+limit, func() bool { return acked > 0 })
@@ -121,9 +121,9 @@
 		return AppliedChange{}, fmt.Errorf("the change was not acknowledged within %v", limit)
 	}
 	version := order.Config.Generation
-	for c.behind(version) > 0 {
+	for c.gatewaysBehind(version) > 0 {
 		if c.World.Now() > acked+limit {
-			return AppliedChange{}, fmt.Errorf("%d gateways do not go by version %d after %v", c.behind(version), version, limit)
+			return AppliedChange{}, fmt.Errorf("%d gateways do not go by version %d after %v", c.gatewaysBehind(version), version, limit)
 		}
 		c.World.Run(c.World.Now()+20*time.Millisecond, nil)
 	}
@@ -131,7 +131,7 @@
 }
 
 // behind counts the living gateways that go by an older configuration.
-func (c *ChurnRun) behind(version uint64) int {
+func (c *ChurnRun) gatewaysBehind(version uint64) int {
 	return len(base.Filter(c.Gateways, func(m *Machine) bool {
 		if !m.Host.alive || m.gateway == nil {
 			return false
@@ -160,7 +160,7 @@
 // BusiestBytesPerSecond gives the bytes a second of the busiest machine of a role.
 func (c *ChurnRun) BusiestBytesPerSecond(role string, span time.Duration) float64 {
 	list := map[string][]*Machine{membership.RoleGateway: c.Gateways, membership.RoleCore: c.Cores, membership.RoleStorage: c.Storage}[role]
-	return c.Net.loadOf(role, list, span).mostBytes
+	return c.Net.trafficOf(role, list, span).maxBytes
 }
 
 // WriteChurnTraffic measures a fleet of a size.
@@ -176,8 +176,8 @@
 		return err
 	}
 	span = c.World.Now() - began
-	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %d workers that come and go, %v\n", machines, len(c.Gateways), len(c.Cores), len(c.Storage), len(c.listening), span)
-	c.Net.writeTalk(out, c.Fleet, span)
+	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %d workers that come and go, %v\n", machines, len(c.Gateways), len(c.Cores), len(c.Storage), len(c.workersByAddress), span)
+	c.Net.writeTraffic(out, c.Fleet, span)
 	slices.SortFunc(changes, func(a, b AppliedChange) int { return int(a.PropagationTime - b.PropagationTime) })
 	middle, last := changes[len(changes)/2], changes[len(changes)-1]
 	fmt.Fprintf(out, "  %d changes of the configuration, in force everywhere after %v in the middle, %v at the longest\n", len(changes), middle.PropagationTime, last.PropagationTime)
--- a/internal/simulate/talk_churn_test.go
+++ b/internal/simulate/traffic_churn_test.go
@@ -14,7 +14,7 @@
 // configuration is in force everywhere long before its bound, and that the owner
 // of the feed answers a bounded number of followers, though no view of the fleet
 // shows its gateways: cores and storage machines fill them.
-func TestAConfigurationReachesALargeFleetWhoseWorkersChange(t *testing.T) {
+func TestConfigChangesReachLargeFleetDuringWorkerChurn(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
 	c, err := NewChurnRun(1, 300)
@@ -25,7 +25,7 @@
 	defer c.World.Close()
 	hidden := 0
 	for _, m := range c.Gateways {
-		if m.gateway.View().Partial() && len(m.gateway.View().Known("edge")) < directMostGateways {
+		if m.gateway.View().Partial() && len(m.gateway.View().Known("edge")) < fullViewGateways {
 			hidden++
 		}
 	}
@@ -45,7 +45,7 @@
 	said := float64(c.Net.TrafficByHost[owner.Host.Name].Bytes) / took.Seconds()
 	t.Logf("%d changes in force: %v; the owner serves %.0f calls a second and says %.0f bytes", len(changes), changes, asked, said)
 	is.True(asked < 150)
-	is.True(said < ownerBytes)
+	is.True(said < maxLeaderBytesPerSecond)
 	is.True(len(c.Gateways) > 200)
 	for _, m := range c.Gateways {
 		is.Equal(m.gateway.Follower.GatewayCount(), len(c.Gateways))
@@ -54,14 +54,14 @@
 
 // ownerBytes bounds what the owner of the feed says a second at 300 machines: most
 // of it are the changes of the roster to 90 replicas.
-const ownerBytes = 350e3
+const maxLeaderBytesPerSecond = 350e3
 
 // directMostGateways is about how many gateways a view shows of a small fleet.
-const directMostGateways = 20
+const fullViewGateways = 20
 
 // TestALargeFleetServesSoonAfterAllWasKilled: followers that all come back at
 // once with nothing do not hold each other up.
-func TestALargeFleetServesSoonAfterAllWasKilled(t *testing.T) {
+func TestLargeFleetServesSoonAfterTotalOutage(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
 	c, err := NewChurnRun(2, 300)
@@ -71,11 +71,11 @@
 	}
 	defer c.World.Close()
 	for _, m := range c.All() {
-		c.down(m, false)
+		c.endProcess(m, false)
 	}
 	c.World.Run(c.World.Now()+600*time.Millisecond, nil)
 	for _, m := range c.All() {
-		c.begin(m)
+		c.startMachine(m)
 	}
 	began := c.World.Now()
 	unready := func() int {
--- a/internal/simulate/talk_test.go
+++ b/internal/simulate/traffic_test.go
@@ -13,25 +13,25 @@
 	"github.com/matryer/is"
 )
 
-func sized(nodes int) Shape { return ShapeOfSize(nodes, 7) }
+func shapeOfSize(nodes int) Shape { return ShapeOfSize(nodes, 7) }
 
 // stage is how far a fleet was brought up.
-type stage string
+type setupStage string
 
 const (
-	bare    stage = "no cluster"
-	empty   stage = "no settings"
-	applied stage = "settings applied"
+	noCluster       setupStage = "no cluster"
+	noSettings      setupStage = "no settings"
+	settingsApplied setupStage = "settings applied"
 )
 
 // rested is a fleet of a size that came to rest, with nothing counted yet.
-func rested(t *testing.T, nodes int, reach stage) *Fleet {
+func idleFleet(t *testing.T, nodes int, stage setupStage) *Fleet {
 	t.Helper()
-	f := NewFleet(1, sized(nodes))
-	switch reach {
-	case applied:
-		formed(t, f)
-	case empty:
+	f := NewFleet(1, shapeOfSize(nodes))
+	switch stage {
+	case settingsApplied:
+		waitUntilFormed(t, f)
+	case noSettings:
 		begun := false
 		f.CallerHost.Go(func() {
 			addrs := base.Map(f.Storage, func(m *Machine) string { return m.Host.Name + ":1" })
@@ -51,34 +51,34 @@
 }
 
 // idle gives the calls and bytes a node and second while nothing happens.
-func idle(t *testing.T, nodes int, reach stage) (calls, bytes float64) {
+func measureIdle(t *testing.T, nodes int, stage setupStage) (calls, bytes float64) {
 	t.Helper()
-	f := rested(t, nodes, reach)
+	f := idleFleet(t, nodes, stage)
 	defer f.World.Close()
 	const span = 60
 	f.World.Run(f.World.Now()+span*time.Second, nil)
 	share := float64(span * nodes)
 	for _, path := range base.SortedKeys(f.Net.TrafficByPath) {
 		talk := f.Net.TrafficByPath[path]
-		t.Logf("%d nodes, %s: %-45s %6.2f calls %7.0f bytes, %5.0f a call", nodes, reach, path,
+		t.Logf("%d nodes, %s: %-45s %6.2f calls %7.0f bytes, %5.0f a call", nodes, stage, path,
 			float64(talk.Calls)/share, float64(talk.Bytes)/share, float64(talk.Bytes)/float64(talk.Calls))
 		calls += float64(talk.Calls) / share
 		bytes += float64(talk.Bytes) / share
 	}
-	t.Logf("%d nodes, %s: %.2f calls, %.0f bytes", nodes, reach, calls, bytes)
+	t.Logf("%d nodes, %s: %.2f calls, %.0f bytes", nodes, stage, calls, bytes)
 	return calls, bytes
 }
 
 // TestIdleTalkStaysSmall bounds what an idle fleet says, and its growth with
 // the fleet.
-func TestIdleTalkStaysSmall(t *testing.T) {
+func TestIdleTrafficStaysSmall(t *testing.T) {
 	t.Parallel()
-	for _, reach := range []stage{empty, applied} {
+	for _, reach := range []setupStage{noSettings, settingsApplied} {
 		is := is.New(t)
-		calls, small := idle(t, 14, reach)
+		calls, small := measureIdle(t, 14, reach)
 		is.True(small < 1300)
 		is.True(calls < 6)
-		calls, large := idle(t, 78, reach)
+		calls, large := measureIdle(t, 78, reach)
 		is.True(large < 1300)
 		is.True(large < small*1.2)
 		is.True(calls < 6)
@@ -87,20 +87,20 @@
 
 // TestPartialViewsStayQuiet: where views hold only part of the fleet, meeting
 // a gateway again is not passed on as news.
-func TestPartialViewsStayQuiet(t *testing.T) {
+func TestPartialViewsAddNoTraffic(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	calls, bytes := idle(t, 150, applied)
+	calls, bytes := measureIdle(t, 150, settingsApplied)
 	is.True(bytes < 1600)
 	is.True(calls < 6)
 }
 
 // TestEmptyFeedIsAPlaceLikeAnyOther: followers of a feed that tells nothing are
 // held as others are.
-func TestEmptyFeedIsAPlaceLikeAnyOther(t *testing.T) {
+func TestFollowersOfEmptyFeedAreLongPolled(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := rested(t, 14, empty)
+	f := idleFleet(t, 14, noSettings)
 	defer f.World.Close()
 	f.World.Run(f.World.Now()+10*time.Second, nil)
 	followers := len(f.Gateways) + len(f.Cores)
@@ -114,7 +114,7 @@
 }
 
 // view is a machine's view in its present life.
-func (m *Machine) view() *membership.View {
+func (m *Machine) membershipView() *membership.View {
 	switch {
 	case m.gateway != nil:
 		return m.gateway.View()
@@ -127,10 +127,10 @@
 }
 
 // believers counts the machines outside a set that take one for alive.
-func (f *Fleet) believers(id string, apart map[string]bool) int {
+func (f *Fleet) countSeeingAlive(id string, apart map[string]bool) int {
 	count := 0
 	for _, m := range f.All() {
-		if view := m.view(); view != nil && m.Host.alive && !m.Host.frozen && !apart[m.Host.Name] {
+		if view := m.membershipView(); view != nil && m.Host.alive && !m.Host.frozen && !apart[m.Host.Name] {
 			if _, alive := view.Find(id); alive {
 				count++
 			}
@@ -151,7 +151,7 @@
 // TestSilentNodesAreFound measures how long it takes until no other node takes
 // a lost one for alive, a fifth of the recovery bound on the mean, and until all
 // do again once it is back.
-func TestSilentNodesAreFound(t *testing.T) {
+func TestSilentNodesAreDetected(t *testing.T) {
 	t.Parallel()
 	for _, row := range []struct {
 		name string
@@ -176,21 +176,21 @@
 	} {
 		for _, nodes := range []int{14, 78} {
 			is := is.NewRelaxed(t)
-			f := rested(t, nodes, applied)
+			f := idleFleet(t, nodes, settingsApplied)
 			lost, back := []time.Duration{}, []time.Duration{}
 			for round := 0; round < 8; round++ {
 				m := f.All()[round%len(f.All())]
-				id := m.view().SelfID()
+				id := m.membershipView().SelfID()
 				apart := row.lose(f, m)
-				took := f.runUntil(20*time.Second, func() bool { return f.believers(id, apart) == 0 })
+				took := f.runUntil(20*time.Second, func() bool { return f.countSeeingAlive(id, apart) == 0 })
 				lost = append(lost, took)
 				f.World.Run(f.World.now+3*time.Second, nil)
 				row.back(f, m)
 				took = f.runUntil(20*time.Second, func() bool {
-					if m.view() == nil {
+					if m.membershipView() == nil {
 						return false
 					}
-					return f.believers(m.view().SelfID(), nil) == len(f.All())
+					return f.countSeeingAlive(m.membershipView().SelfID(), nil) == len(f.All())
 				})
 				back = append(back, took)
 				f.World.Run(f.World.now+5*time.Second, nil)
@@ -215,20 +215,20 @@
 
 // TestSlowNodesAreNotTakenForLost: a machine that answers within half a second
 // stays in all views.
-func TestSlowNodesAreNotTakenForLost(t *testing.T) {
+func TestSlowNodesAreNotSuspected(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := rested(t, 14, applied)
+	f := idleFleet(t, 14, settingsApplied)
 	defer f.World.Close()
 	m := f.Gateways[2]
 	m.Host.ExtraDelay = 250 * time.Millisecond
-	id := m.view().SelfID()
+	id := m.membershipView().SelfID()
 	// What the slow machine makes of others is its own affair.
 	suspected := func() int64 { return f.CounterTotal("members_suspected") - m.Counters.Snapshot()["members_suspected"] }
 	before := suspected()
 	for range 200 {
 		f.World.Run(f.World.now+100*time.Millisecond, nil)
-		is.Equal(f.believers(id, nil), len(f.All()))
+		is.Equal(f.countSeeingAlive(id, nil), len(f.All()))
 	}
 	is.Equal(suspected(), before)
 }
--- a/internal/simulate/transfer_test.go
+++ b/internal/simulate/transfer_test.go
@@ -16,25 +16,25 @@
 )
 
 // largePlan is a configuration of some 2 MB, with changes far apart.
-func largePlan(t *testing.T, size string, changes int) ChangeStreamPlan {
+func largeConfigPlan(t *testing.T, size string, changes int) ChangeStreamPlan {
 	plan := newPlan(t, size, changes)
 	plan.Padding, plan.Interval, plan.BytesPerSecond = 1500<<10, 500*time.Millisecond, 100<<20
 	return plan
 }
 
-func TestMembersAreCurrentWithALargeConfiguration(t *testing.T) {
+func TestLargeConfigReachesAllMembers(t *testing.T) {
 	t.Parallel()
-	runChangeStreams(t, largePlan(t, ChangeStreamSizes[0], 12), uint64(*seedCount))
+	runChangeStreams(t, largeConfigPlan(t, ChangeStreamSizes[0], 12), uint64(*seedCount))
 }
 
 // partTalk is what was said about parts to and from one machine.
-type partTalk struct {
-	carried, lost, bytes int
+type partTraffic struct {
+	sent, lost, bytes int
 }
 
 // onParts stands between owners and disks where content goes in parts; fails
 // says whether a message, or its answer, is lost.
-func onParts(f *Fleet, fails func(m *Message, part *register.InstallPartRequest) (before, after bool)) {
+func interceptParts(f *Fleet, fails func(m *Message, part *register.InstallPartRequest) (before, after bool)) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		var part register.InstallPartRequest
 		if !strings.HasSuffix(m.Path, "Disk/InstallPart") || proto.Unmarshal(m.Body, &part) != nil {
@@ -56,23 +56,23 @@
 // A disk that comes back empty is filled though every third part or its answer
 // is lost and its process is killed in the middle; what was staged is not sent
 // again.
-func TestATransferGoesOnWhereItBrokeOff(t *testing.T) {
+func TestInterruptedTransferResumes(t *testing.T) {
 	t.Parallel()
-	plan := largePlan(t, "2/3/4", 3)
+	plan := largeConfigPlan(t, "2/3/4", 3)
 	plan.NoFaults = true
 	for seed := uint64(1); seed <= 3*uint64(*seedCount); seed++ {
 		is := is.New(t)
 		var filled *Machine
-		var talk partTalk
+		var talk partTraffic
 		killed := false
 		plan.Prepare = func(f *Fleet) {
-			onParts(f, func(m *Message, part *register.InstallPartRequest) (before, after bool) {
+			interceptParts(f, func(m *Message, part *register.InstallPartRequest) (before, after bool) {
 				if filled == nil || m.To != filled.Host || len(part.Data) == 0 {
 					return false, false
 				}
-				talk.carried++
+				talk.sent++
 				talk.bytes += len(part.Data)
-				if talk.carried == 4 && !killed {
+				if talk.sent == 4 && !killed {
 					killed = true
 					f.PowerLoss(filled)
 					f.CallerHost.Go(func() {
@@ -80,14 +80,14 @@
 						f.Start(filled)
 					})
 				}
-				lost := talk.carried%3 == 0
+				lost := talk.sent%3 == 0
 				if lost {
 					talk.lost++
 				}
-				return lost && talk.carried%2 == 0, lost && talk.carried%2 == 1
+				return lost && talk.sent%2 == 0, lost && talk.sent%2 == 1
 			})
 			f.CallerHost.Go(func() {
-				f.wipeLater(f.Storage[1])
+				f.wipeAfterChanges(f.Storage[1])
 				filled = f.Storage[1]
 			})
 		}
@@ -97,13 +97,13 @@
 		is.True(killed && talk.lost > 0)
 		// The copy may be taken anew once for each of the changes that came
 		// meanwhile, never for each loss.
-		is.True(talk.carried < 40)
+		is.True(talk.sent < 40)
 	}
 }
 
 // wipeLater has a disk come back empty once some changes were made.
-func (f *Fleet) wipeLater(m *Machine) {
-	for versionAt(f) < 3 {
+func (f *Fleet) wipeAfterChanges(m *Machine) {
+	for newestGatewayVersion(f) < 3 {
 		f.CallerHost.Clock().Sleep(20 * time.Millisecond)
 	}
 	f.wipeMachine(m)
@@ -112,7 +112,7 @@
 }
 
 // versionAt is the newest version that a gateway shows.
-func versionAt(f *Fleet) (newest uint64) {
+func newestGatewayVersion(f *Fleet) (newest uint64) {
 	for _, m := range f.Gateways {
 		if follower := m.feedFollower(); follower != nil {
 			newest = max(newest, configVersion(follower.Snapshot().Values))
@@ -123,9 +123,9 @@
 
 // The disk from which the newest content is read is lost in the middle, at every
 // take-over: another that has the same goes on, and nothing is lost.
-func TestADiskIsLostWhileTheNewestContentIsRead(t *testing.T) {
+func TestDiskLostWhileNewestContentIsRead(t *testing.T) {
 	t.Parallel()
-	plan := largePlan(t, "2/3/4", 12)
+	plan := largeConfigPlan(t, "2/3/4", 12)
 	plan.NoFaults = true
 	for seed := uint64(1); seed <= 2*uint64(*seedCount); seed++ {
 		is := is.New(t)
@@ -157,7 +157,7 @@
 				for {
 					f.CallerHost.Clock().Sleep(2500 * time.Millisecond)
 					for _, m := range f.Cores {
-						if versionAt(f) > 2 && m.Host.alive && m.core != nil && m.core.RegisterServer.LeadsFeed() {
+						if newestGatewayVersion(f) > 2 && m.Host.alive && m.core != nil && m.core.RegisterServer.LeadsFeed() {
 							f.crash(m, 500*time.Millisecond, false)
 							break
 						}
@@ -173,14 +173,14 @@
 }
 
 // A part that is damaged on its way is never installed.
-func TestADamagedPartIsSentAgain(t *testing.T) {
+func TestDamagedPartIsResent(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	plan := largePlan(t, "2/3/4", 4)
+	plan := largeConfigPlan(t, "2/3/4", 4)
 	plan.NoFaults = true
 	parts, damaged := 0, 0
 	plan.Prepare = func(f *Fleet) {
-		f.CallerHost.Go(func() { f.wipeLater(f.Storage[1]) })
+		f.CallerHost.Go(func() { f.wipeAfterChanges(f.Storage[1]) })
 		f.Net.Intercept = func(m *Message) *http.Response {
 			var part register.InstallPartRequest
 			body := m.Body
@@ -202,7 +202,7 @@
 
 // ownersLostBesideALaggard kills the feed's owner whenever a disk that was cut
 // off is back.
-func (f *Fleet) ownersLostBesideALaggard() {
+func (f *Fleet) killLeaderBesideLaggingDisk() {
 	clock := f.CallerHost.Clock()
 	for {
 		clock.Sleep(2 * time.Second)
@@ -219,16 +219,16 @@
 
 // The newest content is confirmed before an owner leads, also when a disk that
 // lacks it is among those that promise.
-func TestAnOwnerLeadsByTheNewestContent(t *testing.T) {
+func TestNewLeaderServesNewestContent(t *testing.T) {
 	t.Parallel()
 	plan := newPlan(t, "2/3/4", 60)
 	plan.NoFaults = true
-	plan.Prepare = func(f *Fleet) { f.CallerHost.Go(f.ownersLostBesideALaggard) }
+	plan.Prepare = func(f *Fleet) { f.CallerHost.Go(f.killLeaderBesideLaggingDisk) }
 	runChangeStreams(t, plan, 4*uint64(*seedCount))
 }
 
 // Mechanisms taken away from owners and disks, and what then shows.
-func TestEachMechanismOfManyChangesTakenAwayIsCaught(t *testing.T) {
+func TestDisabledChangeStreamMechanismsAreDetected(t *testing.T) {
 	for _, row := range []struct {
 		mechanism string
 		plan      func() ChangeStreamPlan
@@ -240,23 +240,23 @@
 			plan.NoFaults = true
 			return plan
 		}, func(f *Fleet) {
-			f.CallerHost.Go(f.ownersLostBesideALaggard)
+			f.CallerHost.Go(f.killLeaderBesideLaggingDisk)
 			f.Net.Intercept = func(m *Message) *http.Response {
 				if !strings.HasSuffix(m.Path, "Disk/Promise") || m.To == f.Storage[0].Host {
 					response, _ := m.Forward(m.Body)
 					return response
 				}
-				reply, response := passed(m, m.Body, &register.PromiseReply{})
+				reply, response := forwardAndDecode(m, m.Body, &register.PromiseReply{})
 				if response == nil || reply.Ack == nil || !reply.Ack.Ok {
 					return response
 				}
-				return replied(&register.PromiseReply{Ack: reply.Ack}) // as if it held nothing
+				return protoResponse(&register.PromiseReply{Ack: reply.Ack}) // as if it held nothing
 			}
 		}, "had been acknowledged"},
-		{"the confirmation of the epoch before a read", func() ChangeStreamPlan { return newPlan(t, "2/3/4", 150) }, onPath("Disk/Confirm", func(*Message) *http.Response {
-			return replied(&register.Ack{Ok: true})
+		{"the confirmation of the epoch before a read", func() ChangeStreamPlan { return newPlan(t, "2/3/4", 150) }, interceptPath("Disk/Confirm", func(*Message) *http.Response {
+			return protoResponse(&register.Ack{Ok: true})
 		}), "had been acknowledged"},
-		{"the wholeness of a content in parts", func() ChangeStreamPlan { return largePlan(t, "2/3/4", 16) }, func(f *Fleet) {
+		{"the wholeness of a content in parts", func() ChangeStreamPlan { return largeConfigPlan(t, "2/3/4", 16) }, func(f *Fleet) {
 			f.Net.Intercept = func(m *Message) *http.Response {
 				var part register.InstallPartRequest
 				if strings.HasSuffix(m.Path, "Disk/InstallPart") && proto.Unmarshal(m.Body, &part) == nil && len(part.Data) > 0 {
@@ -265,7 +265,7 @@
 					if response == nil {
 						return nil
 					}
-					return replied(&register.Ack{Ok: true, Seq: part.Snapshot.Seq, Staged: part.Snapshot.Size})
+					return protoResponse(&register.Ack{Ok: true, Seq: part.Snapshot.Seq, Staged: part.Snapshot.Size})
 				}
 				response, _ := m.Forward(m.Body)
 				return response
--- a/internal/simulate/world.go
+++ b/internal/simulate/world.go
@@ -17,54 +17,54 @@
 
 // World is virtual time and all that happens in it.
 type World struct {
-	Seed    uint64
-	now     time.Duration
-	count   uint64
-	events  eventHeap
-	chance  *rand.Rand
-	current *task
-	back    chan struct{}
-	tasks   map[*task]struct{}
-	Hosts   map[string]*Host
-	closing bool
-	failed  any
+	Seed       uint64
+	now        time.Duration
+	eventCount uint64
+	events     eventHeap
+	rng        *rand.Rand
+	current    *task
+	yielded    chan struct{}
+	tasks      map[*task]struct{}
+	Hosts      map[string]*Host
+	closing    bool
+	taskPanic  any
 }
 
 // Host is one machine: it lives, freezes, wakes and dies.
 type Host struct {
-	World  *World
-	Name   string
-	Zone   string
-	life   int
-	alive  bool
-	frozen bool
-	kept   []*event
-	serve  httpHandler
-	ends   map[*BackendReply]struct{}
+	World          *World
+	Name           string
+	Zone           string
+	incarnation    int
+	alive          bool
+	frozen         bool
+	deferredEvents []*event
+	serve          httpHandler
+	openReplies    map[*BackendReply]struct{}
 	// dark machines have no power: they say nothing, where a process that has
 	// ended refuses.
-	dark bool
+	poweredOff bool
 	// Cost is the processor's time for each message, one after the other.
-	MessageCost time.Duration
-	busy        time.Duration
-	calls       []*pendingCall
+	MessageCost  time.Duration
+	busyUntil    time.Duration
+	pendingCalls []*pendingCall
 	// Lag is added to every message to and from the host.
 	ExtraDelay time.Duration
 }
 
 type task struct {
-	host  *Host
-	life  int
-	token uint64
-	wake  chan struct{}
-	ended bool
+	host        *Host
+	incarnation int
+	generation  uint64
+	wake        chan struct{}
+	ended       bool
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	task  *task
-	token uint64
+	at         time.Duration
+	order      uint64
+	task       *task
+	generation uint64
 }
 
 type eventHeap []*event
@@ -87,47 +87,47 @@
 
 // NewWorld starts at time nought with a seed.
 func NewWorld(seed uint64) *World {
-	return &World{Seed: seed, chance: rand.New(rand.NewPCG(seed, 0x5eed)), back: make(chan struct{}),
+	return &World{Seed: seed, rng: rand.New(rand.NewPCG(seed, 0x5eed)), yielded: make(chan struct{}),
 		tasks: map[*task]struct{}{}, Hosts: map[string]*Host{}}
 }
 
 // NewHost adds a machine that is up.
 func (w *World) NewHost(name, zone string) *Host {
-	h := &Host{World: w, Name: name, Zone: zone, alive: true, ends: map[*BackendReply]struct{}{}}
+	h := &Host{World: w, Name: name, Zone: zone, alive: true, openReplies: map[*BackendReply]struct{}{}}
 	w.Hosts[name] = h
 	return h
 }
 
 func (w *World) push(at time.Duration, t *task) {
-	w.count++
-	heap.Push(&w.events, &event{at: max(at, w.now), order: w.count, task: t, token: t.token})
+	w.eventCount++
+	heap.Push(&w.events, &event{at: max(at, w.now), order: w.eventCount, task: t, generation: t.generation})
 }
 
 // Now is virtual time.
 func (w *World) Now() time.Duration { return w.now }
 
 // Int64N draws from the seed.
-func (w *World) Int64N(n int64) int64 { return w.chance.Int64N(n) }
+func (w *World) Int64N(n int64) int64 { return w.rng.Int64N(n) }
 
 // Chance is true with a probability.
-func (w *World) Chance(p float64) bool { return p > 0 && w.chance.Float64() < p }
+func (w *World) Chance(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
 // Between draws a duration.
 func (w *World) Between(low, high time.Duration) time.Duration {
-	return low + time.Duration(w.chance.Int64N(int64(high-low)+1))
+	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
 }
 
 func (w *World) spawn(h *Host, life int, at time.Duration, fn func()) {
-	t := &task{host: h, life: life, wake: make(chan struct{})}
+	t := &task{host: h, incarnation: life, wake: make(chan struct{})}
 	w.tasks[t] = struct{}{}
 	go func() {
 		defer func() {
-			if r := recover(); r != nil && w.failed == nil {
+			if r := recover(); r != nil && w.taskPanic == nil {
 				buffer := make([]byte, 16<<10)
-				w.failed = fmt.Sprintf("%s: %v\n%s", h.Name, r, buffer[:runtime.Stack(buffer, false)])
+				w.taskPanic = fmt.Sprintf("%s: %v\n%s", h.Name, r, buffer[:runtime.Stack(buffer, false)])
 			}
 			t.ended = true
-			w.back <- struct{}{}
+			w.yielded <- struct{}{}
 		}()
 		<-t.wake
 		if w.closing {
@@ -144,7 +144,7 @@
 	if w.closing {
 		runtime.Goexit()
 	}
-	w.back <- struct{}{}
+	w.yielded <- struct{}{}
 	<-t.wake
 	if w.closing {
 		runtime.Goexit()
@@ -152,17 +152,17 @@
 }
 
 func (w *World) resume(t *task) {
-	t.token++
+	t.generation++
 	former := w.current
 	w.current = t
 	t.wake <- struct{}{}
-	<-w.back
+	<-w.yielded
 	w.current = former
 	if t.ended {
 		delete(w.tasks, t)
 	}
-	if w.failed != nil && !w.closing {
-		panic(w.failed)
+	if w.taskPanic != nil && !w.closing {
+		panic(w.taskPanic)
 	}
 }
 
@@ -178,16 +178,16 @@
 			w.now = limit
 			return done == nil || done()
 		}
-		if next.token != next.task.token {
+		if next.generation != next.task.generation {
 			continue
 		}
 		h := next.task.host
-		if next.task.life != h.life {
+		if next.task.incarnation != h.incarnation {
 			continue
 		}
 		w.now = max(w.now, next.at)
 		if h.frozen {
-			h.kept = append(h.kept, next)
+			h.deferredEvents = append(h.deferredEvents, next)
 			continue
 		}
 		w.resume(next.task)
@@ -204,29 +204,29 @@
 }
 
 // Go runs a task on a host.
-func (h *Host) Go(fn func()) { h.World.spawn(h, h.life, h.World.now, fn) }
+func (h *Host) Go(fn func()) { h.World.spawn(h, h.incarnation, h.World.now, fn) }
 
 // work is how long a message waits until the processor has dealt with it.
-func (h *Host) work() time.Duration {
+func (h *Host) processingDelay() time.Duration {
 	if h.MessageCost == 0 {
 		return 0
 	}
-	h.busy = max(h.busy, h.World.now) + h.MessageCost
-	return h.busy - h.World.now
+	h.busyUntil = max(h.busyUntil, h.World.now) + h.MessageCost
+	return h.busyUntil - h.World.now
 }
 
 // Kill ends everything on the host at once.
 func (h *Host) Kill() {
-	h.life++
-	for _, one := range h.calls {
+	h.incarnation++
+	for _, one := range h.pendingCalls {
 		one.reset.Fire()
 	}
-	h.calls, h.busy = nil, 0
-	h.alive, h.frozen, h.kept, h.serve = false, false, nil, nil
-	for reply := range h.ends {
-		reply.died = true
+	h.pendingCalls, h.busyUntil = nil, 0
+	h.alive, h.frozen, h.deferredEvents, h.serve = false, false, nil, nil
+	for reply := range h.openReplies {
+		reply.connectionLost = true
 	}
-	h.ends = map[*BackendReply]struct{}{}
+	h.openReplies = map[*BackendReply]struct{}{}
 }
 
 // Revive brings a worker's machine back after Kill.
@@ -240,13 +240,13 @@
 
 func (h *Host) Thaw() {
 	h.frozen = false
-	for _, kept := range h.kept {
-		if kept.token == kept.task.token {
-			h.World.count++
-			heap.Push(&h.World.events, &event{at: h.World.now, order: h.World.count, task: kept.task, token: kept.token})
+	for _, kept := range h.deferredEvents {
+		if kept.generation == kept.task.generation {
+			h.World.eventCount++
+			heap.Push(&h.World.events, &event{at: h.World.now, order: h.World.eventCount, task: kept.task, generation: kept.generation})
 		}
 	}
-	h.kept = nil
+	h.deferredEvents = nil
 }
 
 // Clock is a host's clock.
@@ -269,15 +269,15 @@
 
 func (c *clock) NewSignal() base.Signal { return &signal{world: c.host.World} }
 
-type waiting struct {
-	task  *task
-	token uint64
+type waiter struct {
+	task       *task
+	generation uint64
 }
 
 type signal struct {
 	world   *World
 	fired   bool
-	waiters []waiting
+	waiters []waiter
 }
 
 func (s *signal) Fired() bool { return s.fired }
@@ -288,7 +288,7 @@
 	}
 	s.fired = true
 	for _, one := range s.waiters {
-		if one.task.token == one.token && !one.task.ended {
+		if one.task.generation == one.generation && !one.task.ended {
 			s.world.push(s.world.now, one.task)
 		}
 	}
@@ -303,7 +303,7 @@
 	if w.closing {
 		runtime.Goexit()
 	}
-	s.waiters = append(s.waiters, waiting{w.current, w.current.token})
+	s.waiters = append(s.waiters, waiter{w.current, w.current.generation})
 	if limit > 0 {
 		w.push(w.now+limit, w.current)
 	}
