--- a/cmd/fordseam-sim/campaign.go
+++ b/cmd/fordseam-sim/campaign.go
@@ -24,7 +24,7 @@
 // tierCommand returns the command that runs simulated fleets on the users' platform
 // through its faults and planned operations.
 func tierCommand() *cli.Command {
-	return seedsCommand("tier", "run days of faults of the users' platform over many seeds", base.Map(simulate.TierDays, func(d *simulate.TierDay) simulate.Runnable { return d }), base.SortedKeys(simulate.TierShapes))
+	return seedsCommand("tier", "run days of faults of the users' platform over many seeds", base.Map(simulate.TierScenarios, func(d *simulate.TierScenario) simulate.Runnable { return d }), base.SortedKeys(simulate.TierShapes))
 }
 
 // seedsCommand returns a command that runs scenarios at each of the selected
--- a/internal/simulate/access_operate_test.go
+++ b/internal/simulate/access_operate_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestAccessCommandsReportInvalidFields(t *testing.T) {
-	script(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *apiClient) {
 		call.sleep(3 * time.Second)
 		read := func(path string, query map[string]string) (int, string) {
 			status, answer := f.OperatorRequestWithQuery(f.Cores[1], "GET", "/v1/operator/access"+path, query, nil)
@@ -80,7 +80,7 @@
 // A change of the access rules is refused while an earlier change of them is not in force
 // yet; changes of other settings are accepted.
 func TestOverlappingAccessChangeIsRejected(t *testing.T) {
-	script(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *apiClient) {
 		call.sleep(3 * time.Second)
 		f.Gateways[2].Host.Freeze() // delays the change until this gateway's lease expires
 		call.sleep(100 * time.Millisecond)
@@ -100,7 +100,7 @@
 }
 
 func TestOperatorRoutesEnforceAccessRules(t *testing.T) {
-	script(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, shapeWithTenants(), func(is *is.I, f *Fleet, call *apiClient) {
 		table := &route.Table{Version: 1, Services: map[string]*route.Service{"llm": {Name: "llm", Engine: &route.Engine{Slots: 1}}, "app": {Name: "app"}},
 			Routes: []route.Route{{Name: "ask", Host: "pay.example", Prefix: "/ask/", Timeout: time.Second, Shares: []route.Share{{Service: "llm", Weight: 1}}},
 				{Name: "post", Host: "pay.example", Prefix: "/post/", Timeout: time.Second, Shares: []route.Share{{Service: "app", Weight: 1}}},
@@ -143,7 +143,7 @@
 // operator's routes, reports nothing about its settings to the cores and asks for no
 // confirmation.
 func TestGatewaysServeWithoutAccessRules(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		call.sleep(2 * time.Second)
 		gateway := f.Gateways[0]
 		is.True(!gateway.gateway.Access.HasRules())
--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -250,7 +250,7 @@
 	if prepare != nil {
 		prepare(f)
 	}
-	formed(t, f)
+	waitUntilFormed(t, f)
 	r.fleet, r.changes, r.firstSent, r.responseCounts = f, map[uint64]*accessChange{1: {denied: map[string]bool{}, inForceAt: 0}}, map[string]time.Duration{}, map[string]int{}
 	end := f.World.Now() + span
 	r.running = func() bool { return f.World.Now() < end }
@@ -318,9 +318,9 @@
 		spawn(func() {
 			for round := 0; r.running(); round++ {
 				c := f.caller(fmt.Sprintf("%s%d-%d", team.name, caller, round), caller+round)
-				c.Group, c.Ask, c.Patience = team.group, r.recordRequests(team.name, f.Asker(f.CallerHost)), 15*time.Second
+				c.Group, c.Ask, c.Patience = team.group, r.recordRequests(team.name, f.RequestSender(f.CallerHost)), 15*time.Second
 				c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 300*time.Millisecond)) }
-				if c.Start(int64(4 * f.Shape.Pieces * 8)) {
+				if c.Start(int64(4 * f.Shape.PiecesPerTurn * 8)) {
 					c.Converse(4, team.name == "shop")
 				}
 				c.Clock.Sleep(f.World.Between(20*time.Millisecond, 120*time.Millisecond))
@@ -334,20 +334,20 @@
 func (r *accessRun) runPinnedCaller(team tenant, gateway int) {
 	f := r.fleet
 	caller := f.caller(fmt.Sprintf("knock-%s-%d", team.name, gateway), gateway)
-	caller.Group, caller.Ask = team.group, f.Asker(f.CallerHost)
+	caller.Group, caller.Ask = team.group, f.RequestSender(f.CallerHost)
 	for r.running() && !caller.Start(1<<20) {
 		caller = f.caller(fmt.Sprintf("%s-", caller.Name), gateway)
-		caller.Group, caller.Ask = team.group, f.Asker(f.CallerHost)
+		caller.Group, caller.Ask = team.group, f.RequestSender(f.CallerHost)
 		caller.Clock.Sleep(200 * time.Millisecond)
 	}
 	path, secret := caller.Session()
 	program := strings.Split(path, "/")[3]
-	ask := r.recordRequests(team.name, f.Asker(f.CallerHost))
+	ask := r.recordRequests(team.name, f.RequestSender(f.CallerHost))
 	for round := 0; r.running(); round++ {
 		caller.Clock.Sleep(f.World.Between(100*time.Millisecond, 200*time.Millisecond))
 		f.CallerHost.Go(func() {
 			id := fmt.Sprint("k", round)
-			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.Tag(program, id)}}, "max_output_tokens": f.Shape.Pieces + 2}
+			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.Tag(program, id)}}, "max_output_tokens": f.Shape.PiecesPerTurn + 2}
 			_, _ = ask(gateway, "POST", path+"/turns", map[string]string{"authorization": "Bearer " + secret, "turn-id": id}, base.MustMarshal(body))
 		})
 	}
@@ -416,20 +416,20 @@
 		mechanism, fault string
 		disable          func(f *Fleet)
 	}{
-		{"the two steps", "a machine cut off", onPath("Feed/Follow", func(m *Message) *http.Response {
-			reply, response := passed(m, m.Body, &feed.FollowReply{})
+		{"the two steps", "a machine cut off", interceptPath("Feed/Follow", func(m *Message) *http.Response {
+			reply, response := forwardAndDecode(m, m.Body, &feed.FollowReply{})
 			if response == nil || response.StatusCode != 200 || !strings.HasPrefix(m.From.Name, "edge") {
 				return response
 			}
 			reply.Puts = base.Filter(reply.Puts, func(put *register.Put) bool { return put.Key != access.PendingKey })
-			return replied(reply)
+			return protoResponse(reply)
 		})},
-		{"the permit", "a machine cut off", onPath("Feed/Follow", func(m *Message) *http.Response {
+		{"the permit", "a machine cut off", interceptPath("Feed/Follow", func(m *Message) *http.Response {
 			var request feed.FollowRequest
 			_ = proto.Unmarshal(m.Body, &request)
 			response, _ := m.Forward(m.Body)
 			if response == nil && request.Place > 0 {
-				return replied(&feed.FollowReply{Place: request.Place})
+				return protoResponse(&feed.FollowReply{Place: request.Place})
 			}
 			return response
 		})},
--- a/internal/simulate/campaign.go
+++ b/internal/simulate/campaign.go
@@ -22,10 +22,10 @@
 func (s *Scenario) RunShape(seed uint64, shape string) *Outcome { return s.Run(seed, Shapes[shape]()) }
 
 // Title returns the name of the day.
-func (d *TierDay) Title() string { return d.Name }
+func (d *TierScenario) Title() string { return d.Name }
 
 // RunShape runs the day at the size of the named entry of TierShapes.
-func (d *TierDay) RunShape(seed uint64, shape string) *Outcome {
+func (d *TierScenario) RunShape(seed uint64, shape string) *Outcome {
 	return d.Run(seed, TierShapes[shape]())
 }
 
@@ -88,7 +88,7 @@
 				mu.Lock()
 				next.result.Runs++
 				next.result.CompletedTurns += outcome.Counts["turns_whole"]
-				turns[next.result] = append(turns[next.result], outcome.Turns...)
+				turns[next.result] = append(turns[next.result], outcome.TurnTimes...)
 				if len(outcome.Breaches) > 0 {
 					next.result.FailedRuns = append(next.result.FailedRuns, outcome)
 				}
--- a/internal/simulate/diskset_test.go
+++ b/internal/simulate/diskset_test.go
@@ -22,26 +22,26 @@
 // disk set by themselves.
 func reconcilingShape(storage, tolerate int) Shape {
 	shape := SmallShape()
-	shape.Cores, shape.Storage, shape.Tolerate, shape.Found = 4, storage, tolerate, true
+	shape.Cores, shape.Storage, shape.FaultTolerance, shape.Bootstrap = 4, storage, tolerate, true
 	return shape
 }
 
 // runReconciling runs a script with several seeds.
-func runReconciling(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
+func runReconciling(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *apiClient)) {
 	t.Helper()
 	runReconcilingSeeds(t, reconcileSeeds, shape, steps)
 }
 
 // runReconcilingSeeds runs a script with count seeds, multiplied by the flag seeds.
-func runReconcilingSeeds(t *testing.T, count int, shape Shape, steps func(is *is.I, f *Fleet, call *talker)) {
+func runReconcilingSeeds(t *testing.T, count int, shape Shape, steps func(is *is.I, f *Fleet, call *apiClient)) {
 	t.Helper()
-	bring(t, count**seedCount, shape, func(t *testing.T, f *Fleet) {
+	runSeeds(t, count**seedCount, shape, func(t *testing.T, f *Fleet) {
 		is := is.New(t)
-		formed(t, f)
+		waitUntilFormed(t, f)
 		done := false
 		f.CallerHost.Go(func() {
 			defer func() { done = true }()
-			steps(is, f, &talker{f, f.Asker(f.CallerHost)})
+			steps(is, f, &apiClient{f, f.RequestSender(f.CallerHost)})
 		})
 		is.True(f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done }))
 	})
@@ -123,7 +123,7 @@
 			t.Run(fmt.Sprint(name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				var longest time.Duration
-				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 					remaining := f.StartCallers(3, 10, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
@@ -190,14 +190,14 @@
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
 			var longestServing, longestComplete time.Duration
-			runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+			runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
-				program, secret := call.program(1000, nil)
-				path, key := call.session(0, program, secret, nil)
+				program, secret := call.createProgram(1000, nil)
+				path, key := call.openSession(0, program, secret, nil)
 				last := ""
 				for round := range 3 {
 					turn := fmt.Sprint("t", round)
-					outcome, _, _ := call.turn(1, path, key, program, turn, last).final()
+					outcome, _, _ := call.sendTurn(1, path, key, program, turn, last).finalResult()
 					is.Equal(outcome, "success")
 					last = turn
 					status, _ := f.OperatorRequest(f.liveCore(), "POST", "/v1/operator/settings/apply",
@@ -230,7 +230,7 @@
 					is.True(f.diskSetComplete())
 					longestComplete = max(longestComplete, took)
 				}
-				outcome, _, _ := call.turn(2, path, key, program, "end", last).final()
+				outcome, _, _ := call.sendTurn(2, path, key, program, "end", last).finalResult()
 				is.Equal(outcome, "success")
 			})
 			t.Logf("%d disks: serving within %v, disk set complete within %v", size.storage, longestServing, longestComplete)
@@ -242,7 +242,7 @@
 // long loses its vote and gets it back when it returns.
 func TestUnresponsiveDisksKeepTheirVotes(t *testing.T) {
 	t.Parallel()
-	runReconciling(t, reconcilingShape(4, 1), func(is *is.I, f *Fleet, call *talker) {
+	runReconciling(t, reconcilingShape(4, 1), func(is *is.I, f *Fleet, call *apiClient) {
 		is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 		version := f.diskSet().Stamp
 		for round := range 4 {
@@ -273,14 +273,14 @@
 
 // runBootstrap lets fleets bootstrap by themselves while a fault is injected, and checks
 // that exactly one cluster was formed.
-func runBootstrap(t *testing.T, storage int, injectFault func(f *Fleet, call *talker)) (longest time.Duration) {
+func runBootstrap(t *testing.T, storage int, injectFault func(f *Fleet, call *apiClient)) (longest time.Duration) {
 	t.Helper()
 	for seed := uint64(1); seed <= uint64(8**seedCount); seed++ {
 		is := is.New(t)
 		f := NewFleet(seed, reconcilingShape(storage, 1))
 		done := false
 		f.CallerHost.Go(func() {
-			injectFault(f, &talker{f, f.Asker(f.CallerHost)})
+			injectFault(f, &apiClient{f, f.RequestSender(f.CallerHost)})
 			took := f.waitUntil(20*time.Second, f.diskSetComplete)
 			longest = max(longest, took)
 			if !f.diskSetComplete() {
@@ -319,19 +319,19 @@
 
 // The machines form exactly one cluster by themselves, whatever fails meanwhile.
 func TestClusterBootstrap(t *testing.T) {
-	faults := map[string]func(f *Fleet, call *talker){
-		"in quiet":                   func(*Fleet, *talker) {},
-		"the first seed never comes": func(f *Fleet, _ *talker) { f.Kill(f.Cores[0]) },
-		"the founder is killed": func(f *Fleet, call *talker) {
+	faults := map[string]func(f *Fleet, call *apiClient){
+		"in quiet":                   func(*Fleet, *apiClient) {},
+		"the first seed never comes": func(f *Fleet, _ *apiClient) { f.Kill(f.Cores[0]) },
+		"the founder is killed": func(f *Fleet, call *apiClient) {
 			call.sleep(f.World.Between(200*time.Millisecond, 800*time.Millisecond))
 			f.Kill(f.Cores[0])
 			f.scheduleRecovery(time.Second, func() { f.Start(f.Cores[0]) })
 		},
-		"the founder freezes": func(f *Fleet, call *talker) {
+		"the founder freezes": func(f *Fleet, call *apiClient) {
 			call.sleep(f.World.Between(200*time.Millisecond, 800*time.Millisecond))
 			f.freeze(f.Cores[0], 5*time.Second)
 		},
-		"storage comes late": func(f *Fleet, call *talker) {
+		"storage comes late": func(f *Fleet, call *apiClient) {
 			for _, m := range f.Storage {
 				f.Kill(m)
 			}
@@ -340,17 +340,17 @@
 				f.Start(m)
 			}
 		},
-		"messages lost and late": func(f *Fleet, call *talker) {
+		"messages lost and late": func(f *Fleet, call *apiClient) {
 			f.Net.Faults = NetworkFaults{LossRate: 0.2, DelayRate: 0.2, DuplicateRate: 0.2, MaxExtraDelay: 3 * time.Second}
 			call.sleep(8 * time.Second)
 			f.Net.Faults = NetworkFaults{}
 		},
-		"the founder is cut off": func(f *Fleet, call *talker) {
+		"the founder is cut off": func(f *Fleet, call *apiClient) {
 			call.sleep(f.World.Between(200*time.Millisecond, 800*time.Millisecond))
 			f.Net.Isolate(map[string]bool{f.Cores[0].Host.Name: true, f.Storage[0].Host.Name: true})
 			f.scheduleRecovery(5*time.Second, f.Net.Heal)
 		},
-		"two halves": func(f *Fleet, call *talker) {
+		"two halves": func(f *Fleet, call *apiClient) {
 			call.sleep(f.World.Between(200*time.Millisecond, 700*time.Millisecond))
 			f.Net.Isolate(map[string]bool{f.Cores[0].Host.Name: true, f.Storage[0].Host.Name: true, f.Storage[1].Host.Name: true, f.Storage[2].Host.Name: true})
 			f.scheduleRecovery(5*time.Second, f.Net.Heal)
@@ -392,7 +392,7 @@
 			t.Run(fmt.Sprint(fault, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				var longest time.Duration
-				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *talker) {
+				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 					remaining := f.StartCallers(3, 8, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -94,17 +94,17 @@
 	f := &Fleet{World: world, Net: NewNet(world), Shape: shape, modelsByID: map[string]*standin.Model{}, toolsByID: map[string]*standin.Tool{}, Tally: standin.NewTally(), reportedStates: map[string]reportedState{}}
 	f.CallerHost = world.NewHost("callers", "outside")
 	zone := shape.zone
-	for i := 0; i < shape.Models; i++ {
+	for i := 0; i < shape.ModelWorkers; i++ {
 		name := fmt.Sprintf("model-%d", i)
-		model := &standin.Model{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pieces: shape.Pieces, Gap: shape.Gap, Prefill: shape.Prefill, Cache: shape.Cache, Capacity: shape.Capacity, Given: f.Tally.Given}
+		model := &standin.Model{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pieces: shape.PiecesPerTurn, Gap: shape.PieceInterval, Prefill: shape.PrefillTime, Cache: shape.CachedPrefixes, Capacity: shape.WorkerCapacity, Given: f.Tally.Given}
 		f.Models, f.modelsByID[name] = append(f.Models, model), model
-		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ModelPool, Zone: zone(i), Capacity: shape.Capacity})
+		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ModelPool, Zone: zone(i), Capacity: shape.WorkerCapacity})
 	}
-	for i := 0; i < shape.Tools; i++ {
+	for i := 0; i < shape.ToolWorkers; i++ {
 		name := fmt.Sprintf("app-%d", i)
-		tool := &standin.Tool{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pause: shape.Gap, Given: f.Tally.Given}
+		tool := &standin.Tool{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pause: shape.PieceInterval, Given: f.Tally.Given}
 		f.Tools, f.toolsByID[name] = append(f.Tools, tool), tool
-		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ToolPool, Zone: zone(i), Capacity: shape.Capacity})
+		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ToolPool, Zone: zone(i), Capacity: shape.WorkerCapacity})
 	}
 	f.WorkerList.Stamp = 1
 	add := func(list *[]*Machine, role string, count int) {
@@ -116,7 +116,7 @@
 	}
 	add(&f.Storage, "storage", shape.Storage)
 	add(&f.Cores, "core", shape.Cores)
-	add(&f.Gateways, "edge", shape.Edges)
+	add(&f.Gateways, "edge", shape.Gateways)
 	return f
 }
 
@@ -145,19 +145,19 @@
 // Start starts a machine's process.
 func (f *Fleet) Start(m *Machine) {
 	h := m.Host
-	h.alive, h.dark, m.openRequests, m.stopping, m.stopRequested = true, false, 0, false, false
+	h.alive, h.poweredOff, m.openRequests, m.stopping, m.stopRequested = true, false, 0, false, false
 	m.gateway, m.core, m.storage = nil, nil, nil
 	m.Counters = base.NewCounters()
 	env := node.Env{Clock: h.Clock(), HTTPClient: f.Net.HTTPClient(h), Files: m.Disk, Counters: m.Counters,
-		Backends: &Backends{net: f.Net, host: h, models: f.modelsByID, tools: f.toolsByID, lost: &f.disabled}}
+		Backends: &Backends{net: f.Net, host: h, models: f.modelsByID, tools: f.toolsByID, disabled: &f.disabled}}
 	config := node.Config{Addr: h.Name + ":1", PublicAddr: h.Name + ":2", Zone: h.Zone, Seeds: []string{f.Cores[0].Host.Name + ":1", f.Cores[len(f.Cores)-1].Host.Name + ":1", f.Storage[0].Host.Name + ":1"}}
 	if f.SeedAddrs != nil {
 		config.Seeds = f.SeedAddrs
 	}
-	if f.Shape.Found && f.SeedAddrs == nil {
+	if f.Shape.Bootstrap && f.SeedAddrs == nil {
 		config.Seeds = base.Map(f.Cores[:min(3, len(f.Cores))], func(m *Machine) string { return m.Host.Name + ":1" })
 	}
-	config.Cluster, config.NodeName, config.FaultTolerance, config.Bootstrap = f.ClusterID, h.Name, f.Shape.Tolerate, f.Shape.Found && !m.startedBefore
+	config.Cluster, config.NodeName, config.FaultTolerance, config.Bootstrap = f.ClusterID, h.Name, f.Shape.FaultTolerance, f.Shape.Bootstrap && !m.startedBefore
 	if f.disabled.seeds {
 		config.Seeds = []string{"nowhere:1"}
 	}
@@ -236,7 +236,7 @@
 // takes longer than stopTimeout.
 func (f *Fleet) Stop(m *Machine) {
 	notifier := base.NewNotifier(f.CallerHost.Clock())
-	drained, life := false, m.Host.life
+	drained, life := false, m.Host.incarnation
 	m.Host.Go(func() {
 		switch {
 		case m.gateway != nil && m.Role == "edge":
@@ -257,11 +257,11 @@
 		f.Tally.Dropped(m.Host.Name, m.openRequests)
 		f.Kill(m)
 	}
-	for end := f.World.now + stopTimeout + time.Second; (!drained || m.openRequests > 0) && m.Host.life == life && f.World.now < end; {
-		notifier.Next().Wait(pollEvery)
+	for end := f.World.now + stopTimeout + time.Second; (!drained || m.openRequests > 0) && m.Host.incarnation == life && f.World.now < end; {
+		notifier.Next().Wait(pollInterval)
 	}
 	m.stopping = false
-	if m.Host.life == life {
+	if m.Host.incarnation == life {
 		f.Tally.Dropped(m.Host.Name, m.openRequests)
 		f.Kill(m)
 	}
@@ -294,7 +294,7 @@
 		if done {
 			break
 		}
-		next.Wait(pollEvery)
+		next.Wait(pollInterval)
 	}
 	return status, answer
 }
@@ -302,7 +302,7 @@
 // SetUp forms the cluster, applies the settings and submits the worker list. It must run as
 // a task of the callers' host.
 func (f *Fleet) SetUp() {
-	if !f.Shape.Found {
+	if !f.Shape.Bootstrap {
 		addrs := base.Map(f.Storage, func(m *Machine) string { return m.Host.Name + ":1" })
 		f.retryUntilOK("form", func() int {
 			status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
@@ -314,7 +314,7 @@
 			map[string]any{"change": "first", "based_on": 0, "document": json.RawMessage(f.Shape.Settings)})
 		return status
 	})
-	ask := f.Asker(f.CallerHost)
+	ask := f.RequestSender(f.CallerHost)
 	f.retryUntilOK("workers", func() int {
 		answer, err := ask(0, "PUT", "/v1/platform/workers", nil, base.MustMarshal(f.WorkerList))
 		if err != nil {
--- a/internal/simulate/fleet_report.go
+++ b/internal/simulate/fleet_report.go
@@ -11,7 +11,7 @@
 // StartUsageReports makes each model worker report its load at an interval, to one gateway
 // after another.
 func (f *Fleet) StartUsageReports(interval time.Duration) {
-	ask := f.Asker(f.CallerHost)
+	ask := f.RequestSender(f.CallerHost)
 	for _, model := range f.Models {
 		f.CallerHost.Go(func() {
 			for gateway := int(f.World.Int64N(int64(len(f.Gateways)))); ; gateway++ {
@@ -34,7 +34,7 @@
 			prepare(c)
 		}
 		f.CallerHost.Go(func() {
-			if c.Start(int64(turns * f.Shape.Pieces * 8)) {
+			if c.Start(int64(turns * f.Shape.PiecesPerTurn * 8)) {
 				c.Converse(turns, tools)
 			}
 			remaining--
@@ -63,6 +63,6 @@
 
 // CheckInvariants checks the callers' and workers' records and returns all breaches.
 func (f *Fleet) CheckInvariants() []string {
-	f.Tally.Check(f.Models, f.Tools, int64(f.Shape.Pieces))
+	f.Tally.Check(f.Models, f.Tools, int64(f.Shape.PiecesPerTurn))
 	return f.Tally.Breaches
 }
--- a/internal/simulate/isolation_check.go
+++ b/internal/simulate/isolation_check.go
@@ -24,7 +24,7 @@
 // checkAnswer checks that an answer came in time and is one that its core could give.
 func (r *isolationRun) checkAnswer(call *operatorCall) {
 	if call.status == 0 {
-		if call.core.Host.life == 0 { // the process was never killed
+		if call.core.Host.incarnation == 0 { // the process was never killed
 			r.addBreach("no answer within the operator's timeout: %s", call)
 		}
 		return
--- a/internal/simulate/isolation_removal_test.go
+++ b/internal/simulate/isolation_removal_test.go
@@ -23,20 +23,20 @@
 		disable   func(f *Fleet)
 		expected  string
 	}{
-		{"the confirmation before a read", onPath("Disk/Confirm", func(*Message) *http.Response {
-			return replied(&register.Ack{Ok: true})
+		{"the confirmation before a read", interceptPath("Disk/Confirm", func(*Message) *http.Response {
+			return protoResponse(&register.Ack{Ok: true})
 		}), "was acknowledged before: GET"},
-		{"the confirmation before a refusal", onPath("Disk/Confirm", func(*Message) *http.Response {
-			return replied(&register.Ack{Ok: true})
+		{"the confirmation before a refusal", interceptPath("Disk/Confirm", func(*Message) *http.Response {
+			return protoResponse(&register.Ack{Ok: true})
 		}), "an isolated core answered: stale PUT"},
-		{"the majority before an acknowledgement", onPath("Disk/Append", func(m *Message) *http.Response {
+		{"the majority before an acknowledgement", interceptPath("Disk/Append", func(m *Message) *http.Response {
 			var request register.AppendRequest
 			_ = proto.Unmarshal(m.Body, &request)
 			if len(request.Entries) == 0 {
 				response, _ := m.Forward(m.Body)
 				return response
 			}
-			return replied(&register.Ack{Ok: true, Seq: request.Entries[len(request.Entries)-1].Seq})
+			return protoResponse(&register.Ack{Ok: true, Seq: request.Entries[len(request.Entries)-1].Seq})
 		}), "an isolated core answered: PUT"},
 	} {
 		t.Run(row.mechanism, func(t *testing.T) {
--- a/internal/simulate/limits_test.go
+++ b/internal/simulate/limits_test.go
@@ -21,7 +21,7 @@
 	t.Parallel()
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `{"pools"`, `{"bounds":{"settings_bound_s":2,"recover_bound_s":6,"retain_s":8},"pools"`, 1)
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
 		maxKeys := func() int {
 			highest := 0
 			for _, m := range f.Storage {
@@ -61,10 +61,10 @@
 func TestOverloadIsRefusedEarly(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
-	shape.Capacity, shape.Gap = 4, 50*time.Millisecond
+	shape.WorkerCapacity, shape.PieceInterval = 4, 50*time.Millisecond
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":4,"waiting":16`, 1)
 	goodput := func(callers int) (completed int, counts map[string]int) {
-		script(t, shape, func(is *is.I, f *Fleet, call *talker) {
+		runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
 			f.StartUsageReports(500 * time.Millisecond)
 			f.StartCallers(callers, 1000, false, func(c *standin.Caller) { c.Patience = time.Hour })
 			call.sleep(20 * time.Second)
@@ -84,23 +84,23 @@
 func TestRunawayProgramDoesNotStarveOthers(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
-	shape.Models, shape.Capacity, shape.Gap = 1, 4, 50*time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		runaway, secret := call.program(100000, nil)
+	shape.ModelWorkers, shape.WorkerCapacity, shape.PieceInterval = 1, 4, 50*time.Millisecond
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		runaway, secret := call.createProgram(100000, nil)
 		for i := 0; i < 40; i++ {
-			path, key := call.session(0, runaway, secret, nil)
+			path, key := call.openSession(0, runaway, secret, nil)
 			f.CallerHost.Go(func() {
 				for number := 0; number < 100; number++ {
-					call.turn(0, path, key, runaway, fmt.Sprint("t", number), "")
+					call.sendTurn(0, path, key, runaway, fmt.Sprint("t", number), "")
 				}
 			})
 		}
 		call.sleep(2 * time.Second)
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
 		for number := 0; number < 5; number++ {
 			start := f.World.Now()
-			outcome, _, _ := call.turn(0, path, key, program, fmt.Sprint("t", number), "").final()
+			outcome, _, _ := call.sendTurn(0, path, key, program, fmt.Sprint("t", number), "").finalResult()
 			is.Equal(outcome, "success")
 			is.True(f.World.Now()-start < 2*time.Second) // a turn takes 0.3 s; 36 turns of the runaway program are queued
 		}
@@ -108,7 +108,7 @@
 }
 
 func TestPoliciesAtWork(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		apply := func(version int, change, source string) (int, string) {
 			document := strings.Replace(DefaultSettings, `"chat":{`, `"chat":{"policy":`+string(base.MustMarshal(source))+`,`, 1)
 			status, answer := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply",
@@ -121,24 +121,24 @@
 		is.True(strings.Contains(answer, "routes.chat.policy"))
 		status, _ = apply(1, "one", "def nominate(leg, workers):\n  return workers[-1]['id']\ndef admit(session):\n  return session['urgency'] != 'low'")
 		is.Equal(status, 200)
-		program, secret := call.program(1000, nil)
+		program, secret := call.createProgram(1000, nil)
 		for i := 0; i < 3; i++ {
-			path, key := call.session(i, program, secret, nil)
-			outcome, _, _ := call.turn(i, path, key, program, fmt.Sprint("p", i), "").final()
+			path, key := call.openSession(i, program, secret, nil)
+			outcome, _, _ := call.sendTurn(i, path, key, program, fmt.Sprint("p", i), "").finalResult()
 			is.Equal(outcome, "success")
 		}
 		_, _, first, _ := f.Models[0].Record()
 		_, _, last, _ := f.Models[1].Record()
 		is.Equal([]int{first, last}, []int{0, 3}) // always the last worker listed
-		lowUrgency, secret := call.program(1000, map[string]any{"urgency": "low"})
+		lowUrgency, secret := call.createProgram(1000, map[string]any{"urgency": "low"})
 		refused := call.send(0, "POST", "/v1/programs/"+lowUrgency+"/sessions", secret, `{"route":"chat"}`)
-		is.Equal(refused.text("error", "code"), "not_admitted")
+		is.Equal(refused.field("error", "code"), "not_admitted")
 		// A policy that fails on live data is counted, and the default choice applies.
 		status, _ = apply(2, "two", "def nominate(leg, workers):\n  return workers[0]['id'] if workers[0]['id'].startswith('worker') else 1 // 0")
 		is.Equal(status, 200)
-		program, secret = call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
-		outcome, _, _ := call.turn(0, path, key, program, "x", "").final()
+		program, secret = call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		outcome, _, _ := call.sendTurn(0, path, key, program, "x", "").finalResult()
 		is.Equal(outcome, "success")
 		is.True(f.CounterTotal("policy_faults") > 0)
 	})
--- a/internal/simulate/net.go
+++ b/internal/simulate/net.go
@@ -213,14 +213,14 @@
 	path := request.URL.Path
 	n.recordTraffic(c.host.Name, hostName(request.URL.Host), path, 1, messageSize(len("POST  HTTP/1.1\r\nHost: \r\n")+len(path)+len(request.URL.Host), request.Header, len(body)))
 	target := world.Hosts[hostName(request.URL.Host)]
-	if target == nil || !target.alive && !target.dark {
+	if target == nil || !target.alive && !target.poweredOff {
 		c.host.Clock().Sleep(n.delay())
 		return nil, &base.NotSent{Cause: errors.New("connection refused")}
 	}
 	done := (&clock{c.host}).NewSignal()
-	if target.dark || n.isCut(c.host.Name, target.Name) || n.isCut(target.Name, c.host.Name) && world.Chance(0.5) {
+	if target.poweredOff || n.isCut(c.host.Name, target.Name) || n.isCut(target.Name, c.host.Name) && world.Chance(0.5) {
 		n.LostCount++
-		if n.LinkFailure != LinkSilent && !target.dark {
+		if n.LinkFailure != LinkSilent && !target.poweredOff {
 			c.host.Clock().Sleep(n.delay())
 			if n.LinkFailure == LinkRefused {
 				return nil, &base.NotSent{Cause: errors.New("connection refused")}
@@ -235,14 +235,14 @@
 	}
 	if n.ResetOnExit {
 		pending := &pendingCall{reset: done}
-		target.calls = append(target.calls, pending)
+		target.pendingCalls = append(target.pendingCalls, pending)
 		defer func() {
-			target.calls = base.Filter(target.calls, func(call *pendingCall) bool { return call != pending })
+			target.pendingCalls = base.Filter(target.pendingCalls, func(call *pendingCall) bool { return call != pending })
 		}()
 	}
 	var response *http.Response
 	deliver := func(delay time.Duration, answered bool) {
-		life := target.life
+		life := target.incarnation
 		world.spawn(target, life, world.now+delay, func() {
 			if target.serve == nil {
 				return
@@ -259,13 +259,13 @@
 				}
 				return
 			}
-			target.Clock().Sleep(n.delay() + n.transmissionTime(recorder.Body.Len()) + c.host.Lag + target.Lag + c.host.work())
+			target.Clock().Sleep(n.delay() + n.transmissionTime(recorder.Body.Len()) + c.host.ExtraDelay + target.ExtraDelay + c.host.processingDelay())
 			response = recorder.Result()
 			n.recordTraffic(c.host.Name, target.Name, path, 0, messageSize(len("HTTP/1.1 200 OK\r\n"), response.Header, recorder.Body.Len()))
 			done.Fire()
 		})
 	}
-	delay := n.delay() + n.transmissionTime(len(body)) + c.host.Lag + target.Lag + target.work()
+	delay := n.delay() + n.transmissionTime(len(body)) + c.host.ExtraDelay + target.ExtraDelay + target.processingDelay()
 	if world.Chance(n.Faults.DelayRate) {
 		delay += world.Between(0, n.Faults.MaxExtraDelay)
 	}
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -18,13 +18,13 @@
 func TestTotalOutageKeepsAcknowledgedState(t *testing.T) {
 	t.Parallel()
 	for seed := 0; seed < *seedCount+1; seed++ {
-		script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
+		runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 			for range seed {
 				f.World.Int64N(2) // changes the draws that follow
 			}
-			program, secret := call.program(1000, nil)
-			path, key := call.session(0, program, secret, nil)
-			outcome, _, _ := call.turn(1, path, key, program, "a", "").final()
+			program, secret := call.createProgram(1000, nil)
+			path, key := call.openSession(0, program, secret, nil)
+			outcome, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 			is.Equal(outcome, "success")
 			tool := "/v1/programs/" + program + "/tools/loyalty"
 			is.Equal(call.send(1, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k").Status, 200)
@@ -51,12 +51,12 @@
 				is.Equal(m.gateway.SettingsVersion(), uint64(2))
 			}
 			after := call.send(1, "GET", "/v1/programs/"+program, secret, nil)
-			is.Equal(after.text("spent_tokens"), before.text("spent_tokens"))
+			is.Equal(after.field("spent_tokens"), before.field("spent_tokens"))
 			replayed := call.send(2, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k")
 			is.Equal(replayed.Header["Idempotent-Replayed"], "true")
-			outcome, _, _ = call.turn(2, path, key, program, "b", "a").final()
+			outcome, _, _ = call.sendTurn(2, path, key, program, "b", "a").finalResult()
 			is.Equal(outcome, "success")
-			is.Equal(f.toolRuns(program+"/k"), 1)
+			is.Equal(f.toolWorkerRuns(program+"/k"), 1)
 		})
 	}
 }
@@ -64,10 +64,10 @@
 // The machine whose disk acknowledged a change first is lost with its disk right after.
 func TestDiskLossAfterAcknowledgement(t *testing.T) {
 	for _, lost := range []int{0, 1, 2} {
-		script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-			program, secret := call.program(1000, nil)
-			path, key := call.session(0, program, secret, nil)
-			outcome, _, _ := call.turn(1, path, key, program, "a", "").final()
+		runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+			program, secret := call.createProgram(1000, nil)
+			path, key := call.openSession(0, program, secret, nil)
+			outcome, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 			is.Equal(outcome, "success")
 			f.PowerLoss(f.Storage[lost])
 			f.Storage[lost].Disk.Wipe()
@@ -79,8 +79,8 @@
 			}
 			f.Start(f.Storage[lost]) // returns with an empty disk and without a vote
 			f.waitUntilServing(time.Minute)
-			after := call.turn(1, path, key, program, "b", "a")
-			outcome, _, _ = after.final()
+			after := call.sendTurn(1, path, key, program, "b", "a")
+			outcome, _, _ = after.finalResult()
 			is.Equal(after.Raw, "")
 			is.Equal(outcome, "success")
 			is.True(f.Storage[lost].storage.Ready() != nil)
@@ -92,7 +92,7 @@
 // After healing no machine returns to older settings.
 func TestPartitionOfCoreAndStorage(t *testing.T) {
 	t.Parallel()
-	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		minority := map[string]bool{f.Storage[0].Host.Name: true, f.Cores[0].Host.Name: true, f.Cores[1].Host.Name: true,
 			f.Gateways[0].Host.Name: true, f.Gateways[1].Host.Name: true}
 		f.Net.Isolate(minority)
@@ -100,11 +100,11 @@
 		program, secret := "", ""
 		for attempt := 0; program == "" || program == "<nil>"; attempt++ {
 			created := call.send(3, "POST", "/v1/programs", "", map[string]any{"group": "g", "site": "main", "budget_tokens": 1000})
-			program, secret = created.text("program"), created.text("secret")
+			program, secret = created.field("program"), created.field("secret")
 			is.True(attempt < 20)
 		}
-		path, key := call.session(4, program, secret, nil)
-		outcome, _, _ := call.turn(3, path, key, program, "a", "").final()
+		path, key := call.openSession(4, program, secret, nil)
+		outcome, _, _ := call.sendTurn(3, path, key, program, "a", "").finalResult()
 		is.Equal(outcome, "success")
 		is.Equal(call.send(0, "GET", "/v1/programs/"+program, secret, nil).Status, 503)
 		status, answer := f.OperatorRequest(f.Cores[2], "POST", "/v1/operator/settings/apply", map[string]any{"change": "new", "based_on": 1, "document": f.settingsWithMarker("new")})
@@ -121,7 +121,7 @@
 		for _, m := range f.Gateways {
 			is.Equal(m.gateway.SettingsVersion(), uint64(2))
 		}
-		outcome, _, _ = call.turn(0, path, key, program, "b", "a").final()
+		outcome, _, _ = call.sendTurn(0, path, key, program, "b", "a").finalResult()
 		is.Equal(outcome, "success")
 	})
 }
@@ -130,9 +130,9 @@
 // no failures except refused connections.
 func TestPlannedStopsDropNoRequests(t *testing.T) {
 	t.Parallel()
-	bring(t, *seedCount, KiondoShape(), func(t *testing.T, f *Fleet) {
+	runSeeds(t, *seedCount, KiondoShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
-		formed(t, f)
+		waitUntilFormed(t, f)
 		remaining := f.StartCallers(12, 8, true, func(c *standin.Caller) {
 			c.Between = func(int) {
 				c.Home = int(f.World.Int64N(int64(len(f.Gateways)))) // so that turns are forwarded to their owners
@@ -163,19 +163,19 @@
 // A frozen owner thaws after another gateway took over its run: it must not send anything
 // that it still held.
 func TestThawedOwnerSendsNothing(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
-		outcome, _, _ := call.turn(1, path, key, program, "a", "").final()
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		outcome, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(outcome, "success")
-		answers := map[string]told{}
+		answers := map[string]apiResponse{}
 		for _, id := range []string{"b", "c", "d"} {
-			f.CallerHost.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
+			f.CallerHost.Go(func() { answers[id] = call.sendTurn(0, path, key, program, id, "") })
 		}
 		call.sleep(3 * time.Millisecond)
 		f.Gateways[0].Host.Freeze()
 		frozen := f.World.Now()
-		outcome, _, _ = call.turn(1, path, key, program, "e", "a").final()
+		outcome, _, _ = call.sendTurn(1, path, key, program, "e", "a").finalResult()
 		is.Equal(outcome, "success")
 		is.True(f.World.Now()-frozen < 4*time.Second) // the owner was taken for lost, not slow, and taken over
 		sent := f.Gateways[0].Counters.Snapshot()["legs_sent"]
@@ -183,20 +183,20 @@
 		call.sleep(20 * time.Second)
 		is.Equal(f.Gateways[0].Counters.Snapshot()["legs_sent"], sent)
 		for _, id := range []string{"b", "c", "d"} {
-			outcome, execution, _ := answers[id].final()
+			outcome, execution, _ := answers[id].finalResult()
 			if answers[id].Status != 200 {
-				execution = answers[id].text("error", "request")
+				execution = answers[id].field("error", "request")
 			}
 			if execution == "not_run" {
-				is.Equal(f.modelRuns(program, id), 0)
+				is.Equal(f.modelWorkerRuns(program, id), 0)
 			}
 			// A successful turn ran through the session's new owner.
 			if outcome == "success" {
-				is.True(f.modelRuns(program, id) >= 1)
+				is.True(f.modelWorkerRuns(program, id) >= 1)
 			}
 		}
 		status := call.send(1, "GET", path, key, nil)
-		is.Equal(status.text("epoch"), "2")
+		is.Equal(status.field("epoch"), "2")
 	})
 }
 
@@ -204,19 +204,19 @@
 // is fenced before it is reported as refused.
 func TestMinorityOfDisksAcknowledgesNothing(t *testing.T) {
 	t.Parallel()
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
 		f.Storage[1].Disk.SyncStalled, f.Storage[2].Disk.SyncStalled = true, true
 		status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/apply", map[string]any{"change": "lone", "based_on": 1, "document": f.settingsWithMarker("lone")})
 		is.Equal(status, 504) // outcome unknown
-		reply := call.turn(0, path, key, program, "a", "")
-		outcome, _, _ := reply.final()
+		reply := call.sendTurn(0, path, key, program, "a", "")
+		outcome, _, _ := reply.finalResult()
 		is.True(outcome != "success")
 		is.True(call.send(1, "POST", "/v1/programs", "", map[string]any{"group": "g", "site": "main", "budget_tokens": 10}).Status != 201)
 		is.True(call.send(1, "POST", "/v1/programs/"+program+"/tools/loyalty", secret, `{}`, "idempotency-key", "k").Status != 200)
-		is.Equal(f.toolRuns(program+"/k"), 0) // without a claim the tool is not called
-		f.PowerLoss(f.Storage[0])             // the only disk that may hold the change is down
+		is.Equal(f.toolWorkerRuns(program+"/k"), 0) // without a claim the tool is not called
+		f.PowerLoss(f.Storage[0])                   // the only disk that may hold the change is down
 		f.Storage[1].Disk.SyncStalled, f.Storage[2].Disk.SyncStalled = false, false
 		var answer []byte
 		for status = 0; status != 200; call.sleep(200 * time.Millisecond) {
@@ -241,7 +241,7 @@
 // operators from its memory while others change the settings.
 func TestIsolatedLeaderConfirmsNothing(t *testing.T) {
 	t.Parallel()
-	script(t, KiondoShape(), func(is *is.I, f *Fleet, call *talker) {
+	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		var leader, other *Machine
 		for _, m := range f.Cores {
 			shards, _ := m.core.RegisterServer.Status()
@@ -273,18 +273,18 @@
 // stops its next attempt.
 func TestLostAttemptIsNotReportedAsNotRun(t *testing.T) {
 	shape := SmallShape()
-	shape.Gap = 300 * time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(8, nil)
-		path, key := call.session(0, program, secret, nil)
-		f.CallerHost.Go(func() { call.turn(0, path, key, program, "a", "") })
+	shape.PieceInterval = 300 * time.Millisecond
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(8, nil)
+		path, key := call.openSession(0, program, secret, nil)
+		f.CallerHost.Go(func() { call.sendTurn(0, path, key, program, "a", "") })
 		call.sleep(700 * time.Millisecond)
-		is.Equal(f.modelRuns(program, "a"), 1)
+		is.Equal(f.modelWorkerRuns(program, "a"), 1)
 		f.Kill(f.Gateways[0])
-		outcome, execution, code := call.turn(1, path, key, program, "a", "").final()
+		outcome, execution, code := call.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(outcome+" "+execution+" "+code, "failed may_have_run worker_lost") // the lost attempt's tokens count as spent
-		is.Equal(f.modelRuns(program, "a"), 1)
-		_, execution, code = call.turn(1, path, key, program, "b", "").final()
+		is.Equal(f.modelWorkerRuns(program, "a"), 1)
+		_, execution, code = call.sendTurn(1, path, key, program, "b", "").finalResult()
 		is.Equal(execution+" "+code, "not_run over_budget")
 	})
 }
@@ -294,32 +294,32 @@
 func TestRefusalSurvivesOwnerLoss(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
-	shape.Gap = 300 * time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, map[string]any{"queue_size": 1})
-		answers := map[string]told{}
+	shape.PieceInterval = 300 * time.Millisecond
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, map[string]any{"queue_size": 1})
+		answers := map[string]apiResponse{}
 		for _, id := range []string{"runs", "waits", "full"} {
-			f.CallerHost.Go(func() { answers[id] = call.turn(0, path, key, program, id, "") })
+			f.CallerHost.Go(func() { answers[id] = call.sendTurn(0, path, key, program, id, "") })
 			call.sleep(20 * time.Millisecond)
 		}
 		call.sleep(200 * time.Millisecond)
-		_, execution, code := answers["full"].final()
+		_, execution, code := answers["full"].finalResult()
 		is.Equal(code+" "+execution, "queue_full not_run")
-		is.Equal(call.send(1, "POST", path+"/turns/waits/cancel", key, nil).text("state"), "Cancelled")
-		limited, limitedSecret := call.program(1, nil)
-		limitedPath, limitedKey := call.session(0, limited, limitedSecret, nil)
-		outcome, _, _ := call.turn(0, limitedPath, limitedKey, limited, "first", "").final()
+		is.Equal(call.send(1, "POST", path+"/turns/waits/cancel", key, nil).field("state"), "Cancelled")
+		limited, limitedSecret := call.createProgram(1, nil)
+		limitedPath, limitedKey := call.openSession(0, limited, limitedSecret, nil)
+		outcome, _, _ := call.sendTurn(0, limitedPath, limitedKey, limited, "first", "").finalResult()
 		is.Equal(outcome, "success")
-		_, execution, code = call.turn(0, limitedPath, limitedKey, limited, "over", "").final()
+		_, execution, code = call.sendTurn(0, limitedPath, limitedKey, limited, "over", "").finalResult()
 		is.Equal(code+" "+execution, "over_budget not_run")
 		f.Kill(f.Gateways[0])
 		for _, id := range []string{"full", "waits"} {
-			_, execution, code = call.turn(1, path, key, program, id, "").final()
+			_, execution, code = call.sendTurn(1, path, key, program, id, "").finalResult()
 			is.Equal(id+" "+code+" "+execution, id+" turn_refused not_run")
-			is.Equal(f.modelRuns(program, id), 0)
+			is.Equal(f.modelWorkerRuns(program, id), 0)
 		}
-		outcome, _, _ = call.turn(1, path, key, program, "new", "").final()
+		outcome, _, _ = call.sendTurn(1, path, key, program, "new", "").finalResult()
 		is.Equal(outcome, "success")
 	})
 }
@@ -328,19 +328,19 @@
 func TestUnstoredRefusalIsNotReportedAsNotRun(t *testing.T) {
 	t.Parallel()
 	shape := SmallShape()
-	shape.Gap = 300 * time.Millisecond
-	script(t, shape, func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, map[string]any{"queue_size": 1})
+	shape.PieceInterval = 300 * time.Millisecond
+	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, map[string]any{"queue_size": 1})
 		for _, id := range []string{"runs", "waits"} {
-			f.CallerHost.Go(func() { call.turn(0, path, key, program, id, "") })
+			f.CallerHost.Go(func() { call.sendTurn(0, path, key, program, id, "") })
 			call.sleep(20 * time.Millisecond)
 		}
 		f.Storage[0].Disk.SyncStalled, f.Storage[1].Disk.SyncStalled = true, true
 		start := f.World.Now()
-		refused := call.turn(0, path, key, program, "full", "")
+		refused := call.sendTurn(0, path, key, program, "full", "")
 		is.True(f.World.Now()-start < 500*time.Millisecond) // without a wait for the disks
-		is.Equal(refused.text("error", "request"), "may_have_run")
+		is.Equal(refused.field("error", "request"), "may_have_run")
 		is.True(refused.Header["Retry-After"] != "")
 	})
 }
@@ -348,9 +348,9 @@
 // The owner's lease expires and it reloads the chain while the reply to the change that
 // finished a turn is still on its way. The chain must contain the turn once.
 func TestFinishedTurnIsInReloadedChainOnce(t *testing.T) {
-	script(t, SmallShape(), func(is *is.I, f *Fleet, call *talker) {
-		program, secret := call.program(1000, nil)
-		path, key := call.session(0, program, secret, nil)
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+		program, secret := call.createProgram(1000, nil)
+		path, key := call.openSession(0, program, secret, nil)
 		owner, replyHeld, followsBlocked, reloaded := f.Gateways[0].Host, false, false, false
 		f.Net.Intercept = func(m *Message) *http.Response {
 			for m.From == owner && followsBlocked && strings.HasSuffix(m.Path, "/Follow") {
@@ -366,19 +366,19 @@
 			}
 			return response
 		}
-		f.CallerHost.Go(func() { call.turn(0, path, key, program, "a", "") })
+		f.CallerHost.Go(func() { call.sendTurn(0, path, key, program, "a", "") })
 		for !replyHeld || followsBlocked {
 			call.sleep(10 * time.Millisecond)
 		}
-		for call.send(0, "GET", path, key, nil).text("turns") != "1" {
+		for call.send(0, "GET", path, key, nil).field("turns") != "1" {
 			call.sleep(50 * time.Millisecond)
 		}
 		reloaded = true
 		is.True(f.Gateways[0].gateway.Follower.LeaseExpirations() > 0)
 		call.sleep(200 * time.Millisecond)
 		f.Net.Intercept = nil
-		next := call.turn(0, path, key, program, "b", "a")
-		outcome, _, _ := next.final()
+		next := call.sendTurn(0, path, key, program, "b", "a")
+		outcome, _, _ := next.finalResult()
 		is.Equal(outcome, "success")
 		is.True(strings.Contains(string(next.Events[0].Data), "3 messages")) // two of turn a and one of turn b
 	})
