--- a/cmd/fordseam-fleet/days.go
+++ b/cmd/fordseam-fleet/days.go
@@ -42,8 +42,8 @@
 	}
 	site := &chaosday.Site{
 		ModelService: command.String("model-service"), ToolService: command.String("tool-service"),
-		Class: command.String("class"), Tolerate: command.Int("tolerate"), CatchUp: command.Float("catch-up"),
-		Events: command.Int("events"),
+		RequestClass: command.String("class"), FaultTolerance: command.Int("tolerate"), CatchUpSeconds: command.Float("catch-up"),
+		EventsPerDay: command.Int("events"),
 	}
 	if path := command.String("kinds"); path != "" {
 		list, err := os.ReadFile(path)
@@ -57,7 +57,7 @@
 	}
 	count := command.Int("count")
 	if count == 0 && theme == chaosday.ThemeMixed {
-		count = chaosday.DaysForAll(site)
+		count = chaosday.DaysForFullCoverage(site)
 	}
 	if count < 1 {
 		return cli.Exit("count: must be 1 or more", node.ExitUsage)
@@ -66,7 +66,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return cli.Exit("out: "+err.Error(), node.ExitUsage)
 	}
-	for _, day := range chaosday.Draw(theme, site, command.Uint64("seed"), count) {
+	for _, day := range chaosday.Generate(theme, site, command.Uint64("seed"), count) {
 		path := filepath.Join(folder, day.Name+".toml")
 		if err := os.WriteFile(path, day.TOML(), 0o644); err != nil {
 			return cli.Exit("out: "+err.Error(), node.ExitUsage)
--- a/cmd/fordseam-fleet/main.go
+++ b/cmd/fordseam-fleet/main.go
@@ -51,13 +51,13 @@
 	node.Main(command, os.Args)
 }
 
-func start(command *cli.Command) (*fleet.Fleet, *fleet.Parties, error) {
+func start(command *cli.Command) (*fleet.Fleet, *fleet.Workers, error) {
 	shape, ok := fleet.Shapes[command.String("shape")]
 	if !ok {
 		return nil, nil, cli.Exit("shape: must be kiondo, ljubljana or small", node.ExitUsage)
 	}
 	folder := command.String("folder")
-	if err := fleet.EmptyFolder(folder); err != nil {
+	if err := fleet.PrepareFolder(folder); err != nil {
 		return nil, nil, cli.Exit("folder: "+err.Error(), node.ExitUsage)
 	}
 	self, err := os.Executable()
@@ -68,11 +68,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	parties, err := f.StartParties(command.Int("pieces"), command.Duration("gap"))
+	parties, err := f.StartWorkers(command.Int("pieces"), command.Duration("gap"))
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := f.Form(parties, 30*time.Second); err != nil {
+	if err := f.SetUp(parties, 30*time.Second); err != nil {
 		f.Stop()
 		return nil, nil, err
 	}
@@ -86,7 +86,7 @@
 	}
 	defer f.Stop()
 	for _, p := range f.All() {
-		fmt.Printf("%-10s zone %-8s  partners %-22s  public %s\n", p.Name, p.Zone, p.Addr, p.Public)
+		fmt.Printf("%-10s zone %-8s  partners %-22s  public %s\n", p.Name, p.Zone, p.Addr, p.PublicAddr)
 	}
 	fmt.Println("running; interrupt to stop")
 	signals := make(chan os.Signal, 1)
@@ -97,7 +97,7 @@
 
 // observed starts a fleet, puts it through something, and reports what the
 // parties saw; through gives the counts from before, if they can be compared.
-func observed(command *cli.Command, through func(f *fleet.Fleet, parties *fleet.Parties, tally *standin.Tally) (before map[string]int64, err error)) error {
+func observed(command *cli.Command, through func(f *fleet.Fleet, parties *fleet.Workers, tally *standin.Tally) (before map[string]int64, err error)) error {
 	f, parties, err := start(command)
 	if err != nil {
 		return err
@@ -111,25 +111,25 @@
 	}
 	took := clock.Now()
 	tally.Check(parties.Models, parties.Tools, int64(command.Int("pieces")))
-	return f.Report(os.Stdout, tally, parties, before, took, command.Bool("json"))
+	return f.WriteReport(os.Stdout, tally, parties, before, took, command.Bool("json"))
 }
 
 func run(_ context.Context, command *cli.Command) error {
-	return observed(command, func(f *fleet.Fleet, _ *fleet.Parties, tally *standin.Tally) (map[string]int64, error) {
+	return observed(command, func(f *fleet.Fleet, _ *fleet.Workers, tally *standin.Tally) (map[string]int64, error) {
 		for _, plan := range command.StringSlice("kill") {
 			if err := killLater(f, plan); err != nil {
 				return nil, err
 			}
 		}
-		before, conversations := f.Total(), command.Int("conversations")
-		f.Load(tally, command.Int("callers"), command.Int("pieces"), 0, func(round int) bool { return round < conversations })
+		before, conversations := f.CounterTotals(), command.Int("conversations")
+		f.RunCallers(tally, command.Int("callers"), command.Int("pieces"), 0, func(round int) bool { return round < conversations })
 		return before, nil
 	})
 }
 
 func chaos(_ context.Context, command *cli.Command) error {
-	return observed(command, func(f *fleet.Fleet, parties *fleet.Parties, tally *standin.Tally) (map[string]int64, error) {
-		return nil, f.Chaos(parties, tally, command.Int("callers"), command.Int("pieces"), os.Stderr)
+	return observed(command, func(f *fleet.Fleet, parties *fleet.Workers, tally *standin.Tally) (map[string]int64, error) {
+		return nil, f.RunChaos(parties, tally, command.Int("callers"), command.Int("pieces"), os.Stderr)
 	})
 }
 
--- a/cmd/fordseam-fleet/platform.go
+++ b/cmd/fordseam-fleet/platform.go
@@ -24,7 +24,7 @@
 	return &cli.Command{
 		Name: "platform", DisableSliceFlagSeparator: true, Usage: "run a fleet as the platform does, with its workers, list, operators and programs, and name the rules broken",
 		Description: "A trouble is KIND[:CLASS]@SECONDS[+FOR][,wipe][,count=N][,share=N][,gap=SECONDS], SECONDS after traffic began.\n" +
-			"Kinds: " + strings.Join(fleet.TroubleKinds, ", ") + ".\nThe exit code is 1 when a rule was broken.",
+			"Kinds: " + strings.Join(fleet.PlatformEventKinds, ", ") + ".\nThe exit code is 1 when a rule was broken.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "site", Value: "small", Usage: "`SITE`: kiondo, ljubljana or small"},
 			&cli.StringFlag{Name: "folder", Value: "fleet-data", Usage: "`FOLDER` for settings, data and logs; emptied first"},
@@ -45,30 +45,30 @@
 }
 
 func runPlatform(ctx context.Context, command *cli.Command) error {
-	plan := &fleet.PlatformPlan{Site: platform.Sites()[command.String("site")], Traffic: command.Duration("traffic"), Rate: command.Float("rate"),
-		Seed: command.Uint64("seed"), RecordFile: command.String("record"), Closing: command.String("closing"), Formation: command.Duration("formation"),
+	plan := &fleet.PlatformPlan{Site: platform.Sites()[command.String("site")], TrafficDuration: command.Duration("traffic"), RateFactor: command.Float("rate"),
+		Seed: command.Uint64("seed"), RecordFile: command.String("record"), ClosingFault: command.String("closing"), SetUpTimeout: command.Duration("formation"),
 		Commands: map[string]string{platform.ClassEdge: command.String("edge"), platform.ClassCore: command.String("core"), platform.ClassStorage: command.String("storage")}}
 	if plan.Site == nil {
 		return cli.Exit("site: must be one of "+strings.Join(base.SortedKeys(platform.Sites()), ", "), node.ExitUsage)
 	}
-	if plan.Closing != "" && plan.Closing != "kill_all" && plan.Closing != "wipe" {
+	if plan.ClosingFault != "" && plan.ClosingFault != "kill_all" && plan.ClosingFault != "wipe" {
 		return cli.Exit("closing: must be kill_all or wipe", node.ExitUsage)
 	}
 	for _, written := range command.StringSlice("trouble") {
-		trouble, err := fleet.ParseTrouble(written)
+		trouble, err := fleet.ParsePlatformEvent(written)
 		if err != nil {
 			return cli.Exit(err.Error(), node.ExitUsage)
 		}
-		plan.Troubles = append(plan.Troubles, trouble)
+		plan.Events = append(plan.Events, trouble)
 	}
 	var err error
-	if plan.Root, err = filepath.Abs(command.String("root")); err != nil {
+	if plan.WorkDir, err = filepath.Abs(command.String("root")); err != nil {
 		return err
 	}
-	if plan.Folder, err = filepath.Abs(command.String("folder")); err != nil {
+	if plan.Dir, err = filepath.Abs(command.String("folder")); err != nil {
 		return err
 	}
-	if err := fleet.EmptyFolder(plan.Folder); err != nil {
+	if err := fleet.PrepareFolder(plan.Dir); err != nil {
 		return cli.Exit("folder: "+err.Error(), node.ExitUsage)
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
--- a/cmd/fordseam-sim/account.go
+++ b/cmd/fordseam-sim/account.go
@@ -36,22 +36,22 @@
 
 // showAccount prints one entry's table, and draws it where a file is named.
 func showAccount(path, plot string) error {
-	entry, err := account.Read(path)
+	entry, err := account.ReadEntry(path)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s, entry %s: %s\n\n", entry.Site, entry.ID, entry.Why)
+	fmt.Printf("%s, entry %s: %s\n\n", entry.Site, entry.ID, entry.Reason)
 	for _, day := range entry.Days {
-		if broken := day.Broken(); len(broken) > 0 {
+		if broken := day.Violations(); len(broken) > 0 {
 			fmt.Printf("%s broke %v\n", day.Name, broken)
 		}
 	}
-	if err := account.Table(os.Stdout, entry.Days); err != nil {
+	if err := account.WriteTable(os.Stdout, entry.Days); err != nil {
 		return errors.Annotate(err, "writing the table")
 	}
 	fmt.Println()
 	if plot == "" {
 		return nil
 	}
-	return errors.Annotatef(account.Plot(plot, entry.Site, entry.Days), "drawing %s", plot)
+	return errors.Annotatef(account.WritePlot(plot, entry.Site, entry.Days), "drawing %s", plot)
 }
--- a/cmd/fordseam-sim/main.go
+++ b/cmd/fordseam-sim/main.go
@@ -36,7 +36,7 @@
 }
 
 func run(_ context.Context, command *cli.Command) error {
-	question := &whatif.Question{Deployment: whatif.Kiondo(), Load: whatif.Saturday(), Settings: []byte(fleet.Shapes["kiondo"].Settings()), Seed: command.Uint64("seed")}
+	question := &whatif.Scenario{Deployment: whatif.DefaultDeployment(), Load: whatif.DefaultLoad(), Settings: []byte(fleet.Shapes["kiondo"].Settings()), Seed: command.Uint64("seed")}
 	documents := map[string][]byte{}
 	for _, name := range []string{"deployment", "settings", "against", "load", "script"} {
 		if path := command.String(name); path != "" {
@@ -64,14 +64,14 @@
 		question.Settings = document
 	}
 	names, reports := []string{"settings"}, []*whatif.Report{}
-	report, err := whatif.Answer(question)
+	report, err := whatif.Simulate(question)
 	if err != nil {
 		return cli.Exit("settings: "+err.Error(), node.ExitUsage)
 	}
 	reports = append(reports, report)
 	if document, ok := documents["against"]; ok {
 		question.Settings = document
-		if report, err = whatif.Answer(question); err != nil {
+		if report, err = whatif.Simulate(question); err != nil {
 			return cli.Exit("against: "+err.Error(), node.ExitUsage)
 		}
 		names, reports = append(names, "against"), append(reports, report)
@@ -79,10 +79,10 @@
 	if command.Bool("json") {
 		fmt.Println(string(base.MustMarshal(reports)))
 	} else {
-		whatif.Write(os.Stdout, names, reports)
+		whatif.WriteComparison(os.Stdout, names, reports)
 	}
 	for _, report := range reports {
-		if len(report.Breaches) > 0 {
+		if len(report.InvariantViolations) > 0 {
 			return cli.Exit("must-nevers were broken", node.ExitFailed)
 		}
 	}
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -12,47 +12,51 @@
 	"github.com/juju/errors"
 )
 
-// Entry is what is read of one entry of the journal.
-type Entry struct {
-	ID   string `json:"id"`
-	Site string `json:"site"`
-	Why  string `json:"why"`
-	Days []Day  `json:"days"`
+// JournalEntry is what is read of one entry of the journal.
+type JournalEntry struct {
+	ID     string `json:"id"`
+	Site   string `json:"site"`
+	Reason string `json:"why"`
+	Days   []Day  `json:"days"`
 }
 
 // Day is one day that was played.
 type Day struct {
-	Name   string         `json:"name"`
-	Seed   uint64         `json:"seed"`
-	Worth  float64        `json:"G"`
-	Parts  []Part         `json:"parts"`
-	Prices []Price        `json:"prices"`
-	Rules  map[string]int `json:"rules"`
-	Served float64        `json:"served"`
+	Name            string           `json:"name"`
+	Seed            uint64           `json:"seed"`
+	Score           float64          `json:"G"`
+	Components      []ScoreComponent `json:"parts"`
+	Deductions      []Deduction      `json:"prices"`
+	ViolationCounts map[string]int   `json:"rules"`
+	Served          float64          `json:"served"`
 }
 
-// Part is a share of the score: its weight, and how much of it was earned.
-type Part struct {
+// ScoreComponent is a share of the score: its weight, and how much of it was earned.
+type ScoreComponent struct {
 	Name   string
 	Weight float64
 	Earned float64
 }
 
 // UnmarshalJSON reads a part from its list.
-func (p *Part) UnmarshalJSON(raw []byte) error { return readTriple(raw, &p.Name, &p.Weight, &p.Earned) }
+func (p *ScoreComponent) UnmarshalJSON(raw []byte) error {
+	return unmarshalTriple(raw, &p.Name, &p.Weight, &p.Earned)
+}
 
-// Price is what was taken off for one thing that was used or done.
-type Price struct {
+// Deduction is what was taken off for one thing that was used or done.
+type Deduction struct {
 	Name   string
 	Amount float64
 	Cost   float64
 }
 
 // UnmarshalJSON reads a price from its list.
-func (p *Price) UnmarshalJSON(raw []byte) error { return readTriple(raw, &p.Name, &p.Amount, &p.Cost) }
+func (p *Deduction) UnmarshalJSON(raw []byte) error {
+	return unmarshalTriple(raw, &p.Name, &p.Amount, &p.Cost)
+}
 
-// readTriple reads a list of a name and two numbers.
-func readTriple(raw []byte, name *string, first, second *float64) error {
+// unmarshalTriple reads a list of a name and two numbers.
+func unmarshalTriple(raw []byte, name *string, first, second *float64) error {
 	triple := []any{name, first, second}
 	if err := json.Unmarshal(raw, &triple); err != nil {
 		return errors.Annotate(err, "a name and two numbers were expected")
@@ -60,13 +64,13 @@
 	return nil
 }
 
-// Read reads one entry of the journal.
-func Read(path string) (*Entry, error) {
+// ReadEntry reads one entry of the journal.
+func ReadEntry(path string) (*JournalEntry, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	entry := &Entry{}
+	entry := &JournalEntry{}
 	if err := json.Unmarshal(raw, entry); err != nil {
 		return nil, errors.Annotatef(err, "%s is no entry of the journal", path)
 	}
@@ -82,32 +86,32 @@
 	Share float64
 }
 
-// remainder is the row for what the rounded rows above it do not explain.
-const remainder = "rounding"
+// roundingCause is the row for what the rounded rows above it do not explain.
+const roundingCause = "rounding"
 
 // Losses are a day's, the largest first; they add up to what it lacks of 1.
 func (d *Day) Losses() []Loss {
 	losses := []Loss{}
-	rest := 1 - d.Worth
+	rest := 1 - d.Score
 	add := func(cause string, share float64) {
 		if share > 0 {
 			losses = append(losses, Loss{cause, share})
 			rest -= share
 		}
 	}
-	for _, part := range d.Parts {
+	for _, part := range d.Components {
 		add(fmt.Sprintf("worth not earned: %s", part.Name), part.Weight*(1-part.Earned))
 	}
-	for _, price := range d.Prices {
+	for _, price := range d.Deductions {
 		add("price: "+price.Name, price.Cost)
 	}
 	sort.SliceStable(losses, func(a, b int) bool { return losses[a].Share > losses[b].Share })
-	return append(losses, Loss{remainder, rest})
+	return append(losses, Loss{roundingCause, rest})
 }
 
-// Broken are the rules that the day broke, in order.
-func (d *Day) Broken() (rules []string) {
-	for rule, count := range d.Rules {
+// Violations are the rules that the day broke, in order.
+func (d *Day) Violations() (rules []string) {
+	for rule, count := range d.ViolationCounts {
 		if count > 0 {
 			rules = append(rules, fmt.Sprintf("%s %d", rule, count))
 		}
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -16,10 +16,10 @@
 {"name":"trouble-1","G":0.7,"parts":[["whole day",0.6,0.9],["worst windows",0.25,0.5],["worst class",0.15,0.9]],
  "prices":[["machine-seconds",5662.9,0.08]],"rules":{"BUDGET":76,"LOST":0}}]}`
 
-func entry(t *testing.T, text string) (*Entry, error) {
+func entry(t *testing.T, text string) (*JournalEntry, error) {
 	path := filepath.Join(t.TempDir(), "entry.json")
 	is.New(t).NoErr(os.WriteFile(path, []byte(text), 0o600))
-	return Read(path)
+	return ReadEntry(path)
 }
 
 func TestLossesAddUpToTheWholeLoss(t *testing.T) {
@@ -31,26 +31,26 @@
 		for _, loss := range day.Losses() {
 			sum += loss.Share
 		}
-		is.True(math.Abs(sum-(1-day.Worth)) < 1e-9)
+		is.True(math.Abs(sum-(1-day.Score)) < 1e-9)
 	}
 	is.Equal(read.Days[1].Losses()[0].Cause, "worth not earned: worst windows")
-	is.Equal(read.Days[1].Broken(), []string{"BUDGET 76"})
+	is.Equal(read.Days[1].Violations(), []string{"BUDGET 76"})
 }
 
 func TestTheTablesColumnsAddUp(t *testing.T) {
 	is := is.New(t)
 	read, err := entry(t, written)
 	is.NoErr(err)
-	causes, shares := rows(read.Days)
+	causes, shares := lossesByCause(read.Days)
 	for place, day := range read.Days {
 		sum := 0.0
 		for _, cause := range causes {
 			sum += shares[cause][place]
 		}
-		is.True(math.Abs(sum-(1-day.Worth)) < 1e-9)
+		is.True(math.Abs(sum-(1-day.Score)) < 1e-9)
 	}
 	var out strings.Builder
-	is.NoErr(Table(&out, read.Days))
+	is.NoErr(WriteTable(&out, read.Days))
 	is.True(strings.Contains(out.String(), "| **all that was lost** | 0.1414 | 0.3000 |"))
 }
 
@@ -59,7 +59,7 @@
 	read, err := entry(t, written)
 	is.NoErr(err)
 	path := filepath.Join(t.TempDir(), "losses.svg")
-	is.NoErr(Plot(path, "losses", read.Days))
+	is.NoErr(WritePlot(path, "losses", read.Days))
 	drawn, err := os.ReadFile(path)
 	is.NoErr(err)
 	is.True(strings.Contains(string(drawn), "<svg"))
@@ -71,6 +71,6 @@
 		_, err := entry(t, text)
 		is.True(err != nil)
 	}
-	_, err := Read(filepath.Join(t.TempDir(), "missing.json"))
+	_, err := ReadEntry(filepath.Join(t.TempDir(), "missing.json"))
 	is.True(err != nil)
 }
--- a/internal/account/plot.go
+++ b/internal/account/plot.go
@@ -14,14 +14,14 @@
 	barWidth   = 28
 )
 
-// Plot draws the days' losses as stacked bars, one for each day, into a file
+// WritePlot draws the days' losses as stacked bars, one for each day, into a file
 // whose ending names its format (svg, png or pdf).
-func Plot(path, title string, days []Day) error {
+func WritePlot(path, title string, days []Day) error {
 	drawn := plot.New()
 	drawn.Title.Text = title
 	drawn.Y.Label.Text = "lost, as a share of what was owed"
 	drawn.Legend.Top = true
-	causes, shares := rows(days)
+	causes, shares := lossesByCause(days)
 	var below *plotter.BarChart
 	for place, cause := range causes {
 		values := make(plotter.Values, len(days))
--- a/internal/account/table.go
+++ b/internal/account/table.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// shownFrom is the share from which a cause has a row of its own.
-const shownFrom = 0.0005
+// minShownShare is the share from which a cause has a row of its own.
+const minShownShare = 0.0005
 
 // otherCauses is the row for all causes below it.
 const otherCauses = "all other causes"
 
-// Table writes the losses of several days side by side in Markdown, causes by
+// WriteTable writes the losses of several days side by side in Markdown, causes by
 // their sum over the days. Each column adds up to what its day lacks of 1.
-func Table(out io.Writer, days []Day) error {
-	causes, shares := rows(days)
+func WriteTable(out io.Writer, days []Day) error {
+	causes, shares := lossesByCause(days)
 	head, rule := "| cause |", "|---|"
 	for _, day := range days {
 		head += " " + day.Name + " |"
@@ -25,19 +25,19 @@
 	}
 	lines := []string{head, rule}
 	for _, cause := range causes {
-		lines = append(lines, line(cause, shares[cause]))
+		lines = append(lines, formatRow(cause, shares[cause]))
 	}
 	all := make([]float64, len(days))
 	for place := range days {
-		all[place] = 1 - days[place].Worth
+		all[place] = 1 - days[place].Score
 	}
-	lines = append(lines, line("**all that was lost**", all))
+	lines = append(lines, formatRow("**all that was lost**", all))
 	_, err := fmt.Fprintln(out, strings.Join(lines, "\n"))
 	return err
 }
 
-// rows gives the causes in order and what each cost on each day.
-func rows(days []Day) (causes []string, shares map[string][]float64) {
+// lossesByCause gives the causes in order and what each cost on each day.
+func lossesByCause(days []Day) (causes []string, shares map[string][]float64) {
 	shares = map[string][]float64{}
 	sums := map[string]float64{}
 	for place := range days {
@@ -50,7 +50,7 @@
 		}
 	}
 	for cause, each := range shares {
-		if cause == otherCauses || largest(each) >= shownFrom {
+		if cause == otherCauses || maxMagnitude(each) >= minShownShare {
 			continue
 		}
 		if shares[otherCauses] == nil {
@@ -77,16 +77,16 @@
 	return causes, shares
 }
 
-// largest is the greatest of some shares, whatever their sign.
-func largest(shares []float64) (most float64) {
+// maxMagnitude is the greatest of some shares, whatever their sign.
+func maxMagnitude(shares []float64) (most float64) {
 	for _, share := range shares {
 		most = max(most, math.Abs(share))
 	}
 	return most
 }
 
-// line is one row of the table.
-func line(name string, shares []float64) string {
+// formatRow is one row of the table.
+func formatRow(name string, shares []float64) string {
 	text := "| " + name + " |"
 	for _, share := range shares {
 		text += fmt.Sprintf(" %.4f |", share)
--- a/internal/chaosday/chaosday_test.go
+++ b/internal/chaosday/chaosday_test.go
@@ -39,7 +39,7 @@
 }
 
 func exampleSite() *Site {
-	return &Site{ModelService: "model", ToolService: "tool", Class: "case", Tolerate: 2, CatchUp: 5}
+	return &Site{ModelService: "model", ToolService: "tool", RequestClass: "case", FaultTolerance: 2, CatchUpSeconds: 5}
 }
 
 // Every theme's days are valid TOML without unknown keys, with times and shares
@@ -48,7 +48,7 @@
 	for _, theme := range Themes() {
 		for seed := range uint64(20) {
 			is := is.New(t)
-			days := Draw(theme, exampleSite(), seed, 3)
+			days := Generate(theme, exampleSite(), seed, 3)
 			is.Equal(len(days), 3)
 			for i := range days {
 				var read file
@@ -65,7 +65,7 @@
 				for _, e := range append(day.Plan, day.Faults...) {
 					is.True(e.At > 0 && e.At <= 34)
 					is.True(e.Share >= 0 && e.Share <= 1)
-					is.True(e.On == "" || slices.Contains(everyClass, e.On))
+					is.True(e.On == "" || slices.Contains(allClasses, e.On))
 					is.True(slices.Contains(KnownKinds(), e.Kind))
 				}
 			}
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	text := func(theme string, seed uint64) string {
 		var all strings.Builder
-		for _, day := range Draw(theme, exampleSite(), seed, 4) {
+		for _, day := range Generate(theme, exampleSite(), seed, 4) {
 			all.Write(day.TOML())
 		}
 		return all.String()
@@ -96,15 +96,15 @@
 	type variant struct{ kind, on, how string }
 	seen := map[variant]bool{}
 	site := exampleSite()
-	for _, day := range Draw(ThemeMixed, site, 3, DaysForAll(site)+1) {
+	for _, day := range Generate(ThemeMixed, site, 3, DaysForFullCoverage(site)+1) {
 		is.Equal(len(day.Events), DefaultEvents)
 		for _, e := range day.Events {
-			seen[variant{e.Kind, e.On, e.How}] = true
+			seen[variant{e.Kind, e.MachineClass, e.Variant}] = true
 		}
 	}
 	for i := range catalogue {
-		for _, on := range orNone(catalogue[i].on) {
-			for _, how := range orNone(catalogue[i].how) {
+		for _, on := range orEmptyString(catalogue[i].machineClasses) {
+			for _, how := range orEmptyString(catalogue[i].variants) {
 				if !seen[variant{catalogue[i].kind, on, how}] {
 					t.Errorf("%s on %q, %q: on no day", catalogue[i].kind, on, how)
 				}
@@ -117,8 +117,8 @@
 func TestEventsPerDay(t *testing.T) {
 	is := is.New(t)
 	site := exampleSite()
-	site.Events = 30
-	for _, day := range Draw(ThemeMixed, site, 2, 12) {
+	site.EventsPerDay = 30
+	for _, day := range Generate(ThemeMixed, site, 2, 12) {
 		is.Equal(len(day.Events), 30)
 	}
 }
@@ -132,11 +132,11 @@
 	is.Equal(site.Kinds, []string{"burst", "node_kill", "new_kind"})
 	is.Equal(UnknownKinds(site.Kinds), []string{"new_kind"})
 	for _, theme := range Themes() {
-		for _, day := range Draw(theme, site, 1, 5) {
+		for _, day := range Generate(theme, site, 1, 5) {
 			for _, e := range day.Events {
 				is.True(e.Kind == "burst" || e.Kind == "node_kill")
 			}
 		}
 	}
-	is.Equal(Draw("no such theme", site, 1, 5), nil)
+	is.Equal(Generate("no such theme", site, 1, 5), nil)
 }
--- a/internal/chaosday/draw.go
+++ b/internal/chaosday/draw.go
@@ -14,55 +14,55 @@
 // The shape of a mixed day. Traffic of the bench's days lasts some 34 s; what
 // starts by lastMoment can end and be recovered from before the closing fault.
 const (
-	momentsPerDay = 3
-	firstMoment   = 2.0
-	lastMoment    = 24.0
-	togetherSpan  = 0.8 // events of one moment begin within this many seconds
-	closingLeast  = 0.5
-	closingMost   = 1.6
+	clustersPerDay     = 3
+	earliestStart      = 2.0
+	latestStart        = 24.0
+	clusterSpread      = 0.8 // events of one moment begin within this many seconds
+	minClosingDowntime = 0.5
+	maxClosingDowntime = 1.6
 )
 
-// drawer draws events for one site.
-type drawer struct {
+// generator draws events for one site.
+type generator struct {
 	site   *Site
 	random *rand.Rand
 }
 
-func newDrawer(site *Site, seed uint64, stream uint64) *drawer {
-	return &drawer{site: site, random: rand.New(rand.NewPCG(seed, stream))}
+func newGenerator(site *Site, seed uint64, stream uint64) *generator {
+	return &generator{site: site, random: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// between draws from a range, to a hundredth.
-func (d *drawer) between(least, most float64) float64 {
-	return hundredths(least + d.random.Float64()*(most-least))
+// uniform draws from a range, to a hundredth.
+func (d *generator) uniform(least, most float64) float64 {
+	return roundToHundredths(least + d.random.Float64()*(most-least))
 }
 
-func hundredths(value float64) float64 { return math.Round(value*100) / 100 }
+func roundToHundredths(value float64) float64 { return math.Round(value*100) / 100 }
 
-func (d *drawer) from(s span) float64 { return d.between(s.least, s.most) }
+func (d *generator) uniformIn(s valueRange) float64 { return d.uniform(s.low, s.high) }
 
-func (d *drawer) pick(words ...string) string { return words[d.random.IntN(len(words))] }
+func (d *generator) choose(words ...string) string { return words[d.random.IntN(len(words))] }
 
-// closing draws the fault that ends a day.
-func (d *drawer) closing() Closing {
-	return Closing{
-		Kind: d.pick("power_off_all", "wipe_after_ack", "kill_all"),
-		How:  d.pick("", "all", "timed", "taken"),
-		Down: d.between(closingLeast, closingMost),
+// closingFault draws the fault that ends a day.
+func (d *generator) closingFault() ClosingFault {
+	return ClosingFault{
+		Kind:     d.choose("power_off_all", "wipe_after_ack", "kill_all"),
+		Variant:  d.choose("", "all", "timed", "taken"),
+		Downtime: d.uniform(minClosingDowntime, maxClosingDowntime),
 	}
 }
 
-// fill draws an event of a template for a class of machines and a variant.
-func (d *drawer) fill(t *template, on, how string) Event {
+// instantiate draws an event of a template for a class of machines and a variant.
+func (d *generator) instantiate(t *eventTemplate, on, how string) Event {
 	event := Event{
-		Kind: t.kind, Planned: t.planned, On: on, How: how, Count: t.count,
-		Share: d.from(t.share), X: d.from(t.x), For: d.from(t.length), Gap: d.from(t.gap),
+		Kind: t.kind, Planned: t.planned, MachineClass: on, Variant: how, Count: t.count,
+		Share: d.uniformIn(t.share), Strength: d.uniformIn(t.strength), Duration: d.uniformIn(t.duration), Interval: d.uniformIn(t.interval),
 	}
 	if t.kind == "clock_step" {
-		event.X = math.Round(event.X) // whole milliseconds
+		event.Strength = math.Round(event.Strength) // whole milliseconds
 	}
-	if t.class {
-		event.Class = d.site.Class
+	if t.perRequestClass {
+		event.RequestClass = d.site.RequestClass
 	}
 	switch t.service {
 	case modelService:
@@ -73,18 +73,18 @@
 	return event
 }
 
-// variants draws one event for each kind, class of machines and variant that the
+// allEvents draws one event for each kind, class of machines and variant that the
 // site takes, shuffled.
-func (d *drawer) variants() []Event {
+func (d *generator) allEvents() []Event {
 	var events []Event
 	for i := range catalogue {
 		t := &catalogue[i]
-		if !d.site.allows(t.kind) {
+		if !d.site.supports(t.kind) {
 			continue
 		}
-		for _, on := range orNone(t.on) {
-			for _, how := range orNone(t.how) {
-				events = append(events, d.fill(t, on, how))
+		for _, on := range orEmptyString(t.machineClasses) {
+			for _, how := range orEmptyString(t.variants) {
+				events = append(events, d.instantiate(t, on, how))
 			}
 		}
 	}
@@ -92,23 +92,23 @@
 	return events
 }
 
-func orNone(words []string) []string {
+func orEmptyString(words []string) []string {
 	if len(words) == 0 {
 		return []string{""}
 	}
 	return words
 }
 
-// mixed draws count days that go through every kind, class of machines and
+// mixedDays draws count days that go through every kind, class of machines and
 // variant in a shuffled order, several at once, and then through them again.
-func mixed(site *Site, seed uint64, count int) []Day {
-	d := newDrawer(site, seed, 0)
+func mixedDays(site *Site, seed uint64, count int) []Day {
+	d := newGenerator(site, seed, 0)
 	perDay := site.eventsPerDay()
 	var waiting []Event
 	days := make([]Day, 0, count)
 	for number := range count {
 		if len(waiting) < perDay {
-			waiting = append(waiting, d.variants()...)
+			waiting = append(waiting, d.allEvents()...)
 		}
 		if len(waiting) == 0 {
 			return nil
@@ -120,34 +120,34 @@
 	return days
 }
 
-// DaysForAll returns how many mixed days it takes to go through everything once.
-func DaysForAll(site *Site) int {
-	all := len(newDrawer(site, 0, 0).variants())
+// DaysForFullCoverage returns how many mixed days it takes to go through everything once.
+func DaysForFullCoverage(site *Site) int {
+	all := len(newGenerator(site, 0, 0).allEvents())
 	perDay := site.eventsPerDay()
 	return (all + perDay - 1) / perDay
 }
 
-func (d *drawer) mixedDay(seed uint64, number int, events []Event) Day {
-	moments := make([]float64, momentsPerDay)
+func (d *generator) mixedDay(seed uint64, number int, events []Event) Day {
+	moments := make([]float64, clustersPerDay)
 	for i := range moments {
-		moments[i] = d.between(firstMoment, lastMoment)
+		moments[i] = d.uniform(earliestStart, latestStart)
 	}
 	for i := range events {
-		events[i].At = moments[i%momentsPerDay] + d.between(0, togetherSpan)
+		events[i].At = moments[i%clustersPerDay] + d.uniform(0, clusterSpread)
 	}
-	return d.day("mixed", seed, number, events)
+	return d.newDay("mixed", seed, number, events)
 }
 
-// day sorts the events by time and closes the day.
-func (d *drawer) day(theme string, seed uint64, number int, events []Event) Day {
+// newDay sorts the events by time and closes the day.
+func (d *generator) newDay(theme string, seed uint64, number int, events []Event) Day {
 	for i := range events {
-		events[i].At = hundredths(events[i].At)
+		events[i].At = roundToHundredths(events[i].At)
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return Day{
-		Name:    fmt.Sprintf("%s-%d-%d", theme, seed, number),
-		Seed:    1 + d.random.Uint64N(1<<30),
-		Events:  events,
-		Closing: d.closing(),
+		Name:         fmt.Sprintf("%s-%d-%d", theme, seed, number),
+		Seed:         1 + d.random.Uint64N(1<<30),
+		Events:       events,
+		ClosingFault: d.closingFault(),
 	}
 }
--- a/internal/fleet/chaos.go
+++ b/internal/fleet/chaos.go
@@ -25,50 +25,50 @@
 	"github.com/juju/errors"
 )
 
-type day struct {
+type chaosRun struct {
 	fleet   *Fleet
-	parties *Parties
+	workers *Workers
 	tally   *standin.Tally
 	out     io.Writer
 	clock   base.Clock
-	over    atomic.Bool
+	done    atomic.Bool
 }
 
-func newDay(f *Fleet, parties *Parties, tally *standin.Tally, out io.Writer) *day {
+func newChaosRun(f *Fleet, parties *Workers, tally *standin.Tally, out io.Writer) *chaosRun {
 	for _, model := range parties.Models {
 		model.Given = tally.Given
 	}
-	return &day{fleet: f, parties: parties, tally: tally, out: out, clock: parties.Clock}
+	return &chaosRun{fleet: f, workers: parties, tally: tally, out: out, clock: parties.Clock}
 }
 
-// Chaos runs the whole script and waits for the callers' last words.
-func (f *Fleet) Chaos(parties *Parties, tally *standin.Tally, callers, pieces int, out io.Writer) error {
-	d := newDay(f, parties, tally, out)
+// RunChaos runs the whole script and waits for the callers' last words.
+func (f *Fleet) RunChaos(parties *Workers, tally *standin.Tally, callers, pieces int, out io.Writer) error {
+	d := newChaosRun(f, parties, tally, out)
 	var group sync.WaitGroup
 	group.Add(2)
 	go func() {
 		defer group.Done()
-		f.Load(tally, callers, pieces, 300*time.Millisecond, func(int) bool { return !d.over.Load() })
+		f.RunCallers(tally, callers, pieces, 300*time.Millisecond, func(int) bool { return !d.done.Load() })
 	}()
 	go func() {
 		defer group.Done()
-		d.watch()
+		d.watchGatewaySettings()
 	}()
 	steps := []struct {
 		name string
 		do   func() error
 	}{
-		{"workers are replaced one by one", d.rollWorkers},
-		{"a gateway is frozen and woken", func() error { return d.freeze(f.Edges[0], 4*time.Second) }},
+		{"workers are replaced one by one", d.replaceWorkers},
+		{"a gateway is frozen and woken", func() error { return d.freeze(f.Gateways[0], 4*time.Second) }},
 		{"a core is frozen and woken", func() error { return d.freeze(f.Cores[1], 4*time.Second) }},
-		{"a gateway is told to stop and comes back", func() error { return d.restart(f.Edges[1], syscall.SIGTERM) }},
+		{"a gateway is told to stop and comes back", func() error { return d.restart(f.Gateways[1], syscall.SIGTERM) }},
 		{"a core is told to stop and comes back", func() error { return d.restart(f.Cores[0], syscall.SIGTERM) }},
-		{"a gateway is killed", func() error { return d.restart(f.Edges[2], syscall.SIGKILL) }},
+		{"a gateway is killed", func() error { return d.restart(f.Gateways[2], syscall.SIGKILL) }},
 		{"a core is killed", func() error { return d.restart(f.Cores[1], syscall.SIGKILL) }},
 		{"a storage machine is killed", func() error { return d.restart(f.Storage[1], syscall.SIGKILL) }},
 		{"a disk is lost and its machine replaced", d.replaceDisk},
-		{"two operators collide while a core is killed", d.collide},
-		{"everything falls at once, one disk stays away", d.fallAll},
+		{"two operators collide while a core is killed", d.applyConcurrently},
+		{"everything falls at once, one disk stays away", d.measureFullOutage},
 	}
 	var failed error
 	for _, step := range steps {
@@ -80,41 +80,41 @@
 		_, _ = fmt.Fprintf(out, "%6.1fs  %s (%.1fs)\n", d.clock.Now().Seconds(), step.name, (d.clock.Now() - began).Seconds())
 		d.clock.Sleep(time.Second)
 	}
-	d.over.Store(true)
+	d.done.Store(true)
 	group.Wait()
 	return failed
 }
 
-func (d *day) rollWorkers() error {
-	stamp := d.parties.List.Stamp
+func (d *chaosRun) replaceWorkers() error {
+	stamp := d.workers.List.Stamp
 	for place := range 3 {
-		old := d.parties.List.Workers[place]
-		fresh, err := d.fleet.startWorker(d.parties, old.Pool, fmt.Sprintf("%s-next", old.ID))
+		old := d.workers.List.Workers[place]
+		fresh, err := d.fleet.startWorker(d.workers, old.Pool, fmt.Sprintf("%s-next", old.ID))
 		if err != nil {
 			return err
 		}
 		stamp++
 		body := map[string]any{"stamp": stamp, "put": []any{fresh}, "remove": []string{old.ID}}
 		if err := retry(d.clock, d.clock.Now()+10*time.Second, func() error {
-			return Send("PATCH", d.fleet.Edges[place%len(d.fleet.Edges)].Public, "/v1/platform/workers", body, nil)
+			return CallJSON("PATCH", d.fleet.Gateways[place%len(d.fleet.Gateways)].PublicAddr, "/v1/platform/workers", body, nil)
 		}); err != nil {
 			return err
 		}
 		d.tally.Leaves(old.ID, d.clock.Now())
 		d.clock.Sleep(3500 * time.Millisecond)
-		_ = d.parties.servers[old.ID].Close()
+		_ = d.workers.servers[old.ID].Close()
 	}
 	return nil
 }
 
-func (d *day) freeze(p *Process, span time.Duration) error {
+func (d *chaosRun) freeze(p *Process, span time.Duration) error {
 	p.Signal(syscall.SIGSTOP)
 	d.clock.Sleep(span)
 	p.Signal(syscall.SIGCONT)
 	return AwaitReady([]*Process{p}, 20*time.Second)
 }
 
-func (d *day) restart(p *Process, how syscall.Signal) error {
+func (d *chaosRun) restart(p *Process, how syscall.Signal) error {
 	p.Signal(how)
 	code, ended := p.Wait(30 * time.Second)
 	if !ended || (how == syscall.SIGTERM && code != 0) {
@@ -127,17 +127,17 @@
 	return AwaitReady([]*Process{p}, 20*time.Second)
 }
 
-// core gives some core that answers.
-func (d *day) core(call func(p *Process) error) error {
+// callAnyCore gives some core that answers.
+func (d *chaosRun) callAnyCore(call func(p *Process) error) error {
 	return retry(d.clock, d.clock.Now()+30*time.Second, func() error {
 		return call(d.fleet.Cores[rand.IntN(len(d.fleet.Cores))])
 	})
 }
 
-func (d *day) moved() error {
-	return d.core(func(p *Process) error {
+func (d *chaosRun) waitUntilSettled() error {
+	return d.callAnyCore(func(p *Process) error {
 		var shown operate.StorageView
-		if err := Send("GET", p.Public, "/v1/operator/storage", nil, &shown); err != nil {
+		if err := CallJSON("GET", p.PublicAddr, "/v1/operator/storage", nil, &shown); err != nil {
 			return err
 		}
 		if shown.ChangePending || shown.SettledShards != shown.TotalShards {
@@ -147,11 +147,11 @@
 	})
 }
 
-func (d *day) replaceDisk() error {
+func (d *chaosRun) replaceDisk() error {
 	f := d.fleet
 	lost := f.Storage[len(f.Storage)-1]
 	var shown operate.StorageView
-	if err := d.core(func(p *Process) error { return Send("GET", p.Public, "/v1/operator/storage", nil, &shown) }); err != nil {
+	if err := d.callAnyCore(func(p *Process) error { return CallJSON("GET", p.PublicAddr, "/v1/operator/storage", nil, &shown) }); err != nil {
 		return err
 	}
 	id := ""
@@ -161,11 +161,11 @@
 		}
 	}
 	lost.Kill()
-	if err := os.RemoveAll(lost.Data); err != nil {
+	if err := os.RemoveAll(lost.DataDir); err != nil {
 		return err
 	}
 	place := len(f.Storage)
-	if err := f.add(&f.Storage, "storage", place); err != nil {
+	if err := f.addProcess(&f.Storage, "storage", place); err != nil {
 		return err
 	}
 	fresh := f.Storage[place]
@@ -174,10 +174,10 @@
 		return err
 	}
 	change := func(what string, body map[string]string) error {
-		if err := d.core(func(p *Process) error { return Send("POST", p.Public, "/v1/operator/storage/"+what, body, nil) }); err != nil {
+		if err := d.callAnyCore(func(p *Process) error { return CallJSON("POST", p.PublicAddr, "/v1/operator/storage/"+what, body, nil) }); err != nil {
 			return err
 		}
-		return d.moved()
+		return d.waitUntilSettled()
 	}
 	if err := change("retire", map[string]string{"disk": id}); err != nil {
 		return err
@@ -185,8 +185,8 @@
 	return change("admit", map[string]string{"address": fresh.Addr})
 }
 
-// collide has two operators apply at once, again and again.
-func (d *day) collide() error {
+// applyConcurrently has two operators apply at once, again and again.
+func (d *chaosRun) applyConcurrently() error {
 	var group sync.WaitGroup
 	for operator := range 2 {
 		group.Add(1)
@@ -194,7 +194,7 @@
 			defer group.Done()
 			stamp := uint64(1)
 			for round := range 6 {
-				stamp = d.apply(fmt.Sprintf("op%d-%d", operator, round), stamp)
+				stamp = d.applySettings(fmt.Sprintf("op%d-%d", operator, round), stamp)
 				d.clock.Sleep(time.Duration(200+rand.IntN(400)) * time.Millisecond)
 			}
 		}()
@@ -205,13 +205,13 @@
 	if err != nil {
 		return err
 	}
-	return d.stands()
+	return d.recordCurrentSettings()
 }
 
-// stands looks at the settings that the control state holds.
-func (d *day) stands() error {
+// recordCurrentSettings looks at the settings that the control state holds.
+func (d *chaosRun) recordCurrentSettings() error {
 	var now settings.Record
-	if err := d.core(func(p *Process) error { return Send("GET", p.Public, "/v1/operator/settings", nil, &now) }); err != nil {
+	if err := d.callAnyCore(func(p *Process) error { return CallJSON("GET", p.PublicAddr, "/v1/operator/settings", nil, &now) }); err != nil {
 		return err
 	}
 	_, rest, _ := strings.Cut(string(now.Document), `"model": "`)
@@ -223,8 +223,8 @@
 	return nil
 }
 
-// apply takes one change to a known end and gives the stamp that stands.
-func (d *day) apply(change string, stamp uint64) uint64 {
+// applySettings takes one change to a known end and gives the stamp that stands.
+func (d *chaosRun) applySettings(change string, stamp uint64) uint64 {
 	document := strings.Replace(d.fleet.Shape.Settings(), `"model": "stand-in"`, `"model": "`+change+`"`, 1)
 	body := map[string]any{"change": change, "based_on": stamp, "document": json.RawMessage(document)}
 	path := "/v1/operator/settings/apply"
@@ -234,7 +234,7 @@
 		Error   base.RequestError `json:"error"`
 	}
 	for tries := 0; tries < 100; tries++ {
-		status, answer, err := Exchange("POST", d.fleet.Cores[rand.IntN(len(d.fleet.Cores))].Public, path, body)
+		status, answer, err := SendRequest("POST", d.fleet.Cores[rand.IntN(len(d.fleet.Cores))].PublicAddr, path, body)
 		_ = json.Unmarshal(answer, &told)
 		switch {
 		case err == nil && status == 200 && told.Outcome == "taken":
@@ -252,15 +252,15 @@
 	return stamp
 }
 
-// watch asks every gateway for the stamp it serves by.
-func (d *day) watch() {
-	for !d.over.Load() {
-		for _, p := range d.fleet.Edges {
+// watchGatewaySettings asks every gateway for the stamp it serves by.
+func (d *chaosRun) watchGatewaySettings() {
+	for !d.done.Load() {
+		for _, p := range d.fleet.Gateways {
 			asked := d.clock.Now()
 			var now struct {
 				Stamp uint64 `json:"stamp"`
 			}
-			if Send("GET", p.Public, "/v1/platform/settings", nil, &now) != nil {
+			if CallJSON("GET", p.PublicAddr, "/v1/platform/settings", nil, &now) != nil {
 				continue
 			}
 			d.tally.Showed(p.Name, now.Stamp, "", asked)
@@ -269,24 +269,24 @@
 	}
 }
 
-// fallAll kills everything and brings it back, one disk missing, and times it.
-func (d *day) fallAll() error {
+// measureFullOutage kills everything and brings it back, one disk missing, and times it.
+func (d *chaosRun) measureFullOutage() error {
 	away := d.fleet.Storage[rand.IntN(len(d.fleet.Storage))]
 	began := d.clock.Now()
-	if err := d.fall(away, 60*time.Second); err != nil {
+	if err := d.killAndRestartAll(away, 60*time.Second); err != nil {
 		return err
 	}
 	took := d.clock.Now() - began
 	_, _ = fmt.Fprintf(d.out, "         all gateways serve again %.2fs after all fell\n", took.Seconds())
 	d.tally.Back(took)
-	if err := d.stands(); err != nil {
+	if err := d.recordCurrentSettings(); err != nil {
 		return err
 	}
 	return d.fleet.Start(away)
 }
 
 // fall kills everything and starts all but one again, in any order.
-func (d *day) fall(away *Process, limit time.Duration) error {
+func (d *chaosRun) killAndRestartAll(away *Process, limit time.Duration) error {
 	all := d.fleet.All()
 	for _, p := range all {
 		p.Signal(syscall.SIGKILL)
@@ -301,5 +301,5 @@
 			}
 		}
 	}
-	return AwaitReady(d.fleet.Edges, limit)
+	return AwaitReady(d.fleet.Gateways, limit)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -37,7 +37,7 @@
 })
 
 // realFleet starts a small fleet of processes with its parties.
-func realFleet(t *testing.T) (*Fleet, *Parties, string) {
+func realFleet(t *testing.T) (*Fleet, *Workers, string) {
 	is := is.New(t)
 	binaries, err := built()
 	is.NoErr(err)
@@ -45,10 +45,10 @@
 	f, err := New(Shapes["small"], folder, binaries, rand.IntN(50000))
 	is.NoErr(err)
 	t.Cleanup(f.Stop)
-	parties, err := f.StartParties(5, 2*time.Millisecond)
+	parties, err := f.StartWorkers(5, 2*time.Millisecond)
 	is.NoErr(err)
 	t.Cleanup(parties.Stop)
-	is.NoErr(f.Form(parties, time.Minute))
+	is.NoErr(f.SetUp(parties, time.Minute))
 	return f, parties, folder
 }
 
@@ -59,15 +59,15 @@
 	is := is.New(t)
 	f, parties, folder := realFleet(t)
 	tally := standin.NewTally()
-	d := newDay(f, parties, tally, os.Stderr)
+	d := newChaosRun(f, parties, tally, os.Stderr)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		f.Load(tally, 4, 5, 100*time.Millisecond, func(int) bool { return !d.over.Load() })
+		f.RunCallers(tally, 4, 5, 100*time.Millisecond, func(int) bool { return !d.done.Load() })
 	}()
 	stamp := uint64(1)
-	for round, p := range []*Process{f.Edges[0], f.Cores[0], f.Storage[1], f.Edges[1]} {
-		stamp = d.apply(fmt.Sprint("planned-", round), stamp)
+	for round, p := range []*Process{f.Gateways[0], f.Cores[0], f.Storage[1], f.Gateways[1]} {
+		stamp = d.applySettings(fmt.Sprint("planned-", round), stamp)
 		if err := d.restart(p, syscall.SIGTERM); err != nil {
 			written, _ := os.ReadFile(filepath.Join(folder, p.Name+".log"))
 			t.Fatalf("%v\n%s", err, written)
@@ -76,18 +76,18 @@
 		is.NoErr(err)
 		is.True(!strings.Contains(string(written), "still open")) // each answered all that it had read
 	}
-	d.over.Store(true)
+	d.done.Store(true)
 	<-ended
 	for _, name := range []string{"turns_dropped", "turns_cut", "final_cut_cut"} {
 		is.Equal(name+fmt.Sprint(tally.Counts[name]), name+"0")
 	}
 	is.True(tally.Counts["conversations_whole"] > 0)
 	is.Equal(stamp, uint64(5))
-	is.NoErr(d.fall(nil, 2*time.Minute))
-	c := &standin.Caller{Name: "after", Clock: base.NewRealClock(), Ask: f.Asker(), Gateways: len(f.Edges), Group: "small", Site: "main", Pieces: 5, Patience: time.Minute, Tally: tally}
+	is.NoErr(d.killAndRestartAll(nil, 2*time.Minute))
+	c := &standin.Caller{Name: "after", Clock: base.NewRealClock(), Ask: f.Asker(), Gateways: len(f.Gateways), Group: "small", Site: "main", Pieces: 5, Patience: time.Minute, Tally: tally}
 	is.True(c.Start(1000))
 	c.Converse(2, true)
-	is.NoErr(d.stands())
+	is.NoErr(d.recordCurrentSettings())
 	tally.Check(parties.Models, parties.Tools, 5)
 	is.Equal(fmt.Sprint(tally.Breaches), "[]")
 }
@@ -99,7 +99,7 @@
 	tally := standin.NewTally()
 	ask := f.Asker()
 	killed := ""
-	c := &standin.Caller{Name: "till", Clock: base.NewRealClock(), Ask: ask, Gateways: len(f.Edges), Group: "small", Site: "main", Pieces: 5,
+	c := &standin.Caller{Name: "till", Clock: base.NewRealClock(), Ask: ask, Gateways: len(f.Gateways), Group: "small", Site: "main", Pieces: 5,
 		Patience: time.Minute, Tally: tally}
 	c.Between = func(turn int) {
 		if turn != 2 {
@@ -112,7 +112,7 @@
 			Owner string `json:"owner"`
 		}
 		is.NoErr(json.Unmarshal(answer.Body, &status))
-		for _, p := range f.Edges {
+		for _, p := range f.Gateways {
 			if strings.HasPrefix(status.Owner, p.Addr) {
 				p.Kill()
 				killed = p.Name
@@ -152,15 +152,15 @@
 func TestOnlyAFleetsFolderIsEmptied(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
-	is.NoErr(EmptyFolder(folder))
+	is.NoErr(PrepareFolder(folder))
 	is.NoErr(os.WriteFile(filepath.Join(folder, "edge-1.log"), []byte("x"), 0o600))
-	is.NoErr(EmptyFolder(folder))
+	is.NoErr(PrepareFolder(folder))
 	entries, err := os.ReadDir(folder)
 	is.NoErr(err)
 	is.Equal(len(entries), 1)
 	other := t.TempDir()
 	is.NoErr(os.WriteFile(filepath.Join(other, "payroll.db"), []byte("x"), 0o600))
-	is.True(EmptyFolder(other) != nil)
+	is.True(PrepareFolder(other) != nil)
 	kept, err := os.ReadFile(filepath.Join(other, "payroll.db"))
 	is.NoErr(err)
 	is.Equal(string(kept), "x")
--- a/internal/fleet/parties.go
+++ b/internal/fleet/parties.go
@@ -22,20 +22,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Parties are a fleet's workers.
-type Parties struct {
-	Clock   base.Clock
-	Models  []*standin.Model
-	Tools   []*standin.Tool
-	List    worker.List
-	servers map[string]*http.Server
-	pieces  int
-	gap     time.Duration
+// Workers are a fleet's workers.
+type Workers struct {
+	Clock         base.Clock
+	Models        []*standin.Model
+	Tools         []*standin.Tool
+	List          worker.List
+	servers       map[string]*http.Server
+	answerTokens  int
+	tokenInterval time.Duration
 }
 
-// StartParties opens all workers of a shape.
-func (f *Fleet) StartParties(pieces int, gap time.Duration) (*Parties, error) {
-	parties := &Parties{Clock: base.NewRealClock(), List: worker.List{Stamp: 1}, servers: map[string]*http.Server{}, pieces: pieces, gap: gap}
+// StartWorkers opens all workers of a shape.
+func (f *Fleet) StartWorkers(pieces int, gap time.Duration) (*Workers, error) {
+	parties := &Workers{Clock: base.NewRealClock(), List: worker.List{Stamp: 1}, servers: map[string]*http.Server{}, answerTokens: pieces, tokenInterval: gap}
 	for place := 0; place < f.Shape.Models+f.Shape.Tools; place++ {
 		pool, name := "models", fmt.Sprintf("model-%d", place+1)
 		if place >= f.Shape.Models {
@@ -51,19 +51,19 @@
 }
 
 // startWorker opens one worker at an address of its own.
-func (f *Fleet) startWorker(parties *Parties, pool, name string) (worker.Worker, error) {
-	listener, err := net.Listen("tcp", f.nextHost()+":0")
+func (f *Fleet) startWorker(parties *Workers, pool, name string) (worker.Worker, error) {
+	listener, err := net.Listen("tcp", f.nextLoopbackAddr()+":0")
 	if err != nil {
 		return worker.Worker{}, errors.Trace(err)
 	}
-	one := worker.Worker{ID: name, Pool: pool, Addr: listener.Addr().String(), Zone: f.Shape.Zones[f.machines%len(f.Shape.Zones)], Capacity: 16}
+	one := worker.Worker{ID: name, Pool: pool, Addr: listener.Addr().String(), Zone: f.Shape.Zones[f.hostCount%len(f.Shape.Zones)], Capacity: 16}
 	var handler http.Handler
 	if pool == "models" {
-		model := &standin.Model{ID: name, Clock: parties.Clock, Pieces: parties.pieces, Gap: parties.gap}
+		model := &standin.Model{ID: name, Clock: parties.Clock, Pieces: parties.answerTokens, Gap: parties.tokenInterval}
 		parties.Models = append(parties.Models, model)
 		handler = modelHandler(model)
 	} else {
-		tool := &standin.Tool{ID: name, Clock: parties.Clock, Pause: parties.gap}
+		tool := &standin.Tool{ID: name, Clock: parties.Clock, Pause: parties.tokenInterval}
 		parties.Tools = append(parties.Tools, tool)
 		handler = toolHandler(tool)
 	}
@@ -74,7 +74,7 @@
 }
 
 // Stop closes the workers.
-func (p *Parties) Stop() {
+func (p *Workers) Stop() {
 	for _, name := range base.SortedKeys(p.servers) {
 		_ = p.servers[name].Close()
 	}
@@ -119,7 +119,7 @@
 func (f *Fleet) Asker() standin.Asker {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
-		request, err := http.NewRequest(method, "http://"+f.Edges[gateway%len(f.Edges)].Public+path, bytes.NewReader(body))
+		request, err := http.NewRequest(method, "http://"+f.Gateways[gateway%len(f.Gateways)].PublicAddr+path, bytes.NewReader(body))
 		if err != nil {
 			return nil, err
 		}
@@ -139,13 +139,13 @@
 			answer.Body, err = io.ReadAll(response.Body)
 			return answer, err
 		}
-		answer.NextEvent = eventsOf(response.Body)
+		answer.NextEvent = newEventReader(response.Body)
 		return answer, nil
 	}
 }
 
-// eventsOf reads server-sent events line by line.
-func eventsOf(body io.ReadCloser) func() (standin.Event, bool) {
+// newEventReader reads server-sent events line by line.
+func newEventReader(body io.ReadCloser) func() (standin.Event, bool) {
 	reader := bufio.NewReader(body)
 	return func() (standin.Event, bool) {
 		var event standin.Event
@@ -170,14 +170,14 @@
 	}
 }
 
-func readCounters(body []byte) map[string]int64 {
+func decodeCounters(body []byte) map[string]int64 {
 	counters := map[string]int64{}
 	_ = json.Unmarshal(body, &counters)
 	return counters
 }
 
-// Exchange makes one plain exchange with a process.
-func Exchange(method, addr, path string, body any) (status int, answer []byte, err error) {
+// SendRequest makes one plain exchange with a process.
+func SendRequest(method, addr, path string, body any) (status int, answer []byte, err error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -190,9 +190,9 @@
 	return response.StatusCode(), append([]byte(nil), response.Body()...), errors.Trace(err)
 }
 
-// Send makes an exchange that must go well, and reads the answer.
-func Send(method, addr, path string, body, into any) error {
-	status, answer, err := Exchange(method, addr, path, body)
+// CallJSON makes an exchange that must go well, and reads the answer.
+func CallJSON(method, addr, path string, body, into any) error {
+	status, answer, err := SendRequest(method, addr, path, body)
 	if err != nil {
 		return err
 	}
@@ -205,9 +205,9 @@
 	return json.Unmarshal(answer, into)
 }
 
-// Form starts all processes, forms the cluster, applies the settings and
+// SetUp starts all processes, forms the cluster, applies the settings and
 // gives the worker list, and waits until the gateways serve.
-func (f *Fleet) Form(parties *Parties, limit time.Duration) error {
+func (f *Fleet) SetUp(parties *Workers, limit time.Duration) error {
 	for _, p := range f.All() {
 		if err := f.Start(p); err != nil {
 			return err
@@ -216,21 +216,21 @@
 	clock := base.NewRealClock()
 	addrs := base.Map(f.Storage, func(p *Process) string { return p.Addr })
 	if err := retry(clock, limit, func() error {
-		return Send("POST", f.Cores[0].Public, "/v1/operator/init", map[string]any{"disks": addrs}, nil)
+		return CallJSON("POST", f.Cores[0].PublicAddr, "/v1/operator/init", map[string]any{"disks": addrs}, nil)
 	}); err != nil {
 		return err
 	}
 	if err := retry(clock, limit, func() error {
-		return Send("POST", f.Cores[0].Public, "/v1/operator/settings/apply",
+		return CallJSON("POST", f.Cores[0].PublicAddr, "/v1/operator/settings/apply",
 			map[string]any{"change": "first", "based_on": 0, "document": json.RawMessage(f.Shape.Settings())}, nil)
 	}); err != nil {
 		return err
 	}
-	if err := AwaitReady(f.Edges, limit); err != nil {
+	if err := AwaitReady(f.Gateways, limit); err != nil {
 		return err
 	}
 	return retry(clock, limit, func() error {
-		return Send("PUT", f.Edges[0].Public, "/v1/platform/workers", parties.List, nil)
+		return CallJSON("PUT", f.Gateways[0].PublicAddr, "/v1/platform/workers", parties.List, nil)
 	})
 }
 
@@ -244,9 +244,9 @@
 	}
 }
 
-// Load runs many callers at once; each begins conversations while there are
+// RunCallers runs many callers at once; each begins conversations while there are
 // to be more.
-func (f *Fleet) Load(tally *standin.Tally, callers, pieces int, think time.Duration, more func(round int) bool) {
+func (f *Fleet) RunCallers(tally *standin.Tally, callers, pieces int, think time.Duration, more func(round int) bool) {
 	var group sync.WaitGroup
 	ask := f.Asker()
 	for caller := 0; caller < callers; caller++ {
@@ -254,14 +254,14 @@
 		go func() {
 			defer group.Done()
 			for round := 0; more(round); round++ {
-				c := &standin.Caller{Name: fmt.Sprintf("c-%d-%d", caller, round), Clock: base.NewRealClock(), Ask: ask, Gateways: len(f.Edges),
-					Home: caller % len(f.Edges), Group: f.Shape.Group, Site: "main", Pieces: pieces, Patience: 60 * time.Second, Tally: tally}
+				c := &standin.Caller{Name: fmt.Sprintf("c-%d-%d", caller, round), Clock: base.NewRealClock(), Ask: ask, Gateways: len(f.Gateways),
+					Home: caller % len(f.Gateways), Group: f.Shape.Group, Site: "main", Pieces: pieces, Patience: 60 * time.Second, Tally: tally}
 				if think > 0 {
 					c.Between = func(int) { c.Clock.Sleep(time.Duration(c.Clock.Int64N(int64(2 * think)))) }
 				}
-				turns := f.Shape.Turns[0]
+				turns := f.Shape.TurnCounts[0]
 				if (caller+round)%4 == 0 {
-					turns = f.Shape.Turns[1]
+					turns = f.Shape.TurnCounts[1]
 				}
 				if c.Start(int64(turns * pieces * 4)) {
 					c.Converse(turns, true)
--- a/internal/fleet/platform_run.go
+++ b/internal/fleet/platform_run.go
@@ -22,58 +22,58 @@
 type configState struct {
 	mu       sync.Mutex
 	operator *platform.Operator
-	newest   *platform.Order
-	dropped  []platform.Route
+	latest   *platform.Order
+	removed  []platform.Route
 	added    []platform.Route
-	turn     sync.Mutex // one change at a time
+	changeMu sync.Mutex // one change at a time
 }
 
-func (c *configState) took(order *platform.Order) {
+func (c *configState) setLatest(order *platform.Order) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.newest != nil {
-		c.added, c.dropped = nil, nil
+	if c.latest != nil {
+		c.added, c.removed = nil, nil
 		for _, r := range order.Config.Routes {
-			if was := c.newest.Config.Match(r.Host, r.Prefix); was == nil || was.Prefix != r.Prefix {
+			if was := c.latest.Config.Match(r.Host, r.Prefix); was == nil || was.Prefix != r.Prefix {
 				c.added = append(c.added, r)
 			}
 		}
-		for _, r := range c.newest.Config.Routes {
+		for _, r := range c.latest.Config.Routes {
 			if is := order.Config.Match(r.Host, r.Prefix); is == nil {
-				c.dropped = append(c.dropped, r)
+				c.removed = append(c.removed, r)
 			}
 		}
 	}
-	c.newest = order
+	c.latest = order
 }
 
 func (c *configState) current() *platform.Config {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.newest.Config
+	return c.latest.Config
 }
 
-// change sends one valid configuration on top of the newest.
-func (w *platformWorld) change() *platform.Order {
-	w.config.turn.Lock()
-	defer w.config.turn.Unlock()
-	return w.changeNow()
+// changeConfig sends one valid configuration on top of the newest.
+func (w *platformRun) changeConfig() *platform.Order {
+	w.config.changeMu.Lock()
+	defer w.config.changeMu.Unlock()
+	return w.changeConfigLocked()
 }
 
-func (w *platformWorld) changeNow() *platform.Order {
+func (w *platformRun) changeConfigLocked() *platform.Order {
 	newest := w.config.current()
 	next := w.drafts.Next(newest)
 	order := w.config.operator.Put(newest.Generation, next, next.Encode(), "", 30*time.Second)
 	if order.Acked() {
-		w.config.took(order)
+		w.config.setLatest(order)
 	}
 	return order
 }
 
-// race has two operators build on the same version at once.
-func (w *platformWorld) race() {
-	w.config.turn.Lock()
-	defer w.config.turn.Unlock()
+// submitConflictingConfigs has two operators build on the same version at once.
+func (w *platformRun) submitConflictingConfigs() {
+	w.config.changeMu.Lock()
+	defer w.config.changeMu.Unlock()
 	newest := w.config.current()
 	orders := make([]*platform.Order, 2)
 	drafts := []*platform.Config{w.drafts.Next(newest), w.drafts.Next(newest)}
@@ -82,7 +82,7 @@
 	}
 	var group sync.WaitGroup
 	for place := range orders {
-		operator := w.operator(fmt.Sprintf("racer-%d-%d", place, drafts[place].Generation))
+		operator := w.newOperator(fmt.Sprintf("racer-%d-%d", place, drafts[place].Generation))
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -92,39 +92,39 @@
 	group.Wait()
 	for _, order := range orders {
 		if order.Acked() {
-			w.config.took(order)
+			w.config.setLatest(order)
 		}
 	}
 }
 
-func (w *platformWorld) badConfigs(count int, gap time.Duration) {
+func (w *platformRun) submitInvalidConfigs(count int, gap time.Duration) {
 	for place := range count {
-		w.config.turn.Lock()
+		w.config.changeMu.Lock()
 		newest := w.config.current()
 		config, raw, fault := w.drafts.Invalid(newest, platform.InvalidKinds[place%len(platform.InvalidKinds)])
 		order := w.config.operator.Put(newest.Generation, config, raw, fault, 10*time.Second)
 		if order.Acked() && config != nil {
-			w.config.took(order)
+			w.config.setLatest(order)
 		}
-		w.config.turn.Unlock()
+		w.config.changeMu.Unlock()
 		w.clock.Sleep(gap)
 	}
 }
 
-func (w *platformWorld) setRate(times float64) {
+func (w *platformRun) setRateFactor(times float64) {
 	w.rngMu.Lock()
-	w.extra = times
+	w.rateFactor = times
 	w.rngMu.Unlock()
 }
 
-func (w *platformWorld) rate() float64 {
+func (w *platformRun) currentRateFactor() float64 {
 	w.rngMu.Lock()
 	defer w.rngMu.Unlock()
-	return w.extra * w.plan.Rate
+	return w.rateFactor * w.plan.RateFactor
 }
 
-// traffic begins programs in every zone until its time is over.
-func (w *platformWorld) traffic(ctx context.Context, end time.Duration) {
+// generateTraffic begins programs in every zone until its time is over.
+func (w *platformRun) generateTraffic(ctx context.Context, end time.Duration) {
 	var group sync.WaitGroup
 	for place := range w.plan.Site.Classes {
 		class := &w.plan.Site.Classes[place]
@@ -137,11 +137,11 @@
 			go func() {
 				defer group.Done()
 				for {
-					w.clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * w.rate()) * float64(time.Second)))
+					w.clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * w.currentRateFactor()) * float64(time.Second)))
 					if ctx.Err() != nil || w.clock.Now() >= end {
 						return
 					}
-					w.begin(class, zone, rng.IntN(w.plan.Site.Clients), end, "")
+					w.startProgram(class, zone, rng.IntN(w.plan.Site.Clients), end, "")
 				}
 			}()
 		}
@@ -149,8 +149,8 @@
 	group.Wait()
 }
 
-// begin starts one program; one that ought to end too late does not begin.
-func (w *platformWorld) begin(class *platform.Class, zone string, client int, end time.Duration, previous string) {
+// startProgram starts one program; one that ought to end too late does not begin.
+func (w *platformRun) startProgram(class *platform.Class, zone string, client int, end time.Duration, previous string) {
 	var plan *platform.ProgramPlan
 	w.player.Draw(func(g *platform.Generator) { plan = g.Program(class, zone, client) })
 	if w.clock.Now()+plan.Aim > end+w.plan.Site.Bounds.Finish {
@@ -163,16 +163,16 @@
 	}()
 }
 
-// probes asks every ready node directly, on routes that were just added or
+// probeNodes asks every ready node directly, on routes that were just added or
 // removed and on one that never was.
-func (w *platformWorld) probes(ctx context.Context) {
+func (w *platformRun) probeNodes(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.config.mu.Lock()
-		routes := append(append([]platform.Route(nil), w.config.added...), w.config.dropped...)
+		routes := append(append([]platform.Route(nil), w.config.added...), w.config.removed...)
 		w.config.mu.Unlock()
-		routes = append(routes, platform.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", w.draw(1000)), Kind: platform.Idempotent})
+		routes = append(routes, platform.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", w.randomInt(1000)), Kind: platform.Idempotent})
 		for _, node := range w.entry.In() {
-			route := routes[w.draw(len(routes))]
+			route := routes[w.randomInt(len(routes))]
 			if route.Kind != platform.Idempotent {
 				continue
 			}
@@ -189,32 +189,32 @@
 	}
 }
 
-// closing brings the fault at the end of a day about, right after a
+// runClosingFault brings the fault at the end of a day about, right after a
 // configuration was acknowledged, and has programs continue from before it.
-func (w *platformWorld) closing(ctx context.Context) error {
-	w.change()
-	before := w.endedTurns()
+func (w *platformRun) runClosingFault(ctx context.Context) error {
+	w.changeConfig()
+	before := w.answeredTurns()
 	from := w.clock.Now()
 	// The span stands in the record from the first kill on.
 	closing := &platform.Closing{From: from, Back: 1 << 59}
 	w.ledger.Note(func(r *platform.Record) { r.Closing = closing })
-	if err := w.killAll(time.Second, w.plan.Closing == "wipe"); err != nil {
+	if err := w.killAndRestartAll(time.Second, w.plan.ClosingFault == "wipe"); err != nil {
 		return err
 	}
 	back := w.clock.Now()
 	w.ledger.Note(func(*platform.Record) { closing.Back = back })
 	until := back + w.plan.Site.Bounds.Recovery
 	end := until + 6*time.Second
-	w.persist.Store(int64(until))
+	w.persistUntil.Store(int64(until))
 	for _, t := range before {
-		w.begin(w.plan.Site.Class(t.Class), t.Zone, w.draw(w.plan.Site.Clients), end, t.ID)
+		w.startProgram(w.plan.Site.Class(t.Class), t.Zone, w.randomInt(w.plan.Site.Clients), end, t.ID)
 	}
-	w.traffic(ctx, end)
+	w.generateTraffic(ctx, end)
 	return nil
 }
 
-// endedTurns gives some turns that were answered whole and are still kept.
-func (w *platformWorld) endedTurns() (turns []*platform.Try) {
+// answeredTurns gives some turns that were answered whole and are still kept.
+func (w *platformRun) answeredTurns() (turns []*platform.Try) {
 	for _, o := range w.ledger.Record().Outcomes {
 		if o.Ending != platform.InTime && o.Ending != platform.Late {
 			continue
@@ -237,7 +237,7 @@
 
 // RunPlatform plays a plan, writes its report and gives the rules broken.
 func RunPlatform(ctx context.Context, plan *PlatformPlan, out io.Writer) ([]platform.Breach, error) {
-	w := newPlatformWorld(plan)
+	w := newPlatformRun(plan)
 	stopped := false
 	stop := func() {
 		if !stopped {
@@ -246,17 +246,17 @@
 		}
 	}
 	defer stop()
-	if err := w.form(); err != nil {
-		return nil, w.withLog(err)
+	if err := w.setUp(); err != nil {
+		return nil, w.withLogTails(err)
 	}
 	formed := w.clock.Now()
-	w.say("all %d nodes are ready", w.entry.Ready())
-	end := formed + plan.Traffic
+	w.logf("all %d nodes are ready", w.entry.Ready())
+	end := formed + plan.TrafficDuration
 	during, calm := context.WithCancel(ctx)
 	defer calm()
 	var group sync.WaitGroup
-	failed := make(chan error, len(plan.Troubles)+1)
-	for _, t := range plan.Troubles {
+	failed := make(chan error, len(plan.Events)+1)
+	for _, t := range plan.Events {
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -265,8 +265,8 @@
 				return
 			case <-time.After(t.At):
 			}
-			w.say("%s %s", t.Kind, t.On)
-			if err := w.bring(t); err != nil {
+			w.logf("%s %s", t.Kind, t.Target)
+			if err := w.runEvent(t); err != nil {
 				failed <- errors.Annotate(err, t.Kind)
 			}
 		}()
@@ -274,13 +274,13 @@
 	w.programs.Add(1)
 	go func() {
 		defer w.programs.Done()
-		w.probes(during)
+		w.probeNodes(during)
 	}()
-	w.traffic(during, end)
+	w.generateTraffic(during, end)
 	group.Wait()
-	if plan.Closing != "" && during.Err() == nil {
-		w.say("closing fault: %s", plan.Closing)
-		if err := w.closing(during); err != nil {
+	if plan.ClosingFault != "" && during.Err() == nil {
+		w.logf("closing fault: %s", plan.ClosingFault)
+		if err := w.runClosingFault(during); err != nil {
 			failed <- errors.Annotate(err, "closing fault")
 		}
 	}
@@ -288,7 +288,7 @@
 	w.programs.Wait()
 	surplus := w.clients.Close()
 	w.config.operator.ReadBack(plan.Site.Bounds.Contact, plan.Site.Bounds.Contact+20*time.Second)
-	w.list.Settle()
+	w.instances.Settle()
 	w.ledger.Note(func(r *platform.Record) { r.Over = w.clock.Now() })
 	stop()
 	record := w.ledger.Record()
@@ -296,7 +296,7 @@
 	for _, word := range surplus {
 		breaches = append(breaches, platform.Breach{Rule: "MIXED", Word: word + " where no request was waiting"})
 	}
-	for _, word := range w.ownEnds {
+	for _, word := range w.unexpectedExits {
 		breaches = append(breaches, platform.Breach{Rule: "FAULT", Word: word})
 	}
 	record.Print(out, breaches)
@@ -307,12 +307,12 @@
 	}
 	for _, class := range []string{platform.ClassEdge, platform.ClassCore, platform.ClassStorage} {
 		used, peak, count := time.Duration(0), int64(0), 0
-		for _, m := range w.of(class) {
-			used, peak, count = used+m.used, max(peak, m.peak), count+1
+		for _, m := range w.machinesOf(class) {
+			used, peak, count = used+m.cpuTime, max(peak, m.peakMemory), count+1
 		}
 		_, _ = fmt.Fprintf(out, "%d %s: %.2f s of processor time, at most %d MB each\n", count, class, used.Seconds(), peak>>20)
 	}
-	calls, refused := w.list.Calls()
+	calls, refused := w.instances.Calls()
 	opened, asked, found := 0, 0, 0
 	for _, worker := range w.workers {
 		opened += worker.Opened()
@@ -323,16 +323,16 @@
 	_, _ = fmt.Fprintf(out, "%.1f s to form; list: %d calls, %d over the rate; %d connections to workers\n", formed.Seconds(), calls, refused, opened)
 	select {
 	case err := <-failed:
-		return breaches, w.withLog(err)
+		return breaches, w.withLogTails(err)
 	default:
 		return breaches, nil
 	}
 }
 
-// withLog adds the end of the logs to an error, for tests.
-func (w *platformWorld) withLog(err error) error {
+// withLogTails adds the end of the logs to an error, for tests.
+func (w *platformRun) withLogTails(err error) error {
 	word := ""
-	for _, m := range w.of("") {
+	for _, m := range w.machinesOf("") {
 		written, _ := os.ReadFile(w.logPath(m))
 		word += fmt.Sprintf("\n%s: %s", m.Name, written[max(0, len(written)-600):])
 	}
--- a/internal/fleet/platform_test.go
+++ b/internal/fleet/platform_test.go
@@ -29,12 +29,12 @@
 	return folder
 }
 
-// platformRun plays a run with given commands; the tests of any system can call it.
-func platformRun(t *testing.T, commands map[string]string, change func(plan *PlatformPlan)) (breaches []platform.Breach, report string) {
+// runPlatform plays a run with given commands; the tests of any system can call it.
+func runPlatform(t *testing.T, commands map[string]string, change func(plan *PlatformPlan)) (breaches []platform.Breach, report string) {
 	is := is.New(t)
 	root, err := os.Getwd()
 	is.NoErr(err)
-	plan := &PlatformPlan{Site: platform.Sites()["small"], Root: root, Folder: memoryFolder(t), Commands: commands, Traffic: 6 * time.Second, Rate: 1, Seed: 1, Formation: time.Minute}
+	plan := &PlatformPlan{Site: platform.Sites()["small"], WorkDir: root, Dir: memoryFolder(t), Commands: commands, TrafficDuration: 6 * time.Second, RateFactor: 1, Seed: 1, SetUpTimeout: time.Minute}
 	if change != nil {
 		change(plan)
 	}
@@ -53,9 +53,9 @@
 	return commands
 }
 
-func troubles(t *testing.T, written ...string) []Trouble {
-	return base.Map(written, func(one string) Trouble {
-		trouble, err := ParseTrouble(one)
+func troubles(t *testing.T, written ...string) []PlatformEvent {
+	return base.Map(written, func(one string) PlatformEvent {
+		trouble, err := ParsePlatformEvent(one)
 		is.New(t).NoErr(err)
 		return trouble
 	})
@@ -63,9 +63,9 @@
 
 func TestASystemThatKeepsTheRulesBreaksNone(t *testing.T) {
 	is := is.New(t)
-	breaches, report := platformRun(t, stubCommands(""), func(plan *PlatformPlan) {
-		plan.Traffic, plan.Closing, plan.Site.Bounds.Recovery = 9*time.Second, "kill_all", 5*time.Second
-		plan.Troubles = troubles(t, "config_change@0.5", "config_race@1,count=2,gap=0.3", "bad_config@2,gap=0.1", "release:app@0.5,gap=0.3", "answer_lost@2+3,share=0.1",
+	breaches, report := runPlatform(t, stubCommands(""), func(plan *PlatformPlan) {
+		plan.TrafficDuration, plan.ClosingFault, plan.Site.Bounds.Recovery = 9*time.Second, "kill_all", 5*time.Second
+		plan.Events = troubles(t, "config_change@0.5", "config_race@1,count=2,gap=0.3", "bad_config@2,gap=0.1", "release:app@0.5,gap=0.3", "answer_lost@2+3,share=0.1",
 			"garble@3+2,share=0.1", "answer_lost:model@2+3,share=0.05", "roll_term@3,share=0.5,gap=0.3", "node_kill@6+0.5", "node_freeze:core@5+0.5", "settings_hup@4", "burst@4+2,share=1.5",
 			"retire@7+1", "worker_crash:app@7", "worker_slow@4+1", "worker_grey@1+2", "worker_flap@2+3,gap=0.6", "worker_forget@1+5,gap=0.2", "list_down@5+1")
 	})
@@ -76,12 +76,12 @@
 
 func TestASystemThatBreaksTheRulesIsNamed(t *testing.T) {
 	is := is.New(t)
-	breaches, _ := platformRun(t, stubCommands("sinful"), func(plan *PlatformPlan) {
-		plan.Rate = 2
+	breaches, _ := runPlatform(t, stubCommands("sinful"), func(plan *PlatformPlan) {
+		plan.RateFactor = 2
 		for place := range plan.Site.Classes {
 			plan.Site.Classes[place].Runaway = 0.3
 		}
-		plan.Troubles = troubles(t, "config_change@0.2", "release:app@0.2,gap=0.1,share=1", "bad_config@5,gap=0.1")
+		plan.Events = troubles(t, "config_change@0.2", "release:app@0.2,gap=0.1,share=1", "bad_config@5,gap=0.1")
 	})
 	found := map[string]int{}
 	for _, b := range breaches {
@@ -98,31 +98,31 @@
 // Two troubles that meet on one machine leave it one process, and a run none.
 func TestAMachineRunsOneProcess(t *testing.T) {
 	is := is.New(t)
-	w := newPlatformWorld(&PlatformPlan{Site: platform.Sites()["small"], Root: t.TempDir(), Folder: t.TempDir(), Seed: 1,
+	w := newPlatformRun(&PlatformPlan{Site: platform.Sites()["small"], WorkDir: t.TempDir(), Dir: t.TempDir(), Seed: 1,
 		Commands: map[string]string{platform.ClassStorage: os.Args[0] + " stub storage"}})
-	w.listed = &sockets.ListServer{}
-	m := w.lay(platform.ClassStorage, "zone-a", 1, true)
+	w.listServer = &sockets.ListServer{}
+	m := w.addMachine(platform.ClassStorage, "zone-a", 1, true)
 	is.NoErr(w.start(m))
 	first := m.exited
 	is.NoErr(w.start(m))
 	is.True(m.exited == first && m.Running())
-	is.NoErr(w.remove(m))
+	is.NoErr(w.removeMachine(m))
 	is.NoErr(w.start(m))
 	is.True(!m.Running())
 	_, ended := m.Wait(0)
 	is.True(ended)
-	w.listed = nil
+	w.listServer = nil
 	w.stop()
 }
 
 func TestTroublesAreReadFromTheCommandLine(t *testing.T) {
 	is := is.New(t)
-	one, err := ParseTrouble("node_kill:store@5.5+3,wipe,count=2")
+	one, err := ParsePlatformEvent("node_kill:store@5.5+3,wipe,count=2")
 	is.NoErr(err)
-	is.Equal(one, Trouble{Kind: "node_kill", On: "store", At: 5500 * time.Millisecond, For: 3 * time.Second, Count: 2, Gap: time.Second, Wipe: true})
-	is.Equal(one.class("edge"), platform.ClassStorage)
+	is.Equal(one, PlatformEvent{Kind: "node_kill", Target: "store", At: 5500 * time.Millisecond, Duration: 3 * time.Second, Count: 2, Interval: time.Second, WipeDisk: true})
+	is.Equal(one.classOr("edge"), platform.ClassStorage)
 	for _, bad := range []string{"", "node_kill", "node_kill@x", "flood@3", "node_kill@3,wide", "node_kill@3+-1", "node_kill@3,count=0"} {
-		_, err := ParseTrouble(bad)
+		_, err := ParsePlatformEvent(bad)
 		is.True(err != nil)
 	}
 }
@@ -146,8 +146,8 @@
 		{"machines lost", "wipe", []string{"config_change@0.5", "node_kill@1+0.5", "node_freeze:core@2+2", "node_kill:storage@4.5+0.5,wipe", "after_ack_kill@8+0.5", "add_nodes@1"}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			breaches, _ := platformRun(t, builtCommands(t), func(plan *PlatformPlan) {
-				plan.Traffic, plan.Closing, plan.Troubles = 10*time.Second, row.closing, troubles(t, row.troubles...)
+			breaches, _ := runPlatform(t, builtCommands(t), func(plan *PlatformPlan) {
+				plan.TrafficDuration, plan.ClosingFault, plan.Events = 10*time.Second, row.closing, troubles(t, row.troubles...)
 			})
 			is.New(t).Equal(fmt.Sprint(breaches), "[]")
 		})
--- a/internal/fleet/platform_workers.go
+++ b/internal/fleet/platform_workers.go
@@ -15,43 +15,43 @@
 	"fordseam/internal/standin/platform/sockets"
 )
 
-// workerFaults is what a service's workers do wrong just now.
-type workerFaults struct {
-	faults []platform.Fault
-	share  float64
-	until  time.Duration
+// injectedFaults is what a service's workers do wrong just now.
+type injectedFaults struct {
+	faults      []platform.Fault
+	probability float64
+	expiresAt   time.Duration
 }
 
-// fault draws the trouble of one request, by what is wrong with the worker or
+// nextFault draws the trouble of one request, by what is wrong with the worker or
 // with all of its service.
-func (w *platformWorld) fault(worker, service string) platform.Fault {
+func (w *platformRun) nextFault(worker, service string) platform.Fault {
 	for _, name := range []string{worker, service} {
 		w.mu.Lock()
 		f := w.faults[name]
 		w.mu.Unlock()
-		if f != nil && w.clock.Now() <= f.until && w.chance() < f.share {
-			return f.faults[w.draw(len(f.faults))]
+		if f != nil && w.clock.Now() <= f.expiresAt && w.randomFloat() < f.probability {
+			return f.faults[w.randomInt(len(f.faults))]
 		}
 	}
 	return platform.Fine
 }
 
-func (w *platformWorld) setFault(service string, share float64, span time.Duration, faults ...platform.Fault) {
+func (w *platformRun) injectFaults(service string, share float64, span time.Duration, faults ...platform.Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faults[service] = &workerFaults{faults: faults, share: share, until: w.clock.Now() + span}
+	w.faults[service] = &injectedFaults{faults: faults, probability: share, expiresAt: w.clock.Now() + span}
 }
 
-func (w *platformWorld) openWorkers() error {
+func (w *platformRun) startWorkers() error {
 	for _, class := range w.plan.Site.Classes {
-		w.works[w.words.Prefixes[class.Name]] = class.Work
+		w.workByPrefix[w.names.Prefixes[class.Name]] = class.Work
 	}
 	number := 0
 	for place := range w.plan.Site.Services {
 		shape := w.plan.Site.Services[place]
 		for one := range shape.Workers {
 			number++
-			if _, err := w.openWorker(shape, w.plan.Site.Zones[one%len(w.plan.Site.Zones)], w.nextHost()+":0", 0); err != nil {
+			if _, err := w.startWorker(shape, w.plan.Site.Zones[one%len(w.plan.Site.Zones)], w.nextLoopbackAddr()+":0", 0); err != nil {
 				return err
 			}
 		}
@@ -59,19 +59,19 @@
 	return nil
 }
 
-// openWorker starts one life of a worker and puts it on the list.
-func (w *platformWorld) openWorker(shape platform.ServiceShape, zone, address string, after time.Duration) (*sockets.WorkerServer, error) {
-	id := fmt.Sprintf("i-%08x", uint32(w.draw(1<<31)))
+// startWorker starts one life of a worker and puts it on the list.
+func (w *platformRun) startWorker(shape platform.ServiceShape, zone, address string, after time.Duration) (*sockets.WorkerServer, error) {
+	id := fmt.Sprintf("i-%08x", uint32(w.randomInt(1<<31)))
 	rng := rand.New(rand.NewPCG(w.plan.Seed, base.Hash64(id)))
 	var rngMu sync.Mutex
-	service := w.words.Services[shape.Name]
+	service := w.names.Services[shape.Name]
 	worker := &platform.Worker{ID: id, Service: service, Zone: zone, Clock: w.clock, Ledger: w.ledger, Shape: shape, KeepIdle: 5 * time.Second,
-		Speed: []float64{1, 1, 1.3}[w.draw(3)], Draws: rand.New(rand.NewPCG(w.plan.Seed, base.Hash64(id, "own"))), Next: func() platform.Fault { return w.fault(id, service) },
+		Speed: []float64{1, 1, 1.3}[w.randomInt(3)], Draws: rand.New(rand.NewPCG(w.plan.Seed, base.Hash64(id, "own"))), Next: func() platform.Fault { return w.nextFault(id, service) },
 		Work: func(target string) (time.Duration, int) {
 			rngMu.Lock()
 			defer rngMu.Unlock()
 			work := platform.Draw{Mean: 50, Spread: 1, Most: 200}
-			for prefix, one := range w.works {
+			for prefix, one := range w.workByPrefix {
 				if strings.HasPrefix(target, prefix) && one.Mean > 0 {
 					work = one
 				}
@@ -79,7 +79,7 @@
 			return time.Duration(work.Value(rng) * float64(time.Millisecond)), 800
 		}}
 	server, err := sockets.ListenWorker(worker, address, func(s *sockets.WorkerServer) {
-		s.CloseNow = func() bool { return w.draw(50) == 0 }
+		s.CloseNow = func() bool { return w.randomInt(50) == 0 }
 	})
 	if err != nil {
 		return nil, err
@@ -87,22 +87,22 @@
 	w.mu.Lock()
 	w.workers = append(w.workers, server)
 	w.mu.Unlock()
-	instance := w.instance(server, platform.StateReady)
-	w.list.Change(id, &instance, after)
+	instance := w.instanceOf(server, platform.StateReady)
+	w.instances.Change(id, &instance, after)
 	return server, nil
 }
 
-func (w *platformWorld) instance(s *sockets.WorkerServer, state string) platform.Instance {
+func (w *platformRun) instanceOf(s *sockets.WorkerServer, state string) platform.Instance {
 	one := platform.Instance{ID: s.Worker.ID, Service: s.Worker.Service, Address: s.Worker.Address, Zone: s.Worker.Zone, Generation: "v1",
 		Capacity: s.Worker.Shape.Capacity, State: state}
 	if s.Worker.Shape.Engine != nil {
-		one.Model = w.words.Model
+		one.Model = w.names.Model
 	}
 	return one
 }
 
-// serving lists the workers of a service's shape, all for none.
-func (w *platformWorld) serving(shape string) []*sockets.WorkerServer {
+// activeWorkers lists the workers of a service's shape, all for none.
+func (w *platformRun) activeWorkers(shape string) []*sockets.WorkerServer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return base.Filter(w.workers, func(s *sockets.WorkerServer) bool {
@@ -112,24 +112,24 @@
 
 // drainWorker takes a worker off in order: the list shows it as draining, it
 // serves for the drain's time and a little longer, then it ends.
-func (w *platformWorld) drainWorker(s *sockets.WorkerServer) {
-	draining := w.instance(s, platform.StateDraining)
-	w.list.Change(s.Worker.ID, &draining, 0)
-	w.clock.Sleep(w.list.Lag)
-	w.list.Settle()
+func (w *platformRun) drainWorker(s *sockets.WorkerServer) {
+	draining := w.instanceOf(s, platform.StateDraining)
+	w.instances.Change(s.Worker.ID, &draining, 0)
+	w.clock.Sleep(w.instances.Lag)
+	w.instances.Settle()
 	s.Worker.Leave()
 	w.clock.Sleep(w.plan.Site.Bounds.Drain + 1500*time.Millisecond)
-	w.list.Change(s.Worker.ID, nil, 0)
+	w.instances.Change(s.Worker.ID, nil, 0)
 	s.Close()
 }
 
-// release replaces a share of a service's workers one after the other; an old
+// releaseNewVersion replaces a share of a service's workers one after the other; an old
 // one's address may go to a worker of another service.
-func (w *platformWorld) release(shape string, share float64, gap time.Duration) {
-	old := w.serving(shape)
+func (w *platformRun) releaseNewVersion(shape string, share float64, gap time.Duration) {
+	old := w.activeWorkers(shape)
 	var ended sync.WaitGroup
 	for _, s := range old[:int(share*float64(len(old))+0.5)] {
-		if _, err := w.openWorker(s.Worker.Shape, s.Worker.Zone, w.nextHost()+":0", 0); err != nil {
+		if _, err := w.startWorker(s.Worker.Shape, s.Worker.Zone, w.nextLoopbackAddr()+":0", 0); err != nil {
 			continue
 		}
 		ended.Add(1)
@@ -145,38 +145,38 @@
 		w.clock.Sleep(w.plan.Site.Bounds.ReuseAfter)
 		for _, other := range w.plan.Site.Services {
 			if other.Name != old[0].Worker.Shape.Name {
-				_, _ = w.openWorker(other, old[0].Worker.Zone, old[0].Worker.Address, 0)
+				_, _ = w.startWorker(other, old[0].Worker.Zone, old[0].Worker.Address, 0)
 				return
 			}
 		}
 	}
 }
 
-func (w *platformWorld) oneWorker(t Trouble, step func(s *sockets.WorkerServer, t Trouble)) error {
-	if list := w.serving(t.class("app")); len(list) > 0 {
-		step(list[w.draw(len(list))], t)
+func (w *platformRun) applyToOneWorker(t PlatformEvent, step func(s *sockets.WorkerServer, t PlatformEvent)) error {
+	if list := w.activeWorkers(t.classOr("app")); len(list) > 0 {
+		step(list[w.randomInt(len(list))], t)
 	}
 	return nil
 }
 
-// greyWorker has one worker fail or hang in part, and say that it is well.
-func (w *platformWorld) greyWorker(s *sockets.WorkerServer, t Trouble) {
-	w.setFault(s.Worker.ID, orNumber(t.Share, 0.5), t.For, platform.LostSilent, platform.Slow, platform.Fail)
+// degradeWorker has one worker fail or hang in part, and say that it is well.
+func (w *platformRun) degradeWorker(s *sockets.WorkerServer, t PlatformEvent) {
+	w.injectFaults(s.Worker.ID, orDefault(t.Share, 0.5), t.Duration, platform.LostSilent, platform.Slow, platform.Fail)
 }
 
-// flapWorker has one worker call itself unwell and well in turn.
-func (w *platformWorld) flapWorker(s *sockets.WorkerServer, t Trouble) {
-	end := w.clock.Now() + t.For
+// flapHealth has one worker call itself unwell and well in turn.
+func (w *platformRun) flapHealth(s *sockets.WorkerServer, t PlatformEvent) {
+	end := w.clock.Now() + t.Duration
 	for well := false; w.clock.Now() < end; well = !well {
 		s.Worker.SetWell(well)
-		w.clock.Sleep(t.Gap / 2)
+		w.clock.Sleep(t.Interval / 2)
 	}
 	s.Worker.SetWell(true)
 }
 
 // crashWorker ends a worker at once; the list shows it for some seconds more.
-func (w *platformWorld) crashWorker(s *sockets.WorkerServer) {
+func (w *platformRun) crashWorker(s *sockets.WorkerServer) {
 	s.Worker.Leave()
 	s.Close()
-	w.list.Change(s.Worker.ID, nil, 3*time.Second)
+	w.instances.Change(s.Worker.ID, nil, 3*time.Second)
 }
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -21,66 +21,66 @@
 
 // Process is one machine of the fleet.
 type Process struct {
-	Name   string
-	Role   string
-	Zone   string
-	Addr   string
-	Public string
-	Data   string
+	Name       string
+	Role       string
+	Zone       string
+	Addr       string
+	PublicAddr string
+	DataDir    string
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	exited  chan struct{}
-	code    int
-	// used is the processor time of ended lives, peak the most memory of any.
-	used time.Duration
-	peak int64
+	mu       sync.Mutex
+	command  *exec.Cmd
+	exited   chan struct{}
+	exitCode int
+	// cpuTime is the processor time of ended lives, peak the most memory of any.
+	cpuTime    time.Duration
+	peakMemory int64
 }
 
 // Fleet is all of them.
 type Fleet struct {
-	Shape    Shape
-	Folder   string
-	Binaries string
-	Edges    []*Process
-	Cores    []*Process
-	Storage  []*Process
-	network  int
-	machines int
+	Shape        Shape
+	Dir          string
+	BinDir       string
+	Gateways     []*Process
+	Cores        []*Process
+	Storage      []*Process
+	networkIndex int
+	hostCount    int
 }
 
 // New lays a fleet out; nothing runs yet. The network number picks the
 // loopback addresses, so that fleets do not meet.
 func New(shape Shape, folder, binaries string, network int) (*Fleet, error) {
-	f := &Fleet{Shape: shape, Folder: folder, Binaries: binaries, network: network}
+	f := &Fleet{Shape: shape, Dir: folder, BinDir: binaries, networkIndex: network}
 	for place := 0; place < shape.Storage; place++ {
-		if err := f.add(&f.Storage, "storage", place); err != nil {
+		if err := f.addProcess(&f.Storage, "storage", place); err != nil {
 			return nil, err
 		}
 	}
 	for place := 0; place < shape.Cores; place++ {
-		if err := f.add(&f.Cores, "core", place); err != nil {
+		if err := f.addProcess(&f.Cores, "core", place); err != nil {
 			return nil, err
 		}
 	}
-	for place := 0; place < shape.Edges; place++ {
-		if err := f.add(&f.Edges, "edge", place); err != nil {
+	for place := 0; place < shape.Gateways; place++ {
+		if err := f.addProcess(&f.Gateways, "edge", place); err != nil {
 			return nil, err
 		}
 	}
 	return f, nil
 }
 
-const folderMark = ".fordseam-fleet"
+const markerFile = ".fordseam-fleet"
 
-// EmptyFolder gives an empty folder for a fleet. Only one that is empty or was
+// PrepareFolder gives an empty folder for a fleet. Only one that is empty or was
 // a fleet's before is emptied.
-func EmptyFolder(folder string) error {
+func PrepareFolder(folder string) error {
 	entries, err := os.ReadDir(folder)
 	if err != nil && !os.IsNotExist(err) {
 		return errors.Trace(err)
 	}
-	if _, err := os.Stat(filepath.Join(folder, folderMark)); len(entries) > 0 && err != nil {
+	if _, err := os.Stat(filepath.Join(folder, markerFile)); len(entries) > 0 && err != nil {
 		return errors.Errorf("%s holds files that are not a fleet's; give an empty folder", folder)
 	}
 	if err := os.RemoveAll(folder); err != nil {
@@ -89,24 +89,24 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errors.Trace(err)
 	}
-	return errors.Trace(os.WriteFile(filepath.Join(folder, folderMark), nil, 0o644))
+	return errors.Trace(os.WriteFile(filepath.Join(folder, markerFile), nil, 0o644))
 }
 
-// nextHost is a loopback address that no other machine has.
-func (f *Fleet) nextHost() string {
-	f.machines++
-	return fmt.Sprintf("127.%d.%d.%d", 10+f.network/250%200, 1+f.network%250, f.machines)
+// nextLoopbackAddr is a loopback address that no other machine has.
+func (f *Fleet) nextLoopbackAddr() string {
+	f.hostCount++
+	return fmt.Sprintf("127.%d.%d.%d", 10+f.networkIndex/250%200, 1+f.networkIndex%250, f.hostCount)
 }
 
-func (f *Fleet) add(list *[]*Process, role string, place int) error {
-	host := f.nextHost()
+func (f *Fleet) addProcess(list *[]*Process, role string, place int) error {
+	host := f.nextLoopbackAddr()
 	p := &Process{Name: fmt.Sprintf("%s-%d", role, place+1), Role: role, Zone: f.Shape.Zones[place%len(f.Shape.Zones)]}
 	var err error
 	if p.Addr, err = freeAddr(host); err == nil {
-		p.Public, err = freeAddr(host)
+		p.PublicAddr, err = freeAddr(host)
 	}
 	if role == "storage" {
-		p.Data = filepath.Join(f.Folder, p.Name)
+		p.DataDir = filepath.Join(f.Dir, p.Name)
 	}
 	*list = append(*list, p)
 	return errors.Trace(err)
@@ -114,17 +114,17 @@
 
 // All lists every process, storage first.
 func (f *Fleet) All() []*Process {
-	return append(append(append([]*Process{}, f.Storage...), f.Cores...), f.Edges...)
+	return append(append(append([]*Process{}, f.Storage...), f.Cores...), f.Gateways...)
 }
 
-func (f *Fleet) seeds() string {
+func (f *Fleet) seedAddrs() string {
 	return strings.Join([]string{f.Cores[0].Addr, f.Cores[1].Addr, f.Storage[0].Addr}, ",")
 }
 
 // Start runs one process.
 func (f *Fleet) Start(p *Process) error {
-	args := []string{"--address", p.Addr, "--public-address", p.Public, "--zone", p.Zone}
-	for _, seed := range strings.Split(f.seeds(), ",") {
+	args := []string{"--address", p.Addr, "--public-address", p.PublicAddr, "--zone", p.Zone}
+	for _, seed := range strings.Split(f.seedAddrs(), ",") {
 		args = append(args, "--seed", seed)
 	}
 	program := "fordseam-gateway"
@@ -132,10 +132,10 @@
 		program = "fordseam-controller"
 		args = append([]string{"run", "--role", p.Role}, args...)
 	}
-	if p.Data != "" {
-		args = append(args, "--data", p.Data)
+	if p.DataDir != "" {
+		args = append(args, "--data", p.DataDir)
 	}
-	return p.launch(exec.Command(filepath.Join(f.Binaries, program), args...), filepath.Join(f.Folder, p.Name+".log"))
+	return p.launch(exec.Command(filepath.Join(f.BinDir, program), args...), filepath.Join(f.Dir, p.Name+".log"))
 }
 
 // launch runs a command as the process, its log kept in a file.
@@ -158,10 +158,10 @@
 		_ = command.Wait()
 		_ = logFile.Close()
 		p.mu.Lock()
-		p.code = command.ProcessState.ExitCode()
-		p.used += command.ProcessState.UserTime() + command.ProcessState.SystemTime()
+		p.exitCode = command.ProcessState.ExitCode()
+		p.cpuTime += command.ProcessState.UserTime() + command.ProcessState.SystemTime()
 		if usage, ok := command.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.peak = max(p.peak, usage.Maxrss<<10)
+			p.peakMemory = max(p.peakMemory, usage.Maxrss<<10)
 		}
 		p.mu.Unlock()
 		close(exited)
@@ -201,7 +201,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.code, true
+	return p.exitCode, true
 }
 
 // Running says that a life of the process has begun and not ended.
@@ -235,17 +235,17 @@
 
 // Ready asks a process whether it is ready.
 func (p *Process) Ready() bool {
-	status, _, err := fasthttp.GetTimeout(nil, "http://"+p.Public+"/readyz", time.Second)
+	status, _, err := fasthttp.GetTimeout(nil, "http://"+p.PublicAddr+"/readyz", time.Second)
 	return err == nil && status == 200
 }
 
 // Counters reads a process's counters.
 func (p *Process) Counters() map[string]int64 {
-	_, body, err := fasthttp.GetTimeout(nil, "http://"+p.Public+"/counters", time.Second)
+	_, body, err := fasthttp.GetTimeout(nil, "http://"+p.PublicAddr+"/counters", time.Second)
 	if err != nil {
 		return nil
 	}
-	return readCounters(body)
+	return decodeCounters(body)
 }
 
 // AwaitReady waits until all of a list are ready.
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -13,8 +13,8 @@
 	"github.com/juju/errors"
 )
 
-// Total adds up the counters of all processes that answer.
-func (f *Fleet) Total() map[string]int64 {
+// CounterTotals adds up the counters of all processes that answer.
+func (f *Fleet) CounterTotals() map[string]int64 {
 	total := map[string]int64{}
 	for _, p := range f.All() {
 		for name, count := range p.Counters() {
@@ -24,9 +24,9 @@
 	return total
 }
 
-// perWholeTurn is nothing when the counts cannot be compared: there are none
+// perCompletedTurn is nothing when the counts cannot be compared: there are none
 // from before, or processes were restarted and theirs began anew.
-func perWholeTurn(before, after map[string]int64, turns float64) map[string]float64 {
+func perCompletedTurn(before, after map[string]int64, turns float64) map[string]float64 {
 	if before == nil {
 		return nil
 	}
@@ -42,16 +42,16 @@
 	return each
 }
 
-// Report writes a run's outcome; a breach makes it an error.
-func (f *Fleet) Report(out io.Writer, tally *standin.Tally, parties *Parties, before map[string]int64, took time.Duration, asJSON bool) error {
-	after := f.Total()
+// WriteReport writes a run's outcome; a breach makes it an error.
+func (f *Fleet) WriteReport(out io.Writer, tally *standin.Tally, parties *Workers, before map[string]int64, took time.Duration, asJSON bool) error {
+	after := f.CounterTotals()
 	turns := int64(max(1, tally.Counts["turns_whole"]))
 	count, hits := 0, 0
 	for _, model := range parties.Models {
 		_, _, runs, reused := model.Record()
 		count, hits = count+runs, hits+reused
 	}
-	perTurn := perWholeTurn(before, after, float64(turns))
+	perTurn := perCompletedTurn(before, after, float64(turns))
 	shown := map[string]any{"seconds": took.Seconds(), "callers": tally.Counts, "per_turn": perTurn, "model_runs": count, "prefix_hits": hits,
 		"slowest_turn_s": tally.Slowest.Seconds(), "breaches": tally.Breaches, "counters": after}
 	if asJSON {
--- a/internal/fleet/shape.go
+++ b/internal/fleet/shape.go
@@ -11,15 +11,15 @@
 
 // Shape is a deployment's size.
 type Shape struct {
-	Name    string
-	Group   string
-	Zones   []string
-	Edges   int
-	Cores   int
-	Storage int
-	Models  int
-	Tools   int
-	Turns   [2]int
+	Name       string
+	Group      string
+	Zones      []string
+	Gateways   int
+	Cores      int
+	Storage    int
+	Models     int
+	Tools      int
+	TurnCounts [2]int
 }
 
 // Shapes are the deployments known today, and a small one for tests.
--- a/internal/whatif/plan.go
+++ b/internal/whatif/plan.go
@@ -19,60 +19,60 @@
 
 // Deployment is the fleet in question.
 type Deployment struct {
-	Group, Site, Route, ToolRoute string
-	Zones, Edges, Cores, Storage  int
-	Models, Capacity, Pieces      int
-	// Cache is how many prefixes a model worker keeps; 0 keeps all.
-	Cache        int
-	Gap, Prefill time.Duration
-	Tools        int
-	Pause        time.Duration
+	Group, Site, Route, ToolRoute   string
+	Zones, Gateways, Cores, Storage int
+	Models, Capacity, AnswerTokens  int
+	// CachePrefixes is how many prefixes a model worker keeps; 0 keeps all.
+	CachePrefixes              int
+	TokenInterval, PrefillTime time.Duration
+	Tools                      int
+	ToolTime                   time.Duration
 }
 
-// Step of a load curve holds until the next.
-type Step struct {
-	At      time.Duration
-	Callers float64
+// LoadStep of a load curve holds until the next.
+type LoadStep struct {
+	At               time.Duration
+	CallersPerSecond float64
 }
 
 // Load is the callers' part.
 type Load struct {
-	Steps       []Step
-	Until       time.Duration
-	Turns       [2]int
-	LongShare   float64
-	UrgentShare float64
-	ToolCalls   bool
-	Think       time.Duration
-	Budget      int64
-	Patience    time.Duration
-	// Prompts is how many system prompts there are.
-	Prompts int
-	// Hasty is the share of callers who do not obey Retry-After.
-	Hasty float64
+	Steps                 []LoadStep
+	Duration              time.Duration
+	TurnCounts            [2]int
+	LongConversationShare float64
+	UrgentShare           float64
+	ToolCalls             bool
+	ThinkTime             time.Duration
+	TokenBudget           int64
+	Patience              time.Duration
+	// SystemPrompts is how many system prompts there are.
+	SystemPrompts int
+	// HastyShare is the share of callers who do not obey Retry-After.
+	HastyShare float64
 }
 
-// Event of a script.
-type Event struct {
+// ScriptEvent of a script.
+type ScriptEvent struct {
 	Line    int
 	At      time.Duration
-	Do      string
+	Action  string
 	Machine string
 }
 
-// Kiondo is the deployment used when none is given.
-func Kiondo() *Deployment {
-	return &Deployment{Group: "kiondo", Site: "main", Route: "chat", ToolRoute: "loyalty", Zones: 4, Edges: 6, Cores: 4, Storage: 4,
-		Models: 9, Capacity: 8, Pieces: 8, Gap: 20 * time.Millisecond, Prefill: 10 * time.Millisecond, Tools: 4, Pause: 20 * time.Millisecond}
+// DefaultDeployment is the deployment used when none is given.
+func DefaultDeployment() *Deployment {
+	return &Deployment{Group: "kiondo", Site: "main", Route: "chat", ToolRoute: "loyalty", Zones: 4, Gateways: 6, Cores: 4, Storage: 4,
+		Models: 9, Capacity: 8, AnswerTokens: 8, TokenInterval: 20 * time.Millisecond, PrefillTime: 10 * time.Millisecond, Tools: 4, ToolTime: 20 * time.Millisecond}
 }
 
-// Saturday is the load used when none is given: quiet, a rush, and back.
-func Saturday() *Load {
-	return &Load{Steps: []Step{{0, 2}, {10 * time.Second, 20}, {30 * time.Second, 2}}, Until: 45 * time.Second, Turns: [2]int{3, 5},
-		LongShare: 0.2, UrgentShare: 0.1, ToolCalls: true, Think: time.Second, Budget: 1000, Patience: 30 * time.Second, Prompts: 1}
+// DefaultLoad is the load used when none is given: quiet, a rush, and back.
+func DefaultLoad() *Load {
+	return &Load{Steps: []LoadStep{{0, 2}, {10 * time.Second, 20}, {30 * time.Second, 2}}, Duration: 45 * time.Second, TurnCounts: [2]int{3, 5},
+		LongConversationShare: 0.2, UrgentShare: 0.1, ToolCalls: true, ThinkTime: time.Second, TokenBudget: 1000, Patience: 30 * time.Second, SystemPrompts: 1}
 }
 
-func whole(into *int, low, high float64) base.FieldReader {
+func intField(into *int, low, high float64) base.FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		var value float64
 		err := base.NumberField(&value, low, high, true)(path, d)
@@ -81,7 +81,7 @@
 	}
 }
 
-func span(into *time.Duration, unit time.Duration, low, high float64) base.FieldReader {
+func durationField(into *time.Duration, unit time.Duration, low, high float64) base.FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		var value float64
 		err := base.NumberField(&value, low, high, false)(path, d)
@@ -90,8 +90,8 @@
 	}
 }
 
-// fault names the file, the line and the field of what is wrong.
-func fault(file string, line int, err error) error {
+// locateError names the file, the line and the field of what is wrong.
+func locateError(file string, line int, err error) error {
 	if v := base.FindRequestError(err); v != nil {
 		if line > 0 {
 			return errors.Errorf("%s: line %d: %s: %s", file, line, v.Field, v.Message)
@@ -103,26 +103,26 @@
 
 // ReadDeployment reads a deployment over the default.
 func ReadDeployment(file string, document []byte) (*Deployment, error) {
-	d := Kiondo()
+	d := DefaultDeployment()
 	err := base.ReadFields(document, map[string]base.FieldReader{
 		"group": base.StringField(&d.Group, 128), "site": base.StringField(&d.Site, 128), "route": base.StringField(&d.Route, 128), "tool_route": base.StringField(&d.ToolRoute, 128),
-		"zones": whole(&d.Zones, 1, 64), "edges": whole(&d.Edges, 1, 64), "cores": whole(&d.Cores, 1, 32), "storage": whole(&d.Storage, 3, 32),
-		"models": whole(&d.Models, 1, 128), "model_capacity": whole(&d.Capacity, 1, 4096), "answer_tokens": whole(&d.Pieces, 1, 4096),
-		"token_gap_ms": span(&d.Gap, time.Millisecond, 0.1, 10000), "cache_prefixes": whole(&d.Cache, 0, 1<<20), "prefill_ms": span(&d.Prefill, time.Millisecond, 0, 10000),
-		"tools": whole(&d.Tools, 1, 128), "tool_ms": span(&d.Pause, time.Millisecond, 0.1, 60000),
+		"zones": intField(&d.Zones, 1, 64), "edges": intField(&d.Gateways, 1, 64), "cores": intField(&d.Cores, 1, 32), "storage": intField(&d.Storage, 3, 32),
+		"models": intField(&d.Models, 1, 128), "model_capacity": intField(&d.Capacity, 1, 4096), "answer_tokens": intField(&d.AnswerTokens, 1, 4096),
+		"token_gap_ms": durationField(&d.TokenInterval, time.Millisecond, 0.1, 10000), "cache_prefixes": intField(&d.CachePrefixes, 0, 1<<20), "prefill_ms": durationField(&d.PrefillTime, time.Millisecond, 0, 10000),
+		"tools": intField(&d.Tools, 1, 128), "tool_ms": durationField(&d.ToolTime, time.Millisecond, 0.1, 60000),
 	})
-	return d, fault(file, 0, err)
+	return d, locateError(file, 0, err)
 }
 
 // ReadLoad reads a load curve over the default.
 func ReadLoad(file string, document []byte) (*Load, error) {
-	l := Saturday()
-	var turns, long, budget float64 = float64(l.Turns[0]), float64(l.Turns[1]), float64(l.Budget)
+	l := DefaultLoad()
+	var turns, long, budget float64 = float64(l.TurnCounts[0]), float64(l.TurnCounts[1]), float64(l.TokenBudget)
 	err := base.ReadFields(document, map[string]base.FieldReader{
-		"until_s": span(&l.Until, time.Second, 1, 86400), "turns": base.NumberField(&turns, 1, 100, true), "long_turns": base.NumberField(&long, 1, 1000, true),
-		"long_share": base.NumberField(&l.LongShare, 0, 1, false), "urgent_share": base.NumberField(&l.UrgentShare, 0, 1, false),
-		"tool_calls": base.BoolField(&l.ToolCalls), "think_s": span(&l.Think, time.Second, 0, 3600), "budget_tokens": base.NumberField(&budget, 1, 1<<40, true),
-		"patience_s": span(&l.Patience, time.Second, 1, 3600), "hasty_share": base.NumberField(&l.Hasty, 0, 1, false), "prompts": whole(&l.Prompts, 1, 1<<20),
+		"until_s": durationField(&l.Duration, time.Second, 1, 86400), "turns": base.NumberField(&turns, 1, 100, true), "long_turns": base.NumberField(&long, 1, 1000, true),
+		"long_share": base.NumberField(&l.LongConversationShare, 0, 1, false), "urgent_share": base.NumberField(&l.UrgentShare, 0, 1, false),
+		"tool_calls": base.BoolField(&l.ToolCalls), "think_s": durationField(&l.ThinkTime, time.Second, 0, 3600), "budget_tokens": base.NumberField(&budget, 1, 1<<40, true),
+		"patience_s": durationField(&l.Patience, time.Second, 1, 3600), "hasty_share": base.NumberField(&l.HastyShare, 0, 1, false), "prompts": intField(&l.SystemPrompts, 1, 1<<20),
 		"steps": func(path string, d *jx.Decoder) error {
 			if d.Next() != jx.Array {
 				return base.DeclineField(path, "must be a list")
@@ -134,8 +134,8 @@
 				if err != nil {
 					return err
 				}
-				var step Step
-				err = base.ReadFields(raw, map[string]base.FieldReader{"at_s": span(&step.At, time.Second, 0, 86400), "callers_per_s": base.NumberField(&step.Callers, 0, 10000, false)})
+				var step LoadStep
+				err = base.ReadFields(raw, map[string]base.FieldReader{"at_s": durationField(&step.At, time.Second, 0, 86400), "callers_per_s": base.NumberField(&step.CallersPerSecond, 0, 10000, false)})
 				if v := base.FindRequestError(err); v != nil {
 					v.Field = at + "." + v.Field
 					return v
@@ -148,33 +148,33 @@
 			})
 		},
 	})
-	l.Turns, l.Budget = [2]int{int(turns), int(long)}, int64(budget)
+	l.TurnCounts, l.TokenBudget = [2]int{int(turns), int(long)}, int64(budget)
 	if err == nil && len(l.Steps) == 0 {
 		err = base.DeclineField("steps", "must not be empty")
 	}
-	return l, fault(file, 0, err)
+	return l, locateError(file, 0, err)
 }
 
-var deeds = map[string]bool{"kill": true, "power": true, "start": true, "freeze": true, "wake": true, "stop": true, "wipe": true,
+var actionNeedsMachine = map[string]bool{"kill": true, "power": true, "start": true, "freeze": true, "wake": true, "stop": true, "wipe": true,
 	"stall": true, "unstall": true, "cut": true, "heal": false}
 
 // ReadScript reads one event a line.
-func ReadScript(file string, document []byte, machines []string) ([]Event, error) {
-	events := []Event{}
+func ReadScript(file string, document []byte, machines []string) ([]ScriptEvent, error) {
+	events := []ScriptEvent{}
 	for place, line := range bytes.Split(document, []byte("\n")) {
 		if len(bytes.TrimSpace(line)) == 0 {
 			continue
 		}
-		event := Event{Line: place + 1, At: -1}
-		err := base.ReadFields(line, map[string]base.FieldReader{"at_s": span(&event.At, time.Second, 0, 86400),
-			"do": base.StringField(&event.Do, 16), "machine": base.StringField(&event.Machine, 64)})
-		needs, known := deeds[event.Do]
+		event := ScriptEvent{Line: place + 1, At: -1}
+		err := base.ReadFields(line, map[string]base.FieldReader{"at_s": durationField(&event.At, time.Second, 0, 86400),
+			"do": base.StringField(&event.Action, 16), "machine": base.StringField(&event.Machine, 64)})
+		needs, known := actionNeedsMachine[event.Action]
 		switch {
 		case err != nil:
 		case event.At < 0:
 			err = base.DeclineField("at_s", "must be given")
 		case !known:
-			err = base.DeclineField("do", "must be one of %s", strings.Join(base.SortedKeys(deeds), ", "))
+			err = base.DeclineField("do", "must be one of %s", strings.Join(base.SortedKeys(actionNeedsMachine), ", "))
 		case needs != (event.Machine != ""):
 			err = base.DeclineField("machine", "must be given for all but heal")
 		case needs && !named(machines, event.Machine):
@@ -183,7 +183,7 @@
 			err = base.DeclineField("at_s", "must not be before the line above")
 		}
 		if err != nil {
-			return nil, fault(file, place+1, err)
+			return nil, locateError(file, place+1, err)
 		}
 		events = append(events, event)
 	}
@@ -205,7 +205,7 @@
 	for _, kind := range []struct {
 		name  string
 		count int
-	}{{"storage", d.Storage}, {"core", d.Cores}, {"edge", d.Edges}, {"model", d.Models}, {"app", d.Tools}} {
+	}{{"storage", d.Storage}, {"core", d.Cores}, {"edge", d.Gateways}, {"model", d.Models}, {"app", d.Tools}} {
 		for place := 0; place < kind.count; place++ {
 			names = append(names, fmt.Sprintf("%s-%d", kind.name, place))
 		}
--- a/internal/whatif/run.go
+++ b/internal/whatif/run.go
@@ -19,53 +19,53 @@
 	"github.com/juju/errors"
 )
 
-// Question is all that goes in.
-type Question struct {
+// Scenario is all that goes in.
+type Scenario struct {
 	Deployment *Deployment
 	Settings   []byte
 	Load       *Load
-	Script     []Event
+	Script     []ScriptEvent
 	Seed       uint64
 }
 
 // Phase is what happened during one step of the load.
 type Phase struct {
-	FromS    float64 `json:"from_s"`
-	Callers  float64 `json:"callers_per_s"`
-	Whole    int     `json:"turns_whole"`
-	Refused  int     `json:"turns_refused"`
-	Cut      int     `json:"turns_cut"`
-	MedianMs float64 `json:"median_turn_ms"`
-	P99Ms    float64 `json:"p99_turn_ms"`
-	// RefusedMs is the time to a refusal, at the median and the 99th of 100.
-	RefusedMs [2]float64 `json:"refusal_ms"`
+	FromSeconds      float64 `json:"from_s"`
+	CallersPerSecond float64 `json:"callers_per_s"`
+	CompletedTurns   int     `json:"turns_whole"`
+	RefusedTurns     int     `json:"turns_refused"`
+	InterruptedTurns int     `json:"turns_cut"`
+	MedianTurnMs     float64 `json:"median_turn_ms"`
+	P99TurnMs        float64 `json:"p99_turn_ms"`
+	// RefusalMs is the time to a refusal, at the median and the 99th of 100.
+	RefusalMs [2]float64 `json:"refusal_ms"`
 }
 
 // Report is all that comes out.
 type Report struct {
-	Seed          uint64         `json:"seed"`
-	VirtualS      float64        `json:"virtual_s"`
-	Phases        []Phase        `json:"phases"`
-	Conversations map[string]int `json:"conversations"`
-	Refusals      map[string]int `json:"refusals"`
-	Waited        int64          `json:"legs_waited"`
-	Takeovers     int64          `json:"takeovers"`
-	TakeoverMs    float64        `json:"mean_takeover_ms"`
-	LongestMs     float64        `json:"longest_turn_ms"`
-	PrefixReuse   float64        `json:"prefix_reuse"`
-	PromptReuse   float64        `json:"prompt_messages_in_cache"`
-	BudgetUse     float64        `json:"budget_use"`
-	MessagesTurn  float64        `json:"messages_per_turn"`
-	SyncsTurn     float64        `json:"disk_syncs_per_turn"`
-	IdleMessages  float64        `json:"idle_messages_per_s"`
-	SettingsMs    float64        `json:"settings_to_last_gateway_ms"`
-	Breaches      []string       `json:"must_nevers_broken"`
+	Seed                  uint64         `json:"seed"`
+	VirtualSeconds        float64        `json:"virtual_s"`
+	Phases                []Phase        `json:"phases"`
+	Conversations         map[string]int `json:"conversations"`
+	Refusals              map[string]int `json:"refusals"`
+	WaitingLegs           int64          `json:"legs_waited"`
+	Takeovers             int64          `json:"takeovers"`
+	MeanTakeoverMs        float64        `json:"mean_takeover_ms"`
+	LongestTurnMs         float64        `json:"longest_turn_ms"`
+	PrefixReuse           float64        `json:"prefix_reuse"`
+	PromptCacheHitRate    float64        `json:"prompt_messages_in_cache"`
+	BudgetUse             float64        `json:"budget_use"`
+	MessagesPerTurn       float64        `json:"messages_per_turn"`
+	DiskSyncsPerTurn      float64        `json:"disk_syncs_per_turn"`
+	IdleMessagesPerSecond float64        `json:"idle_messages_per_s"`
+	SettingsPropagationMs float64        `json:"settings_to_last_gateway_ms"`
+	InvariantViolations   []string       `json:"must_nevers_broken"`
 }
 
-const settleTime = 2 * time.Minute
+const maxDrainTime = 2 * time.Minute
 
-// Answer runs a question.
-func Answer(q *Question) (*Report, error) {
+// Simulate runs a question.
+func Simulate(q *Scenario) (*Report, error) {
 	tree, faults := settings.Parse(q.Settings)
 	if len(faults) > 0 {
 		return nil, errors.New(settings.InvalidDocument(faults).Message)
@@ -78,8 +78,8 @@
 	}
 	chat, _ := tree.Route(d.Group, d.Site, d.Route)
 	tools, _ := tree.Route(d.Group, d.Site, d.ToolRoute)
-	shape := simulate.Shape{Group: d.Group, Zones: d.Zones, Edges: d.Edges, Cores: d.Cores, Storage: d.Storage, Models: d.Models, Tools: d.Tools,
-		Capacity: d.Capacity, Pieces: d.Pieces, Gap: d.Gap, Prefill: d.Prefill, Cache: d.Cache, Settings: string(q.Settings), ModelPool: chat.Pool, ToolPool: tools.Pool}
+	shape := simulate.Shape{Group: d.Group, Zones: d.Zones, Edges: d.Gateways, Cores: d.Cores, Storage: d.Storage, Models: d.Models, Tools: d.Tools,
+		Capacity: d.Capacity, Pieces: d.AnswerTokens, Gap: d.TokenInterval, Prefill: d.PrefillTime, Cache: d.CachePrefixes, Settings: string(q.Settings), ModelPool: chat.Pool, ToolPool: tools.Pool}
 	f := simulate.NewFleet(q.Seed, shape)
 	defer f.World.Close()
 	formed := false
@@ -93,72 +93,72 @@
 	f.StartUsageReports(time.Second)
 	began := f.World.Now()
 	started, syncs, messages := 0, f.SyncTotal(), f.Net.MessageCount
-	r := &Report{Seed: q.Seed, IdleMessages: idle, Conversations: map[string]int{}, Refusals: map[string]int{}}
+	r := &Report{Seed: q.Seed, IdleMessagesPerSecond: idle, Conversations: map[string]int{}, Refusals: map[string]int{}}
 	moments := map[string][]time.Duration{}
 	f.Tally.Seen = func(name string) { moments[name] = append(moments[name], f.World.Now()-began) }
 	left, over := 0, false
 	f.CallerHost.Go(func() {
-		for now := time.Duration(0); now < q.Load.Until; now = f.World.Now() - began {
+		for now := time.Duration(0); now < q.Load.Duration; now = f.World.Now() - began {
 			rate := rateAt(q.Load.Steps, now)
 			if rate <= 0 {
 				f.CallerHost.Clock().Sleep(100 * time.Millisecond)
 				continue
 			}
-			q.caller(f, started, &left)
+			q.startCaller(f, started, &left)
 			started++
 			f.CallerHost.Clock().Sleep(time.Duration(float64(time.Second) / rate))
 		}
 		over = true
 	})
-	f.CallerHost.Go(func() { q.play(f, began) })
-	f.CallerHost.Go(func() { q.apply(f, r, began+q.Load.Until/2) })
-	f.World.Run(began+q.Load.Until+settleTime, func() bool { return over && left == 0 })
-	r.VirtualS = (f.World.Now() - began).Seconds()
-	r.fill(q, f, moments, began, started-left)
-	r.MessagesTurn = float64(f.Net.MessageCount-messages) / float64(max(1, f.Tally.Counts["turns_whole"]))
-	r.SyncsTurn = float64(f.SyncTotal()-syncs) / float64(max(1, f.Tally.Counts["turns_whole"]))
+	f.CallerHost.Go(func() { q.runScript(f, began) })
+	f.CallerHost.Go(func() { q.reapplySettings(f, r, began+q.Load.Duration/2) })
+	f.World.Run(began+q.Load.Duration+maxDrainTime, func() bool { return over && left == 0 })
+	r.VirtualSeconds = (f.World.Now() - began).Seconds()
+	r.collect(q, f, moments, began, started-left)
+	r.MessagesPerTurn = float64(f.Net.MessageCount-messages) / float64(max(1, f.Tally.Counts["turns_whole"]))
+	r.DiskSyncsPerTurn = float64(f.SyncTotal()-syncs) / float64(max(1, f.Tally.Counts["turns_whole"]))
 	return r, nil
 }
 
-func rateAt(steps []Step, now time.Duration) float64 {
+func rateAt(steps []LoadStep, now time.Duration) float64 {
 	rate := 0.0
 	for _, step := range steps {
 		if step.At <= now {
-			rate = step.Callers
+			rate = step.CallersPerSecond
 		}
 	}
 	return rate
 }
 
-func (q *Question) caller(f *simulate.Fleet, num int, left *int) {
+func (q *Scenario) startCaller(f *simulate.Fleet, num int, left *int) {
 	w := f.World
 	c := &standin.Caller{Name: fmt.Sprintf("c%d", num), Clock: f.CallerHost.Clock(), Ask: f.Asker(f.CallerHost), Gateways: len(f.Gateways), Home: int(w.Int64N(int64(len(f.Gateways)))),
-		Group: q.Deployment.Group, Site: q.Deployment.Site, Route: q.Deployment.Route, ToolRoute: q.Deployment.ToolRoute, Pieces: q.Deployment.Pieces,
+		Group: q.Deployment.Group, Site: q.Deployment.Site, Route: q.Deployment.Route, ToolRoute: q.Deployment.ToolRoute, Pieces: q.Deployment.AnswerTokens,
 		Patience: q.Load.Patience, Tally: f.Tally}
-	c.Hasty = w.Chance(q.Load.Hasty)
-	if q.Load.Prompts > 1 {
-		c.Prompt = fmt.Sprintf("You help callers with matter %d", w.Int64N(int64(q.Load.Prompts)))
+	c.Hasty = w.Chance(q.Load.HastyShare)
+	if q.Load.SystemPrompts > 1 {
+		c.Prompt = fmt.Sprintf("You help callers with matter %d", w.Int64N(int64(q.Load.SystemPrompts)))
 	}
 	if w.Chance(q.Load.UrgentShare) {
 		c.Urgency = "urgent"
 	}
-	turns := q.Load.Turns[0]
-	if w.Chance(q.Load.LongShare) {
-		turns = q.Load.Turns[1]
+	turns := q.Load.TurnCounts[0]
+	if w.Chance(q.Load.LongConversationShare) {
+		turns = q.Load.TurnCounts[1]
 	}
-	c.Between = func(int) { c.Clock.Sleep(w.Between(0, 2*q.Load.Think)) }
+	c.Between = func(int) { c.Clock.Sleep(w.Between(0, 2*q.Load.ThinkTime)) }
 	*left++
 	f.CallerHost.Go(func() {
-		if c.Start(q.Load.Budget) {
+		if c.Start(q.Load.TokenBudget) {
 			c.Converse(turns, q.Load.ToolCalls)
 		}
 		*left--
 	})
 }
 
-// apply puts the same settings in force once more, in the middle of the
+// reapplySettings puts the same settings in force once more, in the middle of the
 // load, and times how long until the last living gateway goes by them.
-func (q *Question) apply(f *simulate.Fleet, r *Report, at time.Duration) {
+func (q *Scenario) reapplySettings(f *simulate.Fleet, r *Report, at time.Duration) {
 	clock := f.CallerHost.Clock()
 	clock.Sleep(at - f.World.Now())
 	taken := false
@@ -175,11 +175,11 @@
 			clock.Sleep(time.Millisecond)
 		}
 	}
-	r.SettingsMs = millis(f.World.Now() - told)
+	r.SettingsPropagationMs = milliseconds(f.World.Now() - told)
 }
 
-// play does the script's deeds at their times.
-func (q *Question) play(f *simulate.Fleet, began time.Duration) {
+// runScript does the script's deeds at their times.
+func (q *Scenario) runScript(f *simulate.Fleet, began time.Duration) {
 	machines := map[string]*simulate.Machine{}
 	for _, m := range f.All() {
 		machines[m.Host.Name] = m
@@ -189,12 +189,12 @@
 			f.CallerHost.Clock().Sleep(wait)
 		}
 		host, m := f.World.Hosts[event.Machine], machines[event.Machine]
-		switch event.Do {
+		switch event.Action {
 		case "kill", "power":
 			switch {
 			case m == nil:
 				host.Kill()
-			case event.Do == "kill":
+			case event.Action == "kill":
 				f.Kill(m)
 			default:
 				f.PowerLoss(m)
@@ -220,7 +220,7 @@
 			}
 		case "stall", "unstall":
 			if m != nil {
-				m.Disk.SyncStalled = event.Do == "stall"
+				m.Disk.SyncStalled = event.Action == "stall"
 			}
 		case "cut":
 			f.Net.Isolate(map[string]bool{event.Machine: true})
@@ -230,7 +230,7 @@
 	}
 }
 
-func (r *Report) fill(q *Question, f *simulate.Fleet, moments map[string][]time.Duration, began time.Duration, ended int) {
+func (r *Report) collect(q *Scenario, f *simulate.Fleet, moments map[string][]time.Duration, began time.Duration, ended int) {
 	counts := f.Tally.Counts
 	r.Conversations = map[string]int{"whole": counts["conversations_whole"], "ended": ended}
 	for _, name := range base.SortedKeys(counts) {
@@ -247,23 +247,23 @@
 			until = q.Load.Steps[place+1].At
 		}
 		within := func(at time.Duration) bool { return at >= step.At && at < until }
-		phase := Phase{FromS: step.At.Seconds(), Callers: step.Callers}
+		phase := Phase{FromSeconds: step.At.Seconds(), CallersPerSecond: step.CallersPerSecond}
 		during := func(list []standin.TurnTime) []time.Duration {
 			inside := base.Filter(list, func(one standin.TurnTime) bool { return within(one.At - began) })
 			return base.Map(inside, func(one standin.TurnTime) time.Duration { return one.Took })
 		}
 		took, refused := during(f.Tally.Turns), during(f.Tally.Refusals)
-		phase.Whole, phase.Refused = len(took), len(refused)
-		phase.MedianMs, phase.P99Ms = spread(took)
-		phase.RefusedMs[0], phase.RefusedMs[1] = spread(refused)
-		phase.Cut = len(base.Filter(moments["turns_cut"], within)) + len(base.Filter(moments["turns_dropped"], within))
+		phase.CompletedTurns, phase.RefusedTurns = len(took), len(refused)
+		phase.MedianTurnMs, phase.P99TurnMs = medianAndP99(took)
+		phase.RefusalMs[0], phase.RefusalMs[1] = medianAndP99(refused)
+		phase.InterruptedTurns = len(base.Filter(moments["turns_cut"], within)) + len(base.Filter(moments["turns_dropped"], within))
 		r.Phases = append(r.Phases, phase)
 	}
-	r.Waited, r.Takeovers = f.CounterTotal("legs_waited"), f.CounterTotal("runs_succeeded")
+	r.WaitingLegs, r.Takeovers = f.CounterTotal("legs_waited"), f.CounterTotal("runs_succeeded")
 	if r.Takeovers > 0 {
-		r.TakeoverMs = float64(f.CounterTotal("takeover_ms")) / float64(r.Takeovers)
+		r.MeanTakeoverMs = float64(f.CounterTotal("takeover_ms")) / float64(r.Takeovers)
 	}
-	r.LongestMs = millis(f.Tally.Slowest)
+	r.LongestTurnMs = milliseconds(f.Tally.Slowest)
 	runs, hits, put, allowed := 0, 0, int64(0), int64(0)
 	asked, inCache := 0, 0
 	for _, model := range f.Models {
@@ -282,41 +282,43 @@
 		r.PrefixReuse = float64(hits) / float64(later)
 	}
 	if asked > 0 {
-		r.PromptReuse = float64(inCache) / float64(asked)
+		r.PromptCacheHitRate = float64(inCache) / float64(asked)
 	}
 	if allowed > 0 {
 		r.BudgetUse = float64(put) / float64(allowed)
 	}
-	r.Breaches = append([]string{}, f.CheckInvariants()...)
+	r.InvariantViolations = append([]string{}, f.CheckInvariants()...)
 }
 
-// spread gives the median and the 99th of 100, in milliseconds.
-func spread(took []time.Duration) (median, p99 float64) {
+// medianAndP99 gives the median and the 99th of 100, in milliseconds.
+func medianAndP99(took []time.Duration) (median, p99 float64) {
 	if len(took) == 0 {
 		return 0, 0
 	}
 	slices.Sort(took)
-	return millis(took[len(took)/2]), millis(took[len(took)*99/100])
+	return milliseconds(took[len(took)/2]), milliseconds(took[len(took)*99/100])
 }
 
-func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Write shows reports side by side.
-func Write(out io.Writer, names []string, reports []*Report) {
+// WriteComparison shows reports side by side.
+func WriteComparison(out io.Writer, names []string, reports []*Report) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	row := func(name string, cell func(*Report) string) {
 		fmt.Fprintln(w, strings.Join(append([]string{name}, base.Map(reports, cell)...), "\t"))
 	}
 	fmt.Fprintln(w, strings.Join(append([]string{""}, names...), "\t"))
 	for place := range reports[0].Phases {
-		title := fmt.Sprintf("from %gs, %g callers/s:", reports[0].Phases[place].FromS, reports[0].Phases[place].Callers)
-		row(title+" turns whole", func(r *Report) string { return fmt.Sprint(r.Phases[place].Whole) })
-		row("  refused / cut", func(r *Report) string { return fmt.Sprintf("%d / %d", r.Phases[place].Refused, r.Phases[place].Cut) })
+		title := fmt.Sprintf("from %gs, %g callers/s:", reports[0].Phases[place].FromSeconds, reports[0].Phases[place].CallersPerSecond)
+		row(title+" turns whole", func(r *Report) string { return fmt.Sprint(r.Phases[place].CompletedTurns) })
+		row("  refused / cut", func(r *Report) string {
+			return fmt.Sprintf("%d / %d", r.Phases[place].RefusedTurns, r.Phases[place].InterruptedTurns)
+		})
 		row("  refusal ms, median / p99", func(r *Report) string {
-			return fmt.Sprintf("%.0f / %.0f", r.Phases[place].RefusedMs[0], r.Phases[place].RefusedMs[1])
+			return fmt.Sprintf("%.0f / %.0f", r.Phases[place].RefusalMs[0], r.Phases[place].RefusalMs[1])
 		})
 		row("  turn ms, median / p99", func(r *Report) string {
-			return fmt.Sprintf("%.0f / %.0f", r.Phases[place].MedianMs, r.Phases[place].P99Ms)
+			return fmt.Sprintf("%.0f / %.0f", r.Phases[place].MedianTurnMs, r.Phases[place].P99TurnMs)
 		})
 	}
 	row("conversations whole / ended", func(r *Report) string {
@@ -331,19 +333,19 @@
 	for _, code := range base.SortedKeys(codes) {
 		row("told "+code, func(r *Report) string { return fmt.Sprint(r.Refusals[code]) })
 	}
-	row("legs that waited for a worker", func(r *Report) string { return fmt.Sprint(r.Waited) })
-	row("successor Runs / mean pause ms", func(r *Report) string { return fmt.Sprintf("%d / %.0f", r.Takeovers, r.TakeoverMs) })
-	row("longest turn ms", func(r *Report) string { return fmt.Sprintf("%.0f", r.LongestMs) })
+	row("legs that waited for a worker", func(r *Report) string { return fmt.Sprint(r.WaitingLegs) })
+	row("successor Runs / mean pause ms", func(r *Report) string { return fmt.Sprintf("%d / %.0f", r.Takeovers, r.MeanTakeoverMs) })
+	row("longest turn ms", func(r *Report) string { return fmt.Sprintf("%.0f", r.LongestTurnMs) })
 	row("prefix reuse", func(r *Report) string { return fmt.Sprintf("%.3f", r.PrefixReuse) })
-	row("prompt messages found in a cache", func(r *Report) string { return fmt.Sprintf("%.3f", r.PromptReuse) })
+	row("prompt messages found in a cache", func(r *Report) string { return fmt.Sprintf("%.3f", r.PromptCacheHitRate) })
 	row("budget used", func(r *Report) string { return fmt.Sprintf("%.3f", r.BudgetUse) })
-	row("messages / disk syncs a turn", func(r *Report) string { return fmt.Sprintf("%.1f / %.1f", r.MessagesTurn, r.SyncsTurn) })
-	row("idle messages/s, whole fleet", func(r *Report) string { return fmt.Sprintf("%.0f", r.IdleMessages) })
-	row("settings taken to last gateway ms", func(r *Report) string { return fmt.Sprintf("%.0f", r.SettingsMs) })
-	row("must-nevers broken", func(r *Report) string { return fmt.Sprint(len(r.Breaches)) })
+	row("messages / disk syncs a turn", func(r *Report) string { return fmt.Sprintf("%.1f / %.1f", r.MessagesPerTurn, r.DiskSyncsPerTurn) })
+	row("idle messages/s, whole fleet", func(r *Report) string { return fmt.Sprintf("%.0f", r.IdleMessagesPerSecond) })
+	row("settings taken to last gateway ms", func(r *Report) string { return fmt.Sprintf("%.0f", r.SettingsPropagationMs) })
+	row("must-nevers broken", func(r *Report) string { return fmt.Sprint(len(r.InvariantViolations)) })
 	_ = w.Flush()
 	for place, r := range reports {
-		for _, breach := range r.Breaches {
+		for _, breach := range r.InvariantViolations {
 			fmt.Fprintf(out, "BROKEN (%s): %s\n", names[place], breach)
 		}
 	}
--- a/internal/whatif/whatif_test.go
+++ b/internal/whatif/whatif_test.go
@@ -14,37 +14,37 @@
 	"github.com/matryer/is"
 )
 
-func small() *Question {
-	d := Kiondo()
-	d.Group, d.Edges, d.Cores, d.Storage, d.Models, d.Tools, d.Zones = "g", 3, 2, 3, 2, 1, 2
-	l := Saturday()
-	l.Steps, l.Until = []Step{{0, 2}, {2 * time.Second, 8}}, 5*time.Second
-	return &Question{Deployment: d, Load: l, Settings: []byte(simulate.DefaultSettings), Seed: 7,
-		Script: []Event{{At: time.Second, Do: "kill", Machine: "edge-1"}, {At: 2 * time.Second, Do: "power", Machine: "storage-0"},
-			{At: 3 * time.Second, Do: "start", Machine: "storage-0"}, {At: 3 * time.Second, Do: "freeze", Machine: "core-0"}}}
+func smallScenario() *Scenario {
+	d := DefaultDeployment()
+	d.Group, d.Gateways, d.Cores, d.Storage, d.Models, d.Tools, d.Zones = "g", 3, 2, 3, 2, 1, 2
+	l := DefaultLoad()
+	l.Steps, l.Duration = []LoadStep{{0, 2}, {2 * time.Second, 8}}, 5*time.Second
+	return &Scenario{Deployment: d, Load: l, Settings: []byte(simulate.DefaultSettings), Seed: 7,
+		Script: []ScriptEvent{{At: time.Second, Action: "kill", Machine: "edge-1"}, {At: 2 * time.Second, Action: "power", Machine: "storage-0"},
+			{At: 3 * time.Second, Action: "start", Machine: "storage-0"}, {At: 3 * time.Second, Action: "freeze", Machine: "core-0"}}}
 }
 
-func TestSameInputSameBytes(t *testing.T) {
+func TestOutputIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	written := [2]bytes.Buffer{}
 	for place := range written {
-		report, err := Answer(small())
+		report, err := Simulate(smallScenario())
 		is.NoErr(err)
-		is.True(report.Phases[1].Whole > 0)
-		is.Equal(len(report.Breaches), 0)
+		is.True(report.Phases[1].CompletedTurns > 0)
+		is.Equal(len(report.InvariantViolations), 0)
 		written[place].Write(base.MustMarshal(report))
-		Write(&written[place], []string{"settings"}, []*Report{report})
+		WriteComparison(&written[place], []string{"settings"}, []*Report{report})
 	}
 	is.Equal(written[0].String(), written[1].String())
-	other := small()
+	other := smallScenario()
 	other.Seed = 8
-	report, err := Answer(other)
+	report, err := Simulate(other)
 	is.NoErr(err)
 	is.True(!strings.HasPrefix(written[0].String(), string(base.MustMarshal(report))))
 }
 
-func TestBadFilesAreNamedByLineAndField(t *testing.T) {
-	machines := Kiondo().Machines()
+func TestInputErrorsNameLineAndField(t *testing.T) {
+	machines := DefaultDeployment().Machines()
 	rows := []struct{ script, want string }{
 		{`{"at_s":1,"do":"kill"}`, "f: line 1: machine: "},
 		{"{\"at_s\":1,\"do\":\"heal\"}\n\n{\"at_s\":2,\"do\":\"jump\",\"machine\":\"edge-1\"}", "f: line 3: do: "},
@@ -68,8 +68,8 @@
 	is.True(strings.HasPrefix(err.Error(), "l: steps: "))
 	_, err = ReadDeployment("d", []byte(`{"edges":0}`))
 	is.True(strings.HasPrefix(err.Error(), "d: edges: "))
-	wrong := small()
+	wrong := smallScenario()
 	wrong.Deployment.Route = "none"
-	_, err = Answer(wrong)
+	_, err = Simulate(wrong)
 	is.True(err != nil && strings.Contains(err.Error(), "unknown_route"))
 }
