--- a/cmd/fordseam-fleet/main.go
+++ b/cmd/fordseam-fleet/main.go
@@ -52,13 +52,13 @@
 }
 
 // startFleet starts the machines and the simulated workers, and forms the cluster.
-func startFleet(command *cli.Command) (*fleet.Fleet, *fleet.Parties, error) {
+func startFleet(command *cli.Command) (*fleet.Fleet, *fleet.Workers, error) {
 	shape, ok := fleet.Shapes[command.String("shape")]
 	if !ok {
 		return nil, nil, cli.Exit("shape: must be kiondo, ljubljana or small", node.ExitUsage)
 	}
 	folder := command.String("folder")
-	if err := fleet.EmptyFolder(folder); err != nil {
+	if err := fleet.PrepareFolder(folder); err != nil {
 		return nil, nil, cli.Exit("folder: "+err.Error(), node.ExitUsage)
 	}
 	executable, err := os.Executable()
@@ -69,11 +69,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	parties, err := f.StartParties(command.Int("pieces"), command.Duration("gap"))
+	parties, err := f.StartWorkers(command.Int("pieces"), command.Duration("gap"))
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := f.Form(parties, 30*time.Second); err != nil {
+	if err := f.SetUp(parties, 30*time.Second); err != nil {
 		f.Stop()
 		return nil, nil, err
 	}
@@ -87,7 +87,7 @@
 	}
 	defer f.Stop()
 	for _, process := range f.All() {
-		fmt.Printf("%-10s zone %-8s  internal %-22s  public %s\n", process.Name, process.Zone, process.Addr, process.Public)
+		fmt.Printf("%-10s zone %-8s  internal %-22s  public %s\n", process.Name, process.Zone, process.Addr, process.PublicAddr)
 	}
 	fmt.Println("fleet is running; press Ctrl-C to stop")
 	signals := make(chan os.Signal, 1)
@@ -99,7 +99,7 @@
 // runAndReport starts a fleet, exercises it and reports what the workers and
 // callers observed. exercise returns the counters from before the load, or nil if
 // they cannot be compared with those after it.
-func runAndReport(command *cli.Command, exercise func(f *fleet.Fleet, parties *fleet.Parties, tally *standin.Tally) (before map[string]int64, err error)) error {
+func runAndReport(command *cli.Command, exercise func(f *fleet.Fleet, parties *fleet.Workers, tally *standin.Tally) (before map[string]int64, err error)) error {
 	f, parties, err := startFleet(command)
 	if err != nil {
 		return err
@@ -113,25 +113,25 @@
 	}
 	elapsed := clock.Now()
 	tally.Check(parties.Models, parties.Tools, int64(command.Int("pieces")))
-	return f.Report(os.Stdout, tally, parties, before, elapsed, command.Bool("json"))
+	return f.WriteReport(os.Stdout, tally, parties, before, elapsed, command.Bool("json"))
 }
 
 func run(_ context.Context, command *cli.Command) error {
-	return runAndReport(command, func(f *fleet.Fleet, _ *fleet.Parties, tally *standin.Tally) (map[string]int64, error) {
+	return runAndReport(command, func(f *fleet.Fleet, _ *fleet.Workers, tally *standin.Tally) (map[string]int64, error) {
 		for _, plan := range command.StringSlice("kill") {
 			if err := scheduleKill(f, plan); err != nil {
 				return nil, err
 			}
 		}
-		before, conversations := f.Total(), command.Int("conversations")
-		f.Load(tally, command.Int("callers"), command.Int("pieces"), 0, func(round int) bool { return round < conversations })
+		before, conversations := f.CounterTotals(), command.Int("conversations")
+		f.RunCallers(tally, command.Int("callers"), command.Int("pieces"), 0, func(round int) bool { return round < conversations })
 		return before, nil
 	})
 }
 
 func chaos(_ context.Context, command *cli.Command) error {
-	return runAndReport(command, func(f *fleet.Fleet, parties *fleet.Parties, tally *standin.Tally) (map[string]int64, error) {
-		return nil, f.Chaos(parties, tally, command.Int("callers"), command.Int("pieces"), os.Stderr)
+	return runAndReport(command, func(f *fleet.Fleet, parties *fleet.Workers, tally *standin.Tally) (map[string]int64, error) {
+		return nil, f.RunChaos(parties, tally, command.Int("callers"), command.Int("pieces"), os.Stderr)
 	})
 }
 
