--- a/cmd/fordseam-fleet/platform.go
+++ b/cmd/fordseam-fleet/platform.go
@@ -53,7 +53,7 @@
 		return cli.Exit("site: must be one of "+strings.Join(base.SortedKeys(platform.Sites()), ", "), node.ExitUsage)
 	}
 	if plan.ClosingFault != "" && plan.ClosingFault != "kill_all" && plan.ClosingFault != "wipe" {
-		return cli.Exit(fmt.Sprintf("closing: must be kill_all or wipe, is %q", plan.Closing), node.ExitUsage)
+		return cli.Exit(fmt.Sprintf("closing: must be kill_all or wipe, is %q", plan.ClosingFault), node.ExitUsage)
 	}
 	for _, spec := range command.StringSlice("trouble") {
 		trouble, err := fleet.ParsePlatformEvent(spec)
