--- a/cmd/fordseam-fleet/platform.go
+++ b/cmd/fordseam-fleet/platform.go
@@ -46,11 +46,11 @@
 }
 
 func runPlatform(ctx context.Context, command *cli.Command) error {
-	plan := &fleet.PlatformPlan{Site: platform.Sites()[command.String("site")], TrafficDuration: command.Duration("traffic"), RateFactor: command.Float("rate"),
+	plan := &fleet.PlatformPlan{Site: platform.Deployments()[command.String("site")], TrafficDuration: command.Duration("traffic"), RateFactor: command.Float("rate"),
 		Seed: command.Uint64("seed"), RecordFile: command.String("record"), ClosingFault: command.String("closing"), SetUpTimeout: command.Duration("formation"),
 		Commands: map[string]string{platform.ClassEdge: command.String("edge"), platform.ClassCore: command.String("core"), platform.ClassStorage: command.String("storage")}}
 	if plan.Site == nil {
-		return cli.Exit("site: must be one of "+strings.Join(base.SortedKeys(platform.Sites()), ", "), node.ExitUsage)
+		return cli.Exit("site: must be one of "+strings.Join(base.SortedKeys(platform.Deployments()), ", "), node.ExitUsage)
 	}
 	if plan.ClosingFault != "" && plan.ClosingFault != "kill_all" && plan.ClosingFault != "wipe" {
 		return cli.Exit(fmt.Sprintf("closing: must be kill_all or wipe, is %q", plan.ClosingFault), node.ExitUsage)
--- a/internal/fleet/platform.go
+++ b/internal/fleet/platform.go
@@ -26,7 +26,7 @@
 
 // PlatformPlan says how a run on the platform goes.
 type PlatformPlan struct {
-	Site *platform.Site
+	Site *platform.Deployment
 	// WorkDir is where programs start, Folder has settings, data and logs.
 	WorkDir, Dir string
 	// Commands are the programs with their arguments, by class of machine.
@@ -65,22 +65,22 @@
 	clock           base.Clock
 	rng             *rand.Rand
 	rngMu           sync.Mutex
-	ledger          *platform.Ledger
-	names           *platform.Words
-	drafts          *platform.Drafts
+	ledger          *platform.Recorder
+	names           *platform.Names
+	drafts          *platform.ConfigGenerator
 	instances       *platform.Instances
 	listServer      *sockets.ListServer
 	entry           *sockets.VirtualEntry
 	clients         *sockets.Clients
-	player          *platform.Player
+	player          *platform.ProgramRunner
 	ports           platformPorts
 	networkIndex    int
 	hostCount       int
 	mu              sync.Mutex
 	machines        []*machine
 	workers         []*sockets.WorkerServer
-	faults          map[string]*injectedFaults // by worker or service
-	workByPrefix    map[string]platform.Draw   // by route prefix
+	faults          map[string]*injectedFaults       // by worker or service
+	workByPrefix    map[string]platform.Distribution // by route prefix
 	unexpectedExits []string
 	done            chan struct{}
 	tasks           sync.WaitGroup
@@ -92,16 +92,16 @@
 
 func newPlatformRun(plan *PlatformPlan) *platformRun {
 	w := &platformRun{plan: plan, clock: base.NewRealClock(), rng: rand.New(rand.NewPCG(plan.Seed, 1)), done: make(chan struct{}),
-		faults: map[string]*injectedFaults{}, workByPrefix: map[string]platform.Draw{}, rateFactor: 1}
-	w.ledger = platform.NewLedger(plan.Site.Bounds, plan.Site.Stride(), plan.Site.Cores)
-	w.names = plan.Site.DrawWords(rand.New(rand.NewPCG(plan.Seed, 2)))
-	w.drafts = &platform.Drafts{Site: plan.Site, Words: w.names, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
+		faults: map[string]*injectedFaults{}, workByPrefix: map[string]platform.Distribution{}, rateFactor: 1}
+	w.ledger = platform.NewRecorder(plan.Site.Bounds, plan.Site.TokensPerEvent(), plan.Site.Cores)
+	w.names = plan.Site.DrawNames(rand.New(rand.NewPCG(plan.Seed, 2)))
+	w.drafts = &platform.ConfigGenerator{Deployment: plan.Site, Names: w.names, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
 	w.networkIndex = os.Getpid()*7 + int(plan.Seed%1000)
-	w.instances = &platform.Instances{Clock: w.clock, Ledger: w.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, PerS: plan.Site.ListPerS}
+	w.instances = &platform.Instances{Clock: w.clock, Recorder: w.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, CallsPerSecond: plan.Site.ListCallsPerSecond}
 	w.entry = &sockets.VirtualEntry{}
 	w.clients = &sockets.Clients{Clock: w.clock, Entry: w.entry, KeepShare: 5}
-	w.player = platform.NewPlayer(w.clock, w.clients, w.ledger, plan.Site, w.names, plan.Seed)
-	w.player.Persist = func() time.Duration { return time.Duration(w.persistUntil.Load()) }
+	w.player = platform.NewProgramRunner(w.clock, w.clients, w.ledger, plan.Site, w.names, plan.Seed)
+	w.player.RetryUntil = func() time.Duration { return time.Duration(w.persistUntil.Load()) }
 	return w
 }
 
@@ -143,7 +143,7 @@
 // addMachine adds a machine; nothing runs yet.
 func (w *platformRun) addMachine(class, zone string, number int, first bool) *machine {
 	m := &machine{class: class, ip: w.nextLoopbackAddr(), initial: first}
-	m.Name, m.Role, m.Zone = platform.Place(class, zone, number), "my-"+class, zone
+	m.Name, m.Role, m.Zone = platform.MachineName(class, zone, number), "my-"+class, zone
 	if class != platform.ClassEdge {
 		m.DataDir = filepath.Join(w.plan.Dir, m.Name, "data")
 	}
@@ -184,8 +184,8 @@
 	serves := map[string]string{platform.ClassEdge: platform.ClassEdge, platform.ClassCore: "control", platform.ClassStorage: platform.ClassStorage}[m.class]
 	return &platform.Settings{Node: m.Name, Role: m.Role, Class: m.class, Serves: serves, IP: m.ip, Zone: m.Zone, Region: w.plan.Site.Region,
 		Zones: w.plan.Site.Zones, Front: w.addrOf(m, w.ports.frontPort), Readiness: w.addrOf(m, w.ports.readinessPort), Control: w.addrOf(m, w.ports.controlPort),
-		Ports: w.ports.internalPorts, Seeds: controls[:min(3, len(controls))], First: m.initial, Counted: m.class != platform.ClassEdge, DataDir: m.DataDir,
-		Tolerate: 1, Bounds: w.plan.Site.Bounds, ListAddress: w.listServer.Address, ListPerS: w.plan.Site.ListPerS}
+		Ports: w.ports.internalPorts, Seeds: controls[:min(3, len(controls))], Bootstrap: m.initial, LossCounted: m.class != platform.ClassEdge, DataDir: m.DataDir,
+		FaultTolerance: 1, Bounds: w.plan.Site.Bounds, ListAddress: w.listServer.Address, ListCallsPerSecond: w.plan.Site.ListCallsPerSecond}
 }
 
 func (w *platformRun) settingsPath(m *machine) string {
@@ -243,7 +243,7 @@
 	}
 	m.initial, m.exitExpected = false, false
 	at := w.clock.Now()
-	w.ledger.Note(func(r *platform.Record) {
+	w.ledger.Update(func(r *platform.Record) {
 		r.Starts = append(r.Starts, platform.Start{Machine: m.Name, Class: m.class, At: at})
 	})
 	exited := m.exited
@@ -299,10 +299,10 @@
 	if change != nil {
 		change(t)
 	}
-	w.ledger.Note(func(r *platform.Record) { r.Troubles = append(r.Troubles, t) })
+	w.ledger.Update(func(r *platform.Record) { r.Troubles = append(r.Troubles, t) })
 	return func() {
 		at := w.clock.Now()
-		w.ledger.Note(func(*platform.Record) { t.To = at })
+		w.ledger.Update(func(*platform.Record) { t.To = at })
 	}
 }
 
@@ -334,30 +334,30 @@
 			return err
 		}
 	}
-	var nodes []*platform.EntryNode
+	var nodes []*platform.EdgeNode
 	for _, m := range w.machinesOf(platform.ClassEdge) {
 		nodes = append(nodes, w.newEntryNode(m))
 	}
 	w.entry.Open(nodes)
 	w.config.operator = w.newOperator("first")
-	first := w.drafts.First()
-	order := w.config.operator.Put(0, first, first.Encode(), "", w.plan.SetUpTimeout)
+	first := w.drafts.Initial()
+	order := w.config.operator.PutConfig(0, first, first.Encode(), "", w.plan.SetUpTimeout)
 	if !order.Acked() {
 		return errors.Errorf("the first configuration was not taken within %v: %d", w.plan.SetUpTimeout, order.Status)
 	}
 	w.config.setLatest(order)
-	if !w.waitUntil(w.plan.SetUpTimeout, func() bool { return w.entry.Ready() == len(nodes) }) {
-		return errors.Errorf("%d of %d nodes are ready after %v", w.entry.Ready(), len(nodes), w.plan.SetUpTimeout)
+	if !w.waitUntil(w.plan.SetUpTimeout, func() bool { return w.entry.CountReady() == len(nodes) }) {
+		return errors.Errorf("%d of %d nodes are ready after %v", w.entry.CountReady(), len(nodes), w.plan.SetUpTimeout)
 	}
 	return nil
 }
 
-func (w *platformRun) newEntryNode(m *machine) *platform.EntryNode {
-	return &platform.EntryNode{Name: m.Name, Zone: m.Zone, Front: w.addrOf(m, w.ports.frontPort), Readiness: w.addrOf(m, w.ports.readinessPort)}
+func (w *platformRun) newEntryNode(m *machine) *platform.EdgeNode {
+	return &platform.EdgeNode{Name: m.Name, Zone: m.Zone, Front: w.addrOf(m, w.ports.frontPort), Readiness: w.addrOf(m, w.ports.readinessPort)}
 }
 
 func (w *platformRun) newOperator(name string) *platform.Operator {
-	return &platform.Operator{Call: sockets.CallControl, Name: name, Clock: w.clock, Ledger: w.ledger, Control: w.controlAddrs, Rng: rand.New(rand.NewPCG(w.plan.Seed, base.Hash64(name)))}
+	return &platform.Operator{Call: sockets.CallControl, Name: name, Clock: w.clock, Recorder: w.ledger, Control: w.controlAddrs, Rng: rand.New(rand.NewPCG(w.plan.Seed, base.Hash64(name)))}
 }
 
 // stop ends everything that the run started, by its id.
--- a/internal/fleet/platform_run.go
+++ b/internal/fleet/platform_run.go
@@ -62,8 +62,8 @@
 
 func (w *platformRun) changeConfigLocked() *platform.Order {
 	newest := w.config.current()
-	next := w.drafts.Next(newest)
-	order := w.config.operator.Put(newest.Generation, next, next.Encode(), "", 30*time.Second)
+	next := w.drafts.NextValid(newest)
+	order := w.config.operator.PutConfig(newest.Generation, next, next.Encode(), "", 30*time.Second)
 	if order.Acked() {
 		w.config.setLatest(order)
 	}
@@ -76,7 +76,7 @@
 	defer w.config.changeMu.Unlock()
 	newest := w.config.current()
 	orders := make([]*platform.Order, 2)
-	drafts := []*platform.Config{w.drafts.Next(newest), w.drafts.Next(newest)}
+	drafts := []*platform.Config{w.drafts.NextValid(newest), w.drafts.NextValid(newest)}
 	if drafts[0].Generation == drafts[1].Generation {
 		drafts[1].Generation++
 	}
@@ -86,7 +86,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			orders[place] = operator.Put(newest.Generation, drafts[place], drafts[place].Encode(), "", 30*time.Second)
+			orders[place] = operator.PutConfig(newest.Generation, drafts[place], drafts[place].Encode(), "", 30*time.Second)
 		}()
 	}
 	group.Wait()
@@ -102,7 +102,7 @@
 		w.config.changeMu.Lock()
 		newest := w.config.current()
 		config, raw, fault := w.drafts.Invalid(newest, platform.InvalidKinds[place%len(platform.InvalidKinds)])
-		order := w.config.operator.Put(newest.Generation, config, raw, fault, 10*time.Second)
+		order := w.config.operator.PutConfig(newest.Generation, config, raw, fault, 10*time.Second)
 		if order.Acked() && config != nil {
 			w.config.setLatest(order)
 		}
@@ -128,7 +128,7 @@
 	var group sync.WaitGroup
 	for place := range w.plan.Site.Classes {
 		class := &w.plan.Site.Classes[place]
-		if class.PerS == 0 {
+		if class.ProgramsPerSecond == 0 {
 			continue
 		}
 		for number, zone := range w.plan.Site.Zones {
@@ -137,11 +137,11 @@
 			go func() {
 				defer group.Done()
 				for {
-					w.clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * w.currentRateFactor()) * float64(time.Second)))
+					w.clock.Sleep(time.Duration(rng.ExpFloat64() / (class.ProgramsPerSecond * w.currentRateFactor()) * float64(time.Second)))
 					if ctx.Err() != nil || w.clock.Now() >= end {
 						return
 					}
-					w.startProgram(class, zone, rng.IntN(w.plan.Site.Clients), end, "")
+					w.startProgram(class, zone, rng.IntN(w.plan.Site.ClientsPerZone), end, "")
 				}
 			}()
 		}
@@ -150,16 +150,16 @@
 }
 
 // startProgram starts one program; one that ought to end too late does not begin.
-func (w *platformRun) startProgram(class *platform.Class, zone string, client int, end time.Duration, previous string) {
+func (w *platformRun) startProgram(class *platform.RequestClass, zone string, client int, end time.Duration, previous string) {
 	var plan *platform.ProgramPlan
-	w.player.Draw(func(g *platform.Generator) { plan = g.Program(class, zone, client) })
-	if w.clock.Now()+plan.Aim > end+w.plan.Site.Bounds.Finish {
+	w.player.WithGenerator(func(g *platform.ProgramGenerator) { plan = g.Program(class, zone, client) })
+	if w.clock.Now()+plan.TargetTime > end+w.plan.Site.Bounds.Finish {
 		return
 	}
 	w.programs.Add(1)
 	go func() {
 		defer w.programs.Done()
-		w.player.Program(plan, previous)
+		w.player.RunProgram(plan, previous)
 	}()
 }
 
@@ -171,17 +171,17 @@
 		routes := append(append([]platform.Route(nil), w.config.added...), w.config.removed...)
 		w.config.mu.Unlock()
 		routes = append(routes, platform.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", w.randomInt(1000)), Kind: platform.Idempotent})
-		for _, node := range w.entry.In() {
+		for _, node := range w.entry.ReadyNodes() {
 			route := routes[w.randomInt(len(routes))]
 			if route.Kind != platform.Idempotent {
 				continue
 			}
-			class := &platform.Class{Name: "probe", Kind: platform.Idempotent, Method: "GET", Aim: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond}
+			class := &platform.RequestClass{Name: "probe", Kind: platform.Idempotent, Method: "GET", TargetLatency: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond}
 			w.programs.Add(1)
 			go func() {
 				defer w.programs.Done()
-				w.player.Request(class, 0, func(t *platform.Try) {
-					t.Probe, t.Node, t.Host, t.Target, t.Client = true, platform.Probe(node), route.Host, route.Prefix+"probe", "probe"
+				w.player.SendWithRetries(class, 0, func(t *platform.Try) {
+					t.Probe, t.Node, t.Host, t.Target, t.Client = true, platform.ProbeTarget(node), route.Host, route.Prefix+"probe", "probe"
 				})
 			}()
 		}
@@ -197,17 +197,17 @@
 	from := w.clock.Now()
 	// The span stands in the record from the first kill on.
 	closing := &platform.Closing{From: from, Back: 1 << 59}
-	w.ledger.Note(func(r *platform.Record) { r.Closing = closing })
+	w.ledger.Update(func(r *platform.Record) { r.Closing = closing })
 	if err := w.killAndRestartAll(time.Second, w.plan.ClosingFault == "wipe"); err != nil {
 		return err
 	}
 	back := w.clock.Now()
-	w.ledger.Note(func(*platform.Record) { closing.Back = back })
+	w.ledger.Update(func(*platform.Record) { closing.Back = back })
 	until := back + w.plan.Site.Bounds.Recovery
 	end := until + 6*time.Second
 	w.persistUntil.Store(int64(until))
 	for _, t := range before {
-		w.startProgram(w.plan.Site.Class(t.Class), t.Zone, w.randomInt(w.plan.Site.Clients), end, t.ID)
+		w.startProgram(w.plan.Site.Class(t.Class), t.Zone, w.randomInt(w.plan.Site.ClientsPerZone), end, t.ID)
 	}
 	w.generateTraffic(ctx, end)
 	return nil
@@ -215,13 +215,13 @@
 
 // answeredTurns gives some turns that were answered whole and are still kept.
 func (w *platformRun) answeredTurns() (turns []*platform.Try) {
-	for _, o := range w.ledger.Record().Outcomes {
+	for _, o := range w.ledger.Snapshot().Outcomes {
 		if o.Ending != platform.InTime && o.Ending != platform.Late {
 			continue
 		}
 		var last *platform.Try
-		for _, t := range w.ledger.Record().Tries {
-			if t.Program == o.Program && t.Retain > 0 && t.OK() {
+		for _, t := range w.ledger.Snapshot().Tries {
+			if t.Program == o.Program && t.Retain > 0 && t.Succeeded() {
 				last = t
 			}
 		}
@@ -250,7 +250,7 @@
 		return nil, w.withLogTails(err)
 	}
 	formed := w.clock.Now()
-	w.logf("all %d nodes are ready", w.entry.Ready())
+	w.logf("all %d nodes are ready", w.entry.CountReady())
 	end := formed + plan.TrafficDuration
 	during, calm := context.WithCancel(ctx)
 	defer calm()
@@ -287,17 +287,17 @@
 	calm()
 	w.programs.Wait()
 	surplus := w.clients.Close()
-	w.config.operator.ReadBack(plan.Site.Bounds.Contact, plan.Site.Bounds.Contact+20*time.Second)
-	w.instances.Settle()
-	w.ledger.Note(func(r *platform.Record) { r.Over = w.clock.Now() })
+	w.config.operator.ReadConfigRepeatedly(plan.Site.Bounds.Contact, plan.Site.Bounds.Contact+20*time.Second)
+	w.instances.ApplyDue()
+	w.ledger.Update(func(r *platform.Record) { r.Over = w.clock.Now() })
 	stop()
-	record := w.ledger.Record()
+	record := w.ledger.Snapshot()
 	breaches := record.Check()
 	for _, word := range surplus {
-		breaches = append(breaches, platform.Breach{Rule: "MIXED", Word: word + " where no request was waiting"})
+		breaches = append(breaches, platform.Breach{Rule: "MIXED", Detail: word + " where no request was waiting"})
 	}
 	for _, word := range w.unexpectedExits {
-		breaches = append(breaches, platform.Breach{Rule: "FAULT", Word: word})
+		breaches = append(breaches, platform.Breach{Rule: "FAULT", Detail: word})
 	}
 	record.Print(out, breaches)
 	if plan.RecordFile != "" {
@@ -312,11 +312,11 @@
 		}
 		_, _ = fmt.Fprintf(out, "%d %s: %.2f s of processor time, at most %d MB each\n", count, class, used.Seconds(), peak>>20)
 	}
-	calls, refused := w.instances.Calls()
+	calls, refused := w.instances.CallCounts()
 	opened, asked, found := 0, 0, 0
 	for _, worker := range w.workers {
 		opened += worker.Opened()
-		prompt, kept := worker.Worker.Prompts()
+		prompt, kept := worker.Worker.PromptTokens()
 		asked, found = asked+prompt, found+kept
 	}
 	_, _ = fmt.Fprintf(out, "%d prompt tokens asked of model workers, %d of them kept there (%.0f%%)\n", asked, found, 100*float64(found)/float64(max(1, asked)))
--- a/internal/fleet/platform_test.go
+++ b/internal/fleet/platform_test.go
@@ -34,7 +34,7 @@
 	is := is.New(t)
 	root, err := os.Getwd()
 	is.NoErr(err)
-	plan := &PlatformPlan{Site: platform.Sites()["small"], WorkDir: root, Dir: memoryFolder(t), Commands: commands, TrafficDuration: 6 * time.Second, RateFactor: 1, Seed: 1, SetUpTimeout: time.Minute}
+	plan := &PlatformPlan{Site: platform.Deployments()["small"], WorkDir: root, Dir: memoryFolder(t), Commands: commands, TrafficDuration: 6 * time.Second, RateFactor: 1, Seed: 1, SetUpTimeout: time.Minute}
 	if change != nil {
 		change(plan)
 	}
@@ -79,7 +79,7 @@
 	breaches, _ := runPlatform(t, stubCommands("sinful"), func(plan *PlatformPlan) {
 		plan.RateFactor = 2
 		for place := range plan.Site.Classes {
-			plan.Site.Classes[place].Runaway = 0.3
+			plan.Site.Classes[place].RunawayProbability = 0.3
 		}
 		plan.Events = troubles(t, "config_change@0.2", "release:app@0.2,gap=0.1,share=1", "bad_config@5,gap=0.1")
 	})
@@ -98,7 +98,7 @@
 // Two troubles that meet on one machine leave it one process, and a run none.
 func TestAMachineRunsOneProcess(t *testing.T) {
 	is := is.New(t)
-	w := newPlatformRun(&PlatformPlan{Site: platform.Sites()["small"], WorkDir: t.TempDir(), Dir: t.TempDir(), Seed: 1,
+	w := newPlatformRun(&PlatformPlan{Site: platform.Deployments()["small"], WorkDir: t.TempDir(), Dir: t.TempDir(), Seed: 1,
 		Commands: map[string]string{platform.ClassStorage: os.Args[0] + " stub storage"}})
 	w.listServer = &sockets.ListServer{}
 	m := w.addMachine(platform.ClassStorage, "zone-a", 1, true)
--- a/internal/fleet/platform_troubles.go
+++ b/internal/fleet/platform_troubles.go
@@ -121,11 +121,11 @@
 			w.crashWorker(list[place])
 		}
 	case "answer_lost":
-		w.injectFaults(w.names.Services[t.classOr("app")], orDefault(t.Share, 0.05), t.Duration, platform.LostReset, platform.LostSilent)
+		w.injectFaults(w.names.Services[t.classOr("app")], orDefault(t.Share, 0.05), t.Duration, platform.FaultLostReset, platform.FaultLostSilent)
 	case "garble":
-		w.injectFaults(w.names.Services[t.classOr("app")], orDefault(t.Share, 0.03), t.Duration, platform.Garbled, platform.Cut, platform.Extra, platform.LateExtra)
+		w.injectFaults(w.names.Services[t.classOr("app")], orDefault(t.Share, 0.03), t.Duration, platform.FaultGarbled, platform.FaultCut, platform.FaultExtra, platform.FaultLateExtra)
 	case "worker_slow":
-		w.injectFaults(w.names.Services[t.classOr("app")], orDefault(t.Share, 0.3), t.Duration, platform.Slow)
+		w.injectFaults(w.names.Services[t.classOr("app")], orDefault(t.Share, 0.3), t.Duration, platform.FaultSlow)
 	case "worker_grey":
 		return w.applyToOneWorker(t, w.degradeWorker)
 	case "worker_flap":
--- a/internal/fleet/platform_workers.go
+++ b/internal/fleet/platform_workers.go
@@ -33,7 +33,7 @@
 			return f.faults[w.randomInt(len(f.faults))]
 		}
 	}
-	return platform.Fine
+	return platform.NoFault
 }
 
 func (w *platformRun) injectFaults(service string, share float64, span time.Duration, faults ...platform.Fault) {
@@ -44,7 +44,7 @@
 
 func (w *platformRun) startWorkers() error {
 	for _, class := range w.plan.Site.Classes {
-		w.workByPrefix[w.names.Prefixes[class.Name]] = class.Work
+		w.workByPrefix[w.names.Prefixes[class.Name]] = class.WorkMs
 	}
 	number := 0
 	for place := range w.plan.Site.Services {
@@ -60,23 +60,23 @@
 }
 
 // startWorker starts one life of a worker and puts it on the list.
-func (w *platformRun) startWorker(shape platform.ServiceShape, zone, address string, after time.Duration) (*sockets.WorkerServer, error) {
+func (w *platformRun) startWorker(shape platform.ServiceSpec, zone, address string, after time.Duration) (*sockets.WorkerServer, error) {
 	id := fmt.Sprintf("i-%08x", uint32(w.randomInt(1<<31)))
 	rng := rand.New(rand.NewPCG(w.plan.Seed, base.Hash64(id)))
 	var rngMu sync.Mutex
 	service := w.names.Services[shape.Name]
-	worker := &platform.Worker{ID: id, Service: service, Zone: zone, Clock: w.clock, Ledger: w.ledger, Shape: shape, KeepIdle: 5 * time.Second,
-		Speed: []float64{1, 1, 1.3}[w.randomInt(3)], Draws: rand.New(rand.NewPCG(w.plan.Seed, base.Hash64(id, "own"))), Next: func() platform.Fault { return w.nextFault(id, service) },
-		Work: func(target string) (time.Duration, int) {
+	worker := &platform.Worker{ID: id, Service: service, Zone: zone, Clock: w.clock, Recorder: w.ledger, Spec: shape, KeepAlive: 5 * time.Second,
+		Slowdown: []float64{1, 1, 1.3}[w.randomInt(3)], Rng: rand.New(rand.NewPCG(w.plan.Seed, base.Hash64(id, "own"))), NextFault: func() platform.Fault { return w.nextFault(id, service) },
+		Workload: func(target string) (time.Duration, int) {
 			rngMu.Lock()
 			defer rngMu.Unlock()
-			work := platform.Draw{Mean: 50, Spread: 1, Most: 200}
+			work := platform.Distribution{Mean: 50, Spread: 1, Max: 200}
 			for prefix, one := range w.workByPrefix {
 				if strings.HasPrefix(target, prefix) && one.Mean > 0 {
 					work = one
 				}
 			}
-			return time.Duration(work.Value(rng) * float64(time.Millisecond)), 800
+			return time.Duration(work.Sample(rng) * float64(time.Millisecond)), 800
 		}}
 	server, err := sockets.ListenWorker(worker, address, func(s *sockets.WorkerServer) {
 		s.CloseNow = func() bool { return w.randomInt(50) == 0 }
@@ -88,14 +88,14 @@
 	w.workers = append(w.workers, server)
 	w.mu.Unlock()
 	instance := w.instanceOf(server, platform.StateReady)
-	w.instances.Change(id, &instance, after)
+	w.instances.ScheduleChange(id, &instance, after)
 	return server, nil
 }
 
 func (w *platformRun) instanceOf(s *sockets.WorkerServer, state string) platform.Instance {
 	one := platform.Instance{ID: s.Worker.ID, Service: s.Worker.Service, Address: s.Worker.Address, Zone: s.Worker.Zone, Generation: "v1",
-		Capacity: s.Worker.Shape.Capacity, State: state}
-	if s.Worker.Shape.Engine != nil {
+		Capacity: s.Worker.Spec.Capacity, State: state}
+	if s.Worker.Spec.Engine != nil {
 		one.Model = w.names.Model
 	}
 	return one
@@ -106,7 +106,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return base.Filter(w.workers, func(s *sockets.WorkerServer) bool {
-		return !s.Worker.Leaving() && (shape == "" || s.Worker.Shape.Name == shape)
+		return !s.Worker.Draining() && (shape == "" || s.Worker.Spec.Name == shape)
 	})
 }
 
@@ -114,12 +114,12 @@
 // serves for the drain's time and a little longer, then it ends.
 func (w *platformRun) drainWorker(s *sockets.WorkerServer) {
 	draining := w.instanceOf(s, platform.StateDraining)
-	w.instances.Change(s.Worker.ID, &draining, 0)
+	w.instances.ScheduleChange(s.Worker.ID, &draining, 0)
 	w.clock.Sleep(w.instances.Lag)
-	w.instances.Settle()
-	s.Worker.Leave()
+	w.instances.ApplyDue()
+	s.Worker.Drain()
 	w.clock.Sleep(w.plan.Site.Bounds.Drain + 1500*time.Millisecond)
-	w.instances.Change(s.Worker.ID, nil, 0)
+	w.instances.ScheduleChange(s.Worker.ID, nil, 0)
 	s.Close()
 }
 
@@ -129,7 +129,7 @@
 	old := w.activeWorkers(shape)
 	var ended sync.WaitGroup
 	for _, s := range old[:int(share*float64(len(old))+0.5)] {
-		if _, err := w.startWorker(s.Worker.Shape, s.Worker.Zone, w.nextLoopbackAddr()+":0", 0); err != nil {
+		if _, err := w.startWorker(s.Worker.Spec, s.Worker.Zone, w.nextLoopbackAddr()+":0", 0); err != nil {
 			continue
 		}
 		ended.Add(1)
@@ -144,7 +144,7 @@
 	if len(old) > 0 && share > 0 {
 		w.clock.Sleep(w.plan.Site.Bounds.ReuseAfter)
 		for _, other := range w.plan.Site.Services {
-			if other.Name != old[0].Worker.Shape.Name {
+			if other.Name != old[0].Worker.Spec.Name {
 				_, _ = w.startWorker(other, old[0].Worker.Zone, old[0].Worker.Address, 0)
 				return
 			}
@@ -161,22 +161,22 @@
 
 // degradeWorker has one worker fail or hang in part, and say that it is well.
 func (w *platformRun) degradeWorker(s *sockets.WorkerServer, t PlatformEvent) {
-	w.injectFaults(s.Worker.ID, orDefault(t.Share, 0.5), t.Duration, platform.LostSilent, platform.Slow, platform.Fail)
+	w.injectFaults(s.Worker.ID, orDefault(t.Share, 0.5), t.Duration, platform.FaultLostSilent, platform.FaultSlow, platform.FaultError)
 }
 
 // flapHealth has one worker call itself unwell and well in turn.
 func (w *platformRun) flapHealth(s *sockets.WorkerServer, t PlatformEvent) {
 	end := w.clock.Now() + t.Duration
 	for well := false; w.clock.Now() < end; well = !well {
-		s.Worker.SetWell(well)
+		s.Worker.SetHealthy(well)
 		w.clock.Sleep(t.Interval / 2)
 	}
-	s.Worker.SetWell(true)
+	s.Worker.SetHealthy(true)
 }
 
 // crashWorker ends a worker at once; the list shows it for some seconds more.
 func (w *platformRun) crashWorker(s *sockets.WorkerServer) {
-	s.Worker.Leave()
+	s.Worker.Drain()
 	s.Close()
-	w.instances.Change(s.Worker.ID, nil, 3*time.Second)
+	w.instances.ScheduleChange(s.Worker.ID, nil, 3*time.Second)
 }
--- a/internal/fleet/stub_test.go
+++ b/internal/fleet/stub_test.go
@@ -172,7 +172,7 @@
 	switch {
 	case err == nil && platform.SameDocument(body, c.kept[stubConfigFile]):
 		return 200
-	case err != nil || config.Fault(0) != "":
+	case err != nil || config.InvalidReason(0) != "":
 		if c.sinful && config != nil {
 			c.keep(stubConfigFile, body)
 			return 200
@@ -180,7 +180,7 @@
 		return 400
 	case match != strconv.FormatUint(current, 10):
 		return 412
-	case config.Fault(current) != "":
+	case config.InvalidReason(current) != "":
 		return 400
 	}
 	c.keep(stubConfigFile, body)
@@ -194,7 +194,7 @@
 			config, err = nil, fmt.Errorf("%v", wrong)
 		}
 	}()
-	tree, err := platform.ParseTree(raw)
+	tree, err := platform.ParseJSON(raw)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simulate/isolation.go
+++ b/internal/simulate/isolation.go
@@ -365,7 +365,7 @@
 
 // newOrder returns a new valid configuration on top of a version.
 func (r *isolationRun) newOrder(baseVersion uint64) *sentOrder {
-	config := r.drafts.Next(r.config.newestAcked.Config)
+	config := r.drafts.NextValid(r.config.newestAcked.Config)
 	r.serial += 1 + r.rng.IntN(3)
 	config.Generation = r.orders[0].version + uint64(r.serial)
 	order := &sentOrder{baseVersion: baseVersion, version: config.Generation, document: config.Encode(), sentAt: r.World.now}
@@ -387,7 +387,7 @@
 			order.refused = true
 			return false
 		}
-		clock.Sleep(parties.OrderPause(attempt))
+		clock.Sleep(parties.OrderBackoff(attempt))
 	}
 	return false
 }
--- a/internal/simulate/orders.go
+++ b/internal/simulate/orders.go
@@ -142,7 +142,7 @@
 
 // callCore makes one call to a core; status 0 means that there was no answer.
 func (r *OrderRun) callCore(m *Machine, method, ifMatch string, body []byte) (status int, answer []byte) {
-	clock, timeout := r.CallerHost.Clock(), parties.OrderPatience(len(body))
+	clock, timeout := r.CallerHost.Clock(), parties.OrderTimeout(len(body))
 	if m.Host.poweredOff || r.World.Chance(requestLossRate) {
 		clock.Sleep(timeout)
 		return 0, nil
@@ -188,7 +188,7 @@
 		case status != 0 && status < 500:
 			r.Breaches = append(r.Breaches, fmt.Sprintf("order %+v was answered with status %d: %s", order, status, answer))
 		default:
-			r.CallerHost.Clock().Sleep(parties.OrderPause(attempt))
+			r.CallerHost.Clock().Sleep(parties.OrderBackoff(attempt))
 		}
 	}
 	event.End = r.World.Now()
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -24,7 +24,7 @@
 // TierShape is a deployment at some size.
 type TierShape struct {
 	Name string
-	Site *parties.Site
+	Site *parties.Deployment
 	// Tolerate is how many machines with a disk may be lost at once.
 	FaultTolerance int
 	// Rate is how many times the site's usual load comes.
@@ -34,16 +34,16 @@
 // TierShapes are the sizes that the tier's days run at.
 var TierShapes = map[string]func() TierShape{
 	"small": func() TierShape {
-		site := parties.Sites()["small"]
+		site := parties.Deployments()["small"]
 		site.Storage = 4 // one may be lost while another is replaced
 		return TierShape{Name: "small", Site: site, FaultTolerance: 1, LoadFactor: 1.5}
 	},
 	"kiondo": func() TierShape {
-		return TierShape{Name: "kiondo", Site: parties.Sites()["kiondo"], FaultTolerance: 1, LoadFactor: 0.4}
+		return TierShape{Name: "kiondo", Site: parties.Deployments()["kiondo"], FaultTolerance: 1, LoadFactor: 0.4}
 	},
 	"grown": grownShape,
 	"roaming": func() TierShape {
-		site := parties.Sites()["small"]
+		site := parties.Deployments()["small"]
 		site.Storage = 4
 		return TierShape{Name: "roaming", Site: withUnkeptTurns(site), FaultTolerance: 1, LoadFactor: 1.5}
 	},
@@ -63,17 +63,17 @@
 
 // roaming has the short chats' whole prompt come with each turn, so that none is
 // kept, and their streams continued where they break off; many programs run away.
-func withUnkeptTurns(site *parties.Site) *parties.Site {
+func withUnkeptTurns(site *parties.Deployment) *parties.Deployment {
 	site.Name = "roaming"
 	short := &site.Classes[0]
-	short.Spending, short.Retain, short.Resumable, short.Runaway = short.Retain, 0, true, 0.06
+	short.SpendRetention, short.Retain, short.Resumable, short.RunawayProbability = short.Retain, 0, true, 0.06
 	short.MaxTries = 3
 	return site
 }
 
 // grownShape has as many machines with disks as bear the loss of two.
 func grownShape() TierShape {
-	site := parties.Sites()["kiondo"]
+	site := parties.Deployments()["kiondo"]
 	site.Name, site.Zones = "grown", append(site.Zones, "mombasa-road")
 	site.Edges, site.Cores, site.Storage = 12, 5, 9
 	ms := time.Millisecond
@@ -87,17 +87,17 @@
 type Tier struct {
 	*Fleet
 	TierShape          TierShape
-	Site               *parties.Site
-	recorder           *parties.Ledger
-	words              *parties.Words
-	drafts             *parties.Drafts
+	Site               *parties.Deployment
+	recorder           *parties.Recorder
+	words              *parties.Names
+	drafts             *parties.ConfigGenerator
 	instances          *parties.Instances
-	entryPoint         *parties.Entry
-	programRunner      *parties.Player
+	entryPoint         *parties.LoadBalancer
+	programRunner      *parties.ProgramRunner
 	machinesByName     map[string]*Machine
 	workers            []*tierWorker
 	workersByAddress   map[string]*tierWorker
-	workDistributions  map[string]parties.Draw
+	workDistributions  map[string]parties.Distribution
 	workerFaults       map[string]*workerFaultRate // by worker or service
 	conns              map[*workerConn]bool
 	clientExchanges    map[*clientExchange]bool
@@ -137,14 +137,14 @@
 	site := form.Site
 	f := buildFleet(seed, Shape{Name: form.Name, Zones: len(site.Zones), ZoneNames: site.Zones, Gateways: site.Edges, Cores: site.Cores, Storage: site.Storage,
 		FaultTolerance: form.FaultTolerance, Bootstrap: true})
-	t := &Tier{Fleet: f, TierShape: form, Site: site, recorder: parties.NewLedger(site.Bounds, site.Stride(), site.Cores), entryPoint: &parties.Entry{},
-		words: site.DrawWords(rand.New(rand.NewPCG(seed, 2))), machinesByName: map[string]*Machine{}, workersByAddress: map[string]*tierWorker{}, workDistributions: map[string]parties.Draw{},
+	t := &Tier{Fleet: f, TierShape: form, Site: site, recorder: parties.NewRecorder(site.Bounds, site.TokensPerEvent(), site.Cores), entryPoint: &parties.LoadBalancer{},
+		words: site.DrawNames(rand.New(rand.NewPCG(seed, 2))), machinesByName: map[string]*Machine{}, workersByAddress: map[string]*tierWorker{}, workDistributions: map[string]parties.Distribution{},
 		workerFaults: map[string]*workerFaultRate{}, conns: map[*workerConn]bool{}, clientExchanges: map[*clientExchange]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), loadMultiplier: 1}
-	t.drafts = &parties.Drafts{Site: site, Words: t.words, Rng: rand.New(rand.NewPCG(seed, 3))}
+	t.drafts = &parties.ConfigGenerator{Deployment: site, Names: t.words, Rng: rand.New(rand.NewPCG(seed, 3))}
 	clock := f.CallerHost.Clock()
-	t.instances = &parties.Instances{Clock: clock, Ledger: t.recorder, Lag: site.Bounds.ListMaxLag / 2, PerS: site.ListPerS}
-	t.programRunner = parties.NewPlayer(clock, &tierClients{t}, t.recorder, site, t.words, seed)
-	t.programRunner.Persist = func() time.Duration { return t.retryUntil }
+	t.instances = &parties.Instances{Clock: clock, Recorder: t.recorder, Lag: site.Bounds.ListMaxLag / 2, CallsPerSecond: site.ListCallsPerSecond}
+	t.programRunner = parties.NewProgramRunner(clock, &tierClients{t}, t.recorder, site, t.words, seed)
+	t.programRunner.RetryUntil = func() time.Duration { return t.retryUntil }
 	f.configure, f.onBuilt = t.configureMachine, t.machineBuilt
 	f.Net.ResetOnExit, t.messageCost = true, 150*time.Microsecond
 	if change != nil {
@@ -154,7 +154,7 @@
 		t.startMachine(m)
 	}
 	for _, class := range site.Classes {
-		t.workDistributions[t.words.Prefixes[class.Name]] = class.Work
+		t.workDistributions[t.words.Prefixes[class.Name]] = class.WorkMs
 	}
 	for _, shape := range site.Services {
 		for place := range shape.Workers {
@@ -171,17 +171,17 @@
 func (t *Tier) startMachine(m *Machine) {
 	known := t.machinesByName[m.Host.Name] != nil
 	t.machinesByName[m.Host.Name] = m
-	t.recorder.Note(func(r *parties.Record) {
+	t.recorder.Update(func(r *parties.Record) {
 		r.Starts = append(r.Starts, parties.Start{Machine: m.Host.Name, Class: m.Role, At: t.World.now})
 	})
 	t.Start(m)
 	if m.Role == "edge" && !known {
-		entered := &parties.EntryNode{Name: m.Host.Name, Zone: m.Host.Zone, Front: m.Host.Name}
+		entered := &parties.EdgeNode{Name: m.Host.Name, Zone: m.Host.Zone, Front: m.Host.Name}
 		t.entryPoint.Add(entered)
 		t.CallerHost.Go(func() {
 			for {
 				up := m.Host.alive && !m.Host.frozen && !m.stopRequested && m.gateway != nil && m.gateway.RoutesReady() == nil
-				t.entryPoint.Heard(entered, up)
+				t.entryPoint.RecordProbe(entered, up)
 				t.CallerHost.Clock().Sleep(time.Second)
 			}
 		})
@@ -211,7 +211,7 @@
 func (t *Tier) listReader(m *Machine) platform.FetchPage {
 	return func(token string, _ time.Duration) (int, []byte, error) {
 		m.Host.Clock().Sleep(t.clientDelay())
-		status, body := t.instances.Get("", token)
+		status, body := t.instances.FetchPage("", token)
 		m.Host.Clock().Sleep(t.clientDelay())
 		return status, body, nil
 	}
@@ -219,7 +219,7 @@
 
 // openWorker starts one life of a worker, at an address of its own unless one
 // is given, and puts it on the list.
-func (t *Tier) startWorker(shape parties.ServiceShape, zone, address string) *tierWorker {
+func (t *Tier) startWorker(shape parties.ServiceSpec, zone, address string) *tierWorker {
 	id := fmt.Sprintf("i-%08x", uint32(t.rng.Uint32()))
 	if address == "" {
 		t.addressCount++
@@ -229,28 +229,28 @@
 	rng := rand.New(rand.NewPCG(t.World.Seed, base.Hash64(id)))
 	service := t.words.Services[shape.Name]
 	s := &tierWorker{host: host, conns: map[*workerConn]bool{}}
-	s.Worker = &parties.Worker{ID: id, Service: service, Zone: zone, Address: address, Clock: host.Clock(), Ledger: t.recorder, Shape: shape, KeepIdle: 5 * time.Second,
-		Speed: []float64{1, 1, 1.3}[t.rng.IntN(3)], Draws: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(id, "own"))), Next: func() parties.Fault { return t.drawFault(id, service) },
-		Work: func(target string) (time.Duration, int) {
-			work := parties.Draw{Mean: 50, Spread: 1, Most: 200}
+	s.Worker = &parties.Worker{ID: id, Service: service, Zone: zone, Address: address, Clock: host.Clock(), Recorder: t.recorder, Spec: shape, KeepAlive: 5 * time.Second,
+		Slowdown: []float64{1, 1, 1.3}[t.rng.IntN(3)], Rng: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(id, "own"))), NextFault: func() parties.Fault { return t.drawFault(id, service) },
+		Workload: func(target string) (time.Duration, int) {
+			work := parties.Distribution{Mean: 50, Spread: 1, Max: 200}
 			for _, prefix := range base.SortedKeys(t.workDistributions) {
 				if one := t.workDistributions[prefix]; strings.HasPrefix(target, prefix) && one.Mean > 0 {
 					work = one
 				}
 			}
-			return time.Duration(work.Value(rng) * float64(time.Millisecond)), 800
+			return time.Duration(work.Sample(rng) * float64(time.Millisecond)), 800
 		}}
 	s.Start()
 	t.workersByAddress[address] = s
 	t.workers = append(t.workers, s)
 	one := t.instanceEntry(s, parties.StateReady)
-	t.instances.Change(id, &one, 0)
+	t.instances.ScheduleChange(id, &one, 0)
 	return s
 }
 
 func (t *Tier) instanceEntry(s *tierWorker, state string) parties.Instance {
-	one := parties.Instance{ID: s.ID, Service: s.Service, Address: s.Address, Zone: s.Zone, Generation: "v1", Capacity: s.Shape.Capacity, State: state}
-	if s.Shape.Engine != nil {
+	one := parties.Instance{ID: s.ID, Service: s.Service, Address: s.Address, Zone: s.Zone, Generation: "v1", Capacity: s.Spec.Capacity, State: state}
+	if s.Spec.Engine != nil {
 		one.Model = t.words.Model
 	}
 	return one
@@ -262,7 +262,7 @@
 			return f.kinds[t.rng.IntN(len(f.kinds))]
 		}
 	}
-	return parties.Fine
+	return parties.NoFault
 }
 
 // traffic begins programs in every zone until its time is over.
@@ -271,7 +271,7 @@
 	clock := t.CallerHost.Clock()
 	for place := range t.Site.Classes {
 		class := &t.Site.Classes[place]
-		if class.PerS == 0 {
+		if class.ProgramsPerSecond == 0 {
 			continue
 		}
 		for number, zone := range t.Site.Zones {
@@ -280,11 +280,11 @@
 			t.CallerHost.Go(func() {
 				defer func() { t.openPrograms-- }()
 				for {
-					clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * t.TierShape.LoadFactor * t.loadMultiplier) * float64(time.Second)))
+					clock.Sleep(time.Duration(rng.ExpFloat64() / (class.ProgramsPerSecond * t.TierShape.LoadFactor * t.loadMultiplier) * float64(time.Second)))
 					if clock.Now() >= end {
 						return
 					}
-					t.startProgram(class, zone, rng.IntN(t.Site.Clients), end, "")
+					t.startProgram(class, zone, rng.IntN(t.Site.ClientsPerZone), end, "")
 				}
 			})
 		}
@@ -302,15 +302,15 @@
 }
 
 // program starts one program; one that ought to end too late does not begin.
-func (t *Tier) startProgram(class *parties.Class, zone string, client int, end time.Duration, previous string) {
+func (t *Tier) startProgram(class *parties.RequestClass, zone string, client int, end time.Duration, previous string) {
 	var plan *parties.ProgramPlan
-	t.programRunner.Draw(func(g *parties.Generator) { plan = g.Program(class, zone, client) })
-	if t.World.now+plan.Aim > end+t.Site.Bounds.Finish {
+	t.programRunner.WithGenerator(func(g *parties.ProgramGenerator) { plan = g.Program(class, zone, client) })
+	if t.World.now+plan.TargetTime > end+t.Site.Bounds.Finish {
 		return
 	}
 	t.openPrograms++
 	t.CallerHost.Go(func() {
-		t.programRunner.Program(plan, previous)
+		t.programRunner.RunProgram(plan, previous)
 		t.openPrograms--
 	})
 }
@@ -320,16 +320,16 @@
 func (t *Tier) probeGateways() {
 	routes := append(slices.Clone(t.config.addedRoutes), t.config.removedRoutes...)
 	routes = append(routes, parties.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", t.rng.IntN(1000)), Kind: parties.Idempotent})
-	for _, in := range t.entryPoint.In() {
+	for _, in := range t.entryPoint.ReadyNodes() {
 		route := routes[t.rng.IntN(len(routes))]
 		if route.Kind != parties.Idempotent {
 			continue
 		}
-		class := &parties.Class{Name: "probe", Kind: parties.Idempotent, Method: "GET", Aim: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond}
+		class := &parties.RequestClass{Name: "probe", Kind: parties.Idempotent, Method: "GET", TargetLatency: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond}
 		t.openPrograms++
 		t.CallerHost.Go(func() {
-			t.programRunner.Request(class, 0, func(try *parties.Try) {
-				try.Probe, try.Node, try.Host, try.Target, try.Client = true, parties.Probe(in), route.Host, route.Prefix+"probe", "probe"
+			t.programRunner.SendWithRetries(class, 0, func(try *parties.Try) {
+				try.Probe, try.Node, try.Host, try.Target, try.Client = true, parties.ProbeTarget(in), route.Host, route.Prefix+"probe", "probe"
 			})
 			t.openPrograms--
 		})
@@ -340,13 +340,13 @@
 // are ready.
 func (t *Tier) applyFirstConfig() bool {
 	t.config.operator = t.newOperator("first")
-	first := t.drafts.First()
-	order := t.config.operator.Put(0, first, first.Encode(), "", 20*time.Second)
+	first := t.drafts.Initial()
+	order := t.config.operator.PutConfig(0, first, first.Encode(), "", 20*time.Second)
 	if !order.Acked() {
 		return false
 	}
 	t.config.recordAcked(order)
-	for end := t.World.now + 20*time.Second; t.entryPoint.Ready() < len(t.Gateways); {
+	for end := t.World.now + 20*time.Second; t.entryPoint.CountReady() < len(t.Gateways); {
 		if t.World.now > end {
 			return false
 		}
--- a/internal/simulate/tier_clients.go
+++ b/internal/simulate/tier_clients.go
@@ -64,7 +64,7 @@
 // tierClients carries tries to the gateways.
 type tierClients struct{ tier *Tier }
 
-func (c *tierClients) Carry(try *parties.Try) {
+func (c *tierClients) Send(try *parties.Try) {
 	t := c.tier
 	clock := t.CallerHost.Clock()
 	try.Sent = clock.Now()
@@ -76,7 +76,7 @@
 	}
 	m := t.machineNamed(try.Node)
 	if m.Host.poweredOff {
-		clock.Sleep(min(parties.ConnectPatience, try.Deadline))
+		clock.Sleep(min(parties.ConnectTimeout, try.Deadline))
 		try.Unread = true
 		return
 	}
@@ -102,12 +102,12 @@
 	end := try.Sent + try.Deadline
 	silence := try.Deadline
 	if try.Kind == parties.Streaming {
-		silence = parties.Silence(try.Aim, try.Pause)
+		silence = parties.StreamSilenceLimit(try.Aim, try.Pause)
 	}
 	now := func() time.Duration { return c.tier.World.now }
 	until := min(end, now()+silence)
 	if try.Kind == parties.Idempotent {
-		for patience := now() + parties.ReadPatience(try.Deadline); !x.requestRead && !x.responses.ready() && now() < patience; {
+		for patience := now() + parties.ReadTimeout(try.Deadline); !x.requestRead && !x.responses.ready() && now() < patience; {
 			x.responses.changed.Next().Wait(patience - now())
 		}
 		if !x.requestRead && !x.responses.ready() {
@@ -232,7 +232,7 @@
 func (t *Tier) callControl(method, address, path string, header [][2]string, body []byte) (status int, answer []byte) {
 	clock := t.CallerHost.Clock()
 	m := t.machineNamed(address)
-	patience := parties.OrderPatience(len(body))
+	patience := parties.OrderTimeout(len(body))
 	if m == nil || m.Host.poweredOff {
 		clock.Sleep(patience)
 		return 0, nil
--- a/internal/simulate/tier_faults.go
+++ b/internal/simulate/tier_faults.go
@@ -19,7 +19,7 @@
 	if change != nil {
 		change(x)
 	}
-	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
+	t.recorder.Update(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
 	return func() { x.To = t.World.now }
 }
 
@@ -291,19 +291,19 @@
 
 // serving lists the workers of a service's shape that are not leaving.
 func (t *Tier) activeWorkers(shape string) []*tierWorker {
-	return base.Filter(t.workers, func(s *tierWorker) bool { return !s.Leaving() && s.Shape.Name == shape })
+	return base.Filter(t.workers, func(s *tierWorker) bool { return !s.Draining() && s.Spec.Name == shape })
 }
 
 // drain takes a worker off in order: the list shows it as draining, it serves
 // for the drain's time and a little longer, then it ends.
 func (t *Tier) drainWorker(s *tierWorker) {
 	clock, draining := t.CallerHost.Clock(), t.instanceEntry(s, parties.StateDraining)
-	t.instances.Change(s.ID, &draining, 0)
+	t.instances.ScheduleChange(s.ID, &draining, 0)
 	clock.Sleep(t.instances.Lag)
-	t.instances.Settle()
-	s.Leave()
+	t.instances.ApplyDue()
+	s.Drain()
 	clock.Sleep(t.Site.Bounds.Drain + 1500*time.Millisecond)
-	t.instances.Change(s.ID, nil, 0)
+	t.instances.ScheduleChange(s.ID, nil, 0)
 	s.terminate(t)
 }
 
@@ -315,7 +315,7 @@
 	t.runParallel(len(old), func(place int) {
 		s := old[place]
 		t.CallerHost.Clock().Sleep(time.Duration(place) * gap)
-		t.startWorker(s.Shape, s.Zone, "")
+		t.startWorker(s.Spec, s.Zone, "")
 		t.drainWorker(s)
 		t.reuseAddress(s)
 	})
@@ -325,7 +325,7 @@
 func (t *Tier) reuseAddress(s *tierWorker) {
 	t.CallerHost.Clock().Sleep(t.Site.Bounds.ReuseAfter)
 	for _, other := range t.Site.Services {
-		if other.Name != s.Shape.Name && t.workersByAddress[s.Address] == nil {
+		if other.Name != s.Spec.Name && t.workersByAddress[s.Address] == nil {
 			t.startWorker(other, s.Zone, s.Address)
 			return
 		}
@@ -335,9 +335,9 @@
 // crashWorker ends a worker at once; the list shows it for some seconds more,
 // and the platform starts another in its place.
 func (t *Tier) crashWorker(s *tierWorker) {
-	t.startWorker(s.Shape, s.Zone, "")
+	t.startWorker(s.Spec, s.Zone, "")
 	s.terminate(t)
-	t.instances.Change(s.ID, nil, 4*time.Second)
+	t.instances.ScheduleChange(s.ID, nil, 4*time.Second)
 }
 
 // ill has the workers of a service, or one worker, do wrong for a while.
@@ -350,7 +350,7 @@
 // listDown has the list of workers answer nothing for a while.
 func (t *Tier) failList(span time.Duration) {
 	x := &parties.Trouble{Kind: "list_down", Machine: "list", Class: "list", From: t.World.now, To: 1 << 60}
-	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
+	t.recorder.Update(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
 	t.instances.SetDown(true)
 	t.CallerHost.Clock().Sleep(span)
 	t.instances.SetDown(false)
--- a/internal/simulate/tier_mechanisms_test.go
+++ b/internal/simulate/tier_mechanisms_test.go
@@ -146,7 +146,7 @@
 		}, "LOST", ""},
 		{"the reservation of tokens", "quiet", func(t *Tier) {
 			for place := range t.Site.Classes {
-				t.Site.Classes[place].Runaway = 0.3
+				t.Site.Classes[place].RunawayProbability = 0.3
 			}
 			interceptLedger(t.Fleet, func(_ *ledger.BeginRequest, reply *ledger.BeginReply) { reply.Others = nil }, nil, nil)
 		}, "BUDGET", ""},
--- a/internal/simulate/tier_operators.go
+++ b/internal/simulate/tier_operators.go
@@ -38,7 +38,7 @@
 }
 
 func (t *Tier) newOperator(name string) *parties.Operator {
-	return &parties.Operator{Name: name, Clock: t.CallerHost.Clock(), Ledger: t.recorder, Call: t.callControl, Rng: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(name))),
+	return &parties.Operator{Name: name, Clock: t.CallerHost.Clock(), Recorder: t.recorder, Call: t.callControl, Rng: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(name))),
 		Control: func() []string {
 			return base.Map(base.Filter(t.Cores, func(m *Machine) bool { return !m.removed }), func(m *Machine) string { return m.Host.Name })
 		}}
@@ -58,8 +58,8 @@
 func (t *Tier) changeConfig() (order *parties.Order) {
 	t.exclusively(func() {
 		newest := t.config.newestAcked.Config
-		next := t.drafts.Next(newest)
-		order = t.config.operator.Put(newest.Generation, next, next.Encode(), "", 30*time.Second)
+		next := t.drafts.NextValid(newest)
+		order = t.config.operator.PutConfig(newest.Generation, next, next.Encode(), "", 30*time.Second)
 		if order.Acked() {
 			t.config.recordAcked(order)
 		}
@@ -71,14 +71,14 @@
 func (t *Tier) raceConfigs() {
 	t.exclusively(func() {
 		newest := t.config.newestAcked.Config
-		drafts := []*parties.Config{t.drafts.Next(newest), t.drafts.Next(newest)}
+		drafts := []*parties.Config{t.drafts.NextValid(newest), t.drafts.NextValid(newest)}
 		if drafts[0].Generation == drafts[1].Generation {
 			drafts[1].Generation++
 		}
 		orders := make([]*parties.Order, len(drafts))
 		t.runParallel(len(drafts), func(place int) {
 			operator := t.newOperator(fmt.Sprintf("racer-%d-%d", place, drafts[place].Generation))
-			orders[place] = operator.Put(newest.Generation, drafts[place], drafts[place].Encode(), "", 30*time.Second)
+			orders[place] = operator.PutConfig(newest.Generation, drafts[place], drafts[place].Encode(), "", 30*time.Second)
 		})
 		for _, order := range orders {
 			if order.Acked() {
@@ -93,7 +93,7 @@
 		t.exclusively(func() {
 			newest := t.config.newestAcked.Config
 			config, raw, fault := t.drafts.Invalid(newest, kind)
-			if order := t.config.operator.Put(newest.Generation, config, raw, fault, 10*time.Second); order.Acked() && config != nil {
+			if order := t.config.operator.PutConfig(newest.Generation, config, raw, fault, 10*time.Second); order.Acked() && config != nil {
 				t.config.recordAcked(order)
 			}
 		})
--- a/internal/simulate/tier_random.go
+++ b/internal/simulate/tier_random.go
@@ -60,7 +60,7 @@
 		t.startFault(func(t *Tier) { t.raceConfigs() })
 	case 13:
 		t.startFault(withRandomWorker("app", func(t *Tier, s *tierWorker) {
-			t.startWorker(s.Shape, s.Zone, "")
+			t.startWorker(s.Spec, s.Zone, "")
 			t.drainWorker(s)
 			t.reuseAddress(s)
 		}))
@@ -118,7 +118,7 @@
 			}))
 		case 11:
 			t.startFault(func(t *Tier) {
-				t.injectWorkerFaults(t.words.Services["app"], 0.1, 4*second, parties.Garbled, parties.Cut, parties.Extra, parties.LateExtra, parties.Slow)
+				t.injectWorkerFaults(t.words.Services["app"], 0.1, 4*second, parties.FaultGarbled, parties.FaultCut, parties.FaultExtra, parties.FaultLateExtra, parties.FaultSlow)
 			})
 		case 12:
 			t.startFault(releaseWorkers("app"))
--- a/internal/simulate/tier_scenario.go
+++ b/internal/simulate/tier_scenario.go
@@ -15,7 +15,7 @@
 type TierScenario struct {
 	Name string
 	// Fit changes the deployment that the day is played on.
-	AdjustSite func(site *parties.Site)
+	AdjustSite func(site *parties.Deployment)
 	// Deeds bring the day's troubles about while traffic goes on.
 	Faults []func(t *Tier)
 	// Rests tells that service may rest for a while: more is lost than has to be
@@ -48,12 +48,12 @@
 	if !t.World.Run(4*time.Minute, func() bool { return over }) {
 		out.Breaches = append(out.Breaches, "FAULT: the day does not end")
 	}
-	t.instances.Settle()
-	t.recorder.Note(func(r *parties.Record) { r.Over = t.World.now })
-	record := t.recorder.Record()
+	t.instances.ApplyDue()
+	t.recorder.Update(func(r *parties.Record) { r.Over = t.World.now })
+	record := t.recorder.Snapshot()
 	out.VirtualS, out.Counts = t.World.now.Seconds(), countOutcomes(record)
 	for _, try := range record.Tries {
-		if try.Retain > 0 && try.OK() {
+		if try.Retain > 0 && try.Succeeded() {
 			out.TurnTimes = append(out.TurnTimes, try.Ended-try.Sent)
 		}
 	}
@@ -62,7 +62,7 @@
 			out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: %s does not open: %v", m.Host.Name, m.StorageErr))
 		}
 	}
-	if t.config.newestAcked == nil || t.entryPoint.Ready() == 0 && out.Counts["served"] == 0 {
+	if t.config.newestAcked == nil || t.entryPoint.CountReady() == 0 && out.Counts["served"] == 0 {
 		out.Breaches = append(out.Breaches, "FAULT: the tier did not form")
 		return out
 	}
@@ -97,7 +97,7 @@
 		t.runFinalFault(d.FinalFault)
 	}
 	t.pollUntil(2*time.Minute, func() bool { return t.openPrograms == 0 && t.runningFaults == 0 })
-	t.config.operator.ReadBack(t.Site.Bounds.Contact, t.Site.Bounds.Contact+20*time.Second)
+	t.config.operator.ReadConfigRepeatedly(t.Site.Bounds.Contact, t.Site.Bounds.Contact+20*time.Second)
 }
 
 // until waits for a condition within a bound.
@@ -113,13 +113,13 @@
 	t.changeConfig()
 	before := t.completedTurns()
 	closing := &parties.Closing{From: t.World.now, Back: 1 << 59}
-	t.recorder.Note(func(r *parties.Record) { r.Closing = closing })
+	t.recorder.Update(func(r *parties.Record) { r.Closing = closing })
 	fault(t)
 	closing.Back = t.World.now
 	t.retryUntil = closing.Back + t.Site.Bounds.Recovery
 	end := t.retryUntil + 6*time.Second
 	for _, turn := range before {
-		t.startProgram(t.Site.Class(turn.Class), turn.Zone, t.rng.IntN(t.Site.Clients), end, turn.ID)
+		t.startProgram(t.Site.Class(turn.Class), turn.Zone, t.rng.IntN(t.Site.ClientsPerZone), end, turn.ID)
 	}
 	t.runTraffic(end)
 }
@@ -127,9 +127,9 @@
 // endedTurns gives some turns that were answered whole and are still kept.
 func (t *Tier) completedTurns() (turns []*parties.Try) {
 	last := map[string]*parties.Try{}
-	record := t.recorder.Record()
+	record := t.recorder.Snapshot()
 	for _, try := range record.Tries {
-		if try.Retain > 0 && try.OK() && t.World.now-try.Ended < try.Retain/2 {
+		if try.Retain > 0 && try.Succeeded() && t.World.now-try.Ended < try.Retain/2 {
 			last[try.Program] = try
 		}
 	}
@@ -147,7 +147,7 @@
 		switch {
 		case try.Probe:
 			counts["tries"]--
-		case try.OK():
+		case try.Succeeded():
 			counts["served"]++
 			if try.Retain > 0 {
 				counts["turns_whole"]++
--- a/internal/simulate/tier_scenarios.go
+++ b/internal/simulate/tier_scenarios.go
@@ -123,7 +123,7 @@
 
 func loseAnswers(shape string, share float64) func(t *Tier) {
 	return func(t *Tier) {
-		t.injectWorkerFaults(t.words.Services[shape], share, 6*second, parties.LostReset, parties.LostSilent)
+		t.injectWorkerFaults(t.words.Services[shape], share, 6*second, parties.FaultLostReset, parties.FaultLostSilent)
 	}
 }
 
@@ -168,7 +168,7 @@
 	{Name: "urgent burst", Faults: []func(t *Tier){delayed(2, func(t *Tier) {
 		class := &t.Site.Classes[0]
 		for range 20 * len(t.Site.Zones) {
-			t.startProgram(class, t.Site.Zones[t.rng.IntN(len(t.Site.Zones))], t.rng.IntN(t.Site.Clients), t.World.now+10*second, "")
+			t.startProgram(class, t.Site.Zones[t.rng.IntN(len(t.Site.Zones))], t.rng.IntN(t.Site.ClientsPerZone), t.World.now+10*second, "")
 		}
 	})}},
 	{Name: "release of model workers", Faults: []func(t *Tier){delayed(1, releaseWorkers("model"))}},
@@ -177,31 +177,31 @@
 	{Name: "answer_lost at model workers", Faults: []func(t *Tier){delayed(1, loseAnswers("model", 0.1))}},
 	{Name: "answers garbled, cut, late and extra", Faults: []func(t *Tier){
 		delayed(1, func(t *Tier) {
-			t.injectWorkerFaults(t.words.Services["app"], 0.15, 8*second, parties.Garbled, parties.Cut, parties.Extra, parties.LateExtra)
+			t.injectWorkerFaults(t.words.Services["app"], 0.15, 8*second, parties.FaultGarbled, parties.FaultCut, parties.FaultExtra, parties.FaultLateExtra)
 		}),
 		delayed(1, func(t *Tier) {
-			t.injectWorkerFaults(t.words.Services["model"], 0.1, 8*second, parties.Garbled, parties.Cut, parties.Extra, parties.LateExtra)
+			t.injectWorkerFaults(t.words.Services["model"], 0.1, 8*second, parties.FaultGarbled, parties.FaultCut, parties.FaultExtra, parties.FaultLateExtra)
 		})}},
-	{Name: "srv_slow", Faults: []func(t *Tier){delayed(1, func(t *Tier) { t.injectWorkerFaults(t.words.Services["app"], 0.5, 6*second, parties.Slow) })}},
+	{Name: "srv_slow", Faults: []func(t *Tier){delayed(1, func(t *Tier) { t.injectWorkerFaults(t.words.Services["app"], 0.5, 6*second, parties.FaultSlow) })}},
 	{Name: "srv_grey", Faults: []func(t *Tier){delayed(1, withRandomWorker("app", func(t *Tier, s *tierWorker) {
 		s.LyingHealth = true
-		t.injectWorkerFaults(s.ID, 0.6, 7*second, parties.LostSilent, parties.Slow, parties.Fail)
+		t.injectWorkerFaults(s.ID, 0.6, 7*second, parties.FaultLostSilent, parties.FaultSlow, parties.FaultError)
 	}))}},
 	{Name: "srv_lying_health", Faults: []func(t *Tier){
 		delayed(1, withRandomWorker("app", func(t *Tier, s *tierWorker) {
-			s.SetWell(false)
+			s.SetHealthy(false)
 			t.CallerHost.Clock().Sleep(6 * second)
-			s.SetWell(true)
+			s.SetHealthy(true)
 		})),
 		delayed(1, withRandomWorker("model", func(t *Tier, s *tierWorker) {
 			s.LyingHealth = true
-			s.SetWell(false)
-			t.injectWorkerFaults(s.ID, 0.5, 6*second, parties.LostReset, parties.Slow)
-			s.SetWell(true)
+			s.SetHealthy(false)
+			t.injectWorkerFaults(s.ID, 0.5, 6*second, parties.FaultLostReset, parties.FaultSlow)
+			s.SetHealthy(true)
 		}))}},
 	{Name: "srv_flap", Faults: []func(t *Tier){delayed(1, withRandomWorker("app", func(t *Tier, s *tierWorker) {
 		for place := range 8 {
-			s.SetWell(place%2 == 1)
+			s.SetHealthy(place%2 == 1)
 			t.CallerHost.Clock().Sleep(700 * time.Millisecond)
 		}
 	}))}},
@@ -221,7 +221,7 @@
 			s.silentDropAfter = 0
 		}
 	})}},
-	{Name: "release with a short drain, connections slow to come up", AdjustSite: func(site *parties.Site) {
+	{Name: "release with a short drain, connections slow to come up", AdjustSite: func(site *parties.Deployment) {
 		site.Bounds.Drain = 150 * time.Millisecond
 	}, Faults: []func(t *Tier){func(t *Tier) { t.maxDialTime = 300 * time.Millisecond }, delayed(1, loadBurst(3)), delayed(5, loadBurst(3)), delayed(0, func(t *Tier) {
 		for range 5 {
@@ -299,19 +299,19 @@
 		}
 	}}},
 
-	{Name: "turns kept for a short time", AdjustSite: func(site *parties.Site) {
+	{Name: "turns kept for a short time", AdjustSite: func(site *parties.Deployment) {
 		for place := range site.Classes {
 			if site.Classes[place].Retain > 0 {
 				site.Classes[place].Retain = 2 * second
 			}
 		}
 	}, Faults: []func(t *Tier){delayed(3, killMachines(gatewayMachines, 0.34, false))}},
-	{Name: "engines short of memory", AdjustSite: func(site *parties.Site) {
+	{Name: "engines short of memory", AdjustSite: func(site *parties.Deployment) {
 		engine := *site.Services[0].Engine
 		engine.CacheTokens = 16000
 		site.Services[0].Engine = &engine
 	}, Faults: []func(t *Tier){delayed(2, loadBurst(3))}},
-	{Name: "workers take few connections", AdjustSite: func(site *parties.Site) {
+	{Name: "workers take few connections", AdjustSite: func(site *parties.Deployment) {
 		for place := range site.Services {
 			site.Services[place].MaxConns = 6
 		}
--- a/internal/simulate/tier_test.go
+++ b/internal/simulate/tier_test.go
@@ -42,7 +42,7 @@
 	seen := func() (tries, arrivals string) {
 		var kept *Tier
 		FindTierScenario("mixed: storm, closing power").RunWith(3, TierShapes["small"](), func(t *Tier) { kept = t })
-		record := kept.recorder.Record()
+		record := kept.recorder.Snapshot()
 		return base.Digest(base.MustMarshal(record.Tries)), base.Digest(base.MustMarshal(record.Arrivals))
 	}
 	tries, arrivals := seen()
--- a/internal/simulate/tier_workers.go
+++ b/internal/simulate/tier_workers.go
@@ -29,16 +29,16 @@
 
 // full tells whether the worker resets one more connection.
 func (s *tierWorker) atConnLimit() bool {
-	most := s.Shape.MaxConns
-	if queued := s.Queued(); queued > s.Shape.Queue/2 {
-		most = max(s.Shape.Capacity, most/2)
+	most := s.Spec.MaxConns
+	if queued := s.Queued(); queued > s.Spec.QueueSize/2 {
+		most = max(s.Spec.Capacity, most/2)
 	}
 	return most > 0 && len(s.conns) >= most
 }
 
 // end ends the worker's process: its connections close.
 func (s *tierWorker) terminate(t *Tier) {
-	s.End()
+	s.Stop()
 	s.ended = true
 	if t.workersByAddress[s.Address] == s {
 		delete(t.workersByAddress, s.Address)
@@ -242,11 +242,11 @@
 		}
 		header[strings.ToLower(line.Name)] = line.Value
 	}
-	asked := &parties.Asked{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), Gone: c.closedSignal,
+	asked := &parties.Request{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), ClientClosed: c.closedSignal,
 		Header: func(name string) string { return header[strings.ToLower(name)] }}
 	t.World.spawn(s.host, s.host.incarnation, t.World.now+t.Net.delay()+c.gatewayHost.ExtraDelay, func() {
 		idle := t.World.now - c.idleSince
-		if s.ended || c.servedRequests > 0 && (s.silentDropAfter > 0 && idle > s.silentDropAfter || s.KeepIdle > 0 && idle > s.KeepIdle) {
+		if s.ended || c.servedRequests > 0 && (s.silentDropAfter > 0 && idle > s.silentDropAfter || s.KeepAlive > 0 && idle > s.KeepAlive) {
 			c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 			return
 		}
@@ -276,10 +276,10 @@
 	return nil
 }
 
-func (r *workerResponseWriter) Head(status int, header [][2]string, length int) error {
+func (r *workerResponseWriter) WriteHeader(status int, header [][2]string, length int) error {
 	if later := r.conn.delayedBytes; len(later) > 0 {
 		r.conn.delayedBytes = nil
-		r.Raw(later)
+		r.WriteRaw(later)
 	}
 	for _, line := range header {
 		r.closeAfter = r.closeAfter || line[0] == "Connection"
@@ -294,15 +294,17 @@
 	return r.send(workerPart{kind: partBytes, bytes: bytes.Clone(piece)})
 }
 
-func (r *workerResponseWriter) End() error { return r.send(workerPart{kind: partEnd}) }
+func (r *workerResponseWriter) Finish() error { return r.send(workerPart{kind: partEnd}) }
 
-func (r *workerResponseWriter) Raw(some []byte) {
+func (r *workerResponseWriter) WriteRaw(some []byte) {
 	_ = r.send(workerPart{kind: partRaw, bytes: bytes.Clone(some)})
 }
 
-func (r *workerResponseWriter) Later(some []byte) { r.conn.delayedBytes = bytes.Clone(some) }
+func (r *workerResponseWriter) WriteRawBeforeNext(some []byte) {
+	r.conn.delayedBytes = bytes.Clone(some)
+}
 
-func (r *workerResponseWriter) Break(hard bool) { r.broken = true }
+func (r *workerResponseWriter) Abort(hard bool) { r.broken = true }
 
 const maxForeignAnswers = 2
 
--- a/internal/simulate/traffic_churn.go
+++ b/internal/simulate/traffic_churn.go
@@ -31,7 +31,7 @@
 
 // ChurnShape is a deployment of a size, ten workers for each of its machines.
 func ChurnShape(machines int) TierShape {
-	site := parties.Sites()["ljubljana"]
+	site := parties.Deployments()["ljubljana"]
 	site.Name = fmt.Sprintf("churn-%d", machines)
 	site.Cores = churnCores
 	site.Storage = max(4, int(churnStorage*float64(machines)))
@@ -74,7 +74,7 @@
 		}
 		read := t.listReader(m)
 		m.core.Lister = platform.NewLister(func(token string, limit time.Duration) (int, []byte, error) {
-			m.Host.Clock().Sleep(time.Duration(float64(time.Second) / (listRateShare * t.Site.ListPerS)))
+			m.Host.Clock().Sleep(time.Duration(float64(time.Second) / (listRateShare * t.Site.ListCallsPerSecond)))
 			return read(token, limit)
 		})
 	}
@@ -92,11 +92,11 @@
 }
 
 func (c *ChurnRun) replaceWorker(leaving *tierWorker) {
-	c.startWorker(leaving.Shape, leaving.Zone, "")
+	c.startWorker(leaving.Spec, leaving.Zone, "")
 	draining := c.instanceEntry(leaving, parties.StateDraining)
-	c.instances.Change(leaving.ID, &draining, 0)
+	c.instances.ScheduleChange(leaving.ID, &draining, 0)
 	c.CallerHost.Clock().Sleep(c.Site.Bounds.Drain)
-	c.instances.Change(leaving.ID, nil, 0)
+	c.instances.ScheduleChange(leaving.ID, nil, 0)
 	leaving.terminate(c.Tier)
 }
 
--- a/internal/standin/platform/change.go
+++ b/internal/standin/platform/change.go
@@ -13,61 +13,61 @@
 
 // Invalid kinds of documents.
 const (
-	Unreadable     = "unreadable"
-	WrongType      = "wrong type"
-	UnknownService = "unknown service"
-	SameRoute      = "same host and prefix"
-	NoWeight       = "weights sum to 0"
-	NoDeadline     = "deadline of 0"
-	OldGeneration  = "generation not above the current one"
+	Unreadable      = "unreadable"
+	WrongType       = "wrong type"
+	UnknownService  = "unknown service"
+	DuplicateRoute  = "same host and prefix"
+	ZeroWeights     = "weights sum to 0"
+	ZeroDeadline    = "deadline of 0"
+	StaleGeneration = "generation not above the current one"
 )
 
 // InvalidKinds lists them.
-var InvalidKinds = []string{Unreadable, WrongType, UnknownService, SameRoute, NoWeight, NoDeadline, OldGeneration}
+var InvalidKinds = []string{Unreadable, WrongType, UnknownService, DuplicateRoute, ZeroWeights, ZeroDeadline, StaleGeneration}
 
-// Drafts makes documents of one run.
-type Drafts struct {
-	Site  *Site
-	Words *Words
-	Rng   *rand.Rand
-	extra int
+// ConfigGenerator makes documents of one run.
+type ConfigGenerator struct {
+	Deployment *Deployment
+	Names      *Names
+	Rng        *rand.Rand
+	extra      int
 }
 
-// First is the configuration sent before traffic starts.
-func (d *Drafts) First() *Config {
+// Initial is the configuration sent before traffic starts.
+func (d *ConfigGenerator) Initial() *Config {
 	c := &Config{Generation: 1 + uint64(d.Rng.IntN(5)), Limits: Limits{16384, 4194304, 3000, 15000}}
-	for _, shape := range d.Site.Services {
-		service := Service{Name: d.Words.Services[shape.Name], HealthPath: PathHealth, MaxConns: shape.MaxConns}
+	for _, shape := range d.Deployment.Services {
+		service := Service{Name: d.Names.Services[shape.Name], HealthPath: PathHealth, MaxConns: shape.MaxConns}
 		if shape.Engine != nil {
-			service.Engine = &Engine{Capacity: shape.Capacity, CacheTokens: shape.Engine.CacheTokens, Stride: shape.Engine.Stride, Models: []string{d.Words.Model}}
+			service.Engine = &Engine{Capacity: shape.Capacity, CacheTokens: shape.Engine.CacheTokens, Stride: shape.Engine.TokensPerEvent, Models: []string{d.Names.Model}}
 		}
 		c.Services = append(c.Services, service)
 	}
-	for place := range d.Site.Classes {
-		class := &d.Site.Classes[place]
-		c.Routes = append(c.Routes, d.route(class, d.Words.Hosts[class.Name], d.Words.Prefixes[class.Name]))
+	for place := range d.Deployment.Classes {
+		class := &d.Deployment.Classes[place]
+		c.Routes = append(c.Routes, d.route(class, d.Names.Hosts[class.Name], d.Names.Prefixes[class.Name]))
 	}
 	for range 4 {
-		d.Add(c)
+		d.AddIdleRoute(c)
 	}
 	return c
 }
 
-func (d *Drafts) route(class *Class, host, prefix string) Route {
+func (d *ConfigGenerator) route(class *RequestClass, host, prefix string) Route {
 	r := Route{Name: "r-" + drawWord(d.Rng), Host: host, Prefix: prefix, Kind: class.Kind, DeadlineMs: float64(class.Deadline.Milliseconds()),
-		TargetMs: float64(class.Aim.Milliseconds()), Urgency: class.Urgency, Service: d.Words.Services[class.Service], MaxTries: class.MaxTries}
+		TargetMs: float64(class.TargetLatency.Milliseconds()), Urgency: class.Urgency, Service: d.Names.Services[class.Service], MaxTries: class.MaxTries}
 	if class.Kind == Streaming {
-		r.Retained, r.RetainS = class.Retain > 0, max(class.Retain, class.Spending).Seconds()
-		r.Pinned, r.Resumable, r.GapTargetMs = true, class.Resumable, float64(class.Pause.Milliseconds())
+		r.Retained, r.RetainS = class.Retain > 0, max(class.Retain, class.SpendRetention).Seconds()
+		r.Pinned, r.Resumable, r.GapTargetMs = true, class.Resumable, float64(class.GapTarget.Milliseconds())
 	}
 	return r
 }
 
-// Add puts an idle route of a plain repeatable kind into a configuration.
-func (d *Drafts) Add(c *Config) {
+// AddIdleRoute puts an idle route of a plain repeatable kind into a configuration.
+func (d *ConfigGenerator) AddIdleRoute(c *Config) {
 	d.extra++
-	plain := d.Site.Classes[0]
-	for _, class := range d.Site.Classes {
+	plain := d.Deployment.Classes[0]
+	for _, class := range d.Deployment.Classes {
 		if class.Kind == Idempotent {
 			plain = class
 		}
@@ -76,11 +76,11 @@
 }
 
 // idle lists the places of routes that carry no class's requests.
-func (d *Drafts) idle(c *Config) (places []int) {
+func (d *ConfigGenerator) idle(c *Config) (places []int) {
 	for place, r := range c.Routes {
 		used := false
-		for _, class := range d.Site.Classes {
-			used = used || r.Host == d.Words.Hosts[class.Name] && r.Prefix == d.Words.Prefixes[class.Name]
+		for _, class := range d.Deployment.Classes {
+			used = used || r.Host == d.Names.Hosts[class.Name] && r.Prefix == d.Names.Prefixes[class.Name]
 		}
 		if !used {
 			places = append(places, place)
@@ -89,9 +89,9 @@
 	return places
 }
 
-// Next is a valid change on top of a configuration: its generation climbs in
+// NextValid is a valid change on top of a configuration: its generation climbs in
 // uneven steps.
-func (d *Drafts) Next(base *Config) *Config {
+func (d *ConfigGenerator) NextValid(base *Config) *Config {
 	c := base.Clone()
 	c.Generation += 1 + uint64(d.Rng.IntN(4))
 	idle := d.idle(c)
@@ -108,21 +108,21 @@
 			r.Service = ""
 		}
 		if r.Shares == nil && r.Service == "" {
-			r.Service = d.Words.Services["app"]
+			r.Service = d.Names.Services["app"]
 		}
 	case what == 2:
 		r := &c.Routes[d.Rng.IntN(len(c.Routes))]
 		r.DeadlineMs += 100
 	}
-	d.Add(c)
+	d.AddIdleRoute(c)
 	return c
 }
 
 // Invalid makes an invalid document on top of a configuration.
-func (d *Drafts) Invalid(base *Config, kind string) (c *Config, raw []byte, fault string) {
+func (d *ConfigGenerator) Invalid(base *Config, kind string) (c *Config, raw []byte, fault string) {
 	c = base.Clone()
 	c.Generation += 1 + uint64(d.Rng.IntN(4))
-	d.Add(c)
+	d.AddIdleRoute(c)
 	last := &c.Routes[len(c.Routes)-1]
 	switch kind {
 	case Unreadable:
@@ -133,15 +133,15 @@
 		return nil, raw, kind
 	case UnknownService:
 		last.Service = "nobody" + drawWord(d.Rng)
-	case SameRoute:
+	case DuplicateRoute:
 		again := *last
 		again.Name += "-again"
 		c.Routes = append(c.Routes, again)
-	case NoWeight:
+	case ZeroWeights:
 		last.Shares, last.Service = []Share{{last.Service, 0}}, ""
-	case NoDeadline:
+	case ZeroDeadline:
 		last.DeadlineMs = 0
-	case OldGeneration:
+	case StaleGeneration:
 		c.Generation = base.Generation
 	}
 	return c, c.Encode(), kind
--- a/internal/standin/platform/check.go
+++ b/internal/standin/platform/check.go
@@ -15,11 +15,11 @@
 
 // Breach is a broken rule and what shows it.
 type Breach struct {
-	Rule string
-	Word string
+	Rule   string
+	Detail string
 }
 
-func (b Breach) String() string { return b.Rule + ": " + b.Word }
+func (b Breach) String() string { return b.Rule + ": " + b.Detail }
 
 // shownOfRule is how many breaches of one rule are listed.
 const shownOfRule = 10
@@ -66,7 +66,7 @@
 	slices.SortStableFunc(v.Tries, func(a, b *Try) int { return cmp.Compare(a.Sent, b.Sent) })
 	for _, t := range v.Tries {
 		v.byID[t.ID] = t
-		if t.Retain > 0 && t.OK() {
+		if t.Retain > 0 && t.Succeeded() {
 			v.turns[t.ID] = t
 		}
 	}
--- a/internal/standin/platform/check_config.go
+++ b/internal/standin/platform/check_config.go
@@ -31,7 +31,7 @@
 func (v *view) denied() {
 	denied := []string{}
 	for _, t := range v.Tries {
-		if !t.Own() || t.Status < 300 || t.Status > 499 || t.Status == 402 || Promise(t.Status) || !v.inTouch(t.Node, t.Sent) {
+		if !t.AnsweredBySystem() || t.Status < 300 || t.Status > 499 || t.Status == 402 || PromisesNotRun(t.Status) || !v.inTouch(t.Node, t.Sent) {
 			continue
 		}
 		if t.Previous != "" && t.Status == 404 {
@@ -88,7 +88,7 @@
 			return route != nil && route.Allows(runs[len(runs)-1].Service)
 		}, true
 	}
-	if t.Own() && t.Status == 404 && t.Previous == "" {
+	if t.AnsweredBySystem() && t.Status == 404 && t.Previous == "" {
 		return func(c *Config) bool { return c.Match(t.Host, t.Target) == nil }, true
 	}
 	return nil, false
@@ -211,7 +211,7 @@
 			place = 1
 		}
 		asked[place]++
-		if t.OK() {
+		if t.Succeeded() {
 			served[place]++
 		}
 	}
--- a/internal/standin/platform/check_lost.go
+++ b/internal/standin/platform/check_lost.go
@@ -84,7 +84,7 @@
 func (v *view) lostTurns() {
 	for _, t := range v.Tries {
 		before := v.turns[t.Previous]
-		if t.Previous == "" || before == nil || !t.Own() || t.Status != 404 && t.Status != 410 || t.Ended >= before.Ended+before.Retain {
+		if t.Previous == "" || before == nil || !t.AnsweredBySystem() || t.Status != 404 && t.Status != 410 || t.Ended >= before.Ended+before.Retain {
 			continue
 		}
 		allowed := v.inForce(t.Sent, t.Ended, v.Bounds.Apply+v.Bounds.Stretch)
@@ -113,7 +113,7 @@
 		if before == nil || before.Ended >= v.Closing.From {
 			if t.Sent >= until-4*time.Second {
 				others++
-				if t.OK() {
+				if t.Succeeded() {
 					served++
 				}
 			}
@@ -140,7 +140,7 @@
 		for _, t := range v.Tries {
 			if t.Sent >= from && t.Sent < to && !t.Probe {
 				asked++
-				if t.OK() {
+				if t.Succeeded() {
 					served++
 				}
 			}
--- a/internal/standin/platform/check_requests.go
+++ b/internal/standin/platform/check_requests.go
@@ -52,7 +52,7 @@
 
 func (v *view) order() {
 	for _, t := range v.Tries {
-		if t.Kind != Streaming || len(t.Events) == 0 && !t.OK() {
+		if t.Kind != Streaming || len(t.Events) == 0 && !t.Succeeded() {
 			continue
 		}
 		fits, whole := false, false
@@ -67,7 +67,7 @@
 		}
 		if !fits {
 			v.breach("ORDER", "the events of %s are not those of one run", t.ID)
-		} else if t.OK() && !whole {
+		} else if t.Succeeded() && !whole {
 			v.breach("ORDER", "%s ended as complete before its last event", t.ID)
 		}
 	}
@@ -105,9 +105,9 @@
 	}
 }
 
-// Compose is what a worker receives for a new input after earlier turns: each
+// ComposeInput is what a worker receives for a new input after earlier turns: each
 // input followed by the data of its events, each of these with a line feed.
-func Compose(chain []*Try, input []byte) []byte {
+func ComposeInput(chain []*Try, input []byte) []byte {
 	var body []byte
 	for _, turn := range chain {
 		body = append(body, turn.Body...)
@@ -152,7 +152,7 @@
 					}
 					continue
 				}
-				expected = Compose(chain, t.Body)
+				expected = ComposeInput(chain, t.Body)
 			}
 			if run.Body != base.Digest(expected) {
 				v.breach("UNASKED", "%s ran with another body than the one that was asked", id)
@@ -163,7 +163,7 @@
 
 func (v *view) twice() {
 	for _, t := range v.Tries {
-		if runs := len(v.runs(t.ID)); !t.Repeats() && runs > 1 {
+		if runs := len(v.runs(t.ID)); !t.Repeatable() && runs > 1 {
 			v.breach("TWICE", "%s (%s) ran %d times", t.ID, t.Class, runs)
 		}
 	}
@@ -175,10 +175,10 @@
 		if len(runs) == 0 || t.Status == 0 {
 			continue
 		}
-		if !t.Repeats() && Promise(t.Status) {
+		if !t.Repeatable() && PromisesNotRun(t.Status) {
 			v.breach("REFUSED", "%s (%s) got %d and ran at %s", t.ID, t.Class, t.Status, runs[0].Worker)
 		}
-		if t.Status == 402 && t.Own() {
+		if t.Status == 402 && t.AnsweredBySystem() {
 			v.breach("REFUSED", "turn %s got 402 and ran at %s", t.ID, runs[0].Worker)
 		}
 	}
--- a/internal/standin/platform/check_test.go
+++ b/internal/standin/platform/check_test.go
@@ -46,7 +46,7 @@
 func (s *scene) order(base uint64, c *Config, at time.Duration, status int) *Order {
 	o := &Order{Operator: "op", Base: base, Config: c, Raw: c.Encode(), Sent: at, Ended: at + 100*time.Millisecond, Status: status}
 	if status != 200 && status != 412 {
-		o.Fault = c.Fault(base)
+		o.Fault = c.InvalidReason(base)
 	}
 	s.Orders = append(s.Orders, o)
 	return o
@@ -112,7 +112,7 @@
 			chain = append([]*Try{turn}, chain...)
 			name = turn.Previous
 		}
-		a.Body = base.Digest(Compose(chain, t.Body))
+		a.Body = base.Digest(ComposeInput(chain, t.Body))
 	}
 	for place := range 3 {
 		a.Events = append(a.Events, Event{int64(place + 1), fmt.Sprintf("%s-%d", id, place+1), at})
@@ -243,7 +243,7 @@
 		}, "UNASKED: x ran with another body"},
 		{"a turn with half its chain", func(s *scene) {
 			t, a := s.turn("x", "u2", 20*sec)
-			a.Body = base.Digest(Compose([]*Try{s.find("u2")}, t.Body))
+			a.Body = base.Digest(ComposeInput([]*Try{s.find("u2")}, t.Body))
 		}, "UNASKED: x ran with another body"},
 		{"two turns that follow the same one", func(s *scene) { s.turn("x", "u1", 20*sec); s.turn("y", "u1", 20*sec) }, ""},
 		{"a turn after one that never was", func(s *scene) { s.turn("x", "nothing", 20*sec) }, "UNASKED: x ran, whose previous turn"},
--- a/internal/standin/platform/config.go
+++ b/internal/standin/platform/config.go
@@ -103,8 +103,8 @@
 	return best
 }
 
-// Service gives a service by its name.
-func (c *Config) Service(name string) *Service {
+// FindService gives a service by its name.
+func (c *Config) FindService(name string) *Service {
 	for place := range c.Services {
 		if c.Services[place].Name == name {
 			return &c.Services[place]
@@ -113,9 +113,9 @@
 	return nil
 }
 
-// Fault tells why a configuration that could be read is invalid on top of the
+// InvalidReason tells why a configuration that could be read is invalid on top of the
 // current generation, or nothing.
-func (c *Config) Fault(current uint64) string {
+func (c *Config) InvalidReason(current uint64) string {
 	if c.Generation <= current {
 		return "generation is not above the current one"
 	}
@@ -134,7 +134,7 @@
 			shares = []Share{{r.Service, 1}}
 		}
 		for _, share := range shares {
-			if c.Service(share.Service) == nil {
+			if c.FindService(share.Service) == nil {
 				return "a route names an unknown service"
 			}
 			sum += share.Weight
@@ -276,8 +276,8 @@
 	return nil, errors.New("not a JSON value")
 }
 
-// ParseTree reads a whole document into maps, lists and plain values.
-func ParseTree(raw []byte) (any, error) {
+// ParseJSON reads a whole document into maps, lists and plain values.
+func ParseJSON(raw []byte) (any, error) {
 	d := jx.DecodeBytes(raw)
 	tree, err := readTree(d)
 	if err != nil {
@@ -291,14 +291,14 @@
 
 // SameDocument tells whether two documents say the same.
 func SameDocument(a, b []byte) bool {
-	left, errA := ParseTree(a)
-	right, errB := ParseTree(b)
+	left, errA := ParseJSON(a)
+	right, errB := ParseJSON(b)
 	return errA == nil && errB == nil && reflect.DeepEqual(left, right)
 }
 
 // GenerationOf gives the generation that a document names, 0 when it names none.
 func GenerationOf(raw []byte) uint64 {
-	tree, err := ParseTree(raw)
+	tree, err := ParseJSON(raw)
 	if err != nil {
 		return 0
 	}
--- a/internal/standin/platform/engine.go
+++ b/internal/standin/platform/engine.go
@@ -46,8 +46,8 @@
 	ended  jobEnd
 }
 
-func jobOf(asked *Asked, until time.Duration) *job {
-	j := &job{urgency: 5, until: until, gone: asked.Gone, prompt: 16, want: 2}
+func jobOf(asked *Request, until time.Duration) *job {
+	j := &job{urgency: 5, until: until, gone: asked.ClientClosed, prompt: 16, want: 2}
 	if urgency, err := strconv.Atoi(asked.Header(HeaderUrgency)); err == nil {
 		j.urgency = urgency
 	}
@@ -69,7 +69,7 @@
 
 type engine struct {
 	clock    base.Clock
-	shape    EngineShape
+	shape    EngineSpec
 	capacity int
 	speed    float64
 
@@ -87,7 +87,7 @@
 	shownAt time.Duration
 }
 
-func newEngine(clock base.Clock, shape ServiceShape, speed float64) *engine {
+func newEngine(clock base.Clock, shape ServiceSpec, speed float64) *engine {
 	return &engine{clock: clock, shape: *shape.Engine, capacity: shape.Capacity, speed: speed, kept: map[string]int{}, used: map[string]int{}}
 }
 
@@ -173,9 +173,9 @@
 	}
 	read := 0
 	for _, j := range e.running {
-		read += min(j.unread, e.shape.Chunk-min(read, e.shape.Chunk))
+		read += min(j.unread, e.shape.MaxPromptTokensPerStep-min(read, e.shape.MaxPromptTokensPerStep))
 	}
-	span = e.shape.Step + time.Duration(len(e.running))*e.shape.StepPerSlot + time.Duration(float64(read)/e.shape.PromptPerMs*float64(time.Millisecond))
+	span = e.shape.StepTime + time.Duration(len(e.running))*e.shape.StepTimePerJob + time.Duration(float64(read)/e.shape.PromptTokensPerMs*float64(time.Millisecond))
 	return time.Duration(float64(span) * e.speed), true
 }
 
@@ -198,7 +198,7 @@
 	now, read := e.clock.Now(), 0
 	for _, j := range e.running {
 		if j.unread > 0 {
-			piece := min(j.unread, e.shape.Chunk-min(read, e.shape.Chunk))
+			piece := min(j.unread, e.shape.MaxPromptTokensPerStep-min(read, e.shape.MaxPromptTokensPerStep))
 			read, j.unread = read+piece, j.unread-piece
 			if j.unread > 0 {
 				continue
@@ -267,9 +267,9 @@
 	}
 }
 
-// Prompts counts the prompt tokens of all that a model worker let in, and
+// PromptTokens counts the prompt tokens of all that a model worker let in, and
 // those of them that it did not have to read.
-func (w *Worker) Prompts() (asked, found int) {
+func (w *Worker) PromptTokens() (asked, found int) {
 	if w.engine == nil {
 		return 0, 0
 	}
--- a/internal/standin/platform/entry.go
+++ b/internal/standin/platform/entry.go
@@ -11,30 +11,30 @@
 	"fordseam/internal/base"
 )
 
-// EntryNode is an edge machine as the entry knows it.
-type EntryNode struct {
+// EdgeNode is an edge machine as the entry knows it.
+type EdgeNode struct {
 	Name, Zone, Front, Readiness string
 
 	missed int
 	in     bool
 }
 
-// Entry hands clients' connections to nodes.
-type Entry struct {
+// LoadBalancer hands clients' connections to nodes.
+type LoadBalancer struct {
 	mu    sync.Mutex
-	nodes []*EntryNode
+	nodes []*EdgeNode
 	tries map[string]int
 }
 
 // Add makes a node known; it is out until it was heard.
-func (e *Entry) Add(node *EntryNode) {
+func (e *LoadBalancer) Add(node *EdgeNode) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.nodes = append(e.nodes, node)
 }
 
-// Heard notes one answer of a node to the question whether it is ready.
-func (e *Entry) Heard(node *EntryNode, ready bool) {
+// RecordProbe notes one answer of a node to the question whether it is ready.
+func (e *LoadBalancer) RecordProbe(node *EdgeNode, ready bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if ready {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Ready counts the nodes that are in.
-func (e *Entry) Ready() (ready int) {
+// CountReady counts the nodes that are in.
+func (e *LoadBalancer) CountReady() (ready int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, node := range e.nodes {
@@ -56,11 +56,11 @@
 	return ready
 }
 
-// In lists the nodes that are in.
-func (e *Entry) In() []EntryNode {
+// ReadyNodes lists the nodes that are in.
+func (e *LoadBalancer) ReadyNodes() []EdgeNode {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var list []EntryNode
+	var list []EdgeNode
 	for _, node := range e.nodes {
 		if node.in {
 			list = append(list, *node)
@@ -70,14 +70,14 @@
 }
 
 // Pick chooses the node of a client's next connection; further tries reach others.
-func (e *Entry) Pick(zone, client string, again bool) (node, address string) {
+func (e *LoadBalancer) Pick(zone, client string, again bool) (node, address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	inZone := base.Filter(e.nodes, func(n *EntryNode) bool { return n.Zone == zone })
-	list := base.Filter(inZone, func(n *EntryNode) bool { return n.in })
+	inZone := base.Filter(e.nodes, func(n *EdgeNode) bool { return n.Zone == zone })
+	list := base.Filter(inZone, func(n *EdgeNode) bool { return n.in })
 	switch {
 	case len(list) == 0:
-		if list = base.Filter(e.nodes, func(n *EntryNode) bool { return n.in }); len(list) == 0 {
+		if list = base.Filter(e.nodes, func(n *EdgeNode) bool { return n.in }); len(list) == 0 {
 			list = e.nodes
 		}
 	case 2*len(list) < len(inZone):
@@ -93,5 +93,5 @@
 	return chosen.Name, chosen.Front
 }
 
-// Probe is the node of a probe's try, with its address.
-func Probe(node EntryNode) string { return fmt.Sprintf("%s@%s", node.Name, node.Front) }
+// ProbeTarget is the node of a probe's try, with its address.
+func ProbeTarget(node EdgeNode) string { return fmt.Sprintf("%s@%s", node.Name, node.Front) }
--- a/internal/standin/platform/instances.go
+++ b/internal/standin/platform/instances.go
@@ -29,10 +29,10 @@
 
 // Instances is the list as it is shown.
 type Instances struct {
-	Clock  base.Clock
-	Ledger *Ledger
-	Lag    time.Duration
-	PerS   float64
+	Clock          base.Clock
+	Recorder       *Recorder
+	Lag            time.Duration
+	CallsPerSecond float64
 
 	mu      sync.Mutex
 	pending []pendingChange
@@ -50,9 +50,9 @@
 	next *Instance
 }
 
-// Change puts an instance on the list, or takes it off when next is nil; it
+// ScheduleChange puts an instance on the list, or takes it off when next is nil; it
 // shows after the lag.
-func (l *Instances) Change(id string, next *Instance, after time.Duration) {
+func (l *Instances) ScheduleChange(id string, next *Instance, after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pending = append(l.pending, pendingChange{l.Clock.Now() + after + l.Lag, id, next})
@@ -72,14 +72,14 @@
 		} else {
 			delete(l.shown, change.id)
 		}
-		if (change.next == nil || change.next.State == StateDraining) && l.Ledger != nil {
-			l.Ledger.Note(func(r *Record) { r.Notices = append(r.Notices, Notice{change.id, change.at}) })
+		if (change.next == nil || change.next.State == StateDraining) && l.Recorder != nil {
+			l.Recorder.Update(func(r *Record) { r.Notices = append(r.Notices, Notice{change.id, change.at}) })
 		}
 	}
 }
 
-// Settle shows what is due, also when nobody asks.
-func (l *Instances) Settle() {
+// ApplyDue shows what is due, also when nobody asks.
+func (l *Instances) ApplyDue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settle()
@@ -92,23 +92,23 @@
 	l.mu.Unlock()
 }
 
-// Calls counts the calls answered, and those refused.
-func (l *Instances) Calls() (answered, refused int) {
+// CallCounts counts the calls answered, and those refused.
+func (l *Instances) CallCounts() (answered, refused int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calls, l.refused
 }
 
-// Get answers one call: 200 with a page, 429 over the rate, 400 for
+// FetchPage answers one call: 200 with a page, 429 over the rate, 400 for
 // a bad token, 500 while it is down.
-func (l *Instances) Get(zone, token string) (status int, body []byte) {
+func (l *Instances) FetchPage(zone, token string) (status int, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
-	if l.PerS > 0 {
-		l.tokens = min(l.PerS, l.tokens+(now-l.filled).Seconds()*l.PerS)
+	if l.CallsPerSecond > 0 {
+		l.tokens = min(l.CallsPerSecond, l.tokens+(now-l.filled).Seconds()*l.CallsPerSecond)
 		if l.filled == 0 && l.calls == 0 {
-			l.tokens = l.PerS
+			l.tokens = l.CallsPerSecond
 		}
 		l.filled = now
 		if l.tokens < 1 {
--- a/internal/standin/platform/operator.go
+++ b/internal/standin/platform/operator.go
@@ -23,10 +23,10 @@
 
 // Operator sends orders to the nodes that serve control.
 type Operator struct {
-	Name   string
-	Clock  base.Clock
-	Ledger *Ledger
-	Call   ControlCall
+	Name     string
+	Clock    base.Clock
+	Recorder *Recorder
+	Call     ControlCall
 	// Control lists the nodes' addresses as the operator knows them.
 	Control func() []string
 
@@ -53,8 +53,8 @@
 			return status, answer, unclear, address
 		}
 		// A 429, 408 or 503 promises that the order was not taken.
-		unclear = unclear || !Promise(status)
-		pause := OrderPause(tries)
+		unclear = unclear || !PromisesNotRun(status)
+		pause := OrderBackoff(tries)
 		if o.Clock.Now()+pause > until {
 			return status, answer, unclear, address
 		}
@@ -62,34 +62,34 @@
 	}
 }
 
-// Put sends a configuration until it has a clear answer or patience is over.
-func (o *Operator) Put(base uint64, config *Config, raw []byte, fault string, patience time.Duration) *Order {
+// PutConfig sends a configuration until it has a clear answer or patience is over.
+func (o *Operator) PutConfig(base uint64, config *Config, raw []byte, fault string, patience time.Duration) *Order {
 	order := &Order{Operator: o.Name, Base: base, Config: config, Raw: raw, Fault: fault, Sent: o.Clock.Now(), Unclear: true}
-	o.Ledger.Note(func(r *Record) { r.Orders = append(r.Orders, order) })
+	o.Recorder.Update(func(r *Record) { r.Orders = append(r.Orders, order) })
 	status, _, unclear, node := o.send("PUT", PathConfig, [][2]string{{HeaderIfMatch, strconv.FormatUint(base, 10)}}, raw, order.Sent+patience)
-	o.Ledger.Note(func(*Record) {
+	o.Recorder.Update(func(*Record) {
 		order.Status, order.Unclear, order.Ended, order.Node = status, unclear, o.Clock.Now(), node
 	})
 	return order
 }
 
-// Read asks for the newest configuration.
-func (o *Operator) Read(note bool) (status int, raw []byte) {
+// ReadConfig asks for the newest configuration.
+func (o *Operator) ReadConfig(note bool) (status int, raw []byte) {
 	status, raw = o.Call("GET", o.choose(""), PathConfig, nil, nil)
 	if note {
-		o.Ledger.Note(func(r *Record) {
+		o.Recorder.Update(func(r *Record) {
 			r.Reads = append(r.Reads, ReadBack{At: o.Clock.Now(), Status: status, Raw: raw})
 		})
 	}
 	return status, raw
 }
 
-// ReadBack asks for it as at the end of a day: again and again for a time, and
+// ReadConfigRepeatedly asks for it as at the end of a day: again and again for a time, and
 // on until it has come once or limit is over.
-func (o *Operator) ReadBack(span, limit time.Duration) {
+func (o *Operator) ReadConfigRepeatedly(span, limit time.Duration) {
 	began, came := o.Clock.Now(), false
 	for tries := 1; ; tries++ {
-		status, _ := o.Read(true)
+		status, _ := o.ReadConfig(true)
 		came = came || status == 200
 		passed := o.Clock.Now() - began
 		if passed >= span && came || passed >= limit {
--- a/internal/standin/platform/player.go
+++ b/internal/standin/platform/player.go
@@ -14,54 +14,54 @@
 	"fordseam/internal/base"
 )
 
-// Carrier sends a try and fills in what came of it; it returns when the try is over.
-type Carrier interface {
-	Carry(t *Try)
-}
-
-// Player plays clients and programs.
-type Player struct {
-	Clock   base.Clock
-	Carrier Carrier
-	Ledger  *Ledger
-	Words   *Words
-	// Persist, when set, tells until when programs that continue from before a
+// Transport sends a try and fills in what came of it; it returns when the try is over.
+type Transport interface {
+	Send(t *Try)
+}
+
+// ProgramRunner plays clients and programs.
+type ProgramRunner struct {
+	Clock     base.Clock
+	Transport Transport
+	Recorder  *Recorder
+	Names     *Names
+	// RetryUntil, when set, tells until when programs that continue from before a
 	// closing fault keep asking.
-	Persist func() time.Duration
+	RetryUntil func() time.Duration
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	generator *Generator
+	generator *ProgramGenerator
 }
 
-// NewPlayer makes a player that draws from a seed.
-func NewPlayer(clock base.Clock, carrier Carrier, ledger *Ledger, site *Site, words *Words, seed uint64) *Player {
+// NewProgramRunner makes a player that draws from a seed.
+func NewProgramRunner(clock base.Clock, carrier Transport, ledger *Recorder, site *Deployment, words *Names, seed uint64) *ProgramRunner {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	return &Player{Clock: clock, Carrier: carrier, Ledger: ledger, Words: words, rng: rng,
-		generator: &Generator{Site: site, Words: words, Rng: rand.New(rand.NewPCG(seed, 12))}}
+	return &ProgramRunner{Clock: clock, Transport: carrier, Recorder: ledger, Names: words, rng: rng,
+		generator: &ProgramGenerator{Deployment: site, Names: words, Rng: rand.New(rand.NewPCG(seed, 12))}}
 }
 
-// Draw runs a step of the generator; the player's tasks share it.
-func (p *Player) Draw(step func(g *Generator)) {
+// WithGenerator runs a step of the generator; the player's tasks share it.
+func (p *ProgramRunner) WithGenerator(step func(g *ProgramGenerator)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	step(p.generator)
 }
 
-func (p *Player) id() string {
+func (p *ProgramRunner) id() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return HexID(p.rng)
+	return RandomID(p.rng)
 }
 
-func (p *Player) fraction() float64 {
+func (p *ProgramRunner) fraction() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.Float64()
 }
 
 // together runs steps at once and waits for all.
-func (p *Player) together(count int, step func(place int)) {
+func (p *ProgramRunner) together(count int, step func(place int)) {
 	var group []base.Signal
 	for place := range count {
 		done := p.Clock.NewSignal()
@@ -76,13 +76,13 @@
 	}
 }
 
-// Request makes a request with the tries its class has; make fills in what is
+// SendWithRetries makes a request with the tries its class has; make fills in what is
 // the same in every try. It gives the last try.
-func (p *Player) Request(class *Class, further int, make func(t *Try)) *Try {
+func (p *ProgramRunner) SendWithRetries(class *RequestClass, further int, make func(t *Try)) *Try {
 	began, after := p.Clock.Now(), int64(0)
 	for tries := 0; ; tries++ {
 		left := class.Deadline - (p.Clock.Now() - began)
-		t := &Try{ID: p.id(), Class: class.Name, Kind: class.Kind, Method: class.Method, Deadline: left, Aim: class.Aim, Pause: class.Pause, Fresh: tries > 0,
+		t := &Try{ID: p.id(), Class: class.Name, Kind: class.Kind, Method: class.Method, Deadline: left, Aim: class.TargetLatency, Pause: class.GapTarget, Fresh: tries > 0,
 			MaxTries: class.MaxTries, Resumable: class.Resumable, After: after}
 		make(t)
 		if after > 0 {
@@ -90,10 +90,10 @@
 		}
 		t.Header = append([][2]string{{HeaderID, t.ID}, {HeaderDeadline, fmt.Sprint(max(1, left.Milliseconds()))}}, t.Header...)
 		// The whole record knows of a try before its first byte leaves.
-		p.Ledger.Note(func(r *Record) { r.Tries = append(r.Tries, t) })
-		p.Carrier.Carry(t)
+		p.Recorder.Update(func(r *Record) { r.Tries = append(r.Tries, t) })
+		p.Transport.Send(t)
 		left = class.Deadline - (p.Clock.Now() - began)
-		again, pause := TryAgain(t, further-tries, left)
+		again, pause := ShouldRetry(t, further-tries, left)
 		if !again {
 			return t
 		}
@@ -108,7 +108,7 @@
 
 // run is one program under way.
 type run struct {
-	*Player
+	*ProgramRunner
 	plan    *ProgramPlan
 	began   time.Duration
 	mu      sync.Mutex
@@ -131,30 +131,30 @@
 	return r.stopped
 }
 
-// Program plays a plan to its end; previous, when set, is the turn its line
+// RunProgram plays a plan to its end; previous, when set, is the turn its line
 // continues from.
-func (p *Player) Program(plan *ProgramPlan, previous string) Outcome {
-	r := &run{Player: p, plan: plan, began: p.Clock.Now()}
-	r.line(plan.Line, previous)
+func (p *ProgramRunner) RunProgram(plan *ProgramPlan, previous string) Outcome {
+	r := &run{ProgramRunner: p, plan: plan, began: p.Clock.Now()}
+	r.line(plan.MainSession, previous)
 	took := p.Clock.Now() - r.began
 	out := Outcome{Class: plan.Class.Name, Program: plan.ID, Began: r.began, Ended: p.Clock.Now(), Why: r.why, Runaway: plan.Runaway}
 	switch {
 	case r.spent:
-		out.Ending = Spent
+		out.Ending = BudgetSpent
 	case r.stopped:
 		out.Ending = Failed
-	case took <= plan.Aim:
+	case took <= plan.TargetTime:
 		out.Ending = InTime
-	case took <= 2*plan.Aim:
+	case took <= 2*plan.TargetTime:
 		out.Ending = Late
 	default:
 		out.Ending = TooLate
 	}
-	p.Ledger.Note(func(r *Record) { r.Outcomes = append(r.Outcomes, out) })
+	p.Recorder.Update(func(r *Record) { r.Outcomes = append(r.Outcomes, out) })
 	return out
 }
 
-func (r *run) line(line *LinePlan, previous string) {
+func (r *run) line(line *SessionPlan, previous string) {
 	for place, turn := range line.Turns {
 		if r.over() {
 			return
@@ -164,29 +164,31 @@
 			return
 		}
 		previous = done.ID
-		if len(turn.Helpers) > 0 {
-			r.together(len(turn.Helpers), func(place int) { r.line(turn.Helpers[place], previous) })
+		if len(turn.Subagents) > 0 {
+			r.together(len(turn.Subagents), func(place int) { r.line(turn.Subagents[place], previous) })
 		}
 		if len(turn.Tools) > 0 {
 			r.together(len(turn.Tools), func(place int) { r.tool(line, turn.Tools[place]) })
 		}
-		for rounds := 0; r.plan.Runaway && line == r.plan.Line && rounds < 30 && !r.over(); rounds++ {
-			var helpers [2]*LinePlan
-			r.Draw(func(g *Generator) { helpers = [2]*LinePlan{g.HelperAgain(r.plan, turn), g.HelperAgain(r.plan, turn)} })
+		for rounds := 0; r.plan.Runaway && line == r.plan.MainSession && rounds < 30 && !r.over(); rounds++ {
+			var helpers [2]*SessionPlan
+			r.WithGenerator(func(g *ProgramGenerator) {
+				helpers = [2]*SessionPlan{g.RunawaySubagent(r.plan, turn), g.RunawaySubagent(r.plan, turn)}
+			})
 			r.together(2, func(place int) { r.line(helpers[place], previous) })
 		}
-		r.Clock.Sleep(turn.Think)
+		r.Clock.Sleep(turn.ThinkTime)
 	}
 }
 
 // turn asks one turn until it is answered whole, or the program ends.
-func (r *run) turn(line *LinePlan, turn *TurnPlan, previous string, continues bool) *Try {
+func (r *run) turn(line *SessionPlan, turn *TurnPlan, previous string, continues bool) *Try {
 	class := r.plan.Class
 	spent := 0
 	for again := 0; ; again++ {
-		t := r.Request(class, class.Further, func(t *Try) { r.fill(t, line, turn, previous) })
+		t := r.SendWithRetries(class, class.Retries, func(t *Try) { r.fill(t, line, turn, previous) })
 		switch {
-		case t.OK():
+		case t.Succeeded():
 			return t
 		case t.Status == 402 && r.plan.Runaway && spent < 2:
 			spent++
@@ -194,7 +196,7 @@
 		case t.Complete && EndsProgram(t.Status):
 			r.stop(t.Status == 402, fmt.Sprintf("turn %s got %d", t.ID, t.Status))
 			return nil
-		case again >= 2 && !(continues && r.Persist != nil && r.Clock.Now() < r.Persist()):
+		case again >= 2 && !(continues && r.RetryUntil != nil && r.Clock.Now() < r.RetryUntil()):
 			r.stop(false, fmt.Sprintf("turn %s failed the last time with %d", t.ID, t.Status))
 			return nil
 		}
@@ -205,35 +207,35 @@
 	}
 }
 
-func (r *run) fill(t *Try, line *LinePlan, turn *TurnPlan, previous string) {
+func (r *run) fill(t *Try, line *SessionPlan, turn *TurnPlan, previous string) {
 	plan := r.plan
 	t.Host, t.Target, t.Body, t.Zone, t.Client = plan.Host, plan.Target, turn.Input, plan.Zone, plan.Client
-	t.Program, t.Session, t.Previous, t.Budget, t.Most, t.Retain = plan.ID, line.Session, previous, plan.Budget, turn.Most, plan.Class.Retain
+	t.Program, t.Session, t.Previous, t.Budget, t.Most, t.Retain = plan.ID, line.SessionID, previous, plan.Budget, turn.MaxTokens, plan.Class.Retain
 	if plan.Class.Retain == 0 {
 		previous, t.Previous = "", "" // the prompt says it all
 	}
 	t.Chunked = len(turn.Input)%4 == 0
 	t.Header = append(r.mark(line), [][2]string{{HeaderBudget, fmt.Sprint(plan.Budget)}, {HeaderModel, plan.Model},
-		{HeaderTokens, fmt.Sprintf("%d,%d", turn.Prompt, turn.Most)}, {HeaderPrompt, turn.Parts}}...)
+		{HeaderTokens, fmt.Sprintf("%d,%d", turn.PromptTokens, turn.MaxTokens)}, {HeaderPrompt, turn.PromptParts}}...)
 	if previous != "" {
 		t.Header = append(t.Header, [2]string{HeaderPrevious, previous})
 	}
 }
 
 // mark is what every request of a program carries.
-func (r *run) mark(line *LinePlan) [][2]string {
-	left := max(1, (r.plan.Aim - (r.Clock.Now() - r.began)).Milliseconds())
-	return [][2]string{{HeaderProgram, r.plan.ID}, {HeaderSession, line.Session}, {HeaderFinish, fmt.Sprint(left)}}
+func (r *run) mark(line *SessionPlan) [][2]string {
+	left := max(1, (r.plan.TargetTime - (r.Clock.Now() - r.began)).Milliseconds())
+	return [][2]string{{HeaderProgram, r.plan.ID}, {HeaderSession, line.SessionID}, {HeaderFinish, fmt.Sprint(left)}}
 }
 
-func (r *run) tool(line *LinePlan, tool ToolPlan) {
-	t := r.Request(tool.Class, tool.Class.Further, func(t *Try) {
-		t.Host, t.Target, t.Body, t.Zone, t.Client = r.Words.Hosts[tool.Class.Name], tool.Target, tool.Body, r.plan.Zone, r.plan.Client
-		t.Program, t.Session = r.plan.ID, line.Session
+func (r *run) tool(line *SessionPlan, tool ToolCallPlan) {
+	t := r.SendWithRetries(tool.Class, tool.Class.Retries, func(t *Try) {
+		t.Host, t.Target, t.Body, t.Zone, t.Client = r.Names.Hosts[tool.Class.Name], tool.Target, tool.Body, r.plan.Zone, r.plan.Client
+		t.Program, t.Session = r.plan.ID, line.SessionID
 		t.Header = r.mark(line)
 	})
 	sealed500 := t.Seal != "" && t.Status == 500
-	if !t.OK() && !sealed500 && !(tool.Class.Kind == NonIdempotent && t.Status == 0) {
+	if !t.Succeeded() && !sealed500 && !(tool.Class.Kind == NonIdempotent && t.Status == 0) {
 		r.stop(false, fmt.Sprintf("call %s (%s) failed with %d", t.ID, tool.Class.Name, t.Status))
 	}
 }
--- a/internal/standin/platform/record.go
+++ b/internal/standin/platform/record.go
@@ -68,14 +68,16 @@
 	Garbage, Surplus string
 }
 
-// OK says that a whole answer of success came.
-func (t *Try) OK() bool { return t.Status >= 200 && t.Status < 300 && t.Complete && t.Seal != "" }
+// Succeeded says that a whole answer of success came.
+func (t *Try) Succeeded() bool {
+	return t.Status >= 200 && t.Status < 300 && t.Complete && t.Seal != ""
+}
 
-// Repeats says that the request may run more than once.
-func (t *Try) Repeats() bool { return t.Kind == Idempotent || t.Resumable }
+// Repeatable says that the request may run more than once.
+func (t *Try) Repeatable() bool { return t.Kind == Idempotent || t.Resumable }
 
-// Own says that the answer is the system's own and not a worker's.
-func (t *Try) Own() bool { return t.Status != 0 && t.Seal == "" }
+// AnsweredBySystem says that the answer is the system's own and not a worker's.
+func (t *Try) AnsweredBySystem() bool { return t.Status != 0 && t.Seal == "" }
 
 // Arrival is one request as a worker saw it.
 type Arrival struct {
@@ -187,11 +189,11 @@
 type Ending string
 
 const (
-	InTime  Ending = "in time"
-	Late    Ending = "late"
-	TooLate Ending = "too late"
-	Failed  Ending = "failed"
-	Spent   Ending = "budget spent"
+	InTime      Ending = "in time"
+	Late        Ending = "late"
+	TooLate     Ending = "too late"
+	Failed      Ending = "failed"
+	BudgetSpent Ending = "budget spent"
 )
 
 // Outcome is one program's end, or one plain request's.
@@ -224,25 +226,25 @@
 	Over time.Duration
 }
 
-// Ledger gathers a record from many tasks.
-type Ledger struct {
+// Recorder gathers a record from many tasks.
+type Recorder struct {
 	mu     sync.Mutex
 	record Record
 }
 
-func NewLedger(bounds Bounds, stride, core int) *Ledger {
-	return &Ledger{record: Record{Bounds: bounds, Stride: stride, Core: core}}
+func NewRecorder(bounds Bounds, stride, core int) *Recorder {
+	return &Recorder{record: Record{Bounds: bounds, Stride: stride, Core: core}}
 }
 
-// Note changes the record under the ledger's lock.
-func (l *Ledger) Note(change func(r *Record)) {
+// Update changes the record under the ledger's lock.
+func (l *Recorder) Update(change func(r *Record)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.record)
 }
 
-// Record gives the record as it stands, tries in copies of their own.
-func (l *Ledger) Record() *Record {
+// Snapshot gives the record as it stands, tries in copies of their own.
+func (l *Recorder) Snapshot() *Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	copied := l.record
--- a/internal/standin/platform/retry.go
+++ b/internal/standin/platform/retry.go
@@ -5,9 +5,9 @@
 
 import "time"
 
-// Promise says that a status promises that the request has not run and never
+// PromisesNotRun says that a status promises that the request has not run and never
 // will.
-func Promise(status int) bool {
+func PromisesNotRun(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
@@ -28,16 +28,16 @@
 	return false
 }
 
-// TryAgain tells whether a client makes one more try of a request, and after
+// ShouldRetry tells whether a client makes one more try of a request, and after
 // what pause; further is how many tries it still has, left the time to its
 // deadline.
-func TryAgain(t *Try, further int, left time.Duration) (again bool, pause time.Duration) {
+func ShouldRetry(t *Try, further int, left time.Duration) (again bool, pause time.Duration) {
 	answered := t.Status != 0 && t.Complete && t.Garbage == ""
 	if further <= 0 || left <= 0 || answered && final(t.Status) || answered && t.Program != "" && EndsProgram(t.Status) {
 		return false, 0
 	}
-	promised := answered && Promise(t.Status) || t.Unread
-	if !t.Repeats() && !promised {
+	promised := answered && PromisesNotRun(t.Status) || t.Unread
+	if !t.Repeatable() && !promised {
 		return false, 0
 	}
 	if answered && t.RetryAfter > 0 {
@@ -46,19 +46,19 @@
 	return true, pause
 }
 
-// Silence is how long a client bears a stream without a word.
-func Silence(aim, pause time.Duration) time.Duration {
+// StreamSilenceLimit is how long a client bears a stream without a word.
+func StreamSilenceLimit(aim, pause time.Duration) time.Duration {
 	return max(2*time.Second, 4*aim, 8*pause)
 }
 
-// ReadPatience is how long a client waits for a node to read a repeatable request.
-func ReadPatience(left time.Duration) time.Duration { return min(time.Second, left/3) }
+// ReadTimeout is how long a client waits for a node to read a repeatable request.
+func ReadTimeout(left time.Duration) time.Duration { return min(time.Second, left/3) }
 
-// ConnectPatience is what a new connection is given to come up.
-const ConnectPatience = time.Second
+// ConnectTimeout is what a new connection is given to come up.
+const ConnectTimeout = time.Second
 
-// RedirectsMost is how many 307s callers of control follow.
-const RedirectsMost = 2
+// MaxRedirects is how many 307s callers of control follow.
+const MaxRedirects = 2
 
 // OrderStep is what an operator does after one answer to an order: 0 stands
 // for no clear answer.
@@ -66,7 +66,7 @@
 
 const (
 	OrderDone OrderStep = iota
-	OrderElsewhere
+	OrderRetry
 )
 
 // NextOrderStep decides after a call; tries counts the calls made.
@@ -77,19 +77,19 @@
 	case status == 400 || status == 409 || status == 412 || status == 413 || status == 422:
 		return OrderDone
 	case status == 408 || status == 429:
-		return OrderElsewhere
+		return OrderRetry
 	case status >= 400 && status < 500 && tries >= 3:
 		return OrderDone
 	}
-	return OrderElsewhere
+	return OrderRetry
 }
 
-// OrderPause grows with each call that failed.
-func OrderPause(tries int) time.Duration {
+// OrderBackoff grows with each call that failed.
+func OrderBackoff(tries int) time.Duration {
 	return min(time.Duration(50<<min(tries, 5))*time.Millisecond, time.Second)
 }
 
-// OrderPatience is the silence an operator bears, more for large bodies.
-func OrderPatience(bytes int) time.Duration {
+// OrderTimeout is the silence an operator bears, more for large bodies.
+func OrderTimeout(bytes int) time.Duration {
 	return time.Second + time.Duration(bytes/1024)*time.Millisecond
 }
--- a/internal/standin/platform/rules_test.go
+++ b/internal/standin/platform/rules_test.go
@@ -18,7 +18,7 @@
 	is := is.New(t)
 	answered := func(kind Kind, status int) *Try { return &Try{Kind: kind, Status: status, Complete: true} }
 	again := func(try *Try) bool {
-		yes, _ := TryAgain(try, 1, time.Second)
+		yes, _ := ShouldRetry(try, 1, time.Second)
 		return yes
 	}
 	for _, status := range []int{429, 503, 408, 421} {
@@ -42,22 +42,22 @@
 	is.True(again(&Try{Kind: Idempotent, Status: 200}))              // cut
 	is.True(!again(&Try{Kind: Streaming, Status: 200, Program: ""})) // cut stream
 	is.True(!again(&Try{Kind: Idempotent, Status: 402, Complete: true, Program: "p"}))
-	none, _ := TryAgain(answered(Idempotent, 503), 0, time.Second)
+	none, _ := ShouldRetry(answered(Idempotent, 503), 0, time.Second)
 	is.True(!none)
-	none, _ = TryAgain(answered(Idempotent, 503), 1, 0)
+	none, _ = ShouldRetry(answered(Idempotent, 503), 1, 0)
 	is.True(!none)
 }
 
 func TestRetryAfterIsObeyedForAThirdOfTheTimeLeft(t *testing.T) {
 	is := is.New(t)
 	try := &Try{Kind: Idempotent, Status: 503, Complete: true, RetryAfter: 300 * time.Millisecond}
-	_, pause := TryAgain(try, 1, 3*time.Second)
+	_, pause := ShouldRetry(try, 1, 3*time.Second)
 	is.Equal(pause, 300*time.Millisecond)
-	_, pause = TryAgain(try, 1, 600*time.Millisecond)
+	_, pause = ShouldRetry(try, 1, 600*time.Millisecond)
 	is.Equal(pause, 200*time.Millisecond)
-	is.Equal(Silence(250*time.Millisecond, 400*time.Millisecond), 3200*time.Millisecond)
-	is.Equal(Silence(time.Second, 100*time.Millisecond), 4*time.Second)
-	is.Equal(Silence(0, 0), 2*time.Second)
+	is.Equal(StreamSilenceLimit(250*time.Millisecond, 400*time.Millisecond), 3200*time.Millisecond)
+	is.Equal(StreamSilenceLimit(time.Second, 100*time.Millisecond), 4*time.Second)
+	is.Equal(StreamSilenceLimit(0, 0), 2*time.Second)
 }
 
 func TestOrdersEndAndMoveOn(t *testing.T) {
@@ -66,31 +66,31 @@
 		is.Equal(NextOrderStep(status, 1), OrderDone)
 	}
 	for _, status := range []int{0, 500, 503, 408, 429, 307} {
-		is.Equal(NextOrderStep(status, 9), OrderElsewhere)
+		is.Equal(NextOrderStep(status, 9), OrderRetry)
 	}
-	is.Equal(NextOrderStep(404, 2), OrderElsewhere)
+	is.Equal(NextOrderStep(404, 2), OrderRetry)
 	is.Equal(NextOrderStep(404, 3), OrderDone)
-	is.True(OrderPause(1) < OrderPause(3))
-	is.True(OrderPause(100) <= time.Second)
-	is.True(OrderPatience(1<<20) > OrderPatience(10))
+	is.True(OrderBackoff(1) < OrderBackoff(3))
+	is.True(OrderBackoff(100) <= time.Second)
+	is.True(OrderTimeout(1<<20) > OrderTimeout(10))
 }
 
 func TestDocuments(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		site := Sites()["small"]
-		drafts := &Drafts{Site: site, Words: site.DrawWords(rng), Rng: rng}
-		c := drafts.First()
-		is.Equal(c.Fault(0), "")
+		site := Deployments()["small"]
+		drafts := &ConfigGenerator{Deployment: site, Names: site.DrawNames(rng), Rng: rng}
+		c := drafts.Initial()
+		is.Equal(c.InvalidReason(0), "")
 		for range 30 {
-			next := drafts.Next(c)
-			is.Equal(next.Fault(c.Generation), "")
+			next := drafts.NextValid(c)
+			is.Equal(next.InvalidReason(c.Generation), "")
 			is.True(!SameDocument(next.Encode(), c.Encode()))
 			is.Equal(GenerationOf(next.Encode()), next.Generation)
 			for _, class := range site.Classes {
-				route := next.Match(drafts.Words.Hosts[class.Name], drafts.Words.Prefixes[class.Name]+"x")
-				is.True(route != nil && route.Allows(drafts.Words.Services[class.Service])) // programs' routes stay
+				route := next.Match(drafts.Names.Hosts[class.Name], drafts.Names.Prefixes[class.Name]+"x")
+				is.True(route != nil && route.Allows(drafts.Names.Services[class.Service])) // programs' routes stay
 			}
 			c = next
 		}
@@ -101,12 +101,12 @@
 			is.Equal(string(c.Encode()), before)
 			switch kind {
 			case Unreadable:
-				_, err := ParseTree(raw)
+				_, err := ParseJSON(raw)
 				is.True(err != nil)
 			case WrongType:
 				is.True(bad == nil)
 			default:
-				is.True(bad.Fault(c.Generation) != "")
+				is.True(bad.InvalidReason(c.Generation) != "")
 				is.True(SameDocument(raw, bad.Encode()))
 			}
 		}
@@ -131,7 +131,7 @@
 func (c *fakeClock) Now() time.Duration { return c.now }
 
 func pageOf(is *is.I, body []byte) (ids []string, next any) {
-	tree, err := ParseTree(body)
+	tree, err := ParseJSON(body)
 	is.NoErr(err)
 	for _, one := range tree.(map[string]any)["instances"].([]any) {
 		ids = append(ids, one.(map[string]any)["id"].(string))
@@ -142,12 +142,12 @@
 func TestTheListComesInPagesAndLate(t *testing.T) {
 	is := is.New(t)
 	clock := &fakeClock{Clock: base.NewRealClock(), now: time.Second}
-	ledger := NewLedger(DefaultBounds(), 2, 3)
-	list := &Instances{Clock: clock, Ledger: ledger, Lag: 800 * time.Millisecond}
+	ledger := NewRecorder(DefaultBounds(), 2, 3)
+	list := &Instances{Clock: clock, Recorder: ledger, Lag: 800 * time.Millisecond}
 	for place := range 120 {
-		list.Change(fmt.Sprintf("i-%03d", place), &Instance{ID: fmt.Sprintf("i-%03d", place), Zone: fmt.Sprint("z", place%2), State: StateReady}, 0)
+		list.ScheduleChange(fmt.Sprintf("i-%03d", place), &Instance{ID: fmt.Sprintf("i-%03d", place), Zone: fmt.Sprint("z", place%2), State: StateReady}, 0)
 	}
-	_, body := list.Get("", "")
+	_, body := list.FetchPage("", "")
 	ids, next := pageOf(is, body)
 	is.Equal(len(ids), 0) // the lag is not over
 	is.Equal(next, nil)
@@ -155,7 +155,7 @@
 	var all []string
 	for token, pages := "", 0; ; pages++ {
 		is.True(pages < 3)
-		status, body := list.Get("", token)
+		status, body := list.FetchPage("", token)
 		is.Equal(status, 200)
 		ids, next := pageOf(is, body)
 		all = append(all, ids...)
@@ -166,36 +166,36 @@
 		token = next.(string)
 	}
 	is.Equal(len(all), 120)
-	_, body = list.Get("z1", "p-50")
+	_, body = list.FetchPage("z1", "p-50")
 	ids, next = pageOf(is, body)
 	is.Equal(len(ids), 10)
 	is.Equal(next, nil)
-	status, _ := list.Get("", "x")
+	status, _ := list.FetchPage("", "x")
 	is.Equal(status, 400)
 	list.SetDown(true)
-	status, _ = list.Get("", "")
+	status, _ = list.FetchPage("", "")
 	is.Equal(status, 500)
 	list.SetDown(false)
-	list.Change("i-003", &Instance{ID: "i-003", State: StateDraining}, 0)
-	list.Change("i-004", nil, 3*time.Second)
+	list.ScheduleChange("i-003", &Instance{ID: "i-003", State: StateDraining}, 0)
+	list.ScheduleChange("i-004", nil, 3*time.Second)
 	clock.now = 2700 * time.Millisecond
-	list.Settle()
-	is.Equal(len(ledger.Record().Notices), 0)
+	list.ApplyDue()
+	is.Equal(len(ledger.Snapshot().Notices), 0)
 	clock.now = 2900 * time.Millisecond
-	list.Settle()
-	is.Equal(ledger.Record().Notices, []Notice{{"i-003", 2800 * time.Millisecond}}) // the moment the list showed it
+	list.ApplyDue()
+	is.Equal(ledger.Snapshot().Notices, []Notice{{"i-003", 2800 * time.Millisecond}}) // the moment the list showed it
 	clock.now = 6 * time.Second
-	list.Settle()
-	is.Equal(len(ledger.Record().Notices), 2)
+	list.ApplyDue()
+	is.Equal(len(ledger.Snapshot().Notices), 2)
 }
 
 func TestTheListHasARate(t *testing.T) {
 	is := is.New(t)
 	clock := &fakeClock{Clock: base.NewRealClock(), now: time.Second}
-	list := &Instances{Clock: clock, PerS: 10}
+	list := &Instances{Clock: clock, CallsPerSecond: 10}
 	taken := 0
 	for range 15 {
-		if status, _ := list.Get("", ""); status == 200 {
+		if status, _ := list.FetchPage("", ""); status == 200 {
 			taken++
 		} else {
 			is.Equal(status, 429)
@@ -204,7 +204,7 @@
 	is.Equal(taken, 10)
 	clock.now += 500 * time.Millisecond
 	for range 15 {
-		if status, _ := list.Get("", ""); status == 200 {
+		if status, _ := list.FetchPage("", ""); status == 200 {
 			taken++
 		}
 	}
@@ -213,9 +213,9 @@
 
 func TestProgramsAreDrawnFromTheirSeed(t *testing.T) {
 	is := is.New(t)
-	site := Sites()["kiondo"]
+	site := Deployments()["kiondo"]
 	draw := func(seed uint64) (all []*ProgramPlan) {
-		g := &Generator{Site: site, Words: site.DrawWords(rand.New(rand.NewPCG(seed, 0))), Rng: rand.New(rand.NewPCG(seed, 1))}
+		g := &ProgramGenerator{Deployment: site, Names: site.DrawNames(rand.New(rand.NewPCG(seed, 0))), Rng: rand.New(rand.NewPCG(seed, 1))}
 		for place := range 200 {
 			all = append(all, g.Program(&site.Classes[place%2], site.Zones[0], place))
 		}
@@ -225,23 +225,23 @@
 	again := draw(7)
 	for place, plan := range draw(7) {
 		is.Equal(plan.Describe(), again[place].Describe())
-		is.True(plan.Aim > plan.Ideal)
+		is.True(plan.TargetTime > plan.IdealTime)
 		total := int64(0)
-		var walk func(line *LinePlan, tokens int, parts string)
-		walk = func(line *LinePlan, tokens int, parts string) {
+		var walk func(line *SessionPlan, tokens int, parts string)
+		walk = func(line *SessionPlan, tokens int, parts string) {
 			for _, turn := range line.Turns {
-				is.True(turn.Prompt > tokens)                                    // the prompt has all that came before
-				is.True(strings.HasPrefix(turn.Parts, parts+",") || parts == "") // and so have its parts
-				tokens, parts, total = turn.Prompt, turn.Parts, total+turn.Most
+				is.True(turn.PromptTokens > tokens)                                    // the prompt has all that came before
+				is.True(strings.HasPrefix(turn.PromptParts, parts+",") || parts == "") // and so have its parts
+				tokens, parts, total = turn.PromptTokens, turn.PromptParts, total+turn.MaxTokens
 				tools += len(turn.Tools)
-				for _, helper := range turn.Helpers {
+				for _, helper := range turn.Subagents {
 					helpers++
 					is.Equal(len(helper.Turns), 2)
 					walk(helper, tokens, parts)
 				}
 			}
 		}
-		walk(plan.Line, 0, "")
+		walk(plan.MainSession, 0, "")
 		is.True(plan.Budget >= total) // it holds every turn once
 		if plan.Runaway {
 			runaways++
@@ -253,7 +253,7 @@
 
 func TestTheEngineKeepsPartsAndPutsBack(t *testing.T) {
 	is := is.New(t)
-	e := newEngine(&fakeClock{Clock: base.NewRealClock()}, ServiceShape{Capacity: 4, Engine: &EngineShape{Step: time.Millisecond, PromptPerMs: 10, Chunk: 100, CacheTokens: 300, Stride: 2}}, 1)
+	e := newEngine(&fakeClock{Clock: base.NewRealClock()}, ServiceSpec{Capacity: 4, Engine: &EngineSpec{StepTime: time.Millisecond, PromptTokensPerMs: 10, MaxPromptTokensPerStep: 100, CacheTokens: 300, TokensPerEvent: 2}}, 1)
 	e.active = true // the test makes the steps
 	step := func() (span time.Duration) {
 		span, ok := e.begin()
--- a/internal/standin/platform/settings.go
+++ b/internal/standin/platform/settings.go
@@ -16,12 +16,12 @@
 	Front, Readiness, Control                   string
 	Ports                                       [2]int
 	Seeds                                       []string
-	First, Counted                              bool
+	Bootstrap, LossCounted                      bool
 	DataDir                                     string
-	Tolerate                                    int
+	FaultTolerance                              int
 	Bounds                                      Bounds
 	ListAddress                                 string
-	ListPerS                                    float64
+	ListCallsPerSecond                          float64
 }
 
 type classLimits struct {
@@ -70,8 +70,8 @@
 	for _, seed := range s.Seeds {
 		line("  - %q", seed)
 	}
-	line("bootstrap: %v", s.First)
-	line("loss_counted: %v", s.Counted)
+	line("bootstrap: %v", s.Bootstrap)
+	line("loss_counted: %v", s.LossCounted)
 	limits := limitsOf[s.Class]
 	line("limits:")
 	line("  cpu_fraction: %v", limits.cpu)
@@ -93,13 +93,13 @@
 		line("  - %q", name)
 	}
 	line("fault_budget:")
-	line("  machines: %d", s.Tolerate)
+	line("  machines: %d", s.FaultTolerance)
 	line("  zones: 0")
 	line("  regions: 0")
 	s.bounds(line)
 	line("platform_api:")
 	line("  address: %q", s.ListAddress)
-	line("  rate_per_s: %.1f", s.ListPerS)
+	line("  rate_per_s: %.1f", s.ListCallsPerSecond)
 	line("  duties: []")
 	line("  max_lag_ms: %d", s.Bounds.ListMaxLag.Milliseconds())
 	return b.String()
--- a/internal/standin/platform/site.go
+++ b/internal/standin/platform/site.go
@@ -11,106 +11,106 @@
 	"time"
 )
 
-// Draw is a quantity drawn round a mean, never above its most.
-type Draw struct{ Mean, Spread, Most float64 }
+// Distribution is a quantity drawn round a mean, never above its most.
+type Distribution struct{ Mean, Spread, Max float64 }
 
-// Value draws once.
-func (d Draw) Value(rng *rand.Rand) float64 {
+// Sample draws once.
+func (d Distribution) Sample(rng *rand.Rand) float64 {
 	if d.Spread == 0 {
 		return d.Mean
 	}
 	value := d.Mean * math.Exp(d.Spread*rng.NormFloat64()-d.Spread*d.Spread/2)
-	if d.Most > 0 {
-		value = min(value, d.Most)
+	if d.Max > 0 {
+		value = min(value, d.Max)
 	}
 	return value
 }
 
 // ToolUse is a tool that a program calls between its turns.
 type ToolUse struct {
-	Class string
-	Share float64
-	Times int
+	Class       string
+	Probability float64
+	MaxCalls    int
 }
 
-// Class is a kind of request. Those of programs are turns; tools are called by
+// RequestClass is a kind of request. Those of programs are turns; tools are called by
 // programs and have no rate of their own.
-type Class struct {
-	Name     string
-	Kind     Kind
-	Service  string
-	Method   string
-	PerS     float64 // programs a second in each zone
-	Aim      time.Duration
-	Deadline time.Duration
-	Pause    time.Duration
+type RequestClass struct {
+	Name              string
+	Kind              Kind
+	Service           string
+	Method            string
+	ProgramsPerSecond float64 // programs a second in each zone
+	TargetLatency     time.Duration
+	Deadline          time.Duration
+	GapTarget         time.Duration
 	// Retain is how long turns are kept, 0 where they are not; Spending is then how
 	// long the route says that what programs spent is.
-	Retain   time.Duration
-	Spending time.Duration
+	Retain         time.Duration
+	SpendRetention time.Duration
 	// Resumable streams may be continued after their last event.
-	Resumable bool
-	Further   int // tries after the first
-	MaxTries  int
-	Urgency   int
-	Body      Draw // bytes
-	Answer    Draw // bytes
-	Work      Draw // ms
-	Errors    float64
-
-	Events  Draw
-	Prompt  Draw // tokens of a turn's own
-	Shared  Draw // tokens of the prompt all programs of a topic share
-	Topics  int
-	Turns   Draw
-	Think   Draw // ms
-	Fan     float64
-	Width   Draw
-	Runaway float64
-	AimX    float64
-	Tools   []ToolUse
+	Resumable   bool
+	Retries     int // tries after the first
+	MaxTries    int
+	Urgency     int
+	BodyBytes   Distribution // bytes
+	AnswerBytes Distribution // bytes
+	WorkMs      Distribution // ms
+	ErrorRate   float64
+
+	Events              Distribution
+	PromptTokens        Distribution // tokens of a turn's own
+	SharedPromptTokens  Distribution // tokens of the prompt all programs of a topic share
+	Topics              int
+	Turns               Distribution
+	ThinkMs             Distribution // ms
+	SubagentProbability float64
+	SubagentCount       Distribution
+	RunawayProbability  float64
+	TargetFactor        float64
+	Tools               []ToolUse
 }
 
-// ServiceShape is a service and its workers.
-type ServiceShape struct {
-	Name     string
-	Workers  int
-	Capacity int
-	Queue    int
-	MaxConns int
-	Engine   *EngineShape
+// ServiceSpec is a service and its workers.
+type ServiceSpec struct {
+	Name      string
+	Workers   int
+	Capacity  int
+	QueueSize int
+	MaxConns  int
+	Engine    *EngineSpec
 }
 
-// EngineShape is how a model worker's engine runs.
-type EngineShape struct {
-	Step        time.Duration
-	StepPerSlot time.Duration
-	PromptPerMs float64
-	Chunk       int
-	CacheTokens int
-	Stride      int
-	ReportLag   time.Duration
-	EventBytes  int
+// EngineSpec is how a model worker's engine runs.
+type EngineSpec struct {
+	StepTime               time.Duration
+	StepTimePerJob         time.Duration
+	PromptTokensPerMs      float64
+	MaxPromptTokensPerStep int
+	CacheTokens            int
+	TokensPerEvent         int
+	ReportLag              time.Duration
+	EventBytes             int
 }
 
-// Site is a deployment.
-type Site struct {
-	Name     string
-	Region   string
-	Zones    []string
-	Edges    int
-	Cores    int
-	Storage  int
-	Services []ServiceShape
-	Classes  []Class
-	Clients  int // in each zone
-	Bounds   Bounds
-	ListPerS float64
-	Lead     time.Duration
+// Deployment is a deployment.
+type Deployment struct {
+	Name               string
+	Region             string
+	Zones              []string
+	Edges              int
+	Cores              int
+	Storage            int
+	Services           []ServiceSpec
+	Classes            []RequestClass
+	ClientsPerZone     int // in each zone
+	Bounds             Bounds
+	ListCallsPerSecond float64
+	LeadTime           time.Duration
 }
 
 // Class gives a kind of request by its name.
-func (s *Site) Class(name string) *Class {
+func (s *Deployment) Class(name string) *RequestClass {
 	for place := range s.Classes {
 		if s.Classes[place].Name == name {
 			return &s.Classes[place]
@@ -119,65 +119,65 @@
 	return nil
 }
 
-// Stride is how many tokens an event of the site's engines holds.
-func (s *Site) Stride() int {
+// TokensPerEvent is how many tokens an event of the site's engines holds.
+func (s *Deployment) TokensPerEvent() int {
 	for _, service := range s.Services {
 		if service.Engine != nil {
-			return service.Engine.Stride
+			return service.Engine.TokensPerEvent
 		}
 	}
 	return 1
 }
 
-func tillEngine() *EngineShape {
-	return &EngineShape{Step: 6120 * time.Microsecond, StepPerSlot: 23 * time.Microsecond, PromptPerMs: 32.4, Chunk: 4096, CacheTokens: 257309, Stride: 2,
+func tillEngine() *EngineSpec {
+	return &EngineSpec{StepTime: 6120 * time.Microsecond, StepTimePerJob: 23 * time.Microsecond, PromptTokensPerMs: 32.4, MaxPromptTokensPerStep: 4096, CacheTokens: 257309, TokensPerEvent: 2,
 		ReportLag: 100 * time.Millisecond, EventBytes: 40}
 }
 
-func siteOf(name, region string, zones []string, edges, models, apps int, rate float64) *Site {
+func siteOf(name, region string, zones []string, edges, models, apps int, rate float64) *Deployment {
 	ms := time.Millisecond
 	tools := []ToolUse{{"receipt", 0.7, 2}, {"posting", 0.4, 1}, {"ping", 0.2, 1}}
-	turn := Class{Kind: Streaming, Service: "model", Method: "POST", Aim: 250 * ms, Deadline: 6000 * ms, Pause: 400 * ms, Retain: 60 * time.Second, Further: 1,
-		MaxTries: 2, Body: Draw{5100, 0, 31000}, Events: Draw{17, 0.8, 68}, Shared: Draw{2560, 0.3, 5120}, Topics: 8, Width: Draw{3, 0.3, 6}, Runaway: 0.03, Tools: tools}
+	turn := RequestClass{Kind: Streaming, Service: "model", Method: "POST", TargetLatency: 250 * ms, Deadline: 6000 * ms, GapTarget: 400 * ms, Retain: 60 * time.Second, Retries: 1,
+		MaxTries: 2, BodyBytes: Distribution{5100, 0, 31000}, Events: Distribution{17, 0.8, 68}, SharedPromptTokens: Distribution{2560, 0.3, 5120}, Topics: 8, SubagentCount: Distribution{3, 0.3, 6}, RunawayProbability: 0.03, Tools: tools}
 	short, long := turn, turn
-	short.Name, short.PerS, short.Prompt, short.Turns, short.Think, short.Fan, short.AimX, short.Urgency = "lookup", rate*0.72, Draw{1030, 0.7, 5140}, Draw{3, 0.4, 6}, Draw{150, 0.6, 600}, 0.05, 3, 1
-	long.Name, long.PerS, long.Prompt, long.Turns, long.Think, long.Fan, long.AimX = "dispute", rate*0.28, Draw{514, 0.7, 2570}, Draw{7, 0.4, 14}, Draw{60, 0.6, 240}, 0.15, 2.5
-	return &Site{Name: name, Region: region, Zones: zones, Edges: edges, Cores: 4, Storage: 4, Clients: 10, Bounds: DefaultBounds(), ListPerS: 40, Lead: 10 * time.Second,
-		Services: []ServiceShape{
-			{Name: "model", Workers: models, Capacity: 96, Queue: 288, MaxConns: 480, Engine: tillEngine()},
-			{Name: "app", Workers: apps, Capacity: 6, Queue: 24, MaxConns: 96},
+	short.Name, short.ProgramsPerSecond, short.PromptTokens, short.Turns, short.ThinkMs, short.SubagentProbability, short.TargetFactor, short.Urgency = "lookup", rate*0.72, Distribution{1030, 0.7, 5140}, Distribution{3, 0.4, 6}, Distribution{150, 0.6, 600}, 0.05, 3, 1
+	long.Name, long.ProgramsPerSecond, long.PromptTokens, long.Turns, long.ThinkMs, long.SubagentProbability, long.TargetFactor = "dispute", rate*0.28, Distribution{514, 0.7, 2570}, Distribution{7, 0.4, 14}, Distribution{60, 0.6, 240}, 0.15, 2.5
+	return &Deployment{Name: name, Region: region, Zones: zones, Edges: edges, Cores: 4, Storage: 4, ClientsPerZone: 10, Bounds: DefaultBounds(), ListCallsPerSecond: 40, LeadTime: 10 * time.Second,
+		Services: []ServiceSpec{
+			{Name: "model", Workers: models, Capacity: 96, QueueSize: 288, MaxConns: 480, Engine: tillEngine()},
+			{Name: "app", Workers: apps, Capacity: 6, QueueSize: 24, MaxConns: 96},
 		},
-		Classes: []Class{short, long,
-			{Name: "receipt", Kind: Idempotent, Service: "app", Method: "GET", Aim: 250 * ms, Deadline: 1500 * ms, Further: 1, MaxTries: 2, Urgency: 2,
-				Answer: Draw{800, 0.5, 4800}, Work: Draw{52, 1, 213}},
-			{Name: "posting", Kind: NonIdempotent, Service: "app", Method: "POST", Aim: 800 * ms, Deadline: 6000 * ms, Further: 1, MaxTries: 1, Urgency: 2,
-				Body: Draw{600, 0.5, 3600}, Answer: Draw{800, 0.5, 4800}, Work: Draw{208, 1, 1500}, Errors: 0.01},
-			{Name: "ping", Kind: NonIdempotent, Service: "app", Method: "POST", Aim: 600 * ms, Deadline: 3000 * ms, Further: 2, MaxTries: 2, Urgency: 2,
-				Body: Draw{600, 0.5, 3600}, Answer: Draw{800, 0.5, 4800}, Work: Draw{139, 1, 593}},
+		Classes: []RequestClass{short, long,
+			{Name: "receipt", Kind: Idempotent, Service: "app", Method: "GET", TargetLatency: 250 * ms, Deadline: 1500 * ms, Retries: 1, MaxTries: 2, Urgency: 2,
+				AnswerBytes: Distribution{800, 0.5, 4800}, WorkMs: Distribution{52, 1, 213}},
+			{Name: "posting", Kind: NonIdempotent, Service: "app", Method: "POST", TargetLatency: 800 * ms, Deadline: 6000 * ms, Retries: 1, MaxTries: 1, Urgency: 2,
+				BodyBytes: Distribution{600, 0.5, 3600}, AnswerBytes: Distribution{800, 0.5, 4800}, WorkMs: Distribution{208, 1, 1500}, ErrorRate: 0.01},
+			{Name: "ping", Kind: NonIdempotent, Service: "app", Method: "POST", TargetLatency: 600 * ms, Deadline: 3000 * ms, Retries: 2, MaxTries: 2, Urgency: 2,
+				BodyBytes: Distribution{600, 0.5, 3600}, AnswerBytes: Distribution{800, 0.5, 4800}, WorkMs: Distribution{139, 1, 593}},
 		}}
 }
 
-// Sites are the deployments known today, and a small one for tests.
-func Sites() map[string]*Site {
+// Deployments are the deployments known today, and a small one for tests.
+func Deployments() map[string]*Deployment {
 	small := siteOf("small", "home", []string{"zone-a", "zone-b"}, 2, 2, 2, 1.5)
-	small.Cores, small.Storage, small.Lead = 3, 3, 3*time.Second
-	return map[string]*Site{
+	small.Cores, small.Storage, small.LeadTime = 3, 3, 3*time.Second
+	return map[string]*Deployment{
 		"kiondo":    siteOf("kiondo", "nairobi", []string{"westlands", "industrial-area", "karen", "thika-road"}, 6, 9, 8, 4),
 		"ljubljana": siteOf("ljubljana", "si-central", []string{"lj-hall-a", "lj-hall-b", "kr-hall", "nm-hall"}, 9, 12, 11, 5),
 		"small":     small,
 	}
 }
 
-// Words are the names a run drew.
-type Words struct {
+// Names are the names a run drew.
+type Names struct {
 	Services map[string]string // by the shape's name
 	Hosts    map[string]string // by class
 	Prefixes map[string]string // by class
 	Model    string
 }
 
-// Place makes a machine's name of its class, zone and number.
-func Place(class, zone string, number int) string {
+// MachineName makes a machine's name of its class, zone and number.
+func MachineName(class, zone string, number int) string {
 	return fmt.Sprintf("%s-%s-%d", class, zone, number)
 }
 
@@ -190,9 +190,9 @@
 	return fmt.Sprintf("%s%03d", word, rng.IntN(1000))
 }
 
-// DrawWords names services, hosts and paths.
-func (s *Site) DrawWords(rng *rand.Rand) *Words {
-	w := &Words{Services: map[string]string{}, Hosts: map[string]string{}, Prefixes: map[string]string{}, Model: "m"}
+// DrawNames names services, hosts and paths.
+func (s *Deployment) DrawNames(rng *rand.Rand) *Names {
+	w := &Names{Services: map[string]string{}, Hosts: map[string]string{}, Prefixes: map[string]string{}, Model: "m"}
 	for place, service := range s.Services {
 		w.Services[service.Name] = drawWord(rng) + string(rune('a'+place))
 	}
@@ -204,5 +204,5 @@
 	return w
 }
 
-// HexID draws an id as clients do.
-func HexID(rng *rand.Rand) string { return fmt.Sprintf("%016x", rng.Uint64()) }
+// RandomID draws an id as clients do.
+func RandomID(rng *rand.Rand) string { return fmt.Sprintf("%016x", rng.Uint64()) }
--- a/internal/standin/platform/sockets/client.go
+++ b/internal/standin/platform/sockets/client.go
@@ -107,8 +107,8 @@
 	return surplus
 }
 
-// Carry sends a try and reads its answer.
-func (c *Clients) Carry(t *platform.Try) {
+// Send sends a try and reads its answer.
+func (c *Clients) Send(t *platform.Try) {
 	t.Sent = c.Clock.Now()
 	defer func() { t.Ended = c.Clock.Now() }()
 	keeps := int(base.Hash64(t.Client)%10) < c.KeepShare && !t.Probe
@@ -124,7 +124,7 @@
 			node, address = c.Entry.Pick(t.Zone, t.Client, t.Fresh)
 		}
 		t.Node = node
-		raw, err := net.DialTimeout("tcp", address, min(platform.ConnectPatience, t.Deadline))
+		raw, err := net.DialTimeout("tcp", address, min(platform.ConnectTimeout, t.Deadline))
 		if err != nil {
 			// Nobody has read what was never sent.
 			t.Unread = true
@@ -181,11 +181,11 @@
 	t.Written = c.Clock.Now()
 	silence := t.Deadline
 	if t.Kind == platform.Streaming {
-		silence = platform.Silence(t.Aim, t.Pause)
+		silence = platform.StreamSilenceLimit(t.Aim, t.Pause)
 	}
 	bear := func() { _ = conn.conn.SetReadDeadline(earlier(end, time.Now().Add(silence))) }
 	if t.Kind == platform.Idempotent {
-		_ = conn.conn.SetReadDeadline(time.Now().Add(platform.ReadPatience(t.Deadline)))
+		_ = conn.conn.SetReadDeadline(time.Now().Add(platform.ReadTimeout(t.Deadline)))
 		if _, err := conn.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) && !readByPeer(conn.conn) {
 			t.GaveUp, t.Unread = true, true
 			return false
--- a/internal/standin/platform/sockets/entry.go
+++ b/internal/standin/platform/sockets/entry.go
@@ -14,13 +14,13 @@
 
 // VirtualEntry is the entry.
 type VirtualEntry struct {
-	platform.Entry
+	platform.LoadBalancer
 	over  chan struct{}
 	ended sync.WaitGroup
 }
 
 // Open begins to ask the nodes.
-func (e *VirtualEntry) Open(nodes []*platform.EntryNode) {
+func (e *VirtualEntry) Open(nodes []*platform.EdgeNode) {
 	e.over = make(chan struct{})
 	for _, node := range nodes {
 		e.Add(node)
@@ -28,8 +28,8 @@
 }
 
 // Add begins to ask one more node.
-func (e *VirtualEntry) Add(node *platform.EntryNode) {
-	e.Entry.Add(node)
+func (e *VirtualEntry) Add(node *platform.EdgeNode) {
+	e.LoadBalancer.Add(node)
 	e.ended.Add(1)
 	go e.poll(node)
 }
@@ -40,13 +40,13 @@
 	e.ended.Wait()
 }
 
-func (e *VirtualEntry) poll(node *platform.EntryNode) {
+func (e *VirtualEntry) poll(node *platform.EdgeNode) {
 	defer e.ended.Done()
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
 		status, _, err := fasthttp.GetTimeout(nil, "http://"+node.Readiness+platform.PathReadiness, time.Second)
-		e.Heard(node, err == nil && status == 200)
+		e.RecordProbe(node, err == nil && status == 200)
 		select {
 		case <-e.over:
 			return
--- a/internal/standin/platform/sockets/instances.go
+++ b/internal/standin/platform/sockets/instances.go
@@ -30,7 +30,7 @@
 			ctx.SetStatusCode(404)
 			return
 		}
-		status, body := list.Get(string(ctx.QueryArgs().Peek("zone")), string(ctx.QueryArgs().Peek("page_token")))
+		status, body := list.FetchPage(string(ctx.QueryArgs().Peek("zone")), string(ctx.QueryArgs().Peek("page_token")))
 		ctx.SetStatusCode(status)
 		ctx.SetContentType("application/json")
 		ctx.SetBody(body)
--- a/internal/standin/platform/sockets/operator.go
+++ b/internal/standin/platform/sockets/operator.go
@@ -26,7 +26,7 @@
 		for _, line := range header {
 			request.Header.Set(line[0], line[1])
 		}
-		err := fasthttp.DoTimeout(request, response, platform.OrderPatience(len(body)))
+		err := fasthttp.DoTimeout(request, response, platform.OrderTimeout(len(body)))
 		status, answer = response.StatusCode(), append([]byte(nil), response.Body()...)
 		location := string(response.Header.Peek("Location"))
 		fasthttp.ReleaseRequest(request)
@@ -34,7 +34,7 @@
 		if err != nil {
 			return 0, nil
 		}
-		if status != 307 || redirects >= platform.RedirectsMost {
+		if status != 307 || redirects >= platform.MaxRedirects {
 			return status, answer
 		}
 		if parsed, err := url.Parse(location); err != nil || parsed.Host == "" {
--- a/internal/standin/platform/sockets/sockets_test.go
+++ b/internal/standin/platform/sockets/sockets_test.go
@@ -28,23 +28,23 @@
 type bench struct {
 	is      *is.I
 	clock   base.Clock
-	ledger  *platform.Ledger
+	ledger  *platform.Recorder
 	server  *WorkerServer
 	clients *Clients
 	tries   int
 }
 
 var (
-	plainShape = platform.ServiceShape{Name: "app", Capacity: 2, Queue: 2, MaxConns: 8}
-	modelShape = platform.ServiceShape{Name: "model", Capacity: 8, Queue: 8, MaxConns: 20, Engine: &platform.EngineShape{Step: time.Millisecond,
-		PromptPerMs: 100, Chunk: 4096, CacheTokens: 1000, Stride: 2, EventBytes: 30}}
+	plainShape = platform.ServiceSpec{Name: "app", Capacity: 2, QueueSize: 2, MaxConns: 8}
+	modelShape = platform.ServiceSpec{Name: "model", Capacity: 8, QueueSize: 8, MaxConns: 20, Engine: &platform.EngineSpec{StepTime: time.Millisecond,
+		PromptTokensPerMs: 100, MaxPromptTokensPerStep: 4096, CacheTokens: 1000, TokensPerEvent: 2, EventBytes: 30}}
 )
 
-func newBench(t *testing.T, shape platform.ServiceShape, change func(w *platform.Worker), more ...func(s *WorkerServer)) *bench {
+func newBench(t *testing.T, shape platform.ServiceSpec, change func(w *platform.Worker), more ...func(s *WorkerServer)) *bench {
 	clock := base.NewRealClock()
-	b := &bench{is: is.New(t), clock: clock, ledger: platform.NewLedger(platform.DefaultBounds(), 2, 3)}
-	worker := &platform.Worker{ID: "i-1", Service: "svc", Clock: clock, Ledger: b.ledger, Shape: shape, KeepIdle: 5 * time.Second, Draws: rand.New(rand.NewPCG(1, 1)),
-		Work: func(string) (time.Duration, int) { return 2 * time.Millisecond, 100 }}
+	b := &bench{is: is.New(t), clock: clock, ledger: platform.NewRecorder(platform.DefaultBounds(), 2, 3)}
+	worker := &platform.Worker{ID: "i-1", Service: "svc", Clock: clock, Recorder: b.ledger, Spec: shape, KeepAlive: 5 * time.Second, Rng: rand.New(rand.NewPCG(1, 1)),
+		Workload: func(string) (time.Duration, int) { return 2 * time.Millisecond, 100 }}
 	if change != nil {
 		change(worker)
 	}
@@ -64,15 +64,15 @@
 	id := fmt.Sprintf("%016x", b.tries)
 	t := &platform.Try{ID: id, Kind: kind, Host: "h", Method: "POST", Target: target, Body: []byte("what is asked"), Client: "c", Deadline: 3 * time.Second,
 		Aim: 100 * time.Millisecond, Header: append([][2]string{{platform.HeaderID, id}, {platform.HeaderDeadline, "3000"}}, header...)}
-	b.ledger.Note(func(r *platform.Record) { r.Tries = append(r.Tries, t) })
-	b.clients.Carry(t)
+	b.ledger.Update(func(r *platform.Record) { r.Tries = append(r.Tries, t) })
+	b.clients.Send(t)
 	return t
 }
 
 // last is what the worker knows of a try; it waits for the worker's own end.
 func (b *bench) last(t *platform.Try, met func(a *platform.Arrival) bool) *platform.Arrival {
 	for end := b.clock.Now() + 5*time.Second; b.clock.Now() < end; b.clock.Sleep(time.Millisecond) {
-		for _, a := range b.ledger.Record().Arrivals {
+		for _, a := range b.ledger.Snapshot().Arrivals {
 			if a.ID == t.ID && met(a) {
 				return a
 			}
@@ -86,7 +86,7 @@
 	b := newBench(t, plainShape, nil)
 	for place := range 5 {
 		try := b.try(platform.NonIdempotent, fmt.Sprintf("/x/%d?a=b", place))
-		b.is.True(try.OK())
+		b.is.True(try.Succeeded())
 		b.is.Equal(try.Echo, try.ID)
 		a := b.last(try, func(a *platform.Arrival) bool { return a.Whole })
 		b.is.Equal(a.Answer, try.Answer)
@@ -103,11 +103,11 @@
 	other := b.try(platform.NonIdempotent, "/x", [2]string{platform.HeaderExpectInstance, "i-2"})
 	b.is.Equal(other.Status, 421)
 	mine := b.try(platform.NonIdempotent, "/x", [2]string{platform.HeaderExpectInstance, "i-1"})
-	b.is.True(mine.OK())
+	b.is.True(mine.Succeeded())
 	nameless := &platform.Try{ID: "", Kind: platform.Idempotent, Host: "h", Method: "GET", Target: "/x", Client: "c", Deadline: time.Second}
-	b.clients.Carry(nameless)
+	b.clients.Send(nameless)
 	b.is.Equal(nameless.Status, 400)
-	for _, a := range b.ledger.Record().Arrivals {
+	for _, a := range b.ledger.Snapshot().Arrivals {
 		b.is.Equal(a.Ran, a.ID == mine.ID)
 	}
 }
@@ -115,7 +115,7 @@
 func TestAFullWorkerRefusesWithoutRunning(t *testing.T) {
 	shape := plainShape
 	shape.MaxConns = 100
-	b := newBench(t, shape, func(w *platform.Worker) { w.Work = func(string) (time.Duration, int) { return time.Second, 10 } })
+	b := newBench(t, shape, func(w *platform.Worker) { w.Workload = func(string) (time.Duration, int) { return time.Second, 10 } })
 	var group sync.WaitGroup
 	ask := func(place int) *platform.Try {
 		id := fmt.Sprintf("%016x", place)
@@ -127,19 +127,19 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			b.clients.Carry(served[place])
+			b.clients.Send(served[place])
 		}()
 	}
 	for end := b.clock.Now() + 5*time.Second; b.server.Worker.Queued() < 2 && b.clock.Now() < end; b.clock.Sleep(time.Millisecond) {
 	}
 	refused := ask(5) // two at work, two in line
-	b.clients.Carry(refused)
+	b.clients.Send(refused)
 	group.Wait()
 	b.is.True(refused.Status == 503 && refused.Complete)
 	for _, try := range served {
-		b.is.True(try.OK())
+		b.is.True(try.Succeeded())
 	}
-	for _, a := range b.ledger.Record().Arrivals {
+	for _, a := range b.ledger.Snapshot().Arrivals {
 		b.is.Equal(a.Ran, a.ID != refused.ID)
 	}
 	b.clients.Close()
@@ -177,11 +177,11 @@
 	b.is.Equal(well.StatusCode, 200)
 	b.is.Equal(well.Header.Get(platform.HeaderInstance), "i-1")
 	b.is.Equal(well.Header.Get(platform.HeaderLoad), "0,0,2")
-	b.server.Worker.SetWell(false)
+	b.server.Worker.SetHealthy(false)
 	b.is.Equal(ask().StatusCode, 503)
 	b.server.Worker.LyingHealth = true
 	b.is.Equal(ask().StatusCode, 200)
-	b.server.Worker.Leave()
+	b.server.Worker.Drain()
 	leaving := ask()
 	b.is.Equal(leaving.StatusCode, 503)
 	b.is.True(leaving.Close)
@@ -189,9 +189,9 @@
 
 func TestALeavingWorkerClosesAfterItsAnswer(t *testing.T) {
 	b := newBench(t, plainShape, nil)
-	b.server.Worker.Leave()
-	b.is.True(b.try(platform.NonIdempotent, "/x").OK())
-	b.is.True(b.try(platform.NonIdempotent, "/x").OK())
+	b.server.Worker.Drain()
+	b.is.True(b.try(platform.NonIdempotent, "/x").Succeeded())
+	b.is.True(b.try(platform.NonIdempotent, "/x").Succeeded())
 	b.is.Equal(b.server.Opened(), 2)
 }
 
@@ -200,15 +200,15 @@
 		fault platform.Fault
 		check func(b *bench, try *platform.Try)
 	}{
-		{platform.LostReset, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 0) }},
-		{platform.LostSilent, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 0); b.is.True(try.GaveUp) }},
-		{platform.Garbled, func(b *bench, try *platform.Try) { b.is.True(try.Garbage != "") }},
-		{platform.Cut, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 200); b.is.True(!try.Complete) }},
-		{platform.Fail, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 500); b.is.True(try.Seal != "") }},
-		{platform.Extra, func(b *bench, try *platform.Try) { b.is.True(try.OK()) }},
+		{platform.FaultLostReset, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 0) }},
+		{platform.FaultLostSilent, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 0); b.is.True(try.GaveUp) }},
+		{platform.FaultGarbled, func(b *bench, try *platform.Try) { b.is.True(try.Garbage != "") }},
+		{platform.FaultCut, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 200); b.is.True(!try.Complete) }},
+		{platform.FaultError, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 500); b.is.True(try.Seal != "") }},
+		{platform.FaultExtra, func(b *bench, try *platform.Try) { b.is.True(try.Succeeded()) }},
 	} {
 		t.Run(string(row.fault), func(t *testing.T) {
-			b := newBench(t, plainShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return row.fault } })
+			b := newBench(t, plainShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return row.fault } })
 			try := b.try(platform.NonIdempotent, "/x", [2]string{"X", "y"})
 			row.check(b, try)
 			b.last(try, func(a *platform.Arrival) bool { return a.Ran })
@@ -219,7 +219,7 @@
 
 func TestSurplusAnswersAreNoticed(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, plainShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return platform.Extra } })
+	b := newBench(t, plainShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return platform.FaultExtra } })
 	first := b.try(platform.NonIdempotent, "/x")
 	for _, conn := range b.clients.idle["c"] {
 		select {
@@ -230,8 +230,8 @@
 	surplus := b.clients.Close()
 	is.True(first.Surplus != "" || len(surplus) == 1) // with its answer, or while the connection was idle
 
-	b = newBench(t, plainShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return platform.LateExtra } })
-	is.True(b.try(platform.NonIdempotent, "/x").OK())
+	b = newBench(t, plainShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return platform.FaultLateExtra } })
+	is.True(b.try(platform.NonIdempotent, "/x").Succeeded())
 	second := b.try(platform.NonIdempotent, "/x")
 	is.True(second.Echo != "" && second.Echo != second.ID) // a stale answer stands in its place
 	for _, conn := range b.clients.idle["c"] {
@@ -239,15 +239,15 @@
 	}
 	is.True(second.Surplus != "" || len(b.clients.Close()) == 1)
 	found := false
-	for _, breach := range b.ledger.Record().Check() {
-		found = found || breach.Rule == "MIXED" && strings.Contains(breach.Word, "got the answer of")
+	for _, breach := range b.ledger.Snapshot().Check() {
+		found = found || breach.Rule == "MIXED" && strings.Contains(breach.Detail, "got the answer of")
 	}
 	is.True(found) // a client that is handed such an answer makes it a breach
 }
 
 func TestAForgottenConnectionIsReset(t *testing.T) {
 	b := newBench(t, plainShape, nil, func(s *WorkerServer) { s.Forget(1) }) // any time is too long
-	b.is.True(b.try(platform.NonIdempotent, "/x").OK())
+	b.is.True(b.try(platform.NonIdempotent, "/x").Succeeded())
 	try := b.try(platform.NonIdempotent, "/x")
 	b.is.Equal(try.Status, 0)
 	b.is.True(try.Unread)
@@ -280,7 +280,7 @@
 		done := make(chan struct{})
 		clients := listenOnce(t, func(conn *net.TCPConn) { step(conn, done) })
 		try := &platform.Try{ID: "x", Kind: kind, Host: "h", Method: "POST", Target: "/x", Body: []byte("body"), Client: "c", Deadline: 1500 * time.Millisecond}
-		clients.Carry(try)
+		clients.Send(try)
 		close(done)
 		return try
 	}
@@ -312,7 +312,7 @@
 func TestAModelWorkerStreamsItsEvents(t *testing.T) {
 	b := newBench(t, modelShape, nil)
 	try := b.try(platform.Streaming, "/x", turnHeader(100, 9)...)
-	b.is.True(try.OK())
+	b.is.True(try.Succeeded())
 	a := b.last(try, func(a *platform.Arrival) bool { return a.Whole })
 	b.is.Equal(len(try.Events), 5) // nine tokens, two an event
 	for place, event := range try.Events {
@@ -327,11 +327,11 @@
 	body, err := io.ReadAll(response.Body)
 	b.is.NoErr(err)
 	_ = response.Body.Close()
-	tree, err := platform.ParseTree(body)
+	tree, err := platform.ParseJSON(body)
 	b.is.NoErr(err)
 	b.is.Equal(tree.(map[string]any)["cache_total"], 1000.0)
 	b.clients.Close()
-	for _, breach := range b.ledger.Record().Check() {
+	for _, breach := range b.ledger.Snapshot().Check() {
 		b.is.Equal(breach.Rule, "ROUTE") // there is no configuration here
 	}
 }
@@ -350,11 +350,11 @@
 }
 
 func TestTroublesOfAModelWorker(t *testing.T) {
-	for _, fault := range []platform.Fault{platform.LostReset, platform.Cut, platform.Garbled} {
+	for _, fault := range []platform.Fault{platform.FaultLostReset, platform.FaultCut, platform.FaultGarbled} {
 		t.Run(string(fault), func(t *testing.T) {
-			b := newBench(t, modelShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return fault } })
+			b := newBench(t, modelShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return fault } })
 			try := b.try(platform.Streaming, "/x", turnHeader(10, 20)...)
-			b.is.True(!try.OK())
+			b.is.True(!try.Succeeded())
 			a := b.last(try, func(a *platform.Arrival) bool { return a.Broke })
 			b.is.True(a.Ran && !a.Whole)
 			b.is.True(len(try.Events) <= len(a.Events))
@@ -364,8 +364,8 @@
 
 func TestTheListIsServed(t *testing.T) {
 	is := is.New(t)
-	list := &platform.Instances{Clock: base.NewRealClock(), PerS: 1000}
-	list.Change("i-1", &platform.Instance{ID: "i-1", Service: "svc", Address: "127.0.0.1:1", Zone: "z", State: platform.StateReady, Capacity: 6, Model: "m"}, 0)
+	list := &platform.Instances{Clock: base.NewRealClock(), CallsPerSecond: 1000}
+	list.ScheduleChange("i-1", &platform.Instance{ID: "i-1", Service: "svc", Address: "127.0.0.1:1", Zone: "z", State: platform.StateReady, Capacity: 6, Model: "m"}, 0)
 	server, err := ListenInstances(list, "127.0.0.1:0")
 	is.NoErr(err)
 	defer server.Close()
@@ -374,7 +374,7 @@
 	body, err := io.ReadAll(response.Body)
 	is.NoErr(err)
 	_ = response.Body.Close()
-	tree, err := platform.ParseTree(body)
+	tree, err := platform.ParseJSON(body)
 	is.NoErr(err)
 	one := tree.(map[string]any)["instances"].([]any)[0].(map[string]any)
 	for name, value := range map[string]any{"id": "i-1", "backend": "svc", "address": "127.0.0.1:1", "zone": "z", "state": "ready", "capacity": 6.0, "phase": "both"} {
@@ -393,7 +393,7 @@
 }
 
 func newOperator(addresses []string) *platform.Operator {
-	return &platform.Operator{Call: CallControl, Name: "op", Clock: base.NewRealClock(), Ledger: platform.NewLedger(platform.DefaultBounds(), 2, 3),
+	return &platform.Operator{Call: CallControl, Name: "op", Clock: base.NewRealClock(), Recorder: platform.NewRecorder(platform.DefaultBounds(), 2, 3),
 		Control: func() []string { return addresses }, Rng: rand.New(rand.NewPCG(1, 1))}
 }
 
@@ -428,12 +428,12 @@
 	leader, hop = addresses[0], addresses[1]
 	o := newOperator(addresses[2:])
 	config := &platform.Config{Generation: 7}
-	order := o.Put(5, config, config.Encode(), "", 5*time.Second)
+	order := o.PutConfig(5, config, config.Encode(), "", 5*time.Second)
 	is.Equal(order.Status, 200)
 	is.True(!order.Unclear) // a 503 promises that it was not taken
 	is.Equal(calls["leader"], 2)
 	is.Equal(calls["hop"], 2)
-	is.Equal(len(o.Ledger.Record().Orders), 1)
+	is.Equal(len(o.Recorder.Snapshot().Orders), 1)
 }
 
 func TestAnOperatorNotesWhatIsUnclear(t *testing.T) {
@@ -450,12 +450,12 @@
 		w.WriteHeader(412)
 	})
 	config := &platform.Config{Generation: 7}
-	order := newOperator(addresses).Put(5, config, config.Encode(), "", 5*time.Second)
+	order := newOperator(addresses).PutConfig(5, config, config.Encode(), "", 5*time.Second)
 	is.Equal(order.Status, 412)
 	is.True(order.Unclear && !order.Refused())
-	order = newOperator(addresses).Put(5, config, config.Encode(), "", 5*time.Second)
+	order = newOperator(addresses).PutConfig(5, config, config.Encode(), "", 5*time.Second)
 	is.True(order.Refused())
-	order = newOperator([]string{"127.0.0.1:1"}).Put(5, config, config.Encode(), "", 300*time.Millisecond)
+	order = newOperator([]string{"127.0.0.1:1"}).PutConfig(5, config, config.Encode(), "", 300*time.Millisecond)
 	is.True(order.Unclear && order.Status == 0)
 }
 
@@ -489,7 +489,7 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	down := map[string]bool{}
-	node := func(name, zone string) *platform.EntryNode {
+	node := func(name, zone string) *platform.EdgeNode {
 		address := controlNodes(t, func(w http.ResponseWriter, _ *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -497,16 +497,16 @@
 				w.WriteHeader(503)
 			}
 		})[0]
-		return &platform.EntryNode{Name: name, Zone: zone, Front: name, Readiness: address}
+		return &platform.EdgeNode{Name: name, Zone: zone, Front: name, Readiness: address}
 	}
 	e := &VirtualEntry{}
-	e.Open([]*platform.EntryNode{node("a1", "a"), node("a2", "a"), node("a3", "a"), node("b1", "b")})
+	e.Open([]*platform.EdgeNode{node("a1", "a"), node("a2", "a"), node("a3", "a"), node("b1", "b")})
 	defer e.Close()
 	clock := base.NewRealClock()
 	until := func(ready int) {
-		for end := clock.Now() + 10*time.Second; e.Ready() != ready && clock.Now() < end; clock.Sleep(10 * time.Millisecond) {
+		for end := clock.Now() + 10*time.Second; e.CountReady() != ready && clock.Now() < end; clock.Sleep(10 * time.Millisecond) {
 		}
-		is.Equal(e.Ready(), ready)
+		is.Equal(e.CountReady(), ready)
 	}
 	set := func(is bool, names ...string) {
 		mu.Lock()
--- a/internal/standin/platform/sockets/worker.go
+++ b/internal/standin/platform/sockets/worker.go
@@ -75,7 +75,7 @@
 
 // Close ends the worker at once: a crash, or the end of its time.
 func (s *WorkerServer) Close() {
-	s.Worker.End()
+	s.Worker.Stop()
 	_ = s.listener.Close()
 	s.mu.Lock()
 	for conn := range s.conns {
@@ -93,9 +93,9 @@
 			return
 		}
 		s.mu.Lock()
-		most := s.Worker.Shape.MaxConns
-		if queued := s.Worker.Queued(); queued > s.Worker.Shape.Queue/2 {
-			most = max(s.Worker.Shape.Capacity, most/2)
+		most := s.Worker.Spec.MaxConns
+		if queued := s.Worker.Queued(); queued > s.Worker.Spec.QueueSize/2 {
+			most = max(s.Worker.Spec.Capacity, most/2)
 		}
 		if most > 0 && len(s.conns) >= most {
 			s.mu.Unlock()
@@ -148,8 +148,8 @@
 	reply := &connReply{conn: conn}
 	idleSince := time.Now()
 	for {
-		if s.Worker.KeepIdle > 0 {
-			_ = conn.SetReadDeadline(time.Now().Add(s.Worker.KeepIdle))
+		if s.Worker.KeepAlive > 0 {
+			_ = conn.SetReadDeadline(time.Now().Add(s.Worker.KeepAlive))
 		}
 		if _, err := a.reader.Peek(1); err != nil {
 			return
@@ -171,15 +171,15 @@
 		gone := s.Worker.Clock.NewSignal()
 		a.watch(gone)
 		reply.start(s.CloseNow != nil && s.CloseNow())
-		s.Worker.Serve(&platform.Asked{Method: request.Method, Target: request.RequestURI, Host: request.Host, Header: request.Header.Get, Body: body, Gone: gone}, reply)
+		s.Worker.Serve(&platform.Request{Method: request.Method, Target: request.RequestURI, Host: request.Host, Header: request.Header.Get, Body: body, ClientClosed: gone}, reply)
 		if reply.ended || request.Close || reply.closing {
 			_ = conn.Close()
 			<-a.done
 			return
 		}
 		idleSince = time.Now()
-		if s.Worker.KeepIdle > 0 {
-			_ = conn.SetReadDeadline(time.Now().Add(s.Worker.KeepIdle))
+		if s.Worker.KeepAlive > 0 {
+			_ = conn.SetReadDeadline(time.Now().Add(s.Worker.KeepAlive))
 		}
 		<-a.done
 		if a.err != nil {
@@ -208,7 +208,7 @@
 	return err
 }
 
-func (r *connReply) Head(status int, header [][2]string, length int) error {
+func (r *connReply) WriteHeader(status int, header [][2]string, length int) error {
 	var b strings.Builder
 	if len(r.later) > 0 {
 		b.Write(r.later)
@@ -243,7 +243,7 @@
 	return r.write(piece)
 }
 
-func (r *connReply) End() error {
+func (r *connReply) Finish() error {
 	r.answers++
 	if r.chunked {
 		return r.write([]byte("0\r\n\r\n"))
@@ -251,11 +251,11 @@
 	return nil
 }
 
-func (r *connReply) Raw(bytes []byte) { _ = r.write(bytes) }
+func (r *connReply) WriteRaw(bytes []byte) { _ = r.write(bytes) }
 
-func (r *connReply) Later(bytes []byte) { r.later = bytes }
+func (r *connReply) WriteRawBeforeNext(bytes []byte) { r.later = bytes }
 
-func (r *connReply) Break(hard bool) {
+func (r *connReply) Abort(hard bool) {
 	r.ended = true
 	if hard {
 		reset(r.conn)
--- a/internal/standin/platform/summary.go
+++ b/internal/standin/platform/summary.go
@@ -14,39 +14,39 @@
 	"fordseam/internal/base"
 )
 
-// Spread is a list of times as half and nearly all of them went.
-type Spread struct {
+// LatencySummary is a list of times as half and nearly all of them went.
+type LatencySummary struct {
 	Count    int
 	P50, P95 time.Duration
-	Most     time.Duration
+	Max      time.Duration
 }
 
-// SpreadOf sums up a list.
-func SpreadOf(list []time.Duration) Spread {
+// SummarizeLatencies sums up a list.
+func SummarizeLatencies(list []time.Duration) LatencySummary {
 	if len(list) == 0 {
-		return Spread{}
+		return LatencySummary{}
 	}
 	sorted := slices.Sorted(slices.Values(list))
 	at := func(share float64) time.Duration { return sorted[int(share*float64(len(sorted)-1))] }
-	return Spread{len(sorted), at(0.5), at(0.95), sorted[len(sorted)-1]}
+	return LatencySummary{len(sorted), at(0.5), at(0.95), sorted[len(sorted)-1]}
 }
 
-func (s Spread) String() string {
-	return fmt.Sprintf("p50 %.1f ms  p95 %.1f ms  most %.1f ms  (%d)", ms(s.P50), ms(s.P95), ms(s.Most), s.Count)
+func (s LatencySummary) String() string {
+	return fmt.Sprintf("p50 %.1f ms  p95 %.1f ms  most %.1f ms  (%d)", ms(s.P50), ms(s.P95), ms(s.Max), s.Count)
 }
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // ClassSummary is one kind of request's.
 type ClassSummary struct {
-	Programs map[Ending]int
-	Runaways int
-	Tries    int
-	Statuses map[string]int
-	First    Spread
-	Gaps     Spread
-	Whole    Spread
-	Passing  Spread // from a worker's event to the client's
+	ProgramsByEnding map[Ending]int
+	Runaways         int
+	Tries            int
+	TriesByStatus    map[string]int
+	FirstEvent       LatencySummary
+	EventGaps        LatencySummary
+	FullAnswer       LatencySummary
+	EventDelay       LatencySummary // from a worker's event to the client's
 }
 
 // Summarize counts a record by kind of request.
@@ -55,7 +55,7 @@
 	all, times := map[string]*ClassSummary{}, map[string]*lists{}
 	of := func(class string) (*ClassSummary, *lists) {
 		if all[class] == nil {
-			all[class], times[class] = &ClassSummary{Programs: map[Ending]int{}, Statuses: map[string]int{}}, &lists{}
+			all[class], times[class] = &ClassSummary{ProgramsByEnding: map[Ending]int{}, TriesByStatus: map[string]int{}}, &lists{}
 		}
 		return all[class], times[class]
 	}
@@ -65,7 +65,7 @@
 			s.Runaways++
 			continue
 		}
-		s.Programs[o.Ending]++
+		s.ProgramsByEnding[o.Ending]++
 	}
 	runs := map[string]*Arrival{}
 	for _, a := range r.Arrivals {
@@ -76,8 +76,8 @@
 	for _, t := range r.Tries {
 		s, l := of(t.Class)
 		s.Tries++
-		s.Statuses[t.Said()]++
-		if !t.OK() {
+		s.TriesByStatus[t.StatusText()]++
+		if !t.Succeeded() {
 			continue
 		}
 		l.whole = append(l.whole, t.Ended-t.Sent)
@@ -93,13 +93,13 @@
 	}
 	for class, s := range all {
 		l := times[class]
-		s.First, s.Gaps, s.Whole, s.Passing = SpreadOf(l.first), SpreadOf(l.gaps), SpreadOf(l.whole), SpreadOf(l.passing)
+		s.FirstEvent, s.EventGaps, s.FullAnswer, s.EventDelay = SummarizeLatencies(l.first), SummarizeLatencies(l.gaps), SummarizeLatencies(l.whole), SummarizeLatencies(l.passing)
 	}
 	return all
 }
 
-// Said is a try's end in a word.
-func (t *Try) Said() string {
+// StatusText is a try's end in a word.
+func (t *Try) StatusText() string {
 	word := fmt.Sprint(t.Status)
 	switch {
 	case t.Status == 0 && t.GaveUp:
@@ -111,7 +111,7 @@
 	case !t.Complete:
 		word += " cut"
 	}
-	if t.Own() {
+	if t.AnsweredBySystem() {
 		word += " own"
 	}
 	return word
@@ -119,14 +119,14 @@
 
 var tryNamed = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
 
-// Story tells what became of a try: what its client saw, and each worker that
+// DescribeTry tells what became of a try: what its client saw, and each worker that
 // it came to.
-func (r *Record) Story(id string) string {
+func (r *Record) DescribeTry(id string) string {
 	var told []string
 	for _, t := range r.Tries {
 		if t.ID == id {
 			told = append(told, fmt.Sprintf("%.3fs %s %s %s%s to %s, previous %q: %s, %d events, until %.3fs", t.Sent.Seconds(), t.Class, t.Method, t.Host, t.Target, t.Node,
-				t.Previous, t.Said(), len(t.Events), t.Ended.Seconds()))
+				t.Previous, t.StatusText(), len(t.Events), t.Ended.Seconds()))
 		}
 	}
 	for _, a := range r.Arrivals {
@@ -145,21 +145,21 @@
 	for _, name := range base.SortedKeys(classes) {
 		s := classes[name]
 		line("%s: %d tries", name, s.Tries)
-		for _, ending := range []Ending{InTime, Late, TooLate, Failed, Spent} {
-			if s.Programs[ending] > 0 {
-				line("  programs %-14s %d", ending, s.Programs[ending])
+		for _, ending := range []Ending{InTime, Late, TooLate, Failed, BudgetSpent} {
+			if s.ProgramsByEnding[ending] > 0 {
+				line("  programs %-14s %d", ending, s.ProgramsByEnding[ending])
 			}
 		}
 		if s.Runaways > 0 {
 			line("  programs that ran away  %d", s.Runaways)
 		}
-		for _, status := range base.SortedKeys(s.Statuses) {
-			line("  answered %-14s %d", status, s.Statuses[status])
+		for _, status := range base.SortedKeys(s.TriesByStatus) {
+			line("  answered %-14s %d", status, s.TriesByStatus[status])
 		}
 		for _, spread := range []struct {
 			what string
-			is   Spread
-		}{{"to the first event", s.First}, {"between events", s.Gaps}, {"a whole answer", s.Whole}, {"an event's passing", s.Passing}} {
+			is   LatencySummary
+		}{{"to the first event", s.FirstEvent}, {"between events", s.EventGaps}, {"a whole answer", s.FullAnswer}, {"an event's passing", s.EventDelay}} {
 			if spread.is.Count > 0 {
 				line("  %-20s %s", spread.what, spread.is)
 			}
@@ -184,9 +184,9 @@
 	told := map[string]bool{}
 	for _, b := range breaches {
 		line("BROKEN %s", b)
-		if id := tryNamed.FindString(b.Word); id != "" && !told[b.Rule] {
+		if id := tryNamed.FindString(b.Detail); id != "" && !told[b.Rule] {
 			told[b.Rule] = true
-			line("  %s", r.Story(id))
+			line("  %s", r.DescribeTry(id))
 		}
 	}
 	if len(breaches) == 0 {
--- a/internal/standin/platform/worker.go
+++ b/internal/standin/platform/worker.go
@@ -20,57 +20,57 @@
 type Fault string
 
 const (
-	Fine Fault = ""
-	// LostReset and LostSilent run the request and lose the answer.
-	LostReset  Fault = "lost, reset"
-	LostSilent Fault = "lost, silent"
-	// Garbled sends bytes that form no answer, Cut ends an answer early.
-	Garbled Fault = "garbled"
-	Cut     Fault = "cut"
-	// Extra sends one more answer after a whole one, LateExtra in the place of the next.
-	Extra     Fault = "extra"
-	LateExtra Fault = "late extra"
-	Slow      Fault = "slow"
-	Fail      Fault = "fail"
+	NoFault Fault = ""
+	// FaultLostReset and LostSilent run the request and lose the answer.
+	FaultLostReset  Fault = "lost, reset"
+	FaultLostSilent Fault = "lost, silent"
+	// FaultGarbled sends bytes that form no answer, Cut ends an answer early.
+	FaultGarbled Fault = "garbled"
+	FaultCut     Fault = "cut"
+	// FaultExtra sends one more answer after a whole one, LateExtra in the place of the next.
+	FaultExtra     Fault = "extra"
+	FaultLateExtra Fault = "late extra"
+	FaultSlow      Fault = "slow"
+	FaultError     Fault = "fail"
 )
 
-// Asked is a request as it came to a worker. Gone fires when the asker's
+// Request is a request as it came to a worker. Gone fires when the asker's
 // connection has closed.
-type Asked struct {
+type Request struct {
 	Method, Target, Host string
 	Header               func(name string) string
 	Body                 []byte
-	Gone                 base.Signal
+	ClientClosed         base.Signal
 }
 
-// Reply takes a worker's answer. A length below 0 is a body in chunks.
-type Reply interface {
-	Head(status int, header [][2]string, length int) error
+// ResponseWriter takes a worker's answer. A length below 0 is a body in chunks.
+type ResponseWriter interface {
+	WriteHeader(status int, header [][2]string, length int) error
 	Write(piece []byte) error
-	End() error
-	// Raw sends bytes as they are; Later does so before the next answer.
-	Raw(bytes []byte)
-	Later(bytes []byte)
-	// Break closes the connection, by a reset when hard.
-	Break(hard bool)
+	Finish() error
+	// WriteRaw sends bytes as they are; Later does so before the next answer.
+	WriteRaw(bytes []byte)
+	WriteRawBeforeNext(bytes []byte)
+	// Abort closes the connection, by a reset when hard.
+	Abort(hard bool)
 }
 
 // Worker is one life of a worker.
 type Worker struct {
-	ID       string
-	Service  string
-	Zone     string
-	Address  string
-	Clock    base.Clock
-	Ledger   *Ledger
-	Shape    ServiceShape
-	Speed    float64 // 1 is usual, more is slower
-	KeepIdle time.Duration
-	// Work gives a request's work; Bytes the length of its answer.
-	Work  func(target string) (time.Duration, int)
-	Draws *rand.Rand
-	// Next draws the trouble of one request.
-	Next func() Fault
+	ID        string
+	Service   string
+	Zone      string
+	Address   string
+	Clock     base.Clock
+	Recorder  *Recorder
+	Spec      ServiceSpec
+	Slowdown  float64 // 1 is usual, more is slower
+	KeepAlive time.Duration
+	// Workload gives a request's work; Bytes the length of its answer.
+	Workload func(target string) (time.Duration, int)
+	Rng      *rand.Rand
+	// NextFault draws the trouble of one request.
+	NextFault func() Fault
 	// LyingHealth says it is well whatever its troubles; Unwell says it is not.
 	LyingHealth bool
 
@@ -91,24 +91,24 @@
 
 // Start prepares a worker.
 func (w *Worker) Start() {
-	if w.Speed == 0 {
-		w.Speed = 1
+	if w.Slowdown == 0 {
+		w.Slowdown = 1
 	}
-	if w.Shape.Engine != nil {
-		w.engine = newEngine(w.Clock, w.Shape, w.Speed)
+	if w.Spec.Engine != nil {
+		w.engine = newEngine(w.Clock, w.Spec, w.Slowdown)
 	}
 }
 
-// Leave makes the worker say in its answers that it is going.
-func (w *Worker) Leave() {
+// Drain makes the worker say in its answers that it is going.
+func (w *Worker) Drain() {
 	w.mu.Lock()
 	w.leaving = true
 	w.mu.Unlock()
 }
 
-// End says that the worker's process has ended: what it has not answered, it
+// Stop says that the worker's process has ended: what it has not answered, it
 // broke off itself.
-func (w *Worker) End() {
+func (w *Worker) Stop() {
 	w.mu.Lock()
 	w.leaving, w.over = true, true
 	w.mu.Unlock()
@@ -120,15 +120,15 @@
 	return w.over
 }
 
-// SetWell changes what the worker thinks of itself.
-func (w *Worker) SetWell(well bool) {
+// SetHealthy changes what the worker thinks of itself.
+func (w *Worker) SetHealthy(well bool) {
 	w.mu.Lock()
 	w.unwell = !well
 	w.mu.Unlock()
 }
 
-// Leaving says that it is going.
-func (w *Worker) Leaving() bool {
+// Draining says that it is going.
+func (w *Worker) Draining() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.leaving
@@ -148,21 +148,21 @@
 func (w *Worker) load() string {
 	if w.engine != nil {
 		running, waiting := w.engine.load()
-		return fmt.Sprintf("%d,%d,%d", running, waiting, w.Shape.Capacity)
+		return fmt.Sprintf("%d,%d,%d", running, waiting, w.Spec.Capacity)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return fmt.Sprintf("%d,%d,%d", w.running, len(w.waiting), w.Shape.Capacity)
+	return fmt.Sprintf("%d,%d,%d", w.running, len(w.waiting), w.Spec.Capacity)
 }
 
 func (w *Worker) draw() (fault Fault, fraction float64, serial int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.Next != nil {
-		fault = w.Next()
+	if w.NextFault != nil {
+		fault = w.NextFault()
 	}
-	if w.Draws != nil {
-		fraction = w.Draws.Float64()
+	if w.Rng != nil {
+		fraction = w.Rng.Float64()
 	}
 	w.serial++
 	return fault, fraction, w.serial
@@ -172,12 +172,12 @@
 // the time or the asker has gone first.
 func (w *Worker) enter(until time.Duration, gone base.Signal) bool {
 	w.mu.Lock()
-	if w.running < w.Shape.Capacity {
+	if w.running < w.Spec.Capacity {
 		w.running++
 		w.mu.Unlock()
 		return true
 	}
-	if len(w.waiting) >= w.Shape.Queue {
+	if len(w.waiting) >= w.Spec.QueueSize {
 		w.mu.Unlock()
 		return false
 	}
@@ -224,22 +224,22 @@
 		header = append(header, [2]string{HeaderID, id})
 	}
 	header = append(header, [2]string{HeaderLoad, w.load()})
-	if w.Leaving() {
+	if w.Draining() {
 		header = append(header, [2]string{"Connection", "close"})
-	} else if w.KeepIdle > 0 {
-		header = append(header, [2]string{"Keep-Alive", fmt.Sprintf("timeout=%d", int(w.KeepIdle.Seconds()))})
+	} else if w.KeepAlive > 0 {
+		header = append(header, [2]string{"Keep-Alive", fmt.Sprintf("timeout=%d", int(w.KeepAlive.Seconds()))})
 	}
 	return header
 }
 
-func (w *Worker) plain(reply Reply, status int, header [][2]string, body string) {
-	if reply.Head(status, header, len(body)) == nil && reply.Write([]byte(body)) == nil {
-		_ = reply.End()
+func (w *Worker) plain(reply ResponseWriter, status int, header [][2]string, body string) {
+	if reply.WriteHeader(status, header, len(body)) == nil && reply.Write([]byte(body)) == nil {
+		_ = reply.Finish()
 	}
 }
 
 // Serve answers one request.
-func (w *Worker) Serve(asked *Asked, reply Reply) {
+func (w *Worker) Serve(asked *Request, reply ResponseWriter) {
 	path, _, _ := strings.Cut(asked.Target, "?")
 	switch {
 	case asked.Method == "GET" && path == PathHealth:
@@ -252,8 +252,8 @@
 	arrival := &Arrival{Worker: w.ID, Service: w.Service, ID: asked.Header(HeaderID), Host: asked.Host, Method: asked.Method, Target: asked.Target,
 		Body: base.Digest(asked.Body), At: w.Clock.Now()}
 	arrival.After, _ = strconv.ParseInt(asked.Header(HeaderLastEvent), 10, 64)
-	w.Ledger.Note(func(r *Record) { r.Arrivals = append(r.Arrivals, arrival) })
-	note := func(change func(a *Arrival)) { w.Ledger.Note(func(*Record) { change(arrival) }) }
+	w.Recorder.Update(func(r *Record) { r.Arrivals = append(r.Arrivals, arrival) })
+	note := func(change func(a *Arrival)) { w.Recorder.Update(func(*Record) { change(arrival) }) }
 	refuse := func(status int, more ...[2]string) {
 		note(func(a *Arrival) { a.Status, a.Ended = status, w.Clock.Now() })
 		w.plain(reply, status, append(w.header(arrival.ID), more...), "")
@@ -274,7 +274,7 @@
 		w.stream(asked, reply, arrival, until, note, refuse)
 		return
 	}
-	if !w.enter(until, asked.Gone) {
+	if !w.enter(until, asked.ClientClosed) {
 		refuse(503, [2]string{HeaderNotRun, "1"})
 		return
 	}
@@ -282,7 +282,7 @@
 	w.work(asked, reply, arrival, until, note)
 }
 
-func (w *Worker) health(asked *Asked, reply Reply) {
+func (w *Worker) health(asked *Request, reply ResponseWriter) {
 	status := 200
 	w.mu.Lock()
 	if w.leaving || w.unwell && !w.LyingHealth {
@@ -290,7 +290,7 @@
 	}
 	w.mu.Unlock()
 	if w.engine == nil {
-		if !w.enter(w.Clock.Now()+time.Second, asked.Gone) {
+		if !w.enter(w.Clock.Now()+time.Second, asked.ClientClosed) {
 			w.plain(reply, 503, append(w.header(""), [2]string{HeaderNotRun, "1"}), "")
 			return
 		}
@@ -305,19 +305,19 @@
 }
 
 // work runs a plain request.
-func (w *Worker) work(asked *Asked, reply Reply, arrival *Arrival, until time.Duration, note func(func(*Arrival))) {
+func (w *Worker) work(asked *Request, reply ResponseWriter, arrival *Arrival, until time.Duration, note func(func(*Arrival))) {
 	fault, fraction, serial := w.draw()
 	seal := w.seal(serial, arrival.ID)
 	span, bytes := 50*time.Millisecond, 800
-	if w.Work != nil {
-		span, bytes = w.Work(asked.Target)
+	if w.Workload != nil {
+		span, bytes = w.Workload(asked.Target)
 	}
-	span = time.Duration(float64(span) * w.Speed)
-	if fault == Slow {
+	span = time.Duration(float64(span) * w.Slowdown)
+	if fault == FaultSlow {
 		span *= 5
 	}
 	status := 200
-	if fault == Fail || fraction < w.errors(asked.Target) {
+	if fault == FaultError || fraction < w.errors(asked.Target) {
 		status = 500
 	}
 	begun := w.Clock.Now()
@@ -328,7 +328,7 @@
 	note(func(a *Arrival) {
 		a.Ran, a.Began, a.Status, a.Seal, a.Answer = true, begun, status, seal, base.Digest(body)
 	})
-	left := asked.Gone.Wait(span)
+	left := asked.ClientClosed.Wait(span)
 	over := w.ended()
 	note(func(a *Arrival) { a.Ended, a.Left, a.Broke = w.Clock.Now(), left && !over, over })
 	if left || over {
@@ -337,35 +337,35 @@
 	broke := func() { note(func(a *Arrival) { a.Broke = true }) }
 	header := append(w.header(arrival.ID), [2]string{HeaderSeal, seal}, [2]string{"Content-Type", "application/octet-stream"})
 	switch fault {
-	case LostReset:
+	case FaultLostReset:
 		broke()
-		reply.Break(true)
+		reply.Abort(true)
 		return
-	case LostSilent:
+	case FaultLostSilent:
 		broke()
-		asked.Gone.Wait(time.Minute)
-		reply.Break(false)
+		asked.ClientClosed.Wait(time.Minute)
+		reply.Abort(false)
 		return
-	case Garbled:
+	case FaultGarbled:
 		broke()
-		reply.Raw([]byte("\x00\x17garbled " + seal + "\r\n\r\n"))
-		reply.Break(false)
+		reply.WriteRaw([]byte("\x00\x17garbled " + seal + "\r\n\r\n"))
+		reply.Abort(false)
 		return
-	case Cut:
+	case FaultCut:
 		broke()
-		_ = reply.Head(status, header, len(body))
+		_ = reply.WriteHeader(status, header, len(body))
 		_ = reply.Write(body[:len(body)/2])
-		reply.Break(false)
+		reply.Abort(false)
 		return
 	}
-	if reply.Head(status, header, len(body)) != nil || reply.Write(body) != nil {
+	if reply.WriteHeader(status, header, len(body)) != nil || reply.Write(body) != nil {
 		if w.ended() {
 			broke()
 		}
 		return
 	}
 	note(func(a *Arrival) { a.Whole = true })
-	if reply.End() != nil {
+	if reply.Finish() != nil {
 		return
 	}
 	w.surplus(reply, fault, arrival.ID)
--- a/internal/standin/platform/worker_stream.go
+++ b/internal/standin/platform/worker_stream.go
@@ -10,22 +10,22 @@
 
 // surplus sends one more answer to a request, after its whole answer or in
 // the place of the next one's.
-func (w *Worker) surplus(reply Reply, fault Fault, id string) {
+func (w *Worker) surplus(reply ResponseWriter, fault Fault, id string) {
 	bytes := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s.again\r\nContent-Length: 5\r\n\r\nagain", HeaderID, id, HeaderSeal, w.ID))
 	switch fault {
-	case Extra:
-		reply.Raw(bytes)
-	case LateExtra:
-		reply.Later(bytes)
+	case FaultExtra:
+		reply.WriteRaw(bytes)
+	case FaultLateExtra:
+		reply.WriteRawBeforeNext(bytes)
 	}
 }
 
 // stream runs a turn on the engine.
-func (w *Worker) stream(asked *Asked, reply Reply, arrival *Arrival, until time.Duration, note func(func(*Arrival)), refuse func(int, ...[2]string)) {
+func (w *Worker) stream(asked *Request, reply ResponseWriter, arrival *Arrival, until time.Duration, note func(func(*Arrival)), refuse func(int, ...[2]string)) {
 	job := jobOf(asked, until)
 	after := int(arrival.After)
-	job.want = max(0, job.want-after*w.Shape.Engine.Stride)
-	if !w.engine.submit(job, w.Shape.Queue) {
+	job.want = max(0, job.want-after*w.Spec.Engine.TokensPerEvent)
+	if !w.engine.submit(job, w.Spec.QueueSize) {
 		refuse(503, [2]string{HeaderNotRun, "1"})
 		return
 	}
@@ -33,8 +33,8 @@
 	seal := w.seal(serial, arrival.ID)
 	header := append(w.header(arrival.ID), [2]string{HeaderSeal, seal}, [2]string{"Content-Type", "text/event-stream"}, [2]string{HeaderWeights, "1"})
 	breakAt := -1
-	if fault == LostReset || fault == LostSilent || fault == Cut || fault == Garbled {
-		breakAt = int(fraction * float64(job.want/w.Shape.Engine.Stride))
+	if fault == FaultLostReset || fault == FaultLostSilent || fault == FaultCut || fault == FaultGarbled {
+		breakAt = int(fraction * float64(job.want/w.Spec.Engine.TokensPerEvent))
 	}
 	sent, begun := 0, false
 	for {
@@ -48,18 +48,18 @@
 			begun = true
 			note(func(a *Arrival) { a.Ran, a.Began, a.Status, a.Seal = true, w.Clock.Now(), 200, seal })
 		}
-		for events := eventsOf(out, job.want, w.Shape.Engine.Stride); sent < events; sent++ {
+		for events := eventsOf(out, job.want, w.Spec.Engine.TokensPerEvent); sent < events; sent++ {
 			if sent == breakAt {
 				w.engine.remove(job)
 				note(func(a *Arrival) { a.Broke, a.Ended = true, w.Clock.Now() })
 				w.lose(asked, reply, fault, sent > 0)
 				return
 			}
-			if sent == 0 && reply.Head(200, header, -1) != nil {
+			if sent == 0 && reply.WriteHeader(200, header, -1) != nil {
 				w.left(job, note)
 				return
 			}
-			data := eventData(seal, after+sent+1, w.Shape.Engine.EventBytes)
+			data := eventData(seal, after+sent+1, w.Spec.Engine.EventBytes)
 			note(func(a *Arrival) { a.Events = append(a.Events, Event{int64(after + sent + 1), data, w.Clock.Now()}) })
 			if reply.Write([]byte(fmt.Sprintf("id: %d\ndata: %s\n\n", after+sent+1, data))) != nil {
 				w.left(job, note)
@@ -68,12 +68,12 @@
 		}
 		switch ended {
 		case jobWhole:
-			if sent == 0 && reply.Head(200, header, -1) != nil {
+			if sent == 0 && reply.WriteHeader(200, header, -1) != nil {
 				w.left(job, note)
 				return
 			}
 			note(func(a *Arrival) { a.Whole, a.Ended = true, w.Clock.Now() })
-			if reply.End() == nil {
+			if reply.Finish() == nil {
 				w.surplus(reply, fault, arrival.ID)
 			}
 			return
@@ -82,7 +82,7 @@
 			return
 		case jobExpired:
 			note(func(a *Arrival) { a.Broke, a.Ended = true, w.Clock.Now() })
-			reply.Break(false)
+			reply.Abort(false)
 			return
 		}
 		news.Wait(-1)
@@ -95,14 +95,14 @@
 	note(func(a *Arrival) { a.Left, a.Broke, a.Ended = !over, over, w.Clock.Now() })
 }
 
-func (w *Worker) lose(asked *Asked, reply Reply, fault Fault, begun bool) {
+func (w *Worker) lose(asked *Request, reply ResponseWriter, fault Fault, begun bool) {
 	switch fault {
-	case LostSilent:
-		asked.Gone.Wait(time.Minute)
-	case Garbled:
-		reply.Raw([]byte("\x00zz garbled\r\n"))
+	case FaultLostSilent:
+		asked.ClientClosed.Wait(time.Minute)
+	case FaultGarbled:
+		reply.WriteRaw([]byte("\x00zz garbled\r\n"))
 	}
-	reply.Break(fault == LostReset || !begun)
+	reply.Abort(fault == FaultLostReset || !begun)
 }
 
 // eventsOf is how many events the tokens so far fill.
