--- a/internal/standin/platform/change.go
+++ b/internal/standin/platform/change.go
@@ -30,22 +30,22 @@
 	Deployment *Deployment
 	Names      *Names
 	Rng        *rand.Rand
-	extra      int
+	idleRoutes int
 }
 
 // Initial is the configuration sent before traffic starts.
 func (d *ConfigGenerator) Initial() *Config {
 	c := &Config{Generation: 1 + uint64(d.Rng.IntN(5)), Limits: Limits{16384, 4194304, 3000, 15000}}
-	for _, shape := range d.Deployment.Services {
-		service := Service{Name: d.Names.Services[shape.Name], HealthPath: PathHealth, MaxConns: shape.MaxConns}
-		if shape.Engine != nil {
-			service.Engine = &Engine{Capacity: shape.Capacity, CacheTokens: shape.Engine.CacheTokens, Stride: shape.Engine.TokensPerEvent, Models: []string{d.Names.Model}}
+	for _, spec := range d.Deployment.Services {
+		service := Service{Name: d.Names.Services[spec.Name], HealthPath: PathHealth, MaxConns: spec.MaxConns}
+		if spec.Engine != nil {
+			service.Engine = &Engine{Capacity: spec.Capacity, CacheTokens: spec.Engine.CacheTokens, Stride: spec.Engine.TokensPerEvent, Models: []string{d.Names.Model}}
 		}
 		c.Services = append(c.Services, service)
 	}
-	for place := range d.Deployment.Classes {
-		class := &d.Deployment.Classes[place]
-		c.Routes = append(c.Routes, d.route(class, d.Names.Hosts[class.Name], d.Names.Prefixes[class.Name]))
+	for index := range d.Deployment.Classes {
+		class := &d.Deployment.Classes[index]
+		c.Routes = append(c.Routes, d.newRoute(class, d.Names.Hosts[class.Name], d.Names.Prefixes[class.Name]))
 	}
 	for range 4 {
 		d.AddIdleRoute(c)
@@ -53,8 +53,8 @@
 	return c
 }
 
-func (d *ConfigGenerator) route(class *RequestClass, host, prefix string) Route {
-	r := Route{Name: "r-" + drawWord(d.Rng), Host: host, Prefix: prefix, Kind: class.Kind, DeadlineMs: float64(class.Deadline.Milliseconds()),
+func (d *ConfigGenerator) newRoute(class *RequestClass, host, prefix string) Route {
+	r := Route{Name: "r-" + randomName(d.Rng), Host: host, Prefix: prefix, Kind: class.Kind, DeadlineMs: float64(class.Deadline.Milliseconds()),
 		TargetMs: float64(class.TargetLatency.Milliseconds()), Urgency: class.Urgency, Service: d.Names.Services[class.Service], MaxTries: class.MaxTries}
 	if class.Kind == Streaming {
 		r.Retained, r.RetainS = class.Retain > 0, max(class.Retain, class.SpendRetention).Seconds()
@@ -65,28 +65,28 @@
 
 // AddIdleRoute puts an idle route of a plain repeatable kind into a configuration.
 func (d *ConfigGenerator) AddIdleRoute(c *Config) {
-	d.extra++
-	plain := d.Deployment.Classes[0]
+	d.idleRoutes++
+	idempotent := d.Deployment.Classes[0]
 	for _, class := range d.Deployment.Classes {
 		if class.Kind == Idempotent {
-			plain = class
+			idempotent = class
 		}
 	}
-	c.Routes = append(c.Routes, d.route(&plain, fmt.Sprintf("idle%d.example", d.Rng.IntN(3)), fmt.Sprintf("/%s-%d/", drawWord(d.Rng), d.extra)))
+	c.Routes = append(c.Routes, d.newRoute(&idempotent, fmt.Sprintf("idle%d.example", d.Rng.IntN(3)), fmt.Sprintf("/%s-%d/", randomName(d.Rng), d.idleRoutes)))
 }
 
 // idle lists the places of routes that carry no class's requests.
-func (d *ConfigGenerator) idle(c *Config) (places []int) {
-	for place, r := range c.Routes {
+func (d *ConfigGenerator) idleRouteIndexes(c *Config) (indexes []int) {
+	for index, r := range c.Routes {
 		used := false
 		for _, class := range d.Deployment.Classes {
 			used = used || r.Host == d.Names.Hosts[class.Name] && r.Prefix == d.Names.Prefixes[class.Name]
 		}
 		if !used {
-			places = append(places, place)
+			indexes = append(indexes, index)
 		}
 	}
-	return places
+	return indexes
 }
 
 // NextValid is a valid change on top of a configuration: its generation climbs in
@@ -94,12 +94,12 @@
 func (d *ConfigGenerator) NextValid(base *Config) *Config {
 	c := base.Clone()
 	c.Generation += 1 + uint64(d.Rng.IntN(4))
-	idle := d.idle(c)
-	switch what := d.Rng.IntN(4); {
-	case what == 0 && len(idle) > 2:
-		place := idle[d.Rng.IntN(len(idle))]
-		c.Routes = append(c.Routes[:place], c.Routes[place+1:]...)
-	case what == 1 && len(idle) > 0:
+	idle := d.idleRouteIndexes(c)
+	switch choice := d.Rng.IntN(4); {
+	case choice == 0 && len(idle) > 2:
+		index := idle[d.Rng.IntN(len(idle))]
+		c.Routes = append(c.Routes[:index], c.Routes[index+1:]...)
+	case choice == 1 && len(idle) > 0:
 		r := &c.Routes[idle[d.Rng.IntN(len(idle))]]
 		r.Shares = []Share{{r.Service, 90}, {c.Services[d.Rng.IntN(len(c.Services))].Name, 10}}
 		if r.Shares[0].Service == "" || r.Shares[0].Service == r.Shares[1].Service {
@@ -110,7 +110,7 @@
 		if r.Shares == nil && r.Service == "" {
 			r.Service = d.Names.Services["app"]
 		}
-	case what == 2:
+	case choice == 2:
 		r := &c.Routes[d.Rng.IntN(len(c.Routes))]
 		r.DeadlineMs += 100
 	}
@@ -132,11 +132,11 @@
 		raw = bytes.Replace(c.Encode(), []byte(`"route_table":[`), []byte(`"route_table":7,"was":[`), 1)
 		return nil, raw, kind
 	case UnknownService:
-		last.Service = "nobody" + drawWord(d.Rng)
+		last.Service = "nobody" + randomName(d.Rng)
 	case DuplicateRoute:
-		again := *last
-		again.Name += "-again"
-		c.Routes = append(c.Routes, again)
+		duplicate := *last
+		duplicate.Name += "-again"
+		c.Routes = append(c.Routes, duplicate)
 	case ZeroWeights:
 		last.Shares, last.Service = []Share{{last.Service, 0}}, ""
 	case ZeroDeadline:
--- a/internal/standin/platform/check.go
+++ b/internal/standin/platform/check.go
@@ -1,7 +1,3 @@
-// The checker: which rules were broken, by name, going only by what clients,
-// workers, operators and the platform's list saw on their side. Each rule is a
-// function of the whole record.
-
 package platform
 
 import (
@@ -13,7 +9,7 @@
 	"fordseam/internal/base"
 )
 
-// Breach is a broken rule and what shows it.
+// Breach is one violation of a rule, with the evidence for it.
 type Breach struct {
 	Rule   string
 	Detail string
@@ -21,132 +17,145 @@
 
 func (b Breach) String() string { return b.Rule + ": " + b.Detail }
 
-// shownOfRule is how many breaches of one rule are listed.
-const shownOfRule = 10
+// maxBreachesPerRule limits how many breaches of one rule are listed; the rest are counted.
+const maxBreachesPerRule = 10
 
-type view struct {
+// checker evaluates the rules over a record, which it indexes for fast lookup.
+type checker struct {
 	*Record
-	byID     map[string]*Try
-	arrivals map[string][]*Arrival
-	turns    map[string]*Try
-	// newest first
-	orders   []*Order
-	breaches []Breach
-	counts   map[string]int
+	triesByID    map[string]*Try
+	arrivalsByID map[string][]*Arrival
+	// completedTurns holds the retained turns whose answer arrived whole, by id.
+	completedTurns map[string]*Try
+	// ordersNewestFirst is sorted by generation, highest first.
+	ordersNewestFirst []*Order
+	breaches          []Breach
+	breachCounts      map[string]int
 }
 
-func (v *view) breach(rule, format string, args ...any) {
-	one := Breach{rule, fmt.Sprintf(format, args...)}
-	if slices.Contains(v.breaches, one) {
+// report adds a breach unless the same one is already listed.
+func (c *checker) report(rule, format string, args ...any) {
+	breach := Breach{rule, fmt.Sprintf(format, args...)}
+	if slices.Contains(c.breaches, breach) {
 		return
 	}
-	if v.counts[rule]++; v.counts[rule] <= shownOfRule {
-		v.breaches = append(v.breaches, one)
+	if c.breachCounts[rule]++; c.breachCounts[rule] <= maxBreachesPerRule {
+		c.breaches = append(c.breaches, breach)
 	}
 }
 
-// Check lists the breaches that a record shows.
+// Check applies all rules to the record and returns the breaches. The rules use only
+// what clients, workers, operators and the instance list observed, never the internal
+// state of the system under test. Each rule is a function of the whole record.
 func (r *Record) Check() []Breach {
-	v := r.view()
-	for _, rule := range []func(){v.mixed, v.order, v.unasked, v.twice, v.refused, v.denied, v.route, v.drain, v.lostRequests, v.lostTurns,
-		v.configOrders, v.configInForce, v.configBack, v.configNewRoutes, v.configRead, v.budget, v.manyTries, v.recover, v.acks} {
+	c := r.newChecker()
+	for _, rule := range []func(){c.checkMixed, c.checkOrder, c.checkUnasked, c.checkTwice, c.checkRefused, c.checkDenied, c.checkRoute, c.checkDrain, c.checkLostRequests, c.checkLostTurns,
+		c.checkAcknowledgements, c.checkServedConfig, c.checkConfigRollback, c.checkNewRoutes, c.checkConfigReadBack, c.checkBudget, c.checkMaxTries, c.checkRecovery, c.checkAckTime} {
 		rule()
 	}
-	for _, rule := range base.SortedKeys(v.counts) {
-		if more := v.counts[rule] - shownOfRule; more > 0 {
-			v.breaches = append(v.breaches, Breach{rule, fmt.Sprintf("%d more times", more)})
+	for _, rule := range base.SortedKeys(c.breachCounts) {
+		if more := c.breachCounts[rule] - maxBreachesPerRule; more > 0 {
+			c.breaches = append(c.breaches, Breach{rule, fmt.Sprintf("%d more breaches", more)})
 		}
 	}
-	return v.breaches
+	return c.breaches
 }
 
-func (r *Record) view() *view {
-	v := &view{Record: r, byID: map[string]*Try{}, arrivals: map[string][]*Arrival{}, turns: map[string]*Try{}, counts: map[string]int{}}
-	v.Tries = slices.Clone(r.Tries)
-	slices.SortStableFunc(v.Tries, func(a, b *Try) int { return cmp.Compare(a.Sent, b.Sent) })
-	for _, t := range v.Tries {
-		v.byID[t.ID] = t
+// newChecker indexes the record; the record itself isn't changed.
+func (r *Record) newChecker() *checker {
+	c := &checker{Record: r, triesByID: map[string]*Try{}, arrivalsByID: map[string][]*Arrival{}, completedTurns: map[string]*Try{}, breachCounts: map[string]int{}}
+	c.Tries = slices.Clone(r.Tries)
+	slices.SortStableFunc(c.Tries, func(a, b *Try) int { return cmp.Compare(a.Sent, b.Sent) })
+	for _, t := range c.Tries {
+		c.triesByID[t.ID] = t
 		if t.Retain > 0 && t.Succeeded() {
-			v.turns[t.ID] = t
+			c.completedTurns[t.ID] = t
 		}
 	}
 	for _, a := range r.Arrivals {
-		v.arrivals[a.ID] = append(v.arrivals[a.ID], a)
+		c.arrivalsByID[a.ID] = append(c.arrivalsByID[a.ID], a)
 	}
-	v.orders = slices.Clone(r.Orders)
-	slices.SortStableFunc(v.orders, func(a, b *Order) int { return cmp.Compare(b.Generation(), a.Generation()) })
-	return v
+	c.ordersNewestFirst = slices.Clone(r.Orders)
+	slices.SortStableFunc(c.ordersNewestFirst, func(a, b *Order) int { return cmp.Compare(b.Generation(), a.Generation()) })
+	return c
 }
 
-func (v *view) runs(id string) []*Arrival {
-	return base.Filter(v.arrivals[id], func(a *Arrival) bool { return a.Ran })
+// executions returns the arrivals of a try on which a worker began to work.
+func (c *checker) executions(id string) []*Arrival {
+	return base.Filter(c.arrivalsByID[id], func(a *Arrival) bool { return a.Ran })
 }
 
-// calm says that a machine had no trouble at all in a span; planned troubles
-// count unless they are to be borne.
-func (v *view) calm(machine string, from, to time.Duration, bearPlanned bool) bool {
-	for _, t := range v.Troubles {
-		if t.Machine == machine && t.From <= to && t.To >= from && !(bearPlanned && t.Planned()) {
+// undisturbed reports whether a machine had no trouble between from and to. Planned
+// troubles count too, unless ignorePlanned is set.
+func (c *checker) undisturbed(machine string, from, to time.Duration, ignorePlanned bool) bool {
+	for _, trouble := range c.Troubles {
+		if trouble.Machine == machine && trouble.From <= to && trouble.To >= from && !(ignorePlanned && trouble.Planned()) {
 			return false
 		}
 	}
 	return true
 }
 
-// settled says that neither core nor stores had trouble in the last contact span.
-func (v *view) settled(from, to time.Duration) bool {
-	for _, t := range v.Troubles {
-		if (t.Class == ClassCore || t.Class == ClassStorage) && !t.Hup && t.From <= to && t.To >= from-v.Bounds.Contact {
+// coreAndStorageStable reports whether no core or storage machine had trouble or started
+// between from, less the contact bound, and to, and whether the closing fault is at least
+// two contact bounds past. Reloads of settings (Hup) don't count.
+func (c *checker) coreAndStorageStable(from, to time.Duration) bool {
+	for _, trouble := range c.Troubles {
+		if (trouble.Class == ClassCore || trouble.Class == ClassStorage) && !trouble.Hup && trouble.From <= to && trouble.To >= from-c.Bounds.Contact {
 			return false
 		}
 	}
-	for _, s := range v.Starts {
-		if (s.Class == ClassCore || s.Class == ClassStorage) && s.At <= to && s.At >= from-v.Bounds.Contact {
+	for _, start := range c.Starts {
+		if (start.Class == ClassCore || start.Class == ClassStorage) && start.At <= to && start.At >= from-c.Bounds.Contact {
 			return false
 		}
 	}
-	if c := v.Closing; c != nil && c.From <= to && c.Back+2*v.Bounds.Contact >= from {
+	if closing := c.Closing; closing != nil && closing.From <= to && closing.Back+2*c.Bounds.Contact >= from {
 		return false
 	}
 	return true
 }
 
-// majority says that more than half of the core had no trouble in a span.
-func (v *view) majority(from, to time.Duration) bool {
-	bad := map[string]bool{}
-	for _, t := range v.Troubles {
-		if t.Class == ClassCore && t.From <= to && t.To >= from {
-			bad[t.Machine] = true
+// coreMajorityUndisturbed reports whether more than half of the core machines had no
+// trouble between from and to.
+func (c *checker) coreMajorityUndisturbed(from, to time.Duration) bool {
+	disturbed := map[string]bool{}
+	for _, trouble := range c.Troubles {
+		if trouble.Class == ClassCore && trouble.From <= to && trouble.To >= from {
+			disturbed[trouble.Machine] = true
 		}
 	}
-	if c := v.Closing; c != nil && c.From <= to && c.Back+v.Bounds.Contact >= from {
+	if closing := c.Closing; closing != nil && closing.From <= to && closing.Back+c.Bounds.Contact >= from {
 		return false
 	}
-	return 2*len(bad) < v.Core
+	return 2*len(disturbed) < c.Core
 }
 
-func (v *view) alone(node string, at time.Duration) bool {
+// nodeStable reports whether a node has been up and undisturbed for at least the contact
+// bound at the given time.
+func (c *checker) nodeStable(node string, at time.Duration) bool {
 	started := at
-	for _, s := range v.Starts {
-		if s.Machine == node && s.At <= at {
-			started = s.At
+	for _, start := range c.Starts {
+		if start.Machine == node && start.At <= at {
+			started = start.At
 		}
 	}
-	return node != "" && at-started >= v.Bounds.Contact && v.calm(node, at-v.Bounds.Contact, at, false)
+	return node != "" && at-started >= c.Bounds.Contact && c.undisturbed(node, at-c.Bounds.Contact, at, false)
 }
 
-// inTouch says that rules with a time bound hold for a machine at a moment.
-func (v *view) inTouch(node string, at time.Duration) bool {
-	return v.alone(node, at) && v.settled(at, at)
+// timeBoundsApply reports whether a node must keep the rules with a time bound at the
+// given time: it, the core and the storage machines have all been stable.
+func (c *checker) timeBoundsApply(node string, at time.Duration) bool {
+	return c.nodeStable(node, at) && c.coreAndStorageStable(at, at)
 }
 
-// life numbers the lives of a machine's process.
-func (v *view) life(machine string, at time.Duration) int {
-	life := 0
-	for _, s := range v.Starts {
-		if s.Machine == machine && s.At <= at {
-			life++
+// incarnation counts how often a machine's process was started up to the given time.
+func (c *checker) incarnation(machine string, at time.Duration) int {
+	count := 0
+	for _, start := range c.Starts {
+		if start.Machine == machine && start.At <= at {
+			count++
 		}
 	}
-	return life
+	return count
 }
--- a/internal/standin/platform/check_lost.go
+++ b/internal/standin/platform/check_lost.go
@@ -1,6 +1,3 @@
-// Rules about what must not be lost: requests around planned work, turns that go
-// on from answers given whole, and service after a recovery.
-
 package platform
 
 import (
@@ -10,146 +7,157 @@
 	"fordseam/internal/base"
 )
 
-// ended tells whether a try's node ended it without a complete answer though
-// it had read it whole.
-func (v *view) ended(t *Try) bool {
+// droppedByNode reports whether the try's node had read it whole but closed it without a
+// complete answer, and neither the client, a worker nor the deadline ended it.
+func (c *checker) droppedByNode(t *Try) bool {
 	if t.Complete || t.GaveUp || t.Written == 0 || t.Unread || t.Node == "" || t.Ended-t.Sent >= t.Deadline {
 		return false
 	}
-	if slices.ContainsFunc(v.arrivals[t.ID], func(a *Arrival) bool { return a.Broke }) {
+	if slices.ContainsFunc(c.arrivalsByID[t.ID], func(a *Arrival) bool { return a.Broke }) {
 		return false
 	}
-	return len(v.arrivals[t.ID]) > 0 || t.Ended-t.Written > v.Bounds.LossSlack
+	return len(c.arrivalsByID[t.ID]) > 0 || t.Ended-t.Written > c.Bounds.LossSlack
 }
 
-// quiet says that nothing unplanned went on round a try.
-func (v *view) quiet(t *Try) bool {
-	from := t.Sent - v.Bounds.Contact
-	for _, x := range v.Troubles {
-		if x.Class != "worker" && x.Class != "list" && !x.Planned() && x.From <= t.Ended && x.To >= from {
+// noUnplannedTrouble reports whether only planned troubles, and those of workers and of the
+// instance list, went on during a try and the contact bound before it.
+func (c *checker) noUnplannedTrouble(t *Try) bool {
+	from := t.Sent - c.Bounds.Contact
+	for _, trouble := range c.Troubles {
+		if trouble.Class != "worker" && trouble.Class != "list" && !trouble.Planned() && trouble.From <= t.Ended && trouble.To >= from {
 			return false
 		}
 	}
-	return v.Closing == nil || v.Closing.From > t.Ended || v.Closing.Back+v.Bounds.Contact < from
+	return c.Closing == nil || c.Closing.From > t.Ended || c.Closing.Back+c.Bounds.Contact < from
 }
 
-func (v *view) lostRequests() {
-	b := v.Bounds
-	lost := map[string][2]int{} // by node: within and outside the spans of changes
+// checkLostRequests (LOST) finds requests that a node dropped at a planned stop or at a
+// reload of its settings. It also compares, for each node, the share of requests dropped
+// while the configuration changed with the share at other times, which it may exceed three
+// times; requests that ran for at least 7/10 of their deadline don't count here.
+func (c *checker) checkLostRequests() {
+	bounds := c.Bounds
+	dropped := map[string][2]int{} // by node: during configuration changes, and at other times
 	asked := map[string][2]int{}
-	for _, t := range v.Tries {
-		changing := slices.ContainsFunc(v.orders, func(o *Order) bool {
-			return o.Config != nil && o.Fault == "" && !o.Refused() && o.Sent <= t.Ended && t.Sent <= o.Ended+b.Apply+time.Second
+	for _, t := range c.Tries {
+		changing := slices.ContainsFunc(c.ordersNewestFirst, func(o *Order) bool {
+			return o.Config != nil && o.Fault == "" && !o.Refused() && o.Sent <= t.Ended && t.Sent <= o.Ended+bounds.Apply+time.Second
 		})
-		place := 1
+		period := 1
 		if changing {
-			place = 0
+			period = 0
 		}
 		counts := asked[t.Node]
-		counts[place]++
+		counts[period]++
 		asked[t.Node] = counts
-		if !v.ended(t) || !v.quiet(t) {
+		if !c.droppedByNode(t) || !c.noUnplannedTrouble(t) {
 			continue
 		}
 		planned := false
-		for _, x := range v.Troubles {
-			if x.Machine != t.Node {
+		for _, trouble := range c.Troubles {
+			if trouble.Machine != t.Node {
 				continue
 			}
-			if x.Term && t.Ended >= x.From && t.Sent <= x.From+b.Grace+time.Second {
-				late := slices.ContainsFunc(v.arrivals[t.ID], func(a *Arrival) bool { return a.Ended == 0 || a.Ended > x.From+b.Grace/2 })
-				planned = planned || !late || t.Ended < x.From+b.Grace/2
+			if trouble.Term && t.Ended >= trouble.From && t.Sent <= trouble.From+bounds.Grace+time.Second {
+				workerLate := slices.ContainsFunc(c.arrivalsByID[t.ID], func(a *Arrival) bool { return a.Ended == 0 || a.Ended > trouble.From+bounds.Grace/2 })
+				planned = planned || !workerLate || t.Ended < trouble.From+bounds.Grace/2
 			}
-			planned = planned || x.Hup && t.Sent <= x.From+b.Apply && t.Ended >= x.From
+			planned = planned || trouble.Hup && t.Sent <= trouble.From+bounds.Apply && t.Ended >= trouble.From
 		}
 		if planned {
-			v.breach("LOST", "%s (%s) was read by %s and dropped at planned work", t.ID, t.Class, t.Node)
+			c.report("LOST", "%s (%s) was read by %s and dropped during planned work", t.ID, t.Class, t.Node)
 			continue
 		}
 		if t.Ended-t.Sent < t.Deadline*7/10 {
-			counts = lost[t.Node]
-			counts[place]++
-			lost[t.Node] = counts
+			counts = dropped[t.Node]
+			counts[period]++
+			dropped[t.Node] = counts
 		}
 	}
-	for _, node := range base.SortedKeys(lost) {
-		in, all := lost[node], asked[node]
-		// Without other times there is nothing to compare with.
-		if in[0] > 3 && all[1] > 0 && in[0]*all[1] > 3*in[1]*all[0] {
-			v.breach("LOST", "%s dropped %d of %d requests while the configuration changed, and %d of %d else", node, in[0], all[0], in[1], all[1])
+	for _, node := range base.SortedKeys(dropped) {
+		drops, totals := dropped[node], asked[node]
+		// Without requests at other times there is nothing to compare with.
+		if drops[0] > 3 && totals[1] > 0 && drops[0]*totals[1] > 3*drops[1]*totals[0] {
+			c.report("LOST", "%s dropped %d of %d requests while the configuration changed, and %d of %d at other times", node, drops[0], totals[0], drops[1], totals[1])
 		}
 	}
 }
 
-func (v *view) lostTurns() {
-	for _, t := range v.Tries {
-		before := v.turns[t.Previous]
-		if t.Previous == "" || before == nil || !t.AnsweredBySystem() || t.Status != 404 && t.Status != 410 || t.Ended >= before.Ended+before.Retain {
+// checkLostTurns (LOST) finds turns that were rejected as unknown (404) or gone (410) though
+// the turn that they continue was answered whole and its retention time isn't over.
+func (c *checker) checkLostTurns() {
+	for _, t := range c.Tries {
+		previousTurn := c.completedTurns[t.Previous]
+		if t.Previous == "" || previousTurn == nil || !t.AnsweredBySystem() || t.Status != 404 && t.Status != 410 || t.Ended >= previousTurn.Ended+previousTurn.Retain {
 			continue
 		}
-		allowed := v.inForce(t.Sent, t.Ended, v.Bounds.Apply+v.Bounds.Stretch)
+		allowed := c.possiblyInForce(t.Sent, t.Ended, c.Bounds.Apply+c.Bounds.Stretch)
 		if slices.ContainsFunc(allowed, func(o *Order) bool { return o.Config.Match(t.Host, t.Target) == nil }) {
 			continue
 		}
-		v.breach("LOST", "turn %s got %d, and %s was answered whole %v before", t.ID, t.Status, t.Previous, (t.Sent - before.Ended).Round(time.Millisecond))
+		c.report("LOST", "turn %s got %d, but its previous turn %s was answered in full %v before", t.ID, t.Status, t.Previous, (t.Sent - previousTurn.Ended).Round(time.Millisecond))
 	}
-	v.lostAfterClosing()
+	c.checkTurnsLostAfterClosing()
 }
 
-// lostAfterClosing looks for turns from before a closing fault that no worker
-// was given a continuation of, though others were served.
-func (v *view) lostAfterClosing() {
-	if v.Closing == nil {
+// checkTurnsLostAfterClosing (LOST) finds retained turns from before the closing fault that
+// clients tried to continue without any continuation reaching a worker, though four fifths
+// of the other turns were served in the last four seconds of the recovery bound.
+func (c *checker) checkTurnsLostAfterClosing() {
+	if c.Closing == nil {
 		return
 	}
-	until := v.Closing.Back + v.Bounds.Recovery
-	continued, asked := map[string]bool{}, map[string]time.Duration{}
-	served, others := 0, 0
-	for _, t := range v.Tries {
-		if t.Retain == 0 || t.Sent < v.Closing.Back || t.Sent > until {
+	until := c.Closing.Back + c.Bounds.Recovery
+	continued, lastTried := map[string]bool{}, map[string]time.Duration{}
+	otherTurnsServed, otherTurns := 0, 0
+	for _, t := range c.Tries {
+		if t.Retain == 0 || t.Sent < c.Closing.Back || t.Sent > until {
 			continue
 		}
-		before := v.turns[t.Previous]
-		if before == nil || before.Ended >= v.Closing.From {
+		previousTurn := c.completedTurns[t.Previous]
+		if previousTurn == nil || previousTurn.Ended >= c.Closing.From {
 			if t.Sent >= until-4*time.Second {
-				others++
+				otherTurns++
 				if t.Succeeded() {
-					served++
+					otherTurnsServed++
 				}
 			}
 			continue
 		}
-		if until >= before.Ended+before.Retain {
+		if until >= previousTurn.Ended+previousTurn.Retain {
 			continue
 		}
-		asked[t.Previous] = max(asked[t.Previous], t.Sent)
-		continued[t.Previous] = continued[t.Previous] || len(v.runs(t.ID)) > 0
+		lastTried[t.Previous] = max(lastTried[t.Previous], t.Sent)
+		continued[t.Previous] = continued[t.Previous] || len(c.executions(t.ID)) > 0
 	}
-	for _, previous := range base.SortedKeys(asked) {
-		if !continued[previous] && asked[previous] >= until-4*time.Second && others > 0 && 5*served >= 4*others {
-			v.breach("LOST", "turn %s from before the closing fault could not be continued", previous)
+	for _, previous := range base.SortedKeys(lastTried) {
+		if !continued[previous] && lastTried[previous] >= until-4*time.Second && otherTurns > 0 && 5*otherTurnsServed >= 4*otherTurns {
+			c.report("LOST", "turn %s from before the closing fault could not be continued", previous)
 		}
 	}
 }
 
-func (v *view) recover() {
-	if v.Closing == nil {
+// checkRecovery (RECOVER) compares the share of requests served after the closing fault and
+// the recovery bound with the share before it: if that was at least a quarter, a quarter
+// must be served again.
+func (c *checker) checkRecovery() {
+	if c.Closing == nil {
 		return
 	}
-	share := func(from, to time.Duration) (served, asked int) {
-		for _, t := range v.Tries {
+	countServed := func(from, to time.Duration) (servedBefore, askedBefore int) {
+		for _, t := range c.Tries {
 			if t.Sent >= from && t.Sent < to && !t.Probe {
-				asked++
+				askedBefore++
 				if t.Succeeded() {
-					served++
+					servedBefore++
 				}
 			}
 		}
-		return served, asked
+		return servedBefore, askedBefore
 	}
-	served, asked := share(0, v.Closing.From)
-	after, askedAfter := share(v.Closing.Back+v.Bounds.Recovery, v.Over)
-	if asked > 0 && 4*served >= asked && askedAfter > 0 && 4*after < askedAfter {
-		v.breach("RECOVER", "%d of %d requests were served later than %v after the machines were back, %d of %d before", after, askedAfter, v.Bounds.Recovery, served, asked)
+	servedBefore, askedBefore := countServed(0, c.Closing.From)
+	servedAfter, askedAfter := countServed(c.Closing.Back+c.Bounds.Recovery, c.Over)
+	if askedBefore > 0 && 4*servedBefore >= askedBefore && askedAfter > 0 && 4*servedAfter < askedAfter {
+		c.report("RECOVER", "%d of %d requests were served later than %v after the machines were back, %d of %d before", servedAfter, askedAfter, c.Bounds.Recovery, servedBefore, askedBefore)
 	}
 }
--- a/internal/standin/platform/check_requests.go
+++ b/internal/standin/platform/check_requests.go
@@ -1,6 +1,3 @@
-// Rules about single requests and what workers ran of them: their wholeness,
-// order, authority, repeats and tries.
-
 package platform
 
 import (
@@ -10,103 +7,108 @@
 	"fordseam/internal/base"
 )
 
-func (v *view) mixed() {
-	for _, t := range v.Tries {
+// checkMixed (MIXED) finds answers that differ from what the worker sent for that request.
+func (c *checker) checkMixed() {
+	for _, t := range c.Tries {
 		if t.Surplus != "" {
-			v.breach("MIXED", "%s got %s where no request was waiting", t.ID, t.Surplus)
+			c.report("MIXED", "%s got %s where no request was waiting", t.ID, t.Surplus)
 		}
-		runs := v.runs(t.ID)
-		broke := slices.ContainsFunc(v.arrivals[t.ID], func(a *Arrival) bool { return a.Broke })
-		if t.Garbage != "" && !broke {
-			v.breach("MIXED", "%s got bytes that are no answer: %s", t.ID, t.Garbage)
+		runs := c.executions(t.ID)
+		workerBroke := slices.ContainsFunc(c.arrivalsByID[t.ID], func(a *Arrival) bool { return a.Broke })
+		if t.Garbage != "" && !workerBroke {
+			c.report("MIXED", "%s got bytes that are not an HTTP response: %s", t.ID, t.Garbage)
 		}
 		if t.Echo != "" && t.Echo != t.ID {
-			v.breach("MIXED", "%s got the answer of %s", t.ID, t.Echo)
+			c.report("MIXED", "%s got the answer to %s", t.ID, t.Echo)
 		}
 		if t.Status < 200 || t.Status > 299 {
 			continue
 		}
 		if t.Seal == "" {
-			v.breach("MIXED", "%s got a success without a seal", t.ID)
+			c.report("MIXED", "%s got a successful answer without a worker's seal", t.ID)
 			continue
 		}
 		if t.Encoding != "" {
-			v.breach("MIXED", "%s got a body in encoding %s", t.ID, t.Encoding)
+			c.report("MIXED", "%s got a body with content encoding %s", t.ID, t.Encoding)
 		}
-		place := slices.IndexFunc(runs, func(a *Arrival) bool { return a.Seal == t.Seal })
-		if place < 0 {
-			v.breach("MIXED", "%s got a success sealed %s, which no worker gave it", t.ID, t.Seal)
+		index := slices.IndexFunc(runs, func(a *Arrival) bool { return a.Seal == t.Seal })
+		if index < 0 {
+			c.report("MIXED", "%s got a successful answer with seal %s, which no worker gave it", t.ID, t.Seal)
 			continue
 		}
-		run := runs[place]
+		run := runs[index]
 		if run.Status != t.Status {
-			v.breach("MIXED", "%s got %d where the worker had answered %d", t.ID, t.Status, run.Status)
+			c.report("MIXED", "%s got %d where the worker had answered %d", t.ID, t.Status, run.Status)
 		}
 		if t.Complete && !run.Whole && !t.Resumable {
-			v.breach("MIXED", "%s got a cut answer that looks complete", t.ID)
+			c.report("MIXED", "%s got a truncated answer that looks complete", t.ID)
 		} else if t.Complete && t.Kind != Streaming && t.Answer != run.Answer {
-			v.breach("MIXED", "%s got a body other than the worker's", t.ID)
+			c.report("MIXED", "%s got a body that differs from the worker's", t.ID)
 		}
 	}
 }
 
-func (v *view) order() {
-	for _, t := range v.Tries {
+// checkOrder (ORDER) finds streams whose events are not those of one run in their order, and
+// streams that ended as complete before the last event.
+func (c *checker) checkOrder() {
+	for _, t := range c.Tries {
 		if t.Kind != Streaming || len(t.Events) == 0 && !t.Succeeded() {
 			continue
 		}
-		fits, whole := false, false
+		matches, complete := false, false
 		if t.Resumable {
-			fits, whole = v.continued(t)
+			matches, complete = c.matchesResumedRuns(t)
 		}
-		for _, run := range v.runs(t.ID) {
+		for _, run := range c.executions(t.ID) {
 			if len(t.Events) <= len(run.Events) && slices.EqualFunc(t.Events, run.Events[:len(t.Events)], func(a, b Event) bool { return a.ID == b.ID && a.Data == b.Data }) {
-				fits = true
-				whole = whole || len(t.Events) == len(run.Events)
+				matches = true
+				complete = complete || len(t.Events) == len(run.Events)
 			}
 		}
-		if !fits {
-			v.breach("ORDER", "the events of %s are not those of one run", t.ID)
-		} else if t.Succeeded() && !whole {
-			v.breach("ORDER", "%s ended as complete before its last event", t.ID)
+		if !matches {
+			c.report("ORDER", "the events of %s are not those of one run", t.ID)
+		} else if t.Succeeded() && !complete {
+			c.report("ORDER", "the stream of %s ended as complete before its last event", t.ID)
 		}
 	}
 }
 
-// continued tells whether the events of a stream that may be resumed are those of
-// its runs, each from where the last one stopped, and whether the last run's are
-// all there.
-func (v *view) continued(t *Try) (fits, whole bool) {
-	given, after := 0, t.After
-	for _, run := range v.runs(t.ID) {
+// matchesResumedRuns reports whether the events of a resumable stream are those of its
+// runs, each continuing where the one before stopped, and whether all events of the last
+// run arrived.
+func (c *checker) matchesResumedRuns(t *Try) (matches, complete bool) {
+	received, after := 0, t.After
+	for _, run := range c.executions(t.ID) {
 		if run.After != after {
 			continue
 		}
-		took := 0
-		for took < len(run.Events) && given < len(t.Events) && t.Events[given].ID == run.Events[took].ID && t.Events[given].Data == run.Events[took].Data {
-			after = t.Events[given].ID
-			given, took = given+1, took+1
+		matched := 0
+		for matched < len(run.Events) && received < len(t.Events) && t.Events[received].ID == run.Events[matched].ID && t.Events[received].Data == run.Events[matched].Data {
+			after = t.Events[received].ID
+			received, matched = received+1, matched+1
 		}
-		whole = run.Whole && took == len(run.Events)
+		complete = run.Whole && matched == len(run.Events)
 	}
-	return given == len(t.Events), whole
+	return received == len(t.Events), complete
 }
 
-// manyTries are tries that ran on more workers than their route lets them.
-func (v *view) manyTries() {
-	over := []string{}
-	for _, t := range v.Tries {
-		if t.MaxTries > 0 && len(v.runs(t.ID)) > t.MaxTries {
-			over = append(over, t.ID)
+// checkMaxTries (BUDGET) finds tries that ran on more workers than their route allows; up to
+// three of them are tolerated.
+func (c *checker) checkMaxTries() {
+	exceeding := []string{}
+	for _, t := range c.Tries {
+		if t.MaxTries > 0 && len(c.executions(t.ID)) > t.MaxTries {
+			exceeding = append(exceeding, t.ID)
 		}
 	}
-	if len(over) > 3 {
-		v.breach("BUDGET", "%d tries ran on more workers than they may, such as %s", len(over), over[0])
+	if len(exceeding) > 3 {
+		c.report("BUDGET", "%d tries ran on more workers than their route allows, for example %s", len(exceeding), exceeding[0])
 	}
 }
 
-// ComposeInput is what a worker receives for a new input after earlier turns: each
-// input followed by the data of its events, each of these with a line feed.
+// ComposeInput returns the body that a worker receives for a new input after earlier turns:
+// each turn's input and the data of its events, each event followed by a line feed, and
+// then the new input.
 func ComposeInput(chain []*Try, input []byte) []byte {
 	var body []byte
 	for _, turn := range chain {
@@ -118,10 +120,11 @@
 	return append(body, input...)
 }
 
-// chain lists the turns that a turn continues from, oldest first.
-func (v *view) chain(t *Try) (chain []*Try, known bool) {
+// previousTurns lists the turns that a turn continues, oldest first. It isn't complete if one
+// of them is unknown or has no whole answer.
+func (c *checker) previousTurns(t *Try) (chain []*Try, complete bool) {
 	for previous := t.Previous; previous != ""; {
-		turn := v.turns[previous]
+		turn := c.completedTurns[previous]
 		if turn == nil || len(chain) > 1000 {
 			return nil, false
 		}
@@ -132,82 +135,92 @@
 	return chain, true
 }
 
-func (v *view) unasked() {
-	for _, id := range base.SortedKeys(v.arrivals) {
-		t := v.byID[id]
-		for _, run := range v.runs(id) {
+// checkUnasked (UNASKED) finds workers that ran a request differing from what the client sent.
+func (c *checker) checkUnasked() {
+	for _, id := range base.SortedKeys(c.arrivalsByID) {
+		t := c.triesByID[id]
+		for _, run := range c.executions(id) {
 			if t == nil {
-				v.breach("UNASKED", "%s ran %q, which no client sent", run.Worker, id)
+				c.report("UNASKED", "worker %s ran %q, which no client sent", run.Worker, id)
 				continue
 			}
 			if run.Method != t.Method || run.Target != t.Target {
-				v.breach("UNASKED", "%s ran as %s %s instead of %s %s", id, run.Method, run.Target, t.Method, t.Target)
+				c.report("UNASKED", "%s ran as %s %s instead of %s %s", id, run.Method, run.Target, t.Method, t.Target)
 			}
 			expected := t.Body
 			if t.Retain > 0 {
-				chain, known := v.chain(t)
-				if !known {
-					if v.byID[t.Previous] == nil {
-						v.breach("UNASKED", "%s ran, whose previous turn %s is no turn", id, t.Previous)
+				chain, complete := c.previousTurns(t)
+				if !complete {
+					if c.triesByID[t.Previous] == nil {
+						c.report("UNASKED", "%s ran, but its previous turn %s does not exist", id, t.Previous)
 					}
 					continue
 				}
 				expected = ComposeInput(chain, t.Body)
 			}
 			if run.Body != base.Digest(expected) {
-				v.breach("UNASKED", "%s ran with another body than the one that was asked", id)
+				c.report("UNASKED", "%s ran with a body that differs from the one that was sent", id)
 			}
 		}
 	}
 }
 
-func (v *view) twice() {
-	for _, t := range v.Tries {
-		if runs := len(v.runs(t.ID)); !t.Repeatable() && runs > 1 {
-			v.breach("TWICE", "%s (%s) ran %d times", t.ID, t.Class, runs)
+// checkTwice (TWICE) finds requests that ran more than once though they aren't repeatable.
+func (c *checker) checkTwice() {
+	for _, t := range c.Tries {
+		if runs := len(c.executions(t.ID)); !t.Repeatable() && runs > 1 {
+			c.report("TWICE", "%s (%s) ran %d times", t.ID, t.Class, runs)
 		}
 	}
 }
 
-func (v *view) refused() {
-	for _, t := range v.Tries {
-		runs := v.runs(t.ID)
+// checkRefused (REFUSED) finds requests that ran though their status promises that they did
+// not: those that must not repeat, and turns rejected over budget (402).
+func (c *checker) checkRefused() {
+	for _, t := range c.Tries {
+		runs := c.executions(t.ID)
 		if len(runs) == 0 || t.Status == 0 {
 			continue
 		}
 		if !t.Repeatable() && PromisesNotRun(t.Status) {
-			v.breach("REFUSED", "%s (%s) got %d and ran at %s", t.ID, t.Class, t.Status, runs[0].Worker)
+			c.report("REFUSED", "%s (%s) got %d but ran on worker %s", t.ID, t.Class, t.Status, runs[0].Worker)
 		}
 		if t.Status == 402 && t.AnsweredBySystem() {
-			v.breach("REFUSED", "turn %s got 402 and ran at %s", t.ID, runs[0].Worker)
+			c.report("REFUSED", "turn %s got 402 but ran on worker %s", t.ID, runs[0].Worker)
 		}
 	}
 }
 
-func (v *view) drain() {
-	shown := map[string]time.Duration{}
-	for _, notice := range v.Notices {
-		if at, ok := shown[notice.Worker]; !ok || notice.At < at {
-			shown[notice.Worker] = notice.At
+// checkDrain (DRAIN) finds requests that reached a worker later than the drain bound after
+// the instance list showed it as draining or removed.
+func (c *checker) checkDrain() {
+	noticedAt := map[string]time.Duration{}
+	for _, notice := range c.Notices {
+		if at, ok := noticedAt[notice.Worker]; !ok || notice.At < at {
+			noticedAt[notice.Worker] = notice.At
 		}
 	}
-	for _, a := range v.Arrivals {
-		at, leaving := shown[a.Worker]
-		t := v.byID[a.ID]
-		if !leaving || t == nil || a.Status == 421 || a.At <= at+v.Bounds.Drain {
+	for _, a := range c.Arrivals {
+		at, noticed := noticedAt[a.Worker]
+		t := c.triesByID[a.ID]
+		if !noticed || t == nil || a.Status == 421 || a.At <= at+c.Bounds.Drain {
 			continue
 		}
-		frozen := slices.ContainsFunc(v.Troubles, func(x *Trouble) bool { return x.Class == "list" && x.To >= at && x.From <= a.At })
-		if !frozen && v.inTouch(t.Node, a.At) {
-			v.breach("DRAIN", "%s reached %s %v after it was shown as leaving", a.ID, a.Worker, (a.At - at).Round(time.Millisecond))
+		listFrozen := slices.ContainsFunc(c.Troubles, func(trouble *Trouble) bool {
+			return trouble.Class == "list" && trouble.To >= at && trouble.From <= a.At
+		})
+		if !listFrozen && c.timeBoundsApply(t.Node, a.At) {
+			c.report("DRAIN", "%s reached worker %s %v after the list showed it as draining or removed", a.ID, a.Worker, (a.At - at).Round(time.Millisecond))
 		}
 	}
 }
 
-func (v *view) budget() {
-	type account struct{ handed, budget, most int64 }
+// checkBudget (BUDGET) finds programs whose clients received more tokens than the budget and
+// one turn.
+func (c *checker) checkBudget() {
+	type account struct{ received, budget, maxTurn int64 }
 	accounts := map[string]*account{}
-	for _, t := range v.Tries {
+	for _, t := range c.Tries {
 		if t.Budget == 0 {
 			continue
 		}
@@ -215,12 +228,12 @@
 			accounts[t.Program] = &account{}
 		}
 		a := accounts[t.Program]
-		a.handed += int64(len(t.Events) * max(1, v.Stride))
-		a.budget, a.most = max(a.budget, t.Budget), max(a.most, t.Most)
+		a.received += int64(len(t.Events) * max(1, c.Stride))
+		a.budget, a.maxTurn = max(a.budget, t.Budget), max(a.maxTurn, t.Most)
 	}
 	for _, program := range base.SortedKeys(accounts) {
-		if a := accounts[program]; a.handed > a.budget+a.most {
-			v.breach("BUDGET", "program %s was handed %d tokens of %d and one turn of %d", program, a.handed, a.budget, a.most)
+		if a := accounts[program]; a.received > a.budget+a.maxTurn {
+			c.report("BUDGET", "program %s received %d tokens, over its budget of %d and one turn of %d", program, a.received, a.budget, a.maxTurn)
 		}
 	}
 }
--- a/internal/standin/platform/config.go
+++ b/internal/standin/platform/config.go
@@ -74,8 +74,8 @@
 func (c *Config) Clone() *Config {
 	copied := *c
 	copied.Routes = slices.Clone(c.Routes)
-	for place := range copied.Routes {
-		copied.Routes[place].Shares = slices.Clone(copied.Routes[place].Shares)
+	for index := range copied.Routes {
+		copied.Routes[index].Shares = slices.Clone(copied.Routes[index].Shares)
 	}
 	copied.Services = slices.Clone(c.Services)
 	return &copied
@@ -94,8 +94,8 @@
 func (c *Config) Match(host, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	var best *Route
-	for place := range c.Routes {
-		r := &c.Routes[place]
+	for index := range c.Routes {
+		r := &c.Routes[index]
 		if strings.EqualFold(r.Host, host) && strings.HasPrefix(path, r.Prefix) && (best == nil || len(r.Prefix) > len(best.Prefix)) {
 			best = r
 		}
@@ -105,9 +105,9 @@
 
 // FindService gives a service by its name.
 func (c *Config) FindService(name string) *Service {
-	for place := range c.Services {
-		if c.Services[place].Name == name {
-			return &c.Services[place]
+	for index := range c.Services {
+		if c.Services[index].Name == name {
+			return &c.Services[index]
 		}
 	}
 	return nil
@@ -153,15 +153,15 @@
 		e.Field("generation", func(e *jx.Encoder) { e.UInt64(c.Generation) })
 		e.Field("route_table", func(e *jx.Encoder) {
 			e.Arr(func(e *jx.Encoder) {
-				for place := range c.Routes {
-					c.Routes[place].encode(e)
+				for index := range c.Routes {
+					c.Routes[index].encode(e)
 				}
 			})
 		})
 		e.Field("backends", func(e *jx.Encoder) {
 			e.Arr(func(e *jx.Encoder) {
-				for place := range c.Services {
-					c.Services[place].encode(e)
+				for index := range c.Services {
+					c.Services[index].encode(e)
 				}
 			})
 		})
@@ -180,7 +180,7 @@
 func (r *Route) encode(e *jx.Encoder) {
 	text := func(name, value string) { e.Field(name, func(e *jx.Encoder) { e.Str(value) }) }
 	number := func(name string, value float64) { e.Field(name, func(e *jx.Encoder) { e.Float64(value) }) }
-	truth := func(name string, value bool) { e.Field(name, func(e *jx.Encoder) { e.Bool(value) }) }
+	boolean := func(name string, value bool) { e.Field(name, func(e *jx.Encoder) { e.Bool(value) }) }
 	e.Obj(func(e *jx.Encoder) {
 		text("name", r.Name)
 		text("hostname", r.Host)
@@ -205,12 +205,12 @@
 		}
 		number("max_tries", float64(r.MaxTries))
 		if r.Retained || r.RetainS > 0 {
-			truth("retained", r.Retained)
+			boolean("retained", r.Retained)
 			number("retain_s", r.RetainS)
 		}
 		if r.Kind == Streaming {
-			truth("pinned", r.Pinned)
-			truth("resumable", r.Resumable)
+			boolean("pinned", r.Pinned)
+			boolean("resumable", r.Resumable)
 			number("gap_target_ms", r.GapTargetMs)
 		}
 	})
@@ -247,19 +247,19 @@
 
 // readTree reads any JSON value, for comparing documents whatever order or
 // spelling of numbers they are written with.
-func readTree(d *jx.Decoder) (any, error) {
+func decodeValue(d *jx.Decoder) (any, error) {
 	switch d.Next() {
 	case jx.Object:
 		object := map[string]any{}
 		err := d.Obj(func(d *jx.Decoder, key string) (err error) {
-			object[key], err = readTree(d)
+			object[key], err = decodeValue(d)
 			return err
 		})
 		return object, err
 	case jx.Array:
 		list := []any{}
 		err := d.Arr(func(d *jx.Decoder) error {
-			item, err := readTree(d)
+			item, err := decodeValue(d)
 			list = append(list, item)
 			return err
 		})
@@ -279,14 +279,14 @@
 // ParseJSON reads a whole document into maps, lists and plain values.
 func ParseJSON(raw []byte) (any, error) {
 	d := jx.DecodeBytes(raw)
-	tree, err := readTree(d)
+	value, err := decodeValue(d)
 	if err != nil {
 		return nil, errors.Annotate(err, "document")
 	}
 	if d.Skip() == nil {
 		return nil, errors.New("document: more than one JSON value")
 	}
-	return tree, nil
+	return value, nil
 }
 
 // SameDocument tells whether two documents say the same.
@@ -298,11 +298,11 @@
 
 // GenerationOf gives the generation that a document names, 0 when it names none.
 func GenerationOf(raw []byte) uint64 {
-	tree, err := ParseJSON(raw)
+	value, err := ParseJSON(raw)
 	if err != nil {
 		return 0
 	}
-	object, _ := tree.(map[string]any)
+	object, _ := value.(map[string]any)
 	generation, _ := object["generation"].(float64)
 	return uint64(generation)
 }
--- a/internal/standin/platform/site.go
+++ b/internal/standin/platform/deployment.go
@@ -111,9 +111,9 @@
 
 // Class gives a kind of request by its name.
 func (s *Deployment) Class(name string) *RequestClass {
-	for place := range s.Classes {
-		if s.Classes[place].Name == name {
-			return &s.Classes[place]
+	for index := range s.Classes {
+		if s.Classes[index].Name == name {
+			return &s.Classes[index]
 		}
 	}
 	return nil
@@ -129,12 +129,12 @@
 	return 1
 }
 
-func tillEngine() *EngineSpec {
+func modelEngine() *EngineSpec {
 	return &EngineSpec{StepTime: 6120 * time.Microsecond, StepTimePerJob: 23 * time.Microsecond, PromptTokensPerMs: 32.4, MaxPromptTokensPerStep: 4096, CacheTokens: 257309, TokensPerEvent: 2,
 		ReportLag: 100 * time.Millisecond, EventBytes: 40}
 }
 
-func siteOf(name, region string, zones []string, edges, models, apps int, rate float64) *Deployment {
+func newDeployment(name, region string, zones []string, edges, models, apps int, rate float64) *Deployment {
 	ms := time.Millisecond
 	tools := []ToolUse{{"receipt", 0.7, 2}, {"posting", 0.4, 1}, {"ping", 0.2, 1}}
 	turn := RequestClass{Kind: Streaming, Service: "model", Method: "POST", TargetLatency: 250 * ms, Deadline: 6000 * ms, GapTarget: 400 * ms, Retain: 60 * time.Second, Retries: 1,
@@ -144,7 +144,7 @@
 	long.Name, long.ProgramsPerSecond, long.PromptTokens, long.Turns, long.ThinkMs, long.SubagentProbability, long.TargetFactor = "dispute", rate*0.28, Distribution{514, 0.7, 2570}, Distribution{7, 0.4, 14}, Distribution{60, 0.6, 240}, 0.15, 2.5
 	return &Deployment{Name: name, Region: region, Zones: zones, Edges: edges, Cores: 4, Storage: 4, ClientsPerZone: 10, Bounds: DefaultBounds(), ListCallsPerSecond: 40, LeadTime: 10 * time.Second,
 		Services: []ServiceSpec{
-			{Name: "model", Workers: models, Capacity: 96, QueueSize: 288, MaxConns: 480, Engine: tillEngine()},
+			{Name: "model", Workers: models, Capacity: 96, QueueSize: 288, MaxConns: 480, Engine: modelEngine()},
 			{Name: "app", Workers: apps, Capacity: 6, QueueSize: 24, MaxConns: 96},
 		},
 		Classes: []RequestClass{short, long,
@@ -159,11 +159,11 @@
 
 // Deployments are the deployments known today, and a small one for tests.
 func Deployments() map[string]*Deployment {
-	small := siteOf("small", "home", []string{"zone-a", "zone-b"}, 2, 2, 2, 1.5)
+	small := newDeployment("small", "home", []string{"zone-a", "zone-b"}, 2, 2, 2, 1.5)
 	small.Cores, small.Storage, small.LeadTime = 3, 3, 3*time.Second
 	return map[string]*Deployment{
-		"kiondo":    siteOf("kiondo", "nairobi", []string{"westlands", "industrial-area", "karen", "thika-road"}, 6, 9, 8, 4),
-		"ljubljana": siteOf("ljubljana", "si-central", []string{"lj-hall-a", "lj-hall-b", "kr-hall", "nm-hall"}, 9, 12, 11, 5),
+		"kiondo":    newDeployment("kiondo", "nairobi", []string{"westlands", "industrial-area", "karen", "thika-road"}, 6, 9, 8, 4),
+		"ljubljana": newDeployment("ljubljana", "si-central", []string{"lj-hall-a", "lj-hall-b", "kr-hall", "nm-hall"}, 9, 12, 11, 5),
 		"small":     small,
 	}
 }
@@ -181,7 +181,7 @@
 	return fmt.Sprintf("%s-%s-%d", class, zone, number)
 }
 
-func drawWord(rng *rand.Rand) string {
+func randomName(rng *rand.Rand) string {
 	const first, second = "bdfghklmnprstvwz", "aeiou"
 	word := ""
 	for range 2 {
@@ -193,13 +193,13 @@
 // DrawNames names services, hosts and paths.
 func (s *Deployment) DrawNames(rng *rand.Rand) *Names {
 	w := &Names{Services: map[string]string{}, Hosts: map[string]string{}, Prefixes: map[string]string{}, Model: "m"}
-	for place, service := range s.Services {
-		w.Services[service.Name] = drawWord(rng) + string(rune('a'+place))
+	for index, service := range s.Services {
+		w.Services[service.Name] = randomName(rng) + string(rune('a'+index))
 	}
-	host := drawWord(rng) + ".example"
-	for place, class := range s.Classes {
+	host := randomName(rng) + ".example"
+	for index, class := range s.Classes {
 		w.Hosts[class.Name] = host
-		w.Prefixes[class.Name] = fmt.Sprintf("/%s%d/", drawWord(rng), place)
+		w.Prefixes[class.Name] = fmt.Sprintf("/%s%d/", randomName(rng), index)
 	}
 	return w
 }
--- a/internal/standin/platform/engine.go
+++ b/internal/standin/platform/engine.go
@@ -17,51 +17,51 @@
 	"fordseam/internal/base"
 )
 
-type jobEnd int
+type jobState int
 
 const (
-	jobRuns jobEnd = iota
-	jobWhole
-	jobGone
+	jobRunning jobState = iota
+	jobComplete
+	jobCancelled
 	jobExpired
 )
 
-type part struct {
+type promptPart struct {
 	id     string
 	tokens int
 }
 
 type job struct {
-	urgency int
-	order   int
-	parts   []part
-	prompt  int
-	want    int
-	until   time.Duration
-	gone    base.Signal
-	bell    *base.Notifier
+	urgency      int
+	sequence     int
+	parts        []promptPart
+	promptTokens int
+	maxTokens    int
+	deadline     time.Duration
+	cancelled    base.Signal
+	notifier     *base.Notifier
 
-	unread int // prompt tokens not read yet
-	out    int
-	ended  jobEnd
+	promptTokensLeft int // prompt tokens not read yet
+	outputTokens     int
+	state            jobState
 }
 
-func jobOf(asked *Request, until time.Duration) *job {
-	j := &job{urgency: 5, until: until, gone: asked.ClientClosed, prompt: 16, want: 2}
-	if urgency, err := strconv.Atoi(asked.Header(HeaderUrgency)); err == nil {
+func newJob(request *Request, deadline time.Duration) *job {
+	j := &job{urgency: 5, deadline: deadline, cancelled: request.ClientClosed, promptTokens: 16, maxTokens: 2}
+	if urgency, err := strconv.Atoi(request.Header(HeaderUrgency)); err == nil {
 		j.urgency = urgency
 	}
-	prompt, most, _ := strings.Cut(asked.Header(HeaderTokens), ",")
+	prompt, output, _ := strings.Cut(request.Header(HeaderTokens), ",")
 	if tokens, err := strconv.Atoi(strings.TrimSpace(prompt)); err == nil {
-		j.prompt = tokens
+		j.promptTokens = tokens
 	}
-	if tokens, err := strconv.Atoi(strings.TrimSpace(most)); err == nil && tokens > 0 {
-		j.want = tokens
+	if tokens, err := strconv.Atoi(strings.TrimSpace(output)); err == nil && tokens > 0 {
+		j.maxTokens = tokens
 	}
-	for _, one := range strings.Split(asked.Header(HeaderPrompt), ",") {
-		id, tokens, ok := strings.Cut(strings.TrimSpace(one), ":")
+	for _, entry := range strings.Split(request.Header(HeaderPrompt), ",") {
+		id, tokens, ok := strings.Cut(strings.TrimSpace(entry), ":")
 		if count, err := strconv.Atoi(tokens); ok && err == nil {
-			j.parts = append(j.parts, part{id, count})
+			j.parts = append(j.parts, promptPart{id, count})
 		}
 	}
 	return j
@@ -69,26 +69,26 @@
 
 type engine struct {
 	clock    base.Clock
-	shape    EngineSpec
+	spec     EngineSpec
 	capacity int
-	speed    float64
+	slowdown float64
 
-	mu      sync.Mutex
-	order   int
-	active  bool
-	waiting []*job
-	running []*job
-	kept    map[string]int // tokens by part
-	used    map[string]int // when each part was last used
-	steps   int
-	asked   int // prompt tokens of all jobs let in
-	found   int // and those of them that were kept
-	shown   string
-	shownAt time.Duration
+	mu           sync.Mutex
+	lastSequence int
+	stepping     bool
+	waiting      []*job
+	running      []*job
+	cachedParts  map[string]int // tokens by part
+	lastUsedStep map[string]int // when each part was last used
+	steps        int
+	promptTokens int // prompt tokens of all jobs let in
+	cachedTokens int // and those of them that were kept
+	lastReport   string
+	lastReportAt time.Duration
 }
 
-func newEngine(clock base.Clock, shape ServiceSpec, speed float64) *engine {
-	return &engine{clock: clock, shape: *shape.Engine, capacity: shape.Capacity, speed: speed, kept: map[string]int{}, used: map[string]int{}}
+func newEngine(clock base.Clock, spec ServiceSpec, slowdown float64) *engine {
+	return &engine{clock: clock, spec: *spec.Engine, capacity: spec.Capacity, slowdown: slowdown, cachedParts: map[string]int{}, lastUsedStep: map[string]int{}}
 }
 
 func (e *engine) load() (running, waiting int) {
@@ -98,184 +98,184 @@
 }
 
 // submit takes a job in, or turns it away when there is no room for it.
-func (e *engine) submit(j *job, queue int) bool {
+func (e *engine) submit(j *job, queueSize int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if j.prompt+j.want > e.shape.CacheTokens || len(e.waiting) >= queue {
+	if j.promptTokens+j.maxTokens > e.spec.CacheTokens || len(e.waiting) >= queueSize {
 		return false
 	}
-	e.order++
-	j.order, j.bell = e.order, base.NewNotifier(e.clock)
-	e.line(j)
-	if !e.active {
-		e.active = true
-		e.clock.Go(e.loop)
+	e.lastSequence++
+	j.sequence, j.notifier = e.lastSequence, base.NewNotifier(e.clock)
+	e.enqueue(j)
+	if !e.stepping {
+		e.stepping = true
+		e.clock.Go(e.run)
 	}
 	return true
 }
 
 // line puts a job in the line by urgency, then age.
-func (e *engine) line(j *job) {
+func (e *engine) enqueue(j *job) {
 	e.waiting = append(e.waiting, j)
 	slices.SortStableFunc(e.waiting, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(a.urgency, b.urgency), cmp.Compare(a.order, b.order))
+		return cmp.Or(cmp.Compare(a.urgency, b.urgency), cmp.Compare(a.sequence, b.sequence))
 	})
 }
 
-func (e *engine) progress(j *job) (out int, ended jobEnd) {
+func (e *engine) progress(j *job) (outputTokens int, state jobState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return j.out, j.ended
+	return j.outputTokens, j.state
 }
 
 func (e *engine) remove(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	other := func(one *job) bool { return one != j }
+	other := func(candidate *job) bool { return candidate != j }
 	e.waiting, e.running = base.Filter(e.waiting, other), base.Filter(e.running, other)
 }
 
-func (e *engine) loop() {
+func (e *engine) run() {
 	for {
-		span, ok := e.begin()
+		stepTime, ok := e.beginStep()
 		if !ok {
 			return
 		}
-		e.clock.Sleep(span)
-		for _, j := range e.finish() {
-			j.bell.Notify()
+		e.clock.Sleep(stepTime)
+		for _, j := range e.finishStep() {
+			j.notifier.Notify()
 		}
 	}
 }
 
-func (e *engine) memory() (tokens int) {
+func (e *engine) memoryTokens() (tokens int) {
 	for _, j := range e.running {
-		tokens += j.prompt + j.out
+		tokens += j.promptTokens + j.outputTokens
 	}
 	return tokens
 }
 
 // begin admits what has room and tells how long the step takes.
-func (e *engine) begin() (span time.Duration, ok bool) {
+func (e *engine) beginStep() (stepTime time.Duration, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for len(e.waiting) > 0 && len(e.running) < e.capacity && (len(e.running) == 0 || e.memory()+e.waiting[0].prompt+e.waiting[0].want <= e.shape.CacheTokens) {
+	for len(e.waiting) > 0 && len(e.running) < e.capacity && (len(e.running) == 0 || e.memoryTokens()+e.waiting[0].promptTokens+e.waiting[0].maxTokens <= e.spec.CacheTokens) {
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		cached := e.cached(j)
-		j.unread = max(0, j.prompt+j.out-cached)
-		e.asked, e.found = e.asked+j.prompt, e.found+cached
+		cached := e.cachedPrefix(j)
+		j.promptTokensLeft = max(0, j.promptTokens+j.outputTokens-cached)
+		e.promptTokens, e.cachedTokens = e.promptTokens+j.promptTokens, e.cachedTokens+cached
 		e.running = append(e.running, j)
 	}
 	if len(e.running) == 0 {
-		e.active = false
+		e.stepping = false
 		return 0, false
 	}
-	read := 0
+	promptTokensRead := 0
 	for _, j := range e.running {
-		read += min(j.unread, e.shape.MaxPromptTokensPerStep-min(read, e.shape.MaxPromptTokensPerStep))
+		promptTokensRead += min(j.promptTokensLeft, e.spec.MaxPromptTokensPerStep-min(promptTokensRead, e.spec.MaxPromptTokensPerStep))
 	}
-	span = e.shape.StepTime + time.Duration(len(e.running))*e.shape.StepTimePerJob + time.Duration(float64(read)/e.shape.PromptTokensPerMs*float64(time.Millisecond))
-	return time.Duration(float64(span) * e.speed), true
+	stepTime = e.spec.StepTime + time.Duration(len(e.running))*e.spec.StepTimePerJob + time.Duration(float64(promptTokensRead)/e.spec.PromptTokensPerMs*float64(time.Millisecond))
+	return time.Duration(float64(stepTime) * e.slowdown), true
 }
 
-func (e *engine) cached(j *job) (tokens int) {
+func (e *engine) cachedPrefix(j *job) (tokens int) {
 	for _, p := range j.parts {
-		if _, ok := e.kept[p.id]; !ok {
+		if _, ok := e.cachedParts[p.id]; !ok {
 			break
 		}
 		tokens += p.tokens
-		e.used[p.id] = e.steps
+		e.lastUsedStep[p.id] = e.steps
 	}
-	return min(tokens, j.prompt-1)
+	return min(tokens, j.promptTokens-1)
 }
 
 // finish ends a step: prompts are read on, tokens come out, ended jobs go.
-func (e *engine) finish() (rung []*job) {
+func (e *engine) finishStep() (changed []*job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.steps++
-	now, read := e.clock.Now(), 0
+	now, promptTokensRead := e.clock.Now(), 0
 	for _, j := range e.running {
-		if j.unread > 0 {
-			piece := min(j.unread, e.shape.MaxPromptTokensPerStep-min(read, e.shape.MaxPromptTokensPerStep))
-			read, j.unread = read+piece, j.unread-piece
-			if j.unread > 0 {
+		if j.promptTokensLeft > 0 {
+			chunk := min(j.promptTokensLeft, e.spec.MaxPromptTokensPerStep-min(promptTokensRead, e.spec.MaxPromptTokensPerStep))
+			promptTokensRead, j.promptTokensLeft = promptTokensRead+chunk, j.promptTokensLeft-chunk
+			if j.promptTokensLeft > 0 {
 				continue
 			}
 		}
-		j.out++
-		if j.out >= j.want {
-			j.ended = jobWhole
-			e.keep(j)
+		j.outputTokens++
+		if j.outputTokens >= j.maxTokens {
+			j.state = jobComplete
+			e.cachePrompt(j)
 		}
 	}
-	for e.memory() > e.shape.CacheTokens && len(e.running) > 1 {
-		e.putBack()
+	for e.memoryTokens() > e.spec.CacheTokens && len(e.running) > 1 {
+		e.preempt()
 	}
 	for _, list := range [][]*job{e.running, e.waiting} {
 		for _, j := range list {
 			switch {
-			case j.ended != jobRuns:
-			case j.gone.Fired():
-				j.ended = jobGone
-			case now > j.until:
-				j.ended = jobExpired
+			case j.state != jobRunning:
+			case j.cancelled.Fired():
+				j.state = jobCancelled
+			case now > j.deadline:
+				j.state = jobExpired
 			}
-			rung = append(rung, j)
+			changed = append(changed, j)
 		}
 	}
-	runs := func(j *job) bool { return j.ended == jobRuns }
+	runs := func(j *job) bool { return j.state == jobRunning }
 	e.running, e.waiting = base.Filter(e.running, runs), base.Filter(e.waiting, runs)
-	return rung
+	return changed
 }
 
-func (e *engine) putBack() {
-	place := 0
-	for at, j := range e.running {
-		if cmp.Or(cmp.Compare(j.urgency, e.running[place].urgency), cmp.Compare(j.order, e.running[place].order)) > 0 {
-			place = at
+func (e *engine) preempt() {
+	victim := 0
+	for index, j := range e.running {
+		if cmp.Or(cmp.Compare(j.urgency, e.running[victim].urgency), cmp.Compare(j.sequence, e.running[victim].sequence)) > 0 {
+			victim = index
 		}
 	}
-	j := e.running[place]
-	e.running = slices.Delete(e.running, place, place+1)
-	e.line(j)
+	j := e.running[victim]
+	e.running = slices.Delete(e.running, victim, victim+1)
+	e.enqueue(j)
 }
 
 // keep remembers a prompt's parts; those longest unused give way.
-func (e *engine) keep(j *job) {
-	total := e.memory()
-	for _, tokens := range e.kept {
+func (e *engine) cachePrompt(j *job) {
+	total := e.memoryTokens()
+	for _, tokens := range e.cachedParts {
 		total += tokens
 	}
 	for _, p := range j.parts {
-		if _, ok := e.kept[p.id]; !ok {
+		if _, ok := e.cachedParts[p.id]; !ok {
 			total += p.tokens
 		}
-		e.kept[p.id], e.used[p.id] = p.tokens, e.steps
+		e.cachedParts[p.id], e.lastUsedStep[p.id] = p.tokens, e.steps
 	}
-	for total > e.shape.CacheTokens && len(e.kept) > 0 {
+	for total > e.spec.CacheTokens && len(e.cachedParts) > 0 {
 		oldest := ""
-		for _, id := range base.SortedKeys(e.kept) {
-			if oldest == "" || e.used[id] < e.used[oldest] {
+		for _, id := range base.SortedKeys(e.cachedParts) {
+			if oldest == "" || e.lastUsedStep[id] < e.lastUsedStep[oldest] {
 				oldest = id
 			}
 		}
-		total -= e.kept[oldest]
-		delete(e.kept, oldest)
-		delete(e.used, oldest)
+		total -= e.cachedParts[oldest]
+		delete(e.cachedParts, oldest)
+		delete(e.lastUsedStep, oldest)
 	}
 }
 
 // PromptTokens counts the prompt tokens of all that a model worker let in, and
 // those of them that it did not have to read.
-func (w *Worker) PromptTokens() (asked, found int) {
+func (w *Worker) PromptTokens() (total, cached int) {
 	if w.engine == nil {
 		return 0, 0
 	}
 	w.engine.mu.Lock()
 	defer w.engine.mu.Unlock()
-	return w.engine.asked, w.engine.found
+	return w.engine.promptTokens, w.engine.cachedTokens
 }
 
 // report is the engine's state, as it stood a little before.
@@ -283,14 +283,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	fresh := fmt.Sprintf(`{"phase":"both","model_list":[{"name":"m","generation":1,"loaded_adapters":[]}],"busy":false,"call_seq":0,"pending":%d,"active":%d,"cache_used":%d,"cache_total":%d,"handles":0}`,
-		len(e.waiting), len(e.running), e.memory(), e.shape.CacheTokens)
-	if e.shown == "" || now-e.shownAt >= e.shape.ReportLag {
-		shown := e.shown
-		e.shown, e.shownAt = fresh, now
-		if shown != "" {
-			return shown
+	current := fmt.Sprintf(`{"phase":"both","model_list":[{"name":"m","generation":1,"loaded_adapters":[]}],"busy":false,"call_seq":0,"pending":%d,"active":%d,"cache_used":%d,"cache_total":%d,"handles":0}`,
+		len(e.waiting), len(e.running), e.memoryTokens(), e.spec.CacheTokens)
+	if e.lastReport == "" || now-e.lastReportAt >= e.spec.ReportLag {
+		previous := e.lastReport
+		e.lastReport, e.lastReportAt = current, now
+		if previous != "" {
+			return previous
 		}
 	}
-	return e.shown
+	return e.lastReport
 }
--- a/internal/standin/platform/instances.go
+++ b/internal/standin/platform/instances.go
@@ -34,20 +34,20 @@
 	Lag            time.Duration
 	CallsPerSecond float64
 
-	mu      sync.Mutex
-	pending []pendingChange
-	shown   map[string]Instance
-	tokens  float64
-	filled  time.Duration
-	calls   int
-	refused int
-	down    bool
+	mu         sync.Mutex
+	pending    []pendingChange
+	visible    map[string]Instance
+	tokens     float64
+	refilledAt time.Duration
+	answered   int
+	refused    int
+	down       bool
 }
 
 type pendingChange struct {
-	at   time.Duration
-	id   string
-	next *Instance
+	visibleAt time.Duration
+	id        string
+	next      *Instance
 }
 
 // ScheduleChange puts an instance on the list, or takes it off when next is nil; it
@@ -56,24 +56,24 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pending = append(l.pending, pendingChange{l.Clock.Now() + after + l.Lag, id, next})
-	slices.SortStableFunc(l.pending, func(a, b pendingChange) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(l.pending, func(a, b pendingChange) int { return cmp.Compare(a.visibleAt, b.visibleAt) })
 }
 
 // settle shows what is due; the caller holds the lock.
-func (l *Instances) settle() {
-	if l.shown == nil {
-		l.shown = map[string]Instance{}
+func (l *Instances) applyDue() {
+	if l.visible == nil {
+		l.visible = map[string]Instance{}
 	}
-	for len(l.pending) > 0 && l.pending[0].at <= l.Clock.Now() {
+	for len(l.pending) > 0 && l.pending[0].visibleAt <= l.Clock.Now() {
 		change := l.pending[0]
 		l.pending = l.pending[1:]
 		if change.next != nil {
-			l.shown[change.id] = *change.next
+			l.visible[change.id] = *change.next
 		} else {
-			delete(l.shown, change.id)
+			delete(l.visible, change.id)
 		}
 		if (change.next == nil || change.next.State == StateDraining) && l.Recorder != nil {
-			l.Recorder.Update(func(r *Record) { r.Notices = append(r.Notices, Notice{change.id, change.at}) })
+			l.Recorder.Update(func(r *Record) { r.Notices = append(r.Notices, Notice{change.id, change.visibleAt}) })
 		}
 	}
 }
@@ -82,7 +82,7 @@
 func (l *Instances) ApplyDue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle()
+	l.applyDue()
 }
 
 // SetDown has the list answer nothing but failures, or end that.
@@ -96,7 +96,7 @@
 func (l *Instances) CallCounts() (answered, refused int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.calls, l.refused
+	return l.answered, l.refused
 }
 
 // FetchPage answers one call: 200 with a page, 429 over the rate, 400 for
@@ -106,40 +106,40 @@
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
 	if l.CallsPerSecond > 0 {
-		l.tokens = min(l.CallsPerSecond, l.tokens+(now-l.filled).Seconds()*l.CallsPerSecond)
-		if l.filled == 0 && l.calls == 0 {
+		l.tokens = min(l.CallsPerSecond, l.tokens+(now-l.refilledAt).Seconds()*l.CallsPerSecond)
+		if l.refilledAt == 0 && l.answered == 0 {
 			l.tokens = l.CallsPerSecond
 		}
-		l.filled = now
+		l.refilledAt = now
 		if l.tokens < 1 {
 			l.refused++
 			return 429, []byte(`{"error":"too many calls"}`)
 		}
 		l.tokens--
 	}
-	l.calls++
-	l.settle()
+	l.answered++
+	l.applyDue()
 	if l.down {
 		return 500, []byte(`{"error":"down"}`)
 	}
-	from := 0
+	start := 0
 	if token != "" {
-		number, found := strings.CutPrefix(token, "p-")
-		place, err := strconv.Atoi(number)
-		if !found || err != nil || place < 0 {
+		offset, found := strings.CutPrefix(token, "p-")
+		parsed, err := strconv.Atoi(offset)
+		if !found || err != nil || parsed < 0 {
 			return 400, []byte(`{"error":"bad page_token"}`)
 		}
-		from = place
+		start = parsed
 	}
-	var list []Instance
-	for _, id := range base.SortedKeys(l.shown) {
-		if one := l.shown[id]; zone == "" || one.Zone == zone {
-			list = append(list, one)
+	var instances []Instance
+	for _, id := range base.SortedKeys(l.visible) {
+		if instance := l.visible[id]; zone == "" || instance.Zone == zone {
+			instances = append(instances, instance)
 		}
 	}
-	from = min(from, len(list))
-	next := min(from+PageSize, len(list))
-	return 200, encodePage(list[from:next], next, next < len(list))
+	start = min(start, len(instances))
+	end := min(start+PageSize, len(instances))
+	return 200, encodePage(instances[start:end], end, end < len(instances))
 }
 
 func encodePage(page []Instance, next int, more bool) []byte {
@@ -147,8 +147,8 @@
 	e.Obj(func(e *jx.Encoder) {
 		e.Field("instances", func(e *jx.Encoder) {
 			e.Arr(func(e *jx.Encoder) {
-				for _, one := range page {
-					one.encode(e)
+				for _, instance := range page {
+					instance.encode(e)
 				}
 			})
 		})
--- a/internal/standin/platform/entry.go
+++ b/internal/standin/platform/load_balancer.go
@@ -15,15 +15,15 @@
 type EdgeNode struct {
 	Name, Zone, Front, Readiness string
 
-	missed int
-	in     bool
+	failedProbes int
+	ready        bool
 }
 
 // LoadBalancer hands clients' connections to nodes.
 type LoadBalancer struct {
-	mu    sync.Mutex
-	nodes []*EdgeNode
-	tries map[string]int
+	mu      sync.Mutex
+	nodes   []*EdgeNode
+	retries map[string]int
 }
 
 // Add makes a node known; it is out until it was heard.
@@ -38,9 +38,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if ready {
-		node.missed, node.in = 0, true
-	} else if node.missed++; node.missed >= 2 {
-		node.in = false
+		node.failedProbes, node.ready = 0, true
+	} else if node.failedProbes++; node.failedProbes >= 2 {
+		node.ready = false
 	}
 }
 
@@ -49,7 +49,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, node := range e.nodes {
-		if node.in {
+		if node.ready {
 			ready++
 		}
 	}
@@ -62,7 +62,7 @@
 	defer e.mu.Unlock()
 	var list []EdgeNode
 	for _, node := range e.nodes {
-		if node.in {
+		if node.ready {
 			list = append(list, *node)
 		}
 	}
@@ -70,26 +70,26 @@
 }
 
 // Pick chooses the node of a client's next connection; further tries reach others.
-func (e *LoadBalancer) Pick(zone, client string, again bool) (node, address string) {
+func (e *LoadBalancer) Pick(zone, client string, retry bool) (node, address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	inZone := base.Filter(e.nodes, func(n *EdgeNode) bool { return n.Zone == zone })
-	list := base.Filter(inZone, func(n *EdgeNode) bool { return n.in })
+	candidates := base.Filter(inZone, func(n *EdgeNode) bool { return n.ready })
 	switch {
-	case len(list) == 0:
-		if list = base.Filter(e.nodes, func(n *EdgeNode) bool { return n.in }); len(list) == 0 {
-			list = e.nodes
+	case len(candidates) == 0:
+		if candidates = base.Filter(e.nodes, func(n *EdgeNode) bool { return n.ready }); len(candidates) == 0 {
+			candidates = e.nodes
 		}
-	case 2*len(list) < len(inZone):
-		list = inZone
+	case 2*len(candidates) < len(inZone):
+		candidates = inZone
 	}
-	if e.tries == nil {
-		e.tries = map[string]int{}
+	if e.retries == nil {
+		e.retries = map[string]int{}
 	}
-	if again {
-		e.tries[client]++
+	if retry {
+		e.retries[client]++
 	}
-	chosen := list[(base.Hash64(client)+uint64(e.tries[client]))%uint64(len(list))]
+	chosen := candidates[(base.Hash64(client)+uint64(e.retries[client]))%uint64(len(candidates))]
 	return chosen.Name, chosen.Front
 }
 
--- a/internal/standin/platform/operator.go
+++ b/internal/standin/platform/operator.go
@@ -34,39 +34,39 @@
 	Rng *rand.Rand
 }
 
-func (o *Operator) choose(but string) string {
+func (o *Operator) pickNode(exclude string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	list := base.Filter(o.Control(), func(address string) bool { return address != but })
-	if len(list) == 0 {
-		return but
+	candidates := base.Filter(o.Control(), func(address string) bool { return address != exclude })
+	if len(candidates) == 0 {
+		return exclude
 	}
-	return list[o.Rng.IntN(len(list))]
+	return candidates[o.Rng.IntN(len(candidates))]
 }
 
 // send repeats a call until it is done or its time is over.
-func (o *Operator) send(method, path string, header [][2]string, body []byte, until time.Duration) (status int, answer []byte, unclear bool, address string) {
-	for tries := 1; ; tries++ {
-		address = o.choose(address)
+func (o *Operator) callUntilDone(method, path string, header [][2]string, body []byte, until time.Duration) (status int, answer []byte, unclear bool, address string) {
+	for calls := 1; ; calls++ {
+		address = o.pickNode(address)
 		status, answer = o.Call(method, address, path, header, body)
-		if NextOrderStep(status, tries) == OrderDone {
+		if NextOrderStep(status, calls) == OrderDone {
 			return status, answer, unclear, address
 		}
 		// A 429, 408 or 503 promises that the order was not taken.
 		unclear = unclear || !PromisesNotRun(status)
-		pause := OrderBackoff(tries)
-		if o.Clock.Now()+pause > until {
+		backoff := OrderBackoff(calls)
+		if o.Clock.Now()+backoff > until {
 			return status, answer, unclear, address
 		}
-		o.Clock.Sleep(pause)
+		o.Clock.Sleep(backoff)
 	}
 }
 
 // PutConfig sends a configuration until it has a clear answer or patience is over.
-func (o *Operator) PutConfig(base uint64, config *Config, raw []byte, fault string, patience time.Duration) *Order {
+func (o *Operator) PutConfig(base uint64, config *Config, raw []byte, fault string, timeout time.Duration) *Order {
 	order := &Order{Operator: o.Name, Base: base, Config: config, Raw: raw, Fault: fault, Sent: o.Clock.Now(), Unclear: true}
 	o.Recorder.Update(func(r *Record) { r.Orders = append(r.Orders, order) })
-	status, _, unclear, node := o.send("PUT", PathConfig, [][2]string{{HeaderIfMatch, strconv.FormatUint(base, 10)}}, raw, order.Sent+patience)
+	status, _, unclear, node := o.callUntilDone("PUT", PathConfig, [][2]string{{HeaderIfMatch, strconv.FormatUint(base, 10)}}, raw, order.Sent+timeout)
 	o.Recorder.Update(func(*Record) {
 		order.Status, order.Unclear, order.Ended, order.Node = status, unclear, o.Clock.Now(), node
 	})
@@ -74,9 +74,9 @@
 }
 
 // ReadConfig asks for the newest configuration.
-func (o *Operator) ReadConfig(note bool) (status int, raw []byte) {
-	status, raw = o.Call("GET", o.choose(""), PathConfig, nil, nil)
-	if note {
+func (o *Operator) ReadConfig(record bool) (status int, raw []byte) {
+	status, raw = o.Call("GET", o.pickNode(""), PathConfig, nil, nil)
+	if record {
 		o.Recorder.Update(func(r *Record) {
 			r.Reads = append(r.Reads, ReadBack{At: o.Clock.Now(), Status: status, Raw: raw})
 		})
@@ -87,12 +87,12 @@
 // ReadConfigRepeatedly asks for it as at the end of a day: again and again for a time, and
 // on until it has come once or limit is over.
 func (o *Operator) ReadConfigRepeatedly(span, limit time.Duration) {
-	began, came := o.Clock.Now(), false
+	began, received := o.Clock.Now(), false
 	for tries := 1; ; tries++ {
 		status, _ := o.ReadConfig(true)
-		came = came || status == 200
-		passed := o.Clock.Now() - began
-		if passed >= span && came || passed >= limit {
+		received = received || status == 200
+		elapsed := o.Clock.Now() - began
+		if elapsed >= span && received || elapsed >= limit {
 			return
 		}
 		o.Clock.Sleep(min(500*time.Millisecond, span/4))
@@ -100,16 +100,16 @@
 }
 
 // Retire asks for a storage machine to be emptied and waits for its end.
-func (o *Operator) Retire(node string, within, patience time.Duration) error {
-	until := o.Clock.Now() + patience
-	status, answer, unclear, _ := o.send("POST", PathRetire+node, nil, []byte(fmt.Sprintf(`{"within_s":%d}`, int(within.Seconds()))), until)
+func (o *Operator) Retire(node string, within, timeout time.Duration) error {
+	until := o.Clock.Now() + timeout
+	status, answer, unclear, _ := o.callUntilDone("POST", PathRetire+node, nil, []byte(fmt.Sprintf(`{"within_s":%d}`, int(within.Seconds()))), until)
 	// After a call without a clear answer, a 409 says that it is under way.
 	if status != 200 && !(status == 409 && unclear) {
 		return errors.Errorf("retire %s: %d %s", node, status, answer)
 	}
 	for {
-		status, answer = o.Call("GET", o.choose(""), PathRetire+node, nil, nil)
-		if status == 200 && stateIn(answer) == RetireComplete {
+		status, answer = o.Call("GET", o.pickNode(""), PathRetire+node, nil, nil)
+		if status == 200 && retirementState(answer) == RetireComplete {
 			return nil
 		}
 		if o.Clock.Now() > until {
@@ -119,7 +119,7 @@
 	}
 }
 
-func stateIn(answer []byte) (state string) {
+func retirementState(answer []byte) (state string) {
 	_ = jx.DecodeBytes(answer).Obj(func(d *jx.Decoder, key string) (err error) {
 		if key != "state" {
 			return d.Skip()
--- a/internal/standin/platform/rules_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-func TestTriesOfEachKind(t *testing.T) {
+func TestShouldRetryByKind(t *testing.T) {
 	is := is.New(t)
 	answered := func(kind Kind, status int) *Try { return &Try{Kind: kind, Status: status, Complete: true} }
 	again := func(try *Try) bool {
@@ -48,7 +48,7 @@
 	is.True(!none)
 }
 
-func TestRetryAfterIsObeyedForAThirdOfTheTimeLeft(t *testing.T) {
+func TestRetryAfterIsCappedAtAThirdOfTheTimeLeft(t *testing.T) {
 	is := is.New(t)
 	try := &Try{Kind: Idempotent, Status: 503, Complete: true, RetryAfter: 300 * time.Millisecond}
 	_, pause := ShouldRetry(try, 1, 3*time.Second)
@@ -60,7 +60,7 @@
 	is.Equal(StreamSilenceLimit(0, 0), 2*time.Second)
 }
 
-func TestOrdersEndAndMoveOn(t *testing.T) {
+func TestNextOrderStep(t *testing.T) {
 	is := is.New(t)
 	for _, status := range []int{200, 400, 409, 412, 413, 422} {
 		is.Equal(NextOrderStep(status, 1), OrderDone)
@@ -75,28 +75,28 @@
 	is.True(OrderTimeout(1<<20) > OrderTimeout(10))
 }
 
-func TestDocuments(t *testing.T) {
+func TestConfigGenerator(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		site := Deployments()["small"]
-		drafts := &ConfigGenerator{Deployment: site, Names: site.DrawNames(rng), Rng: rng}
-		c := drafts.Initial()
+		generator := &ConfigGenerator{Deployment: site, Names: site.DrawNames(rng), Rng: rng}
+		c := generator.Initial()
 		is.Equal(c.InvalidReason(0), "")
 		for range 30 {
-			next := drafts.NextValid(c)
+			next := generator.NextValid(c)
 			is.Equal(next.InvalidReason(c.Generation), "")
 			is.True(!SameDocument(next.Encode(), c.Encode()))
 			is.Equal(GenerationOf(next.Encode()), next.Generation)
 			for _, class := range site.Classes {
-				route := next.Match(drafts.Names.Hosts[class.Name], drafts.Names.Prefixes[class.Name]+"x")
-				is.True(route != nil && route.Allows(drafts.Names.Services[class.Service])) // programs' routes stay
+				route := next.Match(generator.Names.Hosts[class.Name], generator.Names.Prefixes[class.Name]+"x")
+				is.True(route != nil && route.Allows(generator.Names.Services[class.Service])) // programs' routes stay
 			}
 			c = next
 		}
 		for _, kind := range InvalidKinds {
 			before := string(c.Encode())
-			bad, raw, fault := drafts.Invalid(c, kind)
+			bad, raw, fault := generator.Invalid(c, kind)
 			is.Equal(fault, kind)
 			is.Equal(string(c.Encode()), before)
 			switch kind {
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestTheLongestPrefixWins(t *testing.T) {
+func TestLongestPrefixMatches(t *testing.T) {
 	is := is.New(t)
 	c := &Config{Routes: []Route{{Name: "a", Host: "h", Prefix: "/a/"}, {Name: "ab", Host: "h", Prefix: "/a/b/"}, {Name: "other", Host: "o", Prefix: "/"}}}
 	is.Equal(c.Match("h", "/a/x").Name, "a")
@@ -139,7 +139,7 @@
 	return ids, tree.(map[string]any)["next_token"]
 }
 
-func TestTheListComesInPagesAndLate(t *testing.T) {
+func TestInstanceListIsPagedAndDelayed(t *testing.T) {
 	is := is.New(t)
 	clock := &fakeClock{Clock: base.NewRealClock(), now: time.Second}
 	ledger := NewRecorder(DefaultBounds(), 2, 3)
@@ -189,7 +189,7 @@
 	is.Equal(len(ledger.Snapshot().Notices), 2)
 }
 
-func TestTheListHasARate(t *testing.T) {
+func TestInstanceListRateLimit(t *testing.T) {
 	is := is.New(t)
 	clock := &fakeClock{Clock: base.NewRealClock(), now: time.Second}
 	list := &Instances{Clock: clock, CallsPerSecond: 10}
@@ -211,7 +211,7 @@
 	is.Equal(taken, 15)
 }
 
-func TestProgramsAreDrawnFromTheirSeed(t *testing.T) {
+func TestProgramPlansAreDeterministic(t *testing.T) {
 	is := is.New(t)
 	site := Deployments()["kiondo"]
 	draw := func(seed uint64) (all []*ProgramPlan) {
@@ -251,44 +251,44 @@
 	is.True(draw(8)[0].Describe() != again[0].Describe())
 }
 
-func TestTheEngineKeepsPartsAndPutsBack(t *testing.T) {
+func TestEngineCachesPromptsAndPreempts(t *testing.T) {
 	is := is.New(t)
 	e := newEngine(&fakeClock{Clock: base.NewRealClock()}, ServiceSpec{Capacity: 4, Engine: &EngineSpec{StepTime: time.Millisecond, PromptTokensPerMs: 10, MaxPromptTokensPerStep: 100, CacheTokens: 300, TokensPerEvent: 2}}, 1)
-	e.active = true // the test makes the steps
+	e.stepping = true // the test makes the steps
 	step := func() (span time.Duration) {
-		span, ok := e.begin()
+		span, ok := e.beginStep()
 		is.True(ok)
-		e.finish()
+		e.finishStep()
 		return span
 	}
-	job := func(urgency, prompt, want int, parts ...part) *job {
-		j := &job{urgency: urgency, prompt: prompt, want: want, until: time.Hour, gone: base.NewRealClock().NewSignal(), parts: parts}
+	job := func(urgency, prompt, want int, parts ...promptPart) *job {
+		j := &job{urgency: urgency, promptTokens: prompt, maxTokens: want, deadline: time.Hour, cancelled: base.NewRealClock().NewSignal(), parts: parts}
 		is.True(e.submit(j, 10))
 		return j
 	}
-	first := job(5, 100, 1, part{"a", 60}, part{"b", 40})
+	first := job(5, 100, 1, promptPart{"a", 60}, promptPart{"b", 40})
 	is.Equal(step(), 11*time.Millisecond) // the whole prompt is read
-	is.Equal(first.ended, jobWhole)
-	second := job(5, 120, 1, part{"a", 60}, part{"b", 40}, part{"c", 20})
+	is.Equal(first.state, jobComplete)
+	second := job(5, 120, 1, promptPart{"a", 60}, promptPart{"b", 40}, promptPart{"c", 20})
 	is.Equal(step(), 3*time.Millisecond) // only what is new
-	is.Equal(second.ended, jobWhole)
-	is.Equal([]int{e.asked, e.found}, []int{220, 100})
-	third := job(5, 120, 1, part{"x", 60}, part{"b", 60})
+	is.Equal(second.state, jobComplete)
+	is.Equal([]int{e.promptTokens, e.cachedTokens}, []int{220, 100})
+	third := job(5, 120, 1, promptPart{"x", 60}, promptPart{"b", 60})
 	is.Equal(step(), 11*time.Millisecond) // a part counts only after those before it
 	step()
-	is.Equal(third.ended, jobWhole)
-	is.True(!e.submit(&oversize{prompt: 290, want: 20}, 10)) // larger than the memory
+	is.Equal(third.state, jobComplete)
+	is.True(!e.submit(&oversize{promptTokens: 290, maxTokens: 20}, 10)) // larger than the memory
 
 	calm, urgent := job(5, 130, 30), job(1, 130, 30)
 	for range 5 {
 		step()
 	}
-	is.True(urgent.out > 0)
+	is.True(urgent.outputTokens > 0)
 	is.Equal(len(e.running)+len(e.waiting), 2)
-	for urgent.ended == jobRuns {
+	for urgent.state == jobRunning {
 		step()
 	}
-	is.True(calm.out < urgent.out) // the less urgent gave way
+	is.True(calm.outputTokens < urgent.outputTokens) // the less urgent gave way
 }
 
 type oversize = job
--- a/internal/standin/platform/program.go
+++ b/internal/standin/platform/program.go
@@ -59,12 +59,12 @@
 	Rng        *rand.Rand
 }
 
-const letters = "abcdefghijklmnopqrstuvwxyz ,."
+const inputAlphabet = "abcdefghijklmnopqrstuvwxyz ,."
 
-func (g *ProgramGenerator) text(bytes int) []byte {
+func (g *ProgramGenerator) randomText(bytes int) []byte {
 	text := make([]byte, bytes)
-	for place := range text {
-		text[place] = letters[g.Rng.IntN(len(letters))]
+	for index := range text {
+		text[index] = inputAlphabet[g.Rng.IntN(len(inputAlphabet))]
 	}
 	return text
 }
@@ -78,7 +78,7 @@
 	return &EngineSpec{StepTime: time.Millisecond, PromptTokensPerMs: 1000, TokensPerEvent: 1}
 }
 
-const wayOfTurn = 31 * time.Millisecond
+const turnOverhead = 31 * time.Millisecond
 
 // Program draws one program of a class.
 func (g *ProgramGenerator) Program(class *RequestClass, zone string, client int) *ProgramPlan {
@@ -89,43 +89,43 @@
 	shared := rand.New(rand.NewPCG(uint64(topic), 7))
 	tokens := int(class.SharedPromptTokens.Sample(shared))
 	parts := fmt.Sprintf("%08x:%d", shared.Uint32(), tokens)
-	p.MainSession, p.IdealTime = g.line(p, int(max(1, class.Turns.Sample(g.Rng))), tokens, parts, true)
+	p.MainSession, p.IdealTime = g.newSession(p, int(max(1, class.Turns.Sample(g.Rng))), tokens, parts, true)
 	p.TargetTime = time.Duration(class.TargetFactor*float64(p.IdealTime)) + class.TargetLatency
 	p.Budget = p.MainSession.TotalMaxTokens() * 11 / 10
 	return p
 }
 
-func (g *ProgramGenerator) line(p *ProgramPlan, turns, tokens int, parts string, helpers bool) (*SessionPlan, time.Duration) {
-	engine, line, ideal := g.engine(), &SessionPlan{SessionID: fmt.Sprintf("%06x", g.Rng.Uint32()>>4)}, time.Duration(0)
+func (g *ProgramGenerator) newSession(p *ProgramPlan, turns, tokens int, parts string, withSubagents bool) (*SessionPlan, time.Duration) {
+	engine, session, ideal := g.engine(), &SessionPlan{SessionID: fmt.Sprintf("%06x", g.Rng.Uint32()>>4)}, time.Duration(0)
 	for turn := range turns {
-		own := int(max(16, p.Class.PromptTokens.Sample(g.Rng)))
-		tokens += own
-		parts += fmt.Sprintf(",%08x:%d", g.Rng.Uint32(), own)
+		newTokens := int(max(16, p.Class.PromptTokens.Sample(g.Rng)))
+		tokens += newTokens
+		parts += fmt.Sprintf(",%08x:%d", g.Rng.Uint32(), newTokens)
 		events := int(max(2, p.Class.Events.Sample(g.Rng)))
-		plan := &TurnPlan{Input: g.text(int(max(1, p.Class.BodyBytes.Sample(g.Rng)*float64(own)/max(1, p.Class.PromptTokens.Mean)))), PromptTokens: tokens,
+		plan := &TurnPlan{Input: g.randomText(int(max(1, p.Class.BodyBytes.Sample(g.Rng)*float64(newTokens)/max(1, p.Class.PromptTokens.Mean)))), PromptTokens: tokens,
 			MaxTokens: int64(events * engine.TokensPerEvent), PromptParts: parts, ThinkTime: time.Duration(p.Class.ThinkMs.Sample(g.Rng)) * time.Millisecond}
 		tokens += int(plan.MaxTokens)
-		ideal += wayOfTurn + time.Duration(float64(own)/engine.PromptTokensPerMs)*time.Millisecond + time.Duration(plan.MaxTokens)*(engine.StepTime+engine.StepTimePerJob) + plan.ThinkTime
+		ideal += turnOverhead + time.Duration(float64(newTokens)/engine.PromptTokensPerMs)*time.Millisecond + time.Duration(plan.MaxTokens)*(engine.StepTime+engine.StepTimePerJob) + plan.ThinkTime
 		if turn < turns-1 {
-			if helpers && g.Rng.Float64() < p.Class.SubagentProbability {
+			if withSubagents && g.Rng.Float64() < p.Class.SubagentProbability {
 				slowest := time.Duration(0)
 				for range int(max(1, p.Class.SubagentCount.Sample(g.Rng))) {
-					helper, needs := g.line(p, 2, tokens, parts, false)
-					plan.Subagents = append(plan.Subagents, helper)
-					slowest = max(slowest, needs)
+					subagent, duration := g.newSession(p, 2, tokens, parts, false)
+					plan.Subagents = append(plan.Subagents, subagent)
+					slowest = max(slowest, duration)
 				}
 				ideal += slowest
 			} else {
-				ideal += g.tools(p, plan)
+				ideal += g.addToolCalls(p, plan)
 			}
 		}
-		line.Turns = append(line.Turns, plan)
+		session.Turns = append(session.Turns, plan)
 	}
-	return line, ideal
+	return session, ideal
 }
 
 // tools draws the calls after a turn; it gives the slowest one's time.
-func (g *ProgramGenerator) tools(p *ProgramPlan, plan *TurnPlan) (slowest time.Duration) {
+func (g *ProgramGenerator) addToolCalls(p *ProgramPlan, plan *TurnPlan) (slowest time.Duration) {
 	for _, use := range p.Class.Tools {
 		for range max(1, use.MaxCalls) {
 			class := g.Deployment.Class(use.Class)
@@ -133,7 +133,7 @@
 				continue
 			}
 			plan.Tools = append(plan.Tools, g.ToolCall(class))
-			slowest = max(slowest, wayOfTurn+time.Duration(class.WorkMs.Mean)*time.Millisecond)
+			slowest = max(slowest, turnOverhead+time.Duration(class.WorkMs.Mean)*time.Millisecond)
 		}
 	}
 	return slowest
@@ -143,23 +143,23 @@
 func (g *ProgramGenerator) ToolCall(class *RequestClass) ToolCallPlan {
 	t := ToolCallPlan{Class: class, Target: g.Names.Prefixes[class.Name] + fmt.Sprintf("%x?n=%d", g.Rng.IntN(4000), g.Rng.IntN(100))}
 	if class.BodyBytes.Mean > 0 {
-		t.Body = g.text(int(max(1, class.BodyBytes.Sample(g.Rng))))
+		t.Body = g.randomText(int(max(1, class.BodyBytes.Sample(g.Rng))))
 	}
 	return t
 }
 
 // RunawaySubagent draws one more helper for a program that runs away.
 func (g *ProgramGenerator) RunawaySubagent(p *ProgramPlan, after *TurnPlan) *SessionPlan {
-	line, _ := g.line(p, 2, after.PromptTokens+int(after.MaxTokens), after.PromptParts, false)
-	return line
+	session, _ := g.newSession(p, 2, after.PromptTokens+int(after.MaxTokens), after.PromptParts, false)
+	return session
 }
 
 // TotalMaxTokens is what all turns of a line can put out, those of helpers too.
 func (l *SessionPlan) TotalMaxTokens() (tokens int64) {
 	for _, turn := range l.Turns {
 		tokens += turn.MaxTokens
-		for _, helper := range turn.Subagents {
-			tokens += helper.TotalMaxTokens()
+		for _, subagent := range turn.Subagents {
+			tokens += subagent.TotalMaxTokens()
 		}
 	}
 	return tokens
@@ -167,9 +167,9 @@
 
 // Describe says a program in a line, for logs.
 func (p *ProgramPlan) Describe() string {
-	var kinds []string
+	var turns []string
 	for _, turn := range p.MainSession.Turns {
-		kinds = append(kinds, fmt.Sprintf("%d tokens+%d tools+%d helpers", turn.MaxTokens, len(turn.Tools), len(turn.Subagents)))
+		turns = append(turns, fmt.Sprintf("%d tokens+%d tools+%d helpers", turn.MaxTokens, len(turn.Tools), len(turn.Subagents)))
 	}
-	return p.Class.Name + " " + p.ID + ": " + strings.Join(kinds, "; ")
+	return p.Class.Name + " " + p.ID + ": " + strings.Join(turns, "; ")
 }
--- a/internal/standin/platform/retry.go
+++ b/internal/standin/platform/retry.go
@@ -11,7 +11,7 @@
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
-func final(status int) bool {
+func isFinal(status int) bool {
 	switch status {
 	case 400, 401, 404, 413, 431:
 		return true
@@ -31,28 +31,28 @@
 // ShouldRetry tells whether a client makes one more try of a request, and after
 // what pause; further is how many tries it still has, left the time to its
 // deadline.
-func ShouldRetry(t *Try, further int, left time.Duration) (again bool, pause time.Duration) {
+func ShouldRetry(t *Try, retriesLeft int, remaining time.Duration) (retry bool, pause time.Duration) {
 	answered := t.Status != 0 && t.Complete && t.Garbage == ""
-	if further <= 0 || left <= 0 || answered && final(t.Status) || answered && t.Program != "" && EndsProgram(t.Status) {
+	if retriesLeft <= 0 || remaining <= 0 || answered && isFinal(t.Status) || answered && t.Program != "" && EndsProgram(t.Status) {
 		return false, 0
 	}
-	promised := answered && PromisesNotRun(t.Status) || t.Unread
-	if !t.Repeatable() && !promised {
+	notRun := answered && PromisesNotRun(t.Status) || t.Unread
+	if !t.Repeatable() && !notRun {
 		return false, 0
 	}
 	if answered && t.RetryAfter > 0 {
-		pause = min(t.RetryAfter, left/3)
+		pause = min(t.RetryAfter, remaining/3)
 	}
 	return true, pause
 }
 
 // StreamSilenceLimit is how long a client bears a stream without a word.
-func StreamSilenceLimit(aim, pause time.Duration) time.Duration {
-	return max(2*time.Second, 4*aim, 8*pause)
+func StreamSilenceLimit(targetLatency, gapTarget time.Duration) time.Duration {
+	return max(2*time.Second, 4*targetLatency, 8*gapTarget)
 }
 
 // ReadTimeout is how long a client waits for a node to read a repeatable request.
-func ReadTimeout(left time.Duration) time.Duration { return min(time.Second, left/3) }
+func ReadTimeout(remaining time.Duration) time.Duration { return min(time.Second, remaining/3) }
 
 // ConnectTimeout is what a new connection is given to come up.
 const ConnectTimeout = time.Second
@@ -70,7 +70,7 @@
 )
 
 // NextOrderStep decides after a call; tries counts the calls made.
-func NextOrderStep(status, tries int) OrderStep {
+func NextOrderStep(status, calls int) OrderStep {
 	switch {
 	case status >= 200 && status < 300:
 		return OrderDone
@@ -78,15 +78,15 @@
 		return OrderDone
 	case status == 408 || status == 429:
 		return OrderRetry
-	case status >= 400 && status < 500 && tries >= 3:
+	case status >= 400 && status < 500 && calls >= 3:
 		return OrderDone
 	}
 	return OrderRetry
 }
 
 // OrderBackoff grows with each call that failed.
-func OrderBackoff(tries int) time.Duration {
-	return min(time.Duration(50<<min(tries, 5))*time.Millisecond, time.Second)
+func OrderBackoff(calls int) time.Duration {
+	return min(time.Duration(50<<min(calls, 5))*time.Millisecond, time.Second)
 }
 
 // OrderTimeout is the silence an operator bears, more for large bodies.
--- a/internal/standin/platform/settings.go
+++ b/internal/standin/platform/settings.go
@@ -25,12 +25,12 @@
 }
 
 type classLimits struct {
-	cpu                  float64
-	memory, fds, linkMax int
-	disk                 int
+	cpu                        float64
+	memoryMB, maxFDs, linkMbps int
+	diskMB                     int
 }
 
-var limitsOf = map[string]classLimits{
+var limitsByClass = map[string]classLimits{
 	ClassEdge:    {0.4, 284, 4100, 1000, 0},
 	ClassCore:    {0.48, 280, 4096, 1000, 128},
 	ClassStorage: {0.8, 284, 8200, 600, 300},
@@ -72,14 +72,14 @@
 	}
 	line("bootstrap: %v", s.Bootstrap)
 	line("loss_counted: %v", s.LossCounted)
-	limits := limitsOf[s.Class]
+	limits := limitsByClass[s.Class]
 	line("limits:")
 	line("  cpu_fraction: %v", limits.cpu)
 	line("  cores: 1")
-	line("  memory_mb: %d", limits.memory)
-	line("  max_fds: %d", limits.fds)
-	line("  link_mbps: %d.0", limits.linkMax)
-	line("  disk_mb: %d", limits.disk)
+	line("  memory_mb: %d", limits.memoryMB)
+	line("  max_fds: %d", limits.maxFDs)
+	line("  link_mbps: %d.0", limits.linkMbps)
+	line("  disk_mb: %d", limits.diskMB)
 	if s.DataDir == "" {
 		line("data_dir: null")
 	} else {
@@ -96,7 +96,7 @@
 	line("  machines: %d", s.FaultTolerance)
 	line("  zones: 0")
 	line("  regions: 0")
-	s.bounds(line)
+	s.writeBounds(line)
 	line("platform_api:")
 	line("  address: %q", s.ListAddress)
 	line("  rate_per_s: %.1f", s.ListCallsPerSecond)
@@ -105,7 +105,7 @@
 	return b.String()
 }
 
-func (s *Settings) bounds(line func(string, ...any)) {
+func (s *Settings) writeBounds(line func(string, ...any)) {
 	line("bounds:")
 	for _, one := range []struct {
 		name string
--- a/internal/standin/platform/summary.go
+++ b/internal/standin/platform/summary.go
@@ -22,13 +22,13 @@
 }
 
 // SummarizeLatencies sums up a list.
-func SummarizeLatencies(list []time.Duration) LatencySummary {
-	if len(list) == 0 {
+func SummarizeLatencies(latencies []time.Duration) LatencySummary {
+	if len(latencies) == 0 {
 		return LatencySummary{}
 	}
-	sorted := slices.Sorted(slices.Values(list))
-	at := func(share float64) time.Duration { return sorted[int(share*float64(len(sorted)-1))] }
-	return LatencySummary{len(sorted), at(0.5), at(0.95), sorted[len(sorted)-1]}
+	sorted := slices.Sorted(slices.Values(latencies))
+	quantile := func(share float64) time.Duration { return sorted[int(share*float64(len(sorted)-1))] }
+	return LatencySummary{len(sorted), quantile(0.5), quantile(0.95), sorted[len(sorted)-1]}
 }
 
 func (s LatencySummary) String() string {
@@ -53,14 +53,14 @@
 func (r *Record) Summarize() map[string]*ClassSummary {
 	type lists struct{ first, gaps, whole, passing []time.Duration }
 	all, times := map[string]*ClassSummary{}, map[string]*lists{}
-	of := func(class string) (*ClassSummary, *lists) {
+	classOf := func(class string) (*ClassSummary, *lists) {
 		if all[class] == nil {
 			all[class], times[class] = &ClassSummary{ProgramsByEnding: map[Ending]int{}, TriesByStatus: map[string]int{}}, &lists{}
 		}
 		return all[class], times[class]
 	}
 	for _, o := range r.Outcomes {
-		s, _ := of(o.Class)
+		s, _ := classOf(o.Class)
 		if o.Runaway {
 			s.Runaways++
 			continue
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, t := range r.Tries {
-		s, l := of(t.Class)
+		s, l := classOf(t.Class)
 		s.Tries++
 		s.TriesByStatus[t.StatusText()]++
 		if !t.Succeeded() {
@@ -82,12 +82,12 @@
 		}
 		l.whole = append(l.whole, t.Ended-t.Sent)
 		l.first = append(l.first, t.First-t.Sent)
-		for place, event := range t.Events {
-			if place > 0 {
-				l.gaps = append(l.gaps, event.At-t.Events[place-1].At)
+		for index, event := range t.Events {
+			if index > 0 {
+				l.gaps = append(l.gaps, event.At-t.Events[index-1].At)
 			}
-			if run := runs[t.ID]; run != nil && place < len(run.Events) {
-				l.passing = append(l.passing, event.At-run.Events[place].At)
+			if run := runs[t.ID]; run != nil && index < len(run.Events) {
+				l.passing = append(l.passing, event.At-run.Events[index].At)
 			}
 		}
 	}
@@ -117,25 +117,25 @@
 	return word
 }
 
-var tryNamed = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
+var tryIDPattern = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
 
 // DescribeTry tells what became of a try: what its client saw, and each worker that
 // it came to.
 func (r *Record) DescribeTry(id string) string {
-	var told []string
+	var lines []string
 	for _, t := range r.Tries {
 		if t.ID == id {
-			told = append(told, fmt.Sprintf("%.3fs %s %s %s%s to %s, previous %q: %s, %d events, until %.3fs", t.Sent.Seconds(), t.Class, t.Method, t.Host, t.Target, t.Node,
+			lines = append(lines, fmt.Sprintf("%.3fs %s %s %s%s to %s, previous %q: %s, %d events, until %.3fs", t.Sent.Seconds(), t.Class, t.Method, t.Host, t.Target, t.Node,
 				t.Previous, t.StatusText(), len(t.Events), t.Ended.Seconds()))
 		}
 	}
 	for _, a := range r.Arrivals {
 		if a.ID == id {
-			told = append(told, fmt.Sprintf("%.3fs at %s of %s: ran %v, status %d, %d events, whole %v, broke off %v, left %v, until %.3fs", a.At.Seconds(), a.Worker, a.Service, a.Ran,
+			lines = append(lines, fmt.Sprintf("%.3fs at %s of %s: ran %v, status %d, %d events, whole %v, broke off %v, left %v, until %.3fs", a.At.Seconds(), a.Worker, a.Service, a.Ran,
 				a.Status, len(a.Events), a.Whole, a.Broke, a.Left, a.Ended.Seconds()))
 		}
 	}
-	return strings.Join(told, "; ")
+	return strings.Join(lines, "; ")
 }
 
 // Print writes a record's summary for people.
@@ -181,11 +181,11 @@
 		}
 	}
 	line("configurations: %d sent, %d acknowledged; %d troubles", len(r.Orders), acked, len(r.Troubles))
-	told := map[string]bool{}
+	described := map[string]bool{}
 	for _, b := range breaches {
 		line("BROKEN %s", b)
-		if id := tryNamed.FindString(b.Detail); id != "" && !told[b.Rule] {
-			told[b.Rule] = true
+		if id := tryIDPattern.FindString(b.Detail); id != "" && !described[b.Rule] {
+			described[b.Rule] = true
 			line("  %s", r.DescribeTry(id))
 		}
 	}
--- a/internal/standin/platform/worker.go
+++ b/internal/standin/platform/worker.go
@@ -74,18 +74,18 @@
 	// LyingHealth says it is well whatever its troubles; Unwell says it is not.
 	LyingHealth bool
 
-	mu      sync.Mutex
-	leaving bool
-	over    bool
-	unwell  bool
-	running int
-	waiting []*place
-	serial  int
-	engine  *engine
+	mu         sync.Mutex
+	draining   bool
+	stopped    bool
+	unhealthy  bool
+	running    int
+	waiting    []*slotWaiter
+	lastSerial int
+	engine     *engine
 }
 
-type place struct {
-	let     base.Signal
+type slotWaiter struct {
+	granted base.Signal
 	skipped bool
 }
 
@@ -102,7 +102,7 @@
 // Drain makes the worker say in its answers that it is going.
 func (w *Worker) Drain() {
 	w.mu.Lock()
-	w.leaving = true
+	w.draining = true
 	w.mu.Unlock()
 }
 
@@ -110,20 +110,20 @@
 // broke off itself.
 func (w *Worker) Stop() {
 	w.mu.Lock()
-	w.leaving, w.over = true, true
+	w.draining, w.stopped = true, true
 	w.mu.Unlock()
 }
 
-func (w *Worker) ended() bool {
+func (w *Worker) isStopped() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.over
+	return w.stopped
 }
 
 // SetHealthy changes what the worker thinks of itself.
-func (w *Worker) SetHealthy(well bool) {
+func (w *Worker) SetHealthy(healthy bool) {
 	w.mu.Lock()
-	w.unwell = !well
+	w.unhealthy = !healthy
 	w.mu.Unlock()
 }
 
@@ -131,7 +131,7 @@
 func (w *Worker) Draining() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.leaving
+	return w.draining
 }
 
 // Queued is how many requests wait.
@@ -145,7 +145,7 @@
 	return len(w.waiting)
 }
 
-func (w *Worker) load() string {
+func (w *Worker) loadHeader() string {
 	if w.engine != nil {
 		running, waiting := w.engine.load()
 		return fmt.Sprintf("%d,%d,%d", running, waiting, w.Spec.Capacity)
@@ -155,7 +155,7 @@
 	return fmt.Sprintf("%d,%d,%d", w.running, len(w.waiting), w.Spec.Capacity)
 }
 
-func (w *Worker) draw() (fault Fault, fraction float64, serial int) {
+func (w *Worker) drawFault() (fault Fault, fraction float64, serial int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.NextFault != nil {
@@ -164,13 +164,13 @@
 	if w.Rng != nil {
 		fraction = w.Rng.Float64()
 	}
-	w.serial++
-	return fault, fraction, w.serial
+	w.lastSerial++
+	return fault, fraction, w.lastSerial
 }
 
 // enter takes a slot, waiting in line for it; false when there is no room, or
 // the time or the asker has gone first.
-func (w *Worker) enter(until time.Duration, gone base.Signal) bool {
+func (w *Worker) acquireSlot(deadline time.Duration, clientClosed base.Signal) bool {
 	w.mu.Lock()
 	if w.running < w.Spec.Capacity {
 		w.running++
@@ -181,40 +181,40 @@
 		w.mu.Unlock()
 		return false
 	}
-	mine := &place{let: w.Clock.NewSignal()}
-	w.waiting = append(w.waiting, mine)
+	waiter := &slotWaiter{granted: w.Clock.NewSignal()}
+	w.waiting = append(w.waiting, waiter)
 	w.mu.Unlock()
-	let := mine.let.Wait(max(0, until-w.Clock.Now()))
+	granted := waiter.granted.Wait(max(0, deadline-w.Clock.Now()))
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !let && !mine.let.Fired() {
-		mine.skipped = true
-		w.waiting = base.Filter(w.waiting, func(p *place) bool { return p != mine })
+	if !granted && !waiter.granted.Fired() {
+		waiter.skipped = true
+		w.waiting = base.Filter(w.waiting, func(p *slotWaiter) bool { return p != waiter })
 		return false
 	}
-	if gone.Fired() {
-		w.next()
+	if clientClosed.Fired() {
+		w.passSlotOn()
 		return false
 	}
 	return true
 }
 
 // next hands a slot on; the caller holds the lock.
-func (w *Worker) next() {
+func (w *Worker) passSlotOn() {
 	for len(w.waiting) > 0 {
 		first := w.waiting[0]
 		w.waiting = w.waiting[1:]
 		if !first.skipped {
-			first.let.Fire()
+			first.granted.Fire()
 			return
 		}
 	}
 	w.running--
 }
 
-func (w *Worker) exit() {
+func (w *Worker) releaseSlot() {
 	w.mu.Lock()
-	w.next()
+	w.passSlotOn()
 	w.mu.Unlock()
 }
 
@@ -223,7 +223,7 @@
 	if id != "" {
 		header = append(header, [2]string{HeaderID, id})
 	}
-	header = append(header, [2]string{HeaderLoad, w.load()})
+	header = append(header, [2]string{HeaderLoad, w.loadHeader()})
 	if w.Draining() {
 		header = append(header, [2]string{"Connection", "close"})
 	} else if w.KeepAlive > 0 {
@@ -232,146 +232,146 @@
 	return header
 }
 
-func (w *Worker) plain(reply ResponseWriter, status int, header [][2]string, body string) {
+func (w *Worker) writeResponse(reply ResponseWriter, status int, header [][2]string, body string) {
 	if reply.WriteHeader(status, header, len(body)) == nil && reply.Write([]byte(body)) == nil {
 		_ = reply.Finish()
 	}
 }
 
 // Serve answers one request.
-func (w *Worker) Serve(asked *Request, reply ResponseWriter) {
-	path, _, _ := strings.Cut(asked.Target, "?")
+func (w *Worker) Serve(request *Request, reply ResponseWriter) {
+	path, _, _ := strings.Cut(request.Target, "?")
 	switch {
-	case asked.Method == "GET" && path == PathHealth:
-		w.health(asked, reply)
+	case request.Method == "GET" && path == PathHealth:
+		w.serveHealth(request, reply)
 		return
-	case asked.Method == "GET" && path == PathReport && w.engine != nil:
-		w.plain(reply, 200, [][2]string{{"Content-Type", "application/json"}}, w.engine.report())
+	case request.Method == "GET" && path == PathReport && w.engine != nil:
+		w.writeResponse(reply, 200, [][2]string{{"Content-Type", "application/json"}}, w.engine.report())
 		return
 	}
-	arrival := &Arrival{Worker: w.ID, Service: w.Service, ID: asked.Header(HeaderID), Host: asked.Host, Method: asked.Method, Target: asked.Target,
-		Body: base.Digest(asked.Body), At: w.Clock.Now()}
-	arrival.After, _ = strconv.ParseInt(asked.Header(HeaderLastEvent), 10, 64)
+	arrival := &Arrival{Worker: w.ID, Service: w.Service, ID: request.Header(HeaderID), Host: request.Host, Method: request.Method, Target: request.Target,
+		Body: base.Digest(request.Body), At: w.Clock.Now()}
+	arrival.After, _ = strconv.ParseInt(request.Header(HeaderLastEvent), 10, 64)
 	w.Recorder.Update(func(r *Record) { r.Arrivals = append(r.Arrivals, arrival) })
-	note := func(change func(a *Arrival)) { w.Recorder.Update(func(*Record) { change(arrival) }) }
-	refuse := func(status int, more ...[2]string) {
-		note(func(a *Arrival) { a.Status, a.Ended = status, w.Clock.Now() })
-		w.plain(reply, status, append(w.header(arrival.ID), more...), "")
+	update := func(change func(a *Arrival)) { w.Recorder.Update(func(*Record) { change(arrival) }) }
+	refuse := func(status int, extra ...[2]string) {
+		update(func(a *Arrival) { a.Status, a.Ended = status, w.Clock.Now() })
+		w.writeResponse(reply, status, append(w.header(arrival.ID), extra...), "")
 	}
 	if arrival.ID == "" {
 		refuse(400, [2]string{HeaderNotRun, "1"})
 		return
 	}
-	if expected := asked.Header(HeaderExpectInstance); expected != "" && expected != w.ID {
+	if expected := request.Header(HeaderExpectInstance); expected != "" && expected != w.ID {
 		refuse(421, [2]string{HeaderInstance, w.ID})
 		return
 	}
-	until := arrival.At + time.Hour
-	if ms, err := strconv.ParseFloat(asked.Header(HeaderDeadline), 64); err == nil {
-		until = arrival.At + time.Duration(ms*float64(time.Millisecond))
+	deadline := arrival.At + time.Hour
+	if ms, err := strconv.ParseFloat(request.Header(HeaderDeadline), 64); err == nil {
+		deadline = arrival.At + time.Duration(ms*float64(time.Millisecond))
 	}
 	if w.engine != nil {
-		w.stream(asked, reply, arrival, until, note, refuse)
+		w.serveStream(request, reply, arrival, deadline, update, refuse)
 		return
 	}
-	if !w.enter(until, asked.ClientClosed) {
+	if !w.acquireSlot(deadline, request.ClientClosed) {
 		refuse(503, [2]string{HeaderNotRun, "1"})
 		return
 	}
-	defer w.exit()
-	w.work(asked, reply, arrival, until, note)
+	defer w.releaseSlot()
+	w.servePlain(request, reply, arrival, deadline, update)
 }
 
-func (w *Worker) health(asked *Request, reply ResponseWriter) {
+func (w *Worker) serveHealth(request *Request, reply ResponseWriter) {
 	status := 200
 	w.mu.Lock()
-	if w.leaving || w.unwell && !w.LyingHealth {
+	if w.draining || w.unhealthy && !w.LyingHealth {
 		status = 503
 	}
 	w.mu.Unlock()
 	if w.engine == nil {
-		if !w.enter(w.Clock.Now()+time.Second, asked.ClientClosed) {
-			w.plain(reply, 503, append(w.header(""), [2]string{HeaderNotRun, "1"}), "")
+		if !w.acquireSlot(w.Clock.Now()+time.Second, request.ClientClosed) {
+			w.writeResponse(reply, 503, append(w.header(""), [2]string{HeaderNotRun, "1"}), "")
 			return
 		}
 		w.Clock.Sleep(time.Millisecond)
-		w.exit()
+		w.releaseSlot()
 	}
-	w.plain(reply, status, append(w.header(""), [2]string{HeaderInstance, w.ID}), "")
+	w.writeResponse(reply, status, append(w.header(""), [2]string{HeaderInstance, w.ID}), "")
 }
 
-func (w *Worker) seal(serial int, id string) string {
+func (w *Worker) newSeal(serial int, id string) string {
 	return fmt.Sprintf("%s.%x.%s", w.ID, serial, base.Digest([]byte(id))[:8])
 }
 
 // work runs a plain request.
-func (w *Worker) work(asked *Request, reply ResponseWriter, arrival *Arrival, until time.Duration, note func(func(*Arrival))) {
-	fault, fraction, serial := w.draw()
-	seal := w.seal(serial, arrival.ID)
-	span, bytes := 50*time.Millisecond, 800
+func (w *Worker) servePlain(request *Request, reply ResponseWriter, arrival *Arrival, deadline time.Duration, update func(func(*Arrival))) {
+	fault, fraction, serial := w.drawFault()
+	seal := w.newSeal(serial, arrival.ID)
+	duration, bytes := 50*time.Millisecond, 800
 	if w.Workload != nil {
-		span, bytes = w.Workload(asked.Target)
+		duration, bytes = w.Workload(request.Target)
 	}
-	span = time.Duration(float64(span) * w.Slowdown)
+	duration = time.Duration(float64(duration) * w.Slowdown)
 	if fault == FaultSlow {
-		span *= 5
+		duration *= 5
 	}
 	status := 200
-	if fault == FaultError || fraction < w.errors(asked.Target) {
+	if fault == FaultError || fraction < w.errorRate(request.Target) {
 		status = 500
 	}
-	begun := w.Clock.Now()
-	if begun+span > until {
-		status, span = 504, max(0, until-begun)
+	startedAt := w.Clock.Now()
+	if startedAt+duration > deadline {
+		status, duration = 504, max(0, deadline-startedAt)
 	}
 	body := []byte(strings.Repeat(seal+" ", bytes/(len(seal)+1)+1))[:max(1, bytes)]
-	note(func(a *Arrival) {
-		a.Ran, a.Began, a.Status, a.Seal, a.Answer = true, begun, status, seal, base.Digest(body)
+	update(func(a *Arrival) {
+		a.Ran, a.Began, a.Status, a.Seal, a.Answer = true, startedAt, status, seal, base.Digest(body)
 	})
-	left := asked.ClientClosed.Wait(span)
-	over := w.ended()
-	note(func(a *Arrival) { a.Ended, a.Left, a.Broke = w.Clock.Now(), left && !over, over })
-	if left || over {
+	clientLeft := request.ClientClosed.Wait(duration)
+	stopped := w.isStopped()
+	update(func(a *Arrival) { a.Ended, a.Left, a.Broke = w.Clock.Now(), clientLeft && !stopped, stopped })
+	if clientLeft || stopped {
 		return
 	}
-	broke := func() { note(func(a *Arrival) { a.Broke = true }) }
+	markBroken := func() { update(func(a *Arrival) { a.Broke = true }) }
 	header := append(w.header(arrival.ID), [2]string{HeaderSeal, seal}, [2]string{"Content-Type", "application/octet-stream"})
 	switch fault {
 	case FaultLostReset:
-		broke()
+		markBroken()
 		reply.Abort(true)
 		return
 	case FaultLostSilent:
-		broke()
-		asked.ClientClosed.Wait(time.Minute)
+		markBroken()
+		request.ClientClosed.Wait(time.Minute)
 		reply.Abort(false)
 		return
 	case FaultGarbled:
-		broke()
+		markBroken()
 		reply.WriteRaw([]byte("\x00\x17garbled " + seal + "\r\n\r\n"))
 		reply.Abort(false)
 		return
 	case FaultCut:
-		broke()
+		markBroken()
 		_ = reply.WriteHeader(status, header, len(body))
 		_ = reply.Write(body[:len(body)/2])
 		reply.Abort(false)
 		return
 	}
 	if reply.WriteHeader(status, header, len(body)) != nil || reply.Write(body) != nil {
-		if w.ended() {
-			broke()
+		if w.isStopped() {
+			markBroken()
 		}
 		return
 	}
-	note(func(a *Arrival) { a.Whole = true })
+	update(func(a *Arrival) { a.Whole = true })
 	if reply.Finish() != nil {
 		return
 	}
-	w.surplus(reply, fault, arrival.ID)
+	w.sendExtraAnswer(reply, fault, arrival.ID)
 }
 
-func (w *Worker) errors(target string) float64 {
+func (w *Worker) errorRate(target string) float64 {
 	if w.engine != nil || !strings.Contains(target, "n=7") {
 		return 0
 	}
--- a/internal/standin/platform/worker_stream.go
+++ b/internal/standin/platform/worker_stream.go
@@ -10,7 +10,7 @@
 
 // surplus sends one more answer to a request, after its whole answer or in
 // the place of the next one's.
-func (w *Worker) surplus(reply ResponseWriter, fault Fault, id string) {
+func (w *Worker) sendExtraAnswer(reply ResponseWriter, fault Fault, id string) {
 	bytes := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s.again\r\nContent-Length: 5\r\n\r\nagain", HeaderID, id, HeaderSeal, w.ID))
 	switch fault {
 	case FaultExtra:
@@ -21,100 +21,100 @@
 }
 
 // stream runs a turn on the engine.
-func (w *Worker) stream(asked *Request, reply ResponseWriter, arrival *Arrival, until time.Duration, note func(func(*Arrival)), refuse func(int, ...[2]string)) {
-	job := jobOf(asked, until)
+func (w *Worker) serveStream(request *Request, reply ResponseWriter, arrival *Arrival, deadline time.Duration, update func(func(*Arrival)), refuse func(int, ...[2]string)) {
+	job := newJob(request, deadline)
 	after := int(arrival.After)
-	job.want = max(0, job.want-after*w.Spec.Engine.TokensPerEvent)
+	job.maxTokens = max(0, job.maxTokens-after*w.Spec.Engine.TokensPerEvent)
 	if !w.engine.submit(job, w.Spec.QueueSize) {
 		refuse(503, [2]string{HeaderNotRun, "1"})
 		return
 	}
-	fault, fraction, serial := w.draw()
-	seal := w.seal(serial, arrival.ID)
+	fault, fraction, serial := w.drawFault()
+	seal := w.newSeal(serial, arrival.ID)
 	header := append(w.header(arrival.ID), [2]string{HeaderSeal, seal}, [2]string{"Content-Type", "text/event-stream"}, [2]string{HeaderWeights, "1"})
 	breakAt := -1
 	if fault == FaultLostReset || fault == FaultLostSilent || fault == FaultCut || fault == FaultGarbled {
-		breakAt = int(fraction * float64(job.want/w.Spec.Engine.TokensPerEvent))
+		breakAt = int(fraction * float64(job.maxTokens/w.Spec.Engine.TokensPerEvent))
 	}
-	sent, begun := 0, false
+	sent, started := 0, false
 	for {
-		news := job.bell.Next()
-		out, ended := w.engine.progress(job)
-		if ended == jobExpired && out == 0 || ended == jobGone && out == 0 {
+		progressed := job.notifier.Next()
+		outputTokens, state := w.engine.progress(job)
+		if state == jobExpired && outputTokens == 0 || state == jobCancelled && outputTokens == 0 {
 			refuse(503, [2]string{HeaderNotRun, "1"})
 			return
 		}
-		if out > 0 && !begun {
-			begun = true
-			note(func(a *Arrival) { a.Ran, a.Began, a.Status, a.Seal = true, w.Clock.Now(), 200, seal })
+		if outputTokens > 0 && !started {
+			started = true
+			update(func(a *Arrival) { a.Ran, a.Began, a.Status, a.Seal = true, w.Clock.Now(), 200, seal })
 		}
-		for events := eventsOf(out, job.want, w.Spec.Engine.TokensPerEvent); sent < events; sent++ {
+		for events := eventCount(outputTokens, job.maxTokens, w.Spec.Engine.TokensPerEvent); sent < events; sent++ {
 			if sent == breakAt {
 				w.engine.remove(job)
-				note(func(a *Arrival) { a.Broke, a.Ended = true, w.Clock.Now() })
-				w.lose(asked, reply, fault, sent > 0)
+				update(func(a *Arrival) { a.Broke, a.Ended = true, w.Clock.Now() })
+				w.breakStream(request, reply, fault, sent > 0)
 				return
 			}
 			if sent == 0 && reply.WriteHeader(200, header, -1) != nil {
-				w.left(job, note)
+				w.endAbandoned(job, update)
 				return
 			}
 			data := eventData(seal, after+sent+1, w.Spec.Engine.EventBytes)
-			note(func(a *Arrival) { a.Events = append(a.Events, Event{int64(after + sent + 1), data, w.Clock.Now()}) })
+			update(func(a *Arrival) { a.Events = append(a.Events, Event{int64(after + sent + 1), data, w.Clock.Now()}) })
 			if reply.Write([]byte(fmt.Sprintf("id: %d\ndata: %s\n\n", after+sent+1, data))) != nil {
-				w.left(job, note)
+				w.endAbandoned(job, update)
 				return
 			}
 		}
-		switch ended {
-		case jobWhole:
+		switch state {
+		case jobComplete:
 			if sent == 0 && reply.WriteHeader(200, header, -1) != nil {
-				w.left(job, note)
+				w.endAbandoned(job, update)
 				return
 			}
-			note(func(a *Arrival) { a.Whole, a.Ended = true, w.Clock.Now() })
+			update(func(a *Arrival) { a.Whole, a.Ended = true, w.Clock.Now() })
 			if reply.Finish() == nil {
-				w.surplus(reply, fault, arrival.ID)
+				w.sendExtraAnswer(reply, fault, arrival.ID)
 			}
 			return
-		case jobGone:
-			w.left(job, note)
+		case jobCancelled:
+			w.endAbandoned(job, update)
 			return
 		case jobExpired:
-			note(func(a *Arrival) { a.Broke, a.Ended = true, w.Clock.Now() })
+			update(func(a *Arrival) { a.Broke, a.Ended = true, w.Clock.Now() })
 			reply.Abort(false)
 			return
 		}
-		news.Wait(-1)
+		progressed.Wait(-1)
 	}
 }
 
-func (w *Worker) left(job *job, note func(func(*Arrival))) {
+func (w *Worker) endAbandoned(job *job, update func(func(*Arrival))) {
 	w.engine.remove(job)
-	over := w.ended()
-	note(func(a *Arrival) { a.Left, a.Broke, a.Ended = !over, over, w.Clock.Now() })
+	stopped := w.isStopped()
+	update(func(a *Arrival) { a.Left, a.Broke, a.Ended = !stopped, stopped, w.Clock.Now() })
 }
 
-func (w *Worker) lose(asked *Request, reply ResponseWriter, fault Fault, begun bool) {
+func (w *Worker) breakStream(request *Request, reply ResponseWriter, fault Fault, headSent bool) {
 	switch fault {
 	case FaultLostSilent:
-		asked.ClientClosed.Wait(time.Minute)
+		request.ClientClosed.Wait(time.Minute)
 	case FaultGarbled:
 		reply.WriteRaw([]byte("\x00zz garbled\r\n"))
 	}
-	reply.Abort(fault == FaultLostReset || !begun)
+	reply.Abort(fault == FaultLostReset || !headSent)
 }
 
 // eventsOf is how many events the tokens so far fill.
-func eventsOf(out, want, stride int) int {
-	if out >= want {
-		return (want + stride - 1) / stride
+func eventCount(outputTokens, maxTokens, tokensPerEvent int) int {
+	if outputTokens >= maxTokens {
+		return (maxTokens + tokensPerEvent - 1) / tokensPerEvent
 	}
-	return out / stride
+	return outputTokens / tokensPerEvent
 }
 
 // eventData is one event's data: no two runs say the same.
-func eventData(seal string, place, bytes int) string {
-	word := fmt.Sprintf("%s-%d ", seal, place)
+func eventData(seal string, number, bytes int) string {
+	word := fmt.Sprintf("%s-%d ", seal, number)
 	return strings.TrimSpace(strings.Repeat(word, bytes/len(word)+1)[:max(bytes, len(word))])
 }
