--- a/internal/account/plot.go
+++ b/internal/account/plot.go
@@ -14,37 +14,37 @@
 	barWidth   = 28
 )
 
-// WritePlot draws the days' losses as stacked bars, one for each day, into a file
-// whose ending names its format (svg, png or pdf).
+// WritePlot plots the losses as one stacked bar per day. The extension of path
+// selects the format: svg, png or pdf.
 func WritePlot(path, title string, days []Day) error {
-	drawn := plot.New()
-	drawn.Title.Text = title
-	drawn.Y.Label.Text = "lost, as a share of what was owed"
-	drawn.Legend.Top = true
+	chart := plot.New()
+	chart.Title.Text = title
+	chart.Y.Label.Text = "lost share of the maximum score"
+	chart.Legend.Top = true
 	causes, shares := lossesByCause(days)
-	var below *plotter.BarChart
-	for place, cause := range causes {
+	var previous *plotter.BarChart
+	for index, cause := range causes {
 		values := make(plotter.Values, len(days))
 		for day, share := range shares[cause] {
-			values[day] = max(0, share) // a rounded remainder may be below nought
+			values[day] = max(0, share) // the rounding remainder may be negative
 		}
 		bars, err := plotter.NewBarChart(values, vg.Points(barWidth))
 		if err != nil {
-			return errors.Annotate(err, "drawing bars")
+			return errors.Annotatef(err, "cannot create the bars of cause %q", cause)
 		}
-		bars.Color, bars.LineStyle.Width = plotutil.Color(place), 0
-		if below != nil {
-			bars.StackOn(below)
+		bars.Color, bars.LineStyle.Width = plotutil.Color(index), 0
+		if previous != nil {
+			bars.StackOn(previous)
 		}
-		below = bars
-		drawn.Add(bars)
-		drawn.Legend.Add(cause, bars)
+		previous = bars
+		chart.Add(bars)
+		chart.Legend.Add(cause, bars)
 	}
 	names := make([]string, len(days))
-	for place := range days {
-		names[place] = days[place].Name
+	for index := range days {
+		names[index] = days[index].Name
 	}
-	drawn.NominalX(names...)
-	drawn.Y.Max *= 1.9 // room for the legend
-	return errors.Trace(drawn.Save(plotWidth, plotHeight, path))
+	chart.NominalX(names...)
+	chart.Y.Max *= 1.9 // leaves room for the legend above the bars
+	return errors.Trace(chart.Save(plotWidth, plotHeight, path))
 }
--- a/internal/account/table.go
+++ b/internal/account/table.go
@@ -8,56 +8,58 @@
 	"strings"
 )
 
-// minShownShare is the share from which a cause has a row of its own.
+// minShownShare is the smallest share for which a cause gets a row of its own.
 const minShownShare = 0.0005
 
-// otherCauses is the row for all causes below it.
+// otherCauses is the row that sums up all causes below minShownShare.
 const otherCauses = "all other causes"
 
-// WriteTable writes the losses of several days side by side in Markdown, causes by
-// their sum over the days. Each column adds up to what its day lacks of 1.
+// WriteTable writes the losses of the days side by side as a Markdown table, with
+// the causes ordered by their sum over all days. Each column adds up to the total
+// loss of its day, 1 - Score.
 func WriteTable(out io.Writer, days []Day) error {
 	causes, shares := lossesByCause(days)
-	head, rule := "| cause |", "|---|"
+	header, separator := "| cause |", "|---|"
 	for _, day := range days {
-		head += " " + day.Name + " |"
-		rule += "---|"
+		header += " " + day.Name + " |"
+		separator += "---|"
 	}
-	lines := []string{head, rule}
+	lines := []string{header, separator}
 	for _, cause := range causes {
 		lines = append(lines, formatRow(cause, shares[cause]))
 	}
-	all := make([]float64, len(days))
-	for place := range days {
-		all[place] = 1 - days[place].Score
+	totals := make([]float64, len(days))
+	for index := range days {
+		totals[index] = 1 - days[index].Score
 	}
-	lines = append(lines, formatRow("**all that was lost**", all))
+	lines = append(lines, formatRow("**total loss**", totals))
 	_, err := fmt.Fprintln(out, strings.Join(lines, "\n"))
 	return err
 }
 
-// lossesByCause gives the causes in order and what each cost on each day.
+// lossesByCause returns the causes in the order of the table, and the share that
+// each of them cost on each day. Small causes are merged into otherCauses.
 func lossesByCause(days []Day) (causes []string, shares map[string][]float64) {
 	shares = map[string][]float64{}
-	sums := map[string]float64{}
-	for place := range days {
-		for _, loss := range days[place].Losses() {
+	totals := map[string]float64{}
+	for index := range days {
+		for _, loss := range days[index].Losses() {
 			if shares[loss.Cause] == nil {
 				shares[loss.Cause] = make([]float64, len(days))
 			}
-			shares[loss.Cause][place] += loss.Share
-			sums[loss.Cause] += loss.Share
+			shares[loss.Cause][index] += loss.Share
+			totals[loss.Cause] += loss.Share
 		}
 	}
-	for cause, each := range shares {
-		if cause == otherCauses || maxMagnitude(each) >= minShownShare {
+	for cause, byDay := range shares {
+		if cause == otherCauses || maxMagnitude(byDay) >= minShownShare {
 			continue
 		}
 		if shares[otherCauses] == nil {
 			shares[otherCauses] = make([]float64, len(days))
 		}
-		for place, share := range each {
-			shares[otherCauses][place] += share
+		for index, share := range byDay {
+			shares[otherCauses][index] += share
 		}
 		delete(shares, cause)
 	}
@@ -65,31 +67,31 @@
 		causes = append(causes, cause)
 	}
 	sort.Slice(causes, func(a, b int) bool {
-		one, other := causes[a], causes[b]
-		if (one == otherCauses) != (other == otherCauses) {
-			return other == otherCauses
+		first, second := causes[a], causes[b]
+		if (first == otherCauses) != (second == otherCauses) {
+			return second == otherCauses
 		}
-		if sums[one] != sums[other] {
-			return sums[one] > sums[other]
+		if totals[first] != totals[second] {
+			return totals[first] > totals[second]
 		}
-		return one < other
+		return first < second
 	})
 	return causes, shares
 }
 
-// maxMagnitude is the greatest of some shares, whatever their sign.
-func maxMagnitude(shares []float64) (most float64) {
+// maxMagnitude returns the largest absolute value of the shares.
+func maxMagnitude(shares []float64) (magnitude float64) {
 	for _, share := range shares {
-		most = max(most, math.Abs(share))
+		magnitude = max(magnitude, math.Abs(share))
 	}
-	return most
+	return magnitude
 }
 
-// formatRow is one row of the table.
-func formatRow(name string, shares []float64) string {
-	text := "| " + name + " |"
+// formatRow formats one row of the Markdown table.
+func formatRow(label string, shares []float64) string {
+	row := "| " + label + " |"
 	for _, share := range shares {
-		text += fmt.Sprintf(" %.4f |", share)
+		row += fmt.Sprintf(" %.4f |", share)
 	}
-	return text
+	return row
 }
--- a/internal/chaosday/catalogue.go
+++ b/internal/chaosday/catalogue.go
@@ -2,25 +2,28 @@
 
 import "strings"
 
-// Classes of machines, in the bench's words.
+// Classes of machines, as the bench names them: gateways, storage machines and core
+// machines.
 const (
 	Front = "front"
 	Store = "store"
 	Core  = "core"
 )
 
-// valueRange is a range that a value is drawn from; both ends zero: no value.
+// valueRange is the range that a value is drawn from. The zero range stands for a
+// value that is not set.
 type valueRange struct{ low, high float64 }
 
-// eventTemplate is one way in which a kind of trouble can fall on a class of
-// machines. Drawing fills its ranges in.
+// eventTemplate describes a kind of event with the classes of machines and the
+// variants that it can have. One event is generated for each combination of class
+// and variant, with its numbers drawn from the ranges.
 type eventTemplate struct {
 	kind            string
 	planned         bool
-	machineClasses  []string // one event is drawn for each class of machines
-	variants        []string // and for each variant
+	machineClasses  []string // no class is set if empty
+	variants        []string // no variant is set if empty
 	service         serviceKind
-	perRequestClass bool // falls on one kind of requests
+	perRequestClass bool // affects Site.RequestClass only
 	count           int
 	share           valueRange
 	strength        valueRange
@@ -28,7 +31,7 @@
 	interval        valueRange
 }
 
-// serviceKind says whose workers a template falls on.
+// serviceKind selects the service whose workers an event affects.
 type serviceKind int
 
 const (
@@ -37,8 +40,10 @@
 	toolService
 )
 
-// Machines that share a variant: the counted ones may also be picked by what
-// they do, and a change of configuration may be sent to them as they return.
+// Classes of machines and variants that several templates have in common. Stateful
+// machines are those that count against Site.FaultTolerance. Their variants also
+// select a machine by its current function, such as the leader, or send it a change
+// of the configuration when it returns.
 var (
 	allClasses             = []string{Front, Store, Core}
 	statefulClasses        = []string{Store, Core}
@@ -51,8 +56,8 @@
 	configChangeVariants   = []string{"route", "weights", "timeout", "tenant", "quota", "idle"}
 )
 
-// Lengths and shares that many kinds have in common. They stay within what a
-// day of half a minute can hold beside its recovery.
+// Durations and shares that many kinds have in common. They are short and small
+// enough for a day of half a minute to include the recovery.
 var (
 	shortOutage = valueRange{1, 3.5}
 	longOutage  = valueRange{4, 7}
@@ -60,7 +65,7 @@
 	largeShare  = valueRange{0.3, 0.6}
 )
 
-// catalogue holds every kind that the bench knows.
+// catalogue has the templates of all kinds of events that the bench supports.
 var catalogue = []eventTemplate{
 	{kind: "config_change", planned: true, variants: configChangeVariants},
 	{kind: "config_race", planned: true, count: 3, interval: valueRange{0.8, 1.5}},
@@ -111,7 +116,7 @@
 	{kind: "replace_with_reuse", variants: []string{"", "drain", "dark"}, share: smallShare},
 }
 
-// KnownKinds returns every kind of the catalogue once, in its order.
+// KnownKinds returns each kind of the catalogue once, in the order of the catalogue.
 func KnownKinds() []string {
 	var kinds []string
 	seen := map[string]bool{}
@@ -124,8 +129,8 @@
 	return kinds
 }
 
-// ParseKinds reads the kinds that a site takes from the bench's list of them:
-// the lines of the form "kind: what it does".
+// ParseKinds parses the kinds that a site supports from the bench's list of kinds.
+// It uses the lines of the form "kind: description" and ignores all others.
 func ParseKinds(list string) []string {
 	var kinds []string
 	for line := range strings.Lines(list) {
@@ -137,15 +142,15 @@
 	return kinds
 }
 
-// UnknownKinds returns those kinds of a site that the catalogue lacks.
+// UnknownKinds returns the kinds that are not in the catalogue.
 func UnknownKinds(kinds []string) []string {
-	known := map[string]bool{}
+	isKnown := map[string]bool{}
 	for _, kind := range KnownKinds() {
-		known[kind] = true
+		isKnown[kind] = true
 	}
 	var unknown []string
 	for _, kind := range kinds {
-		if !known[kind] {
+		if !isKnown[kind] {
 			unknown = append(unknown, kind)
 		}
 	}
--- a/internal/chaosday/chaosday_test.go
+++ b/internal/chaosday/chaosday_test.go
@@ -9,13 +9,13 @@
 	"github.com/matryer/is"
 )
 
-// file is the form of a day as the bench reads it.
-type file struct {
+// dayFile is a day in the format that the bench reads.
+type dayFile struct {
 	Day []struct {
-		Name    string  `toml:"name"`
-		Seed    uint64  `toml:"seed"`
-		Plan    []entry `toml:"plan"`
-		Faults  []entry `toml:"faults"`
+		Name    string     `toml:"name"`
+		Seed    uint64     `toml:"seed"`
+		Plan    []dayEvent `toml:"plan"`
+		Faults  []dayEvent `toml:"faults"`
 		Closing struct {
 			Kind string  `toml:"kind"`
 			How  string  `toml:"how"`
@@ -24,7 +24,7 @@
 	} `toml:"day"`
 }
 
-type entry struct {
+type dayEvent struct {
 	At      float64 `toml:"at"`
 	Kind    string  `toml:"kind"`
 	On      string  `toml:"on"`
@@ -42,8 +42,8 @@
 	return &Site{ModelService: "model", ToolService: "tool", RequestClass: "case", FaultTolerance: 2, CatchUpSeconds: 5}
 }
 
-// Every theme's days are valid TOML without unknown keys, with times and shares
-// in range, and hold what was drawn.
+// TestDaysAreValid checks that the days of all themes are valid TOML without unknown
+// keys, with all generated events and with times and shares in range.
 func TestDaysAreValid(t *testing.T) {
 	for _, theme := range Themes() {
 		for seed := range uint64(20) {
@@ -51,46 +51,47 @@
 			days := Generate(theme, exampleSite(), seed, 3)
 			is.Equal(len(days), 3)
 			for i := range days {
-				var read file
-				meta, err := toml.Decode(string(days[i].TOML()), &read)
+				var parsed dayFile
+				meta, err := toml.Decode(string(days[i].TOML()), &parsed)
 				is.NoErr(err)
 				is.Equal(len(meta.Undecoded()), 0)
-				is.Equal(len(read.Day), 1)
-				day := read.Day[0]
+				is.Equal(len(parsed.Day), 1)
+				day := parsed.Day[0]
 				is.Equal(day.Name, days[i].Name)
 				is.Equal(day.Seed, days[i].Seed)
 				is.True(day.Closing.Kind != "" && day.Closing.Down > 0)
 				is.Equal(len(day.Plan)+len(day.Faults), len(days[i].Events))
 				is.True(len(day.Faults) > 0)
-				for _, e := range append(day.Plan, day.Faults...) {
-					is.True(e.At > 0 && e.At <= 34)
-					is.True(e.Share >= 0 && e.Share <= 1)
-					is.True(e.On == "" || slices.Contains(allClasses, e.On))
-					is.True(slices.Contains(KnownKinds(), e.Kind))
+				for _, event := range append(day.Plan, day.Faults...) {
+					is.True(event.At > 0 && event.At <= 34)
+					is.True(event.Share >= 0 && event.Share <= 1)
+					is.True(event.On == "" || slices.Contains(allClasses, event.On))
+					is.True(slices.Contains(KnownKinds(), event.Kind))
 				}
 			}
 		}
 	}
 }
 
-// The same seed gives the same bytes, another seed gives others.
+// TestDaysFollowTheSeed checks that the same seed gives the same bytes, and another
+// seed gives others.
 func TestDaysFollowTheSeed(t *testing.T) {
 	is := is.New(t)
-	text := func(theme string, seed uint64) string {
-		var all strings.Builder
+	generate := func(theme string, seed uint64) string {
+		var output strings.Builder
 		for _, day := range Generate(theme, exampleSite(), seed, 4) {
-			all.Write(day.TOML())
+			output.Write(day.TOML())
 		}
-		return all.String()
+		return output.String()
 	}
 	for _, theme := range Themes() {
-		is.Equal(text(theme, 7), text(theme, 7))
-		is.True(text(theme, 7) != text(theme, 8))
+		is.Equal(generate(theme, 7), generate(theme, 7))
+		is.True(generate(theme, 7) != generate(theme, 8))
 	}
 }
 
-// As many mixed days as DaysForAll says hold every kind on every class of
-// machines in every variant, and no day has one thing twice.
+// TestMixedDaysCoverEverything checks that DaysForFullCoverage mixed days, and one
+// more, include each combination of kind, class of machines and variant.
 func TestMixedDaysCoverEverything(t *testing.T) {
 	is := is.New(t)
 	type variant struct{ kind, on, how string }
@@ -98,22 +99,22 @@
 	site := exampleSite()
 	for _, day := range Generate(ThemeMixed, site, 3, DaysForFullCoverage(site)+1) {
 		is.Equal(len(day.Events), DefaultEvents)
-		for _, e := range day.Events {
-			seen[variant{e.Kind, e.MachineClass, e.Variant}] = true
+		for _, event := range day.Events {
+			seen[variant{event.Kind, event.MachineClass, event.Variant}] = true
 		}
 	}
 	for i := range catalogue {
-		for _, on := range orEmptyString(catalogue[i].machineClasses) {
-			for _, how := range orEmptyString(catalogue[i].variants) {
-				if !seen[variant{catalogue[i].kind, on, how}] {
-					t.Errorf("%s on %q, %q: on no day", catalogue[i].kind, on, how)
+		for _, machineClass := range orEmptyString(catalogue[i].machineClasses) {
+			for _, variantName := range orEmptyString(catalogue[i].variants) {
+				if !seen[variant{catalogue[i].kind, machineClass, variantName}] {
+					t.Errorf("%s on class %q, variant %q: not in any day", catalogue[i].kind, machineClass, variantName)
 				}
 			}
 		}
 	}
 }
 
-// A site may ask for more events a day.
+// TestEventsPerDay checks that Site.EventsPerDay sets the number of events.
 func TestEventsPerDay(t *testing.T) {
 	is := is.New(t)
 	site := exampleSite()
@@ -123,8 +124,8 @@
 	}
 }
 
-// Only kinds that the site takes are drawn, and those that the catalogue lacks
-// are named.
+// TestKindsOfASite checks that only kinds that the site supports are generated, and
+// that kinds missing from the catalogue are reported.
 func TestKindsOfASite(t *testing.T) {
 	is := is.New(t)
 	site := exampleSite()
@@ -133,8 +134,8 @@
 	is.Equal(UnknownKinds(site.Kinds), []string{"new_kind"})
 	for _, theme := range Themes() {
 		for _, day := range Generate(theme, site, 1, 5) {
-			for _, e := range day.Events {
-				is.True(e.Kind == "burst" || e.Kind == "node_kill")
+			for _, event := range day.Events {
+				is.True(event.Kind == "burst" || event.Kind == "node_kill")
 			}
 		}
 	}
--- a/internal/chaosday/day.go
+++ b/internal/chaosday/day.go
@@ -1,9 +1,8 @@
-// Package chaosday draws days of faults and planned work from a seed and writes
-// them as TOML, in the form in which the bench takes a day of one's own. The
-// same seed, site and theme give the same bytes. A day's vocabulary is the
-// bench's: front, store and core for the classes of machines, server for a
-// worker. What differs from site to site (names of services, limits) comes in
-// by Site; the package knows no site.
+// Package chaosday generates days of faults and planned work from a seed and
+// writes them as TOML, in the format of the bench's custom days. The same seed,
+// site and theme give the same bytes. Days use the bench's terms: front, store and
+// core for the classes of machines, and server for a worker. Everything specific to
+// a site, such as names of services and limits, is passed in as a Site.
 package chaosday
 
 import (
@@ -12,15 +11,15 @@
 	"strings"
 )
 
-// Site is what a day has to know of the deployment that it is for.
+// Site describes the deployment that days are generated for.
 type Site struct {
-	ModelService   string   // the service of model workers; empty: the bench picks one
-	ToolService    string   // the service of plain workers; empty: the bench picks one
-	RequestClass   string   // a kind of request for bursts; empty: all kinds
-	FaultTolerance int      // machines that may be lost at once
-	CatchUpSeconds float64  // seconds for which a machine counts as lost after its return
-	Kinds          []string // kinds that the site takes; empty: all that are known
-	EventsPerDay   int      // events of a mixed day; 0: DefaultEvents
+	ModelService   string   // service of model workers; the bench picks one if empty
+	ToolService    string   // service of tool workers; the bench picks one if empty
+	RequestClass   string   // class of requests in bursts; all classes if empty
+	FaultTolerance int      // number of machines that may be lost at once
+	CatchUpSeconds float64  // time after its return for which a machine still counts as lost
+	Kinds          []string // kinds of events that the site supports; all known kinds if empty
+	EventsPerDay   int      // events of a mixed day; DefaultEvents if 0
 }
 
 func (s *Site) eventsPerDay() int {
@@ -30,7 +29,7 @@
 	return DefaultEvents
 }
 
-// supports tells whether the site takes a kind.
+// supports reports whether the site supports a kind of event.
 func (s *Site) supports(kind string) bool {
 	if len(s.Kinds) == 0 {
 		return true
@@ -43,39 +42,39 @@
 	return false
 }
 
-// Event is one entry of a day. Times are in seconds; fields that are zero are
-// left out, so that the bench's defaults hold.
+// Event is a fault or planned operation of a day. Times are in seconds. Zero fields
+// are omitted from the TOML, so that the bench's defaults apply.
 type Event struct {
 	Kind         string
-	At           float64 // from the start of traffic
-	MachineClass string  // class of machines
+	At           float64 // time since the start of traffic
+	MachineClass string  // Front, Store or Core
 	Service      string
-	RequestClass string // kind of requests
-	Variant      string // variant, words of the bench apart by spaces
+	RequestClass string // class of requests
+	Variant      string // space-separated keywords of the bench
 	Count        int
-	Share        float64 // 0 to 1
-	Strength     float64 // strength; the kind says of what
-	Duration     float64 // how long
-	Interval     float64 // between steps
-	Planned      bool    // planned work, not a fault
+	Share        float64 // share of machines or workers, 0 to 1
+	Strength     float64 // its meaning depends on the kind
+	Duration     float64 // how long the event lasts
+	Interval     float64 // time between the steps of an event with several
+	Planned      bool    // planned operation, not a fault
 }
 
 // ClosingFault is the fault that ends a day.
 type ClosingFault struct {
 	Kind     string
 	Variant  string
-	Downtime float64 // seconds without power or process
+	Downtime float64 // seconds until the machines start again
 }
 
-// Day is a named list of events with a closing fault.
+// Day is a named list of events with a closing fault at the end.
 type Day struct {
 	Name         string
-	Seed         uint64 // of the bench's own draws
+	Seed         uint64 // seed of the bench's own random choices
 	Events       []Event
 	ClosingFault ClosingFault
 }
 
-// TOML writes the day as a [[day]] of a site file.
+// TOML encodes the day as a [[day]] section of a site file.
 func (d *Day) TOML() []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[[day]]\nname = %q\nseed = %d\n", d.Name, d.Seed)
@@ -88,6 +87,8 @@
 	return []byte(b.String())
 }
 
+// writeEvents writes a section with the events that are planned, or those that are
+// not.
 func writeEvents(b *strings.Builder, section string, events []Event, planned bool) {
 	fmt.Fprintf(b, "%s = [\n", section)
 	for i := range events {
@@ -98,7 +99,8 @@
 	b.WriteString("]\n")
 }
 
-// fields returns the event's fields as TOML pairs, those that are zero left out.
+// fields returns the non-zero fields of the event as TOML pairs. The time and the
+// kind are always included.
 func (e *Event) fields() []string {
 	fields := []string{"at = " + formatFloat(e.At), fmt.Sprintf("kind = %q", e.Kind)}
 	for _, text := range []struct{ name, value string }{
@@ -122,7 +124,7 @@
 	return fields
 }
 
-// formatFloat writes a TOML float: at least one digit after the point.
+// formatFloat formats a TOML float, which needs at least one digit after the point.
 func formatFloat(value float64) string {
 	text := strconv.FormatFloat(value, 'f', -1, 64)
 	if !strings.Contains(text, ".") {
--- a/internal/fleet/chaos.go
+++ b/internal/fleet/chaos.go
@@ -34,272 +34,278 @@
 	done    atomic.Bool
 }
 
-func newChaosRun(f *Fleet, parties *Workers, tally *standin.Tally, out io.Writer) *chaosRun {
+func newChaosRun(fleet *Fleet, parties *Workers, tally *standin.Tally, out io.Writer) *chaosRun {
 	for _, model := range parties.Models {
 		model.Given = tally.Given
 	}
-	return &chaosRun{fleet: f, workers: parties, tally: tally, out: out, clock: parties.Clock}
+	return &chaosRun{fleet: fleet, workers: parties, tally: tally, out: out, clock: parties.Clock}
 }
 
 // RunChaos runs the whole script and waits for the callers' last words.
-func (f *Fleet) RunChaos(parties *Workers, tally *standin.Tally, callers, pieces int, out io.Writer) error {
-	d := newChaosRun(f, parties, tally, out)
+func (f *Fleet) RunChaos(parties *Workers, tally *standin.Tally, callers, answerTokens int, out io.Writer) error {
+	run := newChaosRun(f, parties, tally, out)
 	var group sync.WaitGroup
 	group.Add(2)
 	go func() {
 		defer group.Done()
-		f.RunCallers(tally, callers, pieces, 300*time.Millisecond, func(int) bool { return !d.done.Load() })
+		f.RunCallers(tally, callers, answerTokens, 300*time.Millisecond, func(int) bool { return !run.done.Load() })
 	}()
 	go func() {
 		defer group.Done()
-		d.watchGatewaySettings()
+		run.watchGatewaySettings()
 	}()
 	steps := []struct {
 		name string
 		do   func() error
 	}{
-		{"workers are replaced one by one", d.replaceWorkers},
-		{"a gateway is frozen and woken", func() error { return d.freeze(f.Gateways[0], 4*time.Second) }},
-		{"a core is frozen and woken", func() error { return d.freeze(f.Cores[1], 4*time.Second) }},
-		{"a gateway is told to stop and comes back", func() error { return d.restart(f.Gateways[1], syscall.SIGTERM) }},
-		{"a core is told to stop and comes back", func() error { return d.restart(f.Cores[0], syscall.SIGTERM) }},
-		{"a gateway is killed", func() error { return d.restart(f.Gateways[2], syscall.SIGKILL) }},
-		{"a core is killed", func() error { return d.restart(f.Cores[1], syscall.SIGKILL) }},
-		{"a storage machine is killed", func() error { return d.restart(f.Storage[1], syscall.SIGKILL) }},
-		{"a disk is lost and its machine replaced", d.replaceDisk},
-		{"two operators collide while a core is killed", d.applyConcurrently},
-		{"everything falls at once, one disk stays away", d.measureFullOutage},
+		{"workers are replaced one by one", run.replaceWorkers},
+		{"a gateway is frozen and woken", func() error { return run.freeze(f.Gateways[0], 4*time.Second) }},
+		{"a core is frozen and woken", func() error { return run.freeze(f.Cores[1], 4*time.Second) }},
+		{"a gateway is told to stop and comes back", func() error { return run.restart(f.Gateways[1], syscall.SIGTERM) }},
+		{"a core is told to stop and comes back", func() error { return run.restart(f.Cores[0], syscall.SIGTERM) }},
+		{"a gateway is killed", func() error { return run.restart(f.Gateways[2], syscall.SIGKILL) }},
+		{"a core is killed", func() error { return run.restart(f.Cores[1], syscall.SIGKILL) }},
+		{"a storage machine is killed", func() error { return run.restart(f.Storage[1], syscall.SIGKILL) }},
+		{"a disk is lost and its machine replaced", run.replaceDisk},
+		{"two operators collide while a core is killed", run.applyConcurrently},
+		{"everything falls at once, one disk stays away", run.measureFullOutage},
 	}
-	var failed error
+	var stepErr error
 	for _, step := range steps {
-		began := d.clock.Now()
-		if failed = step.do(); failed != nil {
-			failed = errors.Annotate(failed, step.name)
+		start := run.clock.Now()
+		if stepErr = step.do(); stepErr != nil {
+			stepErr = errors.Annotate(stepErr, step.name)
 			break
 		}
-		_, _ = fmt.Fprintf(out, "%6.1fs  %s (%.1fs)\n", d.clock.Now().Seconds(), step.name, (d.clock.Now() - began).Seconds())
-		d.clock.Sleep(time.Second)
+		_, _ = fmt.Fprintf(out, "%6.1fs  %s (%.1fs)\n", run.clock.Now().Seconds(), step.name, (run.clock.Now() - start).Seconds())
+		run.clock.Sleep(time.Second)
 	}
-	d.done.Store(true)
+	run.done.Store(true)
 	group.Wait()
-	return failed
+	return stepErr
 }
 
-func (d *chaosRun) replaceWorkers() error {
-	stamp := d.workers.List.Stamp
-	for place := range 3 {
-		old := d.workers.List.Workers[place]
-		fresh, err := d.fleet.startWorker(d.workers, old.Pool, fmt.Sprintf("%s-next", old.ID))
+func (run *chaosRun) replaceWorkers() error {
+	version := run.workers.List.Stamp
+	for index := range 3 {
+		old := run.workers.List.Workers[index]
+		replacement, err := run.fleet.startWorker(run.workers, old.Pool, fmt.Sprintf("%s-next", old.ID))
 		if err != nil {
 			return err
 		}
-		stamp++
-		body := map[string]any{"stamp": stamp, "put": []any{fresh}, "remove": []string{old.ID}}
-		if err := retry(d.clock, d.clock.Now()+10*time.Second, func() error {
-			return CallJSON("PATCH", d.fleet.Gateways[place%len(d.fleet.Gateways)].PublicAddr, "/v1/platform/workers", body, nil)
+		version++
+		body := map[string]any{"stamp": version, "put": []any{replacement}, "remove": []string{old.ID}}
+		if err := retry(run.clock, run.clock.Now()+10*time.Second, func() error {
+			return CallJSON("PATCH", run.fleet.Gateways[index%len(run.fleet.Gateways)].PublicAddr, "/v1/platform/workers", body, nil)
 		}); err != nil {
 			return err
 		}
-		d.tally.Leaves(old.ID, d.clock.Now())
-		d.clock.Sleep(3500 * time.Millisecond)
-		_ = d.workers.servers[old.ID].Close()
+		run.tally.Leaves(old.ID, run.clock.Now())
+		run.clock.Sleep(3500 * time.Millisecond)
+		_ = run.workers.servers[old.ID].Close()
 	}
 	return nil
 }
 
-func (d *chaosRun) freeze(p *Process, span time.Duration) error {
-	p.Signal(syscall.SIGSTOP)
-	d.clock.Sleep(span)
-	p.Signal(syscall.SIGCONT)
-	return AwaitReady([]*Process{p}, 20*time.Second)
+func (run *chaosRun) freeze(process *Process, duration time.Duration) error {
+	process.Signal(syscall.SIGSTOP)
+	run.clock.Sleep(duration)
+	process.Signal(syscall.SIGCONT)
+	return AwaitReady([]*Process{process}, 20*time.Second)
 }
 
-func (d *chaosRun) restart(p *Process, how syscall.Signal) error {
-	p.Signal(how)
-	code, ended := p.Wait(30 * time.Second)
-	if !ended || (how == syscall.SIGTERM && code != 0) {
-		return errors.Errorf("%s: ended %v with code %d", p.Name, ended, code)
+func (run *chaosRun) restart(process *Process, signal syscall.Signal) error {
+	process.Signal(signal)
+	exitCode, exited := process.Wait(30 * time.Second)
+	if !exited || (signal == syscall.SIGTERM && exitCode != 0) {
+		return errors.Errorf("%s: ended %v with code %d", process.Name, exited, exitCode)
 	}
-	d.clock.Sleep(time.Second)
-	if err := d.fleet.Start(p); err != nil {
+	run.clock.Sleep(time.Second)
+	if err := run.fleet.Start(process); err != nil {
 		return err
 	}
-	return AwaitReady([]*Process{p}, 20*time.Second)
+	return AwaitReady([]*Process{process}, 20*time.Second)
 }
 
 // callAnyCore gives some core that answers.
-func (d *chaosRun) callAnyCore(call func(p *Process) error) error {
-	return retry(d.clock, d.clock.Now()+30*time.Second, func() error {
-		return call(d.fleet.Cores[rand.IntN(len(d.fleet.Cores))])
+func (run *chaosRun) callAnyCore(call func(process *Process) error) error {
+	return retry(run.clock, run.clock.Now()+30*time.Second, func() error {
+		return call(run.fleet.Cores[rand.IntN(len(run.fleet.Cores))])
 	})
 }
 
-func (d *chaosRun) waitUntilSettled() error {
-	return d.callAnyCore(func(p *Process) error {
-		var shown operate.StorageView
-		if err := CallJSON("GET", p.PublicAddr, "/v1/operator/storage", nil, &shown); err != nil {
+func (run *chaosRun) waitUntilSettled() error {
+	return run.callAnyCore(func(process *Process) error {
+		var storage operate.StorageView
+		if err := CallJSON("GET", process.PublicAddr, "/v1/operator/storage", nil, &storage); err != nil {
 			return err
 		}
-		if shown.ChangePending || shown.SettledShards != shown.TotalShards {
-			return errors.Errorf("%d of %d slots settled", shown.SettledShards, shown.TotalShards)
+		if storage.ChangePending || storage.SettledShards != storage.TotalShards {
+			return errors.Errorf("%d of %d slots settled", storage.SettledShards, storage.TotalShards)
 		}
 		return nil
 	})
 }
 
-func (d *chaosRun) replaceDisk() error {
-	f := d.fleet
+func (run *chaosRun) replaceDisk() error {
+	f := run.fleet
 	lost := f.Storage[len(f.Storage)-1]
-	var shown operate.StorageView
-	if err := d.callAnyCore(func(p *Process) error { return CallJSON("GET", p.PublicAddr, "/v1/operator/storage", nil, &shown) }); err != nil {
+	var storage operate.StorageView
+	if err := run.callAnyCore(func(process *Process) error {
+		return CallJSON("GET", process.PublicAddr, "/v1/operator/storage", nil, &storage)
+	}); err != nil {
 		return err
 	}
-	id := ""
-	for _, disk := range shown.Disks {
+	diskID := ""
+	for _, disk := range storage.Disks {
 		if disk.Addr == lost.Addr {
-			id = disk.ID
+			diskID = disk.ID
 		}
 	}
 	lost.Kill()
 	if err := os.RemoveAll(lost.DataDir); err != nil {
 		return err
 	}
-	place := len(f.Storage)
-	if err := f.addProcess(&f.Storage, "storage", place); err != nil {
+	index := len(f.Storage)
+	if err := f.addProcess(&f.Storage, "storage", index); err != nil {
 		return err
 	}
-	fresh := f.Storage[place]
-	f.Storage = append(f.Storage[:place-1], fresh)
-	if err := f.Start(fresh); err != nil {
+	replacement := f.Storage[index]
+	f.Storage = append(f.Storage[:index-1], replacement)
+	if err := f.Start(replacement); err != nil {
 		return err
 	}
-	change := func(what string, body map[string]string) error {
-		if err := d.callAnyCore(func(p *Process) error { return CallJSON("POST", p.PublicAddr, "/v1/operator/storage/"+what, body, nil) }); err != nil {
+	submit := func(operation string, body map[string]string) error {
+		if err := run.callAnyCore(func(process *Process) error {
+			return CallJSON("POST", process.PublicAddr, "/v1/operator/storage/"+operation, body, nil)
+		}); err != nil {
 			return err
 		}
-		return d.waitUntilSettled()
+		return run.waitUntilSettled()
 	}
-	if err := change("retire", map[string]string{"disk": id}); err != nil {
+	if err := submit("retire", map[string]string{"disk": diskID}); err != nil {
 		return err
 	}
-	return change("admit", map[string]string{"address": fresh.Addr})
+	return submit("admit", map[string]string{"address": replacement.Addr})
 }
 
 // applyConcurrently has two operators apply at once, again and again.
-func (d *chaosRun) applyConcurrently() error {
+func (run *chaosRun) applyConcurrently() error {
 	var group sync.WaitGroup
 	for operator := range 2 {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			stamp := uint64(1)
+			version := uint64(1)
 			for round := range 6 {
-				stamp = d.applySettings(fmt.Sprintf("op%d-%d", operator, round), stamp)
-				d.clock.Sleep(time.Duration(200+rand.IntN(400)) * time.Millisecond)
+				version = run.applySettings(fmt.Sprintf("op%d-%d", operator, round), version)
+				run.clock.Sleep(time.Duration(200+rand.IntN(400)) * time.Millisecond)
 			}
 		}()
 	}
-	d.clock.Sleep(500 * time.Millisecond)
-	err := d.restart(d.fleet.Cores[0], syscall.SIGKILL)
+	run.clock.Sleep(500 * time.Millisecond)
+	err := run.restart(run.fleet.Cores[0], syscall.SIGKILL)
 	group.Wait()
 	if err != nil {
 		return err
 	}
-	return d.recordCurrentSettings()
+	return run.recordCurrentSettings()
 }
 
 // recordCurrentSettings looks at the settings that the control state holds.
-func (d *chaosRun) recordCurrentSettings() error {
-	var now settings.Record
-	if err := d.callAnyCore(func(p *Process) error { return CallJSON("GET", p.PublicAddr, "/v1/operator/settings", nil, &now) }); err != nil {
+func (run *chaosRun) recordCurrentSettings() error {
+	var current settings.Record
+	if err := run.callAnyCore(func(process *Process) error {
+		return CallJSON("GET", process.PublicAddr, "/v1/operator/settings", nil, &current)
+	}); err != nil {
 		return err
 	}
-	_, rest, _ := strings.Cut(string(now.Document), `"model": "`)
-	mark, _, _ := strings.Cut(rest, `"`)
-	if mark == "stand-in" {
-		mark = ""
+	_, rest, _ := strings.Cut(string(current.Document), `"model": "`)
+	model, _, _ := strings.Cut(rest, `"`)
+	if model == "stand-in" {
+		model = ""
 	}
-	d.tally.Stands(now.Version, mark)
+	run.tally.Stands(current.Version, model)
 	return nil
 }
 
 // applySettings takes one change to a known end and gives the stamp that stands.
-func (d *chaosRun) applySettings(change string, stamp uint64) uint64 {
-	document := strings.Replace(d.fleet.Shape.Settings(), `"model": "stand-in"`, `"model": "`+change+`"`, 1)
-	body := map[string]any{"change": change, "based_on": stamp, "document": json.RawMessage(document)}
+func (run *chaosRun) applySettings(changeID string, version uint64) uint64 {
+	document := strings.Replace(run.fleet.Shape.Settings(), `"model": "stand-in"`, `"model": "`+changeID+`"`, 1)
+	body := map[string]any{"change": changeID, "based_on": version, "document": json.RawMessage(document)}
 	path := "/v1/operator/settings/apply"
-	var told struct {
+	var reply struct {
 		Outcome string            `json:"outcome"`
 		Stamp   uint64            `json:"stamp"`
 		Error   base.RequestError `json:"error"`
 	}
-	for tries := 0; tries < 100; tries++ {
-		status, answer, err := SendRequest("POST", d.fleet.Cores[rand.IntN(len(d.fleet.Cores))].PublicAddr, path, body)
-		_ = json.Unmarshal(answer, &told)
+	for attempt := 0; attempt < 100; attempt++ {
+		status, responseBody, err := SendRequest("POST", run.fleet.Cores[rand.IntN(len(run.fleet.Cores))].PublicAddr, path, body)
+		_ = json.Unmarshal(responseBody, &reply)
 		switch {
-		case err == nil && status == 200 && told.Outcome == "taken":
-			d.tally.Taken(change, stamp, told.Stamp, d.clock.Now())
-			return told.Stamp
+		case err == nil && status == 200 && reply.Outcome == "taken":
+			run.tally.Taken(changeID, version, reply.Stamp, run.clock.Now())
+			return reply.Stamp
 		case err == nil && (status == 200 || status == 409):
-			d.tally.ChangeRefused(change)
-			return max(stamp, told.Stamp, told.Error.CurrentVersion)
+			run.tally.ChangeRefused(changeID)
+			return max(version, reply.Stamp, reply.Error.CurrentVersion)
 		}
-		d.tally.Count("settings_unknown")
-		path, body = "/v1/operator/settings/outcome", map[string]any{"change": change}
-		d.clock.Sleep(200 * time.Millisecond)
+		run.tally.Count("settings_unknown")
+		path, body = "/v1/operator/settings/outcome", map[string]any{"change": changeID}
+		run.clock.Sleep(200 * time.Millisecond)
 	}
-	d.tally.Breach("change %s has no outcome", change)
-	return stamp
+	run.tally.Breach("change %s has no outcome", changeID)
+	return version
 }
 
 // watchGatewaySettings asks every gateway for the stamp it serves by.
-func (d *chaosRun) watchGatewaySettings() {
-	for !d.done.Load() {
-		for _, p := range d.fleet.Gateways {
-			asked := d.clock.Now()
-			var now struct {
+func (run *chaosRun) watchGatewaySettings() {
+	for !run.done.Load() {
+		for _, process := range run.fleet.Gateways {
+			requestedAt := run.clock.Now()
+			var current struct {
 				Stamp uint64 `json:"stamp"`
 			}
-			if CallJSON("GET", p.PublicAddr, "/v1/platform/settings", nil, &now) != nil {
+			if CallJSON("GET", process.PublicAddr, "/v1/platform/settings", nil, &current) != nil {
 				continue
 			}
-			d.tally.Showed(p.Name, now.Stamp, "", asked)
+			run.tally.Showed(process.Name, current.Stamp, "", requestedAt)
 		}
-		d.clock.Sleep(50 * time.Millisecond)
+		run.clock.Sleep(50 * time.Millisecond)
 	}
 }
 
 // measureFullOutage kills everything and brings it back, one disk missing, and times it.
-func (d *chaosRun) measureFullOutage() error {
-	away := d.fleet.Storage[rand.IntN(len(d.fleet.Storage))]
-	began := d.clock.Now()
-	if err := d.killAndRestartAll(away, 60*time.Second); err != nil {
+func (run *chaosRun) measureFullOutage() error {
+	absent := run.fleet.Storage[rand.IntN(len(run.fleet.Storage))]
+	start := run.clock.Now()
+	if err := run.killAndRestartAll(absent, 60*time.Second); err != nil {
 		return err
 	}
-	took := d.clock.Now() - began
-	_, _ = fmt.Fprintf(d.out, "         all gateways serve again %.2fs after all fell\n", took.Seconds())
-	d.tally.Back(took)
-	if err := d.recordCurrentSettings(); err != nil {
+	outage := run.clock.Now() - start
+	_, _ = fmt.Fprintf(run.out, "         all gateways serve again %.2fs after all fell\n", outage.Seconds())
+	run.tally.Back(outage)
+	if err := run.recordCurrentSettings(); err != nil {
 		return err
 	}
-	return d.fleet.Start(away)
+	return run.fleet.Start(absent)
 }
 
 // fall kills everything and starts all but one again, in any order.
-func (d *chaosRun) killAndRestartAll(away *Process, limit time.Duration) error {
-	all := d.fleet.All()
-	for _, p := range all {
-		p.Signal(syscall.SIGKILL)
+func (run *chaosRun) killAndRestartAll(absent *Process, timeout time.Duration) error {
+	all := run.fleet.All()
+	for _, process := range all {
+		process.Signal(syscall.SIGKILL)
 	}
-	for _, p := range all {
-		p.Wait(10 * time.Second)
+	for _, process := range all {
+		process.Wait(10 * time.Second)
 	}
-	for _, place := range rand.Perm(len(all)) {
-		if all[place] != away {
-			if err := d.fleet.Start(all[place]); err != nil {
+	for _, index := range rand.Perm(len(all)) {
+		if all[index] != absent {
+			if err := run.fleet.Start(all[index]); err != nil {
 				return err
 			}
 		}
 	}
-	return AwaitReady(d.fleet.Gateways, limit)
+	return AwaitReady(run.fleet.Gateways, timeout)
 }
--- a/internal/fleet/process.go
+++ b/internal/fleet/fleet.go
@@ -51,20 +51,20 @@
 
 // New lays a fleet out; nothing runs yet. The network number picks the
 // loopback addresses, so that fleets do not meet.
-func New(shape Shape, folder, binaries string, network int) (*Fleet, error) {
-	f := &Fleet{Shape: shape, Dir: folder, BinDir: binaries, networkIndex: network}
-	for place := 0; place < shape.Storage; place++ {
-		if err := f.addProcess(&f.Storage, "storage", place); err != nil {
+func New(shape Shape, dir, binDir string, networkIndex int) (*Fleet, error) {
+	f := &Fleet{Shape: shape, Dir: dir, BinDir: binDir, networkIndex: networkIndex}
+	for index := 0; index < shape.Storage; index++ {
+		if err := f.addProcess(&f.Storage, "storage", index); err != nil {
 			return nil, err
 		}
 	}
-	for place := 0; place < shape.Cores; place++ {
-		if err := f.addProcess(&f.Cores, "core", place); err != nil {
+	for index := 0; index < shape.Cores; index++ {
+		if err := f.addProcess(&f.Cores, "core", index); err != nil {
 			return nil, err
 		}
 	}
-	for place := 0; place < shape.Gateways; place++ {
-		if err := f.addProcess(&f.Gateways, "edge", place); err != nil {
+	for index := 0; index < shape.Gateways; index++ {
+		if err := f.addProcess(&f.Gateways, "edge", index); err != nil {
 			return nil, err
 		}
 	}
@@ -75,21 +75,21 @@
 
 // PrepareFolder gives an empty folder for a fleet. Only one that is empty or was
 // a fleet's before is emptied.
-func PrepareFolder(folder string) error {
-	entries, err := os.ReadDir(folder)
+func PrepareFolder(dir string) error {
+	entries, err := os.ReadDir(dir)
 	if err != nil && !os.IsNotExist(err) {
 		return errors.Trace(err)
 	}
-	if _, err := os.Stat(filepath.Join(folder, markerFile)); len(entries) > 0 && err != nil {
-		return errors.Errorf("%s holds files that are not a fleet's; give an empty folder", folder)
+	if _, err := os.Stat(filepath.Join(dir, markerFile)); len(entries) > 0 && err != nil {
+		return errors.Errorf("%s holds files that are not a fleet's; give an empty folder", dir)
 	}
-	if err := os.RemoveAll(folder); err != nil {
+	if err := os.RemoveAll(dir); err != nil {
 		return errors.Trace(err)
 	}
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return errors.Trace(err)
 	}
-	return errors.Trace(os.WriteFile(filepath.Join(folder, markerFile), nil, 0o644))
+	return errors.Trace(os.WriteFile(filepath.Join(dir, markerFile), nil, 0o644))
 }
 
 // nextLoopbackAddr is a loopback address that no other machine has.
@@ -98,17 +98,17 @@
 	return fmt.Sprintf("127.%d.%d.%d", 10+f.networkIndex/250%200, 1+f.networkIndex%250, f.hostCount)
 }
 
-func (f *Fleet) addProcess(list *[]*Process, role string, place int) error {
+func (f *Fleet) addProcess(processes *[]*Process, role string, index int) error {
 	host := f.nextLoopbackAddr()
-	p := &Process{Name: fmt.Sprintf("%s-%d", role, place+1), Role: role, Zone: f.Shape.Zones[place%len(f.Shape.Zones)]}
+	process := &Process{Name: fmt.Sprintf("%s-%d", role, index+1), Role: role, Zone: f.Shape.Zones[index%len(f.Shape.Zones)]}
 	var err error
-	if p.Addr, err = freeAddr(host); err == nil {
-		p.PublicAddr, err = freeAddr(host)
+	if process.Addr, err = freeAddr(host); err == nil {
+		process.PublicAddr, err = freeAddr(host)
 	}
 	if role == "storage" {
-		p.DataDir = filepath.Join(f.Dir, p.Name)
+		process.DataDir = filepath.Join(f.Dir, process.Name)
 	}
-	*list = append(*list, p)
+	*processes = append(*processes, process)
 	return errors.Trace(err)
 }
 
@@ -122,25 +122,25 @@
 }
 
 // Start runs one process.
-func (f *Fleet) Start(p *Process) error {
-	args := []string{"--address", p.Addr, "--public-address", p.PublicAddr, "--zone", p.Zone}
+func (f *Fleet) Start(process *Process) error {
+	args := []string{"--address", process.Addr, "--public-address", process.PublicAddr, "--zone", process.Zone}
 	for _, seed := range strings.Split(f.seedAddrs(), ",") {
 		args = append(args, "--seed", seed)
 	}
 	program := "fordseam-gateway"
-	if p.Role != "edge" {
+	if process.Role != "edge" {
 		program = "fordseam-controller"
-		args = append([]string{"run", "--role", p.Role}, args...)
+		args = append([]string{"run", "--role", process.Role}, args...)
 	}
-	if p.DataDir != "" {
-		args = append(args, "--data", p.DataDir)
+	if process.DataDir != "" {
+		args = append(args, "--data", process.DataDir)
 	}
-	return p.launch(exec.Command(filepath.Join(f.BinDir, program), args...), filepath.Join(f.Dir, p.Name+".log"))
+	return process.launch(exec.Command(filepath.Join(f.BinDir, program), args...), filepath.Join(f.Dir, process.Name+".log"))
 }
 
 // launch runs a command as the process, its log kept in a file.
-func (p *Process) launch(command *exec.Cmd, log string) error {
-	logFile, err := os.OpenFile(log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+func (p *Process) launch(command *exec.Cmd, logPath string) error {
+	logFile, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -160,8 +160,8 @@
 		p.mu.Lock()
 		p.exitCode = command.ProcessState.ExitCode()
 		p.cpuTime += command.ProcessState.UserTime() + command.ProcessState.SystemTime()
-		if usage, ok := command.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.peakMemory = max(p.peakMemory, usage.Maxrss<<10)
+		if resources, ok := command.ProcessState.SysUsage().(*syscall.Rusage); ok {
+			p.peakMemory = max(p.peakMemory, resources.Maxrss<<10)
 		}
 		p.mu.Unlock()
 		close(exited)
@@ -180,18 +180,18 @@
 
 // Wait gives the exit code once the process has ended; ok is false when it
 // has not within limit.
-func (p *Process) Wait(limit time.Duration) (code int, ok bool) {
+func (p *Process) Wait(timeout time.Duration) (code int, ok bool) {
 	p.mu.Lock()
 	exited := p.exited
 	p.mu.Unlock()
 	if exited == nil {
 		return 0, true
 	}
-	ended := time.NewTimer(limit)
-	defer ended.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-exited:
-	case <-ended.C:
+	case <-timer.C:
 		// At a limit of none both may be there.
 		select {
 		case <-exited:
@@ -249,15 +249,15 @@
 }
 
 // AwaitReady waits until all of a list are ready.
-func AwaitReady(list []*Process, limit time.Duration) error {
+func AwaitReady(processes []*Process, timeout time.Duration) error {
 	clock := base.NewRealClock()
-	for _, p := range list {
-		for !p.Ready() {
-			if code, ended := p.Wait(0); ended {
-				return errors.Errorf("%s ended with code %d", p.Name, code)
+	for _, process := range processes {
+		for !process.Ready() {
+			if exitCode, exited := process.Wait(0); exited {
+				return errors.Errorf("%s ended with code %d", process.Name, exitCode)
 			}
-			if clock.Now() > limit {
-				return errors.Errorf("%s is not ready after %v", p.Name, limit)
+			if clock.Now() > timeout {
+				return errors.Errorf("%s is not ready after %v", process.Name, timeout)
 			}
 			clock.Sleep(50 * time.Millisecond)
 		}
--- a/internal/fleet/platform.go
+++ b/internal/fleet/platform.go
@@ -91,114 +91,114 @@
 }
 
 func newPlatformRun(plan *PlatformPlan) *platformRun {
-	w := &platformRun{plan: plan, clock: base.NewRealClock(), rng: rand.New(rand.NewPCG(plan.Seed, 1)), done: make(chan struct{}),
+	run := &platformRun{plan: plan, clock: base.NewRealClock(), rng: rand.New(rand.NewPCG(plan.Seed, 1)), done: make(chan struct{}),
 		faults: map[string]*injectedFaults{}, workByPrefix: map[string]platform.Draw{}, rateFactor: 1}
-	w.ledger = platform.NewLedger(plan.Site.Bounds, plan.Site.Stride(), plan.Site.Cores)
-	w.names = plan.Site.DrawWords(rand.New(rand.NewPCG(plan.Seed, 2)))
-	w.drafts = &platform.Drafts{Site: plan.Site, Words: w.names, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
-	w.networkIndex = os.Getpid()*7 + int(plan.Seed%1000)
-	w.instances = &platform.Instances{Clock: w.clock, Ledger: w.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, PerS: plan.Site.ListPerS}
-	w.entry = &sockets.VirtualEntry{}
-	w.clients = &sockets.Clients{Clock: w.clock, Entry: w.entry, KeepShare: 5}
-	w.player = platform.NewPlayer(w.clock, w.clients, w.ledger, plan.Site, w.names, plan.Seed)
-	w.player.Persist = func() time.Duration { return time.Duration(w.persistUntil.Load()) }
-	return w
+	run.ledger = platform.NewLedger(plan.Site.Bounds, plan.Site.Stride(), plan.Site.Cores)
+	run.names = plan.Site.DrawWords(rand.New(rand.NewPCG(plan.Seed, 2)))
+	run.drafts = &platform.Drafts{Site: plan.Site, Words: run.names, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
+	run.networkIndex = os.Getpid()*7 + int(plan.Seed%1000)
+	run.instances = &platform.Instances{Clock: run.clock, Ledger: run.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, PerS: plan.Site.ListPerS}
+	run.entry = &sockets.VirtualEntry{}
+	run.clients = &sockets.Clients{Clock: run.clock, Entry: run.entry, KeepShare: 5}
+	run.player = platform.NewPlayer(run.clock, run.clients, run.ledger, plan.Site, run.names, plan.Seed)
+	run.player.Persist = func() time.Duration { return time.Duration(run.persistUntil.Load()) }
+	return run
 }
 
-func (w *platformRun) randomInt(n int) int {
-	w.rngMu.Lock()
-	defer w.rngMu.Unlock()
-	return w.rng.IntN(n)
+func (run *platformRun) randomInt(n int) int {
+	run.rngMu.Lock()
+	defer run.rngMu.Unlock()
+	return run.rng.IntN(n)
 }
 
-func (w *platformRun) randomFloat() float64 {
-	w.rngMu.Lock()
-	defer w.rngMu.Unlock()
-	return w.rng.Float64()
+func (run *platformRun) randomFloat() float64 {
+	run.rngMu.Lock()
+	defer run.rngMu.Unlock()
+	return run.rng.Float64()
 }
 
-func (w *platformRun) nextLoopbackAddr() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.hostCount++
-	return fmt.Sprintf("127.%d.%d.%d", 10+w.networkIndex/250%200, 1+w.networkIndex%250, w.hostCount)
+func (run *platformRun) nextLoopbackAddr() string {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.hostCount++
+	return fmt.Sprintf("127.%d.%d.%d", 10+run.networkIndex/250%200, 1+run.networkIndex%250, run.hostCount)
 }
 
 // choosePorts draws ports that are free where this machine looks.
-func (w *platformRun) choosePorts() {
-	host := w.nextLoopbackAddr()
+func (run *platformRun) choosePorts() {
+	host := run.nextLoopbackAddr()
 	for range 50 {
-		base := 7000 + 100*w.randomInt(200)
-		w.ports = platformPorts{frontPort: base + 49, readinessPort: base + 41, controlPort: base + 44, internalPorts: [2]int{base + 80, base + 95}}
-		taken := false
-		for port := base + 41; port <= base+95; port++ {
-			taken = taken || !portIsFree(fmt.Sprintf("%s:%d", host, port))
+		basePort := 7000 + 100*run.randomInt(200)
+		run.ports = platformPorts{frontPort: basePort + 49, readinessPort: basePort + 41, controlPort: basePort + 44, internalPorts: [2]int{basePort + 80, basePort + 95}}
+		occupied := false
+		for port := basePort + 41; port <= basePort+95; port++ {
+			occupied = occupied || !portIsFree(fmt.Sprintf("%s:%d", host, port))
 		}
-		if !taken {
+		if !occupied {
 			return
 		}
 	}
 }
 
 // addMachine adds a machine; nothing runs yet.
-func (w *platformRun) addMachine(class, zone string, number int, first bool) *machine {
-	m := &machine{class: class, ip: w.nextLoopbackAddr(), initial: first}
+func (run *platformRun) addMachine(class, zone string, number int, initial bool) *machine {
+	m := &machine{class: class, ip: run.nextLoopbackAddr(), initial: initial}
 	m.Name, m.Role, m.Zone = platform.Place(class, zone, number), "my-"+class, zone
 	if class != platform.ClassEdge {
-		m.DataDir = filepath.Join(w.plan.Dir, m.Name, "data")
+		m.DataDir = filepath.Join(run.plan.Dir, m.Name, "data")
 	}
-	w.mu.Lock()
-	w.machines = append(w.machines, m)
-	w.mu.Unlock()
+	run.mu.Lock()
+	run.machines = append(run.machines, m)
+	run.mu.Unlock()
 	return m
 }
 
-func (w *platformRun) addInitialMachines() {
-	w.choosePorts()
-	site := w.plan.Site
+func (run *platformRun) addInitialMachines() {
+	run.choosePorts()
+	site := run.plan.Site
 	for _, class := range []struct {
 		name  string
 		count int
 	}{{platform.ClassStorage, site.Storage}, {platform.ClassCore, site.Cores}, {platform.ClassEdge, site.Edges}} {
-		for place := range class.count {
-			w.addMachine(class.name, site.Zones[place%len(site.Zones)], place/len(site.Zones)+1, true)
+		for index := range class.count {
+			run.addMachine(class.name, site.Zones[index%len(site.Zones)], index/len(site.Zones)+1, true)
 		}
 	}
 }
 
 // machinesOf lists the machines of a class that are there, all for none.
-func (w *platformRun) machinesOf(class string) []*machine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return base.Filter(w.machines, func(m *machine) bool { return !m.removed && (class == "" || m.class == class) })
+func (run *platformRun) machinesOf(class string) []*machine {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	return base.Filter(run.machines, func(m *machine) bool { return !m.removed && (class == "" || m.class == class) })
 }
 
-func (w *platformRun) addrOf(m *machine, port int) string { return fmt.Sprintf("%s:%d", m.ip, port) }
+func (run *platformRun) addrOf(m *machine, port int) string { return fmt.Sprintf("%s:%d", m.ip, port) }
 
-func (w *platformRun) controlAddrs() []string {
-	return base.Map(w.machinesOf(platform.ClassCore), func(m *machine) string { return w.addrOf(m, w.ports.controlPort) })
+func (run *platformRun) controlAddrs() []string {
+	return base.Map(run.machinesOf(platform.ClassCore), func(m *machine) string { return run.addrOf(m, run.ports.controlPort) })
 }
 
-func (w *platformRun) settingsOf(m *machine) *platform.Settings {
-	controls := w.controlAddrs()
-	serves := map[string]string{platform.ClassEdge: platform.ClassEdge, platform.ClassCore: "control", platform.ClassStorage: platform.ClassStorage}[m.class]
-	return &platform.Settings{Node: m.Name, Role: m.Role, Class: m.class, Serves: serves, IP: m.ip, Zone: m.Zone, Region: w.plan.Site.Region,
-		Zones: w.plan.Site.Zones, Front: w.addrOf(m, w.ports.frontPort), Readiness: w.addrOf(m, w.ports.readinessPort), Control: w.addrOf(m, w.ports.controlPort),
-		Ports: w.ports.internalPorts, Seeds: controls[:min(3, len(controls))], First: m.initial, Counted: m.class != platform.ClassEdge, DataDir: m.DataDir,
-		Tolerate: 1, Bounds: w.plan.Site.Bounds, ListAddress: w.listServer.Address, ListPerS: w.plan.Site.ListPerS}
+func (run *platformRun) settingsOf(m *machine) *platform.Settings {
+	controlAddrs := run.controlAddrs()
+	servedRole := map[string]string{platform.ClassEdge: platform.ClassEdge, platform.ClassCore: "control", platform.ClassStorage: platform.ClassStorage}[m.class]
+	return &platform.Settings{Node: m.Name, Role: m.Role, Class: m.class, Serves: servedRole, IP: m.ip, Zone: m.Zone, Region: run.plan.Site.Region,
+		Zones: run.plan.Site.Zones, Front: run.addrOf(m, run.ports.frontPort), Readiness: run.addrOf(m, run.ports.readinessPort), Control: run.addrOf(m, run.ports.controlPort),
+		Ports: run.ports.internalPorts, Seeds: controlAddrs[:min(3, len(controlAddrs))], First: m.initial, Counted: m.class != platform.ClassEdge, DataDir: m.DataDir,
+		Tolerate: 1, Bounds: run.plan.Site.Bounds, ListAddress: run.listServer.Address, ListPerS: run.plan.Site.ListPerS}
 }
 
-func (w *platformRun) settingsPath(m *machine) string {
-	return filepath.Join(w.plan.Dir, m.Name, "settings.yaml")
+func (run *platformRun) settingsPath(m *machine) string {
+	return filepath.Join(run.plan.Dir, m.Name, "settings.yaml")
 }
 
-func (w *platformRun) logPath(m *machine) string {
-	return filepath.Join(w.plan.Dir, m.Name+".log")
+func (run *platformRun) logPath(m *machine) string {
+	return filepath.Join(run.plan.Dir, m.Name+".log")
 }
 
 // writeSettings writes a machine's settings file as they are now.
-func (w *platformRun) writeSettings(m *machine) error {
-	if err := os.MkdirAll(filepath.Dir(w.settingsPath(m)), 0o755); err != nil {
+func (run *platformRun) writeSettings(m *machine) error {
+	if err := os.MkdirAll(filepath.Dir(run.settingsPath(m)), 0o755); err != nil {
 		return errors.Trace(err)
 	}
 	if m.DataDir != "" {
@@ -206,187 +206,187 @@
 			return errors.Trace(err)
 		}
 	}
-	fresh := w.settingsPath(m) + ".new"
-	if err := os.WriteFile(fresh, []byte(w.settingsOf(m).YAML()), 0o644); err != nil {
+	newPath := run.settingsPath(m) + ".new"
+	if err := os.WriteFile(newPath, []byte(run.settingsOf(m).YAML()), 0o644); err != nil {
 		return errors.Trace(err)
 	}
-	return errors.Trace(os.Rename(fresh, w.settingsPath(m)))
+	return errors.Trace(os.Rename(newPath, run.settingsPath(m)))
 }
 
 // start runs a machine's process and starts it again when it ends by itself.
-func (w *platformRun) start(m *machine) error {
+func (run *platformRun) start(m *machine) error {
 	m.lifecycleMu.Lock()
 	defer m.lifecycleMu.Unlock()
-	return w.startLocked(m)
+	return run.startLocked(m)
 }
 
-func (w *platformRun) startLocked(m *machine) error {
-	w.mu.Lock()
-	gone := m.removed
-	w.mu.Unlock()
+func (run *platformRun) startLocked(m *machine) error {
+	run.mu.Lock()
+	removed := m.removed
+	run.mu.Unlock()
 	// Two troubles may end on one machine: it runs one process, or none for good.
-	if gone || m.Running() {
+	if removed || m.Running() {
 		return nil
 	}
-	if err := w.writeSettings(m); err != nil {
+	if err := run.writeSettings(m); err != nil {
 		return err
 	}
-	words := strings.Fields(w.plan.Commands[m.class])
-	if len(words) == 0 {
+	commandLine := strings.Fields(run.plan.Commands[m.class])
+	if len(commandLine) == 0 {
 		return errors.Errorf("no command for machines of class %s", m.class)
 	}
-	command := exec.Command(words[0], words[1:]...)
-	command.Dir = w.plan.WorkDir
-	command.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), platform.SettingsVariable + "=" + w.settingsPath(m)}
-	if err := m.launch(command, w.logPath(m)); err != nil {
+	command := exec.Command(commandLine[0], commandLine[1:]...)
+	command.Dir = run.plan.WorkDir
+	command.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), platform.SettingsVariable + "=" + run.settingsPath(m)}
+	if err := m.launch(command, run.logPath(m)); err != nil {
 		return errors.Annotate(err, m.Name)
 	}
 	m.initial, m.exitExpected = false, false
-	at := w.clock.Now()
-	w.ledger.Note(func(r *platform.Record) {
-		r.Starts = append(r.Starts, platform.Start{Machine: m.Name, Class: m.class, At: at})
+	startedAt := run.clock.Now()
+	run.ledger.Note(func(r *platform.Record) {
+		r.Starts = append(r.Starts, platform.Start{Machine: m.Name, Class: m.class, At: startedAt})
 	})
 	exited := m.exited
-	w.tasks.Add(1)
+	run.tasks.Add(1)
 	go func() {
-		defer w.tasks.Done()
+		defer run.tasks.Done()
 		select {
-		case <-w.done:
+		case <-run.done:
 		case <-exited:
-			w.restartAfterExit(m, exited)
+			run.restartAfterExit(m, exited)
 		}
 	}()
 	return nil
 }
 
 // restartAfterExit starts a process again that ended though nobody asked it to.
-func (w *platformRun) restartAfterExit(m *machine, exited chan struct{}) {
+func (run *platformRun) restartAfterExit(m *machine, exited chan struct{}) {
 	m.lifecycleMu.Lock()
 	defer m.lifecycleMu.Unlock()
-	w.mu.Lock()
+	run.mu.Lock()
 	expected := m.exitExpected || m.removed || m.exited != exited
-	w.mu.Unlock()
+	run.mu.Unlock()
 	if expected {
 		return
 	}
-	code, _ := m.Wait(0)
-	written, _ := os.ReadFile(w.logPath(m))
-	w.mu.Lock()
-	w.unexpectedExits = append(w.unexpectedExits, fmt.Sprintf("%s ended by itself with code %d at %.1fs: %s", m.Name, code, w.clock.Now().Seconds(), written[max(0, len(written)-400):]))
-	many := len(w.unexpectedExits) > 50
-	w.mu.Unlock()
+	exitCode, _ := m.Wait(0)
+	log, _ := os.ReadFile(run.logPath(m))
+	run.mu.Lock()
+	run.unexpectedExits = append(run.unexpectedExits, fmt.Sprintf("%s ended by itself with code %d at %.1fs: %s", m.Name, exitCode, run.clock.Now().Seconds(), log[max(0, len(log)-400):]))
+	tooMany := len(run.unexpectedExits) > 50
+	run.mu.Unlock()
 	select {
-	case <-w.done:
+	case <-run.done:
 		return
 	case <-time.After(500 * time.Millisecond):
 	}
-	if !many {
-		_ = w.startLocked(m)
+	if !tooMany {
+		_ = run.startLocked(m)
 	}
 }
 
 // stopWith ends a process with a signal; its end is expected.
-func (w *platformRun) stopWith(m *machine, how func()) {
+func (run *platformRun) stopWith(m *machine, stop func()) {
 	m.lifecycleMu.Lock()
 	m.exitExpected = true
 	m.lifecycleMu.Unlock()
-	how()
+	stop()
 }
 
 // recordTrouble notes a trouble of a machine until the step it gives back is called.
-func (w *platformRun) recordTrouble(kind string, m *machine, change func(t *platform.Trouble)) (end func()) {
-	t := &platform.Trouble{Kind: kind, Machine: m.Name, Class: m.class, From: w.clock.Now(), To: 1 << 60}
-	if change != nil {
-		change(t)
+func (run *platformRun) recordTrouble(kind string, m *machine, configure func(trouble *platform.Trouble)) (end func()) {
+	trouble := &platform.Trouble{Kind: kind, Machine: m.Name, Class: m.class, From: run.clock.Now(), To: 1 << 60}
+	if configure != nil {
+		configure(trouble)
 	}
-	w.ledger.Note(func(r *platform.Record) { r.Troubles = append(r.Troubles, t) })
+	run.ledger.Note(func(r *platform.Record) { r.Troubles = append(r.Troubles, trouble) })
 	return func() {
-		at := w.clock.Now()
-		w.ledger.Note(func(*platform.Record) { t.To = at })
+		endedAt := run.clock.Now()
+		run.ledger.Note(func(*platform.Record) { trouble.To = endedAt })
 	}
 }
 
 // waitUntil waits for a condition, within a bound and while the run goes on.
-func (w *platformRun) waitUntil(limit time.Duration, met func() bool) bool {
-	end := w.clock.Now() + limit
-	for !met() {
-		if w.clock.Now() > end {
+func (run *platformRun) waitUntil(timeout time.Duration, condition func() bool) bool {
+	deadline := run.clock.Now() + timeout
+	for !condition() {
+		if run.clock.Now() > deadline {
 			return false
 		}
-		w.clock.Sleep(50 * time.Millisecond)
+		run.clock.Sleep(50 * time.Millisecond)
 	}
 	return true
 }
 
 // setUp starts everything, sends the first configuration, and waits until all
 // nodes that take clients are ready.
-func (w *platformRun) setUp() error {
+func (run *platformRun) setUp() error {
 	var err error
-	if w.listServer, err = sockets.ListenInstances(w.instances, w.nextLoopbackAddr()+":0"); err != nil {
+	if run.listServer, err = sockets.ListenInstances(run.instances, run.nextLoopbackAddr()+":0"); err != nil {
 		return err
 	}
-	w.addInitialMachines()
-	if err := w.startWorkers(); err != nil {
+	run.addInitialMachines()
+	if err := run.startWorkers(); err != nil {
 		return err
 	}
-	for _, m := range w.machinesOf("") {
-		if err := w.start(m); err != nil {
+	for _, m := range run.machinesOf("") {
+		if err := run.start(m); err != nil {
 			return err
 		}
 	}
 	var nodes []*platform.EntryNode
-	for _, m := range w.machinesOf(platform.ClassEdge) {
-		nodes = append(nodes, w.newEntryNode(m))
+	for _, m := range run.machinesOf(platform.ClassEdge) {
+		nodes = append(nodes, run.newEntryNode(m))
 	}
-	w.entry.Open(nodes)
-	w.config.operator = w.newOperator("first")
-	first := w.drafts.First()
-	order := w.config.operator.Put(0, first, first.Encode(), "", w.plan.SetUpTimeout)
+	run.entry.Open(nodes)
+	run.config.operator = run.newOperator("first")
+	config := run.drafts.First()
+	order := run.config.operator.Put(0, config, config.Encode(), "", run.plan.SetUpTimeout)
 	if !order.Acked() {
-		return errors.Errorf("the first configuration was not taken within %v: %d", w.plan.SetUpTimeout, order.Status)
+		return errors.Errorf("the first configuration was not taken within %v: %d", run.plan.SetUpTimeout, order.Status)
 	}
-	w.config.setLatest(order)
-	if !w.waitUntil(w.plan.SetUpTimeout, func() bool { return w.entry.Ready() == len(nodes) }) {
-		return errors.Errorf("%d of %d nodes are ready after %v", w.entry.Ready(), len(nodes), w.plan.SetUpTimeout)
+	run.config.setLatest(order)
+	if !run.waitUntil(run.plan.SetUpTimeout, func() bool { return run.entry.Ready() == len(nodes) }) {
+		return errors.Errorf("%d of %d nodes are ready after %v", run.entry.Ready(), len(nodes), run.plan.SetUpTimeout)
 	}
 	return nil
 }
 
-func (w *platformRun) newEntryNode(m *machine) *platform.EntryNode {
-	return &platform.EntryNode{Name: m.Name, Zone: m.Zone, Front: w.addrOf(m, w.ports.frontPort), Readiness: w.addrOf(m, w.ports.readinessPort)}
+func (run *platformRun) newEntryNode(m *machine) *platform.EntryNode {
+	return &platform.EntryNode{Name: m.Name, Zone: m.Zone, Front: run.addrOf(m, run.ports.frontPort), Readiness: run.addrOf(m, run.ports.readinessPort)}
 }
 
-func (w *platformRun) newOperator(name string) *platform.Operator {
-	return &platform.Operator{Call: sockets.CallControl, Name: name, Clock: w.clock, Ledger: w.ledger, Control: w.controlAddrs, Rng: rand.New(rand.NewPCG(w.plan.Seed, base.Hash64(name)))}
+func (run *platformRun) newOperator(name string) *platform.Operator {
+	return &platform.Operator{Call: sockets.CallControl, Name: name, Clock: run.clock, Ledger: run.ledger, Control: run.controlAddrs, Rng: rand.New(rand.NewPCG(run.plan.Seed, base.Hash64(name)))}
 }
 
 // stop ends everything that the run started, by its id.
-func (w *platformRun) stop() {
-	close(w.done)
-	w.mu.Lock()
-	machines := append([]*machine(nil), w.machines...)
-	w.mu.Unlock()
+func (run *platformRun) stop() {
+	close(run.done)
+	run.mu.Lock()
+	machines := append([]*machine(nil), run.machines...)
+	run.mu.Unlock()
 	for _, m := range machines {
-		w.stopWith(m, func() {
+		run.stopWith(m, func() {
 			m.Signal(continueSignal)
 			m.Kill()
 		})
 	}
-	w.tasks.Wait()
-	if w.entry != nil && w.config.operator != nil {
-		w.entry.Close()
+	run.tasks.Wait()
+	if run.entry != nil && run.config.operator != nil {
+		run.entry.Close()
 	}
-	for _, worker := range w.workers {
+	for _, worker := range run.workers {
 		worker.Close()
 	}
-	if w.listServer != nil {
-		w.listServer.Close()
+	if run.listServer != nil {
+		run.listServer.Close()
 	}
 }
 
 // portIsFree tells whether a port can be listened at on an address.
-func portIsFree(address string) bool {
-	listener, err := net.Listen("tcp", address)
+func portIsFree(addr string) bool {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
 	}
--- a/internal/fleet/platform_run.go
+++ b/internal/fleet/platform_run.go
@@ -33,14 +33,14 @@
 	defer c.mu.Unlock()
 	if c.latest != nil {
 		c.added, c.removed = nil, nil
-		for _, r := range order.Config.Routes {
-			if was := c.latest.Config.Match(r.Host, r.Prefix); was == nil || was.Prefix != r.Prefix {
-				c.added = append(c.added, r)
+		for _, route := range order.Config.Routes {
+			if previous := c.latest.Config.Match(route.Host, route.Prefix); previous == nil || previous.Prefix != route.Prefix {
+				c.added = append(c.added, route)
 			}
 		}
-		for _, r := range c.latest.Config.Routes {
-			if is := order.Config.Match(r.Host, r.Prefix); is == nil {
-				c.removed = append(c.removed, r)
+		for _, route := range c.latest.Config.Routes {
+			if current := order.Config.Match(route.Host, route.Prefix); current == nil {
+				c.removed = append(c.removed, route)
 			}
 		}
 	}
@@ -54,94 +54,94 @@
 }
 
 // changeConfig sends one valid configuration on top of the newest.
-func (w *platformRun) changeConfig() *platform.Order {
-	w.config.changeMu.Lock()
-	defer w.config.changeMu.Unlock()
-	return w.changeConfigLocked()
+func (run *platformRun) changeConfig() *platform.Order {
+	run.config.changeMu.Lock()
+	defer run.config.changeMu.Unlock()
+	return run.changeConfigLocked()
 }
 
-func (w *platformRun) changeConfigLocked() *platform.Order {
-	newest := w.config.current()
-	next := w.drafts.Next(newest)
-	order := w.config.operator.Put(newest.Generation, next, next.Encode(), "", 30*time.Second)
+func (run *platformRun) changeConfigLocked() *platform.Order {
+	latest := run.config.current()
+	next := run.drafts.Next(latest)
+	order := run.config.operator.Put(latest.Generation, next, next.Encode(), "", 30*time.Second)
 	if order.Acked() {
-		w.config.setLatest(order)
+		run.config.setLatest(order)
 	}
 	return order
 }
 
 // submitConflictingConfigs has two operators build on the same version at once.
-func (w *platformRun) submitConflictingConfigs() {
-	w.config.changeMu.Lock()
-	defer w.config.changeMu.Unlock()
-	newest := w.config.current()
+func (run *platformRun) submitConflictingConfigs() {
+	run.config.changeMu.Lock()
+	defer run.config.changeMu.Unlock()
+	latest := run.config.current()
 	orders := make([]*platform.Order, 2)
-	drafts := []*platform.Config{w.drafts.Next(newest), w.drafts.Next(newest)}
+	drafts := []*platform.Config{run.drafts.Next(latest), run.drafts.Next(latest)}
 	if drafts[0].Generation == drafts[1].Generation {
 		drafts[1].Generation++
 	}
 	var group sync.WaitGroup
-	for place := range orders {
-		operator := w.newOperator(fmt.Sprintf("racer-%d-%d", place, drafts[place].Generation))
+	for index := range orders {
+		operator := run.newOperator(fmt.Sprintf("racer-%d-%d", index, drafts[index].Generation))
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			orders[place] = operator.Put(newest.Generation, drafts[place], drafts[place].Encode(), "", 30*time.Second)
+			orders[index] = operator.Put(latest.Generation, drafts[index], drafts[index].Encode(), "", 30*time.Second)
 		}()
 	}
 	group.Wait()
 	for _, order := range orders {
 		if order.Acked() {
-			w.config.setLatest(order)
+			run.config.setLatest(order)
 		}
 	}
 }
 
-func (w *platformRun) submitInvalidConfigs(count int, gap time.Duration) {
-	for place := range count {
-		w.config.changeMu.Lock()
-		newest := w.config.current()
-		config, raw, fault := w.drafts.Invalid(newest, platform.InvalidKinds[place%len(platform.InvalidKinds)])
-		order := w.config.operator.Put(newest.Generation, config, raw, fault, 10*time.Second)
+func (run *platformRun) submitInvalidConfigs(count int, interval time.Duration) {
+	for index := range count {
+		run.config.changeMu.Lock()
+		latest := run.config.current()
+		config, raw, expectedFault := run.drafts.Invalid(latest, platform.InvalidKinds[index%len(platform.InvalidKinds)])
+		order := run.config.operator.Put(latest.Generation, config, raw, expectedFault, 10*time.Second)
 		if order.Acked() && config != nil {
-			w.config.setLatest(order)
+			run.config.setLatest(order)
 		}
-		w.config.changeMu.Unlock()
-		w.clock.Sleep(gap)
+		run.config.changeMu.Unlock()
+		run.clock.Sleep(interval)
 	}
 }
 
-func (w *platformRun) setRateFactor(times float64) {
-	w.rngMu.Lock()
-	w.rateFactor = times
-	w.rngMu.Unlock()
+func (run *platformRun) setRateFactor(factor float64) {
+	run.rngMu.Lock()
+	run.rateFactor = factor
+	run.rngMu.Unlock()
 }
 
-func (w *platformRun) currentRateFactor() float64 {
-	w.rngMu.Lock()
-	defer w.rngMu.Unlock()
-	return w.rateFactor * w.plan.RateFactor
+func (run *platformRun) currentRateFactor() float64 {
+	run.rngMu.Lock()
+	defer run.rngMu.Unlock()
+	return run.rateFactor * run.plan.RateFactor
 }
 
 // generateTraffic begins programs in every zone until its time is over.
-func (w *platformRun) generateTraffic(ctx context.Context, end time.Duration) {
+func (run *platformRun) generateTraffic(ctx context.Context, end time.Duration) {
 	var group sync.WaitGroup
-	for place := range w.plan.Site.Classes {
-		class := &w.plan.Site.Classes[place]
+	for classIndex := range run.plan.Site.Classes {
+		class := &run.plan.Site.Classes[classIndex]
 		if class.PerS == 0 {
 			continue
 		}
-		for number, zone := range w.plan.Site.Zones {
-			rng := rand.New(rand.NewPCG(w.plan.Seed, uint64(100+100*place+number)))
+		for zoneIndex, zone := range run.plan.Site.Zones {
+			rng := rand.New(rand.NewPCG(run.plan.Seed, uint64(100+100*classIndex+zoneIndex)))
 			group.Add(1)
 			go func() {
 				defer group.Done()
 				for {
-					w.clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * w.currentRateFactor()) * float64(time.Second)))
-					if ctx.Err() != nil || w.clock.Now() >= end {
+					run.clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * run.currentRateFactor()) * float64(time.Second)))
+					if ctx.Err() != nil || run.clock.Now() >= end {
 						return
 					}
-					w.startProgram(class, zone, rng.IntN(w.plan.Site.Clients), end, "")
+					run.startProgram(class, zone, rng.IntN(run.plan.Site.Clients), end, "")
 				}
 			}()
 		}
@@ -150,82 +150,82 @@
 }
 
 // startProgram starts one program; one that ought to end too late does not begin.
-func (w *platformRun) startProgram(class *platform.Class, zone string, client int, end time.Duration, previous string) {
+func (run *platformRun) startProgram(class *platform.Class, zone string, client int, end time.Duration, previousTurn string) {
 	var plan *platform.ProgramPlan
-	w.player.Draw(func(g *platform.Generator) { plan = g.Program(class, zone, client) })
-	if w.clock.Now()+plan.Aim > end+w.plan.Site.Bounds.Finish {
+	run.player.Draw(func(g *platform.Generator) { plan = g.Program(class, zone, client) })
+	if run.clock.Now()+plan.Aim > end+run.plan.Site.Bounds.Finish {
 		return
 	}
-	w.programs.Add(1)
+	run.programs.Add(1)
 	go func() {
-		defer w.programs.Done()
-		w.player.Program(plan, previous)
+		defer run.programs.Done()
+		run.player.Program(plan, previousTurn)
 	}()
 }
 
 // probeNodes asks every ready node directly, on routes that were just added or
 // removed and on one that never was.
-func (w *platformRun) probeNodes(ctx context.Context) {
+func (run *platformRun) probeNodes(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.config.mu.Lock()
-		routes := append(append([]platform.Route(nil), w.config.added...), w.config.removed...)
-		w.config.mu.Unlock()
-		routes = append(routes, platform.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", w.randomInt(1000)), Kind: platform.Idempotent})
-		for _, node := range w.entry.In() {
-			route := routes[w.randomInt(len(routes))]
+		run.config.mu.Lock()
+		routes := append(append([]platform.Route(nil), run.config.added...), run.config.removed...)
+		run.config.mu.Unlock()
+		routes = append(routes, platform.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", run.randomInt(1000)), Kind: platform.Idempotent})
+		for _, node := range run.entry.In() {
+			route := routes[run.randomInt(len(routes))]
 			if route.Kind != platform.Idempotent {
 				continue
 			}
 			class := &platform.Class{Name: "probe", Kind: platform.Idempotent, Method: "GET", Aim: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond}
-			w.programs.Add(1)
+			run.programs.Add(1)
 			go func() {
-				defer w.programs.Done()
-				w.player.Request(class, 0, func(t *platform.Try) {
-					t.Probe, t.Node, t.Host, t.Target, t.Client = true, platform.Probe(node), route.Host, route.Prefix+"probe", "probe"
+				defer run.programs.Done()
+				run.player.Request(class, 0, func(try *platform.Try) {
+					try.Probe, try.Node, try.Host, try.Target, try.Client = true, platform.Probe(node), route.Host, route.Prefix+"probe", "probe"
 				})
 			}()
 		}
-		w.clock.Sleep(500 * time.Millisecond)
+		run.clock.Sleep(500 * time.Millisecond)
 	}
 }
 
 // runClosingFault brings the fault at the end of a day about, right after a
 // configuration was acknowledged, and has programs continue from before it.
-func (w *platformRun) runClosingFault(ctx context.Context) error {
-	w.changeConfig()
-	before := w.answeredTurns()
-	from := w.clock.Now()
+func (run *platformRun) runClosingFault(ctx context.Context) error {
+	run.changeConfig()
+	turns := run.answeredTurns()
+	start := run.clock.Now()
 	// The span stands in the record from the first kill on.
-	closing := &platform.Closing{From: from, Back: 1 << 59}
-	w.ledger.Note(func(r *platform.Record) { r.Closing = closing })
-	if err := w.killAndRestartAll(time.Second, w.plan.ClosingFault == "wipe"); err != nil {
+	closing := &platform.Closing{From: start, Back: 1 << 59}
+	run.ledger.Note(func(r *platform.Record) { r.Closing = closing })
+	if err := run.killAndRestartAll(time.Second, run.plan.ClosingFault == "wipe"); err != nil {
 		return err
 	}
-	back := w.clock.Now()
-	w.ledger.Note(func(*platform.Record) { closing.Back = back })
-	until := back + w.plan.Site.Bounds.Recovery
-	end := until + 6*time.Second
-	w.persistUntil.Store(int64(until))
-	for _, t := range before {
-		w.startProgram(w.plan.Site.Class(t.Class), t.Zone, w.randomInt(w.plan.Site.Clients), end, t.ID)
+	restartedAt := run.clock.Now()
+	run.ledger.Note(func(*platform.Record) { closing.Back = restartedAt })
+	recoveredBy := restartedAt + run.plan.Site.Bounds.Recovery
+	end := recoveredBy + 6*time.Second
+	run.persistUntil.Store(int64(recoveredBy))
+	for _, turn := range turns {
+		run.startProgram(run.plan.Site.Class(turn.Class), turn.Zone, run.randomInt(run.plan.Site.Clients), end, turn.ID)
 	}
-	w.generateTraffic(ctx, end)
+	run.generateTraffic(ctx, end)
 	return nil
 }
 
 // answeredTurns gives some turns that were answered whole and are still kept.
-func (w *platformRun) answeredTurns() (turns []*platform.Try) {
-	for _, o := range w.ledger.Record().Outcomes {
-		if o.Ending != platform.InTime && o.Ending != platform.Late {
+func (run *platformRun) answeredTurns() (turns []*platform.Try) {
+	for _, outcome := range run.ledger.Record().Outcomes {
+		if outcome.Ending != platform.InTime && outcome.Ending != platform.Late {
 			continue
 		}
 		var last *platform.Try
-		for _, t := range w.ledger.Record().Tries {
-			if t.Program == o.Program && t.Retain > 0 && t.OK() {
-				last = t
+		for _, try := range run.ledger.Record().Tries {
+			if try.Program == outcome.Program && try.Retain > 0 && try.OK() {
+				last = try
 			}
 		}
-		if last != nil && w.clock.Now()-last.Ended < last.Retain/2 {
+		if last != nil && run.clock.Now()-last.Ended < last.Retain/2 {
 			turns = append(turns, last)
 		}
 		if len(turns) >= 6 {
@@ -237,67 +237,67 @@
 
 // RunPlatform plays a plan, writes its report and gives the rules broken.
 func RunPlatform(ctx context.Context, plan *PlatformPlan, out io.Writer) ([]platform.Breach, error) {
-	w := newPlatformRun(plan)
+	run := newPlatformRun(plan)
 	stopped := false
 	stop := func() {
 		if !stopped {
 			stopped = true
-			w.stop()
+			run.stop()
 		}
 	}
 	defer stop()
-	if err := w.setUp(); err != nil {
-		return nil, w.withLogTails(err)
+	if err := run.setUp(); err != nil {
+		return nil, run.withLogTails(err)
 	}
-	formed := w.clock.Now()
-	w.logf("all %d nodes are ready", w.entry.Ready())
-	end := formed + plan.TrafficDuration
-	during, calm := context.WithCancel(ctx)
-	defer calm()
+	readyAt := run.clock.Now()
+	run.logf("all %d nodes are ready", run.entry.Ready())
+	end := readyAt + plan.TrafficDuration
+	trafficCtx, stopTraffic := context.WithCancel(ctx)
+	defer stopTraffic()
 	var group sync.WaitGroup
-	failed := make(chan error, len(plan.Events)+1)
-	for _, t := range plan.Events {
+	errs := make(chan error, len(plan.Events)+1)
+	for _, event := range plan.Events {
 		group.Add(1)
 		go func() {
 			defer group.Done()
 			select {
-			case <-during.Done():
+			case <-trafficCtx.Done():
 				return
-			case <-time.After(t.At):
+			case <-time.After(event.At):
 			}
-			w.logf("%s %s", t.Kind, t.Target)
-			if err := w.runEvent(t); err != nil {
-				failed <- errors.Annotate(err, t.Kind)
+			run.logf("%s %s", event.Kind, event.Target)
+			if err := run.runEvent(event); err != nil {
+				errs <- errors.Annotate(err, event.Kind)
 			}
 		}()
 	}
-	w.programs.Add(1)
+	run.programs.Add(1)
 	go func() {
-		defer w.programs.Done()
-		w.probeNodes(during)
+		defer run.programs.Done()
+		run.probeNodes(trafficCtx)
 	}()
-	w.generateTraffic(during, end)
+	run.generateTraffic(trafficCtx, end)
 	group.Wait()
-	if plan.ClosingFault != "" && during.Err() == nil {
-		w.logf("closing fault: %s", plan.ClosingFault)
-		if err := w.runClosingFault(during); err != nil {
-			failed <- errors.Annotate(err, "closing fault")
+	if plan.ClosingFault != "" && trafficCtx.Err() == nil {
+		run.logf("closing fault: %s", plan.ClosingFault)
+		if err := run.runClosingFault(trafficCtx); err != nil {
+			errs <- errors.Annotate(err, "closing fault")
 		}
 	}
-	calm()
-	w.programs.Wait()
-	surplus := w.clients.Close()
-	w.config.operator.ReadBack(plan.Site.Bounds.Contact, plan.Site.Bounds.Contact+20*time.Second)
-	w.instances.Settle()
-	w.ledger.Note(func(r *platform.Record) { r.Over = w.clock.Now() })
+	stopTraffic()
+	run.programs.Wait()
+	extraResponses := run.clients.Close()
+	run.config.operator.ReadBack(plan.Site.Bounds.Contact, plan.Site.Bounds.Contact+20*time.Second)
+	run.instances.Settle()
+	run.ledger.Note(func(r *platform.Record) { r.Over = run.clock.Now() })
 	stop()
-	record := w.ledger.Record()
+	record := run.ledger.Record()
 	breaches := record.Check()
-	for _, word := range surplus {
-		breaches = append(breaches, platform.Breach{Rule: "MIXED", Word: word + " where no request was waiting"})
+	for _, text := range extraResponses {
+		breaches = append(breaches, platform.Breach{Rule: "MIXED", Word: text + " where no request was waiting"})
 	}
-	for _, word := range w.unexpectedExits {
-		breaches = append(breaches, platform.Breach{Rule: "FAULT", Word: word})
+	for _, text := range run.unexpectedExits {
+		breaches = append(breaches, platform.Breach{Rule: "FAULT", Word: text})
 	}
 	record.Print(out, breaches)
 	if plan.RecordFile != "" {
@@ -306,35 +306,35 @@
 		}
 	}
 	for _, class := range []string{platform.ClassEdge, platform.ClassCore, platform.ClassStorage} {
-		used, peak, count := time.Duration(0), int64(0), 0
-		for _, m := range w.machinesOf(class) {
-			used, peak, count = used+m.cpuTime, max(peak, m.peakMemory), count+1
+		cpuTime, peakMemory, count := time.Duration(0), int64(0), 0
+		for _, m := range run.machinesOf(class) {
+			cpuTime, peakMemory, count = cpuTime+m.cpuTime, max(peakMemory, m.peakMemory), count+1
 		}
-		_, _ = fmt.Fprintf(out, "%d %s: %.2f s of processor time, at most %d MB each\n", count, class, used.Seconds(), peak>>20)
+		_, _ = fmt.Fprintf(out, "%d %s: %.2f s of processor time, at most %d MB each\n", count, class, cpuTime.Seconds(), peakMemory>>20)
 	}
-	calls, refused := w.instances.Calls()
-	opened, asked, found := 0, 0, 0
-	for _, worker := range w.workers {
-		opened += worker.Opened()
-		prompt, kept := worker.Worker.Prompts()
-		asked, found = asked+prompt, found+kept
+	listCalls, rejectedCalls := run.instances.Calls()
+	connections, promptTokens, cachedTokens := 0, 0, 0
+	for _, worker := range run.workers {
+		connections += worker.Opened()
+		requested, cached := worker.Worker.Prompts()
+		promptTokens, cachedTokens = promptTokens+requested, cachedTokens+cached
 	}
-	_, _ = fmt.Fprintf(out, "%d prompt tokens asked of model workers, %d of them kept there (%.0f%%)\n", asked, found, 100*float64(found)/float64(max(1, asked)))
-	_, _ = fmt.Fprintf(out, "%.1f s to form; list: %d calls, %d over the rate; %d connections to workers\n", formed.Seconds(), calls, refused, opened)
+	_, _ = fmt.Fprintf(out, "%d prompt tokens asked of model workers, %d of them kept there (%.0f%%)\n", promptTokens, cachedTokens, 100*float64(cachedTokens)/float64(max(1, promptTokens)))
+	_, _ = fmt.Fprintf(out, "%.1f s to form; list: %d calls, %d over the rate; %d connections to workers\n", readyAt.Seconds(), listCalls, rejectedCalls, connections)
 	select {
-	case err := <-failed:
-		return breaches, w.withLogTails(err)
+	case err := <-errs:
+		return breaches, run.withLogTails(err)
 	default:
 		return breaches, nil
 	}
 }
 
 // withLogTails adds the end of the logs to an error, for tests.
-func (w *platformRun) withLogTails(err error) error {
-	word := ""
-	for _, m := range w.machinesOf("") {
-		written, _ := os.ReadFile(w.logPath(m))
-		word += fmt.Sprintf("\n%s: %s", m.Name, written[max(0, len(written)-600):])
+func (run *platformRun) withLogTails(err error) error {
+	tails := ""
+	for _, m := range run.machinesOf("") {
+		log, _ := os.ReadFile(run.logPath(m))
+		tails += fmt.Sprintf("\n%s: %s", m.Name, log[max(0, len(log)-600):])
 	}
-	return errors.Errorf("%v%s", err, word)
+	return errors.Errorf("%v%s", err, tails)
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -26,7 +26,7 @@
 
 // perCompletedTurn is nothing when the counts cannot be compared: there are none
 // from before, or processes were restarted and theirs began anew.
-func perCompletedTurn(before, after map[string]int64, turns float64) map[string]float64 {
+func perCompletedTurn(before, after map[string]int64, turnCount float64) map[string]float64 {
 	if before == nil {
 		return nil
 	}
@@ -35,29 +35,29 @@
 			return nil
 		}
 	}
-	each := map[string]float64{}
+	perTurn := map[string]float64{}
 	for _, name := range []string{"disk_syncs", "disk_records", "messages_sent", "register_changes", "register_confirms", "legs_sent"} {
-		each[name] = float64(after[name]-before[name]) / turns
+		perTurn[name] = float64(after[name]-before[name]) / turnCount
 	}
-	return each
+	return perTurn
 }
 
 // WriteReport writes a run's outcome; a breach makes it an error.
-func (f *Fleet) WriteReport(out io.Writer, tally *standin.Tally, parties *Workers, before map[string]int64, took time.Duration, asJSON bool) error {
+func (f *Fleet) WriteReport(out io.Writer, tally *standin.Tally, workers *Workers, before map[string]int64, duration time.Duration, asJSON bool) error {
 	after := f.CounterTotals()
-	turns := int64(max(1, tally.Counts["turns_whole"]))
-	count, hits := 0, 0
-	for _, model := range parties.Models {
+	turnCount := int64(max(1, tally.Counts["turns_whole"]))
+	modelRuns, prefixHits := 0, 0
+	for _, model := range workers.Models {
 		_, _, runs, reused := model.Record()
-		count, hits = count+runs, hits+reused
+		modelRuns, prefixHits = modelRuns+runs, prefixHits+reused
 	}
-	perTurn := perCompletedTurn(before, after, float64(turns))
-	shown := map[string]any{"seconds": took.Seconds(), "callers": tally.Counts, "per_turn": perTurn, "model_runs": count, "prefix_hits": hits,
+	perTurn := perCompletedTurn(before, after, float64(turnCount))
+	report := map[string]any{"seconds": duration.Seconds(), "callers": tally.Counts, "per_turn": perTurn, "model_runs": modelRuns, "prefix_hits": prefixHits,
 		"slowest_turn_s": tally.Slowest.Seconds(), "breaches": tally.Breaches, "counters": after}
 	if asJSON {
-		_, _ = fmt.Fprintln(out, string(base.MustMarshal(shown)))
+		_, _ = fmt.Fprintln(out, string(base.MustMarshal(report)))
 	} else {
-		_, _ = fmt.Fprintf(out, "%.1f s, %d model runs, %d found their prefix cached, slowest turn %.2f s\n", took.Seconds(), count, hits, tally.Slowest.Seconds())
+		_, _ = fmt.Fprintf(out, "%.1f s, %d model runs, %d found their prefix cached, slowest turn %.2f s\n", duration.Seconds(), modelRuns, prefixHits, tally.Slowest.Seconds())
 		for _, name := range base.SortedKeys(tally.Counts) {
 			_, _ = fmt.Fprintf(out, "  %-40s %d\n", name, tally.Counts[name])
 		}
--- a/internal/fleet/parties.go
+++ b/internal/fleet/workers.go
@@ -34,43 +34,43 @@
 }
 
 // StartWorkers opens all workers of a shape.
-func (f *Fleet) StartWorkers(pieces int, gap time.Duration) (*Workers, error) {
-	parties := &Workers{Clock: base.NewRealClock(), List: worker.List{Stamp: 1}, servers: map[string]*http.Server{}, answerTokens: pieces, tokenInterval: gap}
-	for place := 0; place < f.Shape.Models+f.Shape.Tools; place++ {
-		pool, name := "models", fmt.Sprintf("model-%d", place+1)
-		if place >= f.Shape.Models {
-			pool, name = "apps", fmt.Sprintf("app-%d", place-f.Shape.Models+1)
+func (f *Fleet) StartWorkers(answerTokens int, tokenInterval time.Duration) (*Workers, error) {
+	workers := &Workers{Clock: base.NewRealClock(), List: worker.List{Stamp: 1}, servers: map[string]*http.Server{}, answerTokens: answerTokens, tokenInterval: tokenInterval}
+	for index := 0; index < f.Shape.Models+f.Shape.Tools; index++ {
+		pool, name := "models", fmt.Sprintf("model-%d", index+1)
+		if index >= f.Shape.Models {
+			pool, name = "apps", fmt.Sprintf("app-%d", index-f.Shape.Models+1)
 		}
-		one, err := f.startWorker(parties, pool, name)
+		info, err := f.startWorker(workers, pool, name)
 		if err != nil {
 			return nil, err
 		}
-		parties.List.Workers = append(parties.List.Workers, one)
+		workers.List.Workers = append(workers.List.Workers, info)
 	}
-	return parties, nil
+	return workers, nil
 }
 
 // startWorker opens one worker at an address of its own.
-func (f *Fleet) startWorker(parties *Workers, pool, name string) (worker.Worker, error) {
+func (f *Fleet) startWorker(workers *Workers, pool, name string) (worker.Worker, error) {
 	listener, err := net.Listen("tcp", f.nextLoopbackAddr()+":0")
 	if err != nil {
 		return worker.Worker{}, errors.Trace(err)
 	}
-	one := worker.Worker{ID: name, Pool: pool, Addr: listener.Addr().String(), Zone: f.Shape.Zones[f.hostCount%len(f.Shape.Zones)], Capacity: 16}
+	info := worker.Worker{ID: name, Pool: pool, Addr: listener.Addr().String(), Zone: f.Shape.Zones[f.hostCount%len(f.Shape.Zones)], Capacity: 16}
 	var handler http.Handler
 	if pool == "models" {
-		model := &standin.Model{ID: name, Clock: parties.Clock, Pieces: parties.answerTokens, Gap: parties.tokenInterval}
-		parties.Models = append(parties.Models, model)
+		model := &standin.Model{ID: name, Clock: workers.Clock, Pieces: workers.answerTokens, Gap: workers.tokenInterval}
+		workers.Models = append(workers.Models, model)
 		handler = modelHandler(model)
 	} else {
-		tool := &standin.Tool{ID: name, Clock: parties.Clock, Pause: parties.tokenInterval}
-		parties.Tools = append(parties.Tools, tool)
+		tool := &standin.Tool{ID: name, Clock: workers.Clock, Pause: workers.tokenInterval}
+		workers.Tools = append(workers.Tools, tool)
 		handler = toolHandler(tool)
 	}
 	server := &http.Server{Handler: handler}
 	go func() { _ = server.Serve(listener) }()
-	parties.servers[name] = server
-	return one, nil
+	workers.servers[name] = server
+	return info, nil
 }
 
 // Stop closes the workers.
@@ -105,13 +105,13 @@
 		if err != nil {
 			return
 		}
-		status, answer, answered := tool.Serve(r.Header.Get("Idempotency-Key"), body)
+		status, responseBody, answered := tool.Serve(r.Header.Get("Idempotency-Key"), body)
 		if !answered {
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(status)
-		_, _ = w.Write(answer)
+		_, _ = w.Write(responseBody)
 	})
 }
 
@@ -177,7 +177,7 @@
 }
 
 // SendRequest makes one plain exchange with a process.
-func SendRequest(method, addr, path string, body any) (status int, answer []byte, err error) {
+func SendRequest(method, addr, path string, body any) (status int, responseBody []byte, err error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -191,53 +191,53 @@
 }
 
 // CallJSON makes an exchange that must go well, and reads the answer.
-func CallJSON(method, addr, path string, body, into any) error {
-	status, answer, err := SendRequest(method, addr, path, body)
+func CallJSON(method, addr, path string, body, target any) error {
+	status, responseBody, err := SendRequest(method, addr, path, body)
 	if err != nil {
 		return err
 	}
 	if status >= 300 {
-		return errors.Errorf("%s %s: %d %s", method, path, status, answer)
+		return errors.Errorf("%s %s: %d %s", method, path, status, responseBody)
 	}
-	if into == nil {
+	if target == nil {
 		return nil
 	}
-	return json.Unmarshal(answer, into)
+	return json.Unmarshal(responseBody, target)
 }
 
 // SetUp starts all processes, forms the cluster, applies the settings and
 // gives the worker list, and waits until the gateways serve.
-func (f *Fleet) SetUp(parties *Workers, limit time.Duration) error {
-	for _, p := range f.All() {
-		if err := f.Start(p); err != nil {
+func (f *Fleet) SetUp(workers *Workers, timeout time.Duration) error {
+	for _, process := range f.All() {
+		if err := f.Start(process); err != nil {
 			return err
 		}
 	}
 	clock := base.NewRealClock()
-	addrs := base.Map(f.Storage, func(p *Process) string { return p.Addr })
-	if err := retry(clock, limit, func() error {
+	addrs := base.Map(f.Storage, func(process *Process) string { return process.Addr })
+	if err := retry(clock, timeout, func() error {
 		return CallJSON("POST", f.Cores[0].PublicAddr, "/v1/operator/init", map[string]any{"disks": addrs}, nil)
 	}); err != nil {
 		return err
 	}
-	if err := retry(clock, limit, func() error {
+	if err := retry(clock, timeout, func() error {
 		return CallJSON("POST", f.Cores[0].PublicAddr, "/v1/operator/settings/apply",
 			map[string]any{"change": "first", "based_on": 0, "document": json.RawMessage(f.Shape.Settings())}, nil)
 	}); err != nil {
 		return err
 	}
-	if err := AwaitReady(f.Gateways, limit); err != nil {
+	if err := AwaitReady(f.Gateways, timeout); err != nil {
 		return err
 	}
-	return retry(clock, limit, func() error {
-		return CallJSON("PUT", f.Gateways[0].PublicAddr, "/v1/platform/workers", parties.List, nil)
+	return retry(clock, timeout, func() error {
+		return CallJSON("PUT", f.Gateways[0].PublicAddr, "/v1/platform/workers", workers.List, nil)
 	})
 }
 
-func retry(clock base.Clock, limit time.Duration, step func() error) error {
+func retry(clock base.Clock, deadline time.Duration, step func() error) error {
 	for {
 		err := step()
-		if err == nil || clock.Now() > limit {
+		if err == nil || clock.Now() > deadline {
 			return err
 		}
 		clock.Sleep(100 * time.Millisecond)
@@ -246,25 +246,25 @@
 
 // RunCallers runs many callers at once; each begins conversations while there are
 // to be more.
-func (f *Fleet) RunCallers(tally *standin.Tally, callers, pieces int, think time.Duration, more func(round int) bool) {
+func (f *Fleet) RunCallers(tally *standin.Tally, callers, answerTokens int, thinkTime time.Duration, continueWith func(round int) bool) {
 	var group sync.WaitGroup
 	ask := f.Asker()
-	for caller := 0; caller < callers; caller++ {
+	for number := 0; number < callers; number++ {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for round := 0; more(round); round++ {
-				c := &standin.Caller{Name: fmt.Sprintf("c-%d-%d", caller, round), Clock: base.NewRealClock(), Ask: ask, Gateways: len(f.Gateways),
-					Home: caller % len(f.Gateways), Group: f.Shape.Group, Site: "main", Pieces: pieces, Patience: 60 * time.Second, Tally: tally}
-				if think > 0 {
-					c.Between = func(int) { c.Clock.Sleep(time.Duration(c.Clock.Int64N(int64(2 * think)))) }
+			for round := 0; continueWith(round); round++ {
+				caller := &standin.Caller{Name: fmt.Sprintf("c-%d-%d", number, round), Clock: base.NewRealClock(), Ask: ask, Gateways: len(f.Gateways),
+					Home: number % len(f.Gateways), Group: f.Shape.Group, Site: "main", Pieces: answerTokens, Patience: 60 * time.Second, Tally: tally}
+				if thinkTime > 0 {
+					caller.Between = func(int) { caller.Clock.Sleep(time.Duration(caller.Clock.Int64N(int64(2 * thinkTime)))) }
 				}
-				turns := f.Shape.TurnCounts[0]
-				if (caller+round)%4 == 0 {
-					turns = f.Shape.TurnCounts[1]
+				turnCount := f.Shape.TurnCounts[0]
+				if (number+round)%4 == 0 {
+					turnCount = f.Shape.TurnCounts[1]
 				}
-				if c.Start(int64(turns * pieces * 4)) {
-					c.Converse(turns, true)
+				if caller.Start(int64(turnCount * answerTokens * 4)) {
+					caller.Converse(turnCount, true)
 				}
 			}
 		}()
--- a/internal/whatif/plan.go
+++ b/internal/whatif/input.go
@@ -1,8 +1,8 @@
-// Package whatif answers operators' questions in virtual time: a deployment,
-// a settings document, a load curve, a script of failures and a seed go in;
-// refusals, waiting, take-over pauses, budget use, prefix reuse and the
-// must-nevers come out. It runs the slices' own code, and the same input
-// gives the same bytes out.
+// Package whatif simulates a deployment in virtual time, to show operators the effect
+// of a change. The input is a deployment, a settings document, a load curve, a script
+// of failures and a seed. The output reports refusals, waiting times, takeover
+// pauses, budget use, prefix reuse and violated invariants. The simulation runs the
+// same code as the daemons, and the same input gives the same bytes of output.
 package whatif
 
 import (
@@ -17,28 +17,31 @@
 	"github.com/juju/errors"
 )
 
-// Deployment is the fleet in question.
+// Deployment describes the fleet to simulate.
 type Deployment struct {
 	Group, Site, Route, ToolRoute   string
 	Zones, Gateways, Cores, Storage int
 	Models, Capacity, AnswerTokens  int
-	// CachePrefixes is how many prefixes a model worker keeps; 0 keeps all.
+	// CachePrefixes is the number of prompt prefixes that a model worker caches; 0 is
+	// unlimited.
 	CachePrefixes              int
 	TokenInterval, PrefillTime time.Duration
 	Tools                      int
 	ToolTime                   time.Duration
 }
 
-// LoadStep of a load curve holds until the next.
+// LoadStep is a step of a load curve. Its rate applies from At to the next step.
 type LoadStep struct {
 	At               time.Duration
 	CallersPerSecond float64
 }
 
-// Load is the callers' part.
+// Load describes the callers and their conversations.
 type Load struct {
-	Steps                 []LoadStep
-	Duration              time.Duration
+	Steps []LoadStep
+	// Duration is the time for which new callers start.
+	Duration time.Duration
+	// TurnCounts are the numbers of turns of a short and of a long conversation.
 	TurnCounts            [2]int
 	LongConversationShare float64
 	UrgentShare           float64
@@ -46,13 +49,14 @@
 	ThinkTime             time.Duration
 	TokenBudget           int64
 	Patience              time.Duration
-	// SystemPrompts is how many system prompts there are.
+	// SystemPrompts is the number of different system prompts.
 	SystemPrompts int
-	// HastyShare is the share of callers who do not obey Retry-After.
+	// HastyShare is the share of callers that ignore Retry-After.
 	HastyShare float64
 }
 
-// ScriptEvent of a script.
+// ScriptEvent is one action of a script, at a time since the start of the load. Line
+// is its line in the file.
 type ScriptEvent struct {
 	Line    int
 	At      time.Duration
@@ -60,48 +64,52 @@
 	Machine string
 }
 
-// DefaultDeployment is the deployment used when none is given.
+// DefaultDeployment returns the deployment that is used if none is given.
 func DefaultDeployment() *Deployment {
 	return &Deployment{Group: "kiondo", Site: "main", Route: "chat", ToolRoute: "loyalty", Zones: 4, Gateways: 6, Cores: 4, Storage: 4,
 		Models: 9, Capacity: 8, AnswerTokens: 8, TokenInterval: 20 * time.Millisecond, PrefillTime: 10 * time.Millisecond, Tools: 4, ToolTime: 20 * time.Millisecond}
 }
 
-// DefaultLoad is the load used when none is given: quiet, a rush, and back.
+// DefaultLoad returns the load that is used if none is given: a low load with a peak
+// from 10 to 30 s.
 func DefaultLoad() *Load {
 	return &Load{Steps: []LoadStep{{0, 2}, {10 * time.Second, 20}, {30 * time.Second, 2}}, Duration: 45 * time.Second, TurnCounts: [2]int{3, 5},
 		LongConversationShare: 0.2, UrgentShare: 0.1, ToolCalls: true, ThinkTime: time.Second, TokenBudget: 1000, Patience: 30 * time.Second, SystemPrompts: 1}
 }
 
-func intField(into *int, low, high float64) base.FieldReader {
+// intField returns a reader for an integer between low and high.
+func intField(target *int, low, high float64) base.FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		var value float64
 		err := base.NumberField(&value, low, high, true)(path, d)
-		*into = int(value)
+		*target = int(value)
 		return err
 	}
 }
 
-func durationField(into *time.Duration, unit time.Duration, low, high float64) base.FieldReader {
+// durationField returns a reader for a number of units between low and high.
+func durationField(target *time.Duration, unit time.Duration, low, high float64) base.FieldReader {
 	return func(path string, d *jx.Decoder) error {
 		var value float64
 		err := base.NumberField(&value, low, high, false)(path, d)
-		*into = time.Duration(value * float64(unit))
+		*target = time.Duration(value * float64(unit))
 		return err
 	}
 }
 
-// locateError names the file, the line and the field of what is wrong.
+// locateError adds the file and the line, if there is one, to an error about a field.
 func locateError(file string, line int, err error) error {
-	if v := base.FindRequestError(err); v != nil {
+	if requestErr := base.FindRequestError(err); requestErr != nil {
 		if line > 0 {
-			return errors.Errorf("%s: line %d: %s: %s", file, line, v.Field, v.Message)
+			return errors.Errorf("%s: line %d: %s: %s", file, line, requestErr.Field, requestErr.Message)
 		}
-		return errors.Errorf("%s: %s: %s", file, v.Field, v.Message)
+		return errors.Errorf("%s: %s: %s", file, requestErr.Field, requestErr.Message)
 	}
 	return err
 }
 
-// ReadDeployment reads a deployment over the default.
+// ReadDeployment parses a deployment. Missing fields have the values of
+// DefaultDeployment.
 func ReadDeployment(file string, document []byte) (*Deployment, error) {
 	d := DefaultDeployment()
 	err := base.ReadFields(document, map[string]base.FieldReader{
@@ -114,100 +122,103 @@
 	return d, locateError(file, 0, err)
 }
 
-// ReadLoad reads a load curve over the default.
+// ReadLoad parses a load. Missing fields have the values of DefaultLoad.
 func ReadLoad(file string, document []byte) (*Load, error) {
-	l := DefaultLoad()
-	var turns, long, budget float64 = float64(l.TurnCounts[0]), float64(l.TurnCounts[1]), float64(l.TokenBudget)
+	load := DefaultLoad()
+	var shortTurns, longTurns, tokenBudget float64 = float64(load.TurnCounts[0]), float64(load.TurnCounts[1]), float64(load.TokenBudget)
 	err := base.ReadFields(document, map[string]base.FieldReader{
-		"until_s": durationField(&l.Duration, time.Second, 1, 86400), "turns": base.NumberField(&turns, 1, 100, true), "long_turns": base.NumberField(&long, 1, 1000, true),
-		"long_share": base.NumberField(&l.LongConversationShare, 0, 1, false), "urgent_share": base.NumberField(&l.UrgentShare, 0, 1, false),
-		"tool_calls": base.BoolField(&l.ToolCalls), "think_s": durationField(&l.ThinkTime, time.Second, 0, 3600), "budget_tokens": base.NumberField(&budget, 1, 1<<40, true),
-		"patience_s": durationField(&l.Patience, time.Second, 1, 3600), "hasty_share": base.NumberField(&l.HastyShare, 0, 1, false), "prompts": intField(&l.SystemPrompts, 1, 1<<20),
+		"until_s": durationField(&load.Duration, time.Second, 1, 86400), "turns": base.NumberField(&shortTurns, 1, 100, true), "long_turns": base.NumberField(&longTurns, 1, 1000, true),
+		"long_share": base.NumberField(&load.LongConversationShare, 0, 1, false), "urgent_share": base.NumberField(&load.UrgentShare, 0, 1, false),
+		"tool_calls": base.BoolField(&load.ToolCalls), "think_s": durationField(&load.ThinkTime, time.Second, 0, 3600), "budget_tokens": base.NumberField(&tokenBudget, 1, 1<<40, true),
+		"patience_s": durationField(&load.Patience, time.Second, 1, 3600), "hasty_share": base.NumberField(&load.HastyShare, 0, 1, false), "prompts": intField(&load.SystemPrompts, 1, 1<<20),
 		"steps": func(path string, d *jx.Decoder) error {
 			if d.Next() != jx.Array {
 				return base.DeclineField(path, "must be a list")
 			}
-			l.Steps = nil
+			load.Steps = nil
 			return d.Arr(func(d *jx.Decoder) error {
-				at := fmt.Sprintf("%s[%d]", path, len(l.Steps))
+				stepPath := fmt.Sprintf("%s[%d]", path, len(load.Steps))
 				raw, err := d.Raw()
 				if err != nil {
 					return err
 				}
 				var step LoadStep
 				err = base.ReadFields(raw, map[string]base.FieldReader{"at_s": durationField(&step.At, time.Second, 0, 86400), "callers_per_s": base.NumberField(&step.CallersPerSecond, 0, 10000, false)})
-				if v := base.FindRequestError(err); v != nil {
-					v.Field = at + "." + v.Field
-					return v
+				if requestErr := base.FindRequestError(err); requestErr != nil {
+					requestErr.Field = stepPath + "." + requestErr.Field
+					return requestErr
 				}
-				if len(l.Steps) > 0 && step.At <= l.Steps[len(l.Steps)-1].At {
-					return base.DeclineField(at+".at_s", "must be after the step before")
+				if len(load.Steps) > 0 && step.At <= load.Steps[len(load.Steps)-1].At {
+					return base.DeclineField(stepPath+".at_s", "must be after the previous step")
 				}
-				l.Steps = append(l.Steps, step)
+				load.Steps = append(load.Steps, step)
 				return nil
 			})
 		},
 	})
-	l.TurnCounts, l.TokenBudget = [2]int{int(turns), int(long)}, int64(budget)
-	if err == nil && len(l.Steps) == 0 {
+	load.TurnCounts, load.TokenBudget = [2]int{int(shortTurns), int(longTurns)}, int64(tokenBudget)
+	if err == nil && len(load.Steps) == 0 {
 		err = base.DeclineField("steps", "must not be empty")
 	}
-	return l, locateError(file, 0, err)
+	return load, locateError(file, 0, err)
 }
 
+// actionNeedsMachine has the actions of a script, and whether each requires the name
+// of a machine.
 var actionNeedsMachine = map[string]bool{"kill": true, "power": true, "start": true, "freeze": true, "wake": true, "stop": true, "wipe": true,
 	"stall": true, "unstall": true, "cut": true, "heal": false}
 
-// ReadScript reads one event a line.
+// ReadScript parses a script with one JSON event per line, ordered by time. Blank
+// lines are ignored.
 func ReadScript(file string, document []byte, machines []string) ([]ScriptEvent, error) {
 	events := []ScriptEvent{}
-	for place, line := range bytes.Split(document, []byte("\n")) {
+	for index, line := range bytes.Split(document, []byte("\n")) {
 		if len(bytes.TrimSpace(line)) == 0 {
 			continue
 		}
-		event := ScriptEvent{Line: place + 1, At: -1}
+		event := ScriptEvent{Line: index + 1, At: -1}
 		err := base.ReadFields(line, map[string]base.FieldReader{"at_s": durationField(&event.At, time.Second, 0, 86400),
 			"do": base.StringField(&event.Action, 16), "machine": base.StringField(&event.Machine, 64)})
-		needs, known := actionNeedsMachine[event.Action]
+		needsMachine, known := actionNeedsMachine[event.Action]
 		switch {
 		case err != nil:
 		case event.At < 0:
-			err = base.DeclineField("at_s", "must be given")
+			err = base.DeclineField("at_s", "is required")
 		case !known:
 			err = base.DeclineField("do", "must be one of %s", strings.Join(base.SortedKeys(actionNeedsMachine), ", "))
-		case needs != (event.Machine != ""):
-			err = base.DeclineField("machine", "must be given for all but heal")
-		case needs && !named(machines, event.Machine):
+		case needsMachine != (event.Machine != ""):
+			err = base.DeclineField("machine", "is required for all actions except heal, which has none")
+		case needsMachine && !contains(machines, event.Machine):
 			err = base.DeclineField("machine", "no machine is named %q", event.Machine)
 		case len(events) > 0 && event.At < events[len(events)-1].At:
-			err = base.DeclineField("at_s", "must not be before the line above")
+			err = base.DeclineField("at_s", "must not be before the previous event")
 		}
 		if err != nil {
-			return nil, locateError(file, place+1, err)
+			return nil, locateError(file, index+1, err)
 		}
 		events = append(events, event)
 	}
 	return events, nil
 }
 
-func named(machines []string, name string) bool {
-	for _, one := range machines {
-		if one == name {
+func contains(names []string, name string) bool {
+	for _, candidate := range names {
+		if candidate == name {
 			return true
 		}
 	}
 	return false
 }
 
-// Machines names all machines of a deployment, workers included.
+// Machines returns the names of all machines of a deployment, including its workers.
 func (d *Deployment) Machines() []string {
 	names := []string{}
-	for _, kind := range []struct {
+	for _, role := range []struct {
 		name  string
 		count int
 	}{{"storage", d.Storage}, {"core", d.Cores}, {"edge", d.Gateways}, {"model", d.Models}, {"app", d.Tools}} {
-		for place := 0; place < kind.count; place++ {
-			names = append(names, fmt.Sprintf("%s-%d", kind.name, place))
+		for index := 0; index < role.count; index++ {
+			names = append(names, fmt.Sprintf("%s-%d", role.name, index))
 		}
 	}
 	return names
--- a/internal/whatif/whatif_test.go
+++ b/internal/whatif/whatif_test.go
@@ -1,5 +1,3 @@
-// The same question gives the same bytes, and bad files are named by line
-// and field.
 package whatif
 
 import (
@@ -15,34 +13,38 @@
 )
 
 func smallScenario() *Scenario {
-	d := DefaultDeployment()
-	d.Group, d.Gateways, d.Cores, d.Storage, d.Models, d.Tools, d.Zones = "g", 3, 2, 3, 2, 1, 2
-	l := DefaultLoad()
-	l.Steps, l.Duration = []LoadStep{{0, 2}, {2 * time.Second, 8}}, 5*time.Second
-	return &Scenario{Deployment: d, Load: l, Settings: []byte(simulate.DefaultSettings), Seed: 7,
+	deployment := DefaultDeployment()
+	deployment.Group, deployment.Gateways, deployment.Cores, deployment.Storage, deployment.Models, deployment.Tools, deployment.Zones = "g", 3, 2, 3, 2, 1, 2
+	load := DefaultLoad()
+	load.Steps, load.Duration = []LoadStep{{0, 2}, {2 * time.Second, 8}}, 5*time.Second
+	return &Scenario{Deployment: deployment, Load: load, Settings: []byte(simulate.DefaultSettings), Seed: 7,
 		Script: []ScriptEvent{{At: time.Second, Action: "kill", Machine: "edge-1"}, {At: 2 * time.Second, Action: "power", Machine: "storage-0"},
 			{At: 3 * time.Second, Action: "start", Machine: "storage-0"}, {At: 3 * time.Second, Action: "freeze", Machine: "core-0"}}}
 }
 
+// TestOutputIsDeterministic checks that the same scenario gives the same bytes, and
+// another seed gives others.
 func TestOutputIsDeterministic(t *testing.T) {
 	is := is.New(t)
-	written := [2]bytes.Buffer{}
-	for place := range written {
+	outputs := [2]bytes.Buffer{}
+	for index := range outputs {
 		report, err := Simulate(smallScenario())
 		is.NoErr(err)
 		is.True(report.Phases[1].CompletedTurns > 0)
 		is.Equal(len(report.InvariantViolations), 0)
-		written[place].Write(base.MustMarshal(report))
-		WriteComparison(&written[place], []string{"settings"}, []*Report{report})
+		outputs[index].Write(base.MustMarshal(report))
+		WriteComparison(&outputs[index], []string{"settings"}, []*Report{report})
 	}
-	is.Equal(written[0].String(), written[1].String())
+	is.Equal(outputs[0].String(), outputs[1].String())
 	other := smallScenario()
 	other.Seed = 8
 	report, err := Simulate(other)
 	is.NoErr(err)
-	is.True(!strings.HasPrefix(written[0].String(), string(base.MustMarshal(report))))
+	is.True(!strings.HasPrefix(outputs[0].String(), string(base.MustMarshal(report))))
 }
 
+// TestInputErrorsNameLineAndField checks that errors in input files name the file,
+// the line and the field.
 func TestInputErrorsNameLineAndField(t *testing.T) {
 	machines := DefaultDeployment().Machines()
 	rows := []struct{ script, want string }{
@@ -68,8 +70,8 @@
 	is.True(strings.HasPrefix(err.Error(), "l: steps: "))
 	_, err = ReadDeployment("d", []byte(`{"edges":0}`))
 	is.True(strings.HasPrefix(err.Error(), "d: edges: "))
-	wrong := smallScenario()
-	wrong.Deployment.Route = "none"
-	_, err = Simulate(wrong)
+	unknownRoute := smallScenario()
+	unknownRoute.Deployment.Route = "none"
+	_, err = Simulate(unknownRoute)
 	is.True(err != nil && strings.Contains(err.Error(), "unknown_route"))
 }
