--- a/internal/standin/platform/change.go
+++ b/internal/standin/platform/change.go
@@ -1,8 +1,3 @@
-// The operator's documents: the first configuration, changes that move, split,
-// add and remove routes or change time-outs, and invalid ones of every kind.
-// An invalid one that can be read also adds a route of its own, so that it
-// shows when it is in force.
-
 package platform
 
 import (
@@ -11,7 +6,7 @@
 	"math/rand/v2"
 )
 
-// Invalid kinds of documents.
+// Kinds of invalid configurations.
 const (
 	Unreadable      = "unreadable"
 	WrongType       = "wrong type"
@@ -22,10 +17,11 @@
 	StaleGeneration = "generation not above the current one"
 )
 
-// InvalidKinds lists them.
+// InvalidKinds lists the kinds of invalid configurations.
 var InvalidKinds = []string{Unreadable, WrongType, UnknownService, DuplicateRoute, ZeroWeights, ZeroDeadline, StaleGeneration}
 
-// ConfigGenerator makes documents of one run.
+// ConfigGenerator draws the configurations that operators send in a run: the initial one,
+// changes that split, add and remove routes or change deadlines, and invalid ones.
 type ConfigGenerator struct {
 	Deployment *Deployment
 	Names      *Names
@@ -33,7 +29,7 @@
 	idleRoutes int
 }
 
-// Initial is the configuration sent before traffic starts.
+// Initial draws the configuration that is sent before traffic starts.
 func (d *ConfigGenerator) Initial() *Config {
 	c := &Config{Generation: 1 + uint64(d.Rng.IntN(5)), Limits: Limits{16384, 4194304, 3000, 15000}}
 	for _, spec := range d.Deployment.Services {
@@ -53,6 +49,7 @@
 	return c
 }
 
+// newRoute returns the route of a class of requests under a host and path prefix.
 func (d *ConfigGenerator) newRoute(class *RequestClass, host, prefix string) Route {
 	r := Route{Name: "r-" + randomName(d.Rng), Host: host, Prefix: prefix, Kind: class.Kind, DeadlineMs: float64(class.Deadline.Milliseconds()),
 		TargetMs: float64(class.TargetLatency.Milliseconds()), Urgency: class.Urgency, Service: d.Names.Services[class.Service], MaxTries: class.MaxTries}
@@ -63,7 +60,8 @@
 	return r
 }
 
-// AddIdleRoute puts an idle route of a plain repeatable kind into a configuration.
+// AddIdleRoute adds a route to a configuration that gets no traffic, for an idempotent class if
+// there is one.
 func (d *ConfigGenerator) AddIdleRoute(c *Config) {
 	d.idleRoutes++
 	idempotent := d.Deployment.Classes[0]
@@ -75,7 +73,7 @@
 	c.Routes = append(c.Routes, d.newRoute(&idempotent, fmt.Sprintf("idle%d.example", d.Rng.IntN(3)), fmt.Sprintf("/%s-%d/", randomName(d.Rng), d.idleRoutes)))
 }
 
-// idle lists the places of routes that carry no class's requests.
+// idleRouteIndexes lists the indexes of routes that get no traffic.
 func (d *ConfigGenerator) idleRouteIndexes(c *Config) (indexes []int) {
 	for index, r := range c.Routes {
 		used := false
@@ -89,8 +87,7 @@
 	return indexes
 }
 
-// NextValid is a valid change on top of a configuration: its generation climbs in
-// uneven steps.
+// NextValid draws a valid change of a configuration. The generation increases by 1 to 4.
 func (d *ConfigGenerator) NextValid(base *Config) *Config {
 	c := base.Clone()
 	c.Generation += 1 + uint64(d.Rng.IntN(4))
@@ -118,7 +115,9 @@
 	return c
 }
 
-// Invalid makes an invalid document on top of a configuration.
+// Invalid draws an invalid change of a configuration. It also adds a route, so that traffic on
+// it shows if the configuration comes into force. The configuration is nil for the kinds that
+// can't be parsed.
 func (d *ConfigGenerator) Invalid(base *Config, kind string) (c *Config, raw []byte, fault string) {
 	c = base.Clone()
 	c.Generation += 1 + uint64(d.Rng.IntN(4))
--- a/internal/standin/platform/check_config.go
+++ b/internal/standin/platform/check_config.go
@@ -160,8 +160,8 @@
 	}
 	for _, t := range c.Tries {
 		if lowest, _, ok := generationRange(t); ok && len(c.executions(t.ID)) > 0 && t.Node != "" && c.incarnation(t.Node, t.Sent) == c.incarnation(t.Node, t.Ended) {
-			began := c.executions(t.ID)[0].Began
-			evidence[incarnation(t, t.Sent)] = append(evidence[incarnation(t, t.Sent)], seen{lowest, began})
+			startedAt := c.executions(t.ID)[0].Began
+			evidence[incarnation(t, t.Sent)] = append(evidence[incarnation(t, t.Sent)], seen{lowest, startedAt})
 		}
 	}
 	for key, list := range evidence {
@@ -210,7 +210,7 @@
 	if initial == nil {
 		return
 	}
-	var asked, served [2]int
+	var sent, served [2]int
 	for _, t := range c.Tries {
 		allowed := c.possiblyInForce(t.Sent, t.Ended, c.Bounds.Apply)
 		if len(allowed) == 0 || slices.ContainsFunc(allowed, func(o *Order) bool { return o.Config.Match(t.Host, t.Target) == nil }) ||
@@ -221,13 +221,13 @@
 		if initial.Config.Match(t.Host, t.Target) == nil {
 			group = 1
 		}
-		asked[group]++
+		sent[group]++
 		if t.Succeeded() {
 			served[group]++
 		}
 	}
-	if asked[1] >= 20 && asked[0] > 0 && 4*served[1]*asked[0] < served[0]*asked[1] {
-		c.report("CONFIG", "%d of %d requests were served on routes added later, and %d of %d on the first routes", served[1], asked[1], served[0], asked[0])
+	if sent[1] >= 20 && sent[0] > 0 && 4*served[1]*sent[0] < served[0]*sent[1] {
+		c.report("CONFIG", "%d of %d requests were served on routes added later, and %d of %d on the first routes", served[1], sent[1], served[0], sent[0])
 	}
 }
 
--- a/internal/standin/platform/check_lost.go
+++ b/internal/standin/platform/check_lost.go
@@ -38,7 +38,7 @@
 func (c *checker) checkLostRequests() {
 	bounds := c.Bounds
 	dropped := map[string][2]int{} // by node: during configuration changes, and at other times
-	asked := map[string][2]int{}
+	sent := map[string][2]int{}
 	for _, t := range c.Tries {
 		changing := slices.ContainsFunc(c.ordersNewestFirst, func(o *Order) bool {
 			return o.Config != nil && o.Fault == "" && !o.Refused() && o.Sent <= t.Ended && t.Sent <= o.Ended+bounds.Apply+time.Second
@@ -47,9 +47,9 @@
 		if changing {
 			period = 0
 		}
-		counts := asked[t.Node]
+		counts := sent[t.Node]
 		counts[period]++
-		asked[t.Node] = counts
+		sent[t.Node] = counts
 		if !c.droppedByNode(t) || !c.noUnplannedTrouble(t) {
 			continue
 		}
@@ -75,7 +75,7 @@
 		}
 	}
 	for _, node := range base.SortedKeys(dropped) {
-		drops, totals := dropped[node], asked[node]
+		drops, totals := dropped[node], sent[node]
 		// Without requests at other times there is nothing to compare with.
 		if drops[0] > 3 && totals[1] > 0 && drops[0]*totals[1] > 3*drops[1]*totals[0] {
 			c.report("LOST", "%s dropped %d of %d requests while the configuration changed, and %d of %d at other times", node, drops[0], totals[0], drops[1], totals[1])
--- a/internal/standin/platform/check_test.go
+++ b/internal/standin/platform/check_test.go
@@ -199,7 +199,7 @@
 			t, a := s.addAnsweredTry("x", Idempotent, "/look/2", 20*sec)
 			t.Status, a.Status = 500, 500
 		}, ""},
-		{"the answer to another request", func(s *recordBuilder) { t, _ := s.addAnsweredTry("x", Idempotent, "/look/2", 20*sec); t.Echo = "p1" }, "MIXED: x got the answer to p1"},
+		{"the answer to another request", func(s *recordBuilder) { t, _ := s.addAnsweredTry("x", Idempotent, "/look/2", 20*sec); t.Echo = "p1" }, "MIXED: x got the answer of p1"},
 		{"the seal of another request's answer", func(s *recordBuilder) { t, _ := s.addAnsweredTry("x", Idempotent, "/look/2", 20*sec); t.Seal = "s-p1" }, "MIXED: x got a successful answer with seal"},
 		{"unexpected bytes on an idle connection", func(s *recordBuilder) { s.Tries[0].Surplus = "HTTP/1.1 200" }, "MIXED: p1 got HTTP/1.1 200 where no"},
 		{"bytes that are not an HTTP response", func(s *recordBuilder) { s.addTry("x", Idempotent, "/look/2", 20*sec).Garbage = "zz" }, "MIXED: x got bytes that are not an HTTP response"},
@@ -311,58 +311,61 @@
 			deliver(t, s.addArrival(t, "m"))
 		}, "ROUTE: x ran on worker w-m of service m"},
 		{"more tokens than the budget and one turn", func(s *recordBuilder) {
-			for place := range 3 {
-				s.addTurn(fmt.Sprint("x", place), "", 20*sec)
+			for index := range 3 {
+				s.addTurn(fmt.Sprint("x", index), "", 20*sec)
 			}
 		}, "BUDGET: program prog received 30 tokens, over its budget of 20"},
 		{"the budget and one turn", func(s *recordBuilder) { s.addTurn("x", "", 20*sec); s.addTurn("y", "", 21*sec) }, ""},
 		{"tokens of tries that broke off count", func(s *recordBuilder) {
-			for place := range 4 {
-				t, _ := s.addTurn(fmt.Sprint("x", place), "", 20*sec)
+			for index := range 4 {
+				t, _ := s.addTurn(fmt.Sprint("x", index), "", 20*sec)
 				t.Complete, t.Events = false, t.Events[:2]
 			}
 		}, "BUDGET: program prog received 28 tokens"},
 		{"many valid requests denied", func(s *recordBuilder) {
-			for place := range 6 {
-				s.addSystemAnswer(fmt.Sprint("x", place), Idempotent, "/look/2", 20*sec, 400)
+			for index := range 6 {
+				s.addSystemAnswer(fmt.Sprint("x", index), Idempotent, "/look/2", 20*sec, 400)
 			}
 		}, "DENIED: 6 of 10 requests"},
 		{"a few valid requests denied", func(s *recordBuilder) {
-			for place := range 5 {
-				s.addSystemAnswer(fmt.Sprint("x", place), Idempotent, "/look/2", 20*sec, 400)
+			for index := range 5 {
+				s.addSystemAnswer(fmt.Sprint("x", index), Idempotent, "/look/2", 20*sec, 400)
 			}
 		}, ""},
 		{"invalid requests denied", func(s *recordBuilder) {
-			for place := range 20 {
-				s.addSystemAnswer(fmt.Sprint("x", place), Idempotent, "/nowhere/2", 20*sec, 404)
+			for index := range 20 {
+				s.addSystemAnswer(fmt.Sprint("x", index), Idempotent, "/nowhere/2", 20*sec, 404)
 			}
 		}, ""},
 	})
 }
 
 func TestDrainAndPlannedWorkRules(t *testing.T) {
-	late := func(s *recordBuilder, machine string) {
+	addLateArrival := func(s *recordBuilder, machine string) {
 		s.Notices = append(s.Notices, Notice{"w-a", 20 * sec})
 		t, _ := s.addAnsweredTry("x", NonIdempotent, "/post/2", 23100*time.Millisecond)
 		t.Node = machine
 	}
 	runCases(t, []testCase{
-		{"a draining worker given work after the bound", func(s *recordBuilder) { late(s, "edge-1") }, "DRAIN: x reached worker w-a 3.11s after"},
+		{"a draining worker given work after the bound", func(s *recordBuilder) { addLateArrival(s, "edge-1") }, "DRAIN: x reached worker w-a 3.11s after"},
 		{"a draining worker given work within the bound", func(s *recordBuilder) {
 			s.Notices = append(s.Notices, Notice{"w-a", 20 * sec})
 			s.addAnsweredTry("x", NonIdempotent, "/post/2", 22900*time.Millisecond)
 		}, ""},
 		{"by a machine that was frozen", func(s *recordBuilder) {
-			late(s, "edge-1")
+			addLateArrival(s, "edge-1")
 			s.addTrouble("node_freeze", "edge-1", ClassEdge, 19*sec, 22*sec)
 		}, ""},
 		{"while the core was in trouble", func(s *recordBuilder) {
-			late(s, "edge-1")
+			addLateArrival(s, "edge-1")
 			s.addTrouble("node_kill", "core-1", ClassCore, 19*sec, 22*sec)
 		}, ""},
-		{"while the list was down", func(s *recordBuilder) { late(s, "edge-1"); s.addTrouble("list_down", "list", "list", 19*sec, 22*sec) }, ""},
+		{"while the list was down", func(s *recordBuilder) {
+			addLateArrival(s, "edge-1")
+			s.addTrouble("list_down", "list", "list", 19*sec, 22*sec)
+		}, ""},
 		{"rejected because the address belongs to another worker", func(s *recordBuilder) {
-			late(s, "edge-1")
+			addLateArrival(s, "edge-1")
 			a := s.Arrivals[len(s.Arrivals)-1]
 			a.Ran, a.Status = false, 421
 			t := s.findTry("x")
@@ -406,28 +409,28 @@
 		}, "LOST: x (c) was read"},
 		{"many dropped while the configuration changes", func(s *recordBuilder) {
 			s.addAckedOrder(4, 20*sec)
-			for place := range 5 {
-				s.addDroppedTry(fmt.Sprint("x", place), 20*sec)
+			for index := range 5 {
+				s.addDroppedTry(fmt.Sprint("x", index), 20*sec)
 			}
 		}, "LOST: edge-1 dropped 5 of 5 requests"},
 		{"as many dropped at other times", func(s *recordBuilder) {
 			s.addAckedOrder(4, 20*sec)
-			for place := range 5 {
-				s.addDroppedTry(fmt.Sprint("x", place), 20*sec)
-				s.addDroppedTry(fmt.Sprint("y", place), 40*sec)
+			for index := range 5 {
+				s.addDroppedTry(fmt.Sprint("x", index), 20*sec)
+				s.addDroppedTry(fmt.Sprint("y", index), 40*sec)
 			}
 		}, ""},
 		{"many dropped long after a change without a clear answer", func(s *recordBuilder) {
 			o := s.addOrder(2, s.nextConfig(4), 20*sec, 412)
 			o.Unclear, o.Fault = true, ""
-			for place := range 5 {
-				s.addDroppedTry(fmt.Sprint("x", place), 30*sec)
+			for index := range 5 {
+				s.addDroppedTry(fmt.Sprint("x", index), 30*sec)
 			}
 		}, ""},
 		{"many dropped near their deadline while the configuration changes", func(s *recordBuilder) {
 			s.addAckedOrder(4, 20*sec)
-			for place := range 5 {
-				t, _ := s.addDroppedTry(fmt.Sprint("x", place), 20*sec)
+			for index := range 5 {
+				t, _ := s.addDroppedTry(fmt.Sprint("x", index), 20*sec)
 				t.Ended = t.Sent + 5*sec
 			}
 		}, ""},
@@ -435,7 +438,7 @@
 }
 
 func TestRetainedTurnRules(t *testing.T) {
-	after := func(s *recordBuilder, ran bool) {
+	addTurnsAfterClosing := func(s *recordBuilder, ran bool) {
 		s.setClosing(30*sec, 31*sec)
 		s.Over = 43 * sec
 		for at := 39 * sec; at < 43*sec; at += sec {
@@ -466,18 +469,18 @@
 			s.addSystemAnswer("x", Streaming, "/chat/1", 20*sec, 404).Previous = "y"
 		}, ""},
 		{"a node that cannot tell", func(s *recordBuilder) { s.addSystemAnswer("x", Streaming, "/chat/1", 20*sec, 503).Previous = "u2" }, ""},
-		{"a turn from before the closing fault that no worker is given", func(s *recordBuilder) { after(s, false) }, "LOST: turn u2 from before"},
-		{"a turn from before the closing fault that is continued", func(s *recordBuilder) { after(s, true) }, ""},
+		{"a turn from before the closing fault that no worker is given", func(s *recordBuilder) { addTurnsAfterClosing(s, false) }, "LOST: turn u2 from before"},
+		{"a turn from before the closing fault that is continued", func(s *recordBuilder) { addTurnsAfterClosing(s, true) }, ""},
 		{"too little served after the closing fault", func(s *recordBuilder) {
 			s.setClosing(30*sec, 31*sec)
-			for place := range 5 {
-				s.addSystemAnswer(fmt.Sprint("x", place), Idempotent, "/look/1", 44*sec, 503)
+			for index := range 5 {
+				s.addSystemAnswer(fmt.Sprint("x", index), Idempotent, "/look/1", 44*sec, 503)
 			}
 		}, "RECOVER: 0 of 5"},
 		{"enough served after the closing fault", func(s *recordBuilder) {
 			s.setClosing(30*sec, 31*sec)
-			for place := range 3 {
-				s.addSystemAnswer(fmt.Sprint("x", place), Idempotent, "/look/1", 44*sec, 503)
+			for index := range 3 {
+				s.addSystemAnswer(fmt.Sprint("x", index), Idempotent, "/look/1", 44*sec, 503)
 			}
 			s.addAnsweredTry("y", Idempotent, "/look/1", 44*sec)
 		}, ""},
@@ -630,8 +633,8 @@
 		}, ""},
 		{"later routes served less", func(s *recordBuilder) {
 			s.addAckedOrder(4, 20*sec)
-			for place := range 20 {
-				s.addSystemAnswer(fmt.Sprint("x", place), Idempotent, "/more/2", 30*sec, 503)
+			for index := range 20 {
+				s.addSystemAnswer(fmt.Sprint("x", index), Idempotent, "/more/2", 30*sec, 503)
 			}
 		}, "CONFIG: 0 of 20 requests were served on routes added later"},
 	})
--- a/internal/standin/platform/config.go
+++ b/internal/standin/platform/config.go
@@ -1,7 +1,3 @@
-// The operator's configuration: routes, services and limits under one
-// generation, as it is written, read, matched and judged. Routes and services
-// that a checker compares are always made from the document that was sent.
-
 package platform
 
 import (
@@ -19,7 +15,7 @@
 	Weight  int
 }
 
-// Route is one rule of a configuration.
+// Route says how requests to a host and path prefix are served.
 type Route struct {
 	Name        string
 	Host        string
@@ -38,7 +34,7 @@
 	GapTargetMs float64
 }
 
-// Engine is what is published of a service's model workers.
+// Engine is what a configuration says about a service's model workers.
 type Engine struct {
 	Capacity    int
 	CacheTokens int
@@ -46,7 +42,7 @@
 	Models      []string
 }
 
-// Service is a pool of workers that do the same.
+// Service is a pool of interchangeable workers.
 type Service struct {
 	Name       string
 	HealthPath string
@@ -54,7 +50,7 @@
 	Engine     *Engine
 }
 
-// Limits bound what a client may send.
+// Limits restrict what clients may send.
 type Limits struct {
 	HeaderBytes  int
 	MaxBodyBytes int
@@ -62,7 +58,8 @@
 	IdleMs       int
 }
 
-// Config is one version of the configuration.
+// Config is one version of an operator's configuration. The checker always compares what the
+// system did with the Config that was sent, never with one parsed from an answer.
 type Config struct {
 	Generation uint64
 	Routes     []Route
@@ -70,7 +67,7 @@
 	Limits     Limits
 }
 
-// Clone copies a configuration, so that a change leaves its base alone.
+// Clone returns a copy whose routes and services can be changed independently.
 func (c *Config) Clone() *Config {
 	copied := *c
 	copied.Routes = slices.Clone(c.Routes)
@@ -81,7 +78,7 @@
 	return &copied
 }
 
-// Allows says that a route lets a service run its requests.
+// Allows reports whether the route lets a service run its requests.
 func (r *Route) Allows(service string) bool {
 	if len(r.Shares) == 0 {
 		return r.Service == service
@@ -89,8 +86,7 @@
 	return slices.ContainsFunc(r.Shares, func(s Share) bool { return s.Service == service && s.Weight > 0 })
 }
 
-// Match finds the route of the host whose prefix is the longest that begins
-// the path.
+// Match returns the route of the host with the longest prefix of the target's path, or nil.
 func (c *Config) Match(host, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	var best *Route
@@ -103,7 +99,7 @@
 	return best
 }
 
-// FindService gives a service by its name.
+// FindService returns the service with a name, or nil.
 func (c *Config) FindService(name string) *Service {
 	for index := range c.Services {
 		if c.Services[index].Name == name {
@@ -113,8 +109,8 @@
 	return nil
 }
 
-// InvalidReason tells why a configuration that could be read is invalid on top of the
-// current generation, or nothing.
+// InvalidReason returns why the configuration is invalid on top of the current generation, or
+// an empty string.
 func (c *Config) InvalidReason(current uint64) string {
 	if c.Generation <= current {
 		return "generation is not above the current one"
@@ -146,7 +142,7 @@
 	return ""
 }
 
-// Encode writes the document that an operator sends.
+// Encode returns the JSON document that an operator sends.
 func (c *Config) Encode() []byte {
 	e := &jx.Encoder{}
 	e.Obj(func(e *jx.Encoder) {
@@ -245,8 +241,8 @@
 	})
 }
 
-// readTree reads any JSON value, for comparing documents whatever order or
-// spelling of numbers they are written with.
+// decodeValue decodes any JSON value, so that documents compare equal whatever the order of
+// their fields and the notation of their numbers.
 func decodeValue(d *jx.Decoder) (any, error) {
 	switch d.Next() {
 	case jx.Object:
@@ -276,7 +272,7 @@
 	return nil, errors.New("not a JSON value")
 }
 
-// ParseJSON reads a whole document into maps, lists and plain values.
+// ParseJSON decodes a document of one JSON value into maps, slices and plain values.
 func ParseJSON(raw []byte) (any, error) {
 	d := jx.DecodeBytes(raw)
 	value, err := decodeValue(d)
@@ -289,14 +285,14 @@
 	return value, nil
 }
 
-// SameDocument tells whether two documents say the same.
+// SameDocument reports whether two JSON documents have the same content.
 func SameDocument(a, b []byte) bool {
 	left, errA := ParseJSON(a)
 	right, errB := ParseJSON(b)
 	return errA == nil && errB == nil && reflect.DeepEqual(left, right)
 }
 
-// GenerationOf gives the generation that a document names, 0 when it names none.
+// GenerationOf returns a document's generation, or 0 if it has none.
 func GenerationOf(raw []byte) uint64 {
 	value, err := ParseJSON(raw)
 	if err != nil {
--- a/internal/standin/platform/deployment.go
+++ b/internal/standin/platform/deployment.go
@@ -1,7 +1,3 @@
-// A deployment's shape: zones, machines, services, kinds of request and how
-// often they come. Names of services, hosts and paths are drawn anew for each
-// run, as the platform does.
-
 package platform
 
 import (
@@ -11,10 +7,11 @@
 	"time"
 )
 
-// Distribution is a quantity drawn round a mean, never above its most.
+// Distribution is a log-normal distribution with a mean, a spread (0 makes it constant) and a
+// maximum (0 means none).
 type Distribution struct{ Mean, Spread, Max float64 }
 
-// Sample draws once.
+// Sample draws a value.
 func (d Distribution) Sample(rng *rand.Rand) float64 {
 	if d.Spread == 0 {
 		return d.Mean
@@ -26,44 +23,45 @@
 	return value
 }
 
-// ToolUse is a tool that a program calls between its turns.
+// ToolUse says how programs call a tool between turns: up to MaxCalls times, each with a
+// probability.
 type ToolUse struct {
 	Class       string
 	Probability float64
 	MaxCalls    int
 }
 
-// RequestClass is a kind of request. Those of programs are turns; tools are called by
-// programs and have no rate of their own.
+// RequestClass is a class of requests: the turns of programs, or the calls of a tool, which
+// programs make and which have no rate of their own.
 type RequestClass struct {
 	Name              string
 	Kind              Kind
 	Service           string
 	Method            string
-	ProgramsPerSecond float64 // programs a second in each zone
+	ProgramsPerSecond float64 // in each zone
 	TargetLatency     time.Duration
 	Deadline          time.Duration
 	GapTarget         time.Duration
-	// Retain is how long turns are kept, 0 where they are not; Spending is then how
-	// long the route says that what programs spent is.
+	// Retain is how long turns are retained, 0 if they aren't. SpendRetention is how long
+	// the route retains what programs spent, if that is longer.
 	Retain         time.Duration
 	SpendRetention time.Duration
 	// Resumable streams may be continued after their last event.
 	Resumable   bool
-	Retries     int // tries after the first
+	Retries     int // by the client, after the first try
 	MaxTries    int
 	Urgency     int
-	BodyBytes   Distribution // bytes
-	AnswerBytes Distribution // bytes
-	WorkMs      Distribution // ms
+	BodyBytes   Distribution
+	AnswerBytes Distribution
+	WorkMs      Distribution
 	ErrorRate   float64
 
 	Events              Distribution
-	PromptTokens        Distribution // tokens of a turn's own
-	SharedPromptTokens  Distribution // tokens of the prompt all programs of a topic share
+	PromptTokens        Distribution // new tokens of a turn
+	SharedPromptTokens  Distribution // tokens of the prompt that all programs of a topic share
 	Topics              int
 	Turns               Distribution
-	ThinkMs             Distribution // ms
+	ThinkMs             Distribution
 	SubagentProbability float64
 	SubagentCount       Distribution
 	RunawayProbability  float64
@@ -71,7 +69,7 @@
 	Tools               []ToolUse
 }
 
-// ServiceSpec is a service and its workers.
+// ServiceSpec describes a service and its workers; Engine is set for model services.
 type ServiceSpec struct {
 	Name      string
 	Workers   int
@@ -81,7 +79,7 @@
 	Engine    *EngineSpec
 }
 
-// EngineSpec is how a model worker's engine runs.
+// EngineSpec describes the speed and memory of a model worker's engine.
 type EngineSpec struct {
 	StepTime               time.Duration
 	StepTimePerJob         time.Duration
@@ -93,7 +91,9 @@
 	EventBytes             int
 }
 
-// Deployment is a deployment.
+// Deployment describes a deployment: zones, machines, services, and the classes of requests
+// with their rates. Names of services, hosts and paths are drawn for each run, as on the
+// platform.
 type Deployment struct {
 	Name               string
 	Region             string
@@ -109,7 +109,7 @@
 	LeadTime           time.Duration
 }
 
-// Class gives a kind of request by its name.
+// Class returns the class of requests with a name, or nil.
 func (s *Deployment) Class(name string) *RequestClass {
 	for index := range s.Classes {
 		if s.Classes[index].Name == name {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// TokensPerEvent is how many tokens an event of the site's engines holds.
+// TokensPerEvent returns how many tokens an event of the deployment's engines holds.
 func (s *Deployment) TokensPerEvent() int {
 	for _, service := range s.Services {
 		if service.Engine != nil {
@@ -139,15 +139,15 @@
 	tools := []ToolUse{{"receipt", 0.7, 2}, {"posting", 0.4, 1}, {"ping", 0.2, 1}}
 	turn := RequestClass{Kind: Streaming, Service: "model", Method: "POST", TargetLatency: 250 * ms, Deadline: 6000 * ms, GapTarget: 400 * ms, Retain: 60 * time.Second, Retries: 1,
 		MaxTries: 2, BodyBytes: Distribution{5100, 0, 31000}, Events: Distribution{17, 0.8, 68}, SharedPromptTokens: Distribution{2560, 0.3, 5120}, Topics: 8, SubagentCount: Distribution{3, 0.3, 6}, RunawayProbability: 0.03, Tools: tools}
-	short, long := turn, turn
-	short.Name, short.ProgramsPerSecond, short.PromptTokens, short.Turns, short.ThinkMs, short.SubagentProbability, short.TargetFactor, short.Urgency = "lookup", rate*0.72, Distribution{1030, 0.7, 5140}, Distribution{3, 0.4, 6}, Distribution{150, 0.6, 600}, 0.05, 3, 1
-	long.Name, long.ProgramsPerSecond, long.PromptTokens, long.Turns, long.ThinkMs, long.SubagentProbability, long.TargetFactor = "dispute", rate*0.28, Distribution{514, 0.7, 2570}, Distribution{7, 0.4, 14}, Distribution{60, 0.6, 240}, 0.15, 2.5
+	lookup, dispute := turn, turn
+	lookup.Name, lookup.ProgramsPerSecond, lookup.PromptTokens, lookup.Turns, lookup.ThinkMs, lookup.SubagentProbability, lookup.TargetFactor, lookup.Urgency = "lookup", rate*0.72, Distribution{1030, 0.7, 5140}, Distribution{3, 0.4, 6}, Distribution{150, 0.6, 600}, 0.05, 3, 1
+	dispute.Name, dispute.ProgramsPerSecond, dispute.PromptTokens, dispute.Turns, dispute.ThinkMs, dispute.SubagentProbability, dispute.TargetFactor = "dispute", rate*0.28, Distribution{514, 0.7, 2570}, Distribution{7, 0.4, 14}, Distribution{60, 0.6, 240}, 0.15, 2.5
 	return &Deployment{Name: name, Region: region, Zones: zones, Edges: edges, Cores: 4, Storage: 4, ClientsPerZone: 10, Bounds: DefaultBounds(), ListCallsPerSecond: 40, LeadTime: 10 * time.Second,
 		Services: []ServiceSpec{
 			{Name: "model", Workers: models, Capacity: 96, QueueSize: 288, MaxConns: 480, Engine: modelEngine()},
 			{Name: "app", Workers: apps, Capacity: 6, QueueSize: 24, MaxConns: 96},
 		},
-		Classes: []RequestClass{short, long,
+		Classes: []RequestClass{lookup, dispute,
 			{Name: "receipt", Kind: Idempotent, Service: "app", Method: "GET", TargetLatency: 250 * ms, Deadline: 1500 * ms, Retries: 1, MaxTries: 2, Urgency: 2,
 				AnswerBytes: Distribution{800, 0.5, 4800}, WorkMs: Distribution{52, 1, 213}},
 			{Name: "posting", Kind: NonIdempotent, Service: "app", Method: "POST", TargetLatency: 800 * ms, Deadline: 6000 * ms, Retries: 1, MaxTries: 1, Urgency: 2,
@@ -157,7 +157,7 @@
 		}}
 }
 
-// Deployments are the deployments known today, and a small one for tests.
+// Deployments returns the known deployments and a small one for tests, by name.
 func Deployments() map[string]*Deployment {
 	small := newDeployment("small", "home", []string{"zone-a", "zone-b"}, 2, 2, 2, 1.5)
 	small.Cores, small.Storage, small.LeadTime = 3, 3, 3*time.Second
@@ -168,19 +168,20 @@
 	}
 }
 
-// Names are the names a run drew.
+// Names are the names drawn for a run.
 type Names struct {
-	Services map[string]string // by the shape's name
+	Services map[string]string // by the name in ServiceSpec
 	Hosts    map[string]string // by class
 	Prefixes map[string]string // by class
 	Model    string
 }
 
-// MachineName makes a machine's name of its class, zone and number.
+// MachineName returns a machine's name, made of its class, zone and number.
 func MachineName(class, zone string, number int) string {
 	return fmt.Sprintf("%s-%s-%d", class, zone, number)
 }
 
+// randomName draws a pronounceable name with a number.
 func randomName(rng *rand.Rand) string {
 	const first, second = "bdfghklmnprstvwz", "aeiou"
 	word := ""
@@ -190,7 +191,7 @@
 	return fmt.Sprintf("%s%03d", word, rng.IntN(1000))
 }
 
-// DrawNames names services, hosts and paths.
+// DrawNames draws the names of services, hosts and path prefixes.
 func (s *Deployment) DrawNames(rng *rand.Rand) *Names {
 	w := &Names{Services: map[string]string{}, Hosts: map[string]string{}, Prefixes: map[string]string{}, Model: "m"}
 	for index, service := range s.Services {
@@ -204,5 +205,5 @@
 	return w
 }
 
-// RandomID draws an id as clients do.
+// RandomID draws a try's id, in the form that clients use.
 func RandomID(rng *rand.Rand) string { return fmt.Sprintf("%016x", rng.Uint64()) }
--- a/internal/standin/platform/engine.go
+++ b/internal/standin/platform/engine.go
@@ -1,8 +1,3 @@
-// A model worker's engine: it reads prompts in pieces between the tokens of
-// the requests that run, in steps that take longer as more run; parts of
-// prompts are kept and not read again while every part before them is kept
-// too; when memory runs out, the newest of the least urgent is put back.
-
 package platform
 
 import (
@@ -17,6 +12,7 @@
 	"fordseam/internal/base"
 )
 
+// jobState says whether a job runs or waits (jobRunning), or how it ended.
 type jobState int
 
 const (
@@ -26,11 +22,13 @@
 	jobExpired
 )
 
+// promptPart is a part of a prompt that the engine can cache; prompts share it by its id.
 type promptPart struct {
 	id     string
 	tokens int
 }
 
+// job is one request on the engine.
 type job struct {
 	urgency      int
 	sequence     int
@@ -41,11 +39,13 @@
 	cancelled    base.Signal
 	notifier     *base.Notifier
 
-	promptTokensLeft int // prompt tokens not read yet
+	promptTokensLeft int // prompt tokens not processed yet
 	outputTokens     int
 	state            jobState
 }
 
+// newJob reads a request's urgency, token counts and prompt parts from its headers; without
+// them it has urgency 5, 16 prompt tokens and 2 output tokens.
 func newJob(request *Request, deadline time.Duration) *job {
 	j := &job{urgency: 5, deadline: deadline, cancelled: request.ClientClosed, promptTokens: 16, maxTokens: 2}
 	if urgency, err := strconv.Atoi(request.Header(HeaderUrgency)); err == nil {
@@ -67,6 +67,10 @@
 	return j
 }
 
+// engine simulates a model worker's inference engine. It processes prompts in chunks between
+// the output tokens of the running jobs, in steps that take longer as more jobs run. Cached
+// parts of a prompt are not processed again, as long as every part before them is cached too.
+// When memory runs out, the newest of the least urgent jobs is preempted.
 type engine struct {
 	clock    base.Clock
 	spec     EngineSpec
@@ -78,11 +82,11 @@
 	stepping     bool
 	waiting      []*job
 	running      []*job
-	cachedParts  map[string]int // tokens by part
-	lastUsedStep map[string]int // when each part was last used
+	cachedParts  map[string]int // tokens by part id
+	lastUsedStep map[string]int // step in which each part was last used
 	steps        int
-	promptTokens int // prompt tokens of all jobs let in
-	cachedTokens int // and those of them that were kept
+	promptTokens int // prompt tokens of all admitted jobs
+	cachedTokens int // how many of promptTokens were cached
 	lastReport   string
 	lastReportAt time.Duration
 }
@@ -91,13 +95,15 @@
 	return &engine{clock: clock, spec: *spec.Engine, capacity: spec.Capacity, slowdown: slowdown, cachedParts: map[string]int{}, lastUsedStep: map[string]int{}}
 }
 
+// load returns the numbers of running and waiting jobs.
 func (e *engine) load() (running, waiting int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.running), len(e.waiting)
 }
 
-// submit takes a job in, or turns it away when there is no room for it.
+// submit queues a job and starts the engine's loop if needed. It returns false when the queue
+// is full or the job is larger than the memory.
 func (e *engine) submit(j *job, queueSize int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,7 +120,8 @@
 	return true
 }
 
-// line puts a job in the line by urgency, then age.
+// enqueue adds a job to the queue, which is ordered by urgency, then age. The caller holds
+// the lock.
 func (e *engine) enqueue(j *job) {
 	e.waiting = append(e.waiting, j)
 	slices.SortStableFunc(e.waiting, func(a, b *job) int {
@@ -122,12 +129,14 @@
 	})
 }
 
+// progress returns a job's output tokens so far and its state.
 func (e *engine) progress(j *job) (outputTokens int, state jobState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return j.outputTokens, j.state
 }
 
+// remove takes a job off the engine.
 func (e *engine) remove(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,6 +144,7 @@
 	e.waiting, e.running = base.Filter(e.waiting, other), base.Filter(e.running, other)
 }
 
+// run makes steps until no job is left.
 func (e *engine) run() {
 	for {
 		stepTime, ok := e.beginStep()
@@ -148,6 +158,8 @@
 	}
 }
 
+// memoryTokens returns how many tokens of the running jobs are in memory. The caller holds the
+// lock.
 func (e *engine) memoryTokens() (tokens int) {
 	for _, j := range e.running {
 		tokens += j.promptTokens + j.outputTokens
@@ -155,7 +167,8 @@
 	return tokens
 }
 
-// begin admits what has room and tells how long the step takes.
+// beginStep admits waiting jobs while there is room and returns how long the step takes; ok is
+// false when there is no job to run.
 func (e *engine) beginStep() (stepTime time.Duration, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -179,6 +192,8 @@
 	return time.Duration(float64(stepTime) * e.slowdown), true
 }
 
+// cachedPrefix returns how many of a job's prompt tokens are cached, up to the first part that
+// is not; at least one token is left to process. The caller holds the lock.
 func (e *engine) cachedPrefix(j *job) (tokens int) {
 	for _, p := range j.parts {
 		if _, ok := e.cachedParts[p.id]; !ok {
@@ -190,7 +205,9 @@
 	return min(tokens, j.promptTokens-1)
 }
 
-// finish ends a step: prompts are read on, tokens come out, ended jobs go.
+// finishStep applies a step: it advances prompts, adds output tokens, preempts jobs while
+// memory is short, and removes jobs that ended. It returns the jobs whose waiters are to be
+// notified.
 func (e *engine) finishStep() (changed []*job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -230,6 +247,8 @@
 	return changed
 }
 
+// preempt puts the newest of the least urgent running jobs back into the queue. The caller
+// holds the lock.
 func (e *engine) preempt() {
 	victim := 0
 	for index, j := range e.running {
@@ -242,7 +261,8 @@
 	e.enqueue(j)
 }
 
-// keep remembers a prompt's parts; those longest unused give way.
+// cachePrompt caches a prompt's parts and evicts the least recently used ones while memory is
+// short. The caller holds the lock.
 func (e *engine) cachePrompt(j *job) {
 	total := e.memoryTokens()
 	for _, tokens := range e.cachedParts {
@@ -267,8 +287,8 @@
 	}
 }
 
-// PromptTokens counts the prompt tokens of all that a model worker let in, and
-// those of them that it did not have to read.
+// PromptTokens returns the prompt tokens of all jobs that a model worker admitted, and how many
+// of them were cached.
 func (w *Worker) PromptTokens() (total, cached int) {
 	if w.engine == nil {
 		return 0, 0
@@ -278,7 +298,8 @@
 	return w.engine.promptTokens, w.engine.cachedTokens
 }
 
-// report is the engine's state, as it stood a little before.
+// report returns the engine's state as JSON. It is outdated by the report lag, as real engines
+// publish it only now and then.
 func (e *engine) report() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/platform/instances.go
+++ b/internal/standin/platform/instances.go
@@ -1,6 +1,3 @@
-// The platform's list of workers: it shows each change some time after it was
-// made, in pages, and answers only so many calls a second.
-
 package platform
 
 import (
@@ -16,10 +13,10 @@
 	"github.com/go-faster/jx"
 )
 
-// PageSize is how many instances a page holds.
+// PageSize is the maximum number of instances on a page.
 const PageSize = 50
 
-// Instance is one entry of the list.
+// Instance is one worker on the list.
 type Instance struct {
 	ID, Service, Address, Zone, Generation, State string
 	Capacity                                      int
@@ -27,7 +24,8 @@
 	Model                                         string // for model workers
 }
 
-// Instances is the list as it is shown.
+// Instances is the platform's list of workers. Each change becomes visible after Lag; the list
+// is read in pages, at most CallsPerSecond of them a second (0 means no limit).
 type Instances struct {
 	Clock          base.Clock
 	Recorder       *Recorder
@@ -44,14 +42,15 @@
 	down       bool
 }
 
+// pendingChange is a change that isn't visible yet; next is nil for a removal.
 type pendingChange struct {
 	visibleAt time.Duration
 	id        string
 	next      *Instance
 }
 
-// ScheduleChange puts an instance on the list, or takes it off when next is nil; it
-// shows after the lag.
+// ScheduleChange adds or replaces an instance, or removes it when next is nil; the change
+// becomes visible when after and the lag have passed.
 func (l *Instances) ScheduleChange(id string, next *Instance, after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +58,7 @@
 	slices.SortStableFunc(l.pending, func(a, b pendingChange) int { return cmp.Compare(a.visibleAt, b.visibleAt) })
 }
 
-// settle shows what is due; the caller holds the lock.
+// applyDue makes the changes visible that are due. The caller holds the lock.
 func (l *Instances) applyDue() {
 	if l.visible == nil {
 		l.visible = map[string]Instance{}
@@ -78,29 +77,29 @@
 	}
 }
 
-// ApplyDue shows what is due, also when nobody asks.
+// ApplyDue makes the changes visible that are due, which otherwise happens at the next call.
 func (l *Instances) ApplyDue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.applyDue()
 }
 
-// SetDown has the list answer nothing but failures, or end that.
+// SetDown makes the list answer every call with a failure, or ends that.
 func (l *Instances) SetDown(down bool) {
 	l.mu.Lock()
 	l.down = down
 	l.mu.Unlock()
 }
 
-// CallCounts counts the calls answered, and those refused.
+// CallCounts returns how many calls were answered, and how many were rejected over the rate.
 func (l *Instances) CallCounts() (answered, refused int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.answered, l.refused
 }
 
-// FetchPage answers one call: 200 with a page, 429 over the rate, 400 for
-// a bad token, 500 while it is down.
+// FetchPage answers one call: 200 with a page, 429 over the rate, 400 for a malformed token,
+// 500 while the list is down. The result is limited to a zone unless it is empty.
 func (l *Instances) FetchPage(zone, token string) (status int, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/platform/load_balancer.go
+++ b/internal/standin/platform/load_balancer.go
@@ -1,7 +1,3 @@
-// The platform's entry as it decides: a node is in while it says that it is
-// ready, and out after two misses; each new connection of a client goes to a
-// node of the client's zone, chosen by a hash of the client.
-
 package platform
 
 import (
@@ -11,7 +7,7 @@
 	"fordseam/internal/base"
 )
 
-// EdgeNode is an edge machine as the entry knows it.
+// EdgeNode is an edge machine behind the load balancer, with its addresses.
 type EdgeNode struct {
 	Name, Zone, Front, Readiness string
 
@@ -19,21 +15,23 @@
 	ready        bool
 }
 
-// LoadBalancer hands clients' connections to nodes.
+// LoadBalancer is the platform's entry point. It assigns each new connection of a client to a
+// ready node of the client's zone, chosen by a hash of the client. A node is ready after a
+// successful readiness probe, until two probes in a row have failed.
 type LoadBalancer struct {
 	mu      sync.Mutex
 	nodes   []*EdgeNode
 	retries map[string]int
 }
 
-// Add makes a node known; it is out until it was heard.
+// Add adds a node, which isn't ready until a probe succeeds.
 func (e *LoadBalancer) Add(node *EdgeNode) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.nodes = append(e.nodes, node)
 }
 
-// RecordProbe notes one answer of a node to the question whether it is ready.
+// RecordProbe records the result of one readiness probe of a node.
 func (e *LoadBalancer) RecordProbe(node *EdgeNode, ready bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -44,7 +42,7 @@
 	}
 }
 
-// CountReady counts the nodes that are in.
+// CountReady returns the number of ready nodes.
 func (e *LoadBalancer) CountReady() (ready int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -56,7 +54,7 @@
 	return ready
 }
 
-// ReadyNodes lists the nodes that are in.
+// ReadyNodes lists the ready nodes.
 func (e *LoadBalancer) ReadyNodes() []EdgeNode {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -69,7 +67,9 @@
 	return list
 }
 
-// Pick chooses the node of a client's next connection; further tries reach others.
+// Pick chooses the node for a client's next connection; with retry set, it moves on to another
+// one. It falls back to all nodes of the zone when fewer than half of them are ready, to
+// ready nodes of other zones when none is, and to all nodes when there is no ready node.
 func (e *LoadBalancer) Pick(zone, client string, retry bool) (node, address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -93,5 +93,5 @@
 	return chosen.Name, chosen.Front
 }
 
-// ProbeTarget is the node of a probe's try, with its address.
+// ProbeTarget returns the value of Try.Node for a probe: the node's name and address.
 func ProbeTarget(node EdgeNode) string { return fmt.Sprintf("%s@%s", node.Name, node.Front) }
--- a/internal/standin/platform/operator.go
+++ b/internal/standin/platform/operator.go
@@ -1,7 +1,3 @@
-// The operator: it chooses among the nodes of control, moves on after failures
-// and silence, and notes what it was told. How a call reaches a node is given,
-// so that the same operator works over sockets and in virtual time.
-
 package platform
 
 import (
@@ -17,23 +13,26 @@
 	"github.com/juju/errors"
 )
 
-// ControlCall makes one call to a node that serves control, bears as much
-// silence as OrderPatience says, and gives status 0 for no clear answer.
+// ControlCall makes one call to a node's control API, waits for the answer as long as
+// OrderTimeout says, and returns status 0 if there is no definite answer.
 type ControlCall func(method, address, path string, header [][2]string, body []byte) (status int, answer []byte)
 
-// Operator sends orders to the nodes that serve control.
+// Operator calls the control API of the nodes, moves on to another node after failures and
+// time-outs, and records the answers. Call transports the calls, so that the same operator
+// works over sockets and in virtual time.
 type Operator struct {
 	Name     string
 	Clock    base.Clock
 	Recorder *Recorder
 	Call     ControlCall
-	// Control lists the nodes' addresses as the operator knows them.
+	// Control lists the control addresses that the operator knows.
 	Control func() []string
 
 	mu  sync.Mutex
 	Rng *rand.Rand
 }
 
+// pickNode chooses a random node other than exclude, unless that is the only one.
 func (o *Operator) pickNode(exclude string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -44,7 +43,8 @@
 	return candidates[o.Rng.IntN(len(candidates))]
 }
 
-// send repeats a call until it is done or its time is over.
+// callUntilDone repeats a call on changing nodes until it is done or its time is over; unclear
+// is set when a call may have taken effect without a definite answer.
 func (o *Operator) callUntilDone(method, path string, header [][2]string, body []byte, until time.Duration) (status int, answer []byte, unclear bool, address string) {
 	for calls := 1; ; calls++ {
 		address = o.pickNode(address)
@@ -52,7 +52,7 @@
 		if NextOrderStep(status, calls) == OrderDone {
 			return status, answer, unclear, address
 		}
-		// A 429, 408 or 503 promises that the order was not taken.
+		// Statuses such as 408, 429 and 503 promise that the call had no effect.
 		unclear = unclear || !PromisesNotRun(status)
 		backoff := OrderBackoff(calls)
 		if o.Clock.Now()+backoff > until {
@@ -62,7 +62,7 @@
 	}
 }
 
-// PutConfig sends a configuration until it has a clear answer or patience is over.
+// PutConfig sends a configuration until it has a definite answer or the timeout is over.
 func (o *Operator) PutConfig(base uint64, config *Config, raw []byte, fault string, timeout time.Duration) *Order {
 	order := &Order{Operator: o.Name, Base: base, Config: config, Raw: raw, Fault: fault, Sent: o.Clock.Now(), Unclear: true}
 	o.Recorder.Update(func(r *Record) { r.Orders = append(r.Orders, order) })
@@ -73,7 +73,7 @@
 	return order
 }
 
-// ReadConfig asks for the newest configuration.
+// ReadConfig reads the current configuration, and adds the answer to the record if asked to.
 func (o *Operator) ReadConfig(record bool) (status int, raw []byte) {
 	status, raw = o.Call("GET", o.pickNode(""), PathConfig, nil, nil)
 	if record {
@@ -84,14 +84,14 @@
 	return status, raw
 }
 
-// ReadConfigRepeatedly asks for it as at the end of a day: again and again for a time, and
-// on until it has come once or limit is over.
+// ReadConfigRepeatedly reads and records the configuration as at the end of a run: repeatedly
+// for span, and then until a read has succeeded or limit is over.
 func (o *Operator) ReadConfigRepeatedly(span, limit time.Duration) {
-	began, received := o.Clock.Now(), false
+	startedAt, received := o.Clock.Now(), false
 	for tries := 1; ; tries++ {
 		status, _ := o.ReadConfig(true)
 		received = received || status == 200
-		elapsed := o.Clock.Now() - began
+		elapsed := o.Clock.Now() - startedAt
 		if elapsed >= span && received || elapsed >= limit {
 			return
 		}
@@ -99,13 +99,13 @@
 	}
 }
 
-// Retire asks for a storage machine to be emptied and waits for its end.
+// Retire asks for a storage machine to be emptied and waits until that is complete.
 func (o *Operator) Retire(node string, within, timeout time.Duration) error {
 	until := o.Clock.Now() + timeout
 	status, answer, unclear, _ := o.callUntilDone("POST", PathRetire+node, nil, []byte(fmt.Sprintf(`{"within_s":%d}`, int(within.Seconds()))), until)
-	// After a call without a clear answer, a 409 says that it is under way.
+	// After a call without a definite answer, 409 means that the retirement is under way.
 	if status != 200 && !(status == 409 && unclear) {
-		return errors.Errorf("retire %s: %d %s", node, status, answer)
+		return errors.Errorf("retire node %s: status %d: %s", node, status, answer)
 	}
 	for {
 		status, answer = o.Call("GET", o.pickNode(""), PathRetire+node, nil, nil)
@@ -113,12 +113,13 @@
 			return nil
 		}
 		if o.Clock.Now() > until {
-			return errors.Errorf("retire %s: %d %s", node, status, answer)
+			return errors.Errorf("retire node %s: status %d: %s", node, status, answer)
 		}
 		o.Clock.Sleep(250 * time.Millisecond)
 	}
 }
 
+// retirementState returns the state field of an answer.
 func retirementState(answer []byte) (state string) {
 	_ = jx.DecodeBytes(answer).Obj(func(d *jx.Decoder, key string) (err error) {
 		if key != "state" {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -1,5 +1,3 @@
-// The pure parts: retry rules, documents, the list's pages and rate, plans,
-// the engine.
 package platform
 
 import (
@@ -17,35 +15,35 @@
 func TestShouldRetryByKind(t *testing.T) {
 	is := is.New(t)
 	answered := func(kind Kind, status int) *Try { return &Try{Kind: kind, Status: status, Complete: true} }
-	again := func(try *Try) bool {
-		yes, _ := ShouldRetry(try, 1, time.Second)
-		return yes
+	retries := func(try *Try) bool {
+		retry, _ := ShouldRetry(try, 1, time.Second)
+		return retry
 	}
 	for _, status := range []int{429, 503, 408, 421} {
 		for _, kind := range []Kind{Idempotent, NonIdempotent, Streaming} {
-			is.True(again(answered(kind, status)))
+			is.True(retries(answered(kind, status)))
 		}
 	}
 	for _, status := range []int{500, 502, 504} {
-		is.True(again(answered(Idempotent, status)))
-		is.True(!again(answered(NonIdempotent, status)))
-		is.True(!again(answered(Streaming, status)))
+		is.True(retries(answered(Idempotent, status)))
+		is.True(!retries(answered(NonIdempotent, status)))
+		is.True(!retries(answered(Streaming, status)))
 	}
 	for _, status := range []int{200, 400, 401, 404, 413, 431} {
-		is.True(!again(answered(Idempotent, status)))
-		is.True(!again(answered(NonIdempotent, status)))
+		is.True(!retries(answered(Idempotent, status)))
+		is.True(!retries(answered(NonIdempotent, status)))
 	}
-	is.True(again(&Try{Kind: Idempotent}))                           // a closed connection
-	is.True(!again(&Try{Kind: NonIdempotent}))                       // it may have run
-	is.True(again(&Try{Kind: NonIdempotent, Unread: true}))          // it was not read
-	is.True(!again(&Try{Kind: NonIdempotent, Status: 503}))          // cut: no promise
-	is.True(again(&Try{Kind: Idempotent, Status: 200}))              // cut
-	is.True(!again(&Try{Kind: Streaming, Status: 200, Program: ""})) // cut stream
-	is.True(!again(&Try{Kind: Idempotent, Status: 402, Complete: true, Program: "p"}))
-	none, _ := ShouldRetry(answered(Idempotent, 503), 0, time.Second)
-	is.True(!none)
-	none, _ = ShouldRetry(answered(Idempotent, 503), 1, 0)
-	is.True(!none)
+	is.True(retries(&Try{Kind: Idempotent}))                           // a closed connection
+	is.True(!retries(&Try{Kind: NonIdempotent}))                       // it may have run
+	is.True(retries(&Try{Kind: NonIdempotent, Unread: true}))          // it was not read
+	is.True(!retries(&Try{Kind: NonIdempotent, Status: 503}))          // truncated: no promise
+	is.True(retries(&Try{Kind: Idempotent, Status: 200}))              // truncated
+	is.True(!retries(&Try{Kind: Streaming, Status: 200, Program: ""})) // truncated stream
+	is.True(!retries(&Try{Kind: Idempotent, Status: 402, Complete: true, Program: "p"}))
+	retry, _ := ShouldRetry(answered(Idempotent, 503), 0, time.Second)
+	is.True(!retry)
+	retry, _ = ShouldRetry(answered(Idempotent, 503), 1, 0)
+	is.True(!retry)
 }
 
 func TestRetryAfterIsCappedAtAThirdOfTheTimeLeft(t *testing.T) {
@@ -79,8 +77,8 @@
 	is := is.New(t)
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		site := Deployments()["small"]
-		generator := &ConfigGenerator{Deployment: site, Names: site.DrawNames(rng), Rng: rng}
+		deployment := Deployments()["small"]
+		generator := &ConfigGenerator{Deployment: deployment, Names: deployment.DrawNames(rng), Rng: rng}
 		c := generator.Initial()
 		is.Equal(c.InvalidReason(0), "")
 		for range 30 {
@@ -88,15 +86,15 @@
 			is.Equal(next.InvalidReason(c.Generation), "")
 			is.True(!SameDocument(next.Encode(), c.Encode()))
 			is.Equal(GenerationOf(next.Encode()), next.Generation)
-			for _, class := range site.Classes {
+			for _, class := range deployment.Classes {
 				route := next.Match(generator.Names.Hosts[class.Name], generator.Names.Prefixes[class.Name]+"x")
-				is.True(route != nil && route.Allows(generator.Names.Services[class.Service])) // programs' routes stay
+				is.True(route != nil && route.Allows(generator.Names.Services[class.Service])) // routes with traffic stay
 			}
 			c = next
 		}
 		for _, kind := range InvalidKinds {
 			before := string(c.Encode())
-			bad, raw, fault := generator.Invalid(c, kind)
+			invalid, raw, fault := generator.Invalid(c, kind)
 			is.Equal(fault, kind)
 			is.Equal(string(c.Encode()), before)
 			switch kind {
@@ -104,10 +102,10 @@
 				_, err := ParseJSON(raw)
 				is.True(err != nil)
 			case WrongType:
-				is.True(bad == nil)
+				is.True(invalid == nil)
 			default:
-				is.True(bad.InvalidReason(c.Generation) != "")
-				is.True(SameDocument(raw, bad.Encode()))
+				is.True(invalid.InvalidReason(c.Generation) != "")
+				is.True(SameDocument(raw, invalid.Encode()))
 			}
 		}
 	}
@@ -122,7 +120,7 @@
 	is.Equal(c.Match("o", "/a/b/").Name, "other")
 }
 
-// fakeClock is a clock that a test moves by hand.
+// fakeClock is a clock that a test sets.
 type fakeClock struct {
 	base.Clock
 	now time.Duration
@@ -130,13 +128,13 @@
 
 func (c *fakeClock) Now() time.Duration { return c.now }
 
-func pageOf(is *is.I, body []byte) (ids []string, next any) {
-	tree, err := ParseJSON(body)
+func parsePage(is *is.I, body []byte) (ids []string, next any) {
+	page, err := ParseJSON(body)
 	is.NoErr(err)
-	for _, one := range tree.(map[string]any)["instances"].([]any) {
-		ids = append(ids, one.(map[string]any)["id"].(string))
+	for _, instance := range page.(map[string]any)["instances"].([]any) {
+		ids = append(ids, instance.(map[string]any)["id"].(string))
 	}
-	return ids, tree.(map[string]any)["next_token"]
+	return ids, page.(map[string]any)["next_token"]
 }
 
 func TestInstanceListIsPagedAndDelayed(t *testing.T) {
@@ -144,12 +142,12 @@
 	clock := &fakeClock{Clock: base.NewRealClock(), now: time.Second}
 	ledger := NewRecorder(DefaultBounds(), 2, 3)
 	list := &Instances{Clock: clock, Recorder: ledger, Lag: 800 * time.Millisecond}
-	for place := range 120 {
-		list.ScheduleChange(fmt.Sprintf("i-%03d", place), &Instance{ID: fmt.Sprintf("i-%03d", place), Zone: fmt.Sprint("z", place%2), State: StateReady}, 0)
+	for number := range 120 {
+		list.ScheduleChange(fmt.Sprintf("i-%03d", number), &Instance{ID: fmt.Sprintf("i-%03d", number), Zone: fmt.Sprint("z", number%2), State: StateReady}, 0)
 	}
 	_, body := list.FetchPage("", "")
-	ids, next := pageOf(is, body)
-	is.Equal(len(ids), 0) // the lag is not over
+	ids, next := parsePage(is, body)
+	is.Equal(len(ids), 0) // the lag hasn't passed
 	is.Equal(next, nil)
 	clock.now = 2 * time.Second
 	var all []string
@@ -157,7 +155,7 @@
 		is.True(pages < 3)
 		status, body := list.FetchPage("", token)
 		is.Equal(status, 200)
-		ids, next := pageOf(is, body)
+		ids, next := parsePage(is, body)
 		all = append(all, ids...)
 		if next == nil {
 			break
@@ -167,7 +165,7 @@
 	}
 	is.Equal(len(all), 120)
 	_, body = list.FetchPage("z1", "p-50")
-	ids, next = pageOf(is, body)
+	ids, next = parsePage(is, body)
 	is.Equal(len(ids), 10)
 	is.Equal(next, nil)
 	status, _ := list.FetchPage("", "x")
@@ -183,7 +181,7 @@
 	is.Equal(len(ledger.Snapshot().Notices), 0)
 	clock.now = 2900 * time.Millisecond
 	list.ApplyDue()
-	is.Equal(ledger.Snapshot().Notices, []Notice{{"i-003", 2800 * time.Millisecond}}) // the moment the list showed it
+	is.Equal(ledger.Snapshot().Notices, []Notice{{"i-003", 2800 * time.Millisecond}}) // when the list showed it
 	clock.now = 6 * time.Second
 	list.ApplyDue()
 	is.Equal(len(ledger.Snapshot().Notices), 2)
@@ -193,93 +191,93 @@
 	is := is.New(t)
 	clock := &fakeClock{Clock: base.NewRealClock(), now: time.Second}
 	list := &Instances{Clock: clock, CallsPerSecond: 10}
-	taken := 0
+	answered := 0
 	for range 15 {
 		if status, _ := list.FetchPage("", ""); status == 200 {
-			taken++
+			answered++
 		} else {
 			is.Equal(status, 429)
 		}
 	}
-	is.Equal(taken, 10)
+	is.Equal(answered, 10)
 	clock.now += 500 * time.Millisecond
 	for range 15 {
 		if status, _ := list.FetchPage("", ""); status == 200 {
-			taken++
+			answered++
 		}
 	}
-	is.Equal(taken, 15)
+	is.Equal(answered, 15)
 }
 
 func TestProgramPlansAreDeterministic(t *testing.T) {
 	is := is.New(t)
-	site := Deployments()["kiondo"]
-	draw := func(seed uint64) (all []*ProgramPlan) {
-		g := &ProgramGenerator{Deployment: site, Names: site.DrawNames(rand.New(rand.NewPCG(seed, 0))), Rng: rand.New(rand.NewPCG(seed, 1))}
-		for place := range 200 {
-			all = append(all, g.Program(&site.Classes[place%2], site.Zones[0], place))
+	deployment := Deployments()["kiondo"]
+	draw := func(seed uint64) (plans []*ProgramPlan) {
+		g := &ProgramGenerator{Deployment: deployment, Names: deployment.DrawNames(rand.New(rand.NewPCG(seed, 0))), Rng: rand.New(rand.NewPCG(seed, 1))}
+		for index := range 200 {
+			plans = append(plans, g.Program(&deployment.Classes[index%2], deployment.Zones[0], index))
 		}
-		return all
+		return plans
 	}
-	helpers, tools, runaways := 0, 0, 0
-	again := draw(7)
-	for place, plan := range draw(7) {
-		is.Equal(plan.Describe(), again[place].Describe())
+	subagents, toolCalls, runaways := 0, 0, 0
+	repeated := draw(7)
+	for index, plan := range draw(7) {
+		is.Equal(plan.Describe(), repeated[index].Describe())
 		is.True(plan.TargetTime > plan.IdealTime)
 		total := int64(0)
-		var walk func(line *SessionPlan, tokens int, parts string)
-		walk = func(line *SessionPlan, tokens int, parts string) {
-			for _, turn := range line.Turns {
-				is.True(turn.PromptTokens > tokens)                                    // the prompt has all that came before
-				is.True(strings.HasPrefix(turn.PromptParts, parts+",") || parts == "") // and so have its parts
+		var walk func(session *SessionPlan, tokens int, parts string)
+		walk = func(session *SessionPlan, tokens int, parts string) {
+			for _, turn := range session.Turns {
+				is.True(turn.PromptTokens > tokens)                                    // the prompt includes all that came before
+				is.True(strings.HasPrefix(turn.PromptParts, parts+",") || parts == "") // and so do its parts
 				tokens, parts, total = turn.PromptTokens, turn.PromptParts, total+turn.MaxTokens
-				tools += len(turn.Tools)
-				for _, helper := range turn.Subagents {
-					helpers++
-					is.Equal(len(helper.Turns), 2)
-					walk(helper, tokens, parts)
+				toolCalls += len(turn.Tools)
+				for _, subagent := range turn.Subagents {
+					subagents++
+					is.Equal(len(subagent.Turns), 2)
+					walk(subagent, tokens, parts)
 				}
 			}
 		}
 		walk(plan.MainSession, 0, "")
-		is.True(plan.Budget >= total) // it holds every turn once
+		is.True(plan.Budget >= total) // enough for every turn once
 		if plan.Runaway {
 			runaways++
 		}
 	}
-	is.True(helpers > 20 && tools > 200 && runaways > 0)
-	is.True(draw(8)[0].Describe() != again[0].Describe())
+	is.True(subagents > 20 && toolCalls > 200 && runaways > 0)
+	is.True(draw(8)[0].Describe() != repeated[0].Describe())
 }
 
 func TestEngineCachesPromptsAndPreempts(t *testing.T) {
 	is := is.New(t)
 	e := newEngine(&fakeClock{Clock: base.NewRealClock()}, ServiceSpec{Capacity: 4, Engine: &EngineSpec{StepTime: time.Millisecond, PromptTokensPerMs: 10, MaxPromptTokensPerStep: 100, CacheTokens: 300, TokensPerEvent: 2}}, 1)
-	e.stepping = true // the test makes the steps
-	step := func() (span time.Duration) {
-		span, ok := e.beginStep()
+	e.stepping = true // the test makes the steps itself
+	step := func() (duration time.Duration) {
+		duration, ok := e.beginStep()
 		is.True(ok)
 		e.finishStep()
-		return span
+		return duration
 	}
-	job := func(urgency, prompt, want int, parts ...promptPart) *job {
-		j := &job{urgency: urgency, promptTokens: prompt, maxTokens: want, deadline: time.Hour, cancelled: base.NewRealClock().NewSignal(), parts: parts}
+	job := func(urgency, promptTokens, maxTokens int, parts ...promptPart) *job {
+		j := &job{urgency: urgency, promptTokens: promptTokens, maxTokens: maxTokens, deadline: time.Hour, cancelled: base.NewRealClock().NewSignal(), parts: parts}
 		is.True(e.submit(j, 10))
 		return j
 	}
 	first := job(5, 100, 1, promptPart{"a", 60}, promptPart{"b", 40})
-	is.Equal(step(), 11*time.Millisecond) // the whole prompt is read
+	is.Equal(step(), 11*time.Millisecond) // the whole prompt is processed
 	is.Equal(first.state, jobComplete)
 	second := job(5, 120, 1, promptPart{"a", 60}, promptPart{"b", 40}, promptPart{"c", 20})
-	is.Equal(step(), 3*time.Millisecond) // only what is new
+	is.Equal(step(), 3*time.Millisecond) // only the new part is processed
 	is.Equal(second.state, jobComplete)
 	is.Equal([]int{e.promptTokens, e.cachedTokens}, []int{220, 100})
 	third := job(5, 120, 1, promptPart{"x", 60}, promptPart{"b", 60})
-	is.Equal(step(), 11*time.Millisecond) // a part counts only after those before it
+	is.Equal(step(), 11*time.Millisecond) // a cached part counts only if all parts before it are cached
 	step()
 	is.Equal(third.state, jobComplete)
-	is.True(!e.submit(&oversize{promptTokens: 290, maxTokens: 20}, 10)) // larger than the memory
+	is.True(!e.submit(&jobType{promptTokens: 290, maxTokens: 20}, 10)) // larger than the memory
 
-	calm, urgent := job(5, 130, 30), job(1, 130, 30)
+	normal, urgent := job(5, 130, 30), job(1, 130, 30)
 	for range 5 {
 		step()
 	}
@@ -288,7 +286,7 @@
 	for urgent.state == jobRunning {
 		step()
 	}
-	is.True(calm.outputTokens < urgent.outputTokens) // the less urgent gave way
+	is.True(normal.outputTokens < urgent.outputTokens) // the less urgent job was preempted
 }
 
-type oversize = job
+type jobType = job
--- a/internal/standin/platform/program.go
+++ b/internal/standin/platform/program.go
@@ -1,7 +1,3 @@
-// Programs as plans: lines of turns, tools between them, helpers and runaways,
-// drawn from a seed before anything is sent. Only the ids of tries are drawn
-// later.
-
 package platform
 
 import (
@@ -11,17 +7,17 @@
 	"time"
 )
 
-// ToolCallPlan is one call of a tool.
+// ToolCallPlan is one planned call of a tool.
 type ToolCallPlan struct {
 	Class  *RequestClass
 	Target string
 	Body   []byte
 }
 
-// TurnPlan is one turn: its new input, and what follows its answer.
+// TurnPlan is one planned turn: its new input, and what follows its answer.
 type TurnPlan struct {
 	Input        []byte
-	PromptTokens int // tokens, with everything before it
+	PromptTokens int // including all earlier turns
 	MaxTokens    int64
 	PromptParts  string
 	ThinkTime    time.Duration
@@ -29,13 +25,15 @@
 	Subagents    []*SessionPlan
 }
 
-// SessionPlan is a line of turns with a session of its own.
+// SessionPlan is a sequence of turns in a session of its own.
 type SessionPlan struct {
 	SessionID string
 	Turns     []*TurnPlan
 }
 
-// ProgramPlan is a whole program.
+// ProgramPlan is a whole program: the turns of its main session, the tool calls between them
+// and the sessions of subagents. A plan is drawn from a seed before anything is sent; only
+// the ids of tries, and the further subagents of runaway programs, are drawn later.
 type ProgramPlan struct {
 	ID          string
 	Class       *RequestClass
@@ -46,13 +44,13 @@
 	MainSession *SessionPlan
 	Budget      int64
 	Runaway     bool
-	// IdealTime is what it needs on idle workers, Aim when it ought to be over.
+	// IdealTime is the program's duration on idle workers, TargetTime the one it should keep.
 	IdealTime  time.Duration
 	TargetTime time.Duration
 	Model      string
 }
 
-// ProgramGenerator draws programs.
+// ProgramGenerator draws random programs for a deployment.
 type ProgramGenerator struct {
 	Deployment *Deployment
 	Names      *Names
@@ -61,14 +59,15 @@
 
 const inputAlphabet = "abcdefghijklmnopqrstuvwxyz ,."
 
-func (g *ProgramGenerator) randomText(bytes int) []byte {
-	text := make([]byte, bytes)
+func (g *ProgramGenerator) randomText(length int) []byte {
+	text := make([]byte, length)
 	for index := range text {
 		text[index] = inputAlphabet[g.Rng.IntN(len(inputAlphabet))]
 	}
 	return text
 }
 
+// engine returns the engine of the deployment's model service, or a fast one if there is none.
 func (g *ProgramGenerator) engine() *EngineSpec {
 	for _, service := range g.Deployment.Services {
 		if service.Engine != nil {
@@ -78,9 +77,11 @@
 	return &EngineSpec{StepTime: time.Millisecond, PromptTokensPerMs: 1000, TokensPerEvent: 1}
 }
 
+// turnOverhead is the time of a turn or tool call besides the worker's, for the ideal time.
 const turnOverhead = 31 * time.Millisecond
 
-// Program draws one program of a class.
+// Program draws one program of a class. Programs of the same topic share the first part of
+// their prompts; the budget is a tenth above what all turns may put out.
 func (g *ProgramGenerator) Program(class *RequestClass, zone string, client int) *ProgramPlan {
 	p := &ProgramPlan{ID: fmt.Sprintf("%06x", g.Rng.Uint32()>>4), Class: class, Host: g.Names.Hosts[class.Name], Zone: zone,
 		Client: fmt.Sprintf("%s-%d", zone, client), Model: g.Names.Model, Runaway: g.Rng.Float64() < class.RunawayProbability}
@@ -95,6 +96,8 @@
 	return p
 }
 
+// newSession draws a session that continues a prompt with the given tokens and parts, and
+// returns its ideal time too.
 func (g *ProgramGenerator) newSession(p *ProgramPlan, turns, tokens int, parts string, withSubagents bool) (*SessionPlan, time.Duration) {
 	engine, session, ideal := g.engine(), &SessionPlan{SessionID: fmt.Sprintf("%06x", g.Rng.Uint32()>>4)}, time.Duration(0)
 	for turn := range turns {
@@ -124,7 +127,7 @@
 	return session, ideal
 }
 
-// tools draws the calls after a turn; it gives the slowest one's time.
+// addToolCalls draws the tool calls after a turn and returns the time of the slowest.
 func (g *ProgramGenerator) addToolCalls(p *ProgramPlan, plan *TurnPlan) (slowest time.Duration) {
 	for _, use := range p.Class.Tools {
 		for range max(1, use.MaxCalls) {
@@ -139,7 +142,7 @@
 	return slowest
 }
 
-// ToolCall draws one call.
+// ToolCall draws one tool call.
 func (g *ProgramGenerator) ToolCall(class *RequestClass) ToolCallPlan {
 	t := ToolCallPlan{Class: class, Target: g.Names.Prefixes[class.Name] + fmt.Sprintf("%x?n=%d", g.Rng.IntN(4000), g.Rng.IntN(100))}
 	if class.BodyBytes.Mean > 0 {
@@ -148,13 +151,13 @@
 	return t
 }
 
-// RunawaySubagent draws one more helper for a program that runs away.
+// RunawaySubagent draws one more subagent for a runaway program.
 func (g *ProgramGenerator) RunawaySubagent(p *ProgramPlan, after *TurnPlan) *SessionPlan {
 	session, _ := g.newSession(p, 2, after.PromptTokens+int(after.MaxTokens), after.PromptParts, false)
 	return session
 }
 
-// TotalMaxTokens is what all turns of a line can put out, those of helpers too.
+// TotalMaxTokens returns how many tokens all turns of a session and its subagents may put out.
 func (l *SessionPlan) TotalMaxTokens() (tokens int64) {
 	for _, turn := range l.Turns {
 		tokens += turn.MaxTokens
@@ -165,11 +168,11 @@
 	return tokens
 }
 
-// Describe says a program in a line, for logs.
+// Describe returns a one-line description for logs.
 func (p *ProgramPlan) Describe() string {
 	var turns []string
 	for _, turn := range p.MainSession.Turns {
-		turns = append(turns, fmt.Sprintf("%d tokens+%d tools+%d helpers", turn.MaxTokens, len(turn.Tools), len(turn.Subagents)))
+		turns = append(turns, fmt.Sprintf("%d tokens+%d tool calls+%d subagents", turn.MaxTokens, len(turn.Tools), len(turn.Subagents)))
 	}
 	return p.Class.Name + " " + p.ID + ": " + strings.Join(turns, "; ")
 }
--- a/internal/standin/platform/program_runner.go
+++ b/internal/standin/platform/program_runner.go
@@ -1,8 +1,3 @@
-// The player carries plans out: it makes tries, waits and tries again as the
-// protocol says, and notes how each program ended. How a try reaches a node is
-// the carrier's matter, so that the same player runs over sockets and in
-// virtual time.
-
 package platform
 
 import (
@@ -14,19 +9,21 @@
 	"fordseam/internal/base"
 )
 
-// Transport sends a try and fills in what came of it; it returns when the try is over.
+// Transport sends a try to a node, fills in the outcome, and returns when the try is over.
 type Transport interface {
 	Send(t *Try)
 }
 
-// ProgramRunner plays clients and programs.
+// ProgramRunner carries out the plans of programs as their clients would: it sends tries, waits
+// and retries as the protocol says, and records how each program ended. The transport is
+// given, so that the same runner works over sockets and in virtual time.
 type ProgramRunner struct {
 	Clock     base.Clock
 	Transport Transport
 	Recorder  *Recorder
 	Names     *Names
-	// RetryUntil, when set, tells until when programs that continue from before a
-	// closing fault keep asking.
+	// RetryUntil, if set, returns until when programs that continue a turn from before the
+	// closing fault keep retrying.
 	RetryUntil func() time.Duration
 
 	mu        sync.Mutex
@@ -34,14 +31,14 @@
 	generator *ProgramGenerator
 }
 
-// NewProgramRunner makes a player that draws from a seed.
-func NewProgramRunner(clock base.Clock, carrier Transport, ledger *Recorder, site *Deployment, words *Names, seed uint64) *ProgramRunner {
+// NewProgramRunner returns a runner whose random choices come from a seed.
+func NewProgramRunner(clock base.Clock, carrier Transport, ledger *Recorder, deployment *Deployment, words *Names, seed uint64) *ProgramRunner {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	return &ProgramRunner{Clock: clock, Transport: carrier, Recorder: ledger, Names: words, rng: rng,
-		generator: &ProgramGenerator{Deployment: site, Names: words, Rng: rand.New(rand.NewPCG(seed, 12))}}
+		generator: &ProgramGenerator{Deployment: deployment, Names: words, Rng: rand.New(rand.NewPCG(seed, 12))}}
 }
 
-// WithGenerator runs a step of the generator; the player's tasks share it.
+// WithGenerator calls step with the generator, which the runner's tasks share under a lock.
 func (p *ProgramRunner) WithGenerator(step func(g *ProgramGenerator)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +57,7 @@
 	return p.rng.Float64()
 }
 
-// together runs steps at once and waits for all.
+// parallel runs count steps concurrently and waits for all of them.
 func (p *ProgramRunner) parallel(count int, step func(index int)) {
 	var group []base.Signal
 	for index := range count {
@@ -76,8 +73,8 @@
 	}
 }
 
-// SendWithRetries makes a request with the tries its class has; make fills in what is
-// the same in every try. It gives the last try.
+// SendWithRetries sends a request of a class, with at most the given number of retries;
+// setFields fills in what is the same in every try. It returns the last try.
 func (p *ProgramRunner) SendWithRetries(class *RequestClass, retries int, setFields func(t *Try)) *Try {
 	startedAt, lastEvent := p.Clock.Now(), int64(0)
 	for tries := 0; ; tries++ {
@@ -89,7 +86,7 @@
 			t.Header = append(t.Header, [2]string{HeaderLastEvent, fmt.Sprint(lastEvent)})
 		}
 		t.Header = append([][2]string{{HeaderID, t.ID}, {HeaderDeadline, fmt.Sprint(max(1, remaining.Milliseconds()))}}, t.Header...)
-		// The whole record knows of a try before its first byte leaves.
+		// The try is in the record before its first byte is sent.
 		p.Recorder.Update(func(r *Record) { r.Tries = append(r.Tries, t) })
 		p.Transport.Send(t)
 		remaining = class.Deadline - (p.Clock.Now() - startedAt)
@@ -106,7 +103,7 @@
 	}
 }
 
-// run is one program under way.
+// programRun is a program being run; it stops when a turn or tool call fails for good.
 type programRun struct {
 	*ProgramRunner
 	plan       *ProgramPlan
@@ -117,6 +114,7 @@
 	reason     string
 }
 
+// stop ends the program; only the first reason is kept.
 func (r *programRun) stop(overBudget bool, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,8 +129,8 @@
 	return r.stopped
 }
 
-// RunProgram plays a plan to its end; previous, when set, is the turn its line
-// continues from.
+// RunProgram runs a plan to its end and records the outcome; previous, if set, is the turn that
+// its main session continues.
 func (p *ProgramRunner) RunProgram(plan *ProgramPlan, previous string) Outcome {
 	r := &programRun{ProgramRunner: p, plan: plan, startedAt: p.Clock.Now()}
 	r.runSession(plan.MainSession, previous)
@@ -154,6 +152,9 @@
 	return outcome
 }
 
+// runSession runs a session's turns, each followed by its subagents, its tool calls and the
+// think time. The main session of a runaway program starts two more subagents at a time, up
+// to 30 times after each turn, until the program is stopped.
 func (r *programRun) runSession(session *SessionPlan, previous string) {
 	for index, turn := range session.Turns {
 		if r.isStopped() {
@@ -181,7 +182,9 @@
 	}
 }
 
-// turn asks one turn until it is answered whole, or the program ends.
+// runTurn sends a turn until it is answered in full, or ends the program: after an answer that
+// ends programs, or after three failed requests. A runaway program ignores the first two
+// answers that reject a turn over budget (402).
 func (r *programRun) runTurn(session *SessionPlan, turn *TurnPlan, previous string, continues bool) *Try {
 	class := r.plan.Class
 	budgetRejections := 0
@@ -194,10 +197,10 @@
 			budgetRejections++
 			failures--
 		case t.Complete && EndsProgram(t.Status):
-			r.stop(t.Status == 402, fmt.Sprintf("turn %s got %d", t.ID, t.Status))
+			r.stop(t.Status == 402, fmt.Sprintf("turn %s got status %d", t.ID, t.Status))
 			return nil
 		case failures >= 2 && !(continues && r.RetryUntil != nil && r.Clock.Now() < r.RetryUntil()):
-			r.stop(false, fmt.Sprintf("turn %s failed the last time with %d", t.ID, t.Status))
+			r.stop(false, fmt.Sprintf("turn %s failed, finally with status %d", t.ID, t.Status))
 			return nil
 		}
 		if r.isStopped() {
@@ -207,12 +210,13 @@
 	}
 }
 
+// fillTurn sets the fields and headers of a turn's try.
 func (r *programRun) fillTurn(t *Try, session *SessionPlan, turn *TurnPlan, previous string) {
 	plan := r.plan
 	t.Host, t.Target, t.Body, t.Zone, t.Client = plan.Host, plan.Target, turn.Input, plan.Zone, plan.Client
 	t.Program, t.Session, t.Previous, t.Budget, t.Most, t.Retain = plan.ID, session.SessionID, previous, plan.Budget, turn.MaxTokens, plan.Class.Retain
 	if plan.Class.Retain == 0 {
-		previous, t.Previous = "", "" // the prompt says it all
+		previous, t.Previous = "", "" // the input holds the whole conversation
 	}
 	t.Chunked = len(turn.Input)%4 == 0
 	t.Header = append(r.programHeaders(session), [][2]string{{HeaderBudget, fmt.Sprint(plan.Budget)}, {HeaderModel, plan.Model},
@@ -222,12 +226,14 @@
 	}
 }
 
-// mark is what every request of a program carries.
+// programHeaders returns the headers that every request of a program has.
 func (r *programRun) programHeaders(session *SessionPlan) [][2]string {
 	remaining := max(1, (r.plan.TargetTime - (r.Clock.Now() - r.startedAt)).Milliseconds())
 	return [][2]string{{HeaderProgram, r.plan.ID}, {HeaderSession, session.SessionID}, {HeaderFinish, fmt.Sprint(remaining)}}
 }
 
+// runToolCall makes a tool call. The program fails with it, except on a worker's own 500 and
+// on a non-idempotent call without an answer, which may have run.
 func (r *programRun) runToolCall(session *SessionPlan, tool ToolCallPlan) {
 	t := r.SendWithRetries(tool.Class, tool.Class.Retries, func(t *Try) {
 		t.Host, t.Target, t.Body, t.Zone, t.Client = r.Names.Hosts[tool.Class.Name], tool.Target, tool.Body, r.plan.Zone, r.plan.Client
@@ -236,6 +242,6 @@
 	})
 	workerError := t.Seal != "" && t.Status == 500
 	if !t.Succeeded() && !workerError && !(tool.Class.Kind == NonIdempotent && t.Status == 0) {
-		r.stop(false, fmt.Sprintf("call %s (%s) failed with %d", t.ID, tool.Class.Name, t.Status))
+		r.stop(false, fmt.Sprintf("tool call %s (%s) failed with status %d", t.ID, tool.Class.Name, t.Status))
 	}
 }
--- a/internal/standin/platform/protocol.go
+++ b/internal/standin/platform/protocol.go
@@ -1,11 +1,11 @@
-// Package platform holds the project's own stand-ins of the platform's
-// parties: workers, the list of instances, operators, clients and their
-// programs, and the checker that names the rules broken in what they saw. It
-// knows no transport and no wall clock: package sockets puts TCP round it, and
-// a simulator can call the same parts in virtual time. The platform's names
-// stand in this file.
+// Package platform holds stand-ins for the parties on the users' platform, for tests: workers,
+// the instance list, the load balancer, operators, clients and their programs, and a checker
+// that finds violations of the platform's rules in what they observed. It uses no network and
+// no wall clock: package sockets connects it over TCP, and the simulator runs the same code
+// in virtual time.
 package platform
 
+// Names of the platform's protocol: headers, paths, states and machine classes.
 const (
 	HeaderID             = "Attempt-Id"
 	HeaderDeadline       = "Deadline-Ms"
@@ -36,7 +36,7 @@
 	PathInstances = "/instances"
 	PathHealth    = "/health"
 
-	// SettingsVariable names the environment variable with the settings file's path.
+	// SettingsVariable is the environment variable that holds the path of the settings file.
 	SettingsVariable = "FORDSEAM_SETTINGS"
 
 	StateReady    = "ready"
@@ -50,7 +50,8 @@
 	RetireComplete = "complete"
 )
 
-// Kind says how often a request of a route may run and how it is answered.
+// Kind says whether a route's requests may run more than once and whether their answers are
+// streams of events.
 type Kind string
 
 const (
--- a/internal/standin/platform/record.go
+++ b/internal/standin/platform/record.go
@@ -1,8 +1,3 @@
-// What the parties saw, as one record: tries of clients, arrivals at workers,
-// what the platform's list showed, operators' orders, and troubles that the
-// harness brought about. Moments are on the one clock of the run. The ledger
-// gathers it from many tasks; the checker reads it when all have ended.
-
 package platform
 
 import (
@@ -10,14 +5,15 @@
 	"time"
 )
 
-// Event is one event of a stream.
+// Event is one event of a stream. At is when the client received it or the worker sent it.
 type Event struct {
 	ID   int64
 	Data string
 	At   time.Duration
 }
 
-// Try is one request of a client under an id of its own, and what came of it.
+// Try is one request of a client, with an id of its own, and its outcome. A client that
+// retries makes a new Try.
 type Try struct {
 	ID       string
 	Class    string
@@ -36,11 +32,11 @@
 	Pause    time.Duration
 	Retain   time.Duration
 	MaxTries int
-	// Resumable streams may be continued; After is the event that this try goes on
-	// from.
+	// Resumable streams may be continued; After is the id of the last event that the
+	// client has, from which this try continues.
 	Resumable bool
 	After     int64
-	// Probe requests go to one node directly and reveal its configuration.
+	// Probe requests go directly to one node, to find out which configuration it uses.
 	Probe bool
 
 	Program  string
@@ -50,8 +46,8 @@
 	Most     int64
 
 	Node string
-	// Sent is when its first byte left, Written when its last did, First when
-	// the first event or byte of the body came, Ended when it was over.
+	// Sent is when the first byte was sent, Written when the last one was, First when the
+	// first event or byte of the body arrived, Ended when the try was over.
 	Sent, Written, First, Ended time.Duration
 	Status                      int
 	Echo                        string
@@ -60,26 +56,27 @@
 	RetryAfter                  time.Duration
 	Answer                      string // digest of the body
 	Events                      []Event
-	// Complete answers ended as the protocol says; GaveUp tries were left by
-	// the client; Unread ones were closed without having been read.
+	// Complete is set when the answer ended as the protocol says, GaveUp when the client
+	// abandoned the try, Unread when the node closed it without having read it.
 	Complete, GaveUp, Unread bool
-	// Garbage tells of bytes that form no answer, Surplus of bytes that came
-	// where no request was waiting.
+	// Garbage describes bytes that are not an HTTP response, Surplus bytes that arrived on
+	// the connection when no request was waiting for them.
 	Garbage, Surplus string
 }
 
-// Succeeded says that a whole answer of success came.
+// Succeeded reports whether a complete 2xx answer of a worker arrived.
 func (t *Try) Succeeded() bool {
 	return t.Status >= 200 && t.Status < 300 && t.Complete && t.Seal != ""
 }
 
-// Repeatable says that the request may run more than once.
+// Repeatable reports whether the request may run more than once.
 func (t *Try) Repeatable() bool { return t.Kind == Idempotent || t.Resumable }
 
-// AnsweredBySystem says that the answer is the system's own and not a worker's.
+// AnsweredBySystem reports whether the answer was made by the system under test itself: it
+// has no worker's seal.
 func (t *Try) AnsweredBySystem() bool { return t.Status != 0 && t.Seal == "" }
 
-// Arrival is one request as a worker saw it.
+// Arrival is one request as a worker received it.
 type Arrival struct {
 	Worker  string
 	Service string
@@ -88,63 +85,67 @@
 	Method  string
 	Target  string
 	Body    string // digest
-	After   int64  // the event that it was to go on from
+	After   int64  // id of the event to continue after
 	At      time.Duration
-	// Ran is set once the worker has begun to work on it.
+	// Ran is set when the worker begins to work on the request.
 	Ran          bool
 	Began, Ended time.Duration
 	Status       int
 	Seal         string
 	Answer       string // digest of the whole body
 	Events       []Event
-	// Whole answers were sent to their end; Broke ones the worker cut off
-	// itself, Left ones the other side did.
+	// Whole is set when the answer was sent to its end, Broke when the worker broke it off
+	// itself, Left when the other side did.
 	Whole, Broke, Left bool
 }
 
-// Notice is the moment the platform's list showed a worker as leaving or gone.
+// Notice is the time at which the instance list showed a worker as draining or removed.
 type Notice struct {
 	Worker string
 	At     time.Duration
 }
 
-// Trouble is a span in which something was done to a machine.
+// Trouble is a period during which the test harness disturbed a machine.
 type Trouble struct {
 	Kind    string
 	Machine string
 	Class   string
 	From    time.Duration
 	To      time.Duration
-	// Term and Hup are planned: their process is told and goes on or ends.
+	// Term (the process is told to stop) and Hup (it is told to reload its settings) are
+	// planned. Slow machines run slower.
 	Term, Hup, Slow bool
 }
 
-// Planned troubles are no trouble to a process that keeps the rules.
+// Planned reports whether the process was told beforehand, so that a correct process loses
+// nothing.
 func (t *Trouble) Planned() bool { return t.Term || t.Hup }
 
-// Order is one configuration of an operator, with all its repeats.
+// Order is one configuration sent by an operator, with all the calls repeated for it.
 type Order struct {
 	Operator string
 	Base     uint64
-	Config   *Config // nil when it cannot be read whole
+	Config   *Config // nil when Raw can't be parsed
 	Raw      []byte  `json:"-"`
-	Fault    string  // why it is invalid, or nothing
+	Fault    string  // why it is invalid, or empty
 	Sent     time.Duration
 	Ended    time.Duration
 	Status   int
-	// Unclear orders had a call that got no clear answer.
+	// Unclear is set when one of the calls had no definite answer, so that the
+	// configuration may have been accepted.
 	Unclear bool
-	// Node is the address that gave the last answer.
+	// Node is the address that was called last.
 	Node string
 }
 
-// Acked orders were answered 200.
+// Acked reports whether the configuration was acknowledged with 200.
 func (o *Order) Acked() bool { return o.Status == 200 }
 
-// Refused orders cannot be in force: none of their calls was without a clear answer.
+// Refused reports whether the configuration can't be in force: it was rejected, and no call
+// was without a definite answer.
 func (o *Order) Refused() bool { return o.Status >= 400 && o.Status < 500 && !o.Unclear }
 
-// Generation is the order's version, 0 when it cannot be read.
+// Generation returns the configuration's generation, or 0 when it can't be parsed.
 func (o *Order) Generation() uint64 {
 	if o.Config == nil {
 		return 0
@@ -152,32 +153,32 @@
 	return o.Config.Generation
 }
 
-// ReadBack is the configuration as the system gave it at the end.
+// ReadBack is one answer to a request for the current configuration at the end of a run.
 type ReadBack struct {
 	At     time.Duration
 	Status int
 	Raw    []byte
 }
 
-// Start is the beginning of one life of a machine's process.
+// Start is one start of a machine's process.
 type Start struct {
 	Machine string
 	Class   string
 	At      time.Duration
 }
 
-// Closing is the fault at the end of a day, and when its machines were back.
+// Closing is the fault at the end of a run, and when its machines were back.
 type Closing struct {
 	From, Back time.Duration
 }
 
-// Bounds are the figures of the rules.
+// Bounds are the time limits and tolerances of the rules, as they stand in the settings file.
 type Bounds struct {
 	SeedLag, ReuseAfter, Contact, Ack, CatchUp, Drain, Grace, LossSlack     time.Duration
 	Apply, RevertSlack, Stretch, Recovery, Pass, Finish, Settle, ListMaxLag time.Duration
 }
 
-// DefaultBounds are those of both known deployments.
+// DefaultBounds returns the bounds of both known deployments.
 func DefaultBounds() Bounds {
 	ms := time.Millisecond
 	return Bounds{SeedLag: 3000 * ms, ReuseAfter: 2000 * ms, Contact: 3000 * ms, Ack: 4000 * ms, CatchUp: 4100 * ms, Drain: 3000 * ms, Grace: 8000 * ms,
@@ -185,7 +186,8 @@
 		Settle: 1000 * ms, ListMaxLag: 800 * ms}
 }
 
-// Ending is how a program ended.
+// Ending says how a program ended: in time is within its target, late within twice the
+// target.
 type Ending string
 
 const (
@@ -196,7 +198,7 @@
 	BudgetSpent Ending = "budget spent"
 )
 
-// Outcome is one program's end, or one plain request's.
+// Outcome is the result of one program or of one request outside programs.
 type Outcome struct {
 	Class   string
 	Program string
@@ -207,7 +209,8 @@
 	Runaway bool
 }
 
-// Record is everything that was seen.
+// Record is everything that clients, workers, operators and the instance list observed in a
+// run, and what the harness did. All times are on the one clock of the run.
 type Record struct {
 	Bounds   Bounds
 	Stride   int
@@ -220,38 +223,41 @@
 	Starts   []Start
 	Closing  *Closing
 	Outcomes []Outcome
-	// Core is how many core machines there are.
+	// Core is the number of core machines.
 	Core int
 	// Over is when the run ended.
 	Over time.Duration
 }
 
-// Recorder gathers a record from many tasks.
+// Recorder collects a record from concurrent tasks; the checker reads it after all of them
+// have ended.
 type Recorder struct {
 	mu     sync.Mutex
 	record Record
 }
 
+// NewRecorder returns a recorder of an empty record.
 func NewRecorder(bounds Bounds, stride, core int) *Recorder {
 	return &Recorder{record: Record{Bounds: bounds, Stride: stride, Core: core}}
 }
 
-// Update changes the record under the ledger's lock.
+// Update changes the record while holding the recorder's lock.
 func (l *Recorder) Update(change func(r *Record)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.record)
 }
 
-// Snapshot gives the record as it stands, tries in copies of their own.
+// Snapshot returns the record as it stands. Arrivals are copied; tries, troubles and orders
+// are shared with the recorder, in lists of their own.
 func (l *Recorder) Snapshot() *Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	copied := l.record
 	copied.Arrivals = make([]*Arrival, 0, len(l.record.Arrivals))
 	for _, arrival := range l.record.Arrivals {
-		one := *arrival
-		copied.Arrivals = append(copied.Arrivals, &one)
+		arrivalCopy := *arrival
+		copied.Arrivals = append(copied.Arrivals, &arrivalCopy)
 	}
 	copied.Tries = append([]*Try(nil), l.record.Tries...)
 	copied.Troubles = append([]*Trouble(nil), l.record.Troubles...)
--- a/internal/standin/platform/retry.go
+++ b/internal/standin/platform/retry.go
@@ -1,16 +1,14 @@
-// When clients and operators try again, exactly as the protocol says. Nothing
-// here waits or sends.
-
 package platform
 
 import "time"
 
-// PromisesNotRun says that a status promises that the request has not run and never
+// PromisesNotRun reports whether a status promises that the request has not run and never
 // will.
 func PromisesNotRun(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
+// isFinal reports whether a client never retries after an answer with this status.
 func isFinal(status int) bool {
 	switch status {
 	case 400, 401, 404, 413, 431:
@@ -19,7 +17,7 @@
 	return status >= 200 && status < 300
 }
 
-// EndsProgram says that a turn's answer ends its program at once.
+// EndsProgram reports whether a turn's answer with this status ends its program at once.
 func EndsProgram(status int) bool {
 	switch status {
 	case 400, 401, 402, 403, 404, 413:
@@ -28,9 +26,9 @@
 	return false
 }
 
-// ShouldRetry tells whether a client makes one more try of a request, and after
-// what pause; further is how many tries it still has, left the time to its
-// deadline.
+// ShouldRetry reports whether a client tries a request again, as the protocol says, and after
+// which pause. The pause is the answer's Retry-After, at most a third of the time remaining
+// to the deadline.
 func ShouldRetry(t *Try, retriesLeft int, remaining time.Duration) (retry bool, pause time.Duration) {
 	answered := t.Status != 0 && t.Complete && t.Garbage == ""
 	if retriesLeft <= 0 || remaining <= 0 || answered && isFinal(t.Status) || answered && t.Program != "" && EndsProgram(t.Status) {
@@ -46,22 +44,22 @@
 	return true, pause
 }
 
-// StreamSilenceLimit is how long a client bears a stream without a word.
+// StreamSilenceLimit returns how long a client waits for the next bytes of a stream.
 func StreamSilenceLimit(targetLatency, gapTarget time.Duration) time.Duration {
 	return max(2*time.Second, 4*targetLatency, 8*gapTarget)
 }
 
-// ReadTimeout is how long a client waits for a node to read a repeatable request.
+// ReadTimeout returns how long a client waits for a node to read a repeatable request.
 func ReadTimeout(remaining time.Duration) time.Duration { return min(time.Second, remaining/3) }
 
-// ConnectTimeout is what a new connection is given to come up.
+// ConnectTimeout is how long a client waits for a new connection.
 const ConnectTimeout = time.Second
 
-// MaxRedirects is how many 307s callers of control follow.
+// MaxRedirects is how many 307 redirects an operator's call follows.
 const MaxRedirects = 2
 
-// OrderStep is what an operator does after one answer to an order: 0 stands
-// for no clear answer.
+// OrderStep is what an operator does after a call: it is done, or repeats the call on another
+// node.
 type OrderStep int
 
 const (
@@ -69,7 +67,8 @@
 	OrderRetry
 )
 
-// NextOrderStep decides after a call; tries counts the calls made.
+// NextOrderStep returns what follows a call; status 0 stands for no definite answer, and calls
+// counts the calls made so far. Other 4xx statuses end the order from the third call on.
 func NextOrderStep(status, calls int) OrderStep {
 	switch {
 	case status >= 200 && status < 300:
@@ -84,12 +83,13 @@
 	return OrderRetry
 }
 
-// OrderBackoff grows with each call that failed.
+// OrderBackoff returns the pause before the next call, which doubles from 100 ms up to 1 s.
 func OrderBackoff(calls int) time.Duration {
 	return min(time.Duration(50<<min(calls, 5))*time.Millisecond, time.Second)
 }
 
-// OrderTimeout is the silence an operator bears, more for large bodies.
-func OrderTimeout(bytes int) time.Duration {
-	return time.Second + time.Duration(bytes/1024)*time.Millisecond
+// OrderTimeout returns how long an operator waits for an answer: 1 s, and 1 ms per KiB of the
+// body.
+func OrderTimeout(bodyBytes int) time.Duration {
+	return time.Second + time.Duration(bodyBytes/1024)*time.Millisecond
 }
--- a/internal/standin/platform/settings.go
+++ b/internal/standin/platform/settings.go
@@ -1,6 +1,3 @@
-// The settings file that the platform hands to each process, with every field
-// it has.
-
 package platform
 
 import (
@@ -9,7 +6,7 @@
 	"time"
 )
 
-// Settings is what one process is told.
+// Settings is the content of the settings file that the platform gives to each process.
 type Settings struct {
 	Node, Role, Class, Serves, IP, Zone, Region string
 	Zones                                       []string
@@ -24,6 +21,7 @@
 	ListCallsPerSecond                          float64
 }
 
+// classLimits are the resource limits of a machine class.
 type classLimits struct {
 	cpu                        float64
 	memoryMB, maxFDs, linkMbps int
@@ -36,7 +34,7 @@
 	ClassStorage: {0.8, 284, 8200, 600, 300},
 }
 
-// YAML writes the file.
+// YAML returns the settings file with every field that it has on the platform.
 func (s *Settings) YAML() string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
@@ -105,6 +103,7 @@
 	return b.String()
 }
 
+// writeBounds writes the bounds section, each bound in the unit that its name ends with.
 func (s *Settings) writeBounds(line func(string, ...any)) {
 	line("bounds:")
 	for _, one := range []struct {
--- a/internal/standin/platform/summary.go
+++ b/internal/standin/platform/summary.go
@@ -1,6 +1,3 @@
-// What a record comes to in numbers: how programs and requests ended, and how
-// long callers waited.
-
 package platform
 
 import (
@@ -14,14 +11,14 @@
 	"fordseam/internal/base"
 )
 
-// LatencySummary is a list of times as half and nearly all of them went.
+// LatencySummary is the number, the 50th and 95th percentiles and the maximum of latencies.
 type LatencySummary struct {
 	Count    int
 	P50, P95 time.Duration
 	Max      time.Duration
 }
 
-// SummarizeLatencies sums up a list.
+// SummarizeLatencies returns the summary of a list of latencies.
 func SummarizeLatencies(latencies []time.Duration) LatencySummary {
 	if len(latencies) == 0 {
 		return LatencySummary{}
@@ -32,12 +29,13 @@
 }
 
 func (s LatencySummary) String() string {
-	return fmt.Sprintf("p50 %.1f ms  p95 %.1f ms  most %.1f ms  (%d)", ms(s.P50), ms(s.P95), ms(s.Max), s.Count)
+	return fmt.Sprintf("p50 %.1f ms  p95 %.1f ms  max %.1f ms  (%d)", ms(s.P50), ms(s.P95), ms(s.Max), s.Count)
 }
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// ClassSummary is one kind of request's.
+// ClassSummary summarizes one class of requests: how programs and tries ended, and how long
+// callers waited.
 type ClassSummary struct {
 	ProgramsByEnding map[Ending]int
 	Runaways         int
@@ -46,10 +44,10 @@
 	FirstEvent       LatencySummary
 	EventGaps        LatencySummary
 	FullAnswer       LatencySummary
-	EventDelay       LatencySummary // from a worker's event to the client's
+	EventDelay       LatencySummary // from an event's sending by the worker to its arrival at the client
 }
 
-// Summarize counts a record by kind of request.
+// Summarize summarizes a record by class of requests.
 func (r *Record) Summarize() map[string]*ClassSummary {
 	type lists struct{ first, gaps, whole, passing []time.Duration }
 	all, times := map[string]*ClassSummary{}, map[string]*lists{}
@@ -98,7 +96,7 @@
 	return all
 }
 
-// StatusText is a try's end in a word.
+// StatusText describes how a try ended: its status, or why there is none.
 func (t *Try) StatusText() string {
 	word := fmt.Sprint(t.Status)
 	switch {
@@ -119,8 +117,8 @@
 
 var tryIDPattern = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
 
-// DescribeTry tells what became of a try: what its client saw, and each worker that
-// it came to.
+// DescribeTry describes the outcome of a try: what its client saw, and each worker that it
+// reached.
 func (r *Record) DescribeTry(id string) string {
 	var lines []string
 	for _, t := range r.Tries {
@@ -138,7 +136,8 @@
 	return strings.Join(lines, "; ")
 }
 
-// Print writes a record's summary for people.
+// Print writes a readable summary of the record and its breaches; it describes the first try
+// named by a breach of each rule.
 func (r *Record) Print(out io.Writer, breaches []Breach) {
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format+"\n", args...) }
 	classes := r.Summarize()
@@ -151,7 +150,7 @@
 			}
 		}
 		if s.Runaways > 0 {
-			line("  programs that ran away  %d", s.Runaways)
+			line("  runaway programs  %d", s.Runaways)
 		}
 		for _, status := range base.SortedKeys(s.TriesByStatus) {
 			line("  answered %-14s %d", status, s.TriesByStatus[status])
@@ -159,7 +158,7 @@
 		for _, spread := range []struct {
 			what string
 			is   LatencySummary
-		}{{"to the first event", s.FirstEvent}, {"between events", s.EventGaps}, {"a whole answer", s.FullAnswer}, {"an event's passing", s.EventDelay}} {
+		}{{"first event", s.FirstEvent}, {"between events", s.EventGaps}, {"full answer", s.FullAnswer}, {"event delay", s.EventDelay}} {
 			if spread.is.Count > 0 {
 				line("  %-20s %s", spread.what, spread.is)
 			}
--- a/internal/standin/platform/worker.go
+++ b/internal/standin/platform/worker.go
@@ -1,8 +1,3 @@
-// A worker as the platform's services have them: it works on some requests at
-// a time and queues a few more, refuses what it has not run in so many words,
-// and can be given troubles. It keeps evidence of all that it ran. A plain
-// worker answers with bytes, a model worker with a stream from its engine.
-
 package platform
 
 import (
@@ -16,26 +11,28 @@
 	"fordseam/internal/base"
 )
 
-// Fault is what a worker does wrong in one request.
+// Fault is what a worker does wrong with one request.
 type Fault string
 
 const (
 	NoFault Fault = ""
-	// FaultLostReset and LostSilent run the request and lose the answer.
+	// FaultLostReset runs the request and resets the connection instead of answering;
+	// FaultLostSilent runs it and never answers.
 	FaultLostReset  Fault = "lost, reset"
 	FaultLostSilent Fault = "lost, silent"
-	// FaultGarbled sends bytes that form no answer, Cut ends an answer early.
+	// FaultGarbled sends bytes that are not an HTTP response, FaultCut truncates the answer.
 	FaultGarbled Fault = "garbled"
 	FaultCut     Fault = "cut"
-	// FaultExtra sends one more answer after a whole one, LateExtra in the place of the next.
+	// FaultExtra sends one more answer after a complete one; FaultLateExtra sends it when the
+	// next answer on the connection is due.
 	FaultExtra     Fault = "extra"
 	FaultLateExtra Fault = "late extra"
 	FaultSlow      Fault = "slow"
 	FaultError     Fault = "fail"
 )
 
-// Request is a request as it came to a worker. Gone fires when the asker's
-// connection has closed.
+// Request is a request as a worker receives it. ClientClosed fires when the connection that it
+// came on has been closed.
 type Request struct {
 	Method, Target, Host string
 	Header               func(name string) string
@@ -43,19 +40,22 @@
 	ClientClosed         base.Signal
 }
 
-// ResponseWriter takes a worker's answer. A length below 0 is a body in chunks.
+// ResponseWriter takes a worker's answer. A negative length means a chunked body.
 type ResponseWriter interface {
 	WriteHeader(status int, header [][2]string, length int) error
-	Write(piece []byte) error
+	Write(data []byte) error
 	Finish() error
-	// WriteRaw sends bytes as they are; Later does so before the next answer.
-	WriteRaw(bytes []byte)
-	WriteRawBeforeNext(bytes []byte)
-	// Abort closes the connection, by a reset when hard.
-	Abort(hard bool)
+	// WriteRaw sends bytes without framing; WriteRawBeforeNext does so before the next answer.
+	WriteRaw(data []byte)
+	WriteRawBeforeNext(data []byte)
+	// Abort closes the connection, with a TCP reset if reset is set.
+	Abort(reset bool)
 }
 
-// Worker is one life of a worker.
+// Worker is one run of a worker process of a service. It works on a limited number of requests
+// at a time, queues a few more, marks requests that it rejects as not run, injects faults on
+// demand, and records every request that reaches it. A plain worker answers with bytes, a
+// model worker with a stream of events from its engine.
 type Worker struct {
 	ID        string
 	Service   string
@@ -64,14 +64,14 @@
 	Clock     base.Clock
 	Recorder  *Recorder
 	Spec      ServiceSpec
-	Slowdown  float64 // 1 is usual, more is slower
+	Slowdown  float64 // factor of the usual duration; 0 stands for 1
 	KeepAlive time.Duration
-	// Workload gives a request's work; Bytes the length of its answer.
+	// Workload returns how long a request takes and how many bytes its answer has.
 	Workload func(target string) (time.Duration, int)
 	Rng      *rand.Rand
-	// NextFault draws the trouble of one request.
+	// NextFault draws the fault of the next request.
 	NextFault func() Fault
-	// LyingHealth says it is well whatever its troubles; Unwell says it is not.
+	// LyingHealth makes the health check succeed while the worker is unhealthy.
 	LyingHealth bool
 
 	mu         sync.Mutex
@@ -84,12 +84,13 @@
 	engine     *engine
 }
 
+// slotWaiter is a request that waits for a slot.
 type slotWaiter struct {
 	granted base.Signal
 	skipped bool
 }
 
-// Start prepares a worker.
+// Start prepares the worker, and must be called before it serves requests.
 func (w *Worker) Start() {
 	if w.Slowdown == 0 {
 		w.Slowdown = 1
@@ -99,15 +100,15 @@
 	}
 }
 
-// Drain makes the worker say in its answers that it is going.
+// Drain makes the worker close connections after its answers and fail its health check.
 func (w *Worker) Drain() {
 	w.mu.Lock()
 	w.draining = true
 	w.mu.Unlock()
 }
 
-// Stop says that the worker's process has ended: what it has not answered, it
-// broke off itself.
+// Stop records that the worker's process has ended: requests without a whole answer count as
+// broken off by the worker itself.
 func (w *Worker) Stop() {
 	w.mu.Lock()
 	w.draining, w.stopped = true, true
@@ -120,21 +121,21 @@
 	return w.stopped
 }
 
-// SetHealthy changes what the worker thinks of itself.
+// SetHealthy sets what the worker's health check reports.
 func (w *Worker) SetHealthy(healthy bool) {
 	w.mu.Lock()
 	w.unhealthy = !healthy
 	w.mu.Unlock()
 }
 
-// Draining says that it is going.
+// Draining reports whether the worker is draining or has stopped.
 func (w *Worker) Draining() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.draining
 }
 
-// Queued is how many requests wait.
+// Queued returns how many requests wait.
 func (w *Worker) Queued() int {
 	if w.engine != nil {
 		_, waiting := w.engine.load()
@@ -145,6 +146,7 @@
 	return len(w.waiting)
 }
 
+// loadHeader returns the running and waiting requests and the capacity.
 func (w *Worker) loadHeader() string {
 	if w.engine != nil {
 		running, waiting := w.engine.load()
@@ -155,6 +157,8 @@
 	return fmt.Sprintf("%d,%d,%d", w.running, len(w.waiting), w.Spec.Capacity)
 }
 
+// drawFault draws what is random in a request: the fault and a fraction that the fault or the
+// error rate uses. It also returns the next serial number.
 func (w *Worker) drawFault() (fault Fault, fraction float64, serial int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -168,8 +172,8 @@
 	return fault, fraction, w.lastSerial
 }
 
-// enter takes a slot, waiting in line for it; false when there is no room, or
-// the time or the asker has gone first.
+// acquireSlot takes a slot, waiting in the queue if needed. It returns false if the queue is
+// full, or if the deadline passes or the client closes the connection first.
 func (w *Worker) acquireSlot(deadline time.Duration, clientClosed base.Signal) bool {
 	w.mu.Lock()
 	if w.running < w.Spec.Capacity {
@@ -199,7 +203,7 @@
 	return true
 }
 
-// next hands a slot on; the caller holds the lock.
+// passSlotOn gives a slot to the first waiter, or frees it. The caller holds the lock.
 func (w *Worker) passSlotOn() {
 	for len(w.waiting) > 0 {
 		first := w.waiting[0]
@@ -238,7 +242,8 @@
 	}
 }
 
-// Serve answers one request.
+// Serve answers one request and records its arrival; health checks and engine reports aren't
+// recorded.
 func (w *Worker) Serve(request *Request, reply ResponseWriter) {
 	path, _, _ := strings.Cut(request.Target, "?")
 	switch {
@@ -282,6 +287,7 @@
 	w.servePlain(request, reply, arrival, deadline, update)
 }
 
+// serveHealth answers a health check. On a plain worker it needs a slot, like any request.
 func (w *Worker) serveHealth(request *Request, reply ResponseWriter) {
 	status := 200
 	w.mu.Lock()
@@ -300,17 +306,19 @@
 	w.writeResponse(reply, status, append(w.header(""), [2]string{HeaderInstance, w.ID}), "")
 }
 
+// newSeal returns the proof, unique to one run of a request, that this worker ran it.
 func (w *Worker) newSeal(serial int, id string) string {
 	return fmt.Sprintf("%s.%x.%s", w.ID, serial, base.Digest([]byte(id))[:8])
 }
 
-// work runs a plain request.
+// servePlain runs a request of a plain worker, with its fault. It answers 504 if the deadline
+// passes first.
 func (w *Worker) servePlain(request *Request, reply ResponseWriter, arrival *Arrival, deadline time.Duration, update func(func(*Arrival))) {
 	fault, fraction, serial := w.drawFault()
 	seal := w.newSeal(serial, arrival.ID)
-	duration, bytes := 50*time.Millisecond, 800
+	duration, bodyLength := 50*time.Millisecond, 800
 	if w.Workload != nil {
-		duration, bytes = w.Workload(request.Target)
+		duration, bodyLength = w.Workload(request.Target)
 	}
 	duration = time.Duration(float64(duration) * w.Slowdown)
 	if fault == FaultSlow {
@@ -324,7 +332,7 @@
 	if startedAt+duration > deadline {
 		status, duration = 504, max(0, deadline-startedAt)
 	}
-	body := []byte(strings.Repeat(seal+" ", bytes/(len(seal)+1)+1))[:max(1, bytes)]
+	body := []byte(strings.Repeat(seal+" ", bodyLength/(len(seal)+1)+1))[:max(1, bodyLength)]
 	update(func(a *Arrival) {
 		a.Ran, a.Began, a.Status, a.Seal, a.Answer = true, startedAt, status, seal, base.Digest(body)
 	})
@@ -371,6 +379,8 @@
 	w.sendExtraAnswer(reply, fault, arrival.ID)
 }
 
+// errorRate returns the share of a plain worker's requests that end with 500: one in 20 of those
+// whose target contains n=7.
 func (w *Worker) errorRate(target string) float64 {
 	if w.engine != nil || !strings.Contains(target, "n=7") {
 		return 0
--- a/internal/standin/platform/worker_stream.go
+++ b/internal/standin/platform/worker_stream.go
@@ -1,5 +1,3 @@
-// The streaming answers of a model worker, with their faults.
-
 package platform
 
 import (
@@ -8,19 +6,20 @@
 	"time"
 )
 
-// surplus sends one more answer to a request, after its whole answer or in
-// the place of the next one's.
+// sendExtraAnswer sends a second answer to a request: right after the first one, or when the
+// next answer on the connection is due.
 func (w *Worker) sendExtraAnswer(reply ResponseWriter, fault Fault, id string) {
-	bytes := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s.again\r\nContent-Length: 5\r\n\r\nagain", HeaderID, id, HeaderSeal, w.ID))
+	response := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s.again\r\nContent-Length: 5\r\n\r\nagain", HeaderID, id, HeaderSeal, w.ID))
 	switch fault {
 	case FaultExtra:
-		reply.WriteRaw(bytes)
+		reply.WriteRaw(response)
 	case FaultLateExtra:
-		reply.WriteRawBeforeNext(bytes)
+		reply.WriteRawBeforeNext(response)
 	}
 }
 
-// stream runs a turn on the engine.
+// serveStream runs a turn on the engine and streams its events, with the request's fault. A
+// resumed turn starts after the last event that the client has.
 func (w *Worker) serveStream(request *Request, reply ResponseWriter, arrival *Arrival, deadline time.Duration, update func(func(*Arrival)), refuse func(int, ...[2]string)) {
 	job := newJob(request, deadline)
 	after := int(arrival.After)
@@ -89,12 +88,14 @@
 	}
 }
 
+// endAbandoned ends a stream whose client closed the connection, or whose worker has stopped.
 func (w *Worker) endAbandoned(job *job, update func(func(*Arrival))) {
 	w.engine.remove(job)
 	stopped := w.isStopped()
 	update(func(a *Arrival) { a.Left, a.Broke, a.Ended = !stopped, stopped, w.Clock.Now() })
 }
 
+// breakStream breaks a stream off as its fault says.
 func (w *Worker) breakStream(request *Request, reply ResponseWriter, fault Fault, headSent bool) {
 	switch fault {
 	case FaultLostSilent:
@@ -105,7 +106,7 @@
 	reply.Abort(fault == FaultLostReset || !headSent)
 }
 
-// eventsOf is how many events the tokens so far fill.
+// eventCount returns how many events the tokens so far fill; the last event may hold fewer.
 func eventCount(outputTokens, maxTokens, tokensPerEvent int) int {
 	if outputTokens >= maxTokens {
 		return (maxTokens + tokensPerEvent - 1) / tokensPerEvent
@@ -113,8 +114,8 @@
 	return outputTokens / tokensPerEvent
 }
 
-// eventData is one event's data: no two runs say the same.
-func eventData(seal string, number, bytes int) string {
+// eventData returns an event's data, which differs between any two runs.
+func eventData(seal string, number, length int) string {
 	word := fmt.Sprintf("%s-%d ", seal, number)
-	return strings.TrimSpace(strings.Repeat(word, bytes/len(word)+1)[:max(bytes, len(word))])
+	return strings.TrimSpace(strings.Repeat(word, length/len(word)+1)[:max(length, len(word))])
 }
