--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -1,8 +1,7 @@
-// Which models teams may call, changed every few seconds on live traffic while
-// machines fail. The checker stands outside: it knows when each change was asked
-// for and when it was first known to be in force, and so for each request what
-// could decide it. A request of a time when one thing only could be in force
-// must have been decided by that.
+// Tests of model access rules that change every few seconds under traffic and machine
+// failures. The checker is independent of the code under test: it knows when each change was
+// requested and when it was first observed in force, and so which versions of the rules
+// could decide each request. Every answer must agree with one of them.
 package simulate
 
 import (
@@ -25,46 +24,46 @@
 	"google.golang.org/protobuf/proto"
 )
 
-var accessSeeds = flag.Int("access-seeds", 1, "seeds for each day with changes of access")
+var accessSeeds = flag.Int("access-seeds", 1, "seeds for each run with changes of access")
 
-// tenant is a team with the group and the model that are its own.
-type tenant struct{ team, group, model string }
+// tenant is a team with a group and a model of its own.
+type tenant struct{ name, group, model string }
 
 var tenants = []tenant{{"tills", "dukabora", "checkout"}, {"clerks", "plc", "payslip"}}
 
-// tenantSettings is a tree in which each tenant's model is denied or not, beside
-// the group of the fleet's other callers, who may always call theirs.
+// tenantSettings returns a settings document that denies the models of the given teams. The
+// other callers' group may always call its model.
 func tenantSettings(denied map[string]bool) string {
 	groups := []string{`"g":{"operation_timeout_s":30,"teams":{"shop":{"models":["stand-in"]}},"team":"shop","sites":{"main":{"routes":{
 "chat":{"kind":"model","pool":"models","model":"stand-in"},"loyalty":{"kind":"tool","pool":"apps","tool_timeout_s":5},"lookup":{"kind":"tool","pool":"apps","repeatable":true}}}}}`}
 	for _, entry := range tenants {
 		deny := ""
-		if denied[entry.team] {
+		if denied[entry.name] {
 			deny = `,"deny":["` + entry.model + `"]`
 		}
 		groups = append(groups, fmt.Sprintf(`%q:{"operation_timeout_s":30,"teams":{%q:{"models":[%q]%s}},"team":%q,"sites":{"main":{"routes":{
-"chat":{"kind":"model","pool":"models","model":%q}}}}}`, entry.group, entry.team, entry.model, deny, entry.team, entry.model))
+"chat":{"kind":"model","pool":"models","model":%q}}}}}`, entry.group, entry.name, entry.model, deny, entry.name, entry.model))
 	}
 	return `{"models":["stand-in","checkout","payslip"],"pools":{"models":{"kind":"model"},"apps":{"kind":"tool"}},"max_output_tokens":64,"groups":{` + strings.Join(groups, ",") + `}}`
 }
 
-// parseDenied reads a tree's denials back.
+// parseDenied returns the teams whose model a settings document denies.
 func parseDenied(document string) map[string]bool {
 	denied := map[string]bool{}
 	for _, entry := range tenants {
-		denied[entry.team] = strings.Contains(document, `"deny":["`+entry.model+`"]`)
+		denied[entry.name] = strings.Contains(document, `"deny":["`+entry.model+`"]`)
 	}
 	return denied
 }
 
-// accessChange is one taken change.
+// accessChange is an accepted change of the access rules.
 type accessChange struct {
 	denied      map[string]bool
-	requestedAt time.Duration // asked for: before this it cannot decide
-	inForceAt   time.Duration // in force at this moment at the latest; below 0 while nobody knows
+	requestedAt time.Duration // no request answered before this can be decided by the change
+	inForceAt   time.Duration // first time it was known to be in force; negative while unknown
 }
 
-// accessRequest is one request for a team's model, and what came of it.
+// accessRequest is a request for a team's model and its answer.
 type accessRequest struct {
 	team, gateway                   string
 	sentAt, firstSentAt, answeredAt time.Duration
@@ -72,7 +71,7 @@
 	version                         uint64
 }
 
-// accessRun is a day with changes of access.
+// accessRun changes access rules while callers send requests, and checks every answer.
 type accessRun struct {
 	fleet          *Fleet
 	changes        map[uint64]*accessChange
@@ -84,28 +83,28 @@
 	running        func() bool
 }
 
-// recordRequests notes every request that calls a model.
+// recordRequests wraps ask and records every request that calls a model.
 func (r *accessRun) recordRequests(team string, ask standin.Asker) standin.Asker {
 	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
 		callsModel := method == "POST" && (strings.HasSuffix(path, "/turns") || strings.HasSuffix(path, "/sessions"))
-		sent := r.fleet.World.Now()
+		sentAt := r.fleet.World.Now()
 		answer, err := ask(gateway, method, path, header, body)
 		if !callsModel {
 			return answer, err
 		}
-		first := sent
+		firstSentAt := sentAt
 		if id := header["turn-id"]; id != "" {
 			if earlier, ok := r.firstSent[path+id]; ok {
-				first = earlier
+				firstSentAt = earlier
 			} else {
-				r.firstSent[path+id] = sent
+				r.firstSent[path+id] = sentAt
 			}
 		}
 		if err != nil {
 			r.responseCounts["connection"]++
 			return answer, err
 		}
-		request := accessRequest{team: team, gateway: r.fleet.Gateways[gateway%len(r.fleet.Gateways)].Host.Name, sentAt: sent, firstSentAt: first, answeredAt: r.fleet.World.Now()}
+		request := accessRequest{team: team, gateway: r.fleet.Gateways[gateway%len(r.fleet.Gateways)].Host.Name, sentAt: sentAt, firstSentAt: firstSentAt, answeredAt: r.fleet.World.Now()}
 		var reply struct {
 			Error base.RequestError `json:"error"`
 		}
@@ -120,18 +119,18 @@
 			}
 			request.version = reply.Error.CurrentVersion
 			if reply.Error.Code != "model_not_allowed" || reply.Error.Execution != base.NotRun || reply.Error.Team != team || reply.Error.Model == "" || request.version == 0 {
-				r.fleet.Tally.Breach("a refusal of access that does not say what decided: %s", answer.Body)
+				r.fleet.Tally.Breach("access refusal without team, model, version or execution state: %s", answer.Body)
 			}
 		}
-		if id := header["turn-id"]; id != "" && !request.allowed && first == sent {
-			r.fleet.Tally.Refuse(strings.Split(path, "/")[3], id, "model_not_allowed") // it must never run
+		if id := header["turn-id"]; id != "" && !request.allowed && firstSentAt == sentAt {
+			r.fleet.Tally.Refuse(strings.Split(path, "/")[3], id, "model_not_allowed") // a refused turn must never run
 		}
 		r.requests = append(r.requests, request)
 		return answer, err
 	}
 }
 
-// runOperator takes its tenant's model away and gives it back, again and again.
+// runOperator alternately denies and allows its team's model.
 func (r *accessRun) runOperator(name string, team tenant) {
 	f := r.fleet
 	for round := 0; r.running(); round++ {
@@ -145,13 +144,15 @@
 			continue
 		}
 		denied := parseDenied(string(current.Document))
-		denied[team.team] = !denied[team.team]
-		change, from := fmt.Sprintf("%s-%d", name, round), f.World.Now()
+		denied[team.name] = !denied[team.name]
+		change, requestedAt := fmt.Sprintf("%s-%d", name, round), f.World.Now()
 		status, answer = f.applySettings(change, current.Stamp, json.RawMessage(tenantSettings(denied)))
-		r.resolveOutcome(change, current.Stamp, &accessChange{denied: denied, requestedAt: from, inForceAt: -1}, status, answer)
+		r.resolveOutcome(change, current.Stamp, &accessChange{denied: denied, requestedAt: requestedAt, inForceAt: -1}, status, answer)
 	}
 }
 
+// resolveOutcome asks for the outcome of a change until it is known, and records an accepted
+// change under its version.
 func (r *accessRun) resolveOutcome(change string, basedOn uint64, applied *accessChange, status int, answer []byte) {
 	f := r.fleet
 	for {
@@ -174,7 +175,8 @@
 	}
 }
 
-// pollInForce asks the cores which settings are in force.
+// pollInForce asks the cores which version is in force and records when each version was
+// first seen in force.
 func (r *accessRun) pollInForce() {
 	f := r.fleet
 	for {
@@ -184,24 +186,25 @@
 			InForce uint64 `json:"in_force"`
 		}
 		if status == 200 && json.Unmarshal(answer, &view) == nil {
-			for _, stamp := range base.SortedKeys(r.changes) {
-				if stamp <= view.InForce && r.changes[stamp].inForceAt < 0 {
-					r.changes[stamp].inForceAt = f.World.Now()
+			for _, version := range base.SortedKeys(r.changes) {
+				if version <= view.InForce && r.changes[version].inForceAt < 0 {
+					r.changes[version].inForceAt = f.World.Now()
 				}
 			}
 		}
 	}
 }
 
-// checkDecisions holds every request to what could decide it.
+// checkDecisions checks each recorded answer against the versions that could decide the
+// request.
 func (r *accessRun) checkDecisions() {
 	versions := base.SortedKeys(r.changes)
 	for index, version := range versions {
 		if index > 0 && versions[index-1] != version-1 {
-			r.fleet.Tally.Breach("settings %d and %d were taken, and none between", versions[index-1], version)
+			r.fleet.Tally.Breach("settings versions %d and %d were accepted, but none in between", versions[index-1], version)
 		}
 	}
-	// Whoever was refused by a change knows that it is in force.
+	// A refusal that names a version shows that this version is in force.
 	for _, request := range r.requests {
 		for _, version := range versions {
 			if change := r.changes[version]; version <= request.version && (change.inForceAt < 0 || request.answeredAt < change.inForceAt) {
@@ -216,16 +219,16 @@
 			change := r.changes[version]
 			until := time.Duration(1 << 62)
 			for _, later := range versions[index+1:] {
-				if known := r.changes[later].inForceAt; known >= 0 {
-					until = min(until, known+freshness)
+				if inForceAt := r.changes[later].inForceAt; inForceAt >= 0 {
+					until = min(until, inForceAt+freshness)
 				}
 			}
 			startedAt := request.sentAt
 			if request.allowed {
 				startedAt = request.firstSentAt
 			}
-			// Where the former and the next say the same a permit is enough, so that
-			// an older stamp may still be named.
+			// While two successive versions agree on the team, a lease is enough to answer,
+			// so a refusal may still name the older version.
 			versionMatches = versionMatches || request.version == version && change.denied[request.team] && request.answeredAt >= change.requestedAt && startedAt <= until-freshness+lease
 			if request.answeredAt < change.requestedAt || startedAt > until {
 				continue
@@ -234,12 +237,12 @@
 			explained = explained || change.denied[request.team] != request.allowed
 		}
 		if !explained || !versionMatches {
-			r.fleet.Tally.Breach("%s at %s, sent at %v and told at %v: allowed %v by %d, which none of %v says", request.team, request.gateway, request.sentAt, request.answeredAt, request.allowed, request.version, candidates)
+			r.fleet.Tally.Breach("%s at %s, sent at %v and answered at %v: allowed %v by version %d, which disagrees with all of versions %v", request.team, request.gateway, request.sentAt, request.answeredAt, request.allowed, request.version, candidates)
 		}
 	}
 }
 
-// result plays the day, and gives how many changes came into force.
+// run plays the run with one seed and adds what it finds to the tally's breaches.
 func (r *accessRun) run(t *testing.T, seed uint64, shape Shape, span time.Duration, fault string, prepare func(*Fleet)) {
 	shape.Settings = tenantSettings(nil)
 	f := NewFleet(seed, shape)
@@ -247,7 +250,7 @@
 	if prepare != nil {
 		prepare(f)
 	}
-	formed(t, f)
+	waitUntilFormed(t, f)
 	r.fleet, r.changes, r.firstSent, r.responseCounts = f, map[uint64]*accessChange{1: {denied: map[string]bool{}, inForceAt: 0}}, map[string]time.Duration{}, map[string]int{}
 	end := f.World.Now() + span
 	r.running = func() bool { return f.World.Now() < end }
@@ -256,7 +259,7 @@
 		remaining++
 		f.CallerHost.Go(func() { task(); remaining-- })
 	}
-	// The first rules come into force in two steps like any others.
+	// The first rules are activated in two steps, like any later change.
 	spawn(func() {
 		for !r.inForce(1) {
 			f.CallerHost.Clock().Sleep(100 * time.Millisecond)
@@ -277,23 +280,24 @@
 	})
 	f.CallerHost.Go(r.pollInForce)
 	if !f.World.Run(end+3*time.Minute, func() bool { return remaining == 0 && f.pendingFaults == 0 }) {
-		f.Tally.Breach("callers were left without an end")
+		f.Tally.Breach("callers did not finish")
 	}
 	f.Net.Heal()
 	f.Net.Faults = NetworkFaults{}
 	r.checkDecisions()
 	if unconfirmed := r.responseCounts["no_confirmed_settings"]; r.noFaults && unconfirmed > 0 {
-		f.Tally.Breach("%d requests found no confirmation though all was calm", unconfirmed)
+		f.Tally.Breach("%d requests were refused for unconfirmed settings although no fault was injected", unconfirmed)
 	}
 	for _, name := range []string{"turns_dropped", "turns_cut", "turns_failed"} {
 		if n := f.Tally.Counts[name]; r.noFaults && n > 0 {
-			f.Tally.Breach("changes alone brought %d %s", n, name)
+			f.Tally.Breach("changes without faults caused %d %s", n, name)
 		}
 	}
 	f.CheckInvariants()
-	t.Logf("seed %d: %d changes, %v, %d turns whole, took hold after %v", seed, len(r.changes)-1, r.responseCounts, f.Tally.Counts["turns_whole"], r.longestActivation())
+	t.Logf("seed %d: %d changes, responses %v, %d turns completed, longest activation %v", seed, len(r.changes)-1, r.responseCounts, f.Tally.Counts["turns_whole"], r.longestActivation())
 }
 
+// inForce reports whether a core says that a version is in force.
 func (r *accessRun) inForce(version uint64) bool {
 	status, answer := r.fleet.OperatorRequest(r.fleet.liveCore(), "GET", "/v1/operator/access", nil)
 	var view struct {
@@ -302,7 +306,8 @@
 	return status == 200 && json.Unmarshal(answer, &view) == nil && view.InForce >= version
 }
 
-// startCallers are the tenants' callers, and a few of the group that may always call.
+// startCallers starts the tenants' callers and some callers of the group that is always
+// allowed.
 func (r *accessRun) startCallers(spawn func(func())) {
 	f := r.fleet
 	for caller := range len(f.Gateways) * 3 {
@@ -312,11 +317,11 @@
 		}
 		spawn(func() {
 			for round := 0; r.running(); round++ {
-				c := f.caller(fmt.Sprintf("%s%d-%d", team.team, caller, round), caller+round)
-				c.Group, c.Ask, c.Patience = team.group, r.recordRequests(team.team, f.Asker(f.CallerHost)), 15*time.Second
+				c := f.caller(fmt.Sprintf("%s%d-%d", team.name, caller, round), caller+round)
+				c.Group, c.Ask, c.Patience = team.group, r.recordRequests(team.name, f.RequestSender(f.CallerHost)), 15*time.Second
 				c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 300*time.Millisecond)) }
-				if c.Start(int64(4 * f.Shape.Pieces * 8)) {
-					c.Converse(4, team.team == "shop")
+				if c.Start(int64(4 * f.Shape.PiecesPerTurn * 8)) {
+					c.Converse(4, team.name == "shop")
 				}
 				c.Clock.Sleep(f.World.Between(20*time.Millisecond, 120*time.Millisecond))
 			}
@@ -324,32 +329,32 @@
 	}
 }
 
-// runPinnedCaller asks one gateway for turns of one session, again and again, without ever
-// moving to another: what that gateway holds is what decides.
+// runPinnedCaller sends turns of one session to one gateway only and never moves to another,
+// so that the rules of that gateway alone decide.
 func (r *accessRun) runPinnedCaller(team tenant, gateway int) {
 	f := r.fleet
-	c := f.caller(fmt.Sprintf("knock-%s-%d", team.team, gateway), gateway)
-	c.Group, c.Ask = team.group, f.Asker(f.CallerHost)
-	for r.running() && !c.Start(1<<20) {
-		c = f.caller(fmt.Sprintf("%s-", c.Name), gateway)
-		c.Group, c.Ask = team.group, f.Asker(f.CallerHost)
-		c.Clock.Sleep(200 * time.Millisecond)
+	caller := f.caller(fmt.Sprintf("knock-%s-%d", team.name, gateway), gateway)
+	caller.Group, caller.Ask = team.group, f.RequestSender(f.CallerHost)
+	for r.running() && !caller.Start(1<<20) {
+		caller = f.caller(fmt.Sprintf("%s-", caller.Name), gateway)
+		caller.Group, caller.Ask = team.group, f.RequestSender(f.CallerHost)
+		caller.Clock.Sleep(200 * time.Millisecond)
 	}
-	path, secret := c.Session()
+	path, secret := caller.Session()
 	program := strings.Split(path, "/")[3]
-	ask := r.recordRequests(team.team, f.Asker(f.CallerHost))
+	ask := r.recordRequests(team.name, f.RequestSender(f.CallerHost))
 	for round := 0; r.running(); round++ {
-		c.Clock.Sleep(f.World.Between(100*time.Millisecond, 200*time.Millisecond))
+		caller.Clock.Sleep(f.World.Between(100*time.Millisecond, 200*time.Millisecond))
 		f.CallerHost.Go(func() {
 			id := fmt.Sprint("k", round)
-			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.Tag(program, id)}}, "max_output_tokens": f.Shape.Pieces + 2}
+			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.Tag(program, id)}}, "max_output_tokens": f.Shape.PiecesPerTurn + 2}
 			_, _ = ask(gateway, "POST", path+"/turns", map[string]string{"authorization": "Bearer " + secret, "turn-id": id}, base.MustMarshal(body))
 		})
 	}
 }
 
-// longestActivation is the longest that a change took from being asked for to be known in
-// force.
+// longestActivation returns the longest time from the request of a change until it was known
+// to be in force.
 func (r *accessRun) longestActivation() (longest time.Duration) {
 	for _, change := range r.changes {
 		if change.inForceAt >= 0 {
@@ -364,7 +369,7 @@
 	rows := []struct {
 		name  string
 		shape Shape
-		harm  string
+		fault string
 	}{
 		{"calm", SmallShape(), ""},
 		{"Saturday rush, calm", kiondo, ""},
@@ -387,8 +392,8 @@
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= uint64(*accessSeeds); seed++ {
-				run := &accessRun{changeInterval: 3 * time.Second, noFaults: row.harm == ""}
-				run.run(t, seed, row.shape, 24*time.Second, row.harm, nil)
+				run := &accessRun{changeInterval: 3 * time.Second, noFaults: row.fault == ""}
+				run.run(t, seed, row.shape, 24*time.Second, row.fault, nil)
 				for _, breach := range run.fleet.Tally.Breaches {
 					t.Errorf("seed %d: %s", seed, breach)
 				}
@@ -403,27 +408,28 @@
 	}
 }
 
-// Without the mark of a change under way gateways go by the newest tree that
-// each has heard of, and without permits by whatever they hold.
+// Without the record of a pending change, gateways apply the newest settings that each of
+// them has received; without leases, they apply whatever they hold. The checker must detect
+// both.
 func TestDisabledAccessMechanismsAreDetected(t *testing.T) {
 	rows := []struct {
-		mechanism, harm string
-		take            func(f *Fleet)
+		mechanism, fault string
+		disable          func(f *Fleet)
 	}{
-		{"the two steps", "a machine cut off", onPath("Feed/Follow", func(m *Message) *http.Response {
-			reply, response := passed(m, m.Body, &feed.FollowReply{})
+		{"the two steps", "a machine cut off", interceptPath("Feed/Follow", func(m *Message) *http.Response {
+			reply, response := forwardAndDecode(m, m.Body, &feed.FollowReply{})
 			if response == nil || response.StatusCode != 200 || !strings.HasPrefix(m.From.Name, "edge") {
 				return response
 			}
 			reply.Puts = base.Filter(reply.Puts, func(put *register.Put) bool { return put.Key != access.PendingKey })
-			return replied(reply)
+			return protoResponse(reply)
 		})},
-		{"the permit", "a machine cut off", onPath("Feed/Follow", func(m *Message) *http.Response {
-			var asked feed.FollowRequest
-			_ = proto.Unmarshal(m.Body, &asked)
+		{"the permit", "a machine cut off", interceptPath("Feed/Follow", func(m *Message) *http.Response {
+			var request feed.FollowRequest
+			_ = proto.Unmarshal(m.Body, &request)
 			response, _ := m.Forward(m.Body)
-			if response == nil && asked.Place > 0 {
-				return replied(&feed.FollowReply{Place: asked.Place})
+			if response == nil && request.Place > 0 {
+				return protoResponse(&feed.FollowReply{Place: request.Place})
 			}
 			return response
 		})},
@@ -433,13 +439,13 @@
 			t.Parallel()
 			for seed := uint64(1); seed <= 12; seed++ {
 				run := &accessRun{changeInterval: 3 * time.Second}
-				run.run(t, seed, SmallShape(), 40*time.Second, row.harm, row.take)
-				if index := slices.IndexFunc(run.fleet.Tally.Breaches, func(breach string) bool { return strings.Contains(breach, "which none of") }); index >= 0 {
+				run.run(t, seed, SmallShape(), 40*time.Second, row.fault, row.disable)
+				if index := slices.IndexFunc(run.fleet.Tally.Breaches, func(breach string) bool { return strings.Contains(breach, "which disagrees with all of") }); index >= 0 {
 					t.Logf("without %s, seed %d: %s", row.mechanism, seed, run.fleet.Tally.Breaches[index])
 					return
 				}
 			}
-			t.Errorf("no seed was caught without %s", row.mechanism)
+			t.Errorf("no seed detected the missing mechanism: %s", row.mechanism)
 		})
 	}
 }
--- a/internal/simulate/fleet_report.go
+++ b/internal/simulate/fleet_report.go
@@ -1,6 +1,3 @@
-// What a simulated fleet is asked after or while it runs: conversations, counters
-// and breaches.
-
 package simulate
 
 import (
@@ -11,10 +8,10 @@
 	"fordseam/internal/standin"
 )
 
-// StartUsageReports has each model worker tell its load now and then, to one gateway
+// StartUsageReports makes each model worker report its load at an interval, to one gateway
 // after another.
 func (f *Fleet) StartUsageReports(interval time.Duration) {
-	ask := f.Asker(f.CallerHost)
+	ask := f.RequestSender(f.CallerHost)
 	for _, model := range f.Models {
 		f.CallerHost.Go(func() {
 			for gateway := int(f.World.Int64N(int64(len(f.Gateways)))); ; gateway++ {
@@ -27,7 +24,8 @@
 	}
 }
 
-// StartCallers starts callers and returns a function telling how many are left.
+// StartCallers starts callers and returns a function that returns how many have not
+// finished.
 func (f *Fleet) StartCallers(callers, turns int, tools bool, prepare func(*standin.Caller)) func() int {
 	remaining := callers
 	for caller := 0; caller < callers; caller++ {
@@ -36,7 +34,7 @@
 			prepare(c)
 		}
 		f.CallerHost.Go(func() {
-			if c.Start(int64(turns * f.Shape.Pieces * 8)) {
+			if c.Start(int64(turns * f.Shape.PiecesPerTurn * 8)) {
 				c.Converse(turns, tools)
 			}
 			remaining--
@@ -45,7 +43,7 @@
 	return func() int { return remaining }
 }
 
-// CounterTotal adds up a counter over the living machines.
+// CounterTotal returns the sum of a counter over all machines.
 func (f *Fleet) CounterTotal(name string) int64 {
 	total := int64(0)
 	for _, m := range f.All() {
@@ -54,7 +52,7 @@
 	return total
 }
 
-// SyncTotal adds up the disks' syncs.
+// SyncTotal returns the number of syncs of all storage machines' disks.
 func (f *Fleet) SyncTotal() int {
 	total := 0
 	for _, m := range f.Storage {
@@ -63,8 +61,8 @@
 	return total
 }
 
-// CheckInvariants looks over callers' and workers' records.
+// CheckInvariants checks the callers' and workers' records and returns all breaches.
 func (f *Fleet) CheckInvariants() []string {
-	f.Tally.Check(f.Models, f.Tools, int64(f.Shape.Pieces))
+	f.Tally.Check(f.Models, f.Tools, int64(f.Shape.PiecesPerTurn))
 	return f.Tally.Breaches
 }
--- a/internal/simulate/isolation_removal_test.go
+++ b/internal/simulate/isolation_removal_test.go
@@ -1,6 +1,6 @@
-// What cut-off machines are kept from rests on two proofs by a majority of the
-// disks. Each is taken away from outside the daemons' code, and some seed must
-// then be caught by the judgement that every cut gets.
+// An isolated core may neither acknowledge nor read on its own, because both need a majority
+// of the disks. Each of these checks is disabled by changing messages between the machines,
+// and the checks of every isolation run must detect that with some seed.
 package simulate
 
 import (
@@ -20,39 +20,39 @@
 	log.SetLevel(log.ErrorLevel)
 	for _, row := range []struct {
 		mechanism string
-		take      func(f *Fleet)
-		word      string
+		disable   func(f *Fleet)
+		expected  string
 	}{
-		{"the confirmation before a read", onPath("Disk/Confirm", func(*Message) *http.Response {
-			return replied(&register.Ack{Ok: true})
+		{"the confirmation before a read", interceptPath("Disk/Confirm", func(*Message) *http.Response {
+			return protoResponse(&register.Ack{Ok: true})
 		}), "was acknowledged before: GET"},
-		{"the confirmation before a refusal", onPath("Disk/Confirm", func(*Message) *http.Response {
-			return replied(&register.Ack{Ok: true})
-		}), "a core that was cut off answered: stale PUT"},
-		{"the majority before an acknowledgement", onPath("Disk/Append", func(m *Message) *http.Response {
-			var asked register.AppendRequest
-			_ = proto.Unmarshal(m.Body, &asked)
-			if len(asked.Entries) == 0 {
+		{"the confirmation before a refusal", interceptPath("Disk/Confirm", func(*Message) *http.Response {
+			return protoResponse(&register.Ack{Ok: true})
+		}), "an isolated core answered: stale PUT"},
+		{"the majority before an acknowledgement", interceptPath("Disk/Append", func(m *Message) *http.Response {
+			var request register.AppendRequest
+			_ = proto.Unmarshal(m.Body, &request)
+			if len(request.Entries) == 0 {
 				response, _ := m.Forward(m.Body)
 				return response
 			}
-			return replied(&register.Ack{Ok: true, Seq: asked.Entries[len(asked.Entries)-1].Seq})
-		}), "a core that was cut off answered: PUT"},
+			return protoResponse(&register.Ack{Ok: true, Seq: request.Entries[len(request.Entries)-1].Seq})
+		}), "an isolated core answered: PUT"},
 	} {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const maxSeeds = 12 // a seed that shows the fault ends the search
+			const maxSeeds = 12 // the first seed that detects it ends the test
 			for seed := uint64(1); seed <= maxSeeds; seed++ {
-				run := IsolationPlan{Size: "tills", Target: TargetLeader, Mode: IsolationSilent, Duration: 10 * time.Second, Seed: seed}.Run(row.take)
+				run := IsolationPlan{Size: "tills", Target: TargetLeader, Mode: IsolationSilent, Duration: 10 * time.Second, Seed: seed}.Run(row.disable)
 				for _, breach := range run.Breaches {
-					if strings.Contains(breach, row.word) {
+					if strings.Contains(breach, row.expected) {
 						t.Logf("without %s: seed %d: %.300s", row.mechanism, seed, breach)
 						return
 					}
 				}
-				t.Logf("seed %d: %d breaches of other kinds", seed, len(run.Breaches))
+				t.Logf("seed %d: %d other breaches", seed, len(run.Breaches))
 			}
-			t.Errorf("none of %d seeds was caught with %q", maxSeeds, row.word)
+			t.Errorf("none of %d seeds reported %q", maxSeeds, row.expected)
 		})
 	}
 }
--- a/internal/simulate/net.go
+++ b/internal/simulate/net.go
@@ -1,7 +1,3 @@
-// The wire in memory: messages take a while, and by the seed are lost on the
-// way or on the way back, come late, or come twice. Machines can be cut from
-// each other in one direction or both.
-
 package simulate
 
 import (
@@ -17,9 +13,10 @@
 	"fordseam/internal/base"
 )
 
-type httpHandler http.Handler
+// handler serves the requests that reach a host.
+type handler http.Handler
 
-// NetworkFaults are the wire's chances of trouble per message.
+// NetworkFaults are the probabilities of faults per message.
 type NetworkFaults struct {
 	LossRate      float64
 	DelayRate     float64
@@ -27,48 +24,51 @@
 	MaxExtraDelay time.Duration
 }
 
-// Net joins the hosts.
+// Net is the simulated network between the hosts. Messages are delayed and, drawn from the
+// seed, lost on the way or on the way back, delayed further or delivered twice. Links can be
+// cut in one direction or both.
 type Net struct {
 	World    *World
 	Faults   NetworkFaults
 	MinDelay time.Duration
 	MaxDelay time.Duration
-	// BytesPerSecond is how fast a message's bytes go, unless 0.
+	// BytesPerSecond is the bandwidth for each message; 0 is unlimited.
 	BytesPerSecond int64
 	cutLinks       map[[2]string]bool
 	MessageCount   int
 	LostCount      int
-	// TrafficByPath counts the exchanges between machines by path, with their bytes as
-	// HTTP carries them, both ways.
+	// TrafficByPath counts the exchanges between machines by path, with their size as HTTP
+	// messages, in both directions.
 	TrafficByPath map[string]*PathTraffic
-	// TrafficByHost is each machine's share of it, sent and received.
+	// TrafficByHost is each machine's part of this traffic, sent and received.
 	TrafficByHost map[string]*HostTraffic
-	// ResetOnExit has the end of a process reset its connections, so that those who
-	// wait for its answer learn at once; without it they wait their time out.
+	// ResetOnExit makes the end of a process reset its connections, so that callers notice
+	// at once; otherwise they wait until their timeout.
 	ResetOnExit bool
-	// LinkFailure is what the sender notices of a message that a cut stops.
+	// LinkFailure is what the sender notices when a cut link drops its message.
 	LinkFailure LinkFailure
-	// Meddle, set by tests only, stands between the machines and takes a
-	// mechanism away: it may answer a message itself, or change what passes.
+	// Intercept, set by tests only, is called for each message between machines. It may
+	// answer the message itself or change what is forwarded.
 	Intercept func(m *Message) *http.Response
 }
 
-// LinkFailure is what the sender of a message notices of a cut.
+// LinkFailure is what the sender of a message notices of a cut link.
 type LinkFailure int
 
-// A cut drops messages in silence, resets connections, or has them refused.
+// A cut link drops messages silently, resets connections or refuses them.
 const (
 	LinkSilent LinkFailure = iota
 	LinkReset
 	LinkRefused
 )
 
-// PathTraffic is what was said on one path.
+// PathTraffic is the traffic of one path.
 type PathTraffic struct{ Calls, Bytes int }
 
-// HostTraffic is one machine's part in the talk.
+// HostTraffic is one machine's part of the traffic.
 type HostTraffic struct{ RequestsSent, RequestsReceived, Bytes int }
 
+// hostTraffic returns the entry of a host in TrafficByHost.
 func (n *Net) hostTraffic(host string) *HostTraffic {
 	if n.TrafficByHost[host] == nil {
 		n.TrafficByHost[host] = &HostTraffic{}
@@ -76,7 +76,7 @@
 	return n.TrafficByHost[host]
 }
 
-// sampleMemory is the size of a message's head and body on the wire.
+// messageSize returns the size of an HTTP message with its start line, header and body.
 func messageSize(startLineLen int, header http.Header, body int) int {
 	size := startLineLen + len("Content-Length: ") + len(strconv.Itoa(body)) + 4 + body
 	for name, values := range header {
@@ -89,6 +89,7 @@
 	return size
 }
 
+// recordTraffic adds calls and bytes to the traffic of both hosts and of the path.
 func (n *Net) recordTraffic(from, to, path string, calls, bytes int) {
 	sender, receiver := n.hostTraffic(from), n.hostTraffic(to)
 	sender.RequestsSent += calls
@@ -102,7 +103,8 @@
 	n.TrafficByPath[path].Bytes += bytes
 }
 
-// Message is one exchange between machines; Pass carries it to its end.
+// Message is an exchange between machines. Forward delivers the request and returns the
+// response.
 type Message struct {
 	From, To *Host
 	Path     string
@@ -110,15 +112,18 @@
 	Forward  func(body []byte) (*http.Response, error)
 }
 
+// NewNet returns a network without faults between the hosts of a world.
 func NewNet(world *World) *Net {
 	return &Net{World: world, MinDelay: 200 * time.Microsecond, MaxDelay: 1500 * time.Microsecond, cutLinks: map[[2]string]bool{}, TrafficByPath: map[string]*PathTraffic{}, TrafficByHost: map[string]*HostTraffic{}}
 }
 
-// CutLink stops messages from one host to another; Heal lets all through again.
+// CutLink stops messages from one host to another.
 func (n *Net) CutLink(from, to string) { n.cutLinks[[2]string{from, to}] = true }
-func (n *Net) Heal()                   { n.cutLinks = map[[2]string]bool{} }
 
-// Isolate stops all messages to and from some hosts except among themselves.
+// Heal restores all links.
+func (n *Net) Heal() { n.cutLinks = map[[2]string]bool{} }
+
+// Isolate stops all messages between a set of hosts and the others.
 func (n *Net) Isolate(isolated map[string]bool) {
 	for _, from := range base.SortedKeys(n.World.Hosts) {
 		for _, to := range base.SortedKeys(n.World.Hosts) {
@@ -133,7 +138,7 @@
 
 func (n *Net) delay() time.Duration { return n.World.Between(n.MinDelay, n.MaxDelay) }
 
-// transmissionTime is how long a message's bytes take on the way.
+// transmissionTime returns the time that a message's bytes take at the bandwidth.
 func (n *Net) transmissionTime(bytes int) time.Duration {
 	if n.BytesPerSecond <= 0 {
 		return 0
@@ -141,16 +146,20 @@
 	return time.Duration(bytes) * time.Second / time.Duration(n.BytesPerSecond)
 }
 
-// Wire is a host's way to partners; addresses are host names with a port.
-func (n *Net) Wire(h *Host) base.HTTPClient { return &wire{n, h} }
+// HTTPClient returns a host's client for requests to other machines; addresses are host names with
+// a port.
+func (n *Net) HTTPClient(h *Host) base.HTTPClient { return &hostClient{n, h} }
 
-type wire struct {
+// hostClient is the HTTP client of one host.
+type hostClient struct {
 	net  *Net
 	host *Host
 }
 
+// errNoReply reports a request that may have been processed.
 var errNoReply = errors.New("no reply in time")
 
+// hostName returns an address without its port.
 func hostName(addr string) string {
 	for i := range addr {
 		if addr[i] == ':' {
@@ -160,8 +169,10 @@
 	return addr
 }
 
-func (x *wire) Do(request *http.Request) (*http.Response, error) {
-	n, w := x.net, x.net.World
+// Do sends a request through Intercept, if set, and returns the response. The request's
+// context bounds the wait; without one it is 10 s.
+func (c *hostClient) Do(request *http.Request) (*http.Response, error) {
+	n, world := c.net, c.net.World
 	timeout := 10 * time.Second
 	if ctx, ok := request.Context().Value(base.CtxKey).(*base.Ctx); ok {
 		timeout = ctx.Remaining()
@@ -175,95 +186,95 @@
 		return nil, err
 	}
 	if n.Intercept == nil {
-		return x.roundTrip(request, body, timeout)
+		return c.roundTrip(request, body, timeout)
 	}
 	var forwardErr error
-	response := n.Intercept(&Message{From: x.host, To: w.Hosts[hostName(request.URL.Host)], Path: request.URL.Path, Body: body,
+	response := n.Intercept(&Message{From: c.host, To: world.Hosts[hostName(request.URL.Host)], Path: request.URL.Path, Body: body,
 		Forward: func(body []byte) (response *http.Response, err error) {
-			response, forwardErr = x.roundTrip(request, body, timeout)
+			response, forwardErr = c.roundTrip(request, body, timeout)
 			return response, forwardErr
 		}})
 	switch {
 	case response != nil:
 		return response, nil
 	case forwardErr == nil:
-		return nil, errNoReply // it was not passed on
+		return nil, errNoReply // Intercept dropped the message
 	}
 	return nil, forwardErr
 }
 
-// pendingCall is a message whose answer is awaited.
+// pendingCall is a request whose response is awaited.
 type pendingCall struct{ reset base.Signal }
 
-// roundTrip takes a message to its machine and the reply back.
-func (x *wire) roundTrip(request *http.Request, body []byte, timeout time.Duration) (*http.Response, error) {
-	n, w := x.net, x.net.World
+// roundTrip delivers a request to its machine and returns the response.
+func (c *hostClient) roundTrip(request *http.Request, body []byte, timeout time.Duration) (*http.Response, error) {
+	n, world := c.net, c.net.World
 	n.MessageCount++
 	path := request.URL.Path
-	n.recordTraffic(x.host.Name, hostName(request.URL.Host), path, 1, messageSize(len("POST  HTTP/1.1\r\nHost: \r\n")+len(path)+len(request.URL.Host), request.Header, len(body)))
-	target := w.Hosts[hostName(request.URL.Host)]
-	if target == nil || !target.alive && !target.dark {
-		x.host.Clock().Sleep(n.delay())
+	n.recordTraffic(c.host.Name, hostName(request.URL.Host), path, 1, messageSize(len("POST  HTTP/1.1\r\nHost: \r\n")+len(path)+len(request.URL.Host), request.Header, len(body)))
+	target := world.Hosts[hostName(request.URL.Host)]
+	if target == nil || !target.alive && !target.poweredOff {
+		c.host.Clock().Sleep(n.delay())
 		return nil, &base.NotSent{Cause: errors.New("connection refused")}
 	}
-	done := (&clock{x.host}).NewSignal()
-	if target.dark || n.isCut(x.host.Name, target.Name) || n.isCut(target.Name, x.host.Name) && w.Chance(0.5) {
+	done := (&clock{c.host}).NewSignal()
+	if target.poweredOff || n.isCut(c.host.Name, target.Name) || n.isCut(target.Name, c.host.Name) && world.Chance(0.5) {
 		n.LostCount++
-		if n.LinkFailure != LinkSilent && !target.dark {
-			x.host.Clock().Sleep(n.delay())
+		if n.LinkFailure != LinkSilent && !target.poweredOff {
+			c.host.Clock().Sleep(n.delay())
 			if n.LinkFailure == LinkRefused {
 				return nil, &base.NotSent{Cause: errors.New("connection refused")}
 			}
 			return nil, errNoReply
 		}
 		done.Wait(timeout)
-		if w.Chance(0.5) {
+		if world.Chance(0.5) {
 			return nil, &base.NotSent{Cause: errors.New("no route")}
 		}
 		return nil, errNoReply
 	}
 	if n.ResetOnExit {
 		pending := &pendingCall{reset: done}
-		target.calls = append(target.calls, pending)
+		target.pendingCalls = append(target.pendingCalls, pending)
 		defer func() {
-			target.calls = base.Filter(target.calls, func(one *pendingCall) bool { return one != pending })
+			target.pendingCalls = base.Filter(target.pendingCalls, func(call *pendingCall) bool { return call != pending })
 		}()
 	}
 	var response *http.Response
 	deliver := func(delay time.Duration, answered bool) {
-		life := target.life
-		w.spawn(target, life, w.now+delay, func() {
+		life := target.incarnation
+		world.spawn(target, life, world.now+delay, func() {
 			if target.serve == nil {
 				return
 			}
 			recorder := httptest.NewRecorder()
-			arrived := request.Clone(context.Background())
-			arrived.Body, arrived.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
-			arrived.RequestURI = request.URL.RequestURI()
-			target.serve.ServeHTTP(recorder, arrived)
-			if !answered || n.isCut(target.Name, x.host.Name) || w.Chance(n.Faults.LossRate) {
+			delivered := request.Clone(context.Background())
+			delivered.Body, delivered.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
+			delivered.RequestURI = request.URL.RequestURI()
+			target.serve.ServeHTTP(recorder, delivered)
+			if !answered || n.isCut(target.Name, c.host.Name) || world.Chance(n.Faults.LossRate) {
 				n.LostCount++
 				if answered && n.LinkFailure != LinkSilent {
-					done.Fire() // without a response: the connection was reset
+					done.Fire() // without a response, as a connection reset
 				}
 				return
 			}
-			target.Clock().Sleep(n.delay() + n.transmissionTime(recorder.Body.Len()) + x.host.Lag + target.Lag + x.host.work())
+			target.Clock().Sleep(n.delay() + n.transmissionTime(recorder.Body.Len()) + c.host.ExtraDelay + target.ExtraDelay + c.host.processingDelay())
 			response = recorder.Result()
-			n.recordTraffic(x.host.Name, target.Name, path, 0, messageSize(len("HTTP/1.1 200 OK\r\n"), response.Header, recorder.Body.Len()))
+			n.recordTraffic(c.host.Name, target.Name, path, 0, messageSize(len("HTTP/1.1 200 OK\r\n"), response.Header, recorder.Body.Len()))
 			done.Fire()
 		})
 	}
-	delay := n.delay() + n.transmissionTime(len(body)) + x.host.Lag + target.Lag + target.work()
-	if w.Chance(n.Faults.DelayRate) {
-		delay += w.Between(0, n.Faults.MaxExtraDelay)
+	delay := n.delay() + n.transmissionTime(len(body)) + c.host.ExtraDelay + target.ExtraDelay + target.processingDelay()
+	if world.Chance(n.Faults.DelayRate) {
+		delay += world.Between(0, n.Faults.MaxExtraDelay)
 	}
-	if w.Chance(n.Faults.LossRate) {
+	if world.Chance(n.Faults.LossRate) {
 		n.LostCount++
 	} else {
 		deliver(delay, true)
-		if w.Chance(n.Faults.DuplicateRate) {
-			deliver(delay+w.Between(0, n.Faults.MaxExtraDelay), false)
+		if world.Chance(n.Faults.DuplicateRate) {
+			deliver(delay+world.Between(0, n.Faults.MaxExtraDelay), false)
 		}
 	}
 	if !done.Wait(timeout) || response == nil {
--- a/internal/simulate/orders_test.go
+++ b/internal/simulate/orders_test.go
@@ -1,5 +1,5 @@
-// Histories of configuration orders are linearizable, whatever fails between
-// the steps of those who decide them.
+// The history of configuration orders must be linearizable, whatever fails between the steps
+// of the cores that decide them.
 package simulate
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/matryer/is"
 )
 
-// linearizabilityTimeout bounds the check of one history, by the machine's clock.
+// linearizabilityTimeout bounds the check of one history, in real time.
 const linearizabilityTimeout = 2 * time.Minute
 
-// runOrders plays a day and gives what is wrong with it.
+// runOrders runs an OrderRun and returns it with its breaches.
 func runOrders(seed uint64, shape OrderShape, staleLeadersOnly bool, prepare func(f *Fleet)) (*OrderRun, []string) {
 	run := NewOrderRun(seed, shape, prepare)
 	run.StaleLeadersOnly = staleLeadersOnly
@@ -32,7 +32,7 @@
 		done = true
 	})
 	if !run.World.Run(time.Hour, func() bool { return done }) {
-		return run, append(run.Breaches, "the day did not end")
+		return run, append(run.Breaches, "the run did not finish")
 	}
 	breaches := run.Breaches
 	if result := CheckLinearizable(run.History, linearizabilityTimeout); result != porcupine.Ok {
@@ -41,12 +41,13 @@
 	return run, breaches
 }
 
+// summary returns counts of the history as text.
 func (r *OrderRun) summary() string {
 	count := map[OrderOutcome]int{}
 	for _, event := range r.History {
 		count[event.Outcome]++
 	}
-	return fmt.Sprintf("%d versions, %d acknowledged, %d refused, %d unclear, %d read, kills %v, %.0f s", r.newestVersion, count[OrderAccepted], count[OrderRefused], count[OrderUnknown],
+	return fmt.Sprintf("%d versions, %d accepted, %d refused, %d unknown, %d reads, kills %v, %.0f s", r.newestVersion, count[OrderAccepted], count[OrderRefused], count[OrderUnknown],
 		count[OrderRead], r.Kills, r.World.Now().Seconds())
 }
 
@@ -67,8 +68,8 @@
 
 func TestOrderModelRejectsViolations(t *testing.T) {
 	is := is.New(t)
-	event := func(began, ended int, outcome OrderOutcome, base, version uint64, document string) OrderEvent {
-		return OrderEvent{Order: Order{Base: base, Version: version, Document: document}, Outcome: outcome, Start: time.Duration(began), End: time.Duration(ended)}
+	event := func(start, end int, outcome OrderOutcome, base, version uint64, document string) OrderEvent {
+		return OrderEvent{Order: Order{Base: base, Version: version, Document: document}, Outcome: outcome, Start: time.Duration(start), End: time.Duration(end)}
 	}
 	invalid := event(1, 2, OrderAccepted, 0, 1, "a")
 	invalid.Order.Invalid = true
@@ -90,66 +91,66 @@
 		{"a refused order in force", []OrderEvent{event(1, 2, OrderRefused, 0, 1, "a"), event(3, 4, OrderRead, 0, 1, "a")}, porcupine.Illegal},
 		{"an invalid order taken", []OrderEvent{invalid}, porcupine.Illegal},
 	} {
-		if found := CheckLinearizable(row.history, linearizabilityTimeout); found != row.want {
-			t.Errorf("%s: %s", row.name, found)
+		if result := CheckLinearizable(row.history, linearizabilityTimeout); result != row.want {
+			t.Errorf("%s: result %s", row.name, result)
 		}
 	}
 	is.True(len(OrderShapes) == 4)
 }
 
-// Each mechanism that the history of orders rests on is taken away, and some
-// seed must show it.
+// Each mechanism that linearizability depends on is disabled; some seed must detect that.
 func TestDisabledOrderMechanismsAreDetected(t *testing.T) {
 	for _, row := range []struct {
-		mechanism string
-		stale     bool
-		take      func(f *Fleet)
+		mechanism        string
+		staleLeadersOnly bool
+		disable          func(f *Fleet)
 	}{
-		{"the history of orders", false, onChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
-			// An order that builds on what is no longer in force is decided by that alone.
+		{"the history of orders", false, interceptChange("route.change", func(_ *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+			// Change the digest of outdated orders, so that they are not recognized as
+			// repeats.
 			var change route.Change
-			var now route.Document
+			var current route.Document
 			reply, response := pass("route.read", []byte("{}"))
-			if response == nil || response.StatusCode != http.StatusOK || json.Unmarshal(reply.Result, &now) != nil || json.Unmarshal(asked.Args, &change) != nil {
+			if response == nil || response.StatusCode != http.StatusOK || json.Unmarshal(reply.Result, &current) != nil || json.Unmarshal(request.Args, &change) != nil {
 				return response
 			}
-			if change.Base != now.Version {
+			if change.Base != current.Version {
 				change.Digest = base.Digest(nil)
 			}
 			_, response = pass("route.change", base.MustMarshal(change))
 			return response
 		})},
-		{"the confirmation before a refusal or a read", true, onPath("Disk/Confirm", func(*Message) *http.Response {
-			return replied(&register.Ack{Ok: true})
+		{"the confirmation before a refusal or a read", true, interceptPath("Disk/Confirm", func(*Message) *http.Response {
+			return protoResponse(&register.Ack{Ok: true})
 		})},
-		{"the version that an order builds on", false, onChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+		{"the version that an order builds on", false, interceptChange("route.change", func(_ *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			var change route.Change
-			var now route.Document
+			var current route.Document
 			reply, response := pass("route.read", []byte("{}"))
-			if response == nil || response.StatusCode != http.StatusOK || json.Unmarshal(reply.Result, &now) != nil || json.Unmarshal(asked.Args, &change) != nil {
+			if response == nil || response.StatusCode != http.StatusOK || json.Unmarshal(reply.Result, &current) != nil || json.Unmarshal(request.Args, &change) != nil {
 				return response
 			}
-			change.Base = now.Version
+			change.Base = current.Version
 			_, response = pass("route.change", base.MustMarshal(change))
 			return response
 		})},
 	} {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const maxSeeds = 40 // a seed that shows the fault ends the search
+			const maxSeeds = 40 // the first seed that detects it ends the test
 			for seed := uint64(1); seed <= maxSeeds; seed++ {
-				if run, breaches := runOrders(seed, OrderShapes[0], row.stale, row.take); len(breaches) > 0 {
+				if run, breaches := runOrders(seed, OrderShapes[0], row.staleLeadersOnly, row.disable); len(breaches) > 0 {
 					t.Logf("seed %d, %s: %s", seed, run.summary(), breaches)
 					return
 				}
 			}
-			t.Errorf("%d seeds showed nothing", maxSeeds)
+			t.Errorf("none of %d seeds detected the missing mechanism", maxSeeds)
 		})
 	}
 }
 
-// An order is acknowledged again by every core after 65, 500 and 3,000 versions,
-// also after leaders were killed and all machines lost their power.
+// Every core acknowledges an order again after 65, 500 and 3,000 versions, also after
+// leaders were killed and all machines lost power.
 func TestRepeatedOrderIsAcknowledgedAfterManyVersions(t *testing.T) {
 	t.Parallel()
 	run := NewOrderRun(1, OrderShapes[0], nil)
@@ -162,30 +163,30 @@
 	submit := func(number int) {
 		order := next(number)
 		if run.SubmitOrder(0, order, orderAttempts) != OrderAccepted {
-			t.Errorf("order %d was not taken", number)
+			t.Errorf("order %d was not accepted", number)
 		}
 		orders = append(orders, order)
 	}
 	repeat := func(number int, others []Order) {
 		for range run.Cores {
 			if outcome := run.SubmitOrder(0, orders[number], orderAttempts); outcome != OrderAccepted {
-				t.Errorf("order %d of %d: %d when repeated", number, len(orders)-1, outcome)
+				t.Errorf("repeat of order %d of %d: outcome %d", number, len(orders)-1, outcome)
 			}
 		}
 		for _, other := range others {
 			if outcome := run.SubmitOrder(0, other, orderAttempts); outcome != OrderRefused {
-				t.Errorf("%+v, in the place of order %d of %d: %d", other, number, len(orders)-1, outcome)
+				t.Errorf("%+v, instead of order %d of %d: outcome %d", other, number, len(orders)-1, outcome)
 			}
 		}
 	}
 	repeats := func() {
 		for _, since := range []int{1, 63, 64, 65, 500, 3000} {
 			if number := len(orders) - 1 - since; number > 0 {
-				otherwise := orders[number]
-				otherwise.Document = "operator 0, draft 9"
-				onAnother := orders[number]
-				onAnother.Base++
-				repeat(number, []Order{otherwise, onAnother})
+				otherDocument := orders[number]
+				otherDocument.Document = "operator 0, draft 9"
+				otherBase := orders[number]
+				otherBase.Base++
+				repeat(number, []Order{otherDocument, otherBase})
 			}
 		}
 	}
@@ -213,18 +214,18 @@
 		done = true
 	})
 	if !run.World.Run(5*time.Hour, func() bool { return done }) {
-		t.Fatal("it did not end")
+		t.Fatal("the run did not finish")
 	}
 	received := 0
 	for key, value := range run.Gateways[0].gateway.Follower.Snapshot().Values {
 		if key != route.FeedKey && strings.HasPrefix(key, "routes/") {
-			t.Errorf("a gateway was told %s", key)
+			t.Errorf("a gateway received the key %s", key)
 		}
 		received += len(key) + len(value)
 	}
-	t.Logf("%d versions in %.0f s; a gateway was told %d bytes", len(orders)-1, run.World.Now().Seconds(), received)
+	t.Logf("%d versions in %.0f s; a gateway received %d bytes", len(orders)-1, run.World.Now().Seconds(), received)
 	if received > 4096 {
-		t.Errorf("a gateway was told %d bytes", received)
+		t.Errorf("a gateway received %d bytes, more than 4096", received)
 	}
 	for _, breach := range run.Breaches {
 		t.Error(breach)
--- a/internal/whatif/simulate.go
+++ b/internal/whatif/simulate.go
@@ -79,8 +79,8 @@
 	}
 	modelRoute, _ := parsed.Route(deployment.Group, deployment.Site, deployment.Route)
 	toolRoute, _ := parsed.Route(deployment.Group, deployment.Site, deployment.ToolRoute)
-	shape := simulate.Shape{Group: deployment.Group, Zones: deployment.Zones, Edges: deployment.Gateways, Cores: deployment.Cores, Storage: deployment.Storage, Models: deployment.Models, Tools: deployment.Tools,
-		Capacity: deployment.Capacity, Pieces: deployment.AnswerTokens, Gap: deployment.TokenInterval, Prefill: deployment.PrefillTime, Cache: deployment.CachePrefixes, Settings: string(s.Settings), ModelPool: modelRoute.Pool, ToolPool: toolRoute.Pool}
+	shape := simulate.Shape{Group: deployment.Group, Zones: deployment.Zones, Gateways: deployment.Gateways, Cores: deployment.Cores, Storage: deployment.Storage, ModelWorkers: deployment.Models, ToolWorkers: deployment.Tools,
+		WorkerCapacity: deployment.Capacity, PiecesPerTurn: deployment.AnswerTokens, PieceInterval: deployment.TokenInterval, PrefillTime: deployment.PrefillTime, CachedPrefixes: deployment.CachePrefixes, Settings: string(s.Settings), ModelPool: modelRoute.Pool, ToolPool: toolRoute.Pool}
 	fleet := simulate.NewFleet(s.Seed, shape)
 	defer fleet.World.Close()
 	ready := false
@@ -136,7 +136,7 @@
 // activeCallers until its conversation has ended.
 func (s *Scenario) startCaller(fleet *simulate.Fleet, number int, activeCallers *int) {
 	world := fleet.World
-	caller := &standin.Caller{Name: fmt.Sprintf("c%d", number), Clock: fleet.CallerHost.Clock(), Ask: fleet.Asker(fleet.CallerHost), Gateways: len(fleet.Gateways), Home: int(world.Int64N(int64(len(fleet.Gateways)))),
+	caller := &standin.Caller{Name: fmt.Sprintf("c%d", number), Clock: fleet.CallerHost.Clock(), Ask: fleet.RequestSender(fleet.CallerHost), Gateways: len(fleet.Gateways), Home: int(world.Int64N(int64(len(fleet.Gateways)))),
 		Group: s.Deployment.Group, Site: s.Deployment.Site, Route: s.Deployment.Route, ToolRoute: s.Deployment.ToolRoute, Pieces: s.Deployment.AnswerTokens,
 		Patience: s.Load.Patience, Tally: fleet.Tally}
 	caller.Hasty = world.Chance(s.Load.HastyShare)
