--- a/cmd/fordseam-fleet/main.go
+++ b/cmd/fordseam-fleet/main.go
@@ -58,7 +58,7 @@
 		return nil, nil, cli.Exit("shape: must be kiondo, ljubljana or small", node.ExitUsage)
 	}
 	folder := command.String("folder")
-	if err := fleet.PrepareFolder(folder); err != nil {
+	if err := fleet.PrepareDir(folder); err != nil {
 		return nil, nil, cli.Exit("folder: "+err.Error(), node.ExitUsage)
 	}
 	executable, err := os.Executable()
--- a/cmd/fordseam-fleet/platform.go
+++ b/cmd/fordseam-fleet/platform.go
@@ -69,7 +69,7 @@
 	if plan.Dir, err = filepath.Abs(command.String("folder")); err != nil {
 		return err
 	}
-	if err := fleet.PrepareFolder(plan.Dir); err != nil {
+	if err := fleet.PrepareDir(plan.Dir); err != nil {
 		return cli.Exit("folder: "+err.Error(), node.ExitUsage)
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
--- a/internal/fleet/chaos.go
+++ b/internal/fleet/chaos.go
@@ -1,8 +1,3 @@
-// A chaos scenario: under callers' load, workers are replaced, machines are frozen,
-// killed and told to stop, a disk is lost and replaced, operators collide, and
-// at last everything falls at once. What callers and workers saw is checked
-// from the outside, and so are the settings that gateways show.
-
 package fleet
 
 import (
@@ -25,6 +20,9 @@
 	"github.com/juju/errors"
 )
 
+// chaosRun is a scripted scenario of faults and planned operations on a fleet under
+// load. The tally checks what callers and workers observed, and the settings versions
+// that gateways report.
 type chaosRun struct {
 	fleet   *Fleet
 	workers *Workers
@@ -34,16 +32,19 @@
 	done    atomic.Bool
 }
 
-func newChaosRun(fleet *Fleet, parties *Workers, tally *standin.Tally, out io.Writer) *chaosRun {
-	for _, model := range parties.Models {
+func newChaosRun(f *Fleet, workers *Workers, tally *standin.Tally, out io.Writer) *chaosRun {
+	for _, model := range workers.Models {
 		model.Given = tally.Given
 	}
-	return &chaosRun{fleet: fleet, workers: parties, tally: tally, out: out, clock: parties.Clock}
+	return &chaosRun{fleet: f, workers: workers, tally: tally, out: out, clock: workers.Clock}
 }
 
-// RunChaos runs the whole script and waits for the callers' last words.
-func (f *Fleet) RunChaos(parties *Workers, tally *standin.Tally, callers, answerTokens int, out io.Writer) error {
-	run := newChaosRun(f, parties, tally, out)
+// RunChaos runs the chaos scenario: under load, workers are replaced, machines are
+// frozen, killed and stopped, a disk is lost and replaced, operators make conflicting
+// changes, and finally all machines are killed at once. It returns when the callers
+// have ended their conversations.
+func (f *Fleet) RunChaos(workers *Workers, tally *standin.Tally, callers, answerTokens int, out io.Writer) error {
+	run := newChaosRun(f, workers, tally, out)
 	var group sync.WaitGroup
 	group.Add(2)
 	go func() {
@@ -59,16 +60,16 @@
 		do   func() error
 	}{
 		{"workers are replaced one by one", run.replaceWorkers},
-		{"a gateway is frozen and woken", func() error { return run.freeze(f.Gateways[0], 4*time.Second) }},
-		{"a core is frozen and woken", func() error { return run.freeze(f.Cores[1], 4*time.Second) }},
-		{"a gateway is told to stop and comes back", func() error { return run.restart(f.Gateways[1], syscall.SIGTERM) }},
-		{"a core is told to stop and comes back", func() error { return run.restart(f.Cores[0], syscall.SIGTERM) }},
-		{"a gateway is killed", func() error { return run.restart(f.Gateways[2], syscall.SIGKILL) }},
-		{"a core is killed", func() error { return run.restart(f.Cores[1], syscall.SIGKILL) }},
-		{"a storage machine is killed", func() error { return run.restart(f.Storage[1], syscall.SIGKILL) }},
-		{"a disk is lost and its machine replaced", run.replaceDisk},
-		{"two operators collide while a core is killed", run.applyConcurrently},
-		{"everything falls at once, one disk stays away", run.measureFullOutage},
+		{"a gateway is frozen and resumed", func() error { return run.freeze(f.Gateways[0], 4*time.Second) }},
+		{"a core is frozen and resumed", func() error { return run.freeze(f.Cores[1], 4*time.Second) }},
+		{"a gateway is stopped and restarted", func() error { return run.restart(f.Gateways[1], syscall.SIGTERM) }},
+		{"a core is stopped and restarted", func() error { return run.restart(f.Cores[0], syscall.SIGTERM) }},
+		{"a gateway is killed and restarted", func() error { return run.restart(f.Gateways[2], syscall.SIGKILL) }},
+		{"a core is killed and restarted", func() error { return run.restart(f.Cores[1], syscall.SIGKILL) }},
+		{"a storage machine is killed and restarted", func() error { return run.restart(f.Storage[1], syscall.SIGKILL) }},
+		{"a disk is lost and its machine is replaced", run.replaceDisk},
+		{"two operators make conflicting changes while a core is killed", run.applyConcurrently},
+		{"all machines are killed at once, one storage machine stays down", run.measureFullOutage},
 	}
 	var stepErr error
 	for _, step := range steps {
@@ -85,6 +86,8 @@
 	return stepErr
 }
 
+// replaceWorkers replaces three workers one by one: the list gets the new worker
+// instead of the old one, which ends 3.5 s later.
 func (run *chaosRun) replaceWorkers() error {
 	version := run.workers.List.Stamp
 	for index := range 3 {
@@ -107,33 +110,37 @@
 	return nil
 }
 
+// freeze stops a process with SIGSTOP for a time, and waits until it is ready again.
 func (run *chaosRun) freeze(process *Process, duration time.Duration) error {
 	process.Signal(syscall.SIGSTOP)
 	run.clock.Sleep(duration)
 	process.Signal(syscall.SIGCONT)
-	return AwaitReady([]*Process{process}, 20*time.Second)
+	return WaitUntilReady([]*Process{process}, 20*time.Second)
 }
 
+// restart ends a process with a signal and starts it again. SIGTERM must give exit
+// code 0.
 func (run *chaosRun) restart(process *Process, signal syscall.Signal) error {
 	process.Signal(signal)
 	exitCode, exited := process.Wait(30 * time.Second)
 	if !exited || (signal == syscall.SIGTERM && exitCode != 0) {
-		return errors.Errorf("%s: ended %v with code %d", process.Name, exited, exitCode)
+		return errors.Errorf("%s: exited: %v, exit code %d", process.Name, exited, exitCode)
 	}
 	run.clock.Sleep(time.Second)
 	if err := run.fleet.Start(process); err != nil {
 		return err
 	}
-	return AwaitReady([]*Process{process}, 20*time.Second)
+	return WaitUntilReady([]*Process{process}, 20*time.Second)
 }
 
-// callAnyCore gives some core that answers.
+// callAnyCore calls randomly chosen cores until a call succeeds, for at most 30 s.
 func (run *chaosRun) callAnyCore(call func(process *Process) error) error {
 	return retry(run.clock, run.clock.Now()+30*time.Second, func() error {
 		return call(run.fleet.Cores[rand.IntN(len(run.fleet.Cores))])
 	})
 }
 
+// waitUntilSettled waits until no disk change is pending and all shards are settled.
 func (run *chaosRun) waitUntilSettled() error {
 	return run.callAnyCore(func(process *Process) error {
 		var storage operate.StorageView
@@ -141,12 +148,14 @@
 			return err
 		}
 		if storage.ChangePending || storage.SettledShards != storage.TotalShards {
-			return errors.Errorf("%d of %d slots settled", storage.SettledShards, storage.TotalShards)
+			return errors.Errorf("%d of %d shards settled", storage.SettledShards, storage.TotalShards)
 		}
 		return nil
 	})
 }
 
+// replaceDisk kills the last storage machine and deletes its data, starts a new
+// machine, and has the operator retire the lost disk and admit the new one.
 func (run *chaosRun) replaceDisk() error {
 	f := run.fleet
 	lost := f.Storage[len(f.Storage)-1]
@@ -189,7 +198,8 @@
 	return submit("admit", map[string]string{"address": replacement.Addr})
 }
 
-// applyConcurrently has two operators apply at once, again and again.
+// applyConcurrently has two operators apply settings concurrently, six times each,
+// while a core is killed and restarted.
 func (run *chaosRun) applyConcurrently() error {
 	var group sync.WaitGroup
 	for operator := range 2 {
@@ -212,7 +222,8 @@
 	return run.recordCurrentSettings()
 }
 
-// recordCurrentSettings looks at the settings that the control state holds.
+// recordCurrentSettings reads the settings in force from a core and records them in
+// the tally. The name of the model shows which change they are from.
 func (run *chaosRun) recordCurrentSettings() error {
 	var current settings.Record
 	if err := run.callAnyCore(func(process *Process) error {
@@ -229,7 +240,8 @@
 	return nil
 }
 
-// applySettings takes one change to a known end and gives the stamp that stands.
+// applySettings submits a change and asks for its outcome until that is known. It
+// returns the newest settings version that it has seen.
 func (run *chaosRun) applySettings(changeID string, version uint64) uint64 {
 	document := strings.Replace(run.fleet.Shape.Settings(), `"model": "stand-in"`, `"model": "`+changeID+`"`, 1)
 	body := map[string]any{"change": changeID, "based_on": version, "document": json.RawMessage(document)}
@@ -258,7 +270,8 @@
 	return version
 }
 
-// watchGatewaySettings asks every gateway for the stamp it serves by.
+// watchGatewaySettings polls all gateways for the settings version that they use, and
+// records it in the tally.
 func (run *chaosRun) watchGatewaySettings() {
 	for !run.done.Load() {
 		for _, process := range run.fleet.Gateways {
@@ -275,7 +288,9 @@
 	}
 }
 
-// measureFullOutage kills everything and brings it back, one disk missing, and times it.
+// measureFullOutage kills all processes, restarts all but one storage machine, and
+// measures the time until all gateways are ready. It starts the missing machine at
+// the end.
 func (run *chaosRun) measureFullOutage() error {
 	absent := run.fleet.Storage[rand.IntN(len(run.fleet.Storage))]
 	start := run.clock.Now()
@@ -283,7 +298,7 @@
 		return err
 	}
 	outage := run.clock.Now() - start
-	_, _ = fmt.Fprintf(run.out, "         all gateways serve again %.2fs after all fell\n", outage.Seconds())
+	_, _ = fmt.Fprintf(run.out, "         all gateways are ready %.2fs after all machines were killed\n", outage.Seconds())
 	run.tally.Back(outage)
 	if err := run.recordCurrentSettings(); err != nil {
 		return err
@@ -291,21 +306,22 @@
 	return run.fleet.Start(absent)
 }
 
-// fall kills everything and starts all but one again, in any order.
+// killAndRestartAll kills all processes and starts them again in random order, except
+// for absent.
 func (run *chaosRun) killAndRestartAll(absent *Process, timeout time.Duration) error {
-	all := run.fleet.All()
-	for _, process := range all {
+	processes := run.fleet.All()
+	for _, process := range processes {
 		process.Signal(syscall.SIGKILL)
 	}
-	for _, process := range all {
+	for _, process := range processes {
 		process.Wait(10 * time.Second)
 	}
-	for _, index := range rand.Perm(len(all)) {
-		if all[index] != absent {
-			if err := run.fleet.Start(all[index]); err != nil {
+	for _, index := range rand.Perm(len(processes)) {
+		if processes[index] != absent {
+			if err := run.fleet.Start(processes[index]); err != nil {
 				return err
 			}
 		}
 	}
-	return AwaitReady(run.fleet.Gateways, timeout)
+	return WaitUntilReady(run.fleet.Gateways, timeout)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,3 @@
-// Processes of a fleet: started with flags, their logs kept in files,
-// signalled by the id they were started with.
-
 package fleet
 
 import (
@@ -19,7 +16,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Process is one machine of the fleet.
+// Process is one machine of the fleet: a daemon that may be started several times,
+// with its addresses, data directory and log file.
 type Process struct {
 	Name       string
 	Role       string
@@ -32,12 +30,13 @@
 	command  *exec.Cmd
 	exited   chan struct{}
 	exitCode int
-	// cpuTime is the processor time of ended lives, peak the most memory of any.
+	// cpuTime is the total processor time of all ended runs of the process, and
+	// peakMemory the largest memory use of any of them, in bytes.
 	cpuTime    time.Duration
 	peakMemory int64
 }
 
-// Fleet is all of them.
+// Fleet is a deployment whose machines are processes on loopback addresses.
 type Fleet struct {
 	Shape        Shape
 	Dir          string
@@ -49,8 +48,8 @@
 	hostCount    int
 }
 
-// New lays a fleet out; nothing runs yet. The network number picks the
-// loopback addresses, so that fleets do not meet.
+// New allocates the names and addresses of a fleet; it starts nothing. networkIndex
+// selects the loopback network, so that concurrent fleets do not share addresses.
 func New(shape Shape, dir, binDir string, networkIndex int) (*Fleet, error) {
 	f := &Fleet{Shape: shape, Dir: dir, BinDir: binDir, networkIndex: networkIndex}
 	for index := 0; index < shape.Storage; index++ {
@@ -71,17 +70,18 @@
 	return f, nil
 }
 
+// markerFile marks a directory as one that belongs to a fleet and may be emptied.
 const markerFile = ".fordseam-fleet"
 
-// PrepareFolder gives an empty folder for a fleet. Only one that is empty or was
-// a fleet's before is emptied.
-func PrepareFolder(dir string) error {
+// PrepareDir creates an empty directory for a fleet. It deletes the content of an
+// existing directory only if that belonged to a fleet before.
+func PrepareDir(dir string) error {
 	entries, err := os.ReadDir(dir)
 	if err != nil && !os.IsNotExist(err) {
 		return errors.Trace(err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, markerFile)); len(entries) > 0 && err != nil {
-		return errors.Errorf("%s holds files that are not a fleet's; give an empty folder", dir)
+		return errors.Errorf("%s contains files that do not belong to a fleet; use an empty folder", dir)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		return errors.Trace(err)
@@ -92,12 +92,13 @@
 	return errors.Trace(os.WriteFile(filepath.Join(dir, markerFile), nil, 0o644))
 }
 
-// nextLoopbackAddr is a loopback address that no other machine has.
+// nextLoopbackAddr returns a loopback address that no other machine of the fleet has.
 func (f *Fleet) nextLoopbackAddr() string {
 	f.hostCount++
 	return fmt.Sprintf("127.%d.%d.%d", 10+f.networkIndex/250%200, 1+f.networkIndex%250, f.hostCount)
 }
 
+// addProcess allocates the addresses of a machine and appends it to processes.
 func (f *Fleet) addProcess(processes *[]*Process, role string, index int) error {
 	host := f.nextLoopbackAddr()
 	process := &Process{Name: fmt.Sprintf("%s-%d", role, index+1), Role: role, Zone: f.Shape.Zones[index%len(f.Shape.Zones)]}
@@ -112,16 +113,18 @@
 	return errors.Trace(err)
 }
 
-// All lists every process, storage first.
+// All returns all processes: storage machines, cores and gateways, in this order.
 func (f *Fleet) All() []*Process {
 	return append(append(append([]*Process{}, f.Storage...), f.Cores...), f.Gateways...)
 }
 
+// seedAddrs returns the comma-separated addresses of two cores and a storage machine,
+// through which processes join the fleet.
 func (f *Fleet) seedAddrs() string {
 	return strings.Join([]string{f.Cores[0].Addr, f.Cores[1].Addr, f.Storage[0].Addr}, ",")
 }
 
-// Start runs one process.
+// Start starts a process with the command line of its role.
 func (f *Fleet) Start(process *Process) error {
 	args := []string{"--address", process.Addr, "--public-address", process.PublicAddr, "--zone", process.Zone}
 	for _, seed := range strings.Split(f.seedAddrs(), ",") {
@@ -138,7 +141,8 @@
 	return process.launch(exec.Command(filepath.Join(f.BinDir, program), args...), filepath.Join(f.Dir, process.Name+".log"))
 }
 
-// launch runs a command as the process, its log kept in a file.
+// launch starts a command as the process and appends its output to the log file. The
+// kernel kills it when this process ends.
 func (p *Process) launch(command *exec.Cmd, logPath string) error {
 	logFile, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -169,18 +173,18 @@
 	return nil
 }
 
-// Signal sends a signal to the process by its id.
-func (p *Process) Signal(s syscall.Signal) {
+// Signal sends a signal to the process by its process ID, if it was started.
+func (p *Process) Signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil && p.command.Process != nil {
-		_ = p.command.Process.Signal(s)
+		_ = p.command.Process.Signal(signal)
 	}
 }
 
-// Wait gives the exit code once the process has ended; ok is false when it
-// has not within limit.
-func (p *Process) Wait(timeout time.Duration) (code int, ok bool) {
+// Wait waits until the process has exited and returns its exit code. ok is false if it
+// has not exited within the timeout.
+func (p *Process) Wait(timeout time.Duration) (exitCode int, ok bool) {
 	p.mu.Lock()
 	exited := p.exited
 	p.mu.Unlock()
@@ -192,7 +196,7 @@
 	select {
 	case <-exited:
 	case <-timer.C:
-		// At a limit of none both may be there.
+		// With a timeout of 0, the process may have exited although the timer won.
 		select {
 		case <-exited:
 		default:
@@ -204,7 +208,7 @@
 	return p.exitCode, true
 }
 
-// Running says that a life of the process has begun and not ended.
+// Running reports whether the process was started and has not exited.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,13 +223,13 @@
 	}
 }
 
-// Kill ends a process at once and waits for its end.
+// Kill sends SIGKILL to the process and waits until it has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.Wait(10 * time.Second)
 }
 
-// Stop kills all that still run.
+// Stop kills all processes. It resumes frozen ones first.
 func (f *Fleet) Stop() {
 	for _, p := range f.All() {
 		p.Signal(syscall.SIGCONT)
@@ -233,13 +237,13 @@
 	}
 }
 
-// Ready asks a process whether it is ready.
+// Ready reports whether the readiness check of the process succeeds.
 func (p *Process) Ready() bool {
 	status, _, err := fasthttp.GetTimeout(nil, "http://"+p.PublicAddr+"/readyz", time.Second)
 	return err == nil && status == 200
 }
 
-// Counters reads a process's counters.
+// Counters returns the counters of the process, or nil if it does not respond.
 func (p *Process) Counters() map[string]int64 {
 	_, body, err := fasthttp.GetTimeout(nil, "http://"+p.PublicAddr+"/counters", time.Second)
 	if err != nil {
@@ -248,13 +252,14 @@
 	return decodeCounters(body)
 }
 
-// AwaitReady waits until all of a list are ready.
-func AwaitReady(processes []*Process, timeout time.Duration) error {
+// WaitUntilReady waits until all processes are ready. It fails as soon as one of them
+// has exited.
+func WaitUntilReady(processes []*Process, timeout time.Duration) error {
 	clock := base.NewRealClock()
 	for _, process := range processes {
 		for !process.Ready() {
 			if exitCode, exited := process.Wait(0); exited {
-				return errors.Errorf("%s ended with code %d", process.Name, exitCode)
+				return errors.Errorf("%s exited with code %d", process.Name, exitCode)
 			}
 			if clock.Now() > timeout {
 				return errors.Errorf("%s is not ready after %v", process.Name, timeout)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -1,6 +1,3 @@
-// Short runs of real processes: an owner is killed in the middle of a
-// conversation; machines of each role are told to stop under load; and all of
-// them are killed.
 package fleet
 
 import (
@@ -22,146 +19,152 @@
 	"github.com/matryer/is"
 )
 
-// built has the daemons under the race detector, built once.
-var built = sync.OnceValues(func() (string, error) {
-	folder, err := os.MkdirTemp("", "fordseam-daemons")
+// buildDaemons builds the daemons with the race detector, once for all tests, and
+// returns their directory.
+var buildDaemons = sync.OnceValues(func() (string, error) {
+	dir, err := os.MkdirTemp("", "fordseam-daemons")
 	if err != nil {
 		return "", err
 	}
-	build := exec.Command("go", "build", "-race", "-o", folder+"/", "./cmd/fordseam-gateway", "./cmd/fordseam-controller")
+	build := exec.Command("go", "build", "-race", "-o", dir+"/", "./cmd/fordseam-gateway", "./cmd/fordseam-controller")
 	build.Dir = "../.."
 	if output, err := build.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("build: %w\n%s", err, output)
 	}
-	return folder, nil
+	return dir, nil
 })
 
-// realFleet starts a small fleet of processes with its parties.
-func realFleet(t *testing.T) (*Fleet, *Workers, string) {
+// startRealFleet starts a small fleet of processes with its simulated workers.
+func startRealFleet(t *testing.T) (*Fleet, *Workers, string) {
 	is := is.New(t)
-	binaries, err := built()
+	binDir, err := buildDaemons()
 	is.NoErr(err)
-	folder := t.TempDir()
-	f, err := New(Shapes["small"], folder, binaries, rand.IntN(50000))
+	dir := t.TempDir()
+	f, err := New(Shapes["small"], dir, binDir, rand.IntN(50000))
 	is.NoErr(err)
 	t.Cleanup(f.Stop)
-	parties, err := f.StartWorkers(5, 2*time.Millisecond)
+	workers, err := f.StartWorkers(5, 2*time.Millisecond)
 	is.NoErr(err)
-	t.Cleanup(parties.Stop)
-	is.NoErr(f.SetUp(parties, time.Minute))
-	return f, parties, folder
+	t.Cleanup(workers.Stop)
+	is.NoErr(f.SetUp(workers, time.Minute))
+	return f, workers, dir
 }
 
-// Under load, a machine of each role is told to stop and comes back while the
-// settings change: nothing that was read is dropped. Then everything is killed,
-// and what was acknowledged is there again.
-func TestRealFleetThroughPlannedStopsAndAnOutage(t *testing.T) {
+// TestRealFleetSurvivesPlannedRestartsAndFullOutage gracefully restarts machines of all
+// roles under load while the settings change, and checks that no request that was read
+// is dropped. Then it kills all processes, and checks that the acknowledged settings are
+// still in force and that a new conversation completes.
+func TestRealFleetSurvivesPlannedRestartsAndFullOutage(t *testing.T) {
 	is := is.New(t)
-	f, parties, folder := realFleet(t)
+	f, workers, dir := startRealFleet(t)
 	tally := standin.NewTally()
-	d := newChaosRun(f, parties, tally, os.Stderr)
-	ended := make(chan struct{})
+	run := newChaosRun(f, workers, tally, os.Stderr)
+	callersDone := make(chan struct{})
 	go func() {
-		defer close(ended)
-		f.RunCallers(tally, 4, 5, 100*time.Millisecond, func(int) bool { return !d.done.Load() })
+		defer close(callersDone)
+		f.RunCallers(tally, 4, 5, 100*time.Millisecond, func(int) bool { return !run.done.Load() })
 	}()
-	stamp := uint64(1)
-	for round, p := range []*Process{f.Gateways[0], f.Cores[0], f.Storage[1], f.Gateways[1]} {
-		stamp = d.applySettings(fmt.Sprint("planned-", round), stamp)
-		if err := d.restart(p, syscall.SIGTERM); err != nil {
-			written, _ := os.ReadFile(filepath.Join(folder, p.Name+".log"))
-			t.Fatalf("%v\n%s", err, written)
+	version := uint64(1)
+	for round, process := range []*Process{f.Gateways[0], f.Cores[0], f.Storage[1], f.Gateways[1]} {
+		version = run.applySettings(fmt.Sprint("planned-", round), version)
+		if err := run.restart(process, syscall.SIGTERM); err != nil {
+			log, _ := os.ReadFile(filepath.Join(dir, process.Name+".log"))
+			t.Fatalf("%v\n%s", err, log)
 		}
-		written, err := os.ReadFile(filepath.Join(folder, p.Name+".log"))
+		log, err := os.ReadFile(filepath.Join(dir, process.Name+".log"))
 		is.NoErr(err)
-		is.True(!strings.Contains(string(written), "still open")) // each answered all that it had read
+		is.True(!strings.Contains(string(log), "still open")) // all requests that were read were answered
 	}
-	d.done.Store(true)
-	<-ended
+	run.done.Store(true)
+	<-callersDone
 	for _, name := range []string{"turns_dropped", "turns_cut", "final_cut_cut"} {
 		is.Equal(name+fmt.Sprint(tally.Counts[name]), name+"0")
 	}
 	is.True(tally.Counts["conversations_whole"] > 0)
-	is.Equal(stamp, uint64(5))
-	is.NoErr(d.killAndRestartAll(nil, 2*time.Minute))
-	c := &standin.Caller{Name: "after", Clock: base.NewRealClock(), Ask: f.Asker(), Gateways: len(f.Gateways), Group: "small", Site: "main", Pieces: 5, Patience: time.Minute, Tally: tally}
-	is.True(c.Start(1000))
-	c.Converse(2, true)
-	is.NoErr(d.recordCurrentSettings())
-	tally.Check(parties.Models, parties.Tools, 5)
+	is.Equal(version, uint64(5))
+	is.NoErr(run.killAndRestartAll(nil, 2*time.Minute))
+	caller := &standin.Caller{Name: "after", Clock: base.NewRealClock(), Ask: f.RequestSender(), Gateways: len(f.Gateways), Group: "small", Site: "main", Pieces: 5, Patience: time.Minute, Tally: tally}
+	is.True(caller.Start(1000))
+	caller.Converse(2, true)
+	is.NoErr(run.recordCurrentSettings())
+	tally.Check(workers.Models, workers.Tools, 5)
 	is.Equal(fmt.Sprint(tally.Breaches), "[]")
 }
 
-func TestRealFleetSurvivesTheLossOfAnOwner(t *testing.T) {
+// TestRealFleetSurvivesOwnerLoss kills the gateway that owns a session in the middle of
+// its conversation, and checks that the conversation completes and that the other
+// processes stop cleanly.
+func TestRealFleetSurvivesOwnerLoss(t *testing.T) {
 	is := is.New(t)
-	f, parties, folder := realFleet(t)
+	f, workers, dir := startRealFleet(t)
 
 	tally := standin.NewTally()
-	ask := f.Asker()
-	killed := ""
-	c := &standin.Caller{Name: "till", Clock: base.NewRealClock(), Ask: ask, Gateways: len(f.Gateways), Group: "small", Site: "main", Pieces: 5,
+	sendRequest := f.RequestSender()
+	killedName := ""
+	caller := &standin.Caller{Name: "till", Clock: base.NewRealClock(), Ask: sendRequest, Gateways: len(f.Gateways), Group: "small", Site: "main", Pieces: 5,
 		Patience: time.Minute, Tally: tally}
-	c.Between = func(turn int) {
+	caller.Between = func(turn int) {
 		if turn != 2 {
 			return
 		}
-		path, secret := c.Session()
-		answer, err := ask(1, "GET", path, map[string]string{"authorization": "Bearer " + secret}, nil)
+		path, secret := caller.Session()
+		answer, err := sendRequest(1, "GET", path, map[string]string{"authorization": "Bearer " + secret}, nil)
 		is.NoErr(err)
 		var status struct {
 			Owner string `json:"owner"`
 		}
 		is.NoErr(json.Unmarshal(answer.Body, &status))
-		for _, p := range f.Gateways {
-			if strings.HasPrefix(status.Owner, p.Addr) {
-				p.Kill()
-				killed = p.Name
+		for _, process := range f.Gateways {
+			if strings.HasPrefix(status.Owner, process.Addr) {
+				process.Kill()
+				killedName = process.Name
 			}
 		}
 	}
-	is.True(c.Start(1000))
-	c.Converse(5, true)
-	tally.Check(parties.Models, parties.Tools, 5)
-	is.True(killed != "")
+	is.True(caller.Start(1000))
+	caller.Converse(5, true)
+	tally.Check(workers.Models, workers.Tools, 5)
+	is.True(killedName != "")
 	is.Equal(fmt.Sprint(tally.Breaches), "[]")
 	is.Equal(tally.Counts["conversations_whole"], 1)
 	is.Equal(tally.Counts["turns_whole"], 5)
 	is.Equal(tally.Counts["tools_done"], 3)
 
-	// The rest stop when told to, with a clean exit.
-	for _, p := range f.All() {
-		if p.Name == killed {
+	// The other processes must exit with code 0 on SIGTERM.
+	for _, process := range f.All() {
+		if process.Name == killedName {
 			continue
 		}
-		p.Signal(syscall.SIGTERM)
+		process.Signal(syscall.SIGTERM)
 	}
-	for _, p := range f.All() {
-		code, ended := p.Wait(time.Minute)
-		is.True(ended)
-		if p.Name != killed {
-			if code != 0 {
-				written, _ := os.ReadFile(filepath.Join(folder, p.Name+".log"))
-				t.Logf("%s\n%s", p.Name, written)
+	for _, process := range f.All() {
+		exitCode, exited := process.Wait(time.Minute)
+		is.True(exited)
+		if process.Name != killedName {
+			if exitCode != 0 {
+				log, _ := os.ReadFile(filepath.Join(dir, process.Name+".log"))
+				t.Logf("%s\n%s", process.Name, log)
 			}
-			is.Equal(p.Name+fmt.Sprint(code), p.Name+"0")
+			is.Equal(process.Name+fmt.Sprint(exitCode), process.Name+"0")
 		}
 	}
 }
 
-// A folder that is not a fleet's is never emptied.
-func TestOnlyAFleetsFolderIsEmptied(t *testing.T) {
+// TestPrepareDirEmptiesOnlyFleetDirs checks that a directory that did not belong
+// to a fleet is not emptied.
+func TestPrepareDirEmptiesOnlyFleetDirs(t *testing.T) {
 	is := is.New(t)
-	folder := t.TempDir()
-	is.NoErr(PrepareFolder(folder))
-	is.NoErr(os.WriteFile(filepath.Join(folder, "edge-1.log"), []byte("x"), 0o600))
-	is.NoErr(PrepareFolder(folder))
-	entries, err := os.ReadDir(folder)
+	dir := t.TempDir()
+	is.NoErr(PrepareDir(dir))
+	is.NoErr(os.WriteFile(filepath.Join(dir, "edge-1.log"), []byte("x"), 0o600))
+	is.NoErr(PrepareDir(dir))
+	entries, err := os.ReadDir(dir)
 	is.NoErr(err)
 	is.Equal(len(entries), 1)
-	other := t.TempDir()
-	is.NoErr(os.WriteFile(filepath.Join(other, "payroll.db"), []byte("x"), 0o600))
-	is.True(PrepareFolder(other) != nil)
-	kept, err := os.ReadFile(filepath.Join(other, "payroll.db"))
+	foreignDir := t.TempDir()
+	is.NoErr(os.WriteFile(filepath.Join(foreignDir, "payroll.db"), []byte("x"), 0o600))
+	is.True(PrepareDir(foreignDir) != nil)
+	content, err := os.ReadFile(filepath.Join(foreignDir, "payroll.db"))
 	is.NoErr(err)
-	is.Equal(string(kept), "x")
+	is.Equal(string(content), "x")
 }
--- a/internal/fleet/platform.go
+++ b/internal/fleet/platform.go
@@ -1,8 +1,3 @@
-// A fleet on the platform: each machine has a loopback address of its own and
-// the same ports as all others, its process is told of its place by a settings
-// file, and the platform's stand-ins play round it. The commands of the roles
-// are given, so that any build can be put to it.
-
 package fleet
 
 import (
@@ -24,42 +19,50 @@
 	"github.com/juju/errors"
 )
 
-// PlatformPlan says how a run on the platform goes.
+// PlatformPlan configures a run on the simulated platform.
 type PlatformPlan struct {
 	Site *platform.Site
-	// WorkDir is where programs start, Folder has settings, data and logs.
+	// WorkDir is the working directory of the commands. Dir contains settings, data
+	// and logs.
 	WorkDir, Dir string
-	// Commands are the programs with their arguments, by class of machine.
+	// Commands has the command line of each class of machines, so that any build can be
+	// tested.
 	Commands        map[string]string
 	TrafficDuration time.Duration
-	RateFactor      float64 // times the site's usual
+	RateFactor      float64 // multiple of the site's usual rate
 	Seed            uint64
 	Events          []PlatformEvent
-	// ClosingFault, when set, ends the day: kill_all, wipe.
+	// ClosingFault is the fault at the end: kill_all, wipe, or none if empty.
 	ClosingFault string
-	// RecordFile, when set, gets everything that was seen, as JSON.
+	// RecordFile, if set, is where all observations are written as JSON.
 	RecordFile string
-	// SetUpTimeout is how long a fleet may take until it serves.
+	// SetUpTimeout is the time within which the fleet must be ready.
 	SetUpTimeout time.Duration
 }
 
-// platformPorts are the same on all machines of a run.
+// platformPorts are the ports of a machine. They are the same on all machines of a
+// run.
 type platformPorts struct {
 	frontPort, readinessPort, controlPort int
 	internalPorts                         [2]int
 }
 
+// machine is a machine of the fleet. initial is true until its first start if it is
+// part of the initial fleet; removed is true once it was removed for good.
 type machine struct {
 	Process
 	class        string
 	ip           string
 	initial      bool
-	lifecycleMu  sync.Mutex // one start or end at a time
-	exitExpected bool       // its end is expected
+	lifecycleMu  sync.Mutex // held while the process is started or is marked to exit
+	exitExpected bool       // the run ends the process, so that it is not restarted
 	removed      bool
 }
 
-// platformRun is a run under way.
+// platformRun is a run of a fleet on the simulated platform. Each machine has its own
+// loopback address and the same ports as all others, and its process gets its
+// configuration from a settings file. The platform's workers, worker list, clients and
+// operators are simulated in this process.
 type platformRun struct {
 	plan            *PlatformPlan
 	clock           base.Clock
@@ -79,15 +82,15 @@
 	mu              sync.Mutex
 	machines        []*machine
 	workers         []*sockets.WorkerServer
-	faults          map[string]*injectedFaults // by worker or service
+	faults          map[string]*injectedFaults // by worker ID or service
 	workByPrefix    map[string]platform.Draw   // by route prefix
 	unexpectedExits []string
 	done            chan struct{}
 	tasks           sync.WaitGroup
 	programs        sync.WaitGroup
 	config          configState
-	rateFactor      float64      // burst
-	persistUntil    atomic.Int64 // until when turns from before a closing fault are asked for
+	rateFactor      float64      // raised during a burst
+	persistUntil    atomic.Int64 // until when clients retry turns from before the closing fault
 }
 
 func newPlatformRun(plan *PlatformPlan) *platformRun {
@@ -105,18 +108,21 @@
 	return run
 }
 
+// randomInt returns a random number below n. It is safe for concurrent use.
 func (run *platformRun) randomInt(n int) int {
 	run.rngMu.Lock()
 	defer run.rngMu.Unlock()
 	return run.rng.IntN(n)
 }
 
+// randomFloat returns a random number below 1. It is safe for concurrent use.
 func (run *platformRun) randomFloat() float64 {
 	run.rngMu.Lock()
 	defer run.rngMu.Unlock()
 	return run.rng.Float64()
 }
 
+// nextLoopbackAddr returns a loopback address that is not used yet in this run.
 func (run *platformRun) nextLoopbackAddr() string {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -124,7 +130,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 10+run.networkIndex/250%200, 1+run.networkIndex%250, run.hostCount)
 }
 
-// choosePorts draws ports that are free where this machine looks.
+// choosePorts chooses random ports. It probes them on one loopback address only, and
+// keeps the last ones after 50 attempts.
 func (run *platformRun) choosePorts() {
 	host := run.nextLoopbackAddr()
 	for range 50 {
@@ -140,7 +147,7 @@
 	}
 }
 
-// addMachine adds a machine; nothing runs yet.
+// addMachine adds a machine without starting its process.
 func (run *platformRun) addMachine(class, zone string, number int, initial bool) *machine {
 	m := &machine{class: class, ip: run.nextLoopbackAddr(), initial: initial}
 	m.Name, m.Role, m.Zone = platform.Place(class, zone, number), "my-"+class, zone
@@ -153,6 +160,7 @@
 	return m
 }
 
+// addInitialMachines chooses the ports and adds the machines of the site.
 func (run *platformRun) addInitialMachines() {
 	run.choosePorts()
 	site := run.plan.Site
@@ -166,7 +174,8 @@
 	}
 }
 
-// machinesOf lists the machines of a class that are there, all for none.
+// machinesOf returns the machines of a class that are not removed, or of all classes if
+// class is empty.
 func (run *platformRun) machinesOf(class string) []*machine {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -175,10 +184,12 @@
 
 func (run *platformRun) addrOf(m *machine, port int) string { return fmt.Sprintf("%s:%d", m.ip, port) }
 
+// controlAddrs returns the control addresses of the core machines.
 func (run *platformRun) controlAddrs() []string {
 	return base.Map(run.machinesOf(platform.ClassCore), func(m *machine) string { return run.addrOf(m, run.ports.controlPort) })
 }
 
+// settingsOf returns the current settings of a machine.
 func (run *platformRun) settingsOf(m *machine) *platform.Settings {
 	controlAddrs := run.controlAddrs()
 	servedRole := map[string]string{platform.ClassEdge: platform.ClassEdge, platform.ClassCore: "control", platform.ClassStorage: platform.ClassStorage}[m.class]
@@ -196,7 +207,8 @@
 	return filepath.Join(run.plan.Dir, m.Name+".log")
 }
 
-// writeSettings writes a machine's settings file as they are now.
+// writeSettings atomically replaces the settings file of a machine, and creates its
+// data directory.
 func (run *platformRun) writeSettings(m *machine) error {
 	if err := os.MkdirAll(filepath.Dir(run.settingsPath(m)), 0o755); err != nil {
 		return errors.Trace(err)
@@ -213,18 +225,20 @@
 	return errors.Trace(os.Rename(newPath, run.settingsPath(m)))
 }
 
-// start runs a machine's process and starts it again when it ends by itself.
+// start starts the process of a machine, and restarts it when it exits unexpectedly.
 func (run *platformRun) start(m *machine) error {
 	m.lifecycleMu.Lock()
 	defer m.lifecycleMu.Unlock()
 	return run.startLocked(m)
 }
 
+// startLocked is start for callers that hold m.lifecycleMu.
 func (run *platformRun) startLocked(m *machine) error {
 	run.mu.Lock()
 	removed := m.removed
 	run.mu.Unlock()
-	// Two troubles may end on one machine: it runs one process, or none for good.
+	// Two events may affect the same machine. It must not run two processes, and none
+	// after it was removed.
 	if removed || m.Running() {
 		return nil
 	}
@@ -233,7 +247,7 @@
 	}
 	commandLine := strings.Fields(run.plan.Commands[m.class])
 	if len(commandLine) == 0 {
-		return errors.Errorf("no command for machines of class %s", m.class)
+		return errors.Errorf("no command is configured for machines of class %q", m.class)
 	}
 	command := exec.Command(commandLine[0], commandLine[1:]...)
 	command.Dir = run.plan.WorkDir
@@ -259,7 +273,8 @@
 	return nil
 }
 
-// restartAfterExit starts a process again that ended though nobody asked it to.
+// restartAfterExit records an unexpected exit of the process and starts it again. After
+// 50 unexpected exits in the run, processes are no longer restarted.
 func (run *platformRun) restartAfterExit(m *machine, exited chan struct{}) {
 	m.lifecycleMu.Lock()
 	defer m.lifecycleMu.Unlock()
@@ -270,9 +285,9 @@
 		return
 	}
 	exitCode, _ := m.Wait(0)
-	log, _ := os.ReadFile(run.logPath(m))
+	logContent, _ := os.ReadFile(run.logPath(m))
 	run.mu.Lock()
-	run.unexpectedExits = append(run.unexpectedExits, fmt.Sprintf("%s ended by itself with code %d at %.1fs: %s", m.Name, exitCode, run.clock.Now().Seconds(), log[max(0, len(log)-400):]))
+	run.unexpectedExits = append(run.unexpectedExits, fmt.Sprintf("%s exited unexpectedly with code %d at %.1fs: %s", m.Name, exitCode, run.clock.Now().Seconds(), logContent[max(0, len(logContent)-400):]))
 	tooMany := len(run.unexpectedExits) > 50
 	run.mu.Unlock()
 	select {
@@ -285,7 +300,7 @@
 	}
 }
 
-// stopWith ends a process with a signal; its end is expected.
+// stopWith marks the exit of the process as expected and calls stop to end it.
 func (run *platformRun) stopWith(m *machine, stop func()) {
 	m.lifecycleMu.Lock()
 	m.exitExpected = true
@@ -293,7 +308,8 @@
 	stop()
 }
 
-// recordTrouble notes a trouble of a machine until the step it gives back is called.
+// recordTrouble records a trouble of a machine that lasts until the returned function
+// is called.
 func (run *platformRun) recordTrouble(kind string, m *machine, configure func(trouble *platform.Trouble)) (end func()) {
 	trouble := &platform.Trouble{Kind: kind, Machine: m.Name, Class: m.class, From: run.clock.Now(), To: 1 << 60}
 	if configure != nil {
@@ -306,7 +322,7 @@
 	}
 }
 
-// waitUntil waits for a condition, within a bound and while the run goes on.
+// waitUntil polls until the condition is true, and returns false after the timeout.
 func (run *platformRun) waitUntil(timeout time.Duration, condition func() bool) bool {
 	deadline := run.clock.Now() + timeout
 	for !condition() {
@@ -318,8 +334,8 @@
 	return true
 }
 
-// setUp starts everything, sends the first configuration, and waits until all
-// nodes that take clients are ready.
+// setUp starts the worker list, the workers and all machines, submits the first
+// configuration, and waits until all nodes that serve clients are ready.
 func (run *platformRun) setUp() error {
 	var err error
 	if run.listServer, err = sockets.ListenInstances(run.instances, run.nextLoopbackAddr()+":0"); err != nil {
@@ -343,11 +359,11 @@
 	config := run.drafts.First()
 	order := run.config.operator.Put(0, config, config.Encode(), "", run.plan.SetUpTimeout)
 	if !order.Acked() {
-		return errors.Errorf("the first configuration was not taken within %v: %d", run.plan.SetUpTimeout, order.Status)
+		return errors.Errorf("the first configuration was not acknowledged within %v: status %d", run.plan.SetUpTimeout, order.Status)
 	}
 	run.config.setLatest(order)
 	if !run.waitUntil(run.plan.SetUpTimeout, func() bool { return run.entry.Ready() == len(nodes) }) {
-		return errors.Errorf("%d of %d nodes are ready after %v", run.entry.Ready(), len(nodes), run.plan.SetUpTimeout)
+		return errors.Errorf("only %d of %d nodes are ready after %v", run.entry.Ready(), len(nodes), run.plan.SetUpTimeout)
 	}
 	return nil
 }
@@ -356,11 +372,14 @@
 	return &platform.EntryNode{Name: m.Name, Zone: m.Zone, Front: run.addrOf(m, run.ports.frontPort), Readiness: run.addrOf(m, run.ports.readinessPort)}
 }
 
+// newOperator returns an operator whose random choices follow from the seed and its
+// name.
 func (run *platformRun) newOperator(name string) *platform.Operator {
 	return &platform.Operator{Call: sockets.CallControl, Name: name, Clock: run.clock, Ledger: run.ledger, Control: run.controlAddrs, Rng: rand.New(rand.NewPCG(run.plan.Seed, base.Hash64(name)))}
 }
 
-// stop ends everything that the run started, by its id.
+// stop ends all processes and servers that the run has started. It signals processes by
+// their IDs, and resumes frozen ones first.
 func (run *platformRun) stop() {
 	close(run.done)
 	run.mu.Lock()
@@ -368,7 +387,7 @@
 	run.mu.Unlock()
 	for _, m := range machines {
 		run.stopWith(m, func() {
-			m.Signal(continueSignal)
+			m.Signal(resumeSignal)
 			m.Kill()
 		})
 	}
@@ -384,7 +403,7 @@
 	}
 }
 
-// portIsFree tells whether a port can be listened at on an address.
+// portIsFree reports whether it is possible to listen on the address.
 func portIsFree(addr string) bool {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/fleet/platform_events.go
+++ b/internal/fleet/platform_events.go
@@ -1,6 +1,3 @@
-// Troubles of a run on the platform, by the names that the platform has for
-// them, each at its time: KIND[:CLASS]@SECONDS[+FOR][,option...].
-
 package fleet
 
 import (
@@ -19,25 +16,27 @@
 	"github.com/juju/errors"
 )
 
-const continueSignal = syscall.SIGCONT
+const resumeSignal = syscall.SIGCONT
 
-// PlatformEvent is one planned trouble.
+// PlatformEvent is a fault or planned operation at a time of the run. On the command
+// line and in the record it is called a trouble.
 type PlatformEvent struct {
 	Kind     string
-	Target   string // class of machine, or service
-	At       time.Duration
+	Target   string        // class of machines, or service
+	At       time.Duration // since the start of traffic
 	Duration time.Duration
 	Count    int
 	Share    float64
-	Interval time.Duration
+	Interval time.Duration // between repetitions
 	WipeDisk bool
 }
 
-// PlatformEventKinds are the troubles that a run can bring about.
+// PlatformEventKinds are the supported kinds of events.
 var PlatformEventKinds = []string{"node_kill", "node_freeze", "roll_term", "settings_hup", "kill_all", "replace_core", "add_nodes", "retire", "after_ack_kill",
 	"release", "worker_crash", "answer_lost", "garble", "worker_slow", "worker_grey", "worker_flap", "worker_forget", "list_down", "burst", "config_change", "config_race", "bad_config"}
 
-// ParsePlatformEvent reads a trouble as it is written on a command line.
+// ParsePlatformEvent parses an event from the command line, which has the form
+// KIND[:CLASS]@SECONDS[+FOR][,option...].
 func ParsePlatformEvent(spec string) (PlatformEvent, error) {
 	parts := strings.Split(spec, ",")
 	head, timing, ok := strings.Cut(parts[0], "@")
@@ -74,12 +73,13 @@
 		}
 	}
 	if !ok {
-		return event, errors.Errorf("trouble %q: bad time or option", spec)
+		return event, errors.Errorf("trouble %q: invalid time or option", spec)
 	}
 	return event, nil
 }
 
-// classOr is the class of machine that a trouble is on.
+// classOr returns the target of the event, or fallback if it has none. It accepts store
+// and front as other names of the storage and edge classes.
 func (e *PlatformEvent) classOr(fallback string) string {
 	switch e.Target {
 	case "":
@@ -92,7 +92,7 @@
 	return e.Target
 }
 
-// runEvent brings a trouble about and returns when it is over.
+// runEvent runs an event and returns when it is over.
 func (run *platformRun) runEvent(event PlatformEvent) error {
 	switch event.Kind {
 	case "node_kill":
@@ -161,6 +161,7 @@
 	return nil
 }
 
+// orDefault returns value, or fallback if value is 0.
 func orDefault(value, fallback float64) float64 {
 	if value == 0 {
 		return fallback
@@ -168,7 +169,8 @@
 	return value
 }
 
-// applyToSome brings a step to several machines of a class at once, drawn.
+// applyToSome runs step concurrently on randomly chosen machines of a class, as many as
+// the count or the share of the event says.
 func (run *platformRun) applyToSome(class string, event PlatformEvent, step func(m *machine) error) error {
 	machines := run.machinesOf(class)
 	if len(machines) == 0 {
@@ -184,6 +186,8 @@
 	return run.forEach(machines[:min(max(count, 1), len(machines))], step)
 }
 
+// forEach runs step concurrently on all machines, and returns the first error in the
+// order of the machines.
 func (run *platformRun) forEach(machines []*machine, step func(m *machine) error) error {
 	errs := make([]error, len(machines))
 	var group sync.WaitGroup
@@ -203,6 +207,7 @@
 	return nil
 }
 
+// wipeDisk deletes the data directory of a machine, if it has one.
 func (run *platformRun) wipeDisk(m *machine) error {
 	if m.DataDir == "" {
 		return nil
@@ -210,6 +215,8 @@
 	return errors.Trace(os.RemoveAll(m.DataDir))
 }
 
+// killAndRestart kills a machine and starts it again after the duration of the event,
+// with an empty disk if the event says so.
 func (run *platformRun) killAndRestart(m *machine, event PlatformEvent) error {
 	end := run.recordTrouble(event.Kind, m, nil)
 	run.stopWith(m, m.Kill)
@@ -224,6 +231,7 @@
 	return err
 }
 
+// freeze stops the process of a machine with SIGSTOP for a time.
 func (run *platformRun) freeze(m *machine, duration time.Duration) error {
 	end := run.recordTrouble("node_freeze", m, nil)
 	m.Signal(syscall.SIGSTOP)
@@ -233,7 +241,8 @@
 	return nil
 }
 
-// stopGracefully sends SIGTERM, then SIGKILL after the grace.
+// stopGracefully sends SIGTERM, and SIGKILL if the process has not exited after the
+// grace period.
 func (run *platformRun) stopGracefully(m *machine) {
 	run.stopWith(m, func() {
 		m.Signal(syscall.SIGTERM)
@@ -243,6 +252,8 @@
 	})
 }
 
+// rollingRestart gracefully restarts a share of the machines, or all of them, one by
+// one.
 func (run *platformRun) rollingRestart(machines []*machine, event PlatformEvent) error {
 	count := len(machines)
 	if event.Share > 0 {
@@ -262,6 +273,7 @@
 	return nil
 }
 
+// reloadSettings rewrites the settings file of a machine and sends SIGHUP.
 func (run *platformRun) reloadSettings(m *machine) error {
 	end := run.recordTrouble("settings_hup", m, func(trouble *platform.Trouble) { trouble.Hup = true })
 	defer end()
@@ -272,8 +284,8 @@
 	return nil
 }
 
-// killAndRestartAll kills every process and starts all again; with wipe, one machine
-// that counts loses its disk.
+// killAndRestartAll kills all processes and starts them again after the downtime. With
+// wipe, one storage machine loses its disk.
 func (run *platformRun) killAndRestartAll(downtime time.Duration, wipe bool) error {
 	machines := run.machinesOf("")
 	var endTroubles []func()
@@ -300,7 +312,7 @@
 	return err
 }
 
-// removeMachine takes a machine away for good, with its disk.
+// removeMachine kills a machine, removes it for good and deletes its data.
 func (run *platformRun) removeMachine(m *machine) error {
 	run.stopWith(m, m.Kill)
 	run.mu.Lock()
@@ -309,13 +321,15 @@
 	return run.wipeDisk(m)
 }
 
+// nextNumber returns the number of the next machine of a class.
 func (run *platformRun) nextNumber(class string) int {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	return 1 + len(base.Filter(run.machines, func(m *machine) bool { return m.class == class }))
 }
 
-// replaceMachine puts an empty machine at another address in a lost one's place.
+// replaceMachine removes a machine, and after the downtime starts an empty one at a new
+// address in the same zone.
 func (run *platformRun) replaceMachine(m *machine, downtime time.Duration) error {
 	end := run.recordTrouble("replace_core", m, nil)
 	defer end()
@@ -326,6 +340,8 @@
 	return run.start(run.addMachine(m.class, m.Zone, run.nextNumber(m.class), false))
 }
 
+// addNode starts an additional machine in a random zone. Clients use it if it is an edge
+// machine.
 func (run *platformRun) addNode(class string) error {
 	zones := run.plan.Site.Zones
 	m := run.addMachine(class, zones[run.randomInt(len(zones))], run.nextNumber(class), false)
@@ -338,7 +354,8 @@
 	return nil
 }
 
-// retireStorage has a storage machine emptied and takes it away once it is.
+// retireStorage retires a storage machine and removes it when its data has been moved.
+// If the retirement fails, it only logs that.
 func (run *platformRun) retireStorage(duration time.Duration) error {
 	storage := run.machinesOf(platform.ClassStorage)
 	m := storage[run.randomInt(len(storage))]
@@ -351,8 +368,8 @@
 	return run.removeMachine(m)
 }
 
-// killAfterAck kills the machine that has just acknowledged a configuration, or a
-// storage machine at that moment.
+// killAfterAck submits a configuration, and kills the core machine that acknowledged it.
+// If the event targets storage machines, it kills some of these instead.
 func (run *platformRun) killAfterAck(event PlatformEvent) error {
 	order := run.changeConfig()
 	if event.classOr(platform.ClassCore) == platform.ClassStorage {
@@ -366,6 +383,7 @@
 	return nil
 }
 
+// logf logs a message with the time of the run to standard error.
 func (run *platformRun) logf(format string, args ...any) {
 	fmt.Fprintf(os.Stderr, "%6.1fs  %s\n", run.clock.Now().Seconds(), fmt.Sprintf(format, args...))
 }
--- a/internal/fleet/platform_run.go
+++ b/internal/fleet/platform_run.go
@@ -1,6 +1,3 @@
-// One run on the platform from start to report: formation, traffic with
-// troubles at their times, probes, a closing fault, reading back, checking.
-
 package fleet
 
 import (
@@ -18,7 +15,8 @@
 	"github.com/juju/errors"
 )
 
-// configState is the operators' view of the configuration.
+// configState is the latest acknowledged configuration, with the routes that its last
+// change added and removed.
 type configState struct {
 	mu       sync.Mutex
 	operator *platform.Operator
@@ -28,6 +26,8 @@
 	changeMu sync.Mutex // one change at a time
 }
 
+// setLatest records an acknowledged configuration and compares its routes with those of
+// the previous one.
 func (c *configState) setLatest(order *platform.Order) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,13 +53,14 @@
 	return c.latest.Config
 }
 
-// changeConfig sends one valid configuration on top of the newest.
+// changeConfig submits a valid configuration that is based on the latest.
 func (run *platformRun) changeConfig() *platform.Order {
 	run.config.changeMu.Lock()
 	defer run.config.changeMu.Unlock()
 	return run.changeConfigLocked()
 }
 
+// changeConfigLocked is changeConfig for callers that hold config.changeMu.
 func (run *platformRun) changeConfigLocked() *platform.Order {
 	latest := run.config.current()
 	next := run.drafts.Next(latest)
@@ -70,7 +71,8 @@
 	return order
 }
 
-// submitConflictingConfigs has two operators build on the same version at once.
+// submitConflictingConfigs has two operators concurrently submit configurations that
+// are based on the same version.
 func (run *platformRun) submitConflictingConfigs() {
 	run.config.changeMu.Lock()
 	defer run.config.changeMu.Unlock()
@@ -97,6 +99,7 @@
 	}
 }
 
+// submitInvalidConfigs submits count invalid configurations, of all kinds in turn.
 func (run *platformRun) submitInvalidConfigs(count int, interval time.Duration) {
 	for index := range count {
 		run.config.changeMu.Lock()
@@ -111,6 +114,7 @@
 	}
 }
 
+// setRateFactor multiplies the rate of traffic by a factor, for bursts.
 func (run *platformRun) setRateFactor(factor float64) {
 	run.rngMu.Lock()
 	run.rateFactor = factor
@@ -123,7 +127,8 @@
 	return run.rateFactor * run.plan.RateFactor
 }
 
-// generateTraffic begins programs in every zone until its time is over.
+// generateTraffic starts programs of all classes in all zones, at random intervals,
+// until end.
 func (run *platformRun) generateTraffic(ctx context.Context, end time.Duration) {
 	var group sync.WaitGroup
 	for classIndex := range run.plan.Site.Classes {
@@ -149,7 +154,7 @@
 	group.Wait()
 }
 
-// startProgram starts one program; one that ought to end too late does not begin.
+// startProgram starts a program, unless it is expected to end too late.
 func (run *platformRun) startProgram(class *platform.Class, zone string, client int, end time.Duration, previousTurn string) {
 	var plan *platform.ProgramPlan
 	run.player.Draw(func(g *platform.Generator) { plan = g.Program(class, zone, client) })
@@ -163,8 +168,8 @@
 	}()
 }
 
-// probeNodes asks every ready node directly, on routes that were just added or
-// removed and on one that never was.
+// probeNodes sends requests directly to each ready node, on routes that were just added
+// or removed and on routes that never existed.
 func (run *platformRun) probeNodes(ctx context.Context) {
 	for ctx.Err() == nil {
 		run.config.mu.Lock()
@@ -189,13 +194,14 @@
 	}
 }
 
-// runClosingFault brings the fault at the end of a day about, right after a
-// configuration was acknowledged, and has programs continue from before it.
+// runClosingFault kills all machines right after a configuration was acknowledged, and
+// restarts them. Then it generates traffic again, with programs that continue turns
+// from before the fault.
 func (run *platformRun) runClosingFault(ctx context.Context) error {
 	run.changeConfig()
 	turns := run.answeredTurns()
 	start := run.clock.Now()
-	// The span stands in the record from the first kill on.
+	// The record shows the fault as ongoing from before the first kill.
 	closing := &platform.Closing{From: start, Back: 1 << 59}
 	run.ledger.Note(func(r *platform.Record) { r.Closing = closing })
 	if err := run.killAndRestartAll(time.Second, run.plan.ClosingFault == "wipe"); err != nil {
@@ -213,7 +219,8 @@
 	return nil
 }
 
-// answeredTurns gives some turns that were answered whole and are still kept.
+// answeredTurns returns up to six turns that were answered completely and have at least
+// half of their retention left.
 func (run *platformRun) answeredTurns() (turns []*platform.Try) {
 	for _, outcome := range run.ledger.Record().Outcomes {
 		if outcome.Ending != platform.InTime && outcome.Ending != platform.Late {
@@ -235,7 +242,10 @@
 	return turns
 }
 
-// RunPlatform plays a plan, writes its report and gives the rules broken.
+// RunPlatform runs a plan, writes its report to out and returns the violations of the
+// platform's rules. It sets up the fleet, generates traffic with the planned events and
+// with probes, runs the closing fault, reads the configuration back, stops all
+// processes and checks the record.
 func RunPlatform(ctx context.Context, plan *PlatformPlan, out io.Writer) ([]platform.Breach, error) {
 	run := newPlatformRun(plan)
 	stopped := false
@@ -294,7 +304,7 @@
 	record := run.ledger.Record()
 	breaches := record.Check()
 	for _, text := range extraResponses {
-		breaches = append(breaches, platform.Breach{Rule: "MIXED", Word: text + " where no request was waiting"})
+		breaches = append(breaches, platform.Breach{Rule: "MIXED", Word: text + " with no request outstanding"})
 	}
 	for _, text := range run.unexpectedExits {
 		breaches = append(breaches, platform.Breach{Rule: "FAULT", Word: text})
@@ -310,7 +320,7 @@
 		for _, m := range run.machinesOf(class) {
 			cpuTime, peakMemory, count = cpuTime+m.cpuTime, max(peakMemory, m.peakMemory), count+1
 		}
-		_, _ = fmt.Fprintf(out, "%d %s: %.2f s of processor time, at most %d MB each\n", count, class, cpuTime.Seconds(), peakMemory>>20)
+		_, _ = fmt.Fprintf(out, "%d %s machines: %.2f s of processor time, at most %d MB of memory each\n", count, class, cpuTime.Seconds(), peakMemory>>20)
 	}
 	listCalls, rejectedCalls := run.instances.Calls()
 	connections, promptTokens, cachedTokens := 0, 0, 0
@@ -319,8 +329,8 @@
 		requested, cached := worker.Worker.Prompts()
 		promptTokens, cachedTokens = promptTokens+requested, cachedTokens+cached
 	}
-	_, _ = fmt.Fprintf(out, "%d prompt tokens asked of model workers, %d of them kept there (%.0f%%)\n", promptTokens, cachedTokens, 100*float64(cachedTokens)/float64(max(1, promptTokens)))
-	_, _ = fmt.Fprintf(out, "%.1f s to form; list: %d calls, %d over the rate; %d connections to workers\n", readyAt.Seconds(), listCalls, rejectedCalls, connections)
+	_, _ = fmt.Fprintf(out, "%d prompt tokens sent to model workers, %d of them cached there (%.0f%%)\n", promptTokens, cachedTokens, 100*float64(cachedTokens)/float64(max(1, promptTokens)))
+	_, _ = fmt.Fprintf(out, "%.1f s to set up; worker list: %d calls, %d over the rate limit; %d connections to workers\n", readyAt.Seconds(), listCalls, rejectedCalls, connections)
 	select {
 	case err := <-errs:
 		return breaches, run.withLogTails(err)
@@ -329,12 +339,12 @@
 	}
 }
 
-// withLogTails adds the end of the logs to an error, for tests.
+// withLogTails adds the ends of all machines' logs to an error.
 func (run *platformRun) withLogTails(err error) error {
 	tails := ""
 	for _, m := range run.machinesOf("") {
-		log, _ := os.ReadFile(run.logPath(m))
-		tails += fmt.Sprintf("\n%s: %s", m.Name, log[max(0, len(log)-600):])
+		content, _ := os.ReadFile(run.logPath(m))
+		tails += fmt.Sprintf("\n%s: %s", m.Name, content[max(0, len(content)-600):])
 	}
 	return errors.Errorf("%v%s", err, tails)
 }
--- a/internal/fleet/platform_test.go
+++ b/internal/fleet/platform_test.go
@@ -1,5 +1,3 @@
-// Whole runs on the platform: real processes under troubles, checked from the
-// outside.
 package fleet
 
 import (
@@ -18,25 +16,26 @@
 	"github.com/matryer/is"
 )
 
-// memoryFolder is a folder in memory where there is one: what a busy disk's
-// syncs cost is not tried here.
-func memoryFolder(t *testing.T) string {
-	folder, err := os.MkdirTemp("/dev/shm", "fordseam")
+// memoryDir returns a directory in /dev/shm if possible. These tests must not depend on
+// the time that syncs take on a busy disk.
+func memoryDir(t *testing.T) string {
+	dir, err := os.MkdirTemp("/dev/shm", "fordseam")
 	if err != nil {
 		return t.TempDir()
 	}
-	t.Cleanup(func() { _ = os.RemoveAll(folder) })
-	return folder
+	t.Cleanup(func() { _ = os.RemoveAll(dir) })
+	return dir
 }
 
-// runPlatform plays a run with given commands; the tests of any system can call it.
-func runPlatform(t *testing.T, commands map[string]string, change func(plan *PlatformPlan)) (breaches []platform.Breach, report string) {
+// runPlatform runs a plan with the given commands, for tests of the stub and of the
+// daemons. configure may change the plan.
+func runPlatform(t *testing.T, commands map[string]string, configure func(plan *PlatformPlan)) (breaches []platform.Breach, report string) {
 	is := is.New(t)
-	root, err := os.Getwd()
+	workDir, err := os.Getwd()
 	is.NoErr(err)
-	plan := &PlatformPlan{Site: platform.Sites()["small"], WorkDir: root, Dir: memoryFolder(t), Commands: commands, TrafficDuration: 6 * time.Second, RateFactor: 1, Seed: 1, SetUpTimeout: time.Minute}
-	if change != nil {
-		change(plan)
+	plan := &PlatformPlan{Site: platform.Sites()["small"], WorkDir: workDir, Dir: memoryDir(t), Commands: commands, TrafficDuration: 6 * time.Second, RateFactor: 1, Seed: 1, SetUpTimeout: time.Minute}
+	if configure != nil {
+		configure(plan)
 	}
 	var out bytes.Buffer
 	breaches, err = RunPlatform(context.Background(), plan, &out)
@@ -45,27 +44,31 @@
 	return breaches, out.String()
 }
 
-func stubCommands(sins string) map[string]string {
+// stubCommands returns the command lines that start the stub in the test binary.
+func stubCommands(options string) map[string]string {
 	commands := map[string]string{}
 	for _, class := range []string{platform.ClassEdge, platform.ClassCore, platform.ClassStorage} {
-		commands[class] = os.Args[0] + " stub " + class + " " + sins
+		commands[class] = os.Args[0] + " stub " + class + " " + options
 	}
 	return commands
 }
 
-func troubles(t *testing.T, written ...string) []PlatformEvent {
-	return base.Map(written, func(one string) PlatformEvent {
-		trouble, err := ParsePlatformEvent(one)
+// parseEvents parses events in the form of the command line.
+func parseEvents(t *testing.T, specs ...string) []PlatformEvent {
+	return base.Map(specs, func(spec string) PlatformEvent {
+		event, err := ParsePlatformEvent(spec)
 		is.New(t).NoErr(err)
-		return trouble
+		return event
 	})
 }
 
-func TestASystemThatKeepsTheRulesBreaksNone(t *testing.T) {
+// TestConformingStubViolatesNoRule checks that a run with all kinds of events reports no
+// violation for a system that follows the rules.
+func TestConformingStubViolatesNoRule(t *testing.T) {
 	is := is.New(t)
 	breaches, report := runPlatform(t, stubCommands(""), func(plan *PlatformPlan) {
 		plan.TrafficDuration, plan.ClosingFault, plan.Site.Bounds.Recovery = 9*time.Second, "kill_all", 5*time.Second
-		plan.Events = troubles(t, "config_change@0.5", "config_race@1,count=2,gap=0.3", "bad_config@2,gap=0.1", "release:app@0.5,gap=0.3", "answer_lost@2+3,share=0.1",
+		plan.Events = parseEvents(t, "config_change@0.5", "config_race@1,count=2,gap=0.3", "bad_config@2,gap=0.1", "release:app@0.5,gap=0.3", "answer_lost@2+3,share=0.1",
 			"garble@3+2,share=0.1", "answer_lost:model@2+3,share=0.05", "roll_term@3,share=0.5,gap=0.3", "node_kill@6+0.5", "node_freeze:core@5+0.5", "settings_hup@4", "burst@4+2,share=1.5",
 			"retire@7+1", "worker_crash:app@7", "worker_slow@4+1", "worker_grey@1+2", "worker_flap@2+3,gap=0.6", "worker_forget@1+5,gap=0.2", "list_down@5+1")
 	})
@@ -74,80 +77,88 @@
 	is.True(strings.Contains(report, "no rule broken"))
 }
 
-func TestASystemThatBreaksTheRulesIsNamed(t *testing.T) {
+// TestFaultyStubViolationsAreDetected checks that the violations of a faulty system are
+// reported for each rule.
+func TestFaultyStubViolationsAreDetected(t *testing.T) {
 	is := is.New(t)
 	breaches, _ := runPlatform(t, stubCommands("sinful"), func(plan *PlatformPlan) {
 		plan.RateFactor = 2
-		for place := range plan.Site.Classes {
-			plan.Site.Classes[place].Runaway = 0.3
+		for index := range plan.Site.Classes {
+			plan.Site.Classes[index].Runaway = 0.3
 		}
-		plan.Events = troubles(t, "config_change@0.2", "release:app@0.2,gap=0.1,share=1", "bad_config@5,gap=0.1")
+		plan.Events = parseEvents(t, "config_change@0.2", "release:app@0.2,gap=0.1,share=1", "bad_config@5,gap=0.1")
 	})
-	found := map[string]int{}
-	for _, b := range breaches {
-		found[b.Rule]++
+	counts := map[string]int{}
+	for _, breach := range breaches {
+		counts[breach.Rule]++
 	}
 	for _, rule := range []string{"MIXED", "ORDER", "UNASKED", "TWICE", "REFUSED", "LOST", "BUDGET", "CONFIG", "DRAIN"} {
-		if found[rule] == 0 {
-			t.Errorf("%s was not found in %v", rule, found)
+		if counts[rule] == 0 {
+			t.Errorf("no violation of %s among %v", rule, counts)
 		}
 	}
 	is.True(len(breaches) > 0)
 }
 
-// Two troubles that meet on one machine leave it one process, and a run none.
-func TestAMachineRunsOneProcess(t *testing.T) {
+// TestMachineRunsAtMostOneProcess checks that two events that affect the same machine do
+// not start two processes, that a removed machine does not start again, and that no
+// process outlives the run.
+func TestMachineRunsAtMostOneProcess(t *testing.T) {
 	is := is.New(t)
-	w := newPlatformRun(&PlatformPlan{Site: platform.Sites()["small"], WorkDir: t.TempDir(), Dir: t.TempDir(), Seed: 1,
+	run := newPlatformRun(&PlatformPlan{Site: platform.Sites()["small"], WorkDir: t.TempDir(), Dir: t.TempDir(), Seed: 1,
 		Commands: map[string]string{platform.ClassStorage: os.Args[0] + " stub storage"}})
-	w.listServer = &sockets.ListServer{}
-	m := w.addMachine(platform.ClassStorage, "zone-a", 1, true)
-	is.NoErr(w.start(m))
+	run.listServer = &sockets.ListServer{}
+	m := run.addMachine(platform.ClassStorage, "zone-a", 1, true)
+	is.NoErr(run.start(m))
 	first := m.exited
-	is.NoErr(w.start(m))
+	is.NoErr(run.start(m))
 	is.True(m.exited == first && m.Running())
-	is.NoErr(w.removeMachine(m))
-	is.NoErr(w.start(m))
+	is.NoErr(run.removeMachine(m))
+	is.NoErr(run.start(m))
 	is.True(!m.Running())
-	_, ended := m.Wait(0)
-	is.True(ended)
-	w.listServer = nil
-	w.stop()
+	_, exited := m.Wait(0)
+	is.True(exited)
+	run.listServer = nil
+	run.stop()
 }
 
-func TestTroublesAreReadFromTheCommandLine(t *testing.T) {
+// TestParsePlatformEvent checks a valid event, and that invalid ones are rejected.
+func TestParsePlatformEvent(t *testing.T) {
 	is := is.New(t)
-	one, err := ParsePlatformEvent("node_kill:store@5.5+3,wipe,count=2")
+	event, err := ParsePlatformEvent("node_kill:store@5.5+3,wipe,count=2")
 	is.NoErr(err)
-	is.Equal(one, PlatformEvent{Kind: "node_kill", Target: "store", At: 5500 * time.Millisecond, Duration: 3 * time.Second, Count: 2, Interval: time.Second, WipeDisk: true})
-	is.Equal(one.classOr("edge"), platform.ClassStorage)
-	for _, bad := range []string{"", "node_kill", "node_kill@x", "flood@3", "node_kill@3,wide", "node_kill@3+-1", "node_kill@3,count=0"} {
-		_, err := ParsePlatformEvent(bad)
+	is.Equal(event, PlatformEvent{Kind: "node_kill", Target: "store", At: 5500 * time.Millisecond, Duration: 3 * time.Second, Count: 2, Interval: time.Second, WipeDisk: true})
+	is.Equal(event.classOr("edge"), platform.ClassStorage)
+	for _, spec := range []string{"", "node_kill", "node_kill@x", "flood@3", "node_kill@3,wide", "node_kill@3+-1", "node_kill@3,count=0"} {
+		_, err := ParsePlatformEvent(spec)
 		is.True(err != nil)
 	}
 }
 
-// builtCommands are the project's own daemons, under the race detector.
-func builtCommands(t *testing.T) map[string]string {
-	folder, err := built()
+// daemonCommands returns the command lines of the project's daemons, built with the race
+// detector.
+func daemonCommands(t *testing.T) map[string]string {
+	binDir, err := buildDaemons()
 	is.New(t).NoErr(err)
-	return map[string]string{platform.ClassEdge: folder + "/fordseam-gateway platform", platform.ClassCore: folder + "/fordseam-controller core",
-		platform.ClassStorage: folder + "/fordseam-controller storage"}
+	return map[string]string{platform.ClassEdge: binDir + "/fordseam-gateway platform", platform.ClassCore: binDir + "/fordseam-controller core",
+		platform.ClassStorage: binDir + "/fordseam-controller storage"}
 }
 
-func TestTheFleetOnThePlatformBreaksNoRule(t *testing.T) {
+// TestFleetOnPlatformViolatesNoRule checks that the daemons violate no rule of the
+// platform under planned work, worker faults and lost machines.
+func TestFleetOnPlatformViolatesNoRule(t *testing.T) {
 	for _, row := range []struct {
-		name     string
-		closing  string
-		troubles []string
+		name         string
+		closingFault string
+		events       []string
 	}{
-		{"planned work and workers in trouble", "", []string{"config_change@0.5", "config_race@1,count=2,gap=0.3", "bad_config@2,gap=0.1", "release:app@0.5,gap=0.3", "roll_term@2,gap=0.3",
+		{"planned work and worker faults", "", []string{"config_change@0.5", "config_race@1,count=2,gap=0.3", "bad_config@2,gap=0.1", "release:app@0.5,gap=0.3", "roll_term@2,gap=0.3",
 			"settings_hup@5", "answer_lost@1+3,share=0.1", "garble@2+3,share=0.1", "answer_lost:model@2+2,share=0.05", "worker_forget@1+4,gap=0.2", "worker_crash:app@4"}},
 		{"machines lost", "wipe", []string{"config_change@0.5", "node_kill@1+0.5", "node_freeze:core@2+2", "node_kill:storage@4.5+0.5,wipe", "after_ack_kill@8+0.5", "add_nodes@1"}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			breaches, _ := runPlatform(t, builtCommands(t), func(plan *PlatformPlan) {
-				plan.TrafficDuration, plan.ClosingFault, plan.Events = 10*time.Second, row.closing, troubles(t, row.troubles...)
+			breaches, _ := runPlatform(t, daemonCommands(t), func(plan *PlatformPlan) {
+				plan.TrafficDuration, plan.ClosingFault, plan.Events = 10*time.Second, row.closingFault, parseEvents(t, row.events...)
 			})
 			is.New(t).Equal(fmt.Sprint(breaches), "[]")
 		})
--- a/internal/fleet/platform_workers.go
+++ b/internal/fleet/platform_workers.go
@@ -1,6 +1,3 @@
-// The platform's workers in a run: opened, put on the list, given troubles,
-// replaced one after the other, crashed.
-
 package fleet
 
 import (
@@ -15,15 +12,16 @@
 	"fordseam/internal/standin/platform/sockets"
 )
 
-// injectedFaults is what a service's workers do wrong just now.
+// injectedFaults are the faults that a worker, or all workers of a service, have until
+// a time. Each request has one of them with the given probability.
 type injectedFaults struct {
 	faults      []platform.Fault
 	probability float64
 	expiresAt   time.Duration
 }
 
-// nextFault draws the trouble of one request, by what is wrong with the worker or
-// with all of its service.
+// nextFault chooses the fault of a request, from the faults of the worker or else of its
+// service.
 func (run *platformRun) nextFault(worker, service string) platform.Fault {
 	for _, name := range []string{worker, service} {
 		run.mu.Lock()
@@ -36,21 +34,24 @@
 	return platform.Fine
 }
 
+// injectFaults injects faults into a service, or into a single worker if service is a
+// worker ID, for a duration.
 func (run *platformRun) injectFaults(service string, probability float64, duration time.Duration, faults ...platform.Fault) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	run.faults[service] = &injectedFaults{faults: faults, probability: probability, expiresAt: run.clock.Now() + duration}
 }
 
+// startWorkers starts the workers of all services, spread over the zones.
 func (run *platformRun) startWorkers() error {
 	for _, class := range run.plan.Site.Classes {
 		run.workByPrefix[run.names.Prefixes[class.Name]] = class.Work
 	}
-	number := 0
+	count := 0
 	for index := range run.plan.Site.Services {
 		shape := run.plan.Site.Services[index]
 		for workerIndex := range shape.Workers {
-			number++
+			count++
 			if _, err := run.startWorker(shape, run.plan.Site.Zones[workerIndex%len(run.plan.Site.Zones)], run.nextLoopbackAddr()+":0", 0); err != nil {
 				return err
 			}
@@ -59,7 +60,8 @@
 	return nil
 }
 
-// startWorker starts one life of a worker and puts it on the list.
+// startWorker starts a worker with a new ID at an address, and adds it to the worker
+// list after a delay.
 func (run *platformRun) startWorker(shape platform.ServiceShape, zone, address string, delay time.Duration) (*sockets.WorkerServer, error) {
 	id := fmt.Sprintf("i-%08x", uint32(run.randomInt(1<<31)))
 	rng := rand.New(rand.NewPCG(run.plan.Seed, base.Hash64(id)))
@@ -92,6 +94,7 @@
 	return server, nil
 }
 
+// instanceOf returns the entry of a worker in the worker list.
 func (run *platformRun) instanceOf(server *sockets.WorkerServer, state string) platform.Instance {
 	instance := platform.Instance{ID: server.Worker.ID, Service: server.Worker.Service, Address: server.Worker.Address, Zone: server.Worker.Zone, Generation: "v1",
 		Capacity: server.Worker.Shape.Capacity, State: state}
@@ -101,7 +104,8 @@
 	return instance
 }
 
-// activeWorkers lists the workers of a service's shape, all for none.
+// activeWorkers returns the workers of a service that are not draining or ended, or
+// those of all services if shape is empty.
 func (run *platformRun) activeWorkers(shape string) []*sockets.WorkerServer {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -110,8 +114,8 @@
 	})
 }
 
-// drainWorker takes a worker off in order: the list shows it as draining, it
-// serves for the drain's time and a little longer, then it ends.
+// drainWorker removes a worker gracefully: the list shows it as draining, and it serves
+// for the drain time and 1.5 s more before it ends.
 func (run *platformRun) drainWorker(server *sockets.WorkerServer) {
 	draining := run.instanceOf(server, platform.StateDraining)
 	run.instances.Change(server.Worker.ID, &draining, 0)
@@ -123,8 +127,8 @@
 	server.Close()
 }
 
-// releaseNewVersion replaces a share of a service's workers one after the other; an old
-// one's address may go to a worker of another service.
+// releaseNewVersion replaces a share of the workers of a service one after the other.
+// Finally a worker of another service reuses the address of the first old one.
 func (run *platformRun) releaseNewVersion(shape string, share float64, interval time.Duration) {
 	old := run.activeWorkers(shape)
 	var drained sync.WaitGroup
@@ -140,7 +144,7 @@
 		run.clock.Sleep(interval)
 	}
 	drained.Wait()
-	// Another service takes one of the addresses.
+	// Reuse an address for a worker of another service.
 	if len(old) > 0 && share > 0 {
 		run.clock.Sleep(run.plan.Site.Bounds.ReuseAfter)
 		for _, other := range run.plan.Site.Services {
@@ -152,6 +156,7 @@
 	}
 }
 
+// applyToOneWorker calls step with a randomly chosen worker of the event's service.
 func (run *platformRun) applyToOneWorker(event PlatformEvent, step func(server *sockets.WorkerServer, event PlatformEvent)) error {
 	if workers := run.activeWorkers(event.classOr("app")); len(workers) > 0 {
 		step(workers[run.randomInt(len(workers))], event)
@@ -159,12 +164,13 @@
 	return nil
 }
 
-// degradeWorker has one worker fail or hang in part, and say that it is well.
+// degradeWorker makes some requests of a worker fail, slow down or get no response,
+// while the worker still reports that it is healthy.
 func (run *platformRun) degradeWorker(server *sockets.WorkerServer, event PlatformEvent) {
 	run.injectFaults(server.Worker.ID, orDefault(event.Share, 0.5), event.Duration, platform.LostSilent, platform.Slow, platform.Fail)
 }
 
-// flapHealth has one worker call itself unwell and well in turn.
+// flapHealth makes a worker report alternately that it is unhealthy and healthy.
 func (run *platformRun) flapHealth(server *sockets.WorkerServer, event PlatformEvent) {
 	deadline := run.clock.Now() + event.Duration
 	for healthy := false; run.clock.Now() < deadline; healthy = !healthy {
@@ -174,7 +180,7 @@
 	server.Worker.SetWell(true)
 }
 
-// crashWorker ends a worker at once; the list shows it for some seconds more.
+// crashWorker ends a worker at once. The list shows it for 3 s more.
 func (run *platformRun) crashWorker(server *sockets.WorkerServer) {
 	server.Worker.Leave()
 	server.Close()
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -1,5 +1,3 @@
-// What a run came to, for people and as JSON.
-
 package fleet
 
 import (
@@ -13,7 +11,7 @@
 	"github.com/juju/errors"
 )
 
-// CounterTotals adds up the counters of all processes that answer.
+// CounterTotals returns the sums of the counters of all processes that respond.
 func (f *Fleet) CounterTotals() map[string]int64 {
 	total := map[string]int64{}
 	for _, p := range f.All() {
@@ -24,8 +22,9 @@
 	return total
 }
 
-// perCompletedTurn is nothing when the counts cannot be compared: there are none
-// from before, or processes were restarted and theirs began anew.
+// perCompletedTurn returns the increase of some counters per turn. It returns nil if
+// the counters cannot be compared: there are none from before, or a process was
+// restarted, so that its counters started again at 0.
 func perCompletedTurn(before, after map[string]int64, turnCount float64) map[string]float64 {
 	if before == nil {
 		return nil
@@ -42,7 +41,8 @@
 	return perTurn
 }
 
-// WriteReport writes a run's outcome; a breach makes it an error.
+// WriteReport writes the result of a run as text or as JSON. It returns an error if the
+// tally has a breach.
 func (f *Fleet) WriteReport(out io.Writer, tally *standin.Tally, workers *Workers, before map[string]int64, duration time.Duration, asJSON bool) error {
 	after := f.CounterTotals()
 	turnCount := int64(max(1, tally.Counts["turns_whole"]))
@@ -57,12 +57,12 @@
 	if asJSON {
 		_, _ = fmt.Fprintln(out, string(base.MustMarshal(report)))
 	} else {
-		_, _ = fmt.Fprintf(out, "%.1f s, %d model runs, %d found their prefix cached, slowest turn %.2f s\n", duration.Seconds(), modelRuns, prefixHits, tally.Slowest.Seconds())
+		_, _ = fmt.Fprintf(out, "%.1f s, %d model runs, %d with a cached prefix, slowest turn %.2f s\n", duration.Seconds(), modelRuns, prefixHits, tally.Slowest.Seconds())
 		for _, name := range base.SortedKeys(tally.Counts) {
 			_, _ = fmt.Fprintf(out, "  %-40s %d\n", name, tally.Counts[name])
 		}
 		if perTurn != nil {
-			_, _ = fmt.Fprintln(out, "per whole turn:")
+			_, _ = fmt.Fprintln(out, "per completed turn:")
 		}
 		for _, name := range base.SortedKeys(perTurn) {
 			_, _ = fmt.Fprintf(out, "  %-40s %.2f\n", name, perTurn[name])
--- a/internal/fleet/stub_test.go
+++ b/internal/fleet/stub_test.go
@@ -1,8 +1,3 @@
-// A small system of its own that speaks the platform's protocol, run by the
-// test binary itself as real processes: one core keeps everything in a file,
-// the edges ask it. It is slow and bears no loss of that core's disk, but it
-// keeps the rules; and with sins it breaks them, so that the whole path from
-// process to checker is seen to find breaches.
 package fleet
 
 import (
@@ -33,6 +28,11 @@
 	"fordseam/internal/standin/platform"
 )
 
+// TestMain runs the tests, or the stub if the test binary was started as one. The stub
+// is a small system that implements the platform's protocol: one core machine keeps all
+// state in files, and the edge machines ask it. It is slow and does not survive the loss
+// of that core's disk, but it follows the rules. With the option "sinful" it violates
+// them, which shows that the checks detect violations by real processes.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 && os.Args[1] == "stub" {
 		runStub(os.Args[2], os.Args[3:])
@@ -41,75 +41,80 @@
 	os.Exit(m.Run())
 }
 
-// stubSettings reads what the stub needs of its settings file.
-func stubSettings() (one map[string]string, seeds []string) {
+// readStubSettings parses the parts of the settings file that the stub needs. Fields
+// below platform_api get the prefix list_.
+func readStubSettings() (settings map[string]string, seeds []string) {
 	raw, err := os.ReadFile(os.Getenv(platform.SettingsVariable))
 	if err != nil {
 		panic(err)
 	}
-	one = map[string]string{}
-	list := ""
+	settings = map[string]string{}
+	section := ""
 	for _, line := range strings.Split(string(raw), "\n") {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		value = strings.Trim(value, `"`)
-		if item, found := strings.CutPrefix(strings.TrimSpace(line), "- "); found && list == "seed_nodes" {
+		if item, found := strings.CutPrefix(strings.TrimSpace(line), "- "); found && section == "seed_nodes" {
 			seeds = append(seeds, strings.Trim(item, `"`))
 		}
 		if strings.HasSuffix(line, ":") {
-			list = strings.TrimSuffix(line, ":")
+			section = strings.TrimSuffix(line, ":")
 		}
-		if list == "platform_api" && strings.HasPrefix(line, "  ") {
+		if section == "platform_api" && strings.HasPrefix(line, "  ") {
 			name = "list_" + name
 		}
-		one[name] = value
+		settings[name] = value
 	}
-	return one, seeds
+	return settings, seeds
 }
 
-func runStub(class string, sins []string) {
-	term := make(chan os.Signal, 1)
-	signal.Notify(term, syscall.SIGTERM)
+// runStub runs the stub as a machine of the given class until SIGTERM.
+func runStub(class string, options []string) {
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM)
 	signal.Ignore(syscall.SIGHUP)
-	settings, seeds := stubSettings()
+	settings, seeds := readStubSettings()
 	switch class {
 	case platform.ClassCore:
-		(&stubCore{sinful: slices.Contains(sins, "sinful")}).run(settings, seeds, term)
+		(&stubCore{faulty: slices.Contains(options, "sinful")}).run(settings, seeds, terminate)
 	case platform.ClassEdge:
-		(&stubEdge{sinful: slices.Contains(sins, "sinful")}).run(settings, seeds, term)
+		(&stubEdge{faulty: slices.Contains(options, "sinful")}).run(settings, seeds, terminate)
 	default:
-		<-term
+		<-terminate
 	}
 }
 
-// stubCore keeps the configuration, the chains and the budgets, each in a file
-// of its own.
+// stubCore is a core machine. It keeps the configuration, each turn's chain and each
+// program's spent budget in a file of its own.
 type stubCore struct {
-	sinful bool
+	faulty bool
 	mu     sync.Mutex
-	kept   map[string][]byte
-	folder string
+	files  map[string][]byte
+	dir    string
 }
 
-func (c *stubCore) keep(name string, value []byte) {
-	c.kept[name] = value
-	path := filepath.Join(c.folder, name)
+// writeFile atomically replaces a file of the core's state.
+func (c *stubCore) writeFile(name string, value []byte) {
+	c.files[name] = value
+	path := filepath.Join(c.dir, name)
 	_ = os.WriteFile(path+".new", value, 0o600)
 	_ = os.Rename(path+".new", path)
 }
 
 const stubConfigFile = "config"
 
-func (c *stubCore) run(settings map[string]string, seeds []string, term chan os.Signal) {
-	c.folder, c.kept = settings["data_dir"], map[string][]byte{}
-	entries, _ := os.ReadDir(c.folder)
+// run loads the state and serves the control API. Cores other than the first redirect
+// to it.
+func (c *stubCore) run(settings map[string]string, seeds []string, terminate chan os.Signal) {
+	c.dir, c.files = settings["data_dir"], map[string][]byte{}
+	entries, _ := os.ReadDir(c.dir)
 	for _, entry := range entries {
-		if value, err := os.ReadFile(filepath.Join(c.folder, entry.Name())); err == nil && !strings.HasSuffix(entry.Name(), ".new") {
-			c.kept[entry.Name()] = value
+		if value, err := os.ReadFile(filepath.Join(c.dir, entry.Name())); err == nil && !strings.HasSuffix(entry.Name(), ".new") {
+			c.files[entry.Name()] = value
 		}
 	}
-	own := settings["control"]
-	server := &http.Server{Addr: own, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if own != seeds[0] {
+	controlAddr := settings["control"]
+	server := &http.Server{Addr: controlAddr, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if controlAddr != seeds[0] {
 			w.Header().Set("Location", "http://"+seeds[0]+r.URL.RequestURI())
 			w.WriteHeader(307)
 			return
@@ -118,46 +123,48 @@
 		if err != nil {
 			return
 		}
-		status, answer := c.serve(r, body)
+		status, responseBody := c.serve(r, body)
 		w.WriteHeader(status)
-		_, _ = w.Write(answer)
+		_, _ = w.Write(responseBody)
 	})}
 	go func() { _ = server.ListenAndServe() }()
-	<-term
+	<-terminate
 	_ = server.Shutdown(context.Background())
 }
 
-func (c *stubCore) serve(r *http.Request, body []byte) (status int, answer []byte) {
+// serve handles configuration requests of operators and edges, and the edges' requests
+// under /stub/ to load and store turns and to reserve tokens.
+func (c *stubCore) serve(r *http.Request, body []byte) (status int, responseBody []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	query := r.URL.Query()
-	number := func(name string) int64 {
+	intParam := func(name string) int64 {
 		value, _ := strconv.ParseInt(query.Get(name), 10, 64)
 		return value
 	}
 	switch r.Method + " " + r.URL.Path {
 	case "GET " + platform.PathConfig:
-		if c.kept[stubConfigFile] == nil {
+		if c.files[stubConfigFile] == nil {
 			return 503, nil
 		}
-		return 200, c.kept[stubConfigFile]
+		return 200, c.files[stubConfigFile]
 	case "PUT " + platform.PathConfig:
-		return c.put(r.Header.Get(platform.HeaderIfMatch), body), nil
+		return c.putConfig(r.Header.Get(platform.HeaderIfMatch), body), nil
 	case "GET /stub/turn":
-		if turn, ok := c.kept["turn-"+query.Get("id")]; ok {
-			return 200, turn
+		if chain, ok := c.files["turn-"+query.Get("id")]; ok {
+			return 200, chain
 		}
 		return 404, nil
 	case "POST /stub/turn":
-		c.keep("turn-"+query.Get("id"), body)
+		c.writeFile("turn-"+query.Get("id"), body)
 		return 200, nil
 	case "POST /stub/reserve":
 		name := "program-" + query.Get("program")
-		spent, _ := strconv.ParseInt(string(c.kept[name]), 10, 64)
-		if spent+number("most") > number("budget") && !c.sinful {
+		reserved, _ := strconv.ParseInt(string(c.files[name]), 10, 64)
+		if reserved+intParam("most") > intParam("budget") && !c.faulty {
 			return 402, nil
 		}
-		c.keep(name, strconv.AppendInt(nil, spent+number("most"), 10))
+		c.writeFile(name, strconv.AppendInt(nil, reserved+intParam("most"), 10))
 		return 200, nil
 	}
 	if strings.HasPrefix(r.URL.Path, platform.PathRetire) {
@@ -166,15 +173,17 @@
 	return 404, nil
 }
 
-func (c *stubCore) put(match string, body []byte) int {
-	config, err := stubConfig(body)
-	current := platform.GenerationOf(c.kept[stubConfigFile])
+// putConfig stores a valid configuration that is based on the current one, and returns
+// the status. A faulty core also stores an invalid one that it can parse.
+func (c *stubCore) putConfig(match string, body []byte) int {
+	config, err := parseStubConfig(body)
+	current := platform.GenerationOf(c.files[stubConfigFile])
 	switch {
-	case err == nil && platform.SameDocument(body, c.kept[stubConfigFile]):
+	case err == nil && platform.SameDocument(body, c.files[stubConfigFile]):
 		return 200
 	case err != nil || config.Fault(0) != "":
-		if c.sinful && config != nil {
-			c.keep(stubConfigFile, body)
+		if c.faulty && config != nil {
+			c.writeFile(stubConfigFile, body)
 			return 200
 		}
 		return 400
@@ -183,59 +192,63 @@
 	case config.Fault(current) != "":
 		return 400
 	}
-	c.keep(stubConfigFile, body)
+	c.writeFile(stubConfigFile, body)
 	return 200
 }
 
-// stubConfig reads the parts of a document that the stub goes by.
-func stubConfig(raw []byte) (config *platform.Config, err error) {
+// parseStubConfig parses the parts of a configuration that the stub uses. It turns the
+// panics of failed type assertions into errors.
+func parseStubConfig(raw []byte) (config *platform.Config, err error) {
 	defer func() {
-		if wrong := recover(); wrong != nil {
-			config, err = nil, fmt.Errorf("%v", wrong)
+		if failure := recover(); failure != nil {
+			config, err = nil, fmt.Errorf("%v", failure)
 		}
 	}()
 	tree, err := platform.ParseTree(raw)
 	if err != nil {
 		return nil, err
 	}
-	text := func(of map[string]any, name string) string { s, _ := of[name].(string); return s }
-	number := func(of map[string]any, name string) float64 { f, _ := of[name].(float64); return f }
+	stringField := func(object map[string]any, name string) string { s, _ := object[name].(string); return s }
+	numberField := func(object map[string]any, name string) float64 { f, _ := object[name].(float64); return f }
 	document := tree.(map[string]any)
-	config = &platform.Config{Generation: uint64(number(document, "generation"))}
-	for _, one := range document["route_table"].([]any) {
-		of := one.(map[string]any)
-		r := platform.Route{Name: text(of, "name"), Host: text(of, "hostname"), Prefix: text(of, "path_prefix"), Kind: platform.Kind(text(of, "route_kind")),
-			DeadlineMs: number(of, "deadline_ms"), Service: text(of, "backend"), MaxTries: int(number(of, "max_tries"))}
-		r.Retained, _ = of["retained"].(bool)
-		shares, _ := of["shares"].([]any)
+	config = &platform.Config{Generation: uint64(numberField(document, "generation"))}
+	for _, item := range document["route_table"].([]any) {
+		object := item.(map[string]any)
+		route := platform.Route{Name: stringField(object, "name"), Host: stringField(object, "hostname"), Prefix: stringField(object, "path_prefix"), Kind: platform.Kind(stringField(object, "route_kind")),
+			DeadlineMs: numberField(object, "deadline_ms"), Service: stringField(object, "backend"), MaxTries: int(numberField(object, "max_tries"))}
+		route.Retained, _ = object["retained"].(bool)
+		shares, _ := object["shares"].([]any)
 		for _, share := range shares {
-			r.Shares = append(r.Shares, platform.Share{Service: text(share.(map[string]any), "backend"), Weight: int(number(share.(map[string]any), "share"))})
+			route.Shares = append(route.Shares, platform.Share{Service: stringField(share.(map[string]any), "backend"), Weight: int(numberField(share.(map[string]any), "share"))})
 		}
-		config.Routes = append(config.Routes, r)
+		config.Routes = append(config.Routes, route)
 	}
-	for _, one := range document["backends"].([]any) {
-		config.Services = append(config.Services, platform.Service{Name: text(one.(map[string]any), "name")})
+	for _, item := range document["backends"].([]any) {
+		config.Services = append(config.Services, platform.Service{Name: stringField(item.(map[string]any), "name")})
 	}
 	return config, nil
 }
 
+// stubWorker is a worker of the platform's worker list.
 type stubWorker struct{ id, service, address string }
 
-// stubEdge takes clients' requests.
+// stubEdge is an edge machine. It serves clients' requests.
 type stubEdge struct {
-	sinful  bool
-	core    string
-	list    string
-	mu      sync.Mutex
-	config  *platform.Config
-	proved  time.Time
-	workers []stubWorker
-	leaving atomic.Bool
+	faulty      bool
+	coreAddr    string
+	listAddr    string
+	mu          sync.Mutex
+	config      *platform.Config
+	confirmedAt time.Time
+	workers     []stubWorker
+	draining    atomic.Bool
 }
 
 var stubClient = &http.Client{Timeout: time.Second}
 
-func stubCall(method, target string, body []byte) (status int, answer []byte) {
+// sendStubRequest sends a request to another machine. The status is 0 if there is no
+// complete response.
+func sendStubRequest(method, target string, body []byte) (status int, responseBody []byte) {
 	request, err := http.NewRequest(method, target, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
@@ -245,57 +258,62 @@
 		return 0, nil
 	}
 	defer response.Body.Close()
-	if answer, err = io.ReadAll(response.Body); err != nil {
+	if responseBody, err = io.ReadAll(response.Body); err != nil {
 		return 0, nil
 	}
-	return response.StatusCode, answer
+	return response.StatusCode, responseBody
 }
 
-func (e *stubEdge) run(settings map[string]string, seeds []string, term chan os.Signal) {
-	e.core, e.list = seeds[0], settings["list_address"]
-	go e.follow()
-	go e.watch()
+// run serves clients and the readiness check until SIGTERM. A faulty edge then exits
+// without completing its requests.
+func (e *stubEdge) run(settings map[string]string, seeds []string, terminate chan os.Signal) {
+	e.coreAddr, e.listAddr = seeds[0], settings["list_address"]
+	go e.pollConfig()
+	go e.pollWorkers()
 	go func() {
 		_ = http.ListenAndServe(settings["readiness"], http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if e.now() == nil || e.leaving.Load() {
+			if e.currentConfig() == nil || e.draining.Load() {
 				w.WriteHeader(503)
 			}
 		}))
 	}()
 	server := &http.Server{Addr: settings["front"], Handler: http.HandlerFunc(e.serve)}
 	go func() { _ = server.ListenAndServe() }()
-	<-term
-	e.leaving.Store(true)
-	if e.sinful {
+	<-terminate
+	e.draining.Store(true)
+	if e.faulty {
 		os.Exit(0)
 	}
 	_ = server.Shutdown(context.Background())
 }
 
-// follow takes the configuration from the core, a few times a second.
-func (e *stubEdge) follow() {
+// pollConfig reads the configuration from the core several times per second. A faulty
+// edge keeps the first one.
+func (e *stubEdge) pollConfig() {
 	for {
-		asked := time.Now()
-		if status, raw := stubCall("GET", "http://"+e.core+platform.PathConfig, nil); status == 200 {
-			config, err := stubConfig(raw)
+		requestedAt := time.Now()
+		if status, raw := sendStubRequest("GET", "http://"+e.coreAddr+platform.PathConfig, nil); status == 200 {
+			config, err := parseStubConfig(raw)
 			e.mu.Lock()
-			if err == nil && (e.config == nil || !e.sinful) {
+			if err == nil && (e.config == nil || !e.faulty) {
 				e.config = config
 			}
-			e.proved = asked
+			e.confirmedAt = requestedAt
 			e.mu.Unlock()
 		}
 		time.Sleep(150 * time.Millisecond)
 	}
 }
 
-func (e *stubEdge) watch() {
+// pollWorkers reads the worker list several times per second. A faulty edge also uses
+// workers that are not ready.
+func (e *stubEdge) pollWorkers() {
 	for {
 		var workers []stubWorker
 		status, token := 0, ""
 		for {
 			var raw []byte
-			status, raw = stubCall("GET", "http://"+e.list+platform.PathInstances+"?page_token="+token, nil)
+			status, raw = sendStubRequest("GET", "http://"+e.listAddr+platform.PathInstances+"?page_token="+token, nil)
 			if status != 200 {
 				break
 			}
@@ -304,9 +322,9 @@
 				Next      *string `json:"next_token"`
 			}
 			_ = json.Unmarshal(raw, &page)
-			for _, one := range page.Instances {
-				if one.State == platform.StateReady || e.sinful {
-					workers = append(workers, stubWorker{one.ID, one.Backend, one.Address})
+			for _, instance := range page.Instances {
+				if instance.State == platform.StateReady || e.faulty {
+					workers = append(workers, stubWorker{instance.ID, instance.Backend, instance.Address})
 				}
 			}
 			if page.Next == nil {
@@ -323,49 +341,55 @@
 	}
 }
 
-// now is the configuration in force, none when the core was not heard of lately.
-func (e *stubEdge) now() *platform.Config {
+// currentConfig returns the configuration, or nil if the core has not confirmed it
+// within 1.2 s.
+func (e *stubEdge) currentConfig() *platform.Config {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Since(e.proved) > 1200*time.Millisecond {
+	if time.Since(e.confirmedAt) > 1200*time.Millisecond {
 		return nil
 	}
 	return e.config
 }
 
-func (e *stubEdge) choose(route *platform.Route) (stubWorker, bool) {
+// chooseWorker returns a random worker of the route's service, or of the first service
+// that shares the route.
+func (e *stubEdge) chooseWorker(route *platform.Route) (stubWorker, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	service := route.Service
 	if len(route.Shares) > 0 {
 		service = route.Shares[0].Service
 	}
-	list := base.Filter(e.workers, func(w stubWorker) bool { return w.service == service })
-	if len(list) == 0 {
+	candidates := base.Filter(e.workers, func(w stubWorker) bool { return w.service == service })
+	if len(candidates) == 0 {
 		return stubWorker{}, false
 	}
-	return list[rand.IntN(len(list))], true
+	return candidates[rand.IntN(len(candidates))], true
 }
 
-// sin tells whether a sinful edge breaks a rule with a request.
-func (e *stubEdge) sin(r *http.Request, name string) bool {
-	sins := []string{"seal", "skip", "body", "twice", "refuse", "forget"}
-	return e.sinful && sins[base.Hash64(r.Header.Get(platform.HeaderID))%uint64(2*len(sins))%uint64(len(sins))] == name
+// hasFault reports whether a faulty edge has the named fault for a request.
+func (e *stubEdge) hasFault(r *http.Request, name string) bool {
+	faults := []string{"seal", "skip", "body", "twice", "refuse", "forget"}
+	return e.faulty && faults[base.Hash64(r.Header.Get(platform.HeaderID))%uint64(2*len(faults))%uint64(len(faults))] == name
 }
 
-func (e *stubEdge) refuse(w http.ResponseWriter, status int) {
+// sendRefusal sends a response without a body that lets the client retry.
+func (e *stubEdge) sendRefusal(w http.ResponseWriter, status int) {
 	w.Header().Set(platform.HeaderRetryAfter, "0.1")
 	w.WriteHeader(status)
 }
 
+// serve handles a client's request. It retries with other workers only while the
+// request has not run.
 func (e *stubEdge) serve(w http.ResponseWriter, r *http.Request) {
-	input, err := io.ReadAll(r.Body)
+	requestBody, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	config := e.now()
+	config := e.currentConfig()
 	if config == nil {
-		e.refuse(w, 503)
+		e.sendRefusal(w, 503)
 		return
 	}
 	route := config.Match(r.Host, r.RequestURI)
@@ -373,89 +397,91 @@
 		w.WriteHeader(404)
 		return
 	}
-	body := input
+	body := requestBody
 	if route.Retained {
 		var status int
-		if body, status = e.turn(r, input); status != 200 {
-			e.refuse(w, status)
+		if body, status = e.prepareTurn(r, requestBody); status != 200 {
+			e.sendRefusal(w, status)
 			return
 		}
 	}
-	if e.sin(r, "body") && len(body) > 0 {
+	if e.hasFault(r, "body") && len(body) > 0 {
 		body = append(slices.Clone(body), '!')
 	}
 	for range max(1, route.MaxTries) {
-		chosen, ok := e.choose(route)
+		worker, ok := e.chooseWorker(route)
 		if !ok {
 			break
 		}
-		conn, err := net.DialTimeout("tcp", chosen.address, 300*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", worker.address, 300*time.Millisecond)
 		if err != nil {
 			continue
 		}
-		answered := e.relay(w, r, conn, chosen, route, body)
+		answered := e.relay(w, r, conn, worker, route, body)
 		_ = conn.Close()
 		if answered {
 			return
 		}
 	}
-	e.refuse(w, 503)
+	e.sendRefusal(w, 503)
 }
 
-// turn puts a turn's chain before its input and reserves its tokens.
-func (e *stubEdge) turn(r *http.Request, input []byte) (body []byte, status int) {
+// prepareTurn prepends the chain of the previous turn to the input and reserves the
+// tokens of the turn.
+func (e *stubEdge) prepareTurn(r *http.Request, requestBody []byte) (body []byte, status int) {
 	if previous := r.Header.Get(platform.HeaderPrevious); previous != "" {
-		if e.sin(r, "forget") {
+		if e.hasFault(r, "forget") {
 			return nil, 404
 		}
-		status, chain := stubCall("GET", "http://"+e.core+"/stub/turn?id="+url.QueryEscape(previous), nil)
+		status, chain := sendStubRequest("GET", "http://"+e.coreAddr+"/stub/turn?id="+url.QueryEscape(previous), nil)
 		if status == 0 {
 			return nil, 503
 		}
 		if status != 200 {
 			return nil, status
 		}
-		input = append(slices.Clone(chain), input...)
+		requestBody = append(slices.Clone(chain), requestBody...)
 	}
-	_, most, _ := strings.Cut(r.Header.Get(platform.HeaderTokens), ",")
-	status, _ = stubCall("POST", fmt.Sprintf("http://%s/stub/reserve?program=%s&budget=%s&most=%s", e.core, url.QueryEscape(r.Header.Get(platform.HeaderProgram)),
-		r.Header.Get(platform.HeaderBudget), most), nil)
+	_, maxTokens, _ := strings.Cut(r.Header.Get(platform.HeaderTokens), ",")
+	status, _ = sendStubRequest("POST", fmt.Sprintf("http://%s/stub/reserve?program=%s&budget=%s&most=%s", e.coreAddr, url.QueryEscape(r.Header.Get(platform.HeaderProgram)),
+		r.Header.Get(platform.HeaderBudget), maxTokens), nil)
 	if status == 0 {
 		return nil, 503
 	}
-	return input, status
+	return requestBody, status
 }
 
-// relay sends a request to a worker; false says that it was not run there.
-func (e *stubEdge) relay(w http.ResponseWriter, r *http.Request, conn net.Conn, chosen stubWorker, route *platform.Route, body []byte) bool {
-	gone := make(chan struct{})
-	defer close(gone)
+// relay sends a request to a worker and its response to the client. It returns false if
+// the worker did not run the request.
+func (e *stubEdge) relay(w http.ResponseWriter, r *http.Request, conn net.Conn, worker stubWorker, route *platform.Route, body []byte) bool {
+	finished := make(chan struct{})
+	defer close(finished)
 	go func() {
 		select {
 		case <-r.Context().Done():
 			_ = conn.Close()
-		case <-gone:
+		case <-finished:
 		}
 	}()
-	ms, _ := strconv.ParseFloat(r.Header.Get(platform.HeaderDeadline), 64)
-	_ = conn.SetDeadline(time.Now().Add(time.Duration(max(ms, 100)) * time.Millisecond))
-	var head bytes.Buffer
-	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n%s: %s\r\n", r.Method, r.RequestURI, r.Host, len(body), platform.HeaderExpectInstance, chosen.id)
+	deadlineMs, _ := strconv.ParseFloat(r.Header.Get(platform.HeaderDeadline), 64)
+	_ = conn.SetDeadline(time.Now().Add(time.Duration(max(deadlineMs, 100)) * time.Millisecond))
+	var requestBytes bytes.Buffer
+	fmt.Fprintf(&requestBytes, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n%s: %s\r\n", r.Method, r.RequestURI, r.Host, len(body), platform.HeaderExpectInstance, worker.id)
 	for _, name := range slices.Sorted(maps.Keys(r.Header)) {
 		if name != "Content-Length" && name != "Connection" {
-			fmt.Fprintf(&head, "%s: %s\r\n", name, r.Header.Get(name))
+			fmt.Fprintf(&requestBytes, "%s: %s\r\n", name, r.Header.Get(name))
 		}
 	}
-	head.WriteString("\r\n")
-	head.Write(body)
-	if _, err := conn.Write(head.Bytes()); err != nil {
+	requestBytes.WriteString("\r\n")
+	requestBytes.Write(body)
+	if _, err := conn.Write(requestBytes.Bytes()); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	if e.sin(r, "twice") && route.Kind == platform.NonIdempotent {
-		if again, err := net.Dial("tcp", chosen.address); err == nil {
-			_, _ = again.Write(head.Bytes())
-			_, _ = again.Read(make([]byte, 1))
-			_ = again.Close()
+	if e.hasFault(r, "twice") && route.Kind == platform.NonIdempotent {
+		if duplicate, err := net.Dial("tcp", worker.address); err == nil {
+			_, _ = duplicate.Write(requestBytes.Bytes())
+			_, _ = duplicate.Read(make([]byte, 1))
+			_ = duplicate.Close()
 		}
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: r.Method})
@@ -468,12 +494,12 @@
 	if response.Header.Get(platform.HeaderID) != r.Header.Get(platform.HeaderID) {
 		panic(http.ErrAbortHandler)
 	}
-	if e.sin(r, "refuse") && route.Kind != platform.Idempotent {
-		e.refuse(w, 503)
+	if e.hasFault(r, "refuse") && route.Kind != platform.Idempotent {
+		e.sendRefusal(w, 503)
 		return true
 	}
 	for _, name := range []string{platform.HeaderID, platform.HeaderSeal, "Content-Type"} {
-		if name != platform.HeaderSeal || !e.sin(r, "seal") {
+		if name != platform.HeaderSeal || !e.hasFault(r, "seal") {
 			w.Header().Set(name, response.Header.Get(name))
 		}
 	}
@@ -481,20 +507,21 @@
 		e.stream(w, r, response, body)
 		return true
 	}
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(responseBody)))
 	w.WriteHeader(response.StatusCode)
-	_, _ = w.Write(answer)
+	_, _ = w.Write(responseBody)
 	return true
 }
 
-// stream passes events on as they come; the turn is kept before its end is told.
+// stream forwards events as they arrive, and stores the turn before it ends the
+// response.
 func (e *stubEdge) stream(w http.ResponseWriter, r *http.Request, response *http.Response, body []byte) {
-	reader, said, event := bufio.NewReader(response.Body), slices.Clone(body), ""
-	for place := 0; ; {
+	reader, chain, event := bufio.NewReader(response.Body), slices.Clone(body), ""
+	for eventCount := 0; ; {
 		line, err := reader.ReadString('\n')
 		if err == io.EOF && line == "" {
 			break
@@ -504,18 +531,18 @@
 		}
 		event += line
 		if data, found := strings.CutPrefix(line, "data: "); found {
-			said = append(said, data...)
+			chain = append(chain, data...)
 		}
 		if line != "\n" {
 			continue
 		}
-		if place++; !(e.sin(r, "skip") && place == 2) {
+		if eventCount++; !(e.hasFault(r, "skip") && eventCount == 2) {
 			_, _ = io.WriteString(w, event)
 			w.(http.Flusher).Flush()
 		}
 		event = ""
 	}
-	if status, _ := stubCall("POST", "http://"+e.core+"/stub/turn?id="+url.QueryEscape(r.Header.Get(platform.HeaderID)), said); status != 200 {
+	if status, _ := sendStubRequest("POST", "http://"+e.coreAddr+"/stub/turn?id="+url.QueryEscape(r.Header.Get(platform.HeaderID)), chain); status != 200 {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/fleet/workers.go
+++ b/internal/fleet/workers.go
@@ -1,5 +1,3 @@
-// The stand-in workers and callers over real HTTP.
-
 package fleet
 
 import (
@@ -22,7 +20,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Workers are a fleet's workers.
+// Workers are the simulated workers of a fleet, which are served over HTTP by this
+// process.
 type Workers struct {
 	Clock         base.Clock
 	Models        []*standin.Model
@@ -33,13 +32,14 @@
 	tokenInterval time.Duration
 }
 
-// StartWorkers opens all workers of a shape.
+// StartWorkers starts all workers of the shape. Answers of models have answerTokens
+// tokens, one per tokenInterval.
 func (f *Fleet) StartWorkers(answerTokens int, tokenInterval time.Duration) (*Workers, error) {
 	workers := &Workers{Clock: base.NewRealClock(), List: worker.List{Stamp: 1}, servers: map[string]*http.Server{}, answerTokens: answerTokens, tokenInterval: tokenInterval}
-	for index := 0; index < f.Shape.Models+f.Shape.Tools; index++ {
+	for index := 0; index < f.Shape.ModelWorkers+f.Shape.ToolWorkers; index++ {
 		pool, name := "models", fmt.Sprintf("model-%d", index+1)
-		if index >= f.Shape.Models {
-			pool, name = "apps", fmt.Sprintf("app-%d", index-f.Shape.Models+1)
+		if index >= f.Shape.ModelWorkers {
+			pool, name = "apps", fmt.Sprintf("app-%d", index-f.Shape.ModelWorkers+1)
 		}
 		info, err := f.startWorker(workers, pool, name)
 		if err != nil {
@@ -50,7 +50,8 @@
 	return workers, nil
 }
 
-// startWorker opens one worker at an address of its own.
+// startWorker starts a worker at a loopback address of its own. It does not add it to
+// the worker list.
 func (f *Fleet) startWorker(workers *Workers, pool, name string) (worker.Worker, error) {
 	listener, err := net.Listen("tcp", f.nextLoopbackAddr()+":0")
 	if err != nil {
@@ -73,13 +74,15 @@
 	return info, nil
 }
 
-// Stop closes the workers.
-func (p *Workers) Stop() {
-	for _, name := range base.SortedKeys(p.servers) {
-		_ = p.servers[name].Close()
+// Stop closes the servers of all workers.
+func (w *Workers) Stop() {
+	for _, name := range base.SortedKeys(w.servers) {
+		_ = w.servers[name].Close()
 	}
 }
 
+// modelHandler serves a simulated model, which streams its answer as server-sent
+// events.
 func modelHandler(model *standin.Model) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -99,6 +102,8 @@
 	})
 }
 
+// toolHandler serves a simulated tool. A tool call without an answer aborts the
+// connection.
 func toolHandler(tool *standin.Tool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -115,8 +120,9 @@
 	})
 }
 
-// Asker sends callers' requests to the fleet's gateways.
-func (f *Fleet) Asker() standin.Asker {
+// RequestSender returns a function that sends requests of callers to the gateways over
+// HTTP.
+func (f *Fleet) RequestSender() standin.Asker {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
 		request, err := http.NewRequest(method, "http://"+f.Gateways[gateway%len(f.Gateways)].PublicAddr+path, bytes.NewReader(body))
@@ -144,7 +150,8 @@
 	}
 }
 
-// newEventReader reads server-sent events line by line.
+// newEventReader returns a function that reads the next server-sent event. It closes
+// the body and returns false at its end.
 func newEventReader(body io.ReadCloser) func() (standin.Event, bool) {
 	reader := bufio.NewReader(body)
 	return func() (standin.Event, bool) {
@@ -170,13 +177,15 @@
 	}
 }
 
+// decodeCounters decodes the response of /counters. An invalid one gives no counters.
 func decodeCounters(body []byte) map[string]int64 {
 	counters := map[string]int64{}
 	_ = json.Unmarshal(body, &counters)
 	return counters
 }
 
-// SendRequest makes one plain exchange with a process.
+// SendRequest sends a request with an optional JSON body to a process, and returns the
+// response.
 func SendRequest(method, addr, path string, body any) (status int, responseBody []byte, err error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -190,7 +199,8 @@
 	return response.StatusCode(), append([]byte(nil), response.Body()...), errors.Trace(err)
 }
 
-// CallJSON makes an exchange that must go well, and reads the answer.
+// CallJSON sends a request and decodes the response into target, unless that is nil.
+// A status of 300 or more is an error.
 func CallJSON(method, addr, path string, body, target any) error {
 	status, responseBody, err := SendRequest(method, addr, path, body)
 	if err != nil {
@@ -205,8 +215,8 @@
 	return json.Unmarshal(responseBody, target)
 }
 
-// SetUp starts all processes, forms the cluster, applies the settings and
-// gives the worker list, and waits until the gateways serve.
+// SetUp starts all processes, forms the cluster, applies the settings, waits until the
+// gateways are ready, and uploads the worker list.
 func (f *Fleet) SetUp(workers *Workers, timeout time.Duration) error {
 	for _, process := range f.All() {
 		if err := f.Start(process); err != nil {
@@ -226,7 +236,7 @@
 	}); err != nil {
 		return err
 	}
-	if err := AwaitReady(f.Gateways, timeout); err != nil {
+	if err := WaitUntilReady(f.Gateways, timeout); err != nil {
 		return err
 	}
 	return retry(clock, timeout, func() error {
@@ -234,6 +244,8 @@
 	})
 }
 
+// retry calls step until it succeeds or the deadline has passed, and returns its last
+// error.
 func retry(clock base.Clock, deadline time.Duration, step func() error) error {
 	for {
 		err := step()
@@ -244,17 +256,18 @@
 	}
 }
 
-// RunCallers runs many callers at once; each begins conversations while there are
-// to be more.
+// RunCallers runs callers concurrently and waits for them. Each of them holds one
+// conversation after the other while continueWith returns true for the number of the
+// next one. One conversation in four is long.
 func (f *Fleet) RunCallers(tally *standin.Tally, callers, answerTokens int, thinkTime time.Duration, continueWith func(round int) bool) {
 	var group sync.WaitGroup
-	ask := f.Asker()
+	sendRequest := f.RequestSender()
 	for number := 0; number < callers; number++ {
 		group.Add(1)
 		go func() {
 			defer group.Done()
 			for round := 0; continueWith(round); round++ {
-				caller := &standin.Caller{Name: fmt.Sprintf("c-%d-%d", number, round), Clock: base.NewRealClock(), Ask: ask, Gateways: len(f.Gateways),
+				caller := &standin.Caller{Name: fmt.Sprintf("c-%d-%d", number, round), Clock: base.NewRealClock(), Ask: sendRequest, Gateways: len(f.Gateways),
 					Home: number % len(f.Gateways), Group: f.Shape.Group, Site: "main", Pieces: answerTokens, Patience: 60 * time.Second, Tally: tally}
 				if thinkTime > 0 {
 					caller.Between = func(int) { caller.Clock.Sleep(time.Duration(caller.Clock.Int64N(int64(2 * thinkTime)))) }
--- a/internal/whatif/input.go
+++ b/internal/whatif/input.go
@@ -19,14 +19,14 @@
 
 // Deployment describes the fleet to simulate.
 type Deployment struct {
-	Group, Site, Route, ToolRoute   string
-	Zones, Gateways, Cores, Storage int
-	Models, Capacity, AnswerTokens  int
+	Group, Site, Route, ToolRoute              string
+	Zones, Gateways, Cores, Storage            int
+	ModelWorkers, WorkerCapacity, AnswerTokens int
 	// CachePrefixes is the number of prompt prefixes that a model worker caches; 0 is
 	// unlimited.
-	CachePrefixes              int
+	CachedPrefixes             int
 	TokenInterval, PrefillTime time.Duration
-	Tools                      int
+	ToolWorkers                int
 	ToolTime                   time.Duration
 }
 
@@ -67,7 +67,7 @@
 // DefaultDeployment returns the deployment that is used if none is given.
 func DefaultDeployment() *Deployment {
 	return &Deployment{Group: "kiondo", Site: "main", Route: "chat", ToolRoute: "loyalty", Zones: 4, Gateways: 6, Cores: 4, Storage: 4,
-		Models: 9, Capacity: 8, AnswerTokens: 8, TokenInterval: 20 * time.Millisecond, PrefillTime: 10 * time.Millisecond, Tools: 4, ToolTime: 20 * time.Millisecond}
+		ModelWorkers: 9, WorkerCapacity: 8, AnswerTokens: 8, TokenInterval: 20 * time.Millisecond, PrefillTime: 10 * time.Millisecond, ToolWorkers: 4, ToolTime: 20 * time.Millisecond}
 }
 
 // DefaultLoad returns the load that is used if none is given: a low load with a peak
@@ -115,9 +115,9 @@
 	err := base.ReadFields(document, map[string]base.FieldReader{
 		"group": base.StringField(&d.Group, 128), "site": base.StringField(&d.Site, 128), "route": base.StringField(&d.Route, 128), "tool_route": base.StringField(&d.ToolRoute, 128),
 		"zones": intField(&d.Zones, 1, 64), "edges": intField(&d.Gateways, 1, 64), "cores": intField(&d.Cores, 1, 32), "storage": intField(&d.Storage, 3, 32),
-		"models": intField(&d.Models, 1, 128), "model_capacity": intField(&d.Capacity, 1, 4096), "answer_tokens": intField(&d.AnswerTokens, 1, 4096),
-		"token_gap_ms": durationField(&d.TokenInterval, time.Millisecond, 0.1, 10000), "cache_prefixes": intField(&d.CachePrefixes, 0, 1<<20), "prefill_ms": durationField(&d.PrefillTime, time.Millisecond, 0, 10000),
-		"tools": intField(&d.Tools, 1, 128), "tool_ms": durationField(&d.ToolTime, time.Millisecond, 0.1, 60000),
+		"models": intField(&d.ModelWorkers, 1, 128), "model_capacity": intField(&d.WorkerCapacity, 1, 4096), "answer_tokens": intField(&d.AnswerTokens, 1, 4096),
+		"token_gap_ms": durationField(&d.TokenInterval, time.Millisecond, 0.1, 10000), "cache_prefixes": intField(&d.CachedPrefixes, 0, 1<<20), "prefill_ms": durationField(&d.PrefillTime, time.Millisecond, 0, 10000),
+		"tools": intField(&d.ToolWorkers, 1, 128), "tool_ms": durationField(&d.ToolTime, time.Millisecond, 0.1, 60000),
 	})
 	return d, locateError(file, 0, err)
 }
@@ -216,7 +216,7 @@
 	for _, role := range []struct {
 		name  string
 		count int
-	}{{"storage", d.Storage}, {"core", d.Cores}, {"edge", d.Gateways}, {"model", d.Models}, {"app", d.Tools}} {
+	}{{"storage", d.Storage}, {"core", d.Cores}, {"edge", d.Gateways}, {"model", d.ModelWorkers}, {"app", d.ToolWorkers}} {
 		for index := 0; index < role.count; index++ {
 			names = append(names, fmt.Sprintf("%s-%d", role.name, index))
 		}
--- a/internal/whatif/simulate.go
+++ b/internal/whatif/simulate.go
@@ -79,8 +79,8 @@
 	}
 	modelRoute, _ := parsed.Route(deployment.Group, deployment.Site, deployment.Route)
 	toolRoute, _ := parsed.Route(deployment.Group, deployment.Site, deployment.ToolRoute)
-	shape := simulate.Shape{Group: deployment.Group, Zones: deployment.Zones, Gateways: deployment.Gateways, Cores: deployment.Cores, Storage: deployment.Storage, ModelWorkers: deployment.Models, ToolWorkers: deployment.Tools,
-		WorkerCapacity: deployment.Capacity, PiecesPerTurn: deployment.AnswerTokens, PieceInterval: deployment.TokenInterval, PrefillTime: deployment.PrefillTime, CachedPrefixes: deployment.CachePrefixes, Settings: string(s.Settings), ModelPool: modelRoute.Pool, ToolPool: toolRoute.Pool}
+	shape := simulate.Shape{Group: deployment.Group, Zones: deployment.Zones, Gateways: deployment.Gateways, Cores: deployment.Cores, Storage: deployment.Storage, ModelWorkers: deployment.ModelWorkers, ToolWorkers: deployment.ToolWorkers,
+		WorkerCapacity: deployment.WorkerCapacity, PiecesPerTurn: deployment.AnswerTokens, PieceInterval: deployment.TokenInterval, PrefillTime: deployment.PrefillTime, CachedPrefixes: deployment.CachedPrefixes, Settings: string(s.Settings), ModelPool: modelRoute.Pool, ToolPool: toolRoute.Pool}
 	fleet := simulate.NewFleet(s.Seed, shape)
 	defer fleet.World.Close()
 	ready := false
--- a/internal/whatif/whatif_test.go
+++ b/internal/whatif/whatif_test.go
@@ -14,7 +14,7 @@
 
 func smallScenario() *Scenario {
 	deployment := DefaultDeployment()
-	deployment.Group, deployment.Gateways, deployment.Cores, deployment.Storage, deployment.Models, deployment.Tools, deployment.Zones = "g", 3, 2, 3, 2, 1, 2
+	deployment.Group, deployment.Gateways, deployment.Cores, deployment.Storage, deployment.ModelWorkers, deployment.ToolWorkers, deployment.Zones = "g", 3, 2, 3, 2, 1, 2
 	load := DefaultLoad()
 	load.Steps, load.Duration = []LoadStep{{0, 2}, {2 * time.Second, 8}}, 5*time.Second
 	return &Scenario{Deployment: deployment, Load: load, Settings: []byte(simulate.DefaultSettings), Seed: 7,
