--- a/internal/chaosday/day.go
+++ b/internal/chaosday/day.go
@@ -22,6 +22,7 @@
 	EventsPerDay   int      // events of a mixed day; DefaultEvents if 0
 }
 
+// eventsPerDay returns EventsPerDay or its default.
 func (s *Site) eventsPerDay() int {
 	if s.EventsPerDay > 0 {
 		return s.EventsPerDay
@@ -49,7 +50,7 @@
 	At           float64 // time since the start of traffic
 	MachineClass string  // Front, Store or Core
 	Service      string
-	RequestClass string // class of requests
+	RequestClass string // class of requests that the event affects
 	Variant      string // space-separated keywords of the bench
 	Count        int
 	Share        float64 // share of machines or workers, 0 to 1
--- a/internal/fleet/platform.go
+++ b/internal/fleet/platform.go
@@ -84,15 +84,17 @@
 	workers         []*sockets.WorkerServer
 	faults          map[string]*injectedFaults // by worker ID or service
 	workByPrefix    map[string]platform.Draw   // by route prefix
-	unexpectedExits []string
+	unexpectedExits []string                   // reported as violations of the rule FAULT
 	done            chan struct{}
-	tasks           sync.WaitGroup
-	programs        sync.WaitGroup
+	tasks           sync.WaitGroup // watchers of machine processes
+	programs        sync.WaitGroup // programs of clients and probes
 	config          configState
 	rateFactor      float64      // raised during a burst
 	persistUntil    atomic.Int64 // until when clients retry turns from before the closing fault
 }
 
+// newPlatformRun prepares a run without starting anything. Names, configurations and
+// events have separate random sources, which follow from the seed.
 func newPlatformRun(plan *PlatformPlan) *platformRun {
 	run := &platformRun{plan: plan, clock: base.NewRealClock(), rng: rand.New(rand.NewPCG(plan.Seed, 1)), done: make(chan struct{}),
 		faults: map[string]*injectedFaults{}, workByPrefix: map[string]platform.Draw{}, rateFactor: 1}
--- a/internal/fleet/platform_events.go
+++ b/internal/fleet/platform_events.go
@@ -78,9 +78,9 @@
 	return event, nil
 }
 
-// classOr returns the target of the event, or fallback if it has none. It accepts store
+// targetOr returns the target of the event, or fallback if it has none. It accepts store
 // and front as other names of the storage and edge classes.
-func (e *PlatformEvent) classOr(fallback string) string {
+func (e *PlatformEvent) targetOr(fallback string) string {
 	switch e.Target {
 	case "":
 		return fallback
@@ -96,47 +96,47 @@
 func (run *platformRun) runEvent(event PlatformEvent) error {
 	switch event.Kind {
 	case "node_kill":
-		return run.applyToSome(event.classOr(platform.ClassEdge), event, func(m *machine) error { return run.killAndRestart(m, event) })
+		return run.applyToSome(event.targetOr(platform.ClassEdge), event, func(m *machine) error { return run.killAndRestart(m, event) })
 	case "node_freeze":
-		return run.applyToSome(event.classOr(platform.ClassEdge), event, func(m *machine) error { return run.freeze(m, event.Duration) })
+		return run.applyToSome(event.targetOr(platform.ClassEdge), event, func(m *machine) error { return run.freeze(m, event.Duration) })
 	case "roll_term":
-		return run.rollingRestart(run.machinesOf(event.classOr(platform.ClassEdge)), event)
+		return run.rollingRestart(run.machinesOf(event.targetOr(platform.ClassEdge)), event)
 	case "settings_hup":
-		return run.applyToSome(event.classOr(platform.ClassEdge), event, run.reloadSettings)
+		return run.applyToSome(event.targetOr(platform.ClassEdge), event, run.reloadSettings)
 	case "kill_all":
 		return run.killAndRestartAll(event.Duration, event.WipeDisk)
 	case "replace_core":
-		return run.applyToSome(event.classOr(platform.ClassStorage), PlatformEvent{Count: 1}, func(m *machine) error { return run.replaceMachine(m, event.Duration) })
+		return run.applyToSome(event.targetOr(platform.ClassStorage), PlatformEvent{Count: 1}, func(m *machine) error { return run.replaceMachine(m, event.Duration) })
 	case "add_nodes":
-		return run.addNode(event.classOr(platform.ClassEdge))
+		return run.addNode(event.targetOr(platform.ClassEdge))
 	case "retire":
 		return run.retireStorage(event.Duration)
 	case "after_ack_kill":
 		return run.killAfterAck(event)
 	case "release":
-		run.releaseNewVersion(event.classOr("app"), orDefault(event.Share, 0.5), event.Interval)
+		run.releaseNewVersion(event.targetOr("app"), orDefault(event.Share, 0.5), event.Interval)
 	case "worker_crash":
 		workers := run.activeWorkers(event.Target)
 		for index := range min(event.Count, len(workers)) {
 			run.crashWorker(workers[index])
 		}
 	case "answer_lost":
-		run.injectFaults(run.names.Services[event.classOr("app")], orDefault(event.Share, 0.05), event.Duration, platform.LostReset, platform.LostSilent)
+		run.injectFaults(run.names.Services[event.targetOr("app")], orDefault(event.Share, 0.05), event.Duration, platform.LostReset, platform.LostSilent)
 	case "garble":
-		run.injectFaults(run.names.Services[event.classOr("app")], orDefault(event.Share, 0.03), event.Duration, platform.Garbled, platform.Cut, platform.Extra, platform.LateExtra)
+		run.injectFaults(run.names.Services[event.targetOr("app")], orDefault(event.Share, 0.03), event.Duration, platform.Garbled, platform.Cut, platform.Extra, platform.LateExtra)
 	case "worker_slow":
-		run.injectFaults(run.names.Services[event.classOr("app")], orDefault(event.Share, 0.3), event.Duration, platform.Slow)
+		run.injectFaults(run.names.Services[event.targetOr("app")], orDefault(event.Share, 0.3), event.Duration, platform.Slow)
 	case "worker_grey":
 		return run.applyToOneWorker(event, run.degradeWorker)
 	case "worker_flap":
 		return run.applyToOneWorker(event, run.flapHealth)
 	case "worker_forget":
-		for _, s := range run.activeWorkers(event.classOr("app")) {
-			s.Forget(event.Interval)
+		for _, server := range run.activeWorkers(event.targetOr("app")) {
+			server.Forget(event.Interval)
 		}
 		run.clock.Sleep(event.Duration)
-		for _, s := range run.activeWorkers(event.classOr("app")) {
-			s.Forget(0)
+		for _, server := range run.activeWorkers(event.targetOr("app")) {
+			server.Forget(0)
 		}
 	case "list_down":
 		end := run.recordTrouble(event.Kind, &machine{Process: Process{Name: "list"}, class: "list"}, nil)
@@ -372,7 +372,7 @@
 // If the event targets storage machines, it kills some of these instead.
 func (run *platformRun) killAfterAck(event PlatformEvent) error {
 	order := run.changeConfig()
-	if event.classOr(platform.ClassCore) == platform.ClassStorage {
+	if event.targetOr(platform.ClassCore) == platform.ClassStorage {
 		return run.applyToSome(platform.ClassStorage, event, func(m *machine) error { return run.killAndRestart(m, event) })
 	}
 	for _, m := range run.machinesOf(platform.ClassCore) {
--- a/internal/fleet/platform_test.go
+++ b/internal/fleet/platform_test.go
@@ -128,7 +128,7 @@
 	event, err := ParsePlatformEvent("node_kill:store@5.5+3,wipe,count=2")
 	is.NoErr(err)
 	is.Equal(event, PlatformEvent{Kind: "node_kill", Target: "store", At: 5500 * time.Millisecond, Duration: 3 * time.Second, Count: 2, Interval: time.Second, WipeDisk: true})
-	is.Equal(event.classOr("edge"), platform.ClassStorage)
+	is.Equal(event.targetOr("edge"), platform.ClassStorage)
 	for _, spec := range []string{"", "node_kill", "node_kill@x", "flood@3", "node_kill@3,wide", "node_kill@3+-1", "node_kill@3,count=0"} {
 		_, err := ParsePlatformEvent(spec)
 		is.True(err != nil)
--- a/internal/fleet/platform_workers.go
+++ b/internal/fleet/platform_workers.go
@@ -158,7 +158,7 @@
 
 // applyToOneWorker calls step with a randomly chosen worker of the event's service.
 func (run *platformRun) applyToOneWorker(event PlatformEvent, step func(server *sockets.WorkerServer, event PlatformEvent)) error {
-	if workers := run.activeWorkers(event.classOr("app")); len(workers) > 0 {
+	if workers := run.activeWorkers(event.targetOr("app")); len(workers) > 0 {
 		step(workers[run.randomInt(len(workers))], event)
 	}
 	return nil
--- a/internal/whatif/input.go
+++ b/internal/whatif/input.go
@@ -22,7 +22,7 @@
 	Group, Site, Route, ToolRoute              string
 	Zones, Gateways, Cores, Storage            int
 	ModelWorkers, WorkerCapacity, AnswerTokens int
-	// CachePrefixes is the number of prompt prefixes that a model worker caches; 0 is
+	// CachedPrefixes is the number of prompt prefixes that a model worker caches; 0 is
 	// unlimited.
 	CachedPrefixes             int
 	TokenInterval, PrefillTime time.Duration
@@ -48,7 +48,8 @@
 	ToolCalls             bool
 	ThinkTime             time.Duration
 	TokenBudget           int64
-	Patience              time.Duration
+	// Patience is how long a caller retries a turn.
+	Patience time.Duration
 	// SystemPrompts is the number of different system prompts.
 	SystemPrompts int
 	// HastyShare is the share of callers that ignore Retry-After.
@@ -188,7 +189,7 @@
 			err = base.DeclineField("do", "must be one of %s", strings.Join(base.SortedKeys(actionNeedsMachine), ", "))
 		case needsMachine != (event.Machine != ""):
 			err = base.DeclineField("machine", "is required for all actions except heal, which has none")
-		case needsMachine && !contains(machines, event.Machine):
+		case needsMachine && !containsName(machines, event.Machine):
 			err = base.DeclineField("machine", "no machine is named %q", event.Machine)
 		case len(events) > 0 && event.At < events[len(events)-1].At:
 			err = base.DeclineField("at_s", "must not be before the previous event")
@@ -201,7 +202,8 @@
 	return events, nil
 }
 
-func contains(names []string, name string) bool {
+// containsName reports whether name is one of names.
+func containsName(names []string, name string) bool {
 	for _, candidate := range names {
 		if candidate == name {
 			return true
--- a/internal/whatif/simulate.go
+++ b/internal/whatif/simulate.go
@@ -260,8 +260,8 @@
 		}
 		completed, refused := durationsInPhase(fleet.Tally.Turns), durationsInPhase(fleet.Tally.Refusals)
 		phase.CompletedTurns, phase.RefusedTurns = len(completed), len(refused)
-		phase.MedianTurnMs, phase.P99TurnMs = medianAndP99(completed)
-		phase.RefusalMs[0], phase.RefusalMs[1] = medianAndP99(refused)
+		phase.MedianTurnMs, phase.P99TurnMs = medianAndP99Ms(completed)
+		phase.RefusalMs[0], phase.RefusalMs[1] = medianAndP99Ms(refused)
 		phase.InterruptedTurns = len(base.Filter(eventTimes["turns_cut"], inPhase)) + len(base.Filter(eventTimes["turns_dropped"], inPhase))
 		r.Phases = append(r.Phases, phase)
 	}
@@ -296,8 +296,8 @@
 	r.InvariantViolations = append([]string{}, fleet.CheckInvariants()...)
 }
 
-// medianAndP99 returns the median and the 99th percentile in milliseconds.
-func medianAndP99(durations []time.Duration) (median, p99 float64) {
+// medianAndP99Ms returns the median and the 99th percentile in milliseconds.
+func medianAndP99Ms(durations []time.Duration) (median, p99 float64) {
 	if len(durations) == 0 {
 		return 0, 0
 	}
