--- a/internal/simulate/api_test.go
+++ b/internal/simulate/api_test.go
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 )
 
-// talker makes single requests as a caller.
+// apiClient makes single requests as a caller.
 type apiClient struct {
 	fleet       *Fleet
 	sendRequest standin.Asker
@@ -43,7 +43,7 @@
 	return fmt.Sprint(at)
 }
 
-// final is a turn's end, a plain status before any piece or a stream's last
+// finalResult is a turn's end, a plain status before any piece or a stream's last
 // event: the verdict, the word on whether it ran, and the error's code of
 // a stream's last event.
 func (a apiResponse) finalResult() (verdict, ran, code string) {
@@ -131,7 +131,7 @@
 
 func (t *apiClient) sleep(d time.Duration) { t.fleet.CallerHost.Clock().Sleep(d) }
 
-// script runs one caller's steps to their end.
+// runScript runs one caller's steps to their end.
 func runScript(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *apiClient)) {
 	t.Helper()
 	runSeeds(t, 1, shape, func(t *testing.T, f *Fleet) {
@@ -146,7 +146,7 @@
 	})
 }
 
-// modelRuns counts how often a turn was given to any model worker.
+// modelWorkerRuns counts how often a turn was given to any model worker.
 func (f *Fleet) modelWorkerRuns(program, turn string) int {
 	total := 0
 	for _, model := range f.Models {
--- a/internal/simulate/backends.go
+++ b/internal/simulate/backends.go
@@ -1,9 +1,8 @@
-// Back ends and callers in memory.
-
 package simulate
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"time"
 
@@ -13,9 +12,10 @@
 	"fordseam/internal/standin"
 )
 
-// BackendReply is a worker's reply under way.
+// BackendReply is the response of a stand-in worker. The worker's task fills it in
+// while the gateway reads it.
 type BackendReply struct {
-	changed        *base.Notifier
+	changed        *base.Notifier // notified whenever a field changes
 	status         int
 	started        bool
 	closesConn     bool
@@ -28,15 +28,18 @@
 	body           []byte
 }
 
+// pollInterval bounds each wait, because a host's death notifies nobody.
 const pollInterval = 50 * time.Millisecond
 
+// waitFor waits until ready returns true. It fails when the reply is closed, the
+// connection is lost, the reply has ended or the limit is over.
 func (r *BackendReply) waitFor(limit time.Duration, ready func() bool) error {
 	end := r.clock.Now() + limit
 	for {
 		next := r.changed.Next()
 		switch {
 		case r.closed:
-			return errors.New("closed")
+			return errors.New("reply closed by the reader")
 		case ready():
 			return nil
 		case r.connectionLost:
@@ -44,7 +47,7 @@
 		case r.ended:
 			return io.EOF
 		case r.clock.Now() >= end:
-			return errors.New("no answer in time")
+			return fmt.Errorf("no reply within %v", limit)
 		}
 		next.Wait(min(pollInterval, end-r.clock.Now()))
 	}
@@ -78,7 +81,7 @@
 	r.changed.Notify()
 }
 
-// Backends is a host's way to the stand-in workers.
+// Backends calls the stand-in workers on behalf of a host.
 type Backends struct {
 	net      *Net
 	host     *Host
@@ -92,7 +95,7 @@
 	target := w.Hosts[hostName(addr)]
 	b.host.Clock().Sleep(b.net.delay())
 	if target == nil || !target.alive || b.net.isCut(b.host.Name, target.Name) {
-		return nil, &base.NotSent{Cause: errors.New("connection refused")}
+		return nil, &base.NotSent{Cause: fmt.Errorf("connection to %s refused", addr)}
 	}
 	reply := &BackendReply{changed: base.NewNotifier(ctx.Clock), clock: ctx.Clock, host: target}
 	target.openReplies[reply] = struct{}{}
@@ -112,7 +115,7 @@
 			status, answer, answered := b.tools[target.Name].Serve(request.Header["Idempotency-Key"], body)
 			reply.status, reply.body, reply.started, reply.connectionLost = status, answer, answered, !answered
 		}
-		if b.disabled.endMarker { // make up the end that the answer lacks
+		if b.disabled.endMarker { // append the end marker that the reply lacks
 			reply.lines = append(reply.lines, `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}`, "data: [DONE]")
 		}
 		reply.ended = true
@@ -126,10 +129,12 @@
 	return reply, nil
 }
 
-// Forget has nothing to do: connections in memory are not kept.
+// DropIdle does nothing: in-memory connections are not pooled.
 func (b *Backends) DropIdle(string) {}
 
-// RequestSender sends callers' requests to the simulated gateways.
+// RequestSender returns a function that sends callers' requests from a host to the
+// simulated gateways. A request fails once its gateway has died or has sent nothing
+// for 40 s.
 func (f *Fleet) RequestSender(host *Host) standin.Asker {
 	clock := host.Clock()
 	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
--- a/internal/simulate/feed_tree_test.go
+++ b/internal/simulate/feed_tree_test.go
@@ -29,7 +29,7 @@
 	return m.core.Follower
 }
 
-// applied puts new settings in force and tells how long the last follower took.
+// measureApply puts new settings in force and tells how long the last follower took.
 func (f *Fleet) measureApply(based int) time.Duration {
 	return f.measureApplyThrough(f.liveCore, based)
 }
@@ -56,7 +56,7 @@
 	return f.World.Now() - began
 }
 
-// lapses counts permits that ran out, and the nodes without one.
+// leaseExpirations counts permits that ran out, and the nodes without one.
 func (f *Fleet) leaseExpirations() (lapsed uint64, without int) {
 	for _, m := range f.liveFollowers() {
 		lapsed += m.leaseFollower().LeaseExpirations()
--- a/internal/simulate/mechanisms_test.go
+++ b/internal/simulate/mechanisms_test.go
@@ -29,7 +29,7 @@
 	return recorder.Result()
 }
 
-// passed carries a message on and reads the reply; nil when none came.
+// forwardAndDecode carries a message on and reads the reply; nil when none came.
 func forwardAndDecode[M proto.Message](m *Message, body []byte, into M) (M, *http.Response) {
 	response, err := m.Forward(body)
 	if err != nil || response == nil {
@@ -43,7 +43,7 @@
 	return into, response
 }
 
-// onChange meddles with one op of the register.
+// interceptChange meddles with one op of the register.
 func interceptChange(op string, meddle func(m *Message, asked *register.ChangeRequest, pass func(op string, args []byte) (*register.ChangeReply, *http.Response)) *http.Response) func(f *Fleet) {
 	return func(f *Fleet) {
 		f.Net.Intercept = func(m *Message) *http.Response {
@@ -60,7 +60,7 @@
 	}
 }
 
-// onPath meddles with one kind of message.
+// interceptPath meddles with one kind of message.
 func interceptPath(suffix string, meddle func(m *Message) *http.Response) func(f *Fleet) {
 	return func(f *Fleet) {
 		f.Net.Intercept = func(m *Message) *http.Response {
--- a/internal/simulate/redundancy_test.go
+++ b/internal/simulate/redundancy_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// catchUp is how long a machine that is back still counts as lost at the
+	// catchUpTime is how long a machine that is back still counts as lost at the
 	// sites with the shortest such time.
 	catchUpTime = 4100 * time.Millisecond
-	// fillSpan is how long a store takes to fill in these runs, per request.
+	// historyFetchDelay is how long a store takes to fill in these runs, per request.
 	historyFetchDelay = 400 * time.Millisecond
 )
 
-// lossSeeds is how many seeds each of these runs has at the least.
+// lossSeedCount is how many seeds each of these runs has at the least.
 const lossSeedCount = 1
 
 // lossSize is a number of storage machines and how many may be lost at once.
@@ -31,7 +31,7 @@
 
 var lossSizes = []lossSize{{3, 1}, {4, 1}, {9, 2}}
 
-// lossWays have machines go in one way and come back or be replaced; they end
+// lossKinds have machines go in one way and come back or be replaced; they end
 // when the last is back.
 var lossKinds = map[string]func(f *Fleet, lost []*Machine, call *apiClient){
 	"wiped": func(f *Fleet, lost []*Machine, call *apiClient) {
@@ -79,7 +79,7 @@
 	},
 }
 
-// drawn picks different storage machines that are not gone.
+// pickDistinctStorage picks different storage machines that are not gone.
 func (f *Fleet) pickDistinctStorage(count int) []*Machine {
 	var chosen []*Machine
 	for len(chosen) < count {
@@ -247,7 +247,7 @@
 	}
 }
 
-// succeedFirst has one machine's successor come before it is told to stop, and
+// replaceAfterJoinThenOutage has one machine's successor come before it is told to stop, and
 // then all lose power and as many as may be lost their disks.
 func replaceAfterJoinThenOutage(f *Fleet, w *historyWriter, call *apiClient) {
 	call.sleep(f.World.Between(0, time.Second))
@@ -285,7 +285,7 @@
 	t.Fatalf("none of %d seeds shows the loss", tries)
 }
 
-// play runs a script on one fleet that is whole, whose tally nobody reads.
+// runOnFleet runs a script on one fleet that is whole, whose tally nobody reads.
 func runOnFleet(t *testing.T, seed uint64, shape Shape, steps func(f *Fleet, call *apiClient)) {
 	t.Helper()
 	f := NewFleet(seed, shape)
@@ -302,7 +302,7 @@
 	}
 }
 
-// noContent is content that always has its copies: what planned changes waited
+// noGaps is content that always has its copies: what planned changes waited
 // for is taken away.
 type noGaps struct{}
 
@@ -322,7 +322,7 @@
 	t.Fatalf("none of %d seeds shows the loss", tries)
 }
 
-// retiredWithoutWaiting tells how many programs lost turns.
+// turnsLostWithoutWaiting tells how many programs lost turns.
 func turnsLostWithoutWaiting(t *testing.T, seed uint64) (lost int) {
 	t.Helper()
 	runOnFleet(t, seed, reconcilingShape(5, 1), func(f *Fleet, call *apiClient) {
--- a/internal/simulate/scenario.go
+++ b/internal/simulate/scenario.go
@@ -1,8 +1,3 @@
-// A scenario is one kind of failure done to a fleet again and again while
-// callers converse, operators collide, the platform replaces workers and a
-// runaway program spends its budget. Every run keeps the whole ledger and
-// ends in the same checks; a seed replays exactly.
-
 package simulate
 
 import (
@@ -13,27 +8,33 @@
 	"fordseam/internal/standin"
 )
 
-// Scenario is what is done to the fleet.
+// Scenario repeats one kind of fault while callers hold conversations, two operators
+// make conflicting changes, the platform replaces workers, and a runaway program
+// exhausts its budget. Every run ends with the same checks, and a seed replays
+// exactly.
 type Scenario struct {
 	Name string
 	Net  NetworkFaults
-	// Fit changes the shape it runs on.
+	// AdjustShape, when set, changes the shape that the scenario runs on.
 	AdjustShape func(shape *Shape)
-	// Begin runs once, when all is set up; Do again and again.
+	// OnStart runs once after setup; Inject runs every Interval while callers
+	// begin conversations.
 	OnStart  func(f *Fleet)
 	Interval time.Duration
 	Inject   func(f *Fleet, round int)
-	// Planned: nothing but planned stops and changes, so nothing may be cut.
+	// PlannedOnly scenarios have only planned stops and changes, so no turn and no
+	// connection may be cut.
 	PlannedOnly bool
-	// Limit bounds the run, scenarioLimit unless set.
+	// Timeout bounds the run; defaultTimeout unless set.
 	Timeout time.Duration
-	// Span is how long callers begin conversations.
+	// LoadDuration is how long callers begin conversations; defaultLoadDuration
+	// unless set.
 	LoadDuration time.Duration
-	// Crowd is how many callers more arrive at once, most of them urgent.
+	// BurstCallers is how many additional callers arrive at once, most of them urgent.
 	BurstCallers int
 }
 
-// Outcome is what came of one run.
+// Outcome is the result of one run.
 type Outcome struct {
 	Scenario  string          `json:"scenario"`
 	Tier      bool            `json:"tier,omitempty"`
@@ -50,10 +51,10 @@
 	defaultTimeout      = 8 * time.Minute
 )
 
-// Run plays a scenario with a seed.
+// Run runs the scenario with a seed.
 func (s *Scenario) Run(seed uint64, shape Shape) *Outcome { return s.RunWith(seed, shape, nil) }
 
-// RunWith lets a test change the fleet before it forms.
+// RunWith is Run with a function that changes the fleet before the cluster forms.
 func (s *Scenario) RunWith(seed uint64, shape Shape, prepare func(f *Fleet)) *Outcome {
 	if s.AdjustShape != nil {
 		s.AdjustShape(&shape)
@@ -86,14 +87,15 @@
 		limit = s.Timeout
 	}
 	if !f.World.Run(f.World.Now()+limit, func() bool { return remaining() == 0 && f.pendingFaults == 0 }) {
-		f.Tally.Breach("callers were left without an end after %v", limit)
+		f.Tally.Breach("callers did not finish within %v", limit)
 	}
 	s.checkRecovery(f)
 	return s.outcome(f)
 }
 
-// people starts all who use the fleet: callers, a runaway with helpers,
-// operators and the platform.
+// startClients starts everything that uses the fleet: callers, a runaway program with
+// helpers, operators and the platform. It returns how many callers and operators have
+// not finished, and whether new conversations still begin.
 func (s *Scenario) startClients(f *Fleet) (left func() int, going func() bool) {
 	span := s.LoadDuration
 	if span == 0 {
@@ -158,8 +160,8 @@
 		Group: f.Shape.Group, Site: "main", Pieces: f.Shape.PiecesPerTurn, Patience: 90 * time.Second, Tally: f.Tally}
 }
 
-// aftermath ends all harm, and then the fleet must serve, with the settings
-// that were acknowledged.
+// checkRecovery ends all faults and checks that the fleet then serves, with the
+// settings that were acknowledged.
 func (s *Scenario) checkRecovery(f *Fleet) {
 	f.Net.Heal()
 	f.Net.Faults = NetworkFaults{}
@@ -191,7 +193,7 @@
 	if s.PlannedOnly {
 		for _, name := range []string{"turns_dropped", "turns_cut", "final_cut_cut", "cut_connections"} {
 			if n := f.Tally.Counts[name]; n > 0 {
-				f.Tally.Breach("planned stops and changes brought %d %s", n, name)
+				f.Tally.Breach("planned stops and changes caused %d %s", n, name)
 			}
 		}
 	}
--- a/internal/simulate/shape.go
+++ b/internal/simulate/shape.go
@@ -1,5 +1,3 @@
-// The deployments that are simulated: how many machines, workers and zones.
-
 package simulate
 
 import (
@@ -7,11 +5,12 @@
 	"time"
 )
 
-// Shape is the size of a simulated fleet.
+// Shape describes a simulated deployment: its machines, workers and zones, and how
+// conversations and workers behave.
 type Shape struct {
 	Name  string
 	Group string
-	// Turns are those of a short conversation and of a long one.
+	// ConversationTurns are the numbers of turns of a short and of a long conversation.
 	ConversationTurns [2]int
 	Zones             int
 	Gateways          int
@@ -25,18 +24,18 @@
 	PrefillTime       time.Duration
 	CachedPrefixes    int
 	Settings          string
-	// Tolerate is how many disks may be lost at once, 0 where operators mend the
-	// disk set; Found has the machines form the cluster by themselves.
+	// FaultTolerance is how many disks may be lost at once; 0 when operators repair
+	// the disk set. Bootstrap has the machines form the cluster without an operator.
 	FaultTolerance int
 	Bootstrap      bool
-	// ZoneNames are the zones, "zone-0" and on unless given.
+	// ZoneNames are the names of the zones; "zone-0", "zone-1" and so on unless set.
 	ZoneNames []string
-	// ModelPool and ToolPool are "models" and "apps" unless set.
+	// ModelPool and ToolPool are the workers' pools; "models" and "apps" unless set.
 	ModelPool string
 	ToolPool  string
 }
 
-// zone is the zone of a machine by its place among its like.
+// zone returns the zone of the machine at an index among the machines of its role.
 func (s *Shape) zone(place int) string {
 	if len(s.ZoneNames) > 0 {
 		return s.ZoneNames[place%len(s.ZoneNames)]
@@ -44,32 +43,33 @@
 	return fmt.Sprintf("zone-%d", place%s.Zones)
 }
 
-// SmallShape is enough for every duty to have a second machine.
+// SmallShape is the smallest fleet in which every role has a second machine.
 func SmallShape() Shape {
 	return Shape{Name: "small", Group: "g", ConversationTurns: [2]int{2, 4}, Zones: 2, Gateways: 3, Cores: 2, Storage: 3, ModelWorkers: 2, ToolWorkers: 2, WorkerCapacity: 16, PiecesPerTurn: 6, PieceInterval: 20 * time.Millisecond, Settings: DefaultSettings}
 }
 
-// KiondoShape is the first deployment's.
+// KiondoShape is the first deployment.
 func KiondoShape() Shape {
 	return Shape{Name: "kiondo", Group: "g", ConversationTurns: [2]int{3, 5}, Zones: 4, Gateways: 6, Cores: 4, Storage: 4, ModelWorkers: 9, ToolWorkers: 4, WorkerCapacity: 16, PiecesPerTurn: 6, PieceInterval: 20 * time.Millisecond, Settings: DefaultSettings}
 }
 
-// LjubljanaShape is the second deployment's.
+// LjubljanaShape is the second deployment.
 func LjubljanaShape() Shape {
 	return Shape{Name: "ljubljana", Group: "g", ConversationTurns: [2]int{3, 7}, Zones: 4, Gateways: 9, Cores: 4, Storage: 4, ModelWorkers: 12, ToolWorkers: 5, WorkerCapacity: 16, PiecesPerTurn: 6, PieceInterval: 20 * time.Millisecond, Settings: DefaultSettings}
 }
 
-// WideShape has more gateways than the feed's owner tells by itself.
+// WideShape has more gateways than the leader of the feed answers itself, so that
+// followers form a tree.
 func WideShape() Shape {
 	shape := KiondoShape()
 	shape.Name, shape.Gateways, shape.Cores, shape.Storage = "wide", 28, 5, 5
 	return shape
 }
 
-// Shapes are the sizes that scenarios run at.
+// Shapes are the shapes that scenarios can run at, by name.
 var Shapes = map[string]func() Shape{"small": SmallShape, "kiondo": KiondoShape, "ljubljana": LjubljanaShape, "wide": WideShape}
 
-// DefaultSettings is the document simulated fleets start with.
+// DefaultSettings is the settings document that simulated fleets start with.
 const DefaultSettings = `{"pools":{"models":{"kind":"model"},"apps":{"kind":"tool"}},"max_output_tokens":64,
 "groups":{"g":{"operation_timeout_s":30,"sites":{"main":{"routes":{
 "chat":{"kind":"model","pool":"models","model":"stand-in"},
--- a/internal/simulate/simulate_test.go
+++ b/internal/simulate/simulate_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// bring runs a fleet through a scenario for a few seeds.
+// runSeeds runs a fleet through a scenario for a few seeds.
 func runSeeds(t *testing.T, seeds int, shape Shape, scenario func(t *testing.T, f *Fleet)) {
 	t.Helper()
 	for seed := uint64(1); seed <= uint64(seeds); seed++ {
@@ -27,7 +27,7 @@
 	}
 }
 
-// formed runs the world until the fleet serves.
+// waitUntilFormed runs the world until the fleet serves.
 func waitUntilFormed(t *testing.T, f *Fleet) {
 	t.Helper()
 	up := false
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -1,9 +1,3 @@
-// The tier: a fleet that serves an operator's routes on the platform, with the
-// platform's parties round it. Gateways, cores and storage machines are the
-// daemons' own parts; clients, programs, operators, workers and the list of
-// workers are the stand-ins; the checker names the rules that were broken in
-// what they saw. Everything runs in virtual time and replays from its seed.
-
 package simulate
 
 import (
@@ -21,21 +15,21 @@
 	"fordseam/platform"
 )
 
-// TierShape is a deployment at some size.
+// TierShape describes a deployment of the tier at some size.
 type TierShape struct {
 	Name string
 	Site *parties.Site
-	// Tolerate is how many machines with a disk may be lost at once.
+	// FaultTolerance is how many storage machines may be lost at once.
 	FaultTolerance int
-	// Rate is how many times the site's usual load comes.
+	// LoadFactor multiplies the site's usual request rates.
 	LoadFactor float64
 }
 
-// TierShapes are the sizes that the tier's days run at.
+// TierShapes are the shapes that the tier's scenarios can run at, by name.
 var TierShapes = map[string]func() TierShape{
 	"small": func() TierShape {
 		site := parties.Sites()["small"]
-		site.Storage = 4 // one may be lost while another is replaced
+		site.Storage = 4 // one machine may be lost while another is replaced
 		return TierShape{Name: "small", Site: site, FaultTolerance: 1, LoadFactor: 1.5}
 	},
 	"kiondo": func() TierShape {
@@ -61,8 +55,9 @@
 	},
 }
 
-// roaming has the short chats' whole prompt come with each turn, so that none is
-// kept, and their streams continued where they break off; many programs run away.
+// withUnkeptTurns changes a site so that short chats send the whole prompt with each
+// turn, no turn of theirs is kept, interrupted streams are resumed, and many programs
+// try to exceed their budget.
 func withUnkeptTurns(site *parties.Site) *parties.Site {
 	site.Name = "roaming"
 	short := &site.Classes[0]
@@ -71,7 +66,7 @@
 	return site
 }
 
-// grownShape has as many machines with disks as bear the loss of two.
+// grownShape has enough storage machines to tolerate the loss of two.
 func grownShape() TierShape {
 	site := parties.Sites()["kiondo"]
 	site.Name, site.Zones = "grown", append(site.Zones, "mombasa-road")
@@ -83,7 +78,10 @@
 	return TierShape{Name: "grown", Site: site, FaultTolerance: 2, LoadFactor: 0.35}
 }
 
-// Tier is one run.
+// Tier is one run of a fleet that serves an operator's routes on the platform. The
+// gateways, cores and storage machines are the daemons' own code. Clients, programs,
+// operators, workers and the workers' list are stand-ins that record what they see,
+// and the checker looks for violated rules in the record.
 type Tier struct {
 	*Fleet
 	TierShape          TierShape
@@ -98,41 +96,43 @@
 	workers            []*tierWorker
 	workersByAddress   map[string]*tierWorker
 	workDistributions  map[string]parties.Draw
-	workerFaults       map[string]*workerFaultRate // by worker or service
+	workerFaults       map[string]*workerFaultRate // by worker id or service
 	conns              map[*workerConn]bool
 	clientExchanges    map[*clientExchange]bool
 	config             tierConfig
 	rng                *rand.Rand
 	lastNumber         int
 	addressCount       int
-	loadMultiplier     float64 // the load, for a while
-	retryUntil         time.Duration
-	trafficRunning     bool          // traffic goes on
-	openPrograms       int           // under way
-	runningFaults      int           // troubles under way
-	messageCost        time.Duration // of a message, on each machine
-	rotateGateways     bool          // each connection of a client reaches another node
-	maxDialTime        time.Duration // most that a connection to a worker takes to come up
-	storageFaultActive bool          // a machine with a disk is lost or catches up
+	loadMultiplier     float64       // raised temporarily by a load burst
+	retryUntil         time.Duration // programs that continue from before the final fault retry until then
+	trafficRunning     bool
+	openPrograms       int
+	runningFaults      int
+	messageCost        time.Duration // processor time per message on each machine
+	rotateGateways     bool          // each request of a client goes to another gateway
+	maxDialTime        time.Duration // the longest time that a connection to a worker takes
+	storageFaultActive bool          // a storage machine is lost or catching up
 }
 
-// tierFaults are what a worker does wrong for a while.
+// workerFaultRate is the probability with which a worker's request meets one of some
+// faults.
 type workerFaultRate struct {
 	probability float64
 	kinds       []parties.Fault
 }
 
-// inOrder lists connections as they were made.
+// sortedConns lists connections in the order they were opened.
 func (t *Tier) sortedConns(conns map[*workerConn]bool) []*workerConn {
 	return slices.SortedFunc(maps.Keys(conns), func(a, b *workerConn) int { return cmp.Compare(a.number, b.number) })
 }
 
-// way is how long a message takes between a client or an operator and a node.
+// clientDelay draws the delay of a message between a client or an operator and a node.
 func (t *Tier) clientDelay() time.Duration {
 	return t.World.Between(800*time.Microsecond, 1500*time.Microsecond)
 }
 
-// NewTier lays a tier out and starts its machines and workers.
+// NewTier builds a tier and starts its machines and workers; change may adjust it
+// before they start.
 func NewTier(seed uint64, form TierShape, change func(t *Tier)) *Tier {
 	site := form.Site
 	f := buildFleet(seed, Shape{Name: form.Name, Zones: len(site.Zones), ZoneNames: site.Zones, Gateways: site.Edges, Cores: site.Cores, Storage: site.Storage,
@@ -166,8 +166,8 @@
 
 func (t *Tier) machineNamed(name string) *Machine { return t.machinesByName[name] }
 
-// begin starts a machine's process, and asks an edge machine whether it is
-// ready from then on.
+// startMachine starts a machine's process. From a gateway's first start on, its
+// readiness is checked once per second.
 func (t *Tier) startMachine(m *Machine) {
 	known := t.machinesByName[m.Host.Name] != nil
 	t.machinesByName[m.Host.Name] = m
@@ -188,7 +188,7 @@
 	}
 }
 
-// equip gives a process what the platform's settings file would.
+// configureMachine sets what the platform's settings file would set for a process.
 func (t *Tier) configureMachine(m *Machine, env *node.Env, place *node.Config) {
 	m.Host.MessageCost = t.messageCost
 	b := t.Site.Bounds
@@ -207,7 +207,7 @@
 	}
 }
 
-// readList is a core's way to the platform's list.
+// listReader returns the function by which a core reads the platform's list of workers.
 func (t *Tier) listReader(m *Machine) platform.FetchPage {
 	return func(token string, _ time.Duration) (int, []byte, error) {
 		m.Host.Clock().Sleep(t.clientDelay())
@@ -217,8 +217,8 @@
 	}
 }
 
-// openWorker starts one life of a worker, at an address of its own unless one
-// is given, and puts it on the list.
+// startWorker starts a worker, at a new address unless one is given, and adds it to the
+// list.
 func (t *Tier) startWorker(shape parties.ServiceShape, zone, address string) *tierWorker {
 	id := fmt.Sprintf("i-%08x", uint32(t.rng.Uint32()))
 	if address == "" {
@@ -265,7 +265,7 @@
 	return parties.Fine
 }
 
-// traffic begins programs in every zone until its time is over.
+// runTraffic starts programs of every class in every zone, and probes, until a time.
 func (t *Tier) runTraffic(end time.Duration) {
 	t.trafficRunning = true
 	clock := t.CallerHost.Clock()
@@ -301,7 +301,7 @@
 	t.trafficRunning = false
 }
 
-// program starts one program; one that ought to end too late does not begin.
+// startProgram starts one program, unless it is expected to end too late.
 func (t *Tier) startProgram(class *parties.Class, zone string, client int, end time.Duration, previous string) {
 	var plan *parties.ProgramPlan
 	t.programRunner.Draw(func(g *parties.Generator) { plan = g.Program(class, zone, client) })
@@ -315,8 +315,8 @@
 	})
 }
 
-// probe asks every node that is in directly, on routes that were just added or
-// removed and on one that never was.
+// probeGateways sends a request directly to each gateway that takes clients, on a route
+// that was just added, was just removed, or never existed.
 func (t *Tier) probeGateways() {
 	routes := append(slices.Clone(t.config.addedRoutes), t.config.removedRoutes...)
 	routes = append(routes, parties.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", t.rng.IntN(1000)), Kind: parties.Idempotent})
@@ -336,8 +336,9 @@
 	}
 }
 
-// form waits until the tier has taken its first configuration and all gateways
-// are ready.
+// applyFirstConfig sends the first configuration and waits until all gateways are
+// ready. It returns false when the configuration is not acknowledged or a gateway is
+// not ready after 20 s.
 func (t *Tier) applyFirstConfig() bool {
 	t.config.operator = t.newOperator("first")
 	first := t.drafts.First()
--- a/internal/simulate/tier_clients.go
+++ b/internal/simulate/tier_clients.go
@@ -1,6 +1,3 @@
-// Clients and operators in virtual time: their requests go through the same
-// code of platform/ as in the daemons, in process.
-
 package simulate
 
 import (
@@ -21,7 +18,8 @@
 
 func (discardLogger) Printf(string, ...any) {}
 
-// inProcess makes a request as the daemons' server would have read it.
+// newRequestCtx builds a request as the daemons' server would have read it, so that
+// requests go through the same code of package platform as in the daemons.
 func newRequestCtx(method, target, host string, header [][2]string, body []byte) *fasthttp.RequestCtx {
 	var request fasthttp.Request
 	request.Header.SetMethod(method)
@@ -52,7 +50,7 @@
 	bytes  []byte
 }
 
-// exchange is one request of a client on its connection.
+// clientExchange is one request of a client or an operator on its own connection.
 type clientExchange struct {
 	host        *Host
 	responses   *pipe[responsePart]
@@ -61,7 +59,7 @@
 	number      int
 }
 
-// tierClients carries tries to the gateways.
+// tierClients sends the attempts of simulated clients to the gateways.
 type tierClients struct{ tier *Tier }
 
 func (c *tierClients) Carry(try *parties.Try) {
@@ -97,7 +95,8 @@
 	c.readResponse(try, x)
 }
 
-// await reads the answer as a client does.
+// readResponse reads a response into an attempt as a client does, with the client's
+// timeouts.
 func (c *tierClients) readResponse(try *parties.Try, x *clientExchange) {
 	end := try.Sent + try.Deadline
 	silence := try.Deadline
@@ -158,7 +157,7 @@
 	}
 }
 
-// eventsIn takes whole events off what has come of a stream.
+// parseEvents splits the complete events from the bytes received of a stream.
 func parseEvents(some []byte, at time.Duration) (events []parties.Event, rest []byte) {
 	for {
 		place := bytes.Index(some, []byte("\n\n"))
@@ -183,7 +182,7 @@
 	}
 }
 
-// serve is the gateway's side of an exchange.
+// serveClient runs a client's request on its gateway and sends the response.
 func (t *Tier) serveClient(m *Machine, try *parties.Try, x *clientExchange) {
 	gateway, life := m.gateway, m.Host.incarnation
 	if gateway == nil {
@@ -228,7 +227,8 @@
 	}
 }
 
-// control makes an operator's call to a core.
+// callControl sends an operator's request to a core. It returns status 0 when no
+// response was received.
 func (t *Tier) callControl(method, address, path string, header [][2]string, body []byte) (status int, answer []byte) {
 	clock := t.CallerHost.Clock()
 	m := t.machineNamed(address)
--- a/internal/simulate/tier_faults.go
+++ b/internal/simulate/tier_faults.go
@@ -1,6 +1,3 @@
-// The troubles that the platform names, brought about in the tier and noted for
-// the checker as the platform would know them.
-
 package simulate
 
 import (
@@ -13,7 +10,8 @@
 	parties "fordseam/internal/standin/platform"
 )
 
-// trouble notes a trouble of a machine until the step it gives back is called.
+// recordTrouble adds a fault of a machine to the checker's record, under the name that
+// the platform uses. The fault lasts until the returned function is called.
 func (t *Tier) recordTrouble(kind string, m *Machine, change func(x *parties.Trouble)) (end func()) {
 	x := &parties.Trouble{Kind: kind, Machine: m.Host.Name, Class: m.Role, From: t.World.now, To: 1 << 60}
 	if change != nil {
@@ -23,8 +21,8 @@
 	return func() { x.To = t.World.now }
 }
 
-// sever closes what a process had open when it ended; the other sides are told
-// unless the machine has gone dark.
+// dropConnections closes the connections and requests of a process that ended. The
+// peers are told unless the machine has lost its power.
 func (t *Tier) dropConnections(m *Machine, dark bool) {
 	m.Host.poweredOff = dark
 	for _, c := range t.sortedConns(t.conns) {
@@ -43,16 +41,16 @@
 	open := slices.SortedFunc(maps.Keys(t.clientExchanges), func(a, b *clientExchange) int { return cmp.Compare(a.number, b.number) })
 	for _, x := range open {
 		if x.host == m.Host && !dark {
-			x.responses.lastArrival = t.World.now // what was on its way is lost with the reset
+			x.responses.lastArrival = t.World.now // the reset overtakes what is in transit
 			x.responses.send(time.Millisecond, responsePart{kind: responseConnClosed})
 		}
 	}
 }
 
-// down ends a machine's process, or its power.
+// endProcess kills a machine's process, or cuts the machine's power.
 func (t *Tier) endProcess(m *Machine, power bool) {
 	if power {
-		m.Host.pendingCalls = nil // nobody is told
+		m.Host.pendingCalls = nil // their senders are not told
 		t.PowerLoss(m)
 	} else {
 		t.Kill(m)
@@ -60,7 +58,8 @@
 	t.dropConnections(m, power)
 }
 
-// fall ends a machine for a while.
+// crashFor kills a machine, or cuts its power, optionally wipes its disk, and starts it
+// again after a while.
 func (t *Tier) crashFor(m *Machine, kind string, span time.Duration, power, wipe bool) {
 	if m.removed || !m.Host.alive || m.stopRequested {
 		return
@@ -77,6 +76,7 @@
 	end()
 }
 
+// freezeFor freezes a machine for a while.
 func (t *Tier) freezeFor(m *Machine, span time.Duration) {
 	if !m.Host.alive || m.Host.frozen {
 		return
@@ -91,9 +91,10 @@
 	end()
 }
 
-// term stops a machine as the platform does: SIGTERM, and SIGKILL after the
-// grace. A gateway is asked each second whether it is ready and goes on serving
-// for a while; then it takes no new connection and ends what it has read.
+// restartGracefully stops a machine as the platform does, with SIGTERM and with SIGKILL
+// after the grace period, and starts it again. A stopping gateway serves on until its
+// readiness has been checked; then it accepts no new connections and finishes the
+// requests that it has read.
 func (t *Tier) restartGracefully(m *Machine, kind string, after time.Duration) {
 	end := t.stopGracefully(m, kind)
 	if end == nil {
@@ -106,8 +107,9 @@
 	end()
 }
 
-// stop is the first half of that; the trouble lasts until the step it gives back
-// is called. It gives none where the machine is down or stops already.
+// stopGracefully is the first half of restartGracefully. The recorded fault lasts until
+// the returned function is called. It returns nil if the machine is down or is already
+// stopping.
 func (t *Tier) stopGracefully(m *Machine, kind string) (end func()) {
 	if !m.Host.alive || m.Host.frozen || m.removed || m.stopRequested {
 		return nil
@@ -149,8 +151,8 @@
 	return end
 }
 
-// succeed replaces a machine as planned work: an empty one at another address
-// comes first, then the old one is told to stop and goes with its disk.
+// replaceAfterJoin replaces a machine as planned work: an empty machine at another
+// address joins first, then the old one is stopped and removed with its disk.
 func (t *Tier) replaceAfterJoin(m *Machine, ahead time.Duration) {
 	t.joinMachine(m.Role)
 	t.CallerHost.Clock().Sleep(ahead)
@@ -163,7 +165,8 @@
 	end()
 }
 
-// replace puts an empty machine at another address in a lost one's place.
+// replaceLost cuts a machine's power for good and replaces it by an empty machine at
+// another address.
 func (t *Tier) replaceLost(m *Machine, span time.Duration) {
 	end := t.recordTrouble("replace_core", m, nil)
 	m.removed = true
@@ -174,25 +177,25 @@
 	end()
 }
 
-// add brings an empty machine into the fleet.
+// joinMachine adds an empty machine to the fleet.
 func (t *Tier) joinMachine(role string) *Machine {
 	m := t.newMachine(role)
-	m.startedBefore = true // it is not the very first start
+	m.startedBefore = true // it must not bootstrap the cluster
 	t.startMachine(m)
 	return m
 }
 
-// cutOff cuts machines off from all other machines of the fleet.
+// isolateFor isolates machines from all other machines of the fleet for a while.
 func (t *Tier) isolateFor(apart []*Machine, span time.Duration) { t.isolateFrom(apart, t.All(), span) }
 
-// halve cuts the machines that count, cores and storage together, into two halves.
-// Gateways, clients and operators reach both.
+// partitionFor partitions the cores and storage machines, taken together, into two
+// halves for a while. Gateways, clients and operators reach both halves.
 func (t *Tier) partitionFor(span time.Duration) {
 	counted := append(t.available(t.Cores), t.available(t.Storage)...)
 	t.isolateFrom(t.drawMachines(counted, len(counted)/2), counted, span)
 }
 
-// cutAmong cuts machines off from the others of some.
+// isolateFrom isolates some machines of a list from the others of the list.
 func (t *Tier) isolateFrom(apart, all []*Machine, span time.Duration) {
 	names := map[string]bool{}
 	var ends []func()
@@ -214,6 +217,7 @@
 	}
 }
 
+// slowFor slows a machine's network and disk for a while.
 func (t *Tier) slowFor(m *Machine, span time.Duration) {
 	end := t.recordTrouble("node_slow", m, func(x *parties.Trouble) { x.Slow = true })
 	quick, slow := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
@@ -223,25 +227,25 @@
 	end()
 }
 
-// living lists the machines of a class that are up.
+// available returns the machines of a list that are up and not stopping.
 func (t *Tier) available(list []*Machine) []*Machine {
 	return base.Filter(list, func(m *Machine) bool { return m.Host.alive && !m.Host.frozen && !m.removed && !m.stopRequested })
 }
 
-// some draws machines of a class that are up.
+// drawMachines draws up to count available machines of a list.
 func (t *Tier) drawMachines(list []*Machine, count int) []*Machine {
 	list = t.available(list)
 	t.rng.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 	return list[:min(count, len(list))]
 }
 
-// each brings a step to machines at once and waits for all.
+// forEachMachine runs a step for machines in parallel and waits for all.
 func (t *Tier) forEachMachine(list []*Machine, step func(m *Machine)) {
 	t.runParallel(len(list), func(place int) { step(list[place]) })
 }
 
-// afterAck brings a step to the core that has just acknowledged a
-// configuration, or to storage machines at that moment.
+// afterConfigAck changes the configuration and, once that is acknowledged, runs a step
+// for some storage machines, or with none for the core that acknowledged it.
 func (t *Tier) afterConfigAck(step func(m *Machine), stores int) {
 	order := t.changeConfig()
 	switch {
@@ -252,7 +256,8 @@
 	}
 }
 
-// all ends every machine, does something to some of them, and brings all back.
+// restartAll kills every machine, or cuts the power of all, wipes the disks of some, and
+// starts all again.
 func (t *Tier) restartAll(power bool, wiped []*Machine) {
 	list := base.Filter(t.All(), func(m *Machine) bool { return !m.removed })
 	var ends []func()
@@ -276,7 +281,8 @@
 	}
 }
 
-// retire has a storage machine emptied and takes it away once it is.
+// retireStorage retires a storage machine and removes it once that is complete. It
+// returns false when the operator's request fails.
 func (t *Tier) retireStorage(m *Machine) bool {
 	if err := t.newOperator("retire").Retire(m.Host.Name, 10*time.Second, 20*time.Second); err != nil {
 		return false
@@ -289,13 +295,13 @@
 	return true
 }
 
-// serving lists the workers of a service's shape that are not leaving.
+// activeWorkers returns the workers of a service shape that are not leaving.
 func (t *Tier) activeWorkers(shape string) []*tierWorker {
 	return base.Filter(t.workers, func(s *tierWorker) bool { return !s.Leaving() && s.Shape.Name == shape })
 }
 
-// drain takes a worker off in order: the list shows it as draining, it serves
-// for the drain's time and a little longer, then it ends.
+// drainWorker stops a worker gracefully: the list shows it as draining, it serves for the
+// drain time and 1.5 s more, then it ends.
 func (t *Tier) drainWorker(s *tierWorker) {
 	clock, draining := t.CallerHost.Clock(), t.instanceEntry(s, parties.StateDraining)
 	t.instances.Change(s.ID, &draining, 0)
@@ -307,8 +313,9 @@
 	s.terminate(t)
 }
 
-// release replaces a share of a service's workers one after the other; another
-// service takes the addresses of those that have ended.
+// releaseWorkers replaces a share of a service's workers one after the other, as the
+// release of a new version does. Another service reuses the addresses of those that
+// have ended.
 func (t *Tier) releaseWorkers(shape string, share float64, gap time.Duration) {
 	old := t.activeWorkers(shape)
 	old = old[:int(share*float64(len(old))+0.5)]
@@ -321,7 +328,7 @@
 	})
 }
 
-// reuse gives the address of a worker that has ended to another service.
+// reuseAddress starts a worker of another service at the address of one that has ended.
 func (t *Tier) reuseAddress(s *tierWorker) {
 	t.CallerHost.Clock().Sleep(t.Site.Bounds.ReuseAfter)
 	for _, other := range t.Site.Services {
@@ -332,22 +339,23 @@
 	}
 }
 
-// crashWorker ends a worker at once; the list shows it for some seconds more,
-// and the platform starts another in its place.
+// crashWorker ends a worker at once and starts another in its place; the list shows the
+// crashed one for 4 s more.
 func (t *Tier) crashWorker(s *tierWorker) {
 	t.startWorker(s.Shape, s.Zone, "")
 	s.terminate(t)
 	t.instances.Change(s.ID, nil, 4*time.Second)
 }
 
-// ill has the workers of a service, or one worker, do wrong for a while.
+// injectWorkerFaults makes the workers of a service, or one worker, draw faults for a
+// while.
 func (t *Tier) injectWorkerFaults(name string, share float64, span time.Duration, kinds ...parties.Fault) {
 	t.workerFaults[name] = &workerFaultRate{share, kinds}
 	t.CallerHost.Clock().Sleep(span)
 	delete(t.workerFaults, name)
 }
 
-// listDown has the list of workers answer nothing for a while.
+// failList makes requests for the list of workers fail for a while.
 func (t *Tier) failList(span time.Duration) {
 	x := &parties.Trouble{Kind: "list_down", Machine: "list", Class: "list", From: t.World.now, To: 1 << 60}
 	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
--- a/internal/simulate/tier_mechanisms_test.go
+++ b/internal/simulate/tier_mechanisms_test.go
@@ -23,7 +23,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// onFeed changes what followers are told.
+// interceptFeed changes what followers are told.
 func interceptFeed(meddle func(m *Message, reply *feed.FollowReply)) func(f *Fleet) {
 	return interceptPath("Feed/Follow", func(m *Message) *http.Response {
 		reply, response := forwardAndDecode(m, m.Body, &feed.FollowReply{})
@@ -35,7 +35,7 @@
 	})
 }
 
-// onLedger changes what stores answer to gateways.
+// interceptLedger changes what stores answer to gateways.
 func interceptLedger(f *Fleet, begin func(asked *ledger.BeginRequest, reply *ledger.BeginReply), write func(reply *ledger.WriteReply), chain func(reply *ledger.ChainReply)) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		pass := func(reply proto.Message, change func()) *http.Response {
@@ -64,7 +64,7 @@
 	}
 }
 
-// slowPulls has stores pull what they lack slowly, though within the time that
+// delayCatchUp has stores pull what they lack slowly, though within the time that
 // they have to catch up.
 func delayCatchUp(f *Fleet) {
 	pass := f.Net.Intercept
--- a/internal/simulate/tier_operators.go
+++ b/internal/simulate/tier_operators.go
@@ -1,5 +1,3 @@
-// The operators of the simulated tier and the changes that they send.
-
 package simulate
 
 import (
@@ -11,15 +9,17 @@
 	parties "fordseam/internal/standin/platform"
 )
 
-// tierConfig is the operators' view of the configuration.
+// tierConfig is the newest acknowledged configuration as the operators know it, and the
+// routes that it added and removed.
 type tierConfig struct {
 	operator      *parties.Operator
 	newestAcked   *parties.Order
 	addedRoutes   []parties.Route
 	removedRoutes []parties.Route
-	changing      bool // one change at a time
+	changing      bool // a change is in progress
 }
 
+// recordAcked makes an acknowledged order the newest.
 func (c *tierConfig) recordAcked(order *parties.Order) {
 	if c.newestAcked != nil {
 		c.addedRoutes, c.removedRoutes = nil, nil
@@ -44,7 +44,7 @@
 		}}
 }
 
-// alone has one change of the configuration at a time.
+// exclusively runs a step once no other change of the configuration is in progress.
 func (t *Tier) exclusively(step func()) {
 	for t.config.changing {
 		t.CallerHost.Clock().Sleep(20 * time.Millisecond)
@@ -54,7 +54,7 @@
 	t.config.changing = false
 }
 
-// change sends one valid configuration on top of the newest.
+// changeConfig sends a valid configuration that is based on the newest.
 func (t *Tier) changeConfig() (order *parties.Order) {
 	t.exclusively(func() {
 		newest := t.config.newestAcked.Config
@@ -67,7 +67,8 @@
 	return order
 }
 
-// race has two operators build on the same version at once.
+// raceConfigs has two operators send configurations that are based on the same version
+// at the same time.
 func (t *Tier) raceConfigs() {
 	t.exclusively(func() {
 		newest := t.config.newestAcked.Config
@@ -88,6 +89,7 @@
 	})
 }
 
+// sendInvalidConfigs sends one invalid configuration of each kind.
 func (t *Tier) sendInvalidConfigs(gap time.Duration) {
 	for _, kind := range parties.InvalidKinds {
 		t.exclusively(func() {
@@ -101,7 +103,7 @@
 	}
 }
 
-// together runs steps at once and waits for all.
+// runParallel runs steps in parallel and waits for all.
 func (t *Tier) runParallel(count int, step func(place int)) {
 	left := count
 	bell := base.NewNotifier(t.CallerHost.Clock())
--- a/internal/simulate/tier_pipe.go
+++ b/internal/simulate/tier_pipe.go
@@ -1,6 +1,3 @@
-// What one side of a connection sends to the other: in order, each piece a
-// while later, and nothing any more once the sender's machine has gone dark.
-
 package simulate
 
 import (
@@ -9,12 +6,13 @@
 	"fordseam/internal/base"
 )
 
+// inTransit is an item on its way to the reader.
 type inTransit[T any] struct {
 	arrivesAt time.Duration
 	item      T
 }
 
-// pipe is one direction of a connection.
+// pipe is one direction of a connection. It delivers items in order, each after a delay.
 type pipe[T any] struct {
 	world       *World
 	changed     *base.Notifier
@@ -32,11 +30,10 @@
 	p.changed.Notify()
 }
 
-// due tells whether something has arrived.
+// ready tells whether an item has arrived.
 func (p *pipe[T]) ready() bool { return len(p.items) > 0 && p.items[0].arrivesAt <= p.world.now }
 
-// next waits for what arrives next, until a moment or until the reader has
-// closed its side.
+// receive waits for the next item until a time, or until closed returns true.
 func (p *pipe[T]) receive(until time.Duration, closed func() bool) (item T, ok bool) {
 	for {
 		news := p.changed.Next()
--- a/internal/simulate/tier_random.go
+++ b/internal/simulate/tier_random.go
@@ -1,5 +1,3 @@
-// Days that are drawn from the seed: storms of any trouble, and any closing fault.
-
 package simulate
 
 import (
@@ -8,8 +6,7 @@
 	parties "fordseam/internal/standin/platform"
 )
 
-// goes begins a deed and does not wait for its end; disk does so with one that
-// loses a machine with a disk, unless one is lost or catches up.
+// startFault starts a fault and does not wait for its end.
 func (t *Tier) startFault(deed func(t *Tier)) {
 	t.runningFaults++
 	t.CallerHost.Go(func() {
@@ -18,6 +15,8 @@
 	})
 }
 
+// startStorageFault is startFault for a fault that loses a storage machine. It does
+// nothing while another such fault lasts or its machine catches up.
 func (t *Tier) startStorageFault(deed func(t *Tier)) {
 	if t.storageFaultActive {
 		return
@@ -30,8 +29,9 @@
 	})
 }
 
-// storm brings one trouble of many about, and does not wait for its end. Only
-// one that touches a disk goes on at a time, with the time to catch up.
+// injectRandomTierFault starts a fault that is drawn from the seed and does not wait
+// for its end. Only one storage fault is active at a time, including the time to catch
+// up.
 func (t *Tier) injectRandomTierFault() {
 	switch t.rng.IntN(16) {
 	case 0, 1:
@@ -71,7 +71,8 @@
 	}
 }
 
-// hunt draws a whole day: its load, its troubles, and how it ends.
+// randomFaults draws the routing, the processor time per message, and faults at random
+// times, and waits at the end until storage machines have caught up.
 func randomFaults(t *Tier) {
 	t.rotateGateways = t.rng.IntN(3) == 0
 	if t.rng.IntN(4) == 0 {
@@ -129,7 +130,7 @@
 	clock.Sleep(t.Site.Bounds.CatchUp + 4*second)
 }
 
-// anyClosing draws the fault at the end of a day, or none to speak of.
+// randomFinalFault injects a final fault that is drawn from the seed.
 func randomFinalFault(t *Tier) {
 	switch t.rng.IntN(4) {
 	case 0:
--- a/internal/simulate/tier_scenario.go
+++ b/internal/simulate/tier_scenario.go
@@ -1,6 +1,3 @@
-// A day of the simulated tier: traffic, troubles, a closing fault, and the judgement
-// of what clients and operators saw.
-
 package simulate
 
 import (
@@ -11,28 +8,29 @@
 	parties "fordseam/internal/standin/platform"
 )
 
-// TierScenario is a day with its troubles, named after them.
+// TierScenario is one run of the tier: client traffic, faults, a final fault, and a
+// check of what clients and operators saw. It is named after its faults.
 type TierScenario struct {
 	Name string
-	// Fit changes the deployment that the day is played on.
+	// AdjustSite, when set, changes the deployment that the scenario runs on.
 	AdjustSite func(site *parties.Site)
-	// Deeds bring the day's troubles about while traffic goes on.
+	// Faults inject the scenario's faults while clients send traffic.
 	Faults []func(t *Tier)
-	// Rests tells that service may rest for a while: more is lost than has to be
-	// borne, though no more disks.
+	// AllowUnavailable scenarios lose more machines than the tier tolerates, though
+	// not more disks, so it may be unavailable for a while.
 	AllowUnavailable bool
-	// Closing, when set, is the fault that ends the day.
+	// FinalFault, when set, is injected once the other faults are over.
 	FinalFault func(t *Tier)
-	// Traffic is how long clients come, tierTraffic unless set.
+	// LoadDuration is how long clients send traffic; defaultTierLoadDuration unless set.
 	LoadDuration time.Duration
 }
 
 const defaultTierLoadDuration = 12 * time.Second
 
-// Run plays the day with a seed.
+// Run runs the scenario with a seed.
 func (d *TierScenario) Run(seed uint64, form TierShape) *Outcome { return d.RunWith(seed, form, nil) }
 
-// RunWith lets a test change the tier before it starts.
+// RunWith is Run with a function that changes the tier before it starts.
 func (d *TierScenario) RunWith(seed uint64, form TierShape, prepare func(t *Tier)) *Outcome {
 	if d.AdjustSite != nil {
 		d.AdjustSite(form.Site)
@@ -46,7 +44,7 @@
 	})
 	out := &Outcome{Scenario: d.Name, Tier: true, Shape: form.Name, Seed: seed}
 	if !t.World.Run(4*time.Minute, func() bool { return over }) {
-		out.Breaches = append(out.Breaches, "FAULT: the day does not end")
+		out.Breaches = append(out.Breaches, "FAULT: the scenario did not end within 4 minutes")
 	}
 	t.instances.Settle()
 	t.recorder.Note(func(r *parties.Record) { r.Over = t.World.now })
@@ -59,7 +57,7 @@
 	}
 	for _, m := range t.All() {
 		if m.StorageErr != nil {
-			out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: %s does not open: %v", m.Host.Name, m.StorageErr))
+			out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: the storage of %s does not open: %v", m.Host.Name, m.StorageErr))
 		}
 	}
 	if t.config.newestAcked == nil || t.entryPoint.Ready() == 0 && out.Counts["served"] == 0 {
@@ -100,15 +98,15 @@
 	t.config.operator.ReadBack(t.Site.Bounds.Contact, t.Site.Bounds.Contact+20*time.Second)
 }
 
-// until waits for a condition within a bound.
+// pollUntil waits until a condition holds or a limit is over.
 func (t *Tier) pollUntil(limit time.Duration, met func() bool) {
 	for end := t.World.now + limit; !met() && t.World.now < end; {
 		t.CallerHost.Clock().Sleep(20 * time.Millisecond)
 	}
 }
 
-// closing brings the fault at the end of a day about, right after a
-// configuration was acknowledged, and has programs continue from before it.
+// runFinalFault injects the final fault right after a configuration was acknowledged,
+// then continues programs from turns that ended before the fault.
 func (t *Tier) runFinalFault(fault func(t *Tier)) {
 	t.changeConfig()
 	before := t.completedTurns()
@@ -124,7 +122,8 @@
 	t.runTraffic(end)
 }
 
-// endedTurns gives some turns that were answered whole and are still kept.
+// completedTurns returns the last complete turns of up to 8 programs, none older than
+// half its retention.
 func (t *Tier) completedTurns() (turns []*parties.Try) {
 	last := map[string]*parties.Try{}
 	record := t.recorder.Record()
--- a/internal/simulate/tier_scenarios.go
+++ b/internal/simulate/tier_scenarios.go
@@ -1,6 +1,3 @@
-// The days: every trouble of the deployments' sheets, alone and mixed, and the
-// faults that end a day.
-
 package simulate
 
 import (
@@ -9,8 +6,8 @@
 	parties "fordseam/internal/standin/platform"
 )
 
-// at is a deed some seconds after traffic began, drawn by the seed up to a
-// second later.
+// delayed returns a fault that starts some seconds after the traffic, plus up to a
+// second drawn from the seed.
 func delayed(seconds float64, deed func(t *Tier)) func(t *Tier) {
 	return func(t *Tier) {
 		t.CallerHost.Clock().Sleep(time.Duration(seconds*float64(time.Second)) + t.World.Between(0, time.Second))
@@ -29,8 +26,8 @@
 
 func storageMachines(t *Tier) []*Machine { return t.Storage }
 
-// killed kills some machines of a class, at most as many of those with a disk
-// as may be lost.
+// killMachines returns a fault that kills a share of a role's machines for a moment, but
+// of storage machines at most as many as may be lost.
 func killMachines(list func(t *Tier) []*Machine, share float64, power bool) func(t *Tier) {
 	return func(t *Tier) {
 		count := max(1, int(share*float64(len(list(t)))))
@@ -61,16 +58,17 @@
 	}
 }
 
-// succeeded replaces a machine as planned work.
+// replaceAfterJoin returns a fault that replaces a machine as planned work: its
+// replacement joins first.
 func replaceAfterJoin(list func(t *Tier) []*Machine) func(t *Tier) {
 	return func(t *Tier) {
 		t.forEachMachine(t.drawMachines(list(t), 1), func(m *Machine) { t.replaceAfterJoin(m, t.World.Between(second, 4*second)) })
 	}
 }
 
-// secondLosses lose storage machines in one way after another, each when the
-// last has caught up: one is retired and others lose their disks right then, two
-// are wiped apart, one is replaced as planned work.
+// consecutiveStorageLosses loses storage machines in several ways, each as soon as the
+// last machine has caught up: one is retired and others lose their disks at that
+// moment, two are wiped one after the other, and one is replaced as planned work.
 func consecutiveStorageLosses(t *Tier) {
 	clock, catchUp := t.CallerHost.Clock(), t.Site.Bounds.CatchUp
 	wiped := func(count int) {
@@ -97,11 +95,12 @@
 	}
 }
 
-// halved cuts the machines that count into halves for some seconds.
+// partitionInHalves partitions the cores and storage machines into halves for some
+// seconds.
 func partitionInHalves(t *Tier) { t.partitionFor(t.World.Between(2*second, 5*second)) }
 
-// storesDown has more storage machines without power at once than may be lost;
-// all disks come back.
+// excessStorageOutage cuts the power of more storage machines than may be lost; all
+// come back with their disks.
 func excessStorageOutage(t *Tier) {
 	t.forEachMachine(t.drawMachines(t.Storage, t.TierShape.FaultTolerance+2), func(m *Machine) {
 		t.crashFor(m, "node_kill", t.World.Between(second, 4*second), true, false)
@@ -161,7 +160,8 @@
 	}
 }
 
-// TierScenarios are all days that runs and campaigns draw on.
+// TierScenarios are all scenarios of the tier: the platform's faults alone and combined,
+// and final faults.
 var TierScenarios = []*TierScenario{
 	{Name: "quiet"},
 	{Name: "burst", Faults: []func(t *Tier){delayed(2, loadBurst(6))}},
@@ -289,7 +289,8 @@
 	{Name: "sessions wander, edges killed", Faults: []func(t *Tier){func(t *Tier) { t.rotateGateways = true }, delayed(1, killMachines(gatewayMachines, 0.34, false)), delayed(4, killMachines(gatewayMachines, 0.34, true)), delayed(7, killMachines(gatewayMachines, 0.34, false))}},
 	{Name: "sessions wander, stores wiped", LoadDuration: 18 * second, Faults: []func(t *Tier){func(t *Tier) { t.rotateGateways = true }, delayed(1, wipeStorageAfterAck), delayed(10, wipeStorageAfterAck), delayed(5, killMachines(gatewayMachines, 0.34, false))}},
 	{Name: "stores wiped in turn, owners killed", LoadDuration: 22 * second, Faults: []func(t *Tier){func(t *Tier) {
-		// The tightest that is to be borne: each is wiped as soon as the last has caught up.
+		// The closest losses that must be tolerated: each machine is wiped as soon as the
+		// last one has caught up.
 		t.rotateGateways = true
 		for _, m := range t.drawMachines(t.Storage, 3) {
 			t.crashFor(m, "node_kill", t.World.Between(100*time.Millisecond, shortDowntime), true, true)
@@ -363,7 +364,7 @@
 	{Name: "hunt", LoadDuration: 16 * second, Faults: []func(t *Tier){randomFaults}, FinalFault: randomFinalFault},
 }
 
-// FindTierScenario finds one.
+// FindTierScenario returns the scenario with a name, or nil.
 func FindTierScenario(name string) *TierScenario {
 	for _, one := range TierScenarios {
 		if one.Name == name {
--- a/internal/simulate/tier_test.go
+++ b/internal/simulate/tier_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// atGrown are the days of the fixed set at the grown size: those that rest on
+// grownSizeScenarios are the days of the fixed set at the grown size: those that rest on
 // how many machines there are. Campaigns play all.
 var grownSizeScenarios = regexp.MustCompile("^(mixed|closing|stores|hunt|herd_kill|core_cut|quiet|counted|more stores)")
 
--- a/internal/simulate/tier_worker_reply.go
+++ b/internal/simulate/tier_worker_reply.go
@@ -1,5 +1,3 @@
-// The answer of a simulated worker as the gateway reads it from a connection.
-
 package simulate
 
 import (
@@ -16,7 +14,7 @@
 	"github.com/juju/errors"
 )
 
-// workerReply is an answer as the gateway reads it.
+// workerReply reads a simulated worker's response from a connection for the gateway.
 type workerReply struct {
 	transport      *workerTransport
 	conn           *workerConn
@@ -41,7 +39,8 @@
 	return one, nil
 }
 
-// receive reads up to the head of the answer that is due.
+// readHead reads until the head of the expected response: the one whose header matches.
+// It skips up to maxForeignAnswers responses to other requests.
 func (r *workerReply) readHead(until time.Duration, match base.HeaderLine) error {
 	for {
 		one, err := r.nextPart(until)
@@ -55,15 +54,15 @@
 				return nil
 			}
 			if r.foreignAnswers++; r.foreignAnswers > maxForeignAnswers || r.ClosesConnection() {
-				return errors.New("the answer belongs to another request")
+				return errors.Errorf("%d responses belong to another request", r.foreignAnswers)
 			}
 			for one.kind != partEnd {
 				if one, err = r.nextPart(until); err != nil || one.kind == partRaw {
-					return errors.Annotate(err, "another request's answer")
+					return errors.Annotate(err, "skipping a response to another request")
 				}
 			}
 		case partRaw:
-			// A whole answer among the bytes belongs to an earlier request.
+			// Raw bytes may hold a complete response, usually to an earlier request.
 			answer, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(one.bytes)), nil)
 			if err != nil {
 				return errMalformed
@@ -73,7 +72,7 @@
 				return errMalformed
 			}
 			if match.Name == "" || answer.Header.Get(match.Name) == match.Value {
-				// Its id is right: it stands for the answer itself.
+				// Its id matches, so it is taken for the expected response.
 				r.head = workerPart{kind: partHead, status: answer.StatusCode, length: len(whole)}
 				for name := range answer.Header {
 					r.head.header = append(r.head.header, [2]string{name, answer.Header.Get(name)})
@@ -82,7 +81,7 @@
 				return nil
 			}
 			if r.foreignAnswers++; r.foreignAnswers > maxForeignAnswers {
-				return errors.New("the answer belongs to another request")
+				return errors.Errorf("%d responses belong to another request", r.foreignAnswers)
 			}
 		default:
 			return errMalformed
@@ -109,7 +108,8 @@
 
 func (r *workerReply) ClosesConnection() bool { return r.Header("Connection") == "close" }
 
-// ended keeps the connection when it can carry another request.
+// releaseConn ends the response and returns the connection to the pool if it can carry
+// another request.
 func (r *workerReply) releaseConn() {
 	r.endErr = io.EOF
 	if r.closed {
@@ -129,7 +129,7 @@
 	r.transport.release(r.conn, span)
 }
 
-// piece reads on; io.EOF at the end of the answer.
+// readPiece returns the next bytes of the body, or io.EOF at the end of the response.
 func (r *workerReply) readPiece(until time.Duration) ([]byte, error) {
 	if r.endErr != nil {
 		return nil, r.endErr
@@ -183,7 +183,7 @@
 			return nil, err
 		}
 		if body = append(body, some...); len(body) > most {
-			return nil, errors.Errorf("an answer of more than %d bytes", most)
+			return nil, errors.Errorf("the response body is longer than %d bytes", most)
 		}
 	}
 }
--- a/internal/simulate/tier_workers.go
+++ b/internal/simulate/tier_workers.go
@@ -1,8 +1,3 @@
-// The platform's workers behind the simulator's back ends. A connection
-// belongs to one life of a worker at one address; it is kept, found stale,
-// reset, forgotten without a word, and carries answers that are late, cut,
-// garbled, or belong to another request, as the workers' stand-ins bring about.
-
 package simulate
 
 import (
@@ -16,18 +11,20 @@
 	"github.com/juju/errors"
 )
 
-// tierWorker is one life of a worker at its address.
+// tierWorker is one incarnation of a worker at its address.
 type tierWorker struct {
 	*parties.Worker
 	host        *Host
 	conns       map[*workerConn]bool
 	openedConns int
-	// forget, when set, drops connections idle for so long without a word.
+	// silentDropAfter, when set, is the idle time after which the worker drops a
+	// connection without telling the gateway.
 	silentDropAfter time.Duration
 	ended           bool
 }
 
-// full tells whether the worker resets one more connection.
+// atConnLimit tells whether the worker resets another connection. The limit is halved,
+// but not below the capacity, while more than half of the queue is taken.
 func (s *tierWorker) atConnLimit() bool {
 	most := s.Shape.MaxConns
 	if queued := s.Queued(); queued > s.Shape.Queue/2 {
@@ -36,7 +33,7 @@
 	return most > 0 && len(s.conns) >= most
 }
 
-// end ends the worker's process: its connections close.
+// terminate ends the worker's process and closes its connections.
 func (s *tierWorker) terminate(t *Tier) {
 	s.End()
 	s.ended = true
@@ -58,6 +55,7 @@
 	partConnClosed
 )
 
+// workerPart is a part of a worker's response on a connection, or the connection's end.
 type workerPart struct {
 	kind   int
 	status int
@@ -66,7 +64,9 @@
 	bytes  []byte
 }
 
-// workerConn is one connection from a gateway to a worker.
+// workerConn is a connection from a gateway to one incarnation of a worker. As the
+// stand-ins decide, it may go stale, be reset or be dropped silently, and may carry
+// responses that are late, cut, malformed or for another request.
 type workerConn struct {
 	number         int
 	tier           *Tier
@@ -76,12 +76,12 @@
 	addr           string
 	pool           *workerPool
 	incoming       *pipe[workerPart]
-	closedSignal   base.Signal // fires when the other side has closed
+	closedSignal   base.Signal // fires when either side has closed
 	closed         bool
-	idleDeadline   time.Duration // the gateway's
-	idleSince      time.Duration // since when, for the worker
+	idleDeadline   time.Duration // until when the gateway may reuse it
+	idleSince      time.Duration // when the worker sent its last response
 	servedRequests int
-	delayedBytes   []byte
+	delayedBytes   []byte // sent before the next response
 }
 
 func (c *workerConn) close() {
@@ -98,14 +98,14 @@
 	delete(c.tier.conns, c)
 }
 
-// workerStock is what a gateway keeps for one life of a worker.
+// workerPool holds a gateway's connections to one incarnation of a worker.
 type workerPool struct {
 	open      int
 	idle      []*workerConn
 	discarded bool
 }
 
-// workerCalls is one gateway life's way to the workers.
+// workerTransport calls workers for one incarnation of a gateway.
 type workerTransport struct {
 	tier           *Tier
 	host           *Host
@@ -126,7 +126,9 @@
 	held.idle = nil
 }
 
-// take gives an idle connection that is quiet, or the right to make one.
+// acquire returns an idle connection on which nothing has arrived. Without one it
+// returns a nil connection and counts a new one in the pool, which the caller then
+// opens. It fails with base.ErrConnectionLimit when the pool is full.
 func (b *workerTransport) acquire(worker, addr string, most int) (*workerConn, *workerPool, error) {
 	now := b.tier.World.now
 	held := b.pools[worker]
@@ -157,17 +159,17 @@
 	b.host.Clock().Sleep(t.Net.delay() + t.Net.delay() + time.Millisecond)
 	target := t.workersByAddress[addr]
 	if target == nil {
-		return nil, errors.New("connection refused")
+		return nil, errors.Errorf("connection to %s refused", addr)
 	}
 	if t.Net.isCut(b.host.Name, target.host.Name) || t.Net.isCut(target.host.Name, b.host.Name) {
 		b.host.Clock().Sleep(min(bound, ctx.Remaining()))
-		return nil, errors.New("no route")
+		return nil, errors.Errorf("no route to %s", addr)
 	}
 	if t.maxDialTime > 0 {
 		took := t.World.Between(0, t.maxDialTime)
 		b.host.Clock().Sleep(min(took, bound))
 		if took > bound || t.workersByAddress[addr] != target {
-			return nil, errors.New("the connection did not come up in time")
+			return nil, errors.Errorf("connecting to %s took longer than %v", addr, bound)
 		}
 	}
 	t.lastNumber++
@@ -208,7 +210,7 @@
 		if b.tier.disabled.notRunProof {
 			return nil, &base.NotSent{Cause: err}
 		}
-		return nil, errors.Annotate(err, "awaiting the answer")
+		return nil, errors.Annotate(err, "reading the response head")
 	}
 	return reply, nil
 }
@@ -225,7 +227,7 @@
 	c.pool.idle = append(c.pool.idle, c)
 }
 
-// send takes a request to the worker.
+// send sends a request to the worker, which serves it in a task of its own.
 func (c *workerConn) send(request *base.BackendRequest) {
 	t, s := c.tier, c.worker
 	if s == nil {
@@ -260,7 +262,7 @@
 	})
 }
 
-// workerSide writes answers into a connection.
+// workerResponseWriter writes a worker's responses to a connection.
 type workerResponseWriter struct {
 	conn       *workerConn
 	closeAfter bool
@@ -307,7 +309,7 @@
 const maxForeignAnswers = 2
 
 var (
-	errConnClosed = errors.New("the connection was closed")
-	errMalformed  = errors.New("bytes that form no answer")
-	errTimeout    = errors.New("no answer in time")
+	errConnClosed = errors.New("the worker closed the connection")
+	errMalformed  = errors.New("malformed response")
+	errTimeout    = errors.New("the response timed out")
 )
--- a/internal/simulate/traffic.go
+++ b/internal/simulate/traffic.go
@@ -1,7 +1,3 @@
-// What a fleet at rest says, by size: the calls and bytes of each kind, and of
-// the busiest machine of each role. The slope over sizes is the growth that
-// docs/CAPACITY.md speaks of.
-
 package simulate
 
 import (
@@ -12,8 +8,8 @@
 	"fordseam/internal/base"
 )
 
-// ShapeOfSize is a fleet of a size, a fifth of it cores and storage machines up to
-// most each.
+// ShapeOfSize returns the shape of a fleet with a number of nodes: four cores and one
+// more per 30 nodes, up to maxCores, as many storage machines, up to 9, and gateways.
 func ShapeOfSize(nodes, most int) Shape {
 	shape := KiondoShape()
 	shape.Cores = min(4+nodes/30, most)
@@ -23,7 +19,8 @@
 	return shape
 }
 
-// busiest is what a role's machines said a second: their mean and their most.
+// roleTraffic is the traffic per second of a role's machines: the mean, and the
+// traffic of the machine that sent and received most bytes.
 type roleTraffic struct {
 	role                          string
 	meanCalls, meanBytes          float64
@@ -31,7 +28,9 @@
 	busiestHost                   string
 }
 
-// WriteIdleTraffic measures a fleet of a shape at rest over a span.
+// WriteIdleTraffic measures the traffic between the nodes of an idle fleet and writes
+// it by kind of call and for the busiest machine of each role. docs/CAPACITY.md takes
+// the growth with the size of the fleet from it.
 func WriteIdleTraffic(out io.Writer, seed uint64, shape Shape, span time.Duration) error {
 	f := NewFleet(seed, shape)
 	defer f.World.Close()
@@ -41,30 +40,31 @@
 		begun = true
 	})
 	if !f.World.Run(5*time.Minute, func() bool { return begun }) {
-		return fmt.Errorf("the fleet of %d did not form", len(f.All()))
+		return fmt.Errorf("a fleet of %d nodes did not form within 5 minutes", len(f.All()))
 	}
 	f.World.Run(f.World.Now()+20*time.Second, nil)
 	f.Net.TrafficByPath, f.Net.TrafficByHost = map[string]*PathTraffic{}, map[string]*HostTraffic{}
 	f.World.Run(f.World.Now()+span, nil)
-	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %v at rest\n", len(f.All()), shape.Gateways, shape.Cores, shape.Storage, span)
+	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, idle for %v\n", len(f.All()), shape.Gateways, shape.Cores, shape.Storage, span)
 	f.Net.writeTraffic(out, f, span)
 	return nil
 }
 
-// writeTalk writes what was counted over a span: by kind, and by role.
+// writeTraffic writes the traffic that was counted over a span: by kind of call, and
+// by role.
 func (n *Net) writeTraffic(out io.Writer, f *Fleet, span time.Duration) {
 	share := span.Seconds() * float64(len(f.All()))
 	for _, path := range base.SortedKeys(n.TrafficByPath) {
 		talk := n.TrafficByPath[path]
-		fmt.Fprintf(out, "  %-46s %7.3f calls %8.1f bytes a node and second, %6.0f bytes a call\n", path, float64(talk.Calls)/share, float64(talk.Bytes)/share, float64(talk.Bytes)/float64(max(1, talk.Calls)))
+		fmt.Fprintf(out, "  %-46s %7.3f calls %8.1f bytes per node and second, %6.0f bytes per call\n", path, float64(talk.Calls)/share, float64(talk.Bytes)/share, float64(talk.Bytes)/float64(max(1, talk.Calls)))
 	}
 	for _, load := range []roleTraffic{n.trafficOf("gateway", f.Gateways, span), n.trafficOf("core", f.Cores, span), n.trafficOf("storage", f.Storage, span)} {
-		fmt.Fprintf(out, "  %-8s mean %7.1f calls %9.0f bytes a second; most (%s) %7.1f calls %9.0f bytes, %7.1f of the calls served\n",
+		fmt.Fprintf(out, "  %-8s mean %7.1f calls %9.0f bytes per second; busiest (%s) %7.1f calls %9.0f bytes, %7.1f calls received\n",
 			load.role, load.meanCalls, load.meanBytes, load.busiestHost, load.maxCalls, load.maxBytes, load.maxServed)
 	}
 }
 
-// loadOf sums up what the machines of a role said over a span.
+// trafficOf summarizes the traffic of a role's machines over a span.
 func (n *Net) trafficOf(role string, machines []*Machine, span time.Duration) roleTraffic {
 	sum := roleTraffic{role: role}
 	for _, m := range machines {
--- a/internal/simulate/traffic_churn.go
+++ b/internal/simulate/traffic_churn.go
@@ -1,7 +1,3 @@
-// What control says while workers come and go and the operator changes the
-// configuration, by the size of the fleet. The workers are only entries of the
-// platform's list; nobody calls them.
-
 package simulate
 
 import (
@@ -17,19 +13,19 @@
 )
 
 const (
-	// churnCores is how many cores there are at any size, and churnStorage the
-	// share of storage machines, as the deployments have them when they grow.
+	// churnCores is the number of cores at any size, and churnStorage the share of
+	// storage machines. The deployments grow in this way.
 	churnCores   = 4
 	churnStorage = 0.3
-	// churnGap is how long one of a thousand workers stays the newest.
+	// churnInterval is the time between two replacements per thousand workers.
 	churnInterval = time.Second
-	// listShare is how much of the platform's rate the list is read at.
+	// listRateShare is the share of the platform's rate limit at which the list is read.
 	listRateShare = 0.8
-	// churnLead is how long a fleet is left alone before it is measured.
+	// churnWarmUp is how long a fleet runs before it is measured.
 	churnWarmUp = 10 * time.Second
 )
 
-// ChurnShape is a deployment of a size, ten workers for each of its machines.
+// ChurnShape returns a deployment with a number of machines and ten workers per machine.
 func ChurnShape(machines int) TierShape {
 	site := parties.Sites()["ljubljana"]
 	site.Name = fmt.Sprintf("churn-%d", machines)
@@ -41,13 +37,16 @@
 	return TierShape{Name: site.Name, Site: site, FaultTolerance: 1}
 }
 
-// ChurnRun is a fleet under such a load.
+// ChurnRun is a fleet whose workers are replaced continuously while the operator
+// changes the configuration. The workers are only entries in the platform's list;
+// nobody calls them.
 type ChurnRun struct {
 	*Tier
 	stopped bool
 }
 
-// NewChurnRun forms a fleet and begins to replace its workers.
+// NewChurnRun forms a fleet, begins to replace its workers and lets it run for
+// churnWarmUp.
 func NewChurnRun(seed uint64, machines int) (*ChurnRun, error) {
 	c := &ChurnRun{Tier: NewTier(seed, ChurnShape(machines), limitListRate)}
 	formed, done := false, false
@@ -57,14 +56,14 @@
 	})
 	if !c.World.Run(c.World.Now()+2*time.Minute, func() bool { return done }) || !formed {
 		c.World.Close()
-		return nil, fmt.Errorf("the fleet of %d did not form", machines)
+		return nil, fmt.Errorf("a fleet of %d machines did not form within 2 minutes", machines)
 	}
 	c.CallerHost.Go(c.replaceWorkers)
 	c.World.Run(c.World.Now()+churnWarmUp, nil)
 	return c, nil
 }
 
-// paceList has cores read the list no faster than the platform lets them.
+// limitListRate makes cores read the list more slowly than the platform's rate limit.
 func limitListRate(t *Tier) {
 	start := t.Fleet.onBuilt
 	t.Fleet.onBuilt = func(m *Machine) {
@@ -80,8 +79,8 @@
 	}
 }
 
-// replaceWorkers takes one worker after another off the list, as a release
-// does, and puts a new one on it.
+// replaceWorkers replaces one worker after another, as the release of a new version
+// does.
 func (c *ChurnRun) replaceWorkers() {
 	gap := churnInterval * 1000 / time.Duration(len(c.workers))
 	for place := 0; !c.stopped; place++ {
@@ -100,15 +99,15 @@
 	leaving.terminate(c.Tier)
 }
 
-// AppliedChange is how one change of the configuration fared.
+// AppliedChange holds the times of one change of the configuration.
 type AppliedChange struct {
-	// Acked is how long the operator waited, InForce how long after that the
-	// last gateway went by it.
+	// AckTime is how long the operator waited for the acknowledgement.
+	// PropagationTime is how long after it the last gateway applied the change.
 	AckTime, PropagationTime time.Duration
 }
 
-// ApplyChange changes the configuration and waits until all gateways that live go by
-// it, or a limit is over.
+// ApplyChange changes the configuration and waits until all live gateways have applied
+// it. The limit holds for the acknowledgement and again for the propagation.
 func (c *ChurnRun) ApplyChange(limit time.Duration) (AppliedChange, error) {
 	var order *parties.Order
 	began, acked := c.World.Now(), time.Duration(0)
@@ -118,19 +117,19 @@
 	})
 	c.World.Run(began+limit, func() bool { return acked > 0 })
 	if order == nil || !order.Acked() {
-		return AppliedChange{}, fmt.Errorf("the change was not acknowledged within %v", limit)
+		return AppliedChange{}, fmt.Errorf("the configuration change was not acknowledged within %v", limit)
 	}
 	version := order.Config.Generation
 	for c.gatewaysBehind(version) > 0 {
 		if c.World.Now() > acked+limit {
-			return AppliedChange{}, fmt.Errorf("%d gateways do not go by version %d after %v", c.gatewaysBehind(version), version, limit)
+			return AppliedChange{}, fmt.Errorf("%d gateways have not applied version %d after %v", c.gatewaysBehind(version), version, limit)
 		}
 		c.World.Run(c.World.Now()+20*time.Millisecond, nil)
 	}
 	return AppliedChange{AckTime: acked - began, PropagationTime: c.World.Now() - acked}, nil
 }
 
-// behind counts the living gateways that go by an older configuration.
+// gatewaysBehind counts the live gateways whose configuration is older than a version.
 func (c *ChurnRun) gatewaysBehind(version uint64) int {
 	return len(base.Filter(c.Gateways, func(m *Machine) bool {
 		if !m.Host.alive || m.gateway == nil {
@@ -141,8 +140,8 @@
 	}))
 }
 
-// MeasureChanges counts what is said over a span in which the configuration changes
-// once a period, and gives how the changes fared.
+// MeasureChanges counts the traffic over a span in which the configuration changes
+// once per period, and returns the times of the changes.
 func (c *ChurnRun) MeasureChanges(span, period time.Duration) (changes []AppliedChange, err error) {
 	c.Net.TrafficByPath, c.Net.TrafficByHost = map[string]*PathTraffic{}, map[string]*HostTraffic{}
 	for end := c.World.Now() + span; c.World.Now() < end; {
@@ -157,13 +156,14 @@
 	return changes, nil
 }
 
-// BusiestBytesPerSecond gives the bytes a second of the busiest machine of a role.
+// BusiestBytesPerSecond returns the traffic of a role's busiest machine over a span.
 func (c *ChurnRun) BusiestBytesPerSecond(role string, span time.Duration) float64 {
 	list := map[string][]*Machine{membership.RoleGateway: c.Gateways, membership.RoleCore: c.Cores, membership.RoleStorage: c.Storage}[role]
 	return c.Net.trafficOf(role, list, span).maxBytes
 }
 
-// WriteChurnTraffic measures a fleet of a size.
+// WriteChurnTraffic measures a fleet under churn and writes its traffic and how long
+// changes of the configuration took to reach all gateways.
 func WriteChurnTraffic(out io.Writer, seed uint64, machines int, span time.Duration) error {
 	c, err := NewChurnRun(seed, machines)
 	if err != nil {
@@ -176,10 +176,10 @@
 		return err
 	}
 	span = c.World.Now() - began
-	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %d workers that come and go, %v\n", machines, len(c.Gateways), len(c.Cores), len(c.Storage), len(c.workersByAddress), span)
+	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %d workers under churn, %v\n", machines, len(c.Gateways), len(c.Cores), len(c.Storage), len(c.workersByAddress), span)
 	c.Net.writeTraffic(out, c.Fleet, span)
 	slices.SortFunc(changes, func(a, b AppliedChange) int { return int(a.PropagationTime - b.PropagationTime) })
 	middle, last := changes[len(changes)/2], changes[len(changes)-1]
-	fmt.Fprintf(out, "  %d changes of the configuration, in force everywhere after %v in the middle, %v at the longest\n", len(changes), middle.PropagationTime, last.PropagationTime)
+	fmt.Fprintf(out, "  %d configuration changes, applied by all gateways after a median of %v and at most %v\n", len(changes), middle.PropagationTime, last.PropagationTime)
 	return nil
 }
--- a/internal/simulate/traffic_churn_test.go
+++ b/internal/simulate/traffic_churn_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// TestAConfigurationReachesALargeFleetWhoseWorkersChange holds that a
+// TestConfigChangesReachLargeFleetDuringWorkerChurn holds that a
 // configuration is in force everywhere long before its bound, and that the owner
 // of the feed answers a bounded number of followers, though no view of the fleet
 // shows its gateways: cores and storage machines fill them.
@@ -52,14 +52,14 @@
 	}
 }
 
-// ownerBytes bounds what the owner of the feed says a second at 300 machines: most
+// maxLeaderBytesPerSecond bounds what the owner of the feed says a second at 300 machines: most
 // of it are the changes of the roster to 90 replicas.
 const maxLeaderBytesPerSecond = 350e3
 
-// directMostGateways is about how many gateways a view shows of a small fleet.
+// fullViewGateways is about how many gateways a view shows of a small fleet.
 const fullViewGateways = 20
 
-// TestALargeFleetServesSoonAfterAllWasKilled: followers that all come back at
+// TestLargeFleetServesSoonAfterTotalOutage: followers that all come back at
 // once with nothing do not hold each other up.
 func TestLargeFleetServesSoonAfterTotalOutage(t *testing.T) {
 	t.Parallel()
--- a/internal/simulate/traffic_test.go
+++ b/internal/simulate/traffic_test.go
@@ -15,7 +15,7 @@
 
 func shapeOfSize(nodes int) Shape { return ShapeOfSize(nodes, 7) }
 
-// stage is how far a fleet was brought up.
+// setupStage is how far a fleet was brought up.
 type setupStage string
 
 const (
@@ -24,7 +24,7 @@
 	settingsApplied setupStage = "settings applied"
 )
 
-// rested is a fleet of a size that came to rest, with nothing counted yet.
+// idleFleet is a fleet of a size that came to rest, with nothing counted yet.
 func idleFleet(t *testing.T, nodes int, stage setupStage) *Fleet {
 	t.Helper()
 	f := NewFleet(1, shapeOfSize(nodes))
@@ -50,7 +50,7 @@
 	return f
 }
 
-// idle gives the calls and bytes a node and second while nothing happens.
+// measureIdle gives the calls and bytes a node and second while nothing happens.
 func measureIdle(t *testing.T, nodes int, stage setupStage) (calls, bytes float64) {
 	t.Helper()
 	f := idleFleet(t, nodes, stage)
@@ -69,7 +69,7 @@
 	return calls, bytes
 }
 
-// TestIdleTalkStaysSmall bounds what an idle fleet says, and its growth with
+// TestIdleTrafficStaysSmall bounds what an idle fleet says, and its growth with
 // the fleet.
 func TestIdleTrafficStaysSmall(t *testing.T) {
 	t.Parallel()
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestPartialViewsStayQuiet: where views hold only part of the fleet, meeting
+// TestPartialViewsAddNoTraffic: where views hold only part of the fleet, meeting
 // a gateway again is not passed on as news.
 func TestPartialViewsAddNoTraffic(t *testing.T) {
 	t.Parallel()
@@ -95,7 +95,7 @@
 	is.True(calls < 6)
 }
 
-// TestEmptyFeedIsAPlaceLikeAnyOther: followers of a feed that tells nothing are
+// TestFollowersOfEmptyFeedAreLongPolled: followers of a feed that tells nothing are
 // held as others are.
 func TestFollowersOfEmptyFeedAreLongPolled(t *testing.T) {
 	t.Parallel()
@@ -113,7 +113,7 @@
 	}
 }
 
-// view is a machine's view in its present life.
+// membershipView is a machine's view in its present life.
 func (m *Machine) membershipView() *membership.View {
 	switch {
 	case m.gateway != nil:
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// believers counts the machines outside a set that take one for alive.
+// countSeeingAlive counts the machines outside a set that take one for alive.
 func (f *Fleet) countSeeingAlive(id string, apart map[string]bool) int {
 	count := 0
 	for _, m := range f.All() {
@@ -148,7 +148,7 @@
 	return f.World.now - began
 }
 
-// TestSilentNodesAreFound measures how long it takes until no other node takes
+// TestSilentNodesAreDetected measures how long it takes until no other node takes
 // a lost one for alive, a fifth of the recovery bound on the mean, and until all
 // do again once it is back.
 func TestSilentNodesAreDetected(t *testing.T) {
@@ -213,7 +213,7 @@
 	}
 }
 
-// TestSlowNodesAreNotTakenForLost: a machine that answers within half a second
+// TestSlowNodesAreNotSuspected: a machine that answers within half a second
 // stays in all views.
 func TestSlowNodesAreNotSuspected(t *testing.T) {
 	t.Parallel()
--- a/internal/simulate/transfer_test.go
+++ b/internal/simulate/transfer_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// largePlan is a configuration of some 2 MB, with changes far apart.
+// largeConfigPlan is a configuration of some 2 MB, with changes far apart.
 func largeConfigPlan(t *testing.T, size string, changes int) ChangeStreamPlan {
 	plan := newPlan(t, size, changes)
 	plan.Padding, plan.Interval, plan.BytesPerSecond = 1500<<10, 500*time.Millisecond, 100<<20
@@ -27,12 +27,12 @@
 	runChangeStreams(t, largeConfigPlan(t, ChangeStreamSizes[0], 12), uint64(*seedCount))
 }
 
-// partTalk is what was said about parts to and from one machine.
+// partTraffic is what was said about parts to and from one machine.
 type partTraffic struct {
 	sent, lost, bytes int
 }
 
-// onParts stands between owners and disks where content goes in parts; fails
+// interceptParts stands between owners and disks where content goes in parts; fails
 // says whether a message, or its answer, is lost.
 func interceptParts(f *Fleet, fails func(m *Message, part *register.InstallPartRequest) (before, after bool)) {
 	f.Net.Intercept = func(m *Message) *http.Response {
@@ -101,7 +101,7 @@
 	}
 }
 
-// wipeLater has a disk come back empty once some changes were made.
+// wipeAfterChanges has a disk come back empty once some changes were made.
 func (f *Fleet) wipeAfterChanges(m *Machine) {
 	for newestGatewayVersion(f) < 3 {
 		f.CallerHost.Clock().Sleep(20 * time.Millisecond)
@@ -111,7 +111,7 @@
 	f.Start(m)
 }
 
-// versionAt is the newest version that a gateway shows.
+// newestGatewayVersion is the newest version that a gateway shows.
 func newestGatewayVersion(f *Fleet) (newest uint64) {
 	for _, m := range f.Gateways {
 		if follower := m.feedFollower(); follower != nil {
@@ -200,7 +200,7 @@
 	is.True(damaged > 0)
 }
 
-// ownersLostBesideALaggard kills the feed's owner whenever a disk that was cut
+// killLeaderBesideLaggingDisk kills the feed's owner whenever a disk that was cut
 // off is back.
 func (f *Fleet) killLeaderBesideLaggingDisk() {
 	clock := f.CallerHost.Clock()
--- a/internal/simulate/world.go
+++ b/internal/simulate/world.go
@@ -1,7 +1,12 @@
-// Package simulate runs the slices' own code in virtual time, with a wire,
-// disks and back ends in memory and faults drawn from a seed. One task runs
-// at a time; a task gives way only where slice code may block, so the order
-// of everything follows from the seed and a run replays exactly.
+// Package simulate runs the daemons' own code in virtual time, with an in-memory
+// network, disks and back ends, and injects faults that are drawn from a seed.
+//
+// One task runs at a time, and a task yields only where the code may block, so the
+// seed determines the order of everything and a run replays exactly. Every run ends
+// with checks of what the callers, operators and workers recorded.
+//
+// A Scenario runs a Fleet with the project's own API in front. A TierScenario runs a
+// Tier: a fleet that serves an operator's routes on the platform.
 package simulate
 
 import (
@@ -15,7 +20,8 @@
 	"fordseam/internal/base"
 )
 
-// World is virtual time and all that happens in it.
+// World holds virtual time, the tasks, the queue of wake-ups and the random source of a
+// run.
 type World struct {
 	Seed       uint64
 	now        time.Duration
@@ -30,36 +36,40 @@
 	taskPanic  any
 }
 
-// Host is one machine: it lives, freezes, wakes and dies.
+// Host is a machine that can be frozen, killed and started again.
 type Host struct {
 	World          *World
 	Name           string
 	Zone           string
-	incarnation    int
+	incarnation    int // incremented by Kill; tasks of an older one never run again
 	alive          bool
 	frozen         bool
-	deferredEvents []*event
+	deferredEvents []*event // held back while the host is frozen
 	serve          httpHandler
 	openReplies    map[*BackendReply]struct{}
-	// dark machines have no power: they say nothing, where a process that has
-	// ended refuses.
+	// poweredOff hosts do not answer at all, whereas a host whose process has ended
+	// refuses connections.
 	poweredOff bool
-	// Cost is the processor's time for each message, one after the other.
+	// MessageCost is the processor time of each message; messages are processed one
+	// after the other.
 	MessageCost  time.Duration
 	busyUntil    time.Duration
 	pendingCalls []*pendingCall
-	// Lag is added to every message to and from the host.
+	// ExtraDelay is added to every message to and from the host.
 	ExtraDelay time.Duration
 }
 
+// task is a goroutine that runs only while the world resumes it.
 type task struct {
 	host        *Host
 	incarnation int
-	generation  uint64
+	generation  uint64 // incremented at each resume; an event of an older one is ignored
 	wake        chan struct{}
 	ended       bool
 }
 
+// event wakes a task at a time. Events of the same time run in the order they were
+// scheduled.
 type event struct {
 	at         time.Duration
 	order      uint64
@@ -67,6 +77,7 @@
 	generation uint64
 }
 
+// eventHeap implements heap.Interface; the earliest event comes first.
 type eventHeap []*event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -85,38 +96,41 @@
 	return popped
 }
 
-// NewWorld starts at time nought with a seed.
+// NewWorld returns a world at time 0.
 func NewWorld(seed uint64) *World {
 	return &World{Seed: seed, rng: rand.New(rand.NewPCG(seed, 0x5eed)), yielded: make(chan struct{}),
 		tasks: map[*task]struct{}{}, Hosts: map[string]*Host{}}
 }
 
-// NewHost adds a machine that is up.
+// NewHost adds a running host.
 func (w *World) NewHost(name, zone string) *Host {
 	h := &Host{World: w, Name: name, Zone: zone, alive: true, openReplies: map[*BackendReply]struct{}{}}
 	w.Hosts[name] = h
 	return h
 }
 
+// push schedules a wake-up of a task. It has no effect if the task is resumed before.
 func (w *World) push(at time.Duration, t *task) {
 	w.eventCount++
 	heap.Push(&w.events, &event{at: max(at, w.now), order: w.eventCount, task: t, generation: t.generation})
 }
 
-// Now is virtual time.
+// Now returns the virtual time.
 func (w *World) Now() time.Duration { return w.now }
 
-// Int64N draws from the seed.
+// Int64N draws an integer in [0, n).
 func (w *World) Int64N(n int64) int64 { return w.rng.Int64N(n) }
 
-// Chance is true with a probability.
+// Chance returns true with probability p.
 func (w *World) Chance(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
-// Between draws a duration.
+// Between draws a duration between low and high, both included.
 func (w *World) Between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
 }
 
+// spawn starts a task on a host at a time. Run panics with the stack of a task that
+// panics.
 func (w *World) spawn(h *Host, life int, at time.Duration, fn func()) {
 	t := &task{host: h, incarnation: life, wake: make(chan struct{})}
 	w.tasks[t] = struct{}{}
@@ -138,7 +152,7 @@
 	w.push(at, t)
 }
 
-// park gives way until the task is woken.
+// park suspends the current task until it is resumed.
 func (w *World) park() {
 	t := w.current
 	if w.closing {
@@ -151,6 +165,7 @@
 	}
 }
 
+// resume runs a task until it parks or ends.
 func (w *World) resume(t *task) {
 	t.generation++
 	former := w.current
@@ -166,7 +181,8 @@
 	}
 }
 
-// Run goes on until done says so or the limit is reached, and tells which.
+// Run runs tasks until done returns true, virtual time reaches the limit or nothing is
+// scheduled. It returns whether done holds; a nil done always does.
 func (w *World) Run(limit time.Duration, done func() bool) bool {
 	for len(w.events) > 0 {
 		if done != nil && done() {
@@ -195,7 +211,7 @@
 	return done == nil || done()
 }
 
-// Close ends all tasks.
+// Close ends all tasks. Nothing can run in the world afterwards.
 func (w *World) Close() {
 	w.closing = true
 	for t := range w.tasks {
@@ -203,10 +219,11 @@
 	}
 }
 
-// Go runs a task on a host.
+// Go starts a task on the host. The task never runs again once the host is killed.
 func (h *Host) Go(fn func()) { h.World.spawn(h, h.incarnation, h.World.now, fn) }
 
-// work is how long a message waits until the processor has dealt with it.
+// processingDelay returns how long a message takes until the processor has processed
+// it, after the messages before it.
 func (h *Host) processingDelay() time.Duration {
 	if h.MessageCost == 0 {
 		return 0
@@ -215,7 +232,7 @@
 	return h.busyUntil - h.World.now
 }
 
-// Kill ends everything on the host at once.
+// Kill ends all tasks on the host at once and resets its open calls.
 func (h *Host) Kill() {
 	h.incarnation++
 	for _, one := range h.pendingCalls {
@@ -229,15 +246,16 @@
 	h.openReplies = map[*BackendReply]struct{}{}
 }
 
-// Revive brings a worker's machine back after Kill.
+// Revive starts a worker's host again after Kill.
 func (h *Host) Revive() { h.alive = true }
 
-// Serve says what answers the messages to the host until it is killed.
+// Serve sets the handler of messages to the host; Kill removes it.
 func (h *Host) Serve(handler http.Handler) { h.serve = handler }
 
-// Freeze stops the host's tasks; Thaw lets them go on where they were.
+// Freeze suspends the host's tasks until Thaw.
 func (h *Host) Freeze() { h.frozen = true }
 
+// Thaw resumes the tasks of a frozen host.
 func (h *Host) Thaw() {
 	h.frozen = false
 	for _, kept := range h.deferredEvents {
@@ -249,7 +267,7 @@
 	h.deferredEvents = nil
 }
 
-// Clock is a host's clock.
+// Clock returns the host's clock. Its tasks end with the host.
 func (h *Host) Clock() base.Clock { return &clock{h} }
 
 type clock struct{ host *Host }
@@ -274,6 +292,7 @@
 	generation uint64
 }
 
+// signal implements base.Signal for simulated tasks.
 type signal struct {
 	world   *World
 	fired   bool
