--- a/internal/fleet/platform.go
+++ b/internal/fleet/platform.go
@@ -27,366 +27,366 @@
 // PlatformPlan says how a run on the platform goes.
 type PlatformPlan struct {
 	Site *platform.Site
-	// Root is where programs start, Folder has settings, data and logs.
-	Root, Folder string
+	// WorkDir is where programs start, Folder has settings, data and logs.
+	WorkDir, Dir string
 	// Commands are the programs with their arguments, by class of machine.
-	Commands map[string]string
-	Traffic  time.Duration
-	Rate     float64 // times the site's usual
-	Seed     uint64
-	Troubles []Trouble
-	// Closing, when set, ends the day: kill_all, wipe.
-	Closing string
+	Commands        map[string]string
+	TrafficDuration time.Duration
+	RateFactor      float64 // times the site's usual
+	Seed            uint64
+	Events          []PlatformEvent
+	// ClosingFault, when set, ends the day: kill_all, wipe.
+	ClosingFault string
 	// RecordFile, when set, gets everything that was seen, as JSON.
 	RecordFile string
-	// Formation is how long a fleet may take until it serves.
-	Formation time.Duration
+	// SetUpTimeout is how long a fleet may take until it serves.
+	SetUpTimeout time.Duration
 }
 
 // platformPorts are the same on all machines of a run.
 type platformPorts struct {
-	front, readiness, control int
-	inner                     [2]int
+	frontPort, readinessPort, controlPort int
+	internalPorts                         [2]int
 }
 
 type machine struct {
 	Process
-	class   string
-	ip      string
-	first   bool
-	settled sync.Mutex // one start or end at a time
-	expect  bool       // its end is expected
-	gone    bool
+	class        string
+	ip           string
+	initial      bool
+	lifecycleMu  sync.Mutex // one start or end at a time
+	exitExpected bool       // its end is expected
+	removed      bool
 }
 
-// platformWorld is a run under way.
-type platformWorld struct {
-	plan     *PlatformPlan
-	clock    base.Clock
-	rng      *rand.Rand
-	rngMu    sync.Mutex
-	ledger   *platform.Ledger
-	words    *platform.Words
-	drafts   *platform.Drafts
-	list     *platform.Instances
-	listed   *sockets.ListServer
-	entry    *sockets.VirtualEntry
-	clients  *sockets.Clients
-	player   *platform.Player
-	ports    platformPorts
-	network  int
-	hosts    int
-	mu       sync.Mutex
-	machines []*machine
-	workers  []*sockets.WorkerServer
-	faults   map[string]*workerFaults // by worker or service
-	works    map[string]platform.Draw // by route prefix
-	ownEnds  []string
-	over     chan struct{}
-	tasks    sync.WaitGroup
-	programs sync.WaitGroup
-	config   configState
-	extra    float64      // burst
-	persist  atomic.Int64 // until when turns from before a closing fault are asked for
+// platformRun is a run under way.
+type platformRun struct {
+	plan            *PlatformPlan
+	clock           base.Clock
+	rng             *rand.Rand
+	rngMu           sync.Mutex
+	ledger          *platform.Ledger
+	names           *platform.Words
+	drafts          *platform.Drafts
+	instances       *platform.Instances
+	listServer      *sockets.ListServer
+	entry           *sockets.VirtualEntry
+	clients         *sockets.Clients
+	player          *platform.Player
+	ports           platformPorts
+	networkIndex    int
+	hostCount       int
+	mu              sync.Mutex
+	machines        []*machine
+	workers         []*sockets.WorkerServer
+	faults          map[string]*injectedFaults // by worker or service
+	workByPrefix    map[string]platform.Draw   // by route prefix
+	unexpectedExits []string
+	done            chan struct{}
+	tasks           sync.WaitGroup
+	programs        sync.WaitGroup
+	config          configState
+	rateFactor      float64      // burst
+	persistUntil    atomic.Int64 // until when turns from before a closing fault are asked for
 }
 
-func newPlatformWorld(plan *PlatformPlan) *platformWorld {
-	w := &platformWorld{plan: plan, clock: base.NewRealClock(), rng: rand.New(rand.NewPCG(plan.Seed, 1)), over: make(chan struct{}),
-		faults: map[string]*workerFaults{}, works: map[string]platform.Draw{}, extra: 1}
-	w.ledger = platform.NewLedger(plan.Site.Bounds, plan.Site.Stride(), plan.Site.Cores)
-	w.words = plan.Site.DrawWords(rand.New(rand.NewPCG(plan.Seed, 2)))
-	w.drafts = &platform.Drafts{Site: plan.Site, Words: w.words, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
-	w.network = os.Getpid()*7 + int(plan.Seed%1000)
-	w.list = &platform.Instances{Clock: w.clock, Ledger: w.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, PerS: plan.Site.ListPerS}
-	w.entry = &sockets.VirtualEntry{}
-	w.clients = &sockets.Clients{Clock: w.clock, Entry: w.entry, KeepShare: 5}
-	w.player = platform.NewPlayer(w.clock, w.clients, w.ledger, plan.Site, w.words, plan.Seed)
-	w.player.Persist = func() time.Duration { return time.Duration(w.persist.Load()) }
-	return w
+func newPlatformRun(plan *PlatformPlan) *platformRun {
+	run := &platformRun{plan: plan, clock: base.NewRealClock(), rng: rand.New(rand.NewPCG(plan.Seed, 1)), done: make(chan struct{}),
+		faults: map[string]*injectedFaults{}, workByPrefix: map[string]platform.Draw{}, rateFactor: 1}
+	run.ledger = platform.NewLedger(plan.Site.Bounds, plan.Site.Stride(), plan.Site.Cores)
+	run.names = plan.Site.DrawWords(rand.New(rand.NewPCG(plan.Seed, 2)))
+	run.drafts = &platform.Drafts{Site: plan.Site, Words: run.names, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
+	run.networkIndex = os.Getpid()*7 + int(plan.Seed%1000)
+	run.instances = &platform.Instances{Clock: run.clock, Ledger: run.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, PerS: plan.Site.ListPerS}
+	run.entry = &sockets.VirtualEntry{}
+	run.clients = &sockets.Clients{Clock: run.clock, Entry: run.entry, KeepShare: 5}
+	run.player = platform.NewPlayer(run.clock, run.clients, run.ledger, plan.Site, run.names, plan.Seed)
+	run.player.Persist = func() time.Duration { return time.Duration(run.persistUntil.Load()) }
+	return run
 }
 
-func (w *platformWorld) draw(n int) int {
-	w.rngMu.Lock()
-	defer w.rngMu.Unlock()
-	return w.rng.IntN(n)
+func (run *platformRun) randomInt(n int) int {
+	run.rngMu.Lock()
+	defer run.rngMu.Unlock()
+	return run.rng.IntN(n)
 }
 
-func (w *platformWorld) chance() float64 {
-	w.rngMu.Lock()
-	defer w.rngMu.Unlock()
-	return w.rng.Float64()
+func (run *platformRun) randomFloat() float64 {
+	run.rngMu.Lock()
+	defer run.rngMu.Unlock()
+	return run.rng.Float64()
 }
 
-func (w *platformWorld) nextHost() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.hosts++
-	return fmt.Sprintf("127.%d.%d.%d", 10+w.network/250%200, 1+w.network%250, w.hosts)
+func (run *platformRun) nextLoopbackAddr() string {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.hostCount++
+	return fmt.Sprintf("127.%d.%d.%d", 10+run.networkIndex/250%200, 1+run.networkIndex%250, run.hostCount)
 }
 
-// layPorts draws ports that are free where this machine looks.
-func (w *platformWorld) layPorts() {
-	host := w.nextHost()
+// choosePorts draws ports that are free where this machine looks.
+func (run *platformRun) choosePorts() {
+	host := run.nextLoopbackAddr()
 	for range 50 {
-		base := 7000 + 100*w.draw(200)
-		w.ports = platformPorts{front: base + 49, readiness: base + 41, control: base + 44, inner: [2]int{base + 80, base + 95}}
-		taken := false
-		for port := base + 41; port <= base+95; port++ {
-			taken = taken || !freePort(fmt.Sprintf("%s:%d", host, port))
+		basePort := 7000 + 100*run.randomInt(200)
+		run.ports = platformPorts{frontPort: basePort + 49, readinessPort: basePort + 41, controlPort: basePort + 44, internalPorts: [2]int{basePort + 80, basePort + 95}}
+		occupied := false
+		for port := basePort + 41; port <= basePort+95; port++ {
+			occupied = occupied || !portIsFree(fmt.Sprintf("%s:%d", host, port))
 		}
-		if !taken {
+		if !occupied {
 			return
 		}
 	}
 }
 
-// lay adds a machine; nothing runs yet.
-func (w *platformWorld) lay(class, zone string, number int, first bool) *machine {
-	m := &machine{class: class, ip: w.nextHost(), first: first}
+// addMachine adds a machine; nothing runs yet.
+func (run *platformRun) addMachine(class, zone string, number int, initial bool) *machine {
+	m := &machine{class: class, ip: run.nextLoopbackAddr(), initial: initial}
 	m.Name, m.Role, m.Zone = platform.Place(class, zone, number), "my-"+class, zone
 	if class != platform.ClassEdge {
-		m.Data = filepath.Join(w.plan.Folder, m.Name, "data")
+		m.DataDir = filepath.Join(run.plan.Dir, m.Name, "data")
 	}
-	w.mu.Lock()
-	w.machines = append(w.machines, m)
-	w.mu.Unlock()
+	run.mu.Lock()
+	run.machines = append(run.machines, m)
+	run.mu.Unlock()
 	return m
 }
 
-func (w *platformWorld) layAll() {
-	w.layPorts()
-	site := w.plan.Site
+func (run *platformRun) addInitialMachines() {
+	run.choosePorts()
+	site := run.plan.Site
 	for _, class := range []struct {
 		name  string
 		count int
 	}{{platform.ClassStorage, site.Storage}, {platform.ClassCore, site.Cores}, {platform.ClassEdge, site.Edges}} {
-		for place := range class.count {
-			w.lay(class.name, site.Zones[place%len(site.Zones)], place/len(site.Zones)+1, true)
+		for index := range class.count {
+			run.addMachine(class.name, site.Zones[index%len(site.Zones)], index/len(site.Zones)+1, true)
 		}
 	}
 }
 
-// of lists the machines of a class that are there, all for none.
-func (w *platformWorld) of(class string) []*machine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return base.Filter(w.machines, func(m *machine) bool { return !m.gone && (class == "" || m.class == class) })
+// machinesOf lists the machines of a class that are there, all for none.
+func (run *platformRun) machinesOf(class string) []*machine {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	return base.Filter(run.machines, func(m *machine) bool { return !m.removed && (class == "" || m.class == class) })
 }
 
-func (w *platformWorld) at(m *machine, port int) string { return fmt.Sprintf("%s:%d", m.ip, port) }
+func (run *platformRun) addrOf(m *machine, port int) string { return fmt.Sprintf("%s:%d", m.ip, port) }
 
-func (w *platformWorld) controls() []string {
-	return base.Map(w.of(platform.ClassCore), func(m *machine) string { return w.at(m, w.ports.control) })
+func (run *platformRun) controlAddrs() []string {
+	return base.Map(run.machinesOf(platform.ClassCore), func(m *machine) string { return run.addrOf(m, run.ports.controlPort) })
 }
 
-func (w *platformWorld) settings(m *machine) *platform.Settings {
-	controls := w.controls()
-	serves := map[string]string{platform.ClassEdge: platform.ClassEdge, platform.ClassCore: "control", platform.ClassStorage: platform.ClassStorage}[m.class]
-	return &platform.Settings{Node: m.Name, Role: m.Role, Class: m.class, Serves: serves, IP: m.ip, Zone: m.Zone, Region: w.plan.Site.Region,
-		Zones: w.plan.Site.Zones, Front: w.at(m, w.ports.front), Readiness: w.at(m, w.ports.readiness), Control: w.at(m, w.ports.control),
-		Ports: w.ports.inner, Seeds: controls[:min(3, len(controls))], First: m.first, Counted: m.class != platform.ClassEdge, DataDir: m.Data,
-		Tolerate: 1, Bounds: w.plan.Site.Bounds, ListAddress: w.listed.Address, ListPerS: w.plan.Site.ListPerS}
+func (run *platformRun) settingsOf(m *machine) *platform.Settings {
+	controlAddrs := run.controlAddrs()
+	servedRole := map[string]string{platform.ClassEdge: platform.ClassEdge, platform.ClassCore: "control", platform.ClassStorage: platform.ClassStorage}[m.class]
+	return &platform.Settings{Node: m.Name, Role: m.Role, Class: m.class, Serves: servedRole, IP: m.ip, Zone: m.Zone, Region: run.plan.Site.Region,
+		Zones: run.plan.Site.Zones, Front: run.addrOf(m, run.ports.frontPort), Readiness: run.addrOf(m, run.ports.readinessPort), Control: run.addrOf(m, run.ports.controlPort),
+		Ports: run.ports.internalPorts, Seeds: controlAddrs[:min(3, len(controlAddrs))], First: m.initial, Counted: m.class != platform.ClassEdge, DataDir: m.DataDir,
+		Tolerate: 1, Bounds: run.plan.Site.Bounds, ListAddress: run.listServer.Address, ListPerS: run.plan.Site.ListPerS}
 }
 
-func (w *platformWorld) settingsPath(m *machine) string {
-	return filepath.Join(w.plan.Folder, m.Name, "settings.yaml")
+func (run *platformRun) settingsPath(m *machine) string {
+	return filepath.Join(run.plan.Dir, m.Name, "settings.yaml")
 }
 
-func (w *platformWorld) logPath(m *machine) string {
-	return filepath.Join(w.plan.Folder, m.Name+".log")
+func (run *platformRun) logPath(m *machine) string {
+	return filepath.Join(run.plan.Dir, m.Name+".log")
 }
 
-// tell writes a machine's settings file as they are now.
-func (w *platformWorld) tell(m *machine) error {
-	if err := os.MkdirAll(filepath.Dir(w.settingsPath(m)), 0o755); err != nil {
+// writeSettings writes a machine's settings file as they are now.
+func (run *platformRun) writeSettings(m *machine) error {
+	if err := os.MkdirAll(filepath.Dir(run.settingsPath(m)), 0o755); err != nil {
 		return errors.Trace(err)
 	}
-	if m.Data != "" {
-		if err := os.MkdirAll(m.Data, 0o755); err != nil {
+	if m.DataDir != "" {
+		if err := os.MkdirAll(m.DataDir, 0o755); err != nil {
 			return errors.Trace(err)
 		}
 	}
-	fresh := w.settingsPath(m) + ".new"
-	if err := os.WriteFile(fresh, []byte(w.settings(m).YAML()), 0o644); err != nil {
+	newPath := run.settingsPath(m) + ".new"
+	if err := os.WriteFile(newPath, []byte(run.settingsOf(m).YAML()), 0o644); err != nil {
 		return errors.Trace(err)
 	}
-	return errors.Trace(os.Rename(fresh, w.settingsPath(m)))
+	return errors.Trace(os.Rename(newPath, run.settingsPath(m)))
 }
 
 // start runs a machine's process and starts it again when it ends by itself.
-func (w *platformWorld) start(m *machine) error {
-	m.settled.Lock()
-	defer m.settled.Unlock()
-	return w.startNow(m)
+func (run *platformRun) start(m *machine) error {
+	m.lifecycleMu.Lock()
+	defer m.lifecycleMu.Unlock()
+	return run.startLocked(m)
 }
 
-func (w *platformWorld) startNow(m *machine) error {
-	w.mu.Lock()
-	gone := m.gone
-	w.mu.Unlock()
+func (run *platformRun) startLocked(m *machine) error {
+	run.mu.Lock()
+	removed := m.removed
+	run.mu.Unlock()
 	// Two troubles may end on one machine: it runs one process, or none for good.
-	if gone || m.Running() {
+	if removed || m.Running() {
 		return nil
 	}
-	if err := w.tell(m); err != nil {
+	if err := run.writeSettings(m); err != nil {
 		return err
 	}
-	words := strings.Fields(w.plan.Commands[m.class])
-	if len(words) == 0 {
+	commandLine := strings.Fields(run.plan.Commands[m.class])
+	if len(commandLine) == 0 {
 		return errors.Errorf("no command for machines of class %s", m.class)
 	}
-	command := exec.Command(words[0], words[1:]...)
-	command.Dir = w.plan.Root
-	command.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), platform.SettingsVariable + "=" + w.settingsPath(m)}
-	if err := m.launch(command, w.logPath(m)); err != nil {
+	command := exec.Command(commandLine[0], commandLine[1:]...)
+	command.Dir = run.plan.WorkDir
+	command.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), platform.SettingsVariable + "=" + run.settingsPath(m)}
+	if err := m.launch(command, run.logPath(m)); err != nil {
 		return errors.Annotate(err, m.Name)
 	}
-	m.first, m.expect = false, false
-	at := w.clock.Now()
-	w.ledger.Note(func(r *platform.Record) {
-		r.Starts = append(r.Starts, platform.Start{Machine: m.Name, Class: m.class, At: at})
+	m.initial, m.exitExpected = false, false
+	startedAt := run.clock.Now()
+	run.ledger.Note(func(r *platform.Record) {
+		r.Starts = append(r.Starts, platform.Start{Machine: m.Name, Class: m.class, At: startedAt})
 	})
 	exited := m.exited
-	w.tasks.Add(1)
+	run.tasks.Add(1)
 	go func() {
-		defer w.tasks.Done()
+		defer run.tasks.Done()
 		select {
-		case <-w.over:
+		case <-run.done:
 		case <-exited:
-			w.ended(m, exited)
+			run.restartAfterExit(m, exited)
 		}
 	}()
 	return nil
 }
 
-// ended starts a process again that ended though nobody asked it to.
-func (w *platformWorld) ended(m *machine, exited chan struct{}) {
-	m.settled.Lock()
-	defer m.settled.Unlock()
-	w.mu.Lock()
-	expected := m.expect || m.gone || m.exited != exited
-	w.mu.Unlock()
+// restartAfterExit starts a process again that ended though nobody asked it to.
+func (run *platformRun) restartAfterExit(m *machine, exited chan struct{}) {
+	m.lifecycleMu.Lock()
+	defer m.lifecycleMu.Unlock()
+	run.mu.Lock()
+	expected := m.exitExpected || m.removed || m.exited != exited
+	run.mu.Unlock()
 	if expected {
 		return
 	}
-	code, _ := m.Wait(0)
-	written, _ := os.ReadFile(w.logPath(m))
-	w.mu.Lock()
-	w.ownEnds = append(w.ownEnds, fmt.Sprintf("%s ended by itself with code %d at %.1fs: %s", m.Name, code, w.clock.Now().Seconds(), written[max(0, len(written)-400):]))
-	many := len(w.ownEnds) > 50
-	w.mu.Unlock()
+	exitCode, _ := m.Wait(0)
+	log, _ := os.ReadFile(run.logPath(m))
+	run.mu.Lock()
+	run.unexpectedExits = append(run.unexpectedExits, fmt.Sprintf("%s ended by itself with code %d at %.1fs: %s", m.Name, exitCode, run.clock.Now().Seconds(), log[max(0, len(log)-400):]))
+	tooMany := len(run.unexpectedExits) > 50
+	run.mu.Unlock()
 	select {
-	case <-w.over:
+	case <-run.done:
 		return
 	case <-time.After(500 * time.Millisecond):
 	}
-	if !many {
-		_ = w.startNow(m)
+	if !tooMany {
+		_ = run.startLocked(m)
 	}
 }
 
-// down ends a process with a signal; its end is expected.
-func (w *platformWorld) down(m *machine, how func()) {
-	m.settled.Lock()
-	m.expect = true
-	m.settled.Unlock()
-	how()
+// stopWith ends a process with a signal; its end is expected.
+func (run *platformRun) stopWith(m *machine, stop func()) {
+	m.lifecycleMu.Lock()
+	m.exitExpected = true
+	m.lifecycleMu.Unlock()
+	stop()
 }
 
-// trouble notes a trouble of a machine until the step it gives back is called.
-func (w *platformWorld) trouble(kind string, m *machine, change func(t *platform.Trouble)) (end func()) {
-	t := &platform.Trouble{Kind: kind, Machine: m.Name, Class: m.class, From: w.clock.Now(), To: 1 << 60}
-	if change != nil {
-		change(t)
+// recordTrouble notes a trouble of a machine until the step it gives back is called.
+func (run *platformRun) recordTrouble(kind string, m *machine, configure func(trouble *platform.Trouble)) (end func()) {
+	trouble := &platform.Trouble{Kind: kind, Machine: m.Name, Class: m.class, From: run.clock.Now(), To: 1 << 60}
+	if configure != nil {
+		configure(trouble)
 	}
-	w.ledger.Note(func(r *platform.Record) { r.Troubles = append(r.Troubles, t) })
+	run.ledger.Note(func(r *platform.Record) { r.Troubles = append(r.Troubles, trouble) })
 	return func() {
-		at := w.clock.Now()
-		w.ledger.Note(func(*platform.Record) { t.To = at })
+		endedAt := run.clock.Now()
+		run.ledger.Note(func(*platform.Record) { trouble.To = endedAt })
 	}
 }
 
-// until waits for a condition, within a bound and while the run goes on.
-func (w *platformWorld) until(limit time.Duration, met func() bool) bool {
-	end := w.clock.Now() + limit
-	for !met() {
-		if w.clock.Now() > end {
+// waitUntil waits for a condition, within a bound and while the run goes on.
+func (run *platformRun) waitUntil(timeout time.Duration, condition func() bool) bool {
+	deadline := run.clock.Now() + timeout
+	for !condition() {
+		if run.clock.Now() > deadline {
 			return false
 		}
-		w.clock.Sleep(50 * time.Millisecond)
+		run.clock.Sleep(50 * time.Millisecond)
 	}
 	return true
 }
 
-// form starts everything, sends the first configuration, and waits until all
+// setUp starts everything, sends the first configuration, and waits until all
 // nodes that take clients are ready.
-func (w *platformWorld) form() error {
+func (run *platformRun) setUp() error {
 	var err error
-	if w.listed, err = sockets.ListenInstances(w.list, w.nextHost()+":0"); err != nil {
+	if run.listServer, err = sockets.ListenInstances(run.instances, run.nextLoopbackAddr()+":0"); err != nil {
 		return err
 	}
-	w.layAll()
-	if err := w.openWorkers(); err != nil {
+	run.addInitialMachines()
+	if err := run.startWorkers(); err != nil {
 		return err
 	}
-	for _, m := range w.of("") {
-		if err := w.start(m); err != nil {
+	for _, m := range run.machinesOf("") {
+		if err := run.start(m); err != nil {
 			return err
 		}
 	}
 	var nodes []*platform.EntryNode
-	for _, m := range w.of(platform.ClassEdge) {
-		nodes = append(nodes, w.entryNode(m))
+	for _, m := range run.machinesOf(platform.ClassEdge) {
+		nodes = append(nodes, run.newEntryNode(m))
 	}
-	w.entry.Open(nodes)
-	w.config.operator = w.operator("first")
-	first := w.drafts.First()
-	order := w.config.operator.Put(0, first, first.Encode(), "", w.plan.Formation)
+	run.entry.Open(nodes)
+	run.config.operator = run.newOperator("first")
+	config := run.drafts.First()
+	order := run.config.operator.Put(0, config, config.Encode(), "", run.plan.SetUpTimeout)
 	if !order.Acked() {
-		return errors.Errorf("the first configuration was not taken within %v: %d", w.plan.Formation, order.Status)
+		return errors.Errorf("the first configuration was not taken within %v: %d", run.plan.SetUpTimeout, order.Status)
 	}
-	w.config.took(order)
-	if !w.until(w.plan.Formation, func() bool { return w.entry.Ready() == len(nodes) }) {
-		return errors.Errorf("%d of %d nodes are ready after %v", w.entry.Ready(), len(nodes), w.plan.Formation)
+	run.config.setLatest(order)
+	if !run.waitUntil(run.plan.SetUpTimeout, func() bool { return run.entry.Ready() == len(nodes) }) {
+		return errors.Errorf("%d of %d nodes are ready after %v", run.entry.Ready(), len(nodes), run.plan.SetUpTimeout)
 	}
 	return nil
 }
 
-func (w *platformWorld) entryNode(m *machine) *platform.EntryNode {
-	return &platform.EntryNode{Name: m.Name, Zone: m.Zone, Front: w.at(m, w.ports.front), Readiness: w.at(m, w.ports.readiness)}
+func (run *platformRun) newEntryNode(m *machine) *platform.EntryNode {
+	return &platform.EntryNode{Name: m.Name, Zone: m.Zone, Front: run.addrOf(m, run.ports.frontPort), Readiness: run.addrOf(m, run.ports.readinessPort)}
 }
 
-func (w *platformWorld) operator(name string) *platform.Operator {
-	return &platform.Operator{Call: sockets.CallControl, Name: name, Clock: w.clock, Ledger: w.ledger, Control: w.controls, Rng: rand.New(rand.NewPCG(w.plan.Seed, base.Hash64(name)))}
+func (run *platformRun) newOperator(name string) *platform.Operator {
+	return &platform.Operator{Call: sockets.CallControl, Name: name, Clock: run.clock, Ledger: run.ledger, Control: run.controlAddrs, Rng: rand.New(rand.NewPCG(run.plan.Seed, base.Hash64(name)))}
 }
 
 // stop ends everything that the run started, by its id.
-func (w *platformWorld) stop() {
-	close(w.over)
-	w.mu.Lock()
-	machines := append([]*machine(nil), w.machines...)
-	w.mu.Unlock()
+func (run *platformRun) stop() {
+	close(run.done)
+	run.mu.Lock()
+	machines := append([]*machine(nil), run.machines...)
+	run.mu.Unlock()
 	for _, m := range machines {
-		w.down(m, func() {
+		run.stopWith(m, func() {
 			m.Signal(continueSignal)
 			m.Kill()
 		})
 	}
-	w.tasks.Wait()
-	if w.entry != nil && w.config.operator != nil {
-		w.entry.Close()
+	run.tasks.Wait()
+	if run.entry != nil && run.config.operator != nil {
+		run.entry.Close()
 	}
-	for _, worker := range w.workers {
+	for _, worker := range run.workers {
 		worker.Close()
 	}
-	if w.listed != nil {
-		w.listed.Close()
+	if run.listServer != nil {
+		run.listServer.Close()
 	}
 }
 
-// freePort tells whether a port can be listened at on an address.
-func freePort(address string) bool {
-	listener, err := net.Listen("tcp", address)
+// portIsFree tells whether a port can be listened at on an address.
+func portIsFree(addr string) bool {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
 	}
--- /dev/null
+++ b/internal/fleet/workers.go
@@ -0,0 +1,273 @@
+// The stand-in workers and callers over real HTTP.
+
+package fleet
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"fordseam/internal/base"
+	"fordseam/internal/standin"
+	"fordseam/internal/worker"
+
+	"github.com/juju/errors"
+	"github.com/valyala/fasthttp"
+)
+
+// Workers are a fleet's workers.
+type Workers struct {
+	Clock         base.Clock
+	Models        []*standin.Model
+	Tools         []*standin.Tool
+	List          worker.List
+	servers       map[string]*http.Server
+	answerTokens  int
+	tokenInterval time.Duration
+}
+
+// StartWorkers opens all workers of a shape.
+func (f *Fleet) StartWorkers(answerTokens int, tokenInterval time.Duration) (*Workers, error) {
+	workers := &Workers{Clock: base.NewRealClock(), List: worker.List{Stamp: 1}, servers: map[string]*http.Server{}, answerTokens: answerTokens, tokenInterval: tokenInterval}
+	for index := 0; index < f.Shape.Models+f.Shape.Tools; index++ {
+		pool, name := "models", fmt.Sprintf("model-%d", index+1)
+		if index >= f.Shape.Models {
+			pool, name = "apps", fmt.Sprintf("app-%d", index-f.Shape.Models+1)
+		}
+		info, err := f.startWorker(workers, pool, name)
+		if err != nil {
+			return nil, err
+		}
+		workers.List.Workers = append(workers.List.Workers, info)
+	}
+	return workers, nil
+}
+
+// startWorker opens one worker at an address of its own.
+func (f *Fleet) startWorker(workers *Workers, pool, name string) (worker.Worker, error) {
+	listener, err := net.Listen("tcp", f.nextLoopbackAddr()+":0")
+	if err != nil {
+		return worker.Worker{}, errors.Trace(err)
+	}
+	info := worker.Worker{ID: name, Pool: pool, Addr: listener.Addr().String(), Zone: f.Shape.Zones[f.hostCount%len(f.Shape.Zones)], Capacity: 16}
+	var handler http.Handler
+	if pool == "models" {
+		model := &standin.Model{ID: name, Clock: workers.Clock, Pieces: workers.answerTokens, Gap: workers.tokenInterval}
+		workers.Models = append(workers.Models, model)
+		handler = modelHandler(model)
+	} else {
+		tool := &standin.Tool{ID: name, Clock: workers.Clock, Pause: workers.tokenInterval}
+		workers.Tools = append(workers.Tools, tool)
+		handler = toolHandler(tool)
+	}
+	server := &http.Server{Handler: handler}
+	go func() { _ = server.Serve(listener) }()
+	workers.servers[name] = server
+	return info, nil
+}
+
+// Stop closes the workers.
+func (p *Workers) Stop() {
+	for _, name := range base.SortedKeys(p.servers) {
+		_ = p.servers[name].Close()
+	}
+}
+
+func modelHandler(model *standin.Model) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		model.Serve(body, func(status int) {
+			w.Header().Set("Content-Type", "text/event-stream")
+			w.WriteHeader(status)
+		}, func(line string) error {
+			if _, err := io.WriteString(w, line); err != nil {
+				return err
+			}
+			w.(http.Flusher).Flush()
+			return r.Context().Err()
+		})
+	})
+}
+
+func toolHandler(tool *standin.Tool) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		status, responseBody, answered := tool.Serve(r.Header.Get("Idempotency-Key"), body)
+		if !answered {
+			panic(http.ErrAbortHandler)
+		}
+		w.Header().Set("Content-Type", "application/json")
+		w.WriteHeader(status)
+		_, _ = w.Write(responseBody)
+	})
+}
+
+// Asker sends callers' requests to the fleet's gateways.
+func (f *Fleet) Asker() standin.Asker {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
+	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
+		request, err := http.NewRequest(method, "http://"+f.Gateways[gateway%len(f.Gateways)].PublicAddr+path, bytes.NewReader(body))
+		if err != nil {
+			return nil, err
+		}
+		for name, value := range header {
+			request.Header.Set(name, value)
+		}
+		response, err := client.Do(request)
+		if err != nil {
+			return nil, err
+		}
+		answer := &standin.Answer{Status: response.StatusCode, Header: map[string]string{}}
+		for name := range response.Header {
+			answer.Header[strings.ToLower(name)] = response.Header.Get(name)
+		}
+		if !strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
+			defer response.Body.Close()
+			answer.Body, err = io.ReadAll(response.Body)
+			return answer, err
+		}
+		answer.NextEvent = newEventReader(response.Body)
+		return answer, nil
+	}
+}
+
+// newEventReader reads server-sent events line by line.
+func newEventReader(body io.ReadCloser) func() (standin.Event, bool) {
+	reader := bufio.NewReader(body)
+	return func() (standin.Event, bool) {
+		var event standin.Event
+		for {
+			line, err := reader.ReadString('\n')
+			if err != nil {
+				_ = body.Close()
+				return standin.Event{}, false
+			}
+			name, value, _ := strings.Cut(strings.TrimRight(line, "\n"), ": ")
+			switch {
+			case line == "\n" && event.Kind != "":
+				return event, true
+			case name == "id":
+				event.ID = value
+			case name == "event":
+				event.Kind = value
+			case name == "data":
+				event.Data = []byte(value)
+			}
+		}
+	}
+}
+
+func decodeCounters(body []byte) map[string]int64 {
+	counters := map[string]int64{}
+	_ = json.Unmarshal(body, &counters)
+	return counters
+}
+
+// SendRequest makes one plain exchange with a process.
+func SendRequest(method, addr, path string, body any) (status int, responseBody []byte, err error) {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(method)
+	request.SetRequestURI("http://" + addr + path)
+	if body != nil {
+		request.SetBody(base.MustMarshal(body))
+	}
+	err = fasthttp.DoTimeout(request, response, 20*time.Second)
+	return response.StatusCode(), append([]byte(nil), response.Body()...), errors.Trace(err)
+}
+
+// CallJSON makes an exchange that must go well, and reads the answer.
+func CallJSON(method, addr, path string, body, target any) error {
+	status, responseBody, err := SendRequest(method, addr, path, body)
+	if err != nil {
+		return err
+	}
+	if status >= 300 {
+		return errors.Errorf("%s %s: %d %s", method, path, status, responseBody)
+	}
+	if target == nil {
+		return nil
+	}
+	return json.Unmarshal(responseBody, target)
+}
+
+// SetUp starts all processes, forms the cluster, applies the settings and
+// gives the worker list, and waits until the gateways serve.
+func (f *Fleet) SetUp(workers *Workers, timeout time.Duration) error {
+	for _, process := range f.All() {
+		if err := f.Start(process); err != nil {
+			return err
+		}
+	}
+	clock := base.NewRealClock()
+	addrs := base.Map(f.Storage, func(process *Process) string { return process.Addr })
+	if err := retry(clock, timeout, func() error {
+		return CallJSON("POST", f.Cores[0].PublicAddr, "/v1/operator/init", map[string]any{"disks": addrs}, nil)
+	}); err != nil {
+		return err
+	}
+	if err := retry(clock, timeout, func() error {
+		return CallJSON("POST", f.Cores[0].PublicAddr, "/v1/operator/settings/apply",
+			map[string]any{"change": "first", "based_on": 0, "document": json.RawMessage(f.Shape.Settings())}, nil)
+	}); err != nil {
+		return err
+	}
+	if err := AwaitReady(f.Gateways, timeout); err != nil {
+		return err
+	}
+	return retry(clock, timeout, func() error {
+		return CallJSON("PUT", f.Gateways[0].PublicAddr, "/v1/platform/workers", workers.List, nil)
+	})
+}
+
+func retry(clock base.Clock, deadline time.Duration, step func() error) error {
+	for {
+		err := step()
+		if err == nil || clock.Now() > deadline {
+			return err
+		}
+		clock.Sleep(100 * time.Millisecond)
+	}
+}
+
+// RunCallers runs many callers at once; each begins conversations while there are
+// to be more.
+func (f *Fleet) RunCallers(tally *standin.Tally, callers, answerTokens int, thinkTime time.Duration, continueWith func(round int) bool) {
+	var group sync.WaitGroup
+	ask := f.Asker()
+	for number := 0; number < callers; number++ {
+		group.Add(1)
+		go func() {
+			defer group.Done()
+			for round := 0; continueWith(round); round++ {
+				caller := &standin.Caller{Name: fmt.Sprintf("c-%d-%d", number, round), Clock: base.NewRealClock(), Ask: ask, Gateways: len(f.Gateways),
+					Home: number % len(f.Gateways), Group: f.Shape.Group, Site: "main", Pieces: answerTokens, Patience: 60 * time.Second, Tally: tally}
+				if thinkTime > 0 {
+					caller.Between = func(int) { caller.Clock.Sleep(time.Duration(caller.Clock.Int64N(int64(2 * thinkTime)))) }
+				}
+				turnCount := f.Shape.TurnCounts[0]
+				if (number+round)%4 == 0 {
+					turnCount = f.Shape.TurnCounts[1]
+				}
+				if caller.Start(int64(turnCount * answerTokens * 4)) {
+					caller.Converse(turnCount, true)
+				}
+			}
+		}()
+	}
+	group.Wait()
+}
--- a/internal/simulate/backends.go
+++ b/internal/simulate/backends.go
@@ -87,7 +87,7 @@
 	host     *Host
 	models   map[string]*standin.Model
 	tools    map[string]*standin.Tool
-	disabled *mechanisms
+	disabled *disabledMechanisms
 }
 
 func (b *Backends) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
--- a/internal/simulate/diskset_test.go
+++ b/internal/simulate/diskset_test.go
@@ -1,5 +1,5 @@
-// A fleet that forms and mends itself: founding, lost disks and their
-// replacements, machines retired by name.
+// Tests of a fleet that bootstraps its cluster and reconciles its disk set by itself:
+// bootstrap, lost and replaced disks, and machines that are retired by name.
 package simulate
 
 import (
@@ -15,22 +15,24 @@
 	"github.com/matryer/is"
 )
 
-// reconcileSeeds is how many seeds each of these runs has at the least.
+// reconcileSeeds is the least number of seeds for each of these tests.
 const reconcileSeeds = 4
 
+// reconcilingShape returns a shape whose machines bootstrap the cluster and reconcile the
+// disk set by themselves.
 func reconcilingShape(storage, tolerate int) Shape {
 	shape := SmallShape()
 	shape.Cores, shape.Storage, shape.FaultTolerance, shape.Bootstrap = 4, storage, tolerate, true
 	return shape
 }
 
-// runReconciling runs a script on several seeds.
+// runReconciling runs a script with several seeds.
 func runReconciling(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *apiClient)) {
 	t.Helper()
 	runReconcilingSeeds(t, reconcileSeeds, shape, steps)
 }
 
-// runReconcilingSeeds runs a script on a number of seeds, times the seeds asked for.
+// runReconcilingSeeds runs a script with count seeds, multiplied by the flag seeds.
 func runReconcilingSeeds(t *testing.T, count int, shape Shape, steps func(is *is.I, f *Fleet, call *apiClient)) {
 	t.Helper()
 	runSeeds(t, count**seedCount, shape, func(t *testing.T, f *Fleet) {
@@ -41,26 +43,26 @@
 			defer func() { done = true }()
 			steps(is, f, &apiClient{f, f.RequestSender(f.CallerHost)})
 		})
-		is.True(f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done })) // the script came to its end
+		is.True(f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done }))
 	})
 }
 
-// logState logs what the cores and the disks say.
+// logState logs the state of the cores and storage machines.
 func (f *Fleet) logState(t *testing.T) {
 	t.Helper()
 	t.Logf("seed %d at %v: %v", f.World.Seed, f.World.Now(), f.diskSet())
 	for _, m := range f.Cores {
 		if m.Host.alive && !m.Host.frozen && m.core != nil {
-			slots, _ := m.core.RegisterServer.Status()
-			t.Logf("%s owns %v, mends %q, known %d", m.Host.Name, slots, m.core.RegisterServer.ReconcileStatus(), m.core.RegisterServer.KnownDiskSet().GetStamp())
+			shards, _ := m.core.RegisterServer.Status()
+			t.Logf("%s leads shards %v, reconciling %q, knows disk set %d", m.Host.Name, shards, m.core.RegisterServer.ReconcileStatus(), m.core.RegisterServer.KnownDiskSet().GetStamp())
 		}
 	}
 	for _, m := range f.Storage {
-		t.Logf("%s alive %v frozen %v gone %v", m.Host.Name, m.Host.alive, m.Host.frozen, m.removed)
+		t.Logf("%s alive %v frozen %v removed %v", m.Host.Name, m.Host.alive, m.Host.frozen, m.removed)
 	}
 }
 
-// loseMachine takes a machine away with its disk; a silent one does not even refuse
+// loseMachine removes a machine and its disk for good. A silent one does not even refuse
 // connections.
 func (f *Fleet) loseMachine(m *Machine, silent bool) {
 	if silent {
@@ -71,13 +73,14 @@
 	m.removed = true
 }
 
-// wipeMachine has a machine come back at its address with an empty disk.
+// wipeMachine takes a machine down and empties its disk.
 func (f *Fleet) wipeMachine(m *Machine) {
 	f.PowerLoss(m)
 	m.Disk.Wipe()
 }
 
-// retireNode asks a core to retire a machine, or how far that has come.
+// retireNode asks a core to retire a machine (POST) or for the state of its retirement
+// (GET), and returns status and state.
 func (f *Fleet) retireNode(method, node string) string {
 	for {
 		path, body := "/v1/operator/storage/empty", any(nil)
@@ -95,32 +98,33 @@
 	}
 }
 
-// remainingStorage are the storage machines that are not gone.
+// remainingStorage returns the storage machines that were not removed.
 func (f *Fleet) remainingStorage() []*Machine {
 	return base.Filter(f.Storage, func(m *Machine) bool { return !m.removed })
 }
 
-// Machines are lost with their disks one after another, each 4.1 s after the
-// lastTurn one's replacement began, in every way, and what was acknowledged stays.
+// Machines are lost with their disks one after another, each 4.1 s after the replacement of
+// the one before was started. The replacement must have a vote by then, whatever the kind of
+// the loss, and acknowledged settings and turns must survive.
 func TestReplacementBeforeNextLoss(t *testing.T) {
-	ways := map[string]struct {
-		silent, back, core bool
-		wait               time.Duration
+	losses := map[string]struct {
+		silent, sameAddress, freezeLeader bool
+		wait                              time.Duration
 	}{
 		"refusing, another address":         {wait: time.Second},
 		"silent, another address":           {silent: true, wait: time.Second},
 		"silent, at once":                   {silent: true},
 		"silent, late":                      {silent: true, wait: 5 * time.Second},
-		"same address, empty":               {back: true, wait: 300 * time.Millisecond},
-		"silent, the change's core as well": {silent: true, core: true, wait: time.Second},
+		"same address, empty":               {sameAddress: true, wait: 300 * time.Millisecond},
+		"silent, the change's core as well": {silent: true, freezeLeader: true, wait: time.Second},
 	}
-	for name, way := range ways {
+	for name, loss := range losses {
 		for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}, {3, 1}} {
 			t.Run(fmt.Sprint(name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				var longest time.Duration
 				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
-					left := f.StartCallers(3, 10, true, func(c *standin.Caller) {
+					remaining := f.StartCallers(3, 10, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
 					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
@@ -135,38 +139,38 @@
 							}
 						}
 						for _, m := range lost {
-							if way.back {
+							if loss.sameAddress {
 								f.wipeMachine(m)
 							} else {
-								f.loseMachine(m, way.silent)
+								f.loseMachine(m, loss.silent)
 							}
 						}
-						call.sleep(way.wait)
-						if way.core {
+						call.sleep(loss.wait)
+						if loss.freezeLeader {
 							for _, m := range f.Cores {
-								if slots, _ := m.core.RegisterServer.Status(); slices.Contains(slots, 0) && !m.Host.frozen {
+								if shards, _ := m.core.RegisterServer.Status(); slices.Contains(shards, 0) && !m.Host.frozen {
 									f.freeze(m, 3*time.Second)
 									break
 								}
 							}
 						}
 						for _, m := range lost {
-							if way.back {
+							if loss.sameAddress {
 								f.Start(m)
 							} else {
 								f.AddMachine("storage")
 							}
 						}
-						began := f.World.Now()
+						start := f.World.Now()
 						took := f.waitUntil(4*time.Second, f.diskSetComplete)
 						longest = max(longest, took)
 						if took >= 4*time.Second {
 							f.logState(t)
 						}
 						is.True(took < 4*time.Second)
-						call.sleep(began + 4100*time.Millisecond - f.World.Now())
+						call.sleep(start + 4100*time.Millisecond - f.World.Now())
 					}
-					for left() > 0 {
+					for remaining() > 0 {
 						call.sleep(time.Second)
 					}
 					is.Equal(f.Tally.Counts["conversations_whole"], 3)
@@ -174,19 +178,18 @@
 						is.Equal(m.gateway.SettingsVersion(), uint64(5))
 					}
 				})
-				t.Logf("%s, %d disks: mended within %v", name, size.storage, longest)
+				t.Logf("%s, %d disks: disk set complete within %v", name, size.storage, longest)
 			})
 		}
 	}
 }
 
-// All that counts loses power at once, and as many machines as are tolerated
-// come back empty.
+// All machines lose power at once, and as many disks as are tolerated come back empty.
 func TestPowerLossWithLostDisks(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}, {3, 1}} {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
-			var longest, whole time.Duration
+			var longestServing, longestComplete time.Duration
 			runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				program, secret := call.createProgram(1000, nil)
@@ -194,8 +197,8 @@
 				last := ""
 				for round := range 3 {
 					turn := fmt.Sprint("t", round)
-					verdict, _, _ := call.sendTurn(1, path, key, program, turn, last).finalResult()
-					is.Equal(verdict, "success")
+					outcome, _, _ := call.sendTurn(1, path, key, program, turn, last).finalResult()
+					is.Equal(outcome, "success")
 					last = turn
 					status, _ := f.OperatorRequest(f.liveCore(), "POST", "/v1/operator/settings/apply",
 						map[string]any{"change": turn, "based_on": round + 1, "document": f.settingsWithMarker(turn)})
@@ -215,7 +218,7 @@
 						call.sleep(f.World.Between(0, 50*time.Millisecond))
 					}
 					took := f.waitUntilServing(time.Minute)
-					longest = max(longest, took)
+					longestServing = max(longestServing, took)
 					is.True(took < 5*time.Second)
 					for _, m := range f.Gateways {
 						is.Equal(m.gateway.SettingsVersion(), uint64(round+2))
@@ -225,23 +228,23 @@
 						f.logState(t)
 					}
 					is.True(f.diskSetComplete())
-					whole = max(whole, took)
+					longestComplete = max(longestComplete, took)
 				}
-				verdict, _, _ := call.sendTurn(2, path, key, program, "end", last).finalResult()
-				is.Equal(verdict, "success")
+				outcome, _, _ := call.sendTurn(2, path, key, program, "end", last).finalResult()
+				is.Equal(outcome, "success")
 			})
-			t.Logf("%d disks: served within %v, whole within %v", size.storage, longest, whole)
+			t.Logf("%d disks: serving within %v, disk set complete within %v", size.storage, longestServing, longestComplete)
 		})
 	}
 }
 
-// Machines frozen or cut off keep their votes while nobody can take their
-// place, and a stranger's or a retired disk is never taken in.
+// Disks that are frozen or cut off for a while keep their votes. A disk that is away for
+// long loses its vote and gets it back when it returns.
 func TestUnresponsiveDisksKeepTheirVotes(t *testing.T) {
 	t.Parallel()
 	runReconciling(t, reconcilingShape(4, 1), func(is *is.I, f *Fleet, call *apiClient) {
 		is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
-		stamp := f.diskSet().Stamp
+		version := f.diskSet().Stamp
 		for round := range 4 {
 			m := f.pickMachine(f.Storage)
 			if round%2 == 0 {
@@ -257,8 +260,8 @@
 		}
 		f.crash(f.pickMachine(f.Storage), 2*time.Second, true)
 		call.sleep(6 * time.Second)
-		is.Equal(f.diskSet().Stamp, stamp)
-		// One that is away for long is taken out, and back in when it returns.
+		is.Equal(f.diskSet().Stamp, version)
+		// A disk that is away for long leaves the disk set and rejoins when it returns.
 		away := f.pickMachine(f.Storage)
 		f.PowerLoss(away)
 		call.sleep(16 * time.Second)
@@ -268,8 +271,8 @@
 	})
 }
 
-// runBootstrap runs a fleet that has to form one cluster by itself, on several
-// seeds, and checks that there is one.
+// runBootstrap lets fleets bootstrap by themselves while a fault is injected, and checks
+// that exactly one cluster was formed.
 func runBootstrap(t *testing.T, storage int, injectFault func(f *Fleet, call *apiClient)) (longest time.Duration) {
 	t.Helper()
 	for seed := uint64(1); seed <= uint64(8**seedCount); seed++ {
@@ -287,7 +290,7 @@
 		})
 		is.True(f.World.Run(time.Minute, func() bool { return done }))
 		is.True(f.diskSetComplete())
-		// A machine that came late may still be blank when the set is whole.
+		// A machine that started late may not have joined yet when the disk set is complete.
 		clusters := func() map[string]bool {
 			ids := map[string]bool{}
 			for _, m := range f.Storage {
@@ -314,9 +317,9 @@
 	return longest
 }
 
-// The machines form one cluster by themselves, whatever happens meanwhile.
+// The machines form exactly one cluster by themselves, whatever fails meanwhile.
 func TestClusterBootstrap(t *testing.T) {
-	ways := map[string]func(f *Fleet, call *apiClient){
+	faults := map[string]func(f *Fleet, call *apiClient){
 		"in quiet":                   func(*Fleet, *apiClient) {},
 		"the first seed never comes": func(f *Fleet, _ *apiClient) { f.Kill(f.Cores[0]) },
 		"the founder is killed": func(f *Fleet, call *apiClient) {
@@ -353,17 +356,17 @@
 			f.scheduleRecovery(5*time.Second, f.Net.Heal)
 		},
 	}
-	for name, trouble := range ways {
+	for name, injectFault := range faults {
 		for _, storage := range []int{4, 9} {
 			t.Run(fmt.Sprint(name, "/", storage), func(t *testing.T) {
 				t.Parallel()
-				t.Logf("%s, %d disks: formed within %v", name, storage, runBootstrap(t, storage, trouble))
+				t.Logf("%s, %d disks: formed within %v", name, storage, runBootstrap(t, storage, injectFault))
 			})
 		}
 	}
 }
 
-// Who was not told that this is the first start never forms a cluster.
+// Machines that were not told that this is the first start never bootstrap a cluster.
 func TestNoBootstrapUnlessFirstStart(t *testing.T) {
 	t.Parallel()
 	f := NewFleet(1, reconcilingShape(4, 1))
@@ -381,73 +384,73 @@
 	f.World.Close()
 }
 
-// A machine is retired by its name, removed with its disk the moment that is
-// complete, and then another loses its disk.
+// A machine is retired by its node name and removed with its disk as soon as the retirement
+// is complete; then another machine loses its disk.
 func TestRetireByNodeName(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}} {
-		for _, way := range []string{"in quiet", "its process disappears", "the change's core is lost", "its disk is lost"} {
-			t.Run(fmt.Sprint(way, "/", size.storage), func(t *testing.T) {
+		for _, fault := range []string{"in quiet", "its process disappears", "the change's core is lost", "its disk is lost"} {
+			t.Run(fmt.Sprint(fault, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				var longest time.Duration
 				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
-					left := f.StartCallers(3, 8, true, func(c *standin.Caller) {
+					remaining := f.StartCallers(3, 8, true, func(c *standin.Caller) {
 						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
 					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
-					held := map[string]bool{} // disks that something else keeps data on
+					occupied := map[string]bool{} // disks that still hold data of other services
 					for _, m := range f.Cores {
-						m.core.RegisterServer.SetEmptyCheck(func(_ *base.Ctx, disk string) (bool, error) { return !held[disk], nil })
+						m.core.RegisterServer.SetEmptyCheck(func(_ *base.Ctx, disk string) (bool, error) { return !occupied[disk], nil })
 					}
-					out := f.pickMachine(f.Storage)
-					id := out.storage.Store.ID()
-					held[id] = true
+					retired := f.pickMachine(f.Storage)
+					id := retired.storage.Store.ID()
+					occupied[id] = true
 					is.Equal(f.retireNode("GET", "none"), "404")
-					is.Equal(f.retireNode("GET", out.Host.Name), "404")
+					is.Equal(f.retireNode("GET", retired.Host.Name), "404")
 					is.Equal(f.retireNode("POST", "none"), "404")
-					began := f.World.Now()
-					is.Equal(f.retireNode("POST", out.Host.Name), "200active")
-					is.Equal(f.retireNode("POST", out.Host.Name), "200active")
-					switch way {
+					start := f.World.Now()
+					is.Equal(f.retireNode("POST", retired.Host.Name), "200active")
+					is.Equal(f.retireNode("POST", retired.Host.Name), "200active")
+					switch fault {
 					case "its process disappears":
-						f.Kill(out)
+						f.Kill(retired)
 					case "its disk is lost":
-						f.wipeMachine(out)
-						f.Start(out)
+						f.wipeMachine(retired)
+						f.Start(retired)
 					case "the change's core is lost":
 						for _, m := range f.Cores {
-							if slots, _ := m.core.RegisterServer.Status(); slices.Contains(slots, 0) {
+							if shards, _ := m.core.RegisterServer.Status(); slices.Contains(shards, 0) {
 								f.freeze(m, 2*time.Second)
 							}
 						}
 					}
 					call.sleep(3 * time.Second)
-					is.Equal(f.retireNode("GET", out.Host.Name), "200active") // data is there yet
+					is.Equal(f.retireNode("GET", retired.Host.Name), "200active") // the disk still holds data
 					for _, entry := range f.diskSet().Disks {
 						is.True(entry.Id != id)
 					}
 					for _, m := range f.Cores {
 						m.core.RegisterServer.SetEmptyCheck(nil)
 					}
-					is.True(f.waitUntil(5*time.Second, func() bool { return f.retireNode("GET", out.Host.Name) == "200complete" }) < 5*time.Second)
-					longest = max(longest, f.World.Now()-began)
-					f.loseMachine(out, false)
+					is.True(f.waitUntil(5*time.Second, func() bool { return f.retireNode("GET", retired.Host.Name) == "200complete" }) < 5*time.Second)
+					longest = max(longest, f.World.Now()-start)
+					f.loseMachine(retired, false)
 					next := f.pickMachine(f.remainingStorage())
 					f.wipeMachine(next)
 					call.sleep(time.Second)
 					f.Start(next)
 					is.True(f.waitUntil(4*time.Second, f.diskSetComplete) < 4*time.Second)
-					is.Equal(f.retireNode("POST", out.Host.Name), "200complete")
+					is.Equal(f.retireNode("POST", retired.Host.Name), "200complete")
 					if size.storage == 4 {
 						is.Equal(f.retireNode("POST", f.remainingStorage()[0].Host.Name), "409")
 					}
-					out.removed = false
-					out.Disk.Wipe()
-					f.Start(out) // it is not taken back
+					retired.removed = false
+					retired.Disk.Wipe()
+					f.Start(retired) // a retired disk is not admitted again
 					call.sleep(4 * time.Second)
-					is.True(out.storage.Ready() != nil)
-					out.removed = true
-					is.Equal(f.retireNode("GET", out.Host.Name), "200complete")
-					for left() > 0 {
+					is.True(retired.storage.Ready() != nil)
+					retired.removed = true
+					is.Equal(f.retireNode("GET", retired.Host.Name), "200complete")
+					for remaining() > 0 {
 						call.sleep(time.Second)
 					}
 					is.Equal(f.Tally.Counts["conversations_whole"], 3)
@@ -457,14 +460,14 @@
 	}
 }
 
-// Interval scenario on a fleet that forms and mends itself.
+// Runs every scenario on a fleet that bootstraps and reconciles its disk set by itself.
 func TestInvariantsHoldWhileReconciling(t *testing.T) {
 	for _, size := range []struct{ storage, tolerate int }{{4, 1}, {9, 2}} {
-		for _, one := range Scenarios {
-			t.Run(fmt.Sprint(one.Name, "/", size.storage), func(t *testing.T) {
+		for _, scenario := range Scenarios {
+			t.Run(fmt.Sprint(scenario.Name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
 				for seed := uint64(1); seed <= uint64(*seedCount); seed++ {
-					outcome := one.Run(seed, reconcilingShape(size.storage, size.tolerate))
+					outcome := scenario.Run(seed, reconcilingShape(size.storage, size.tolerate))
 					t.Logf("seed %d, %.0f s: %v", seed, outcome.VirtualS, outcome.Counts)
 					for _, breach := range outcome.Breaches {
 						t.Errorf("seed %d: %s", seed, breach)
--- a/internal/simulate/history_test.go
+++ b/internal/simulate/history_test.go
@@ -1,5 +1,4 @@
-// A writer of turn histories: it keeps what storage machines acknowledged, and
-// looks for all of it again.
+// A writer of turn histories that tests use to check that no acknowledged turn is lost.
 package simulate
 
 import (
@@ -17,72 +16,74 @@
 	historyRetention = 10 * time.Minute
 )
 
-// historyWriter takes turns of many programs, one after the other, straight to
-// the storage machines.
+// historyWriter writes turns of many programs directly to the storage machines.
 type historyWriter struct {
 	fleet      *Fleet
 	client     *ledger.Client
-	ackedTurns [][]string // those acknowledged, by program
+	ackedTurns [][]string // acknowledged turns by program
 	attempts   int
 	epochs     []uint64
 	paused     bool
-	writing    bool // a round is under way
+	writing    bool // a round is running
 	stopped    bool
 }
 
+// newHistoryWriter returns a writer that runs on the callers' host.
 func newHistoryWriter(f *Fleet) *historyWriter {
 	bounds := &base.AtomicPointer[base.Bounds]{}
 	bounds.Store(base.DefaultBounds())
-	client := ledger.NewClient(f.CallerHost.Clock(), f.Net.Wire(f.CallerHost), f.diskSet, f.CallerHost.Zone, f.Shape.FaultTolerance, bounds, base.NewCounters(), nil)
+	client := ledger.NewClient(f.CallerHost.Clock(), f.Net.HTTPClient(f.CallerHost), f.diskSet, f.CallerHost.Zone, f.Shape.FaultTolerance, bounds, base.NewCounters(), nil)
 	return &historyWriter{fleet: f, client: client, ackedTurns: make([][]string, historyPrograms), epochs: make([]uint64, historyPrograms)}
 }
 
+// ctx returns a context with a timeout of 6 s.
 func (w *historyWriter) ctx() *base.Ctx {
 	return base.NewCtx(w.fleet.CallerHost.Clock(), 6*time.Second)
 }
 
-func programName(place int) string { return fmt.Sprintf("program-%d", place) }
+// programName returns the name of the program at an index.
+func programName(index int) string { return fmt.Sprintf("program-%d", index) }
 
-// lastTurn is the newest acknowledged turn of a program.
-func (w *historyWriter) lastTurn(place int) string {
-	if count := len(w.ackedTurns[place]); count > 0 {
-		return w.ackedTurns[place][count-1]
+// lastTurn returns the newest acknowledged turn of a program, or "".
+func (w *historyWriter) lastTurn(index int) string {
+	if count := len(w.ackedTurns[index]); count > 0 {
+		return w.ackedTurns[index][count-1]
 	}
 	return ""
 }
 
-// runTurn takes one turn of a program and tells whether it was acknowledged.
-func (w *historyWriter) runTurn(place int) bool {
+// runTurn begins and finishes a program's next turn and reports whether it was acknowledged.
+func (w *historyWriter) runTurn(index int) bool {
 	w.attempts++
-	program, previous := programName(place), w.lastTurn(place)
+	program, previous := programName(index), w.lastTurn(index)
 	id := fmt.Sprintf("%s.%d", program, w.attempts)
 	run := "run-" + program
 	claim, err := w.client.Begin(w.ctx(), &ledger.BeginParams{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
-		Run: run, Epoch: w.epochs[place], Confirmed: w.epochs[place] > 0, Retention: historyRetention})
+		Run: run, Epoch: w.epochs[index], Confirmed: w.epochs[index] > 0, Retention: historyRetention})
 	if err != nil || !claim.Granted {
 		return false
 	}
-	w.epochs[place] = claim.Epoch
+	w.epochs[index] = claim.Epoch
 	err = w.client.Finish(w.ctx(), &ledger.FinishParams{Program: program, Session: "session", Turn: id, Previous: previous, Owner: "gateway",
 		Run: run, Epoch: claim.Epoch, Input: []byte("in " + id), Output: []byte("out " + id), Retention: historyRetention})
 	if err != nil {
 		return false
 	}
-	w.ackedTurns[place] = append(w.ackedTurns[place], id)
+	w.ackedTurns[index] = append(w.ackedTurns[index], id)
 	return true
 }
 
-// runRound takes one turn of each program.
+// runRound runs one turn of each program.
 func (w *historyWriter) runRound() {
-	for place := range w.ackedTurns {
+	for index := range w.ackedTurns {
 		if w.paused {
 			return
 		}
-		w.runTurn(place)
+		w.runTurn(index)
 	}
 }
 
-// start goes on with turns until it is stopped.
+// start runs rounds until the writer is stopped.
 func (w *historyWriter) start() {
 	w.fleet.CallerHost.Go(func() {
 		for !w.stopped {
@@ -96,43 +97,43 @@
 	})
 }
 
-// missingTurns says which programs' acknowledged turns are not all found.
+// missingTurns lists the programs whose acknowledged turns cannot all be read.
 func (w *historyWriter) missingTurns() (missing []string) {
-	for place := range w.ackedTurns {
-		acknowledged := w.ackedTurns[place]
+	for index := range w.ackedTurns {
+		acknowledged := w.ackedTurns[index]
 		if len(acknowledged) == 0 {
 			continue
 		}
-		chain, err := w.client.Chain(w.ctx(), programName(place), acknowledged[len(acknowledged)-1])
+		chain, err := w.client.Chain(w.ctx(), programName(index), acknowledged[len(acknowledged)-1])
 		switch {
 		case err != nil:
-			missing = append(missing, fmt.Sprintf("%s: %v", programName(place), err))
+			missing = append(missing, fmt.Sprintf("%s: %v", programName(index), err))
 		case len(chain) < len(acknowledged):
-			missing = append(missing, fmt.Sprintf("%s: %d of %d turns", programName(place), len(chain), len(acknowledged)))
+			missing = append(missing, fmt.Sprintf("%s: %d of %d turns", programName(index), len(chain), len(acknowledged)))
 		}
 	}
 	return missing
 }
 
-// nextTurnAttempts is how often a program tries to go on, as clients do that are
-// answeredAt to come back.
+// nextTurnAttempts is how often a program attempts its next turn, as a client that is told
+// to retry does.
 const nextTurnAttempts = 3
 
-// stuckPrograms says which programs cannot go on.
+// stuckPrograms lists the programs whose next turn is not acknowledged.
 func (w *historyWriter) stuckPrograms() (stuck []string) {
-	for place := range w.ackedTurns {
+	for index := range w.ackedTurns {
 		acknowledged := false
 		for try := 0; try < nextTurnAttempts && !acknowledged; try++ {
-			acknowledged = w.runTurn(place)
+			acknowledged = w.runTurn(index)
 		}
 		if !acknowledged {
-			stuck = append(stuck, fmt.Sprintf("%s: cannot go on", programName(place)))
+			stuck = append(stuck, fmt.Sprintf("%s: next turn not acknowledged", programName(index)))
 		}
 	}
 	return stuck
 }
 
-// pause ends the round that is under way and begins no other.
+// pause waits for the running round to end and starts no other.
 func (w *historyWriter) pause() {
 	w.paused = true
 	for w.writing {
@@ -140,8 +141,8 @@
 	}
 }
 
-// delayHistoryFetches makes stores fill slowly: each request for what is missing takes
-// a while, as it does with a whole retention window of turns.
+// delayHistoryFetches delays every fetch of missing turns, as large histories do, so that
+// stores fill slowly.
 func delayHistoryFetches(f *Fleet, delay time.Duration) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		if strings.HasSuffix(m.Path, "Ledger/Fetch") {
--- a/internal/simulate/isolation_restart_test.go
+++ b/internal/simulate/isolation_restart_test.go
@@ -8,23 +8,26 @@
 	"github.com/apex/log"
 )
 
-// A core that was restarted behind a cut knows no disks, and so never finds that
-// it lacks a majority of them. Gateways reach it, and it may be the first in the
-// order in which they look for the owner of the feed's shard.
+// A core that restarts while it is isolated knows no disk set, so it cannot notice that it
+// lacks a majority of the disks. Gateways still reach it, and it may be the first core that
+// they try when they look for the leader of the feed's shard. They must move on to a core
+// that answers.
 func TestGatewaysSkipCoreWithoutDiskSet(t *testing.T) {
 	t.Parallel()
 	log.SetLevel(log.ErrorLevel)
-	for place := range IsolationSizes["tills"][1] {
+	for index := range IsolationSizes["tills"][1] {
 		for seed := uint64(1); seed <= 2; seed++ {
-			t.Run(fmt.Sprintf("core %d, seed %d", place, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("core %d, seed %d", index, seed), func(t *testing.T) {
 				t.Parallel()
-				restartWhileIsolated(t, place, seed)
+				restartWhileIsolated(t, index, seed)
 			})
 		}
 	}
 }
 
-func restartWhileIsolated(t *testing.T, place int, seed uint64) {
+// restartWhileIsolated isolates one core, restarts it and the other cores, and checks that
+// every gateway gets the next configuration in time.
+func restartWhileIsolated(t *testing.T, index int, seed uint64) {
 	tier := NewTier(seed, IsolationShape("tills"), nil)
 	defer tier.World.Close()
 	done := false
@@ -35,7 +38,7 @@
 			return
 		}
 		clock := tier.CallerHost.Clock()
-		isolated := tier.Cores[place]
+		isolated := tier.Cores[index]
 		for _, other := range append(append([]*Machine{}, tier.Cores...), tier.Storage...) {
 			if other != isolated {
 				tier.Net.CutLink(isolated.Host.Name, other.Host.Name)
@@ -54,13 +57,13 @@
 		tier.changeConfig()
 		newest := tier.config.newestAcked.Config.Generation
 		clock.Sleep(tier.Site.Bounds.Apply)
-		for _, edge := range tier.Gateways {
-			if table := edge.gateway.Routes.Load(); table == nil || table.Version != newest {
-				t.Errorf("%s does not have version %d, %v after it was acknowledged", edge.Host.Name, newest, tier.Site.Bounds.Apply)
+		for _, gateway := range tier.Gateways {
+			if table := gateway.gateway.Routes.Load(); table == nil || table.Version != newest {
+				t.Errorf("%s does not have version %d %v after it was acknowledged", gateway.Host.Name, newest, tier.Site.Bounds.Apply)
 			}
 		}
 	})
 	if !tier.World.Run(2*time.Minute, func() bool { return done }) {
-		t.Error("the run does not end")
+		t.Error("the run did not finish")
 	}
 }
--- a/internal/simulate/world.go
+++ b/internal/simulate/world.go
@@ -45,7 +45,7 @@
 	alive          bool
 	frozen         bool
 	deferredEvents []*event // held back while the host is frozen
-	serve          httpHandler
+	serve          handler
 	openReplies    map[*BackendReply]struct{}
 	// poweredOff hosts do not answer at all, whereas a host whose process has ended
 	// refuses connections.
