--- a/internal/simulate/api_test.go
+++ b/internal/simulate/api_test.go
@@ -1,5 +1,3 @@
-// The callers' interface and the design's rules, one scenario a rule, on a
-// whole fleet in virtual time.
 package simulate
 
 import (
@@ -17,12 +15,13 @@
 	"github.com/matryer/is"
 )
 
-// apiClient makes single requests as a caller.
+// apiClient sends single requests to the gateways as a caller.
 type apiClient struct {
 	fleet       *Fleet
 	sendRequest standin.Asker
 }
 
+// apiResponse is a response with all events of its stream.
 type apiResponse struct {
 	Status int
 	Raw    string
@@ -31,6 +30,7 @@
 	Events []standin.Event
 }
 
+// field returns a field of the JSON body by its path, "" when its parent is no object.
 func (a apiResponse) field(names ...string) string {
 	var at any = a.JSON
 	for _, name := range names {
@@ -43,9 +43,8 @@
 	return fmt.Sprint(at)
 }
 
-// finalResult is a turn's end, a plain status before any piece or a stream's last
-// event: the verdict, the word on whether it ran, and the error's code of
-// a stream's last event.
+// finalResult returns how a turn ended, taken from an error status or from the last
+// event of the stream: the verdict, whether the turn ran, and the error code.
 func (a apiResponse) finalResult() (verdict, ran, code string) {
 	if a.Status >= 400 {
 		verdict = map[string]string{"not_run": "refused"}[a.field("error", "request")]
@@ -131,7 +130,7 @@
 
 func (t *apiClient) sleep(d time.Duration) { t.fleet.CallerHost.Clock().Sleep(d) }
 
-// runScript runs one caller's steps to their end.
+// runScript runs a caller's steps on a fleet with seed 1 and checks the invariants.
 func runScript(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *apiClient)) {
 	t.Helper()
 	runSeeds(t, 1, shape, func(t *testing.T, f *Fleet) {
@@ -142,11 +141,11 @@
 			defer func() { done = true }()
 			steps(is, f, &apiClient{f, f.RequestSender(f.CallerHost)})
 		})
-		is.True(f.World.Run(f.World.Now()+time.Hour, func() bool { return done })) // the script came to its end
+		is.True(f.World.Run(f.World.Now()+time.Hour, func() bool { return done })) // the steps ended within an hour
 	})
 }
 
-// modelWorkerRuns counts how often a turn was given to any model worker.
+// modelWorkerRuns counts how often a turn was sent to any model worker.
 func (f *Fleet) modelWorkerRuns(program, turn string) int {
 	total := 0
 	for _, model := range f.Models {
@@ -298,14 +297,14 @@
 			call.sleep(20 * time.Millisecond)
 		}
 		call.sleep(50 * time.Millisecond)
-		is.Equal(answers["d"].Status, 429) // one runs, two wait, the fourth is declined at once
+		is.Equal(answers["d"].Status, 429) // one runs, two wait, the fourth is rejected at once
 		is.Equal(answers["d"].field("error", "code"), "queue_full")
 		is.True(answers["d"].Header["Retry-After"] != "")
-		status := call.send(1, "GET", path, key, nil) // a read does not wait for the queue
+		status := call.send(1, "GET", path, key, nil) // reads bypass the queue
 		is.Equal(status.field("queued"), "2")
 		is.Equal(status.field("running_turn"), "a")
 		again := call.sendTurn(1, path, key, program, "d", "")
-		is.Equal(again.Status, 429) // a refused id stays refused
+		is.Equal(again.Status, 429) // a rejected id stays rejected
 		cancelled := call.send(2, "POST", path+"/turns/c/cancel", key, nil)
 		is.Equal(cancelled.field("state"), "Cancelled")
 		for len(answers) < 4 {
@@ -344,7 +343,7 @@
 		after := call.send(1, "GET", path, key, nil)
 		is.Equal(after.field("phase"), "Succeeded")
 		is.Equal(call.sendTurn(1, path, key, program, "c", "").field("error", "code"), "run_over")
-		next := call.sendTurn(1, path, key, program, "d", "a") // the chain outlives its Run
+		next := call.sendTurn(1, path, key, program, "d", "a") // the chain is kept after its Run ended
 		verdict, _, _ = next.finalResult()
 		is.Equal(verdict, "success")
 		status := call.send(0, "GET", path, key, nil)
@@ -460,7 +459,7 @@
 	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
 		program, secret := call.createProgram(1000, nil)
 		path, key := call.openSession(0, program, secret, map[string]any{"lease_s": 2})
-		for place := 0; place < 4; place++ { // calls the owner sees renew the lease
+		for place := 0; place < 4; place++ { // requests that reach the owner renew the lease
 			call.sleep(1500 * time.Millisecond)
 			is.Equal(call.send(1, "POST", path+"/renew", key, nil).field("phase"), "Ready")
 		}
@@ -481,7 +480,7 @@
 		program, secret := call.createProgram(100, nil)
 		path := "/v1/programs/" + program + "/tools/loyalty"
 		for _, tool := range f.Tools {
-			tool.Next = func() standin.Trouble { return standin.Silent } // it ran, the answer is lost
+			tool.Next = func() standin.Trouble { return standin.Silent } // the call runs and its answer is lost
 		}
 		first := call.send(0, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
 		is.Equal(first.field("error", "request"), "may_have_run")
@@ -498,7 +497,7 @@
 		is.Equal(replayed.Header["Idempotent-Replayed"], "true")
 		is.Equal(f.toolWorkerRuns(program+"/k2"), 1)
 		is.Equal(call.send(2, "POST", path, secret, `{"points":3}`, "idempotency-key", "k2").field("error", "code"), "key_reused")
-		// A worker that cannot be reached was not run: another takes the call.
+		// A call to an unreachable worker has not run, so another worker gets it.
 		f.World.Hosts["app-0"].Kill()
 		for place := 0; place < 4; place++ {
 			is.Equal(call.send(place, "POST", path, secret, `{}`, "idempotency-key", fmt.Sprint("up", place)).Status, 200)
@@ -509,7 +508,7 @@
 		is.Equal(down.field("error", "request"), "not_run")
 		f.World.Hosts["app-1"].alive = true
 		call.sleep(2 * time.Second)
-		is.Equal(call.send(0, "POST", path, secret, `{}`, "idempotency-key", "down").Status, 200) // not run, so it may run now
+		is.Equal(call.send(0, "POST", path, secret, `{}`, "idempotency-key", "down").Status, 200) // it has not run, so it may run now
 		is.Equal(f.toolWorkerRuns(program+"/down"), 1)
 	})
 }
@@ -547,7 +546,7 @@
 					is.Equal(verdict, "success")
 					previous = id
 					if (way == "refusal" || way == "closing") && num == 5 {
-						leaving.Next, leaving.Closing = nil, false // it would take work again, if it were given any
+						leaving.Next, leaving.Closing = nil, false // it would accept requests again
 						knownAt = f.World.Now()
 					}
 				}
@@ -572,17 +571,17 @@
 		}
 		before := call.send(1, "GET", path, key, nil)
 		is.True(strings.HasPrefix(before.field("owner"), "edge-0"))
-		is.True(strings.HasPrefix(before.field("understudy"), "edge-1")) // the other zone
+		is.True(strings.HasPrefix(before.field("understudy"), "edge-1")) // the standby is in the other zone
 		f.Kill(f.Gateways[0])
 		began := f.World.Now()
 		verdict, _, _ := call.sendTurn(2, path, key, program, "t3", "t2").finalResult()
 		is.Equal(verdict, "success")
-		is.True(f.World.Now()-began < 2*time.Second) // a short pause
+		is.True(f.World.Now()-began < 2*time.Second) // the takeover is a short pause
 		after := call.send(2, "GET", path, key, nil)
 		is.Equal(after.field("owner"), before.field("understudy"))
 		is.Equal(after.field("epoch"), "2")
 		is.Equal(f.CounterTotal("chains_read_from_register"), int64(0))
-		// The next loss: the new understudy is caught up before it counts.
+		// After the next loss, the new standby has caught up and takes over.
 		call.sleep(2 * time.Second)
 		f.Kill(f.Gateways[1])
 		verdict, _, _ = call.sendTurn(2, path, key, program, "t4", "t3").finalResult()
@@ -591,8 +590,8 @@
 	})
 }
 
-// A call that carries an assignment identity the node does not hold is
-// refused by it, and is never carried further.
+// TestOwnerChecksAssignmentAndForwardsOnce: a node refuses a request for an assignment
+// that it does not hold and does not forward it again.
 func TestOwnerChecksAssignmentAndForwardsOnce(t *testing.T) {
 	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		program, secret := call.createProgram(1000, nil)
@@ -601,11 +600,11 @@
 		forwarded := f.CounterTotal("visits_forwarded")
 		is.Equal(call.send(1, "GET", path, key, nil).Status, 200)
 		is.Equal(f.CounterTotal("visits_forwarded"), forwarded+1)
-		// Two changes of owner leave gateway 2 with an old assignment, which
-		// it looks up anew once.
+		// Two changes of owner leave gateway 2 with an old assignment, which it looks up
+		// once more.
 		is.Equal(call.send(2, "GET", path, key, nil).Status, 200)
 		f.Kill(f.Gateways[0])
-		f.Start(f.Gateways[0]) // another life at the same address, which others take for the former
+		f.Start(f.Gateways[0]) // a new incarnation at the same address, which others take for the old one
 		verdict, _, _ := call.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 		is.Equal(call.send(2, "GET", path, key, nil).field("epoch"), "2")
@@ -620,7 +619,8 @@
 	return turned
 }
 
-// Urgent programs go first when workers are full, and none starves.
+// TestUrgentProgramsGoFirstWithoutStarvation: when workers are full, urgent programs go
+// first, and programs of low urgency still finish.
 func TestUrgentProgramsGoFirstWithoutStarvation(t *testing.T) {
 	shape := SmallShape()
 	shape.ModelWorkers, shape.WorkerCapacity, shape.PieceInterval = 1, 1, 100*time.Millisecond
@@ -652,14 +652,15 @@
 		for left > 0 {
 			call.sleep(100 * time.Millisecond)
 		}
-		is.True(slices.Index(order, "old success") < len(order)-slices.Index(reverse(order), "rush success")-1) // an old one ended before the last of the rush
+		is.True(slices.Index(order, "old success") < len(order)-slices.Index(reverse(order), "rush success")-1) // an old program ends before the last urgent one
 		for _, done := range order {
 			is.True(strings.HasSuffix(done, " success"))
 		}
 	})
 }
 
-// No trouble of a worker is ever shown as success.
+// TestWorkerFaultsAreNeverReportedAsSuccess runs a turn under each fault of a model
+// worker.
 func TestWorkerFaultsAreNeverReportedAsSuccess(t *testing.T) {
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":10,"legs":1`, 1)
@@ -675,14 +676,14 @@
 				program, secret := call.createProgram(100, nil)
 				path, key := call.openSession(0, program, secret, nil)
 				body := turnBody(program, "t")
-				body["max_output_tokens"] = 3 // of six: one that overruns is seen
+				body["max_output_tokens"] = 3 // the worker has six pieces, so an overrun is seen
 				got := call.send(1, "POST", path+"/turns", key, body, "turn-id", "t")
 				verdict, ran, _ := got.finalResult()
 				is.Equal(verdict+" "+ran, want)
 				is.Equal(call.send(1, "GET", path+"/turns/t", key, nil).field("answer"), "<nil>")
 				if ran == "not_run" {
 					is.Equal(f.modelWorkerRuns(program, "t"), 0)
-				} else { // what is not known to have ended counts as spent in full
+				} else { // a turn that is not known to have ended is charged in full
 					is.Equal(call.send(1, "GET", "/v1/programs/"+program, secret, nil).field("spent_tokens"), "3")
 				}
 			})
@@ -690,7 +691,8 @@
 	}
 }
 
-// A worker that leaves while it is busy finishes what it has.
+// TestLeavingBusyWorkerFinishesItsRequest: a worker that leaves while it is busy finishes
+// its request and gets no other.
 func TestLeavingBusyWorkerFinishesItsRequest(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 500 * time.Millisecond
@@ -715,12 +717,13 @@
 		verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 		_, _, runs, _ := busy.Record()
-		is.Equal(runs, 1) // the next turn went elsewhere
+		is.Equal(runs, 1) // the next turn went to the other worker
 	})
 }
 
-// A leg that waited for the control state, on a gateway that was cut off from
-// it, does not go out to a worker that has left meanwhile.
+// TestDelayedAttemptSkipsWorkerThatLeft: a gateway that is isolated from the cores holds
+// an attempt of a turn; once it has the control state again, it does not send the
+// attempt to a worker that has left meanwhile.
 func TestDelayedAttemptSkipsWorkerThatLeft(t *testing.T) {
 	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		program, secret := call.createProgram(1000, nil)
--- a/internal/simulate/cluster_change_test.go
+++ b/internal/simulate/cluster_change_test.go
@@ -1,4 +1,3 @@
-// Disks replaced, added and retired under traffic; machines that come and go.
 package simulate
 
 import (
@@ -13,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// A lost disk is replaced by an empty machine at a new address while callers
-// converse, with every kind of trouble on the way; then another disk is lost.
+// TestReplacingLostDisk replaces a lost disk by an empty machine at a new address during
+// conversations and further faults; then another disk is lost.
 func TestReplacingLostDisk(t *testing.T) {
 	troubles := map[string]func(f *Fleet){
 		"in quiet":          func(*Fleet) {},
@@ -47,13 +46,13 @@
 				is.True(f.AwaitDiskChange(2 * time.Minute))
 				is.True(f.FindDisk(fresh.Host.Name).Voting)
 				if name == "in quiet" {
-					is.True(f.CounterTotal("repairs_paced") > 0) // 32 slots were not sent at once
+					is.True(f.CounterTotal("repairs_paced") > 0) // the 32 shards are not sent all at once
 				}
 				status, code = f.RequestDiskChange("retire", "disk", lost.ID)
 				is.Equal(fmt.Sprint(status, code), "200")
 				is.True(f.AwaitDiskChange(2 * time.Minute))
 				is.Equal(len(f.StorageStatus().Disks), 3)
-				f.PowerLoss(f.Storage[1]) // the next loss, for good
+				f.PowerLoss(f.Storage[1]) // the next loss, which is permanent
 				for left() > 0 {
 					call.sleep(time.Second)
 				}
@@ -63,6 +62,8 @@
 	}
 }
 
+// TestRetiringDisk: a retired disk is emptied and stays out of the cluster, also after a
+// restart.
 func TestRetiringDisk(t *testing.T) {
 	shape := SmallShape()
 	shape.Storage = 4
@@ -81,20 +82,21 @@
 		next := f.FindDisk(f.Storage[1].Host.Name)
 		status, code = f.RequestDiskChange("retire", "disk", next.ID)
 		is.Equal(fmt.Sprint(status, code), "409too_few_disks")
-		// A removed machine that returns is refused, until it is emptied.
+		// A removed machine that returns is refused until it is wiped.
 		f.Kill(f.Storage[0])
 		f.Start(f.Storage[0])
 		call.sleep(2 * time.Second)
 		is.True(f.Storage[0].storage.Ready() != nil)
 		status, code = f.RequestDiskChange("admit", "address", f.Storage[0].Host.Name+":1")
 		is.Equal(fmt.Sprint(status, code), "409disk_not_blank")
-		f.Kill(f.Storage[1]) // two of three must do
+		f.Kill(f.Storage[1]) // two of three disks suffice
 		verdict, _, _ := call.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
 
-// Duties move only as far as they must when a core or gateway comes.
+// TestNewMachinesMoveFewShards: when a core joins, at most half of the shards move, all of
+// them to the new core. A gateway that joins becomes ready and serves.
 func TestNewMachinesMoveFewShards(t *testing.T) {
 	t.Parallel()
 	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
@@ -119,7 +121,7 @@
 		for num, owner := range after {
 			if owner != before[num] {
 				moved++
-				is.Equal(owner, fresh.Host.Name) // what moved went to the newcomer
+				is.Equal(owner, fresh.Host.Name) // shards move only to the new core
 			}
 		}
 		is.True(moved > 0 && moved <= 16)
@@ -133,7 +135,8 @@
 	})
 }
 
-// The cluster is formed once; nothing forms it again by itself or by hand.
+// TestClusterIsBootstrappedOnce: an existing cluster cannot be bootstrapped again by an
+// operator, nor do machines bootstrap by themselves after all disks were wiped.
 func TestClusterIsBootstrappedOnce(t *testing.T) {
 	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		cluster := f.StorageStatus().Cluster
@@ -155,7 +158,7 @@
 		}
 		call.sleep(20 * time.Second)
 		for _, m := range f.Storage {
-			is.True(m.storage.Ready() != nil) // blank, and no cluster by itself
+			is.True(m.storage.Ready() != nil) // it stays blank and bootstraps no cluster
 		}
 		for _, m := range f.Gateways {
 			is.True(m.gateway.Ready() != nil)
@@ -164,7 +167,8 @@
 	})
 }
 
-// The owner is lost while its understudy is leaving: another goes on.
+// TestTakeOverWhileStandbyDrains: when the owner is lost while its standby is stopping,
+// another gateway continues the session.
 func TestTakeOverWhileStandbyDrains(t *testing.T) {
 	shape := SmallShape()
 	shape.Gateways = 4
@@ -189,7 +193,8 @@
 	})
 }
 
-// All seeds but one dead: machines still find the fleet.
+// TestOneSeedIsEnough: a new machine joins the fleet when all of its seeds but one are
+// down.
 func TestOneSeedIsEnough(t *testing.T) {
 	t.Parallel()
 	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
@@ -202,7 +207,8 @@
 	})
 }
 
-// Bad input at the operators' interface is declined by name, nothing done.
+// TestInvalidOperatorRequestsAreRejected: invalid requests to the operators' API are
+// rejected with the name of the field and change nothing.
 func TestInvalidOperatorRequestsAreRejected(t *testing.T) {
 	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		before := f.StorageStatus()
@@ -254,10 +260,10 @@
 	})
 }
 
-// All three seed machines are replaced at new addresses, one by one, and then
-// everything falls at once. With the cluster's name in their places the
-// machines find each other by what the disks remember; without it, operators
-// start them with new seeds.
+// TestTotalOutageAfterAllSeedsReplaced replaces all three seed machines at new addresses,
+// one by one, and then restarts everything at once. If the machines are configured with
+// the cluster's id, they find each other by the addresses stored on the disks; otherwise
+// operators start them with new seeds.
 func TestTotalOutageAfterAllSeedsReplaced(t *testing.T) {
 	for _, way := range []string{"cluster named", "new seeds"} {
 		t.Run(way, func(t *testing.T) {
--- a/internal/simulate/expiry_test.go
+++ b/internal/simulate/expiry_test.go
@@ -1,5 +1,3 @@
-// Time that outlives a process: retention, deadlines and keys go by the time
-// that slots themselves count, whatever machines' wall clocks say.
 package simulate
 
 import (
@@ -9,8 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// Every core is lost again and again between the moments that matter; nothing
-// is over early, and what is over does end.
+// TestRetentionAndDeadlinesSurviveCoreLoss loses every core several times within the
+// retention and deadline periods. These periods are measured in time that the shards
+// count themselves, not by the machines' wall clocks, so nothing expires early and a
+// deadline that has passed takes effect.
 func TestRetentionAndDeadlinesSurviveCoreLoss(t *testing.T) {
 	t.Parallel()
 	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
@@ -25,7 +25,7 @@
 		short, shortKey := call.openSession(0, bounded, boundedSecret, nil)
 		verdict, _, _ = call.sendTurn(1, short, shortKey, bounded, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		for round := 0; round < 8; round++ { // 80 s, and a sweep under each keeper
+		for round := 0; round < 8; round++ { // 80 s in all, with an expiry sweep under each leader
 			f.crash(f.Cores[round%2], time.Second, false)
 			call.sleep(10 * time.Second)
 		}
--- a/internal/simulate/feed_tree_test.go
+++ b/internal/simulate/feed_tree_test.go
@@ -1,6 +1,3 @@
-// The feed of a large fleet is told through a tree: its owner answers a bounded
-// number, news reaches everybody as soon and as fresh, and a node that fails in
-// the middle holds nobody up.
 package simulate
 
 import (
@@ -13,11 +10,12 @@
 	"github.com/matryer/is"
 )
 
-// followersOf are the living machines that follow the feed.
+// liveFollowers returns the running machines that follow the feed.
 func (f *Fleet) liveFollowers() []*Machine {
 	return base.Filter(append(append([]*Machine{}, f.Cores...), f.Gateways...), func(m *Machine) bool { return m.Host.alive && !m.Host.frozen })
 }
 
+// leaseFollower returns the feed's follower of a running gateway or core.
 func (m *Machine) leaseFollower() interface {
 	HasLease() bool
 	LeaseExpirations() uint64
@@ -29,11 +27,13 @@
 	return m.core.Follower
 }
 
-// measureApply puts new settings in force and tells how long the last follower took.
+// measureApply changes the settings and returns how long after the acknowledgement the
+// last gateway applied them.
 func (f *Fleet) measureApply(based int) time.Duration {
 	return f.measureApplyThrough(f.liveCore, based)
 }
 
+// measureApplyThrough is measureApply with the core that gets the operator's request.
 func (f *Fleet) measureApplyThrough(core func() *Machine, based int) time.Duration {
 	done, stamp := false, uint64(based+1)
 	began := f.World.Now()
@@ -56,7 +56,7 @@
 	return f.World.Now() - began
 }
 
-// leaseExpirations counts permits that ran out, and the nodes without one.
+// leaseExpirations returns how many leases have expired, and how many nodes have no lease.
 func (f *Fleet) leaseExpirations() (lapsed uint64, without int) {
 	for _, m := range f.liveFollowers() {
 		lapsed += m.leaseFollower().LeaseExpirations()
@@ -67,6 +67,9 @@
 	return lapsed, without
 }
 
+// TestFeedTreeOfLargeFleet: in a large fleet the leader of the feed answers a bounded
+// number of followers, changes reach all gateways within the bound, and the failure of a
+// node inside the tree does not delay the others.
 func TestFeedTreeOfLargeFleet(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
--- a/internal/simulate/mechanisms_test.go
+++ b/internal/simulate/mechanisms_test.go
@@ -1,7 +1,3 @@
-// Each must-never's mechanism is taken away, from outside the daemons' code
-// where that can be done, and some seed of some scenario must then be caught by
-// the checks that every run makes. A mechanism whose loss nothing catches would
-// have no proof.
 package simulate
 
 import (
@@ -21,6 +17,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
+// protoResponse returns a successful response with an encoded message.
 func protoResponse(message proto.Message) *http.Response {
 	recorder := httptest.NewRecorder()
 	recorder.Header().Set("Content-Type", "application/protobuf")
@@ -29,7 +26,8 @@
 	return recorder.Result()
 }
 
-// forwardAndDecode carries a message on and reads the reply; nil when none came.
+// forwardAndDecode forwards a message and decodes the reply. The response is nil when
+// none was received.
 func forwardAndDecode[M proto.Message](m *Message, body []byte, into M) (M, *http.Response) {
 	response, err := m.Forward(body)
 	if err != nil || response == nil {
@@ -43,7 +41,7 @@
 	return into, response
 }
 
-// interceptChange meddles with one op of the register.
+// interceptChange intercepts one operation of the register, or all when op is "".
 func interceptChange(op string, meddle func(m *Message, asked *register.ChangeRequest, pass func(op string, args []byte) (*register.ChangeReply, *http.Response)) *http.Response) func(f *Fleet) {
 	return func(f *Fleet) {
 		f.Net.Intercept = func(m *Message) *http.Response {
@@ -60,7 +58,7 @@
 	}
 }
 
-// interceptPath meddles with one kind of message.
+// interceptPath intercepts the messages whose path has a suffix.
 func interceptPath(suffix string, meddle func(m *Message) *http.Response) func(f *Fleet) {
 	return func(f *Fleet) {
 		f.Net.Intercept = func(m *Message) *http.Response {
@@ -73,6 +71,10 @@
 	}
 }
 
+// TestDisabledMechanismsAreDetected disables each mechanism that guards an invariant,
+// from outside the daemons' code where possible. The checks that every run makes must
+// then report a violation for some seed; otherwise nothing would show that the
+// mechanism is needed or that the checks work.
 func TestDisabledMechanismsAreDetected(t *testing.T) {
 	rows := []struct {
 		mechanism string
@@ -101,7 +103,7 @@
 		{"the memory of lost legs", "everything at once", "small", interceptChange("", func(m *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			reply, response := pass(asked.Op, asked.Args)
 			if asked.Op == "session.refuse" && response != nil && len(reply.Result) > 0 {
-				return protoResponse(&register.ChangeReply{Result: []byte(`{"refused":true}`)}) // it would not mark such a turn
+				return protoResponse(&register.ChangeReply{Result: []byte(`{"refused":true}`)}) // otherwise such a turn would be marked
 			}
 			if response == nil || !strings.Contains(string(reply.Result), `"unsure"`) {
 				return response
@@ -206,10 +208,10 @@
 	for _, row := range rows {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const most = 48 // a seed that shows the harm ends the search
+			const most = 48 // the first seed with a violation ends the search
 			for seed := uint64(1); seed <= most; seed++ {
 				scenario := *FindScenario(row.scenario)
-				scenario.Timeout = time.Minute // a fleet that is broken for good is broken in the first
+				scenario.Timeout = time.Minute // a permanent fault shows within the first minute
 				outcome := scenario.RunWith(seed, Shapes[row.shape](), row.take)
 				for _, breach := range outcome.Breaches {
 					if strings.Contains(breach, row.word) {
--- a/internal/simulate/redundancy_test.go
+++ b/internal/simulate/redundancy_test.go
@@ -1,6 +1,3 @@
-// The next loss: storage machines are wiped, replaced, cut off and retired one
-// after another, and the next goes as soon as the last has caught up. What was
-// acknowledged of turn histories is found throughout.
 package simulate
 
 import (
@@ -16,23 +13,22 @@
 )
 
 const (
-	// catchUpTime is how long a machine that is back still counts as lost at the
-	// sites with the shortest such time.
+	// catchUpTime is how long a machine that is back still counts as lost. It is the
+	// shortest such time of all sites.
 	catchUpTime = 4100 * time.Millisecond
-	// historyFetchDelay is how long a store takes to fill in these runs, per request.
+	// historyFetchDelay delays each request by which a storage machine fetches turns.
 	historyFetchDelay = 400 * time.Millisecond
 )
 
-// lossSeedCount is how many seeds each of these runs has at the least.
+// lossSeedCount is the least number of seeds of each of these tests.
 const lossSeedCount = 1
 
-// lossSize is a number of storage machines and how many may be lost at once.
+// lossSize is a number of storage machines and how many of them may be lost at once.
 type lossSize struct{ storage, tolerate int }
 
 var lossSizes = []lossSize{{3, 1}, {4, 1}, {9, 2}}
 
-// lossKinds have machines go in one way and come back or be replaced; they end
-// when the last is back.
+// lossKinds lose machines in one way each. They return when all are back or replaced.
 var lossKinds = map[string]func(f *Fleet, lost []*Machine, call *apiClient){
 	"wiped": func(f *Fleet, lost []*Machine, call *apiClient) {
 		for _, m := range lost {
@@ -79,7 +75,7 @@
 	},
 }
 
-// pickDistinctStorage picks different storage machines that are not gone.
+// pickDistinctStorage draws different storage machines that are not removed.
 func (f *Fleet) pickDistinctStorage(count int) []*Machine {
 	var chosen []*Machine
 	for len(chosen) < count {
@@ -90,8 +86,8 @@
 	return chosen
 }
 
-// checkHistory fails the test where an acknowledged turn is not found, or a
-// program whose turns are all found cannot go on.
+// checkHistory fails the test if an acknowledged turn is not found, or if a program
+// whose turns are all found cannot continue.
 func checkHistory(t *testing.T, is *is.I, f *Fleet, w *historyWriter) {
 	t.Helper()
 	w.pause()
@@ -107,6 +103,8 @@
 	is.Equal(len(lost), 0)
 }
 
+// TestStorageLossAfterCatchUp: every acknowledged turn is still found when storage
+// machines are lost one after the other, each as soon as the last has caught up.
 func TestStorageLossAfterCatchUp(t *testing.T) {
 	for name, way := range lossKinds {
 		for _, size := range lossSizes {
@@ -131,8 +129,9 @@
 	}
 }
 
-// Every machine in turn is retired, replaced by another, and taken away with its
-// disk the moment that is complete; others lose their disks right then.
+// TestRetiringEachStorageMachineInTurn replaces every machine by another: it is retired
+// and removed with its disk as soon as the retirement is complete, and other machines
+// lose their disks at that moment.
 func TestRetiringEachStorageMachineInTurn(t *testing.T) {
 	for _, size := range []lossSize{{4, 1}, {9, 2}} {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
@@ -154,8 +153,8 @@
 	}
 }
 
-// retireThenLose retires one machine, takes it away, and has as many others as
-// may be lost wiped at that moment. It tells how long the retirement took.
+// retireThenLose retires and removes one machine and wipes as many others as may be lost
+// at that moment. It returns how long the retirement took.
 func retireThenLose(t *testing.T, is *is.I, f *Fleet, w *historyWriter, call *apiClient, out *Machine) time.Duration {
 	t.Helper()
 	f.AddMachine("storage")
@@ -182,8 +181,9 @@
 	return took
 }
 
-// Retirement is asked for on every machine at once; each that is complete goes
-// with its disk, and one that may be lost is lost during the hand-over.
+// TestConcurrentRetirementsWithDiskLoss retires as many machines as possible at the same
+// time and removes each with its disk when its retirement is complete. Another machine
+// loses its disk meanwhile.
 func TestConcurrentRetirementsWithDiskLoss(t *testing.T) {
 	for _, size := range []lossSize{{7, 1}, {9, 2}} {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
@@ -226,9 +226,9 @@
 	}
 }
 
-// A machine is replaced as planned work: the new one comes first, then the old
-// one is told to stop and never comes back. Once its successor has had the time
-// to catch up, all lose power and as many as may be lost come back empty.
+// TestReplacementThatJoinsFirst replaces a machine as planned work: the new machine joins
+// first, then the old one is stopped for good. Once the new one has had the time to
+// catch up, all machines lose power and as many as may be lost come back empty.
 func TestReplacementThatJoinsFirst(t *testing.T) {
 	for _, size := range lossSizes {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
@@ -247,14 +247,14 @@
 	}
 }
 
-// replaceAfterJoinThenOutage has one machine's successor come before it is told to stop, and
-// then all lose power and as many as may be lost their disks.
+// replaceAfterJoinThenOutage adds a machine, stops another for good, and after the time
+// to catch up cuts the power of all and wipes as many as may be lost.
 func replaceAfterJoinThenOutage(f *Fleet, w *historyWriter, call *apiClient) {
 	call.sleep(f.World.Between(0, time.Second))
 	out := f.pickMachine(f.remainingStorage())
 	f.AddMachine("storage")
 	call.sleep(f.World.Between(500*time.Millisecond, 4*time.Second))
-	w.pause() // the next turn of a program would copy those before it
+	w.pause() // a program's next turn would copy the turns before it
 	f.Stop(out)
 	f.loseMachine(out, false)
 	call.sleep(catchUpTime)
@@ -262,8 +262,9 @@
 	call.sleep(catchUpTime)
 }
 
-// Without word of its leave a machine that stopped keeps its place, and the next
-// loss takes more copies than are tolerated.
+// TestDisabledGracefulStopLosesTurns: a machine that stops without announcing it stays in
+// the disk set, so the next loss takes more copies than are tolerated. The checks must
+// detect it.
 func TestDisabledGracefulStopLosesTurns(t *testing.T) {
 	t.Parallel()
 	const tries = 4
@@ -285,7 +286,8 @@
 	t.Fatalf("none of %d seeds shows the loss", tries)
 }
 
-// runOnFleet runs a script on one fleet that is whole, whose tally nobody reads.
+// runOnFleet runs steps on a fleet with a complete disk set. It does not check the
+// invariants.
 func runOnFleet(t *testing.T, seed uint64, shape Shape, steps func(f *Fleet, call *apiClient)) {
 	t.Helper()
 	f := NewFleet(seed, shape)
@@ -302,14 +304,14 @@
 	}
 }
 
-// noGaps is content that always has its copies: what planned changes waited
-// for is taken away.
+// noGaps reports that all content has enough copies, so planned changes wait for
+// nothing.
 type noGaps struct{}
 
 func (noGaps) Gaps(*base.Ctx, *register.DiskSet) []register.DiskGap { return nil }
 
-// Without the wait for copies, a retirement that is called complete too soon
-// loses what was acknowledged.
+// TestRetirementWithoutRedundancyCheckLosesTurns: a retirement that does not wait for
+// copies is complete too early and loses acknowledged turns. The checks must detect it.
 func TestRetirementWithoutRedundancyCheckLosesTurns(t *testing.T) {
 	t.Parallel()
 	const tries = 8
@@ -322,7 +324,8 @@
 	t.Fatalf("none of %d seeds shows the loss", tries)
 }
 
-// turnsLostWithoutWaiting tells how many programs lost turns.
+// turnsLostWithoutWaiting returns how many programs a retirement without the check lost
+// turns of.
 func turnsLostWithoutWaiting(t *testing.T, seed uint64) (lost int) {
 	t.Helper()
 	runOnFleet(t, seed, reconcilingShape(5, 1), func(f *Fleet, call *apiClient) {
--- a/internal/simulate/settings_test.go
+++ b/internal/simulate/settings_test.go
@@ -1,6 +1,3 @@
-// Settings under failure: operators collide while machines fail; what was
-// taken is in force within its bound, no node slides back, and no losing or
-// refused change is ever shown.
 package simulate
 
 import (
@@ -12,6 +9,10 @@
 	"github.com/matryer/is"
 )
 
+// TestConcurrentSettingsChangesUnderFaults has two operators make conflicting changes
+// while machines fail. Every run checks that an accepted change is in force within its
+// bound, that no node goes back to an older version, and that a change that lost or was
+// refused is never served.
 func TestConcurrentSettingsChangesUnderFaults(t *testing.T) {
 	for _, name := range []string{"edges killed", "edges frozen and woken", "cores killed", "cores frozen and woken", "disks lose power",
 		"disks frozen and woken", "messages lost, late and twice", "a machine cut off", "one-way loss"} {
@@ -52,7 +53,8 @@
 			status, answer = f.OperatorRequest(f.Cores[1], "GET", "/v1/operator/settings", nil)
 			is.Equal(status, 200)
 			is.True(strings.Contains(string(answer), `"stamp":1`))
-			// A change refused by id is fenced: its late copy is refused too.
+			// A change whose outcome was settled as refused stays refused: a late copy of it
+			// is refused too.
 			status, answer = f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/settings/outcome", map[string]string{"change": "late"})
 			is.Equal(status, 200)
 			is.True(strings.Contains(string(answer), `"refused"`))
@@ -64,8 +66,8 @@
 	})
 }
 
-// A gateway that cannot confirm its settings holds visits briefly and then
-// declines them as not run, inside the bound.
+// TestIsolatedGatewayStopsServing: a gateway that cannot confirm its settings holds
+// requests briefly and then rejects them as not run, within the bound.
 func TestIsolatedGatewayStopsServing(t *testing.T) {
 	runSeeds(t, 2, SmallShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
--- a/internal/simulate/simulate_test.go
+++ b/internal/simulate/simulate_test.go
@@ -1,6 +1,3 @@
-// Failures brought about by seed, over the same slice code as the daemons.
-// Every run ends in the same checks over the callers' and the workers' own
-// records; a failing seed is printed and replays exactly.
 package simulate
 
 import (
@@ -10,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// runSeeds runs a fleet through a scenario for a few seeds.
+// runSeeds runs a scenario on a new fleet for each seed and checks the invariants. It
+// stops at the first seed that fails.
 func runSeeds(t *testing.T, seeds int, shape Shape, scenario func(t *testing.T, f *Fleet)) {
 	t.Helper()
 	for seed := uint64(1); seed <= uint64(seeds); seed++ {
@@ -27,7 +25,7 @@
 	}
 }
 
-// waitUntilFormed runs the world until the fleet serves.
+// waitUntilFormed sets the fleet up and runs the world until that is done.
 func waitUntilFormed(t *testing.T, f *Fleet) {
 	t.Helper()
 	up := false
--- a/internal/simulate/tier_mechanisms_test.go
+++ b/internal/simulate/tier_mechanisms_test.go
@@ -1,6 +1,3 @@
-// Each mechanism that a rule of the platform rests on is taken away from
-// outside the daemons' code, and some seed of some day must then be caught by
-// the checker, under the rule's name.
 package simulate
 
 import (
@@ -23,7 +20,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// interceptFeed changes what followers are told.
+// interceptFeed changes the replies to the feed's followers.
 func interceptFeed(meddle func(m *Message, reply *feed.FollowReply)) func(f *Fleet) {
 	return interceptPath("Feed/Follow", func(m *Message) *http.Response {
 		reply, response := forwardAndDecode(m, m.Body, &feed.FollowReply{})
@@ -35,7 +32,7 @@
 	})
 }
 
-// interceptLedger changes what stores answer to gateways.
+// interceptLedger changes the replies of the storage machines to gateways.
 func interceptLedger(f *Fleet, begin func(asked *ledger.BeginRequest, reply *ledger.BeginReply), write func(reply *ledger.WriteReply), chain func(reply *ledger.ChainReply)) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		pass := func(reply proto.Message, change func()) *http.Response {
@@ -64,8 +61,8 @@
 	}
 }
 
-// delayCatchUp has stores pull what they lack slowly, though within the time that
-// they have to catch up.
+// delayCatchUp makes storage machines fetch missing turns slowly, though within the time
+// that they have to catch up.
 func delayCatchUp(f *Fleet) {
 	pass := f.Net.Intercept
 	f.Net.Intercept = func(m *Message) *http.Response {
@@ -90,6 +87,9 @@
 	}
 }
 
+// TestDisabledTierMechanismsAreDetected disables each mechanism that a rule of the
+// platform depends on, from outside the daemons' code. The checker must then report a
+// violation of that rule for some seed.
 func TestDisabledTierMechanismsAreDetected(t *testing.T) {
 	rows := []struct {
 		mechanism string
@@ -183,7 +183,7 @@
 		}, "DRAIN", ""},
 		{"the last look at the list before a request leaves", "release with a short drain, connections slow to come up", func(t *Tier) { t.disabled.finalListCheck = true }, "DRAIN", ""},
 		{"a follower's place that never falls", "config_change", func(t *Tier) {
-			// An older answer, taken for a new one, brings the older configuration back.
+			// An older reply that is taken for a new one brings the older configuration back.
 			var older []byte
 			told := map[string]int{}
 			interceptFeed(func(m *Message, reply *feed.FollowReply) {
@@ -230,7 +230,7 @@
 	for _, row := range rows {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const most = 48 // a seed that shows the harm ends the search
+			const most = 48 // the first seed with a violation ends the search
 			for seed := uint64(1); seed <= most; seed++ {
 				outcome := FindTierScenario(row.day).RunWith(seed, TierShapes[cmp.Or(row.shape, "small")](), row.take)
 				for _, breach := range outcome.Breaches {
--- a/internal/simulate/tier_test.go
+++ b/internal/simulate/tier_test.go
@@ -1,5 +1,3 @@
-// Every day of the platform's troubles at three sizes, with a fixed set of
-// seeds; each subtest is named after the trouble.
 package simulate
 
 import (
@@ -11,10 +9,12 @@
 	"github.com/matryer/is"
 )
 
-// grownSizeScenarios are the days of the fixed set at the grown size: those that rest on
-// how many machines there are. Campaigns play all.
+// grownSizeScenarios matches the scenarios that the tests run at the grown size: those
+// that depend on the number of machines. Campaigns run all.
 var grownSizeScenarios = regexp.MustCompile("^(mixed|closing|stores|hunt|herd_kill|core_cut|quiet|counted|more stores)")
 
+// TestTierKeepsInvariants runs every scenario of the tier at several sizes with a fixed
+// set of seeds. Subtests are named after the shape and the scenario.
 func TestTierKeepsInvariants(t *testing.T) {
 	for _, name := range []string{"small", "roaming", "kiondo", "grown"} {
 		for _, day := range TierScenarios {
--- a/internal/simulate/traffic_churn_test.go
+++ b/internal/simulate/traffic_churn_test.go
@@ -1,4 +1,3 @@
-// A fleet of three hundred before three thousand workers that come and go.
 package simulate
 
 import (
@@ -10,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// TestConfigChangesReachLargeFleetDuringWorkerChurn holds that a
-// configuration is in force everywhere long before its bound, and that the owner
-// of the feed answers a bounded number of followers, though no view of the fleet
-// shows its gateways: cores and storage machines fill them.
+// TestConfigChangesReachLargeFleetDuringWorkerChurn: at 300 machines and 3000 workers, a
+// configuration is in force everywhere long before its bound, and the leader of the feed
+// answers a bounded number of followers, although the partial views are filled with
+// cores and storage machines and show only few of the gateways.
 func TestConfigChangesReachLargeFleetDuringWorkerChurn(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
@@ -52,15 +51,15 @@
 	}
 }
 
-// maxLeaderBytesPerSecond bounds what the owner of the feed says a second at 300 machines: most
-// of it are the changes of the roster to 90 replicas.
+// maxLeaderBytesPerSecond bounds the traffic of the feed's leader at 300 machines. Most of
+// it are changes of the workers' list that go to 90 replicas.
 const maxLeaderBytesPerSecond = 350e3
 
-// fullViewGateways is about how many gateways a view shows of a small fleet.
+// fullViewGateways is about how many gateways a view shows in a small fleet.
 const fullViewGateways = 20
 
-// TestLargeFleetServesSoonAfterTotalOutage: followers that all come back at
-// once with nothing do not hold each other up.
+// TestLargeFleetServesSoonAfterTotalOutage: followers that all restart at once without
+// any state do not delay each other.
 func TestLargeFleetServesSoonAfterTotalOutage(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
--- a/internal/simulate/traffic_test.go
+++ b/internal/simulate/traffic_test.go
@@ -1,5 +1,3 @@
-// What an idle fleet says, counted on the wire by kind, and that it does not
-// grow with the fleet.
 package simulate
 
 import (
@@ -15,7 +13,7 @@
 
 func shapeOfSize(nodes int) Shape { return ShapeOfSize(nodes, 7) }
 
-// setupStage is how far a fleet was brought up.
+// setupStage is how far a fleet is set up.
 type setupStage string
 
 const (
@@ -24,7 +22,7 @@
 	settingsApplied setupStage = "settings applied"
 )
 
-// idleFleet is a fleet of a size that came to rest, with nothing counted yet.
+// idleFleet returns an idle fleet of a size, with its traffic counters reset.
 func idleFleet(t *testing.T, nodes int, stage setupStage) *Fleet {
 	t.Helper()
 	f := NewFleet(1, shapeOfSize(nodes))
@@ -50,7 +48,7 @@
 	return f
 }
 
-// measureIdle gives the calls and bytes a node and second while nothing happens.
+// measureIdle returns the calls and bytes per node and second of an idle fleet.
 func measureIdle(t *testing.T, nodes int, stage setupStage) (calls, bytes float64) {
 	t.Helper()
 	f := idleFleet(t, nodes, stage)
@@ -69,8 +67,8 @@
 	return calls, bytes
 }
 
-// TestIdleTrafficStaysSmall bounds what an idle fleet says, and its growth with
-// the fleet.
+// TestIdleTrafficStaysSmall bounds the traffic per node of an idle fleet and its growth
+// with the size of the fleet.
 func TestIdleTrafficStaysSmall(t *testing.T) {
 	t.Parallel()
 	for _, reach := range []setupStage{noSettings, settingsApplied} {
@@ -85,8 +83,8 @@
 	}
 }
 
-// TestPartialViewsAddNoTraffic: where views hold only part of the fleet, meeting
-// a gateway again is not passed on as news.
+// TestPartialViewsAddNoTraffic: where views hold only part of the fleet, a gateway that
+// was known before is not gossiped as new.
 func TestPartialViewsAddNoTraffic(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -95,8 +93,8 @@
 	is.True(calls < 6)
 }
 
-// TestFollowersOfEmptyFeedAreLongPolled: followers of a feed that tells nothing are
-// held as others are.
+// TestFollowersOfEmptyFeedAreLongPolled: requests of followers are held also while the
+// feed has no content.
 func TestFollowersOfEmptyFeedAreLongPolled(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -113,7 +111,7 @@
 	}
 }
 
-// membershipView is a machine's view in its present life.
+// membershipView returns the view of the machine's running process, nil without one.
 func (m *Machine) membershipView() *membership.View {
 	switch {
 	case m.gateway != nil:
@@ -126,7 +124,7 @@
 	return nil
 }
 
-// countSeeingAlive counts the machines outside a set that take one for alive.
+// countSeeingAlive counts the machines outside a set whose view shows a node as alive.
 func (f *Fleet) countSeeingAlive(id string, apart map[string]bool) int {
 	count := 0
 	for _, m := range f.All() {
@@ -139,7 +137,7 @@
 	return count
 }
 
-// runUntil tells how long it takes until something holds.
+// runUntil runs the world until a condition holds and returns how long that took.
 func (f *Fleet) runUntil(limit time.Duration, holds func() bool) time.Duration {
 	began := f.World.now
 	for f.World.now < began+limit && !holds() {
@@ -148,9 +146,9 @@
 	return f.World.now - began
 }
 
-// TestSilentNodesAreDetected measures how long it takes until no other node takes
-// a lost one for alive, a fifth of the recovery bound on the mean, and until all
-// do again once it is back.
+// TestSilentNodesAreDetected bounds how long it takes until no other node sees a lost node
+// as alive, on average about a fifth of the recovery bound, and until all nodes see it
+// again once it is back.
 func TestSilentNodesAreDetected(t *testing.T) {
 	t.Parallel()
 	for _, row := range []struct {
@@ -213,8 +211,8 @@
 	}
 }
 
-// TestSlowNodesAreNotSuspected: a machine that answers within half a second
-// stays in all views.
+// TestSlowNodesAreNotSuspected: a machine that answers within half a second stays in all
+// views.
 func TestSlowNodesAreNotSuspected(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -223,7 +221,7 @@
 	m := f.Gateways[2]
 	m.Host.ExtraDelay = 250 * time.Millisecond
 	id := m.membershipView().SelfID()
-	// What the slow machine makes of others is its own affair.
+	// Suspicions of the slow machine itself do not count.
 	suspected := func() int64 { return f.CounterTotal("members_suspected") - m.Counters.Snapshot()["members_suspected"] }
 	before := suspected()
 	for range 200 {
--- a/internal/simulate/transfer_test.go
+++ b/internal/simulate/transfer_test.go
@@ -1,6 +1,3 @@
-// Contents larger than one message: lost parts, restarts of either side, disks
-// lost while the newest content is read, and changes that go on meanwhile.
-
 package simulate
 
 import (
@@ -15,7 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// largeConfigPlan is a configuration of some 2 MB, with changes far apart.
+// largeConfigPlan returns a plan with a configuration of about 2 MB, which is transferred
+// in parts, and a long interval between changes.
 func largeConfigPlan(t *testing.T, size string, changes int) ChangeStreamPlan {
 	plan := newPlan(t, size, changes)
 	plan.Padding, plan.Interval, plan.BytesPerSecond = 1500<<10, 500*time.Millisecond, 100<<20
@@ -27,13 +25,13 @@
 	runChangeStreams(t, largeConfigPlan(t, ChangeStreamSizes[0], 12), uint64(*seedCount))
 }
 
-// partTraffic is what was said about parts to and from one machine.
+// partTraffic counts the parts that were sent to one machine.
 type partTraffic struct {
 	sent, lost, bytes int
 }
 
-// interceptParts stands between owners and disks where content goes in parts; fails
-// says whether a message, or its answer, is lost.
+// interceptParts intercepts content that leaders send to disks in parts. fails tells
+// whether the message is lost before it arrives, or its reply after.
 func interceptParts(f *Fleet, fails func(m *Message, part *register.InstallPartRequest) (before, after bool)) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		var part register.InstallPartRequest
@@ -53,9 +51,9 @@
 	}
 }
 
-// A disk that comes back empty is filled though every third part or its answer
-// is lost and its process is killed in the middle; what was staged is not sent
-// again.
+// TestInterruptedTransferResumes: a disk that comes back empty gets its content although
+// every third part or its reply is lost and the disk loses its power meanwhile. Staged
+// parts are not sent again.
 func TestInterruptedTransferResumes(t *testing.T) {
 	t.Parallel()
 	plan := largeConfigPlan(t, "2/3/4", 3)
@@ -95,13 +93,13 @@
 		t.Logf("seed %d: %+v, killed %v, breaches %v", seed, talk, killed, report.Breaches)
 		is.Equal(len(report.Breaches), 0)
 		is.True(killed && talk.lost > 0)
-		// The copy may be taken anew once for each of the changes that came
-		// meanwhile, never for each loss.
+		// The transfer may restart once for each change that was made meanwhile, but not
+		// for each lost message.
 		is.True(talk.sent < 40)
 	}
 }
 
-// wipeAfterChanges has a disk come back empty once some changes were made.
+// wipeAfterChanges wipes and restarts a machine once some changes were made.
 func (f *Fleet) wipeAfterChanges(m *Machine) {
 	for newestGatewayVersion(f) < 3 {
 		f.CallerHost.Clock().Sleep(20 * time.Millisecond)
@@ -111,7 +109,7 @@
 	f.Start(m)
 }
 
-// newestGatewayVersion is the newest version that a gateway shows.
+// newestGatewayVersion returns the newest configuration version that a gateway has.
 func newestGatewayVersion(f *Fleet) (newest uint64) {
 	for _, m := range f.Gateways {
 		if follower := m.feedFollower(); follower != nil {
@@ -121,8 +119,9 @@
 	return newest
 }
 
-// The disk from which the newest content is read is lost in the middle, at every
-// take-over: another that has the same goes on, and nothing is lost.
+// TestDiskLostWhileNewestContentIsRead: at a takeover, the disk from which the newest
+// content is read loses its power in the middle. The read continues at another disk
+// with the same content, and nothing is lost.
 func TestDiskLostWhileNewestContentIsRead(t *testing.T) {
 	t.Parallel()
 	plan := largeConfigPlan(t, "2/3/4", 12)
@@ -172,7 +171,7 @@
 	}
 }
 
-// A part that is damaged on its way is never installed.
+// TestDamagedPartIsResent: a part that is corrupted in transit is never installed.
 func TestDamagedPartIsResent(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -200,8 +199,8 @@
 	is.True(damaged > 0)
 }
 
-// killLeaderBesideLaggingDisk kills the feed's owner whenever a disk that was cut
-// off is back.
+// killLeaderBesideLaggingDisk isolates a disk again and again, and kills the feed's leader
+// each time the disk, which lacks changes, is back.
 func (f *Fleet) killLeaderBesideLaggingDisk() {
 	clock := f.CallerHost.Clock()
 	for {
@@ -217,8 +216,8 @@
 	}
 }
 
-// The newest content is confirmed before an owner leads, also when a disk that
-// lacks it is among those that promise.
+// TestNewLeaderServesNewestContent: a leader has the newest content before it serves, also
+// when a disk that lacks it is among those that promised the epoch.
 func TestNewLeaderServesNewestContent(t *testing.T) {
 	t.Parallel()
 	plan := newPlan(t, "2/3/4", 60)
@@ -227,7 +226,8 @@
 	runChangeStreams(t, plan, 4*uint64(*seedCount))
 }
 
-// Mechanisms taken away from owners and disks, and what then shows.
+// TestDisabledChangeStreamMechanismsAreDetected disables mechanisms of leaders and disks.
+// The checks must then report a violation for some seed.
 func TestDisabledChangeStreamMechanismsAreDetected(t *testing.T) {
 	for _, row := range []struct {
 		mechanism string
@@ -250,7 +250,7 @@
 				if response == nil || reply.Ack == nil || !reply.Ack.Ok {
 					return response
 				}
-				return protoResponse(&register.PromiseReply{Ack: reply.Ack}) // as if it held nothing
+				return protoResponse(&register.PromiseReply{Ack: reply.Ack}) // as if the disk held nothing
 			}
 		}, "had been acknowledged"},
 		{"the confirmation of the epoch before a read", func() ChangeStreamPlan { return newPlan(t, "2/3/4", 150) }, interceptPath("Disk/Confirm", func(*Message) *http.Response {
@@ -260,7 +260,7 @@
 			f.Net.Intercept = func(m *Message) *http.Response {
 				var part register.InstallPartRequest
 				if strings.HasSuffix(m.Path, "Disk/InstallPart") && proto.Unmarshal(m.Body, &part) == nil && len(part.Data) > 0 {
-					// a disk that counts the first part as all
+					// The disk reports the content as complete after the first part.
 					response, _ := m.Forward(m.Body)
 					if response == nil {
 						return nil
