--- a/internal/simulate/api_test.go
+++ b/internal/simulate/api_test.go
@@ -32,15 +32,15 @@
 
 // field returns a field of the JSON body by its path, "" when its parent is no object.
 func (a apiResponse) field(names ...string) string {
-	var at any = a.JSON
+	var value any = a.JSON
 	for _, name := range names {
-		inner, ok := at.(map[string]any)
+		inner, ok := value.(map[string]any)
 		if !ok {
 			return ""
 		}
-		at = inner[name]
+		value = inner[name]
 	}
-	return fmt.Sprint(at)
+	return fmt.Sprint(value)
 }
 
 // finalResult returns how a turn ended, taken from an error status or from the last
@@ -67,49 +67,49 @@
 
 func (t *apiClient) send(gateway int, method, path, secret string, body any, headers ...string) apiResponse {
 	header := map[string]string{"authorization": "Bearer " + secret}
-	for place := 0; place+1 < len(headers); place += 2 {
-		header[headers[place]] = headers[place+1]
+	for index := 0; index+1 < len(headers); index += 2 {
+		header[headers[index]] = headers[index+1]
 	}
 	var raw []byte
-	switch held := body.(type) {
+	switch value := body.(type) {
 	case nil:
 	case string:
-		raw = []byte(held)
+		raw = []byte(value)
 	default:
-		raw = base.MustMarshal(held)
+		raw = base.MustMarshal(value)
 	}
 	answer, err := t.sendRequest(gateway, method, path, header, raw)
 	if err != nil {
 		return apiResponse{Raw: err.Error()}
 	}
-	got := apiResponse{Status: answer.Status, Raw: string(answer.Body), Header: answer.Header}
-	_ = json.Unmarshal(answer.Body, &got.JSON)
+	response := apiResponse{Status: answer.Status, Raw: string(answer.Body), Header: answer.Header}
+	_ = json.Unmarshal(answer.Body, &response.JSON)
 	for answer.NextEvent != nil {
 		event, ok := answer.NextEvent()
 		if !ok {
 			break
 		}
-		got.Events = append(got.Events, event)
+		response.Events = append(response.Events, event)
 	}
-	return got
+	return response
 }
 
-func (t *apiClient) createProgram(tokens int, more map[string]any) (id, secret string) {
+func (t *apiClient) createProgram(tokens int, extraFields map[string]any) (id, secret string) {
 	body := map[string]any{"group": "g", "site": "main", "budget_tokens": tokens}
-	for name, value := range more {
+	for name, value := range extraFields {
 		body[name] = value
 	}
-	made := t.send(0, "POST", "/v1/programs", "", body)
-	return made.field("program"), made.field("secret")
+	created := t.send(0, "POST", "/v1/programs", "", body)
+	return created.field("program"), created.field("secret")
 }
 
-func (t *apiClient) openSession(gateway int, program, secret string, more map[string]any) (path, key string) {
+func (t *apiClient) openSession(gateway int, program, secret string, extraFields map[string]any) (path, key string) {
 	body := map[string]any{"route": "chat"}
-	for name, value := range more {
+	for name, value := range extraFields {
 		body[name] = value
 	}
-	made := t.send(gateway, "POST", "/v1/programs/"+program+"/sessions", secret, body)
-	return "/v1/programs/" + program + "/sessions/" + made.field("session"), made.field("secret")
+	created := t.send(gateway, "POST", "/v1/programs/"+program+"/sessions", secret, body)
+	return "/v1/programs/" + program + "/sessions/" + created.field("session"), created.field("secret")
 }
 
 func turnBody(program, turn string) map[string]any {
@@ -168,11 +168,11 @@
 		program, secret := call.createProgram(1000, nil)
 		path, key := call.openSession(0, program, secret, nil)
 		joined := make([]apiResponse, 2)
-		left := 2
-		for place := range joined {
-			f.CallerHost.Go(func() { joined[place] = call.sendTurn(place, path, key, program, "t1", ""); left-- })
+		remaining := 2
+		for index := range joined {
+			f.CallerHost.Go(func() { joined[index] = call.sendTurn(index, path, key, program, "t1", ""); remaining-- })
 		}
-		for left > 0 {
+		for remaining > 0 {
 			call.sleep(50 * time.Millisecond)
 		}
 		first, second := joined[0], joined[1]
@@ -191,7 +191,7 @@
 	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
 		program, secret := call.createProgram(1000, nil)
 		path, key := call.openSession(0, program, secret, nil)
-		base := "/v1/programs/" + program
+		programPath := "/v1/programs/" + program
 		rows := []struct {
 			method, path, secret string
 			body                 any
@@ -207,14 +207,14 @@
 			{"POST", "/v1/programs", "", `{"colour":1}`, nil, 400, "colour"},
 			{"POST", "/v1/programs", "", `{"group":"g","site":"main","budget_tokens":1,"urgency":"panic"}`, nil, 400, "urgency"},
 			{"POST", "/v1/programs", "", `{"group":"g","site":"none","budget_tokens":1}`, nil, 404, ""},
-			{"POST", base + "/sessions", secret, `{"route":"none"}`, nil, 404, ""},
-			{"POST", base + "/sessions", secret, `{"route":"loyalty"}`, nil, 400, "route"},
-			{"POST", base + "/sessions", secret, `{"route":"chat","queue_size":0}`, nil, 400, "queue_size"},
-			{"POST", base + "/sessions", "wrong", `{"route":"chat"}`, nil, 403, ""},
+			{"POST", programPath + "/sessions", secret, `{"route":"none"}`, nil, 404, ""},
+			{"POST", programPath + "/sessions", secret, `{"route":"loyalty"}`, nil, 400, "route"},
+			{"POST", programPath + "/sessions", secret, `{"route":"chat","queue_size":0}`, nil, 400, "queue_size"},
+			{"POST", programPath + "/sessions", "wrong", `{"route":"chat"}`, nil, 403, ""},
 			{"POST", "/v1/programs/none/sessions", "wrong", `{"route":"chat"}`, nil, 404, ""},
-			{"GET", base, "wrong", nil, nil, 403, ""},
+			{"GET", programPath, "wrong", nil, nil, 403, ""},
 			{"GET", path, "wrong", nil, nil, 403, ""},
-			{"GET", base + "/sessions/" + program + ":none", key, nil, nil, 404, ""},
+			{"GET", programPath + "/sessions/" + program + ":none", key, nil, nil, 404, ""},
 			{"POST", path + "/turns", key, `{}`, []string{"turn-id", "t"}, 400, "messages"},
 			{"POST", path + "/turns", key, `{"messages":[]}`, nil, 400, "messages"},
 			{"POST", path + "/turns", key, `{"messages":[{"role":"king","content":""}]}`, nil, 400, "messages[0].role"},
@@ -224,9 +224,9 @@
 			{"POST", path + "/turns", key, `{"messages":[{"role":"user","content":"` + strings.Repeat("x", 1<<20) + `"}]}`, nil, 413, ""},
 			{"GET", path + "/turns/none", key, nil, nil, 404, ""},
 			{"POST", path + "/terminate", key, `{"mode":"Soft"}`, nil, 400, "mode"},
-			{"POST", base + "/tools/loyalty", secret, `{}`, nil, 400, "Idempotency-Key"},
-			{"POST", base + "/tools/chat", secret, `{}`, []string{"idempotency-key", "k"}, 400, "route"},
-			{"POST", base + "/tools/none", secret, `{}`, []string{"idempotency-key", "k"}, 404, ""},
+			{"POST", programPath + "/tools/loyalty", secret, `{}`, nil, 400, "Idempotency-Key"},
+			{"POST", programPath + "/tools/chat", secret, `{}`, []string{"idempotency-key", "k"}, 400, "route"},
+			{"POST", programPath + "/tools/none", secret, `{}`, []string{"idempotency-key", "k"}, 404, ""},
 			{"PUT", "/v1/platform/workers", "", `{"workers":[]}`, nil, 400, "stamp"},
 			{"PUT", "/v1/platform/workers", "", `{"stamp":1,"workers":[]}`, nil, 409, ""},
 			{"PUT", "/v1/platform/workers", "", `{"stamp":9,"workers":[{"id":"a","addr":"x:1","pool":"models"},{"id":"a","addr":"x:1","pool":"models"}]}`, nil, 400, "workers[1].id"},
@@ -235,13 +235,13 @@
 			{"DELETE", path, key, nil, nil, 404, ""},
 		}
 		for _, row := range rows {
-			got := call.send(1, row.method, row.path, row.secret, row.body, row.headers...)
+			response := call.send(1, row.method, row.path, row.secret, row.body, row.headers...)
 			name := row.method + " " + row.path + " " + fmt.Sprint(row.headers, row.status, row.field)
-			is.Equal(name+fmt.Sprint(got.Status), name+fmt.Sprint(row.status))
-			is.Equal(got.field("error", "request"), "not_run")
-			is.True(got.field("error", "code") != "")
+			is.Equal(name+fmt.Sprint(response.Status), name+fmt.Sprint(row.status))
+			is.Equal(response.field("error", "request"), "not_run")
+			is.True(response.field("error", "code") != "")
 			if row.field != "" {
-				is.Equal(got.field("error", "field"), row.field)
+				is.Equal(response.field("error", "field"), row.field)
 			}
 		}
 	})
@@ -255,29 +255,29 @@
 			verdict, _, _ := call.sendTurn(1, path, key, program, id, "").finalResult()
 			is.Equal(verdict, "success")
 		}
-		seen, cursor := "", ""
-		ask := func(query map[string]string) (response map[string]any, status int) {
+		listed, cursor := "", ""
+		listTurns := func(query map[string]string) (response map[string]any, status int) {
 			edge := call.fleet.Gateways[2]
-			got := edge.gateway.Front.Handle(base.NewCtx(edge.Host.Clock(), time.Minute), newFrontRequest("GET", path+"/turns", key, query))
-			_ = json.Unmarshal(got.Body, &response)
-			return response, got.Status
+			reply := edge.gateway.Front.Handle(base.NewCtx(edge.Host.Clock(), time.Minute), newFrontRequest("GET", path+"/turns", key, query))
+			_ = json.Unmarshal(reply.Body, &response)
+			return response, reply.Status
 		}
 		for page := 0; page < 3; page++ {
 			query := map[string]string{"limit": "1"}
 			if cursor != "" {
 				query["cursor"] = cursor
 			}
-			got, status := ask(query)
+			response, status := listTurns(query)
 			is.Equal(status, 200)
-			seen += got["turns"].([]any)[0].(map[string]any)["turn"].(string)
-			cursor = got["next_cursor"].(string)
+			listed += response["turns"].([]any)[0].(map[string]any)["turn"].(string)
+			cursor = response["next_cursor"].(string)
 		}
-		is.Equal(seen, "abc")
+		is.Equal(listed, "abc")
 		is.Equal(cursor, "")
 		for _, query := range []map[string]string{{"limit": "0"}, {"limit": "1001"}, {"limit": "x"}, {"cursor": "zzz"}, {"page": "1"}, {"cursor": "djE6b3RoZXI6MQ"}} {
-			got, status := ask(query)
+			response, status := listTurns(query)
 			is.Equal(status, 400)
-			is.True(got["error"].(map[string]any)["field"] != "")
+			is.True(response["error"].(map[string]any)["field"] != "")
 		}
 		read := call.send(2, "GET", path+"/turns/b", key, nil)
 		is.Equal(read.field("state"), "Succeeded")
@@ -388,49 +388,49 @@
 		is.Equal(helper.Status, 201)
 		is.Equal(call.send(1, "POST", "/v1/programs", "wrong", map[string]any{"parent": program}).Status, 403)
 		paths := [][3]string{}
-		for place := 0; place < 6; place++ {
-			owner, opener := program, secret
-			if place%2 == 1 {
-				owner, opener = helper.field("program"), helper.field("secret")
+		for index := 0; index < 6; index++ {
+			owner, ownerSecret := program, secret
+			if index%2 == 1 {
+				owner, ownerSecret = helper.field("program"), helper.field("secret")
 			}
-			path, key := call.openSession(place, owner, opener, nil)
+			path, key := call.openSession(index, owner, ownerSecret, nil)
 			paths = append(paths, [3]string{path, key, owner})
 		}
 		answers := make([]apiResponse, len(paths))
-		left := len(paths)
-		for place, one := range paths {
+		remaining := len(paths)
+		for index, session := range paths {
 			f.CallerHost.Go(func() {
-				answers[place] = call.sendTurn(place, one[0], one[1], one[2], fmt.Sprint("t", place), "")
-				left--
+				answers[index] = call.sendTurn(index, session[0], session[1], session[2], fmt.Sprint("t", index), "")
+				remaining--
 			})
 		}
-		for left > 0 {
+		for remaining > 0 {
 			call.sleep(100 * time.Millisecond)
 		}
-		whole, over := 0, 0
-		for place, answer := range answers {
+		completed, overBudget := 0, 0
+		for index, answer := range answers {
 			verdict, ran, code := answer.finalResult()
 			if verdict == "success" {
-				whole++
+				completed++
 			}
 			if code == "over_budget" {
-				over++
+				overBudget++
 				is.Equal(ran, "not_run")
-				is.Equal(f.modelWorkerRuns(paths[place][2], fmt.Sprint("t", place)), 0)
+				is.Equal(f.modelWorkerRuns(paths[index][2], fmt.Sprint("t", index)), 0)
 			}
 		}
-		is.True(whole >= 3 && over >= 1)
-		put := int64(0)
+		is.True(completed >= 3 && overBudget >= 1)
+		produced := int64(0)
 		for _, model := range f.Models {
 			_, tokens, _, _ := model.Record()
 			for _, n := range tokens {
-				put += n
+				produced += n
 			}
 		}
-		is.True(put <= 30)
-		shown := call.send(2, "GET", "/v1/programs/"+program, secret, nil)
-		is.Equal(shown.field("spent_tokens"), fmt.Sprint(put))
-		is.Equal(shown.field("reserved_tokens"), "0")
+		is.True(produced <= 30)
+		programView := call.send(2, "GET", "/v1/programs/"+program, secret, nil)
+		is.Equal(programView.field("spent_tokens"), fmt.Sprint(produced))
+		is.Equal(programView.field("reserved_tokens"), "0")
 	})
 }
 
@@ -459,7 +459,7 @@
 	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
 		program, secret := call.createProgram(1000, nil)
 		path, key := call.openSession(0, program, secret, map[string]any{"lease_s": 2})
-		for place := 0; place < 4; place++ { // requests that reach the owner renew the lease
+		for index := 0; index < 4; index++ { // requests that reach the owner renew the lease
 			call.sleep(1500 * time.Millisecond)
 			is.Equal(call.send(1, "POST", path+"/renew", key, nil).field("phase"), "Ready")
 		}
@@ -499,8 +499,8 @@
 		is.Equal(call.send(2, "POST", path, secret, `{"points":3}`, "idempotency-key", "k2").field("error", "code"), "key_reused")
 		// A call to an unreachable worker has not run, so another worker gets it.
 		f.World.Hosts["app-0"].Kill()
-		for place := 0; place < 4; place++ {
-			is.Equal(call.send(place, "POST", path, secret, `{}`, "idempotency-key", fmt.Sprint("up", place)).Status, 200)
+		for index := 0; index < 4; index++ {
+			is.Equal(call.send(index, "POST", path, secret, `{}`, "idempotency-key", fmt.Sprint("up", index)).Status, 200)
 		}
 		f.World.Hosts["app-1"].Kill()
 		down := call.send(0, "POST", path, secret, `{}`, "idempotency-key", "down")
@@ -514,8 +514,8 @@
 }
 
 func TestLeavingWorkerGetsNoNewWork(t *testing.T) {
-	for _, way := range []string{"report", "list", "refusal", "closing"} {
-		t.Run(way, func(t *testing.T) {
+	for _, variant := range []string{"report", "list", "refusal", "closing"} {
+		t.Run(variant, func(t *testing.T) {
 			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 				program, secret := call.createProgram(100000, nil)
 				path, key := call.openSession(0, program, secret, nil)
@@ -529,7 +529,7 @@
 				if f.Models[1].Latest() > leaving.Latest() {
 					leaving = f.Models[1]
 				}
-				switch way {
+				switch variant {
 				case "report":
 					is.Equal(call.send(2, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":5,"leaving":true}`).Status, 200)
 				case "list":
@@ -545,16 +545,16 @@
 					verdict, _, _ := call.sendTurn(num, path, key, program, id, previous).finalResult()
 					is.Equal(verdict, "success")
 					previous = id
-					if (way == "refusal" || way == "closing") && num == 5 {
+					if (variant == "refusal" || variant == "closing") && num == 5 {
 						leaving.Next, leaving.Closing = nil, false // it would accept requests again
 						knownAt = f.World.Now()
 					}
 				}
 				is.True(f.World.Now() > knownAt+3*time.Second)
 				is.True(leaving.Latest() <= knownAt+3*time.Second)
-				if way != "list" {
-					back := call.send(1, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":9,"incarnation":"two","leaving":false}`)
-					is.Equal(back.Status, 200)
+				if variant != "list" {
+					returned := call.send(1, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":9,"incarnation":"two","leaving":false}`)
+					is.Equal(returned.Status, 200)
 				}
 			})
 		})
@@ -573,10 +573,10 @@
 		is.True(strings.HasPrefix(before.field("owner"), "edge-0"))
 		is.True(strings.HasPrefix(before.field("understudy"), "edge-1")) // the standby is in the other zone
 		f.Kill(f.Gateways[0])
-		began := f.World.Now()
+		startedAt := f.World.Now()
 		verdict, _, _ := call.sendTurn(2, path, key, program, "t3", "t2").finalResult()
 		is.Equal(verdict, "success")
-		is.True(f.World.Now()-began < 2*time.Second) // the takeover is a short pause
+		is.True(f.World.Now()-startedAt < 2*time.Second) // the takeover is a short pause
 		after := call.send(2, "GET", path, key, nil)
 		is.Equal(after.field("owner"), before.field("understudy"))
 		is.Equal(after.field("epoch"), "2")
@@ -614,9 +614,9 @@
 }
 
 func reverse(list []string) []string {
-	turned := slices.Clone(list)
-	slices.Reverse(turned)
-	return turned
+	reversed := slices.Clone(list)
+	slices.Reverse(reversed)
+	return reversed
 }
 
 // TestUrgentProgramsGoFirstWithoutStarvation: when workers are full, urgent programs go
@@ -626,35 +626,35 @@
 	shape.ModelWorkers, shape.WorkerCapacity, shape.PieceInterval = 1, 1, 100*time.Millisecond
 	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
 		order := []string{}
-		left := 0
+		remaining := 0
 		start := func(name, urgency string) {
 			program, secret := call.createProgram(1000, map[string]any{"urgency": urgency})
 			path, key := call.openSession(0, program, secret, nil)
-			left++
+			remaining++
 			f.CallerHost.Go(func() {
 				verdict, _, _ := call.sendTurn(0, path, key, program, "t", "").finalResult()
 				order = append(order, name+" "+verdict)
-				left--
+				remaining--
 			})
 			call.sleep(30 * time.Millisecond)
 		}
 		start("first", "low")
 		start("low", "low")
 		start("urgent", "urgent")
-		for left > 0 {
+		for remaining > 0 {
 			call.sleep(100 * time.Millisecond)
 		}
 		is.Equal(order, []string{"first success", "urgent success", "low success"})
-		for place := 0; place < 8; place++ {
+		for index := 0; index < 8; index++ {
 			start("old", "low")
 			start("rush", "urgent")
 		}
-		for left > 0 {
+		for remaining > 0 {
 			call.sleep(100 * time.Millisecond)
 		}
 		is.True(slices.Index(order, "old success") < len(order)-slices.Index(reverse(order), "rush success")-1) // an old program ends before the last urgent one
-		for _, done := range order {
-			is.True(strings.HasSuffix(done, " success"))
+		for _, result := range order {
+			is.True(strings.HasSuffix(result, " success"))
 		}
 	})
 }
@@ -664,21 +664,21 @@
 func TestWorkerFaultsAreNeverReportedAsSuccess(t *testing.T) {
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":10,"legs":1`, 1)
-	for trouble, want := range map[standin.Trouble]string{
+	for fault, want := range map[standin.Trouble]string{
 		standin.Cut: "cut may_have_run", standin.Malformed: "cut may_have_run", standin.NoFinish: "cut may_have_run", standin.Overrun: "cut may_have_run",
 		standin.Hang: "cut may_have_run", standin.Fail: "failed may_have_run", standin.Silent: "failed may_have_run", standin.Refuse: "refused not_run",
 	} {
-		t.Run(string(trouble), func(t *testing.T) {
+		t.Run(string(fault), func(t *testing.T) {
 			runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
 				for _, model := range f.Models {
-					model.Next = func() standin.Trouble { return trouble }
+					model.Next = func() standin.Trouble { return fault }
 				}
 				program, secret := call.createProgram(100, nil)
 				path, key := call.openSession(0, program, secret, nil)
 				body := turnBody(program, "t")
 				body["max_output_tokens"] = 3 // the worker has six pieces, so an overrun is seen
-				got := call.send(1, "POST", path+"/turns", key, body, "turn-id", "t")
-				verdict, ran, _ := got.finalResult()
+				response := call.send(1, "POST", path+"/turns", key, body, "turn-id", "t")
+				verdict, ran, _ := response.finalResult()
 				is.Equal(verdict+" "+ran, want)
 				is.Equal(call.send(1, "GET", path+"/turns/t", key, nil).field("answer"), "<nil>")
 				if ran == "not_run" {
@@ -729,25 +729,25 @@
 		program, secret := call.createProgram(1000, nil)
 		path, key := call.openSession(0, program, secret, nil)
 		call.sendTurn(0, path, key, program, "a", "")
-		former, other := f.Models[0], f.Models[1]
-		if other.Latest() > former.Latest() {
-			former, other = other, former
+		lastUsed, other := f.Models[0], f.Models[1]
+		if other.Latest() > lastUsed.Latest() {
+			lastUsed, other = other, lastUsed
 		}
 		for _, m := range f.Cores {
 			f.Net.CutLink(f.Gateways[0].Host.Name, m.Host.Name)
 		}
-		var waited apiResponse
-		f.CallerHost.Go(func() { waited = call.sendTurn(0, path, key, program, "b", "a") })
+		var delayedTurn apiResponse
+		f.CallerHost.Go(func() { delayedTurn = call.sendTurn(0, path, key, program, "b", "a") })
 		call.sleep(200 * time.Millisecond)
-		is.Equal(call.send(1, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{former.ID}}).Status, 200)
-		left := f.World.Now()
+		is.Equal(call.send(1, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{lastUsed.ID}}).Status, 200)
+		removedAt := f.World.Now()
 		call.sleep(4 * time.Second)
 		f.Net.Heal()
-		for waited.Status == 0 {
+		for delayedTurn.Status == 0 {
 			call.sleep(100 * time.Millisecond)
 		}
-		verdict, _, _ := waited.finalResult()
+		verdict, _, _ := delayedTurn.finalResult()
 		is.Equal(verdict, "success")
-		is.True(former.Latest() < left && other.Latest() > left)
+		is.True(lastUsed.Latest() < removedAt && other.Latest() > removedAt)
 	})
 }
--- a/internal/simulate/backends.go
+++ b/internal/simulate/backends.go
@@ -137,40 +137,40 @@
 // for 40 s.
 func (f *Fleet) RequestSender(host *Host) standin.Asker {
 	clock := host.Clock()
-	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
-		edge := f.Gateways[gateway%len(f.Gateways)]
+	return func(gatewayIndex int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
+		gateway := f.Gateways[gatewayIndex%len(f.Gateways)]
 		clock.Sleep(f.Net.delay())
-		if !edge.Host.alive || edge.gateway == nil || edge.stopping {
+		if !gateway.Host.alive || gateway.gateway == nil || gateway.stopping {
 			return nil, errors.New("connection refused")
 		}
-		bell := base.NewNotifier(clock)
+		changed := base.NewNotifier(clock)
 		var response *front.Response
 		events := []standin.Event{}
-		over := false
-		life, target := edge.Host.incarnation, edge.gateway
-		edge.openRequests++
-		edge.Host.Go(func() {
-			defer func() { edge.openRequests-- }()
-			own := edge.Host.Clock()
-			response = target.Front.Handle(base.NewCtx(own, 10*time.Minute), &front.Request{Method: method, Path: path, Header: header, Query: map[string]string{}, Body: body})
-			bell.Notify()
+		ended := false
+		incarnation, frontGateway := gateway.Host.incarnation, gateway.gateway
+		gateway.openRequests++
+		gateway.Host.Go(func() {
+			defer func() { gateway.openRequests-- }()
+			gatewayClock := gateway.Host.Clock()
+			response = frontGateway.Front.Handle(base.NewCtx(gatewayClock, 10*time.Minute), &front.Request{Method: method, Path: path, Header: header, Query: map[string]string{}, Body: body})
+			changed.Notify()
 			if response.Stream == nil {
 				return
 			}
-			for !over {
-				pieces, leg, done := response.Stream.Next()
+			for !ended {
+				pieces, attempt, done := response.Stream.Next()
 				for _, piece := range pieces {
-					events = append(events, newEvent(piece, leg))
+					events = append(events, newEvent(piece, attempt))
 				}
-				over = done
-				bell.Notify()
+				ended = done
+				changed.Notify()
 			}
 		})
-		gone := func() bool { return edge.Host.incarnation != life }
+		hostKilled := func() bool { return gateway.Host.incarnation != incarnation }
 		end := clock.Now() + 40*time.Second
 		for response == nil {
-			next := bell.Next()
-			if gone() || clock.Now() > end {
+			next := changed.Next()
+			if hostKilled() || clock.Now() > end {
 				f.Tally.Count("cut_connections")
 				return nil, errors.New("connection lost")
 			}
@@ -181,15 +181,15 @@
 			return answer, nil
 		}
 		answer.NextEvent = func() (standin.Event, bool) {
-			silent := clock.Now() + 40*time.Second
+			silenceLimit := clock.Now() + 40*time.Second
 			for {
-				next := bell.Next()
+				next := changed.Next()
 				switch {
 				case len(events) > 0:
 					event := events[0]
 					events = events[1:]
 					return event, true
-				case over || gone() || clock.Now() > silent:
+				case ended || hostKilled() || clock.Now() > silenceLimit:
 					return standin.Event{}, false
 				}
 				next.Wait(pollInterval)
@@ -199,8 +199,8 @@
 	}
 }
 
-func newEvent(piece *session.Piece, leg string) standin.Event {
-	kind, data, id := "piece", base.MustMarshal(map[string]string{"text": string(piece.Data)}), leg+"#"+string(base.MustMarshal(piece.Place))
+func newEvent(piece *session.Piece, attempt string) standin.Event {
+	kind, data, id := "piece", base.MustMarshal(map[string]string{"text": string(piece.Data)}), attempt+"#"+string(base.MustMarshal(piece.Place))
 	if piece.Final {
 		kind, data = "final", piece.Data
 	}
--- a/internal/simulate/cluster_change_test.go
+++ b/internal/simulate/cluster_change_test.go
@@ -15,7 +15,7 @@
 // TestReplacingLostDisk replaces a lost disk by an empty machine at a new address during
 // conversations and further faults; then another disk is lost.
 func TestReplacingLostDisk(t *testing.T) {
-	troubles := map[string]func(f *Fleet){
+	faults := map[string]func(f *Fleet){
 		"in quiet":          func(*Fleet) {},
 		"a core killed":     func(f *Fleet) { f.crash(f.Cores[0], 2*time.Second, false) },
 		"all cores killed":  func(f *Fleet) { f.crash(f.Cores[0], 2*time.Second, false); f.crash(f.Cores[1], time.Second, false) },
@@ -25,11 +25,11 @@
 			f.scheduleRecovery(5*time.Second, f.Net.Heal)
 		},
 	}
-	for name, trouble := range troubles {
+	for name, injectFault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-				left := f.StartCallers(4, 12, true, func(c *standin.Caller) {
+				remaining := f.StartCallers(4, 12, true, func(c *standin.Caller) {
 					c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 				})
 				call.sleep(time.Second)
@@ -37,14 +37,14 @@
 				is.True(lost.Voting)
 				f.PowerLoss(f.Storage[0])
 				f.Storage[0].Disk.Wipe()
-				fresh := f.AddMachine("storage")
+				added := f.AddMachine("storage")
 				call.sleep(time.Second)
-				status, code := f.RequestDiskChange("admit", "address", fresh.Host.Name+":1")
+				status, code := f.RequestDiskChange("admit", "address", added.Host.Name+":1")
 				is.Equal(fmt.Sprint(status, code), "200")
 				call.sleep(300 * time.Millisecond)
-				trouble(f)
+				injectFault(f)
 				is.True(f.AwaitDiskChange(2 * time.Minute))
-				is.True(f.FindDisk(fresh.Host.Name).Voting)
+				is.True(f.FindDisk(added.Host.Name).Voting)
 				if name == "in quiet" {
 					is.True(f.CounterTotal("repairs_paced") > 0) // the 32 shards are not sent all at once
 				}
@@ -53,7 +53,7 @@
 				is.True(f.AwaitDiskChange(2 * time.Minute))
 				is.Equal(len(f.StorageStatus().Disks), 3)
 				f.PowerLoss(f.Storage[1]) // the next loss, which is permanent
-				for left() > 0 {
+				for remaining() > 0 {
 					call.sleep(time.Second)
 				}
 				is.Equal(f.Tally.Counts["conversations_whole"], 4)
@@ -71,10 +71,10 @@
 		program, secret := call.createProgram(1000, nil)
 		path, key := call.openSession(0, program, secret, nil)
 		call.sendTurn(0, path, key, program, "a", "")
-		gone := f.FindDisk(f.Storage[0].Host.Name)
+		retired := f.FindDisk(f.Storage[0].Host.Name)
 		status, code := f.RequestDiskChange("retire", "disk", "none")
 		is.Equal(fmt.Sprint(status, code), "404unknown_disk")
-		status, _ = f.RequestDiskChange("retire", "disk", gone.ID)
+		status, _ = f.RequestDiskChange("retire", "disk", retired.ID)
 		is.Equal(status, 200)
 		is.True(f.AwaitDiskChange(time.Minute))
 		is.True(f.Storage[0].storage.Ready() != nil)
@@ -100,28 +100,28 @@
 func TestNewMachinesMoveFewShards(t *testing.T) {
 	t.Parallel()
 	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		owners := func() map[uint32]string {
-			found := map[uint32]string{}
+		findLeaders := func() map[uint32]string {
+			leaders := map[uint32]string{}
 			for _, m := range f.Cores {
-				slots, _ := m.core.RegisterServer.Status()
-				for _, num := range slots {
-					found[num] = m.Host.Name
+				shards, _ := m.core.RegisterServer.Status()
+				for _, shard := range shards {
+					leaders[shard] = m.Host.Name
 				}
 			}
-			return found
+			return leaders
 		}
 		call.sleep(5 * time.Second)
-		before := owners()
+		before := findLeaders()
 		is.Equal(len(before), 32)
-		fresh := f.AddMachine("core")
+		added := f.AddMachine("core")
 		call.sleep(8 * time.Second)
-		after := owners()
+		after := findLeaders()
 		is.Equal(len(after), 32)
 		moved := 0
-		for num, owner := range after {
-			if owner != before[num] {
+		for shard, leader := range after {
+			if leader != before[shard] {
 				moved++
-				is.Equal(owner, fresh.Host.Name) // shards move only to the new core
+				is.Equal(leader, added.Host.Name) // shards move only to the new core
 			}
 		}
 		is.True(moved > 0 && moved <= 16)
@@ -177,9 +177,9 @@
 		path, key := call.openSession(0, program, secret, nil)
 		verdict, _, _ := call.sendTurn(2, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		understudy := call.send(2, "GET", path, key, nil).field("understudy")
+		standby := call.send(2, "GET", path, key, nil).field("understudy")
 		for _, m := range f.Gateways {
-			if strings.HasPrefix(understudy, m.Host.Name) {
+			if strings.HasPrefix(standby, m.Host.Name) {
 				f.CallerHost.Go(func() { f.Stop(m) })
 			}
 		}
@@ -188,7 +188,7 @@
 		verdict, _, _ = call.sendTurn(2, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 		after := call.send(2, "GET", path, key, nil)
-		is.True(after.field("owner") != understudy)
+		is.True(after.field("owner") != standby)
 		is.Equal(after.field("turns"), "2")
 	})
 }
@@ -201,9 +201,9 @@
 		f.Kill(f.Cores[0])
 		f.Kill(f.Cores[len(f.Cores)-1])
 		call.sleep(5 * time.Second)
-		fresh := f.AddMachine("edge")
+		added := f.AddMachine("edge")
 		call.sleep(4 * time.Second)
-		is.True(fresh.gateway.Ready() == nil)
+		is.True(added.gateway.Ready() == nil)
 	})
 }
 
@@ -241,16 +241,16 @@
 		}
 		for _, row := range rows {
 			status, answer := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/"+row.path, row.body)
-			var told struct {
+			var response struct {
 				Error struct {
 					Ran   string `json:"request"`
 					Field string `json:"field"`
 				} `json:"error"`
 			}
-			is.NoErr(json.Unmarshal(answer, &told))
+			is.NoErr(json.Unmarshal(answer, &response))
 			name := fmt.Sprint(row.path, row.body)
-			is.Equal(fmt.Sprint(name, status, told.Error.Field), fmt.Sprint(name, row.status, row.field))
-			is.Equal(told.Error.Ran, "not_run")
+			is.Equal(fmt.Sprint(name, status, response.Error.Field), fmt.Sprint(name, row.status, row.field))
+			is.Equal(response.Error.Ran, "not_run")
 		}
 		after := f.StorageStatus()
 		is.Equal(after.Version, before.Version)
@@ -265,8 +265,8 @@
 // the cluster's id, they find each other by the addresses stored on the disks; otherwise
 // operators start them with new seeds.
 func TestTotalOutageAfterAllSeedsReplaced(t *testing.T) {
-	for _, way := range []string{"cluster named", "new seeds"} {
-		t.Run(way, func(t *testing.T) {
+	for _, variant := range []string{"cluster named", "new seeds"} {
+		t.Run(variant, func(t *testing.T) {
 			t.Parallel()
 			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 				cluster := f.StorageStatus().Cluster
@@ -275,11 +275,11 @@
 				path, key := call.openSession(0, program, secret, nil)
 				verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 				is.Equal(verdict, "success")
-				for place := range 2 {
+				for index := range 2 {
 					f.AddMachine("core")
 					call.sleep(2 * time.Second)
-					f.Kill(f.Cores[place])
-					f.Cores[place].removed = true
+					f.Kill(f.Cores[index])
+					f.Cores[index].removed = true
 				}
 				f.Cores = f.Cores[2:]
 				lost := f.FindDisk("storage-0").ID
@@ -294,7 +294,7 @@
 				f.Kill(f.Storage[0])
 				f.Storage[0].removed = true
 				call.sleep(10 * time.Second)
-				if way == "cluster named" {
+				if variant == "cluster named" {
 					f.ClusterID = cluster
 				} else {
 					f.SeedAddrs = []string{"core-2:1", "storage-3:1", "storage-1:1"}
--- a/internal/simulate/expiry_test.go
+++ b/internal/simulate/expiry_test.go
@@ -21,15 +21,15 @@
 		is.Equal(call.send(1, "POST", path+"/close", key, nil).field("phase"), "Succeeded")
 		tool := "/v1/programs/" + program + "/tools/loyalty"
 		is.Equal(call.send(1, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k").Status, 200)
-		bounded, boundedSecret := call.createProgram(1000, map[string]any{"deadline_s": 100})
-		short, shortKey := call.openSession(0, bounded, boundedSecret, nil)
-		verdict, _, _ = call.sendTurn(1, short, shortKey, bounded, "a", "").finalResult()
+		shortProgram, shortSecret := call.createProgram(1000, map[string]any{"deadline_s": 100})
+		shortPath, shortKey := call.openSession(0, shortProgram, shortSecret, nil)
+		verdict, _, _ = call.sendTurn(1, shortPath, shortKey, shortProgram, "a", "").finalResult()
 		is.Equal(verdict, "success")
 		for round := 0; round < 8; round++ { // 80 s in all, with an expiry sweep under each leader
 			f.crash(f.Cores[round%2], time.Second, false)
 			call.sleep(10 * time.Second)
 		}
-		verdict, _, _ = call.sendTurn(1, short, shortKey, bounded, "b", "a").finalResult()
+		verdict, _, _ = call.sendTurn(1, shortPath, shortKey, shortProgram, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 		verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
@@ -37,7 +37,7 @@
 		is.Equal(again.Header["Idempotent-Replayed"], "true")
 		is.Equal(f.toolWorkerRuns(program+"/k"), 1)
 		call.sleep(60 * time.Second)
-		_, ran, code := call.sendTurn(1, short, shortKey, bounded, "c", "b").finalResult()
+		_, ran, code := call.sendTurn(1, shortPath, shortKey, shortProgram, "c", "b").finalResult()
 		is.Equal(code+" "+ran, "past_deadline not_run")
 	})
 }
--- a/internal/simulate/feed_tree_test.go
+++ b/internal/simulate/feed_tree_test.go
@@ -29,31 +29,31 @@
 
 // measureApply changes the settings and returns how long after the acknowledgement the
 // last gateway applied them.
-func (f *Fleet) measureApply(based int) time.Duration {
-	return f.measureApplyThrough(f.liveCore, based)
+func (f *Fleet) measureApply(basedOn int) time.Duration {
+	return f.measureApplyThrough(f.liveCore, basedOn)
 }
 
 // measureApplyThrough is measureApply with the core that gets the operator's request.
-func (f *Fleet) measureApplyThrough(core func() *Machine, based int) time.Duration {
-	done, stamp := false, uint64(based+1)
-	began := f.World.Now()
+func (f *Fleet) measureApplyThrough(core func() *Machine, basedOn int) time.Duration {
+	done, version := false, uint64(basedOn+1)
+	startedAt := f.World.Now()
 	f.CallerHost.Go(func() {
 		f.retryUntilOK("apply", func() int {
-			status, _ := f.OperatorRequest(core(), "POST", "/v1/operator/settings/apply", map[string]any{"change": fmt.Sprint("c", based), "based_on": based, "document": f.settingsWithMarker(fmt.Sprint(based))})
+			status, _ := f.OperatorRequest(core(), "POST", "/v1/operator/settings/apply", map[string]any{"change": fmt.Sprint("c", basedOn), "based_on": basedOn, "document": f.settingsWithMarker(fmt.Sprint(basedOn))})
 			return status
 		})
-		began, done = f.World.Now(), true
+		startedAt, done = f.World.Now(), true
 	})
 	f.World.Run(f.World.Now()+30*time.Second, func() bool { return done })
 	f.runUntil(20*time.Second, func() bool {
 		for _, m := range f.liveFollowers() {
-			if m.gateway != nil && m.gateway.SettingsVersion() < stamp {
+			if m.gateway != nil && m.gateway.SettingsVersion() < version {
 				return false
 			}
 		}
 		return true
 	})
-	return f.World.Now() - began
+	return f.World.Now() - startedAt
 }
 
 // leaseExpirations returns how many leases have expired, and how many nodes have no lease.
@@ -77,34 +77,34 @@
 	f := idleFleet(t, nodes, settingsApplied)
 	defer f.World.Close()
 	bound := base.DefaultBounds().SettingsApply
-	owner := f.feedLeader()
-	before, _ := f.leaseExpirations()
+	leader := f.feedLeader()
+	expiredBefore, _ := f.leaseExpirations()
 	f.Net.TrafficByHost = map[string]*HostTraffic{}
 	f.World.Run(f.World.Now()+10*time.Second, nil)
-	asked := float64(f.Net.TrafficByHost[owner.Host.Name].RequestsReceived) / 10
-	now, without := f.leaseExpirations()
-	t.Logf("at rest: the owner serves %.1f calls a second, %d permits lapsed", asked, now-before)
-	is.True(asked < 80)
-	is.Equal(now, before)
-	is.Equal(without, 0)
+	callsPerSecond := float64(f.Net.TrafficByHost[leader.Host.Name].RequestsReceived) / 10
+	expired, withoutLease := f.leaseExpirations()
+	t.Logf("idle: the leader serves %.1f calls per second, %d leases expired", callsPerSecond, expired-expiredBefore)
+	is.True(callsPerSecond < 80)
+	is.Equal(expired, expiredBefore)
+	is.Equal(withoutLease, 0)
 	for _, m := range f.Gateways {
 		is.Equal(m.gateway.Follower.GatewayCount(), len(f.Gateways))
 	}
 	took := f.measureApply(1)
-	t.Logf("settings reach the last after %v", took)
+	t.Logf("settings reach the last gateway after %v", took)
 	is.True(took < bound/4)
 	for round, row := range []struct {
 		name string
 		do   func()
 	}{
 		{"a third of the gateways killed", func() {
-			for place := 0; place < len(f.Gateways); place += 3 {
-				f.Kill(f.Gateways[place])
+			for index := 0; index < len(f.Gateways); index += 3 {
+				f.Kill(f.Gateways[index])
 			}
 		}},
 		{"two cores killed", func() {
 			for _, m := range f.Cores {
-				if m != owner && m.Host.alive {
+				if m != leader && m.Host.alive {
 					f.Kill(m)
 				}
 				if len(f.liveFollowers()) < len(f.Cores)-2 {
@@ -114,8 +114,8 @@
 			f.Start(f.Cores[0])
 		}},
 		{"gateways frozen", func() {
-			for place := 1; place < len(f.Gateways); place += 3 {
-				f.Gateways[place].Host.Freeze()
+			for index := 1; index < len(f.Gateways); index += 3 {
+				f.Gateways[index].Host.Freeze()
 			}
 		}},
 		{"the owner killed", func() { f.Kill(f.feedLeader()) }},
@@ -123,9 +123,9 @@
 		row.do()
 		took := f.measureApply(2 + round)
 		f.World.Run(f.World.Now()+10*time.Second, nil)
-		_, without := f.leaseExpirations()
-		t.Logf("%s: settings reach the last after %v", row.name, took)
+		_, withoutLease := f.leaseExpirations()
+		t.Logf("%s: settings reach the last gateway after %v", row.name, took)
 		is.True(took < 2*bound)
-		is.Equal(without, 0)
+		is.Equal(withoutLease, 0)
 	}
 }
--- a/internal/simulate/mechanisms_test.go
+++ b/internal/simulate/mechanisms_test.go
@@ -28,27 +28,27 @@
 
 // forwardAndDecode forwards a message and decodes the reply. The response is nil when
 // none was received.
-func forwardAndDecode[M proto.Message](m *Message, body []byte, into M) (M, *http.Response) {
+func forwardAndDecode[M proto.Message](m *Message, body []byte, reply M) (M, *http.Response) {
 	response, err := m.Forward(body)
 	if err != nil || response == nil {
-		return into, nil
+		return reply, nil
 	}
 	raw, _ := io.ReadAll(response.Body)
 	response.Body = io.NopCloser(strings.NewReader(string(raw)))
 	if response.StatusCode == 200 {
-		_ = proto.Unmarshal(raw, into)
+		_ = proto.Unmarshal(raw, reply)
 	}
-	return into, response
+	return reply, response
 }
 
 // interceptChange intercepts one operation of the register, or all when op is "".
-func interceptChange(op string, meddle func(m *Message, asked *register.ChangeRequest, pass func(op string, args []byte) (*register.ChangeReply, *http.Response)) *http.Response) func(f *Fleet) {
+func interceptChange(op string, modify func(m *Message, request *register.ChangeRequest, pass func(op string, args []byte) (*register.ChangeReply, *http.Response)) *http.Response) func(f *Fleet) {
 	return func(f *Fleet) {
 		f.Net.Intercept = func(m *Message) *http.Response {
-			var asked register.ChangeRequest
-			if strings.HasSuffix(m.Path, "Register/Change") && proto.Unmarshal(m.Body, &asked) == nil && (asked.Op == op || op == "") {
-				return meddle(m, &asked, func(op string, args []byte) (*register.ChangeReply, *http.Response) {
-					raw, _ := proto.Marshal(&register.ChangeRequest{Group: asked.Group, Op: op, Args: args})
+			var request register.ChangeRequest
+			if strings.HasSuffix(m.Path, "Register/Change") && proto.Unmarshal(m.Body, &request) == nil && (request.Op == op || op == "") {
+				return modify(m, &request, func(op string, args []byte) (*register.ChangeReply, *http.Response) {
+					raw, _ := proto.Marshal(&register.ChangeRequest{Group: request.Group, Op: op, Args: args})
 					return forwardAndDecode(m, raw, &register.ChangeReply{})
 				})
 			}
@@ -59,11 +59,11 @@
 }
 
 // interceptPath intercepts the messages whose path has a suffix.
-func interceptPath(suffix string, meddle func(m *Message) *http.Response) func(f *Fleet) {
+func interceptPath(suffix string, modify func(m *Message) *http.Response) func(f *Fleet) {
 	return func(f *Fleet) {
 		f.Net.Intercept = func(m *Message) *http.Response {
 			if strings.HasSuffix(m.Path, suffix) {
-				return meddle(m)
+				return modify(m)
 			}
 			response, _ := m.Forward(m.Body)
 			return response
@@ -80,65 +80,65 @@
 		mechanism string
 		scenario  string
 		shape     string
-		take      func(f *Fleet)
-		word      string
+		disable   func(f *Fleet)
+		breach    string
 	}{
 		{"the claim on a tool call's key", "workers in trouble", "small", interceptChange("toolcall.claim", func(_ *Message, _ *register.ChangeRequest, _ func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			return protoResponse(&register.ChangeReply{Result: []byte(`{"go":true}`)})
 		}), "ran 2 times"},
-		{"the reservation of tokens", "nothing but load", "small", interceptChange("session.reserve", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
-			var wanted struct {
+		{"the reservation of tokens", "nothing but load", "small", interceptChange("session.reserve", func(_ *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+			var args struct {
 				Tokens int64 `json:"tokens"`
 			}
-			_ = json.Unmarshal(asked.Args, &wanted)
-			reply, response := pass("session.get", asked.Args)
+			_ = json.Unmarshal(request.Args, &args)
+			reply, response := pass("session.get", request.Args)
 			if response == nil || len(reply.Result) == 0 {
 				return response
 			}
-			var told map[string]any
-			_ = json.Unmarshal(reply.Result, &told)
-			told["granted"] = wanted.Tokens
-			return protoResponse(&register.ChangeReply{Result: base.MustMarshal(told)})
+			var result map[string]any
+			_ = json.Unmarshal(reply.Result, &result)
+			result["granted"] = args.Tokens
+			return protoResponse(&register.ChangeReply{Result: base.MustMarshal(result)})
 		}), "put out"},
-		{"the memory of lost legs", "everything at once", "small", interceptChange("", func(m *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
-			reply, response := pass(asked.Op, asked.Args)
-			if asked.Op == "session.refuse" && response != nil && len(reply.Result) > 0 {
+		{"the memory of lost legs", "everything at once", "small", interceptChange("", func(m *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+			reply, response := pass(request.Op, request.Args)
+			if request.Op == "session.refuse" && response != nil && len(reply.Result) > 0 {
 				return protoResponse(&register.ChangeReply{Result: []byte(`{"refused":true}`)}) // otherwise such a turn would be marked
 			}
 			if response == nil || !strings.Contains(string(reply.Result), `"unsure"`) {
 				return response
 			}
-			var told map[string]any
-			_ = json.Unmarshal(reply.Result, &told)
-			delete(told["record"].(map[string]any), "unsure")
-			return protoResponse(&register.ChangeReply{Result: base.MustMarshal(told)})
+			var result map[string]any
+			_ = json.Unmarshal(reply.Result, &result)
+			delete(result["record"].(map[string]any), "unsure")
+			return protoResponse(&register.ChangeReply{Result: base.MustMarshal(result)})
 		}), "was refused"},
-		{"the chain on a majority", "edges killed", "small", interceptChange("session.finish", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
-			_, response := pass("session.get", asked.Args)
+		{"the chain on a majority", "edges killed", "small", interceptChange("session.finish", func(_ *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+			_, response := pass("session.get", request.Args)
 			return response
 		}), "history of"},
 		{"the fence of a request whose reply was lost", "a storm", "small", interceptPath("Owner/Withdraw", func(*Message) *http.Response {
 			return protoResponse(&session.WithdrawReply{Fenced: true})
 		}), "was refused"},
 		{"pieces pulled by place", "edges killed", "small", interceptPath("Owner/Pull", func(m *Message) *http.Response {
-			var asked session.PullRequest
-			_ = proto.Unmarshal(m.Body, &asked)
-			asked.Place = max(asked.Place, 1) - 1
-			raw, _ := proto.Marshal(&asked)
+			var request session.PullRequest
+			_ = proto.Unmarshal(m.Body, &request)
+			request.Place = max(request.Place, 1) - 1
+			raw, _ := proto.Marshal(&request)
 			response, _ := m.Forward(raw)
 			return response
 		}), "skipped, repeated or spliced"},
 		{"the end mark of an answer", "workers in trouble", "small", func(f *Fleet) { f.disabled.endMarker = true }, "was given as whole but reads"},
-		{"the stamp that a change is based on", "nothing but load", "small", interceptChange("settings.apply", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
-			now, response := pass("settings.get", []byte("{}"))
+		{"the stamp that a change is based on", "nothing but load", "small", interceptChange("settings.apply", func(_ *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+			current, response := pass("settings.get", []byte("{}"))
 			var record struct {
 				Stamp uint64 `json:"stamp"`
 			}
 			var change map[string]any
-			if response == nil || json.Unmarshal(now.Result, &record) != nil {
+			if response == nil || json.Unmarshal(current.Result, &record) != nil {
 				return response
 			}
-			_ = json.Unmarshal(asked.Args, &change)
+			_ = json.Unmarshal(request.Args, &change)
 			change["based_on"] = record.Stamp
 			_, response = pass("settings.apply", base.MustMarshal(change))
 			return response
@@ -147,11 +147,11 @@
 			return protoResponse(&register.ChangeReply{Result: []byte(`{"outcome":"refused","stamp":1}`)})
 		}), "refused change"},
 		{"the permit", "a machine cut off", "small", interceptPath("Feed/Follow", func(m *Message) *http.Response {
-			var asked feed.FollowRequest
-			_ = proto.Unmarshal(m.Body, &asked)
+			var request feed.FollowRequest
+			_ = proto.Unmarshal(m.Body, &request)
 			response, _ := m.Forward(m.Body)
-			if response == nil && asked.Place > 0 {
-				return protoResponse(&feed.FollowReply{Place: asked.Place})
+			if response == nil && request.Place > 0 {
+				return protoResponse(&feed.FollowReply{Place: request.Place})
 			}
 			return response
 		}), "serves by stamp"},
@@ -168,22 +168,22 @@
 				if response == nil || ack.Why != "epoch" {
 					return response
 				}
-				var asked register.AppendRequest
-				_ = proto.Unmarshal(m.Body, &asked)
-				for _, entry := range asked.Entries {
+				var request register.AppendRequest
+				_ = proto.Unmarshal(m.Body, &request)
+				for _, entry := range request.Entries {
 					ack.Seq = entry.Seq
 				}
 				return protoResponse(&register.Ack{Ok: true, Seq: ack.Seq})
 			}
 		}, "history of"},
 		{"a majority of disks", "total outages", "small", interceptPath("Disk/Append", func(m *Message) *http.Response {
-			var asked register.AppendRequest
-			_ = proto.Unmarshal(m.Body, &asked)
-			if m.To.Name == "storage-0" || len(asked.Entries) == 0 {
+			var request register.AppendRequest
+			_ = proto.Unmarshal(m.Body, &request)
+			if m.To.Name == "storage-0" || len(request.Entries) == 0 {
 				response, _ := m.Forward(m.Body)
 				return response
 			}
-			return protoResponse(&register.Ack{Ok: true, Seq: asked.Entries[len(asked.Entries)-1].Seq})
+			return protoResponse(&register.Ack{Ok: true, Seq: request.Entries[len(request.Entries)-1].Seq})
 		}), "history of"},
 		{"syncing before the answer", "total outages", "small", func(f *Fleet) {
 			for _, m := range f.Storage {
@@ -208,20 +208,20 @@
 	for _, row := range rows {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const most = 48 // the first seed with a violation ends the search
-			for seed := uint64(1); seed <= most; seed++ {
+			const maxSeeds = 48 // the first seed with a violation ends the search
+			for seed := uint64(1); seed <= maxSeeds; seed++ {
 				scenario := *FindScenario(row.scenario)
 				scenario.Timeout = time.Minute // a permanent fault shows within the first minute
-				outcome := scenario.RunWith(seed, Shapes[row.shape](), row.take)
+				outcome := scenario.RunWith(seed, Shapes[row.shape](), row.disable)
 				for _, breach := range outcome.Breaches {
-					if strings.Contains(breach, row.word) {
+					if strings.Contains(breach, row.breach) {
 						t.Logf("without %s, %q at size %s: seed %d: %s", row.mechanism, row.scenario, row.shape, seed, breach)
 						return
 					}
 				}
 				t.Logf("seed %d: %q", seed, outcome.Breaches)
 			}
-			t.Errorf("none of %d seeds of %q was caught with %q", most, row.scenario, row.word)
+			t.Errorf("none of %d seeds of %q reported a breach with %q", maxSeeds, row.scenario, row.breach)
 		})
 	}
 }
--- a/internal/simulate/redundancy_test.go
+++ b/internal/simulate/redundancy_test.go
@@ -49,11 +49,11 @@
 		}
 	},
 	"cut off": func(f *Fleet, lost []*Machine, call *apiClient) {
-		apart := map[string]bool{}
+		isolated := map[string]bool{}
 		for _, m := range lost {
-			apart[m.Host.Name] = true
+			isolated[m.Host.Name] = true
 		}
-		f.Net.Isolate(apart)
+		f.Net.Isolate(isolated)
 		call.sleep(f.World.Between(time.Second, 6*time.Second))
 		f.Net.Heal()
 	},
@@ -91,22 +91,22 @@
 func checkHistory(t *testing.T, is *is.I, f *Fleet, w *historyWriter) {
 	t.Helper()
 	w.pause()
-	lost := append(w.missingTurns(), w.stuckPrograms()...)
+	problems := append(w.missingTurns(), w.stuckPrograms()...)
 	w.paused = false
-	for _, one := range lost {
-		t.Logf("seed %d at %v: %s", f.World.Seed, f.World.Now(), one)
+	for _, problem := range problems {
+		t.Logf("seed %d at %v: %s", f.World.Seed, f.World.Now(), problem)
 	}
-	if len(lost) > 0 {
+	if len(problems) > 0 {
 		t.Logf("gaps: %v", w.client.Gaps(w.ctx(), f.diskSet()))
 		f.logState(t)
 	}
-	is.Equal(len(lost), 0)
+	is.Equal(len(problems), 0)
 }
 
 // TestStorageLossAfterCatchUp: every acknowledged turn is still found when storage
 // machines are lost one after the other, each as soon as the last has caught up.
 func TestStorageLossAfterCatchUp(t *testing.T) {
-	for name, way := range lossKinds {
+	for name, lose := range lossKinds {
 		for _, size := range lossSizes {
 			t.Run(fmt.Sprint(name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
@@ -118,7 +118,7 @@
 					w.start()
 					for range 4 {
 						call.sleep(f.World.Between(0, time.Second))
-						way(f, f.pickDistinctStorage(size.tolerate), call)
+						lose(f, f.pickDistinctStorage(size.tolerate), call)
 						call.sleep(catchUpTime)
 						checkHistory(t, is, f, w)
 					}
@@ -143,31 +143,31 @@
 				w.runRound()
 				delayHistoryFetches(f, historyFetchDelay)
 				w.start()
-				for _, out := range slices.Clone(f.Storage) {
-					longest = max(longest, retireThenLose(t, is, f, w, call, out))
+				for _, leaving := range slices.Clone(f.Storage) {
+					longest = max(longest, retireThenLose(t, is, f, w, call, leaving))
 				}
 				w.stopped = true
 			})
-			t.Logf("%d disks: retired within %v", size.storage, longest)
+			t.Logf("%d disks: the longest retirement took %v", size.storage, longest)
 		})
 	}
 }
 
 // retireThenLose retires and removes one machine and wipes as many others as may be lost
 // at that moment. It returns how long the retirement took.
-func retireThenLose(t *testing.T, is *is.I, f *Fleet, w *historyWriter, call *apiClient, out *Machine) time.Duration {
+func retireThenLose(t *testing.T, is *is.I, f *Fleet, w *historyWriter, call *apiClient, leaving *Machine) time.Duration {
 	t.Helper()
 	f.AddMachine("storage")
 	call.sleep(time.Second)
-	began := f.World.Now()
-	is.Equal(f.retireNode("POST", out.Host.Name), "200active")
-	took := f.waitUntil(20*time.Second, func() bool { return f.retireNode("GET", out.Host.Name) == "200complete" })
+	startedAt := f.World.Now()
+	is.Equal(f.retireNode("POST", leaving.Host.Name), "200active")
+	took := f.waitUntil(20*time.Second, func() bool { return f.retireNode("GET", leaving.Host.Name) == "200complete" })
 	if took >= 20*time.Second {
 		f.logState(t)
 	}
 	is.True(took < 20*time.Second)
-	took = f.World.Now() - began
-	f.loseMachine(out, false)
+	took = f.World.Now() - startedAt
+	f.loseMachine(leaving, false)
 	lost := f.pickDistinctStorage(f.Shape.FaultTolerance)
 	for _, m := range lost {
 		f.wipeMachine(m)
@@ -207,11 +207,11 @@
 				call.sleep(300 * time.Millisecond)
 				f.Start(victim)
 				for _, m := range leaving {
-					taken := f.waitUntil(30*time.Second, func() bool { return f.retireNode("GET", m.Host.Name) == "200complete" })
-					if taken >= 30*time.Second {
+					took := f.waitUntil(30*time.Second, func() bool { return f.retireNode("GET", m.Host.Name) == "200complete" })
+					if took >= 30*time.Second {
 						f.logState(t)
 					}
-					is.True(taken < 30*time.Second)
+					is.True(took < 30*time.Second)
 					f.loseMachine(m, false)
 				}
 				next := f.pickMachine(f.remainingStorage())
@@ -251,12 +251,12 @@
 // to catch up cuts the power of all and wipes as many as may be lost.
 func replaceAfterJoinThenOutage(f *Fleet, w *historyWriter, call *apiClient) {
 	call.sleep(f.World.Between(0, time.Second))
-	out := f.pickMachine(f.remainingStorage())
+	leaving := f.pickMachine(f.remainingStorage())
 	f.AddMachine("storage")
 	call.sleep(f.World.Between(500*time.Millisecond, 4*time.Second))
 	w.pause() // a program's next turn would copy the turns before it
-	f.Stop(out)
-	f.loseMachine(out, false)
+	f.Stop(leaving)
+	f.loseMachine(leaving, false)
 	call.sleep(catchUpTime)
 	lossKinds["power lost everywhere, some wiped"](f, f.pickDistinctStorage(f.Shape.FaultTolerance), call)
 	call.sleep(catchUpTime)
@@ -267,8 +267,8 @@
 // detect it.
 func TestDisabledGracefulStopLosesTurns(t *testing.T) {
 	t.Parallel()
-	const tries = 4
-	for seed := uint64(1); seed <= tries; seed++ {
+	const maxSeeds = 4
+	for seed := uint64(1); seed <= maxSeeds; seed++ {
 		lost := 0
 		runOnFleet(t, seed, reconcilingShape(9, 2), func(f *Fleet, call *apiClient) {
 			w := newHistoryWriter(f)
@@ -279,11 +279,11 @@
 			w.stopped = true
 		})
 		if lost > 0 {
-			t.Logf("seed %d shows the loss: %d", seed, lost)
+			t.Logf("seed %d: %d programs lost turns or cannot continue", seed, lost)
 			return
 		}
 	}
-	t.Fatalf("none of %d seeds shows the loss", tries)
+	t.Fatalf("none of %d seeds lost turns", maxSeeds)
 }
 
 // runOnFleet runs steps on a fleet with a complete disk set. It does not check the
@@ -300,7 +300,7 @@
 		steps(f, &apiClient{f, f.RequestSender(f.CallerHost)})
 	})
 	if !f.World.Run(f.World.Now()+10*time.Minute, func() bool { return done }) {
-		t.Fatalf("seed %d did not end", seed)
+		t.Fatalf("seed %d did not end within 10 minutes", seed)
 	}
 }
 
@@ -314,14 +314,14 @@
 // copies is complete too early and loses acknowledged turns. The checks must detect it.
 func TestRetirementWithoutRedundancyCheckLosesTurns(t *testing.T) {
 	t.Parallel()
-	const tries = 8
-	for seed := uint64(1); seed <= tries; seed++ {
+	const maxSeeds = 8
+	for seed := uint64(1); seed <= maxSeeds; seed++ {
 		if turnsLostWithoutWaiting(t, seed) > 0 {
-			t.Logf("seed %d shows the loss", seed)
+			t.Logf("seed %d lost turns", seed)
 			return
 		}
 	}
-	t.Fatalf("none of %d seeds shows the loss", tries)
+	t.Fatalf("none of %d seeds lost turns", maxSeeds)
 }
 
 // turnsLostWithoutWaiting returns how many programs a retirement without the check lost
@@ -335,14 +335,14 @@
 		w := newHistoryWriter(f)
 		w.runRound()
 		delayHistoryFetches(f, 2*historyFetchDelay)
-		out := f.pickMachine(f.Storage)
-		f.retireNode("POST", out.Host.Name)
-		f.waitUntil(20*time.Second, func() bool { return f.retireNode("GET", out.Host.Name) == "200complete" })
-		f.loseMachine(out, false)
-		next := f.pickMachine(f.remainingStorage())
-		f.wipeMachine(next)
+		leaving := f.pickMachine(f.Storage)
+		f.retireNode("POST", leaving.Host.Name)
+		f.waitUntil(20*time.Second, func() bool { return f.retireNode("GET", leaving.Host.Name) == "200complete" })
+		f.loseMachine(leaving, false)
+		victim := f.pickMachine(f.remainingStorage())
+		f.wipeMachine(victim)
 		call.sleep(300 * time.Millisecond)
-		f.Start(next)
+		f.Start(victim)
 		call.sleep(catchUpTime)
 		lost = len(w.missingTurns())
 	})
--- a/internal/simulate/scenario.go
+++ b/internal/simulate/scenario.go
@@ -96,21 +96,21 @@
 // startClients starts everything that uses the fleet: callers, a runaway program with
 // helpers, operators and the platform. It returns how many callers and operators have
 // not finished, and whether new conversations still begin.
-func (s *Scenario) startClients(f *Fleet) (left func() int, going func() bool) {
-	span := s.LoadDuration
-	if span == 0 {
-		span = defaultLoadDuration
+func (s *Scenario) startClients(f *Fleet) (remaining func() int, running func() bool) {
+	duration := s.LoadDuration
+	if duration == 0 {
+		duration = defaultLoadDuration
 	}
-	end := f.World.Now() + span
-	going = func() bool { return f.World.Now() < end }
+	end := f.World.Now() + duration
+	running = func() bool { return f.World.Now() < end }
 	count := 0
-	enter := func(task func()) {
+	start := func(task func()) {
 		count++
 		f.CallerHost.Go(func() { task(); count-- })
 	}
 	for caller := range len(f.Gateways) * 2 {
-		enter(func() {
-			for round := 0; going(); round++ {
+		start(func() {
+			for round := 0; running(); round++ {
 				turns := f.Shape.ConversationTurns[0]
 				if (caller+round)%4 == 0 {
 					turns = f.Shape.ConversationTurns[1]
@@ -124,35 +124,35 @@
 		})
 	}
 	runaway := f.caller("runaway", 1)
-	enter(func() {
+	start(func() {
 		if !runaway.Start(int64(f.Shape.PiecesPerTurn*12 + 3)) {
 			return
 		}
 		for helper := range 3 {
-			enter(func() {
-				h := runaway.Helper(fmt.Sprint("h", helper))
-				for round := 0; going() && h.Start(0) && h.Turn(1); round++ {
-					h = runaway.Helper(fmt.Sprintf("h%d-%d", helper, round))
+			start(func() {
+				helperCaller := runaway.Helper(fmt.Sprint("h", helper))
+				for round := 0; running() && helperCaller.Start(0) && helperCaller.Turn(1); round++ {
+					helperCaller = runaway.Helper(fmt.Sprintf("h%d-%d", helper, round))
 				}
 			})
 		}
 	})
-	for crowd := range s.BurstCallers {
-		enter(func() {
-			f.CallerHost.Clock().Sleep(span/4 + f.World.Between(0, 50*time.Millisecond))
-			c := f.caller(fmt.Sprint("crowd", crowd), crowd)
-			c.Urgency = map[bool]string{true: "urgent", false: "normal"}[crowd%4 > 0]
+	for number := range s.BurstCallers {
+		start(func() {
+			f.CallerHost.Clock().Sleep(duration/4 + f.World.Between(0, 50*time.Millisecond))
+			c := f.caller(fmt.Sprint("crowd", number), number)
+			c.Urgency = map[bool]string{true: "urgent", false: "normal"}[number%4 > 0]
 			if c.Start(int64(f.Shape.PiecesPerTurn * 24)) {
 				c.Converse(2, false)
 			}
 		})
 	}
 	for _, operator := range []string{"one", "two"} {
-		enter(func() { f.RunOperator(operator, going) })
+		start(func() { f.RunOperator(operator, running) })
 	}
-	enter(func() { f.RunPlatform(going) })
+	start(func() { f.RunPlatform(running) })
 	f.StartUsageReports(time.Second)
-	return func() int { return count }, going
+	return func() int { return count }, running
 }
 
 func (f *Fleet) caller(name string, home int) *standin.Caller {
@@ -175,10 +175,10 @@
 			m.Host.Thaw()
 		}
 	}
-	for _, one := range f.WorkerList.Workers {
-		f.World.Hosts[one.ID].alive = true
+	for _, listed := range f.WorkerList.Workers {
+		f.World.Hosts[listed.ID].alive = true
 	}
-	done, whole := false, f.Tally.Counts["conversations_whole"]
+	done, completed := false, f.Tally.Counts["conversations_whole"]
 	f.CallerHost.Go(func() {
 		last := f.caller("last", 0)
 		if last.Start(1000) {
@@ -187,7 +187,7 @@
 		f.CheckStoredSettings()
 		done = true
 	})
-	if !f.World.Run(f.World.Now()+2*time.Minute, func() bool { return done }) || f.Tally.Counts["conversations_whole"] == whole {
+	if !f.World.Run(f.World.Now()+2*time.Minute, func() bool { return done }) || f.Tally.Counts["conversations_whole"] == completed {
 		f.Tally.Breach("the fleet does not serve once the failures are over")
 	}
 	if s.PlannedOnly {
@@ -201,5 +201,5 @@
 
 func (s *Scenario) outcome(f *Fleet) *Outcome {
 	return &Outcome{Scenario: s.Name, Shape: f.Shape.Name, Seed: f.World.Seed, VirtualS: f.World.Now().Seconds(), Counts: f.Tally.Counts,
-		TurnTimes: base.Map(f.Tally.Turns, func(one standin.TurnTime) time.Duration { return one.Took }), Breaches: f.CheckInvariants()}
+		TurnTimes: base.Map(f.Tally.Turns, func(turn standin.TurnTime) time.Duration { return turn.Took }), Breaches: f.CheckInvariants()}
 }
--- a/internal/simulate/settings_test.go
+++ b/internal/simulate/settings_test.go
@@ -21,19 +21,19 @@
 			runSeeds(t, *seedCount+1, SmallShape(), func(t *testing.T, f *Fleet) {
 				is := is.New(t)
 				waitUntilFormed(t, f)
-				left, done := 2, 0
+				remaining, rounds := 2, 0
 				for _, operator := range []string{"one", "two"} {
 					f.CallerHost.Go(func() {
-						f.RunOperator(operator, func() bool { done++; return done <= 24 })
-						left--
+						f.RunOperator(operator, func() bool { rounds++; return rounds <= 24 })
+						remaining--
 					})
 				}
-				f.startScenarioFaults(name, func() bool { return left > 0 })
-				is.True(f.World.Run(f.World.Now()+10*time.Minute, func() bool { return left == 0 }))
-				taken, refused := f.Tally.Counts["settings_taken"], f.Tally.Counts["settings_refused"]
-				t.Logf("%d taken, %d refused, %d asked again", taken, refused, f.Tally.Counts["settings_unknown"])
-				is.True(taken > 0 && refused > 0)
-				is.Equal(taken+refused, 24)
+				f.startScenarioFaults(name, func() bool { return remaining > 0 })
+				is.True(f.World.Run(f.World.Now()+10*time.Minute, func() bool { return remaining == 0 }))
+				accepted, refused := f.Tally.Counts["settings_taken"], f.Tally.Counts["settings_refused"]
+				t.Logf("%d accepted, %d refused, %d with an unknown outcome", accepted, refused, f.Tally.Counts["settings_unknown"])
+				is.True(accepted > 0 && refused > 0)
+				is.Equal(accepted+refused, 24)
 			})
 		})
 	}
@@ -73,22 +73,22 @@
 		is := is.New(t)
 		waitUntilFormed(t, f)
 		f.Net.Isolate(map[string]bool{f.Gateways[0].Host.Name: true})
-		cutAt := f.World.Now()
-		declinedAt := time.Duration(0)
+		isolatedAt := f.World.Now()
+		rejectedAt := time.Duration(0)
 		f.CallerHost.Go(func() {
-			ask := f.RequestSender(f.CallerHost)
-			for declinedAt == 0 {
-				answer, err := ask(0, "GET", "/v1/platform/workers", nil, nil)
+			send := f.RequestSender(f.CallerHost)
+			for rejectedAt == 0 {
+				answer, err := send(0, "GET", "/v1/platform/workers", nil, nil)
 				is.NoErr(err)
 				if strings.Contains(string(answer.Body), "no_confirmed_settings") {
 					is.Equal(answer.Status, 503)
 					is.True(strings.Contains(string(answer.Body), `"not_run"`))
 					is.True(answer.Header["Retry-After"] != "")
-					declinedAt = f.World.Now()
+					rejectedAt = f.World.Now()
 				}
 			}
 		})
-		is.True(f.World.Run(cutAt+30*time.Second, func() bool { return declinedAt > 0 }))
+		is.True(f.World.Run(isolatedAt+30*time.Second, func() bool { return rejectedAt > 0 }))
 		is.True(!f.Gateways[0].gateway.Follower.HasLease())
 		f.Net.Heal()
 		is.True(f.World.Run(f.World.Now()+5*time.Second, func() bool { return f.Gateways[0].gateway.Follower.HasLease() }))
--- a/internal/simulate/shape.go
+++ b/internal/simulate/shape.go
@@ -36,11 +36,11 @@
 }
 
 // zone returns the zone of the machine at an index among the machines of its role.
-func (s *Shape) zone(place int) string {
+func (s *Shape) zone(index int) string {
 	if len(s.ZoneNames) > 0 {
-		return s.ZoneNames[place%len(s.ZoneNames)]
+		return s.ZoneNames[index%len(s.ZoneNames)]
 	}
-	return fmt.Sprintf("zone-%d", place%s.Zones)
+	return fmt.Sprintf("zone-%d", index%s.Zones)
 }
 
 // SmallShape is the smallest fleet in which every role has a second machine.
--- a/internal/simulate/simulate_test.go
+++ b/internal/simulate/simulate_test.go
@@ -28,9 +28,9 @@
 // waitUntilFormed sets the fleet up and runs the world until that is done.
 func waitUntilFormed(t *testing.T, f *Fleet) {
 	t.Helper()
-	up := false
-	f.CallerHost.Go(func() { f.SetUp(); up = true })
-	if !f.World.Run(60*time.Second, func() bool { return up }) {
+	formed := false
+	f.CallerHost.Go(func() { f.SetUp(); formed = true })
+	if !f.World.Run(60*time.Second, func() bool { return formed }) {
 		t.Fatalf("seed %d: the fleet did not form", f.World.Seed)
 	}
 }
@@ -39,8 +39,8 @@
 	runSeeds(t, 2, SmallShape(), func(t *testing.T, f *Fleet) {
 		is := is.New(t)
 		waitUntilFormed(t, f)
-		left := f.StartCallers(4, 3, true, nil)
-		is.True(f.World.Run(f.World.Now()+60*time.Second, func() bool { return left() == 0 }))
+		remaining := f.StartCallers(4, 3, true, nil)
+		is.True(f.World.Run(f.World.Now()+60*time.Second, func() bool { return remaining() == 0 }))
 		is.Equal(f.Tally.Counts["conversations_whole"], 4)
 		is.Equal(f.Tally.Counts["turns_whole"], 12)
 		is.Equal(f.Tally.Counts["tools_done"], 8)
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -42,16 +42,16 @@
 		return TierShape{Name: "roaming", Site: withUnkeptTurns(site), FaultTolerance: 1, LoadFactor: 1.5}
 	},
 	"roaming-grown": func() TierShape {
-		form := grownShape()
-		form.Name, form.Site = "roaming-grown", withUnkeptTurns(form.Site)
-		form.Site.Edges = 16
-		return form
+		shape := grownShape()
+		shape.Name, shape.Site = "roaming-grown", withUnkeptTurns(shape.Site)
+		shape.Site.Edges = 16
+		return shape
 	},
 	"paycentre": func() TierShape {
-		form := grownShape()
-		form.Name, form.Site.Name = "paycentre", "paycentre"
-		form.Site.Edges, form.Site.Cores = 24, 8
-		return form
+		shape := grownShape()
+		shape.Name, shape.Site.Name = "paycentre", "paycentre"
+		shape.Site.Edges, shape.Site.Cores = 24, 8
+		return shape
 	},
 }
 
@@ -131,13 +131,13 @@
 	return t.World.Between(800*time.Microsecond, 1500*time.Microsecond)
 }
 
-// NewTier builds a tier and starts its machines and workers; change may adjust it
+// NewTier builds a tier and starts its machines and workers; prepare may adjust it
 // before they start.
-func NewTier(seed uint64, form TierShape, change func(t *Tier)) *Tier {
-	site := form.Site
-	f := buildFleet(seed, Shape{Name: form.Name, Zones: len(site.Zones), ZoneNames: site.Zones, Gateways: site.Edges, Cores: site.Cores, Storage: site.Storage,
-		FaultTolerance: form.FaultTolerance, Bootstrap: true})
-	t := &Tier{Fleet: f, TierShape: form, Site: site, recorder: parties.NewLedger(site.Bounds, site.Stride(), site.Cores), entryPoint: &parties.Entry{},
+func NewTier(seed uint64, shape TierShape, prepare func(t *Tier)) *Tier {
+	site := shape.Site
+	f := buildFleet(seed, Shape{Name: shape.Name, Zones: len(site.Zones), ZoneNames: site.Zones, Gateways: site.Edges, Cores: site.Cores, Storage: site.Storage,
+		FaultTolerance: shape.FaultTolerance, Bootstrap: true})
+	t := &Tier{Fleet: f, TierShape: shape, Site: site, recorder: parties.NewLedger(site.Bounds, site.Stride(), site.Cores), entryPoint: &parties.Entry{},
 		words: site.DrawWords(rand.New(rand.NewPCG(seed, 2))), machinesByName: map[string]*Machine{}, workersByAddress: map[string]*tierWorker{}, workDistributions: map[string]parties.Draw{},
 		workerFaults: map[string]*workerFaultRate{}, conns: map[*workerConn]bool{}, clientExchanges: map[*clientExchange]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), loadMultiplier: 1}
 	t.drafts = &parties.Drafts{Site: site, Words: t.words, Rng: rand.New(rand.NewPCG(seed, 3))}
@@ -147,8 +147,8 @@
 	t.programRunner.Persist = func() time.Duration { return t.retryUntil }
 	f.configure, f.onBuilt = t.configureMachine, t.machineBuilt
 	f.Net.ResetOnExit, t.messageCost = true, 150*time.Microsecond
-	if change != nil {
-		change(t)
+	if prepare != nil {
+		prepare(t)
 	}
 	for _, m := range f.All() {
 		t.startMachine(m)
@@ -156,9 +156,9 @@
 	for _, class := range site.Classes {
 		t.workDistributions[t.words.Prefixes[class.Name]] = class.Work
 	}
-	for _, shape := range site.Services {
-		for place := range shape.Workers {
-			t.startWorker(shape, site.Zones[place%len(site.Zones)], "")
+	for _, serviceShape := range site.Services {
+		for index := range serviceShape.Workers {
+			t.startWorker(serviceShape, site.Zones[index%len(site.Zones)], "")
 		}
 	}
 	return t
@@ -169,19 +169,19 @@
 // startMachine starts a machine's process. From a gateway's first start on, its
 // readiness is checked once per second.
 func (t *Tier) startMachine(m *Machine) {
-	known := t.machinesByName[m.Host.Name] != nil
+	restarted := t.machinesByName[m.Host.Name] != nil
 	t.machinesByName[m.Host.Name] = m
 	t.recorder.Note(func(r *parties.Record) {
 		r.Starts = append(r.Starts, parties.Start{Machine: m.Host.Name, Class: m.Role, At: t.World.now})
 	})
 	t.Start(m)
-	if m.Role == "edge" && !known {
-		entered := &parties.EntryNode{Name: m.Host.Name, Zone: m.Host.Zone, Front: m.Host.Name}
-		t.entryPoint.Add(entered)
+	if m.Role == "edge" && !restarted {
+		entry := &parties.EntryNode{Name: m.Host.Name, Zone: m.Host.Zone, Front: m.Host.Name}
+		t.entryPoint.Add(entry)
 		t.CallerHost.Go(func() {
 			for {
-				up := m.Host.alive && !m.Host.frozen && !m.stopRequested && m.gateway != nil && m.gateway.RoutesReady() == nil
-				t.entryPoint.Heard(entered, up)
+				ready := m.Host.alive && !m.Host.frozen && !m.stopRequested && m.gateway != nil && m.gateway.RoutesReady() == nil
+				t.entryPoint.Heard(entry, ready)
 				t.CallerHost.Clock().Sleep(time.Second)
 			}
 		})
@@ -189,10 +189,10 @@
 }
 
 // configureMachine sets what the platform's settings file would set for a process.
-func (t *Tier) configureMachine(m *Machine, env *node.Env, place *node.Config) {
+func (t *Tier) configureMachine(m *Machine, env *node.Env, config *node.Config) {
 	m.Host.MessageCost = t.messageCost
 	b := t.Site.Bounds
-	place.Bounds = &base.Bounds{SettingsApply: b.Apply, Drain: b.Drain, Recovery: b.Recovery, Retention: time.Minute}
+	config.Bounds = &base.Bounds{SettingsApply: b.Apply, Drain: b.Drain, Recovery: b.Recovery, Retention: time.Minute}
 	env.Names = &platform.Names
 	env.Backends = &workerTransport{tier: t, host: m.Host, connectTimeout: base.DefaultBounds().Recovery / 12, pools: map[string]*workerPool{}}
 }
@@ -228,38 +228,38 @@
 	host := t.World.NewHost(id, zone)
 	rng := rand.New(rand.NewPCG(t.World.Seed, base.Hash64(id)))
 	service := t.words.Services[shape.Name]
-	s := &tierWorker{host: host, conns: map[*workerConn]bool{}}
-	s.Worker = &parties.Worker{ID: id, Service: service, Zone: zone, Address: address, Clock: host.Clock(), Ledger: t.recorder, Shape: shape, KeepIdle: 5 * time.Second,
+	w := &tierWorker{host: host, conns: map[*workerConn]bool{}}
+	w.Worker = &parties.Worker{ID: id, Service: service, Zone: zone, Address: address, Clock: host.Clock(), Ledger: t.recorder, Shape: shape, KeepIdle: 5 * time.Second,
 		Speed: []float64{1, 1, 1.3}[t.rng.IntN(3)], Draws: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(id, "own"))), Next: func() parties.Fault { return t.drawFault(id, service) },
 		Work: func(target string) (time.Duration, int) {
 			work := parties.Draw{Mean: 50, Spread: 1, Most: 200}
 			for _, prefix := range base.SortedKeys(t.workDistributions) {
-				if one := t.workDistributions[prefix]; strings.HasPrefix(target, prefix) && one.Mean > 0 {
-					work = one
+				if draw := t.workDistributions[prefix]; strings.HasPrefix(target, prefix) && draw.Mean > 0 {
+					work = draw
 				}
 			}
 			return time.Duration(work.Value(rng) * float64(time.Millisecond)), 800
 		}}
-	s.Start()
-	t.workersByAddress[address] = s
-	t.workers = append(t.workers, s)
-	one := t.instanceEntry(s, parties.StateReady)
-	t.instances.Change(id, &one, 0)
-	return s
+	w.Start()
+	t.workersByAddress[address] = w
+	t.workers = append(t.workers, w)
+	entry := t.instanceEntry(w, parties.StateReady)
+	t.instances.Change(id, &entry, 0)
+	return w
 }
 
-func (t *Tier) instanceEntry(s *tierWorker, state string) parties.Instance {
-	one := parties.Instance{ID: s.ID, Service: s.Service, Address: s.Address, Zone: s.Zone, Generation: "v1", Capacity: s.Shape.Capacity, State: state}
-	if s.Shape.Engine != nil {
-		one.Model = t.words.Model
+func (t *Tier) instanceEntry(w *tierWorker, state string) parties.Instance {
+	entry := parties.Instance{ID: w.ID, Service: w.Service, Address: w.Address, Zone: w.Zone, Generation: "v1", Capacity: w.Shape.Capacity, State: state}
+	if w.Shape.Engine != nil {
+		entry.Model = t.words.Model
 	}
-	return one
+	return entry
 }
 
 func (t *Tier) drawFault(id, service string) parties.Fault {
 	for _, name := range []string{id, service} {
-		if f := t.workerFaults[name]; f != nil && t.rng.Float64() < f.probability {
-			return f.kinds[t.rng.IntN(len(f.kinds))]
+		if rate := t.workerFaults[name]; rate != nil && t.rng.Float64() < rate.probability {
+			return rate.kinds[t.rng.IntN(len(rate.kinds))]
 		}
 	}
 	return parties.Fine
@@ -269,13 +269,13 @@
 func (t *Tier) runTraffic(end time.Duration) {
 	t.trafficRunning = true
 	clock := t.CallerHost.Clock()
-	for place := range t.Site.Classes {
-		class := &t.Site.Classes[place]
+	for index := range t.Site.Classes {
+		class := &t.Site.Classes[index]
 		if class.PerS == 0 {
 			continue
 		}
 		for number, zone := range t.Site.Zones {
-			rng := rand.New(rand.NewPCG(t.World.Seed+uint64(t.World.now), uint64(100+100*place+number)))
+			rng := rand.New(rand.NewPCG(t.World.Seed+uint64(t.World.now), uint64(100+100*index+number)))
 			t.openPrograms++
 			t.CallerHost.Go(func() {
 				defer func() { t.openPrograms-- }()
@@ -320,7 +320,7 @@
 func (t *Tier) probeGateways() {
 	routes := append(slices.Clone(t.config.addedRoutes), t.config.removedRoutes...)
 	routes = append(routes, parties.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", t.rng.IntN(1000)), Kind: parties.Idempotent})
-	for _, in := range t.entryPoint.In() {
+	for _, node := range t.entryPoint.In() {
 		route := routes[t.rng.IntN(len(routes))]
 		if route.Kind != parties.Idempotent {
 			continue
@@ -329,7 +329,7 @@
 		t.openPrograms++
 		t.CallerHost.Go(func() {
 			t.programRunner.Request(class, 0, func(try *parties.Try) {
-				try.Probe, try.Node, try.Host, try.Target, try.Client = true, parties.Probe(in), route.Host, route.Prefix+"probe", "probe"
+				try.Probe, try.Node, try.Host, try.Target, try.Client = true, parties.Probe(node), route.Host, route.Prefix+"probe", "probe"
 			})
 			t.openPrograms--
 		})
--- a/internal/simulate/tier_clients.go
+++ b/internal/simulate/tier_clients.go
@@ -85,19 +85,19 @@
 	}
 	try.Written = clock.Now()
 	t.lastNumber++
-	x := &clientExchange{host: m.Host, responses: newPipe[responsePart](t.CallerHost), number: t.lastNumber}
-	t.clientExchanges[x] = true
+	exchange := &clientExchange{host: m.Host, responses: newPipe[responsePart](t.CallerHost), number: t.lastNumber}
+	t.clientExchanges[exchange] = true
 	defer func() {
-		x.closed = true
-		delete(t.clientExchanges, x)
+		exchange.closed = true
+		delete(t.clientExchanges, exchange)
 	}()
-	t.World.spawn(m.Host, m.Host.incarnation, t.World.now+t.clientDelay()+m.Host.processingDelay(), func() { t.serveClient(m, try, x) })
-	c.readResponse(try, x)
+	t.World.spawn(m.Host, m.Host.incarnation, t.World.now+t.clientDelay()+m.Host.processingDelay(), func() { t.serveClient(m, try, exchange) })
+	c.readResponse(try, exchange)
 }
 
 // readResponse reads a response into an attempt as a client does, with the client's
 // timeouts.
-func (c *tierClients) readResponse(try *parties.Try, x *clientExchange) {
+func (c *tierClients) readResponse(try *parties.Try, exchange *clientExchange) {
 	end := try.Sent + try.Deadline
 	silence := try.Deadline
 	if try.Kind == parties.Streaming {
@@ -106,36 +106,36 @@
 	now := func() time.Duration { return c.tier.World.now }
 	until := min(end, now()+silence)
 	if try.Kind == parties.Idempotent {
-		for patience := now() + parties.ReadPatience(try.Deadline); !x.requestRead && !x.responses.ready() && now() < patience; {
-			x.responses.changed.Next().Wait(patience - now())
+		for readDeadline := now() + parties.ReadPatience(try.Deadline); !exchange.requestRead && !exchange.responses.ready() && now() < readDeadline; {
+			exchange.responses.changed.Next().Wait(readDeadline - now())
 		}
-		if !x.requestRead && !x.responses.ready() {
+		if !exchange.requestRead && !exchange.responses.ready() {
 			try.GaveUp, try.Unread = true, true
 			return
 		}
 	}
 	var body []byte
-	streams := false
+	isStream := false
 	for {
-		one, ok := x.responses.receive(until, nil)
+		part, ok := exchange.responses.receive(until, nil)
 		if !ok {
 			try.GaveUp = true
 			return
 		}
-		switch one.kind {
+		switch part.kind {
 		case responseConnClosed:
-			try.Unread = !x.requestRead
+			try.Unread = !exchange.requestRead
 			return
 		case responseHead:
-			try.Status, try.Echo, try.Seal = one.status, one.header[parties.HeaderID], one.header[parties.HeaderSeal]
-			try.Encoding = one.header["Content-Encoding"]
-			if seconds, err := strconv.ParseFloat(one.header[parties.HeaderRetryAfter], 64); err == nil {
+			try.Status, try.Echo, try.Seal = part.status, part.header[parties.HeaderID], part.header[parties.HeaderSeal]
+			try.Encoding = part.header["Content-Encoding"]
+			if seconds, err := strconv.ParseFloat(part.header[parties.HeaderRetryAfter], 64); err == nil {
 				try.RetryAfter = time.Duration(seconds * float64(time.Second))
 			}
-			streams = try.Kind == parties.Streaming && strings.HasPrefix(one.header["Content-Type"], "text/event-stream")
+			isStream = try.Kind == parties.Streaming && strings.HasPrefix(part.header["Content-Type"], "text/event-stream")
 		case responseBytes:
-			body = append(body, one.bytes...)
-			if streams {
+			body = append(body, part.bytes...)
+			if isStream {
 				var events []parties.Event
 				events, body = parseEvents(body, now())
 				if len(events) > 0 && try.First == 0 {
@@ -146,7 +146,7 @@
 			}
 		case responseEnd:
 			switch {
-			case !streams:
+			case !isStream:
 				try.First, try.Answer = now(), base.Digest(body)
 			case len(body) > 0:
 				try.Garbage = "a stream that ends in " + strconv.Quote(string(body))
@@ -158,14 +158,14 @@
 }
 
 // parseEvents splits the complete events from the bytes received of a stream.
-func parseEvents(some []byte, at time.Duration) (events []parties.Event, rest []byte) {
+func parseEvents(data []byte, receivedAt time.Duration) (events []parties.Event, rest []byte) {
 	for {
-		place := bytes.Index(some, []byte("\n\n"))
-		if place < 0 {
-			return events, some
+		index := bytes.Index(data, []byte("\n\n"))
+		if index < 0 {
+			return events, data
 		}
-		event := parties.Event{At: at}
-		for _, line := range strings.Split(string(some[:place]), "\n") {
+		event := parties.Event{At: receivedAt}
+		for _, line := range strings.Split(string(data[:index]), "\n") {
 			name, value, _ := strings.Cut(line, ":")
 			value = strings.TrimPrefix(value, " ")
 			switch {
@@ -178,21 +178,21 @@
 			}
 		}
 		events = append(events, event)
-		some = some[place+2:]
+		data = data[index+2:]
 	}
 }
 
 // serveClient runs a client's request on its gateway and sends the response.
-func (t *Tier) serveClient(m *Machine, try *parties.Try, x *clientExchange) {
-	gateway, life := m.gateway, m.Host.incarnation
+func (t *Tier) serveClient(m *Machine, try *parties.Try, exchange *clientExchange) {
+	gateway, incarnation := m.gateway, m.Host.incarnation
 	if gateway == nil {
 		return
 	}
-	x.requestRead = true
-	x.responses.changed.Notify()
+	exchange.requestRead = true
+	exchange.responses.changed.Notify()
 	m.openRequests++
 	defer func() {
-		if m.Host.incarnation == life {
+		if m.Host.incarnation == incarnation {
 			m.openRequests--
 		}
 	}()
@@ -202,26 +202,26 @@
 	for name, value := range r.Response.Header.All() {
 		head.header[string(name)] = string(value)
 	}
-	x.responses.send(t.clientDelay(), head)
+	exchange.responses.send(t.clientDelay(), head)
 	stream := r.Response.BodyStream()
 	if stream == nil {
-		x.responses.send(0, responsePart{kind: responseBytes, bytes: bytes.Clone(r.Response.Body())})
-		x.responses.send(0, responsePart{kind: responseEnd})
+		exchange.responses.send(0, responsePart{kind: responseBytes, bytes: bytes.Clone(r.Response.Body())})
+		exchange.responses.send(0, responsePart{kind: responseEnd})
 		return
 	}
 	defer func() { _ = r.Response.CloseBodyStream() }()
 	piece := make([]byte, 16<<10)
-	for !x.closed {
+	for !exchange.closed {
 		n, err := stream.Read(piece)
 		if n > 0 {
-			x.responses.send(t.clientDelay(), responsePart{kind: responseBytes, bytes: bytes.Clone(piece[:n])})
+			exchange.responses.send(t.clientDelay(), responsePart{kind: responseBytes, bytes: bytes.Clone(piece[:n])})
 		}
 		if err != nil {
 			kind := responseConnClosed
 			if err == io.EOF {
 				kind = responseEnd
 			}
-			x.responses.send(t.clientDelay(), responsePart{kind: kind})
+			exchange.responses.send(t.clientDelay(), responsePart{kind: kind})
 			return
 		}
 	}
@@ -241,27 +241,27 @@
 	if !m.Host.alive || m.core == nil || m.stopping {
 		return 0, nil
 	}
-	core, life := m.core, m.Host.incarnation
-	in := newPipe[responsePart](t.CallerHost)
+	core, incarnation := m.core, m.Host.incarnation
+	responses := newPipe[responsePart](t.CallerHost)
 	t.lastNumber++
-	x := &clientExchange{host: m.Host, responses: in, number: t.lastNumber}
-	t.clientExchanges[x] = true
-	defer delete(t.clientExchanges, x)
-	t.World.spawn(m.Host, life, t.World.now+t.clientDelay(), func() {
-		x.requestRead = true
+	exchange := &clientExchange{host: m.Host, responses: responses, number: t.lastNumber}
+	t.clientExchanges[exchange] = true
+	defer delete(t.clientExchanges, exchange)
+	t.World.spawn(m.Host, incarnation, t.World.now+t.clientDelay(), func() {
+		exchange.requestRead = true
 		m.openRequests++
 		defer func() {
-			if m.Host.incarnation == life {
+			if m.Host.incarnation == incarnation {
 				m.openRequests--
 			}
 		}()
 		r := newRequestCtx(method, path, m.Host.Name, header, body)
 		platform.ServeOperator(r, m.Host.Clock(), core)
-		in.send(t.clientDelay(), responsePart{kind: responseHead, status: r.Response.StatusCode(), bytes: bytes.Clone(r.Response.Body())})
+		responses.send(t.clientDelay(), responsePart{kind: responseHead, status: r.Response.StatusCode(), bytes: bytes.Clone(r.Response.Body())})
 	})
-	one, ok := in.receive(clock.Now()+patience, nil)
-	if !ok || one.kind == responseConnClosed {
+	part, ok := responses.receive(clock.Now()+patience, nil)
+	if !ok || part.kind == responseConnClosed {
 		return 0, nil
 	}
-	return one.status, one.bytes
+	return part.status, part.bytes
 }
--- a/internal/simulate/tier_faults.go
+++ b/internal/simulate/tier_faults.go
@@ -12,19 +12,19 @@
 
 // recordTrouble adds a fault of a machine to the checker's record, under the name that
 // the platform uses. The fault lasts until the returned function is called.
-func (t *Tier) recordTrouble(kind string, m *Machine, change func(x *parties.Trouble)) (end func()) {
-	x := &parties.Trouble{Kind: kind, Machine: m.Host.Name, Class: m.Role, From: t.World.now, To: 1 << 60}
+func (t *Tier) recordTrouble(kind string, m *Machine, change func(trouble *parties.Trouble)) (end func()) {
+	trouble := &parties.Trouble{Kind: kind, Machine: m.Host.Name, Class: m.Role, From: t.World.now, To: 1 << 60}
 	if change != nil {
-		change(x)
+		change(trouble)
 	}
-	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
-	return func() { x.To = t.World.now }
+	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, trouble) })
+	return func() { trouble.To = t.World.now }
 }
 
 // dropConnections closes the connections and requests of a process that ended. The
 // peers are told unless the machine has lost its power.
-func (t *Tier) dropConnections(m *Machine, dark bool) {
-	m.Host.poweredOff = dark
+func (t *Tier) dropConnections(m *Machine, poweredOff bool) {
+	m.Host.poweredOff = poweredOff
 	for _, c := range t.sortedConns(t.conns) {
 		if c.gatewayHost != m.Host {
 			continue
@@ -33,39 +33,39 @@
 		if c.worker != nil {
 			delete(c.worker.conns, c)
 		}
-		if !dark {
+		if !poweredOff {
 			c.closed = true
 			c.closedSignal.Fire()
 		}
 	}
 	open := slices.SortedFunc(maps.Keys(t.clientExchanges), func(a, b *clientExchange) int { return cmp.Compare(a.number, b.number) })
-	for _, x := range open {
-		if x.host == m.Host && !dark {
-			x.responses.lastArrival = t.World.now // the reset overtakes what is in transit
-			x.responses.send(time.Millisecond, responsePart{kind: responseConnClosed})
+	for _, exchange := range open {
+		if exchange.host == m.Host && !poweredOff {
+			exchange.responses.lastArrival = t.World.now // the reset overtakes what is in transit
+			exchange.responses.send(time.Millisecond, responsePart{kind: responseConnClosed})
 		}
 	}
 }
 
 // endProcess kills a machine's process, or cuts the machine's power.
-func (t *Tier) endProcess(m *Machine, power bool) {
-	if power {
+func (t *Tier) endProcess(m *Machine, powerLoss bool) {
+	if powerLoss {
 		m.Host.pendingCalls = nil // their senders are not told
 		t.PowerLoss(m)
 	} else {
 		t.Kill(m)
 	}
-	t.dropConnections(m, power)
+	t.dropConnections(m, powerLoss)
 }
 
 // crashFor kills a machine, or cuts its power, optionally wipes its disk, and starts it
 // again after a while.
-func (t *Tier) crashFor(m *Machine, kind string, span time.Duration, power, wipe bool) {
+func (t *Tier) crashFor(m *Machine, kind string, span time.Duration, powerLoss, wipe bool) {
 	if m.removed || !m.Host.alive || m.stopRequested {
 		return
 	}
 	end := t.recordTrouble(kind, m, nil)
-	t.endProcess(m, power)
+	t.endProcess(m, powerLoss)
 	if wipe {
 		m.Disk.Wipe()
 	}
@@ -82,10 +82,10 @@
 		return
 	}
 	end := t.recordTrouble("node_freeze", m, nil)
-	life := m.Host.incarnation
+	incarnation := m.Host.incarnation
 	m.Host.Freeze()
 	t.CallerHost.Clock().Sleep(span)
-	if m.Host.incarnation == life {
+	if m.Host.incarnation == incarnation {
 		m.Host.Thaw()
 	}
 	end()
@@ -115,13 +115,13 @@
 		return nil
 	}
 	end = t.recordTrouble(kind, m, func(x *parties.Trouble) { x.Term = true })
-	clock, grace, life, began := t.CallerHost.Clock(), t.Site.Bounds.Grace, m.Host.incarnation, t.World.now
+	clock, grace, incarnation, startedAt := t.CallerHost.Clock(), t.Site.Bounds.Grace, m.Host.incarnation, t.World.now
 	m.stopRequested = true
 	if t.disabled.gracefulStop {
 		t.endProcess(m, false)
 	}
 	limit := grace - grace/8
-	left := false
+	drained := false
 	m.Host.Go(func() {
 		switch {
 		case m.gateway != nil:
@@ -131,21 +131,21 @@
 		case m.storage != nil:
 			m.storage.Drain(grace / 4)
 		}
-		left = true
+		drained = true
 	})
 	if m.Role == "edge" {
 		clock.Sleep(grace * 3 / 10)
 	}
-	for m.Host.incarnation == life && t.World.now < began+limit {
+	for m.Host.incarnation == incarnation && t.World.now < startedAt+limit {
 		if m.Role == "edge" {
 			m.stopping = true
 		}
-		if m.openRequests == 0 && (left || m.Role == "edge") {
+		if m.openRequests == 0 && (drained || m.Role == "edge") {
 			break
 		}
 		clock.Sleep(20 * time.Millisecond)
 	}
-	if m.Host.incarnation == life {
+	if m.Host.incarnation == incarnation {
 		t.endProcess(m, false)
 	}
 	return end
@@ -153,9 +153,9 @@
 
 // replaceAfterJoin replaces a machine as planned work: an empty machine at another
 // address joins first, then the old one is stopped and removed with its disk.
-func (t *Tier) replaceAfterJoin(m *Machine, ahead time.Duration) {
+func (t *Tier) replaceAfterJoin(m *Machine, joinLead time.Duration) {
 	t.joinMachine(m.Role)
-	t.CallerHost.Clock().Sleep(ahead)
+	t.CallerHost.Clock().Sleep(joinLead)
 	end := t.stopGracefully(m, "replace_core")
 	if end == nil {
 		return
@@ -186,26 +186,28 @@
 }
 
 // isolateFor isolates machines from all other machines of the fleet for a while.
-func (t *Tier) isolateFor(apart []*Machine, span time.Duration) { t.isolateFrom(apart, t.All(), span) }
+func (t *Tier) isolateFor(isolated []*Machine, span time.Duration) {
+	t.isolateFrom(isolated, t.All(), span)
+}
 
 // partitionFor partitions the cores and storage machines, taken together, into two
 // halves for a while. Gateways, clients and operators reach both halves.
 func (t *Tier) partitionFor(span time.Duration) {
-	counted := append(t.available(t.Cores), t.available(t.Storage)...)
-	t.isolateFrom(t.drawMachines(counted, len(counted)/2), counted, span)
+	machines := append(t.available(t.Cores), t.available(t.Storage)...)
+	t.isolateFrom(t.drawMachines(machines, len(machines)/2), machines, span)
 }
 
 // isolateFrom isolates some machines of a list from the others of the list.
-func (t *Tier) isolateFrom(apart, all []*Machine, span time.Duration) {
-	names := map[string]bool{}
+func (t *Tier) isolateFrom(isolated, all []*Machine, span time.Duration) {
+	isolatedNames := map[string]bool{}
 	var ends []func()
-	for _, m := range apart {
-		names[m.Host.Name] = true
+	for _, m := range isolated {
+		isolatedNames[m.Host.Name] = true
 		ends = append(ends, t.recordTrouble("core_cut", m, nil))
 	}
 	for _, from := range all {
 		for _, to := range all {
-			if names[from.Host.Name] != names[to.Host.Name] {
+			if isolatedNames[from.Host.Name] != isolatedNames[to.Host.Name] {
 				t.Net.CutLink(from.Host.Name, to.Host.Name)
 			}
 		}
@@ -241,16 +243,16 @@
 
 // forEachMachine runs a step for machines in parallel and waits for all.
 func (t *Tier) forEachMachine(list []*Machine, step func(m *Machine)) {
-	t.runParallel(len(list), func(place int) { step(list[place]) })
+	t.runParallel(len(list), func(index int) { step(list[index]) })
 }
 
 // afterConfigAck changes the configuration and, once that is acknowledged, runs a step
 // for some storage machines, or with none for the core that acknowledged it.
-func (t *Tier) afterConfigAck(step func(m *Machine), stores int) {
+func (t *Tier) afterConfigAck(step func(m *Machine), storageCount int) {
 	order := t.changeConfig()
 	switch {
-	case stores > 0:
-		t.forEachMachine(t.drawMachines(t.Storage, stores), step)
+	case storageCount > 0:
+		t.forEachMachine(t.drawMachines(t.Storage, storageCount), step)
 	case order.Acked() && t.machineNamed(order.Node) != nil:
 		step(t.machineNamed(order.Node))
 	}
@@ -258,7 +260,7 @@
 
 // restartAll kills every machine, or cuts the power of all, wipes the disks of some, and
 // starts all again.
-func (t *Tier) restartAll(power bool, wiped []*Machine) {
+func (t *Tier) restartAll(powerLoss bool, wiped []*Machine) {
 	list := base.Filter(t.All(), func(m *Machine) bool { return !m.removed })
 	var ends []func()
 	for _, m := range list {
@@ -266,7 +268,7 @@
 		if m.Host.frozen {
 			m.Host.Thaw()
 		}
-		t.endProcess(m, power)
+		t.endProcess(m, powerLoss)
 	}
 	for _, m := range wiped {
 		m.Disk.Wipe()
@@ -296,44 +298,44 @@
 }
 
 // activeWorkers returns the workers of a service shape that are not leaving.
-func (t *Tier) activeWorkers(shape string) []*tierWorker {
-	return base.Filter(t.workers, func(s *tierWorker) bool { return !s.Leaving() && s.Shape.Name == shape })
+func (t *Tier) activeWorkers(service string) []*tierWorker {
+	return base.Filter(t.workers, func(w *tierWorker) bool { return !w.Leaving() && w.Shape.Name == service })
 }
 
 // drainWorker stops a worker gracefully: the list shows it as draining, it serves for the
 // drain time and 1.5 s more, then it ends.
-func (t *Tier) drainWorker(s *tierWorker) {
-	clock, draining := t.CallerHost.Clock(), t.instanceEntry(s, parties.StateDraining)
-	t.instances.Change(s.ID, &draining, 0)
+func (t *Tier) drainWorker(w *tierWorker) {
+	clock, draining := t.CallerHost.Clock(), t.instanceEntry(w, parties.StateDraining)
+	t.instances.Change(w.ID, &draining, 0)
 	clock.Sleep(t.instances.Lag)
 	t.instances.Settle()
-	s.Leave()
+	w.Leave()
 	clock.Sleep(t.Site.Bounds.Drain + 1500*time.Millisecond)
-	t.instances.Change(s.ID, nil, 0)
-	s.terminate(t)
+	t.instances.Change(w.ID, nil, 0)
+	w.terminate(t)
 }
 
 // releaseWorkers replaces a share of a service's workers one after the other, as the
 // release of a new version does. Another service reuses the addresses of those that
 // have ended.
-func (t *Tier) releaseWorkers(shape string, share float64, gap time.Duration) {
-	old := t.activeWorkers(shape)
+func (t *Tier) releaseWorkers(service string, share float64, interval time.Duration) {
+	old := t.activeWorkers(service)
 	old = old[:int(share*float64(len(old))+0.5)]
-	t.runParallel(len(old), func(place int) {
-		s := old[place]
-		t.CallerHost.Clock().Sleep(time.Duration(place) * gap)
-		t.startWorker(s.Shape, s.Zone, "")
-		t.drainWorker(s)
-		t.reuseAddress(s)
+	t.runParallel(len(old), func(index int) {
+		w := old[index]
+		t.CallerHost.Clock().Sleep(time.Duration(index) * interval)
+		t.startWorker(w.Shape, w.Zone, "")
+		t.drainWorker(w)
+		t.reuseAddress(w)
 	})
 }
 
 // reuseAddress starts a worker of another service at the address of one that has ended.
-func (t *Tier) reuseAddress(s *tierWorker) {
+func (t *Tier) reuseAddress(w *tierWorker) {
 	t.CallerHost.Clock().Sleep(t.Site.Bounds.ReuseAfter)
-	for _, other := range t.Site.Services {
-		if other.Name != s.Shape.Name && t.workersByAddress[s.Address] == nil {
-			t.startWorker(other, s.Zone, s.Address)
+	for _, service := range t.Site.Services {
+		if service.Name != w.Shape.Name && t.workersByAddress[w.Address] == nil {
+			t.startWorker(service, w.Zone, w.Address)
 			return
 		}
 	}
@@ -341,26 +343,26 @@
 
 // crashWorker ends a worker at once and starts another in its place; the list shows the
 // crashed one for 4 s more.
-func (t *Tier) crashWorker(s *tierWorker) {
-	t.startWorker(s.Shape, s.Zone, "")
-	s.terminate(t)
-	t.instances.Change(s.ID, nil, 4*time.Second)
+func (t *Tier) crashWorker(w *tierWorker) {
+	t.startWorker(w.Shape, w.Zone, "")
+	w.terminate(t)
+	t.instances.Change(w.ID, nil, 4*time.Second)
 }
 
 // injectWorkerFaults makes the workers of a service, or one worker, draw faults for a
 // while.
-func (t *Tier) injectWorkerFaults(name string, share float64, span time.Duration, kinds ...parties.Fault) {
-	t.workerFaults[name] = &workerFaultRate{share, kinds}
+func (t *Tier) injectWorkerFaults(name string, probability float64, span time.Duration, kinds ...parties.Fault) {
+	t.workerFaults[name] = &workerFaultRate{probability, kinds}
 	t.CallerHost.Clock().Sleep(span)
 	delete(t.workerFaults, name)
 }
 
 // failList makes requests for the list of workers fail for a while.
 func (t *Tier) failList(span time.Duration) {
-	x := &parties.Trouble{Kind: "list_down", Machine: "list", Class: "list", From: t.World.now, To: 1 << 60}
-	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, x) })
+	trouble := &parties.Trouble{Kind: "list_down", Machine: "list", Class: "list", From: t.World.now, To: 1 << 60}
+	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, trouble) })
 	t.instances.SetDown(true)
 	t.CallerHost.Clock().Sleep(span)
 	t.instances.SetDown(false)
-	x.To = t.World.now
+	trouble.To = t.World.now
 }
--- a/internal/simulate/tier_mechanisms_test.go
+++ b/internal/simulate/tier_mechanisms_test.go
@@ -21,19 +21,19 @@
 )
 
 // interceptFeed changes the replies to the feed's followers.
-func interceptFeed(meddle func(m *Message, reply *feed.FollowReply)) func(f *Fleet) {
+func interceptFeed(modify func(m *Message, reply *feed.FollowReply)) func(f *Fleet) {
 	return interceptPath("Feed/Follow", func(m *Message) *http.Response {
 		reply, response := forwardAndDecode(m, m.Body, &feed.FollowReply{})
 		if response == nil || response.StatusCode != 200 {
 			return response
 		}
-		meddle(m, reply)
+		modify(m, reply)
 		return protoResponse(reply)
 	})
 }
 
 // interceptLedger changes the replies of the storage machines to gateways.
-func interceptLedger(f *Fleet, begin func(asked *ledger.BeginRequest, reply *ledger.BeginReply), write func(reply *ledger.WriteReply), chain func(reply *ledger.ChainReply)) {
+func interceptLedger(f *Fleet, begin func(request *ledger.BeginRequest, reply *ledger.BeginReply), write func(reply *ledger.WriteReply), chain func(reply *ledger.ChainReply)) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		pass := func(reply proto.Message, change func()) *http.Response {
 			_, response := forwardAndDecode(m, m.Body, reply)
@@ -45,10 +45,10 @@
 		}
 		switch {
 		case begin != nil && strings.HasSuffix(m.Path, "Ledger/Begin"):
-			var asked ledger.BeginRequest
-			_ = proto.Unmarshal(m.Body, &asked)
+			var request ledger.BeginRequest
+			_ = proto.Unmarshal(m.Body, &request)
 			reply := &ledger.BeginReply{}
-			return pass(reply, func() { begin(&asked, reply) })
+			return pass(reply, func() { begin(&request, reply) })
 		case write != nil && (strings.HasSuffix(m.Path, "Ledger/Finish") || strings.HasSuffix(m.Path, "Ledger/Settle")):
 			reply := &ledger.WriteReply{}
 			return pass(reply, func() { write(reply) })
@@ -93,22 +93,22 @@
 func TestDisabledTierMechanismsAreDetected(t *testing.T) {
 	rows := []struct {
 		mechanism string
-		day       string
-		take      func(t *Tier)
-		word      string
+		scenario  string
+		disable   func(t *Tier)
+		breach    string
 		shape     string // small unless set
 	}{
 		{"the fence of a Run that was succeeded", "sessions wander, edges frozen", func(t *Tier) {
-			interceptLedger(t.Fleet, func(asked *ledger.BeginRequest, reply *ledger.BeginReply) {
+			interceptLedger(t.Fleet, func(request *ledger.BeginRequest, reply *ledger.BeginReply) {
 				if reply.Ack.GetWhy() == "held" {
-					reply.Ack, reply.Holder = &ledger.Ack{Whole: true}, asked.Claim
+					reply.Ack, reply.Holder = &ledger.Ack{Whole: true}, request.Claim
 				}
 			}, nil, nil)
 		}, "BUDGET", ""},
 		{"writes on one store more than may be lost", "stores wiped in turn, owners killed", func(t *Tier) {
 			first := map[string]string{}
 			t.Net.Intercept = func(m *Message) *http.Response {
-				kept := func(program, turn string) bool {
+				isFirstStore := func(program, turn string) bool {
 					key := m.Path + " " + program + " " + turn
 					if first[key] == "" {
 						first[key] = m.To.Name
@@ -117,14 +117,14 @@
 				}
 				switch {
 				case strings.HasSuffix(m.Path, "Ledger/Begin"):
-					var asked ledger.BeginRequest
-					if _ = proto.Unmarshal(m.Body, &asked); !kept(asked.Program, asked.Turn) {
-						return protoResponse(&ledger.BeginReply{Ack: &ledger.Ack{Whole: true}, Holder: asked.Claim})
+					var request ledger.BeginRequest
+					if _ = proto.Unmarshal(m.Body, &request); !isFirstStore(request.Program, request.Turn) {
+						return protoResponse(&ledger.BeginReply{Ack: &ledger.Ack{Whole: true}, Holder: request.Claim})
 					}
 				case strings.HasSuffix(m.Path, "Ledger/Finish"):
-					var asked ledger.FinishRequest
-					if _ = proto.Unmarshal(m.Body, &asked); !kept(asked.Program, asked.Turn) {
-						return protoResponse(&ledger.WriteReply{Ack: &ledger.Ack{Whole: true}, Holder: asked.Claim})
+					var request ledger.FinishRequest
+					if _ = proto.Unmarshal(m.Body, &request); !isFirstStore(request.Program, request.Turn) {
+						return protoResponse(&ledger.WriteReply{Ack: &ledger.Ack{Whole: true}, Holder: request.Claim})
 					}
 				}
 				response, _ := m.Forward(m.Body)
@@ -132,21 +132,21 @@
 			}
 		}, "LOST", ""},
 		{"the wholeness of blank stores", "stores wiped in turn, owners killed", func(t *Tier) {
-			whole := func(ack *ledger.Ack) {
+			markWhole := func(ack *ledger.Ack) {
 				if ack.GetWhy() == "" || ack.GetWhy() == "blank" {
 					ack.Why, ack.Whole = "", true
 				}
 			}
-			interceptLedger(t.Fleet, func(asked *ledger.BeginRequest, reply *ledger.BeginReply) {
-				if whole(reply.Ack); reply.Holder == nil {
-					reply.Holder = asked.Claim
+			interceptLedger(t.Fleet, func(request *ledger.BeginRequest, reply *ledger.BeginReply) {
+				if markWhole(reply.Ack); reply.Holder == nil {
+					reply.Holder = request.Claim
 				}
-			}, func(reply *ledger.WriteReply) { whole(reply.Ack) }, func(reply *ledger.ChainReply) { whole(reply.Ack) })
+			}, func(reply *ledger.WriteReply) { markWhole(reply.Ack) }, func(reply *ledger.ChainReply) { markWhole(reply.Ack) })
 			delayCatchUp(t.Fleet)
 		}, "LOST", ""},
 		{"the reservation of tokens", "quiet", func(t *Tier) {
-			for place := range t.Site.Classes {
-				t.Site.Classes[place].Runaway = 0.3
+			for index := range t.Site.Classes {
+				t.Site.Classes[index].Runaway = 0.3
 			}
 			interceptLedger(t.Fleet, func(_ *ledger.BeginRequest, reply *ledger.BeginReply) { reply.Others = nil }, nil, nil)
 		}, "BUDGET", ""},
@@ -159,10 +159,10 @@
 		{"proof that a refused request has not run", "answer_lost at plain workers", func(t *Tier) { t.disabled.notRunProof = true }, "REFUSED", ""},
 		{"pieces pulled by place", "sessions wander, edges killed", func(t *Tier) {
 			interceptPath("line.Owner/Pull", func(m *Message) *http.Response {
-				var asked line.PullRequest
-				_ = proto.Unmarshal(m.Body, &asked)
-				asked.Place = max(asked.Place, 1) - 1
-				raw, _ := proto.Marshal(&asked)
+				var request line.PullRequest
+				_ = proto.Unmarshal(m.Body, &request)
+				request.Place = max(request.Place, 1) - 1
+				raw, _ := proto.Marshal(&request)
 				response, _ := m.Forward(raw)
 				return response
 			})(t.Fleet)
@@ -185,7 +185,7 @@
 		{"a follower's place that never falls", "config_change", func(t *Tier) {
 			// An older reply that is taken for a new one brings the older configuration back.
 			var older []byte
-			told := map[string]int{}
+			replyCount := map[string]int{}
 			interceptFeed(func(m *Message, reply *feed.FollowReply) {
 				for _, put := range reply.Puts {
 					if put.Key != route.FeedKey {
@@ -194,24 +194,24 @@
 					if older == nil {
 						older = put.Value
 					}
-					if told[m.From.Name]++; told[m.From.Name]%2 == 1 {
+					if replyCount[m.From.Name]++; replyCount[m.From.Name]%2 == 1 {
 						put.Value = older
 					}
 				}
 			})(t.Fleet)
 		}, "CONFIG", ""},
 		{"the version that a configuration builds on", "config_race", func(t *Tier) {
-			interceptChange("route.change", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
+			interceptChange("route.change", func(_ *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 				var response *http.Response
 				for range 5 {
-					var now *register.ChangeReply
+					var current *register.ChangeReply
 					var document route.Document
 					var change map[string]any
-					now, response = pass("route.read", []byte("{}"))
-					if response == nil || json.Unmarshal(now.Result, &document) != nil {
+					current, response = pass("route.read", []byte("{}"))
+					if response == nil || json.Unmarshal(current.Result, &document) != nil {
 						return response
 					}
-					_ = json.Unmarshal(asked.Args, &change)
+					_ = json.Unmarshal(request.Args, &change)
 					change["base"] = document.Version
 					if _, response = pass("route.change", base.MustMarshal(change)); response == nil || response.StatusCode == 200 {
 						break
@@ -230,18 +230,18 @@
 	for _, row := range rows {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const most = 48 // the first seed with a violation ends the search
-			for seed := uint64(1); seed <= most; seed++ {
-				outcome := FindTierScenario(row.day).RunWith(seed, TierShapes[cmp.Or(row.shape, "small")](), row.take)
+			const maxSeeds = 48 // the first seed with a violation ends the search
+			for seed := uint64(1); seed <= maxSeeds; seed++ {
+				outcome := FindTierScenario(row.scenario).RunWith(seed, TierShapes[cmp.Or(row.shape, "small")](), row.disable)
 				for _, breach := range outcome.Breaches {
-					if strings.HasPrefix(breach, row.word+":") {
-						t.Logf("without %s, %q: seed %d: %s", row.mechanism, row.day, seed, breach)
+					if strings.HasPrefix(breach, row.breach+":") {
+						t.Logf("without %s, %q: seed %d: %s", row.mechanism, row.scenario, seed, breach)
 						return
 					}
 				}
 				t.Logf("seed %d: %s", seed, fmt.Sprintf("%q", outcome.Breaches))
 			}
-			t.Errorf("none of %d seeds of %q was caught with %s", most, row.day, row.word)
+			t.Errorf("none of %d seeds of %q reported a breach of %s", maxSeeds, row.scenario, row.breach)
 		})
 	}
 }
--- a/internal/simulate/tier_operators.go
+++ b/internal/simulate/tier_operators.go
@@ -24,7 +24,7 @@
 	if c.newestAcked != nil {
 		c.addedRoutes, c.removedRoutes = nil, nil
 		for _, r := range order.Config.Routes {
-			if was := c.newestAcked.Config.Match(r.Host, r.Prefix); was == nil || was.Prefix != r.Prefix {
+			if previous := c.newestAcked.Config.Match(r.Host, r.Prefix); previous == nil || previous.Prefix != r.Prefix {
 				c.addedRoutes = append(c.addedRoutes, r)
 			}
 		}
@@ -77,9 +77,9 @@
 			drafts[1].Generation++
 		}
 		orders := make([]*parties.Order, len(drafts))
-		t.runParallel(len(drafts), func(place int) {
-			operator := t.newOperator(fmt.Sprintf("racer-%d-%d", place, drafts[place].Generation))
-			orders[place] = operator.Put(newest.Generation, drafts[place], drafts[place].Encode(), "", 30*time.Second)
+		t.runParallel(len(drafts), func(index int) {
+			operator := t.newOperator(fmt.Sprintf("racer-%d-%d", index, drafts[index].Generation))
+			orders[index] = operator.Put(newest.Generation, drafts[index], drafts[index].Encode(), "", 30*time.Second)
 		})
 		for _, order := range orders {
 			if order.Acked() {
@@ -90,31 +90,31 @@
 }
 
 // sendInvalidConfigs sends one invalid configuration of each kind.
-func (t *Tier) sendInvalidConfigs(gap time.Duration) {
+func (t *Tier) sendInvalidConfigs(interval time.Duration) {
 	for _, kind := range parties.InvalidKinds {
 		t.exclusively(func() {
 			newest := t.config.newestAcked.Config
-			config, raw, fault := t.drafts.Invalid(newest, kind)
-			if order := t.config.operator.Put(newest.Generation, config, raw, fault, 10*time.Second); order.Acked() && config != nil {
+			config, raw, reason := t.drafts.Invalid(newest, kind)
+			if order := t.config.operator.Put(newest.Generation, config, raw, reason, 10*time.Second); order.Acked() && config != nil {
 				t.config.recordAcked(order)
 			}
 		})
-		t.CallerHost.Clock().Sleep(gap)
+		t.CallerHost.Clock().Sleep(interval)
 	}
 }
 
 // runParallel runs steps in parallel and waits for all.
-func (t *Tier) runParallel(count int, step func(place int)) {
-	left := count
-	bell := base.NewNotifier(t.CallerHost.Clock())
-	for place := range count {
+func (t *Tier) runParallel(count int, step func(index int)) {
+	remaining := count
+	changed := base.NewNotifier(t.CallerHost.Clock())
+	for index := range count {
 		t.CallerHost.Go(func() {
-			step(place)
-			left--
-			bell.Notify()
+			step(index)
+			remaining--
+			changed.Notify()
 		})
 	}
-	for left > 0 {
-		bell.Next().Wait(-1)
+	for remaining > 0 {
+		changed.Next().Wait(-1)
 	}
 }
--- a/internal/simulate/tier_pipe.go
+++ b/internal/simulate/tier_pipe.go
@@ -36,7 +36,7 @@
 // receive waits for the next item until a time, or until closed returns true.
 func (p *pipe[T]) receive(until time.Duration, closed func() bool) (item T, ok bool) {
 	for {
-		news := p.changed.Next()
+		notified := p.changed.Next()
 		now := p.world.now
 		switch {
 		case closed != nil && closed():
@@ -48,9 +48,9 @@
 		case now >= until:
 			return item, false
 		case len(p.items) > 0:
-			news.Wait(min(until, p.items[0].arrivesAt) - now)
+			notified.Wait(min(until, p.items[0].arrivesAt) - now)
 		default:
-			news.Wait(until - now)
+			notified.Wait(until - now)
 		}
 	}
 }
--- a/internal/simulate/tier_random.go
+++ b/internal/simulate/tier_random.go
@@ -7,23 +7,23 @@
 )
 
 // startFault starts a fault and does not wait for its end.
-func (t *Tier) startFault(deed func(t *Tier)) {
+func (t *Tier) startFault(fault func(t *Tier)) {
 	t.runningFaults++
 	t.CallerHost.Go(func() {
-		deed(t)
+		fault(t)
 		t.runningFaults--
 	})
 }
 
 // startStorageFault is startFault for a fault that loses a storage machine. It does
 // nothing while another such fault lasts or its machine catches up.
-func (t *Tier) startStorageFault(deed func(t *Tier)) {
+func (t *Tier) startStorageFault(fault func(t *Tier)) {
 	if t.storageFaultActive {
 		return
 	}
 	t.storageFaultActive = true
 	t.startFault(func(t *Tier) {
-		deed(t)
+		fault(t)
 		t.CallerHost.Clock().Sleep(t.Site.Bounds.CatchUp)
 		t.storageFaultActive = false
 	})
--- a/internal/simulate/tier_scenario.go
+++ b/internal/simulate/tier_scenario.go
@@ -28,22 +28,22 @@
 const defaultTierLoadDuration = 12 * time.Second
 
 // Run runs the scenario with a seed.
-func (d *TierScenario) Run(seed uint64, form TierShape) *Outcome { return d.RunWith(seed, form, nil) }
+func (d *TierScenario) Run(seed uint64, shape TierShape) *Outcome { return d.RunWith(seed, shape, nil) }
 
 // RunWith is Run with a function that changes the tier before it starts.
-func (d *TierScenario) RunWith(seed uint64, form TierShape, prepare func(t *Tier)) *Outcome {
+func (d *TierScenario) RunWith(seed uint64, shape TierShape, prepare func(t *Tier)) *Outcome {
 	if d.AdjustSite != nil {
-		d.AdjustSite(form.Site)
+		d.AdjustSite(shape.Site)
 	}
-	t := NewTier(seed, form, prepare)
+	t := NewTier(seed, shape, prepare)
 	defer t.World.Close()
-	over := false
+	done := false
 	t.CallerHost.Go(func() {
 		d.execute(t)
-		over = true
+		done = true
 	})
-	out := &Outcome{Scenario: d.Name, Tier: true, Shape: form.Name, Seed: seed}
-	if !t.World.Run(4*time.Minute, func() bool { return over }) {
+	out := &Outcome{Scenario: d.Name, Tier: true, Shape: shape.Name, Seed: seed}
+	if !t.World.Run(4*time.Minute, func() bool { return done }) {
 		out.Breaches = append(out.Breaches, "FAULT: the scenario did not end within 4 minutes")
 	}
 	t.instances.Settle()
@@ -77,15 +77,15 @@
 	if !t.applyFirstConfig() {
 		return
 	}
-	span := d.LoadDuration
-	if span == 0 {
-		span = defaultTierLoadDuration
+	duration := d.LoadDuration
+	if duration == 0 {
+		duration = defaultTierLoadDuration
 	}
-	end := t.World.now + span
-	for _, deed := range d.Faults {
+	end := t.World.now + duration
+	for _, fault := range d.Faults {
 		t.runningFaults++
 		t.CallerHost.Go(func() {
-			deed(t)
+			fault(t)
 			t.runningFaults--
 		})
 	}
@@ -125,15 +125,15 @@
 // completedTurns returns the last complete turns of up to 8 programs, none older than
 // half its retention.
 func (t *Tier) completedTurns() (turns []*parties.Try) {
-	last := map[string]*parties.Try{}
+	lastByProgram := map[string]*parties.Try{}
 	record := t.recorder.Record()
 	for _, try := range record.Tries {
 		if try.Retain > 0 && try.OK() && t.World.now-try.Ended < try.Retain/2 {
-			last[try.Program] = try
+			lastByProgram[try.Program] = try
 		}
 	}
-	for _, program := range base.SortedKeys(last) {
-		if turns = append(turns, last[program]); len(turns) >= 8 {
+	for _, program := range base.SortedKeys(lastByProgram) {
+		if turns = append(turns, lastByProgram[program]); len(turns) >= 8 {
 			break
 		}
 	}
--- a/internal/simulate/tier_scenarios.go
+++ b/internal/simulate/tier_scenarios.go
@@ -8,10 +8,10 @@
 
 // delayed returns a fault that starts some seconds after the traffic, plus up to a
 // second drawn from the seed.
-func delayed(seconds float64, deed func(t *Tier)) func(t *Tier) {
+func delayed(delay float64, fault func(t *Tier)) func(t *Tier) {
 	return func(t *Tier) {
-		t.CallerHost.Clock().Sleep(time.Duration(seconds*float64(time.Second)) + t.World.Between(0, time.Second))
-		deed(t)
+		t.CallerHost.Clock().Sleep(time.Duration(delay*float64(time.Second)) + t.World.Between(0, time.Second))
+		fault(t)
 	}
 }
 
@@ -28,14 +28,14 @@
 
 // killMachines returns a fault that kills a share of a role's machines for a moment, but
 // of storage machines at most as many as may be lost.
-func killMachines(list func(t *Tier) []*Machine, share float64, power bool) func(t *Tier) {
+func killMachines(list func(t *Tier) []*Machine, share float64, powerLoss bool) func(t *Tier) {
 	return func(t *Tier) {
 		count := max(1, int(share*float64(len(list(t)))))
 		if list(t)[0].Role == "storage" {
 			count = min(count, t.TierShape.FaultTolerance)
 		}
 		t.forEachMachine(t.drawMachines(list(t), count), func(m *Machine) {
-			t.crashFor(m, "node_kill", t.World.Between(200*time.Millisecond, 2*second), power, false)
+			t.crashFor(m, "node_kill", t.World.Between(200*time.Millisecond, 2*second), powerLoss, false)
 		})
 	}
 }
@@ -71,16 +71,16 @@
 // moment, two are wiped one after the other, and one is replaced as planned work.
 func consecutiveStorageLosses(t *Tier) {
 	clock, catchUp := t.CallerHost.Clock(), t.Site.Bounds.CatchUp
-	wiped := func(count int) {
+	wipeMachines := func(count int) {
 		t.forEachMachine(t.drawMachines(t.Storage, count), func(m *Machine) { t.crashFor(m, "node_kill", shortDowntime, true, true) })
 		clock.Sleep(catchUp)
 	}
 	t.joinMachine("storage")
 	clock.Sleep(2 * second)
 	t.forEachMachine(t.drawMachines(t.Storage, 1), func(m *Machine) { t.retireStorage(m) })
-	wiped(t.TierShape.FaultTolerance)
-	wiped(1)
-	wiped(1)
+	wipeMachines(t.TierShape.FaultTolerance)
+	wipeMachines(1)
+	wipeMachines(1)
 	replaceAfterJoin(storageMachines)(t)
 	clock.Sleep(catchUp)
 }
@@ -116,19 +116,19 @@
 	}
 }
 
-func releaseWorkers(shape string) func(t *Tier) {
-	return func(t *Tier) { t.releaseWorkers(shape, 0.5, 800*time.Millisecond) }
+func releaseWorkers(service string) func(t *Tier) {
+	return func(t *Tier) { t.releaseWorkers(service, 0.5, 800*time.Millisecond) }
 }
 
-func loseAnswers(shape string, share float64) func(t *Tier) {
+func loseAnswers(service string, probability float64) func(t *Tier) {
 	return func(t *Tier) {
-		t.injectWorkerFaults(t.words.Services[shape], share, 6*second, parties.LostReset, parties.LostSilent)
+		t.injectWorkerFaults(t.words.Services[service], probability, 6*second, parties.LostReset, parties.LostSilent)
 	}
 }
 
-func loadBurst(times float64) func(t *Tier) {
+func loadBurst(factor float64) func(t *Tier) {
 	return func(t *Tier) {
-		t.loadMultiplier = times
+		t.loadMultiplier = factor
 		t.CallerHost.Clock().Sleep(3 * second)
 		t.loadMultiplier = 1
 	}
@@ -152,9 +152,9 @@
 	t.afterConfigAck(func(m *Machine) { t.crashFor(m, "after_ack_wipe", shortDowntime, true, true) }, t.TierShape.FaultTolerance)
 }
 
-func withRandomWorker(shape string, step func(t *Tier, s *tierWorker)) func(t *Tier) {
+func withRandomWorker(service string, step func(t *Tier, s *tierWorker)) func(t *Tier) {
 	return func(t *Tier) {
-		if list := t.activeWorkers(shape); len(list) > 0 {
+		if list := t.activeWorkers(service); len(list) > 0 {
 			step(t, list[t.rng.IntN(len(list))])
 		}
 	}
@@ -200,8 +200,8 @@
 			s.SetWell(true)
 		}))}},
 	{Name: "srv_flap", Faults: []func(t *Tier){delayed(1, withRandomWorker("app", func(t *Tier, s *tierWorker) {
-		for place := range 8 {
-			s.SetWell(place%2 == 1)
+		for index := range 8 {
+			s.SetWell(index%2 == 1)
 			t.CallerHost.Clock().Sleep(700 * time.Millisecond)
 		}
 	}))}},
@@ -301,9 +301,9 @@
 	}}},
 
 	{Name: "turns kept for a short time", AdjustSite: func(site *parties.Site) {
-		for place := range site.Classes {
-			if site.Classes[place].Retain > 0 {
-				site.Classes[place].Retain = 2 * second
+		for index := range site.Classes {
+			if site.Classes[index].Retain > 0 {
+				site.Classes[index].Retain = 2 * second
 			}
 		}
 	}, Faults: []func(t *Tier){delayed(3, killMachines(gatewayMachines, 0.34, false))}},
@@ -313,8 +313,8 @@
 		site.Services[0].Engine = &engine
 	}, Faults: []func(t *Tier){delayed(2, loadBurst(3))}},
 	{Name: "workers take few connections", AdjustSite: func(site *parties.Site) {
-		for place := range site.Services {
-			site.Services[place].MaxConns = 6
+		for index := range site.Services {
+			site.Services[index].MaxConns = 6
 		}
 	}, Faults: []func(t *Tier){delayed(2, loadBurst(3)), delayed(4, func(t *Tier) { t.joinMachine("edge") })}},
 	{Name: "processors short, burst", Faults: []func(t *Tier){func(t *Tier) {
@@ -366,9 +366,9 @@
 
 // FindTierScenario returns the scenario with a name, or nil.
 func FindTierScenario(name string) *TierScenario {
-	for _, one := range TierScenarios {
-		if one.Name == name {
-			return one
+	for _, scenario := range TierScenarios {
+		if scenario.Name == name {
+			return scenario
 		}
 	}
 	return nil
--- a/internal/simulate/tier_test.go
+++ b/internal/simulate/tier_test.go
@@ -17,15 +17,15 @@
 // set of seeds. Subtests are named after the shape and the scenario.
 func TestTierKeepsInvariants(t *testing.T) {
 	for _, name := range []string{"small", "roaming", "kiondo", "grown"} {
-		for _, day := range TierScenarios {
-			if name == "grown" && !grownSizeScenarios.MatchString(day.Name) {
+		for _, scenario := range TierScenarios {
+			if name == "grown" && !grownSizeScenarios.MatchString(scenario.Name) {
 				continue
 			}
-			t.Run(name+"/"+day.Name, func(t *testing.T) {
+			t.Run(name+"/"+scenario.Name, func(t *testing.T) {
 				t.Parallel()
 				count := uint64(*seedCount)
 				for seed := uint64(1); seed <= count; seed++ {
-					outcome := day.Run(seed, TierShapes[name]())
+					outcome := scenario.Run(seed, TierShapes[name]())
 					t.Logf("seed %d, %.0f s: %v", seed, outcome.VirtualS, outcome.Counts)
 					for _, breach := range outcome.Breaches {
 						t.Errorf("%s\n  %s", outcome.ReplayCommand(), breach)
@@ -39,14 +39,14 @@
 func TestTierScenariosReplayExactly(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	seen := func() (tries, arrivals string) {
-		var kept *Tier
-		FindTierScenario("mixed: storm, closing power").RunWith(3, TierShapes["small"](), func(t *Tier) { kept = t })
-		record := kept.recorder.Record()
+	run := func() (tries, arrivals string) {
+		var tier *Tier
+		FindTierScenario("mixed: storm, closing power").RunWith(3, TierShapes["small"](), func(t *Tier) { tier = t })
+		record := tier.recorder.Record()
 		return base.Digest(base.MustMarshal(record.Tries)), base.Digest(base.MustMarshal(record.Arrivals))
 	}
-	tries, arrivals := seen()
-	again, arrivedAgain := seen()
+	tries, arrivals := run()
+	again, arrivedAgain := run()
 	is.Equal(tries, again)
 	is.Equal(arrivals, arrivedAgain)
 }
--- a/internal/simulate/tier_worker_reply.go
+++ b/internal/simulate/tier_worker_reply.go
@@ -27,57 +27,57 @@
 }
 
 func (r *workerReply) nextPart(until time.Duration) (workerPart, error) {
-	one, ok := r.conn.incoming.receive(until, func() bool { return r.closed })
+	part, ok := r.conn.incoming.receive(until, func() bool { return r.closed })
 	switch {
 	case r.closed:
-		return one, errConnClosed
+		return part, errConnClosed
 	case !ok:
-		return one, errTimeout
-	case one.kind == partConnClosed:
-		return one, errConnClosed
+		return part, errTimeout
+	case part.kind == partConnClosed:
+		return part, errConnClosed
 	}
-	return one, nil
+	return part, nil
 }
 
 // readHead reads until the head of the expected response: the one whose header matches.
 // It skips up to maxForeignAnswers responses to other requests.
 func (r *workerReply) readHead(until time.Duration, match base.HeaderLine) error {
 	for {
-		one, err := r.nextPart(until)
+		part, err := r.nextPart(until)
 		if err != nil {
 			return err
 		}
-		switch one.kind {
+		switch part.kind {
 		case partHead:
-			r.head = one
+			r.head = part
 			if match.Name == "" || r.Header(match.Name) == match.Value {
 				return nil
 			}
 			if r.foreignAnswers++; r.foreignAnswers > maxForeignAnswers || r.ClosesConnection() {
 				return errors.Errorf("%d responses belong to another request", r.foreignAnswers)
 			}
-			for one.kind != partEnd {
-				if one, err = r.nextPart(until); err != nil || one.kind == partRaw {
+			for part.kind != partEnd {
+				if part, err = r.nextPart(until); err != nil || part.kind == partRaw {
 					return errors.Annotate(err, "skipping a response to another request")
 				}
 			}
 		case partRaw:
 			// Raw bytes may hold a complete response, usually to an earlier request.
-			answer, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(one.bytes)), nil)
+			answer, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(part.bytes)), nil)
 			if err != nil {
 				return errMalformed
 			}
-			whole, err := io.ReadAll(answer.Body)
+			body, err := io.ReadAll(answer.Body)
 			if err != nil {
 				return errMalformed
 			}
 			if match.Name == "" || answer.Header.Get(match.Name) == match.Value {
 				// Its id matches, so it is taken for the expected response.
-				r.head = workerPart{kind: partHead, status: answer.StatusCode, length: len(whole)}
+				r.head = workerPart{kind: partHead, status: answer.StatusCode, length: len(body)}
 				for name := range answer.Header {
 					r.head.header = append(r.head.header, [2]string{name, answer.Header.Get(name)})
 				}
-				r.conn.incoming.items = append([]inTransit[workerPart]{{item: workerPart{kind: partBytes, bytes: whole}}, {item: workerPart{kind: partEnd}}}, r.conn.incoming.items...)
+				r.conn.incoming.items = append([]inTransit[workerPart]{{item: workerPart{kind: partBytes, bytes: body}}, {item: workerPart{kind: partEnd}}}, r.conn.incoming.items...)
 				return nil
 			}
 			if r.foreignAnswers++; r.foreignAnswers > maxForeignAnswers {
@@ -120,13 +120,13 @@
 		r.conn.close()
 		return
 	}
-	span := r.transport.connectTimeout * 3 / 4
-	if told, found := strings.CutPrefix(r.Header("Keep-Alive"), "timeout="); found {
-		if seconds, err := strconv.Atoi(told); err == nil {
-			span = min(time.Duration(seconds)*time.Second*4/5, 30*r.transport.connectTimeout)
+	idleTime := r.transport.connectTimeout * 3 / 4
+	if keepAlive, found := strings.CutPrefix(r.Header("Keep-Alive"), "timeout="); found {
+		if seconds, err := strconv.Atoi(keepAlive); err == nil {
+			idleTime = min(time.Duration(seconds)*time.Second*4/5, 30*r.transport.connectTimeout)
 		}
 	}
-	r.transport.release(r.conn, span)
+	r.transport.release(r.conn, idleTime)
 }
 
 // readPiece returns the next bytes of the body, or io.EOF at the end of the response.
@@ -134,13 +134,13 @@
 	if r.endErr != nil {
 		return nil, r.endErr
 	}
-	one, err := r.nextPart(until)
+	part, err := r.nextPart(until)
 	switch {
 	case err != nil:
 		return nil, err
-	case one.kind == partBytes:
-		return one.bytes, nil
-	case one.kind == partEnd:
+	case part.kind == partBytes:
+		return part.bytes, nil
+	case part.kind == partEnd:
 		r.releaseConn()
 		return nil, io.EOF
 	}
@@ -150,12 +150,12 @@
 func (r *workerReply) ReadLine(limit time.Duration) ([]byte, error) {
 	until := r.clock.Now() + limit
 	for {
-		if place := bytes.IndexByte(r.pending, '\n'); place >= 0 {
-			line := r.pending[:place+1]
-			r.pending = r.pending[place+1:]
+		if index := bytes.IndexByte(r.pending, '\n'); index >= 0 {
+			line := r.pending[:index+1]
+			r.pending = r.pending[index+1:]
 			return line, nil
 		}
-		some, err := r.readPiece(until)
+		chunk, err := r.readPiece(until)
 		if err == io.EOF && len(r.pending) > 0 {
 			line := r.pending
 			r.pending = nil
@@ -164,15 +164,15 @@
 		if err != nil {
 			return nil, err
 		}
-		r.pending = append(r.pending, some...)
+		r.pending = append(r.pending, chunk...)
 	}
 }
 
-func (r *workerReply) ReadBody(limit time.Duration, most int) ([]byte, error) {
+func (r *workerReply) ReadBody(limit time.Duration, maxBytes int) ([]byte, error) {
 	until := r.clock.Now() + limit
 	var body []byte
 	for {
-		some, err := r.readPiece(until)
+		chunk, err := r.readPiece(until)
 		if err == io.EOF {
 			if r.head.length >= 0 && len(body) != r.head.length {
 				return nil, io.ErrUnexpectedEOF
@@ -182,8 +182,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if body = append(body, some...); len(body) > most {
-			return nil, errors.Errorf("the response body is longer than %d bytes", most)
+		if body = append(body, chunk...); len(body) > maxBytes {
+			return nil, errors.Errorf("the response body is longer than %d bytes", maxBytes)
 		}
 	}
 }
--- a/internal/simulate/tier_workers.go
+++ b/internal/simulate/tier_workers.go
@@ -25,26 +25,26 @@
 
 // atConnLimit tells whether the worker resets another connection. The limit is halved,
 // but not below the capacity, while more than half of the queue is taken.
-func (s *tierWorker) atConnLimit() bool {
-	most := s.Shape.MaxConns
-	if queued := s.Queued(); queued > s.Shape.Queue/2 {
-		most = max(s.Shape.Capacity, most/2)
+func (w *tierWorker) atConnLimit() bool {
+	limit := w.Shape.MaxConns
+	if queued := w.Queued(); queued > w.Shape.Queue/2 {
+		limit = max(w.Shape.Capacity, limit/2)
 	}
-	return most > 0 && len(s.conns) >= most
+	return limit > 0 && len(w.conns) >= limit
 }
 
 // terminate ends the worker's process and closes its connections.
-func (s *tierWorker) terminate(t *Tier) {
-	s.End()
-	s.ended = true
-	if t.workersByAddress[s.Address] == s {
-		delete(t.workersByAddress, s.Address)
+func (w *tierWorker) terminate(t *Tier) {
+	w.End()
+	w.ended = true
+	if t.workersByAddress[w.Address] == w {
+		delete(t.workersByAddress, w.Address)
 	}
-	for _, c := range t.sortedConns(s.conns) {
+	for _, c := range t.sortedConns(w.conns) {
 		c.closedSignal.Fire()
 		c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 	}
-	s.conns = map[*workerConn]bool{}
+	w.conns = map[*workerConn]bool{}
 }
 
 const (
@@ -68,20 +68,20 @@
 // stand-ins decide, it may go stale, be reset or be dropped silently, and may carry
 // responses that are late, cut, malformed or for another request.
 type workerConn struct {
-	number         int
-	tier           *Tier
-	gatewayHost    *Host
-	life           int
-	worker         *tierWorker // nil when it is reset as soon as it is used
-	addr           string
-	pool           *workerPool
-	incoming       *pipe[workerPart]
-	closedSignal   base.Signal // fires when either side has closed
-	closed         bool
-	idleDeadline   time.Duration // until when the gateway may reuse it
-	idleSince      time.Duration // when the worker sent its last response
-	servedRequests int
-	delayedBytes   []byte // sent before the next response
+	number             int
+	tier               *Tier
+	gatewayHost        *Host
+	gatewayIncarnation int
+	worker             *tierWorker // nil when it is reset as soon as it is used
+	addr               string
+	pool               *workerPool
+	incoming           *pipe[workerPart]
+	closedSignal       base.Signal // fires when either side has closed
+	closed             bool
+	idleDeadline       time.Duration // until when the gateway may reuse it
+	idleSince          time.Duration // when the worker sent its last response
+	servedRequests     int
+	delayedBytes       []byte // sent before the next response
 }
 
 func (c *workerConn) close() {
@@ -114,44 +114,44 @@
 }
 
 func (b *workerTransport) DropIdle(worker string) {
-	held := b.pools[worker]
-	if held == nil {
+	pool := b.pools[worker]
+	if pool == nil {
 		return
 	}
 	delete(b.pools, worker)
-	held.discarded = true
-	for _, c := range held.idle {
+	pool.discarded = true
+	for _, c := range pool.idle {
 		c.close()
 	}
-	held.idle = nil
+	pool.idle = nil
 }
 
 // acquire returns an idle connection on which nothing has arrived. Without one it
 // returns a nil connection and counts a new one in the pool, which the caller then
 // opens. It fails with base.ErrConnectionLimit when the pool is full.
-func (b *workerTransport) acquire(worker, addr string, most int) (*workerConn, *workerPool, error) {
+func (b *workerTransport) acquire(worker, addr string, maxConns int) (*workerConn, *workerPool, error) {
 	now := b.tier.World.now
-	held := b.pools[worker]
-	if held == nil {
-		held = &workerPool{}
-		b.pools[worker] = held
+	pool := b.pools[worker]
+	if pool == nil {
+		pool = &workerPool{}
+		b.pools[worker] = pool
 	}
-	for len(held.idle) > 0 {
-		c := held.idle[len(held.idle)-1]
-		held.idle = held.idle[:len(held.idle)-1]
+	for len(pool.idle) > 0 {
+		c := pool.idle[len(pool.idle)-1]
+		pool.idle = pool.idle[:len(pool.idle)-1]
 		if c.addr == addr && now < c.idleDeadline && !c.incoming.ready() {
-			return c, held, nil
+			return c, pool, nil
 		}
 		c.close()
 	}
-	if most > 0 && held.open >= most {
+	if maxConns > 0 && pool.open >= maxConns {
 		return nil, nil, base.ErrConnectionLimit
 	}
-	held.open++
-	return nil, held, nil
+	pool.open++
+	return nil, pool, nil
 }
 
-func (b *workerTransport) dial(ctx *base.Ctx, addr string, bound time.Duration, held *workerPool) (*workerConn, error) {
+func (b *workerTransport) dial(ctx *base.Ctx, addr string, bound time.Duration, pool *workerPool) (*workerConn, error) {
 	t := b.tier
 	if bound <= 0 || bound > b.connectTimeout {
 		bound = b.connectTimeout
@@ -173,7 +173,7 @@
 		}
 	}
 	t.lastNumber++
-	c := &workerConn{number: t.lastNumber, tier: t, gatewayHost: b.host, life: b.host.incarnation, worker: target, addr: addr, pool: held, incoming: newPipe[workerPart](b.host), closedSignal: b.host.Clock().NewSignal()}
+	c := &workerConn{number: t.lastNumber, tier: t, gatewayHost: b.host, gatewayIncarnation: b.host.incarnation, worker: target, addr: addr, pool: pool, incoming: newPipe[workerPart](b.host), closedSignal: b.host.Clock().NewSignal()}
 	t.conns[c] = true
 	target.openedConns++
 	if target.atConnLimit() {
@@ -185,13 +185,13 @@
 }
 
 func (b *workerTransport) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
-	c, held, err := b.acquire(request.Incarnation, addr, request.MaxConns)
+	c, pool, err := b.acquire(request.Incarnation, addr, request.MaxConns)
 	if err != nil {
 		return nil, &base.NotSent{Cause: err}
 	}
 	if c == nil {
-		if c, err = b.dial(ctx, addr, request.ConnectTimeout, held); err != nil {
-			held.open--
+		if c, err = b.dial(ctx, addr, request.ConnectTimeout, pool); err != nil {
+			pool.open--
 			return nil, &base.NotSent{Cause: err}
 		}
 		c.idleDeadline = b.tier.World.now + b.connectTimeout*3/4
@@ -244,7 +244,7 @@
 		}
 		header[strings.ToLower(line.Name)] = line.Value
 	}
-	asked := &parties.Asked{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), Gone: c.closedSignal,
+	served := &parties.Asked{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), Gone: c.closedSignal,
 		Header: func(name string) string { return header[strings.ToLower(name)] }}
 	t.World.spawn(s.host, s.host.incarnation, t.World.now+t.Net.delay()+c.gatewayHost.ExtraDelay, func() {
 		idle := t.World.now - c.idleSince
@@ -253,7 +253,7 @@
 			return
 		}
 		reply := &workerResponseWriter{conn: c, closeAfter: t.World.Int64N(50) == 0}
-		s.Serve(asked, reply)
+		s.Serve(served, reply)
 		c.servedRequests++
 		c.idleSince = t.World.now
 		if reply.broken || reply.closeAfter {
@@ -269,12 +269,12 @@
 	broken     bool
 }
 
-func (r *workerResponseWriter) send(one workerPart) error {
+func (r *workerResponseWriter) send(part workerPart) error {
 	c := r.conn
 	if c.closed || r.broken || c.worker.ended {
 		return errors.New("the connection is closed")
 	}
-	c.incoming.send(c.tier.Net.delay()+c.gatewayHost.ExtraDelay, one)
+	c.incoming.send(c.tier.Net.delay()+c.gatewayHost.ExtraDelay, part)
 	return nil
 }
 
@@ -298,11 +298,11 @@
 
 func (r *workerResponseWriter) End() error { return r.send(workerPart{kind: partEnd}) }
 
-func (r *workerResponseWriter) Raw(some []byte) {
-	_ = r.send(workerPart{kind: partRaw, bytes: bytes.Clone(some)})
+func (r *workerResponseWriter) Raw(data []byte) {
+	_ = r.send(workerPart{kind: partRaw, bytes: bytes.Clone(data)})
 }
 
-func (r *workerResponseWriter) Later(some []byte) { r.conn.delayedBytes = bytes.Clone(some) }
+func (r *workerResponseWriter) Later(data []byte) { r.conn.delayedBytes = bytes.Clone(data) }
 
 func (r *workerResponseWriter) Break(hard bool) { r.broken = true }
 
--- a/internal/simulate/traffic.go
+++ b/internal/simulate/traffic.go
@@ -10,9 +10,9 @@
 
 // ShapeOfSize returns the shape of a fleet with a number of nodes: four cores and one
 // more per 30 nodes, up to maxCores, as many storage machines, up to 9, and gateways.
-func ShapeOfSize(nodes, most int) Shape {
+func ShapeOfSize(nodes, maxCores int) Shape {
 	shape := KiondoShape()
-	shape.Cores = min(4+nodes/30, most)
+	shape.Cores = min(4+nodes/30, maxCores)
 	shape.Storage = min(shape.Cores, 9)
 	shape.Gateways = nodes - shape.Cores - shape.Storage
 	shape.ModelWorkers, shape.ToolWorkers = 2, 2
@@ -34,12 +34,12 @@
 func WriteIdleTraffic(out io.Writer, seed uint64, shape Shape, span time.Duration) error {
 	f := NewFleet(seed, shape)
 	defer f.World.Close()
-	begun := false
+	formed := false
 	f.CallerHost.Go(func() {
 		f.SetUp()
-		begun = true
+		formed = true
 	})
-	if !f.World.Run(5*time.Minute, func() bool { return begun }) {
+	if !f.World.Run(5*time.Minute, func() bool { return formed }) {
 		return fmt.Errorf("a fleet of %d nodes did not form within 5 minutes", len(f.All()))
 	}
 	f.World.Run(f.World.Now()+20*time.Second, nil)
@@ -53,10 +53,10 @@
 // writeTraffic writes the traffic that was counted over a span: by kind of call, and
 // by role.
 func (n *Net) writeTraffic(out io.Writer, f *Fleet, span time.Duration) {
-	share := span.Seconds() * float64(len(f.All()))
+	nodeSeconds := span.Seconds() * float64(len(f.All()))
 	for _, path := range base.SortedKeys(n.TrafficByPath) {
-		talk := n.TrafficByPath[path]
-		fmt.Fprintf(out, "  %-46s %7.3f calls %8.1f bytes per node and second, %6.0f bytes per call\n", path, float64(talk.Calls)/share, float64(talk.Bytes)/share, float64(talk.Bytes)/float64(max(1, talk.Calls)))
+		traffic := n.TrafficByPath[path]
+		fmt.Fprintf(out, "  %-46s %7.3f calls %8.1f bytes per node and second, %6.0f bytes per call\n", path, float64(traffic.Calls)/nodeSeconds, float64(traffic.Bytes)/nodeSeconds, float64(traffic.Bytes)/float64(max(1, traffic.Calls)))
 	}
 	for _, load := range []roleTraffic{n.trafficOf("gateway", f.Gateways, span), n.trafficOf("core", f.Cores, span), n.trafficOf("storage", f.Storage, span)} {
 		fmt.Fprintf(out, "  %-8s mean %7.1f calls %9.0f bytes per second; busiest (%s) %7.1f calls %9.0f bytes, %7.1f calls received\n",
@@ -68,18 +68,18 @@
 func (n *Net) trafficOf(role string, machines []*Machine, span time.Duration) roleTraffic {
 	sum := roleTraffic{role: role}
 	for _, m := range machines {
-		mine := n.TrafficByHost[m.Host.Name]
-		if mine == nil {
+		traffic := n.TrafficByHost[m.Host.Name]
+		if traffic == nil {
 			continue
 		}
-		calls := float64(mine.RequestsSent+mine.RequestsReceived) / span.Seconds()
-		bytes := float64(mine.Bytes) / span.Seconds()
+		calls := float64(traffic.RequestsSent+traffic.RequestsReceived) / span.Seconds()
+		bytes := float64(traffic.Bytes) / span.Seconds()
 		sum.meanCalls += calls / float64(len(machines))
 		sum.meanBytes += bytes / float64(len(machines))
 		if bytes > sum.maxBytes {
 			sum.busiestHost = m.Host.Name
 			sum.maxCalls, sum.maxBytes = calls, bytes
-			sum.maxServed = float64(mine.RequestsReceived) / span.Seconds()
+			sum.maxServed = float64(traffic.RequestsReceived) / span.Seconds()
 		}
 	}
 	return sum
--- a/internal/simulate/traffic_churn.go
+++ b/internal/simulate/traffic_churn.go
@@ -48,26 +48,26 @@
 // NewChurnRun forms a fleet, begins to replace its workers and lets it run for
 // churnWarmUp.
 func NewChurnRun(seed uint64, machines int) (*ChurnRun, error) {
-	c := &ChurnRun{Tier: NewTier(seed, ChurnShape(machines), limitListRate)}
+	run := &ChurnRun{Tier: NewTier(seed, ChurnShape(machines), limitListRate)}
 	formed, done := false, false
-	c.CallerHost.Go(func() {
-		formed = c.applyFirstConfig()
+	run.CallerHost.Go(func() {
+		formed = run.applyFirstConfig()
 		done = true
 	})
-	if !c.World.Run(c.World.Now()+2*time.Minute, func() bool { return done }) || !formed {
-		c.World.Close()
+	if !run.World.Run(run.World.Now()+2*time.Minute, func() bool { return done }) || !formed {
+		run.World.Close()
 		return nil, fmt.Errorf("a fleet of %d machines did not form within 2 minutes", machines)
 	}
-	c.CallerHost.Go(c.replaceWorkers)
-	c.World.Run(c.World.Now()+churnWarmUp, nil)
-	return c, nil
+	run.CallerHost.Go(run.replaceWorkers)
+	run.World.Run(run.World.Now()+churnWarmUp, nil)
+	return run, nil
 }
 
 // limitListRate makes cores read the list more slowly than the platform's rate limit.
 func limitListRate(t *Tier) {
-	start := t.Fleet.onBuilt
+	configured := t.Fleet.onBuilt
 	t.Fleet.onBuilt = func(m *Machine) {
-		start(m)
+		configured(m)
 		if m.core == nil {
 			return
 		}
@@ -83,9 +83,9 @@
 // does.
 func (c *ChurnRun) replaceWorkers() {
 	gap := churnInterval * 1000 / time.Duration(len(c.workers))
-	for place := 0; !c.stopped; place++ {
+	for index := 0; !c.stopped; index++ {
 		c.CallerHost.Clock().Sleep(gap)
-		leaving := c.workers[place]
+		leaving := c.workers[index]
 		c.CallerHost.Go(func() { c.replaceWorker(leaving) })
 	}
 }
@@ -110,23 +110,23 @@
 // it. The limit holds for the acknowledgement and again for the propagation.
 func (c *ChurnRun) ApplyChange(limit time.Duration) (AppliedChange, error) {
 	var order *parties.Order
-	began, acked := c.World.Now(), time.Duration(0)
+	startedAt, ackedAt := c.World.Now(), time.Duration(0)
 	c.CallerHost.Go(func() {
 		order = c.changeConfig()
-		acked = c.World.Now()
+		ackedAt = c.World.Now()
 	})
-	c.World.Run(began+limit, func() bool { return acked > 0 })
+	c.World.Run(startedAt+limit, func() bool { return ackedAt > 0 })
 	if order == nil || !order.Acked() {
 		return AppliedChange{}, fmt.Errorf("the configuration change was not acknowledged within %v", limit)
 	}
 	version := order.Config.Generation
 	for c.gatewaysBehind(version) > 0 {
-		if c.World.Now() > acked+limit {
+		if c.World.Now() > ackedAt+limit {
 			return AppliedChange{}, fmt.Errorf("%d gateways have not applied version %d after %v", c.gatewaysBehind(version), version, limit)
 		}
 		c.World.Run(c.World.Now()+20*time.Millisecond, nil)
 	}
-	return AppliedChange{AckTime: acked - began, PropagationTime: c.World.Now() - acked}, nil
+	return AppliedChange{AckTime: ackedAt - startedAt, PropagationTime: c.World.Now() - ackedAt}, nil
 }
 
 // gatewaysBehind counts the live gateways whose configuration is older than a version.
@@ -146,11 +146,11 @@
 	c.Net.TrafficByPath, c.Net.TrafficByHost = map[string]*PathTraffic{}, map[string]*HostTraffic{}
 	for end := c.World.Now() + span; c.World.Now() < end; {
 		next := c.World.Now() + period
-		one, err := c.ApplyChange(30 * time.Second)
+		change, err := c.ApplyChange(30 * time.Second)
 		if err != nil {
 			return changes, err
 		}
-		changes = append(changes, one)
+		changes = append(changes, change)
 		c.World.Run(next, nil)
 	}
 	return changes, nil
@@ -165,21 +165,21 @@
 // WriteChurnTraffic measures a fleet under churn and writes its traffic and how long
 // changes of the configuration took to reach all gateways.
 func WriteChurnTraffic(out io.Writer, seed uint64, machines int, span time.Duration) error {
-	c, err := NewChurnRun(seed, machines)
+	run, err := NewChurnRun(seed, machines)
 	if err != nil {
 		return err
 	}
-	defer c.World.Close()
-	began := c.World.Now()
-	changes, err := c.MeasureChanges(span, 2*time.Second)
+	defer run.World.Close()
+	startedAt := run.World.Now()
+	changes, err := run.MeasureChanges(span, 2*time.Second)
 	if err != nil {
 		return err
 	}
-	span = c.World.Now() - began
-	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %d workers under churn, %v\n", machines, len(c.Gateways), len(c.Cores), len(c.Storage), len(c.workersByAddress), span)
-	c.Net.writeTraffic(out, c.Fleet, span)
+	span = run.World.Now() - startedAt
+	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %d workers under churn, %v\n", machines, len(run.Gateways), len(run.Cores), len(run.Storage), len(run.workersByAddress), span)
+	run.Net.writeTraffic(out, run.Fleet, span)
 	slices.SortFunc(changes, func(a, b AppliedChange) int { return int(a.PropagationTime - b.PropagationTime) })
-	middle, last := changes[len(changes)/2], changes[len(changes)-1]
-	fmt.Fprintf(out, "  %d configuration changes, applied by all gateways after a median of %v and at most %v\n", len(changes), middle.PropagationTime, last.PropagationTime)
+	median, longest := changes[len(changes)/2], changes[len(changes)-1]
+	fmt.Fprintf(out, "  %d configuration changes, applied by all gateways after a median of %v and at most %v\n", len(changes), median.PropagationTime, longest.PropagationTime)
 	return nil
 }
--- a/internal/simulate/traffic_churn_test.go
+++ b/internal/simulate/traffic_churn_test.go
@@ -31,20 +31,20 @@
 	is.True(hidden > len(c.Gateways)/2)
 	const span = 10 * time.Second
 	before := c.CounterTotal("roster_changes")
-	began := c.World.Now()
+	startedAt := c.World.Now()
 	changes, err := c.MeasureChanges(span, time.Second)
 	is.NoErr(err)
-	took := c.World.Now() - began
+	took := c.World.Now() - startedAt
 	for _, change := range changes {
 		is.True(change.PropagationTime < c.Site.Bounds.Apply/4)
 	}
 	is.True(c.CounterTotal("roster_changes") > before)
-	owner := c.feedLeader()
-	asked := float64(c.Net.TrafficByHost[owner.Host.Name].RequestsReceived) / took.Seconds()
-	said := float64(c.Net.TrafficByHost[owner.Host.Name].Bytes) / took.Seconds()
-	t.Logf("%d changes in force: %v; the owner serves %.0f calls a second and says %.0f bytes", len(changes), changes, asked, said)
-	is.True(asked < 150)
-	is.True(said < maxLeaderBytesPerSecond)
+	leader := c.feedLeader()
+	callsPerSecond := float64(c.Net.TrafficByHost[leader.Host.Name].RequestsReceived) / took.Seconds()
+	bytesPerSecond := float64(c.Net.TrafficByHost[leader.Host.Name].Bytes) / took.Seconds()
+	t.Logf("%d changes applied: %v; the leader serves %.0f calls and sends and receives %.0f bytes per second", len(changes), changes, callsPerSecond, bytesPerSecond)
+	is.True(callsPerSecond < 150)
+	is.True(bytesPerSecond < maxLeaderBytesPerSecond)
 	is.True(len(c.Gateways) > 200)
 	for _, m := range c.Gateways {
 		is.Equal(m.gateway.Follower.GatewayCount(), len(c.Gateways))
@@ -76,13 +76,13 @@
 	for _, m := range c.All() {
 		c.startMachine(m)
 	}
-	began := c.World.Now()
+	startedAt := c.World.Now()
 	unready := func() int {
 		return len(base.Filter(c.Gateways, func(m *Machine) bool { return m.gateway == nil || m.gateway.RoutesReady() != nil }))
 	}
 	half := c.runUntil(30*time.Second, func() bool { return unready() < len(c.Gateways)/2 })
 	c.runUntil(30*time.Second, func() bool { return unready() == 0 })
-	all := c.World.Now() - began
+	all := c.World.Now() - startedAt
 	t.Logf("half of the gateways serve after %v, all after %v", half, all)
 	is.True(half < 2*time.Second)
 	is.True(all < 4*time.Second)
--- a/internal/simulate/traffic_test.go
+++ b/internal/simulate/traffic_test.go
@@ -30,17 +30,17 @@
 	case settingsApplied:
 		waitUntilFormed(t, f)
 	case noSettings:
-		begun := false
+		formed := false
 		f.CallerHost.Go(func() {
 			addrs := base.Map(f.Storage, func(m *Machine) string { return m.Host.Name + ":1" })
 			f.retryUntilOK("form", func() int {
 				status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
 				return status
 			})
-			begun = true
+			formed = true
 		})
-		if !f.World.Run(60*time.Second, func() bool { return begun }) {
-			t.Fatal("the cluster was not made")
+		if !f.World.Run(60*time.Second, func() bool { return formed }) {
+			t.Fatal("the cluster was not bootstrapped within 60 s")
 		}
 	}
 	f.World.Run(f.World.Now()+10*time.Second, nil)
@@ -55,13 +55,13 @@
 	defer f.World.Close()
 	const span = 60
 	f.World.Run(f.World.Now()+span*time.Second, nil)
-	share := float64(span * nodes)
+	nodeSeconds := float64(span * nodes)
 	for _, path := range base.SortedKeys(f.Net.TrafficByPath) {
-		talk := f.Net.TrafficByPath[path]
-		t.Logf("%d nodes, %s: %-45s %6.2f calls %7.0f bytes, %5.0f a call", nodes, stage, path,
-			float64(talk.Calls)/share, float64(talk.Bytes)/share, float64(talk.Bytes)/float64(talk.Calls))
-		calls += float64(talk.Calls) / share
-		bytes += float64(talk.Bytes) / share
+		traffic := f.Net.TrafficByPath[path]
+		t.Logf("%d nodes, %s: %-45s %6.2f calls %7.0f bytes, %5.0f per call", nodes, stage, path,
+			float64(traffic.Calls)/nodeSeconds, float64(traffic.Bytes)/nodeSeconds, float64(traffic.Bytes)/float64(traffic.Calls))
+		calls += float64(traffic.Calls) / nodeSeconds
+		bytes += float64(traffic.Bytes) / nodeSeconds
 	}
 	t.Logf("%d nodes, %s: %.2f calls, %.0f bytes", nodes, stage, calls, bytes)
 	return calls, bytes
@@ -71,12 +71,12 @@
 // with the size of the fleet.
 func TestIdleTrafficStaysSmall(t *testing.T) {
 	t.Parallel()
-	for _, reach := range []setupStage{noSettings, settingsApplied} {
+	for _, stage := range []setupStage{noSettings, settingsApplied} {
 		is := is.New(t)
-		calls, small := measureIdle(t, 14, reach)
+		calls, small := measureIdle(t, 14, stage)
 		is.True(small < 1300)
 		is.True(calls < 6)
-		calls, large := measureIdle(t, 78, reach)
+		calls, large := measureIdle(t, 78, stage)
 		is.True(large < 1300)
 		is.True(large < small*1.2)
 		is.True(calls < 6)
@@ -103,7 +103,7 @@
 	f.World.Run(f.World.Now()+10*time.Second, nil)
 	followers := len(f.Gateways) + len(f.Cores)
 	perSecond := float64(f.Net.TrafficByPath["/twirp/fordseam.feed.Feed/Follow"].Calls) / 10 / float64(followers)
-	t.Logf("%.1f calls a follower and second", perSecond)
+	t.Logf("%.1f calls per follower and second", perSecond)
 	is.True(perSecond > 1)
 	is.True(perSecond < 6)
 	for _, m := range f.Gateways {
@@ -125,10 +125,10 @@
 }
 
 // countSeeingAlive counts the machines outside a set whose view shows a node as alive.
-func (f *Fleet) countSeeingAlive(id string, apart map[string]bool) int {
+func (f *Fleet) countSeeingAlive(id string, excluded map[string]bool) int {
 	count := 0
 	for _, m := range f.All() {
-		if view := m.membershipView(); view != nil && m.Host.alive && !m.Host.frozen && !apart[m.Host.Name] {
+		if view := m.membershipView(); view != nil && m.Host.alive && !m.Host.frozen && !excluded[m.Host.Name] {
 			if _, alive := view.Find(id); alive {
 				count++
 			}
@@ -138,12 +138,12 @@
 }
 
 // runUntil runs the world until a condition holds and returns how long that took.
-func (f *Fleet) runUntil(limit time.Duration, holds func() bool) time.Duration {
-	began := f.World.now
-	for f.World.now < began+limit && !holds() {
+func (f *Fleet) runUntil(limit time.Duration, condition func() bool) time.Duration {
+	startedAt := f.World.now
+	for f.World.now < startedAt+limit && !condition() {
 		f.World.Run(f.World.now+20*time.Millisecond, nil)
 	}
-	return f.World.now - began
+	return f.World.now - startedAt
 }
 
 // TestSilentNodesAreDetected bounds how long it takes until no other node sees a lost node
@@ -159,29 +159,29 @@
 		{"killed", func(f *Fleet, m *Machine) map[string]bool { f.Kill(m); return nil }, func(f *Fleet, m *Machine) { f.Start(m) }},
 		{"frozen", func(f *Fleet, m *Machine) map[string]bool { m.Host.Freeze(); return nil }, func(f *Fleet, m *Machine) { m.Host.Thaw() }},
 		{"cut off", func(f *Fleet, m *Machine) map[string]bool {
-			apart := map[string]bool{m.Host.Name: true}
-			f.Net.Isolate(apart)
-			return apart
+			isolated := map[string]bool{m.Host.Name: true}
+			f.Net.Isolate(isolated)
+			return isolated
 		}, func(f *Fleet, m *Machine) { f.Net.Heal() }},
 		{"a zone cut off", func(f *Fleet, m *Machine) map[string]bool {
-			apart := map[string]bool{}
+			isolated := map[string]bool{}
 			for _, other := range f.All() {
-				apart[other.Host.Name] = other.Host.Zone == m.Host.Zone
+				isolated[other.Host.Name] = other.Host.Zone == m.Host.Zone
 			}
-			f.Net.Isolate(apart)
-			return apart
+			f.Net.Isolate(isolated)
+			return isolated
 		}, func(f *Fleet, m *Machine) { f.Net.Heal() }},
 	} {
 		for _, nodes := range []int{14, 78} {
 			is := is.NewRelaxed(t)
 			f := idleFleet(t, nodes, settingsApplied)
-			lost, back := []time.Duration{}, []time.Duration{}
+			detectionTimes, recoveryTimes := []time.Duration{}, []time.Duration{}
 			for round := 0; round < 8; round++ {
 				m := f.All()[round%len(f.All())]
 				id := m.membershipView().SelfID()
-				apart := row.lose(f, m)
-				took := f.runUntil(20*time.Second, func() bool { return f.countSeeingAlive(id, apart) == 0 })
-				lost = append(lost, took)
+				isolated := row.lose(f, m)
+				took := f.runUntil(20*time.Second, func() bool { return f.countSeeingAlive(id, isolated) == 0 })
+				detectionTimes = append(detectionTimes, took)
 				f.World.Run(f.World.now+3*time.Second, nil)
 				row.back(f, m)
 				took = f.runUntil(20*time.Second, func() bool {
@@ -190,22 +190,22 @@
 					}
 					return f.countSeeingAlive(m.membershipView().SelfID(), nil) == len(f.All())
 				})
-				back = append(back, took)
+				recoveryTimes = append(recoveryTimes, took)
 				f.World.Run(f.World.now+5*time.Second, nil)
 			}
-			mean := func(all []time.Duration) time.Duration {
+			mean := func(durations []time.Duration) time.Duration {
 				sum := time.Duration(0)
-				for _, one := range all {
-					sum += one
+				for _, d := range durations {
+					sum += d
 				}
-				return sum / time.Duration(len(all))
+				return sum / time.Duration(len(durations))
 			}
-			t.Logf("%s, %d nodes: found mean %v most %v %v, back mean %v most %v", row.name, nodes, mean(lost), slices.Max(lost), lost, mean(back), slices.Max(back))
+			t.Logf("%s, %d nodes: detected after mean %v max %v %v, seen again after mean %v max %v", row.name, nodes, mean(detectionTimes), slices.Max(detectionTimes), detectionTimes, mean(recoveryTimes), slices.Max(recoveryTimes))
 			bound := base.DefaultBounds().SuspectTimeout()
-			is.True(mean(lost) < bound*11/10)
-			is.True(slices.Max(lost) < bound*3/2)
-			is.True(mean(back) < time.Second)
-			is.True(slices.Max(back) < bound)
+			is.True(mean(detectionTimes) < bound*11/10)
+			is.True(slices.Max(detectionTimes) < bound*3/2)
+			is.True(mean(recoveryTimes) < time.Second)
+			is.True(slices.Max(recoveryTimes) < bound)
 			f.World.Close()
 		}
 	}
--- a/internal/simulate/transfer_test.go
+++ b/internal/simulate/transfer_test.go
@@ -30,16 +30,16 @@
 	sent, lost, bytes int
 }
 
-// interceptParts intercepts content that leaders send to disks in parts. fails tells
+// interceptParts intercepts content that leaders send to disks in parts. loses tells
 // whether the message is lost before it arrives, or its reply after.
-func interceptParts(f *Fleet, fails func(m *Message, part *register.InstallPartRequest) (before, after bool)) {
+func interceptParts(f *Fleet, loses func(m *Message, part *register.InstallPartRequest) (before, after bool)) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		var part register.InstallPartRequest
 		if !strings.HasSuffix(m.Path, "Disk/InstallPart") || proto.Unmarshal(m.Body, &part) != nil {
 			response, _ := m.Forward(m.Body)
 			return response
 		}
-		before, after := fails(m, &part)
+		before, after := loses(m, &part)
 		if before {
 			return nil
 		}
@@ -61,16 +61,16 @@
 	for seed := uint64(1); seed <= 3*uint64(*seedCount); seed++ {
 		is := is.New(t)
 		var filled *Machine
-		var talk partTraffic
+		var traffic partTraffic
 		killed := false
 		plan.Prepare = func(f *Fleet) {
 			interceptParts(f, func(m *Message, part *register.InstallPartRequest) (before, after bool) {
 				if filled == nil || m.To != filled.Host || len(part.Data) == 0 {
 					return false, false
 				}
-				talk.sent++
-				talk.bytes += len(part.Data)
-				if talk.sent == 4 && !killed {
+				traffic.sent++
+				traffic.bytes += len(part.Data)
+				if traffic.sent == 4 && !killed {
 					killed = true
 					f.PowerLoss(filled)
 					f.CallerHost.Go(func() {
@@ -78,11 +78,11 @@
 						f.Start(filled)
 					})
 				}
-				lost := talk.sent%3 == 0
+				lost := traffic.sent%3 == 0
 				if lost {
-					talk.lost++
+					traffic.lost++
 				}
-				return lost && talk.sent%2 == 0, lost && talk.sent%2 == 1
+				return lost && traffic.sent%2 == 0, lost && traffic.sent%2 == 1
 			})
 			f.CallerHost.Go(func() {
 				f.wipeAfterChanges(f.Storage[1])
@@ -90,12 +90,12 @@
 			})
 		}
 		report := RunChangeStream(seed, plan)
-		t.Logf("seed %d: %+v, killed %v, breaches %v", seed, talk, killed, report.Breaches)
+		t.Logf("seed %d: %+v, killed %v, breaches %v", seed, traffic, killed, report.Breaches)
 		is.Equal(len(report.Breaches), 0)
-		is.True(killed && talk.lost > 0)
+		is.True(killed && traffic.lost > 0)
 		// The transfer may restart once for each change that was made meanwhile, but not
 		// for each lost message.
-		is.True(talk.sent < 40)
+		is.True(traffic.sent < 40)
 	}
 }
 
@@ -136,12 +136,12 @@
 					if reads++; reads%9 == 3 && !down {
 						lost++
 						down = true
-						for _, one := range f.Storage {
-							if one.Host == m.To {
-								f.PowerLoss(one)
+						for _, machine := range f.Storage {
+							if machine.Host == m.To {
+								f.PowerLoss(machine)
 								f.CallerHost.Go(func() {
 									f.CallerHost.Clock().Sleep(time.Second)
-									f.Start(one)
+									f.Start(machine)
 									f.CallerHost.Clock().Sleep(4 * time.Second)
 									down = false
 								})
@@ -232,8 +232,8 @@
 	for _, row := range []struct {
 		mechanism string
 		plan      func() ChangeStreamPlan
-		take      func(f *Fleet)
-		word      string
+		disable   func(f *Fleet)
+		breach    string
 	}{
 		{"the promises of a majority", func() ChangeStreamPlan {
 			plan := newPlan(t, "2/3/4", 60)
@@ -274,18 +274,18 @@
 	} {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const most = 8
-			for seed := uint64(1); seed <= most; seed++ {
+			const maxSeeds = 8
+			for seed := uint64(1); seed <= maxSeeds; seed++ {
 				plan := row.plan()
-				plan.Prepare = row.take
+				plan.Prepare = row.disable
 				for _, breach := range RunChangeStream(seed, plan).Breaches {
-					if strings.Contains(breach, row.word) {
+					if strings.Contains(breach, row.breach) {
 						t.Logf("without %s: seed %d: %s", row.mechanism, seed, breach)
 						return
 					}
 				}
 			}
-			t.Errorf("none of %d seeds was caught with %q", most, row.word)
+			t.Errorf("none of %d seeds reported a breach with %q", maxSeeds, row.breach)
 		})
 	}
 }
--- a/internal/simulate/world.go
+++ b/internal/simulate/world.go
@@ -131,14 +131,14 @@
 
 // spawn starts a task on a host at a time. Run panics with the stack of a task that
 // panics.
-func (w *World) spawn(h *Host, life int, at time.Duration, fn func()) {
-	t := &task{host: h, incarnation: life, wake: make(chan struct{})}
+func (w *World) spawn(h *Host, incarnation int, at time.Duration, fn func()) {
+	t := &task{host: h, incarnation: incarnation, wake: make(chan struct{})}
 	w.tasks[t] = struct{}{}
 	go func() {
 		defer func() {
 			if r := recover(); r != nil && w.taskPanic == nil {
-				buffer := make([]byte, 16<<10)
-				w.taskPanic = fmt.Sprintf("%s: %v\n%s", h.Name, r, buffer[:runtime.Stack(buffer, false)])
+				stack := make([]byte, 16<<10)
+				w.taskPanic = fmt.Sprintf("%s: %v\n%s", h.Name, r, stack[:runtime.Stack(stack, false)])
 			}
 			t.ended = true
 			w.yielded <- struct{}{}
@@ -168,11 +168,11 @@
 // resume runs a task until it parks or ends.
 func (w *World) resume(t *task) {
 	t.generation++
-	former := w.current
+	previous := w.current
 	w.current = t
 	t.wake <- struct{}{}
 	<-w.yielded
-	w.current = former
+	w.current = previous
 	if t.ended {
 		delete(w.tasks, t)
 	}
@@ -235,8 +235,8 @@
 // Kill ends all tasks on the host at once and resets its open calls.
 func (h *Host) Kill() {
 	h.incarnation++
-	for _, one := range h.pendingCalls {
-		one.reset.Fire()
+	for _, call := range h.pendingCalls {
+		call.reset.Fire()
 	}
 	h.pendingCalls, h.busyUntil = nil, 0
 	h.alive, h.frozen, h.deferredEvents, h.serve = false, false, nil, nil
@@ -258,10 +258,10 @@
 // Thaw resumes the tasks of a frozen host.
 func (h *Host) Thaw() {
 	h.frozen = false
-	for _, kept := range h.deferredEvents {
-		if kept.generation == kept.task.generation {
+	for _, deferred := range h.deferredEvents {
+		if deferred.generation == deferred.task.generation {
 			h.World.eventCount++
-			heap.Push(&h.World.events, &event{at: h.World.now, order: h.World.eventCount, task: kept.task, generation: kept.generation})
+			heap.Push(&h.World.events, &event{at: h.World.now, order: h.World.eventCount, task: deferred.task, generation: deferred.generation})
 		}
 	}
 	h.deferredEvents = nil
@@ -306,9 +306,9 @@
 		return
 	}
 	s.fired = true
-	for _, one := range s.waiters {
-		if one.task.generation == one.generation && !one.task.ended {
-			s.world.push(s.world.now, one.task)
+	for _, w := range s.waiters {
+		if w.task.generation == w.generation && !w.task.ended {
+			s.world.push(s.world.now, w.task)
 		}
 	}
 	s.waiters = nil
