--- a/internal/simulate/backends.go
+++ b/internal/simulate/backends.go
@@ -15,7 +15,7 @@
 // BackendReply is the response of a stand-in worker. The worker's task fills it in
 // while the gateway reads it.
 type BackendReply struct {
-	changed        *base.Notifier // notified whenever a field changes
+	changed        *base.Notifier // notified when the worker or the reader changes a field
 	status         int
 	started        bool
 	closesConn     bool
@@ -181,7 +181,7 @@
 			return answer, nil
 		}
 		answer.NextEvent = func() (standin.Event, bool) {
-			silenceLimit := clock.Now() + 40*time.Second
+			silenceDeadline := clock.Now() + 40*time.Second
 			for {
 				next := changed.Next()
 				switch {
@@ -189,7 +189,7 @@
 					event := events[0]
 					events = events[1:]
 					return event, true
-				case ended || hostKilled() || clock.Now() > silenceLimit:
+				case ended || hostKilled() || clock.Now() > silenceDeadline:
 					return standin.Event{}, false
 				}
 				next.Wait(pollInterval)
--- a/internal/simulate/mechanisms_test.go
+++ b/internal/simulate/mechanisms_test.go
@@ -103,7 +103,7 @@
 		{"the memory of lost legs", "everything at once", "small", interceptChange("", func(m *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			reply, response := pass(request.Op, request.Args)
 			if request.Op == "session.refuse" && response != nil && len(reply.Result) > 0 {
-				return protoResponse(&register.ChangeReply{Result: []byte(`{"refused":true}`)}) // otherwise such a turn would be marked
+				return protoResponse(&register.ChangeReply{Result: []byte(`{"refused":true}`)}) // without the mechanism, such a turn is refused and not marked
 			}
 			if response == nil || !strings.Contains(string(reply.Result), `"unsure"`) {
 				return response
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -197,6 +197,7 @@
 	env.Backends = &workerTransport{tier: t, host: m.Host, connectTimeout: base.DefaultBounds().Recovery / 12, pools: map[string]*workerPool{}}
 }
 
+// machineBuilt configures a process that was built, before it starts.
 func (t *Tier) machineBuilt(m *Machine) {
 	switch {
 	case m.gateway != nil:
@@ -256,6 +257,8 @@
 	return entry
 }
 
+// drawFault draws the fault of a worker's next request from the rates of the worker and
+// its service.
 func (t *Tier) drawFault(id, service string) parties.Fault {
 	for _, name := range []string{id, service} {
 		if rate := t.workerFaults[name]; rate != nil && t.rng.Float64() < rate.probability {
--- a/internal/simulate/tier_faults.go
+++ b/internal/simulate/tier_faults.go
@@ -230,20 +230,20 @@
 }
 
 // available returns the machines of a list that are up and not stopping.
-func (t *Tier) available(list []*Machine) []*Machine {
-	return base.Filter(list, func(m *Machine) bool { return m.Host.alive && !m.Host.frozen && !m.removed && !m.stopRequested })
+func (t *Tier) available(machines []*Machine) []*Machine {
+	return base.Filter(machines, func(m *Machine) bool { return m.Host.alive && !m.Host.frozen && !m.removed && !m.stopRequested })
 }
 
 // drawMachines draws up to count available machines of a list.
-func (t *Tier) drawMachines(list []*Machine, count int) []*Machine {
-	list = t.available(list)
-	t.rng.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
-	return list[:min(count, len(list))]
+func (t *Tier) drawMachines(machines []*Machine, count int) []*Machine {
+	machines = t.available(machines)
+	t.rng.Shuffle(len(machines), func(a, b int) { machines[a], machines[b] = machines[b], machines[a] })
+	return machines[:min(count, len(machines))]
 }
 
 // forEachMachine runs a step for machines in parallel and waits for all.
-func (t *Tier) forEachMachine(list []*Machine, step func(m *Machine)) {
-	t.runParallel(len(list), func(index int) { step(list[index]) })
+func (t *Tier) forEachMachine(machines []*Machine, step func(m *Machine)) {
+	t.runParallel(len(machines), func(index int) { step(machines[index]) })
 }
 
 // afterConfigAck changes the configuration and, once that is acknowledged, runs a step
@@ -261,9 +261,9 @@
 // restartAll kills every machine, or cuts the power of all, wipes the disks of some, and
 // starts all again.
 func (t *Tier) restartAll(powerLoss bool, wiped []*Machine) {
-	list := base.Filter(t.All(), func(m *Machine) bool { return !m.removed })
+	machines := base.Filter(t.All(), func(m *Machine) bool { return !m.removed })
 	var ends []func()
-	for _, m := range list {
+	for _, m := range machines {
 		ends = append(ends, t.recordTrouble("kill_all", m, nil))
 		if m.Host.frozen {
 			m.Host.Thaw()
@@ -274,7 +274,7 @@
 		m.Disk.Wipe()
 	}
 	t.CallerHost.Clock().Sleep(t.World.Between(500*time.Millisecond, 2*time.Second))
-	for _, m := range list {
+	for _, m := range machines {
 		t.startMachine(m)
 		t.CallerHost.Clock().Sleep(t.World.Between(0, 30*time.Millisecond))
 	}
--- a/internal/simulate/tier_scenarios.go
+++ b/internal/simulate/tier_scenarios.go
@@ -8,9 +8,9 @@
 
 // delayed returns a fault that starts some seconds after the traffic, plus up to a
 // second drawn from the seed.
-func delayed(delay float64, fault func(t *Tier)) func(t *Tier) {
+func delayed(delaySeconds float64, fault func(t *Tier)) func(t *Tier) {
 	return func(t *Tier) {
-		t.CallerHost.Clock().Sleep(time.Duration(delay*float64(time.Second)) + t.World.Between(0, time.Second))
+		t.CallerHost.Clock().Sleep(time.Duration(delaySeconds*float64(time.Second)) + t.World.Between(0, time.Second))
 		fault(t)
 	}
 }
@@ -28,41 +28,41 @@
 
 // killMachines returns a fault that kills a share of a role's machines for a moment, but
 // of storage machines at most as many as may be lost.
-func killMachines(list func(t *Tier) []*Machine, share float64, powerLoss bool) func(t *Tier) {
+func killMachines(machinesOf func(t *Tier) []*Machine, fraction float64, powerLoss bool) func(t *Tier) {
 	return func(t *Tier) {
-		count := max(1, int(share*float64(len(list(t)))))
-		if list(t)[0].Role == "storage" {
+		count := max(1, int(fraction*float64(len(machinesOf(t)))))
+		if machinesOf(t)[0].Role == "storage" {
 			count = min(count, t.TierShape.FaultTolerance)
 		}
-		t.forEachMachine(t.drawMachines(list(t), count), func(m *Machine) {
+		t.forEachMachine(t.drawMachines(machinesOf(t), count), func(m *Machine) {
 			t.crashFor(m, "node_kill", t.World.Between(200*time.Millisecond, 2*second), powerLoss, false)
 		})
 	}
 }
 
-func freezeMachine(list func(t *Tier) []*Machine) func(t *Tier) {
+func freezeMachine(machinesOf func(t *Tier) []*Machine) func(t *Tier) {
 	return func(t *Tier) {
-		t.forEachMachine(t.drawMachines(list(t), 1), func(m *Machine) { t.freezeFor(m, t.World.Between(second, 4*second)) })
+		t.forEachMachine(t.drawMachines(machinesOf(t), 1), func(m *Machine) { t.freezeFor(m, t.World.Between(second, 4*second)) })
 	}
 }
 
-func slowMachine(list func(t *Tier) []*Machine) func(t *Tier) {
+func slowMachine(machinesOf func(t *Tier) []*Machine) func(t *Tier) {
 	return func(t *Tier) {
-		t.forEachMachine(t.drawMachines(list(t), 1), func(m *Machine) { t.slowFor(m, 3*second) })
+		t.forEachMachine(t.drawMachines(machinesOf(t), 1), func(m *Machine) { t.slowFor(m, 3*second) })
 	}
 }
 
-func replaceMachine(list func(t *Tier) []*Machine) func(t *Tier) {
+func replaceMachine(machinesOf func(t *Tier) []*Machine) func(t *Tier) {
 	return func(t *Tier) {
-		t.forEachMachine(t.drawMachines(list(t), 1), func(m *Machine) { t.replaceLost(m, shortDowntime) })
+		t.forEachMachine(t.drawMachines(machinesOf(t), 1), func(m *Machine) { t.replaceLost(m, shortDowntime) })
 	}
 }
 
 // replaceAfterJoin returns a fault that replaces a machine as planned work: its
 // replacement joins first.
-func replaceAfterJoin(list func(t *Tier) []*Machine) func(t *Tier) {
+func replaceAfterJoin(machinesOf func(t *Tier) []*Machine) func(t *Tier) {
 	return func(t *Tier) {
-		t.forEachMachine(t.drawMachines(list(t), 1), func(m *Machine) { t.replaceAfterJoin(m, t.World.Between(second, 4*second)) })
+		t.forEachMachine(t.drawMachines(machinesOf(t), 1), func(m *Machine) { t.replaceAfterJoin(m, t.World.Between(second, 4*second)) })
 	}
 }
 
@@ -85,13 +85,13 @@
 	clock.Sleep(catchUp)
 }
 
-func isolateMachines(list func(t *Tier) []*Machine, half bool) func(t *Tier) {
+func isolateMachines(machinesOf func(t *Tier) []*Machine, half bool) func(t *Tier) {
 	return func(t *Tier) {
 		count := 1
 		if half {
-			count = len(list(t)) / 2
+			count = len(machinesOf(t)) / 2
 		}
-		t.isolateFor(t.drawMachines(list(t), count), t.World.Between(second, 4*second))
+		t.isolateFor(t.drawMachines(machinesOf(t), count), t.World.Between(second, 4*second))
 	}
 }
 
@@ -107,9 +107,9 @@
 	})
 }
 
-func rollingRestart(list func(t *Tier) []*Machine) func(t *Tier) {
+func rollingRestart(machinesOf func(t *Tier) []*Machine) func(t *Tier) {
 	return func(t *Tier) {
-		for _, m := range t.drawMachines(list(t), 3) {
+		for _, m := range t.drawMachines(machinesOf(t), 3) {
 			t.restartGracefully(m, "roll_term", 300*time.Millisecond)
 			t.CallerHost.Clock().Sleep(second)
 		}
@@ -154,8 +154,8 @@
 
 func withRandomWorker(service string, step func(t *Tier, s *tierWorker)) func(t *Tier) {
 	return func(t *Tier) {
-		if list := t.activeWorkers(service); len(list) > 0 {
-			step(t, list[t.rng.IntN(len(list))])
+		if workers := t.activeWorkers(service); len(workers) > 0 {
+			step(t, workers[t.rng.IntN(len(workers))])
 		}
 	}
 }
--- a/internal/simulate/tier_workers.go
+++ b/internal/simulate/tier_workers.go
@@ -51,7 +51,7 @@
 	partHead = iota
 	partBytes
 	partEnd
-	partRaw
+	partRaw // bytes that may form no response, or one to another request
 	partConnClosed
 )
 
@@ -113,12 +113,12 @@
 	pools          map[string]*workerPool
 }
 
-func (b *workerTransport) DropIdle(worker string) {
-	pool := b.pools[worker]
+func (transport *workerTransport) DropIdle(worker string) {
+	pool := transport.pools[worker]
 	if pool == nil {
 		return
 	}
-	delete(b.pools, worker)
+	delete(transport.pools, worker)
 	pool.discarded = true
 	for _, c := range pool.idle {
 		c.close()
@@ -129,12 +129,12 @@
 // acquire returns an idle connection on which nothing has arrived. Without one it
 // returns a nil connection and counts a new one in the pool, which the caller then
 // opens. It fails with base.ErrConnectionLimit when the pool is full.
-func (b *workerTransport) acquire(worker, addr string, maxConns int) (*workerConn, *workerPool, error) {
-	now := b.tier.World.now
-	pool := b.pools[worker]
+func (transport *workerTransport) acquire(worker, addr string, maxConns int) (*workerConn, *workerPool, error) {
+	now := transport.tier.World.now
+	pool := transport.pools[worker]
 	if pool == nil {
 		pool = &workerPool{}
-		b.pools[worker] = pool
+		transport.pools[worker] = pool
 	}
 	for len(pool.idle) > 0 {
 		c := pool.idle[len(pool.idle)-1]
@@ -151,29 +151,31 @@
 	return nil, pool, nil
 }
 
-func (b *workerTransport) dial(ctx *base.Ctx, addr string, bound time.Duration, pool *workerPool) (*workerConn, error) {
-	t := b.tier
-	if bound <= 0 || bound > b.connectTimeout {
-		bound = b.connectTimeout
+// dial opens a connection to the worker that listens at an address. A worker at its
+// connection limit accepts the connection and resets it when it is used.
+func (transport *workerTransport) dial(ctx *base.Ctx, addr string, bound time.Duration, pool *workerPool) (*workerConn, error) {
+	t := transport.tier
+	if bound <= 0 || bound > transport.connectTimeout {
+		bound = transport.connectTimeout
 	}
-	b.host.Clock().Sleep(t.Net.delay() + t.Net.delay() + time.Millisecond)
+	transport.host.Clock().Sleep(t.Net.delay() + t.Net.delay() + time.Millisecond)
 	target := t.workersByAddress[addr]
 	if target == nil {
 		return nil, errors.Errorf("connection to %s refused", addr)
 	}
-	if t.Net.isCut(b.host.Name, target.host.Name) || t.Net.isCut(target.host.Name, b.host.Name) {
-		b.host.Clock().Sleep(min(bound, ctx.Remaining()))
+	if t.Net.isCut(transport.host.Name, target.host.Name) || t.Net.isCut(target.host.Name, transport.host.Name) {
+		transport.host.Clock().Sleep(min(bound, ctx.Remaining()))
 		return nil, errors.Errorf("no route to %s", addr)
 	}
 	if t.maxDialTime > 0 {
 		took := t.World.Between(0, t.maxDialTime)
-		b.host.Clock().Sleep(min(took, bound))
+		transport.host.Clock().Sleep(min(took, bound))
 		if took > bound || t.workersByAddress[addr] != target {
-			return nil, errors.Errorf("connecting to %s took longer than %v", addr, bound)
+			return nil, errors.Errorf("no connection to %s within %v", addr, bound)
 		}
 	}
 	t.lastNumber++
-	c := &workerConn{number: t.lastNumber, tier: t, gatewayHost: b.host, gatewayIncarnation: b.host.incarnation, worker: target, addr: addr, pool: pool, incoming: newPipe[workerPart](b.host), closedSignal: b.host.Clock().NewSignal()}
+	c := &workerConn{number: t.lastNumber, tier: t, gatewayHost: transport.host, gatewayIncarnation: transport.host.incarnation, worker: target, addr: addr, pool: pool, incoming: newPipe[workerPart](transport.host), closedSignal: transport.host.Clock().NewSignal()}
 	t.conns[c] = true
 	target.openedConns++
 	if target.atConnLimit() {
@@ -184,30 +186,30 @@
 	return c, nil
 }
 
-func (b *workerTransport) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
-	c, pool, err := b.acquire(request.Incarnation, addr, request.MaxConns)
+func (transport *workerTransport) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
+	c, pool, err := transport.acquire(request.Incarnation, addr, request.MaxConns)
 	if err != nil {
 		return nil, &base.NotSent{Cause: err}
 	}
 	if c == nil {
-		if c, err = b.dial(ctx, addr, request.ConnectTimeout, pool); err != nil {
+		if c, err = transport.dial(ctx, addr, request.ConnectTimeout, pool); err != nil {
 			pool.open--
 			return nil, &base.NotSent{Cause: err}
 		}
-		c.idleDeadline = b.tier.World.now + b.connectTimeout*3/4
+		c.idleDeadline = transport.tier.World.now + transport.connectTimeout*3/4
 	}
-	if ctx.Expired() || request.ConfirmSend != nil && !request.ConfirmSend() && !b.tier.disabled.finalListCheck {
-		b.release(c, c.idleDeadline-b.tier.World.now)
+	if ctx.Expired() || request.ConfirmSend != nil && !request.ConfirmSend() && !transport.tier.disabled.finalListCheck {
+		transport.release(c, c.idleDeadline-transport.tier.World.now)
 		return nil, &base.NotSent{Cause: base.ErrDraining}
 	}
 	c.send(request)
-	reply, match := &workerReply{transport: b, conn: c, clock: ctx.Clock}, request.EchoedHeader
-	if b.tier.disabled.answerID {
+	reply, match := &workerReply{transport: transport, conn: c, clock: ctx.Clock}, request.EchoedHeader
+	if transport.tier.disabled.answerID {
 		match = base.HeaderLine{}
 	}
 	if err := reply.readHead(ctx.Clock.Now()+ctx.Remaining(), match); err != nil {
 		c.close()
-		if b.tier.disabled.notRunProof {
+		if transport.tier.disabled.notRunProof {
 			return nil, &base.NotSent{Cause: err}
 		}
 		return nil, errors.Annotate(err, "reading the response head")
@@ -215,12 +217,13 @@
 	return reply, nil
 }
 
-func (b *workerTransport) release(c *workerConn, span time.Duration) {
+// release returns a connection to its pool, to be reused within an idle time.
+func (transport *workerTransport) release(c *workerConn, idleTime time.Duration) {
 	if c.closed {
 		return
 	}
-	c.idleDeadline = b.tier.World.now + span
-	if c.pool.discarded || span <= 0 {
+	c.idleDeadline = transport.tier.World.now + idleTime
+	if c.pool.discarded || idleTime <= 0 {
 		c.close()
 		return
 	}
@@ -229,8 +232,8 @@
 
 // send sends a request to the worker, which serves it in a task of its own.
 func (c *workerConn) send(request *base.BackendRequest) {
-	t, s := c.tier, c.worker
-	if s == nil {
+	t, w := c.tier, c.worker
+	if w == nil {
 		c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 		return
 	}
@@ -244,16 +247,16 @@
 		}
 		header[strings.ToLower(line.Name)] = line.Value
 	}
-	served := &parties.Asked{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), Gone: c.closedSignal,
+	incomingRequest := &parties.Asked{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), Gone: c.closedSignal,
 		Header: func(name string) string { return header[strings.ToLower(name)] }}
-	t.World.spawn(s.host, s.host.incarnation, t.World.now+t.Net.delay()+c.gatewayHost.ExtraDelay, func() {
+	t.World.spawn(w.host, w.host.incarnation, t.World.now+t.Net.delay()+c.gatewayHost.ExtraDelay, func() {
 		idle := t.World.now - c.idleSince
-		if s.ended || c.servedRequests > 0 && (s.silentDropAfter > 0 && idle > s.silentDropAfter || s.KeepIdle > 0 && idle > s.KeepIdle) {
+		if w.ended || c.servedRequests > 0 && (w.silentDropAfter > 0 && idle > w.silentDropAfter || w.KeepIdle > 0 && idle > w.KeepIdle) {
 			c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 			return
 		}
 		reply := &workerResponseWriter{conn: c, closeAfter: t.World.Int64N(50) == 0}
-		s.Serve(served, reply)
+		w.Serve(incomingRequest, reply)
 		c.servedRequests++
 		c.idleSince = t.World.now
 		if reply.broken || reply.closeAfter {
@@ -306,10 +309,11 @@
 
 func (r *workerResponseWriter) Break(hard bool) { r.broken = true }
 
+// maxForeignAnswers is how many responses to other requests are skipped on a connection.
 const maxForeignAnswers = 2
 
 var (
-	errConnClosed = errors.New("the worker closed the connection")
+	errConnClosed = errors.New("the connection to the worker was closed")
 	errMalformed  = errors.New("malformed response")
 	errTimeout    = errors.New("the response timed out")
 )
