--- a/internal/simulate/cluster_change_test.go
+++ b/internal/simulate/cluster_change_test.go
@@ -1,4 +1,3 @@
-// Disks replaced, added and retired under traffic; machines that come and go.
 package simulate
 
 import (
@@ -13,10 +12,10 @@
 	"github.com/matryer/is"
 )
 
-// A lost disk is replaced by an empty machine at a new address while callers
-// converse, with every kind of trouble on the way; then another disk is lost.
+// TestReplacingLostDisk replaces a lost disk by an empty machine at a new address during
+// conversations and further faults; then another disk is lost.
 func TestReplacingLostDisk(t *testing.T) {
-	troubles := map[string]func(f *Fleet){
+	faults := map[string]func(f *Fleet){
 		"in quiet":          func(*Fleet) {},
 		"a core killed":     func(f *Fleet) { f.crash(f.Cores[0], 2*time.Second, false) },
 		"all cores killed":  func(f *Fleet) { f.crash(f.Cores[0], 2*time.Second, false); f.crash(f.Cores[1], time.Second, false) },
@@ -26,11 +25,11 @@
 			f.scheduleRecovery(5*time.Second, f.Net.Heal)
 		},
 	}
-	for name, trouble := range troubles {
+	for name, injectFault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-				left := f.StartCallers(4, 12, true, func(c *standin.Caller) {
+				remaining := f.StartCallers(4, 12, true, func(c *standin.Caller) {
 					c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 				})
 				call.sleep(time.Second)
@@ -38,23 +37,23 @@
 				is.True(lost.Voting)
 				f.PowerLoss(f.Storage[0])
 				f.Storage[0].Disk.Wipe()
-				fresh := f.AddMachine("storage")
+				added := f.AddMachine("storage")
 				call.sleep(time.Second)
-				status, code := f.RequestDiskChange("admit", "address", fresh.Host.Name+":1")
+				status, code := f.RequestDiskChange("admit", "address", added.Host.Name+":1")
 				is.Equal(fmt.Sprint(status, code), "200")
 				call.sleep(300 * time.Millisecond)
-				trouble(f)
+				injectFault(f)
 				is.True(f.AwaitDiskChange(2 * time.Minute))
-				is.True(f.FindDisk(fresh.Host.Name).Voting)
+				is.True(f.FindDisk(added.Host.Name).Voting)
 				if name == "in quiet" {
-					is.True(f.CounterTotal("repairs_paced") > 0) // 32 slots were not sent at once
+					is.True(f.CounterTotal("repairs_paced") > 0) // the 32 shards are not sent all at once
 				}
 				status, code = f.RequestDiskChange("retire", "disk", lost.ID)
 				is.Equal(fmt.Sprint(status, code), "200")
 				is.True(f.AwaitDiskChange(2 * time.Minute))
 				is.Equal(len(f.StorageStatus().Disks), 3)
-				f.PowerLoss(f.Storage[1]) // the next loss, for good
-				for left() > 0 {
+				f.PowerLoss(f.Storage[1]) // the next loss, which is permanent
+				for remaining() > 0 {
 					call.sleep(time.Second)
 				}
 				is.Equal(f.Tally.Counts["conversations_whole"], 4)
@@ -63,6 +62,8 @@
 	}
 }
 
+// TestRetiringDisk: a retired disk is emptied and stays out of the cluster, also after a
+// restart.
 func TestRetiringDisk(t *testing.T) {
 	shape := SmallShape()
 	shape.Storage = 4
@@ -70,10 +71,10 @@
 		program, secret := call.createProgram(1000, nil)
 		path, key := call.openSession(0, program, secret, nil)
 		call.sendTurn(0, path, key, program, "a", "")
-		gone := f.FindDisk(f.Storage[0].Host.Name)
+		retired := f.FindDisk(f.Storage[0].Host.Name)
 		status, code := f.RequestDiskChange("retire", "disk", "none")
 		is.Equal(fmt.Sprint(status, code), "404unknown_disk")
-		status, _ = f.RequestDiskChange("retire", "disk", gone.ID)
+		status, _ = f.RequestDiskChange("retire", "disk", retired.ID)
 		is.Equal(status, 200)
 		is.True(f.AwaitDiskChange(time.Minute))
 		is.True(f.Storage[0].storage.Ready() != nil)
@@ -81,45 +82,46 @@
 		next := f.FindDisk(f.Storage[1].Host.Name)
 		status, code = f.RequestDiskChange("retire", "disk", next.ID)
 		is.Equal(fmt.Sprint(status, code), "409too_few_disks")
-		// A removed machine that returns is refused, until it is emptied.
+		// A removed machine that returns is refused until it is wiped.
 		f.Kill(f.Storage[0])
 		f.Start(f.Storage[0])
 		call.sleep(2 * time.Second)
 		is.True(f.Storage[0].storage.Ready() != nil)
 		status, code = f.RequestDiskChange("admit", "address", f.Storage[0].Host.Name+":1")
 		is.Equal(fmt.Sprint(status, code), "409disk_not_blank")
-		f.Kill(f.Storage[1]) // two of three must do
+		f.Kill(f.Storage[1]) // two of three disks suffice
 		verdict, _, _ := call.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
 
-// Duties move only as far as they must when a core or gateway comes.
+// TestNewMachinesMoveFewShards: when a core joins, at most half of the shards move, all of
+// them to the new core. A gateway that joins becomes ready and serves.
 func TestNewMachinesMoveFewShards(t *testing.T) {
 	t.Parallel()
 	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		owners := func() map[uint32]string {
-			found := map[uint32]string{}
+		findLeaders := func() map[uint32]string {
+			leaders := map[uint32]string{}
 			for _, m := range f.Cores {
-				slots, _ := m.core.RegisterServer.Status()
-				for _, num := range slots {
-					found[num] = m.Host.Name
+				shards, _ := m.core.RegisterServer.Status()
+				for _, shard := range shards {
+					leaders[shard] = m.Host.Name
 				}
 			}
-			return found
+			return leaders
 		}
 		call.sleep(5 * time.Second)
-		before := owners()
+		before := findLeaders()
 		is.Equal(len(before), 32)
-		fresh := f.AddMachine("core")
+		added := f.AddMachine("core")
 		call.sleep(8 * time.Second)
-		after := owners()
+		after := findLeaders()
 		is.Equal(len(after), 32)
 		moved := 0
-		for num, owner := range after {
-			if owner != before[num] {
+		for shard, leader := range after {
+			if leader != before[shard] {
 				moved++
-				is.Equal(owner, fresh.Host.Name) // what moved went to the newcomer
+				is.Equal(leader, added.Host.Name) // shards move only to the new core
 			}
 		}
 		is.True(moved > 0 && moved <= 16)
@@ -133,7 +135,8 @@
 	})
 }
 
-// The cluster is formed once; nothing forms it again by itself or by hand.
+// TestClusterIsBootstrappedOnce: an existing cluster cannot be bootstrapped again by an
+// operator, nor do machines bootstrap by themselves after all disks were wiped.
 func TestClusterIsBootstrappedOnce(t *testing.T) {
 	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		cluster := f.StorageStatus().Cluster
@@ -155,7 +158,7 @@
 		}
 		call.sleep(20 * time.Second)
 		for _, m := range f.Storage {
-			is.True(m.storage.Ready() != nil) // blank, and no cluster by itself
+			is.True(m.storage.Ready() != nil) // it stays blank and bootstraps no cluster
 		}
 		for _, m := range f.Gateways {
 			is.True(m.gateway.Ready() != nil)
@@ -164,7 +167,8 @@
 	})
 }
 
-// The owner is lost while its understudy is leaving: another goes on.
+// TestTakeOverWhileStandbyDrains: when the owner is lost while its standby is stopping,
+// another gateway continues the session.
 func TestTakeOverWhileStandbyDrains(t *testing.T) {
 	shape := SmallShape()
 	shape.Gateways = 4
@@ -173,9 +177,9 @@
 		path, key := call.openSession(0, program, secret, nil)
 		verdict, _, _ := call.sendTurn(2, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		understudy := call.send(2, "GET", path, key, nil).field("understudy")
+		standby := call.send(2, "GET", path, key, nil).field("understudy")
 		for _, m := range f.Gateways {
-			if strings.HasPrefix(understudy, m.Host.Name) {
+			if strings.HasPrefix(standby, m.Host.Name) {
 				f.CallerHost.Go(func() { f.Stop(m) })
 			}
 		}
@@ -184,25 +188,27 @@
 		verdict, _, _ = call.sendTurn(2, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 		after := call.send(2, "GET", path, key, nil)
-		is.True(after.field("owner") != understudy)
+		is.True(after.field("owner") != standby)
 		is.Equal(after.field("turns"), "2")
 	})
 }
 
-// All seeds but one dead: machines still find the fleet.
+// TestOneSeedIsEnough: a new machine joins the fleet when all of its seeds but one are
+// down.
 func TestOneSeedIsEnough(t *testing.T) {
 	t.Parallel()
 	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		f.Kill(f.Cores[0])
 		f.Kill(f.Cores[len(f.Cores)-1])
 		call.sleep(5 * time.Second)
-		fresh := f.AddMachine("edge")
+		added := f.AddMachine("edge")
 		call.sleep(4 * time.Second)
-		is.True(fresh.gateway.Ready() == nil)
+		is.True(added.gateway.Ready() == nil)
 	})
 }
 
-// Bad input at the operators' interface is declined by name, nothing done.
+// TestInvalidOperatorRequestsAreRejected: invalid requests to the operators' API are
+// rejected with the name of the field and change nothing.
 func TestInvalidOperatorRequestsAreRejected(t *testing.T) {
 	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 		before := f.StorageStatus()
@@ -235,16 +241,16 @@
 		}
 		for _, row := range rows {
 			status, answer := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/"+row.path, row.body)
-			var told struct {
+			var response struct {
 				Error struct {
 					Ran   string `json:"request"`
 					Field string `json:"field"`
 				} `json:"error"`
 			}
-			is.NoErr(json.Unmarshal(answer, &told))
+			is.NoErr(json.Unmarshal(answer, &response))
 			name := fmt.Sprint(row.path, row.body)
-			is.Equal(fmt.Sprint(name, status, told.Error.Field), fmt.Sprint(name, row.status, row.field))
-			is.Equal(told.Error.Ran, "not_run")
+			is.Equal(fmt.Sprint(name, status, response.Error.Field), fmt.Sprint(name, row.status, row.field))
+			is.Equal(response.Error.Ran, "not_run")
 		}
 		after := f.StorageStatus()
 		is.Equal(after.Version, before.Version)
@@ -254,13 +260,13 @@
 	})
 }
 
-// All three seed machines are replaced at new addresses, one by one, and then
-// everything falls at once. With the cluster's name in their places the
-// machines find each other by what the disks remember; without it, operators
-// start them with new seeds.
+// TestTotalOutageAfterAllSeedsReplaced replaces all three seed machines at new addresses,
+// one by one, and then restarts everything at once. If the machines are configured with
+// the cluster's id, they find each other by the addresses stored on the disks; otherwise
+// operators start them with new seeds.
 func TestTotalOutageAfterAllSeedsReplaced(t *testing.T) {
-	for _, way := range []string{"cluster named", "new seeds"} {
-		t.Run(way, func(t *testing.T) {
+	for _, variant := range []string{"cluster named", "new seeds"} {
+		t.Run(variant, func(t *testing.T) {
 			t.Parallel()
 			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 				cluster := f.StorageStatus().Cluster
@@ -269,11 +275,11 @@
 				path, key := call.openSession(0, program, secret, nil)
 				verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
 				is.Equal(verdict, "success")
-				for place := range 2 {
+				for index := range 2 {
 					f.AddMachine("core")
 					call.sleep(2 * time.Second)
-					f.Kill(f.Cores[place])
-					f.Cores[place].removed = true
+					f.Kill(f.Cores[index])
+					f.Cores[index].removed = true
 				}
 				f.Cores = f.Cores[2:]
 				lost := f.FindDisk("storage-0").ID
@@ -288,7 +294,7 @@
 				f.Kill(f.Storage[0])
 				f.Storage[0].removed = true
 				call.sleep(10 * time.Second)
-				if way == "cluster named" {
+				if variant == "cluster named" {
 					f.ClusterID = cluster
 				} else {
 					f.SeedAddrs = []string{"core-2:1", "storage-3:1", "storage-1:1"}
--- a/internal/simulate/tier_operators.go
+++ b/internal/simulate/tier_operators.go
@@ -1,5 +1,3 @@
-// The operators of the simulated tier and the changes that they send.
-
 package simulate
 
 import (
@@ -11,20 +9,22 @@
 	parties "fordseam/internal/standin/platform"
 )
 
-// tierConfig is the operators' view of the configuration.
+// tierConfig is the newest acknowledged configuration as the operators know it, and the
+// routes that it added and removed.
 type tierConfig struct {
 	operator      *parties.Operator
 	newestAcked   *parties.Order
 	addedRoutes   []parties.Route
 	removedRoutes []parties.Route
-	changing      bool // one change at a time
+	changing      bool // a change is in progress
 }
 
+// recordAcked makes an acknowledged order the newest.
 func (c *tierConfig) recordAcked(order *parties.Order) {
 	if c.newestAcked != nil {
 		c.addedRoutes, c.removedRoutes = nil, nil
 		for _, r := range order.Config.Routes {
-			if was := c.newestAcked.Config.Match(r.Host, r.Prefix); was == nil || was.Prefix != r.Prefix {
+			if previous := c.newestAcked.Config.Match(r.Host, r.Prefix); previous == nil || previous.Prefix != r.Prefix {
 				c.addedRoutes = append(c.addedRoutes, r)
 			}
 		}
@@ -44,7 +44,7 @@
 		}}
 }
 
-// alone has one change of the configuration at a time.
+// exclusively runs a step once no other change of the configuration is in progress.
 func (t *Tier) exclusively(step func()) {
 	for t.config.changing {
 		t.CallerHost.Clock().Sleep(20 * time.Millisecond)
@@ -54,7 +54,7 @@
 	t.config.changing = false
 }
 
-// change sends one valid configuration on top of the newest.
+// changeConfig sends a valid configuration that is based on the newest.
 func (t *Tier) changeConfig() (order *parties.Order) {
 	t.exclusively(func() {
 		newest := t.config.newestAcked.Config
@@ -67,7 +67,8 @@
 	return order
 }
 
-// race has two operators build on the same version at once.
+// raceConfigs has two operators send configurations that are based on the same version
+// at the same time.
 func (t *Tier) raceConfigs() {
 	t.exclusively(func() {
 		newest := t.config.newestAcked.Config
@@ -76,9 +77,9 @@
 			drafts[1].Generation++
 		}
 		orders := make([]*parties.Order, len(drafts))
-		t.runParallel(len(drafts), func(place int) {
-			operator := t.newOperator(fmt.Sprintf("racer-%d-%d", place, drafts[place].Generation))
-			orders[place] = operator.Put(newest.Generation, drafts[place], drafts[place].Encode(), "", 30*time.Second)
+		t.runParallel(len(drafts), func(index int) {
+			operator := t.newOperator(fmt.Sprintf("racer-%d-%d", index, drafts[index].Generation))
+			orders[index] = operator.Put(newest.Generation, drafts[index], drafts[index].Encode(), "", 30*time.Second)
 		})
 		for _, order := range orders {
 			if order.Acked() {
@@ -88,31 +89,32 @@
 	})
 }
 
-func (t *Tier) sendInvalidConfigs(gap time.Duration) {
+// sendInvalidConfigs sends one invalid configuration of each kind.
+func (t *Tier) sendInvalidConfigs(interval time.Duration) {
 	for _, kind := range parties.InvalidKinds {
 		t.exclusively(func() {
 			newest := t.config.newestAcked.Config
-			config, raw, fault := t.drafts.Invalid(newest, kind)
-			if order := t.config.operator.Put(newest.Generation, config, raw, fault, 10*time.Second); order.Acked() && config != nil {
+			config, raw, reason := t.drafts.Invalid(newest, kind)
+			if order := t.config.operator.Put(newest.Generation, config, raw, reason, 10*time.Second); order.Acked() && config != nil {
 				t.config.recordAcked(order)
 			}
 		})
-		t.CallerHost.Clock().Sleep(gap)
+		t.CallerHost.Clock().Sleep(interval)
 	}
 }
 
-// together runs steps at once and waits for all.
-func (t *Tier) runParallel(count int, step func(place int)) {
-	left := count
-	bell := base.NewNotifier(t.CallerHost.Clock())
-	for place := range count {
+// runParallel runs steps in parallel and waits for all.
+func (t *Tier) runParallel(count int, step func(index int)) {
+	remaining := count
+	changed := base.NewNotifier(t.CallerHost.Clock())
+	for index := range count {
 		t.CallerHost.Go(func() {
-			step(place)
-			left--
-			bell.Notify()
+			step(index)
+			remaining--
+			changed.Notify()
 		})
 	}
-	for left > 0 {
-		bell.Next().Wait(-1)
+	for remaining > 0 {
+		changed.Next().Wait(-1)
 	}
 }
--- a/internal/simulate/tier_scenario.go
+++ b/internal/simulate/tier_scenario.go
@@ -1,6 +1,3 @@
-// A day of the simulated tier: traffic, troubles, a closing fault, and the judgement
-// of what clients and operators saw.
-
 package simulate
 
 import (
@@ -11,42 +8,43 @@
 	parties "fordseam/internal/standin/platform"
 )
 
-// TierScenario is a day with its troubles, named after them.
+// TierScenario is one run of the tier: client traffic, faults, a final fault, and a
+// check of what clients and operators saw. It is named after its faults.
 type TierScenario struct {
 	Name string
-	// Fit changes the deployment that the day is played on.
+	// AdjustSite, when set, changes the deployment that the scenario runs on.
 	AdjustSite func(site *parties.Site)
-	// Deeds bring the day's troubles about while traffic goes on.
+	// Faults inject the scenario's faults while clients send traffic.
 	Faults []func(t *Tier)
-	// Rests tells that service may rest for a while: more is lost than has to be
-	// borne, though no more disks.
+	// AllowUnavailable scenarios lose more machines than the tier tolerates, though
+	// not more disks, so it may be unavailable for a while.
 	AllowUnavailable bool
-	// Closing, when set, is the fault that ends the day.
+	// FinalFault, when set, is injected once the other faults are over.
 	FinalFault func(t *Tier)
-	// Traffic is how long clients come, tierTraffic unless set.
+	// LoadDuration is how long clients send traffic; defaultTierLoadDuration unless set.
 	LoadDuration time.Duration
 }
 
 const defaultTierLoadDuration = 12 * time.Second
 
-// Run plays the day with a seed.
-func (d *TierScenario) Run(seed uint64, form TierShape) *Outcome { return d.RunWith(seed, form, nil) }
+// Run runs the scenario with a seed.
+func (d *TierScenario) Run(seed uint64, shape TierShape) *Outcome { return d.RunWith(seed, shape, nil) }
 
-// RunWith lets a test change the tier before it starts.
-func (d *TierScenario) RunWith(seed uint64, form TierShape, prepare func(t *Tier)) *Outcome {
+// RunWith is Run with a function that changes the tier before it starts.
+func (d *TierScenario) RunWith(seed uint64, shape TierShape, prepare func(t *Tier)) *Outcome {
 	if d.AdjustSite != nil {
-		d.AdjustSite(form.Site)
+		d.AdjustSite(shape.Site)
 	}
-	t := NewTier(seed, form, prepare)
+	t := NewTier(seed, shape, prepare)
 	defer t.World.Close()
-	over := false
+	done := false
 	t.CallerHost.Go(func() {
 		d.execute(t)
-		over = true
+		done = true
 	})
-	out := &Outcome{Scenario: d.Name, Tier: true, Shape: form.Name, Seed: seed}
-	if !t.World.Run(4*time.Minute, func() bool { return over }) {
-		out.Breaches = append(out.Breaches, "FAULT: the day does not end")
+	out := &Outcome{Scenario: d.Name, Tier: true, Shape: shape.Name, Seed: seed}
+	if !t.World.Run(4*time.Minute, func() bool { return done }) {
+		out.Breaches = append(out.Breaches, "FAULT: the scenario did not end within 4 minutes")
 	}
 	t.instances.Settle()
 	t.recorder.Note(func(r *parties.Record) { r.Over = t.World.now })
@@ -59,7 +57,7 @@
 	}
 	for _, m := range t.All() {
 		if m.StorageErr != nil {
-			out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: %s does not open: %v", m.Host.Name, m.StorageErr))
+			out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: the storage of %s does not open: %v", m.Host.Name, m.StorageErr))
 		}
 	}
 	if t.config.newestAcked == nil || t.entryPoint.Ready() == 0 && out.Counts["served"] == 0 {
@@ -79,15 +77,15 @@
 	if !t.applyFirstConfig() {
 		return
 	}
-	span := d.LoadDuration
-	if span == 0 {
-		span = defaultTierLoadDuration
+	duration := d.LoadDuration
+	if duration == 0 {
+		duration = defaultTierLoadDuration
 	}
-	end := t.World.now + span
-	for _, deed := range d.Faults {
+	end := t.World.now + duration
+	for _, fault := range d.Faults {
 		t.runningFaults++
 		t.CallerHost.Go(func() {
-			deed(t)
+			fault(t)
 			t.runningFaults--
 		})
 	}
@@ -100,15 +98,15 @@
 	t.config.operator.ReadBack(t.Site.Bounds.Contact, t.Site.Bounds.Contact+20*time.Second)
 }
 
-// until waits for a condition within a bound.
+// pollUntil waits until a condition holds or a limit is over.
 func (t *Tier) pollUntil(limit time.Duration, met func() bool) {
 	for end := t.World.now + limit; !met() && t.World.now < end; {
 		t.CallerHost.Clock().Sleep(20 * time.Millisecond)
 	}
 }
 
-// closing brings the fault at the end of a day about, right after a
-// configuration was acknowledged, and has programs continue from before it.
+// runFinalFault injects the final fault right after a configuration was acknowledged,
+// then continues programs from turns that ended before the fault.
 func (t *Tier) runFinalFault(fault func(t *Tier)) {
 	t.changeConfig()
 	before := t.completedTurns()
@@ -124,17 +122,18 @@
 	t.runTraffic(end)
 }
 
-// endedTurns gives some turns that were answered whole and are still kept.
+// completedTurns returns the last complete turns of up to 8 programs, none older than
+// half its retention.
 func (t *Tier) completedTurns() (turns []*parties.Try) {
-	last := map[string]*parties.Try{}
+	lastByProgram := map[string]*parties.Try{}
 	record := t.recorder.Record()
 	for _, try := range record.Tries {
 		if try.Retain > 0 && try.OK() && t.World.now-try.Ended < try.Retain/2 {
-			last[try.Program] = try
+			lastByProgram[try.Program] = try
 		}
 	}
-	for _, program := range base.SortedKeys(last) {
-		if turns = append(turns, last[program]); len(turns) >= 8 {
+	for _, program := range base.SortedKeys(lastByProgram) {
+		if turns = append(turns, lastByProgram[program]); len(turns) >= 8 {
 			break
 		}
 	}
--- a/internal/simulate/tier_workers.go
+++ b/internal/simulate/tier_workers.go
@@ -1,8 +1,3 @@
-// The platform's workers behind the simulator's back ends. A connection
-// belongs to one life of a worker at one address; it is kept, found stale,
-// reset, forgotten without a word, and carries answers that are late, cut,
-// garbled, or belong to another request, as the workers' stand-ins bring about.
-
 package simulate
 
 import (
@@ -16,48 +11,51 @@
 	"github.com/juju/errors"
 )
 
-// tierWorker is one life of a worker at its address.
+// tierWorker is one incarnation of a worker at its address.
 type tierWorker struct {
 	*parties.Worker
 	host        *Host
 	conns       map[*workerConn]bool
 	openedConns int
-	// forget, when set, drops connections idle for so long without a word.
+	// silentDropAfter, when set, is the idle time after which the worker drops a
+	// connection without telling the gateway.
 	silentDropAfter time.Duration
 	ended           bool
 }
 
-// full tells whether the worker resets one more connection.
-func (s *tierWorker) atConnLimit() bool {
-	most := s.Shape.MaxConns
-	if queued := s.Queued(); queued > s.Shape.Queue/2 {
-		most = max(s.Shape.Capacity, most/2)
+// atConnLimit tells whether the worker resets another connection. The limit is halved,
+// but not below the capacity, while more than half of the queue is taken.
+func (w *tierWorker) atConnLimit() bool {
+	limit := w.Shape.MaxConns
+	if queued := w.Queued(); queued > w.Shape.Queue/2 {
+		limit = max(w.Shape.Capacity, limit/2)
 	}
-	return most > 0 && len(s.conns) >= most
+	return limit > 0 && len(w.conns) >= limit
 }
 
-// end ends the worker's process: its connections close.
-func (s *tierWorker) terminate(t *Tier) {
-	s.End()
-	s.ended = true
-	if t.workersByAddress[s.Address] == s {
-		delete(t.workersByAddress, s.Address)
+// terminate ends the worker's process and closes its connections.
+func (w *tierWorker) terminate(t *Tier) {
+	w.End()
+	w.ended = true
+	if t.workersByAddress[w.Address] == w {
+		delete(t.workersByAddress, w.Address)
 	}
-	for _, c := range t.sortedConns(s.conns) {
+	for _, c := range t.sortedConns(w.conns) {
 		c.closedSignal.Fire()
 		c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 	}
-	s.conns = map[*workerConn]bool{}
+	w.conns = map[*workerConn]bool{}
 }
 
 const (
 	partHead = iota
 	partBytes
 	partEnd
-	partRaw
+	partRaw // bytes that may form no response, or one to another request
 	partConnClosed
 )
 
+// workerPart is a part of a worker's response on a connection, or the connection's end.
 type workerPart struct {
 	kind   int
 	status int
@@ -66,22 +64,24 @@
 	bytes  []byte
 }
 
-// workerConn is one connection from a gateway to a worker.
+// workerConn is a connection from a gateway to one incarnation of a worker. As the
+// stand-ins decide, it may go stale, be reset or be dropped silently, and may carry
+// responses that are late, cut, malformed or for another request.
 type workerConn struct {
-	number         int
-	tier           *Tier
-	gatewayHost    *Host
-	life           int
-	worker         *tierWorker // nil when it is reset as soon as it is used
-	addr           string
-	pool           *workerPool
-	incoming       *pipe[workerPart]
-	closedSignal   base.Signal // fires when the other side has closed
-	closed         bool
-	idleDeadline   time.Duration // the gateway's
-	idleSince      time.Duration // since when, for the worker
-	servedRequests int
-	delayedBytes   []byte
+	number             int
+	tier               *Tier
+	gatewayHost        *Host
+	gatewayIncarnation int
+	worker             *tierWorker // nil when it is reset as soon as it is used
+	addr               string
+	pool               *workerPool
+	incoming           *pipe[workerPart]
+	closedSignal       base.Signal // fires when either side has closed
+	closed             bool
+	idleDeadline       time.Duration // until when the gateway may reuse it
+	idleSince          time.Duration // when the worker sent its last response
+	servedRequests     int
+	delayedBytes       []byte // sent before the next response
 }
 
 func (c *workerConn) close() {
@@ -98,14 +98,14 @@
 	delete(c.tier.conns, c)
 }
 
-// workerStock is what a gateway keeps for one life of a worker.
+// workerPool holds a gateway's connections to one incarnation of a worker.
 type workerPool struct {
 	open      int
 	idle      []*workerConn
 	discarded bool
 }
 
-// workerCalls is one gateway life's way to the workers.
+// workerTransport calls workers for one incarnation of a gateway.
 type workerTransport struct {
 	tier           *Tier
 	host           *Host
@@ -113,65 +113,69 @@
 	pools          map[string]*workerPool
 }
 
-func (b *workerTransport) DropIdle(worker string) {
-	held := b.pools[worker]
-	if held == nil {
+func (transport *workerTransport) DropIdle(worker string) {
+	pool := transport.pools[worker]
+	if pool == nil {
 		return
 	}
-	delete(b.pools, worker)
-	held.discarded = true
-	for _, c := range held.idle {
+	delete(transport.pools, worker)
+	pool.discarded = true
+	for _, c := range pool.idle {
 		c.close()
 	}
-	held.idle = nil
+	pool.idle = nil
 }
 
-// take gives an idle connection that is quiet, or the right to make one.
-func (b *workerTransport) acquire(worker, addr string, most int) (*workerConn, *workerPool, error) {
-	now := b.tier.World.now
-	held := b.pools[worker]
-	if held == nil {
-		held = &workerPool{}
-		b.pools[worker] = held
+// acquire returns an idle connection on which nothing has arrived. Without one it
+// returns a nil connection and counts a new one in the pool, which the caller then
+// opens. It fails with base.ErrConnectionLimit when the pool is full.
+func (transport *workerTransport) acquire(worker, addr string, maxConns int) (*workerConn, *workerPool, error) {
+	now := transport.tier.World.now
+	pool := transport.pools[worker]
+	if pool == nil {
+		pool = &workerPool{}
+		transport.pools[worker] = pool
 	}
-	for len(held.idle) > 0 {
-		c := held.idle[len(held.idle)-1]
-		held.idle = held.idle[:len(held.idle)-1]
+	for len(pool.idle) > 0 {
+		c := pool.idle[len(pool.idle)-1]
+		pool.idle = pool.idle[:len(pool.idle)-1]
 		if c.addr == addr && now < c.idleDeadline && !c.incoming.ready() {
-			return c, held, nil
+			return c, pool, nil
 		}
 		c.close()
 	}
-	if most > 0 && held.open >= most {
+	if maxConns > 0 && pool.open >= maxConns {
 		return nil, nil, base.ErrConnectionLimit
 	}
-	held.open++
-	return nil, held, nil
+	pool.open++
+	return nil, pool, nil
 }
 
-func (b *workerTransport) dial(ctx *base.Ctx, addr string, bound time.Duration, held *workerPool) (*workerConn, error) {
-	t := b.tier
-	if bound <= 0 || bound > b.connectTimeout {
-		bound = b.connectTimeout
+// dial opens a connection to the worker that listens at an address. A worker at its
+// connection limit accepts the connection and resets it when it is used.
+func (transport *workerTransport) dial(ctx *base.Ctx, addr string, bound time.Duration, pool *workerPool) (*workerConn, error) {
+	t := transport.tier
+	if bound <= 0 || bound > transport.connectTimeout {
+		bound = transport.connectTimeout
 	}
-	b.host.Clock().Sleep(t.Net.delay() + t.Net.delay() + time.Millisecond)
+	transport.host.Clock().Sleep(t.Net.delay() + t.Net.delay() + time.Millisecond)
 	target := t.workersByAddress[addr]
 	if target == nil {
-		return nil, errors.New("connection refused")
+		return nil, errors.Errorf("connection to %s refused", addr)
 	}
-	if t.Net.isCut(b.host.Name, target.host.Name) || t.Net.isCut(target.host.Name, b.host.Name) {
-		b.host.Clock().Sleep(min(bound, ctx.Remaining()))
-		return nil, errors.New("no route")
+	if t.Net.isCut(transport.host.Name, target.host.Name) || t.Net.isCut(target.host.Name, transport.host.Name) {
+		transport.host.Clock().Sleep(min(bound, ctx.Remaining()))
+		return nil, errors.Errorf("no route to %s", addr)
 	}
 	if t.maxDialTime > 0 {
 		took := t.World.Between(0, t.maxDialTime)
-		b.host.Clock().Sleep(min(took, bound))
+		transport.host.Clock().Sleep(min(took, bound))
 		if took > bound || t.workersByAddress[addr] != target {
-			return nil, errors.New("the connection did not come up in time")
+			return nil, errors.Errorf("no connection to %s within %v", addr, bound)
 		}
 	}
 	t.lastNumber++
-	c := &workerConn{number: t.lastNumber, tier: t, gatewayHost: b.host, life: b.host.incarnation, worker: target, addr: addr, pool: held, incoming: newPipe[workerPart](b.host), closedSignal: b.host.Clock().NewSignal()}
+	c := &workerConn{number: t.lastNumber, tier: t, gatewayHost: transport.host, gatewayIncarnation: transport.host.incarnation, worker: target, addr: addr, pool: pool, incoming: newPipe[workerPart](transport.host), closedSignal: transport.host.Clock().NewSignal()}
 	t.conns[c] = true
 	target.openedConns++
 	if target.atConnLimit() {
@@ -182,53 +186,54 @@
 	return c, nil
 }
 
-func (b *workerTransport) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
-	c, held, err := b.acquire(request.Incarnation, addr, request.MaxConns)
+func (transport *workerTransport) Call(ctx *base.Ctx, addr string, request *base.BackendRequest) (base.BackendReply, error) {
+	c, pool, err := transport.acquire(request.Incarnation, addr, request.MaxConns)
 	if err != nil {
 		return nil, &base.NotSent{Cause: err}
 	}
 	if c == nil {
-		if c, err = b.dial(ctx, addr, request.ConnectTimeout, held); err != nil {
-			held.open--
+		if c, err = transport.dial(ctx, addr, request.ConnectTimeout, pool); err != nil {
+			pool.open--
 			return nil, &base.NotSent{Cause: err}
 		}
-		c.idleDeadline = b.tier.World.now + b.connectTimeout*3/4
+		c.idleDeadline = transport.tier.World.now + transport.connectTimeout*3/4
 	}
-	if ctx.Expired() || request.ConfirmSend != nil && !request.ConfirmSend() && !b.tier.disabled.finalListCheck {
-		b.release(c, c.idleDeadline-b.tier.World.now)
+	if ctx.Expired() || request.ConfirmSend != nil && !request.ConfirmSend() && !transport.tier.disabled.finalListCheck {
+		transport.release(c, c.idleDeadline-transport.tier.World.now)
 		return nil, &base.NotSent{Cause: base.ErrDraining}
 	}
 	c.send(request)
-	reply, match := &workerReply{transport: b, conn: c, clock: ctx.Clock}, request.EchoedHeader
-	if b.tier.disabled.answerID {
+	reply, match := &workerReply{transport: transport, conn: c, clock: ctx.Clock}, request.EchoedHeader
+	if transport.tier.disabled.answerID {
 		match = base.HeaderLine{}
 	}
 	if err := reply.readHead(ctx.Clock.Now()+ctx.Remaining(), match); err != nil {
 		c.close()
-		if b.tier.disabled.notRunProof {
+		if transport.tier.disabled.notRunProof {
 			return nil, &base.NotSent{Cause: err}
 		}
-		return nil, errors.Annotate(err, "awaiting the answer")
+		return nil, errors.Annotate(err, "reading the response head")
 	}
 	return reply, nil
 }
 
-func (b *workerTransport) release(c *workerConn, span time.Duration) {
+// release returns a connection to its pool, to be reused within an idle time.
+func (transport *workerTransport) release(c *workerConn, idleTime time.Duration) {
 	if c.closed {
 		return
 	}
-	c.idleDeadline = b.tier.World.now + span
-	if c.pool.discarded || span <= 0 {
+	c.idleDeadline = transport.tier.World.now + idleTime
+	if c.pool.discarded || idleTime <= 0 {
 		c.close()
 		return
 	}
 	c.pool.idle = append(c.pool.idle, c)
 }
 
-// send takes a request to the worker.
+// send sends a request to the worker, which serves it in a task of its own.
 func (c *workerConn) send(request *base.BackendRequest) {
-	t, s := c.tier, c.worker
-	if s == nil {
+	t, w := c.tier, c.worker
+	if w == nil {
 		c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 		return
 	}
@@ -242,16 +247,16 @@
 		}
 		header[strings.ToLower(line.Name)] = line.Value
 	}
-	asked := &parties.Asked{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), Gone: c.closedSignal,
+	incomingRequest := &parties.Asked{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), Gone: c.closedSignal,
 		Header: func(name string) string { return header[strings.ToLower(name)] }}
-	t.World.spawn(s.host, s.host.incarnation, t.World.now+t.Net.delay()+c.gatewayHost.ExtraDelay, func() {
+	t.World.spawn(w.host, w.host.incarnation, t.World.now+t.Net.delay()+c.gatewayHost.ExtraDelay, func() {
 		idle := t.World.now - c.idleSince
-		if s.ended || c.servedRequests > 0 && (s.silentDropAfter > 0 && idle > s.silentDropAfter || s.KeepIdle > 0 && idle > s.KeepIdle) {
+		if w.ended || c.servedRequests > 0 && (w.silentDropAfter > 0 && idle > w.silentDropAfter || w.KeepIdle > 0 && idle > w.KeepIdle) {
 			c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 			return
 		}
 		reply := &workerResponseWriter{conn: c, closeAfter: t.World.Int64N(50) == 0}
-		s.Serve(asked, reply)
+		w.Serve(incomingRequest, reply)
 		c.servedRequests++
 		c.idleSince = t.World.now
 		if reply.broken || reply.closeAfter {
@@ -260,19 +265,19 @@
 	})
 }
 
-// workerSide writes answers into a connection.
+// workerResponseWriter writes a worker's responses to a connection.
 type workerResponseWriter struct {
 	conn       *workerConn
 	closeAfter bool
 	broken     bool
 }
 
-func (r *workerResponseWriter) send(one workerPart) error {
+func (r *workerResponseWriter) send(part workerPart) error {
 	c := r.conn
 	if c.closed || r.broken || c.worker.ended {
 		return errors.New("the connection is closed")
 	}
-	c.incoming.send(c.tier.Net.delay()+c.gatewayHost.ExtraDelay, one)
+	c.incoming.send(c.tier.Net.delay()+c.gatewayHost.ExtraDelay, part)
 	return nil
 }
 
@@ -296,18 +301,19 @@
 
 func (r *workerResponseWriter) End() error { return r.send(workerPart{kind: partEnd}) }
 
-func (r *workerResponseWriter) Raw(some []byte) {
-	_ = r.send(workerPart{kind: partRaw, bytes: bytes.Clone(some)})
+func (r *workerResponseWriter) Raw(data []byte) {
+	_ = r.send(workerPart{kind: partRaw, bytes: bytes.Clone(data)})
 }
 
-func (r *workerResponseWriter) Later(some []byte) { r.conn.delayedBytes = bytes.Clone(some) }
+func (r *workerResponseWriter) Later(data []byte) { r.conn.delayedBytes = bytes.Clone(data) }
 
 func (r *workerResponseWriter) Break(hard bool) { r.broken = true }
 
+// maxForeignAnswers is how many responses to other requests are skipped on a connection.
 const maxForeignAnswers = 2
 
 var (
-	errConnClosed = errors.New("the connection was closed")
-	errMalformed  = errors.New("bytes that form no answer")
-	errTimeout    = errors.New("no answer in time")
+	errConnClosed = errors.New("the connection to the worker was closed")
+	errMalformed  = errors.New("malformed response")
+	errTimeout    = errors.New("the response timed out")
 )
--- a/internal/simulate/traffic_test.go
+++ b/internal/simulate/traffic_test.go
@@ -1,5 +1,3 @@
-// What an idle fleet says, counted on the wire by kind, and that it does not
-// grow with the fleet.
 package simulate
 
 import (
@@ -15,7 +13,7 @@
 
 func shapeOfSize(nodes int) Shape { return ShapeOfSize(nodes, 7) }
 
-// stage is how far a fleet was brought up.
+// setupStage is how far a fleet is set up.
 type setupStage string
 
 const (
@@ -24,7 +22,7 @@
 	settingsApplied setupStage = "settings applied"
 )
 
-// rested is a fleet of a size that came to rest, with nothing counted yet.
+// idleFleet returns an idle fleet of a size, with its traffic counters reset.
 func idleFleet(t *testing.T, nodes int, stage setupStage) *Fleet {
 	t.Helper()
 	f := NewFleet(1, shapeOfSize(nodes))
@@ -32,17 +30,17 @@
 	case settingsApplied:
 		waitUntilFormed(t, f)
 	case noSettings:
-		begun := false
+		formed := false
 		f.CallerHost.Go(func() {
 			addrs := base.Map(f.Storage, func(m *Machine) string { return m.Host.Name + ":1" })
 			f.retryUntilOK("form", func() int {
 				status, _ := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
 				return status
 			})
-			begun = true
+			formed = true
 		})
-		if !f.World.Run(60*time.Second, func() bool { return begun }) {
-			t.Fatal("the cluster was not made")
+		if !f.World.Run(60*time.Second, func() bool { return formed }) {
+			t.Fatal("the cluster was not bootstrapped within 60 s")
 		}
 	}
 	f.World.Run(f.World.Now()+10*time.Second, nil)
@@ -50,43 +48,43 @@
 	return f
 }
 
-// idle gives the calls and bytes a node and second while nothing happens.
+// measureIdle returns the calls and bytes per node and second of an idle fleet.
 func measureIdle(t *testing.T, nodes int, stage setupStage) (calls, bytes float64) {
 	t.Helper()
 	f := idleFleet(t, nodes, stage)
 	defer f.World.Close()
 	const span = 60
 	f.World.Run(f.World.Now()+span*time.Second, nil)
-	share := float64(span * nodes)
+	nodeSeconds := float64(span * nodes)
 	for _, path := range base.SortedKeys(f.Net.TrafficByPath) {
-		talk := f.Net.TrafficByPath[path]
-		t.Logf("%d nodes, %s: %-45s %6.2f calls %7.0f bytes, %5.0f a call", nodes, stage, path,
-			float64(talk.Calls)/share, float64(talk.Bytes)/share, float64(talk.Bytes)/float64(talk.Calls))
-		calls += float64(talk.Calls) / share
-		bytes += float64(talk.Bytes) / share
+		traffic := f.Net.TrafficByPath[path]
+		t.Logf("%d nodes, %s: %-45s %6.2f calls %7.0f bytes, %5.0f per call", nodes, stage, path,
+			float64(traffic.Calls)/nodeSeconds, float64(traffic.Bytes)/nodeSeconds, float64(traffic.Bytes)/float64(traffic.Calls))
+		calls += float64(traffic.Calls) / nodeSeconds
+		bytes += float64(traffic.Bytes) / nodeSeconds
 	}
 	t.Logf("%d nodes, %s: %.2f calls, %.0f bytes", nodes, stage, calls, bytes)
 	return calls, bytes
 }
 
-// TestIdleTalkStaysSmall bounds what an idle fleet says, and its growth with
-// the fleet.
+// TestIdleTrafficStaysSmall bounds the traffic per node of an idle fleet and its growth
+// with the size of the fleet.
 func TestIdleTrafficStaysSmall(t *testing.T) {
 	t.Parallel()
-	for _, reach := range []setupStage{noSettings, settingsApplied} {
+	for _, stage := range []setupStage{noSettings, settingsApplied} {
 		is := is.New(t)
-		calls, small := measureIdle(t, 14, reach)
+		calls, small := measureIdle(t, 14, stage)
 		is.True(small < 1300)
 		is.True(calls < 6)
-		calls, large := measureIdle(t, 78, reach)
+		calls, large := measureIdle(t, 78, stage)
 		is.True(large < 1300)
 		is.True(large < small*1.2)
 		is.True(calls < 6)
 	}
 }
 
-// TestPartialViewsStayQuiet: where views hold only part of the fleet, meeting
-// a gateway again is not passed on as news.
+// TestPartialViewsAddNoTraffic: where views hold only part of the fleet, a gateway that
+// was known before is not gossiped as new.
 func TestPartialViewsAddNoTraffic(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -95,8 +93,8 @@
 	is.True(calls < 6)
 }
 
-// TestEmptyFeedIsAPlaceLikeAnyOther: followers of a feed that tells nothing are
-// held as others are.
+// TestFollowersOfEmptyFeedAreLongPolled: requests of followers are held also while the
+// feed has no content.
 func TestFollowersOfEmptyFeedAreLongPolled(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -105,7 +103,7 @@
 	f.World.Run(f.World.Now()+10*time.Second, nil)
 	followers := len(f.Gateways) + len(f.Cores)
 	perSecond := float64(f.Net.TrafficByPath["/twirp/fordseam.feed.Feed/Follow"].Calls) / 10 / float64(followers)
-	t.Logf("%.1f calls a follower and second", perSecond)
+	t.Logf("%.1f calls per follower and second", perSecond)
 	is.True(perSecond > 1)
 	is.True(perSecond < 6)
 	for _, m := range f.Gateways {
@@ -113,7 +111,7 @@
 	}
 }
 
-// view is a machine's view in its present life.
+// membershipView returns the view of the machine's running process, nil without one.
 func (m *Machine) membershipView() *membership.View {
 	switch {
 	case m.gateway != nil:
@@ -126,11 +124,11 @@
 	return nil
 }
 
-// believers counts the machines outside a set that take one for alive.
-func (f *Fleet) countSeeingAlive(id string, apart map[string]bool) int {
+// countSeeingAlive counts the machines outside a set whose view shows a node as alive.
+func (f *Fleet) countSeeingAlive(id string, excluded map[string]bool) int {
 	count := 0
 	for _, m := range f.All() {
-		if view := m.membershipView(); view != nil && m.Host.alive && !m.Host.frozen && !apart[m.Host.Name] {
+		if view := m.membershipView(); view != nil && m.Host.alive && !m.Host.frozen && !excluded[m.Host.Name] {
 			if _, alive := view.Find(id); alive {
 				count++
 			}
@@ -139,18 +137,18 @@
 	return count
 }
 
-// runUntil tells how long it takes until something holds.
-func (f *Fleet) runUntil(limit time.Duration, holds func() bool) time.Duration {
-	began := f.World.now
-	for f.World.now < began+limit && !holds() {
+// runUntil runs the world until a condition holds and returns how long that took.
+func (f *Fleet) runUntil(limit time.Duration, condition func() bool) time.Duration {
+	startedAt := f.World.now
+	for f.World.now < startedAt+limit && !condition() {
 		f.World.Run(f.World.now+20*time.Millisecond, nil)
 	}
-	return f.World.now - began
+	return f.World.now - startedAt
 }
 
-// TestSilentNodesAreFound measures how long it takes until no other node takes
-// a lost one for alive, a fifth of the recovery bound on the mean, and until all
-// do again once it is back.
+// TestSilentNodesAreDetected bounds how long it takes until no other node sees a lost node
+// as alive, on average about a fifth of the recovery bound, and until all nodes see it
+// again once it is back.
 func TestSilentNodesAreDetected(t *testing.T) {
 	t.Parallel()
 	for _, row := range []struct {
@@ -161,29 +159,29 @@
 		{"killed", func(f *Fleet, m *Machine) map[string]bool { f.Kill(m); return nil }, func(f *Fleet, m *Machine) { f.Start(m) }},
 		{"frozen", func(f *Fleet, m *Machine) map[string]bool { m.Host.Freeze(); return nil }, func(f *Fleet, m *Machine) { m.Host.Thaw() }},
 		{"cut off", func(f *Fleet, m *Machine) map[string]bool {
-			apart := map[string]bool{m.Host.Name: true}
-			f.Net.Isolate(apart)
-			return apart
+			isolated := map[string]bool{m.Host.Name: true}
+			f.Net.Isolate(isolated)
+			return isolated
 		}, func(f *Fleet, m *Machine) { f.Net.Heal() }},
 		{"a zone cut off", func(f *Fleet, m *Machine) map[string]bool {
-			apart := map[string]bool{}
+			isolated := map[string]bool{}
 			for _, other := range f.All() {
-				apart[other.Host.Name] = other.Host.Zone == m.Host.Zone
+				isolated[other.Host.Name] = other.Host.Zone == m.Host.Zone
 			}
-			f.Net.Isolate(apart)
-			return apart
+			f.Net.Isolate(isolated)
+			return isolated
 		}, func(f *Fleet, m *Machine) { f.Net.Heal() }},
 	} {
 		for _, nodes := range []int{14, 78} {
 			is := is.NewRelaxed(t)
 			f := idleFleet(t, nodes, settingsApplied)
-			lost, back := []time.Duration{}, []time.Duration{}
+			detectionTimes, recoveryTimes := []time.Duration{}, []time.Duration{}
 			for round := 0; round < 8; round++ {
 				m := f.All()[round%len(f.All())]
 				id := m.membershipView().SelfID()
-				apart := row.lose(f, m)
-				took := f.runUntil(20*time.Second, func() bool { return f.countSeeingAlive(id, apart) == 0 })
-				lost = append(lost, took)
+				isolated := row.lose(f, m)
+				took := f.runUntil(20*time.Second, func() bool { return f.countSeeingAlive(id, isolated) == 0 })
+				detectionTimes = append(detectionTimes, took)
 				f.World.Run(f.World.now+3*time.Second, nil)
 				row.back(f, m)
 				took = f.runUntil(20*time.Second, func() bool {
@@ -192,29 +190,29 @@
 					}
 					return f.countSeeingAlive(m.membershipView().SelfID(), nil) == len(f.All())
 				})
-				back = append(back, took)
+				recoveryTimes = append(recoveryTimes, took)
 				f.World.Run(f.World.now+5*time.Second, nil)
 			}
-			mean := func(all []time.Duration) time.Duration {
+			mean := func(durations []time.Duration) time.Duration {
 				sum := time.Duration(0)
-				for _, one := range all {
-					sum += one
+				for _, d := range durations {
+					sum += d
 				}
-				return sum / time.Duration(len(all))
+				return sum / time.Duration(len(durations))
 			}
-			t.Logf("%s, %d nodes: found mean %v most %v %v, back mean %v most %v", row.name, nodes, mean(lost), slices.Max(lost), lost, mean(back), slices.Max(back))
+			t.Logf("%s, %d nodes: detected after mean %v max %v %v, seen again after mean %v max %v", row.name, nodes, mean(detectionTimes), slices.Max(detectionTimes), detectionTimes, mean(recoveryTimes), slices.Max(recoveryTimes))
 			bound := base.DefaultBounds().SuspectTimeout()
-			is.True(mean(lost) < bound*11/10)
-			is.True(slices.Max(lost) < bound*3/2)
-			is.True(mean(back) < time.Second)
-			is.True(slices.Max(back) < bound)
+			is.True(mean(detectionTimes) < bound*11/10)
+			is.True(slices.Max(detectionTimes) < bound*3/2)
+			is.True(mean(recoveryTimes) < time.Second)
+			is.True(slices.Max(recoveryTimes) < bound)
 			f.World.Close()
 		}
 	}
 }
 
-// TestSlowNodesAreNotTakenForLost: a machine that answers within half a second
-// stays in all views.
+// TestSlowNodesAreNotSuspected: a machine that answers within half a second stays in all
+// views.
 func TestSlowNodesAreNotSuspected(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -223,7 +221,7 @@
 	m := f.Gateways[2]
 	m.Host.ExtraDelay = 250 * time.Millisecond
 	id := m.membershipView().SelfID()
-	// What the slow machine makes of others is its own affair.
+	// Suspicions of the slow machine itself do not count.
 	suspected := func() int64 { return f.CounterTotal("members_suspected") - m.Counters.Snapshot()["members_suspected"] }
 	before := suspected()
 	for range 200 {
