--- a/internal/fleet/platform.go
+++ b/internal/fleet/platform.go
@@ -21,7 +21,7 @@
 
 // PlatformPlan configures a run on the simulated platform.
 type PlatformPlan struct {
-	Site *platform.Site
+	Site *platform.Deployment
 	// WorkDir is the working directory of the commands. Dir contains settings, data
 	// and logs.
 	WorkDir, Dir string
@@ -68,23 +68,23 @@
 	clock           base.Clock
 	rng             *rand.Rand
 	rngMu           sync.Mutex
-	ledger          *platform.Ledger
-	names           *platform.Words
-	drafts          *platform.Drafts
+	ledger          *platform.Recorder
+	names           *platform.Names
+	drafts          *platform.ConfigGenerator
 	instances       *platform.Instances
 	listServer      *sockets.ListServer
 	entry           *sockets.VirtualEntry
 	clients         *sockets.Clients
-	player          *platform.Player
+	player          *platform.ProgramRunner
 	ports           platformPorts
 	networkIndex    int
 	hostCount       int
 	mu              sync.Mutex
 	machines        []*machine
 	workers         []*sockets.WorkerServer
-	faults          map[string]*injectedFaults // by worker ID or service
-	workByPrefix    map[string]platform.Draw   // by route prefix
-	unexpectedExits []string                   // reported as violations of the rule FAULT
+	faults          map[string]*injectedFaults       // by worker ID or service
+	workByPrefix    map[string]platform.Distribution // by route prefix
+	unexpectedExits []string                         // reported as violations of the rule FAULT
 	done            chan struct{}
 	tasks           sync.WaitGroup // watchers of machine processes
 	programs        sync.WaitGroup // programs of clients and probes
@@ -97,16 +97,16 @@
 // events have separate random sources, which follow from the seed.
 func newPlatformRun(plan *PlatformPlan) *platformRun {
 	run := &platformRun{plan: plan, clock: base.NewRealClock(), rng: rand.New(rand.NewPCG(plan.Seed, 1)), done: make(chan struct{}),
-		faults: map[string]*injectedFaults{}, workByPrefix: map[string]platform.Draw{}, rateFactor: 1}
-	run.ledger = platform.NewLedger(plan.Site.Bounds, plan.Site.Stride(), plan.Site.Cores)
-	run.names = plan.Site.DrawWords(rand.New(rand.NewPCG(plan.Seed, 2)))
-	run.drafts = &platform.Drafts{Site: plan.Site, Words: run.names, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
+		faults: map[string]*injectedFaults{}, workByPrefix: map[string]platform.Distribution{}, rateFactor: 1}
+	run.ledger = platform.NewRecorder(plan.Site.Bounds, plan.Site.TokensPerEvent(), plan.Site.Cores)
+	run.names = plan.Site.DrawNames(rand.New(rand.NewPCG(plan.Seed, 2)))
+	run.drafts = &platform.ConfigGenerator{Deployment: plan.Site, Names: run.names, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
 	run.networkIndex = os.Getpid()*7 + int(plan.Seed%1000)
-	run.instances = &platform.Instances{Clock: run.clock, Ledger: run.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, PerS: plan.Site.ListPerS}
+	run.instances = &platform.Instances{Clock: run.clock, Recorder: run.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, CallsPerSecond: plan.Site.ListCallsPerSecond}
 	run.entry = &sockets.VirtualEntry{}
 	run.clients = &sockets.Clients{Clock: run.clock, Entry: run.entry, KeepShare: 5}
-	run.player = platform.NewPlayer(run.clock, run.clients, run.ledger, plan.Site, run.names, plan.Seed)
-	run.player.Persist = func() time.Duration { return time.Duration(run.persistUntil.Load()) }
+	run.player = platform.NewProgramRunner(run.clock, run.clients, run.ledger, plan.Site, run.names, plan.Seed)
+	run.player.RetryUntil = func() time.Duration { return time.Duration(run.persistUntil.Load()) }
 	return run
 }
 
@@ -152,7 +152,7 @@
 // addMachine adds a machine without starting its process.
 func (run *platformRun) addMachine(class, zone string, number int, initial bool) *machine {
 	m := &machine{class: class, ip: run.nextLoopbackAddr(), initial: initial}
-	m.Name, m.Role, m.Zone = platform.Place(class, zone, number), "my-"+class, zone
+	m.Name, m.Role, m.Zone = platform.MachineName(class, zone, number), "my-"+class, zone
 	if class != platform.ClassEdge {
 		m.DataDir = filepath.Join(run.plan.Dir, m.Name, "data")
 	}
@@ -197,8 +197,8 @@
 	servedRole := map[string]string{platform.ClassEdge: platform.ClassEdge, platform.ClassCore: "control", platform.ClassStorage: platform.ClassStorage}[m.class]
 	return &platform.Settings{Node: m.Name, Role: m.Role, Class: m.class, Serves: servedRole, IP: m.ip, Zone: m.Zone, Region: run.plan.Site.Region,
 		Zones: run.plan.Site.Zones, Front: run.addrOf(m, run.ports.frontPort), Readiness: run.addrOf(m, run.ports.readinessPort), Control: run.addrOf(m, run.ports.controlPort),
-		Ports: run.ports.internalPorts, Seeds: controlAddrs[:min(3, len(controlAddrs))], First: m.initial, Counted: m.class != platform.ClassEdge, DataDir: m.DataDir,
-		Tolerate: 1, Bounds: run.plan.Site.Bounds, ListAddress: run.listServer.Address, ListPerS: run.plan.Site.ListPerS}
+		Ports: run.ports.internalPorts, Seeds: controlAddrs[:min(3, len(controlAddrs))], Bootstrap: m.initial, LossCounted: m.class != platform.ClassEdge, DataDir: m.DataDir,
+		FaultTolerance: 1, Bounds: run.plan.Site.Bounds, ListAddress: run.listServer.Address, ListCallsPerSecond: run.plan.Site.ListCallsPerSecond}
 }
 
 func (run *platformRun) settingsPath(m *machine) string {
@@ -259,7 +259,7 @@
 	}
 	m.initial, m.exitExpected = false, false
 	startedAt := run.clock.Now()
-	run.ledger.Note(func(r *platform.Record) {
+	run.ledger.Update(func(r *platform.Record) {
 		r.Starts = append(r.Starts, platform.Start{Machine: m.Name, Class: m.class, At: startedAt})
 	})
 	exited := m.exited
@@ -317,10 +317,10 @@
 	if configure != nil {
 		configure(trouble)
 	}
-	run.ledger.Note(func(r *platform.Record) { r.Troubles = append(r.Troubles, trouble) })
+	run.ledger.Update(func(r *platform.Record) { r.Troubles = append(r.Troubles, trouble) })
 	return func() {
 		endedAt := run.clock.Now()
-		run.ledger.Note(func(*platform.Record) { trouble.To = endedAt })
+		run.ledger.Update(func(*platform.Record) { trouble.To = endedAt })
 	}
 }
 
@@ -352,32 +352,32 @@
 			return err
 		}
 	}
-	var nodes []*platform.EntryNode
+	var nodes []*platform.EdgeNode
 	for _, m := range run.machinesOf(platform.ClassEdge) {
 		nodes = append(nodes, run.newEntryNode(m))
 	}
 	run.entry.Open(nodes)
 	run.config.operator = run.newOperator("first")
-	config := run.drafts.First()
-	order := run.config.operator.Put(0, config, config.Encode(), "", run.plan.SetUpTimeout)
+	config := run.drafts.Initial()
+	order := run.config.operator.PutConfig(0, config, config.Encode(), "", run.plan.SetUpTimeout)
 	if !order.Acked() {
 		return errors.Errorf("the first configuration was not acknowledged within %v: status %d", run.plan.SetUpTimeout, order.Status)
 	}
 	run.config.setLatest(order)
-	if !run.waitUntil(run.plan.SetUpTimeout, func() bool { return run.entry.Ready() == len(nodes) }) {
-		return errors.Errorf("only %d of %d nodes are ready after %v", run.entry.Ready(), len(nodes), run.plan.SetUpTimeout)
+	if !run.waitUntil(run.plan.SetUpTimeout, func() bool { return run.entry.CountReady() == len(nodes) }) {
+		return errors.Errorf("only %d of %d nodes are ready after %v", run.entry.CountReady(), len(nodes), run.plan.SetUpTimeout)
 	}
 	return nil
 }
 
-func (run *platformRun) newEntryNode(m *machine) *platform.EntryNode {
-	return &platform.EntryNode{Name: m.Name, Zone: m.Zone, Front: run.addrOf(m, run.ports.frontPort), Readiness: run.addrOf(m, run.ports.readinessPort)}
+func (run *platformRun) newEntryNode(m *machine) *platform.EdgeNode {
+	return &platform.EdgeNode{Name: m.Name, Zone: m.Zone, Front: run.addrOf(m, run.ports.frontPort), Readiness: run.addrOf(m, run.ports.readinessPort)}
 }
 
 // newOperator returns an operator whose random choices follow from the seed and its
 // name.
 func (run *platformRun) newOperator(name string) *platform.Operator {
-	return &platform.Operator{Call: sockets.CallControl, Name: name, Clock: run.clock, Ledger: run.ledger, Control: run.controlAddrs, Rng: rand.New(rand.NewPCG(run.plan.Seed, base.Hash64(name)))}
+	return &platform.Operator{Call: sockets.CallControl, Name: name, Clock: run.clock, Recorder: run.ledger, Control: run.controlAddrs, Rng: rand.New(rand.NewPCG(run.plan.Seed, base.Hash64(name)))}
 }
 
 // stop ends all processes and servers that the run has started. It signals processes by
--- a/internal/fleet/platform_events.go
+++ b/internal/fleet/platform_events.go
@@ -121,11 +121,11 @@
 			run.crashWorker(workers[index])
 		}
 	case "answer_lost":
-		run.injectFaults(run.names.Services[event.targetOr("app")], orDefault(event.Share, 0.05), event.Duration, platform.LostReset, platform.LostSilent)
+		run.injectFaults(run.names.Services[event.targetOr("app")], orDefault(event.Share, 0.05), event.Duration, platform.FaultLostReset, platform.FaultLostSilent)
 	case "garble":
-		run.injectFaults(run.names.Services[event.targetOr("app")], orDefault(event.Share, 0.03), event.Duration, platform.Garbled, platform.Cut, platform.Extra, platform.LateExtra)
+		run.injectFaults(run.names.Services[event.targetOr("app")], orDefault(event.Share, 0.03), event.Duration, platform.FaultGarbled, platform.FaultCut, platform.FaultExtra, platform.FaultLateExtra)
 	case "worker_slow":
-		run.injectFaults(run.names.Services[event.targetOr("app")], orDefault(event.Share, 0.3), event.Duration, platform.Slow)
+		run.injectFaults(run.names.Services[event.targetOr("app")], orDefault(event.Share, 0.3), event.Duration, platform.FaultSlow)
 	case "worker_grey":
 		return run.applyToOneWorker(event, run.degradeWorker)
 	case "worker_flap":
--- a/internal/fleet/platform_run.go
+++ b/internal/fleet/platform_run.go
@@ -63,8 +63,8 @@
 // changeConfigLocked is changeConfig for callers that hold config.changeMu.
 func (run *platformRun) changeConfigLocked() *platform.Order {
 	latest := run.config.current()
-	next := run.drafts.Next(latest)
-	order := run.config.operator.Put(latest.Generation, next, next.Encode(), "", 30*time.Second)
+	next := run.drafts.NextValid(latest)
+	order := run.config.operator.PutConfig(latest.Generation, next, next.Encode(), "", 30*time.Second)
 	if order.Acked() {
 		run.config.setLatest(order)
 	}
@@ -78,7 +78,7 @@
 	defer run.config.changeMu.Unlock()
 	latest := run.config.current()
 	orders := make([]*platform.Order, 2)
-	drafts := []*platform.Config{run.drafts.Next(latest), run.drafts.Next(latest)}
+	drafts := []*platform.Config{run.drafts.NextValid(latest), run.drafts.NextValid(latest)}
 	if drafts[0].Generation == drafts[1].Generation {
 		drafts[1].Generation++
 	}
@@ -88,7 +88,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			orders[index] = operator.Put(latest.Generation, drafts[index], drafts[index].Encode(), "", 30*time.Second)
+			orders[index] = operator.PutConfig(latest.Generation, drafts[index], drafts[index].Encode(), "", 30*time.Second)
 		}()
 	}
 	group.Wait()
@@ -105,7 +105,7 @@
 		run.config.changeMu.Lock()
 		latest := run.config.current()
 		config, raw, expectedFault := run.drafts.Invalid(latest, platform.InvalidKinds[index%len(platform.InvalidKinds)])
-		order := run.config.operator.Put(latest.Generation, config, raw, expectedFault, 10*time.Second)
+		order := run.config.operator.PutConfig(latest.Generation, config, raw, expectedFault, 10*time.Second)
 		if order.Acked() && config != nil {
 			run.config.setLatest(order)
 		}
@@ -133,7 +133,7 @@
 	var group sync.WaitGroup
 	for classIndex := range run.plan.Site.Classes {
 		class := &run.plan.Site.Classes[classIndex]
-		if class.PerS == 0 {
+		if class.ProgramsPerSecond == 0 {
 			continue
 		}
 		for zoneIndex, zone := range run.plan.Site.Zones {
@@ -142,11 +142,11 @@
 			go func() {
 				defer group.Done()
 				for {
-					run.clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * run.currentRateFactor()) * float64(time.Second)))
+					run.clock.Sleep(time.Duration(rng.ExpFloat64() / (class.ProgramsPerSecond * run.currentRateFactor()) * float64(time.Second)))
 					if ctx.Err() != nil || run.clock.Now() >= end {
 						return
 					}
-					run.startProgram(class, zone, rng.IntN(run.plan.Site.Clients), end, "")
+					run.startProgram(class, zone, rng.IntN(run.plan.Site.ClientsPerZone), end, "")
 				}
 			}()
 		}
@@ -155,16 +155,16 @@
 }
 
 // startProgram starts a program, unless it is expected to end too late.
-func (run *platformRun) startProgram(class *platform.Class, zone string, client int, end time.Duration, previousTurn string) {
+func (run *platformRun) startProgram(class *platform.RequestClass, zone string, client int, end time.Duration, previousTurn string) {
 	var plan *platform.ProgramPlan
-	run.player.Draw(func(g *platform.Generator) { plan = g.Program(class, zone, client) })
-	if run.clock.Now()+plan.Aim > end+run.plan.Site.Bounds.Finish {
+	run.player.WithGenerator(func(g *platform.ProgramGenerator) { plan = g.Program(class, zone, client) })
+	if run.clock.Now()+plan.TargetTime > end+run.plan.Site.Bounds.Finish {
 		return
 	}
 	run.programs.Add(1)
 	go func() {
 		defer run.programs.Done()
-		run.player.Program(plan, previousTurn)
+		run.player.RunProgram(plan, previousTurn)
 	}()
 }
 
@@ -176,17 +176,17 @@
 		routes := append(append([]platform.Route(nil), run.config.added...), run.config.removed...)
 		run.config.mu.Unlock()
 		routes = append(routes, platform.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", run.randomInt(1000)), Kind: platform.Idempotent})
-		for _, node := range run.entry.In() {
+		for _, node := range run.entry.ReadyNodes() {
 			route := routes[run.randomInt(len(routes))]
 			if route.Kind != platform.Idempotent {
 				continue
 			}
-			class := &platform.Class{Name: "probe", Kind: platform.Idempotent, Method: "GET", Aim: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond}
+			class := &platform.RequestClass{Name: "probe", Kind: platform.Idempotent, Method: "GET", TargetLatency: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond}
 			run.programs.Add(1)
 			go func() {
 				defer run.programs.Done()
-				run.player.Request(class, 0, func(try *platform.Try) {
-					try.Probe, try.Node, try.Host, try.Target, try.Client = true, platform.Probe(node), route.Host, route.Prefix+"probe", "probe"
+				run.player.SendWithRetries(class, 0, func(try *platform.Try) {
+					try.Probe, try.Node, try.Host, try.Target, try.Client = true, platform.ProbeTarget(node), route.Host, route.Prefix+"probe", "probe"
 				})
 			}()
 		}
@@ -203,17 +203,17 @@
 	start := run.clock.Now()
 	// The record shows the fault as ongoing from before the first kill.
 	closing := &platform.Closing{From: start, Back: 1 << 59}
-	run.ledger.Note(func(r *platform.Record) { r.Closing = closing })
+	run.ledger.Update(func(r *platform.Record) { r.Closing = closing })
 	if err := run.killAndRestartAll(time.Second, run.plan.ClosingFault == "wipe"); err != nil {
 		return err
 	}
 	restartedAt := run.clock.Now()
-	run.ledger.Note(func(*platform.Record) { closing.Back = restartedAt })
+	run.ledger.Update(func(*platform.Record) { closing.Back = restartedAt })
 	recoveredBy := restartedAt + run.plan.Site.Bounds.Recovery
 	end := recoveredBy + 6*time.Second
 	run.persistUntil.Store(int64(recoveredBy))
 	for _, turn := range turns {
-		run.startProgram(run.plan.Site.Class(turn.Class), turn.Zone, run.randomInt(run.plan.Site.Clients), end, turn.ID)
+		run.startProgram(run.plan.Site.Class(turn.Class), turn.Zone, run.randomInt(run.plan.Site.ClientsPerZone), end, turn.ID)
 	}
 	run.generateTraffic(ctx, end)
 	return nil
@@ -222,13 +222,13 @@
 // answeredTurns returns up to six turns that were answered completely and have at least
 // half of their retention left.
 func (run *platformRun) answeredTurns() (turns []*platform.Try) {
-	for _, outcome := range run.ledger.Record().Outcomes {
+	for _, outcome := range run.ledger.Snapshot().Outcomes {
 		if outcome.Ending != platform.InTime && outcome.Ending != platform.Late {
 			continue
 		}
 		var last *platform.Try
-		for _, try := range run.ledger.Record().Tries {
-			if try.Program == outcome.Program && try.Retain > 0 && try.OK() {
+		for _, try := range run.ledger.Snapshot().Tries {
+			if try.Program == outcome.Program && try.Retain > 0 && try.Succeeded() {
 				last = try
 			}
 		}
@@ -260,7 +260,7 @@
 		return nil, run.withLogTails(err)
 	}
 	readyAt := run.clock.Now()
-	run.logf("all %d nodes are ready", run.entry.Ready())
+	run.logf("all %d nodes are ready", run.entry.CountReady())
 	end := readyAt + plan.TrafficDuration
 	trafficCtx, stopTraffic := context.WithCancel(ctx)
 	defer stopTraffic()
@@ -297,17 +297,17 @@
 	stopTraffic()
 	run.programs.Wait()
 	extraResponses := run.clients.Close()
-	run.config.operator.ReadBack(plan.Site.Bounds.Contact, plan.Site.Bounds.Contact+20*time.Second)
-	run.instances.Settle()
-	run.ledger.Note(func(r *platform.Record) { r.Over = run.clock.Now() })
+	run.config.operator.ReadConfigRepeatedly(plan.Site.Bounds.Contact, plan.Site.Bounds.Contact+20*time.Second)
+	run.instances.ApplyDue()
+	run.ledger.Update(func(r *platform.Record) { r.Over = run.clock.Now() })
 	stop()
-	record := run.ledger.Record()
+	record := run.ledger.Snapshot()
 	breaches := record.Check()
 	for _, text := range extraResponses {
-		breaches = append(breaches, platform.Breach{Rule: "MIXED", Word: text + " with no request outstanding"})
+		breaches = append(breaches, platform.Breach{Rule: "MIXED", Detail: text + " with no request outstanding"})
 	}
 	for _, text := range run.unexpectedExits {
-		breaches = append(breaches, platform.Breach{Rule: "FAULT", Word: text})
+		breaches = append(breaches, platform.Breach{Rule: "FAULT", Detail: text})
 	}
 	record.Print(out, breaches)
 	if plan.RecordFile != "" {
@@ -322,11 +322,11 @@
 		}
 		_, _ = fmt.Fprintf(out, "%d %s machines: %.2f s of processor time, at most %d MB of memory each\n", count, class, cpuTime.Seconds(), peakMemory>>20)
 	}
-	listCalls, rejectedCalls := run.instances.Calls()
+	listCalls, rejectedCalls := run.instances.CallCounts()
 	connections, promptTokens, cachedTokens := 0, 0, 0
 	for _, worker := range run.workers {
 		connections += worker.Opened()
-		requested, cached := worker.Worker.Prompts()
+		requested, cached := worker.Worker.PromptTokens()
 		promptTokens, cachedTokens = promptTokens+requested, cachedTokens+cached
 	}
 	_, _ = fmt.Fprintf(out, "%d prompt tokens sent to model workers, %d of them cached there (%.0f%%)\n", promptTokens, cachedTokens, 100*float64(cachedTokens)/float64(max(1, promptTokens)))
--- a/internal/fleet/platform_test.go
+++ b/internal/fleet/platform_test.go
@@ -33,7 +33,7 @@
 	is := is.New(t)
 	workDir, err := os.Getwd()
 	is.NoErr(err)
-	plan := &PlatformPlan{Site: platform.Sites()["small"], WorkDir: workDir, Dir: memoryDir(t), Commands: commands, TrafficDuration: 6 * time.Second, RateFactor: 1, Seed: 1, SetUpTimeout: time.Minute}
+	plan := &PlatformPlan{Site: platform.Deployments()["small"], WorkDir: workDir, Dir: memoryDir(t), Commands: commands, TrafficDuration: 6 * time.Second, RateFactor: 1, Seed: 1, SetUpTimeout: time.Minute}
 	if configure != nil {
 		configure(plan)
 	}
@@ -84,7 +84,7 @@
 	breaches, _ := runPlatform(t, stubCommands("sinful"), func(plan *PlatformPlan) {
 		plan.RateFactor = 2
 		for index := range plan.Site.Classes {
-			plan.Site.Classes[index].Runaway = 0.3
+			plan.Site.Classes[index].RunawayProbability = 0.3
 		}
 		plan.Events = parseEvents(t, "config_change@0.2", "release:app@0.2,gap=0.1,share=1", "bad_config@5,gap=0.1")
 	})
@@ -105,7 +105,7 @@
 // process outlives the run.
 func TestMachineRunsAtMostOneProcess(t *testing.T) {
 	is := is.New(t)
-	run := newPlatformRun(&PlatformPlan{Site: platform.Sites()["small"], WorkDir: t.TempDir(), Dir: t.TempDir(), Seed: 1,
+	run := newPlatformRun(&PlatformPlan{Site: platform.Deployments()["small"], WorkDir: t.TempDir(), Dir: t.TempDir(), Seed: 1,
 		Commands: map[string]string{platform.ClassStorage: os.Args[0] + " stub storage"}})
 	run.listServer = &sockets.ListServer{}
 	m := run.addMachine(platform.ClassStorage, "zone-a", 1, true)
--- a/internal/fleet/platform_workers.go
+++ b/internal/fleet/platform_workers.go
@@ -31,7 +31,7 @@
 			return injected.faults[run.randomInt(len(injected.faults))]
 		}
 	}
-	return platform.Fine
+	return platform.NoFault
 }
 
 // injectFaults injects faults into a service, or into a single worker if service is a
@@ -45,7 +45,7 @@
 // startWorkers starts the workers of all services, spread over the zones.
 func (run *platformRun) startWorkers() error {
 	for _, class := range run.plan.Site.Classes {
-		run.workByPrefix[run.names.Prefixes[class.Name]] = class.Work
+		run.workByPrefix[run.names.Prefixes[class.Name]] = class.WorkMs
 	}
 	count := 0
 	for index := range run.plan.Site.Services {
@@ -62,23 +62,23 @@
 
 // startWorker starts a worker with a new ID at an address, and adds it to the worker
 // list after a delay.
-func (run *platformRun) startWorker(shape platform.ServiceShape, zone, address string, delay time.Duration) (*sockets.WorkerServer, error) {
+func (run *platformRun) startWorker(shape platform.ServiceSpec, zone, address string, delay time.Duration) (*sockets.WorkerServer, error) {
 	id := fmt.Sprintf("i-%08x", uint32(run.randomInt(1<<31)))
 	rng := rand.New(rand.NewPCG(run.plan.Seed, base.Hash64(id)))
 	var rngMu sync.Mutex
 	service := run.names.Services[shape.Name]
-	worker := &platform.Worker{ID: id, Service: service, Zone: zone, Clock: run.clock, Ledger: run.ledger, Shape: shape, KeepIdle: 5 * time.Second,
-		Speed: []float64{1, 1, 1.3}[run.randomInt(3)], Draws: rand.New(rand.NewPCG(run.plan.Seed, base.Hash64(id, "own"))), Next: func() platform.Fault { return run.nextFault(id, service) },
-		Work: func(target string) (time.Duration, int) {
+	worker := &platform.Worker{ID: id, Service: service, Zone: zone, Clock: run.clock, Recorder: run.ledger, Spec: shape, KeepAlive: 5 * time.Second,
+		Slowdown: []float64{1, 1, 1.3}[run.randomInt(3)], Rng: rand.New(rand.NewPCG(run.plan.Seed, base.Hash64(id, "own"))), NextFault: func() platform.Fault { return run.nextFault(id, service) },
+		Workload: func(target string) (time.Duration, int) {
 			rngMu.Lock()
 			defer rngMu.Unlock()
-			work := platform.Draw{Mean: 50, Spread: 1, Most: 200}
+			work := platform.Distribution{Mean: 50, Spread: 1, Max: 200}
 			for prefix, draw := range run.workByPrefix {
 				if strings.HasPrefix(target, prefix) && draw.Mean > 0 {
 					work = draw
 				}
 			}
-			return time.Duration(work.Value(rng) * float64(time.Millisecond)), 800
+			return time.Duration(work.Sample(rng) * float64(time.Millisecond)), 800
 		}}
 	server, err := sockets.ListenWorker(worker, address, func(s *sockets.WorkerServer) {
 		s.CloseNow = func() bool { return run.randomInt(50) == 0 }
@@ -90,15 +90,15 @@
 	run.workers = append(run.workers, server)
 	run.mu.Unlock()
 	instance := run.instanceOf(server, platform.StateReady)
-	run.instances.Change(id, &instance, delay)
+	run.instances.ScheduleChange(id, &instance, delay)
 	return server, nil
 }
 
 // instanceOf returns the entry of a worker in the worker list.
 func (run *platformRun) instanceOf(server *sockets.WorkerServer, state string) platform.Instance {
 	instance := platform.Instance{ID: server.Worker.ID, Service: server.Worker.Service, Address: server.Worker.Address, Zone: server.Worker.Zone, Generation: "v1",
-		Capacity: server.Worker.Shape.Capacity, State: state}
-	if server.Worker.Shape.Engine != nil {
+		Capacity: server.Worker.Spec.Capacity, State: state}
+	if server.Worker.Spec.Engine != nil {
 		instance.Model = run.names.Model
 	}
 	return instance
@@ -110,7 +110,7 @@
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	return base.Filter(run.workers, func(server *sockets.WorkerServer) bool {
-		return !server.Worker.Leaving() && (shape == "" || server.Worker.Shape.Name == shape)
+		return !server.Worker.Draining() && (shape == "" || server.Worker.Spec.Name == shape)
 	})
 }
 
@@ -118,12 +118,12 @@
 // for the drain time and 1.5 s more before it ends.
 func (run *platformRun) drainWorker(server *sockets.WorkerServer) {
 	draining := run.instanceOf(server, platform.StateDraining)
-	run.instances.Change(server.Worker.ID, &draining, 0)
+	run.instances.ScheduleChange(server.Worker.ID, &draining, 0)
 	run.clock.Sleep(run.instances.Lag)
-	run.instances.Settle()
-	server.Worker.Leave()
+	run.instances.ApplyDue()
+	server.Worker.Drain()
 	run.clock.Sleep(run.plan.Site.Bounds.Drain + 1500*time.Millisecond)
-	run.instances.Change(server.Worker.ID, nil, 0)
+	run.instances.ScheduleChange(server.Worker.ID, nil, 0)
 	server.Close()
 }
 
@@ -133,7 +133,7 @@
 	old := run.activeWorkers(shape)
 	var drained sync.WaitGroup
 	for _, server := range old[:int(share*float64(len(old))+0.5)] {
-		if _, err := run.startWorker(server.Worker.Shape, server.Worker.Zone, run.nextLoopbackAddr()+":0", 0); err != nil {
+		if _, err := run.startWorker(server.Worker.Spec, server.Worker.Zone, run.nextLoopbackAddr()+":0", 0); err != nil {
 			continue
 		}
 		drained.Add(1)
@@ -148,7 +148,7 @@
 	if len(old) > 0 && share > 0 {
 		run.clock.Sleep(run.plan.Site.Bounds.ReuseAfter)
 		for _, other := range run.plan.Site.Services {
-			if other.Name != old[0].Worker.Shape.Name {
+			if other.Name != old[0].Worker.Spec.Name {
 				_, _ = run.startWorker(other, old[0].Worker.Zone, old[0].Worker.Address, 0)
 				return
 			}
@@ -167,22 +167,22 @@
 // degradeWorker makes some requests of a worker fail, slow down or get no response,
 // while the worker still reports that it is healthy.
 func (run *platformRun) degradeWorker(server *sockets.WorkerServer, event PlatformEvent) {
-	run.injectFaults(server.Worker.ID, orDefault(event.Share, 0.5), event.Duration, platform.LostSilent, platform.Slow, platform.Fail)
+	run.injectFaults(server.Worker.ID, orDefault(event.Share, 0.5), event.Duration, platform.FaultLostSilent, platform.FaultSlow, platform.FaultError)
 }
 
 // flapHealth makes a worker report alternately that it is unhealthy and healthy.
 func (run *platformRun) flapHealth(server *sockets.WorkerServer, event PlatformEvent) {
 	deadline := run.clock.Now() + event.Duration
 	for healthy := false; run.clock.Now() < deadline; healthy = !healthy {
-		server.Worker.SetWell(healthy)
+		server.Worker.SetHealthy(healthy)
 		run.clock.Sleep(event.Interval / 2)
 	}
-	server.Worker.SetWell(true)
+	server.Worker.SetHealthy(true)
 }
 
 // crashWorker ends a worker at once. The list shows it for 3 s more.
 func (run *platformRun) crashWorker(server *sockets.WorkerServer) {
-	server.Worker.Leave()
+	server.Worker.Drain()
 	server.Close()
-	run.instances.Change(server.Worker.ID, nil, 3*time.Second)
+	run.instances.ScheduleChange(server.Worker.ID, nil, 3*time.Second)
 }
--- a/internal/fleet/stub_test.go
+++ b/internal/fleet/stub_test.go
@@ -181,7 +181,7 @@
 	switch {
 	case err == nil && platform.SameDocument(body, c.files[stubConfigFile]):
 		return 200
-	case err != nil || config.Fault(0) != "":
+	case err != nil || config.InvalidReason(0) != "":
 		if c.faulty && config != nil {
 			c.writeFile(stubConfigFile, body)
 			return 200
@@ -189,7 +189,7 @@
 		return 400
 	case match != strconv.FormatUint(current, 10):
 		return 412
-	case config.Fault(current) != "":
+	case config.InvalidReason(current) != "":
 		return 400
 	}
 	c.writeFile(stubConfigFile, body)
@@ -204,7 +204,7 @@
 			config, err = nil, fmt.Errorf("%v", failure)
 		}
 	}()
-	tree, err := platform.ParseTree(raw)
+	tree, err := platform.ParseJSON(raw)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simulate/tier_faults.go
+++ b/internal/simulate/tier_faults.go
@@ -17,7 +17,7 @@
 	if change != nil {
 		change(trouble)
 	}
-	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, trouble) })
+	t.recorder.Update(func(r *parties.Record) { r.Troubles = append(r.Troubles, trouble) })
 	return func() { trouble.To = t.World.now }
 }
 
@@ -299,19 +299,19 @@
 
 // activeWorkers returns the workers of a service shape that are not leaving.
 func (t *Tier) activeWorkers(service string) []*tierWorker {
-	return base.Filter(t.workers, func(w *tierWorker) bool { return !w.Leaving() && w.Shape.Name == service })
+	return base.Filter(t.workers, func(w *tierWorker) bool { return !w.Draining() && w.Spec.Name == service })
 }
 
 // drainWorker stops a worker gracefully: the list shows it as draining, it serves for the
 // drain time and 1.5 s more, then it ends.
 func (t *Tier) drainWorker(w *tierWorker) {
 	clock, draining := t.CallerHost.Clock(), t.instanceEntry(w, parties.StateDraining)
-	t.instances.Change(w.ID, &draining, 0)
+	t.instances.ScheduleChange(w.ID, &draining, 0)
 	clock.Sleep(t.instances.Lag)
-	t.instances.Settle()
-	w.Leave()
+	t.instances.ApplyDue()
+	w.Drain()
 	clock.Sleep(t.Site.Bounds.Drain + 1500*time.Millisecond)
-	t.instances.Change(w.ID, nil, 0)
+	t.instances.ScheduleChange(w.ID, nil, 0)
 	w.terminate(t)
 }
 
@@ -324,7 +324,7 @@
 	t.runParallel(len(old), func(index int) {
 		w := old[index]
 		t.CallerHost.Clock().Sleep(time.Duration(index) * interval)
-		t.startWorker(w.Shape, w.Zone, "")
+		t.startWorker(w.Spec, w.Zone, "")
 		t.drainWorker(w)
 		t.reuseAddress(w)
 	})
@@ -334,7 +334,7 @@
 func (t *Tier) reuseAddress(w *tierWorker) {
 	t.CallerHost.Clock().Sleep(t.Site.Bounds.ReuseAfter)
 	for _, service := range t.Site.Services {
-		if service.Name != w.Shape.Name && t.workersByAddress[w.Address] == nil {
+		if service.Name != w.Spec.Name && t.workersByAddress[w.Address] == nil {
 			t.startWorker(service, w.Zone, w.Address)
 			return
 		}
@@ -344,9 +344,9 @@
 // crashWorker ends a worker at once and starts another in its place; the list shows the
 // crashed one for 4 s more.
 func (t *Tier) crashWorker(w *tierWorker) {
-	t.startWorker(w.Shape, w.Zone, "")
+	t.startWorker(w.Spec, w.Zone, "")
 	w.terminate(t)
-	t.instances.Change(w.ID, nil, 4*time.Second)
+	t.instances.ScheduleChange(w.ID, nil, 4*time.Second)
 }
 
 // injectWorkerFaults makes the workers of a service, or one worker, draw faults for a
@@ -360,7 +360,7 @@
 // failList makes requests for the list of workers fail for a while.
 func (t *Tier) failList(span time.Duration) {
 	trouble := &parties.Trouble{Kind: "list_down", Machine: "list", Class: "list", From: t.World.now, To: 1 << 60}
-	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, trouble) })
+	t.recorder.Update(func(r *parties.Record) { r.Troubles = append(r.Troubles, trouble) })
 	t.instances.SetDown(true)
 	t.CallerHost.Clock().Sleep(span)
 	t.instances.SetDown(false)
--- a/internal/simulate/tier_mechanisms_test.go
+++ b/internal/simulate/tier_mechanisms_test.go
@@ -146,7 +146,7 @@
 		}, "LOST", ""},
 		{"the reservation of tokens", "quiet", func(t *Tier) {
 			for index := range t.Site.Classes {
-				t.Site.Classes[index].Runaway = 0.3
+				t.Site.Classes[index].RunawayProbability = 0.3
 			}
 			interceptLedger(t.Fleet, func(_ *ledger.BeginRequest, reply *ledger.BeginReply) { reply.Others = nil }, nil, nil)
 		}, "BUDGET", ""},
--- a/internal/simulate/tier_scenario.go
+++ b/internal/simulate/tier_scenario.go
@@ -13,7 +13,7 @@
 type TierScenario struct {
 	Name string
 	// AdjustSite, when set, changes the deployment that the scenario runs on.
-	AdjustSite func(site *parties.Site)
+	AdjustSite func(site *parties.Deployment)
 	// Faults inject the scenario's faults while clients send traffic.
 	Faults []func(t *Tier)
 	// AllowUnavailable scenarios lose more machines than the tier tolerates, though
@@ -46,12 +46,12 @@
 	if !t.World.Run(4*time.Minute, func() bool { return done }) {
 		out.Breaches = append(out.Breaches, "FAULT: the scenario did not end within 4 minutes")
 	}
-	t.instances.Settle()
-	t.recorder.Note(func(r *parties.Record) { r.Over = t.World.now })
-	record := t.recorder.Record()
+	t.instances.ApplyDue()
+	t.recorder.Update(func(r *parties.Record) { r.Over = t.World.now })
+	record := t.recorder.Snapshot()
 	out.VirtualS, out.Counts = t.World.now.Seconds(), countOutcomes(record)
 	for _, try := range record.Tries {
-		if try.Retain > 0 && try.OK() {
+		if try.Retain > 0 && try.Succeeded() {
 			out.TurnTimes = append(out.TurnTimes, try.Ended-try.Sent)
 		}
 	}
@@ -60,7 +60,7 @@
 			out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: the storage of %s does not open: %v", m.Host.Name, m.StorageErr))
 		}
 	}
-	if t.config.newestAcked == nil || t.entryPoint.Ready() == 0 && out.Counts["served"] == 0 {
+	if t.config.newestAcked == nil || t.entryPoint.CountReady() == 0 && out.Counts["served"] == 0 {
 		out.Breaches = append(out.Breaches, "FAULT: the tier did not form")
 		return out
 	}
@@ -95,7 +95,7 @@
 		t.runFinalFault(d.FinalFault)
 	}
 	t.pollUntil(2*time.Minute, func() bool { return t.openPrograms == 0 && t.runningFaults == 0 })
-	t.config.operator.ReadBack(t.Site.Bounds.Contact, t.Site.Bounds.Contact+20*time.Second)
+	t.config.operator.ReadConfigRepeatedly(t.Site.Bounds.Contact, t.Site.Bounds.Contact+20*time.Second)
 }
 
 // pollUntil waits until a condition holds or a limit is over.
@@ -111,13 +111,13 @@
 	t.changeConfig()
 	before := t.completedTurns()
 	closing := &parties.Closing{From: t.World.now, Back: 1 << 59}
-	t.recorder.Note(func(r *parties.Record) { r.Closing = closing })
+	t.recorder.Update(func(r *parties.Record) { r.Closing = closing })
 	fault(t)
 	closing.Back = t.World.now
 	t.retryUntil = closing.Back + t.Site.Bounds.Recovery
 	end := t.retryUntil + 6*time.Second
 	for _, turn := range before {
-		t.startProgram(t.Site.Class(turn.Class), turn.Zone, t.rng.IntN(t.Site.Clients), end, turn.ID)
+		t.startProgram(t.Site.Class(turn.Class), turn.Zone, t.rng.IntN(t.Site.ClientsPerZone), end, turn.ID)
 	}
 	t.runTraffic(end)
 }
@@ -126,9 +126,9 @@
 // half its retention.
 func (t *Tier) completedTurns() (turns []*parties.Try) {
 	lastByProgram := map[string]*parties.Try{}
-	record := t.recorder.Record()
+	record := t.recorder.Snapshot()
 	for _, try := range record.Tries {
-		if try.Retain > 0 && try.OK() && t.World.now-try.Ended < try.Retain/2 {
+		if try.Retain > 0 && try.Succeeded() && t.World.now-try.Ended < try.Retain/2 {
 			lastByProgram[try.Program] = try
 		}
 	}
@@ -146,7 +146,7 @@
 		switch {
 		case try.Probe:
 			counts["tries"]--
-		case try.OK():
+		case try.Succeeded():
 			counts["served"]++
 			if try.Retain > 0 {
 				counts["turns_whole"]++
--- a/internal/simulate/tier_test.go
+++ b/internal/simulate/tier_test.go
@@ -42,7 +42,7 @@
 	run := func() (tries, arrivals string) {
 		var tier *Tier
 		FindTierScenario("mixed: storm, closing power").RunWith(3, TierShapes["small"](), func(t *Tier) { tier = t })
-		record := tier.recorder.Record()
+		record := tier.recorder.Snapshot()
 		return base.Digest(base.MustMarshal(record.Tries)), base.Digest(base.MustMarshal(record.Arrivals))
 	}
 	tries, arrivals := run()
--- a/internal/simulate/tier_workers.go
+++ b/internal/simulate/tier_workers.go
@@ -26,16 +26,16 @@
 // atConnLimit tells whether the worker resets another connection. The limit is halved,
 // but not below the capacity, while more than half of the queue is taken.
 func (w *tierWorker) atConnLimit() bool {
-	limit := w.Shape.MaxConns
-	if queued := w.Queued(); queued > w.Shape.Queue/2 {
-		limit = max(w.Shape.Capacity, limit/2)
+	limit := w.Spec.MaxConns
+	if queued := w.Queued(); queued > w.Spec.QueueSize/2 {
+		limit = max(w.Spec.Capacity, limit/2)
 	}
 	return limit > 0 && len(w.conns) >= limit
 }
 
 // terminate ends the worker's process and closes its connections.
 func (w *tierWorker) terminate(t *Tier) {
-	w.End()
+	w.Stop()
 	w.ended = true
 	if t.workersByAddress[w.Address] == w {
 		delete(t.workersByAddress, w.Address)
@@ -247,11 +247,11 @@
 		}
 		header[strings.ToLower(line.Name)] = line.Value
 	}
-	incomingRequest := &parties.Asked{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), Gone: c.closedSignal,
+	incomingRequest := &parties.Request{Method: request.Method, Target: request.Path, Host: request.Host, Body: bytes.Clone(request.Body), ClientClosed: c.closedSignal,
 		Header: func(name string) string { return header[strings.ToLower(name)] }}
 	t.World.spawn(w.host, w.host.incarnation, t.World.now+t.Net.delay()+c.gatewayHost.ExtraDelay, func() {
 		idle := t.World.now - c.idleSince
-		if w.ended || c.servedRequests > 0 && (w.silentDropAfter > 0 && idle > w.silentDropAfter || w.KeepIdle > 0 && idle > w.KeepIdle) {
+		if w.ended || c.servedRequests > 0 && (w.silentDropAfter > 0 && idle > w.silentDropAfter || w.KeepAlive > 0 && idle > w.KeepAlive) {
 			c.incoming.send(t.Net.delay(), workerPart{kind: partConnClosed})
 			return
 		}
@@ -281,10 +281,10 @@
 	return nil
 }
 
-func (r *workerResponseWriter) Head(status int, header [][2]string, length int) error {
+func (r *workerResponseWriter) WriteHeader(status int, header [][2]string, length int) error {
 	if later := r.conn.delayedBytes; len(later) > 0 {
 		r.conn.delayedBytes = nil
-		r.Raw(later)
+		r.WriteRaw(later)
 	}
 	for _, line := range header {
 		r.closeAfter = r.closeAfter || line[0] == "Connection"
@@ -299,15 +299,17 @@
 	return r.send(workerPart{kind: partBytes, bytes: bytes.Clone(piece)})
 }
 
-func (r *workerResponseWriter) End() error { return r.send(workerPart{kind: partEnd}) }
+func (r *workerResponseWriter) Finish() error { return r.send(workerPart{kind: partEnd}) }
 
-func (r *workerResponseWriter) Raw(data []byte) {
+func (r *workerResponseWriter) WriteRaw(data []byte) {
 	_ = r.send(workerPart{kind: partRaw, bytes: bytes.Clone(data)})
 }
 
-func (r *workerResponseWriter) Later(data []byte) { r.conn.delayedBytes = bytes.Clone(data) }
+func (r *workerResponseWriter) WriteRawBeforeNext(data []byte) {
+	r.conn.delayedBytes = bytes.Clone(data)
+}
 
-func (r *workerResponseWriter) Break(hard bool) { r.broken = true }
+func (r *workerResponseWriter) Abort(hard bool) { r.broken = true }
 
 // maxForeignAnswers is how many responses to other requests are skipped on a connection.
 const maxForeignAnswers = 2
--- a/internal/standin/platform/settings.go
+++ b/internal/standin/platform/settings.go
@@ -16,21 +16,21 @@
 	Front, Readiness, Control                   string
 	Ports                                       [2]int
 	Seeds                                       []string
-	First, Counted                              bool
+	Bootstrap, LossCounted                      bool
 	DataDir                                     string
-	Tolerate                                    int
+	FaultTolerance                              int
 	Bounds                                      Bounds
 	ListAddress                                 string
-	ListPerS                                    float64
+	ListCallsPerSecond                          float64
 }
 
 type classLimits struct {
-	cpu                  float64
-	memory, fds, linkMax int
-	disk                 int
+	cpu                        float64
+	memoryMB, maxFDs, linkMbps int
+	diskMB                     int
 }
 
-var limitsOf = map[string]classLimits{
+var limitsByClass = map[string]classLimits{
 	ClassEdge:    {0.4, 284, 4100, 1000, 0},
 	ClassCore:    {0.48, 280, 4096, 1000, 128},
 	ClassStorage: {0.8, 284, 8200, 600, 300},
@@ -70,16 +70,16 @@
 	for _, seed := range s.Seeds {
 		line("  - %q", seed)
 	}
-	line("bootstrap: %v", s.First)
-	line("loss_counted: %v", s.Counted)
-	limits := limitsOf[s.Class]
+	line("bootstrap: %v", s.Bootstrap)
+	line("loss_counted: %v", s.LossCounted)
+	limits := limitsByClass[s.Class]
 	line("limits:")
 	line("  cpu_fraction: %v", limits.cpu)
 	line("  cores: 1")
-	line("  memory_mb: %d", limits.memory)
-	line("  max_fds: %d", limits.fds)
-	line("  link_mbps: %d.0", limits.linkMax)
-	line("  disk_mb: %d", limits.disk)
+	line("  memory_mb: %d", limits.memoryMB)
+	line("  max_fds: %d", limits.maxFDs)
+	line("  link_mbps: %d.0", limits.linkMbps)
+	line("  disk_mb: %d", limits.diskMB)
 	if s.DataDir == "" {
 		line("data_dir: null")
 	} else {
@@ -93,19 +93,19 @@
 		line("  - %q", name)
 	}
 	line("fault_budget:")
-	line("  machines: %d", s.Tolerate)
+	line("  machines: %d", s.FaultTolerance)
 	line("  zones: 0")
 	line("  regions: 0")
-	s.bounds(line)
+	s.writeBounds(line)
 	line("platform_api:")
 	line("  address: %q", s.ListAddress)
-	line("  rate_per_s: %.1f", s.ListPerS)
+	line("  rate_per_s: %.1f", s.ListCallsPerSecond)
 	line("  duties: []")
 	line("  max_lag_ms: %d", s.Bounds.ListMaxLag.Milliseconds())
 	return b.String()
 }
 
-func (s *Settings) bounds(line func(string, ...any)) {
+func (s *Settings) writeBounds(line func(string, ...any)) {
 	line("bounds:")
 	for _, one := range []struct {
 		name string
