--- a/internal/simulate/api_test.go
+++ b/internal/simulate/api_test.go
@@ -131,7 +131,7 @@
 func (t *apiClient) sleep(d time.Duration) { t.fleet.CallerHost.Clock().Sleep(d) }
 
 // runScript runs a caller's steps on a fleet with seed 1 and checks the invariants.
-func runScript(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *apiClient)) {
+func runScript(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, client *apiClient)) {
 	t.Helper()
 	runSeeds(t, 1, shape, func(t *testing.T, f *Fleet) {
 		is := is.New(t)
@@ -164,33 +164,33 @@
 }
 
 func TestTurnIDJoinsAndReplaysOneRun(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		joined := make([]apiResponse, 2)
 		remaining := 2
 		for index := range joined {
-			f.CallerHost.Go(func() { joined[index] = call.sendTurn(index, path, key, program, "t1", ""); remaining-- })
+			f.CallerHost.Go(func() { joined[index] = client.sendTurn(index, path, key, program, "t1", ""); remaining-- })
 		}
 		for remaining > 0 {
-			call.sleep(50 * time.Millisecond)
+			client.sleep(50 * time.Millisecond)
 		}
 		first, second := joined[0], joined[1]
 		is.Equal(len(first.Events), 7)
 		is.Equal(fmt.Sprint(first.Events), fmt.Sprint(second.Events))
-		replay := call.send(1, "POST", path+"/turns", key, turnBody(program, "t1"), "turn-id", "t1", "last-event-id", first.Events[3].ID)
+		replay := client.send(1, "POST", path+"/turns", key, turnBody(program, "t1"), "turn-id", "t1", "last-event-id", first.Events[3].ID)
 		is.Equal(fmt.Sprint(replay.Events), fmt.Sprint(first.Events[4:]))
 		is.Equal(f.modelWorkerRuns(program, "t1"), 1)
-		other := call.send(2, "POST", path+"/turns", key, turnBody(program, "else"), "turn-id", "t1")
+		other := client.send(2, "POST", path+"/turns", key, turnBody(program, "else"), "turn-id", "t1")
 		is.Equal(other.Status, 409)
 		is.Equal(other.field("error", "code"), "turn_id_reused")
 	})
 }
 
 func TestInvalidRequestsAreRejectedWithField(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		programPath := "/v1/programs/" + program
 		rows := []struct {
 			method, path, secret string
@@ -235,7 +235,7 @@
 			{"DELETE", path, key, nil, nil, 404, ""},
 		}
 		for _, row := range rows {
-			response := call.send(1, row.method, row.path, row.secret, row.body, row.headers...)
+			response := client.send(1, row.method, row.path, row.secret, row.body, row.headers...)
 			name := row.method + " " + row.path + " " + fmt.Sprint(row.headers, row.status, row.field)
 			is.Equal(name+fmt.Sprint(response.Status), name+fmt.Sprint(row.status))
 			is.Equal(response.field("error", "request"), "not_run")
@@ -248,16 +248,16 @@
 }
 
 func TestTurnListingPagesByCursor(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		for _, id := range []string{"a", "b", "c"} {
-			verdict, _, _ := call.sendTurn(1, path, key, program, id, "").finalResult()
+			verdict, _, _ := client.sendTurn(1, path, key, program, id, "").finalResult()
 			is.Equal(verdict, "success")
 		}
 		listed, cursor := "", ""
 		listTurns := func(query map[string]string) (response map[string]any, status int) {
-			edge := call.fleet.Gateways[2]
+			edge := client.fleet.Gateways[2]
 			reply := edge.gateway.Front.Handle(base.NewCtx(edge.Host.Clock(), time.Minute), newFrontRequest("GET", path+"/turns", key, query))
 			_ = json.Unmarshal(reply.Body, &response)
 			return response, reply.Status
@@ -279,7 +279,7 @@
 			is.Equal(status, 400)
 			is.True(response["error"].(map[string]any)["field"] != "")
 		}
-		read := call.send(2, "GET", path+"/turns/b", key, nil)
+		read := client.send(2, "GET", path+"/turns/b", key, nil)
 		is.Equal(read.field("state"), "Succeeded")
 		is.True(strings.Contains(read.field("answer"), "3 messages"))
 	})
@@ -288,27 +288,27 @@
 func TestSessionQueueIsBoundedAndOrdered(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 300 * time.Millisecond
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(10000, nil)
-		path, key := call.openSession(0, program, secret, map[string]any{"queue_size": 2})
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(10000, nil)
+		path, key := client.openSession(0, program, secret, map[string]any{"queue_size": 2})
 		answers := map[string]apiResponse{}
 		for _, id := range []string{"a", "b", "c", "d"} {
-			f.CallerHost.Go(func() { answers[id] = call.sendTurn(0, path, key, program, id, "") })
-			call.sleep(20 * time.Millisecond)
+			f.CallerHost.Go(func() { answers[id] = client.sendTurn(0, path, key, program, id, "") })
+			client.sleep(20 * time.Millisecond)
 		}
-		call.sleep(50 * time.Millisecond)
+		client.sleep(50 * time.Millisecond)
 		is.Equal(answers["d"].Status, 429) // one runs, two wait, the fourth is rejected at once
 		is.Equal(answers["d"].field("error", "code"), "queue_full")
 		is.True(answers["d"].Header["Retry-After"] != "")
-		status := call.send(1, "GET", path, key, nil) // reads bypass the queue
+		status := client.send(1, "GET", path, key, nil) // reads bypass the queue
 		is.Equal(status.field("queued"), "2")
 		is.Equal(status.field("running_turn"), "a")
-		again := call.sendTurn(1, path, key, program, "d", "")
+		again := client.sendTurn(1, path, key, program, "d", "")
 		is.Equal(again.Status, 429) // a rejected id stays rejected
-		cancelled := call.send(2, "POST", path+"/turns/c/cancel", key, nil)
+		cancelled := client.send(2, "POST", path+"/turns/c/cancel", key, nil)
 		is.Equal(cancelled.field("state"), "Cancelled")
 		for len(answers) < 4 {
-			call.sleep(100 * time.Millisecond)
+			client.sleep(100 * time.Millisecond)
 		}
 		verdict, ran, _ := answers["c"].finalResult()
 		is.Equal(verdict+ran, "refusednot_run")
@@ -323,30 +323,30 @@
 func TestDrainFinishesAcceptedTurns(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 100 * time.Millisecond
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(10000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(10000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		var running apiResponse
-		f.CallerHost.Go(func() { running = call.sendTurn(1, path, key, program, "a", "") })
-		call.sleep(150 * time.Millisecond)
-		closing := call.send(2, "POST", path+"/close", key, nil)
+		f.CallerHost.Go(func() { running = client.sendTurn(1, path, key, program, "a", "") })
+		client.sleep(150 * time.Millisecond)
+		closing := client.send(2, "POST", path+"/close", key, nil)
 		is.Equal(closing.field("phase"), "Finalizing")
-		late := call.sendTurn(0, path, key, program, "b", "")
+		late := client.sendTurn(0, path, key, program, "b", "")
 		is.Equal(late.Status, 503)
 		is.Equal(late.field("error", "request"), "not_run")
 		for running.Status == 0 {
-			call.sleep(100 * time.Millisecond)
+			client.sleep(100 * time.Millisecond)
 		}
 		verdict, _, _ := running.finalResult()
 		is.Equal(verdict, "success")
-		call.sleep(time.Second)
-		after := call.send(1, "GET", path, key, nil)
+		client.sleep(time.Second)
+		after := client.send(1, "GET", path, key, nil)
 		is.Equal(after.field("phase"), "Succeeded")
-		is.Equal(call.sendTurn(1, path, key, program, "c", "").field("error", "code"), "run_over")
-		next := call.sendTurn(1, path, key, program, "d", "a") // the chain is kept after its Run ended
+		is.Equal(client.sendTurn(1, path, key, program, "c", "").field("error", "code"), "run_over")
+		next := client.sendTurn(1, path, key, program, "d", "a") // the chain is kept after its Run ended
 		verdict, _, _ = next.finalResult()
 		is.Equal(verdict, "success")
-		status := call.send(0, "GET", path, key, nil)
+		status := client.send(0, "GET", path, key, nil)
 		is.Equal(status.field("phase"), "Ready")
 		is.Equal(status.field("epoch"), "2")
 		is.True(status.field("run") != after.field("run"))
@@ -357,55 +357,55 @@
 func TestTerminationOnlyEscalates(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 400 * time.Millisecond
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(10000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(10000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		var running, queued apiResponse
-		f.CallerHost.Go(func() { running = call.sendTurn(1, path, key, program, "a", "") })
-		call.sleep(50 * time.Millisecond)
-		f.CallerHost.Go(func() { queued = call.sendTurn(1, path, key, program, "b", "") })
-		call.sleep(600 * time.Millisecond)
-		is.Equal(call.send(0, "POST", path+"/terminate", key, `{"mode":"Drain"}`).field("termination"), "Drain")
-		is.Equal(call.send(0, "POST", path+"/terminate", key, `{"mode":"Immediate"}`).field("termination"), "Immediate")
-		is.Equal(call.send(0, "POST", path+"/close", key, nil).field("termination"), "Immediate")
+		f.CallerHost.Go(func() { running = client.sendTurn(1, path, key, program, "a", "") })
+		client.sleep(50 * time.Millisecond)
+		f.CallerHost.Go(func() { queued = client.sendTurn(1, path, key, program, "b", "") })
+		client.sleep(600 * time.Millisecond)
+		is.Equal(client.send(0, "POST", path+"/terminate", key, `{"mode":"Drain"}`).field("termination"), "Drain")
+		is.Equal(client.send(0, "POST", path+"/terminate", key, `{"mode":"Immediate"}`).field("termination"), "Immediate")
+		is.Equal(client.send(0, "POST", path+"/close", key, nil).field("termination"), "Immediate")
 		for running.Status == 0 || queued.Status == 0 {
-			call.sleep(50 * time.Millisecond)
+			client.sleep(50 * time.Millisecond)
 		}
 		verdict, ran, _ := queued.finalResult()
 		is.Equal(verdict+ran, "refusednot_run")
 		_, ran, _ = running.finalResult()
 		is.Equal(ran, "may_have_run")
-		call.sleep(time.Second)
-		is.Equal(call.send(2, "GET", path, key, nil).field("phase"), "Cancelled")
+		client.sleep(time.Second)
+		is.Equal(client.send(2, "GET", path, key, nil).field("phase"), "Cancelled")
 		is.Equal(f.modelWorkerRuns(program, "b"), 0)
 	})
 }
 
 func TestBudgetIsSharedWithHelperPrograms(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(30, nil)
-		helper := call.send(1, "POST", "/v1/programs", secret, map[string]any{"parent": program, "program": "helper"})
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(30, nil)
+		helper := client.send(1, "POST", "/v1/programs", secret, map[string]any{"parent": program, "program": "helper"})
 		is.Equal(helper.Status, 201)
-		is.Equal(call.send(1, "POST", "/v1/programs", "wrong", map[string]any{"parent": program}).Status, 403)
+		is.Equal(client.send(1, "POST", "/v1/programs", "wrong", map[string]any{"parent": program}).Status, 403)
 		paths := [][3]string{}
 		for index := 0; index < 6; index++ {
 			owner, ownerSecret := program, secret
 			if index%2 == 1 {
 				owner, ownerSecret = helper.field("program"), helper.field("secret")
 			}
-			path, key := call.openSession(index, owner, ownerSecret, nil)
+			path, key := client.openSession(index, owner, ownerSecret, nil)
 			paths = append(paths, [3]string{path, key, owner})
 		}
 		answers := make([]apiResponse, len(paths))
 		remaining := len(paths)
 		for index, session := range paths {
 			f.CallerHost.Go(func() {
-				answers[index] = call.sendTurn(index, session[0], session[1], session[2], fmt.Sprint("t", index), "")
+				answers[index] = client.sendTurn(index, session[0], session[1], session[2], fmt.Sprint("t", index), "")
 				remaining--
 			})
 		}
 		for remaining > 0 {
-			call.sleep(100 * time.Millisecond)
+			client.sleep(100 * time.Millisecond)
 		}
 		completed, overBudget := 0, 0
 		for index, answer := range answers {
@@ -428,87 +428,87 @@
 			}
 		}
 		is.True(produced <= 30)
-		programView := call.send(2, "GET", "/v1/programs/"+program, secret, nil)
+		programView := client.send(2, "GET", "/v1/programs/"+program, secret, nil)
 		is.Equal(programView.field("spent_tokens"), fmt.Sprint(produced))
 		is.Equal(programView.field("reserved_tokens"), "0")
 	})
 }
 
 func TestDeadlineAndProgramTermination(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, map[string]any{"deadline_s": 5})
-		path, key := call.openSession(0, program, secret, nil)
-		verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, map[string]any{"deadline_s": 5})
+		path, key := client.openSession(0, program, secret, nil)
+		verdict, _, _ := client.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		call.sleep(6 * time.Second)
-		_, ran, code := call.sendTurn(1, path, key, program, "b", "").finalResult()
+		client.sleep(6 * time.Second)
+		_, ran, code := client.sendTurn(1, path, key, program, "b", "").finalResult()
 		is.Equal(code+ran, "past_deadlinenot_run")
 		is.Equal(f.modelWorkerRuns(program, "b"), 0)
 
-		ending, secret := call.createProgram(1000, nil)
-		path, key = call.openSession(0, ending, secret, nil)
-		is.Equal(call.send(1, "POST", "/v1/programs/"+ending+"/terminate", secret, `{"mode":"Drain"}`).field("termination"), "Drain")
-		is.Equal(call.send(1, "POST", "/v1/programs/"+ending+"/sessions", secret, `{"route":"chat"}`).Status, 503)
-		is.Equal(call.send(1, "POST", "/v1/programs/"+ending+"/tools/loyalty", secret, `{}`, "idempotency-key", "k").Status, 503)
-		call.sleep(2 * time.Second)
-		is.Equal(call.send(2, "GET", path, key, nil).field("phase"), "Succeeded")
+		ending, secret := client.createProgram(1000, nil)
+		path, key = client.openSession(0, ending, secret, nil)
+		is.Equal(client.send(1, "POST", "/v1/programs/"+ending+"/terminate", secret, `{"mode":"Drain"}`).field("termination"), "Drain")
+		is.Equal(client.send(1, "POST", "/v1/programs/"+ending+"/sessions", secret, `{"route":"chat"}`).Status, 503)
+		is.Equal(client.send(1, "POST", "/v1/programs/"+ending+"/tools/loyalty", secret, `{}`, "idempotency-key", "k").Status, 503)
+		client.sleep(2 * time.Second)
+		is.Equal(client.send(2, "GET", path, key, nil).field("phase"), "Succeeded")
 	})
 }
 
 func TestLeaseExpiryEndsRunAndKeepsHistory(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, map[string]any{"lease_s": 2})
+	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, map[string]any{"lease_s": 2})
 		for index := 0; index < 4; index++ { // requests that reach the owner renew the lease
-			call.sleep(1500 * time.Millisecond)
-			is.Equal(call.send(1, "POST", path+"/renew", key, nil).field("phase"), "Ready")
+			client.sleep(1500 * time.Millisecond)
+			is.Equal(client.send(1, "POST", path+"/renew", key, nil).field("phase"), "Ready")
 		}
-		verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
+		verdict, _, _ := client.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		call.sleep(4 * time.Second)
-		ended := call.send(2, "GET", path, key, nil)
+		client.sleep(4 * time.Second)
+		ended := client.send(2, "GET", path, key, nil)
 		is.Equal(ended.field("phase"), "Failed")
 		is.Equal(ended.field("reason"), "lease_expired")
-		verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
+		verdict, _, _ = client.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		is.Equal(call.send(2, "GET", path, key, nil).field("turns"), "2")
+		is.Equal(client.send(2, "GET", path, key, nil).field("turns"), "2")
 	})
 }
 
 func TestToolCallWithLostAnswerIsNotRepeated(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(100, nil)
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(100, nil)
 		path := "/v1/programs/" + program + "/tools/loyalty"
 		for _, tool := range f.Tools {
 			tool.Next = func() standin.Trouble { return standin.Silent } // the call runs and its answer is lost
 		}
-		first := call.send(0, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
+		first := client.send(0, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
 		is.Equal(first.field("error", "request"), "may_have_run")
 		for _, tool := range f.Tools {
 			tool.Next = nil
 		}
-		again := call.send(1, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
+		again := client.send(1, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
 		is.Equal(again.field("error", "request"), "may_have_run")
 		is.Equal(f.toolWorkerRuns(program+"/k1"), 1)
-		done := call.send(1, "POST", path, secret, `{"points":2}`, "idempotency-key", "k2")
+		done := client.send(1, "POST", path, secret, `{"points":2}`, "idempotency-key", "k2")
 		is.Equal(done.Status, 200)
-		replayed := call.send(2, "POST", path, secret, `{"points":2}`, "idempotency-key", "k2")
+		replayed := client.send(2, "POST", path, secret, `{"points":2}`, "idempotency-key", "k2")
 		is.Equal(replayed.Raw, done.Raw)
 		is.Equal(replayed.Header["Idempotent-Replayed"], "true")
 		is.Equal(f.toolWorkerRuns(program+"/k2"), 1)
-		is.Equal(call.send(2, "POST", path, secret, `{"points":3}`, "idempotency-key", "k2").field("error", "code"), "key_reused")
+		is.Equal(client.send(2, "POST", path, secret, `{"points":3}`, "idempotency-key", "k2").field("error", "code"), "key_reused")
 		// A call to an unreachable worker has not run, so another worker gets it.
 		f.World.Hosts["app-0"].Kill()
 		for index := 0; index < 4; index++ {
-			is.Equal(call.send(index, "POST", path, secret, `{}`, "idempotency-key", fmt.Sprint("up", index)).Status, 200)
+			is.Equal(client.send(index, "POST", path, secret, `{}`, "idempotency-key", fmt.Sprint("up", index)).Status, 200)
 		}
 		f.World.Hosts["app-1"].Kill()
-		down := call.send(0, "POST", path, secret, `{}`, "idempotency-key", "down")
+		down := client.send(0, "POST", path, secret, `{}`, "idempotency-key", "down")
 		is.Equal(down.Status, 503)
 		is.Equal(down.field("error", "request"), "not_run")
 		f.World.Hosts["app-1"].alive = true
-		call.sleep(2 * time.Second)
-		is.Equal(call.send(0, "POST", path, secret, `{}`, "idempotency-key", "down").Status, 200) // it has not run, so it may run now
+		client.sleep(2 * time.Second)
+		is.Equal(client.send(0, "POST", path, secret, `{}`, "idempotency-key", "down").Status, 200) // it has not run, so it may run now
 		is.Equal(f.toolWorkerRuns(program+"/down"), 1)
 	})
 }
@@ -516,13 +516,13 @@
 func TestLeavingWorkerGetsNoNewWork(t *testing.T) {
 	for _, variant := range []string{"report", "list", "refusal", "closing"} {
 		t.Run(variant, func(t *testing.T) {
-			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-				program, secret := call.createProgram(100000, nil)
-				path, key := call.openSession(0, program, secret, nil)
+			runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+				program, secret := client.createProgram(100000, nil)
+				path, key := client.openSession(0, program, secret, nil)
 				previous := ""
 				for num := 0; num < 3; num++ {
 					id := fmt.Sprint("t", num)
-					call.sendTurn(num, path, key, program, id, previous)
+					client.sendTurn(num, path, key, program, id, previous)
 					previous = id
 				}
 				leaving := f.Models[0]
@@ -531,9 +531,9 @@
 				}
 				switch variant {
 				case "report":
-					is.Equal(call.send(2, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":5,"leaving":true}`).Status, 200)
+					is.Equal(client.send(2, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":5,"leaving":true}`).Status, 200)
 				case "list":
-					is.Equal(call.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{leaving.ID}}).Status, 200)
+					is.Equal(client.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{leaving.ID}}).Status, 200)
 				case "closing":
 					leaving.Closing = true
 				case "refusal":
@@ -542,7 +542,7 @@
 				knownAt := f.World.Now()
 				for num := 3; num < 30; num++ {
 					id := fmt.Sprint("t", num)
-					verdict, _, _ := call.sendTurn(num, path, key, program, id, previous).finalResult()
+					verdict, _, _ := client.sendTurn(num, path, key, program, id, previous).finalResult()
 					is.Equal(verdict, "success")
 					previous = id
 					if (variant == "refusal" || variant == "closing") && num == 5 {
@@ -553,7 +553,7 @@
 				is.True(f.World.Now() > knownAt+3*time.Second)
 				is.True(leaving.Latest() <= knownAt+3*time.Second)
 				if variant != "list" {
-					returned := call.send(1, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":9,"incarnation":"two","leaving":false}`)
+					returned := client.send(1, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":9,"incarnation":"two","leaving":false}`)
 					is.Equal(returned.Status, 200)
 				}
 			})
@@ -562,53 +562,53 @@
 }
 
 func TestUnderstudyContinuesFromItsCopy(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(10000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(10000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		for num, previous := range []string{"", "t0", "t1"} {
-			verdict, _, _ := call.sendTurn(1, path, key, program, fmt.Sprint("t", num), previous).finalResult()
+			verdict, _, _ := client.sendTurn(1, path, key, program, fmt.Sprint("t", num), previous).finalResult()
 			is.Equal(verdict, "success")
 		}
-		before := call.send(1, "GET", path, key, nil)
+		before := client.send(1, "GET", path, key, nil)
 		is.True(strings.HasPrefix(before.field("owner"), "edge-0"))
 		is.True(strings.HasPrefix(before.field("understudy"), "edge-1")) // the standby is in the other zone
 		f.Kill(f.Gateways[0])
 		startedAt := f.World.Now()
-		verdict, _, _ := call.sendTurn(2, path, key, program, "t3", "t2").finalResult()
+		verdict, _, _ := client.sendTurn(2, path, key, program, "t3", "t2").finalResult()
 		is.Equal(verdict, "success")
 		is.True(f.World.Now()-startedAt < 2*time.Second) // the takeover is a short pause
-		after := call.send(2, "GET", path, key, nil)
+		after := client.send(2, "GET", path, key, nil)
 		is.Equal(after.field("owner"), before.field("understudy"))
 		is.Equal(after.field("epoch"), "2")
 		is.Equal(f.CounterTotal("chains_read_from_register"), int64(0))
 		// After the next loss, the new standby has caught up and takes over.
-		call.sleep(2 * time.Second)
+		client.sleep(2 * time.Second)
 		f.Kill(f.Gateways[1])
-		verdict, _, _ = call.sendTurn(2, path, key, program, "t4", "t3").finalResult()
+		verdict, _, _ = client.sendTurn(2, path, key, program, "t4", "t3").finalResult()
 		is.Equal(verdict, "success")
-		is.Equal(call.send(2, "GET", path, key, nil).field("turns"), "5")
+		is.Equal(client.send(2, "GET", path, key, nil).field("turns"), "5")
 	})
 }
 
 // TestOwnerChecksAssignmentAndForwardsOnce: a node refuses a request for an assignment
 // that it does not hold and does not forward it again.
 func TestOwnerChecksAssignmentAndForwardsOnce(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
-		call.sendTurn(0, path, key, program, "a", "")
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
+		client.sendTurn(0, path, key, program, "a", "")
 		forwarded := f.CounterTotal("visits_forwarded")
-		is.Equal(call.send(1, "GET", path, key, nil).Status, 200)
+		is.Equal(client.send(1, "GET", path, key, nil).Status, 200)
 		is.Equal(f.CounterTotal("visits_forwarded"), forwarded+1)
 		// Two changes of owner leave gateway 2 with an old assignment, which it looks up
 		// once more.
-		is.Equal(call.send(2, "GET", path, key, nil).Status, 200)
+		is.Equal(client.send(2, "GET", path, key, nil).Status, 200)
 		f.Kill(f.Gateways[0])
 		f.Start(f.Gateways[0]) // a new incarnation at the same address, which others take for the old one
-		verdict, _, _ := call.sendTurn(1, path, key, program, "b", "a").finalResult()
+		verdict, _, _ := client.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		is.Equal(call.send(2, "GET", path, key, nil).field("epoch"), "2")
-		verdict, _, _ = call.sendTurn(0, path, key, program, "c", "b").finalResult()
+		is.Equal(client.send(2, "GET", path, key, nil).field("epoch"), "2")
+		verdict, _, _ = client.sendTurn(0, path, key, program, "c", "b").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
@@ -624,25 +624,25 @@
 func TestUrgentProgramsGoFirstWithoutStarvation(t *testing.T) {
 	shape := SmallShape()
 	shape.ModelWorkers, shape.WorkerCapacity, shape.PieceInterval = 1, 1, 100*time.Millisecond
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
 		order := []string{}
 		remaining := 0
 		start := func(name, urgency string) {
-			program, secret := call.createProgram(1000, map[string]any{"urgency": urgency})
-			path, key := call.openSession(0, program, secret, nil)
+			program, secret := client.createProgram(1000, map[string]any{"urgency": urgency})
+			path, key := client.openSession(0, program, secret, nil)
 			remaining++
 			f.CallerHost.Go(func() {
-				verdict, _, _ := call.sendTurn(0, path, key, program, "t", "").finalResult()
+				verdict, _, _ := client.sendTurn(0, path, key, program, "t", "").finalResult()
 				order = append(order, name+" "+verdict)
 				remaining--
 			})
-			call.sleep(30 * time.Millisecond)
+			client.sleep(30 * time.Millisecond)
 		}
 		start("first", "low")
 		start("low", "low")
 		start("urgent", "urgent")
 		for remaining > 0 {
-			call.sleep(100 * time.Millisecond)
+			client.sleep(100 * time.Millisecond)
 		}
 		is.Equal(order, []string{"first success", "urgent success", "low success"})
 		for index := 0; index < 8; index++ {
@@ -650,7 +650,7 @@
 			start("rush", "urgent")
 		}
 		for remaining > 0 {
-			call.sleep(100 * time.Millisecond)
+			client.sleep(100 * time.Millisecond)
 		}
 		is.True(slices.Index(order, "old success") < len(order)-slices.Index(reverse(order), "rush success")-1) // an old program ends before the last urgent one
 		for _, result := range order {
@@ -669,22 +669,22 @@
 		standin.Hang: "cut may_have_run", standin.Fail: "failed may_have_run", standin.Silent: "failed may_have_run", standin.Refuse: "refused not_run",
 	} {
 		t.Run(string(fault), func(t *testing.T) {
-			runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+			runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
 				for _, model := range f.Models {
 					model.Next = func() standin.Trouble { return fault }
 				}
-				program, secret := call.createProgram(100, nil)
-				path, key := call.openSession(0, program, secret, nil)
+				program, secret := client.createProgram(100, nil)
+				path, key := client.openSession(0, program, secret, nil)
 				body := turnBody(program, "t")
 				body["max_output_tokens"] = 3 // the worker has six pieces, so an overrun is seen
-				response := call.send(1, "POST", path+"/turns", key, body, "turn-id", "t")
+				response := client.send(1, "POST", path+"/turns", key, body, "turn-id", "t")
 				verdict, ran, _ := response.finalResult()
 				is.Equal(verdict+" "+ran, want)
-				is.Equal(call.send(1, "GET", path+"/turns/t", key, nil).field("answer"), "<nil>")
+				is.Equal(client.send(1, "GET", path+"/turns/t", key, nil).field("answer"), "<nil>")
 				if ran == "not_run" {
 					is.Equal(f.modelWorkerRuns(program, "t"), 0)
 				} else { // a turn that is not known to have ended is charged in full
-					is.Equal(call.send(1, "GET", "/v1/programs/"+program, secret, nil).field("spent_tokens"), "3")
+					is.Equal(client.send(1, "GET", "/v1/programs/"+program, secret, nil).field("spent_tokens"), "3")
 				}
 			})
 		})
@@ -696,25 +696,25 @@
 func TestLeavingBusyWorkerFinishesItsRequest(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 500 * time.Millisecond
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		var running apiResponse
-		f.CallerHost.Go(func() { running = call.sendTurn(1, path, key, program, "a", "") })
-		call.sleep(700 * time.Millisecond)
+		f.CallerHost.Go(func() { running = client.sendTurn(1, path, key, program, "a", "") })
+		client.sleep(700 * time.Millisecond)
 		busy := f.Models[0]
 		if f.Models[1].Busy() > 0 {
 			busy = f.Models[1]
 		}
 		is.Equal(busy.Busy(), 1)
-		is.Equal(call.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{busy.ID}}).Status, 200)
-		is.Equal(call.send(2, "POST", "/v1/platform/workers/"+busy.ID+"/usage", "", `{"number":5,"leaving":true}`).Status, 200)
+		is.Equal(client.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{busy.ID}}).Status, 200)
+		is.Equal(client.send(2, "POST", "/v1/platform/workers/"+busy.ID+"/usage", "", `{"number":5,"leaving":true}`).Status, 200)
 		for running.Status == 0 {
-			call.sleep(100 * time.Millisecond)
+			client.sleep(100 * time.Millisecond)
 		}
 		verdict, _, _ := running.finalResult()
 		is.Equal(verdict, "success")
-		verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
+		verdict, _, _ = client.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 		_, _, runs, _ := busy.Record()
 		is.Equal(runs, 1) // the next turn went to the other worker
@@ -725,10 +725,10 @@
 // an attempt of a turn; once it has the control state again, it does not send the
 // attempt to a worker that has left meanwhile.
 func TestDelayedAttemptSkipsWorkerThatLeft(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
-		call.sendTurn(0, path, key, program, "a", "")
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
+		client.sendTurn(0, path, key, program, "a", "")
 		lastUsed, other := f.Models[0], f.Models[1]
 		if other.Latest() > lastUsed.Latest() {
 			lastUsed, other = other, lastUsed
@@ -737,14 +737,14 @@
 			f.Net.CutLink(f.Gateways[0].Host.Name, m.Host.Name)
 		}
 		var delayedTurn apiResponse
-		f.CallerHost.Go(func() { delayedTurn = call.sendTurn(0, path, key, program, "b", "a") })
-		call.sleep(200 * time.Millisecond)
-		is.Equal(call.send(1, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{lastUsed.ID}}).Status, 200)
+		f.CallerHost.Go(func() { delayedTurn = client.sendTurn(0, path, key, program, "b", "a") })
+		client.sleep(200 * time.Millisecond)
+		is.Equal(client.send(1, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{lastUsed.ID}}).Status, 200)
 		removedAt := f.World.Now()
-		call.sleep(4 * time.Second)
+		client.sleep(4 * time.Second)
 		f.Net.Heal()
 		for delayedTurn.Status == 0 {
-			call.sleep(100 * time.Millisecond)
+			client.sleep(100 * time.Millisecond)
 		}
 		verdict, _, _ := delayedTurn.finalResult()
 		is.Equal(verdict, "success")
--- a/internal/simulate/cluster_change_test.go
+++ b/internal/simulate/cluster_change_test.go
@@ -28,20 +28,20 @@
 	for name, injectFault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+			runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
 				remaining := f.StartCallers(4, 12, true, func(c *standin.Caller) {
 					c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 				})
-				call.sleep(time.Second)
+				client.sleep(time.Second)
 				lost := f.FindDisk(f.Storage[0].Host.Name)
 				is.True(lost.Voting)
 				f.PowerLoss(f.Storage[0])
 				f.Storage[0].Disk.Wipe()
 				added := f.AddMachine("storage")
-				call.sleep(time.Second)
+				client.sleep(time.Second)
 				status, code := f.RequestDiskChange("admit", "address", added.Host.Name+":1")
 				is.Equal(fmt.Sprint(status, code), "200")
-				call.sleep(300 * time.Millisecond)
+				client.sleep(300 * time.Millisecond)
 				injectFault(f)
 				is.True(f.AwaitDiskChange(2 * time.Minute))
 				is.True(f.FindDisk(added.Host.Name).Voting)
@@ -54,7 +54,7 @@
 				is.Equal(len(f.StorageStatus().Disks), 3)
 				f.PowerLoss(f.Storage[1]) // the next loss, which is permanent
 				for remaining() > 0 {
-					call.sleep(time.Second)
+					client.sleep(time.Second)
 				}
 				is.Equal(f.Tally.Counts["conversations_whole"], 4)
 			})
@@ -67,10 +67,10 @@
 func TestRetiringDisk(t *testing.T) {
 	shape := SmallShape()
 	shape.Storage = 4
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
-		call.sendTurn(0, path, key, program, "a", "")
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
+		client.sendTurn(0, path, key, program, "a", "")
 		retired := f.FindDisk(f.Storage[0].Host.Name)
 		status, code := f.RequestDiskChange("retire", "disk", "none")
 		is.Equal(fmt.Sprint(status, code), "404unknown_disk")
@@ -85,12 +85,12 @@
 		// A removed machine that returns is refused until it is wiped.
 		f.Kill(f.Storage[0])
 		f.Start(f.Storage[0])
-		call.sleep(2 * time.Second)
+		client.sleep(2 * time.Second)
 		is.True(f.Storage[0].storage.Ready() != nil)
 		status, code = f.RequestDiskChange("admit", "address", f.Storage[0].Host.Name+":1")
 		is.Equal(fmt.Sprint(status, code), "409disk_not_blank")
 		f.Kill(f.Storage[1]) // two of three disks suffice
-		verdict, _, _ := call.sendTurn(1, path, key, program, "b", "a").finalResult()
+		verdict, _, _ := client.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
@@ -99,7 +99,7 @@
 // them to the new core. A gateway that joins becomes ready and serves.
 func TestNewMachinesMoveFewShards(t *testing.T) {
 	t.Parallel()
-	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
+	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, client *apiClient) {
 		findLeaders := func() map[uint32]string {
 			leaders := map[uint32]string{}
 			for _, m := range f.Cores {
@@ -110,11 +110,11 @@
 			}
 			return leaders
 		}
-		call.sleep(5 * time.Second)
+		client.sleep(5 * time.Second)
 		before := findLeaders()
 		is.Equal(len(before), 32)
 		added := f.AddMachine("core")
-		call.sleep(8 * time.Second)
+		client.sleep(8 * time.Second)
 		after := findLeaders()
 		is.Equal(len(after), 32)
 		moved := 0
@@ -125,12 +125,12 @@
 			}
 		}
 		is.True(moved > 0 && moved <= 16)
-		program, secret := call.createProgram(1000, nil)
+		program, secret := client.createProgram(1000, nil)
 		edge := f.AddMachine("edge")
-		call.sleep(3 * time.Second)
-		path, key := call.openSession(len(f.Gateways)-1, program, secret, nil)
+		client.sleep(3 * time.Second)
+		path, key := client.openSession(len(f.Gateways)-1, program, secret, nil)
 		is.True(edge.gateway.Ready() == nil)
-		verdict, _, _ := call.sendTurn(0, path, key, program, "a", "").finalResult()
+		verdict, _, _ := client.sendTurn(0, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
@@ -138,7 +138,7 @@
 // TestClusterIsBootstrappedOnce: an existing cluster cannot be bootstrapped again by an
 // operator, nor do machines bootstrap by themselves after all disks were wiped.
 func TestClusterIsBootstrappedOnce(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
 		cluster := f.StorageStatus().Cluster
 		addrs := []string{"storage-0:1", "storage-1:1", "storage-2:1"}
 		status, answer := f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
@@ -156,7 +156,7 @@
 		for _, m := range f.All() {
 			f.Start(m)
 		}
-		call.sleep(20 * time.Second)
+		client.sleep(20 * time.Second)
 		for _, m := range f.Storage {
 			is.True(m.storage.Ready() != nil) // it stays blank and bootstraps no cluster
 		}
@@ -172,22 +172,22 @@
 func TestTakeOverWhileStandbyDrains(t *testing.T) {
 	shape := SmallShape()
 	shape.Gateways = 4
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
-		verdict, _, _ := call.sendTurn(2, path, key, program, "a", "").finalResult()
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
+		verdict, _, _ := client.sendTurn(2, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		standby := call.send(2, "GET", path, key, nil).field("understudy")
+		standby := client.send(2, "GET", path, key, nil).field("understudy")
 		for _, m := range f.Gateways {
 			if strings.HasPrefix(standby, m.Host.Name) {
 				f.CallerHost.Go(func() { f.Stop(m) })
 			}
 		}
-		call.sleep(10 * time.Millisecond)
+		client.sleep(10 * time.Millisecond)
 		f.Kill(f.Gateways[0])
-		verdict, _, _ = call.sendTurn(2, path, key, program, "b", "a").finalResult()
+		verdict, _, _ = client.sendTurn(2, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		after := call.send(2, "GET", path, key, nil)
+		after := client.send(2, "GET", path, key, nil)
 		is.True(after.field("owner") != standby)
 		is.Equal(after.field("turns"), "2")
 	})
@@ -197,12 +197,12 @@
 // down.
 func TestOneSeedIsEnough(t *testing.T) {
 	t.Parallel()
-	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
+	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, client *apiClient) {
 		f.Kill(f.Cores[0])
 		f.Kill(f.Cores[len(f.Cores)-1])
-		call.sleep(5 * time.Second)
+		client.sleep(5 * time.Second)
 		added := f.AddMachine("edge")
-		call.sleep(4 * time.Second)
+		client.sleep(4 * time.Second)
 		is.True(added.gateway.Ready() == nil)
 	})
 }
@@ -210,7 +210,7 @@
 // TestInvalidOperatorRequestsAreRejected: invalid requests to the operators' API are
 // rejected with the name of the field and change nothing.
 func TestInvalidOperatorRequestsAreRejected(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
 		before := f.StorageStatus()
 		rows := []struct {
 			path   string
@@ -268,23 +268,23 @@
 	for _, variant := range []string{"cluster named", "new seeds"} {
 		t.Run(variant, func(t *testing.T) {
 			t.Parallel()
-			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+			runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
 				cluster := f.StorageStatus().Cluster
 				f.SeedAddrs = []string{"core-0:1", "core-1:1", "storage-0:1"}
-				program, secret := call.createProgram(1000, nil)
-				path, key := call.openSession(0, program, secret, nil)
-				verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
+				program, secret := client.createProgram(1000, nil)
+				path, key := client.openSession(0, program, secret, nil)
+				verdict, _, _ := client.sendTurn(1, path, key, program, "a", "").finalResult()
 				is.Equal(verdict, "success")
 				for index := range 2 {
 					f.AddMachine("core")
-					call.sleep(2 * time.Second)
+					client.sleep(2 * time.Second)
 					f.Kill(f.Cores[index])
 					f.Cores[index].removed = true
 				}
 				f.Cores = f.Cores[2:]
 				lost := f.FindDisk("storage-0").ID
 				f.AddMachine("storage")
-				call.sleep(time.Second)
+				client.sleep(time.Second)
 				status, _ := f.RequestDiskChange("admit", "address", "storage-3:1")
 				is.Equal(status, 200)
 				is.True(f.AwaitDiskChange(time.Minute))
@@ -293,7 +293,7 @@
 				is.True(f.AwaitDiskChange(time.Minute))
 				f.Kill(f.Storage[0])
 				f.Storage[0].removed = true
-				call.sleep(10 * time.Second)
+				client.sleep(10 * time.Second)
 				if variant == "cluster named" {
 					f.ClusterID = cluster
 				} else {
@@ -301,7 +301,7 @@
 				}
 				f.totalOutage()
 				is.Equal(len(f.Tally.Breaches), 0)
-				verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
+				verdict, _, _ = client.sendTurn(1, path, key, program, "b", "a").finalResult()
 				is.Equal(verdict, "success")
 			})
 		})
--- a/internal/simulate/expiry_test.go
+++ b/internal/simulate/expiry_test.go
@@ -13,31 +13,31 @@
 // deadline that has passed takes effect.
 func TestRetentionAndDeadlinesSurviveCoreLoss(t *testing.T) {
 	t.Parallel()
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
-		verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
+		verdict, _, _ := client.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		is.Equal(call.send(1, "POST", path+"/close", key, nil).field("phase"), "Succeeded")
+		is.Equal(client.send(1, "POST", path+"/close", key, nil).field("phase"), "Succeeded")
 		tool := "/v1/programs/" + program + "/tools/loyalty"
-		is.Equal(call.send(1, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k").Status, 200)
-		shortProgram, shortSecret := call.createProgram(1000, map[string]any{"deadline_s": 100})
-		shortPath, shortKey := call.openSession(0, shortProgram, shortSecret, nil)
-		verdict, _, _ = call.sendTurn(1, shortPath, shortKey, shortProgram, "a", "").finalResult()
+		is.Equal(client.send(1, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k").Status, 200)
+		shortProgram, shortSecret := client.createProgram(1000, map[string]any{"deadline_s": 100})
+		shortPath, shortKey := client.openSession(0, shortProgram, shortSecret, nil)
+		verdict, _, _ = client.sendTurn(1, shortPath, shortKey, shortProgram, "a", "").finalResult()
 		is.Equal(verdict, "success")
 		for round := 0; round < 8; round++ { // 80 s in all, with an expiry sweep under each leader
 			f.crash(f.Cores[round%2], time.Second, false)
-			call.sleep(10 * time.Second)
+			client.sleep(10 * time.Second)
 		}
-		verdict, _, _ = call.sendTurn(1, shortPath, shortKey, shortProgram, "b", "a").finalResult()
+		verdict, _, _ = client.sendTurn(1, shortPath, shortKey, shortProgram, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
+		verdict, _, _ = client.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		again := call.send(2, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k")
+		again := client.send(2, "POST", tool, secret, `{"points":1}`, "idempotency-key", "k")
 		is.Equal(again.Header["Idempotent-Replayed"], "true")
 		is.Equal(f.toolWorkerRuns(program+"/k"), 1)
-		call.sleep(60 * time.Second)
-		_, ran, code := call.sendTurn(1, shortPath, shortKey, shortProgram, "c", "b").finalResult()
+		client.sleep(60 * time.Second)
+		_, ran, code := client.sendTurn(1, shortPath, shortKey, shortProgram, "c", "b").finalResult()
 		is.Equal(code+" "+ran, "past_deadline not_run")
 	})
 }
--- a/internal/simulate/feed_tree_test.go
+++ b/internal/simulate/feed_tree_test.go
@@ -57,14 +57,14 @@
 }
 
 // leaseExpirations returns how many leases have expired, and how many nodes have no lease.
-func (f *Fleet) leaseExpirations() (lapsed uint64, without int) {
+func (f *Fleet) leaseExpirations() (expired uint64, withoutLease int) {
 	for _, m := range f.liveFollowers() {
-		lapsed += m.leaseFollower().LeaseExpirations()
+		expired += m.leaseFollower().LeaseExpirations()
 		if !m.leaseFollower().HasLease() {
-			without++
+			withoutLease++
 		}
 	}
-	return lapsed, without
+	return expired, withoutLease
 }
 
 // TestFeedTreeOfLargeFleet: in a large fleet the leader of the feed answers a bounded
--- a/internal/simulate/redundancy_test.go
+++ b/internal/simulate/redundancy_test.go
@@ -24,40 +24,40 @@
 const lossSeedCount = 1
 
 // lossSize is a number of storage machines and how many of them may be lost at once.
-type lossSize struct{ storage, tolerate int }
+type lossSize struct{ storage, faultTolerance int }
 
 var lossSizes = []lossSize{{3, 1}, {4, 1}, {9, 2}}
 
 // lossKinds lose machines in one way each. They return when all are back or replaced.
-var lossKinds = map[string]func(f *Fleet, lost []*Machine, call *apiClient){
-	"wiped": func(f *Fleet, lost []*Machine, call *apiClient) {
+var lossKinds = map[string]func(f *Fleet, lost []*Machine, client *apiClient){
+	"wiped": func(f *Fleet, lost []*Machine, client *apiClient) {
 		for _, m := range lost {
 			f.wipeMachine(m)
 		}
-		call.sleep(f.World.Between(100*time.Millisecond, time.Second))
+		client.sleep(f.World.Between(100*time.Millisecond, time.Second))
 		for _, m := range lost {
 			f.Start(m)
 		}
 	},
-	"replaced": func(f *Fleet, lost []*Machine, call *apiClient) {
+	"replaced": func(f *Fleet, lost []*Machine, client *apiClient) {
 		for _, m := range lost {
 			f.loseMachine(m, f.World.Chance(0.5))
 		}
-		call.sleep(f.World.Between(0, 2*time.Second))
+		client.sleep(f.World.Between(0, 2*time.Second))
 		for range lost {
 			f.AddMachine("storage")
 		}
 	},
-	"cut off": func(f *Fleet, lost []*Machine, call *apiClient) {
+	"cut off": func(f *Fleet, lost []*Machine, client *apiClient) {
 		isolated := map[string]bool{}
 		for _, m := range lost {
 			isolated[m.Host.Name] = true
 		}
 		f.Net.Isolate(isolated)
-		call.sleep(f.World.Between(time.Second, 6*time.Second))
+		client.sleep(f.World.Between(time.Second, 6*time.Second))
 		f.Net.Heal()
 	},
-	"power lost everywhere, some wiped": func(f *Fleet, lost []*Machine, call *apiClient) {
+	"power lost everywhere, some wiped": func(f *Fleet, lost []*Machine, client *apiClient) {
 		for _, m := range f.All() {
 			if m.Host.alive {
 				f.PowerLoss(m)
@@ -66,7 +66,7 @@
 		for _, m := range lost {
 			m.Disk.Wipe()
 		}
-		call.sleep(f.World.Between(500*time.Millisecond, 2*time.Second))
+		client.sleep(f.World.Between(500*time.Millisecond, 2*time.Second))
 		for _, m := range f.All() {
 			if !m.removed {
 				f.Start(m)
@@ -110,16 +110,16 @@
 		for _, size := range lossSizes {
 			t.Run(fmt.Sprint(name, "/", size.storage), func(t *testing.T) {
 				t.Parallel()
-				runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
+				runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.faultTolerance), func(is *is.I, f *Fleet, client *apiClient) {
 					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 					w := newHistoryWriter(f)
 					w.runRound()
 					delayHistoryFetches(f, historyFetchDelay)
 					w.start()
 					for range 4 {
-						call.sleep(f.World.Between(0, time.Second))
-						lose(f, f.pickDistinctStorage(size.tolerate), call)
-						call.sleep(catchUpTime)
+						client.sleep(f.World.Between(0, time.Second))
+						lose(f, f.pickDistinctStorage(size.faultTolerance), client)
+						client.sleep(catchUpTime)
 						checkHistory(t, is, f, w)
 					}
 					w.stopped = true
@@ -137,14 +137,14 @@
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
 			var longest time.Duration
-			runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
+			runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.faultTolerance), func(is *is.I, f *Fleet, client *apiClient) {
 				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				w := newHistoryWriter(f)
 				w.runRound()
 				delayHistoryFetches(f, historyFetchDelay)
 				w.start()
 				for _, leaving := range slices.Clone(f.Storage) {
-					longest = max(longest, retireThenLose(t, is, f, w, call, leaving))
+					longest = max(longest, retireThenLose(t, is, f, w, client, leaving))
 				}
 				w.stopped = true
 			})
@@ -155,10 +155,10 @@
 
 // retireThenLose retires and removes one machine and wipes as many others as may be lost
 // at that moment. It returns how long the retirement took.
-func retireThenLose(t *testing.T, is *is.I, f *Fleet, w *historyWriter, call *apiClient, leaving *Machine) time.Duration {
+func retireThenLose(t *testing.T, is *is.I, f *Fleet, w *historyWriter, client *apiClient, leaving *Machine) time.Duration {
 	t.Helper()
 	f.AddMachine("storage")
-	call.sleep(time.Second)
+	client.sleep(time.Second)
 	startedAt := f.World.Now()
 	is.Equal(f.retireNode("POST", leaving.Host.Name), "200active")
 	took := f.waitUntil(20*time.Second, func() bool { return f.retireNode("GET", leaving.Host.Name) == "200complete" })
@@ -172,11 +172,11 @@
 	for _, m := range lost {
 		f.wipeMachine(m)
 	}
-	call.sleep(300 * time.Millisecond)
+	client.sleep(300 * time.Millisecond)
 	for _, m := range lost {
 		f.Start(m)
 	}
-	call.sleep(catchUpTime)
+	client.sleep(catchUpTime)
 	checkHistory(t, is, f, w)
 	return took
 }
@@ -188,7 +188,7 @@
 	for _, size := range []lossSize{{7, 1}, {9, 2}} {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
-			runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
+			runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.faultTolerance), func(is *is.I, f *Fleet, client *apiClient) {
 				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				w := newHistoryWriter(f)
 				w.runRound()
@@ -200,11 +200,11 @@
 						leaving = append(leaving, m)
 					}
 				}
-				is.Equal(len(leaving), size.storage-2*size.tolerate-1) // the others are refused
-				call.sleep(f.World.Between(0, 2*time.Second))
+				is.Equal(len(leaving), size.storage-2*size.faultTolerance-1) // the others are refused
+				client.sleep(f.World.Between(0, 2*time.Second))
 				victim := f.pickMachine(f.remainingStorage())
 				f.wipeMachine(victim)
-				call.sleep(300 * time.Millisecond)
+				client.sleep(300 * time.Millisecond)
 				f.Start(victim)
 				for _, m := range leaving {
 					took := f.waitUntil(30*time.Second, func() bool { return f.retireNode("GET", m.Host.Name) == "200complete" })
@@ -216,9 +216,9 @@
 				}
 				next := f.pickMachine(f.remainingStorage())
 				f.wipeMachine(next)
-				call.sleep(300 * time.Millisecond)
+				client.sleep(300 * time.Millisecond)
 				f.Start(next)
-				call.sleep(catchUpTime)
+				client.sleep(catchUpTime)
 				checkHistory(t, is, f, w)
 				w.stopped = true
 			})
@@ -233,12 +233,12 @@
 	for _, size := range lossSizes {
 		t.Run(fmt.Sprint(size.storage), func(t *testing.T) {
 			t.Parallel()
-			runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
+			runReconcilingSeeds(t, lossSeedCount, reconcilingShape(size.storage, size.faultTolerance), func(is *is.I, f *Fleet, client *apiClient) {
 				is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 				w := newHistoryWriter(f)
 				w.start()
 				for range 4 {
-					replaceAfterJoinThenOutage(f, w, call)
+					replaceAfterJoinThenOutage(f, w, client)
 					checkHistory(t, is, f, w)
 				}
 				w.stopped = true
@@ -249,17 +249,17 @@
 
 // replaceAfterJoinThenOutage adds a machine, stops another for good, and after the time
 // to catch up cuts the power of all and wipes as many as may be lost.
-func replaceAfterJoinThenOutage(f *Fleet, w *historyWriter, call *apiClient) {
-	call.sleep(f.World.Between(0, time.Second))
+func replaceAfterJoinThenOutage(f *Fleet, w *historyWriter, client *apiClient) {
+	client.sleep(f.World.Between(0, time.Second))
 	leaving := f.pickMachine(f.remainingStorage())
 	f.AddMachine("storage")
-	call.sleep(f.World.Between(500*time.Millisecond, 4*time.Second))
+	client.sleep(f.World.Between(500*time.Millisecond, 4*time.Second))
 	w.pause() // a program's next turn would copy the turns before it
 	f.Stop(leaving)
 	f.loseMachine(leaving, false)
-	call.sleep(catchUpTime)
-	lossKinds["power lost everywhere, some wiped"](f, f.pickDistinctStorage(f.Shape.FaultTolerance), call)
-	call.sleep(catchUpTime)
+	client.sleep(catchUpTime)
+	lossKinds["power lost everywhere, some wiped"](f, f.pickDistinctStorage(f.Shape.FaultTolerance), client)
+	client.sleep(catchUpTime)
 }
 
 // TestDisabledGracefulStopLosesTurns: a machine that stops without announcing it stays in
@@ -270,11 +270,11 @@
 	const maxSeeds = 4
 	for seed := uint64(1); seed <= maxSeeds; seed++ {
 		lost := 0
-		runOnFleet(t, seed, reconcilingShape(9, 2), func(f *Fleet, call *apiClient) {
+		runOnFleet(t, seed, reconcilingShape(9, 2), func(f *Fleet, client *apiClient) {
 			w := newHistoryWriter(f)
 			w.start()
 			f.disabled.gracefulStop = true
-			replaceAfterJoinThenOutage(f, w, call)
+			replaceAfterJoinThenOutage(f, w, client)
 			lost = len(w.missingTurns()) + len(w.stuckPrograms())
 			w.stopped = true
 		})
@@ -288,7 +288,7 @@
 
 // runOnFleet runs steps on a fleet with a complete disk set. It does not check the
 // invariants.
-func runOnFleet(t *testing.T, seed uint64, shape Shape, steps func(f *Fleet, call *apiClient)) {
+func runOnFleet(t *testing.T, seed uint64, shape Shape, steps func(f *Fleet, client *apiClient)) {
 	t.Helper()
 	f := NewFleet(seed, shape)
 	defer f.World.Close()
@@ -328,7 +328,7 @@
 // turns of.
 func turnsLostWithoutWaiting(t *testing.T, seed uint64) (lost int) {
 	t.Helper()
-	runOnFleet(t, seed, reconcilingShape(5, 1), func(f *Fleet, call *apiClient) {
+	runOnFleet(t, seed, reconcilingShape(5, 1), func(f *Fleet, client *apiClient) {
 		for _, m := range f.Cores {
 			m.core.RegisterServer.SetRedundancyChecker(noGaps{})
 		}
@@ -341,9 +341,9 @@
 		f.loseMachine(leaving, false)
 		victim := f.pickMachine(f.remainingStorage())
 		f.wipeMachine(victim)
-		call.sleep(300 * time.Millisecond)
+		client.sleep(300 * time.Millisecond)
 		f.Start(victim)
-		call.sleep(catchUpTime)
+		client.sleep(catchUpTime)
 		lost = len(w.missingTurns())
 	})
 	return lost
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -249,6 +249,7 @@
 	return w
 }
 
+// instanceEntry returns the entry of a worker in the platform's list.
 func (t *Tier) instanceEntry(w *tierWorker, state string) parties.Instance {
 	entry := parties.Instance{ID: w.ID, Service: w.Service, Address: w.Address, Zone: w.Zone, Generation: "v1", Capacity: w.Shape.Capacity, State: state}
 	if w.Shape.Engine != nil {
--- a/internal/simulate/tier_faults.go
+++ b/internal/simulate/tier_faults.go
@@ -60,7 +60,7 @@
 
 // crashFor kills a machine, or cuts its power, optionally wipes its disk, and starts it
 // again after a while.
-func (t *Tier) crashFor(m *Machine, kind string, span time.Duration, powerLoss, wipe bool) {
+func (t *Tier) crashFor(m *Machine, kind string, downtime time.Duration, powerLoss, wipe bool) {
 	if m.removed || !m.Host.alive || m.stopRequested {
 		return
 	}
@@ -69,7 +69,7 @@
 	if wipe {
 		m.Disk.Wipe()
 	}
-	t.CallerHost.Clock().Sleep(span)
+	t.CallerHost.Clock().Sleep(downtime)
 	if !m.removed {
 		t.startMachine(m)
 	}
@@ -77,14 +77,14 @@
 }
 
 // freezeFor freezes a machine for a while.
-func (t *Tier) freezeFor(m *Machine, span time.Duration) {
+func (t *Tier) freezeFor(m *Machine, duration time.Duration) {
 	if !m.Host.alive || m.Host.frozen {
 		return
 	}
 	end := t.recordTrouble("node_freeze", m, nil)
 	incarnation := m.Host.incarnation
 	m.Host.Freeze()
-	t.CallerHost.Clock().Sleep(span)
+	t.CallerHost.Clock().Sleep(duration)
 	if m.Host.incarnation == incarnation {
 		m.Host.Thaw()
 	}
@@ -95,12 +95,12 @@
 // after the grace period, and starts it again. A stopping gateway serves on until its
 // readiness has been checked; then it accepts no new connections and finishes the
 // requests that it has read.
-func (t *Tier) restartGracefully(m *Machine, kind string, after time.Duration) {
+func (t *Tier) restartGracefully(m *Machine, kind string, downtime time.Duration) {
 	end := t.stopGracefully(m, kind)
 	if end == nil {
 		return
 	}
-	t.CallerHost.Clock().Sleep(after)
+	t.CallerHost.Clock().Sleep(downtime)
 	if !m.removed && !m.Host.alive {
 		t.startMachine(m)
 	}
@@ -114,7 +114,7 @@
 	if !m.Host.alive || m.Host.frozen || m.removed || m.stopRequested {
 		return nil
 	}
-	end = t.recordTrouble(kind, m, func(x *parties.Trouble) { x.Term = true })
+	end = t.recordTrouble(kind, m, func(trouble *parties.Trouble) { trouble.Term = true })
 	clock, grace, incarnation, startedAt := t.CallerHost.Clock(), t.Site.Bounds.Grace, m.Host.incarnation, t.World.now
 	m.stopRequested = true
 	if t.disabled.gracefulStop {
@@ -167,12 +167,12 @@
 
 // replaceLost cuts a machine's power for good and replaces it by an empty machine at
 // another address.
-func (t *Tier) replaceLost(m *Machine, span time.Duration) {
+func (t *Tier) replaceLost(m *Machine, downtime time.Duration) {
 	end := t.recordTrouble("replace_core", m, nil)
 	m.removed = true
 	t.endProcess(m, true)
 	m.Disk.Wipe()
-	t.CallerHost.Clock().Sleep(span)
+	t.CallerHost.Clock().Sleep(downtime)
 	t.joinMachine(m.Role)
 	end()
 }
@@ -186,19 +186,19 @@
 }
 
 // isolateFor isolates machines from all other machines of the fleet for a while.
-func (t *Tier) isolateFor(isolated []*Machine, span time.Duration) {
-	t.isolateFrom(isolated, t.All(), span)
+func (t *Tier) isolateFor(isolated []*Machine, duration time.Duration) {
+	t.isolateFrom(isolated, t.All(), duration)
 }
 
 // partitionFor partitions the cores and storage machines, taken together, into two
 // halves for a while. Gateways, clients and operators reach both halves.
-func (t *Tier) partitionFor(span time.Duration) {
+func (t *Tier) partitionFor(duration time.Duration) {
 	machines := append(t.available(t.Cores), t.available(t.Storage)...)
-	t.isolateFrom(t.drawMachines(machines, len(machines)/2), machines, span)
+	t.isolateFrom(t.drawMachines(machines, len(machines)/2), machines, duration)
 }
 
 // isolateFrom isolates some machines of a list from the others of the list.
-func (t *Tier) isolateFrom(isolated, all []*Machine, span time.Duration) {
+func (t *Tier) isolateFrom(isolated, all []*Machine, duration time.Duration) {
 	isolatedNames := map[string]bool{}
 	var ends []func()
 	for _, m := range isolated {
@@ -212,7 +212,7 @@
 			}
 		}
 	}
-	t.CallerHost.Clock().Sleep(span)
+	t.CallerHost.Clock().Sleep(duration)
 	t.Net.Heal()
 	for _, end := range ends {
 		end()
@@ -220,12 +220,12 @@
 }
 
 // slowFor slows a machine's network and disk for a while.
-func (t *Tier) slowFor(m *Machine, span time.Duration) {
-	end := t.recordTrouble("node_slow", m, func(x *parties.Trouble) { x.Slow = true })
-	quick, slow := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
+func (t *Tier) slowFor(m *Machine, duration time.Duration) {
+	end := t.recordTrouble("node_slow", m, func(trouble *parties.Trouble) { trouble.Slow = true })
+	minSyncTime, maxSyncTime := m.Disk.MinSyncTime, m.Disk.MaxSyncTime
 	m.Host.ExtraDelay, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = t.World.Between(10*time.Millisecond, 120*time.Millisecond), 20*time.Millisecond, 150*time.Millisecond
-	t.CallerHost.Clock().Sleep(span)
-	m.Host.ExtraDelay, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, quick, slow
+	t.CallerHost.Clock().Sleep(duration)
+	m.Host.ExtraDelay, m.Disk.MinSyncTime, m.Disk.MaxSyncTime = 0, minSyncTime, maxSyncTime
 	end()
 }
 
@@ -289,7 +289,7 @@
 	if err := t.newOperator("retire").Retire(m.Host.Name, 10*time.Second, 20*time.Second); err != nil {
 		return false
 	}
-	end := t.recordTrouble("retire", m, func(x *parties.Trouble) { x.Term = true })
+	end := t.recordTrouble("retire", m, func(trouble *parties.Trouble) { trouble.Term = true })
 	m.removed = true
 	t.endProcess(m, true)
 	m.Disk.Wipe()
@@ -351,18 +351,18 @@
 
 // injectWorkerFaults makes the workers of a service, or one worker, draw faults for a
 // while.
-func (t *Tier) injectWorkerFaults(name string, probability float64, span time.Duration, kinds ...parties.Fault) {
+func (t *Tier) injectWorkerFaults(name string, probability float64, duration time.Duration, kinds ...parties.Fault) {
 	t.workerFaults[name] = &workerFaultRate{probability, kinds}
-	t.CallerHost.Clock().Sleep(span)
+	t.CallerHost.Clock().Sleep(duration)
 	delete(t.workerFaults, name)
 }
 
 // failList makes requests for the list of workers fail for a while.
-func (t *Tier) failList(span time.Duration) {
+func (t *Tier) failList(duration time.Duration) {
 	trouble := &parties.Trouble{Kind: "list_down", Machine: "list", Class: "list", From: t.World.now, To: 1 << 60}
 	t.recorder.Note(func(r *parties.Record) { r.Troubles = append(r.Troubles, trouble) })
 	t.instances.SetDown(true)
-	t.CallerHost.Clock().Sleep(span)
+	t.CallerHost.Clock().Sleep(duration)
 	t.instances.SetDown(false)
 	trouble.To = t.World.now
 }
--- a/internal/simulate/tier_scenario.go
+++ b/internal/simulate/tier_scenario.go
@@ -28,61 +28,61 @@
 const defaultTierLoadDuration = 12 * time.Second
 
 // Run runs the scenario with a seed.
-func (d *TierScenario) Run(seed uint64, shape TierShape) *Outcome { return d.RunWith(seed, shape, nil) }
+func (s *TierScenario) Run(seed uint64, shape TierShape) *Outcome { return s.RunWith(seed, shape, nil) }
 
 // RunWith is Run with a function that changes the tier before it starts.
-func (d *TierScenario) RunWith(seed uint64, shape TierShape, prepare func(t *Tier)) *Outcome {
-	if d.AdjustSite != nil {
-		d.AdjustSite(shape.Site)
+func (s *TierScenario) RunWith(seed uint64, shape TierShape, prepare func(t *Tier)) *Outcome {
+	if s.AdjustSite != nil {
+		s.AdjustSite(shape.Site)
 	}
 	t := NewTier(seed, shape, prepare)
 	defer t.World.Close()
 	done := false
 	t.CallerHost.Go(func() {
-		d.execute(t)
+		s.execute(t)
 		done = true
 	})
-	out := &Outcome{Scenario: d.Name, Tier: true, Shape: shape.Name, Seed: seed}
+	outcome := &Outcome{Scenario: s.Name, Tier: true, Shape: shape.Name, Seed: seed}
 	if !t.World.Run(4*time.Minute, func() bool { return done }) {
-		out.Breaches = append(out.Breaches, "FAULT: the scenario did not end within 4 minutes")
+		outcome.Breaches = append(outcome.Breaches, "FAULT: the scenario did not end within 4 minutes")
 	}
 	t.instances.Settle()
 	t.recorder.Note(func(r *parties.Record) { r.Over = t.World.now })
 	record := t.recorder.Record()
-	out.VirtualS, out.Counts = t.World.now.Seconds(), countOutcomes(record)
+	outcome.VirtualS, outcome.Counts = t.World.now.Seconds(), countOutcomes(record)
 	for _, try := range record.Tries {
 		if try.Retain > 0 && try.OK() {
-			out.TurnTimes = append(out.TurnTimes, try.Ended-try.Sent)
+			outcome.TurnTimes = append(outcome.TurnTimes, try.Ended-try.Sent)
 		}
 	}
 	for _, m := range t.All() {
 		if m.StorageErr != nil {
-			out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: the storage of %s does not open: %v", m.Host.Name, m.StorageErr))
+			outcome.Breaches = append(outcome.Breaches, fmt.Sprintf("FAULT: the storage of %s does not open: %v", m.Host.Name, m.StorageErr))
 		}
 	}
-	if t.config.newestAcked == nil || t.entryPoint.Ready() == 0 && out.Counts["served"] == 0 {
-		out.Breaches = append(out.Breaches, "FAULT: the tier did not form")
-		return out
+	if t.config.newestAcked == nil || t.entryPoint.Ready() == 0 && outcome.Counts["served"] == 0 {
+		outcome.Breaches = append(outcome.Breaches, "FAULT: the tier did not form")
+		return outcome
 	}
-	if !d.AllowUnavailable && 2*out.Counts["served"] < out.Counts["tries"] {
-		out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: %d of %d tries were served", out.Counts["served"], out.Counts["tries"]))
+	if !s.AllowUnavailable && 2*outcome.Counts["served"] < outcome.Counts["tries"] {
+		outcome.Breaches = append(outcome.Breaches, fmt.Sprintf("FAULT: %d of %d tries were served", outcome.Counts["served"], outcome.Counts["tries"]))
 	}
 	for _, breach := range record.Check() {
-		out.Breaches = append(out.Breaches, breach.String())
+		outcome.Breaches = append(outcome.Breaches, breach.String())
 	}
-	return out
+	return outcome
 }
 
-func (d *TierScenario) execute(t *Tier) {
+func (s *TierScenario) execute(t *Tier) {
 	if !t.applyFirstConfig() {
 		return
 	}
-	duration := d.LoadDuration
+	duration := s.LoadDuration
 	if duration == 0 {
 		duration = defaultTierLoadDuration
 	}
 	end := t.World.now + duration
-	for _, fault := range d.Faults {
+	for _, fault := range s.Faults {
 		t.runningFaults++
 		t.CallerHost.Go(func() {
 			fault(t)
@@ -91,16 +91,16 @@
 	}
 	t.runTraffic(end)
 	t.pollUntil(time.Minute, func() bool { return t.runningFaults == 0 })
-	if d.FinalFault != nil {
-		t.runFinalFault(d.FinalFault)
+	if s.FinalFault != nil {
+		t.runFinalFault(s.FinalFault)
 	}
 	t.pollUntil(2*time.Minute, func() bool { return t.openPrograms == 0 && t.runningFaults == 0 })
 	t.config.operator.ReadBack(t.Site.Bounds.Contact, t.Site.Bounds.Contact+20*time.Second)
 }
 
 // pollUntil waits until a condition holds or a limit is over.
-func (t *Tier) pollUntil(limit time.Duration, met func() bool) {
-	for end := t.World.now + limit; !met() && t.World.now < end; {
+func (t *Tier) pollUntil(limit time.Duration, condition func() bool) {
+	for end := t.World.now + limit; !condition() && t.World.now < end; {
 		t.CallerHost.Clock().Sleep(20 * time.Millisecond)
 	}
 }
@@ -140,6 +140,8 @@
 	return turns
 }
 
+// countOutcomes counts the attempts of a record by result, without probes, and the ended
+// programs by how they ended.
 func countOutcomes(r *parties.Record) map[string]int {
 	counts := map[string]int{"tries": len(r.Tries), "arrivals": len(r.Arrivals), "orders": len(r.Orders)}
 	for _, try := range r.Tries {
--- a/internal/simulate/tier_worker_reply.go
+++ b/internal/simulate/tier_worker_reply.go
@@ -54,7 +54,7 @@
 				return nil
 			}
 			if r.foreignAnswers++; r.foreignAnswers > maxForeignAnswers || r.ClosesConnection() {
-				return errors.Errorf("%d responses belong to another request", r.foreignAnswers)
+				return errors.Errorf("received %d responses to other requests", r.foreignAnswers)
 			}
 			for part.kind != partEnd {
 				if part, err = r.nextPart(until); err != nil || part.kind == partRaw {
@@ -81,7 +81,7 @@
 				return nil
 			}
 			if r.foreignAnswers++; r.foreignAnswers > maxForeignAnswers {
-				return errors.Errorf("%d responses belong to another request", r.foreignAnswers)
+				return errors.Errorf("received %d responses to other requests", r.foreignAnswers)
 			}
 		default:
 			return errMalformed
--- a/internal/simulate/traffic_churn.go
+++ b/internal/simulate/traffic_churn.go
@@ -82,9 +82,9 @@
 // replaceWorkers replaces one worker after another, as the release of a new version
 // does.
 func (c *ChurnRun) replaceWorkers() {
-	gap := churnInterval * 1000 / time.Duration(len(c.workers))
+	interval := churnInterval * 1000 / time.Duration(len(c.workers))
 	for index := 0; !c.stopped; index++ {
-		c.CallerHost.Clock().Sleep(gap)
+		c.CallerHost.Clock().Sleep(interval)
 		leaving := c.workers[index]
 		c.CallerHost.Go(func() { c.replaceWorker(leaving) })
 	}
@@ -158,8 +158,8 @@
 
 // BusiestBytesPerSecond returns the traffic of a role's busiest machine over a span.
 func (c *ChurnRun) BusiestBytesPerSecond(role string, span time.Duration) float64 {
-	list := map[string][]*Machine{membership.RoleGateway: c.Gateways, membership.RoleCore: c.Cores, membership.RoleStorage: c.Storage}[role]
-	return c.Net.trafficOf(role, list, span).maxBytes
+	machines := map[string][]*Machine{membership.RoleGateway: c.Gateways, membership.RoleCore: c.Cores, membership.RoleStorage: c.Storage}[role]
+	return c.Net.trafficOf(role, machines, span).maxBytes
 }
 
 // WriteChurnTraffic measures a fleet under churn and writes its traffic and how long
