--- a/internal/whatif/simulate.go
+++ b/internal/whatif/simulate.go
@@ -79,8 +79,8 @@
 	}
 	modelRoute, _ := parsed.Route(deployment.Group, deployment.Site, deployment.Route)
 	toolRoute, _ := parsed.Route(deployment.Group, deployment.Site, deployment.ToolRoute)
-	shape := simulate.Shape{Group: deployment.Group, Zones: deployment.Zones, Gateways: deployment.Gateways, Cores: deployment.Cores, Storage: deployment.Storage, ModelWorkers: deployment.Models, ToolWorkers: deployment.Tools,
-		WorkerCapacity: deployment.Capacity, PiecesPerTurn: deployment.AnswerTokens, PieceInterval: deployment.TokenInterval, PrefillTime: deployment.PrefillTime, CachedPrefixes: deployment.CachePrefixes, Settings: string(s.Settings), ModelPool: modelRoute.Pool, ToolPool: toolRoute.Pool}
+	shape := simulate.Shape{Group: deployment.Group, Zones: deployment.Zones, Gateways: deployment.Gateways, Cores: deployment.Cores, Storage: deployment.Storage, ModelWorkers: deployment.ModelWorkers, ToolWorkers: deployment.ToolWorkers,
+		WorkerCapacity: deployment.WorkerCapacity, PiecesPerTurn: deployment.AnswerTokens, PieceInterval: deployment.TokenInterval, PrefillTime: deployment.PrefillTime, CachedPrefixes: deployment.CachedPrefixes, Settings: string(s.Settings), ModelPool: modelRoute.Pool, ToolPool: toolRoute.Pool}
 	fleet := simulate.NewFleet(s.Seed, shape)
 	defer fleet.World.Close()
 	ready := false
@@ -260,8 +260,8 @@
 		}
 		completed, refused := durationsInPhase(fleet.Tally.Turns), durationsInPhase(fleet.Tally.Refusals)
 		phase.CompletedTurns, phase.RefusedTurns = len(completed), len(refused)
-		phase.MedianTurnMs, phase.P99TurnMs = medianAndP99(completed)
-		phase.RefusalMs[0], phase.RefusalMs[1] = medianAndP99(refused)
+		phase.MedianTurnMs, phase.P99TurnMs = medianAndP99Ms(completed)
+		phase.RefusalMs[0], phase.RefusalMs[1] = medianAndP99Ms(refused)
 		phase.InterruptedTurns = len(base.Filter(eventTimes["turns_cut"], inPhase)) + len(base.Filter(eventTimes["turns_dropped"], inPhase))
 		r.Phases = append(r.Phases, phase)
 	}
@@ -296,8 +296,8 @@
 	r.InvariantViolations = append([]string{}, fleet.CheckInvariants()...)
 }
 
-// medianAndP99 returns the median and the 99th percentile in milliseconds.
-func medianAndP99(durations []time.Duration) (median, p99 float64) {
+// medianAndP99Ms returns the median and the 99th percentile in milliseconds.
+func medianAndP99Ms(durations []time.Duration) (median, p99 float64) {
 	if len(durations) == 0 {
 		return 0, 0
 	}
