--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -249,6 +249,7 @@
 	return w
 }
 
+// instanceEntry returns the entry of a worker in the platform's list.
 func (t *Tier) instanceEntry(w *tierWorker, state string) parties.Instance {
 	entry := parties.Instance{ID: w.ID, Service: w.Service, Address: w.Address, Zone: w.Zone, Generation: "v1", Capacity: w.Spec.Capacity, State: state}
 	if w.Spec.Engine != nil {
