--- a/cmd/fordseam-fleet/main.go
+++ b/cmd/fordseam-fleet/main.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	elapsed := clock.Now()
-	tally.Check(parties.Models, parties.Tools, int64(command.Int("pieces")))
+	tally.CheckWorkers(parties.Models, parties.Tools, int64(command.Int("pieces")))
 	return f.WriteReport(os.Stdout, tally, parties, before, elapsed, command.Bool("json"))
 }
 
--- a/internal/fleet/chaos.go
+++ b/internal/fleet/chaos.go
@@ -36,7 +36,7 @@
 
 func newChaosRun(f *Fleet, parties *Workers, tally *standin.Tally, out io.Writer) *chaosRun {
 	for _, model := range parties.Models {
-		model.Given = tally.Given
+		model.OnRun = tally.RecordWorkStarted
 	}
 	return &chaosRun{fleet: f, workers: parties, tally: tally, out: out, clock: parties.Clock}
 }
@@ -100,7 +100,7 @@
 		}); err != nil {
 			return err
 		}
-		d.tally.Leaves(old.ID, d.clock.Now())
+		d.tally.RecordWorkerLeaving(old.ID, d.clock.Now())
 		d.clock.Sleep(3500 * time.Millisecond)
 		_ = d.workers.servers[old.ID].Close()
 	}
@@ -219,7 +219,7 @@
 	if mark == "stand-in" {
 		mark = ""
 	}
-	d.tally.Stands(now.Version, mark)
+	d.tally.RecordStoredSettings(now.Version, mark)
 	return nil
 }
 
@@ -238,10 +238,10 @@
 		_ = json.Unmarshal(answer, &told)
 		switch {
 		case err == nil && status == 200 && told.Outcome == "taken":
-			d.tally.Taken(change, stamp, told.Stamp, d.clock.Now())
+			d.tally.RecordChangeAccepted(change, stamp, told.Stamp, d.clock.Now())
 			return told.Stamp
 		case err == nil && (status == 200 || status == 409):
-			d.tally.ChangeRefused(change)
+			d.tally.RecordChangeRefused(change)
 			return max(stamp, told.Stamp, told.Error.CurrentVersion)
 		}
 		d.tally.Count("settings_unknown")
@@ -263,7 +263,7 @@
 			if CallJSON("GET", p.PublicAddr, "/v1/platform/settings", nil, &now) != nil {
 				continue
 			}
-			d.tally.Showed(p.Name, now.Stamp, "", asked)
+			d.tally.RecordServedSettings(p.Name, now.Stamp, "", asked)
 		}
 		d.clock.Sleep(50 * time.Millisecond)
 	}
@@ -278,7 +278,7 @@
 	}
 	took := d.clock.Now() - began
 	_, _ = fmt.Fprintf(d.out, "         all gateways serve again %.2fs after all fell\n", took.Seconds())
-	d.tally.Back(took)
+	d.tally.RecordRecovery(took)
 	if err := d.recordCurrentSettings(); err != nil {
 		return err
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -84,11 +84,11 @@
 	is.True(tally.Counts["conversations_whole"] > 0)
 	is.Equal(stamp, uint64(5))
 	is.NoErr(d.killAndRestartAll(nil, 2*time.Minute))
-	c := &standin.Caller{Name: "after", Clock: base.NewRealClock(), Ask: f.Asker(), Gateways: len(f.Gateways), Group: "small", Site: "main", Pieces: 5, Patience: time.Minute, Tally: tally}
+	c := &standin.Caller{Name: "after", Clock: base.NewRealClock(), Send: f.Asker(), Gateways: len(f.Gateways), Group: "small", Site: "main", PiecesPerTurn: 5, TurnTimeout: time.Minute, Tally: tally}
 	is.True(c.Start(1000))
-	c.Converse(2, true)
+	c.RunConversation(2, true)
 	is.NoErr(d.recordCurrentSettings())
-	tally.Check(parties.Models, parties.Tools, 5)
+	tally.CheckWorkers(parties.Models, parties.Tools, 5)
 	is.Equal(fmt.Sprint(tally.Breaches), "[]")
 }
 
@@ -99,9 +99,9 @@
 	tally := standin.NewTally()
 	ask := f.Asker()
 	killed := ""
-	c := &standin.Caller{Name: "till", Clock: base.NewRealClock(), Ask: ask, Gateways: len(f.Gateways), Group: "small", Site: "main", Pieces: 5,
-		Patience: time.Minute, Tally: tally}
-	c.Between = func(turn int) {
+	c := &standin.Caller{Name: "till", Clock: base.NewRealClock(), Send: ask, Gateways: len(f.Gateways), Group: "small", Site: "main", PiecesPerTurn: 5,
+		TurnTimeout: time.Minute, Tally: tally}
+	c.AfterTurn = func(turn int) {
 		if turn != 2 {
 			return
 		}
@@ -120,8 +120,8 @@
 		}
 	}
 	is.True(c.Start(1000))
-	c.Converse(5, true)
-	tally.Check(parties.Models, parties.Tools, 5)
+	c.RunConversation(5, true)
+	tally.CheckWorkers(parties.Models, parties.Tools, 5)
 	is.True(killed != "")
 	is.Equal(fmt.Sprint(tally.Breaches), "[]")
 	is.Equal(tally.Counts["conversations_whole"], 1)
--- a/internal/fleet/parties.go
+++ b/internal/fleet/parties.go
@@ -59,11 +59,11 @@
 	one := worker.Worker{ID: name, Pool: pool, Addr: listener.Addr().String(), Zone: f.Shape.Zones[f.hostCount%len(f.Shape.Zones)], Capacity: 16}
 	var handler http.Handler
 	if pool == "models" {
-		model := &standin.Model{ID: name, Clock: parties.Clock, Pieces: parties.answerTokens, Gap: parties.tokenInterval}
+		model := &standin.Model{ID: name, Clock: parties.Clock, PiecesPerAnswer: parties.answerTokens, PieceInterval: parties.tokenInterval}
 		parties.Models = append(parties.Models, model)
 		handler = modelHandler(model)
 	} else {
-		tool := &standin.Tool{ID: name, Clock: parties.Clock, Pause: parties.tokenInterval}
+		tool := &standin.Tool{ID: name, Clock: parties.Clock, Delay: parties.tokenInterval}
 		parties.Tools = append(parties.Tools, tool)
 		handler = toolHandler(tool)
 	}
@@ -116,9 +116,9 @@
 }
 
 // Asker sends callers' requests to the fleet's gateways.
-func (f *Fleet) Asker() standin.Asker {
+func (f *Fleet) Asker() standin.RequestFunc {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
-	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
+	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Response, error) {
 		request, err := http.NewRequest(method, "http://"+f.Gateways[gateway%len(f.Gateways)].PublicAddr+path, bytes.NewReader(body))
 		if err != nil {
 			return nil, err
@@ -130,7 +130,7 @@
 		if err != nil {
 			return nil, err
 		}
-		answer := &standin.Answer{Status: response.StatusCode, Header: map[string]string{}}
+		answer := &standin.Response{Status: response.StatusCode, Header: map[string]string{}}
 		for name := range response.Header {
 			answer.Header[strings.ToLower(name)] = response.Header.Get(name)
 		}
@@ -254,17 +254,17 @@
 		go func() {
 			defer group.Done()
 			for round := 0; more(round); round++ {
-				c := &standin.Caller{Name: fmt.Sprintf("c-%d-%d", caller, round), Clock: base.NewRealClock(), Ask: ask, Gateways: len(f.Gateways),
-					Home: caller % len(f.Gateways), Group: f.Shape.Group, Site: "main", Pieces: pieces, Patience: 60 * time.Second, Tally: tally}
+				c := &standin.Caller{Name: fmt.Sprintf("c-%d-%d", caller, round), Clock: base.NewRealClock(), Send: ask, Gateways: len(f.Gateways),
+					Gateway: caller % len(f.Gateways), Group: f.Shape.Group, Site: "main", PiecesPerTurn: pieces, TurnTimeout: 60 * time.Second, Tally: tally}
 				if think > 0 {
-					c.Between = func(int) { c.Clock.Sleep(time.Duration(c.Clock.Int64N(int64(2 * think)))) }
+					c.AfterTurn = func(int) { c.Clock.Sleep(time.Duration(c.Clock.Int64N(int64(2 * think)))) }
 				}
 				turns := f.Shape.TurnCounts[0]
 				if (caller+round)%4 == 0 {
 					turns = f.Shape.TurnCounts[1]
 				}
 				if c.Start(int64(turns * pieces * 4)) {
-					c.Converse(turns, true)
+					c.RunConversation(turns, true)
 				}
 			}
 		}()
--- a/internal/fleet/platform.go
+++ b/internal/fleet/platform.go
@@ -69,8 +69,8 @@
 	names           *platform.Words
 	drafts          *platform.Drafts
 	instances       *platform.Instances
-	listServer      *sockets.ListServer
-	entry           *sockets.VirtualEntry
+	listServer      *sockets.InstanceListServer
+	entry           *sockets.LoadBalancer
 	clients         *sockets.Clients
 	player          *platform.Player
 	ports           platformPorts
@@ -98,8 +98,8 @@
 	w.drafts = &platform.Drafts{Site: plan.Site, Words: w.names, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
 	w.networkIndex = os.Getpid()*7 + int(plan.Seed%1000)
 	w.instances = &platform.Instances{Clock: w.clock, Ledger: w.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, PerS: plan.Site.ListPerS}
-	w.entry = &sockets.VirtualEntry{}
-	w.clients = &sockets.Clients{Clock: w.clock, Entry: w.entry, KeepShare: 5}
+	w.entry = &sockets.LoadBalancer{}
+	w.clients = &sockets.Clients{Clock: w.clock, NodePicker: w.entry, KeepAliveTenths: 5}
 	w.player = platform.NewPlayer(w.clock, w.clients, w.ledger, plan.Site, w.names, plan.Seed)
 	w.player.Persist = func() time.Duration { return time.Duration(w.persistUntil.Load()) }
 	return w
@@ -322,7 +322,7 @@
 // nodes that take clients are ready.
 func (w *platformRun) setUp() error {
 	var err error
-	if w.listServer, err = sockets.ListenInstances(w.instances, w.nextLoopbackAddr()+":0"); err != nil {
+	if w.listServer, err = sockets.ListenInstanceList(w.instances, w.nextLoopbackAddr()+":0"); err != nil {
 		return err
 	}
 	w.addInitialMachines()
@@ -338,7 +338,7 @@
 	for _, m := range w.machinesOf(platform.ClassEdge) {
 		nodes = append(nodes, w.newEntryNode(m))
 	}
-	w.entry.Open(nodes)
+	w.entry.Start(nodes)
 	w.config.operator = w.newOperator("first")
 	first := w.drafts.First()
 	order := w.config.operator.Put(0, first, first.Encode(), "", w.plan.SetUpTimeout)
--- a/internal/fleet/platform_run.go
+++ b/internal/fleet/platform_run.go
@@ -315,7 +315,7 @@
 	calls, refused := w.instances.Calls()
 	opened, asked, found := 0, 0, 0
 	for _, worker := range w.workers {
-		opened += worker.Opened()
+		opened += worker.OpenedConns()
 		prompt, kept := worker.Worker.Prompts()
 		asked, found = asked+prompt, found+kept
 	}
--- a/internal/fleet/platform_test.go
+++ b/internal/fleet/platform_test.go
@@ -100,7 +100,7 @@
 	is := is.New(t)
 	w := newPlatformRun(&PlatformPlan{Site: platform.Sites()["small"], WorkDir: t.TempDir(), Dir: t.TempDir(), Seed: 1,
 		Commands: map[string]string{platform.ClassStorage: os.Args[0] + " stub storage"}})
-	w.listServer = &sockets.ListServer{}
+	w.listServer = &sockets.InstanceListServer{}
 	m := w.addMachine(platform.ClassStorage, "zone-a", 1, true)
 	is.NoErr(w.start(m))
 	first := m.exited
--- a/internal/fleet/platform_troubles.go
+++ b/internal/fleet/platform_troubles.go
@@ -132,11 +132,11 @@
 		return w.applyToOneWorker(t, w.flapHealth)
 	case "worker_forget":
 		for _, s := range w.activeWorkers(t.classOr("app")) {
-			s.Forget(t.Interval)
+			s.SetSilentDropAfter(t.Interval)
 		}
 		w.clock.Sleep(t.Duration)
 		for _, s := range w.activeWorkers(t.classOr("app")) {
-			s.Forget(0)
+			s.SetSilentDropAfter(0)
 		}
 	case "list_down":
 		end := w.recordTrouble(t.Kind, &machine{Process: Process{Name: "list"}, class: "list"}, nil)
--- a/internal/fleet/platform_workers.go
+++ b/internal/fleet/platform_workers.go
@@ -79,7 +79,7 @@
 			return time.Duration(work.Value(rng) * float64(time.Millisecond)), 800
 		}}
 	server, err := sockets.ListenWorker(worker, address, func(s *sockets.WorkerServer) {
-		s.CloseNow = func() bool { return w.randomInt(50) == 0 }
+		s.DrawCloseAfterResponse = func() bool { return w.randomInt(50) == 0 }
 	})
 	if err != nil {
 		return nil, err
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -48,16 +48,16 @@
 	turns := int64(max(1, tally.Counts["turns_whole"]))
 	count, hits := 0, 0
 	for _, model := range parties.Models {
-		_, _, runs, reused := model.Record()
+		_, _, runs, reused := model.Stats()
 		count, hits = count+runs, hits+reused
 	}
 	perTurn := perCompletedTurn(before, after, float64(turns))
 	shown := map[string]any{"seconds": took.Seconds(), "callers": tally.Counts, "per_turn": perTurn, "model_runs": count, "prefix_hits": hits,
-		"slowest_turn_s": tally.Slowest.Seconds(), "breaches": tally.Breaches, "counters": after}
+		"slowest_turn_s": tally.SlowestTurn.Seconds(), "breaches": tally.Breaches, "counters": after}
 	if asJSON {
 		_, _ = fmt.Fprintln(out, string(base.MustMarshal(shown)))
 	} else {
-		_, _ = fmt.Fprintf(out, "%.1f s, %d model runs, %d found their prefix cached, slowest turn %.2f s\n", took.Seconds(), count, hits, tally.Slowest.Seconds())
+		_, _ = fmt.Fprintf(out, "%.1f s, %d model runs, %d found their prefix cached, slowest turn %.2f s\n", took.Seconds(), count, hits, tally.SlowestTurn.Seconds())
 		for _, name := range base.SortedKeys(tally.Counts) {
 			_, _ = fmt.Fprintf(out, "  %-40s %d\n", name, tally.Counts[name])
 		}
--- a/internal/simulate/access_test.go
+++ b/internal/simulate/access_test.go
@@ -84,8 +84,8 @@
 }
 
 // recordRequests wraps ask and records every request that calls a model.
-func (r *accessRun) recordRequests(team string, ask standin.Asker) standin.Asker {
-	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
+func (r *accessRun) recordRequests(team string, ask standin.RequestFunc) standin.RequestFunc {
+	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Response, error) {
 		callsModel := method == "POST" && (strings.HasSuffix(path, "/turns") || strings.HasSuffix(path, "/sessions"))
 		sentAt := r.fleet.World.Now()
 		answer, err := ask(gateway, method, path, header, body)
@@ -123,7 +123,7 @@
 			}
 		}
 		if id := header["turn-id"]; id != "" && !request.allowed && firstSentAt == sentAt {
-			r.fleet.Tally.Refuse(strings.Split(path, "/")[3], id, "model_not_allowed") // a refused turn must never run
+			r.fleet.Tally.RecordRefusedTurn(strings.Split(path, "/")[3], id, "model_not_allowed") // a refused turn must never run
 		}
 		r.requests = append(r.requests, request)
 		return answer, err
@@ -163,11 +163,11 @@
 		_ = json.Unmarshal(answer, &reply)
 		switch {
 		case status == 200 && reply.Outcome == "taken":
-			f.Tally.Taken(change, basedOn, reply.Stamp, f.World.Now())
+			f.Tally.RecordChangeAccepted(change, basedOn, reply.Stamp, f.World.Now())
 			r.changes[reply.Stamp] = applied
 			return
 		case status == 200 || status == 409:
-			f.Tally.ChangeRefused(change)
+			f.Tally.RecordChangeRefused(change)
 			return
 		}
 		f.CallerHost.Clock().Sleep(300 * time.Millisecond)
@@ -318,10 +318,10 @@
 		spawn(func() {
 			for round := 0; r.running(); round++ {
 				c := f.caller(fmt.Sprintf("%s%d-%d", team.name, caller, round), caller+round)
-				c.Group, c.Ask, c.Patience = team.group, r.recordRequests(team.name, f.RequestSender(f.CallerHost)), 15*time.Second
-				c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 300*time.Millisecond)) }
+				c.Group, c.Send, c.TurnTimeout = team.group, r.recordRequests(team.name, f.RequestSender(f.CallerHost)), 15*time.Second
+				c.AfterTurn = func(int) { c.Clock.Sleep(f.World.Between(0, 300*time.Millisecond)) }
 				if c.Start(int64(4 * f.Shape.PiecesPerTurn * 8)) {
-					c.Converse(4, team.name == "shop")
+					c.RunConversation(4, team.name == "shop")
 				}
 				c.Clock.Sleep(f.World.Between(20*time.Millisecond, 120*time.Millisecond))
 			}
@@ -334,10 +334,10 @@
 func (r *accessRun) runPinnedCaller(team tenant, gateway int) {
 	f := r.fleet
 	caller := f.caller(fmt.Sprintf("knock-%s-%d", team.name, gateway), gateway)
-	caller.Group, caller.Ask = team.group, f.RequestSender(f.CallerHost)
+	caller.Group, caller.Send = team.group, f.RequestSender(f.CallerHost)
 	for r.running() && !caller.Start(1<<20) {
 		caller = f.caller(fmt.Sprintf("%s-", caller.Name), gateway)
-		caller.Group, caller.Ask = team.group, f.RequestSender(f.CallerHost)
+		caller.Group, caller.Send = team.group, f.RequestSender(f.CallerHost)
 		caller.Clock.Sleep(200 * time.Millisecond)
 	}
 	path, secret := caller.Session()
@@ -347,7 +347,7 @@
 		caller.Clock.Sleep(f.World.Between(100*time.Millisecond, 200*time.Millisecond))
 		f.CallerHost.Go(func() {
 			id := fmt.Sprint("k", round)
-			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.Tag(program, id)}}, "max_output_tokens": f.Shape.PiecesPerTurn + 2}
+			body := map[string]any{"messages": []standin.Message{{Role: "user", Content: "knock " + standin.TurnTag(program, id)}}, "max_output_tokens": f.Shape.PiecesPerTurn + 2}
 			_, _ = ask(gateway, "POST", path+"/turns", map[string]string{"authorization": "Bearer " + secret, "turn-id": id}, base.MustMarshal(body))
 		})
 	}
--- a/internal/simulate/api_test.go
+++ b/internal/simulate/api_test.go
@@ -20,7 +20,7 @@
 // talker makes single requests as a caller.
 type apiClient struct {
 	fleet       *Fleet
-	sendRequest standin.Asker
+	sendRequest standin.RequestFunc
 }
 
 type apiResponse struct {
@@ -114,7 +114,7 @@
 }
 
 func turnBody(program, turn string) map[string]any {
-	return map[string]any{"messages": []standin.Message{{Role: "user", Content: "question " + standin.Tag(program, turn)}}, "max_output_tokens": 8}
+	return map[string]any{"messages": []standin.Message{{Role: "user", Content: "question " + standin.TurnTag(program, turn)}}, "max_output_tokens": 8}
 }
 
 func (t *apiClient) sendTurn(gateway int, path, key, program, id, previous string) apiResponse {
@@ -150,7 +150,7 @@
 func (f *Fleet) modelWorkerRuns(program, turn string) int {
 	total := 0
 	for _, model := range f.Models {
-		runs, _, _, _ := model.Record()
+		runs, _, _, _ := model.Stats()
 		total += runs[program+"|"+turn]
 	}
 	return total
@@ -159,7 +159,7 @@
 func (f *Fleet) toolWorkerRuns(key string) int {
 	total := 0
 	for _, tool := range f.Tools {
-		total += tool.Runs()[key]
+		total += tool.RunsByKey()[key]
 	}
 	return total
 }
@@ -423,7 +423,7 @@
 		is.True(whole >= 3 && over >= 1)
 		put := int64(0)
 		for _, model := range f.Models {
-			_, tokens, _, _ := model.Record()
+			_, tokens, _, _ := model.Stats()
 			for _, n := range tokens {
 				put += n
 			}
@@ -481,12 +481,12 @@
 		program, secret := call.createProgram(100, nil)
 		path := "/v1/programs/" + program + "/tools/loyalty"
 		for _, tool := range f.Tools {
-			tool.Next = func() standin.Trouble { return standin.Silent } // it ran, the answer is lost
+			tool.NextFault = func() standin.Fault { return standin.NoResponse } // it ran, the answer is lost
 		}
 		first := call.send(0, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
 		is.Equal(first.field("error", "request"), "may_have_run")
 		for _, tool := range f.Tools {
-			tool.Next = nil
+			tool.NextFault = nil
 		}
 		again := call.send(1, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
 		is.Equal(again.field("error", "request"), "may_have_run")
@@ -527,7 +527,7 @@
 					previous = id
 				}
 				leaving := f.Models[0]
-				if f.Models[1].Latest() > leaving.Latest() {
+				if f.Models[1].LastRunTime() > leaving.LastRunTime() {
 					leaving = f.Models[1]
 				}
 				switch way {
@@ -536,9 +536,9 @@
 				case "list":
 					is.Equal(call.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{leaving.ID}}).Status, 200)
 				case "closing":
-					leaving.Closing = true
+					leaving.CloseConnections = true
 				case "refusal":
-					leaving.Next = func() standin.Trouble { return standin.Refuse }
+					leaving.NextFault = func() standin.Fault { return standin.Unavailable }
 				}
 				knownAt := f.World.Now()
 				for num := 3; num < 30; num++ {
@@ -547,12 +547,12 @@
 					is.Equal(verdict, "success")
 					previous = id
 					if (way == "refusal" || way == "closing") && num == 5 {
-						leaving.Next, leaving.Closing = nil, false // it would take work again, if it were given any
+						leaving.NextFault, leaving.CloseConnections = nil, false // it would take work again, if it were given any
 						knownAt = f.World.Now()
 					}
 				}
 				is.True(f.World.Now() > knownAt+3*time.Second)
-				is.True(leaving.Latest() <= knownAt+3*time.Second)
+				is.True(leaving.LastRunTime() <= knownAt+3*time.Second)
 				if way != "list" {
 					back := call.send(1, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":9,"incarnation":"two","leaving":false}`)
 					is.Equal(back.Status, 200)
@@ -663,14 +663,14 @@
 func TestWorkerFaultsAreNeverReportedAsSuccess(t *testing.T) {
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":10,"legs":1`, 1)
-	for trouble, want := range map[standin.Trouble]string{
-		standin.Cut: "cut may_have_run", standin.Malformed: "cut may_have_run", standin.NoFinish: "cut may_have_run", standin.Overrun: "cut may_have_run",
-		standin.Hang: "cut may_have_run", standin.Fail: "failed may_have_run", standin.Silent: "failed may_have_run", standin.Refuse: "refused not_run",
+	for trouble, want := range map[standin.Fault]string{
+		standin.Truncate: "cut may_have_run", standin.Malformed: "cut may_have_run", standin.NoFinishReason: "cut may_have_run", standin.IgnoreTokenLimit: "cut may_have_run",
+		standin.Hang: "cut may_have_run", standin.InternalError: "failed may_have_run", standin.NoResponse: "failed may_have_run", standin.Unavailable: "refused not_run",
 	} {
 		t.Run(string(trouble), func(t *testing.T) {
 			runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
 				for _, model := range f.Models {
-					model.Next = func() standin.Trouble { return trouble }
+					model.NextFault = func() standin.Fault { return trouble }
 				}
 				program, secret := call.createProgram(100, nil)
 				path, key := call.openSession(0, program, secret, nil)
@@ -701,10 +701,10 @@
 		f.CallerHost.Go(func() { running = call.sendTurn(1, path, key, program, "a", "") })
 		call.sleep(700 * time.Millisecond)
 		busy := f.Models[0]
-		if f.Models[1].Busy() > 0 {
+		if f.Models[1].ActiveAnswers() > 0 {
 			busy = f.Models[1]
 		}
-		is.Equal(busy.Busy(), 1)
+		is.Equal(busy.ActiveAnswers(), 1)
 		is.Equal(call.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{busy.ID}}).Status, 200)
 		is.Equal(call.send(2, "POST", "/v1/platform/workers/"+busy.ID+"/usage", "", `{"number":5,"leaving":true}`).Status, 200)
 		for running.Status == 0 {
@@ -714,7 +714,7 @@
 		is.Equal(verdict, "success")
 		verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		_, _, runs, _ := busy.Record()
+		_, _, runs, _ := busy.Stats()
 		is.Equal(runs, 1) // the next turn went elsewhere
 	})
 }
@@ -727,7 +727,7 @@
 		path, key := call.openSession(0, program, secret, nil)
 		call.sendTurn(0, path, key, program, "a", "")
 		former, other := f.Models[0], f.Models[1]
-		if other.Latest() > former.Latest() {
+		if other.LastRunTime() > former.LastRunTime() {
 			former, other = other, former
 		}
 		for _, m := range f.Cores {
@@ -745,6 +745,6 @@
 		}
 		verdict, _, _ := waited.finalResult()
 		is.Equal(verdict, "success")
-		is.True(former.Latest() < left && other.Latest() > left)
+		is.True(former.LastRunTime() < left && other.LastRunTime() > left)
 	})
 }
--- a/internal/simulate/backends.go
+++ b/internal/simulate/backends.go
@@ -99,7 +99,7 @@
 	body := append([]byte(nil), request.Body...)
 	target.Go(func() {
 		if model := b.models[target.Name]; model != nil {
-			reply.closesConn = model.Closing
+			reply.closesConn = model.CloseConnections
 			model.Serve(body, func(status int) { reply.status, reply.started = status, true; reply.changed.Notify() }, func(line string) error {
 				if reply.closed {
 					return io.ErrClosedPipe
@@ -130,9 +130,9 @@
 func (b *Backends) DropIdle(string) {}
 
 // RequestSender sends callers' requests to the simulated gateways.
-func (f *Fleet) RequestSender(host *Host) standin.Asker {
+func (f *Fleet) RequestSender(host *Host) standin.RequestFunc {
 	clock := host.Clock()
-	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
+	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Response, error) {
 		edge := f.Gateways[gateway%len(f.Gateways)]
 		clock.Sleep(f.Net.delay())
 		if !edge.Host.alive || edge.gateway == nil || edge.stopping {
@@ -171,7 +171,7 @@
 			}
 			next.Wait(pollInterval)
 		}
-		answer := &standin.Answer{Status: response.Status, Header: response.Header, Body: response.Body}
+		answer := &standin.Response{Status: response.Status, Header: response.Header, Body: response.Body}
 		if response.Stream == nil {
 			return answer, nil
 		}
--- a/internal/simulate/cluster_change_test.go
+++ b/internal/simulate/cluster_change_test.go
@@ -31,7 +31,7 @@
 			t.Parallel()
 			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
 				left := f.StartCallers(4, 12, true, func(c *standin.Caller) {
-					c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
+					c.AfterTurn = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 				})
 				call.sleep(time.Second)
 				lost := f.FindDisk(f.Storage[0].Host.Name)
--- a/internal/simulate/diskset_test.go
+++ b/internal/simulate/diskset_test.go
@@ -125,7 +125,7 @@
 				var longest time.Duration
 				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 					remaining := f.StartCallers(3, 10, true, func(c *standin.Caller) {
-						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
+						c.AfterTurn = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
 					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 					for round := range 4 {
@@ -394,7 +394,7 @@
 				var longest time.Duration
 				runReconciling(t, reconcilingShape(size.storage, size.tolerate), func(is *is.I, f *Fleet, call *apiClient) {
 					remaining := f.StartCallers(3, 8, true, func(c *standin.Caller) {
-						c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
+						c.AfterTurn = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 					})
 					is.True(f.waitUntil(10*time.Second, f.diskSetComplete) < 10*time.Second)
 					occupied := map[string]bool{} // disks that still hold data of other services
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -104,7 +104,7 @@
 		f.CallerHost.Clock().Sleep(f.World.Between(0, 100*time.Millisecond))
 	}
 	f.Tally.Count("outages")
-	f.Tally.Back(f.waitUntilServing(time.Minute))
+	f.Tally.RecordRecovery(f.waitUntilServing(time.Minute))
 }
 
 // waitUntilServing waits until every live gateway is ready, at most up to a limit, and
@@ -132,24 +132,24 @@
 }
 
 // workerFaults are the faults of model workers; setWorkerFaultRates draws from the first five.
-var workerFaults = []standin.Trouble{standin.Cut, standin.Malformed, standin.NoFinish, standin.Busy, standin.Fail, standin.Overrun, standin.Silent, standin.Refuse}
+var workerFaults = []standin.Fault{standin.Truncate, standin.Malformed, standin.NoFinishReason, standin.TooManyRequests, standin.InternalError, standin.IgnoreTokenLimit, standin.NoResponse, standin.Unavailable}
 
 // setWorkerFaultRates makes model and tool workers fail requests at the given rates.
 func (f *Fleet) setWorkerFaultRates(modelRate, toolRate float64) {
 	for _, worker := range f.Models {
-		worker.Next = func() standin.Trouble {
+		worker.NextFault = func() standin.Fault {
 			if f.World.Chance(modelRate) {
 				return workerFaults[f.World.Int64N(5)]
 			}
-			return standin.Fine
+			return standin.NoFault
 		}
 	}
 	for _, worker := range f.Tools {
-		worker.Next = func() standin.Trouble {
+		worker.NextFault = func() standin.Fault {
 			if f.World.Chance(toolRate) {
-				return []standin.Trouble{standin.Silent, standin.Fail}[f.World.Int64N(2)]
+				return []standin.Fault{standin.NoResponse, standin.InternalError}[f.World.Int64N(2)]
 			}
-			return standin.Fine
+			return standin.NoFault
 		}
 	}
 }
--- a/internal/simulate/fleet.go
+++ b/internal/simulate/fleet.go
@@ -96,13 +96,13 @@
 	zone := shape.zone
 	for i := 0; i < shape.ModelWorkers; i++ {
 		name := fmt.Sprintf("model-%d", i)
-		model := &standin.Model{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pieces: shape.PiecesPerTurn, Gap: shape.PieceInterval, Prefill: shape.PrefillTime, Cache: shape.CachedPrefixes, Capacity: shape.WorkerCapacity, Given: f.Tally.Given}
+		model := &standin.Model{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), PiecesPerAnswer: shape.PiecesPerTurn, PieceInterval: shape.PieceInterval, PrefillPerMessage: shape.PrefillTime, CachedPrefixes: shape.CachedPrefixes, Capacity: shape.WorkerCapacity, OnRun: f.Tally.RecordWorkStarted}
 		f.Models, f.modelsByID[name] = append(f.Models, model), model
 		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ModelPool, Zone: zone(i), Capacity: shape.WorkerCapacity})
 	}
 	for i := 0; i < shape.ToolWorkers; i++ {
 		name := fmt.Sprintf("app-%d", i)
-		tool := &standin.Tool{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Pause: shape.PieceInterval, Given: f.Tally.Given}
+		tool := &standin.Tool{ID: name, Clock: world.NewHost(name, zone(i)).Clock(), Delay: shape.PieceInterval, OnRun: f.Tally.RecordWorkStarted}
 		f.Tools, f.toolsByID[name] = append(f.Tools, tool), tool
 		f.WorkerList.Workers = append(f.WorkerList.Workers, worker.Worker{ID: name, Addr: name + ":1", Pool: shape.ToolPool, Zone: zone(i), Capacity: shape.WorkerCapacity})
 	}
@@ -254,7 +254,7 @@
 	})
 	m.stopping = true
 	if f.disabled.gracefulStop {
-		f.Tally.Dropped(m.Host.Name, m.openRequests)
+		f.Tally.RecordDroppedRequests(m.Host.Name, m.openRequests)
 		f.Kill(m)
 	}
 	for end := f.World.now + stopTimeout + time.Second; (!drained || m.openRequests > 0) && m.Host.incarnation == life && f.World.now < end; {
@@ -262,7 +262,7 @@
 	}
 	m.stopping = false
 	if m.Host.incarnation == life {
-		f.Tally.Dropped(m.Host.Name, m.openRequests)
+		f.Tally.RecordDroppedRequests(m.Host.Name, m.openRequests)
 		f.Kill(m)
 	}
 }
--- a/internal/simulate/fleet_report.go
+++ b/internal/simulate/fleet_report.go
@@ -35,7 +35,7 @@
 		}
 		f.CallerHost.Go(func() {
 			if c.Start(int64(turns * f.Shape.PiecesPerTurn * 8)) {
-				c.Converse(turns, tools)
+				c.RunConversation(turns, tools)
 			}
 			remaining--
 		})
@@ -63,6 +63,6 @@
 
 // CheckInvariants checks the callers' and workers' records and returns all breaches.
 func (f *Fleet) CheckInvariants() []string {
-	f.Tally.Check(f.Models, f.Tools, int64(f.Shape.PiecesPerTurn))
+	f.Tally.CheckWorkers(f.Models, f.Tools, int64(f.Shape.PiecesPerTurn))
 	return f.Tally.Breaches
 }
--- a/internal/simulate/limits_test.go
+++ b/internal/simulate/limits_test.go
@@ -66,7 +66,7 @@
 	goodput := func(callers int) (completed int, counts map[string]int) {
 		runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
 			f.StartUsageReports(500 * time.Millisecond)
-			f.StartCallers(callers, 1000, false, func(c *standin.Caller) { c.Patience = time.Hour })
+			f.StartCallers(callers, 1000, false, func(c *standin.Caller) { c.TurnTimeout = time.Hour })
 			call.sleep(20 * time.Second)
 			completed, counts = f.Tally.Counts["turns_whole"], f.Tally.Counts
 		})
@@ -127,8 +127,8 @@
 			outcome, _, _ := call.sendTurn(i, path, key, program, fmt.Sprint("p", i), "").finalResult()
 			is.Equal(outcome, "success")
 		}
-		_, _, first, _ := f.Models[0].Record()
-		_, _, last, _ := f.Models[1].Record()
+		_, _, first, _ := f.Models[0].Stats()
+		_, _, last, _ := f.Models[1].Stats()
 		is.Equal([]int{first, last}, []int{0, 3}) // always the last worker listed
 		lowUrgency, secret := call.createProgram(1000, map[string]any{"urgency": "low"})
 		refused := call.send(0, "POST", "/v1/programs/"+lowUrgency+"/sessions", secret, `{"route":"chat"}`)
--- a/internal/simulate/operators.go
+++ b/internal/simulate/operators.go
@@ -65,7 +65,7 @@
 	if status == 200 {
 		f.Tally.Breach("invalid change %s was acknowledged: %s", change, answer)
 	}
-	f.Tally.ChangeRefused(change)
+	f.Tally.RecordChangeRefused(change)
 }
 
 // resolveOutcome asks for the outcome of a change until it is known.
@@ -79,10 +79,10 @@
 		_ = json.Unmarshal(answer, &reply)
 		switch {
 		case status == 200 && reply.Outcome == "taken":
-			f.Tally.Taken(change, basedOn, reply.Stamp, f.World.Now())
+			f.Tally.RecordChangeAccepted(change, basedOn, reply.Stamp, f.World.Now())
 			return reply.Stamp
 		case status == 200 || status == 409:
-			f.Tally.ChangeRefused(change)
+			f.Tally.RecordChangeRefused(change)
 			return max(reply.Stamp, reply.Error.CurrentVersion)
 		}
 		f.Tally.Count("settings_unknown")
@@ -100,7 +100,7 @@
 			if m.Serving() {
 				var record settings.Record
 				_ = json.Unmarshal(m.gateway.Follower.Snapshot().Values[settings.Key], &record)
-				f.Tally.Showed(m.Host.Name, record.Version, settingsMarker(record.Document), f.World.Now())
+				f.Tally.RecordServedSettings(m.Host.Name, record.Version, settingsMarker(record.Document), f.World.Now())
 			}
 		}
 		f.CallerHost.Clock().Sleep(40 * time.Millisecond)
@@ -113,7 +113,7 @@
 		status, answer := f.OperatorRequest(f.Cores[attempt%len(f.Cores)], "GET", "/v1/operator/settings", nil)
 		var record settings.Record
 		if status == 200 && json.Unmarshal(answer, &record) == nil {
-			f.Tally.Stands(record.Version, settingsMarker(record.Document))
+			f.Tally.RecordStoredSettings(record.Version, settingsMarker(record.Document))
 			return
 		}
 		f.CallerHost.Clock().Sleep(100 * time.Millisecond)
@@ -143,16 +143,16 @@
 		away[listed.ID] = true
 		if f.World.Chance(0.5) {
 			f.patchWorkerList(map[string]any{"remove": []string{listed.ID}})
-			f.Tally.Leaves(listed.ID, f.World.Now())
+			f.Tally.RecordWorkerLeaving(listed.ID, f.World.Now())
 			clock.Sleep(f.World.Between(4*time.Second, 6*time.Second))
-			f.Tally.Returns(listed.ID)
+			f.Tally.RecordWorkerReturned(listed.ID)
 			f.patchWorkerList(map[string]any{"put": []any{listed}})
 		} else {
 			f.reportedStates[listed.ID] = reportedState{f.reportedStates[listed.ID].incarnation, true}
 			f.reportUsage(listed.ID)
-			f.Tally.Leaves(listed.ID, f.World.Now())
+			f.Tally.RecordWorkerLeaving(listed.ID, f.World.Now())
 			clock.Sleep(f.World.Between(4*time.Second, 6*time.Second))
-			f.Tally.Returns(listed.ID)
+			f.Tally.RecordWorkerReturned(listed.ID)
 			f.reportedStates[listed.ID] = reportedState{fmt.Sprint("life-", round), false}
 			f.reportUsage(listed.ID)
 		}
@@ -176,7 +176,7 @@
 func (f *Fleet) usageReport(id string) map[string]any {
 	load := 0
 	if model := f.modelsByID[id]; model != nil {
-		load = model.Busy()
+		load = model.ActiveAnswers()
 	}
 	f.reportCount++
 	return map[string]any{"number": f.World.Now().Milliseconds() + f.reportCount, "load": load, "incarnation": f.reportedStates[id].incarnation, "leaving": f.reportedStates[id].leaving}
--- a/internal/simulate/outage_test.go
+++ b/internal/simulate/outage_test.go
@@ -134,8 +134,8 @@
 		is := is.New(t)
 		waitUntilFormed(t, f)
 		remaining := f.StartCallers(12, 8, true, func(c *standin.Caller) {
-			c.Between = func(int) {
-				c.Home = int(f.World.Int64N(int64(len(f.Gateways)))) // so that turns are forwarded to their owners
+			c.AfterTurn = func(int) {
+				c.Gateway = int(f.World.Int64N(int64(len(f.Gateways)))) // so that turns are forwarded to their owners
 				c.Clock.Sleep(f.World.Between(0, time.Second))
 			}
 		})
--- a/internal/simulate/scenario.go
+++ b/internal/simulate/scenario.go
@@ -114,9 +114,9 @@
 					turns = f.Shape.ConversationTurns[1]
 				}
 				c := f.caller(fmt.Sprintf("c%d-%d", caller, round), caller)
-				c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
+				c.AfterTurn = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 				if c.Start(int64(turns * f.Shape.PiecesPerTurn * 8)) {
-					c.Converse(turns, true)
+					c.RunConversation(turns, true)
 				}
 			}
 		})
@@ -128,9 +128,9 @@
 		}
 		for helper := range 3 {
 			enter(func() {
-				h := runaway.Helper(fmt.Sprint("h", helper))
-				for round := 0; going() && h.Start(0) && h.Turn(1); round++ {
-					h = runaway.Helper(fmt.Sprintf("h%d-%d", helper, round))
+				h := runaway.NewHelper(fmt.Sprint("h", helper))
+				for round := 0; going() && h.Start(0) && h.RunTurn(1); round++ {
+					h = runaway.NewHelper(fmt.Sprintf("h%d-%d", helper, round))
 				}
 			})
 		}
@@ -141,7 +141,7 @@
 			c := f.caller(fmt.Sprint("crowd", crowd), crowd)
 			c.Urgency = map[bool]string{true: "urgent", false: "normal"}[crowd%4 > 0]
 			if c.Start(int64(f.Shape.PiecesPerTurn * 24)) {
-				c.Converse(2, false)
+				c.RunConversation(2, false)
 			}
 		})
 	}
@@ -154,8 +154,8 @@
 }
 
 func (f *Fleet) caller(name string, home int) *standin.Caller {
-	return &standin.Caller{Name: name, Clock: f.CallerHost.Clock(), Ask: f.RequestSender(f.CallerHost), Gateways: len(f.Gateways), Home: home,
-		Group: f.Shape.Group, Site: "main", Pieces: f.Shape.PiecesPerTurn, Patience: 90 * time.Second, Tally: f.Tally}
+	return &standin.Caller{Name: name, Clock: f.CallerHost.Clock(), Send: f.RequestSender(f.CallerHost), Gateways: len(f.Gateways), Gateway: home,
+		Group: f.Shape.Group, Site: "main", PiecesPerTurn: f.Shape.PiecesPerTurn, TurnTimeout: 90 * time.Second, Tally: f.Tally}
 }
 
 // aftermath ends all harm, and then the fleet must serve, with the settings
@@ -180,7 +180,7 @@
 	f.CallerHost.Go(func() {
 		last := f.caller("last", 0)
 		if last.Start(1000) {
-			last.Converse(2, true)
+			last.RunConversation(2, true)
 		}
 		f.CheckStoredSettings()
 		done = true
@@ -199,5 +199,5 @@
 
 func (s *Scenario) outcome(f *Fleet) *Outcome {
 	return &Outcome{Scenario: s.Name, Shape: f.Shape.Name, Seed: f.World.Seed, VirtualS: f.World.Now().Seconds(), Counts: f.Tally.Counts,
-		TurnTimes: base.Map(f.Tally.Turns, func(one standin.TurnTime) time.Duration { return one.Took }), Breaches: f.CheckInvariants()}
+		TurnTimes: base.Map(f.Tally.TurnTimes, func(one standin.TurnTime) time.Duration { return one.Duration }), Breaches: f.CheckInvariants()}
 }
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -11,18 +11,18 @@
 	Data []byte
 }
 
-// Answer is a response as a caller reads it: whole, or events one by one.
+// Response is a response as a caller reads it: whole, or events one by one.
 // NextEvent gives ok=false at the end of the stream.
-type Answer struct {
+type Response struct {
 	Status    int
 	Header    map[string]string
 	Body      []byte
 	NextEvent func() (Event, bool)
 }
 
-// Asker sends a request to a gateway, by number; an error says that the
+// RequestFunc sends a request to a gateway, by number; an error says that the
 // gateway could not be reached or its answer was lost.
-type Asker func(gateway int, method, path string, header map[string]string, body []byte) (*Answer, error)
+type RequestFunc func(gateway int, method, path string, header map[string]string, body []byte) (*Response, error)
 
 type failure struct {
 	Error struct {
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -18,22 +18,22 @@
 
 // Caller is one program's party.
 type Caller struct {
-	Name     string
-	Clock    base.Clock
-	Ask      Asker
-	Gateways int
-	Home     int
-	Group    string
-	Site     string
-	Pieces   int
-	Patience time.Duration
-	Tally    *Tally
-	// Between runs after each whole turn, for tests that cause failures.
-	Between func(turn int)
-	// Prompt is the system prompt, one for all of a site unless set.
-	Prompt string
-	// Hasty callers come back at once, whatever Retry-After says.
-	Hasty bool
+	Name          string
+	Clock         base.Clock
+	Send          RequestFunc
+	Gateways      int
+	Gateway       int
+	Group         string
+	Site          string
+	PiecesPerTurn int
+	TurnTimeout   time.Duration
+	Tally         *Tally
+	// AfterTurn runs after each whole turn, for tests that cause failures.
+	AfterTurn func(turn int)
+	// SystemPrompt is the system prompt, one for all of a site unless set.
+	SystemPrompt string
+	// IgnoreRetryAfter callers come back at once, whatever Retry-After says.
+	IgnoreRetryAfter bool
 	// Route, ToolRoute and Urgency are "chat", "loyalty" and normal unless set.
 	Route     string
 	ToolRoute string
@@ -59,17 +59,17 @@
 }
 
 // settled asks until there is an answer that is not "come again later".
-func (c *Caller) settled(method, path string, header map[string]string, body any) (*Answer, *failure) {
-	end := c.Clock.Now() + c.Patience/3
+func (c *Caller) settled(method, path string, header map[string]string, body any) (*Response, *failure) {
+	end := c.Clock.Now() + c.TurnTimeout/3
 	for {
-		answer, err := c.Ask(c.Home, method, path, header, base.MustMarshal(body))
+		answer, err := c.Send(c.Gateway, method, path, header, base.MustMarshal(body))
 		var failed failure
 		if err == nil && answer.Status < 400 {
 			return answer, nil
 		}
 		if err != nil {
 			c.Tally.Count("lost")
-			c.Home = (c.Home + 1) % c.Gateways
+			c.Gateway = (c.Gateway + 1) % c.Gateways
 			failed.Error.Ran = base.MayHaveRun
 			failed.Error.Code = "connection"
 		} else if json.Unmarshal(answer.Body, &failed) != nil || failed.Error.Code == "" {
@@ -82,16 +82,16 @@
 			return nil, &failed
 		}
 		if err == nil && answer.Status == 503 {
-			c.Home = (c.Home + 1) % c.Gateways
+			c.Gateway = (c.Gateway + 1) % c.Gateways
 		}
 		c.Clock.Sleep(time.Duration(200+c.Clock.Int64N(300)) * time.Millisecond)
 	}
 }
 
-// Helper is a caller for a helper of this caller's program.
-func (c *Caller) Helper(name string) *Caller {
-	helper := &Caller{Name: name, Clock: c.Clock, Ask: c.Ask, Gateways: c.Gateways, Home: c.Home + 1, Group: c.Group, Site: c.Site, Pieces: c.Pieces,
-		Patience: c.Patience, Tally: c.Tally, Route: c.Route, ToolRoute: c.ToolRoute, Urgency: c.Urgency, parent: c}
+// NewHelper is a caller for a helper of this caller's program.
+func (c *Caller) NewHelper(name string) *Caller {
+	helper := &Caller{Name: name, Clock: c.Clock, Send: c.Send, Gateways: c.Gateways, Gateway: c.Gateway + 1, Group: c.Group, Site: c.Site, PiecesPerTurn: c.PiecesPerTurn,
+		TurnTimeout: c.TurnTimeout, Tally: c.Tally, Route: c.Route, ToolRoute: c.ToolRoute, Urgency: c.Urgency, parent: c}
 	return helper
 }
 
@@ -147,18 +147,18 @@
 	return given
 }
 
-// Converse holds a conversation of turns, with a tool call after some.
-func (c *Caller) Converse(turns int, tools bool) {
+// RunConversation holds a conversation of turns, with a tool call after some.
+func (c *Caller) RunConversation(turns int, tools bool) {
 	for turn := 1; turn <= turns; turn++ {
-		if !c.Turn(turn) {
+		if !c.RunTurn(turn) {
 			c.Tally.Count("conversations_broken")
 			return
 		}
-		if c.Between != nil {
-			c.Between(turn)
+		if c.AfterTurn != nil {
+			c.AfterTurn(turn)
 		}
 		if tools && turn%2 == 1 {
-			c.Tool(turn)
+			c.CallTool(turn)
 		}
 	}
 	c.Tally.Count("conversations_whole")
@@ -169,23 +169,23 @@
 	return "/v1/programs/" + c.program + "/sessions/" + c.session, c.key
 }
 
-// Turn asks one turn to its end.
-func (c *Caller) Turn(num int) bool {
+// RunTurn asks one turn to its end.
+func (c *Caller) RunTurn(num int) bool {
 	began := c.Clock.Now()
-	end := began + c.Patience
+	end := began + c.TurnTimeout
 	for again := 0; c.Clock.Now() < end; again++ {
 		// A refused turn is not asked again under its id: it must never run.
 		id := fmt.Sprintf("t%d.%d", num, again)
-		asked := []Message{{"user", fmt.Sprintf("question %d %s", num, Tag(c.program, id))}}
+		asked := []Message{{"user", fmt.Sprintf("question %d %s", num, TurnTag(c.program, id))}}
 		if len(c.chain) == 0 {
-			asked = append([]Message{{"system", orElse(c.Prompt, "You help shoppers at till site "+c.Site)}}, asked...)
+			asked = append([]Message{{"system", orElse(c.SystemPrompt, "You help shoppers at till site "+c.Site)}}, asked...)
 		}
 		c.after = 0
 		whole, refused := c.askTurn(id, asked, end)
 		if whole {
 			c.Tally.mu.Lock()
-			c.Tally.Slowest = max(c.Tally.Slowest, c.Clock.Now()-began)
-			c.Tally.Turns = append(c.Tally.Turns, TurnTime{began, c.Clock.Now() - began})
+			c.Tally.SlowestTurn = max(c.Tally.SlowestTurn, c.Clock.Now()-began)
+			c.Tally.TurnTimes = append(c.Tally.TurnTimes, TurnTime{began, c.Clock.Now() - began})
 			c.Tally.mu.Unlock()
 			return true
 		}
@@ -199,7 +199,7 @@
 
 // comeBack waits as the last refusal said, or a little where it said nothing.
 func (c *Caller) comeBack() {
-	if c.after > 0 && !c.Hasty {
+	if c.after > 0 && !c.IgnoreRetryAfter {
 		c.Clock.Sleep(time.Duration(c.after) * time.Second)
 		return
 	}
@@ -214,12 +214,12 @@
 		more["previous-turn"] = c.last
 	}
 	began, unsure := c.Clock.Now(), false
-	expected := Expected(append(append([]Message(nil), c.chain...), asked...), c.Pieces)
+	expected := ExpectedAnswer(append(append([]Message(nil), c.chain...), asked...), c.PiecesPerTurn)
 	for c.Clock.Now() < end {
-		answer, err := c.Ask(c.Home, "POST", path+"/turns", c.header(secret, more), base.MustMarshal(map[string]any{"messages": asked, "max_output_tokens": c.Pieces + 2}))
+		answer, err := c.Send(c.Gateway, "POST", path+"/turns", c.header(secret, more), base.MustMarshal(map[string]any{"messages": asked, "max_output_tokens": c.PiecesPerTurn + 2}))
 		if err != nil {
 			c.Tally.Count("lost")
-			c.Home = (c.Home + 1) % c.Gateways
+			c.Gateway = (c.Gateway + 1) % c.Gateways
 			c.Clock.Sleep(200 * time.Millisecond)
 			unsure = true
 			continue
@@ -237,12 +237,12 @@
 				if unsure && gatewayWords[failed.Error.Code] {
 					// A gateway that knows nothing of the turn speaks of this request
 					// alone; after an unknown outcome only the owner's word counts.
-					c.Home = (c.Home + 1) % c.Gateways
+					c.Gateway = (c.Gateway + 1) % c.Gateways
 					break
 				}
 				c.refuse(id, failed.Error.Code, began)
 				if answer.Status == 503 {
-					c.Home = (c.Home + 1) % c.Gateways
+					c.Gateway = (c.Gateway + 1) % c.Gateways
 				}
 				return false, failed.Error.RetryAfter > 0 || answer.Status == 503 || answer.Status == 409
 			case failed.Error.Ran == "":
@@ -271,7 +271,7 @@
 		unsure = true
 		c.Tally.Count("turns_" + verdict)
 		if verdict == "dropped" {
-			c.Home = (c.Home + 1) % c.Gateways
+			c.Gateway = (c.Gateway + 1) % c.Gateways
 		}
 		c.comeBack()
 	}
@@ -284,14 +284,14 @@
 
 func (c *Caller) refuse(id, code string, began time.Duration) {
 	c.Tally.mu.Lock()
-	c.Tally.Refused[c.program+"|"+id] = code
-	c.Tally.Refusals = append(c.Tally.Refusals, TurnTime{began, c.Clock.Now() - began})
+	c.Tally.RefusedTurns[c.program+"|"+id] = code
+	c.Tally.RefusalTimes = append(c.Tally.RefusalTimes, TurnTime{began, c.Clock.Now() - began})
 	c.Tally.mu.Unlock()
 	c.Tally.Count("turns_refused")
 }
 
 // readTurn reads a stream to its end and checks every piece.
-func (c *Caller) readTurn(id string, answer *Answer, expected []string) (verdict, said string) {
+func (c *Caller) readTurn(id string, answer *Response, expected []string) (verdict, said string) {
 	pieces, leg := []string{}, ""
 	for {
 		event, ok := answer.NextEvent()
@@ -356,12 +356,12 @@
 	}
 }
 
-// Tool makes one call that must not run twice, and asks again by its key
+// CallTool makes one call that must not run twice, and asks again by its key
 // until the outcome is known.
-func (c *Caller) Tool(num int) {
+func (c *Caller) CallTool(num int) {
 	key := fmt.Sprintf("k%d", num)
 	c.Tally.mu.Lock()
-	c.Tally.Keys[c.program+"/"+key] = true
+	c.Tally.ToolKeys[c.program+"/"+key] = true
 	c.Tally.mu.Unlock()
 	_, failed := c.settled("POST", "/v1/programs/"+c.program+"/tools/"+orElse(c.ToolRoute, "loyalty"), c.header(c.secret, map[string]string{"idempotency-key": key}), map[string]int{"points": num})
 	switch {
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -14,9 +14,9 @@
 
 // The brief's bounds.
 const (
-	SettingsBound = 2 * time.Second
-	LeaveBound    = 3 * time.Second
-	ReturnBound   = 12 * time.Second
+	MaxSettingsDelay = 2 * time.Second
+	MaxLeaveDelay    = 3 * time.Second
+	MaxRecoveryTime  = 12 * time.Second
 )
 
 type taking struct {
@@ -35,9 +35,9 @@
 	return ledger{taken: map[uint64]taking{}, refused: map[string]bool{}, shown: map[string]uint64{}, left: map[string]time.Duration{}}
 }
 
-// Taken notes that an operator was told that a change was taken; at is when,
+// RecordChangeAccepted notes that an operator was told that a change was taken; at is when,
 // or below zero when the answer came too late to time the bound by.
-func (t *Tally) Taken(change string, basedOn, stamp uint64, at time.Duration) {
+func (t *Tally) RecordChangeAccepted(change string, basedOn, stamp uint64, at time.Duration) {
 	t.Count("settings_taken")
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,8 +53,8 @@
 	t.ledger.taken[stamp] = taking{change, at}
 }
 
-// ChangeRefused notes that an operator was told that a change was refused.
-func (t *Tally) ChangeRefused(change string) {
+// RecordChangeRefused notes that an operator was told that a change was refused.
+func (t *Tally) RecordChangeRefused(change string) {
 	t.Count("settings_refused")
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,9 +66,9 @@
 	t.ledger.refused[change] = true
 }
 
-// Showed notes what a node that serves goes by. Asked is a moment before the
+// RecordServedSettings notes what a node that serves goes by. Asked is a moment before the
 // node answered; change is the change whose mark the settings bear, if any.
-func (t *Tally) Showed(node string, stamp uint64, change string, asked time.Duration) {
+func (t *Tally) RecordServedSettings(node string, stamp uint64, change string, asked time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if stamp < t.ledger.shown[node] {
@@ -82,14 +82,14 @@
 		t.breach("%s shows change %s as stamp %d, which is %s", node, change, stamp, known.change)
 	}
 	for _, newer := range base.SortedKeys(t.ledger.taken) {
-		if at := t.ledger.taken[newer].at; newer > stamp && at >= 0 && asked > at+SettingsBound {
+		if at := t.ledger.taken[newer].at; newer > stamp && at >= 0 && asked > at+MaxSettingsDelay {
 			t.breach("%s serves by stamp %d, %d was taken %v before", node, stamp, newer, asked-at)
 		}
 	}
 }
 
-// Stands notes what the control state holds at a quiet moment.
-func (t *Tally) Stands(stamp uint64, change string) {
+// RecordStoredSettings notes what the control state holds at a quiet moment.
+func (t *Tally) RecordStoredSettings(stamp uint64, change string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if change != "" && t.ledger.refused[change] {
@@ -105,9 +105,9 @@
 	}
 }
 
-// Leaves notes that the fleet could know from a moment on that a worker
+// RecordWorkerLeaving notes that the fleet could know from a moment on that a worker
 // leaves; Returns that it may be given work again.
-func (t *Tally) Leaves(worker string, at time.Duration) {
+func (t *Tally) RecordWorkerLeaving(worker string, at time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, ok := t.ledger.left[worker]; !ok {
@@ -115,32 +115,32 @@
 	}
 }
 
-func (t *Tally) Returns(worker string) {
+func (t *Tally) RecordWorkerReturned(worker string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.ledger.left, worker)
 }
 
-// Given notes that a worker was given new work.
-func (t *Tally) Given(worker string, at time.Duration) {
+// RecordWorkStarted notes that a worker was given new work.
+func (t *Tally) RecordWorkStarted(worker string, at time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if left, ok := t.ledger.left[worker]; ok && at > left+LeaveBound {
+	if left, ok := t.ledger.left[worker]; ok && at > left+MaxLeaveDelay {
 		t.breach("%s got new work %v after it was known to leave", worker, at-left)
 	}
 }
 
-// Dropped notes requests that a node had read and did not answer in a stop
+// RecordDroppedRequests notes requests that a node had read and did not answer in a stop
 // that was planned.
-func (t *Tally) Dropped(node string, requests int) {
+func (t *Tally) RecordDroppedRequests(node string, requests int) {
 	if requests > 0 {
 		t.Breach("%s dropped %d requests that it had read, in a planned stop", node, requests)
 	}
 }
 
-// Back notes how long the fleet took to serve after a total outage.
-func (t *Tally) Back(took time.Duration) {
-	if took > ReturnBound {
+// RecordRecovery notes how long the fleet took to serve after a total outage.
+func (t *Tally) RecordRecovery(took time.Duration) {
+	if took > MaxRecoveryTime {
 		t.Breach("service was back %v after a total outage", took)
 	}
 }
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -21,12 +21,12 @@
 	tally  *Tally
 	model  *Model
 	tool   *Tool
-	answer *Answer
+	answer *Response
 	events []Event
 }
 
 func right() []string {
-	return Expected([]Message{{"system", "You help shoppers at till site main"}, {"user", "question 1 [p|t1.0]"}}, pieces)
+	return ExpectedAnswer([]Message{{"system", "You help shoppers at till site main"}, {"user", "question 1 [p|t1.0]"}}, pieces)
 }
 
 func piece(leg string, place int, text string) Event {
@@ -51,13 +51,13 @@
 func (w *world) converse(run bool) {
 	clock := base.NewRealClock()
 	w.model.Clock, w.tool.Clock = clock, clock
-	c := &Caller{Name: "p", Clock: clock, Gateways: 1, Group: "g", Site: "main", Pieces: pieces, Patience: time.Nanosecond, Tally: w.tally}
-	c.Ask = func(_ int, _, path string, _ map[string]string, body []byte) (*Answer, error) {
+	c := &Caller{Name: "p", Clock: clock, Gateways: 1, Group: "g", Site: "main", PiecesPerTurn: pieces, TurnTimeout: time.Nanosecond, Tally: w.tally}
+	c.Send = func(_ int, _, path string, _ map[string]string, body []byte) (*Response, error) {
 		switch {
 		case path == "/v1/programs":
-			return &Answer{Status: 201, Body: []byte(`{"program":"p","secret":"s"}`)}, nil
+			return &Response{Status: 201, Body: []byte(`{"program":"p","secret":"s"}`)}, nil
 		case strings.HasSuffix(path, "/sessions"):
-			return &Answer{Status: 201, Body: []byte(`{"session":"p:1","secret":"s"}`)}, nil
+			return &Response{Status: 201, Body: []byte(`{"session":"p:1","secret":"s"}`)}, nil
 		}
 		if run {
 			w.run("p", "t1.0", 10)
@@ -65,7 +65,7 @@
 		if w.answer != nil {
 			return w.answer, nil
 		}
-		return &Answer{Status: 200, NextEvent: func() (Event, bool) {
+		return &Response{Status: 200, NextEvent: func() (Event, bool) {
 			if len(w.events) == 0 {
 				return Event{}, false
 			}
@@ -75,7 +75,7 @@
 		}}, nil
 	}
 	c.Start(pieces * 4)
-	c.Patience = time.Minute
+	c.TurnTimeout = time.Minute
 	whole, _ := c.askTurn("t1.0", []Message{{"system", "You help shoppers at till site main"}, {"user", "question 1 [p|t1.0]"}}, clock.Now()+time.Minute)
 	if whole {
 		w.tally.Count("conversations_whole")
@@ -84,12 +84,12 @@
 
 // run has the model put a turn out.
 func (w *world) run(program, turn string, limit int) {
-	w.model.Serve(base.MustMarshal(map[string]any{"messages": []Message{{"user", Tag(program, turn)}}, "max_tokens": limit}),
+	w.model.Serve(base.MustMarshal(map[string]any{"messages": []Message{{"user", TurnTag(program, turn)}}, "max_tokens": limit}),
 		func(int) {}, func(string) error { return nil })
 }
 
-func refusal(code, ran string) *Answer {
-	return &Answer{Status: 503, Body: base.MustMarshal(map[string]any{"error": map[string]any{"code": code, "request": ran, "retry_after_s": 1}})}
+func refusal(code, ran string) *Response {
+	return &Response{Status: 503, Body: base.MustMarshal(map[string]any{"error": map[string]any{"code": code, "request": ran, "retry_after_s": 1}})}
 }
 
 func TestEachBreachIsCaught(t *testing.T) {
@@ -111,7 +111,7 @@
 			w.events = []Event{final(1, `{"verdict":"refused","request":"not_run","error":{"code":"over_budget"}}`)}
 			w.converse(true)
 		}, "was refused (over_budget) and ran"},
-		{"a refusal without a verdict", func(w *world) { w.answer = &Answer{Status: 500, Body: []byte("oops")}; w.converse(false) }, "without a verdict"},
+		{"a refusal without a verdict", func(w *world) { w.answer = &Response{Status: 500, Body: []byte("oops")}; w.converse(false) }, "without a verdict"},
 		{"another's answer", func(w *world) {
 			w.events = whole()
 			w.events[0] = piece("run/t/1", 1, "2 messages of another")
@@ -150,44 +150,53 @@
 		}, "program p put out 9 of 5"},
 		{"history gone", func(w *world) { w.answer = refusal("previous_turn_unknown", "not_run"); w.converse(false) }, "history of"},
 		{"settings ignored after the bound", func(w *world) {
-			w.tally.Taken("a", 1, 2, time.Second)
-			w.tally.Showed("edge", 1, "", 3100*time.Millisecond)
+			w.tally.RecordChangeAccepted("a", 1, 2, time.Second)
+			w.tally.RecordServedSettings("edge", 1, "", 3100*time.Millisecond)
 		}, "edge serves by stamp 1, 2 was taken 2.1s before"},
 		{"settings within the bound", func(w *world) {
-			w.tally.Taken("a", 1, 2, time.Second)
-			w.tally.Showed("edge", 1, "", 2900*time.Millisecond)
-			w.tally.Showed("edge", 2, "a", 3100*time.Millisecond)
-			w.tally.Stands(2, "a")
+			w.tally.RecordChangeAccepted("a", 1, 2, time.Second)
+			w.tally.RecordServedSettings("edge", 1, "", 2900*time.Millisecond)
+			w.tally.RecordServedSettings("edge", 2, "a", 3100*time.Millisecond)
+			w.tally.RecordStoredSettings(2, "a")
 		}, ""},
-		{"a node that slides back", func(w *world) { w.tally.Showed("edge", 3, "", 0); w.tally.Showed("edge", 2, "", 0) }, "edge slid back from stamp 3 to 2"},
-		{"a losing change acknowledged", func(w *world) { w.tally.Taken("a", 1, 2, 0); w.tally.Taken("b", 1, 3, 0) }, "a losing change was acknowledged"},
-		{"one stamp given twice", func(w *world) { w.tally.Taken("a", 1, 2, 0); w.tally.Taken("b", 1, 2, 0) }, "stamp 2 was given to a and to b"},
-		{"a refused change shown", func(w *world) { w.tally.ChangeRefused("a"); w.tally.Showed("edge", 2, "a", 0) }, "edge shows refused change a"},
-		{"a refused change that stands", func(w *world) { w.tally.ChangeRefused("a"); w.tally.Stands(2, "a") }, "refused change a is in force"},
-		{"taken, then refused", func(w *world) { w.tally.Taken("a", 1, 2, 0); w.tally.ChangeRefused("a") }, "taken and then refused"},
-		{"refused, then taken", func(w *world) { w.tally.ChangeRefused("a"); w.tally.Taken("a", 1, 2, 0) }, "refused and then taken"},
-		{"another change under a taken stamp", func(w *world) { w.tally.Taken("a", 1, 2, 0); w.tally.Showed("edge", 2, "b", 0) }, "shows change b as stamp 2, which is a"},
-		{"acknowledged settings lost", func(w *world) { w.tally.Taken("a", 1, 2, 0); w.tally.Stands(1, "") }, "acknowledged settings are lost"},
-		{"another change stands", func(w *world) { w.tally.Taken("a", 1, 2, 0); w.tally.Stands(2, "b") }, "stands as stamp 2, which is a"},
-		{"a leaving worker given work", func(w *world) { w.tally.Leaves("w", time.Second); w.tally.Given("w", 4100*time.Millisecond) }, "w got new work 3.1s after"},
+		{"a node that slides back", func(w *world) {
+			w.tally.RecordServedSettings("edge", 3, "", 0)
+			w.tally.RecordServedSettings("edge", 2, "", 0)
+		}, "edge slid back from stamp 3 to 2"},
+		{"a losing change acknowledged", func(w *world) { w.tally.RecordChangeAccepted("a", 1, 2, 0); w.tally.RecordChangeAccepted("b", 1, 3, 0) }, "a losing change was acknowledged"},
+		{"one stamp given twice", func(w *world) { w.tally.RecordChangeAccepted("a", 1, 2, 0); w.tally.RecordChangeAccepted("b", 1, 2, 0) }, "stamp 2 was given to a and to b"},
+		{"a refused change shown", func(w *world) { w.tally.RecordChangeRefused("a"); w.tally.RecordServedSettings("edge", 2, "a", 0) }, "edge shows refused change a"},
+		{"a refused change that stands", func(w *world) { w.tally.RecordChangeRefused("a"); w.tally.RecordStoredSettings(2, "a") }, "refused change a is in force"},
+		{"taken, then refused", func(w *world) { w.tally.RecordChangeAccepted("a", 1, 2, 0); w.tally.RecordChangeRefused("a") }, "taken and then refused"},
+		{"refused, then taken", func(w *world) { w.tally.RecordChangeRefused("a"); w.tally.RecordChangeAccepted("a", 1, 2, 0) }, "refused and then taken"},
+		{"another change under a taken stamp", func(w *world) {
+			w.tally.RecordChangeAccepted("a", 1, 2, 0)
+			w.tally.RecordServedSettings("edge", 2, "b", 0)
+		}, "shows change b as stamp 2, which is a"},
+		{"acknowledged settings lost", func(w *world) { w.tally.RecordChangeAccepted("a", 1, 2, 0); w.tally.RecordStoredSettings(1, "") }, "acknowledged settings are lost"},
+		{"another change stands", func(w *world) { w.tally.RecordChangeAccepted("a", 1, 2, 0); w.tally.RecordStoredSettings(2, "b") }, "stands as stamp 2, which is a"},
+		{"a leaving worker given work", func(w *world) {
+			w.tally.RecordWorkerLeaving("w", time.Second)
+			w.tally.RecordWorkStarted("w", 4100*time.Millisecond)
+		}, "w got new work 3.1s after"},
 		{"a worker given work in time, and once back", func(w *world) {
-			w.tally.Leaves("w", time.Second)
-			w.tally.Given("w", 3900*time.Millisecond)
-			w.tally.Returns("w")
-			w.tally.Given("w", 9*time.Second)
+			w.tally.RecordWorkerLeaving("w", time.Second)
+			w.tally.RecordWorkStarted("w", 3900*time.Millisecond)
+			w.tally.RecordWorkerReturned("w")
+			w.tally.RecordWorkStarted("w", 9*time.Second)
 		}, ""},
-		{"a read request dropped by a planned stop", func(w *world) { w.tally.Dropped("edge", 1) }, "edge dropped 1 requests"},
-		{"a planned stop", func(w *world) { w.tally.Dropped("edge", 0) }, ""},
-		{"too long away after an outage", func(w *world) { w.tally.Back(12100 * time.Millisecond) }, "service was back 12.1s after"},
-		{"back in time", func(w *world) { w.tally.Back(11900 * time.Millisecond) }, ""},
+		{"a read request dropped by a planned stop", func(w *world) { w.tally.RecordDroppedRequests("edge", 1) }, "edge dropped 1 requests"},
+		{"a planned stop", func(w *world) { w.tally.RecordDroppedRequests("edge", 0) }, ""},
+		{"too long away after an outage", func(w *world) { w.tally.RecordRecovery(12100 * time.Millisecond) }, "service was back 12.1s after"},
+		{"back in time", func(w *world) { w.tally.RecordRecovery(11900 * time.Millisecond) }, ""},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			is := is.New(t)
 			clock := base.NewRealClock()
-			w := &world{tally: NewTally(), model: &Model{ID: "m", Clock: clock, Pieces: pieces}, tool: &Tool{ID: "a", Clock: clock}}
+			w := &world{tally: NewTally(), model: &Model{ID: "m", Clock: clock, PiecesPerAnswer: pieces}, tool: &Tool{ID: "a", Clock: clock}}
 			row.make(w)
-			w.tally.Check([]*Model{w.model}, []*Tool{w.tool}, pieces)
+			w.tally.CheckWorkers([]*Model{w.model}, []*Tool{w.tool}, pieces)
 			if row.word == "" {
 				is.Equal(fmt.Sprint(w.tally.Breaches), "[]")
 				return
--- a/internal/standin/platform/sockets/client.go
+++ b/internal/standin/platform/sockets/client.go
@@ -24,17 +24,17 @@
 	"github.com/juju/errors"
 )
 
-// Entry hands a client's new connections to a node.
-type Entry interface {
+// NodePicker hands a client's new connections to a node.
+type NodePicker interface {
 	Pick(zone, client string, again bool) (node, address string)
 }
 
 // Clients carries tries over TCP.
 type Clients struct {
-	Clock base.Clock
-	Entry Entry
-	// KeepShare is how many clients of ten keep their connections.
-	KeepShare int
+	Clock      base.Clock
+	NodePicker NodePicker
+	// KeepAliveTenths is how many clients of ten keep their connections.
+	KeepAliveTenths int
 
 	mu   sync.Mutex
 	idle map[string][]*clientConn
@@ -111,7 +111,7 @@
 func (c *Clients) Carry(t *platform.Try) {
 	t.Sent = c.Clock.Now()
 	defer func() { t.Ended = c.Clock.Now() }()
-	keeps := int(base.Hash64(t.Client)%10) < c.KeepShare && !t.Probe
+	keeps := int(base.Hash64(t.Client)%10) < c.KeepAliveTenths && !t.Probe
 	var conn *clientConn
 	if keeps && !t.Fresh {
 		conn = c.kept(t)
@@ -121,7 +121,7 @@
 		if t.Probe {
 			node, address, _ = strings.Cut(t.Node, "@")
 		} else {
-			node, address = c.Entry.Pick(t.Zone, t.Client, t.Fresh)
+			node, address = c.NodePicker.Pick(t.Zone, t.Client, t.Fresh)
 		}
 		t.Node = node
 		raw, err := net.DialTimeout("tcp", address, min(platform.ConnectPatience, t.Deadline))
--- a/internal/standin/platform/sockets/entry.go
+++ b/internal/standin/platform/sockets/entry.go
@@ -12,15 +12,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// VirtualEntry is the entry.
-type VirtualEntry struct {
+// LoadBalancer is the entry.
+type LoadBalancer struct {
 	platform.Entry
 	over  chan struct{}
 	ended sync.WaitGroup
 }
 
-// Open begins to ask the nodes.
-func (e *VirtualEntry) Open(nodes []*platform.EntryNode) {
+// Start begins to ask the nodes.
+func (e *LoadBalancer) Start(nodes []*platform.EntryNode) {
 	e.over = make(chan struct{})
 	for _, node := range nodes {
 		e.Add(node)
@@ -28,19 +28,19 @@
 }
 
 // Add begins to ask one more node.
-func (e *VirtualEntry) Add(node *platform.EntryNode) {
+func (e *LoadBalancer) Add(node *platform.EntryNode) {
 	e.Entry.Add(node)
 	e.ended.Add(1)
 	go e.poll(node)
 }
 
 // Close ends it.
-func (e *VirtualEntry) Close() {
+func (e *LoadBalancer) Close() {
 	close(e.over)
 	e.ended.Wait()
 }
 
-func (e *VirtualEntry) poll(node *platform.EntryNode) {
+func (e *LoadBalancer) poll(node *platform.EntryNode) {
 	defer e.ended.Done()
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
--- a/internal/standin/platform/sockets/instances.go
+++ b/internal/standin/platform/sockets/instances.go
@@ -11,20 +11,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ListServer is the list of instances with its listener.
-type ListServer struct {
+// InstanceListServer is the list of instances with its listener.
+type InstanceListServer struct {
 	Address string
 	server  *fasthttp.Server
 	ended   chan struct{}
 }
 
-// ListenInstances opens the list at an address.
-func ListenInstances(list *platform.Instances, address string) (*ListServer, error) {
+// ListenInstanceList opens the list at an address.
+func ListenInstanceList(list *platform.Instances, address string) (*InstanceListServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Annotate(err, "list of instances")
 	}
-	s := &ListServer{Address: listener.Addr().String(), ended: make(chan struct{})}
+	s := &InstanceListServer{Address: listener.Addr().String(), ended: make(chan struct{})}
 	s.server = &fasthttp.Server{NoDefaultServerHeader: true, Handler: func(ctx *fasthttp.RequestCtx) {
 		if !ctx.IsGet() || string(ctx.Path()) != platform.PathInstances {
 			ctx.SetStatusCode(404)
@@ -43,7 +43,7 @@
 }
 
 // Close ends it.
-func (s *ListServer) Close() {
+func (s *InstanceListServer) Close() {
 	_ = s.server.Shutdown()
 	<-s.ended
 }
--- a/internal/standin/platform/sockets/sockets_test.go
+++ b/internal/standin/platform/sockets/sockets_test.go
@@ -55,7 +55,7 @@
 	})
 	b.is.NoErr(err)
 	t.Cleanup(server.Close)
-	b.server, b.clients = server, &Clients{Clock: clock, Entry: oneNode(worker.Address), KeepShare: 10}
+	b.server, b.clients = server, &Clients{Clock: clock, NodePicker: oneNode(worker.Address), KeepAliveTenths: 10}
 	return b
 }
 
@@ -94,7 +94,7 @@
 		b.is.Equal(a.Target, try.Target)
 		b.is.Equal(a.Body, base.Digest(try.Body))
 	}
-	b.is.Equal(b.server.Opened(), 1)
+	b.is.Equal(b.server.OpenedConns(), 1)
 	b.is.Equal(len(b.clients.Close()), 0)
 }
 
@@ -155,7 +155,7 @@
 		b.is.NoErr(err)
 		held = append(held, conn)
 	}
-	for end := b.clock.Now() + 5*time.Second; b.server.Opened() < 2 && b.clock.Now() < end; b.clock.Sleep(time.Millisecond) {
+	for end := b.clock.Now() + 5*time.Second; b.server.OpenedConns() < 2 && b.clock.Now() < end; b.clock.Sleep(time.Millisecond) {
 	}
 	try := b.try(platform.NonIdempotent, "/x")
 	b.is.Equal(try.Status, 0)
@@ -192,7 +192,7 @@
 	b.server.Worker.Leave()
 	b.is.True(b.try(platform.NonIdempotent, "/x").OK())
 	b.is.True(b.try(platform.NonIdempotent, "/x").OK())
-	b.is.Equal(b.server.Opened(), 2)
+	b.is.Equal(b.server.OpenedConns(), 2)
 }
 
 func TestTroublesOfAPlainWorker(t *testing.T) {
@@ -246,7 +246,7 @@
 }
 
 func TestAForgottenConnectionIsReset(t *testing.T) {
-	b := newBench(t, plainShape, nil, func(s *WorkerServer) { s.Forget(1) }) // any time is too long
+	b := newBench(t, plainShape, nil, func(s *WorkerServer) { s.SetSilentDropAfter(1) }) // any time is too long
 	b.is.True(b.try(platform.NonIdempotent, "/x").OK())
 	try := b.try(platform.NonIdempotent, "/x")
 	b.is.Equal(try.Status, 0)
@@ -271,7 +271,7 @@
 		_ = listener.Close()
 		<-ended
 	})
-	return &Clients{Clock: base.NewRealClock(), Entry: oneNode(listener.Addr().String())}
+	return &Clients{Clock: base.NewRealClock(), NodePicker: oneNode(listener.Addr().String())}
 }
 
 func TestWhatWasNotReadIsToldFromWhatWas(t *testing.T) {
@@ -366,7 +366,7 @@
 	is := is.New(t)
 	list := &platform.Instances{Clock: base.NewRealClock(), PerS: 1000}
 	list.Change("i-1", &platform.Instance{ID: "i-1", Service: "svc", Address: "127.0.0.1:1", Zone: "z", State: platform.StateReady, Capacity: 6, Model: "m"}, 0)
-	server, err := ListenInstances(list, "127.0.0.1:0")
+	server, err := ListenInstanceList(list, "127.0.0.1:0")
 	is.NoErr(err)
 	defer server.Close()
 	response, err := http.Get("http://" + server.Address + platform.PathInstances + "?zone=z")
@@ -499,8 +499,8 @@
 		})[0]
 		return &platform.EntryNode{Name: name, Zone: zone, Front: name, Readiness: address}
 	}
-	e := &VirtualEntry{}
-	e.Open([]*platform.EntryNode{node("a1", "a"), node("a2", "a"), node("a3", "a"), node("b1", "b")})
+	e := &LoadBalancer{}
+	e.Start([]*platform.EntryNode{node("a1", "a"), node("a2", "a"), node("a3", "a"), node("b1", "b")})
 	defer e.Close()
 	clock := base.NewRealClock()
 	until := func(ready int) {
--- a/internal/standin/platform/sockets/worker.go
+++ b/internal/standin/platform/sockets/worker.go
@@ -23,8 +23,8 @@
 // WorkerServer is a worker with its listener and connections.
 type WorkerServer struct {
 	Worker *platform.Worker
-	// CloseNow draws whether an answer ends its connection though all is well.
-	CloseNow func() bool
+	// DrawCloseAfterResponse draws whether an answer ends its connection though all is well.
+	DrawCloseAfterResponse func() bool
 
 	listener net.Listener
 	mu       sync.Mutex
@@ -52,9 +52,9 @@
 	return s, nil
 }
 
-// Forget has the worker forget connections that were idle so long, without
+// SetSilentDropAfter has the worker forget connections that were idle so long, without
 // telling their other side: what comes on them later is reset.
-func (s *WorkerServer) Forget(idle time.Duration) {
+func (s *WorkerServer) SetSilentDropAfter(idle time.Duration) {
 	s.mu.Lock()
 	s.forget = idle
 	s.mu.Unlock()
@@ -66,8 +66,8 @@
 	return s.forget > 0 && idle > s.forget
 }
 
-// Opened counts the connections taken.
-func (s *WorkerServer) Opened() int {
+// OpenedConns counts the connections taken.
+func (s *WorkerServer) OpenedConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.opened
@@ -170,7 +170,7 @@
 		_ = conn.SetReadDeadline(time.Time{})
 		gone := s.Worker.Clock.NewSignal()
 		a.watch(gone)
-		reply.start(s.CloseNow != nil && s.CloseNow())
+		reply.start(s.DrawCloseAfterResponse != nil && s.DrawCloseAfterResponse())
 		s.Worker.Serve(&platform.Asked{Method: request.Method, Target: request.RequestURI, Host: request.Host, Header: request.Header.Get, Body: body, Gone: gone}, reply)
 		if reply.ended || request.Close || reply.closing {
 			_ = conn.Close()
--- a/internal/standin/tally.go
+++ b/internal/standin/tally.go
@@ -15,25 +15,25 @@
 
 // Tally is what callers saw, and every breach they found.
 type Tally struct {
-	mu       sync.Mutex
-	Counts   map[string]int
-	Breaches []string
-	Refused  map[string]string
-	Budgets  map[string]int64
-	Slowest  time.Duration
-	Keys     map[string]bool
-	Turns    []TurnTime
-	Refusals []TurnTime
-	// Seen, when set, is told of each count as it happens.
-	Seen   func(name string)
-	ledger ledger
+	mu           sync.Mutex
+	Counts       map[string]int
+	Breaches     []string
+	RefusedTurns map[string]string
+	Budgets      map[string]int64
+	SlowestTurn  time.Duration
+	ToolKeys     map[string]bool
+	TurnTimes    []TurnTime
+	RefusalTimes []TurnTime
+	// OnCount, when set, is told of each count as it happens.
+	OnCount func(name string)
+	ledger  ledger
 }
 
 // TurnTime is when a turn was begun and how long it took to be whole.
-type TurnTime struct{ At, Took time.Duration }
+type TurnTime struct{ Start, Duration time.Duration }
 
 func NewTally() *Tally {
-	return &Tally{Counts: map[string]int{}, Refused: map[string]string{}, Budgets: map[string]int64{}, Keys: map[string]bool{}, ledger: newLedger()}
+	return &Tally{Counts: map[string]int{}, RefusedTurns: map[string]string{}, Budgets: map[string]int64{}, ToolKeys: map[string]bool{}, ledger: newLedger()}
 }
 
 // Count adds one to a named count.
@@ -41,8 +41,8 @@
 	t.mu.Lock()
 	t.Counts[name]++
 	t.mu.Unlock()
-	if t.Seen != nil {
-		t.Seen(name)
+	if t.OnCount != nil {
+		t.OnCount(name)
 	}
 }
 
@@ -63,18 +63,18 @@
 	}
 }
 
-// Refuse notes that a program's turn was told as not run: it must never run.
-func (t *Tally) Refuse(program, turn, code string) {
+// RecordRefusedTurn notes that a program's turn was told as not run: it must never run.
+func (t *Tally) RecordRefusedTurn(program, turn, code string) {
 	t.mu.Lock()
-	t.Refused[program+"|"+turn] = code
+	t.RefusedTurns[program+"|"+turn] = code
 	t.mu.Unlock()
 }
 
-// Check looks over the workers' own records.
-func (t *Tally) Check(models []*Model, tools []*Tool, oneTurn int64) {
+// CheckWorkers looks over the workers' own records.
+func (t *Tally) CheckWorkers(models []*Model, tools []*Tool, oneTurn int64) {
 	perKey, perProgram, turnRuns := map[string]int{}, map[string]int64{}, map[string]int{}
 	for _, tool := range tools {
-		for key, runs := range tool.Runs() {
+		for key, runs := range tool.RunsByKey() {
 			perKey[key] += runs
 		}
 	}
@@ -84,7 +84,7 @@
 		}
 	}
 	for _, model := range models {
-		runs, tokens, _, _ := model.Record()
+		runs, tokens, _, _ := model.Stats()
 		for turn, n := range runs {
 			turnRuns[turn] += n
 		}
@@ -94,7 +94,7 @@
 		}
 	}
 	t.mu.Lock()
-	refused, budgets := t.Refused, t.Budgets
+	refused, budgets := t.RefusedTurns, t.Budgets
 	t.mu.Unlock()
 	for _, turn := range base.SortedKeys(refused) {
 		if turnRuns[turn] > 0 {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -21,41 +21,41 @@
 	Content string `json:"content"`
 }
 
-// Trouble is what a worker does wrong in one answer.
-type Trouble string
+// Fault is what a worker does wrong in one answer.
+type Fault string
 
 const (
-	Fine      Trouble = ""
-	Cut       Trouble = "cut"
-	Malformed Trouble = "malformed"
-	Hang      Trouble = "hang"
-	NoFinish  Trouble = "no_finish"
-	Refuse    Trouble = "refuse"
-	Busy      Trouble = "busy"
-	Fail      Trouble = "fail"
-	Overrun   Trouble = "overrun"
-	Silent    Trouble = "silent"
+	NoFault          Fault = ""
+	Truncate         Fault = "cut"
+	Malformed        Fault = "malformed"
+	Hang             Fault = "hang"
+	NoFinishReason   Fault = "no_finish"
+	Unavailable      Fault = "refuse"
+	TooManyRequests  Fault = "busy"
+	InternalError    Fault = "fail"
+	IgnoreTokenLimit Fault = "overrun"
+	NoResponse       Fault = "silent"
 )
 
 // Model stands in for a model server. Its answer is a function of the prompt
 // alone, so that a caller can tell whether an answer is its own and whole.
 type Model struct {
-	ID     string
-	Clock  base.Clock
-	Pieces int
-	Gap    time.Duration
-	// Prefill is what each message not in the cache costs before the first
+	ID              string
+	Clock           base.Clock
+	PiecesPerAnswer int
+	PieceInterval   time.Duration
+	// PrefillPerMessage is what each message not in the cache costs before the first
 	// piece; Capacity is how many answers run at full speed, more slow down.
-	Prefill  time.Duration
-	Capacity int
-	// Cache is how many prefixes are kept, of whichever session, the longest
+	PrefillPerMessage time.Duration
+	Capacity          int
+	// CachedPrefixes is how many prefixes are kept, of whichever session, the longest
 	// unused going first; 0 keeps all.
-	Cache int
-	Next  func() Trouble
-	// Closing says on each answer that the connection will not be kept.
-	Closing bool
-	// Given, when set, is told of each run as it begins.
-	Given func(worker string, at time.Duration)
+	CachedPrefixes int
+	NextFault      func() Fault
+	// CloseConnections says on each answer that the connection will not be kept.
+	CloseConnections bool
+	// OnRun, when set, is told of each run as it begins.
+	OnRun func(worker string, at time.Duration)
 
 	mu     sync.Mutex
 	busy   int
@@ -70,8 +70,8 @@
 	asked, found int
 }
 
-// Expected is the answer a right model gives to a chain.
-func Expected(chain []Message, pieces int) []string {
+// ExpectedAnswer is the answer a right model gives to a chain.
+func ExpectedAnswer(chain []Message, pieces int) []string {
 	answer := []string{fmt.Sprintf("%d messages %s", len(chain), base.Digest(base.MustMarshal(chain)))}
 	for piece := 2; piece <= pieces; piece++ {
 		answer = append(answer, fmt.Sprintf(" piece %d", piece))
@@ -79,8 +79,8 @@
 	return answer
 }
 
-// Tag marks a turn's last message so that workers' records name the turn.
-func Tag(program, turn string) string { return "[" + program + "|" + turn + "]" }
+// TurnTag marks a turn's last message so that workers' records name the turn.
+func TurnTag(program, turn string) string { return "[" + program + "|" + turn + "]" }
 
 func tagIn(content string) (program, turn string) {
 	_, rest, _ := strings.Cut(content, "[")
@@ -96,19 +96,19 @@
 		Messages  []Message `json:"messages"`
 		MaxTokens int64     `json:"max_tokens"`
 	}
-	trouble := Fine
-	if m.Next != nil {
-		trouble = m.Next()
+	trouble := NoFault
+	if m.NextFault != nil {
+		trouble = m.NextFault()
 	}
 	if json.Unmarshal(body, &request) != nil || len(request.Messages) == 0 {
 		begin(400)
 		return
 	}
 	switch trouble {
-	case Refuse:
+	case Unavailable:
 		begin(503)
 		return
-	case Busy:
+	case TooManyRequests:
 		begin(429)
 		return
 	}
@@ -116,26 +116,26 @@
 	program, turn := tagIn(last.Content)
 	cached := m.note(program, turn, request.Messages)
 	defer m.leave()
-	if trouble == Fail {
+	if trouble == InternalError {
 		begin(500)
 		return
 	}
-	if trouble == Silent {
+	if trouble == NoResponse {
 		m.Clock.Sleep(time.Hour)
 		return
 	}
 	begin(200)
-	m.Clock.Sleep(m.Prefill * time.Duration(len(request.Messages)-cached))
-	answer := Expected(request.Messages, m.Pieces)
+	m.Clock.Sleep(m.PrefillPerMessage * time.Duration(len(request.Messages)-cached))
+	answer := ExpectedAnswer(request.Messages, m.PiecesPerAnswer)
 	finish := "stop"
-	if int64(len(answer)) > request.MaxTokens && trouble != Overrun {
+	if int64(len(answer)) > request.MaxTokens && trouble != IgnoreTokenLimit {
 		answer, finish = answer[:request.MaxTokens], "length"
 	}
 	for place, piece := range answer {
 		m.Clock.Sleep(m.pace())
 		if place == len(answer)/2 {
 			switch trouble {
-			case Cut:
+			case Truncate:
 				return
 			case Malformed:
 				_ = emit("data: {\"choices\":[{]}\n\n")
@@ -151,7 +151,7 @@
 			return
 		}
 	}
-	if trouble != NoFinish {
+	if trouble != NoFinishReason {
 		end := map[string]any{"choices": []any{map[string]any{"delta": map[string]string{}, "finish_reason": finish}},
 			"usage": map[string]int{"completion_tokens": len(answer)}}
 		if emit("data: "+string(base.MustMarshal(end))+"\n\n") != nil {
@@ -163,8 +163,8 @@
 
 // note records a run and tells how much of the chain was cached here.
 func (m *Model) note(program, turn string, chain []Message) (cached int) {
-	if m.Given != nil {
-		m.Given(m.ID, m.Clock.Now())
+	if m.OnRun != nil {
+		m.OnRun(m.ID, m.Clock.Now())
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -188,7 +188,7 @@
 	if len(chain) > 2 && cached >= len(chain)-2 {
 		m.hits++
 	}
-	for m.Cache > 0 && len(m.prefix) > m.Cache {
+	for m.CachedPrefixes > 0 && len(m.prefix) > m.CachedPrefixes {
 		oldest := ""
 		for prefix, at := range m.prefix {
 			if oldest == "" || at < m.prefix[oldest] {
@@ -200,8 +200,8 @@
 	return cached
 }
 
-// Reuse counts prompt messages, and those that were found in the cache.
-func (m *Model) Reuse() (asked, found int) {
+// CacheUse counts prompt messages, and those that were found in the cache.
+func (m *Model) CacheUse() (asked, found int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.asked, m.found
@@ -213,8 +213,8 @@
 	m.mu.Unlock()
 }
 
-// Busy is how many answers are under way.
-func (m *Model) Busy() int {
+// ActiveAnswers is how many answers are under way.
+func (m *Model) ActiveAnswers() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.busy
@@ -225,9 +225,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.Capacity == 0 || m.busy <= m.Capacity {
-		return m.Gap
+		return m.PieceInterval
 	}
-	return m.Gap * time.Duration(m.busy) / time.Duration(m.Capacity)
+	return m.PieceInterval * time.Duration(m.busy) / time.Duration(m.Capacity)
 }
 
 func (m *Model) put(program string, tokens int64) {
@@ -236,8 +236,8 @@
 	m.mu.Unlock()
 }
 
-// Record is what a model worker has seen.
-func (m *Model) Record() (runs map[string]int, tokens map[string]int64, count, prefixHits int) {
+// Stats is what a model worker has seen.
+func (m *Model) Stats() (runs map[string]int, tokens map[string]int64, count, prefixHits int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	runs, tokens = map[string]int{}, map[string]int64{}
@@ -250,8 +250,8 @@
 	return runs, tokens, m.count, m.hits
 }
 
-// Latest is when this worker was last given work.
-func (m *Model) Latest() time.Duration {
+// LastRunTime is when this worker was last given work.
+func (m *Model) LastRunTime() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.latest
@@ -259,11 +259,11 @@
 
 // Tool stands in for an application worker and counts runs per key.
 type Tool struct {
-	ID    string
-	Clock base.Clock
-	Pause time.Duration
-	Next  func() Trouble
-	Given func(worker string, at time.Duration)
+	ID        string
+	Clock     base.Clock
+	Delay     time.Duration
+	NextFault func() Fault
+	OnRun     func(worker string, at time.Duration)
 
 	mu   sync.Mutex
 	runs map[string]int
@@ -271,15 +271,15 @@
 
 // Serve carries one call out; answered is false when no answer is sent.
 func (t *Tool) Serve(key string, _ []byte) (status int, body []byte, answered bool) {
-	trouble := Fine
-	if t.Next != nil {
-		trouble = t.Next()
+	trouble := NoFault
+	if t.NextFault != nil {
+		trouble = t.NextFault()
 	}
-	if trouble == Refuse {
+	if trouble == Unavailable {
 		return 503, []byte(`{"error":"leaving"}`), true
 	}
-	if t.Given != nil {
-		t.Given(t.ID, t.Clock.Now())
+	if t.OnRun != nil {
+		t.OnRun(t.ID, t.Clock.Now())
 	}
 	t.mu.Lock()
 	if t.runs == nil {
@@ -287,18 +287,18 @@
 	}
 	t.runs[key]++
 	t.mu.Unlock()
-	t.Clock.Sleep(t.Pause)
+	t.Clock.Sleep(t.Delay)
 	switch trouble {
-	case Silent, Cut:
+	case NoResponse, Truncate:
 		return 0, nil, false
-	case Fail:
+	case InternalError:
 		return 500, []byte(`{"error":"failed"}`), true
 	}
 	return 200, base.MustMarshal(map[string]string{"done": key}), true
 }
 
-// Runs counts what was carried out, by key.
-func (t *Tool) Runs() map[string]int {
+// RunsByKey counts what was carried out, by key.
+func (t *Tool) RunsByKey() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	runs := map[string]int{}
--- a/internal/whatif/run.go
+++ b/internal/whatif/run.go
@@ -95,7 +95,7 @@
 	started, syncs, messages := 0, f.SyncTotal(), f.Net.MessageCount
 	r := &Report{Seed: q.Seed, IdleMessagesPerSecond: idle, Conversations: map[string]int{}, Refusals: map[string]int{}}
 	moments := map[string][]time.Duration{}
-	f.Tally.Seen = func(name string) { moments[name] = append(moments[name], f.World.Now()-began) }
+	f.Tally.OnCount = func(name string) { moments[name] = append(moments[name], f.World.Now()-began) }
 	left, over := 0, false
 	f.CallerHost.Go(func() {
 		for now := time.Duration(0); now < q.Load.Duration; now = f.World.Now() - began {
@@ -132,12 +132,12 @@
 
 func (q *Scenario) startCaller(f *simulate.Fleet, num int, left *int) {
 	w := f.World
-	c := &standin.Caller{Name: fmt.Sprintf("c%d", num), Clock: f.CallerHost.Clock(), Ask: f.RequestSender(f.CallerHost), Gateways: len(f.Gateways), Home: int(w.Int64N(int64(len(f.Gateways)))),
-		Group: q.Deployment.Group, Site: q.Deployment.Site, Route: q.Deployment.Route, ToolRoute: q.Deployment.ToolRoute, Pieces: q.Deployment.AnswerTokens,
-		Patience: q.Load.Patience, Tally: f.Tally}
-	c.Hasty = w.Chance(q.Load.HastyShare)
+	c := &standin.Caller{Name: fmt.Sprintf("c%d", num), Clock: f.CallerHost.Clock(), Send: f.RequestSender(f.CallerHost), Gateways: len(f.Gateways), Gateway: int(w.Int64N(int64(len(f.Gateways)))),
+		Group: q.Deployment.Group, Site: q.Deployment.Site, Route: q.Deployment.Route, ToolRoute: q.Deployment.ToolRoute, PiecesPerTurn: q.Deployment.AnswerTokens,
+		TurnTimeout: q.Load.Patience, Tally: f.Tally}
+	c.IgnoreRetryAfter = w.Chance(q.Load.HastyShare)
 	if q.Load.SystemPrompts > 1 {
-		c.Prompt = fmt.Sprintf("You help callers with matter %d", w.Int64N(int64(q.Load.SystemPrompts)))
+		c.SystemPrompt = fmt.Sprintf("You help callers with matter %d", w.Int64N(int64(q.Load.SystemPrompts)))
 	}
 	if w.Chance(q.Load.UrgentShare) {
 		c.Urgency = "urgent"
@@ -146,11 +146,11 @@
 	if w.Chance(q.Load.LongConversationShare) {
 		turns = q.Load.TurnCounts[1]
 	}
-	c.Between = func(int) { c.Clock.Sleep(w.Between(0, 2*q.Load.ThinkTime)) }
+	c.AfterTurn = func(int) { c.Clock.Sleep(w.Between(0, 2*q.Load.ThinkTime)) }
 	*left++
 	f.CallerHost.Go(func() {
 		if c.Start(q.Load.TokenBudget) {
-			c.Converse(turns, q.Load.ToolCalls)
+			c.RunConversation(turns, q.Load.ToolCalls)
 		}
 		*left--
 	})
@@ -249,10 +249,10 @@
 		within := func(at time.Duration) bool { return at >= step.At && at < until }
 		phase := Phase{FromSeconds: step.At.Seconds(), CallersPerSecond: step.CallersPerSecond}
 		during := func(list []standin.TurnTime) []time.Duration {
-			inside := base.Filter(list, func(one standin.TurnTime) bool { return within(one.At - began) })
-			return base.Map(inside, func(one standin.TurnTime) time.Duration { return one.Took })
+			inside := base.Filter(list, func(one standin.TurnTime) bool { return within(one.Start - began) })
+			return base.Map(inside, func(one standin.TurnTime) time.Duration { return one.Duration })
 		}
-		took, refused := during(f.Tally.Turns), during(f.Tally.Refusals)
+		took, refused := during(f.Tally.TurnTimes), during(f.Tally.RefusalTimes)
 		phase.CompletedTurns, phase.RefusedTurns = len(took), len(refused)
 		phase.MedianTurnMs, phase.P99TurnMs = medianAndP99(took)
 		phase.RefusalMs[0], phase.RefusalMs[1] = medianAndP99(refused)
@@ -263,13 +263,13 @@
 	if r.Takeovers > 0 {
 		r.MeanTakeoverMs = float64(f.CounterTotal("takeover_ms")) / float64(r.Takeovers)
 	}
-	r.LongestTurnMs = milliseconds(f.Tally.Slowest)
+	r.LongestTurnMs = milliseconds(f.Tally.SlowestTurn)
 	runs, hits, put, allowed := 0, 0, int64(0), int64(0)
 	asked, inCache := 0, 0
 	for _, model := range f.Models {
-		_, tokens, count, reused := model.Record()
+		_, tokens, count, reused := model.Stats()
 		runs, hits = runs+count, hits+reused
-		more, found := model.Reuse()
+		more, found := model.CacheUse()
 		asked, inCache = asked+more, inCache+found
 		for _, n := range tokens {
 			put += n
