--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -83,11 +83,11 @@
 	is.True(tally.Counts["conversations_whole"] > 0)
 	is.Equal(version, uint64(5))
 	is.NoErr(run.killAndRestartAll(nil, 2*time.Minute))
-	caller := &standin.Caller{Name: "after", Clock: base.NewRealClock(), Ask: f.RequestSender(), Gateways: len(f.Gateways), Group: "small", Site: "main", Pieces: 5, Patience: time.Minute, Tally: tally}
+	caller := &standin.Caller{Name: "after", Clock: base.NewRealClock(), Send: f.RequestSender(), Gateways: len(f.Gateways), Group: "small", Site: "main", PiecesPerTurn: 5, TurnTimeout: time.Minute, Tally: tally}
 	is.True(caller.Start(1000))
-	caller.Converse(2, true)
+	caller.RunConversation(2, true)
 	is.NoErr(run.recordCurrentSettings())
-	tally.Check(workers.Models, workers.Tools, 5)
+	tally.CheckWorkers(workers.Models, workers.Tools, 5)
 	is.Equal(fmt.Sprint(tally.Breaches), "[]")
 }
 
@@ -101,9 +101,9 @@
 	tally := standin.NewTally()
 	sendRequest := f.RequestSender()
 	killedName := ""
-	caller := &standin.Caller{Name: "till", Clock: base.NewRealClock(), Ask: sendRequest, Gateways: len(f.Gateways), Group: "small", Site: "main", Pieces: 5,
-		Patience: time.Minute, Tally: tally}
-	caller.Between = func(turn int) {
+	caller := &standin.Caller{Name: "till", Clock: base.NewRealClock(), Send: sendRequest, Gateways: len(f.Gateways), Group: "small", Site: "main", PiecesPerTurn: 5,
+		TurnTimeout: time.Minute, Tally: tally}
+	caller.AfterTurn = func(turn int) {
 		if turn != 2 {
 			return
 		}
@@ -122,8 +122,8 @@
 		}
 	}
 	is.True(caller.Start(1000))
-	caller.Converse(5, true)
-	tally.Check(workers.Models, workers.Tools, 5)
+	caller.RunConversation(5, true)
+	tally.CheckWorkers(workers.Models, workers.Tools, 5)
 	is.True(killedName != "")
 	is.Equal(fmt.Sprint(tally.Breaches), "[]")
 	is.Equal(tally.Counts["conversations_whole"], 1)
--- a/internal/fleet/platform_events.go
+++ b/internal/fleet/platform_events.go
@@ -132,11 +132,11 @@
 		return run.applyToOneWorker(event, run.flapHealth)
 	case "worker_forget":
 		for _, server := range run.activeWorkers(event.targetOr("app")) {
-			server.Forget(event.Interval)
+			server.SetSilentDropAfter(event.Interval)
 		}
 		run.clock.Sleep(event.Duration)
 		for _, server := range run.activeWorkers(event.targetOr("app")) {
-			server.Forget(0)
+			server.SetSilentDropAfter(0)
 		}
 	case "list_down":
 		end := run.recordTrouble(event.Kind, &machine{Process: Process{Name: "list"}, class: "list"}, nil)
--- a/internal/fleet/platform_run.go
+++ b/internal/fleet/platform_run.go
@@ -325,7 +325,7 @@
 	listCalls, rejectedCalls := run.instances.CallCounts()
 	connections, promptTokens, cachedTokens := 0, 0, 0
 	for _, worker := range run.workers {
-		connections += worker.Opened()
+		connections += worker.OpenedConns()
 		requested, cached := worker.Worker.PromptTokens()
 		promptTokens, cachedTokens = promptTokens+requested, cachedTokens+cached
 	}
--- a/internal/fleet/platform_test.go
+++ b/internal/fleet/platform_test.go
@@ -107,7 +107,7 @@
 	is := is.New(t)
 	run := newPlatformRun(&PlatformPlan{Site: platform.Deployments()["small"], WorkDir: t.TempDir(), Dir: t.TempDir(), Seed: 1,
 		Commands: map[string]string{platform.ClassStorage: os.Args[0] + " stub storage"}})
-	run.listServer = &sockets.ListServer{}
+	run.listServer = &sockets.InstanceListServer{}
 	m := run.addMachine(platform.ClassStorage, "zone-a", 1, true)
 	is.NoErr(run.start(m))
 	first := m.exited
--- a/internal/fleet/platform_workers.go
+++ b/internal/fleet/platform_workers.go
@@ -81,7 +81,7 @@
 			return time.Duration(work.Sample(rng) * float64(time.Millisecond)), 800
 		}}
 	server, err := sockets.ListenWorker(worker, address, func(s *sockets.WorkerServer) {
-		s.CloseNow = func() bool { return run.randomInt(50) == 0 }
+		s.DrawCloseAfterResponse = func() bool { return run.randomInt(50) == 0 }
 	})
 	if err != nil {
 		return nil, err
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -48,16 +48,16 @@
 	turnCount := int64(max(1, tally.Counts["turns_whole"]))
 	modelRuns, prefixHits := 0, 0
 	for _, model := range workers.Models {
-		_, _, runs, reused := model.Record()
+		_, _, runs, reused := model.Stats()
 		modelRuns, prefixHits = modelRuns+runs, prefixHits+reused
 	}
 	perTurn := perCompletedTurn(before, after, float64(turnCount))
 	report := map[string]any{"seconds": duration.Seconds(), "callers": tally.Counts, "per_turn": perTurn, "model_runs": modelRuns, "prefix_hits": prefixHits,
-		"slowest_turn_s": tally.Slowest.Seconds(), "breaches": tally.Breaches, "counters": after}
+		"slowest_turn_s": tally.SlowestTurn.Seconds(), "breaches": tally.Breaches, "counters": after}
 	if asJSON {
 		_, _ = fmt.Fprintln(out, string(base.MustMarshal(report)))
 	} else {
-		_, _ = fmt.Fprintf(out, "%.1f s, %d model runs, %d with a cached prefix, slowest turn %.2f s\n", duration.Seconds(), modelRuns, prefixHits, tally.Slowest.Seconds())
+		_, _ = fmt.Fprintf(out, "%.1f s, %d model runs, %d with a cached prefix, slowest turn %.2f s\n", duration.Seconds(), modelRuns, prefixHits, tally.SlowestTurn.Seconds())
 		for _, name := range base.SortedKeys(tally.Counts) {
 			_, _ = fmt.Fprintf(out, "  %-40s %d\n", name, tally.Counts[name])
 		}
--- a/internal/fleet/workers.go
+++ b/internal/fleet/workers.go
@@ -60,11 +60,11 @@
 	info := worker.Worker{ID: name, Pool: pool, Addr: listener.Addr().String(), Zone: f.Shape.Zones[f.hostCount%len(f.Shape.Zones)], Capacity: 16}
 	var handler http.Handler
 	if pool == "models" {
-		model := &standin.Model{ID: name, Clock: workers.Clock, Pieces: workers.answerTokens, Gap: workers.tokenInterval}
+		model := &standin.Model{ID: name, Clock: workers.Clock, PiecesPerAnswer: workers.answerTokens, PieceInterval: workers.tokenInterval}
 		workers.Models = append(workers.Models, model)
 		handler = modelHandler(model)
 	} else {
-		tool := &standin.Tool{ID: name, Clock: workers.Clock, Pause: workers.tokenInterval}
+		tool := &standin.Tool{ID: name, Clock: workers.Clock, Delay: workers.tokenInterval}
 		workers.Tools = append(workers.Tools, tool)
 		handler = toolHandler(tool)
 	}
@@ -122,9 +122,9 @@
 
 // RequestSender returns a function that sends requests of callers to the gateways over
 // HTTP.
-func (f *Fleet) RequestSender() standin.Asker {
+func (f *Fleet) RequestSender() standin.RequestFunc {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
-	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
+	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Response, error) {
 		request, err := http.NewRequest(method, "http://"+f.Gateways[gateway%len(f.Gateways)].PublicAddr+path, bytes.NewReader(body))
 		if err != nil {
 			return nil, err
@@ -136,7 +136,7 @@
 		if err != nil {
 			return nil, err
 		}
-		answer := &standin.Answer{Status: response.StatusCode, Header: map[string]string{}}
+		answer := &standin.Response{Status: response.StatusCode, Header: map[string]string{}}
 		for name := range response.Header {
 			answer.Header[strings.ToLower(name)] = response.Header.Get(name)
 		}
@@ -267,17 +267,17 @@
 		go func() {
 			defer group.Done()
 			for round := 0; continueWith(round); round++ {
-				caller := &standin.Caller{Name: fmt.Sprintf("c-%d-%d", number, round), Clock: base.NewRealClock(), Ask: sendRequest, Gateways: len(f.Gateways),
-					Home: number % len(f.Gateways), Group: f.Shape.Group, Site: "main", Pieces: answerTokens, Patience: 60 * time.Second, Tally: tally}
+				caller := &standin.Caller{Name: fmt.Sprintf("c-%d-%d", number, round), Clock: base.NewRealClock(), Send: sendRequest, Gateways: len(f.Gateways),
+					Gateway: number % len(f.Gateways), Group: f.Shape.Group, Site: "main", PiecesPerTurn: answerTokens, TurnTimeout: 60 * time.Second, Tally: tally}
 				if thinkTime > 0 {
-					caller.Between = func(int) { caller.Clock.Sleep(time.Duration(caller.Clock.Int64N(int64(2 * thinkTime)))) }
+					caller.AfterTurn = func(int) { caller.Clock.Sleep(time.Duration(caller.Clock.Int64N(int64(2 * thinkTime)))) }
 				}
 				turnCount := f.Shape.TurnCounts[0]
 				if (number+round)%4 == 0 {
 					turnCount = f.Shape.TurnCounts[1]
 				}
 				if caller.Start(int64(turnCount * answerTokens * 4)) {
-					caller.Converse(turnCount, true)
+					caller.RunConversation(turnCount, true)
 				}
 			}
 		}()
--- a/internal/simulate/scenario.go
+++ b/internal/simulate/scenario.go
@@ -116,9 +116,9 @@
 					turns = f.Shape.ConversationTurns[1]
 				}
 				c := f.caller(fmt.Sprintf("c%d-%d", caller, round), caller)
-				c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
+				c.AfterTurn = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 				if c.Start(int64(turns * f.Shape.PiecesPerTurn * 8)) {
-					c.Converse(turns, true)
+					c.RunConversation(turns, true)
 				}
 			}
 		})
@@ -130,9 +130,9 @@
 		}
 		for helper := range 3 {
 			start(func() {
-				helperCaller := runaway.Helper(fmt.Sprint("h", helper))
-				for round := 0; running() && helperCaller.Start(0) && helperCaller.Turn(1); round++ {
-					helperCaller = runaway.Helper(fmt.Sprintf("h%d-%d", helper, round))
+				helperCaller := runaway.NewHelper(fmt.Sprint("h", helper))
+				for round := 0; running() && helperCaller.Start(0) && helperCaller.RunTurn(1); round++ {
+					helperCaller = runaway.NewHelper(fmt.Sprintf("h%d-%d", helper, round))
 				}
 			})
 		}
@@ -143,7 +143,7 @@
 			c := f.caller(fmt.Sprint("crowd", number), number)
 			c.Urgency = map[bool]string{true: "urgent", false: "normal"}[number%4 > 0]
 			if c.Start(int64(f.Shape.PiecesPerTurn * 24)) {
-				c.Converse(2, false)
+				c.RunConversation(2, false)
 			}
 		})
 	}
@@ -156,8 +156,8 @@
 }
 
 func (f *Fleet) caller(name string, home int) *standin.Caller {
-	return &standin.Caller{Name: name, Clock: f.CallerHost.Clock(), Ask: f.RequestSender(f.CallerHost), Gateways: len(f.Gateways), Home: home,
-		Group: f.Shape.Group, Site: "main", Pieces: f.Shape.PiecesPerTurn, Patience: 90 * time.Second, Tally: f.Tally}
+	return &standin.Caller{Name: name, Clock: f.CallerHost.Clock(), Send: f.RequestSender(f.CallerHost), Gateways: len(f.Gateways), Gateway: home,
+		Group: f.Shape.Group, Site: "main", PiecesPerTurn: f.Shape.PiecesPerTurn, TurnTimeout: 90 * time.Second, Tally: f.Tally}
 }
 
 // checkRecovery ends all faults and checks that the fleet then serves, with the
@@ -182,7 +182,7 @@
 	f.CallerHost.Go(func() {
 		last := f.caller("last", 0)
 		if last.Start(1000) {
-			last.Converse(2, true)
+			last.RunConversation(2, true)
 		}
 		f.CheckStoredSettings()
 		done = true
@@ -201,5 +201,5 @@
 
 func (s *Scenario) outcome(f *Fleet) *Outcome {
 	return &Outcome{Scenario: s.Name, Shape: f.Shape.Name, Seed: f.World.Seed, VirtualS: f.World.Now().Seconds(), Counts: f.Tally.Counts,
-		TurnTimes: base.Map(f.Tally.Turns, func(turn standin.TurnTime) time.Duration { return turn.Took }), Breaches: f.CheckInvariants()}
+		TurnTimes: base.Map(f.Tally.TurnTimes, func(turn standin.TurnTime) time.Duration { return turn.Duration }), Breaches: f.CheckInvariants()}
 }
--- a/internal/standin/platform/sockets/entry.go
+++ b/internal/standin/platform/sockets/entry.go
@@ -12,15 +12,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// VirtualEntry is the entry.
-type VirtualEntry struct {
+// LoadBalancer is the entry.
+type LoadBalancer struct {
 	platform.LoadBalancer
 	over  chan struct{}
 	ended sync.WaitGroup
 }
 
-// Open begins to ask the nodes.
-func (e *VirtualEntry) Open(nodes []*platform.EdgeNode) {
+// Start begins to ask the nodes.
+func (e *LoadBalancer) Start(nodes []*platform.EdgeNode) {
 	e.over = make(chan struct{})
 	for _, node := range nodes {
 		e.Add(node)
@@ -28,19 +28,19 @@
 }
 
 // Add begins to ask one more node.
-func (e *VirtualEntry) Add(node *platform.EdgeNode) {
+func (e *LoadBalancer) Add(node *platform.EdgeNode) {
 	e.LoadBalancer.Add(node)
 	e.ended.Add(1)
 	go e.poll(node)
 }
 
 // Close ends it.
-func (e *VirtualEntry) Close() {
+func (e *LoadBalancer) Close() {
 	close(e.over)
 	e.ended.Wait()
 }
 
-func (e *VirtualEntry) poll(node *platform.EdgeNode) {
+func (e *LoadBalancer) poll(node *platform.EdgeNode) {
 	defer e.ended.Done()
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
