--- a/internal/simulate/api_test.go
+++ b/internal/simulate/api_test.go
@@ -1,5 +1,3 @@
-// The callers' interface and the design's rules, one scenario a rule, on a
-// whole fleet in virtual time.
 package simulate
 
 import (
@@ -17,12 +15,13 @@
 	"github.com/matryer/is"
 )
 
-// talker makes single requests as a caller.
+// apiClient sends single requests to the gateways as a caller.
 type apiClient struct {
 	fleet       *Fleet
-	sendRequest standin.Asker
+	sendRequest standin.RequestFunc
 }
 
+// apiResponse is a response with all events of its stream.
 type apiResponse struct {
 	Status int
 	Raw    string
@@ -31,21 +30,21 @@
 	Events []standin.Event
 }
 
+// field returns a field of the JSON body by its path, "" when its parent is no object.
 func (a apiResponse) field(names ...string) string {
-	var at any = a.JSON
+	var value any = a.JSON
 	for _, name := range names {
-		inner, ok := at.(map[string]any)
+		inner, ok := value.(map[string]any)
 		if !ok {
 			return ""
 		}
-		at = inner[name]
+		value = inner[name]
 	}
-	return fmt.Sprint(at)
+	return fmt.Sprint(value)
 }
 
-// final is a turn's end, a plain status before any piece or a stream's last
-// event: the verdict, the word on whether it ran, and the error's code of
-// a stream's last event.
+// finalResult returns how a turn ended, taken from an error status or from the last
+// event of the stream: the verdict, whether the turn ran, and the error code.
 func (a apiResponse) finalResult() (verdict, ran, code string) {
 	if a.Status >= 400 {
 		verdict = map[string]string{"not_run": "refused"}[a.field("error", "request")]
@@ -68,53 +67,53 @@
 
 func (t *apiClient) send(gateway int, method, path, secret string, body any, headers ...string) apiResponse {
 	header := map[string]string{"authorization": "Bearer " + secret}
-	for place := 0; place+1 < len(headers); place += 2 {
-		header[headers[place]] = headers[place+1]
+	for index := 0; index+1 < len(headers); index += 2 {
+		header[headers[index]] = headers[index+1]
 	}
 	var raw []byte
-	switch held := body.(type) {
+	switch value := body.(type) {
 	case nil:
 	case string:
-		raw = []byte(held)
+		raw = []byte(value)
 	default:
-		raw = base.MustMarshal(held)
+		raw = base.MustMarshal(value)
 	}
 	answer, err := t.sendRequest(gateway, method, path, header, raw)
 	if err != nil {
 		return apiResponse{Raw: err.Error()}
 	}
-	got := apiResponse{Status: answer.Status, Raw: string(answer.Body), Header: answer.Header}
-	_ = json.Unmarshal(answer.Body, &got.JSON)
+	response := apiResponse{Status: answer.Status, Raw: string(answer.Body), Header: answer.Header}
+	_ = json.Unmarshal(answer.Body, &response.JSON)
 	for answer.NextEvent != nil {
 		event, ok := answer.NextEvent()
 		if !ok {
 			break
 		}
-		got.Events = append(got.Events, event)
+		response.Events = append(response.Events, event)
 	}
-	return got
+	return response
 }
 
-func (t *apiClient) createProgram(tokens int, more map[string]any) (id, secret string) {
+func (t *apiClient) createProgram(tokens int, extraFields map[string]any) (id, secret string) {
 	body := map[string]any{"group": "g", "site": "main", "budget_tokens": tokens}
-	for name, value := range more {
+	for name, value := range extraFields {
 		body[name] = value
 	}
-	made := t.send(0, "POST", "/v1/programs", "", body)
-	return made.field("program"), made.field("secret")
+	created := t.send(0, "POST", "/v1/programs", "", body)
+	return created.field("program"), created.field("secret")
 }
 
-func (t *apiClient) openSession(gateway int, program, secret string, more map[string]any) (path, key string) {
+func (t *apiClient) openSession(gateway int, program, secret string, extraFields map[string]any) (path, key string) {
 	body := map[string]any{"route": "chat"}
-	for name, value := range more {
+	for name, value := range extraFields {
 		body[name] = value
 	}
-	made := t.send(gateway, "POST", "/v1/programs/"+program+"/sessions", secret, body)
-	return "/v1/programs/" + program + "/sessions/" + made.field("session"), made.field("secret")
+	created := t.send(gateway, "POST", "/v1/programs/"+program+"/sessions", secret, body)
+	return "/v1/programs/" + program + "/sessions/" + created.field("session"), created.field("secret")
 }
 
 func turnBody(program, turn string) map[string]any {
-	return map[string]any{"messages": []standin.Message{{Role: "user", Content: "question " + standin.Tag(program, turn)}}, "max_output_tokens": 8}
+	return map[string]any{"messages": []standin.Message{{Role: "user", Content: "question " + standin.TurnTag(program, turn)}}, "max_output_tokens": 8}
 }
 
 func (t *apiClient) sendTurn(gateway int, path, key, program, id, previous string) apiResponse {
@@ -131,8 +130,8 @@
 
 func (t *apiClient) sleep(d time.Duration) { t.fleet.CallerHost.Clock().Sleep(d) }
 
-// script runs one caller's steps to their end.
-func runScript(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, call *apiClient)) {
+// runScript runs a caller's steps on a fleet with seed 1 and checks the invariants.
+func runScript(t *testing.T, shape Shape, steps func(is *is.I, f *Fleet, client *apiClient)) {
 	t.Helper()
 	runSeeds(t, 1, shape, func(t *testing.T, f *Fleet) {
 		is := is.New(t)
@@ -142,15 +141,15 @@
 			defer func() { done = true }()
 			steps(is, f, &apiClient{f, f.RequestSender(f.CallerHost)})
 		})
-		is.True(f.World.Run(f.World.Now()+time.Hour, func() bool { return done })) // the script came to its end
+		is.True(f.World.Run(f.World.Now()+time.Hour, func() bool { return done })) // the steps ended within an hour
 	})
 }
 
-// modelRuns counts how often a turn was given to any model worker.
+// modelWorkerRuns counts how often a turn was sent to any model worker.
 func (f *Fleet) modelWorkerRuns(program, turn string) int {
 	total := 0
 	for _, model := range f.Models {
-		runs, _, _, _ := model.Record()
+		runs, _, _, _ := model.Stats()
 		total += runs[program+"|"+turn]
 	}
 	return total
@@ -159,40 +158,40 @@
 func (f *Fleet) toolWorkerRuns(key string) int {
 	total := 0
 	for _, tool := range f.Tools {
-		total += tool.Runs()[key]
+		total += tool.RunsByKey()[key]
 	}
 	return total
 }
 
 func TestTurnIDJoinsAndReplaysOneRun(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		joined := make([]apiResponse, 2)
-		left := 2
-		for place := range joined {
-			f.CallerHost.Go(func() { joined[place] = call.sendTurn(place, path, key, program, "t1", ""); left-- })
+		remaining := 2
+		for index := range joined {
+			f.CallerHost.Go(func() { joined[index] = client.sendTurn(index, path, key, program, "t1", ""); remaining-- })
 		}
-		for left > 0 {
-			call.sleep(50 * time.Millisecond)
+		for remaining > 0 {
+			client.sleep(50 * time.Millisecond)
 		}
 		first, second := joined[0], joined[1]
 		is.Equal(len(first.Events), 7)
 		is.Equal(fmt.Sprint(first.Events), fmt.Sprint(second.Events))
-		replay := call.send(1, "POST", path+"/turns", key, turnBody(program, "t1"), "turn-id", "t1", "last-event-id", first.Events[3].ID)
+		replay := client.send(1, "POST", path+"/turns", key, turnBody(program, "t1"), "turn-id", "t1", "last-event-id", first.Events[3].ID)
 		is.Equal(fmt.Sprint(replay.Events), fmt.Sprint(first.Events[4:]))
 		is.Equal(f.modelWorkerRuns(program, "t1"), 1)
-		other := call.send(2, "POST", path+"/turns", key, turnBody(program, "else"), "turn-id", "t1")
+		other := client.send(2, "POST", path+"/turns", key, turnBody(program, "else"), "turn-id", "t1")
 		is.Equal(other.Status, 409)
 		is.Equal(other.field("error", "code"), "turn_id_reused")
 	})
 }
 
 func TestInvalidRequestsAreRejectedWithField(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
-		base := "/v1/programs/" + program
+	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
+		programPath := "/v1/programs/" + program
 		rows := []struct {
 			method, path, secret string
 			body                 any
@@ -208,14 +207,14 @@
 			{"POST", "/v1/programs", "", `{"colour":1}`, nil, 400, "colour"},
 			{"POST", "/v1/programs", "", `{"group":"g","site":"main","budget_tokens":1,"urgency":"panic"}`, nil, 400, "urgency"},
 			{"POST", "/v1/programs", "", `{"group":"g","site":"none","budget_tokens":1}`, nil, 404, ""},
-			{"POST", base + "/sessions", secret, `{"route":"none"}`, nil, 404, ""},
-			{"POST", base + "/sessions", secret, `{"route":"loyalty"}`, nil, 400, "route"},
-			{"POST", base + "/sessions", secret, `{"route":"chat","queue_size":0}`, nil, 400, "queue_size"},
-			{"POST", base + "/sessions", "wrong", `{"route":"chat"}`, nil, 403, ""},
+			{"POST", programPath + "/sessions", secret, `{"route":"none"}`, nil, 404, ""},
+			{"POST", programPath + "/sessions", secret, `{"route":"loyalty"}`, nil, 400, "route"},
+			{"POST", programPath + "/sessions", secret, `{"route":"chat","queue_size":0}`, nil, 400, "queue_size"},
+			{"POST", programPath + "/sessions", "wrong", `{"route":"chat"}`, nil, 403, ""},
 			{"POST", "/v1/programs/none/sessions", "wrong", `{"route":"chat"}`, nil, 404, ""},
-			{"GET", base, "wrong", nil, nil, 403, ""},
+			{"GET", programPath, "wrong", nil, nil, 403, ""},
 			{"GET", path, "wrong", nil, nil, 403, ""},
-			{"GET", base + "/sessions/" + program + ":none", key, nil, nil, 404, ""},
+			{"GET", programPath + "/sessions/" + program + ":none", key, nil, nil, 404, ""},
 			{"POST", path + "/turns", key, `{}`, []string{"turn-id", "t"}, 400, "messages"},
 			{"POST", path + "/turns", key, `{"messages":[]}`, nil, 400, "messages"},
 			{"POST", path + "/turns", key, `{"messages":[{"role":"king","content":""}]}`, nil, 400, "messages[0].role"},
@@ -225,9 +224,9 @@
 			{"POST", path + "/turns", key, `{"messages":[{"role":"user","content":"` + strings.Repeat("x", 1<<20) + `"}]}`, nil, 413, ""},
 			{"GET", path + "/turns/none", key, nil, nil, 404, ""},
 			{"POST", path + "/terminate", key, `{"mode":"Soft"}`, nil, 400, "mode"},
-			{"POST", base + "/tools/loyalty", secret, `{}`, nil, 400, "Idempotency-Key"},
-			{"POST", base + "/tools/chat", secret, `{}`, []string{"idempotency-key", "k"}, 400, "route"},
-			{"POST", base + "/tools/none", secret, `{}`, []string{"idempotency-key", "k"}, 404, ""},
+			{"POST", programPath + "/tools/loyalty", secret, `{}`, nil, 400, "Idempotency-Key"},
+			{"POST", programPath + "/tools/chat", secret, `{}`, []string{"idempotency-key", "k"}, 400, "route"},
+			{"POST", programPath + "/tools/none", secret, `{}`, []string{"idempotency-key", "k"}, 404, ""},
 			{"PUT", "/v1/platform/workers", "", `{"workers":[]}`, nil, 400, "stamp"},
 			{"PUT", "/v1/platform/workers", "", `{"stamp":1,"workers":[]}`, nil, 409, ""},
 			{"PUT", "/v1/platform/workers", "", `{"stamp":9,"workers":[{"id":"a","addr":"x:1","pool":"models"},{"id":"a","addr":"x:1","pool":"models"}]}`, nil, 400, "workers[1].id"},
@@ -236,51 +235,51 @@
 			{"DELETE", path, key, nil, nil, 404, ""},
 		}
 		for _, row := range rows {
-			got := call.send(1, row.method, row.path, row.secret, row.body, row.headers...)
+			response := client.send(1, row.method, row.path, row.secret, row.body, row.headers...)
 			name := row.method + " " + row.path + " " + fmt.Sprint(row.headers, row.status, row.field)
-			is.Equal(name+fmt.Sprint(got.Status), name+fmt.Sprint(row.status))
-			is.Equal(got.field("error", "request"), "not_run")
-			is.True(got.field("error", "code") != "")
+			is.Equal(name+fmt.Sprint(response.Status), name+fmt.Sprint(row.status))
+			is.Equal(response.field("error", "request"), "not_run")
+			is.True(response.field("error", "code") != "")
 			if row.field != "" {
-				is.Equal(got.field("error", "field"), row.field)
+				is.Equal(response.field("error", "field"), row.field)
 			}
 		}
 	})
 }
 
 func TestTurnListingPagesByCursor(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		for _, id := range []string{"a", "b", "c"} {
-			verdict, _, _ := call.sendTurn(1, path, key, program, id, "").finalResult()
+			verdict, _, _ := client.sendTurn(1, path, key, program, id, "").finalResult()
 			is.Equal(verdict, "success")
 		}
-		seen, cursor := "", ""
-		ask := func(query map[string]string) (response map[string]any, status int) {
-			edge := call.fleet.Gateways[2]
-			got := edge.gateway.Front.Handle(base.NewCtx(edge.Host.Clock(), time.Minute), newFrontRequest("GET", path+"/turns", key, query))
-			_ = json.Unmarshal(got.Body, &response)
-			return response, got.Status
+		listed, cursor := "", ""
+		listTurns := func(query map[string]string) (response map[string]any, status int) {
+			edge := client.fleet.Gateways[2]
+			reply := edge.gateway.Front.Handle(base.NewCtx(edge.Host.Clock(), time.Minute), newFrontRequest("GET", path+"/turns", key, query))
+			_ = json.Unmarshal(reply.Body, &response)
+			return response, reply.Status
 		}
 		for page := 0; page < 3; page++ {
 			query := map[string]string{"limit": "1"}
 			if cursor != "" {
 				query["cursor"] = cursor
 			}
-			got, status := ask(query)
+			response, status := listTurns(query)
 			is.Equal(status, 200)
-			seen += got["turns"].([]any)[0].(map[string]any)["turn"].(string)
-			cursor = got["next_cursor"].(string)
+			listed += response["turns"].([]any)[0].(map[string]any)["turn"].(string)
+			cursor = response["next_cursor"].(string)
 		}
-		is.Equal(seen, "abc")
+		is.Equal(listed, "abc")
 		is.Equal(cursor, "")
 		for _, query := range []map[string]string{{"limit": "0"}, {"limit": "1001"}, {"limit": "x"}, {"cursor": "zzz"}, {"page": "1"}, {"cursor": "djE6b3RoZXI6MQ"}} {
-			got, status := ask(query)
+			response, status := listTurns(query)
 			is.Equal(status, 400)
-			is.True(got["error"].(map[string]any)["field"] != "")
+			is.True(response["error"].(map[string]any)["field"] != "")
 		}
-		read := call.send(2, "GET", path+"/turns/b", key, nil)
+		read := client.send(2, "GET", path+"/turns/b", key, nil)
 		is.Equal(read.field("state"), "Succeeded")
 		is.True(strings.Contains(read.field("answer"), "3 messages"))
 	})
@@ -289,27 +288,27 @@
 func TestSessionQueueIsBoundedAndOrdered(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 300 * time.Millisecond
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(10000, nil)
-		path, key := call.openSession(0, program, secret, map[string]any{"queue_size": 2})
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(10000, nil)
+		path, key := client.openSession(0, program, secret, map[string]any{"queue_size": 2})
 		answers := map[string]apiResponse{}
 		for _, id := range []string{"a", "b", "c", "d"} {
-			f.CallerHost.Go(func() { answers[id] = call.sendTurn(0, path, key, program, id, "") })
-			call.sleep(20 * time.Millisecond)
+			f.CallerHost.Go(func() { answers[id] = client.sendTurn(0, path, key, program, id, "") })
+			client.sleep(20 * time.Millisecond)
 		}
-		call.sleep(50 * time.Millisecond)
-		is.Equal(answers["d"].Status, 429) // one runs, two wait, the fourth is declined at once
+		client.sleep(50 * time.Millisecond)
+		is.Equal(answers["d"].Status, 429) // one runs, two wait, the fourth is rejected at once
 		is.Equal(answers["d"].field("error", "code"), "queue_full")
 		is.True(answers["d"].Header["Retry-After"] != "")
-		status := call.send(1, "GET", path, key, nil) // a read does not wait for the queue
+		status := client.send(1, "GET", path, key, nil) // reads bypass the queue
 		is.Equal(status.field("queued"), "2")
 		is.Equal(status.field("running_turn"), "a")
-		again := call.sendTurn(1, path, key, program, "d", "")
-		is.Equal(again.Status, 429) // a refused id stays refused
-		cancelled := call.send(2, "POST", path+"/turns/c/cancel", key, nil)
+		again := client.sendTurn(1, path, key, program, "d", "")
+		is.Equal(again.Status, 429) // a rejected id stays rejected
+		cancelled := client.send(2, "POST", path+"/turns/c/cancel", key, nil)
 		is.Equal(cancelled.field("state"), "Cancelled")
 		for len(answers) < 4 {
-			call.sleep(100 * time.Millisecond)
+			client.sleep(100 * time.Millisecond)
 		}
 		verdict, ran, _ := answers["c"].finalResult()
 		is.Equal(verdict+ran, "refusednot_run")
@@ -324,30 +323,30 @@
 func TestDrainFinishesAcceptedTurns(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 100 * time.Millisecond
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(10000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(10000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		var running apiResponse
-		f.CallerHost.Go(func() { running = call.sendTurn(1, path, key, program, "a", "") })
-		call.sleep(150 * time.Millisecond)
-		closing := call.send(2, "POST", path+"/close", key, nil)
+		f.CallerHost.Go(func() { running = client.sendTurn(1, path, key, program, "a", "") })
+		client.sleep(150 * time.Millisecond)
+		closing := client.send(2, "POST", path+"/close", key, nil)
 		is.Equal(closing.field("phase"), "Finalizing")
-		late := call.sendTurn(0, path, key, program, "b", "")
+		late := client.sendTurn(0, path, key, program, "b", "")
 		is.Equal(late.Status, 503)
 		is.Equal(late.field("error", "request"), "not_run")
 		for running.Status == 0 {
-			call.sleep(100 * time.Millisecond)
+			client.sleep(100 * time.Millisecond)
 		}
 		verdict, _, _ := running.finalResult()
 		is.Equal(verdict, "success")
-		call.sleep(time.Second)
-		after := call.send(1, "GET", path, key, nil)
+		client.sleep(time.Second)
+		after := client.send(1, "GET", path, key, nil)
 		is.Equal(after.field("phase"), "Succeeded")
-		is.Equal(call.sendTurn(1, path, key, program, "c", "").field("error", "code"), "run_over")
-		next := call.sendTurn(1, path, key, program, "d", "a") // the chain outlives its Run
+		is.Equal(client.sendTurn(1, path, key, program, "c", "").field("error", "code"), "run_over")
+		next := client.sendTurn(1, path, key, program, "d", "a") // the chain is kept after its Run ended
 		verdict, _, _ = next.finalResult()
 		is.Equal(verdict, "success")
-		status := call.send(0, "GET", path, key, nil)
+		status := client.send(0, "GET", path, key, nil)
 		is.Equal(status.field("phase"), "Ready")
 		is.Equal(status.field("epoch"), "2")
 		is.True(status.field("run") != after.field("run"))
@@ -358,204 +357,204 @@
 func TestTerminationOnlyEscalates(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 400 * time.Millisecond
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(10000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(10000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		var running, queued apiResponse
-		f.CallerHost.Go(func() { running = call.sendTurn(1, path, key, program, "a", "") })
-		call.sleep(50 * time.Millisecond)
-		f.CallerHost.Go(func() { queued = call.sendTurn(1, path, key, program, "b", "") })
-		call.sleep(600 * time.Millisecond)
-		is.Equal(call.send(0, "POST", path+"/terminate", key, `{"mode":"Drain"}`).field("termination"), "Drain")
-		is.Equal(call.send(0, "POST", path+"/terminate", key, `{"mode":"Immediate"}`).field("termination"), "Immediate")
-		is.Equal(call.send(0, "POST", path+"/close", key, nil).field("termination"), "Immediate")
+		f.CallerHost.Go(func() { running = client.sendTurn(1, path, key, program, "a", "") })
+		client.sleep(50 * time.Millisecond)
+		f.CallerHost.Go(func() { queued = client.sendTurn(1, path, key, program, "b", "") })
+		client.sleep(600 * time.Millisecond)
+		is.Equal(client.send(0, "POST", path+"/terminate", key, `{"mode":"Drain"}`).field("termination"), "Drain")
+		is.Equal(client.send(0, "POST", path+"/terminate", key, `{"mode":"Immediate"}`).field("termination"), "Immediate")
+		is.Equal(client.send(0, "POST", path+"/close", key, nil).field("termination"), "Immediate")
 		for running.Status == 0 || queued.Status == 0 {
-			call.sleep(50 * time.Millisecond)
+			client.sleep(50 * time.Millisecond)
 		}
 		verdict, ran, _ := queued.finalResult()
 		is.Equal(verdict+ran, "refusednot_run")
 		_, ran, _ = running.finalResult()
 		is.Equal(ran, "may_have_run")
-		call.sleep(time.Second)
-		is.Equal(call.send(2, "GET", path, key, nil).field("phase"), "Cancelled")
+		client.sleep(time.Second)
+		is.Equal(client.send(2, "GET", path, key, nil).field("phase"), "Cancelled")
 		is.Equal(f.modelWorkerRuns(program, "b"), 0)
 	})
 }
 
 func TestBudgetIsSharedWithHelperPrograms(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(30, nil)
-		helper := call.send(1, "POST", "/v1/programs", secret, map[string]any{"parent": program, "program": "helper"})
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(30, nil)
+		helper := client.send(1, "POST", "/v1/programs", secret, map[string]any{"parent": program, "program": "helper"})
 		is.Equal(helper.Status, 201)
-		is.Equal(call.send(1, "POST", "/v1/programs", "wrong", map[string]any{"parent": program}).Status, 403)
+		is.Equal(client.send(1, "POST", "/v1/programs", "wrong", map[string]any{"parent": program}).Status, 403)
 		paths := [][3]string{}
-		for place := 0; place < 6; place++ {
-			owner, opener := program, secret
-			if place%2 == 1 {
-				owner, opener = helper.field("program"), helper.field("secret")
+		for index := 0; index < 6; index++ {
+			owner, ownerSecret := program, secret
+			if index%2 == 1 {
+				owner, ownerSecret = helper.field("program"), helper.field("secret")
 			}
-			path, key := call.openSession(place, owner, opener, nil)
+			path, key := client.openSession(index, owner, ownerSecret, nil)
 			paths = append(paths, [3]string{path, key, owner})
 		}
 		answers := make([]apiResponse, len(paths))
-		left := len(paths)
-		for place, one := range paths {
+		remaining := len(paths)
+		for index, session := range paths {
 			f.CallerHost.Go(func() {
-				answers[place] = call.sendTurn(place, one[0], one[1], one[2], fmt.Sprint("t", place), "")
-				left--
+				answers[index] = client.sendTurn(index, session[0], session[1], session[2], fmt.Sprint("t", index), "")
+				remaining--
 			})
 		}
-		for left > 0 {
-			call.sleep(100 * time.Millisecond)
+		for remaining > 0 {
+			client.sleep(100 * time.Millisecond)
 		}
-		whole, over := 0, 0
-		for place, answer := range answers {
+		completed, overBudget := 0, 0
+		for index, answer := range answers {
 			verdict, ran, code := answer.finalResult()
 			if verdict == "success" {
-				whole++
+				completed++
 			}
 			if code == "over_budget" {
-				over++
+				overBudget++
 				is.Equal(ran, "not_run")
-				is.Equal(f.modelWorkerRuns(paths[place][2], fmt.Sprint("t", place)), 0)
+				is.Equal(f.modelWorkerRuns(paths[index][2], fmt.Sprint("t", index)), 0)
 			}
 		}
-		is.True(whole >= 3 && over >= 1)
-		put := int64(0)
+		is.True(completed >= 3 && overBudget >= 1)
+		produced := int64(0)
 		for _, model := range f.Models {
-			_, tokens, _, _ := model.Record()
+			_, tokens, _, _ := model.Stats()
 			for _, n := range tokens {
-				put += n
+				produced += n
 			}
 		}
-		is.True(put <= 30)
-		shown := call.send(2, "GET", "/v1/programs/"+program, secret, nil)
-		is.Equal(shown.field("spent_tokens"), fmt.Sprint(put))
-		is.Equal(shown.field("reserved_tokens"), "0")
+		is.True(produced <= 30)
+		programView := client.send(2, "GET", "/v1/programs/"+program, secret, nil)
+		is.Equal(programView.field("spent_tokens"), fmt.Sprint(produced))
+		is.Equal(programView.field("reserved_tokens"), "0")
 	})
 }
 
 func TestDeadlineAndProgramTermination(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, map[string]any{"deadline_s": 5})
-		path, key := call.openSession(0, program, secret, nil)
-		verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, map[string]any{"deadline_s": 5})
+		path, key := client.openSession(0, program, secret, nil)
+		verdict, _, _ := client.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		call.sleep(6 * time.Second)
-		_, ran, code := call.sendTurn(1, path, key, program, "b", "").finalResult()
+		client.sleep(6 * time.Second)
+		_, ran, code := client.sendTurn(1, path, key, program, "b", "").finalResult()
 		is.Equal(code+ran, "past_deadlinenot_run")
 		is.Equal(f.modelWorkerRuns(program, "b"), 0)
 
-		ending, secret := call.createProgram(1000, nil)
-		path, key = call.openSession(0, ending, secret, nil)
-		is.Equal(call.send(1, "POST", "/v1/programs/"+ending+"/terminate", secret, `{"mode":"Drain"}`).field("termination"), "Drain")
-		is.Equal(call.send(1, "POST", "/v1/programs/"+ending+"/sessions", secret, `{"route":"chat"}`).Status, 503)
-		is.Equal(call.send(1, "POST", "/v1/programs/"+ending+"/tools/loyalty", secret, `{}`, "idempotency-key", "k").Status, 503)
-		call.sleep(2 * time.Second)
-		is.Equal(call.send(2, "GET", path, key, nil).field("phase"), "Succeeded")
+		ending, secret := client.createProgram(1000, nil)
+		path, key = client.openSession(0, ending, secret, nil)
+		is.Equal(client.send(1, "POST", "/v1/programs/"+ending+"/terminate", secret, `{"mode":"Drain"}`).field("termination"), "Drain")
+		is.Equal(client.send(1, "POST", "/v1/programs/"+ending+"/sessions", secret, `{"route":"chat"}`).Status, 503)
+		is.Equal(client.send(1, "POST", "/v1/programs/"+ending+"/tools/loyalty", secret, `{}`, "idempotency-key", "k").Status, 503)
+		client.sleep(2 * time.Second)
+		is.Equal(client.send(2, "GET", path, key, nil).field("phase"), "Succeeded")
 	})
 }
 
 func TestLeaseExpiryEndsRunAndKeepsHistory(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, map[string]any{"lease_s": 2})
-		for place := 0; place < 4; place++ { // calls the owner sees renew the lease
-			call.sleep(1500 * time.Millisecond)
-			is.Equal(call.send(1, "POST", path+"/renew", key, nil).field("phase"), "Ready")
-		}
-		verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
+	runScript(t, SmallShape(), func(is *is.I, _ *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, map[string]any{"lease_s": 2})
+		for index := 0; index < 4; index++ { // requests that reach the owner renew the lease
+			client.sleep(1500 * time.Millisecond)
+			is.Equal(client.send(1, "POST", path+"/renew", key, nil).field("phase"), "Ready")
+		}
+		verdict, _, _ := client.sendTurn(1, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		call.sleep(4 * time.Second)
-		ended := call.send(2, "GET", path, key, nil)
+		client.sleep(4 * time.Second)
+		ended := client.send(2, "GET", path, key, nil)
 		is.Equal(ended.field("phase"), "Failed")
 		is.Equal(ended.field("reason"), "lease_expired")
-		verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
+		verdict, _, _ = client.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		is.Equal(call.send(2, "GET", path, key, nil).field("turns"), "2")
+		is.Equal(client.send(2, "GET", path, key, nil).field("turns"), "2")
 	})
 }
 
 func TestToolCallWithLostAnswerIsNotRepeated(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(100, nil)
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(100, nil)
 		path := "/v1/programs/" + program + "/tools/loyalty"
 		for _, tool := range f.Tools {
-			tool.Next = func() standin.Trouble { return standin.Silent } // it ran, the answer is lost
+			tool.NextFault = func() standin.Fault { return standin.NoResponse } // the call runs and its answer is lost
 		}
-		first := call.send(0, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
+		first := client.send(0, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
 		is.Equal(first.field("error", "request"), "may_have_run")
 		for _, tool := range f.Tools {
-			tool.Next = nil
+			tool.NextFault = nil
 		}
-		again := call.send(1, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
+		again := client.send(1, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
 		is.Equal(again.field("error", "request"), "may_have_run")
 		is.Equal(f.toolWorkerRuns(program+"/k1"), 1)
-		done := call.send(1, "POST", path, secret, `{"points":2}`, "idempotency-key", "k2")
+		done := client.send(1, "POST", path, secret, `{"points":2}`, "idempotency-key", "k2")
 		is.Equal(done.Status, 200)
-		replayed := call.send(2, "POST", path, secret, `{"points":2}`, "idempotency-key", "k2")
+		replayed := client.send(2, "POST", path, secret, `{"points":2}`, "idempotency-key", "k2")
 		is.Equal(replayed.Raw, done.Raw)
 		is.Equal(replayed.Header["Idempotent-Replayed"], "true")
 		is.Equal(f.toolWorkerRuns(program+"/k2"), 1)
-		is.Equal(call.send(2, "POST", path, secret, `{"points":3}`, "idempotency-key", "k2").field("error", "code"), "key_reused")
-		// A worker that cannot be reached was not run: another takes the call.
+		is.Equal(client.send(2, "POST", path, secret, `{"points":3}`, "idempotency-key", "k2").field("error", "code"), "key_reused")
+		// A call to an unreachable worker has not run, so another worker gets it.
 		f.World.Hosts["app-0"].Kill()
-		for place := 0; place < 4; place++ {
-			is.Equal(call.send(place, "POST", path, secret, `{}`, "idempotency-key", fmt.Sprint("up", place)).Status, 200)
+		for index := 0; index < 4; index++ {
+			is.Equal(client.send(index, "POST", path, secret, `{}`, "idempotency-key", fmt.Sprint("up", index)).Status, 200)
 		}
 		f.World.Hosts["app-1"].Kill()
-		down := call.send(0, "POST", path, secret, `{}`, "idempotency-key", "down")
+		down := client.send(0, "POST", path, secret, `{}`, "idempotency-key", "down")
 		is.Equal(down.Status, 503)
 		is.Equal(down.field("error", "request"), "not_run")
 		f.World.Hosts["app-1"].alive = true
-		call.sleep(2 * time.Second)
-		is.Equal(call.send(0, "POST", path, secret, `{}`, "idempotency-key", "down").Status, 200) // not run, so it may run now
+		client.sleep(2 * time.Second)
+		is.Equal(client.send(0, "POST", path, secret, `{}`, "idempotency-key", "down").Status, 200) // it has not run, so it may run now
 		is.Equal(f.toolWorkerRuns(program+"/down"), 1)
 	})
 }
 
 func TestLeavingWorkerGetsNoNewWork(t *testing.T) {
-	for _, way := range []string{"report", "list", "refusal", "closing"} {
-		t.Run(way, func(t *testing.T) {
-			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-				program, secret := call.createProgram(100000, nil)
-				path, key := call.openSession(0, program, secret, nil)
+	for _, variant := range []string{"report", "list", "refusal", "closing"} {
+		t.Run(variant, func(t *testing.T) {
+			runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+				program, secret := client.createProgram(100000, nil)
+				path, key := client.openSession(0, program, secret, nil)
 				previous := ""
 				for num := 0; num < 3; num++ {
 					id := fmt.Sprint("t", num)
-					call.sendTurn(num, path, key, program, id, previous)
+					client.sendTurn(num, path, key, program, id, previous)
 					previous = id
 				}
 				leaving := f.Models[0]
-				if f.Models[1].Latest() > leaving.Latest() {
+				if f.Models[1].LastRunTime() > leaving.LastRunTime() {
 					leaving = f.Models[1]
 				}
-				switch way {
+				switch variant {
 				case "report":
-					is.Equal(call.send(2, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":5,"leaving":true}`).Status, 200)
+					is.Equal(client.send(2, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":5,"leaving":true}`).Status, 200)
 				case "list":
-					is.Equal(call.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{leaving.ID}}).Status, 200)
+					is.Equal(client.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{leaving.ID}}).Status, 200)
 				case "closing":
-					leaving.Closing = true
+					leaving.CloseConnections = true
 				case "refusal":
-					leaving.Next = func() standin.Trouble { return standin.Refuse }
+					leaving.NextFault = func() standin.Fault { return standin.Unavailable }
 				}
 				knownAt := f.World.Now()
 				for num := 3; num < 30; num++ {
 					id := fmt.Sprint("t", num)
-					verdict, _, _ := call.sendTurn(num, path, key, program, id, previous).finalResult()
+					verdict, _, _ := client.sendTurn(num, path, key, program, id, previous).finalResult()
 					is.Equal(verdict, "success")
 					previous = id
-					if (way == "refusal" || way == "closing") && num == 5 {
-						leaving.Next, leaving.Closing = nil, false // it would take work again, if it were given any
+					if (variant == "refusal" || variant == "closing") && num == 5 {
+						leaving.NextFault, leaving.CloseConnections = nil, false // it would accept requests again
 						knownAt = f.World.Now()
 					}
 				}
 				is.True(f.World.Now() > knownAt+3*time.Second)
-				is.True(leaving.Latest() <= knownAt+3*time.Second)
-				if way != "list" {
-					back := call.send(1, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":9,"incarnation":"two","leaving":false}`)
-					is.Equal(back.Status, 200)
+				is.True(leaving.LastRunTime() <= knownAt+3*time.Second)
+				if variant != "list" {
+					returned := client.send(1, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":9,"incarnation":"two","leaving":false}`)
+					is.Equal(returned.Status, 200)
 				}
 			})
 		})
@@ -563,188 +562,192 @@
 }
 
 func TestUnderstudyContinuesFromItsCopy(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(10000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(10000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		for num, previous := range []string{"", "t0", "t1"} {
-			verdict, _, _ := call.sendTurn(1, path, key, program, fmt.Sprint("t", num), previous).finalResult()
+			verdict, _, _ := client.sendTurn(1, path, key, program, fmt.Sprint("t", num), previous).finalResult()
 			is.Equal(verdict, "success")
 		}
-		before := call.send(1, "GET", path, key, nil)
+		before := client.send(1, "GET", path, key, nil)
 		is.True(strings.HasPrefix(before.field("owner"), "edge-0"))
-		is.True(strings.HasPrefix(before.field("understudy"), "edge-1")) // the other zone
+		is.True(strings.HasPrefix(before.field("understudy"), "edge-1")) // the standby is in the other zone
 		f.Kill(f.Gateways[0])
-		began := f.World.Now()
-		verdict, _, _ := call.sendTurn(2, path, key, program, "t3", "t2").finalResult()
+		startedAt := f.World.Now()
+		verdict, _, _ := client.sendTurn(2, path, key, program, "t3", "t2").finalResult()
 		is.Equal(verdict, "success")
-		is.True(f.World.Now()-began < 2*time.Second) // a short pause
-		after := call.send(2, "GET", path, key, nil)
+		is.True(f.World.Now()-startedAt < 2*time.Second) // the takeover is a short pause
+		after := client.send(2, "GET", path, key, nil)
 		is.Equal(after.field("owner"), before.field("understudy"))
 		is.Equal(after.field("epoch"), "2")
 		is.Equal(f.CounterTotal("chains_read_from_register"), int64(0))
-		// The next loss: the new understudy is caught up before it counts.
-		call.sleep(2 * time.Second)
+		// After the next loss, the new standby has caught up and takes over.
+		client.sleep(2 * time.Second)
 		f.Kill(f.Gateways[1])
-		verdict, _, _ = call.sendTurn(2, path, key, program, "t4", "t3").finalResult()
+		verdict, _, _ = client.sendTurn(2, path, key, program, "t4", "t3").finalResult()
 		is.Equal(verdict, "success")
-		is.Equal(call.send(2, "GET", path, key, nil).field("turns"), "5")
+		is.Equal(client.send(2, "GET", path, key, nil).field("turns"), "5")
 	})
 }
 
-// A call that carries an assignment identity the node does not hold is
-// refused by it, and is never carried further.
+// TestOwnerChecksAssignmentAndForwardsOnce: a node refuses a request for an assignment
+// that it does not hold and does not forward it again.
 func TestOwnerChecksAssignmentAndForwardsOnce(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
-		call.sendTurn(0, path, key, program, "a", "")
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
+		client.sendTurn(0, path, key, program, "a", "")
 		forwarded := f.CounterTotal("visits_forwarded")
-		is.Equal(call.send(1, "GET", path, key, nil).Status, 200)
+		is.Equal(client.send(1, "GET", path, key, nil).Status, 200)
 		is.Equal(f.CounterTotal("visits_forwarded"), forwarded+1)
-		// Two changes of owner leave gateway 2 with an old assignment, which
-		// it looks up anew once.
-		is.Equal(call.send(2, "GET", path, key, nil).Status, 200)
+		// Two changes of owner leave gateway 2 with an old assignment, which it looks up
+		// once more.
+		is.Equal(client.send(2, "GET", path, key, nil).Status, 200)
 		f.Kill(f.Gateways[0])
-		f.Start(f.Gateways[0]) // another life at the same address, which others take for the former
-		verdict, _, _ := call.sendTurn(1, path, key, program, "b", "a").finalResult()
+		f.Start(f.Gateways[0]) // a new incarnation at the same address, which others take for the old one
+		verdict, _, _ := client.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		is.Equal(call.send(2, "GET", path, key, nil).field("epoch"), "2")
-		verdict, _, _ = call.sendTurn(0, path, key, program, "c", "b").finalResult()
+		is.Equal(client.send(2, "GET", path, key, nil).field("epoch"), "2")
+		verdict, _, _ = client.sendTurn(0, path, key, program, "c", "b").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
 
 func reverse(list []string) []string {
-	turned := slices.Clone(list)
-	slices.Reverse(turned)
-	return turned
+	reversed := slices.Clone(list)
+	slices.Reverse(reversed)
+	return reversed
 }
 
-// Urgent programs go first when workers are full, and none starves.
+// TestUrgentProgramsGoFirstWithoutStarvation: when workers are full, urgent programs go
+// first, and programs of low urgency still finish.
 func TestUrgentProgramsGoFirstWithoutStarvation(t *testing.T) {
 	shape := SmallShape()
 	shape.ModelWorkers, shape.WorkerCapacity, shape.PieceInterval = 1, 1, 100*time.Millisecond
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
 		order := []string{}
-		left := 0
+		remaining := 0
 		start := func(name, urgency string) {
-			program, secret := call.createProgram(1000, map[string]any{"urgency": urgency})
-			path, key := call.openSession(0, program, secret, nil)
-			left++
+			program, secret := client.createProgram(1000, map[string]any{"urgency": urgency})
+			path, key := client.openSession(0, program, secret, nil)
+			remaining++
 			f.CallerHost.Go(func() {
-				verdict, _, _ := call.sendTurn(0, path, key, program, "t", "").finalResult()
+				verdict, _, _ := client.sendTurn(0, path, key, program, "t", "").finalResult()
 				order = append(order, name+" "+verdict)
-				left--
+				remaining--
 			})
-			call.sleep(30 * time.Millisecond)
+			client.sleep(30 * time.Millisecond)
 		}
 		start("first", "low")
 		start("low", "low")
 		start("urgent", "urgent")
-		for left > 0 {
-			call.sleep(100 * time.Millisecond)
+		for remaining > 0 {
+			client.sleep(100 * time.Millisecond)
 		}
 		is.Equal(order, []string{"first success", "urgent success", "low success"})
-		for place := 0; place < 8; place++ {
+		for index := 0; index < 8; index++ {
 			start("old", "low")
 			start("rush", "urgent")
 		}
-		for left > 0 {
-			call.sleep(100 * time.Millisecond)
+		for remaining > 0 {
+			client.sleep(100 * time.Millisecond)
 		}
-		is.True(slices.Index(order, "old success") < len(order)-slices.Index(reverse(order), "rush success")-1) // an old one ended before the last of the rush
-		for _, done := range order {
-			is.True(strings.HasSuffix(done, " success"))
+		is.True(slices.Index(order, "old success") < len(order)-slices.Index(reverse(order), "rush success")-1) // an old program ends before the last urgent one
+		for _, result := range order {
+			is.True(strings.HasSuffix(result, " success"))
 		}
 	})
 }
 
-// No trouble of a worker is ever shown as success.
+// TestWorkerFaultsAreNeverReportedAsSuccess runs a turn under each fault of a model
+// worker.
 func TestWorkerFaultsAreNeverReportedAsSuccess(t *testing.T) {
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":10,"legs":1`, 1)
-	for trouble, want := range map[standin.Trouble]string{
-		standin.Cut: "cut may_have_run", standin.Malformed: "cut may_have_run", standin.NoFinish: "cut may_have_run", standin.Overrun: "cut may_have_run",
-		standin.Hang: "cut may_have_run", standin.Fail: "failed may_have_run", standin.Silent: "failed may_have_run", standin.Refuse: "refused not_run",
+	for fault, want := range map[standin.Fault]string{
+		standin.Truncate: "cut may_have_run", standin.Malformed: "cut may_have_run", standin.NoFinishReason: "cut may_have_run", standin.IgnoreTokenLimit: "cut may_have_run",
+		standin.Hang: "cut may_have_run", standin.InternalError: "failed may_have_run", standin.NoResponse: "failed may_have_run", standin.Unavailable: "refused not_run",
 	} {
-		t.Run(string(trouble), func(t *testing.T) {
-			runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
+		t.Run(string(fault), func(t *testing.T) {
+			runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
 				for _, model := range f.Models {
-					model.Next = func() standin.Trouble { return trouble }
+					model.NextFault = func() standin.Fault { return fault }
 				}
-				program, secret := call.createProgram(100, nil)
-				path, key := call.openSession(0, program, secret, nil)
+				program, secret := client.createProgram(100, nil)
+				path, key := client.openSession(0, program, secret, nil)
 				body := turnBody(program, "t")
-				body["max_output_tokens"] = 3 // of six: one that overruns is seen
-				got := call.send(1, "POST", path+"/turns", key, body, "turn-id", "t")
-				verdict, ran, _ := got.finalResult()
+				body["max_output_tokens"] = 3 // the worker has six pieces, so an overrun is seen
+				response := client.send(1, "POST", path+"/turns", key, body, "turn-id", "t")
+				verdict, ran, _ := response.finalResult()
 				is.Equal(verdict+" "+ran, want)
-				is.Equal(call.send(1, "GET", path+"/turns/t", key, nil).field("answer"), "<nil>")
+				is.Equal(client.send(1, "GET", path+"/turns/t", key, nil).field("answer"), "<nil>")
 				if ran == "not_run" {
 					is.Equal(f.modelWorkerRuns(program, "t"), 0)
-				} else { // what is not known to have ended counts as spent in full
-					is.Equal(call.send(1, "GET", "/v1/programs/"+program, secret, nil).field("spent_tokens"), "3")
+				} else { // a turn that is not known to have ended is charged in full
+					is.Equal(client.send(1, "GET", "/v1/programs/"+program, secret, nil).field("spent_tokens"), "3")
 				}
 			})
 		})
 	}
 }
 
-// A worker that leaves while it is busy finishes what it has.
+// TestLeavingBusyWorkerFinishesItsRequest: a worker that leaves while it is busy finishes
+// its request and gets no other.
 func TestLeavingBusyWorkerFinishesItsRequest(t *testing.T) {
 	shape := SmallShape()
 	shape.PieceInterval = 500 * time.Millisecond
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
 		var running apiResponse
-		f.CallerHost.Go(func() { running = call.sendTurn(1, path, key, program, "a", "") })
-		call.sleep(700 * time.Millisecond)
+		f.CallerHost.Go(func() { running = client.sendTurn(1, path, key, program, "a", "") })
+		client.sleep(700 * time.Millisecond)
 		busy := f.Models[0]
-		if f.Models[1].Busy() > 0 {
+		if f.Models[1].ActiveAnswers() > 0 {
 			busy = f.Models[1]
 		}
-		is.Equal(busy.Busy(), 1)
-		is.Equal(call.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{busy.ID}}).Status, 200)
-		is.Equal(call.send(2, "POST", "/v1/platform/workers/"+busy.ID+"/usage", "", `{"number":5,"leaving":true}`).Status, 200)
+		is.Equal(busy.ActiveAnswers(), 1)
+		is.Equal(client.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{busy.ID}}).Status, 200)
+		is.Equal(client.send(2, "POST", "/v1/platform/workers/"+busy.ID+"/usage", "", `{"number":5,"leaving":true}`).Status, 200)
 		for running.Status == 0 {
-			call.sleep(100 * time.Millisecond)
+			client.sleep(100 * time.Millisecond)
 		}
 		verdict, _, _ := running.finalResult()
 		is.Equal(verdict, "success")
-		verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
+		verdict, _, _ = client.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		_, _, runs, _ := busy.Record()
-		is.Equal(runs, 1) // the next turn went elsewhere
+		_, _, runs, _ := busy.Stats()
+		is.Equal(runs, 1) // the next turn went to the other worker
 	})
 }
 
-// A leg that waited for the control state, on a gateway that was cut off from
-// it, does not go out to a worker that has left meanwhile.
+// TestDelayedAttemptSkipsWorkerThatLeft: a gateway that is isolated from the cores holds
+// an attempt of a turn; once it has the control state again, it does not send the
+// attempt to a worker that has left meanwhile.
 func TestDelayedAttemptSkipsWorkerThatLeft(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
-		call.sendTurn(0, path, key, program, "a", "")
-		former, other := f.Models[0], f.Models[1]
-		if other.Latest() > former.Latest() {
-			former, other = other, former
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
+		client.sendTurn(0, path, key, program, "a", "")
+		lastUsed, other := f.Models[0], f.Models[1]
+		if other.LastRunTime() > lastUsed.LastRunTime() {
+			lastUsed, other = other, lastUsed
 		}
 		for _, m := range f.Cores {
 			f.Net.CutLink(f.Gateways[0].Host.Name, m.Host.Name)
 		}
-		var waited apiResponse
-		f.CallerHost.Go(func() { waited = call.sendTurn(0, path, key, program, "b", "a") })
-		call.sleep(200 * time.Millisecond)
-		is.Equal(call.send(1, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{former.ID}}).Status, 200)
-		left := f.World.Now()
-		call.sleep(4 * time.Second)
+		var delayedTurn apiResponse
+		f.CallerHost.Go(func() { delayedTurn = client.sendTurn(0, path, key, program, "b", "a") })
+		client.sleep(200 * time.Millisecond)
+		is.Equal(client.send(1, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{lastUsed.ID}}).Status, 200)
+		removedAt := f.World.Now()
+		client.sleep(4 * time.Second)
 		f.Net.Heal()
-		for waited.Status == 0 {
-			call.sleep(100 * time.Millisecond)
+		for delayedTurn.Status == 0 {
+			client.sleep(100 * time.Millisecond)
 		}
-		verdict, _, _ := waited.finalResult()
+		verdict, _, _ := delayedTurn.finalResult()
 		is.Equal(verdict, "success")
-		is.True(former.Latest() < left && other.Latest() > left)
+		is.True(lastUsed.LastRunTime() < removedAt && other.LastRunTime() > removedAt)
 	})
 }
--- a/internal/simulate/backends.go
+++ b/internal/simulate/backends.go
@@ -1,9 +1,8 @@
-// Back ends and callers in memory.
-
 package simulate
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"time"
 
@@ -13,9 +12,10 @@
 	"fordseam/internal/standin"
 )
 
-// BackendReply is a worker's reply under way.
+// BackendReply is the response of a stand-in worker. The worker's task fills it in
+// while the gateway reads it.
 type BackendReply struct {
-	changed        *base.Notifier
+	changed        *base.Notifier // notified when the worker or the reader changes a field
 	status         int
 	started        bool
 	closesConn     bool
@@ -28,15 +28,18 @@
 	body           []byte
 }
 
+// pollInterval bounds each wait, because a host's death notifies nobody.
 const pollInterval = 50 * time.Millisecond
 
+// waitFor waits until ready returns true. It fails when the reply is closed, the
+// connection is lost, the reply has ended or the limit is over.
 func (r *BackendReply) waitFor(limit time.Duration, ready func() bool) error {
 	end := r.clock.Now() + limit
 	for {
 		next := r.changed.Next()
 		switch {
 		case r.closed:
-			return errors.New("closed")
+			return errors.New("reply closed by the reader")
 		case ready():
 			return nil
 		case r.connectionLost:
@@ -44,7 +47,7 @@
 		case r.ended:
 			return io.EOF
 		case r.clock.Now() >= end:
-			return errors.New("no answer in time")
+			return fmt.Errorf("no reply within %v", limit)
 		}
 		next.Wait(min(pollInterval, end-r.clock.Now()))
 	}
@@ -78,7 +81,7 @@
 	r.changed.Notify()
 }
 
-// Backends is a host's way to the stand-in workers.
+// Backends calls the stand-in workers on behalf of a host.
 type Backends struct {
 	net      *Net
 	host     *Host
@@ -92,14 +95,14 @@
 	target := w.Hosts[hostName(addr)]
 	b.host.Clock().Sleep(b.net.delay())
 	if target == nil || !target.alive || b.net.isCut(b.host.Name, target.Name) {
-		return nil, &base.NotSent{Cause: errors.New("connection refused")}
+		return nil, &base.NotSent{Cause: fmt.Errorf("connection to %s refused", addr)}
 	}
 	reply := &BackendReply{changed: base.NewNotifier(ctx.Clock), clock: ctx.Clock, host: target}
 	target.openReplies[reply] = struct{}{}
 	body := append([]byte(nil), request.Body...)
 	target.Go(func() {
 		if model := b.models[target.Name]; model != nil {
-			reply.closesConn = model.Closing
+			reply.closesConn = model.CloseConnections
 			model.Serve(body, func(status int) { reply.status, reply.started = status, true; reply.changed.Notify() }, func(line string) error {
 				if reply.closed {
 					return io.ErrClosedPipe
@@ -112,7 +115,7 @@
 			status, answer, answered := b.tools[target.Name].Serve(request.Header["Idempotency-Key"], body)
 			reply.status, reply.body, reply.started, reply.connectionLost = status, answer, answered, !answered
 		}
-		if b.disabled.endMarker { // make up the end that the answer lacks
+		if b.disabled.endMarker { // append the end marker that the reply lacks
 			reply.lines = append(reply.lines, `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}`, "data: [DONE]")
 		}
 		reply.ended = true
@@ -126,65 +129,67 @@
 	return reply, nil
 }
 
-// DropIdle has nothing to do: connections in memory are not kept.
+// DropIdle does nothing: in-memory connections are not pooled.
 func (b *Backends) DropIdle(string) {}
 
-// RequestSender sends callers' requests to the simulated gateways.
-func (f *Fleet) RequestSender(host *Host) standin.Asker {
+// RequestSender returns a function that sends callers' requests from a host to the
+// simulated gateways. A request fails once its gateway has died or has sent nothing
+// for 40 s.
+func (f *Fleet) RequestSender(host *Host) standin.RequestFunc {
 	clock := host.Clock()
-	return func(gateway int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
-		edge := f.Gateways[gateway%len(f.Gateways)]
+	return func(gatewayIndex int, method, path string, header map[string]string, body []byte) (*standin.Response, error) {
+		gateway := f.Gateways[gatewayIndex%len(f.Gateways)]
 		clock.Sleep(f.Net.delay())
-		if !edge.Host.alive || edge.gateway == nil || edge.stopping {
+		if !gateway.Host.alive || gateway.gateway == nil || gateway.stopping {
 			return nil, errors.New("connection refused")
 		}
-		bell := base.NewNotifier(clock)
+		changed := base.NewNotifier(clock)
 		var response *front.Response
 		events := []standin.Event{}
-		over := false
-		life, target := edge.Host.incarnation, edge.gateway
-		edge.openRequests++
-		edge.Host.Go(func() {
-			defer func() { edge.openRequests-- }()
-			own := edge.Host.Clock()
-			response = target.Front.Handle(base.NewCtx(own, 10*time.Minute), &front.Request{Method: method, Path: path, Header: header, Query: map[string]string{}, Body: body})
-			bell.Notify()
+		ended := false
+		incarnation, frontGateway := gateway.Host.incarnation, gateway.gateway
+		gateway.openRequests++
+		gateway.Host.Go(func() {
+			defer func() { gateway.openRequests-- }()
+			gatewayClock := gateway.Host.Clock()
+			response = frontGateway.Front.Handle(base.NewCtx(gatewayClock, 10*time.Minute), &front.Request{Method: method, Path: path, Header: header, Query: map[string]string{}, Body: body})
+			changed.Notify()
 			if response.Stream == nil {
 				return
 			}
-			for !over {
-				pieces, leg, done := response.Stream.Next()
+			for !ended {
+				pieces, attempt, done := response.Stream.Next()
 				for _, piece := range pieces {
-					events = append(events, newEvent(piece, leg))
+					events = append(events, newEvent(piece, attempt))
 				}
-				over = done
-				bell.Notify()
+				ended = done
+				changed.Notify()
 			}
 		})
-		gone := func() bool { return edge.Host.incarnation != life }
+		hostKilled := func() bool { return gateway.Host.incarnation != incarnation }
 		end := clock.Now() + 40*time.Second
 		for response == nil {
-			next := bell.Next()
-			if gone() || clock.Now() > end {
+			next := changed.Next()
+			if hostKilled() || clock.Now() > end {
 				f.Tally.Count("cut_connections")
 				return nil, errors.New("connection lost")
 			}
 			next.Wait(pollInterval)
 		}
-		answer := &standin.Answer{Status: response.Status, Header: response.Header, Body: response.Body}
+		answer := &standin.Response{Status: response.Status, Header: response.Header, Body: response.Body}
 		if response.Stream == nil {
 			return answer, nil
 		}
 		answer.NextEvent = func() (standin.Event, bool) {
-			silent := clock.Now() + 40*time.Second
+			silenceDeadline := clock.Now() + 40*time.Second
 			for {
-				next := bell.Next()
+				next := changed.Next()
 				switch {
 				case len(events) > 0:
 					event := events[0]
 					events = events[1:]
 					return event, true
-				case over || gone() || clock.Now() > silent:
+				case ended || hostKilled() || clock.Now() > silenceDeadline:
 					return standin.Event{}, false
 				}
 				next.Wait(pollInterval)
@@ -194,8 +199,8 @@
 	}
 }
 
-func newEvent(piece *session.Piece, leg string) standin.Event {
-	kind, data, id := "piece", base.MustMarshal(map[string]string{"text": string(piece.Data)}), leg+"#"+string(base.MustMarshal(piece.Place))
+func newEvent(piece *session.Piece, attempt string) standin.Event {
+	kind, data, id := "piece", base.MustMarshal(map[string]string{"text": string(piece.Data)}), attempt+"#"+string(base.MustMarshal(piece.Place))
 	if piece.Final {
 		kind, data = "final", piece.Data
 	}
--- a/internal/simulate/cluster_change_test.go
+++ b/internal/simulate/cluster_change_test.go
@@ -1,4 +1,3 @@
-// Disks replaced, added and retired under traffic; machines that come and go.
 package simulate
 
 import (
@@ -13,10 +12,10 @@
 	"github.com/matryer/is"
 )
 
-// A lost disk is replaced by an empty machine at a new address while callers
-// converse, with every kind of trouble on the way; then another disk is lost.
+// TestReplacingLostDisk replaces a lost disk by an empty machine at a new address during
+// conversations and further faults; then another disk is lost.
 func TestReplacingLostDisk(t *testing.T) {
-	troubles := map[string]func(f *Fleet){
+	faults := map[string]func(f *Fleet){
 		"in quiet":          func(*Fleet) {},
 		"a core killed":     func(f *Fleet) { f.crash(f.Cores[0], 2*time.Second, false) },
 		"all cores killed":  func(f *Fleet) { f.crash(f.Cores[0], 2*time.Second, false); f.crash(f.Cores[1], time.Second, false) },
@@ -26,36 +25,36 @@
 			f.scheduleRecovery(5*time.Second, f.Net.Heal)
 		},
 	}
-	for name, trouble := range troubles {
+	for name, injectFault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
-				left := f.StartCallers(4, 12, true, func(c *standin.Caller) {
-					c.Between = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
+			runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
+				remaining := f.StartCallers(4, 12, true, func(c *standin.Caller) {
+					c.AfterTurn = func(int) { c.Clock.Sleep(f.World.Between(0, 2*time.Second)) }
 				})
-				call.sleep(time.Second)
+				client.sleep(time.Second)
 				lost := f.FindDisk(f.Storage[0].Host.Name)
 				is.True(lost.Voting)
 				f.PowerLoss(f.Storage[0])
 				f.Storage[0].Disk.Wipe()
-				fresh := f.AddMachine("storage")
-				call.sleep(time.Second)
-				status, code := f.RequestDiskChange("admit", "address", fresh.Host.Name+":1")
+				added := f.AddMachine("storage")
+				client.sleep(time.Second)
+				status, code := f.RequestDiskChange("admit", "address", added.Host.Name+":1")
 				is.Equal(fmt.Sprint(status, code), "200")
-				call.sleep(300 * time.Millisecond)
-				trouble(f)
+				client.sleep(300 * time.Millisecond)
+				injectFault(f)
 				is.True(f.AwaitDiskChange(2 * time.Minute))
-				is.True(f.FindDisk(fresh.Host.Name).Voting)
+				is.True(f.FindDisk(added.Host.Name).Voting)
 				if name == "in quiet" {
-					is.True(f.CounterTotal("repairs_paced") > 0) // 32 slots were not sent at once
+					is.True(f.CounterTotal("repairs_paced") > 0) // the 32 shards are not sent all at once
 				}
 				status, code = f.RequestDiskChange("retire", "disk", lost.ID)
 				is.Equal(fmt.Sprint(status, code), "200")
 				is.True(f.AwaitDiskChange(2 * time.Minute))
 				is.Equal(len(f.StorageStatus().Disks), 3)
-				f.PowerLoss(f.Storage[1]) // the next loss, for good
-				for left() > 0 {
-					call.sleep(time.Second)
+				f.PowerLoss(f.Storage[1]) // the next loss, which is permanent
+				for remaining() > 0 {
+					client.sleep(time.Second)
 				}
 				is.Equal(f.Tally.Counts["conversations_whole"], 4)
 			})
@@ -63,17 +62,19 @@
 	}
 }
 
+// TestRetiringDisk: a retired disk is emptied and stays out of the cluster, also after a
+// restart.
 func TestRetiringDisk(t *testing.T) {
 	shape := SmallShape()
 	shape.Storage = 4
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
-		call.sendTurn(0, path, key, program, "a", "")
-		gone := f.FindDisk(f.Storage[0].Host.Name)
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
+		client.sendTurn(0, path, key, program, "a", "")
+		retired := f.FindDisk(f.Storage[0].Host.Name)
 		status, code := f.RequestDiskChange("retire", "disk", "none")
 		is.Equal(fmt.Sprint(status, code), "404unknown_disk")
-		status, _ = f.RequestDiskChange("retire", "disk", gone.ID)
+		status, _ = f.RequestDiskChange("retire", "disk", retired.ID)
 		is.Equal(status, 200)
 		is.True(f.AwaitDiskChange(time.Minute))
 		is.True(f.Storage[0].storage.Ready() != nil)
@@ -81,61 +82,63 @@
 		next := f.FindDisk(f.Storage[1].Host.Name)
 		status, code = f.RequestDiskChange("retire", "disk", next.ID)
 		is.Equal(fmt.Sprint(status, code), "409too_few_disks")
-		// A removed machine that returns is refused, until it is emptied.
+		// A removed machine that returns is refused until it is wiped.
 		f.Kill(f.Storage[0])
 		f.Start(f.Storage[0])
-		call.sleep(2 * time.Second)
+		client.sleep(2 * time.Second)
 		is.True(f.Storage[0].storage.Ready() != nil)
 		status, code = f.RequestDiskChange("admit", "address", f.Storage[0].Host.Name+":1")
 		is.Equal(fmt.Sprint(status, code), "409disk_not_blank")
-		f.Kill(f.Storage[1]) // two of three must do
-		verdict, _, _ := call.sendTurn(1, path, key, program, "b", "a").finalResult()
+		f.Kill(f.Storage[1]) // two of three disks suffice
+		verdict, _, _ := client.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
 
-// Duties move only as far as they must when a core or gateway comes.
+// TestNewMachinesMoveFewShards: when a core joins, at most half of the shards move, all of
+// them to the new core. A gateway that joins becomes ready and serves.
 func TestNewMachinesMoveFewShards(t *testing.T) {
 	t.Parallel()
-	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
-		owners := func() map[uint32]string {
-			found := map[uint32]string{}
+	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, client *apiClient) {
+		findLeaders := func() map[uint32]string {
+			leaders := map[uint32]string{}
 			for _, m := range f.Cores {
-				slots, _ := m.core.RegisterServer.Status()
-				for _, num := range slots {
-					found[num] = m.Host.Name
+				shards, _ := m.core.RegisterServer.Status()
+				for _, shard := range shards {
+					leaders[shard] = m.Host.Name
 				}
 			}
-			return found
+			return leaders
 		}
-		call.sleep(5 * time.Second)
-		before := owners()
+		client.sleep(5 * time.Second)
+		before := findLeaders()
 		is.Equal(len(before), 32)
-		fresh := f.AddMachine("core")
-		call.sleep(8 * time.Second)
-		after := owners()
+		added := f.AddMachine("core")
+		client.sleep(8 * time.Second)
+		after := findLeaders()
 		is.Equal(len(after), 32)
 		moved := 0
-		for num, owner := range after {
-			if owner != before[num] {
+		for shard, leader := range after {
+			if leader != before[shard] {
 				moved++
-				is.Equal(owner, fresh.Host.Name) // what moved went to the newcomer
+				is.Equal(leader, added.Host.Name) // shards move only to the new core
 			}
 		}
 		is.True(moved > 0 && moved <= 16)
-		program, secret := call.createProgram(1000, nil)
+		program, secret := client.createProgram(1000, nil)
 		edge := f.AddMachine("edge")
-		call.sleep(3 * time.Second)
-		path, key := call.openSession(len(f.Gateways)-1, program, secret, nil)
+		client.sleep(3 * time.Second)
+		path, key := client.openSession(len(f.Gateways)-1, program, secret, nil)
 		is.True(edge.gateway.Ready() == nil)
-		verdict, _, _ := call.sendTurn(0, path, key, program, "a", "").finalResult()
+		verdict, _, _ := client.sendTurn(0, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
 	})
 }
 
-// The cluster is formed once; nothing forms it again by itself or by hand.
+// TestClusterIsBootstrappedOnce: an existing cluster cannot be bootstrapped again by an
+// operator, nor do machines bootstrap by themselves after all disks were wiped.
 func TestClusterIsBootstrappedOnce(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
 		cluster := f.StorageStatus().Cluster
 		addrs := []string{"storage-0:1", "storage-1:1", "storage-2:1"}
 		status, answer := f.OperatorRequest(f.Cores[1], "POST", "/v1/operator/init", map[string]any{"disks": addrs})
@@ -153,9 +156,9 @@
 		for _, m := range f.All() {
 			f.Start(m)
 		}
-		call.sleep(20 * time.Second)
+		client.sleep(20 * time.Second)
 		for _, m := range f.Storage {
-			is.True(m.storage.Ready() != nil) // blank, and no cluster by itself
+			is.True(m.storage.Ready() != nil) // it stays blank and bootstraps no cluster
 		}
 		for _, m := range f.Gateways {
 			is.True(m.gateway.Ready() != nil)
@@ -164,47 +167,50 @@
 	})
 }
 
-// The owner is lost while its understudy is leaving: another goes on.
+// TestTakeOverWhileStandbyDrains: when the owner is lost while its standby is stopping,
+// another gateway continues the session.
 func TestTakeOverWhileStandbyDrains(t *testing.T) {
 	shape := SmallShape()
 	shape.Gateways = 4
-	runScript(t, shape, func(is *is.I, f *Fleet, call *apiClient) {
-		program, secret := call.createProgram(1000, nil)
-		path, key := call.openSession(0, program, secret, nil)
-		verdict, _, _ := call.sendTurn(2, path, key, program, "a", "").finalResult()
+	runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
+		program, secret := client.createProgram(1000, nil)
+		path, key := client.openSession(0, program, secret, nil)
+		verdict, _, _ := client.sendTurn(2, path, key, program, "a", "").finalResult()
 		is.Equal(verdict, "success")
-		understudy := call.send(2, "GET", path, key, nil).field("understudy")
+		standby := client.send(2, "GET", path, key, nil).field("understudy")
 		for _, m := range f.Gateways {
-			if strings.HasPrefix(understudy, m.Host.Name) {
+			if strings.HasPrefix(standby, m.Host.Name) {
 				f.CallerHost.Go(func() { f.Stop(m) })
 			}
 		}
-		call.sleep(10 * time.Millisecond)
+		client.sleep(10 * time.Millisecond)
 		f.Kill(f.Gateways[0])
-		verdict, _, _ = call.sendTurn(2, path, key, program, "b", "a").finalResult()
+		verdict, _, _ = client.sendTurn(2, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		after := call.send(2, "GET", path, key, nil)
-		is.True(after.field("owner") != understudy)
+		after := client.send(2, "GET", path, key, nil)
+		is.True(after.field("owner") != standby)
 		is.Equal(after.field("turns"), "2")
 	})
 }
 
-// All seeds but one dead: machines still find the fleet.
+// TestOneSeedIsEnough: a new machine joins the fleet when all of its seeds but one are
+// down.
 func TestOneSeedIsEnough(t *testing.T) {
 	t.Parallel()
-	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, call *apiClient) {
+	runScript(t, KiondoShape(), func(is *is.I, f *Fleet, client *apiClient) {
 		f.Kill(f.Cores[0])
 		f.Kill(f.Cores[len(f.Cores)-1])
-		call.sleep(5 * time.Second)
-		fresh := f.AddMachine("edge")
-		call.sleep(4 * time.Second)
-		is.True(fresh.gateway.Ready() == nil)
+		client.sleep(5 * time.Second)
+		added := f.AddMachine("edge")
+		client.sleep(4 * time.Second)
+		is.True(added.gateway.Ready() == nil)
 	})
 }
 
-// Bad input at the operators' interface is declined by name, nothing done.
+// TestInvalidOperatorRequestsAreRejected: invalid requests to the operators' API are
+// rejected with the name of the field and change nothing.
 func TestInvalidOperatorRequestsAreRejected(t *testing.T) {
-	runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+	runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
 		before := f.StorageStatus()
 		rows := []struct {
 			path   string
@@ -235,16 +241,16 @@
 		}
 		for _, row := range rows {
 			status, answer := f.OperatorRequest(f.Cores[0], "POST", "/v1/operator/"+row.path, row.body)
-			var told struct {
+			var response struct {
 				Error struct {
 					Ran   string `json:"request"`
 					Field string `json:"field"`
 				} `json:"error"`
 			}
-			is.NoErr(json.Unmarshal(answer, &told))
+			is.NoErr(json.Unmarshal(answer, &response))
 			name := fmt.Sprint(row.path, row.body)
-			is.Equal(fmt.Sprint(name, status, told.Error.Field), fmt.Sprint(name, row.status, row.field))
-			is.Equal(told.Error.Ran, "not_run")
+			is.Equal(fmt.Sprint(name, status, response.Error.Field), fmt.Sprint(name, row.status, row.field))
+			is.Equal(response.Error.Ran, "not_run")
 		}
 		after := f.StorageStatus()
 		is.Equal(after.Version, before.Version)
@@ -254,31 +260,31 @@
 	})
 }
 
-// All three seed machines are replaced at new addresses, one by one, and then
-// everything falls at once. With the cluster's name in their places the
-// machines find each other by what the disks remember; without it, operators
-// start them with new seeds.
+// TestTotalOutageAfterAllSeedsReplaced replaces all three seed machines at new addresses,
+// one by one, and then restarts everything at once. If the machines are configured with
+// the cluster's id, they find each other by the addresses stored on the disks; otherwise
+// operators start them with new seeds.
 func TestTotalOutageAfterAllSeedsReplaced(t *testing.T) {
-	for _, way := range []string{"cluster named", "new seeds"} {
-		t.Run(way, func(t *testing.T) {
+	for _, variant := range []string{"cluster named", "new seeds"} {
+		t.Run(variant, func(t *testing.T) {
 			t.Parallel()
-			runScript(t, SmallShape(), func(is *is.I, f *Fleet, call *apiClient) {
+			runScript(t, SmallShape(), func(is *is.I, f *Fleet, client *apiClient) {
 				cluster := f.StorageStatus().Cluster
 				f.SeedAddrs = []string{"core-0:1", "core-1:1", "storage-0:1"}
-				program, secret := call.createProgram(1000, nil)
-				path, key := call.openSession(0, program, secret, nil)
-				verdict, _, _ := call.sendTurn(1, path, key, program, "a", "").finalResult()
+				program, secret := client.createProgram(1000, nil)
+				path, key := client.openSession(0, program, secret, nil)
+				verdict, _, _ := client.sendTurn(1, path, key, program, "a", "").finalResult()
 				is.Equal(verdict, "success")
-				for place := range 2 {
+				for index := range 2 {
 					f.AddMachine("core")
-					call.sleep(2 * time.Second)
-					f.Kill(f.Cores[place])
-					f.Cores[place].removed = true
+					client.sleep(2 * time.Second)
+					f.Kill(f.Cores[index])
+					f.Cores[index].removed = true
 				}
 				f.Cores = f.Cores[2:]
 				lost := f.FindDisk("storage-0").ID
 				f.AddMachine("storage")
-				call.sleep(time.Second)
+				client.sleep(time.Second)
 				status, _ := f.RequestDiskChange("admit", "address", "storage-3:1")
 				is.Equal(status, 200)
 				is.True(f.AwaitDiskChange(time.Minute))
@@ -287,15 +293,15 @@
 				is.True(f.AwaitDiskChange(time.Minute))
 				f.Kill(f.Storage[0])
 				f.Storage[0].removed = true
-				call.sleep(10 * time.Second)
-				if way == "cluster named" {
+				client.sleep(10 * time.Second)
+				if variant == "cluster named" {
 					f.ClusterID = cluster
 				} else {
 					f.SeedAddrs = []string{"core-2:1", "storage-3:1", "storage-1:1"}
 				}
 				f.totalOutage()
 				is.Equal(len(f.Tally.Breaches), 0)
-				verdict, _, _ = call.sendTurn(1, path, key, program, "b", "a").finalResult()
+				verdict, _, _ = client.sendTurn(1, path, key, program, "b", "a").finalResult()
 				is.Equal(verdict, "success")
 			})
 		})
--- a/internal/simulate/tier.go
+++ b/internal/simulate/tier.go
@@ -1,9 +1,3 @@
-// The tier: a fleet that serves an operator's routes on the platform, with the
-// platform's parties round it. Gateways, cores and storage machines are the
-// daemons' own parts; clients, programs, operators, workers and the list of
-// workers are the stand-ins; the checker names the rules that were broken in
-// what they saw. Everything runs in virtual time and replays from its seed.
-
 package simulate
 
 import (
@@ -21,21 +15,21 @@
 	"fordseam/platform"
 )
 
-// TierShape is a deployment at some size.
+// TierShape describes a deployment of the tier at some size.
 type TierShape struct {
 	Name string
 	Site *parties.Deployment
-	// Tolerate is how many machines with a disk may be lost at once.
+	// FaultTolerance is how many storage machines may be lost at once.
 	FaultTolerance int
-	// Rate is how many times the site's usual load comes.
+	// LoadFactor multiplies the site's usual request rates.
 	LoadFactor float64
 }
 
-// TierShapes are the sizes that the tier's days run at.
+// TierShapes are the shapes that the tier's scenarios can run at, by name.
 var TierShapes = map[string]func() TierShape{
 	"small": func() TierShape {
 		site := parties.Deployments()["small"]
-		site.Storage = 4 // one may be lost while another is replaced
+		site.Storage = 4 // one machine may be lost while another is replaced
 		return TierShape{Name: "small", Site: site, FaultTolerance: 1, LoadFactor: 1.5}
 	},
 	"kiondo": func() TierShape {
@@ -48,21 +42,22 @@
 		return TierShape{Name: "roaming", Site: withUnkeptTurns(site), FaultTolerance: 1, LoadFactor: 1.5}
 	},
 	"roaming-grown": func() TierShape {
-		form := grownShape()
-		form.Name, form.Site = "roaming-grown", withUnkeptTurns(form.Site)
-		form.Site.Edges = 16
-		return form
+		shape := grownShape()
+		shape.Name, shape.Site = "roaming-grown", withUnkeptTurns(shape.Site)
+		shape.Site.Edges = 16
+		return shape
 	},
 	"paycentre": func() TierShape {
-		form := grownShape()
-		form.Name, form.Site.Name = "paycentre", "paycentre"
-		form.Site.Edges, form.Site.Cores = 24, 8
-		return form
+		shape := grownShape()
+		shape.Name, shape.Site.Name = "paycentre", "paycentre"
+		shape.Site.Edges, shape.Site.Cores = 24, 8
+		return shape
 	},
 }
 
-// roaming has the short chats' whole prompt come with each turn, so that none is
-// kept, and their streams continued where they break off; many programs run away.
+// withUnkeptTurns changes a site so that short chats send the whole prompt with each
+// turn, no turn of theirs is kept, interrupted streams are resumed, and many programs
+// try to exceed their budget.
 func withUnkeptTurns(site *parties.Deployment) *parties.Deployment {
 	site.Name = "roaming"
 	short := &site.Classes[0]
@@ -71,7 +66,7 @@
 	return site
 }
 
-// grownShape has as many machines with disks as bear the loss of two.
+// grownShape has enough storage machines to tolerate the loss of two.
 func grownShape() TierShape {
 	site := parties.Deployments()["kiondo"]
 	site.Name, site.Zones = "grown", append(site.Zones, "mombasa-road")
@@ -83,7 +78,10 @@
 	return TierShape{Name: "grown", Site: site, FaultTolerance: 2, LoadFactor: 0.35}
 }
 
-// Tier is one run.
+// Tier is one run of a fleet that serves an operator's routes on the platform. The
+// gateways, cores and storage machines are the daemons' own code. Clients, programs,
+// operators, workers and the workers' list are stand-ins that record what they see,
+// and the checker looks for violated rules in the record.
 type Tier struct {
 	*Fleet
 	TierShape          TierShape
@@ -98,46 +96,48 @@
 	workers            []*tierWorker
 	workersByAddress   map[string]*tierWorker
 	workDistributions  map[string]parties.Distribution
-	workerFaults       map[string]*workerFaultRate // by worker or service
+	workerFaults       map[string]*workerFaultRate // by worker id or service
 	conns              map[*workerConn]bool
 	clientExchanges    map[*clientExchange]bool
 	config             tierConfig
 	rng                *rand.Rand
 	lastNumber         int
 	addressCount       int
-	loadMultiplier     float64 // the load, for a while
-	retryUntil         time.Duration
-	trafficRunning     bool          // traffic goes on
-	openPrograms       int           // under way
-	runningFaults      int           // troubles under way
-	messageCost        time.Duration // of a message, on each machine
-	rotateGateways     bool          // each connection of a client reaches another node
-	maxDialTime        time.Duration // most that a connection to a worker takes to come up
-	storageFaultActive bool          // a machine with a disk is lost or catches up
+	loadMultiplier     float64       // raised temporarily by a load burst
+	retryUntil         time.Duration // programs that continue from before the final fault retry until then
+	trafficRunning     bool
+	openPrograms       int
+	runningFaults      int
+	messageCost        time.Duration // processor time per message on each machine
+	rotateGateways     bool          // each request of a client goes to another gateway
+	maxDialTime        time.Duration // the longest time that a connection to a worker takes
+	storageFaultActive bool          // a storage machine is lost or catching up
 }
 
-// tierFaults are what a worker does wrong for a while.
+// workerFaultRate is the probability with which a worker's request meets one of some
+// faults.
 type workerFaultRate struct {
 	probability float64
 	kinds       []parties.Fault
 }
 
-// inOrder lists connections as they were made.
+// sortedConns lists connections in the order they were opened.
 func (t *Tier) sortedConns(conns map[*workerConn]bool) []*workerConn {
 	return slices.SortedFunc(maps.Keys(conns), func(a, b *workerConn) int { return cmp.Compare(a.number, b.number) })
 }
 
-// way is how long a message takes between a client or an operator and a node.
+// clientDelay draws the delay of a message between a client or an operator and a node.
 func (t *Tier) clientDelay() time.Duration {
 	return t.World.Between(800*time.Microsecond, 1500*time.Microsecond)
 }
 
-// NewTier lays a tier out and starts its machines and workers.
-func NewTier(seed uint64, form TierShape, change func(t *Tier)) *Tier {
-	site := form.Site
-	f := buildFleet(seed, Shape{Name: form.Name, Zones: len(site.Zones), ZoneNames: site.Zones, Gateways: site.Edges, Cores: site.Cores, Storage: site.Storage,
-		FaultTolerance: form.FaultTolerance, Bootstrap: true})
-	t := &Tier{Fleet: f, TierShape: form, Site: site, recorder: parties.NewRecorder(site.Bounds, site.TokensPerEvent(), site.Cores), entryPoint: &parties.LoadBalancer{},
+// NewTier builds a tier and starts its machines and workers; prepare may adjust it
+// before they start.
+func NewTier(seed uint64, shape TierShape, prepare func(t *Tier)) *Tier {
+	site := shape.Site
+	f := buildFleet(seed, Shape{Name: shape.Name, Zones: len(site.Zones), ZoneNames: site.Zones, Gateways: site.Edges, Cores: site.Cores, Storage: site.Storage,
+		FaultTolerance: shape.FaultTolerance, Bootstrap: true})
+	t := &Tier{Fleet: f, TierShape: shape, Site: site, recorder: parties.NewRecorder(site.Bounds, site.TokensPerEvent(), site.Cores), entryPoint: &parties.LoadBalancer{},
 		words: site.DrawNames(rand.New(rand.NewPCG(seed, 2))), machinesByName: map[string]*Machine{}, workersByAddress: map[string]*tierWorker{}, workDistributions: map[string]parties.Distribution{},
 		workerFaults: map[string]*workerFaultRate{}, conns: map[*workerConn]bool{}, clientExchanges: map[*clientExchange]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), loadMultiplier: 1}
 	t.drafts = &parties.ConfigGenerator{Deployment: site, Names: t.words, Rng: rand.New(rand.NewPCG(seed, 3))}
@@ -147,8 +147,8 @@
 	t.programRunner.RetryUntil = func() time.Duration { return t.retryUntil }
 	f.configure, f.onBuilt = t.configureMachine, t.machineBuilt
 	f.Net.ResetOnExit, t.messageCost = true, 150*time.Microsecond
-	if change != nil {
-		change(t)
+	if prepare != nil {
+		prepare(t)
 	}
 	for _, m := range f.All() {
 		t.startMachine(m)
@@ -156,9 +156,9 @@
 	for _, class := range site.Classes {
 		t.workDistributions[t.words.Prefixes[class.Name]] = class.WorkMs
 	}
-	for _, shape := range site.Services {
-		for place := range shape.Workers {
-			t.startWorker(shape, site.Zones[place%len(site.Zones)], "")
+	for _, serviceShape := range site.Services {
+		for index := range serviceShape.Workers {
+			t.startWorker(serviceShape, site.Zones[index%len(site.Zones)], "")
 		}
 	}
 	return t
@@ -166,37 +166,38 @@
 
 func (t *Tier) machineNamed(name string) *Machine { return t.machinesByName[name] }
 
-// begin starts a machine's process, and asks an edge machine whether it is
-// ready from then on.
+// startMachine starts a machine's process. From a gateway's first start on, its
+// readiness is checked once per second.
 func (t *Tier) startMachine(m *Machine) {
-	known := t.machinesByName[m.Host.Name] != nil
+	restarted := t.machinesByName[m.Host.Name] != nil
 	t.machinesByName[m.Host.Name] = m
 	t.recorder.Update(func(r *parties.Record) {
 		r.Starts = append(r.Starts, parties.Start{Machine: m.Host.Name, Class: m.Role, At: t.World.now})
 	})
 	t.Start(m)
-	if m.Role == "edge" && !known {
-		entered := &parties.EdgeNode{Name: m.Host.Name, Zone: m.Host.Zone, Front: m.Host.Name}
-		t.entryPoint.Add(entered)
+	if m.Role == "edge" && !restarted {
+		entry := &parties.EdgeNode{Name: m.Host.Name, Zone: m.Host.Zone, Front: m.Host.Name}
+		t.entryPoint.Add(entry)
 		t.CallerHost.Go(func() {
 			for {
-				up := m.Host.alive && !m.Host.frozen && !m.stopRequested && m.gateway != nil && m.gateway.RoutesReady() == nil
-				t.entryPoint.RecordProbe(entered, up)
+				ready := m.Host.alive && !m.Host.frozen && !m.stopRequested && m.gateway != nil && m.gateway.RoutesReady() == nil
+				t.entryPoint.RecordProbe(entry, ready)
 				t.CallerHost.Clock().Sleep(time.Second)
 			}
 		})
 	}
 }
 
-// equip gives a process what the platform's settings file would.
-func (t *Tier) configureMachine(m *Machine, env *node.Env, place *node.Config) {
+// configureMachine sets what the platform's settings file would set for a process.
+func (t *Tier) configureMachine(m *Machine, env *node.Env, config *node.Config) {
 	m.Host.MessageCost = t.messageCost
 	b := t.Site.Bounds
-	place.Bounds = &base.Bounds{SettingsApply: b.Apply, Drain: b.Drain, Recovery: b.Recovery, Retention: time.Minute}
+	config.Bounds = &base.Bounds{SettingsApply: b.Apply, Drain: b.Drain, Recovery: b.Recovery, Retention: time.Minute}
 	env.Names = &platform.Names
 	env.Backends = &workerTransport{tier: t, host: m.Host, connectTimeout: base.DefaultBounds().Recovery / 12, pools: map[string]*workerPool{}}
 }
 
+// machineBuilt configures a process that was built, before it starts.
 func (t *Tier) machineBuilt(m *Machine) {
 	switch {
 	case m.gateway != nil:
@@ -207,7 +208,7 @@
 	}
 }
 
-// readList is a core's way to the platform's list.
+// listReader returns the function by which a core reads the platform's list of workers.
 func (t *Tier) listReader(m *Machine) platform.FetchPage {
 	return func(token string, _ time.Duration) (int, []byte, error) {
 		m.Host.Clock().Sleep(t.clientDelay())
@@ -217,8 +218,8 @@
 	}
 }
 
-// openWorker starts one life of a worker, at an address of its own unless one
-// is given, and puts it on the list.
+// startWorker starts a worker, at a new address unless one is given, and adds it to the
+// list.
 func (t *Tier) startWorker(shape parties.ServiceSpec, zone, address string) *tierWorker {
 	id := fmt.Sprintf("i-%08x", uint32(t.rng.Uint32()))
 	if address == "" {
@@ -228,54 +229,57 @@
 	host := t.World.NewHost(id, zone)
 	rng := rand.New(rand.NewPCG(t.World.Seed, base.Hash64(id)))
 	service := t.words.Services[shape.Name]
-	s := &tierWorker{host: host, conns: map[*workerConn]bool{}}
-	s.Worker = &parties.Worker{ID: id, Service: service, Zone: zone, Address: address, Clock: host.Clock(), Recorder: t.recorder, Spec: shape, KeepAlive: 5 * time.Second,
+	w := &tierWorker{host: host, conns: map[*workerConn]bool{}}
+	w.Worker = &parties.Worker{ID: id, Service: service, Zone: zone, Address: address, Clock: host.Clock(), Recorder: t.recorder, Spec: shape, KeepAlive: 5 * time.Second,
 		Slowdown: []float64{1, 1, 1.3}[t.rng.IntN(3)], Rng: rand.New(rand.NewPCG(t.World.Seed, base.Hash64(id, "own"))), NextFault: func() parties.Fault { return t.drawFault(id, service) },
 		Workload: func(target string) (time.Duration, int) {
 			work := parties.Distribution{Mean: 50, Spread: 1, Max: 200}
 			for _, prefix := range base.SortedKeys(t.workDistributions) {
-				if one := t.workDistributions[prefix]; strings.HasPrefix(target, prefix) && one.Mean > 0 {
-					work = one
+				if draw := t.workDistributions[prefix]; strings.HasPrefix(target, prefix) && draw.Mean > 0 {
+					work = draw
 				}
 			}
 			return time.Duration(work.Sample(rng) * float64(time.Millisecond)), 800
 		}}
-	s.Start()
-	t.workersByAddress[address] = s
-	t.workers = append(t.workers, s)
-	one := t.instanceEntry(s, parties.StateReady)
-	t.instances.ScheduleChange(id, &one, 0)
-	return s
+	w.Start()
+	t.workersByAddress[address] = w
+	t.workers = append(t.workers, w)
+	entry := t.instanceEntry(w, parties.StateReady)
+	t.instances.ScheduleChange(id, &entry, 0)
+	return w
 }
 
-func (t *Tier) instanceEntry(s *tierWorker, state string) parties.Instance {
-	one := parties.Instance{ID: s.ID, Service: s.Service, Address: s.Address, Zone: s.Zone, Generation: "v1", Capacity: s.Spec.Capacity, State: state}
-	if s.Spec.Engine != nil {
-		one.Model = t.words.Model
+// instanceEntry returns the entry of a worker in the platform's list.
+func (t *Tier) instanceEntry(w *tierWorker, state string) parties.Instance {
+	entry := parties.Instance{ID: w.ID, Service: w.Service, Address: w.Address, Zone: w.Zone, Generation: "v1", Capacity: w.Spec.Capacity, State: state}
+	if w.Spec.Engine != nil {
+		entry.Model = t.words.Model
 	}
-	return one
+	return entry
 }
 
+// drawFault draws the fault of a worker's next request from the rates of the worker and
+// its service.
 func (t *Tier) drawFault(id, service string) parties.Fault {
 	for _, name := range []string{id, service} {
-		if f := t.workerFaults[name]; f != nil && t.rng.Float64() < f.probability {
-			return f.kinds[t.rng.IntN(len(f.kinds))]
+		if rate := t.workerFaults[name]; rate != nil && t.rng.Float64() < rate.probability {
+			return rate.kinds[t.rng.IntN(len(rate.kinds))]
 		}
 	}
 	return parties.NoFault
 }
 
-// traffic begins programs in every zone until its time is over.
+// runTraffic starts programs of every class in every zone, and probes, until a time.
 func (t *Tier) runTraffic(end time.Duration) {
 	t.trafficRunning = true
 	clock := t.CallerHost.Clock()
-	for place := range t.Site.Classes {
-		class := &t.Site.Classes[place]
+	for index := range t.Site.Classes {
+		class := &t.Site.Classes[index]
 		if class.ProgramsPerSecond == 0 {
 			continue
 		}
 		for number, zone := range t.Site.Zones {
-			rng := rand.New(rand.NewPCG(t.World.Seed+uint64(t.World.now), uint64(100+100*place+number)))
+			rng := rand.New(rand.NewPCG(t.World.Seed+uint64(t.World.now), uint64(100+100*index+number)))
 			t.openPrograms++
 			t.CallerHost.Go(func() {
 				defer func() { t.openPrograms-- }()
@@ -301,7 +305,7 @@
 	t.trafficRunning = false
 }
 
-// program starts one program; one that ought to end too late does not begin.
+// startProgram starts one program, unless it is expected to end too late.
 func (t *Tier) startProgram(class *parties.RequestClass, zone string, client int, end time.Duration, previous string) {
 	var plan *parties.ProgramPlan
 	t.programRunner.WithGenerator(func(g *parties.ProgramGenerator) { plan = g.Program(class, zone, client) })
@@ -315,12 +319,12 @@
 	})
 }
 
-// probe asks every node that is in directly, on routes that were just added or
-// removed and on one that never was.
+// probeGateways sends a request directly to each gateway that takes clients, on a route
+// that was just added, was just removed, or never existed.
 func (t *Tier) probeGateways() {
 	routes := append(slices.Clone(t.config.addedRoutes), t.config.removedRoutes...)
 	routes = append(routes, parties.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", t.rng.IntN(1000)), Kind: parties.Idempotent})
-	for _, in := range t.entryPoint.ReadyNodes() {
+	for _, node := range t.entryPoint.ReadyNodes() {
 		route := routes[t.rng.IntN(len(routes))]
 		if route.Kind != parties.Idempotent {
 			continue
@@ -329,15 +333,16 @@
 		t.openPrograms++
 		t.CallerHost.Go(func() {
 			t.programRunner.SendWithRetries(class, 0, func(try *parties.Try) {
-				try.Probe, try.Node, try.Host, try.Target, try.Client = true, parties.ProbeTarget(in), route.Host, route.Prefix+"probe", "probe"
+				try.Probe, try.Node, try.Host, try.Target, try.Client = true, parties.ProbeTarget(node), route.Host, route.Prefix+"probe", "probe"
 			})
 			t.openPrograms--
 		})
 	}
 }
 
-// form waits until the tier has taken its first configuration and all gateways
-// are ready.
+// applyFirstConfig sends the first configuration and waits until all gateways are
+// ready. It returns false when the configuration is not acknowledged or a gateway is
+// not ready after 20 s.
 func (t *Tier) applyFirstConfig() bool {
 	t.config.operator = t.newOperator("first")
 	first := t.drafts.Initial()
--- a/internal/simulate/tier_scenario.go
+++ b/internal/simulate/tier_scenario.go
@@ -1,6 +1,3 @@
-// A day of the simulated tier: traffic, troubles, a closing fault, and the judgement
-// of what clients and operators saw.
-
 package simulate
 
 import (
@@ -11,104 +8,105 @@
 	parties "fordseam/internal/standin/platform"
 )
 
-// TierScenario is a day with its troubles, named after them.
+// TierScenario is one run of the tier: client traffic, faults, a final fault, and a
+// check of what clients and operators saw. It is named after its faults.
 type TierScenario struct {
 	Name string
-	// Fit changes the deployment that the day is played on.
+	// AdjustSite, when set, changes the deployment that the scenario runs on.
 	AdjustSite func(site *parties.Deployment)
-	// Deeds bring the day's troubles about while traffic goes on.
+	// Faults inject the scenario's faults while clients send traffic.
 	Faults []func(t *Tier)
-	// Rests tells that service may rest for a while: more is lost than has to be
-	// borne, though no more disks.
+	// AllowUnavailable scenarios lose more machines than the tier tolerates, though
+	// not more disks, so it may be unavailable for a while.
 	AllowUnavailable bool
-	// Closing, when set, is the fault that ends the day.
+	// FinalFault, when set, is injected once the other faults are over.
 	FinalFault func(t *Tier)
-	// Traffic is how long clients come, tierTraffic unless set.
+	// LoadDuration is how long clients send traffic; defaultTierLoadDuration unless set.
 	LoadDuration time.Duration
 }
 
 const defaultTierLoadDuration = 12 * time.Second
 
-// Run plays the day with a seed.
-func (d *TierScenario) Run(seed uint64, form TierShape) *Outcome { return d.RunWith(seed, form, nil) }
+// Run runs the scenario with a seed.
+func (s *TierScenario) Run(seed uint64, shape TierShape) *Outcome { return s.RunWith(seed, shape, nil) }
 
-// RunWith lets a test change the tier before it starts.
-func (d *TierScenario) RunWith(seed uint64, form TierShape, prepare func(t *Tier)) *Outcome {
-	if d.AdjustSite != nil {
-		d.AdjustSite(form.Site)
+// RunWith is Run with a function that changes the tier before it starts.
+func (s *TierScenario) RunWith(seed uint64, shape TierShape, prepare func(t *Tier)) *Outcome {
+	if s.AdjustSite != nil {
+		s.AdjustSite(shape.Site)
 	}
-	t := NewTier(seed, form, prepare)
+	t := NewTier(seed, shape, prepare)
 	defer t.World.Close()
-	over := false
+	done := false
 	t.CallerHost.Go(func() {
-		d.execute(t)
-		over = true
+		s.execute(t)
+		done = true
 	})
-	out := &Outcome{Scenario: d.Name, Tier: true, Shape: form.Name, Seed: seed}
-	if !t.World.Run(4*time.Minute, func() bool { return over }) {
-		out.Breaches = append(out.Breaches, "FAULT: the day does not end")
+	outcome := &Outcome{Scenario: s.Name, Tier: true, Shape: shape.Name, Seed: seed}
+	if !t.World.Run(4*time.Minute, func() bool { return done }) {
+		outcome.Breaches = append(outcome.Breaches, "FAULT: the scenario did not end within 4 minutes")
 	}
 	t.instances.ApplyDue()
 	t.recorder.Update(func(r *parties.Record) { r.Over = t.World.now })
 	record := t.recorder.Snapshot()
-	out.VirtualS, out.Counts = t.World.now.Seconds(), countOutcomes(record)
+	outcome.VirtualS, outcome.Counts = t.World.now.Seconds(), countOutcomes(record)
 	for _, try := range record.Tries {
 		if try.Retain > 0 && try.Succeeded() {
-			out.TurnTimes = append(out.TurnTimes, try.Ended-try.Sent)
+			outcome.TurnTimes = append(outcome.TurnTimes, try.Ended-try.Sent)
 		}
 	}
 	for _, m := range t.All() {
 		if m.StorageErr != nil {
-			out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: %s does not open: %v", m.Host.Name, m.StorageErr))
+			outcome.Breaches = append(outcome.Breaches, fmt.Sprintf("FAULT: the storage of %s does not open: %v", m.Host.Name, m.StorageErr))
 		}
 	}
-	if t.config.newestAcked == nil || t.entryPoint.CountReady() == 0 && out.Counts["served"] == 0 {
-		out.Breaches = append(out.Breaches, "FAULT: the tier did not form")
-		return out
+	if t.config.newestAcked == nil || t.entryPoint.CountReady() == 0 && outcome.Counts["served"] == 0 {
+		outcome.Breaches = append(outcome.Breaches, "FAULT: the tier did not form")
+		return outcome
 	}
-	if !d.AllowUnavailable && 2*out.Counts["served"] < out.Counts["tries"] {
-		out.Breaches = append(out.Breaches, fmt.Sprintf("FAULT: %d of %d tries were served", out.Counts["served"], out.Counts["tries"]))
+	if !s.AllowUnavailable && 2*outcome.Counts["served"] < outcome.Counts["tries"] {
+		outcome.Breaches = append(outcome.Breaches, fmt.Sprintf("FAULT: %d of %d tries were served", outcome.Counts["served"], outcome.Counts["tries"]))
 	}
 	for _, breach := range record.Check() {
-		out.Breaches = append(out.Breaches, breach.String())
+		outcome.Breaches = append(outcome.Breaches, breach.String())
 	}
-	return out
+	return outcome
 }
 
-func (d *TierScenario) execute(t *Tier) {
+func (s *TierScenario) execute(t *Tier) {
 	if !t.applyFirstConfig() {
 		return
 	}
-	span := d.LoadDuration
-	if span == 0 {
-		span = defaultTierLoadDuration
+	duration := s.LoadDuration
+	if duration == 0 {
+		duration = defaultTierLoadDuration
 	}
-	end := t.World.now + span
-	for _, deed := range d.Faults {
+	end := t.World.now + duration
+	for _, fault := range s.Faults {
 		t.runningFaults++
 		t.CallerHost.Go(func() {
-			deed(t)
+			fault(t)
 			t.runningFaults--
 		})
 	}
 	t.runTraffic(end)
 	t.pollUntil(time.Minute, func() bool { return t.runningFaults == 0 })
-	if d.FinalFault != nil {
-		t.runFinalFault(d.FinalFault)
+	if s.FinalFault != nil {
+		t.runFinalFault(s.FinalFault)
 	}
 	t.pollUntil(2*time.Minute, func() bool { return t.openPrograms == 0 && t.runningFaults == 0 })
 	t.config.operator.ReadConfigRepeatedly(t.Site.Bounds.Contact, t.Site.Bounds.Contact+20*time.Second)
 }
 
-// until waits for a condition within a bound.
-func (t *Tier) pollUntil(limit time.Duration, met func() bool) {
-	for end := t.World.now + limit; !met() && t.World.now < end; {
+// pollUntil waits until a condition holds or a limit is over.
+func (t *Tier) pollUntil(limit time.Duration, condition func() bool) {
+	for end := t.World.now + limit; !condition() && t.World.now < end; {
 		t.CallerHost.Clock().Sleep(20 * time.Millisecond)
 	}
 }
 
-// closing brings the fault at the end of a day about, right after a
-// configuration was acknowledged, and has programs continue from before it.
+// runFinalFault injects the final fault right after a configuration was acknowledged,
+// then continues programs from turns that ended before the fault.
 func (t *Tier) runFinalFault(fault func(t *Tier)) {
 	t.changeConfig()
 	before := t.completedTurns()
@@ -124,23 +122,26 @@
 	t.runTraffic(end)
 }
 
-// endedTurns gives some turns that were answered whole and are still kept.
+// completedTurns returns the last complete turns of up to 8 programs, none older than
+// half its retention.
 func (t *Tier) completedTurns() (turns []*parties.Try) {
-	last := map[string]*parties.Try{}
+	lastByProgram := map[string]*parties.Try{}
 	record := t.recorder.Snapshot()
 	for _, try := range record.Tries {
 		if try.Retain > 0 && try.Succeeded() && t.World.now-try.Ended < try.Retain/2 {
-			last[try.Program] = try
+			lastByProgram[try.Program] = try
 		}
 	}
-	for _, program := range base.SortedKeys(last) {
-		if turns = append(turns, last[program]); len(turns) >= 8 {
+	for _, program := range base.SortedKeys(lastByProgram) {
+		if turns = append(turns, lastByProgram[program]); len(turns) >= 8 {
 			break
 		}
 	}
 	return turns
 }
 
+// countOutcomes counts the attempts of a record by result, without probes, and the ended
+// programs by how they ended.
 func countOutcomes(r *parties.Record) map[string]int {
 	counts := map[string]int{"tries": len(r.Tries), "arrivals": len(r.Arrivals), "orders": len(r.Orders)}
 	for _, try := range r.Tries {
