--- a/internal/standin/platform/change.go
+++ b/internal/standin/platform/change.go
@@ -30,29 +30,29 @@
 }
 
 // Initial draws the configuration that is sent before traffic starts.
-func (d *ConfigGenerator) Initial() *Config {
-	c := &Config{Generation: 1 + uint64(d.Rng.IntN(5)), Limits: Limits{16384, 4194304, 3000, 15000}}
-	for _, spec := range d.Deployment.Services {
-		service := Service{Name: d.Names.Services[spec.Name], HealthPath: PathHealth, MaxConns: spec.MaxConns}
+func (g *ConfigGenerator) Initial() *Config {
+	c := &Config{Generation: 1 + uint64(g.Rng.IntN(5)), Limits: Limits{16384, 4194304, 3000, 15000}}
+	for _, spec := range g.Deployment.Services {
+		service := Service{Name: g.Names.Services[spec.Name], HealthPath: PathHealth, MaxConns: spec.MaxConns}
 		if spec.Engine != nil {
-			service.Engine = &Engine{Capacity: spec.Capacity, CacheTokens: spec.Engine.CacheTokens, Stride: spec.Engine.TokensPerEvent, Models: []string{d.Names.Model}}
+			service.Engine = &Engine{Capacity: spec.Capacity, CacheTokens: spec.Engine.CacheTokens, Stride: spec.Engine.TokensPerEvent, Models: []string{g.Names.Model}}
 		}
 		c.Services = append(c.Services, service)
 	}
-	for index := range d.Deployment.Classes {
-		class := &d.Deployment.Classes[index]
-		c.Routes = append(c.Routes, d.newRoute(class, d.Names.Hosts[class.Name], d.Names.Prefixes[class.Name]))
+	for index := range g.Deployment.Classes {
+		class := &g.Deployment.Classes[index]
+		c.Routes = append(c.Routes, g.newRoute(class, g.Names.Hosts[class.Name], g.Names.Prefixes[class.Name]))
 	}
 	for range 4 {
-		d.AddIdleRoute(c)
+		g.AddIdleRoute(c)
 	}
 	return c
 }
 
 // newRoute returns the route of a class of requests under a host and path prefix.
-func (d *ConfigGenerator) newRoute(class *RequestClass, host, prefix string) Route {
-	r := Route{Name: "r-" + randomName(d.Rng), Host: host, Prefix: prefix, Kind: class.Kind, DeadlineMs: float64(class.Deadline.Milliseconds()),
-		TargetMs: float64(class.TargetLatency.Milliseconds()), Urgency: class.Urgency, Service: d.Names.Services[class.Service], MaxTries: class.MaxTries}
+func (g *ConfigGenerator) newRoute(class *RequestClass, host, prefix string) Route {
+	r := Route{Name: "r-" + randomName(g.Rng), Host: host, Prefix: prefix, Kind: class.Kind, DeadlineMs: float64(class.Deadline.Milliseconds()),
+		TargetMs: float64(class.TargetLatency.Milliseconds()), Urgency: class.Urgency, Service: g.Names.Services[class.Service], MaxTries: class.MaxTries}
 	if class.Kind == Streaming {
 		r.Retained, r.RetainS = class.Retain > 0, max(class.Retain, class.SpendRetention).Seconds()
 		r.Pinned, r.Resumable, r.GapTargetMs = true, class.Resumable, float64(class.GapTarget.Milliseconds())
@@ -62,23 +62,23 @@
 
 // AddIdleRoute adds a route to a configuration that gets no traffic, for an idempotent class if
 // there is one.
-func (d *ConfigGenerator) AddIdleRoute(c *Config) {
-	d.idleRoutes++
-	idempotent := d.Deployment.Classes[0]
-	for _, class := range d.Deployment.Classes {
+func (g *ConfigGenerator) AddIdleRoute(c *Config) {
+	g.idleRoutes++
+	idempotent := g.Deployment.Classes[0]
+	for _, class := range g.Deployment.Classes {
 		if class.Kind == Idempotent {
 			idempotent = class
 		}
 	}
-	c.Routes = append(c.Routes, d.newRoute(&idempotent, fmt.Sprintf("idle%d.example", d.Rng.IntN(3)), fmt.Sprintf("/%s-%d/", randomName(d.Rng), d.idleRoutes)))
+	c.Routes = append(c.Routes, g.newRoute(&idempotent, fmt.Sprintf("idle%d.example", g.Rng.IntN(3)), fmt.Sprintf("/%s-%d/", randomName(g.Rng), g.idleRoutes)))
 }
 
 // idleRouteIndexes lists the indexes of routes that get no traffic.
-func (d *ConfigGenerator) idleRouteIndexes(c *Config) (indexes []int) {
+func (g *ConfigGenerator) idleRouteIndexes(c *Config) (indexes []int) {
 	for index, r := range c.Routes {
 		used := false
-		for _, class := range d.Deployment.Classes {
-			used = used || r.Host == d.Names.Hosts[class.Name] && r.Prefix == d.Names.Prefixes[class.Name]
+		for _, class := range g.Deployment.Classes {
+			used = used || r.Host == g.Names.Hosts[class.Name] && r.Prefix == g.Names.Prefixes[class.Name]
 		}
 		if !used {
 			indexes = append(indexes, index)
@@ -88,50 +88,50 @@
 }
 
 // NextValid draws a valid change of a configuration. The generation increases by 1 to 4.
-func (d *ConfigGenerator) NextValid(base *Config) *Config {
+func (g *ConfigGenerator) NextValid(base *Config) *Config {
 	c := base.Clone()
-	c.Generation += 1 + uint64(d.Rng.IntN(4))
-	idle := d.idleRouteIndexes(c)
-	switch choice := d.Rng.IntN(4); {
+	c.Generation += 1 + uint64(g.Rng.IntN(4))
+	idle := g.idleRouteIndexes(c)
+	switch choice := g.Rng.IntN(4); {
 	case choice == 0 && len(idle) > 2:
-		index := idle[d.Rng.IntN(len(idle))]
+		index := idle[g.Rng.IntN(len(idle))]
 		c.Routes = append(c.Routes[:index], c.Routes[index+1:]...)
 	case choice == 1 && len(idle) > 0:
-		r := &c.Routes[idle[d.Rng.IntN(len(idle))]]
-		r.Shares = []Share{{r.Service, 90}, {c.Services[d.Rng.IntN(len(c.Services))].Name, 10}}
+		r := &c.Routes[idle[g.Rng.IntN(len(idle))]]
+		r.Shares = []Share{{r.Service, 90}, {c.Services[g.Rng.IntN(len(c.Services))].Name, 10}}
 		if r.Shares[0].Service == "" || r.Shares[0].Service == r.Shares[1].Service {
 			r.Shares = nil
 		} else {
 			r.Service = ""
 		}
 		if r.Shares == nil && r.Service == "" {
-			r.Service = d.Names.Services["app"]
+			r.Service = g.Names.Services["app"]
 		}
 	case choice == 2:
-		r := &c.Routes[d.Rng.IntN(len(c.Routes))]
+		r := &c.Routes[g.Rng.IntN(len(c.Routes))]
 		r.DeadlineMs += 100
 	}
-	d.AddIdleRoute(c)
+	g.AddIdleRoute(c)
 	return c
 }
 
 // Invalid draws an invalid change of a configuration. It also adds a route, so that traffic on
 // it shows if the configuration comes into force. The configuration is nil for the kinds that
 // can't be parsed.
-func (d *ConfigGenerator) Invalid(base *Config, kind string) (c *Config, raw []byte, fault string) {
+func (g *ConfigGenerator) Invalid(base *Config, kind string) (c *Config, raw []byte, fault string) {
 	c = base.Clone()
-	c.Generation += 1 + uint64(d.Rng.IntN(4))
-	d.AddIdleRoute(c)
+	c.Generation += 1 + uint64(g.Rng.IntN(4))
+	g.AddIdleRoute(c)
 	last := &c.Routes[len(c.Routes)-1]
 	switch kind {
 	case Unreadable:
 		raw = c.Encode()
-		return nil, raw[:len(raw)-1-d.Rng.IntN(len(raw)/2)], kind
+		return nil, raw[:len(raw)-1-g.Rng.IntN(len(raw)/2)], kind
 	case WrongType:
 		raw = bytes.Replace(c.Encode(), []byte(`"route_table":[`), []byte(`"route_table":7,"was":[`), 1)
 		return nil, raw, kind
 	case UnknownService:
-		last.Service = "nobody" + randomName(d.Rng)
+		last.Service = "nobody" + randomName(g.Rng)
 	case DuplicateRoute:
 		duplicate := *last
 		duplicate.Name += "-again"
--- a/internal/standin/platform/deployment.go
+++ b/internal/standin/platform/deployment.go
@@ -110,18 +110,18 @@
 }
 
 // Class returns the class of requests with a name, or nil.
-func (s *Deployment) Class(name string) *RequestClass {
-	for index := range s.Classes {
-		if s.Classes[index].Name == name {
-			return &s.Classes[index]
+func (d *Deployment) Class(name string) *RequestClass {
+	for index := range d.Classes {
+		if d.Classes[index].Name == name {
+			return &d.Classes[index]
 		}
 	}
 	return nil
 }
 
 // TokensPerEvent returns how many tokens an event of the deployment's engines holds.
-func (s *Deployment) TokensPerEvent() int {
-	for _, service := range s.Services {
+func (d *Deployment) TokensPerEvent() int {
+	for _, service := range d.Services {
 		if service.Engine != nil {
 			return service.Engine.TokensPerEvent
 		}
@@ -129,11 +129,15 @@
 	return 1
 }
 
+// modelEngine returns the engine of the model workers of all deployments.
 func modelEngine() *EngineSpec {
 	return &EngineSpec{StepTime: 6120 * time.Microsecond, StepTimePerJob: 23 * time.Microsecond, PromptTokensPerMs: 32.4, MaxPromptTokensPerStep: 4096, CacheTokens: 257309, TokensPerEvent: 2,
 		ReportLag: 100 * time.Millisecond, EventBytes: 40}
 }
 
+// newDeployment returns a deployment with a model service and an app service. Its programs are
+// of the classes lookup and dispute, at the given rate per second and zone in all; the other
+// classes are their tools.
 func newDeployment(name, region string, zones []string, edges, models, apps int, rate float64) *Deployment {
 	ms := time.Millisecond
 	tools := []ToolUse{{"receipt", 0.7, 2}, {"posting", 0.4, 1}, {"ping", 0.2, 1}}
@@ -192,17 +196,17 @@
 }
 
 // DrawNames draws the names of services, hosts and path prefixes.
-func (s *Deployment) DrawNames(rng *rand.Rand) *Names {
-	w := &Names{Services: map[string]string{}, Hosts: map[string]string{}, Prefixes: map[string]string{}, Model: "m"}
-	for index, service := range s.Services {
-		w.Services[service.Name] = randomName(rng) + string(rune('a'+index))
+func (d *Deployment) DrawNames(rng *rand.Rand) *Names {
+	names := &Names{Services: map[string]string{}, Hosts: map[string]string{}, Prefixes: map[string]string{}, Model: "m"}
+	for index, service := range d.Services {
+		names.Services[service.Name] = randomName(rng) + string(rune('a'+index))
 	}
 	host := randomName(rng) + ".example"
-	for index, class := range s.Classes {
-		w.Hosts[class.Name] = host
-		w.Prefixes[class.Name] = fmt.Sprintf("/%s%d/", randomName(rng), index)
+	for index, class := range d.Classes {
+		names.Hosts[class.Name] = host
+		names.Prefixes[class.Name] = fmt.Sprintf("/%s%d/", randomName(rng), index)
 	}
-	return w
+	return names
 }
 
 // RandomID draws a try's id, in the form that clients use.
--- a/internal/standin/platform/load_balancer.go
+++ b/internal/standin/platform/load_balancer.go
@@ -25,16 +25,16 @@
 }
 
 // Add adds a node, which isn't ready until a probe succeeds.
-func (e *LoadBalancer) Add(node *EdgeNode) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.nodes = append(e.nodes, node)
+func (b *LoadBalancer) Add(node *EdgeNode) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.nodes = append(b.nodes, node)
 }
 
 // RecordProbe records the result of one readiness probe of a node.
-func (e *LoadBalancer) RecordProbe(node *EdgeNode, ready bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (b *LoadBalancer) RecordProbe(node *EdgeNode, ready bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if ready {
 		node.failedProbes, node.ready = 0, true
 	} else if node.failedProbes++; node.failedProbes >= 2 {
@@ -43,10 +43,10 @@
 }
 
 // CountReady returns the number of ready nodes.
-func (e *LoadBalancer) CountReady() (ready int) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for _, node := range e.nodes {
+func (b *LoadBalancer) CountReady() (ready int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, node := range b.nodes {
 		if node.ready {
 			ready++
 		}
@@ -55,11 +55,11 @@
 }
 
 // ReadyNodes lists the ready nodes.
-func (e *LoadBalancer) ReadyNodes() []EdgeNode {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (b *LoadBalancer) ReadyNodes() []EdgeNode {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var list []EdgeNode
-	for _, node := range e.nodes {
+	for _, node := range b.nodes {
 		if node.ready {
 			list = append(list, *node)
 		}
@@ -70,26 +70,26 @@
 // Pick chooses the node for a client's next connection; with retry set, it moves on to another
 // one. It falls back to all nodes of the zone when fewer than half of them are ready, to
 // ready nodes of other zones when none is, and to all nodes when there is no ready node.
-func (e *LoadBalancer) Pick(zone, client string, retry bool) (node, address string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	inZone := base.Filter(e.nodes, func(n *EdgeNode) bool { return n.Zone == zone })
+func (b *LoadBalancer) Pick(zone, client string, retry bool) (node, address string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	inZone := base.Filter(b.nodes, func(n *EdgeNode) bool { return n.Zone == zone })
 	candidates := base.Filter(inZone, func(n *EdgeNode) bool { return n.ready })
 	switch {
 	case len(candidates) == 0:
-		if candidates = base.Filter(e.nodes, func(n *EdgeNode) bool { return n.ready }); len(candidates) == 0 {
-			candidates = e.nodes
+		if candidates = base.Filter(b.nodes, func(n *EdgeNode) bool { return n.ready }); len(candidates) == 0 {
+			candidates = b.nodes
 		}
 	case 2*len(candidates) < len(inZone):
 		candidates = inZone
 	}
-	if e.retries == nil {
-		e.retries = map[string]int{}
+	if b.retries == nil {
+		b.retries = map[string]int{}
 	}
 	if retry {
-		e.retries[client]++
+		b.retries[client]++
 	}
-	chosen := candidates[(base.Hash64(client)+uint64(e.retries[client]))%uint64(len(candidates))]
+	chosen := candidates[(base.Hash64(client)+uint64(b.retries[client]))%uint64(len(candidates))]
 	return chosen.Name, chosen.Front
 }
 
--- a/internal/standin/platform/program.go
+++ b/internal/standin/platform/program.go
@@ -158,8 +158,8 @@
 }
 
 // TotalMaxTokens returns how many tokens all turns of a session and its subagents may put out.
-func (l *SessionPlan) TotalMaxTokens() (tokens int64) {
-	for _, turn := range l.Turns {
+func (s *SessionPlan) TotalMaxTokens() (tokens int64) {
+	for _, turn := range s.Turns {
 		tokens += turn.MaxTokens
 		for _, subagent := range turn.Subagents {
 			tokens += subagent.TotalMaxTokens()
--- a/internal/standin/platform/record.go
+++ b/internal/standin/platform/record.go
@@ -26,12 +26,12 @@
 	Chunked  bool
 	Zone     string
 	Client   string
-	Fresh    bool
+	Fresh    bool // a retry, which uses a new connection
 	Deadline time.Duration
-	Aim      time.Duration
-	Pause    time.Duration
-	Retain   time.Duration
-	MaxTries int
+	Aim      time.Duration // target latency
+	Pause    time.Duration // target gap between events
+	Retain   time.Duration // how long the turn is retained, 0 if it isn't
+	MaxTries int           // workers that the route lets it run on
 	// Resumable streams may be continued; After is the id of the last event that the
 	// client has, from which this try continues.
 	Resumable bool
@@ -41,17 +41,17 @@
 
 	Program  string
 	Session  string
-	Previous string
-	Budget   int64
-	Most     int64
+	Previous string // id of the turn that this one continues
+	Budget   int64  // tokens of the whole program
+	Most     int64  // tokens that this turn may put out
 
 	Node string
 	// Sent is when the first byte was sent, Written when the last one was, First when the
 	// first event or byte of the body arrived, Ended when the try was over.
 	Sent, Written, First, Ended time.Duration
 	Status                      int
-	Echo                        string
-	Seal                        string
+	Echo                        string // try id in the answer
+	Seal                        string // the worker's proof that it ran the request
 	Encoding                    string
 	RetryAfter                  time.Duration
 	Answer                      string // digest of the body
@@ -173,6 +173,11 @@
 }
 
 // Bounds are the time limits and tolerances of the rules, as they stand in the settings file.
+// The checker uses these: after Contact without trouble, a node must keep the other bounds;
+// Ack limits an acknowledgement, Apply the time from there until every node uses the
+// configuration, with Stretch added while only a majority of the core is undisturbed; Drain
+// limits new work on a draining worker, Grace is what a stopping node has to finish its
+// requests, LossSlack and RevertSlack allow for timing, and Recovery follows a closing fault.
 type Bounds struct {
 	SeedLag, ReuseAfter, Contact, Ack, CatchUp, Drain, Grace, LossSlack     time.Duration
 	Apply, RevertSlack, Stretch, Recovery, Pass, Finish, Settle, ListMaxLag time.Duration
@@ -242,25 +247,25 @@
 }
 
 // Update changes the record while holding the recorder's lock.
-func (l *Recorder) Update(change func(r *Record)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	change(&l.record)
+func (r *Recorder) Update(change func(r *Record)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	change(&r.record)
 }
 
 // Snapshot returns the record as it stands. Arrivals are copied; tries, troubles and orders
 // are shared with the recorder, in lists of their own.
-func (l *Recorder) Snapshot() *Record {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	copied := l.record
-	copied.Arrivals = make([]*Arrival, 0, len(l.record.Arrivals))
-	for _, arrival := range l.record.Arrivals {
+func (r *Recorder) Snapshot() *Record {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	copied := r.record
+	copied.Arrivals = make([]*Arrival, 0, len(r.record.Arrivals))
+	for _, arrival := range r.record.Arrivals {
 		arrivalCopy := *arrival
 		copied.Arrivals = append(copied.Arrivals, &arrivalCopy)
 	}
-	copied.Tries = append([]*Try(nil), l.record.Tries...)
-	copied.Troubles = append([]*Trouble(nil), l.record.Troubles...)
-	copied.Orders = append([]*Order(nil), l.record.Orders...)
+	copied.Tries = append([]*Try(nil), r.record.Tries...)
+	copied.Troubles = append([]*Trouble(nil), r.record.Troubles...)
+	copied.Orders = append([]*Order(nil), r.record.Orders...)
 	return &copied
 }
--- a/internal/standin/platform/settings.go
+++ b/internal/standin/platform/settings.go
@@ -106,10 +106,10 @@
 // writeBounds writes the bounds section, each bound in the unit that its name ends with.
 func (s *Settings) writeBounds(line func(string, ...any)) {
 	line("bounds:")
-	for _, one := range []struct {
-		name string
-		unit time.Duration
-		is   time.Duration
+	for _, bound := range []struct {
+		name  string
+		unit  time.Duration
+		value time.Duration
 	}{
 		{"seed_lag_s", time.Second, s.Bounds.SeedLag}, {"reuse_after_s", time.Second, s.Bounds.ReuseAfter}, {"contact_ms", time.Millisecond, s.Bounds.Contact},
 		{"ack_ms", time.Millisecond, s.Bounds.Ack}, {"catch_up_s", time.Second, s.Bounds.CatchUp}, {"drain_ms", time.Millisecond, s.Bounds.Drain},
@@ -118,6 +118,6 @@
 		{"recovery_s", time.Second, s.Bounds.Recovery}, {"pass_ms", time.Millisecond, s.Bounds.Pass}, {"finish_s", time.Second, s.Bounds.Finish},
 		{"settle_ms", time.Millisecond, s.Bounds.Settle},
 	} {
-		line("  %s: %v", one.name, float64(one.is)/float64(one.unit))
+		line("  %s: %v", bound.name, float64(bound.value)/float64(bound.unit))
 	}
 }
--- a/internal/standin/platform/summary.go
+++ b/internal/standin/platform/summary.go
@@ -49,7 +49,7 @@
 
 // Summarize summarizes a record by class of requests.
 func (r *Record) Summarize() map[string]*ClassSummary {
-	type lists struct{ first, gaps, whole, passing []time.Duration }
+	type lists struct{ firstEvent, gaps, fullAnswer, delays []time.Duration }
 	all, times := map[string]*ClassSummary{}, map[string]*lists{}
 	classOf := func(class string) (*ClassSummary, *lists) {
 		if all[class] == nil {
@@ -78,20 +78,20 @@
 		if !t.Succeeded() {
 			continue
 		}
-		l.whole = append(l.whole, t.Ended-t.Sent)
-		l.first = append(l.first, t.First-t.Sent)
+		l.fullAnswer = append(l.fullAnswer, t.Ended-t.Sent)
+		l.firstEvent = append(l.firstEvent, t.First-t.Sent)
 		for index, event := range t.Events {
 			if index > 0 {
 				l.gaps = append(l.gaps, event.At-t.Events[index-1].At)
 			}
 			if run := runs[t.ID]; run != nil && index < len(run.Events) {
-				l.passing = append(l.passing, event.At-run.Events[index].At)
+				l.delays = append(l.delays, event.At-run.Events[index].At)
 			}
 		}
 	}
 	for class, s := range all {
 		l := times[class]
-		s.FirstEvent, s.EventGaps, s.FullAnswer, s.EventDelay = SummarizeLatencies(l.first), SummarizeLatencies(l.gaps), SummarizeLatencies(l.whole), SummarizeLatencies(l.passing)
+		s.FirstEvent, s.EventGaps, s.FullAnswer, s.EventDelay = SummarizeLatencies(l.firstEvent), SummarizeLatencies(l.gaps), SummarizeLatencies(l.fullAnswer), SummarizeLatencies(l.delays)
 	}
 	return all
 }
@@ -155,12 +155,12 @@
 		for _, status := range base.SortedKeys(s.TriesByStatus) {
 			line("  answered %-14s %d", status, s.TriesByStatus[status])
 		}
-		for _, spread := range []struct {
-			what string
-			is   LatencySummary
+		for _, row := range []struct {
+			label   string
+			summary LatencySummary
 		}{{"first event", s.FirstEvent}, {"between events", s.EventGaps}, {"full answer", s.FullAnswer}, {"event delay", s.EventDelay}} {
-			if spread.is.Count > 0 {
-				line("  %-20s %s", spread.what, spread.is)
+			if row.summary.Count > 0 {
+				line("  %-20s %s", row.label, row.summary)
 			}
 		}
 	}
