--- a/internal/simulate/mechanisms_test.go
+++ b/internal/simulate/mechanisms_test.go
@@ -97,7 +97,7 @@
 			_ = json.Unmarshal(reply.Result, &told)
 			told["granted"] = wanted.Tokens
 			return protoResponse(&register.ChangeReply{Result: base.MustMarshal(told)})
-		}), "put out"},
+		}), "tokens of a budget of"},
 		{"the memory of lost legs", "everything at once", "small", interceptChange("", func(m *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			reply, response := pass(asked.Op, asked.Args)
 			if asked.Op == "session.refuse" && response != nil && len(reply.Result) > 0 {
@@ -125,8 +125,8 @@
 			raw, _ := proto.Marshal(&asked)
 			response, _ := m.Forward(raw)
 			return response
-		}), "skipped, repeated or spliced"},
-		{"the end mark of an answer", "workers in trouble", "small", func(f *Fleet) { f.disabled.endMarker = true }, "was given as whole but reads"},
+		}), "pieces skipped, repeated or mixed in from another run"},
+		{"the end mark of an answer", "workers in trouble", "small", func(f *Fleet) { f.disabled.endMarker = true }, "was reported complete but reads"},
 		{"the stamp that a change is based on", "nothing but load", "small", interceptChange("settings.apply", func(_ *Message, asked *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			now, response := pass("settings.get", []byte("{}"))
 			var record struct {
@@ -152,10 +152,10 @@
 				return protoResponse(&feed.FollowReply{Place: asked.Place})
 			}
 			return response
-		}), "serves by stamp"},
+		}), "serves settings of stamp"},
 		{"an owner's proof of its epoch", "a zone cut off", "kiondo", interceptPath("Disk/Confirm", func(*Message) *http.Response {
 			return protoResponse(&register.Ack{Ok: true})
-		}), "serves by stamp"},
+		}), "serves settings of stamp"},
 		{"the fence of a former owner's epoch", "cores frozen and woken", "small", func(f *Fleet) {
 			f.Net.Intercept = func(m *Message) *http.Response {
 				if !strings.Contains(m.Path, "register.Disk/") || strings.HasSuffix(m.Path, "Promise") {
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -1,8 +1,3 @@
-// A caller holds one program's conversation as a till or a clerk's desk
-// would: it names its turns, follows up on the answer before, asks again by
-// the same id when it was told that the outcome is not known, and checks
-// every answer against what a right model must have said to its own chain.
-
 package standin
 
 import (
@@ -16,138 +11,149 @@
 	"fordseam/internal/base"
 )
 
-// Caller is one program's party.
+// Caller is a client that holds the conversation of one program. It names its
+// turns and refers to the previous one, repeats a turn under the same ID if the
+// outcome is unknown, and compares each answer with the one that a correct model
+// gives to the caller's history.
 type Caller struct {
 	Name          string
 	Clock         base.Clock
 	Send          RequestFunc
-	Gateways      int
-	Gateway       int
+	Gateways      int // number of gateways
+	Gateway       int // index of the gateway in use; it moves to the next one after a failure
 	Group         string
 	Site          string
 	PiecesPerTurn int
-	TurnTimeout   time.Duration
+	TurnTimeout   time.Duration // for a turn with its retries; any other call has a third of it
 	Tally         *Tally
-	// AfterTurn runs after each whole turn, for tests that cause failures.
+	// AfterTurn, if set, is called after each completed turn: tests use it to inject
+	// faults and pauses.
 	AfterTurn func(turn int)
-	// SystemPrompt is the system prompt, one for all of a site unless set.
+	// SystemPrompt is by default the same for all callers of a site.
 	SystemPrompt string
-	// IgnoreRetryAfter callers come back at once, whatever Retry-After says.
+	// IgnoreRetryAfter makes the caller retry after a short random pause, whatever
+	// Retry-After says.
 	IgnoreRetryAfter bool
-	// Route, ToolRoute and Urgency are "chat", "loyalty" and normal unless set.
+	// Route, ToolRoute and Urgency default to "chat", "loyalty" and "normal".
 	Route     string
 	ToolRoute string
 	Urgency   string
 
-	// parent, when set, is the program this caller's is a helper of.
-	parent  *Caller
-	program string
-	secret  string
-	session string
-	key     string
-	after   int
-	chain   []Message
-	last    string
+	// parent is set if the caller's program is a helper of the parent's program.
+	parent        *Caller
+	programID     string
+	programSecret string
+	sessionID     string
+	sessionSecret string
+	retryAfter    int // seconds, from the latest refusal; 0 if it had none
+	history       []Message
+	lastTurn      string // ID of the latest completed turn
 }
 
-func (c *Caller) header(secret string, more map[string]string) map[string]string {
+// authHeader returns the extra header fields with the authorization added.
+func (c *Caller) authHeader(secret string, extra map[string]string) map[string]string {
 	header := map[string]string{"authorization": "Bearer " + secret}
-	for name, value := range more {
+	for name, value := range extra {
 		header[name] = value
 	}
 	return header
 }
 
-// settled asks until there is an answer that is not "come again later".
-func (c *Caller) settled(method, path string, header map[string]string, body any) (*Response, *failure) {
-	end := c.Clock.Now() + c.TurnTimeout/3
+// sendWithRetry sends a request until it succeeds, fails for good or runs out of
+// time. It retries if the connection failed, the response has a Retry-After or
+// the request may have run; an error of the worker is not retried. Exactly one
+// of the results is nil.
+func (c *Caller) sendWithRetry(method, path string, header map[string]string, body any) (*Response, *errorResponse) {
+	deadline := c.Clock.Now() + c.TurnTimeout/3
 	for {
-		answer, err := c.Send(c.Gateway, method, path, header, base.MustMarshal(body))
-		var failed failure
-		if err == nil && answer.Status < 400 {
-			return answer, nil
+		response, err := c.Send(c.Gateway, method, path, header, base.MustMarshal(body))
+		var errResponse errorResponse
+		if err == nil && response.Status < 400 {
+			return response, nil
 		}
 		if err != nil {
 			c.Tally.Count("lost")
 			c.Gateway = (c.Gateway + 1) % c.Gateways
-			failed.Error.Ran = base.MayHaveRun
-			failed.Error.Code = "connection"
-		} else if json.Unmarshal(answer.Body, &failed) != nil || failed.Error.Code == "" {
-			c.Tally.Breach("%s: answer %d without a verdict: %s", c.Name, answer.Status, answer.Body)
-			return nil, &failed
+			errResponse.Error.Ran = base.MayHaveRun
+			errResponse.Error.Code = "connection"
+		} else if json.Unmarshal(response.Body, &errResponse) != nil || errResponse.Error.Code == "" {
+			c.Tally.Breach("%s: response with status %d has no error code: %s", c.Name, response.Status, response.Body)
+			return nil, &errResponse
 		}
-		c.Tally.Count("told_" + failed.Error.Code)
-		again := err != nil || failed.Error.RetryAfter > 0 || failed.Error.Ran == base.MayHaveRun
-		if !again || c.Clock.Now() > end || failed.Error.Code == "worker_failed" {
-			return nil, &failed
+		c.Tally.Count("told_" + errResponse.Error.Code)
+		retry := err != nil || errResponse.Error.RetryAfter > 0 || errResponse.Error.Ran == base.MayHaveRun
+		if !retry || c.Clock.Now() > deadline || errResponse.Error.Code == "worker_failed" {
+			return nil, &errResponse
 		}
-		if err == nil && answer.Status == 503 {
+		if err == nil && response.Status == 503 {
 			c.Gateway = (c.Gateway + 1) % c.Gateways
 		}
 		c.Clock.Sleep(time.Duration(200+c.Clock.Int64N(300)) * time.Millisecond)
 	}
 }
 
-// NewHelper is a caller for a helper of this caller's program.
+// NewHelper returns a caller for a helper of this caller's program.
 func (c *Caller) NewHelper(name string) *Caller {
 	helper := &Caller{Name: name, Clock: c.Clock, Send: c.Send, Gateways: c.Gateways, Gateway: c.Gateway + 1, Group: c.Group, Site: c.Site, PiecesPerTurn: c.PiecesPerTurn,
 		TurnTimeout: c.TurnTimeout, Tally: c.Tally, Route: c.Route, ToolRoute: c.ToolRoute, Urgency: c.Urgency, parent: c}
 	return helper
 }
 
-// Start makes the program and its session.
+// Start creates the program and its session, and reports whether it could.
 func (c *Caller) Start(budgetTokens int64) bool {
-	asked := map[string]any{"program": c.Name, "urgency": orElse(c.Urgency, "normal")}
+	request := map[string]any{"program": c.Name, "urgency": valueOrDefault(c.Urgency, "normal")}
 	var header map[string]string
 	if c.parent != nil {
-		asked["parent"] = c.parent.program
-		header = c.header(c.parent.secret, nil)
+		request["parent"] = c.parent.programID
+		header = c.authHeader(c.parent.programSecret, nil)
 	} else {
-		asked["group"], asked["site"], asked["budget_tokens"] = c.Group, c.Site, budgetTokens
+		request["group"], request["site"], request["budget_tokens"] = c.Group, c.Site, budgetTokens
 	}
-	answer, failed := c.settled("POST", "/v1/programs", header, asked)
-	if failed != nil {
-		// The name may have been taken by a copy of this very request.
-		delete(asked, "program")
-		answer, failed = c.settled("POST", "/v1/programs", header, asked)
+	response, errResponse := c.sendWithRetry("POST", "/v1/programs", header, request)
+	if errResponse != nil {
+		// The name may be in use because an earlier copy of this request was
+		// carried out although its response was lost.
+		delete(request, "program")
+		response, errResponse = c.sendWithRetry("POST", "/v1/programs", header, request)
 	}
-	if failed != nil {
+	if errResponse != nil {
 		c.Tally.Count("start_failed")
 		return false
 	}
-	var made struct {
+	var created struct {
 		Program string `json:"program"`
 		Secret  string `json:"secret"`
 	}
-	_ = json.Unmarshal(answer.Body, &made)
-	c.program, c.secret = made.Program, made.Secret
+	_ = json.Unmarshal(response.Body, &created)
+	c.programID, c.programSecret = created.Program, created.Secret
 	if c.parent == nil {
 		c.Tally.mu.Lock()
-		c.Tally.Budgets[c.program] = budgetTokens
+		c.Tally.Budgets[c.programID] = budgetTokens
 		c.Tally.mu.Unlock()
 	}
-	answer, failed = c.settled("POST", "/v1/programs/"+c.program+"/sessions", c.header(c.secret, nil), map[string]any{"route": orElse(c.Route, "chat")})
-	if failed != nil {
+	response, errResponse = c.sendWithRetry("POST", "/v1/programs/"+c.programID+"/sessions", c.authHeader(c.programSecret, nil), map[string]any{"route": valueOrDefault(c.Route, "chat")})
+	if errResponse != nil {
 		c.Tally.Count("start_failed")
 		return false
 	}
-	var acquired struct {
+	var opened struct {
 		Session string `json:"session"`
 		Secret  string `json:"secret"`
 	}
-	_ = json.Unmarshal(answer.Body, &acquired)
-	c.session, c.key = acquired.Session, acquired.Secret
+	_ = json.Unmarshal(response.Body, &opened)
+	c.sessionID, c.sessionSecret = opened.Session, opened.Secret
 	return true
 }
 
-func orElse(given, otherwise string) string {
-	if given == "" {
-		return otherwise
+func valueOrDefault(value, defaultValue string) string {
+	if value == "" {
+		return defaultValue
 	}
-	return given
+	return value
 }
 
-// RunConversation holds a conversation of turns, with a tool call after some.
+// RunConversation runs the given number of turns. If tools is set, it makes a tool
+// call after every other turn.
 func (c *Caller) RunConversation(turns int, tools bool) {
 	for turn := 1; turn <= turns; turn++ {
 		if !c.RunTurn(turn) {
@@ -164,152 +170,163 @@
 	c.Tally.Count("conversations_whole")
 }
 
-// Session gives the path of the caller's session and its credential.
+// Session returns the path of the caller's session and its secret.
 func (c *Caller) Session() (path, secret string) {
-	return "/v1/programs/" + c.program + "/sessions/" + c.session, c.key
+	return "/v1/programs/" + c.programID + "/sessions/" + c.sessionID, c.sessionSecret
 }
 
-// RunTurn asks one turn to its end.
-func (c *Caller) RunTurn(num int) bool {
-	began := c.Clock.Now()
-	end := began + c.TurnTimeout
-	for again := 0; c.Clock.Now() < end; again++ {
-		// A refused turn is not asked again under its id: it must never run.
-		id := fmt.Sprintf("t%d.%d", num, again)
-		asked := []Message{{"user", fmt.Sprintf("question %d %s", num, TurnTag(c.program, id))}}
-		if len(c.chain) == 0 {
-			asked = append([]Message{{"system", orElse(c.SystemPrompt, "You help shoppers at till site "+c.Site)}}, asked...)
+// RunTurn sends a turn until it is completed, fails for good or the caller's time
+// for a turn is over, and reports whether it was completed.
+func (c *Caller) RunTurn(turn int) bool {
+	start := c.Clock.Now()
+	deadline := start + c.TurnTimeout
+	for attempt := 0; c.Clock.Now() < deadline; attempt++ {
+		// A refused turn must never run, so each attempt after a refusal has a new
+		// turn ID.
+		id := fmt.Sprintf("t%d.%d", turn, attempt)
+		messages := []Message{{"user", fmt.Sprintf("question %d %s", turn, TurnTag(c.programID, id))}}
+		if len(c.history) == 0 {
+			messages = append([]Message{{"system", valueOrDefault(c.SystemPrompt, "You help shoppers at till site "+c.Site)}}, messages...)
 		}
-		c.after = 0
-		whole, refused := c.askTurn(id, asked, end)
-		if whole {
+		c.retryAfter = 0
+		complete, refused := c.sendTurn(id, messages, deadline)
+		if complete {
 			c.Tally.mu.Lock()
-			c.Tally.SlowestTurn = max(c.Tally.SlowestTurn, c.Clock.Now()-began)
-			c.Tally.TurnTimes = append(c.Tally.TurnTimes, TurnTime{began, c.Clock.Now() - began})
+			c.Tally.SlowestTurn = max(c.Tally.SlowestTurn, c.Clock.Now()-start)
+			c.Tally.TurnTimes = append(c.Tally.TurnTimes, TurnTime{start, c.Clock.Now() - start})
 			c.Tally.mu.Unlock()
 			return true
 		}
 		if !refused {
 			return false
 		}
-		c.comeBack()
+		c.waitBeforeRetry()
 	}
 	return false
 }
 
-// comeBack waits as the last refusal said, or a little where it said nothing.
-func (c *Caller) comeBack() {
-	if c.after > 0 && !c.IgnoreRetryAfter {
-		c.Clock.Sleep(time.Duration(c.after) * time.Second)
+// waitBeforeRetry sleeps as long as the latest refusal asked for with Retry-After,
+// or 200 to 500 ms if it had none.
+func (c *Caller) waitBeforeRetry() {
+	if c.retryAfter > 0 && !c.IgnoreRetryAfter {
+		c.Clock.Sleep(time.Duration(c.retryAfter) * time.Second)
 		return
 	}
 	c.Clock.Sleep(time.Duration(200+c.Clock.Int64N(300)) * time.Millisecond)
 }
 
-// askTurn asks under one id until it is answered whole or refused.
-func (c *Caller) askTurn(id string, asked []Message, end time.Duration) (whole, refused bool) {
+// sendTurn sends a turn under one turn ID until it is completed, refused or its
+// deadline has passed. It sets refused only if the turn may be sent again under
+// a new ID.
+func (c *Caller) sendTurn(id string, messages []Message, deadline time.Duration) (complete, refused bool) {
 	path, secret := c.Session()
-	more := map[string]string{"turn-id": id}
-	if c.last != "" {
-		more["previous-turn"] = c.last
+	extraHeader := map[string]string{"turn-id": id}
+	if c.lastTurn != "" {
+		extraHeader["previous-turn"] = c.lastTurn
 	}
-	began, unsure := c.Clock.Now(), false
-	expected := ExpectedAnswer(append(append([]Message(nil), c.chain...), asked...), c.PiecesPerTurn)
-	for c.Clock.Now() < end {
-		answer, err := c.Send(c.Gateway, "POST", path+"/turns", c.header(secret, more), base.MustMarshal(map[string]any{"messages": asked, "max_output_tokens": c.PiecesPerTurn + 2}))
+	start, outcomeUnknown := c.Clock.Now(), false
+	expected := ExpectedAnswer(append(append([]Message(nil), c.history...), messages...), c.PiecesPerTurn)
+	for c.Clock.Now() < deadline {
+		response, err := c.Send(c.Gateway, "POST", path+"/turns", c.authHeader(secret, extraHeader), base.MustMarshal(map[string]any{"messages": messages, "max_output_tokens": c.PiecesPerTurn + 2}))
 		if err != nil {
 			c.Tally.Count("lost")
 			c.Gateway = (c.Gateway + 1) % c.Gateways
 			c.Clock.Sleep(200 * time.Millisecond)
-			unsure = true
+			outcomeUnknown = true
 			continue
 		}
-		if answer.Status != 200 {
-			var failed failure
-			_ = json.Unmarshal(answer.Body, &failed)
-			c.Tally.Count("told_" + failed.Error.Code)
+		if response.Status != 200 {
+			var errResponse errorResponse
+			_ = json.Unmarshal(response.Body, &errResponse)
+			c.Tally.Count("told_" + errResponse.Error.Code)
 			switch {
-			case failed.Error.Code == "previous_turn_unknown" || failed.Error.Code == "history_gone" || failed.Error.Code == "session_over" || failed.Error.Code == "unknown_session":
-				c.Tally.Breach("%s: history of %s gone: %s", c.Name, c.last, failed.Error.Code)
+			case errResponse.Error.Code == "previous_turn_unknown" || errResponse.Error.Code == "history_gone" || errResponse.Error.Code == "session_over" || errResponse.Error.Code == "unknown_session":
+				c.Tally.Breach("%s: history of turn %q is gone: %s", c.Name, c.lastTurn, errResponse.Error.Code)
 				return false, false
-			case failed.Error.Ran == base.NotRun:
-				c.after = failed.Error.RetryAfter
-				if unsure && gatewayWords[failed.Error.Code] {
-					// A gateway that knows nothing of the turn speaks of this request
-					// alone; after an unknown outcome only the owner's word counts.
+			case errResponse.Error.Ran == base.NotRun:
+				c.retryAfter = errResponse.Error.RetryAfter
+				if outcomeUnknown && gatewayRefusalCodes[errResponse.Error.Code] {
+					// The gateway refused this request without asking the turn's owner.
+					// An earlier attempt may have run: only the owner knows whether it did.
 					c.Gateway = (c.Gateway + 1) % c.Gateways
 					break
 				}
-				c.refuse(id, failed.Error.Code, began)
-				if answer.Status == 503 {
+				c.recordRefusal(id, errResponse.Error.Code, start)
+				if response.Status == 503 {
 					c.Gateway = (c.Gateway + 1) % c.Gateways
 				}
-				return false, failed.Error.RetryAfter > 0 || answer.Status == 503 || answer.Status == 409
-			case failed.Error.Ran == "":
-				c.Tally.Breach("%s: status %d without a verdict: %s", c.Name, answer.Status, answer.Body)
+				return false, errResponse.Error.RetryAfter > 0 || response.Status == 503 || response.Status == 409
+			case errResponse.Error.Ran == "":
+				c.Tally.Breach("%s: response with status %d has no execution state: %s", c.Name, response.Status, response.Body)
 				return false, false
 			}
-			unsure, c.after = true, failed.Error.RetryAfter
-			c.comeBack()
+			outcomeUnknown, c.retryAfter = true, errResponse.Error.RetryAfter
+			c.waitBeforeRetry()
 			continue
 		}
-		verdict, said := c.readTurn(id, answer, expected)
+		verdict, text := c.readTurnStream(id, response, expected)
 		switch verdict {
 		case "success":
-			c.chain = append(append(c.chain, asked...), Message{"assistant", said})
-			c.last = id
+			c.history = append(append(c.history, messages...), Message{"assistant", text})
+			c.lastTurn = id
 			c.Tally.Count("turns_whole")
 			return true, false
 		case "refused":
-			c.refuse(id, "in its stream", began)
+			c.recordRefusal(id, "in its stream", start)
 			return false, true
 		case "over_budget":
-			c.refuse(id, "over_budget", began)
+			c.recordRefusal(id, "over_budget", start)
 			c.Tally.Count("over_budget")
 			return false, false
 		}
-		unsure = true
+		outcomeUnknown = true
 		c.Tally.Count("turns_" + verdict)
 		if verdict == "dropped" {
 			c.Gateway = (c.Gateway + 1) % c.Gateways
 		}
-		c.comeBack()
+		c.waitBeforeRetry()
 	}
 	c.Tally.Count("patience_over")
 	return false, false
 }
 
-var gatewayWords = map[string]bool{"no_confirmed_settings": true, "model_not_allowed": true, "no_settings": true, "owner_unreachable": true, "control_unreachable": true,
+// gatewayRefusalCodes are the errors with which a gateway refuses a request that
+// it has not passed to the owner of the turn. They say nothing of earlier attempts.
+var gatewayRefusalCodes = map[string]bool{"no_confirmed_settings": true, "model_not_allowed": true, "no_settings": true, "owner_unreachable": true, "control_unreachable": true,
 	"outcome_unknown": true, "slot_not_ready": true, "draining": true}
 
-func (c *Caller) refuse(id, code string, began time.Duration) {
+// recordRefusal records a turn that was reported as not run: it must never run.
+func (c *Caller) recordRefusal(id, code string, start time.Duration) {
 	c.Tally.mu.Lock()
-	c.Tally.RefusedTurns[c.program+"|"+id] = code
-	c.Tally.RefusalTimes = append(c.Tally.RefusalTimes, TurnTime{began, c.Clock.Now() - began})
+	c.Tally.RefusedTurns[c.programID+"|"+id] = code
+	c.Tally.RefusalTimes = append(c.Tally.RefusalTimes, TurnTime{start, c.Clock.Now() - start})
 	c.Tally.mu.Unlock()
 	c.Tally.Count("turns_refused")
 }
 
-// readTurn reads a stream to its end and checks every piece.
-func (c *Caller) readTurn(id string, answer *Response, expected []string) (verdict, said string) {
-	pieces, leg := []string{}, ""
+// readTurnStream reads the stream of a turn to its end and checks each event.
+// verdict is that of the final event, except "dropped" if the stream ended
+// without one, "malformed" if it could not be decoded, "over_budget" for the
+// error of this code, and "refused" for any other turn that did not run.
+func (c *Caller) readTurnStream(id string, response *Response, expected []string) (verdict, text string) {
+	pieces, run := []string{}, ""
 	for {
-		event, ok := answer.NextEvent()
+		event, ok := response.NextEvent()
 		if !ok {
 			return "dropped", ""
 		}
-		eventLeg, place, _ := strings.Cut(event.ID, "#")
-		at, _ := strconv.Atoi(place)
+		eventRun, position, _ := strings.Cut(event.ID, "#")
+		number, _ := strconv.Atoi(position)
 		if event.Kind == "piece" {
 			var data struct {
 				Text string `json:"text"`
 			}
 			_ = json.Unmarshal(event.Data, &data)
-			if leg == "" {
-				leg = eventLeg
+			if run == "" {
+				run = eventRun
 			}
-			if eventLeg != leg || at != len(pieces)+1 {
-				c.Tally.Breach("%s: turn %s skipped, repeated or spliced: piece %s after %d of %s", c.Name, id, event.ID, len(pieces), leg)
+			if eventRun != run || number != len(pieces)+1 {
+				c.Tally.Breach("%s: turn %s has pieces skipped, repeated or mixed in from another run: got %s after %d pieces of run %s", c.Name, id, event.ID, len(pieces), run)
 			}
 			pieces = append(pieces, data.Text)
 			continue
@@ -324,27 +341,28 @@
 			} `json:"error"`
 		}
 		if json.Unmarshal(event.Data, &final) != nil {
-			c.Tally.Breach("%s: turn %s has a final event that cannot be read", c.Name, id)
+			c.Tally.Breach("%s: turn %s has a final event that cannot be decoded", c.Name, id)
 			return "malformed", ""
 		}
-		// Only an answer that says so may end before its time, by the budget.
-		whole := slices.Equal(pieces, expected) || final.Finish == "length" && len(pieces) < len(expected) && slices.Equal(pieces, expected[:len(pieces)])
-		if final.Verdict == "success" && !whole {
-			c.Tally.Breach("%s: turn %s was given as whole but reads %q and not %q", c.Name, id, pieces, expected)
+		// An answer may be shorter than expected only if its finish reason is the
+		// token limit.
+		matches := slices.Equal(pieces, expected) || final.Finish == "length" && len(pieces) < len(expected) && slices.Equal(pieces, expected[:len(pieces)])
+		if final.Verdict == "success" && !matches {
+			c.Tally.Breach("%s: turn %s was reported complete but reads %q, expected %q", c.Name, id, pieces, expected)
 		}
 		if final.Verdict == "success" && final.Finish == "" {
-			c.Tally.Breach("%s: turn %s is a success that the worker did not give", c.Name, id)
+			c.Tally.Breach("%s: turn %s is a success that the worker did not report: it has no finish reason", c.Name, id)
 		}
 		if final.Ran == base.NotRun && len(pieces) > 0 {
-			c.Tally.Breach("%s: turn %s gave pieces and was then called not run", c.Name, id)
+			c.Tally.Breach("%s: turn %s returned pieces and was then reported as not run", c.Name, id)
 		}
-		if _, more := answer.NextEvent(); more {
-			c.Tally.Breach("%s: turn %s went on after its final event", c.Name, id)
+		if _, hasMore := response.NextEvent(); hasMore {
+			c.Tally.Breach("%s: turn %s has events after its final event", c.Name, id)
 		}
-		c.after = final.Error.RetryAfter
+		c.retryAfter = final.Error.RetryAfter
 		c.Tally.Count("final_" + final.Verdict + "_" + final.Error.Code)
 		if final.Error.Code == "previous_turn_unknown" {
-			c.Tally.Breach("%s: history of %s gone", c.Name, c.last)
+			c.Tally.Breach("%s: history of turn %q is gone", c.Name, c.lastTurn)
 		}
 		if final.Error.Code == "over_budget" {
 			return "over_budget", ""
@@ -356,18 +374,18 @@
 	}
 }
 
-// CallTool makes one call that must not run twice, and asks again by its key
-// until the outcome is known.
-func (c *Caller) CallTool(num int) {
-	key := fmt.Sprintf("k%d", num)
+// CallTool makes a tool call, which must not run twice. It retries with the same
+// idempotency key until the outcome is known or its time is over.
+func (c *Caller) CallTool(turn int) {
+	key := fmt.Sprintf("k%d", turn)
 	c.Tally.mu.Lock()
-	c.Tally.ToolKeys[c.program+"/"+key] = true
+	c.Tally.ToolKeys[c.programID+"/"+key] = true
 	c.Tally.mu.Unlock()
-	_, failed := c.settled("POST", "/v1/programs/"+c.program+"/tools/"+orElse(c.ToolRoute, "loyalty"), c.header(c.secret, map[string]string{"idempotency-key": key}), map[string]int{"points": num})
+	_, errResponse := c.sendWithRetry("POST", "/v1/programs/"+c.programID+"/tools/"+valueOrDefault(c.ToolRoute, "loyalty"), c.authHeader(c.programSecret, map[string]string{"idempotency-key": key}), map[string]int{"points": turn})
 	switch {
-	case failed == nil:
+	case errResponse == nil:
 		c.Tally.Count("tools_done")
-	case failed.Error.Ran == base.MayHaveRun:
+	case errResponse.Error.Ran == base.MayHaveRun:
 		c.Tally.Count("tools_unsure")
 	default:
 		c.Tally.Count("tools_refused")
--- a/internal/standin/platform/sockets/client.go
+++ b/internal/standin/platform/sockets/client.go
@@ -1,7 +1,3 @@
-// Clients over TCP. Each client keeps a connection for many requests or opens
-// new ones; what comes on a connection is read bare, so that answers cut
-// short, bytes that are no answer and answers nobody asked for are told apart.
-
 package sockets
 
 import (
@@ -24,49 +20,56 @@
 	"github.com/juju/errors"
 )
 
-// NodePicker hands a client's new connections to a node.
+// NodePicker chooses the node for a client's new connection.
 type NodePicker interface {
 	Pick(zone, client string, again bool) (node, address string)
 }
 
-// Clients carries tries over TCP.
+// Clients sends attempts of requests over TCP. A client either keeps its connection
+// for many requests or opens a new one for each. Responses are read from the
+// connection without an HTTP client, to distinguish truncated responses, bytes
+// that are not a response, and responses to no request.
 type Clients struct {
 	Clock      base.Clock
 	NodePicker NodePicker
-	// KeepAliveTenths is how many clients of ten keep their connections.
+	// KeepAliveTenths is how many of ten clients keep their connections.
 	KeepAliveTenths int
 
-	mu   sync.Mutex
-	idle map[string][]*clientConn
+	mu        sync.Mutex
+	idleConns map[string][]*clientConn
 }
 
+// clientConn is a connection to a node. idleDeadline is set if the node announced
+// an idle timeout.
 type clientConn struct {
-	ahead
-	node   string
-	until  time.Time
-	served int
+	peekConn
+	node           string
+	idleDeadline   time.Time
+	servedRequests int
 }
 
-// kept takes an idle connection of a client, if one is well.
-func (c *Clients) kept(t *platform.Try) *clientConn {
+// takeIdle returns an idle connection of the client, or nil if it has none that is
+// still usable. It records bytes that came on an idle connection as surplus.
+func (c *Clients) takeIdle(t *platform.Try) *clientConn {
 	for {
 		c.mu.Lock()
-		list := c.idle[t.Client]
-		if len(list) == 0 {
+		conns := c.idleConns[t.Client]
+		if len(conns) == 0 {
 			c.mu.Unlock()
 			return nil
 		}
-		conn := list[len(list)-1]
-		c.idle[t.Client] = list[:len(list)-1]
+		conn := conns[len(conns)-1]
+		c.idleConns[t.Client] = conns[:len(conns)-1]
 		c.mu.Unlock()
-		// Wake the look ahead; a time-out is what a quiet connection gives.
+		// Interrupt the pending peek. It ends with a timeout if the connection is
+		// open and nothing came.
 		_ = conn.conn.SetReadDeadline(time.Unix(1, 0))
-		<-conn.done
+		<-conn.peeked
 		_ = conn.conn.SetReadDeadline(time.Time{})
-		if conn.err == nil {
-			t.Surplus = fmt.Sprintf("%q from %s", peeked(conn.reader), conn.node)
+		if conn.peekErr == nil {
+			t.Surplus = fmt.Sprintf("%q from %s", peekBuffered(conn.reader), conn.node)
 		}
-		if !errors.Is(conn.err, os.ErrDeadlineExceeded) || !conn.until.IsZero() && time.Now().After(conn.until) {
+		if !errors.Is(conn.peekErr, os.ErrDeadlineExceeded) || !conn.idleDeadline.IsZero() && time.Now().After(conn.idleDeadline) {
 			_ = conn.conn.Close()
 			continue
 		}
@@ -74,47 +77,53 @@
 	}
 }
 
-func peeked(reader *bufio.Reader) []byte {
-	some, _ := reader.Peek(min(reader.Buffered(), 80))
-	return some
+// peekBuffered returns up to 80 of the buffered bytes.
+func peekBuffered(reader *bufio.Reader) []byte {
+	buffered, _ := reader.Peek(min(reader.Buffered(), 80))
+	return buffered
 }
 
-func (c *Clients) put(client string, conn *clientConn) {
-	conn.watch(c.Clock.NewSignal())
+// putIdle keeps a connection for the client's next attempt. It starts a peek to
+// notice bytes that come, or a close, while the connection is idle.
+func (c *Clients) putIdle(client string, conn *clientConn) {
+	conn.startPeek(c.Clock.NewSignal())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.idle == nil {
-		c.idle = map[string][]*clientConn{}
+	if c.idleConns == nil {
+		c.idleConns = map[string][]*clientConn{}
 	}
-	c.idle[client] = append(c.idle[client], conn)
+	c.idleConns[client] = append(c.idleConns[client], conn)
 }
 
-// Close closes the idle connections, and gives what was waiting on them.
+// Close closes the idle connections and returns a description of the bytes that
+// had come on them.
 func (c *Clients) Close() (surplus []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, client := range base.SortedKeys(c.idle) {
-		for _, conn := range c.idle[client] {
+	for _, client := range base.SortedKeys(c.idleConns) {
+		for _, conn := range c.idleConns[client] {
 			_ = conn.conn.SetReadDeadline(time.Unix(1, 0))
-			<-conn.done
-			if conn.err == nil {
-				surplus = append(surplus, fmt.Sprintf("%q from %s", peeked(conn.reader), conn.node))
+			<-conn.peeked
+			if conn.peekErr == nil {
+				surplus = append(surplus, fmt.Sprintf("%q from %s", peekBuffered(conn.reader), conn.node))
 			}
 			_ = conn.conn.Close()
 		}
 	}
-	c.idle = nil
+	c.idleConns = nil
 	return surplus
 }
 
-// Carry sends a try and reads its answer.
+// Carry makes an attempt: it sends the request, reads the response and records in t
+// what came of it. It uses an idle connection of the client if there is one and the
+// attempt does not require a new connection (Fresh); probes always use a new one.
 func (c *Clients) Carry(t *platform.Try) {
 	t.Sent = c.Clock.Now()
 	defer func() { t.Ended = c.Clock.Now() }()
-	keeps := int(base.Hash64(t.Client)%10) < c.KeepAliveTenths && !t.Probe
+	keepAlive := int(base.Hash64(t.Client)%10) < c.KeepAliveTenths && !t.Probe
 	var conn *clientConn
-	if keeps && !t.Fresh {
-		conn = c.kept(t)
+	if keepAlive && !t.Fresh {
+		conn = c.takeIdle(t)
 	}
 	if conn == nil {
 		var node, address string
@@ -126,80 +135,83 @@
 		t.Node = node
 		raw, err := net.DialTimeout("tcp", address, min(platform.ConnectPatience, t.Deadline))
 		if err != nil {
-			// Nobody has read what was never sent.
+			// Nothing was sent, so nothing was read.
 			t.Unread = true
 			return
 		}
-		conn = &clientConn{ahead: ahead{conn: raw, reader: bufio.NewReaderSize(raw, 16<<10)}, node: node}
+		conn = &clientConn{peekConn: peekConn{conn: raw, reader: bufio.NewReaderSize(raw, 16<<10)}, node: node}
 	}
 	t.Node = conn.node
-	if c.exchange(t, conn) && keeps {
-		c.put(t.Client, conn)
+	if c.roundTrip(t, conn) && keepAlive {
+		c.putIdle(t.Client, conn)
 		return
 	}
 	_ = conn.conn.Close()
 }
 
-func requestBytes(t *platform.Try) []byte {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", t.Method, t.Target, t.Host)
-	for _, line := range t.Header {
-		fmt.Fprintf(&b, "%s: %s\r\n", line[0], line[1])
+// encodeRequest returns the request as HTTP/1.1. A chunked body has two chunks.
+func encodeRequest(t *platform.Try) []byte {
+	var buffer bytes.Buffer
+	fmt.Fprintf(&buffer, "%s %s HTTP/1.1\r\nHost: %s\r\n", t.Method, t.Target, t.Host)
+	for _, field := range t.Header {
+		fmt.Fprintf(&buffer, "%s: %s\r\n", field[0], field[1])
 	}
 	switch {
 	case t.Chunked && len(t.Body) > 0:
 		half := len(t.Body)/2 + 1
-		b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-		for _, piece := range [][]byte{t.Body[:half], t.Body[half:]} {
-			if len(piece) > 0 {
-				fmt.Fprintf(&b, "%x\r\n%s\r\n", len(piece), piece)
+		buffer.WriteString("Transfer-Encoding: chunked\r\n\r\n")
+		for _, chunk := range [][]byte{t.Body[:half], t.Body[half:]} {
+			if len(chunk) > 0 {
+				fmt.Fprintf(&buffer, "%x\r\n%s\r\n", len(chunk), chunk)
 			}
 		}
-		b.WriteString("0\r\n\r\n")
+		buffer.WriteString("0\r\n\r\n")
 	case len(t.Body) > 0 || t.Method != "GET":
-		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(t.Body), t.Body)
+		fmt.Fprintf(&buffer, "Content-Length: %d\r\n\r\n%s", len(t.Body), t.Body)
 	default:
-		b.WriteString("\r\n")
+		buffer.WriteString("\r\n")
 	}
-	return b.Bytes()
+	return buffer.Bytes()
 }
 
-// closedUnread tells a close that left bytes unread from other ends: the
-// system resets only such connections.
-func closedUnread(err error) bool {
+// closedWithUnreadData reports whether an error shows that the peer closed the
+// connection with unread bytes in its receive buffer. The kernel sends a reset for
+// such a close, and a FIN for any other.
+func closedWithUnreadData(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// exchange makes one exchange; it tells whether the connection can be kept.
-func (c *Clients) exchange(t *platform.Try, conn *clientConn) (keep bool) {
-	end := time.Now().Add(t.Deadline)
-	_ = conn.conn.SetDeadline(end)
-	if _, err := conn.conn.Write(requestBytes(t)); err != nil {
-		t.Unread = closedUnread(err)
+// roundTrip sends a request and reads its response. It reports whether the
+// connection can be reused.
+func (c *Clients) roundTrip(t *platform.Try, conn *clientConn) (reusable bool) {
+	deadline := time.Now().Add(t.Deadline)
+	_ = conn.conn.SetDeadline(deadline)
+	if _, err := conn.conn.Write(encodeRequest(t)); err != nil {
+		t.Unread = closedWithUnreadData(err)
 		return false
 	}
 	t.Written = c.Clock.Now()
-	silence := t.Deadline
+	maxSilence := t.Deadline
 	if t.Kind == platform.Streaming {
-		silence = platform.Silence(t.Aim, t.Pause)
+		maxSilence = platform.Silence(t.Aim, t.Pause)
 	}
-	bear := func() { _ = conn.conn.SetReadDeadline(earlier(end, time.Now().Add(silence))) }
+	extendReadDeadline := func() { _ = conn.conn.SetReadDeadline(earlier(deadline, time.Now().Add(maxSilence))) }
 	if t.Kind == platform.Idempotent {
 		_ = conn.conn.SetReadDeadline(time.Now().Add(platform.ReadPatience(t.Deadline)))
-		if _, err := conn.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) && !readByPeer(conn.conn) {
+		if _, err := conn.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) && !peerReadAll(conn.conn) {
 			t.GaveUp, t.Unread = true, true
 			return false
 		}
 	}
-	bear()
+	extendReadDeadline()
 	if _, err := conn.reader.Peek(1); err != nil {
 		t.GaveUp = errors.Is(err, os.ErrDeadlineExceeded)
-		t.Unread = closedUnread(err) || err == io.EOF && resetSince(conn.conn)
+		t.Unread = closedWithUnreadData(err) || err == io.EOF && peerReset(conn.conn)
 		return false
 	}
 	response, err := http.ReadResponse(conn.reader, &http.Request{Method: t.Method})
 	if err != nil {
-		c.failed(t, err)
+		c.recordReadError(t, err)
 		return false
 	}
 	t.Status, t.Echo, t.Seal = response.StatusCode, response.Header.Get(platform.HeaderID), response.Header.Get(platform.HeaderSeal)
@@ -208,32 +220,34 @@
 		t.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") && t.Kind == platform.Streaming {
-		err = c.events(t, response.Body, bear)
+		err = c.readEvents(t, response.Body, extendReadDeadline)
 	} else {
 		var body []byte
 		body, err = io.ReadAll(response.Body)
 		t.First, t.Answer = c.Clock.Now(), base.Digest(body)
 	}
 	if err != nil {
-		c.failed(t, err)
+		c.recordReadError(t, err)
 		return false
 	}
 	t.Complete = true
 	if conn.reader.Buffered() > 0 {
-		t.Surplus = fmt.Sprintf("%q from %s", peeked(conn.reader), conn.node)
+		t.Surplus = fmt.Sprintf("%q from %s", peekBuffered(conn.reader), conn.node)
 		return false
 	}
 	_ = conn.conn.SetDeadline(time.Time{})
 	if seconds, found := strings.CutPrefix(response.Header.Get("Keep-Alive"), "timeout="); found {
-		if whole, err := strconv.Atoi(seconds); err == nil {
-			conn.until = time.Now().Add(time.Duration(whole) * time.Second)
+		if timeout, err := strconv.Atoi(seconds); err == nil {
+			conn.idleDeadline = time.Now().Add(time.Duration(timeout) * time.Second)
 		}
 	}
-	conn.served++
-	// An answer that ends with its connection leaves none to keep.
+	conn.servedRequests++
+	// A response that is delimited by the end of the connection cannot be followed
+	// by another.
 	return !response.Close && (response.ContentLength >= 0 || len(response.TransferEncoding) > 0)
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -241,31 +255,33 @@
 	return b
 }
 
-// failed tells a broken connection from bytes that are no answer.
-func (c *Clients) failed(t *platform.Try, err error) {
-	var network net.Error
+// recordReadError records why a response could not be read: a timeout, a broken
+// connection (which sets nothing), or bytes that are not a valid response.
+func (c *Clients) recordReadError(t *platform.Try, err error) {
+	var netErr net.Error
 	switch {
-	case errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &network) && network.Timeout():
+	case errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout():
 		t.GaveUp = true
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), closedUnread(err), errors.Is(err, net.ErrClosed):
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), closedWithUnreadData(err), errors.Is(err, net.ErrClosed):
 	default:
 		t.Garbage = err.Error()
 	}
 }
 
-// events reads a stream, event by event.
-func (c *Clients) events(t *platform.Try, body io.Reader, bear func()) error {
+// readEvents reads the server-sent events of a stream and records them. It extends
+// the read deadline after each.
+func (c *Clients) readEvents(t *platform.Try, body io.Reader, extendReadDeadline func()) error {
 	reader := bufio.NewReader(body)
 	var event platform.Event
-	some := false
+	eventStarted := false
 	for {
 		line, err := reader.ReadString('\n')
-		if err == io.EOF && line == "" && !some {
+		if err == io.EOF && line == "" && !eventStarted {
 			return nil
 		}
 		if err == io.EOF {
-			// The body ended as the protocol says, in the middle of an event.
-			t.Garbage = fmt.Sprintf("a stream that ends in %q", line)
+			// HTTP framing says that the body is complete, but it ends within an event.
+			t.Garbage = fmt.Sprintf("stream ended within an event, last line %q", line)
 			return nil
 		}
 		if err != nil {
@@ -275,15 +291,15 @@
 		value = strings.TrimPrefix(value, " ")
 		switch {
 		case line == "\n" || line == "\r\n":
-			if some {
+			if eventStarted {
 				event.At = c.Clock.Now()
 				if t.First == 0 {
 					t.First = event.At
 				}
 				t.Events = append(t.Events, event)
-				bear()
+				extendReadDeadline()
 			}
-			event, some = platform.Event{}, false
+			event, eventStarted = platform.Event{}, false
 			continue
 		case name == "id":
 			event.ID, _ = strconv.ParseInt(value, 10, 64)
@@ -292,6 +308,6 @@
 		case name == "data":
 			event.Data += "\n" + value
 		}
-		some = true
+		eventStarted = true
 	}
 }
--- a/internal/standin/platform/sockets/instances.go
+++ b/internal/standin/platform/sockets/instances.go
@@ -1,5 +1,3 @@
-// The platform's list over HTTP.
-
 package sockets
 
 import (
@@ -11,20 +9,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-// InstanceListServer is the list of instances with its listener.
+// InstanceListServer serves the platform's list of instances over HTTP.
 type InstanceListServer struct {
 	Address string
 	server  *fasthttp.Server
-	ended   chan struct{}
+	stopped chan struct{}
 }
 
-// ListenInstanceList opens the list at an address.
+// ListenInstanceList starts to serve the list on the given address.
 func ListenInstanceList(list *platform.Instances, address string) (*InstanceListServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Annotate(err, "list of instances")
+		return nil, errors.Annotate(err, "listen for the instance list")
 	}
-	s := &InstanceListServer{Address: listener.Addr().String(), ended: make(chan struct{})}
+	s := &InstanceListServer{Address: listener.Addr().String(), stopped: make(chan struct{})}
 	s.server = &fasthttp.Server{NoDefaultServerHeader: true, Handler: func(ctx *fasthttp.RequestCtx) {
 		if !ctx.IsGet() || string(ctx.Path()) != platform.PathInstances {
 			ctx.SetStatusCode(404)
@@ -36,14 +34,14 @@
 		ctx.SetBody(body)
 	}}
 	go func() {
-		defer close(s.ended)
+		defer close(s.stopped)
 		_ = s.server.Serve(listener)
 	}()
 	return s, nil
 }
 
-// Close ends it.
+// Close stops the server and waits for it to end.
 func (s *InstanceListServer) Close() {
 	_ = s.server.Shutdown()
-	<-s.ended
+	<-s.stopped
 }
--- a/internal/standin/platform/sockets/entry.go
+++ b/internal/standin/platform/sockets/load_balancer.go
@@ -1,6 +1,3 @@
-// The platform's entry over HTTP: it asks every node each second whether it
-// is ready.
-
 package sockets
 
 import (
@@ -12,43 +9,45 @@
 	"github.com/valyala/fasthttp"
 )
 
-// LoadBalancer is the entry.
+// LoadBalancer runs the readiness checks of the platform's load balancer over HTTP:
+// it polls each node once a second.
 type LoadBalancer struct {
 	platform.Entry
-	over  chan struct{}
-	ended sync.WaitGroup
+	closed  chan struct{}
+	pollers sync.WaitGroup
 }
 
-// Start begins to ask the nodes.
+// Start adds the nodes and starts to poll them.
 func (e *LoadBalancer) Start(nodes []*platform.EntryNode) {
-	e.over = make(chan struct{})
+	e.closed = make(chan struct{})
 	for _, node := range nodes {
 		e.Add(node)
 	}
 }
 
-// Add begins to ask one more node.
+// Add adds a node and starts to poll it.
 func (e *LoadBalancer) Add(node *platform.EntryNode) {
 	e.Entry.Add(node)
-	e.ended.Add(1)
+	e.pollers.Add(1)
 	go e.poll(node)
 }
 
-// Close ends it.
+// Close stops polling and waits for the polls in progress.
 func (e *LoadBalancer) Close() {
-	close(e.over)
-	e.ended.Wait()
+	close(e.closed)
+	e.pollers.Wait()
 }
 
+// poll requests a node's readiness each second until the load balancer is closed.
 func (e *LoadBalancer) poll(node *platform.EntryNode) {
-	defer e.ended.Done()
+	defer e.pollers.Done()
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
 		status, _, err := fasthttp.GetTimeout(nil, "http://"+node.Readiness+platform.PathReadiness, time.Second)
 		e.Heard(node, err == nil && status == 200)
 		select {
-		case <-e.over:
+		case <-e.closed:
 			return
 		case <-ticker.C:
 		}
--- a/internal/standin/platform/sockets/operator.go
+++ b/internal/standin/platform/sockets/operator.go
@@ -1,5 +1,3 @@
-// The operator's calls over HTTP, with their redirects.
-
 package sockets
 
 import (
@@ -10,9 +8,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// CallControl makes one call to a node that serves control, with its
-// redirects; status 0 is no clear answer.
-func CallControl(method, address, path string, header [][2]string, body []byte) (status int, answer []byte) {
+// CallControl sends a request to the control API of a node and follows redirects. A
+// status of 0 means that the outcome is unknown.
+func CallControl(method, address, path string, header [][2]string, body []byte) (status int, responseBody []byte) {
 	target := "http://" + address + path
 	for redirects := 0; ; redirects++ {
 		request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -23,11 +21,11 @@
 			request.Header.SetContentType("application/json")
 			request.SetBody(body)
 		}
-		for _, line := range header {
-			request.Header.Set(line[0], line[1])
+		for _, field := range header {
+			request.Header.Set(field[0], field[1])
 		}
 		err := fasthttp.DoTimeout(request, response, platform.OrderPatience(len(body)))
-		status, answer = response.StatusCode(), append([]byte(nil), response.Body()...)
+		status, responseBody = response.StatusCode(), append([]byte(nil), response.Body()...)
 		location := string(response.Header.Peek("Location"))
 		fasthttp.ReleaseRequest(request)
 		fasthttp.ReleaseResponse(response)
@@ -35,10 +33,10 @@
 			return 0, nil
 		}
 		if status != 307 || redirects >= platform.RedirectsMost {
-			return status, answer
+			return status, responseBody
 		}
 		if parsed, err := url.Parse(location); err != nil || parsed.Host == "" {
-			return status, answer
+			return status, responseBody
 		}
 		target = location
 	}
--- a/internal/standin/platform/sockets/sockets_test.go
+++ b/internal/standin/platform/sockets/sockets_test.go
@@ -1,5 +1,3 @@
-// Workers, list, clients and operators over real sockets. A client may speak
-// to a worker as to a node, since both speak the same protocol.
 package sockets
 
 import (
@@ -21,348 +19,357 @@
 	"github.com/matryer/is"
 )
 
-type oneNode string
+// fixedNode picks the same address for every connection.
+type fixedNode string
 
-func (n oneNode) Pick(string, string, bool) (node, address string) { return "w", string(n) }
+func (n fixedNode) Pick(string, string, bool) (node, address string) { return "w", string(n) }
 
-type bench struct {
-	is      *is.I
-	clock   base.Clock
-	ledger  *platform.Ledger
-	server  *WorkerServer
-	clients *Clients
-	tries   int
+// harness connects clients directly to a worker over TCP, without a node in between:
+// both serve the same protocol.
+type harness struct {
+	is       *is.I
+	clock    base.Clock
+	ledger   *platform.Ledger
+	server   *WorkerServer
+	clients  *Clients
+	tryCount int
 }
 
 var (
-	plainShape = platform.ServiceShape{Name: "app", Capacity: 2, Queue: 2, MaxConns: 8}
+	appShape   = platform.ServiceShape{Name: "app", Capacity: 2, Queue: 2, MaxConns: 8}
 	modelShape = platform.ServiceShape{Name: "model", Capacity: 8, Queue: 8, MaxConns: 20, Engine: &platform.EngineShape{Step: time.Millisecond,
 		PromptPerMs: 100, Chunk: 4096, CacheTokens: 1000, Stride: 2, EventBytes: 30}}
 )
 
-func newBench(t *testing.T, shape platform.ServiceShape, change func(w *platform.Worker), more ...func(s *WorkerServer)) *bench {
+// newHarness starts a worker of the given shape. configure changes the worker,
+// configureServer its server, before it starts.
+func newHarness(t *testing.T, shape platform.ServiceShape, configure func(w *platform.Worker), configureServer ...func(s *WorkerServer)) *harness {
 	clock := base.NewRealClock()
-	b := &bench{is: is.New(t), clock: clock, ledger: platform.NewLedger(platform.DefaultBounds(), 2, 3)}
-	worker := &platform.Worker{ID: "i-1", Service: "svc", Clock: clock, Ledger: b.ledger, Shape: shape, KeepIdle: 5 * time.Second, Draws: rand.New(rand.NewPCG(1, 1)),
+	h := &harness{is: is.New(t), clock: clock, ledger: platform.NewLedger(platform.DefaultBounds(), 2, 3)}
+	worker := &platform.Worker{ID: "i-1", Service: "svc", Clock: clock, Ledger: h.ledger, Shape: shape, KeepIdle: 5 * time.Second, Draws: rand.New(rand.NewPCG(1, 1)),
 		Work: func(string) (time.Duration, int) { return 2 * time.Millisecond, 100 }}
-	if change != nil {
-		change(worker)
+	if configure != nil {
+		configure(worker)
 	}
 	server, err := ListenWorker(worker, "127.0.0.1:0", func(s *WorkerServer) {
-		for _, one := range more {
-			one(s)
+		for _, step := range configureServer {
+			step(s)
 		}
 	})
-	b.is.NoErr(err)
+	h.is.NoErr(err)
 	t.Cleanup(server.Close)
-	b.server, b.clients = server, &Clients{Clock: clock, NodePicker: oneNode(worker.Address), KeepAliveTenths: 10}
-	return b
+	h.server, h.clients = server, &Clients{Clock: clock, NodePicker: fixedNode(worker.Address), KeepAliveTenths: 10}
+	return h
 }
 
-func (b *bench) try(kind platform.Kind, target string, header ...[2]string) *platform.Try {
-	b.tries++
-	id := fmt.Sprintf("%016x", b.tries)
+// send makes an attempt of client "c" and adds it to the record.
+func (h *harness) send(kind platform.Kind, target string, header ...[2]string) *platform.Try {
+	h.tryCount++
+	id := fmt.Sprintf("%016x", h.tryCount)
 	t := &platform.Try{ID: id, Kind: kind, Host: "h", Method: "POST", Target: target, Body: []byte("what is asked"), Client: "c", Deadline: 3 * time.Second,
 		Aim: 100 * time.Millisecond, Header: append([][2]string{{platform.HeaderID, id}, {platform.HeaderDeadline, "3000"}}, header...)}
-	b.ledger.Note(func(r *platform.Record) { r.Tries = append(r.Tries, t) })
-	b.clients.Carry(t)
+	h.ledger.Note(func(r *platform.Record) { r.Tries = append(r.Tries, t) })
+	h.clients.Carry(t)
 	return t
 }
 
-// last is what the worker knows of a try; it waits for the worker's own end.
-func (b *bench) last(t *platform.Try, met func(a *platform.Arrival) bool) *platform.Arrival {
-	for end := b.clock.Now() + 5*time.Second; b.clock.Now() < end; b.clock.Sleep(time.Millisecond) {
-		for _, a := range b.ledger.Record().Arrivals {
-			if a.ID == t.ID && met(a) {
+// waitForArrival returns the worker's record of an attempt once it matches, for
+// which it waits up to 5 seconds.
+func (h *harness) waitForArrival(t *platform.Try, matches func(a *platform.Arrival) bool) *platform.Arrival {
+	for deadline := h.clock.Now() + 5*time.Second; h.clock.Now() < deadline; h.clock.Sleep(time.Millisecond) {
+		for _, a := range h.ledger.Record().Arrivals {
+			if a.ID == t.ID && matches(a) {
 				return a
 			}
 		}
 	}
-	b.is.Fail()
+	h.is.Fail()
 	return nil
 }
 
-func TestAPlainWorkerAnswersAndKeepsItsConnection(t *testing.T) {
-	b := newBench(t, plainShape, nil)
-	for place := range 5 {
-		try := b.try(platform.NonIdempotent, fmt.Sprintf("/x/%d?a=b", place))
-		b.is.True(try.OK())
-		b.is.Equal(try.Echo, try.ID)
-		a := b.last(try, func(a *platform.Arrival) bool { return a.Whole })
-		b.is.Equal(a.Answer, try.Answer)
-		b.is.Equal(a.Seal, try.Seal)
-		b.is.Equal(a.Target, try.Target)
-		b.is.Equal(a.Body, base.Digest(try.Body))
-	}
-	b.is.Equal(b.server.OpenedConns(), 1)
-	b.is.Equal(len(b.clients.Close()), 0)
+func TestWorkerAnswersOnOneConnection(t *testing.T) {
+	h := newHarness(t, appShape, nil)
+	for index := range 5 {
+		try := h.send(platform.NonIdempotent, fmt.Sprintf("/x/%d?a=b", index))
+		h.is.True(try.OK())
+		h.is.Equal(try.Echo, try.ID)
+		a := h.waitForArrival(try, func(a *platform.Arrival) bool { return a.Whole })
+		h.is.Equal(a.Answer, try.Answer)
+		h.is.Equal(a.Seal, try.Seal)
+		h.is.Equal(a.Target, try.Target)
+		h.is.Equal(a.Body, base.Digest(try.Body))
+	}
+	h.is.Equal(h.server.OpenedConns(), 1)
+	h.is.Equal(len(h.clients.Close()), 0)
 }
 
-func TestAWorkerSaysWhatItDidNotRun(t *testing.T) {
-	b := newBench(t, plainShape, nil)
-	other := b.try(platform.NonIdempotent, "/x", [2]string{platform.HeaderExpectInstance, "i-2"})
-	b.is.Equal(other.Status, 421)
-	mine := b.try(platform.NonIdempotent, "/x", [2]string{platform.HeaderExpectInstance, "i-1"})
-	b.is.True(mine.OK())
-	nameless := &platform.Try{ID: "", Kind: platform.Idempotent, Host: "h", Method: "GET", Target: "/x", Client: "c", Deadline: time.Second}
-	b.clients.Carry(nameless)
-	b.is.Equal(nameless.Status, 400)
-	for _, a := range b.ledger.Record().Arrivals {
-		b.is.Equal(a.Ran, a.ID == mine.ID)
+func TestRejectedRequestsDoNotRun(t *testing.T) {
+	h := newHarness(t, appShape, nil)
+	wrongInstance := h.send(platform.NonIdempotent, "/x", [2]string{platform.HeaderExpectInstance, "i-2"})
+	h.is.Equal(wrongInstance.Status, 421)
+	rightInstance := h.send(platform.NonIdempotent, "/x", [2]string{platform.HeaderExpectInstance, "i-1"})
+	h.is.True(rightInstance.OK())
+	withoutID := &platform.Try{ID: "", Kind: platform.Idempotent, Host: "h", Method: "GET", Target: "/x", Client: "c", Deadline: time.Second}
+	h.clients.Carry(withoutID)
+	h.is.Equal(withoutID.Status, 400)
+	for _, a := range h.ledger.Record().Arrivals {
+		h.is.Equal(a.Ran, a.ID == rightInstance.ID)
 	}
 }
 
-func TestAFullWorkerRefusesWithoutRunning(t *testing.T) {
-	shape := plainShape
+func TestFullQueueRefusesWithoutRunning(t *testing.T) {
+	shape := appShape
 	shape.MaxConns = 100
-	b := newBench(t, shape, func(w *platform.Worker) { w.Work = func(string) (time.Duration, int) { return time.Second, 10 } })
-	var group sync.WaitGroup
-	ask := func(place int) *platform.Try {
-		id := fmt.Sprintf("%016x", place)
+	h := newHarness(t, shape, func(w *platform.Worker) { w.Work = func(string) (time.Duration, int) { return time.Second, 10 } })
+	var senders sync.WaitGroup
+	newTry := func(index int) *platform.Try {
+		id := fmt.Sprintf("%016x", index)
 		return &platform.Try{ID: id, Kind: platform.NonIdempotent, Host: "h", Method: "POST", Target: "/x", Client: id, Deadline: 20 * time.Second, Header: [][2]string{{platform.HeaderID, id}}}
 	}
 	served := make([]*platform.Try, 4)
-	for place := range served {
-		served[place] = ask(place + 1)
-		group.Add(1)
+	for index := range served {
+		served[index] = newTry(index + 1)
+		senders.Add(1)
 		go func() {
-			defer group.Done()
-			b.clients.Carry(served[place])
+			defer senders.Done()
+			h.clients.Carry(served[index])
 		}()
 	}
-	for end := b.clock.Now() + 5*time.Second; b.server.Worker.Queued() < 2 && b.clock.Now() < end; b.clock.Sleep(time.Millisecond) {
+	for deadline := h.clock.Now() + 5*time.Second; h.server.Worker.Queued() < 2 && h.clock.Now() < deadline; h.clock.Sleep(time.Millisecond) {
 	}
-	refused := ask(5) // two at work, two in line
-	b.clients.Carry(refused)
-	group.Wait()
-	b.is.True(refused.Status == 503 && refused.Complete)
+	refused := newTry(5) // two are running, two are queued
+	h.clients.Carry(refused)
+	senders.Wait()
+	h.is.True(refused.Status == 503 && refused.Complete)
 	for _, try := range served {
-		b.is.True(try.OK())
+		h.is.True(try.OK())
 	}
-	for _, a := range b.ledger.Record().Arrivals {
-		b.is.Equal(a.Ran, a.ID != refused.ID)
+	for _, a := range h.ledger.Record().Arrivals {
+		h.is.Equal(a.Ran, a.ID != refused.ID)
 	}
-	b.clients.Close()
+	h.clients.Close()
 }
 
-func TestAWorkerResetsConnectionsBeyondItsMost(t *testing.T) {
-	shape := plainShape
+func TestConnectionsOverTheLimitAreReset(t *testing.T) {
+	shape := appShape
 	shape.MaxConns = 2
-	b := newBench(t, shape, nil)
-	var held []net.Conn
+	h := newHarness(t, shape, nil)
+	var openConns []net.Conn
 	for range 2 {
-		conn, err := net.Dial("tcp", b.server.Worker.Address)
-		b.is.NoErr(err)
-		held = append(held, conn)
+		conn, err := net.Dial("tcp", h.server.Worker.Address)
+		h.is.NoErr(err)
+		openConns = append(openConns, conn)
 	}
-	for end := b.clock.Now() + 5*time.Second; b.server.OpenedConns() < 2 && b.clock.Now() < end; b.clock.Sleep(time.Millisecond) {
+	for deadline := h.clock.Now() + 5*time.Second; h.server.OpenedConns() < 2 && h.clock.Now() < deadline; h.clock.Sleep(time.Millisecond) {
 	}
-	try := b.try(platform.NonIdempotent, "/x")
-	b.is.Equal(try.Status, 0)
-	b.is.True(try.Unread)
-	for _, conn := range held {
+	try := h.send(platform.NonIdempotent, "/x")
+	h.is.Equal(try.Status, 0)
+	h.is.True(try.Unread)
+	for _, conn := range openConns {
 		_ = conn.Close()
 	}
 }
 
-func TestHealthTellsTheInstance(t *testing.T) {
-	b := newBench(t, plainShape, nil)
-	ask := func() *http.Response {
-		response, err := http.Get("http://" + b.server.Worker.Address + platform.PathHealth)
-		b.is.NoErr(err)
+func TestHealthResponse(t *testing.T) {
+	h := newHarness(t, appShape, nil)
+	getHealth := func() *http.Response {
+		response, err := http.Get("http://" + h.server.Worker.Address + platform.PathHealth)
+		h.is.NoErr(err)
 		_ = response.Body.Close()
 		return response
 	}
-	well := ask()
-	b.is.Equal(well.StatusCode, 200)
-	b.is.Equal(well.Header.Get(platform.HeaderInstance), "i-1")
-	b.is.Equal(well.Header.Get(platform.HeaderLoad), "0,0,2")
-	b.server.Worker.SetWell(false)
-	b.is.Equal(ask().StatusCode, 503)
-	b.server.Worker.LyingHealth = true
-	b.is.Equal(ask().StatusCode, 200)
-	b.server.Worker.Leave()
-	leaving := ask()
-	b.is.Equal(leaving.StatusCode, 503)
-	b.is.True(leaving.Close)
+	healthy := getHealth()
+	h.is.Equal(healthy.StatusCode, 200)
+	h.is.Equal(healthy.Header.Get(platform.HeaderInstance), "i-1")
+	h.is.Equal(healthy.Header.Get(platform.HeaderLoad), "0,0,2")
+	h.server.Worker.SetWell(false)
+	h.is.Equal(getHealth().StatusCode, 503)
+	h.server.Worker.LyingHealth = true
+	h.is.Equal(getHealth().StatusCode, 200)
+	h.server.Worker.Leave()
+	leaving := getHealth()
+	h.is.Equal(leaving.StatusCode, 503)
+	h.is.True(leaving.Close)
 }
 
-func TestALeavingWorkerClosesAfterItsAnswer(t *testing.T) {
-	b := newBench(t, plainShape, nil)
-	b.server.Worker.Leave()
-	b.is.True(b.try(platform.NonIdempotent, "/x").OK())
-	b.is.True(b.try(platform.NonIdempotent, "/x").OK())
-	b.is.Equal(b.server.OpenedConns(), 2)
+func TestLeavingWorkerClosesConnectionAfterResponse(t *testing.T) {
+	h := newHarness(t, appShape, nil)
+	h.server.Worker.Leave()
+	h.is.True(h.send(platform.NonIdempotent, "/x").OK())
+	h.is.True(h.send(platform.NonIdempotent, "/x").OK())
+	h.is.Equal(h.server.OpenedConns(), 2)
 }
 
-func TestTroublesOfAPlainWorker(t *testing.T) {
+func TestAppWorkerFaults(t *testing.T) {
 	for _, row := range []struct {
 		fault platform.Fault
-		check func(b *bench, try *platform.Try)
+		check func(h *harness, try *platform.Try)
 	}{
-		{platform.LostReset, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 0) }},
-		{platform.LostSilent, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 0); b.is.True(try.GaveUp) }},
-		{platform.Garbled, func(b *bench, try *platform.Try) { b.is.True(try.Garbage != "") }},
-		{platform.Cut, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 200); b.is.True(!try.Complete) }},
-		{platform.Fail, func(b *bench, try *platform.Try) { b.is.Equal(try.Status, 500); b.is.True(try.Seal != "") }},
-		{platform.Extra, func(b *bench, try *platform.Try) { b.is.True(try.OK()) }},
+		{platform.LostReset, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 0) }},
+		{platform.LostSilent, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 0); h.is.True(try.GaveUp) }},
+		{platform.Garbled, func(h *harness, try *platform.Try) { h.is.True(try.Garbage != "") }},
+		{platform.Cut, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 200); h.is.True(!try.Complete) }},
+		{platform.Fail, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 500); h.is.True(try.Seal != "") }},
+		{platform.Extra, func(h *harness, try *platform.Try) { h.is.True(try.OK()) }},
 	} {
 		t.Run(string(row.fault), func(t *testing.T) {
-			b := newBench(t, plainShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return row.fault } })
-			try := b.try(platform.NonIdempotent, "/x", [2]string{"X", "y"})
-			row.check(b, try)
-			b.last(try, func(a *platform.Arrival) bool { return a.Ran })
-			b.clients.Close()
+			h := newHarness(t, appShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return row.fault } })
+			try := h.send(platform.NonIdempotent, "/x", [2]string{"X", "y"})
+			row.check(h, try)
+			h.waitForArrival(try, func(a *platform.Arrival) bool { return a.Ran })
+			h.clients.Close()
 		})
 	}
 }
 
-func TestSurplusAnswersAreNoticed(t *testing.T) {
+func TestSurplusResponsesAreDetected(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, plainShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return platform.Extra } })
-	first := b.try(platform.NonIdempotent, "/x")
-	for _, conn := range b.clients.idle["c"] {
+	h := newHarness(t, appShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return platform.Extra } })
+	first := h.send(platform.NonIdempotent, "/x")
+	for _, conn := range h.clients.idleConns["c"] {
 		select {
-		case <-conn.done: // something came while it was idle
+		case <-conn.peeked: // bytes came while the connection was idle
 		case <-time.After(5 * time.Second):
 		}
 	}
-	surplus := b.clients.Close()
-	is.True(first.Surplus != "" || len(surplus) == 1) // with its answer, or while the connection was idle
+	surplus := h.clients.Close()
+	is.True(first.Surplus != "" || len(surplus) == 1) // with the response, or while the connection was idle
 
-	b = newBench(t, plainShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return platform.LateExtra } })
-	is.True(b.try(platform.NonIdempotent, "/x").OK())
-	second := b.try(platform.NonIdempotent, "/x")
-	is.True(second.Echo != "" && second.Echo != second.ID) // a stale answer stands in its place
-	for _, conn := range b.clients.idle["c"] {
-		<-conn.done // its own answer follows
+	h = newHarness(t, appShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return platform.LateExtra } })
+	is.True(h.send(platform.NonIdempotent, "/x").OK())
+	second := h.send(platform.NonIdempotent, "/x")
+	is.True(second.Echo != "" && second.Echo != second.ID) // it got the response to another request
+	for _, conn := range h.clients.idleConns["c"] {
+		<-conn.peeked // the response to the second request follows
 	}
-	is.True(second.Surplus != "" || len(b.clients.Close()) == 1)
+	is.True(second.Surplus != "" || len(h.clients.Close()) == 1)
 	found := false
-	for _, breach := range b.ledger.Record().Check() {
+	for _, breach := range h.ledger.Record().Check() {
 		found = found || breach.Rule == "MIXED" && strings.Contains(breach.Word, "got the answer of")
 	}
-	is.True(found) // a client that is handed such an answer makes it a breach
+	is.True(found) // a response to another request is a breach
 }
 
-func TestAForgottenConnectionIsReset(t *testing.T) {
-	b := newBench(t, plainShape, nil, func(s *WorkerServer) { s.SetSilentDropAfter(1) }) // any time is too long
-	b.is.True(b.try(platform.NonIdempotent, "/x").OK())
-	try := b.try(platform.NonIdempotent, "/x")
-	b.is.Equal(try.Status, 0)
-	b.is.True(try.Unread)
+func TestSilentlyDroppedConnectionIsReset(t *testing.T) {
+	h := newHarness(t, appShape, nil, func(s *WorkerServer) { s.SetSilentDropAfter(1) }) // any idle time is too long
+	h.is.True(h.send(platform.NonIdempotent, "/x").OK())
+	try := h.send(platform.NonIdempotent, "/x")
+	h.is.Equal(try.Status, 0)
+	h.is.True(try.Unread)
 }
 
-// listenOnce has one connection served by a step.
-func listenOnce(t *testing.T, step func(conn *net.TCPConn)) *Clients {
+// serveOneConn returns clients that connect to a listener whose first connection is
+// handled by serve and then closed.
+func serveOneConn(t *testing.T, serve func(conn *net.TCPConn)) *Clients {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		if conn, err := listener.Accept(); err == nil {
-			step(conn.(*net.TCPConn))
+			serve(conn.(*net.TCPConn))
 			_ = conn.Close()
 		}
 	}()
 	t.Cleanup(func() {
 		_ = listener.Close()
-		<-ended
+		<-stopped
 	})
-	return &Clients{Clock: base.NewRealClock(), NodePicker: oneNode(listener.Addr().String())}
+	return &Clients{Clock: base.NewRealClock(), NodePicker: fixedNode(listener.Addr().String())}
 }
 
-func TestWhatWasNotReadIsToldFromWhatWas(t *testing.T) {
+func TestUnreadRequestsAreDetected(t *testing.T) {
 	is := is.New(t)
-	ask := func(kind platform.Kind, step func(conn *net.TCPConn, done chan struct{})) *platform.Try {
+	send := func(kind platform.Kind, serve func(conn *net.TCPConn, done chan struct{})) *platform.Try {
 		done := make(chan struct{})
-		clients := listenOnce(t, func(conn *net.TCPConn) { step(conn, done) })
+		clients := serveOneConn(t, func(conn *net.TCPConn) { serve(conn, done) })
 		try := &platform.Try{ID: "x", Kind: kind, Host: "h", Method: "POST", Target: "/x", Body: []byte("body"), Client: "c", Deadline: 1500 * time.Millisecond}
 		clients.Carry(try)
 		close(done)
 		return try
 	}
-	read := func(conn *net.TCPConn) {
+	readRequest := func(conn *net.TCPConn) {
 		request, err := http.ReadRequest(bufio.NewReader(conn))
 		if err == nil {
 			_, _ = io.ReadAll(request.Body)
 		}
 	}
-	frozen := ask(platform.Idempotent, func(_ *net.TCPConn, done chan struct{}) { <-done })
+	frozen := send(platform.Idempotent, func(_ *net.TCPConn, done chan struct{}) { <-done })
 	is.True(frozen.Unread && frozen.GaveUp)
-	is.True(frozen.Ended-frozen.Sent < time.Second) // a third of its time
-	slow := ask(platform.Idempotent, func(conn *net.TCPConn, done chan struct{}) { read(conn); <-done })
+	is.True(frozen.Ended-frozen.Sent < time.Second) // a third of its deadline
+	slow := send(platform.Idempotent, func(conn *net.TCPConn, done chan struct{}) { readRequest(conn); <-done })
 	is.True(!slow.Unread && slow.GaveUp)
-	dropped := ask(platform.NonIdempotent, func(conn *net.TCPConn, _ chan struct{}) { read(conn) })
-	is.True(!dropped.Unread && dropped.Status == 0)
-	unread := ask(platform.NonIdempotent, func(conn *net.TCPConn, _ chan struct{}) { _, _ = conn.Read(make([]byte, 3)) })
-	is.True(unread.Unread)
+	closedAfterRead := send(platform.NonIdempotent, func(conn *net.TCPConn, _ chan struct{}) { readRequest(conn) })
+	is.True(!closedAfterRead.Unread && closedAfterRead.Status == 0)
+	closedAfterPart := send(platform.NonIdempotent, func(conn *net.TCPConn, _ chan struct{}) { _, _ = conn.Read(make([]byte, 3)) })
+	is.True(closedAfterPart.Unread)
 	for range 20 {
-		closed := ask(platform.NonIdempotent, func(*net.TCPConn, chan struct{}) {})
-		is.True(closed.Unread) // whether its bytes came before the close or after
+		closedAtOnce := send(platform.NonIdempotent, func(*net.TCPConn, chan struct{}) {})
+		is.True(closedAtOnce.Unread) // whether the bytes came before or after the close
 	}
 }
 
-func turnHeader(prompt, most int) [][2]string {
-	return [][2]string{{platform.HeaderModel, "m"}, {platform.HeaderTokens, fmt.Sprintf("%d,%d", prompt, most)}, {platform.HeaderPrompt, fmt.Sprintf("aa:%d", prompt)}}
+// modelHeader returns the header fields of a model request.
+func modelHeader(promptTokens, maxTokens int) [][2]string {
+	return [][2]string{{platform.HeaderModel, "m"}, {platform.HeaderTokens, fmt.Sprintf("%d,%d", promptTokens, maxTokens)}, {platform.HeaderPrompt, fmt.Sprintf("aa:%d", promptTokens)}}
 }
 
-func TestAModelWorkerStreamsItsEvents(t *testing.T) {
-	b := newBench(t, modelShape, nil)
-	try := b.try(platform.Streaming, "/x", turnHeader(100, 9)...)
-	b.is.True(try.OK())
-	a := b.last(try, func(a *platform.Arrival) bool { return a.Whole })
-	b.is.Equal(len(try.Events), 5) // nine tokens, two an event
-	for place, event := range try.Events {
-		b.is.Equal(event.ID, int64(place+1))
-		b.is.Equal(event.Data, a.Events[place].Data)
-		b.is.True(event.At >= a.Events[place].At)
-	}
-	large := b.try(platform.Streaming, "/x", turnHeader(2000, 9)...)
-	b.is.Equal(large.Status, 503) // larger than its memory
-	response, err := http.Get("http://" + b.server.Worker.Address + platform.PathReport)
-	b.is.NoErr(err)
+func TestModelWorkerStreamsEvents(t *testing.T) {
+	h := newHarness(t, modelShape, nil)
+	try := h.send(platform.Streaming, "/x", modelHeader(100, 9)...)
+	h.is.True(try.OK())
+	a := h.waitForArrival(try, func(a *platform.Arrival) bool { return a.Whole })
+	h.is.Equal(len(try.Events), 5) // nine tokens, two per event
+	for index, event := range try.Events {
+		h.is.Equal(event.ID, int64(index+1))
+		h.is.Equal(event.Data, a.Events[index].Data)
+		h.is.True(event.At >= a.Events[index].At)
+	}
+	large := h.send(platform.Streaming, "/x", modelHeader(2000, 9)...)
+	h.is.Equal(large.Status, 503) // the prompt doesn't fit the cache
+	response, err := http.Get("http://" + h.server.Worker.Address + platform.PathReport)
+	h.is.NoErr(err)
 	body, err := io.ReadAll(response.Body)
-	b.is.NoErr(err)
+	h.is.NoErr(err)
 	_ = response.Body.Close()
 	tree, err := platform.ParseTree(body)
-	b.is.NoErr(err)
-	b.is.Equal(tree.(map[string]any)["cache_total"], 1000.0)
-	b.clients.Close()
-	for _, breach := range b.ledger.Record().Check() {
-		b.is.Equal(breach.Rule, "ROUTE") // there is no configuration here
+	h.is.NoErr(err)
+	h.is.Equal(tree.(map[string]any)["cache_total"], 1000.0)
+	h.clients.Close()
+	for _, breach := range h.ledger.Record().Check() {
+		h.is.Equal(breach.Rule, "ROUTE") // this test has no configuration
 	}
 }
 
-func TestAModelWorkerDropsWhatItsAskerLeft(t *testing.T) {
-	b := newBench(t, modelShape, nil)
-	conn, err := net.Dial("tcp", b.server.Worker.Address)
-	b.is.NoErr(err)
+func TestModelWorkerStopsWhenClientDisconnects(t *testing.T) {
+	h := newHarness(t, modelShape, nil)
+	conn, err := net.Dial("tcp", h.server.Worker.Address)
+	h.is.NoErr(err)
 	_, _ = fmt.Fprintf(conn, "POST /x HTTP/1.1\r\nHost: h\r\n%s: left\r\n%s: 10,900\r\nContent-Length: 0\r\n\r\n", platform.HeaderID, platform.HeaderTokens)
 	line, err := bufio.NewReader(conn).ReadString('\n')
-	b.is.NoErr(err)
-	b.is.Equal(line, "HTTP/1.1 200 OK\r\n")
+	h.is.NoErr(err)
+	h.is.Equal(line, "HTTP/1.1 200 OK\r\n")
 	_ = conn.Close()
-	a := b.last(&platform.Try{ID: "left"}, func(a *platform.Arrival) bool { return a.Left })
-	b.is.True(a.Ran && !a.Whole && len(a.Events) < 450)
+	a := h.waitForArrival(&platform.Try{ID: "left"}, func(a *platform.Arrival) bool { return a.Left })
+	h.is.True(a.Ran && !a.Whole && len(a.Events) < 450)
 }
 
-func TestTroublesOfAModelWorker(t *testing.T) {
+func TestModelWorkerFaults(t *testing.T) {
 	for _, fault := range []platform.Fault{platform.LostReset, platform.Cut, platform.Garbled} {
 		t.Run(string(fault), func(t *testing.T) {
-			b := newBench(t, modelShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return fault } })
-			try := b.try(platform.Streaming, "/x", turnHeader(10, 20)...)
-			b.is.True(!try.OK())
-			a := b.last(try, func(a *platform.Arrival) bool { return a.Broke })
-			b.is.True(a.Ran && !a.Whole)
-			b.is.True(len(try.Events) <= len(a.Events))
+			h := newHarness(t, modelShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return fault } })
+			try := h.send(platform.Streaming, "/x", modelHeader(10, 20)...)
+			h.is.True(!try.OK())
+			a := h.waitForArrival(try, func(a *platform.Arrival) bool { return a.Broke })
+			h.is.True(a.Ran && !a.Whole)
+			h.is.True(len(try.Events) <= len(a.Events))
 		})
 	}
 }
 
-func TestTheListIsServed(t *testing.T) {
+func TestInstanceListIsServed(t *testing.T) {
 	is := is.New(t)
 	list := &platform.Instances{Clock: base.NewRealClock(), PerS: 1000}
 	list.Change("i-1", &platform.Instance{ID: "i-1", Service: "svc", Address: "127.0.0.1:1", Zone: "z", State: platform.StateReady, Capacity: 6, Model: "m"}, 0)
@@ -376,14 +383,15 @@
 	_ = response.Body.Close()
 	tree, err := platform.ParseTree(body)
 	is.NoErr(err)
-	one := tree.(map[string]any)["instances"].([]any)[0].(map[string]any)
+	instance := tree.(map[string]any)["instances"].([]any)[0].(map[string]any)
 	for name, value := range map[string]any{"id": "i-1", "backend": "svc", "address": "127.0.0.1:1", "zone": "z", "state": "ready", "capacity": 6.0, "phase": "both"} {
-		is.Equal(one[name], value)
+		is.Equal(instance[name], value)
 	}
 }
 
-// controlNodes are nodes of control that answer as a test says.
-func controlNodes(t *testing.T, handlers ...http.HandlerFunc) (addresses []string) {
+// startControlNodes starts one control API server per handler and returns their
+// addresses.
+func startControlNodes(t *testing.T, handlers ...http.HandlerFunc) (addresses []string) {
 	for _, handler := range handlers {
 		server := httptest.NewServer(handler)
 		t.Cleanup(server.Close)
@@ -392,14 +400,15 @@
 	return addresses
 }
 
+// newOperator returns an operator that calls the given control addresses.
 func newOperator(addresses []string) *platform.Operator {
 	return &platform.Operator{Call: CallControl, Name: "op", Clock: base.NewRealClock(), Ledger: platform.NewLedger(platform.DefaultBounds(), 2, 3),
 		Control: func() []string { return addresses }, Rng: rand.New(rand.NewPCG(1, 1))}
 }
 
-func TestAnOperatorMovesOnAndFollowsTwice(t *testing.T) {
+func TestOperatorRetriesAndFollowsTwoRedirects(t *testing.T) {
 	is := is.New(t)
-	var leader, hop string
+	var leader, redirector string
 	var mu sync.Mutex
 	calls := map[string]int{}
 	count := func(name string) int {
@@ -415,7 +424,7 @@
 			w.WriteHeader(307)
 		}
 	}
-	addresses := controlNodes(t, func(w http.ResponseWriter, r *http.Request) {
+	addresses := startControlNodes(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if count("leader") == 1 {
 			w.WriteHeader(503)
@@ -424,23 +433,23 @@
 		if r.Method != "PUT" || r.URL.Path != platform.PathConfig || r.Header.Get(platform.HeaderIfMatch) != "5" || !strings.Contains(string(body), "generation") {
 			w.WriteHeader(400)
 		}
-	}, redirect("hop", &leader), redirect("first", &hop))
-	leader, hop = addresses[0], addresses[1]
-	o := newOperator(addresses[2:])
+	}, redirect("hop", &leader), redirect("first", &redirector))
+	leader, redirector = addresses[0], addresses[1]
+	operator := newOperator(addresses[2:])
 	config := &platform.Config{Generation: 7}
-	order := o.Put(5, config, config.Encode(), "", 5*time.Second)
+	order := operator.Put(5, config, config.Encode(), "", 5*time.Second)
 	is.Equal(order.Status, 200)
-	is.True(!order.Unclear) // a 503 promises that it was not taken
+	is.True(!order.Unclear) // a 503 guarantees that it was not accepted
 	is.Equal(calls["leader"], 2)
 	is.Equal(calls["hop"], 2)
-	is.Equal(len(o.Ledger.Record().Orders), 1)
+	is.Equal(len(operator.Ledger.Record().Orders), 1)
 }
 
-func TestAnOperatorNotesWhatIsUnclear(t *testing.T) {
+func TestOperatorRecordsUnclearOutcome(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	calls := 0
-	addresses := controlNodes(t, func(w http.ResponseWriter, _ *http.Request) {
+	addresses := startControlNodes(t, func(w http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		if calls++; calls == 1 {
@@ -459,11 +468,11 @@
 	is.True(order.Unclear && order.Status == 0)
 }
 
-func TestRetiringAMachine(t *testing.T) {
+func TestRetireStorageMachine(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	calls := 0
-	addresses := controlNodes(t, func(w http.ResponseWriter, r *http.Request) {
+	addresses := startControlNodes(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		calls++
@@ -478,19 +487,19 @@
 			_, _ = w.Write([]byte(`{"state":"active"}`))
 		}
 	})
-	o := newOperator(addresses)
-	is.NoErr(o.Retire("storage-1", time.Second, 5*time.Second))
+	operator := newOperator(addresses)
+	is.NoErr(operator.Retire("storage-1", time.Second, 5*time.Second))
 	is.Equal(calls, 4)
-	is.True(o.Retire("nobody", time.Second, 5*time.Second) != nil)
-	is.True(o.Retire("few", time.Second, 5*time.Second) != nil)
+	is.True(operator.Retire("nobody", time.Second, 5*time.Second) != nil)
+	is.True(operator.Retire("few", time.Second, 5*time.Second) != nil)
 }
 
-func TestTheEntryHandsClientsToReadyNodesOfTheirZone(t *testing.T) {
+func TestLoadBalancerPicksReadyNodesOfTheZone(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	down := map[string]bool{}
 	node := func(name, zone string) *platform.EntryNode {
-		address := controlNodes(t, func(w http.ResponseWriter, _ *http.Request) {
+		address := startControlNodes(t, func(w http.ResponseWriter, _ *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
 			if down[name] {
@@ -499,44 +508,44 @@
 		})[0]
 		return &platform.EntryNode{Name: name, Zone: zone, Front: name, Readiness: address}
 	}
-	e := &LoadBalancer{}
-	e.Start([]*platform.EntryNode{node("a1", "a"), node("a2", "a"), node("a3", "a"), node("b1", "b")})
-	defer e.Close()
+	balancer := &LoadBalancer{}
+	balancer.Start([]*platform.EntryNode{node("a1", "a"), node("a2", "a"), node("a3", "a"), node("b1", "b")})
+	defer balancer.Close()
 	clock := base.NewRealClock()
-	until := func(ready int) {
-		for end := clock.Now() + 10*time.Second; e.Ready() != ready && clock.Now() < end; clock.Sleep(10 * time.Millisecond) {
+	waitForReady := func(ready int) {
+		for deadline := clock.Now() + 10*time.Second; balancer.Ready() != ready && clock.Now() < deadline; clock.Sleep(10 * time.Millisecond) {
 		}
-		is.Equal(e.Ready(), ready)
+		is.Equal(balancer.Ready(), ready)
 	}
-	set := func(is bool, names ...string) {
+	setDown := func(is bool, names ...string) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, name := range names {
 			down[name] = is
 		}
 	}
-	picked := func(zone string, again bool) map[string]bool {
+	pickAll := func(zone string, again bool) map[string]bool {
 		names := map[string]bool{}
 		for client := range 50 {
-			name, _ := e.Pick(zone, fmt.Sprint("c", client), again)
+			name, _ := balancer.Pick(zone, fmt.Sprint("c", client), again)
 			names[name] = true
 		}
 		return names
 	}
-	until(4)
-	first, _ := e.Pick("a", "c", false)
-	same, _ := e.Pick("a", "c", false)
-	is.Equal(first, same) // by a hash of the client
-	other, _ := e.Pick("a", "c", true)
-	is.True(other != first) // a further try reaches another
-	is.Equal(len(picked("a", false)), 3)
-	set(true, "a1")
-	until(3)
-	is.Equal(len(picked("a", true)), 2)
-	set(true, "a2")
-	until(2)
-	is.Equal(len(picked("a", true)), 3) // under half are in: all are used
-	set(true, "a3")
-	until(1)
-	is.Equal(picked("a", true), map[string]bool{"b1": true}) // none is: another zone's
+	waitForReady(4)
+	first, _ := balancer.Pick("a", "c", false)
+	same, _ := balancer.Pick("a", "c", false)
+	is.Equal(first, same) // chosen by a hash of the client
+	other, _ := balancer.Pick("a", "c", true)
+	is.True(other != first) // a retry goes to another node
+	is.Equal(len(pickAll("a", false)), 3)
+	setDown(true, "a1")
+	waitForReady(3)
+	is.Equal(len(pickAll("a", true)), 2)
+	setDown(true, "a2")
+	waitForReady(2)
+	is.Equal(len(pickAll("a", true)), 3) // less than half are ready: all are used
+	setDown(true, "a3")
+	waitForReady(1)
+	is.Equal(pickAll("a", true), map[string]bool{"b1": true}) // none in the zone is ready: a node of another zone is used
 }
--- a/internal/standin/platform/sockets/worker.go
+++ b/internal/standin/platform/sockets/worker.go
@@ -1,7 +1,7 @@
-// Package sockets puts TCP round the platform's stand-ins: workers and the
-// list of instances listen, clients and operators connect. A worker's side is
-// written on bare connections, since its troubles are things that an HTTP
-// server would not do.
+// Package sockets connects the test doubles of package platform over TCP: workers
+// and the instance list listen, clients and operators connect. Workers write to
+// their connections without an HTTP server, since an HTTP server could not produce
+// their faults.
 package sockets
 
 import (
@@ -20,60 +20,65 @@
 	"github.com/juju/errors"
 )
 
-// WorkerServer is a worker with its listener and connections.
+// WorkerServer serves a worker over TCP.
 type WorkerServer struct {
 	Worker *platform.Worker
-	// DrawCloseAfterResponse draws whether an answer ends its connection though all is well.
+	// DrawCloseAfterResponse, if set, is called for each request and reports whether
+	// the connection is closed after the response although there is no fault.
 	DrawCloseAfterResponse func() bool
 
-	listener net.Listener
-	mu       sync.Mutex
-	conns    map[net.Conn]bool
-	opened   int
-	forget   time.Duration
-	group    sync.WaitGroup
+	listener        net.Listener
+	mu              sync.Mutex
+	conns           map[net.Conn]bool
+	openedConns     int
+	silentDropAfter time.Duration
+	goroutines      sync.WaitGroup
 }
 
-// ListenWorker opens a worker at an address and serves; change sets what is
-// not as usual.
-func ListenWorker(worker *platform.Worker, address string, change func(s *WorkerServer)) (*WorkerServer, error) {
+// ListenWorker starts the worker and serves it on the given address. configure, if
+// not nil, is called before the first connection is accepted.
+func ListenWorker(worker *platform.Worker, address string, configure func(s *WorkerServer)) (*WorkerServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Annotatef(err, "worker %s", worker.ID)
+		return nil, errors.Annotatef(err, "listen for worker %s", worker.ID)
 	}
 	worker.Address = listener.Addr().String()
 	worker.Start()
 	s := &WorkerServer{Worker: worker, listener: listener, conns: map[net.Conn]bool{}}
-	if change != nil {
-		change(s)
+	if configure != nil {
+		configure(s)
 	}
-	s.group.Add(1)
+	s.goroutines.Add(1)
 	go s.accept()
 	return s, nil
 }
 
-// SetSilentDropAfter has the worker forget connections that were idle so long, without
-// telling their other side: what comes on them later is reset.
+// SetSilentDropAfter makes the worker drop connections that were idle for longer
+// than the given time without closing them: the next request on such a connection
+// is answered with a reset. 0 turns this off.
 func (s *WorkerServer) SetSilentDropAfter(idle time.Duration) {
 	s.mu.Lock()
-	s.forget = idle
+	s.silentDropAfter = idle
 	s.mu.Unlock()
 }
 
-func (s *WorkerServer) forgets(idle time.Duration) bool {
+// silentlyDropped reports whether a connection that was idle for this long counts
+// as dropped.
+func (s *WorkerServer) silentlyDropped(idle time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.forget > 0 && idle > s.forget
+	return s.silentDropAfter > 0 && idle > s.silentDropAfter
 }
 
-// OpenedConns counts the connections taken.
+// OpenedConns returns the number of connections accepted so far.
 func (s *WorkerServer) OpenedConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.opened
+	return s.openedConns
 }
 
-// Close ends the worker at once: a crash, or the end of its time.
+// Close ends the worker and closes its connections at once, as a crash or the
+// platform's termination of the instance does.
 func (s *WorkerServer) Close() {
 	s.Worker.End()
 	_ = s.listener.Close()
@@ -82,84 +87,91 @@
 		_ = conn.Close()
 	}
 	s.mu.Unlock()
-	s.group.Wait()
+	s.goroutines.Wait()
 }
 
+// accept accepts connections until the listener is closed. Connections over the
+// limit are reset; the limit is halved, but to no less than the capacity, while
+// more than half of the queue is used.
 func (s *WorkerServer) accept() {
-	defer s.group.Done()
+	defer s.goroutines.Done()
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		most := s.Worker.Shape.MaxConns
+		maxConns := s.Worker.Shape.MaxConns
 		if queued := s.Worker.Queued(); queued > s.Worker.Shape.Queue/2 {
-			most = max(s.Worker.Shape.Capacity, most/2)
+			maxConns = max(s.Worker.Shape.Capacity, maxConns/2)
 		}
-		if most > 0 && len(s.conns) >= most {
+		if maxConns > 0 && len(s.conns) >= maxConns {
 			s.mu.Unlock()
-			reset(conn)
+			resetConn(conn)
 			continue
 		}
 		s.conns[conn] = true
-		s.opened++
-		s.group.Add(1)
+		s.openedConns++
+		s.goroutines.Add(1)
 		s.mu.Unlock()
 		go s.serve(conn)
 	}
 }
 
-func reset(conn net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = conn.Close()
 }
 
-// listener of one connection: it reads ahead by one byte at most, so that the
-// other side's close is noticed while a request is served.
-type ahead struct {
-	conn   net.Conn
-	reader *bufio.Reader
-	done   chan struct{}
-	err    error
+// peekConn is a connection on which a peek can run in the background, so that the
+// peer's close is noticed while a request is served or the connection is idle.
+type peekConn struct {
+	conn    net.Conn
+	reader  *bufio.Reader
+	peeked  chan struct{}
+	peekErr error
 }
 
-func (a *ahead) watch(gone base.Signal) {
-	a.done = make(chan struct{})
+// startPeek waits in the background for the next byte, which it leaves in the
+// reader. It fires closedSignal on an error, and closes peeked when it ends.
+func (p *peekConn) startPeek(closedSignal base.Signal) {
+	p.peeked = make(chan struct{})
 	go func() {
-		defer close(a.done)
-		if _, a.err = a.reader.Peek(1); a.err != nil {
-			gone.Fire()
+		defer close(p.peeked)
+		if _, p.peekErr = p.reader.Peek(1); p.peekErr != nil {
+			closedSignal.Fire()
 		}
 	}()
 }
 
+// serve serves the requests of a connection until it is closed.
 func (s *WorkerServer) serve(conn net.Conn) {
-	defer s.group.Done()
+	defer s.goroutines.Done()
 	defer func() {
 		s.mu.Lock()
 		delete(s.conns, conn)
 		s.mu.Unlock()
 		_ = conn.Close()
 	}()
-	a := &ahead{conn: conn, reader: bufio.NewReaderSize(conn, 64<<10)}
-	reply := &connReply{conn: conn}
+	peek := &peekConn{conn: conn, reader: bufio.NewReaderSize(conn, 64<<10)}
+	writer := &responseWriter{conn: conn}
 	idleSince := time.Now()
 	for {
 		if s.Worker.KeepIdle > 0 {
 			_ = conn.SetReadDeadline(time.Now().Add(s.Worker.KeepIdle))
 		}
-		if _, err := a.reader.Peek(1); err != nil {
+		if _, err := peek.reader.Peek(1); err != nil {
 			return
 		}
-		if reply.answers > 0 && s.forgets(time.Since(idleSince)) {
-			reset(conn)
+		if writer.responseCount > 0 && s.silentlyDropped(time.Since(idleSince)) {
+			resetConn(conn)
 			return
 		}
 		_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-		request, err := http.ReadRequest(a.reader)
+		request, err := http.ReadRequest(peek.reader)
 		if err != nil {
 			return
 		}
@@ -168,72 +180,78 @@
 			return
 		}
 		_ = conn.SetReadDeadline(time.Time{})
-		gone := s.Worker.Clock.NewSignal()
-		a.watch(gone)
-		reply.start(s.DrawCloseAfterResponse != nil && s.DrawCloseAfterResponse())
-		s.Worker.Serve(&platform.Asked{Method: request.Method, Target: request.RequestURI, Host: request.Host, Header: request.Header.Get, Body: body, Gone: gone}, reply)
-		if reply.ended || request.Close || reply.closing {
+		closedSignal := s.Worker.Clock.NewSignal()
+		peek.startPeek(closedSignal)
+		writer.reset(s.DrawCloseAfterResponse != nil && s.DrawCloseAfterResponse())
+		s.Worker.Serve(&platform.Asked{Method: request.Method, Target: request.RequestURI, Host: request.Host, Header: request.Header.Get, Body: body, Gone: closedSignal}, writer)
+		if writer.closed || request.Close || writer.closeAfter {
 			_ = conn.Close()
-			<-a.done
+			<-peek.peeked
 			return
 		}
 		idleSince = time.Now()
 		if s.Worker.KeepIdle > 0 {
 			_ = conn.SetReadDeadline(time.Now().Add(s.Worker.KeepIdle))
 		}
-		<-a.done
-		if a.err != nil {
+		<-peek.peeked
+		if peek.peekErr != nil {
 			return
 		}
 	}
 }
 
-// connReply writes answers on a connection.
-type connReply struct {
-	conn    net.Conn
-	chunked bool
-	closing bool
-	ended   bool
-	later   []byte
-	answers int
+// responseWriter writes the responses of a connection. delayedBytes are written
+// before the next response.
+type responseWriter struct {
+	conn          net.Conn
+	chunked       bool
+	closeAfter    bool
+	closed        bool
+	delayedBytes  []byte
+	responseCount int
 }
 
-func (r *connReply) start(closing bool) {
-	r.chunked, r.closing = false, closing
+// reset prepares for the next response; closeAfter closes the connection after it.
+func (r *responseWriter) reset(closeAfter bool) {
+	r.chunked, r.closeAfter = false, closeAfter
 }
 
-func (r *connReply) write(bytes []byte) error {
+// write writes to the connection, for at most 20 seconds.
+func (r *responseWriter) write(bytes []byte) error {
 	_ = r.conn.SetWriteDeadline(time.Now().Add(20 * time.Second))
 	_, err := r.conn.Write(bytes)
 	return err
 }
 
-func (r *connReply) Head(status int, header [][2]string, length int) error {
-	var b strings.Builder
-	if len(r.later) > 0 {
-		b.Write(r.later)
-		r.later = nil
+// Head writes the status line and header fields, after any delayed bytes. A negative
+// length means a chunked body.
+func (r *responseWriter) Head(status int, header [][2]string, length int) error {
+	var head strings.Builder
+	if len(r.delayedBytes) > 0 {
+		head.Write(r.delayedBytes)
+		r.delayedBytes = nil
 	}
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
-	for _, line := range header {
-		if line[0] == "Connection" {
-			r.closing = true
+	fmt.Fprintf(&head, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
+	for _, field := range header {
+		if field[0] == "Connection" {
+			r.closeAfter = true
 			continue
 		}
-		fmt.Fprintf(&b, "%s: %s\r\n", line[0], line[1])
+		fmt.Fprintf(&head, "%s: %s\r\n", field[0], field[1])
 	}
-	if r.closing {
-		b.WriteString("Connection: close\r\n")
+	if r.closeAfter {
+		head.WriteString("Connection: close\r\n")
 	}
 	if r.chunked = length < 0; r.chunked {
-		b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
+		head.WriteString("Transfer-Encoding: chunked\r\n\r\n")
 	} else {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n", length)
+		fmt.Fprintf(&head, "Content-Length: %d\r\n\r\n", length)
 	}
-	return r.write([]byte(b.String()))
+	return r.write([]byte(head.String()))
 }
 
-func (r *connReply) Write(piece []byte) error {
+// Write writes a part of the body, as one chunk if the body is chunked.
+func (r *responseWriter) Write(piece []byte) error {
 	if len(piece) == 0 {
 		return nil
 	}
@@ -243,22 +261,26 @@
 	return r.write(piece)
 }
 
-func (r *connReply) End() error {
-	r.answers++
+// End ends the body.
+func (r *responseWriter) End() error {
+	r.responseCount++
 	if r.chunked {
 		return r.write([]byte("0\r\n\r\n"))
 	}
 	return nil
 }
 
-func (r *connReply) Raw(bytes []byte) { _ = r.write(bytes) }
+// Raw writes bytes as they are, without HTTP framing.
+func (r *responseWriter) Raw(bytes []byte) { _ = r.write(bytes) }
 
-func (r *connReply) Later(bytes []byte) { r.later = bytes }
+// Later keeps bytes to be written before the next response on the connection.
+func (r *responseWriter) Later(bytes []byte) { r.delayedBytes = bytes }
 
-func (r *connReply) Break(hard bool) {
-	r.ended = true
+// Break closes the connection, with a reset if hard is set.
+func (r *responseWriter) Break(hard bool) {
+	r.closed = true
 	if hard {
-		reset(r.conn)
+		resetConn(r.conn)
 		return
 	}
 	_ = r.conn.Close()
--- a/internal/standin/answer.go
+++ b/internal/standin/response.go
@@ -1,18 +1,16 @@
-// How a caller reaches a gateway, and the answer that it gets.
-
 package standin
 
 import "fordseam/internal/base"
 
-// Event is one server-sent event as a caller reads it.
+// Event is a server-sent event of a response.
 type Event struct {
 	ID   string
 	Kind string
 	Data []byte
 }
 
-// Response is a response as a caller reads it: whole, or events one by one.
-// NextEvent gives ok=false at the end of the stream.
+// Response is a gateway's response. A streamed response has NextEvent, which
+// returns the next event, or false at the end of the stream; any other has Body.
 type Response struct {
 	Status    int
 	Header    map[string]string
@@ -20,11 +18,12 @@
 	NextEvent func() (Event, bool)
 }
 
-// RequestFunc sends a request to a gateway, by number; an error says that the
-// gateway could not be reached or its answer was lost.
+// RequestFunc sends a request to the gateway with the given index. It returns an
+// error if the gateway could not be reached or its response was lost.
 type RequestFunc func(gateway int, method, path string, header map[string]string, body []byte) (*Response, error)
 
-type failure struct {
+// errorResponse is the body of a response with an error status.
+type errorResponse struct {
 	Error struct {
 		Code       string         `json:"code"`
 		Message    string         `json:"message"`
--- a/internal/standin/tally.go
+++ b/internal/standin/tally.go
@@ -1,6 +1,3 @@
-// What callers saw, counted together: outcomes, breaches of the must-nevers, and
-// times.
-
 package standin
 
 import (
@@ -13,7 +10,8 @@
 	"fordseam/internal/base"
 )
 
-// Tally is what callers saw, and every breach they found.
+// Tally collects what callers and operators of one run saw: counts of outcomes,
+// durations of turns, and breaches of the invariants that the fleet guarantees.
 type Tally struct {
 	mu           sync.Mutex
 	Counts       map[string]int
@@ -24,19 +22,21 @@
 	ToolKeys     map[string]bool
 	TurnTimes    []TurnTime
 	RefusalTimes []TurnTime
-	// OnCount, when set, is told of each count as it happens.
-	OnCount func(name string)
-	ledger  ledger
+	// OnCount, if set, is called with the name of each count as it is raised.
+	OnCount      func(name string)
+	observations observations
 }
 
-// TurnTime is when a turn was begun and how long it took to be whole.
+// TurnTime is when a turn was started and how long it took to be completed or
+// refused.
 type TurnTime struct{ Start, Duration time.Duration }
 
+// NewTally returns an empty tally.
 func NewTally() *Tally {
-	return &Tally{Counts: map[string]int{}, RefusedTurns: map[string]string{}, Budgets: map[string]int64{}, ToolKeys: map[string]bool{}, ledger: newLedger()}
+	return &Tally{Counts: map[string]int{}, RefusedTurns: map[string]string{}, Budgets: map[string]int64{}, ToolKeys: map[string]bool{}, observations: newObservations()}
 }
 
-// Count adds one to a named count.
+// Count adds 1 to the count of the given name.
 func (t *Tally) Count(name string) {
 	t.mu.Lock()
 	t.Counts[name]++
@@ -46,64 +46,67 @@
 	}
 }
 
-// Breach records that something happened which must never happen.
+// Breach records that an invariant does not hold.
 func (t *Tally) Breach(format string, args ...any) {
 	t.mu.Lock()
-	t.breach(format, args...)
+	t.breachLocked(format, args...)
 	t.mu.Unlock()
 }
 
-const breachLimit = 100
+const maxBreaches = 100 // further ones are dropped
 
-// breach keeps a breach once; the caller holds the lock.
-func (t *Tally) breach(format string, args ...any) {
-	word := fmt.Sprintf(format, args...)
-	if len(t.Breaches) < breachLimit && !slices.Contains(t.Breaches, word) {
-		t.Breaches = append(t.Breaches, word)
+// breachLocked records a breach unless the same text is recorded already. The
+// caller holds t.mu.
+func (t *Tally) breachLocked(format string, args ...any) {
+	text := fmt.Sprintf(format, args...)
+	if len(t.Breaches) < maxBreaches && !slices.Contains(t.Breaches, text) {
+		t.Breaches = append(t.Breaches, text)
 	}
 }
 
-// RecordRefusedTurn notes that a program's turn was told as not run: it must never run.
+// RecordRefusedTurn records that a turn was reported as not run: it must never run.
 func (t *Tally) RecordRefusedTurn(program, turn, code string) {
 	t.mu.Lock()
 	t.RefusedTurns[program+"|"+turn] = code
 	t.mu.Unlock()
 }
 
-// CheckWorkers looks over the workers' own records.
-func (t *Tally) CheckWorkers(models []*Model, tools []*Tool, oneTurn int64) {
-	perKey, perProgram, turnRuns := map[string]int{}, map[string]int64{}, map[string]int{}
+// CheckWorkers compares the workers' own records with what callers were told. No
+// tool call may run twice, no refused turn may run, and the tokens of a program
+// with its helpers may exceed its budget by those of one turn at most.
+func (t *Tally) CheckWorkers(models []*Model, tools []*Tool, turnTokens int64) {
+	runsPerKey, tokensPerProgram, runsPerTurn := map[string]int{}, map[string]int64{}, map[string]int{}
 	for _, tool := range tools {
 		for key, runs := range tool.RunsByKey() {
-			perKey[key] += runs
+			runsPerKey[key] += runs
 		}
 	}
-	for _, key := range base.SortedKeys(perKey) {
-		if perKey[key] > 1 {
-			t.Breach("call %s ran %d times", key, perKey[key])
+	for _, key := range base.SortedKeys(runsPerKey) {
+		if runsPerKey[key] > 1 {
+			t.Breach("tool call %s ran %d times", key, runsPerKey[key])
 		}
 	}
 	for _, model := range models {
 		runs, tokens, _, _ := model.Stats()
 		for turn, n := range runs {
-			turnRuns[turn] += n
+			runsPerTurn[turn] += n
 		}
 		for program, n := range tokens {
 			root, _, _ := strings.Cut(program, ".")
-			perProgram[root] += n
+			tokensPerProgram[root] += n
 		}
 	}
 	t.mu.Lock()
 	refused, budgets := t.RefusedTurns, t.Budgets
 	t.mu.Unlock()
 	for _, turn := range base.SortedKeys(refused) {
-		if turnRuns[turn] > 0 {
-			t.Breach("turn %s was refused (%s) and ran %d times", turn, refused[turn], turnRuns[turn])
+		if runsPerTurn[turn] > 0 {
+			t.Breach("turn %s was refused (%s) and ran %d times", turn, refused[turn], runsPerTurn[turn])
 		}
 	}
 	for _, program := range base.SortedKeys(budgets) {
-		if perProgram[program] > budgets[program]+oneTurn {
-			t.Breach("program %s put out %d of %d", program, perProgram[program], budgets[program])
+		if tokensPerProgram[program] > budgets[program]+turnTokens {
+			t.Breach("program %s produced %d tokens of a budget of %d", program, tokensPerProgram[program], budgets[program])
 		}
 	}
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -1,8 +1,8 @@
-// Package standin holds the fleet's other parties for tests, the simulator
-// and the fleet tool: model and application workers that keep their own
-// records, and callers that hold conversations and check what they are told.
-// They know no transport; the simulator calls them in virtual time and the
-// fleet tool puts HTTP round them.
+// Package standin holds test doubles of the systems around the fleet, for tests,
+// the simulator and the fleet command: model and application workers that record
+// what they ran, and callers that hold conversations and check the responses.
+// They are independent of the transport: the simulator calls them in virtual
+// time, the fleet command serves them over HTTP.
 package standin
 
 import (
@@ -21,120 +21,127 @@
 	Content string `json:"content"`
 }
 
-// Fault is what a worker does wrong in one answer.
+// Fault is what a worker does wrong in one response.
 type Fault string
 
 const (
 	NoFault          Fault = ""
-	Truncate         Fault = "cut"
-	Malformed        Fault = "malformed"
-	Hang             Fault = "hang"
-	NoFinishReason   Fault = "no_finish"
-	Unavailable      Fault = "refuse"
-	TooManyRequests  Fault = "busy"
-	InternalError    Fault = "fail"
-	IgnoreTokenLimit Fault = "overrun"
-	NoResponse       Fault = "silent"
+	Truncate         Fault = "cut"       // end the stream in the middle
+	Malformed        Fault = "malformed" // send an event in the middle that cannot be decoded
+	Hang             Fault = "hang"      // send nothing more for an hour in the middle
+	NoFinishReason   Fault = "no_finish" // leave out the event with the finish reason
+	Unavailable      Fault = "refuse"    // status 503, without running the request
+	TooManyRequests  Fault = "busy"      // status 429, without running the request
+	InternalError    Fault = "fail"      // status 500, after the request was counted as run
+	IgnoreTokenLimit Fault = "overrun"   // produce more tokens than max_tokens
+	NoResponse       Fault = "silent"    // run the request, but send no response
 )
 
-// Model stands in for a model server. Its answer is a function of the prompt
-// alone, so that a caller can tell whether an answer is its own and whole.
+// Model is a test double of a model server. Its answer depends on the prompt alone,
+// so that a caller can check that it got the answer to its own prompt, and all of
+// it.
 type Model struct {
 	ID              string
 	Clock           base.Clock
 	PiecesPerAnswer int
 	PieceInterval   time.Duration
-	// PrefillPerMessage is what each message not in the cache costs before the first
-	// piece; Capacity is how many answers run at full speed, more slow down.
+	// PrefillPerMessage is the time that each message not in the cache takes before
+	// the first piece. Capacity is how many answers run at full speed at a time; more
+	// than that slow all of them down. 0 is no limit.
 	PrefillPerMessage time.Duration
 	Capacity          int
-	// CachedPrefixes is how many prefixes are kept, of whichever session, the longest
-	// unused going first; 0 keeps all.
+	// CachedPrefixes is how many prompt prefixes, of all sessions, are cached; the
+	// least recently used is evicted first. 0 is no limit.
 	CachedPrefixes int
-	NextFault      func() Fault
-	// CloseConnections says on each answer that the connection will not be kept.
+	// NextFault, if set, is called for each request and returns the fault to inject.
+	NextFault func() Fault
+	// CloseConnections makes each response announce that its connection is closed.
 	CloseConnections bool
-	// OnRun, when set, is told of each run as it begins.
+	// OnRun, if set, is called at the start of each run.
 	OnRun func(worker string, at time.Duration)
 
-	mu     sync.Mutex
-	busy   int
-	runs   map[string]int
-	tokens map[string]int64
-	prefix map[string]int
-	used   int
-	latest time.Duration
-	hits   int
-	count  int
-	// asked and found count prompt messages, and those found in the cache.
-	asked, found int
+	mu             sync.Mutex
+	activeAnswers  int
+	runs           map[string]int
+	tokens         map[string]int64
+	prefixLastUsed map[string]int
+	useCounter     int
+	lastRunTime    time.Duration
+	prefixHits     int
+	runCount       int
+	// promptMessages counts the messages of all prompts, cachedMessages those of them
+	// that were found in the cache.
+	promptMessages, cachedMessages int
 }
 
-// ExpectedAnswer is the answer a right model gives to a chain.
-func ExpectedAnswer(chain []Message, pieces int) []string {
-	answer := []string{fmt.Sprintf("%d messages %s", len(chain), base.Digest(base.MustMarshal(chain)))}
+// ExpectedAnswer returns the pieces that a correct model answers to the messages.
+func ExpectedAnswer(messages []Message, pieces int) []string {
+	answer := []string{fmt.Sprintf("%d messages %s", len(messages), base.Digest(base.MustMarshal(messages)))}
 	for piece := 2; piece <= pieces; piece++ {
 		answer = append(answer, fmt.Sprintf(" piece %d", piece))
 	}
 	return answer
 }
 
-// TurnTag marks a turn's last message so that workers' records name the turn.
+// TurnTag returns the mark that a turn's last message carries, from which workers
+// record which turn they ran.
 func TurnTag(program, turn string) string { return "[" + program + "|" + turn + "]" }
 
-func tagIn(content string) (program, turn string) {
+// parseTurnTag returns the program and turn of the mark in a message.
+func parseTurnTag(content string) (program, turn string) {
 	_, rest, _ := strings.Cut(content, "[")
 	rest, _, _ = strings.Cut(rest, "]")
 	program, turn, _ = strings.Cut(rest, "|")
 	return program, turn
 }
 
-// Serve answers one streaming completion; emit sends a line and fails when
-// the asker is gone.
-func (m *Model) Serve(body []byte, begin func(status int), emit func(line string) error) {
+// Serve serves a streaming completion. emit sends an event and fails if the client
+// has disconnected. A return without writeStatus or without a "[DONE]" event means
+// that the connection breaks.
+func (m *Model) Serve(body []byte, writeStatus func(status int), emit func(line string) error) {
 	var request struct {
 		Messages  []Message `json:"messages"`
 		MaxTokens int64     `json:"max_tokens"`
 	}
-	trouble := NoFault
+	fault := NoFault
 	if m.NextFault != nil {
-		trouble = m.NextFault()
+		fault = m.NextFault()
 	}
 	if json.Unmarshal(body, &request) != nil || len(request.Messages) == 0 {
-		begin(400)
+		writeStatus(400)
 		return
 	}
-	switch trouble {
+	switch fault {
 	case Unavailable:
-		begin(503)
+		writeStatus(503)
 		return
 	case TooManyRequests:
-		begin(429)
+		writeStatus(429)
 		return
 	}
-	last := request.Messages[len(request.Messages)-1]
-	program, turn := tagIn(last.Content)
-	cached := m.note(program, turn, request.Messages)
-	defer m.leave()
-	if trouble == InternalError {
-		begin(500)
+	lastMessage := request.Messages[len(request.Messages)-1]
+	program, turn := parseTurnTag(lastMessage.Content)
+	cached := m.startRun(program, turn, request.Messages)
+	defer m.endRun()
+	if fault == InternalError {
+		writeStatus(500)
 		return
 	}
-	if trouble == NoResponse {
+	if fault == NoResponse {
 		m.Clock.Sleep(time.Hour)
 		return
 	}
-	begin(200)
+	writeStatus(200)
 	m.Clock.Sleep(m.PrefillPerMessage * time.Duration(len(request.Messages)-cached))
 	answer := ExpectedAnswer(request.Messages, m.PiecesPerAnswer)
 	finish := "stop"
-	if int64(len(answer)) > request.MaxTokens && trouble != IgnoreTokenLimit {
+	if int64(len(answer)) > request.MaxTokens && fault != IgnoreTokenLimit {
 		answer, finish = answer[:request.MaxTokens], "length"
 	}
-	for place, piece := range answer {
-		m.Clock.Sleep(m.pace())
-		if place == len(answer)/2 {
-			switch trouble {
+	for index, piece := range answer {
+		m.Clock.Sleep(m.currentInterval())
+		if index == len(answer)/2 {
+			switch fault {
 			case Truncate:
 				return
 			case Malformed:
@@ -145,99 +152,102 @@
 				return
 			}
 		}
-		m.put(program, 1)
+		m.addTokens(program, 1)
 		chunk := map[string]any{"choices": []any{map[string]any{"delta": map[string]string{"content": piece}}}}
 		if emit("data: "+string(base.MustMarshal(chunk))+"\n\n") != nil {
 			return
 		}
 	}
-	if trouble != NoFinishReason {
-		end := map[string]any{"choices": []any{map[string]any{"delta": map[string]string{}, "finish_reason": finish}},
+	if fault != NoFinishReason {
+		finalChunk := map[string]any{"choices": []any{map[string]any{"delta": map[string]string{}, "finish_reason": finish}},
 			"usage": map[string]int{"completion_tokens": len(answer)}}
-		if emit("data: "+string(base.MustMarshal(end))+"\n\n") != nil {
+		if emit("data: "+string(base.MustMarshal(finalChunk))+"\n\n") != nil {
 			return
 		}
 	}
 	_ = emit("data: [DONE]\n\n")
 }
 
-// note records a run and tells how much of the chain was cached here.
-func (m *Model) note(program, turn string, chain []Message) (cached int) {
+// startRun records a run and returns how many of the leading messages were cached.
+func (m *Model) startRun(program, turn string, messages []Message) (cached int) {
 	if m.OnRun != nil {
 		m.OnRun(m.ID, m.Clock.Now())
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.runs == nil {
-		m.runs, m.tokens, m.prefix = map[string]int{}, map[string]int64{}, map[string]int{}
+		m.runs, m.tokens, m.prefixLastUsed = map[string]int{}, map[string]int64{}, map[string]int{}
 	}
-	m.count++
-	m.busy++
-	m.latest = m.Clock.Now()
+	m.runCount++
+	m.activeAnswers++
+	m.lastRunTime = m.Clock.Now()
 	m.runs[program+"|"+turn]++
-	// The longest prefix in the cache counts, whichever session brought it.
-	for upto := 1; upto <= len(chain); upto++ {
-		prefix := base.Digest(base.MustMarshal(chain[:upto]))
-		if _, ok := m.prefix[prefix]; ok && cached == upto-1 {
-			cached = upto
+	// The longest cached prefix counts, whichever session it came from.
+	for length := 1; length <= len(messages); length++ {
+		prefix := base.Digest(base.MustMarshal(messages[:length]))
+		if _, ok := m.prefixLastUsed[prefix]; ok && cached == length-1 {
+			cached = length
 		}
-		m.used++
-		m.prefix[prefix] = m.used
+		m.useCounter++
+		m.prefixLastUsed[prefix] = m.useCounter
 	}
-	m.asked, m.found = m.asked+len(chain), m.found+cached
-	if len(chain) > 2 && cached >= len(chain)-2 {
-		m.hits++
+	m.promptMessages, m.cachedMessages = m.promptMessages+len(messages), m.cachedMessages+cached
+	if len(messages) > 2 && cached >= len(messages)-2 {
+		m.prefixHits++
 	}
-	for m.CachedPrefixes > 0 && len(m.prefix) > m.CachedPrefixes {
+	for m.CachedPrefixes > 0 && len(m.prefixLastUsed) > m.CachedPrefixes {
 		oldest := ""
-		for prefix, at := range m.prefix {
-			if oldest == "" || at < m.prefix[oldest] {
+		for prefix, at := range m.prefixLastUsed {
+			if oldest == "" || at < m.prefixLastUsed[oldest] {
 				oldest = prefix
 			}
 		}
-		delete(m.prefix, oldest)
+		delete(m.prefixLastUsed, oldest)
 	}
 	return cached
 }
 
-// CacheUse counts prompt messages, and those that were found in the cache.
-func (m *Model) CacheUse() (asked, found int) {
+// CacheUse returns the number of prompt messages, and how many of them were cached.
+func (m *Model) CacheUse() (promptMessages, cachedMessages int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.asked, m.found
+	return m.promptMessages, m.cachedMessages
 }
 
-func (m *Model) leave() {
+// endRun records that an answer is no longer in progress.
+func (m *Model) endRun() {
 	m.mu.Lock()
-	m.busy--
+	m.activeAnswers--
 	m.mu.Unlock()
 }
 
-// ActiveAnswers is how many answers are under way.
+// ActiveAnswers returns the number of answers in progress.
 func (m *Model) ActiveAnswers() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.busy
+	return m.activeAnswers
 }
 
-// pace is the gap to the next piece at the present load.
-func (m *Model) pace() time.Duration {
+// currentInterval returns the time to the next piece at the present load.
+func (m *Model) currentInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.Capacity == 0 || m.busy <= m.Capacity {
+	if m.Capacity == 0 || m.activeAnswers <= m.Capacity {
 		return m.PieceInterval
 	}
-	return m.PieceInterval * time.Duration(m.busy) / time.Duration(m.Capacity)
+	return m.PieceInterval * time.Duration(m.activeAnswers) / time.Duration(m.Capacity)
 }
 
-func (m *Model) put(program string, tokens int64) {
+// addTokens adds to the tokens that were produced for a program.
+func (m *Model) addTokens(program string, tokens int64) {
 	m.mu.Lock()
 	m.tokens[program] += tokens
 	m.mu.Unlock()
 }
 
-// Stats is what a model worker has seen.
-func (m *Model) Stats() (runs map[string]int, tokens map[string]int64, count, prefixHits int) {
+// Stats returns the runs by turn, the tokens produced by program, the total number
+// of runs, and how many runs continued a conversation whose history was cached.
+func (m *Model) Stats() (runs map[string]int, tokens map[string]int64, runCount, prefixHits int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	runs, tokens = map[string]int{}, map[string]int64{}
@@ -247,48 +257,48 @@
 	for key, n := range m.tokens {
 		tokens[key] = n
 	}
-	return runs, tokens, m.count, m.hits
+	return runs, tokens, m.runCount, m.prefixHits
 }
 
-// LastRunTime is when this worker was last given work.
+// LastRunTime returns when the latest run started.
 func (m *Model) LastRunTime() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.latest
+	return m.lastRunTime
 }
 
-// Tool stands in for an application worker and counts runs per key.
+// Tool is a test double of an application worker. It counts its runs by key.
 type Tool struct {
 	ID        string
 	Clock     base.Clock
-	Delay     time.Duration
-	NextFault func() Fault
-	OnRun     func(worker string, at time.Duration)
+	Delay     time.Duration                         // duration of each run
+	NextFault func() Fault                          // as in Model
+	OnRun     func(worker string, at time.Duration) // as in Model
 
-	mu   sync.Mutex
-	runs map[string]int
+	mu        sync.Mutex
+	runsByKey map[string]int
 }
 
-// Serve carries one call out; answered is false when no answer is sent.
+// Serve runs a call. answered is false if no response is sent.
 func (t *Tool) Serve(key string, _ []byte) (status int, body []byte, answered bool) {
-	trouble := NoFault
+	fault := NoFault
 	if t.NextFault != nil {
-		trouble = t.NextFault()
+		fault = t.NextFault()
 	}
-	if trouble == Unavailable {
+	if fault == Unavailable {
 		return 503, []byte(`{"error":"leaving"}`), true
 	}
 	if t.OnRun != nil {
 		t.OnRun(t.ID, t.Clock.Now())
 	}
 	t.mu.Lock()
-	if t.runs == nil {
-		t.runs = map[string]int{}
+	if t.runsByKey == nil {
+		t.runsByKey = map[string]int{}
 	}
-	t.runs[key]++
+	t.runsByKey[key]++
 	t.mu.Unlock()
 	t.Clock.Sleep(t.Delay)
-	switch trouble {
+	switch fault {
 	case NoResponse, Truncate:
 		return 0, nil, false
 	case InternalError:
@@ -297,12 +307,12 @@
 	return 200, base.MustMarshal(map[string]string{"done": key}), true
 }
 
-// RunsByKey counts what was carried out, by key.
+// RunsByKey returns the number of runs by key.
 func (t *Tool) RunsByKey() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	runs := map[string]int{}
-	for key, n := range t.runs {
+	for key, n := range t.runsByKey {
 		runs[key] = n
 	}
 	return runs
