--- a/internal/fleet/platform.go
+++ b/internal/fleet/platform.go
@@ -1,8 +1,3 @@
-// A fleet on the platform: each machine has a loopback address of its own and
-// the same ports as all others, its process is told of its place by a settings
-// file, and the platform's stand-ins play round it. The commands of the roles
-// are given, so that any build can be put to it.
-
 package fleet
 
 import (
@@ -24,99 +19,112 @@
 	"github.com/juju/errors"
 )
 
-// PlatformPlan says how a run on the platform goes.
+// PlatformPlan configures a run on the simulated platform.
 type PlatformPlan struct {
-	Site *platform.Site
-	// WorkDir is where programs start, Folder has settings, data and logs.
+	Site *platform.Deployment
+	// WorkDir is the working directory of the commands. Dir contains settings, data
+	// and logs.
 	WorkDir, Dir string
-	// Commands are the programs with their arguments, by class of machine.
+	// Commands has the command line of each class of machines, so that any build can be
+	// tested.
 	Commands        map[string]string
 	TrafficDuration time.Duration
-	RateFactor      float64 // times the site's usual
+	RateFactor      float64 // multiple of the site's usual rate
 	Seed            uint64
 	Events          []PlatformEvent
-	// ClosingFault, when set, ends the day: kill_all, wipe.
+	// ClosingFault is the fault at the end: kill_all, wipe, or none if empty.
 	ClosingFault string
-	// RecordFile, when set, gets everything that was seen, as JSON.
+	// RecordFile, if set, is where all observations are written as JSON.
 	RecordFile string
-	// SetUpTimeout is how long a fleet may take until it serves.
+	// SetUpTimeout is the time within which the fleet must be ready.
 	SetUpTimeout time.Duration
 }
 
-// platformPorts are the same on all machines of a run.
+// platformPorts are the ports of a machine. They are the same on all machines of a
+// run.
 type platformPorts struct {
 	frontPort, readinessPort, controlPort int
 	internalPorts                         [2]int
 }
 
+// machine is a machine of the fleet. initial is true until its first start if it is
+// part of the initial fleet; removed is true once it was removed for good.
 type machine struct {
 	Process
 	class        string
 	ip           string
 	initial      bool
-	lifecycleMu  sync.Mutex // one start or end at a time
-	exitExpected bool       // its end is expected
+	lifecycleMu  sync.Mutex // held while the process is started or is marked to exit
+	exitExpected bool       // the run ends the process, so that it is not restarted
 	removed      bool
 }
 
-// platformRun is a run under way.
+// platformRun is a run of a fleet on the simulated platform. Each machine has its own
+// loopback address and the same ports as all others, and its process gets its
+// configuration from a settings file. The platform's workers, worker list, clients and
+// operators are simulated in this process.
 type platformRun struct {
 	plan            *PlatformPlan
 	clock           base.Clock
 	rng             *rand.Rand
 	rngMu           sync.Mutex
-	ledger          *platform.Ledger
-	names           *platform.Words
-	drafts          *platform.Drafts
+	ledger          *platform.Recorder
+	names           *platform.Names
+	drafts          *platform.ConfigGenerator
 	instances       *platform.Instances
 	listServer      *sockets.InstanceListServer
 	entry           *sockets.LoadBalancer
 	clients         *sockets.Clients
-	player          *platform.Player
+	player          *platform.ProgramRunner
 	ports           platformPorts
 	networkIndex    int
 	hostCount       int
 	mu              sync.Mutex
 	machines        []*machine
 	workers         []*sockets.WorkerServer
-	faults          map[string]*injectedFaults // by worker or service
-	workByPrefix    map[string]platform.Draw   // by route prefix
-	unexpectedExits []string
+	faults          map[string]*injectedFaults       // by worker ID or service
+	workByPrefix    map[string]platform.Distribution // by route prefix
+	unexpectedExits []string                         // reported as violations of the rule FAULT
 	done            chan struct{}
-	tasks           sync.WaitGroup
-	programs        sync.WaitGroup
+	tasks           sync.WaitGroup // watchers of machine processes
+	programs        sync.WaitGroup // programs of clients and probes
 	config          configState
-	rateFactor      float64      // burst
-	persistUntil    atomic.Int64 // until when turns from before a closing fault are asked for
+	rateFactor      float64      // raised during a burst
+	persistUntil    atomic.Int64 // until when clients retry turns from before the closing fault
 }
 
+// newPlatformRun prepares a run without starting anything. Names, configurations and
+// events have separate random sources, which follow from the seed.
 func newPlatformRun(plan *PlatformPlan) *platformRun {
 	run := &platformRun{plan: plan, clock: base.NewRealClock(), rng: rand.New(rand.NewPCG(plan.Seed, 1)), done: make(chan struct{}),
-		faults: map[string]*injectedFaults{}, workByPrefix: map[string]platform.Draw{}, rateFactor: 1}
-	run.ledger = platform.NewLedger(plan.Site.Bounds, plan.Site.Stride(), plan.Site.Cores)
-	run.names = plan.Site.DrawWords(rand.New(rand.NewPCG(plan.Seed, 2)))
-	run.drafts = &platform.Drafts{Site: plan.Site, Words: run.names, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
+		faults: map[string]*injectedFaults{}, workByPrefix: map[string]platform.Distribution{}, rateFactor: 1}
+	run.ledger = platform.NewRecorder(plan.Site.Bounds, plan.Site.TokensPerEvent(), plan.Site.Cores)
+	run.names = plan.Site.DrawNames(rand.New(rand.NewPCG(plan.Seed, 2)))
+	run.drafts = &platform.ConfigGenerator{Deployment: plan.Site, Names: run.names, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
 	run.networkIndex = os.Getpid()*7 + int(plan.Seed%1000)
-	run.instances = &platform.Instances{Clock: run.clock, Ledger: run.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, PerS: plan.Site.ListPerS}
+	run.instances = &platform.Instances{Clock: run.clock, Recorder: run.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, CallsPerSecond: plan.Site.ListCallsPerSecond}
 	run.entry = &sockets.LoadBalancer{}
 	run.clients = &sockets.Clients{Clock: run.clock, NodePicker: run.entry, KeepAliveTenths: 5}
-	run.player = platform.NewPlayer(run.clock, run.clients, run.ledger, plan.Site, run.names, plan.Seed)
-	run.player.Persist = func() time.Duration { return time.Duration(run.persistUntil.Load()) }
+	run.player = platform.NewProgramRunner(run.clock, run.clients, run.ledger, plan.Site, run.names, plan.Seed)
+	run.player.RetryUntil = func() time.Duration { return time.Duration(run.persistUntil.Load()) }
 	return run
 }
 
+// randomInt returns a random number below n. It is safe for concurrent use.
 func (run *platformRun) randomInt(n int) int {
 	run.rngMu.Lock()
 	defer run.rngMu.Unlock()
 	return run.rng.IntN(n)
 }
 
+// randomFloat returns a random number below 1. It is safe for concurrent use.
 func (run *platformRun) randomFloat() float64 {
 	run.rngMu.Lock()
 	defer run.rngMu.Unlock()
 	return run.rng.Float64()
 }
 
+// nextLoopbackAddr returns a loopback address that is not used yet in this run.
 func (run *platformRun) nextLoopbackAddr() string {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -124,7 +132,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 10+run.networkIndex/250%200, 1+run.networkIndex%250, run.hostCount)
 }
 
-// choosePorts draws ports that are free where this machine looks.
+// choosePorts chooses random ports. It probes them on one loopback address only, and
+// keeps the last ones after 50 attempts.
 func (run *platformRun) choosePorts() {
 	host := run.nextLoopbackAddr()
 	for range 50 {
@@ -140,10 +149,10 @@
 	}
 }
 
-// addMachine adds a machine; nothing runs yet.
+// addMachine adds a machine without starting its process.
 func (run *platformRun) addMachine(class, zone string, number int, initial bool) *machine {
 	m := &machine{class: class, ip: run.nextLoopbackAddr(), initial: initial}
-	m.Name, m.Role, m.Zone = platform.Place(class, zone, number), "my-"+class, zone
+	m.Name, m.Role, m.Zone = platform.MachineName(class, zone, number), "my-"+class, zone
 	if class != platform.ClassEdge {
 		m.DataDir = filepath.Join(run.plan.Dir, m.Name, "data")
 	}
@@ -153,6 +162,7 @@
 	return m
 }
 
+// addInitialMachines chooses the ports and adds the machines of the site.
 func (run *platformRun) addInitialMachines() {
 	run.choosePorts()
 	site := run.plan.Site
@@ -166,7 +176,8 @@
 	}
 }
 
-// machinesOf lists the machines of a class that are there, all for none.
+// machinesOf returns the machines of a class that are not removed, or of all classes if
+// class is empty.
 func (run *platformRun) machinesOf(class string) []*machine {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -175,17 +186,19 @@
 
 func (run *platformRun) addrOf(m *machine, port int) string { return fmt.Sprintf("%s:%d", m.ip, port) }
 
+// controlAddrs returns the control addresses of the core machines.
 func (run *platformRun) controlAddrs() []string {
 	return base.Map(run.machinesOf(platform.ClassCore), func(m *machine) string { return run.addrOf(m, run.ports.controlPort) })
 }
 
+// settingsOf returns the current settings of a machine.
 func (run *platformRun) settingsOf(m *machine) *platform.Settings {
 	controlAddrs := run.controlAddrs()
 	servedRole := map[string]string{platform.ClassEdge: platform.ClassEdge, platform.ClassCore: "control", platform.ClassStorage: platform.ClassStorage}[m.class]
 	return &platform.Settings{Node: m.Name, Role: m.Role, Class: m.class, Serves: servedRole, IP: m.ip, Zone: m.Zone, Region: run.plan.Site.Region,
 		Zones: run.plan.Site.Zones, Front: run.addrOf(m, run.ports.frontPort), Readiness: run.addrOf(m, run.ports.readinessPort), Control: run.addrOf(m, run.ports.controlPort),
-		Ports: run.ports.internalPorts, Seeds: controlAddrs[:min(3, len(controlAddrs))], First: m.initial, Counted: m.class != platform.ClassEdge, DataDir: m.DataDir,
-		Tolerate: 1, Bounds: run.plan.Site.Bounds, ListAddress: run.listServer.Address, ListPerS: run.plan.Site.ListPerS}
+		Ports: run.ports.internalPorts, Seeds: controlAddrs[:min(3, len(controlAddrs))], Bootstrap: m.initial, LossCounted: m.class != platform.ClassEdge, DataDir: m.DataDir,
+		FaultTolerance: 1, Bounds: run.plan.Site.Bounds, ListAddress: run.listServer.Address, ListCallsPerSecond: run.plan.Site.ListCallsPerSecond}
 }
 
 func (run *platformRun) settingsPath(m *machine) string {
@@ -196,7 +209,8 @@
 	return filepath.Join(run.plan.Dir, m.Name+".log")
 }
 
-// writeSettings writes a machine's settings file as they are now.
+// writeSettings atomically replaces the settings file of a machine, and creates its
+// data directory.
 func (run *platformRun) writeSettings(m *machine) error {
 	if err := os.MkdirAll(filepath.Dir(run.settingsPath(m)), 0o755); err != nil {
 		return errors.Trace(err)
@@ -213,18 +227,20 @@
 	return errors.Trace(os.Rename(newPath, run.settingsPath(m)))
 }
 
-// start runs a machine's process and starts it again when it ends by itself.
+// start starts the process of a machine, and restarts it when it exits unexpectedly.
 func (run *platformRun) start(m *machine) error {
 	m.lifecycleMu.Lock()
 	defer m.lifecycleMu.Unlock()
 	return run.startLocked(m)
 }
 
+// startLocked is start for callers that hold m.lifecycleMu.
 func (run *platformRun) startLocked(m *machine) error {
 	run.mu.Lock()
 	removed := m.removed
 	run.mu.Unlock()
-	// Two troubles may end on one machine: it runs one process, or none for good.
+	// Two events may affect the same machine. It must not run two processes, and none
+	// after it was removed.
 	if removed || m.Running() {
 		return nil
 	}
@@ -233,7 +249,7 @@
 	}
 	commandLine := strings.Fields(run.plan.Commands[m.class])
 	if len(commandLine) == 0 {
-		return errors.Errorf("no command for machines of class %s", m.class)
+		return errors.Errorf("no command is configured for machines of class %q", m.class)
 	}
 	command := exec.Command(commandLine[0], commandLine[1:]...)
 	command.Dir = run.plan.WorkDir
@@ -243,7 +259,7 @@
 	}
 	m.initial, m.exitExpected = false, false
 	startedAt := run.clock.Now()
-	run.ledger.Note(func(r *platform.Record) {
+	run.ledger.Update(func(r *platform.Record) {
 		r.Starts = append(r.Starts, platform.Start{Machine: m.Name, Class: m.class, At: startedAt})
 	})
 	exited := m.exited
@@ -259,7 +275,8 @@
 	return nil
 }
 
-// restartAfterExit starts a process again that ended though nobody asked it to.
+// restartAfterExit records an unexpected exit of the process and starts it again. After
+// 50 unexpected exits in the run, processes are no longer restarted.
 func (run *platformRun) restartAfterExit(m *machine, exited chan struct{}) {
 	m.lifecycleMu.Lock()
 	defer m.lifecycleMu.Unlock()
@@ -270,9 +287,9 @@
 		return
 	}
 	exitCode, _ := m.Wait(0)
-	log, _ := os.ReadFile(run.logPath(m))
+	logContent, _ := os.ReadFile(run.logPath(m))
 	run.mu.Lock()
-	run.unexpectedExits = append(run.unexpectedExits, fmt.Sprintf("%s ended by itself with code %d at %.1fs: %s", m.Name, exitCode, run.clock.Now().Seconds(), log[max(0, len(log)-400):]))
+	run.unexpectedExits = append(run.unexpectedExits, fmt.Sprintf("%s exited unexpectedly with code %d at %.1fs: %s", m.Name, exitCode, run.clock.Now().Seconds(), logContent[max(0, len(logContent)-400):]))
 	tooMany := len(run.unexpectedExits) > 50
 	run.mu.Unlock()
 	select {
@@ -285,7 +302,7 @@
 	}
 }
 
-// stopWith ends a process with a signal; its end is expected.
+// stopWith marks the exit of the process as expected and calls stop to end it.
 func (run *platformRun) stopWith(m *machine, stop func()) {
 	m.lifecycleMu.Lock()
 	m.exitExpected = true
@@ -293,20 +310,21 @@
 	stop()
 }
 
-// recordTrouble notes a trouble of a machine until the step it gives back is called.
+// recordTrouble records a trouble of a machine that lasts until the returned function
+// is called.
 func (run *platformRun) recordTrouble(kind string, m *machine, configure func(trouble *platform.Trouble)) (end func()) {
 	trouble := &platform.Trouble{Kind: kind, Machine: m.Name, Class: m.class, From: run.clock.Now(), To: 1 << 60}
 	if configure != nil {
 		configure(trouble)
 	}
-	run.ledger.Note(func(r *platform.Record) { r.Troubles = append(r.Troubles, trouble) })
+	run.ledger.Update(func(r *platform.Record) { r.Troubles = append(r.Troubles, trouble) })
 	return func() {
 		endedAt := run.clock.Now()
-		run.ledger.Note(func(*platform.Record) { trouble.To = endedAt })
+		run.ledger.Update(func(*platform.Record) { trouble.To = endedAt })
 	}
 }
 
-// waitUntil waits for a condition, within a bound and while the run goes on.
+// waitUntil polls until the condition is true, and returns false after the timeout.
 func (run *platformRun) waitUntil(timeout time.Duration, condition func() bool) bool {
 	deadline := run.clock.Now() + timeout
 	for !condition() {
@@ -318,8 +336,8 @@
 	return true
 }
 
-// setUp starts everything, sends the first configuration, and waits until all
-// nodes that take clients are ready.
+// setUp starts the worker list, the workers and all machines, submits the first
+// configuration, and waits until all nodes that serve clients are ready.
 func (run *platformRun) setUp() error {
 	var err error
 	if run.listServer, err = sockets.ListenInstanceList(run.instances, run.nextLoopbackAddr()+":0"); err != nil {
@@ -334,33 +352,36 @@
 			return err
 		}
 	}
-	var nodes []*platform.EntryNode
+	var nodes []*platform.EdgeNode
 	for _, m := range run.machinesOf(platform.ClassEdge) {
 		nodes = append(nodes, run.newEntryNode(m))
 	}
 	run.entry.Start(nodes)
 	run.config.operator = run.newOperator("first")
-	config := run.drafts.First()
-	order := run.config.operator.Put(0, config, config.Encode(), "", run.plan.SetUpTimeout)
+	config := run.drafts.Initial()
+	order := run.config.operator.PutConfig(0, config, config.Encode(), "", run.plan.SetUpTimeout)
 	if !order.Acked() {
-		return errors.Errorf("the first configuration was not taken within %v: %d", run.plan.SetUpTimeout, order.Status)
+		return errors.Errorf("the first configuration was not acknowledged within %v: status %d", run.plan.SetUpTimeout, order.Status)
 	}
 	run.config.setLatest(order)
-	if !run.waitUntil(run.plan.SetUpTimeout, func() bool { return run.entry.Ready() == len(nodes) }) {
-		return errors.Errorf("%d of %d nodes are ready after %v", run.entry.Ready(), len(nodes), run.plan.SetUpTimeout)
+	if !run.waitUntil(run.plan.SetUpTimeout, func() bool { return run.entry.CountReady() == len(nodes) }) {
+		return errors.Errorf("only %d of %d nodes are ready after %v", run.entry.CountReady(), len(nodes), run.plan.SetUpTimeout)
 	}
 	return nil
 }
 
-func (run *platformRun) newEntryNode(m *machine) *platform.EntryNode {
-	return &platform.EntryNode{Name: m.Name, Zone: m.Zone, Front: run.addrOf(m, run.ports.frontPort), Readiness: run.addrOf(m, run.ports.readinessPort)}
+func (run *platformRun) newEntryNode(m *machine) *platform.EdgeNode {
+	return &platform.EdgeNode{Name: m.Name, Zone: m.Zone, Front: run.addrOf(m, run.ports.frontPort), Readiness: run.addrOf(m, run.ports.readinessPort)}
 }
 
+// newOperator returns an operator whose random choices follow from the seed and its
+// name.
 func (run *platformRun) newOperator(name string) *platform.Operator {
-	return &platform.Operator{Call: sockets.CallControl, Name: name, Clock: run.clock, Ledger: run.ledger, Control: run.controlAddrs, Rng: rand.New(rand.NewPCG(run.plan.Seed, base.Hash64(name)))}
+	return &platform.Operator{Call: sockets.CallControl, Name: name, Clock: run.clock, Recorder: run.ledger, Control: run.controlAddrs, Rng: rand.New(rand.NewPCG(run.plan.Seed, base.Hash64(name)))}
 }
 
-// stop ends everything that the run started, by its id.
+// stop ends all processes and servers that the run has started. It signals processes by
+// their IDs, and resumes frozen ones first.
 func (run *platformRun) stop() {
 	close(run.done)
 	run.mu.Lock()
@@ -368,7 +389,7 @@
 	run.mu.Unlock()
 	for _, m := range machines {
 		run.stopWith(m, func() {
-			m.Signal(continueSignal)
+			m.Signal(resumeSignal)
 			m.Kill()
 		})
 	}
@@ -384,7 +405,7 @@
 	}
 }
 
-// portIsFree tells whether a port can be listened at on an address.
+// portIsFree reports whether it is possible to listen on the address.
 func portIsFree(addr string) bool {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/fleet/platform_run.go
+++ b/internal/fleet/platform_run.go
@@ -1,6 +1,3 @@
-// One run on the platform from start to report: formation, traffic with
-// troubles at their times, probes, a closing fault, reading back, checking.
-
 package fleet
 
 import (
@@ -18,7 +15,8 @@
 	"github.com/juju/errors"
 )
 
-// configState is the operators' view of the configuration.
+// configState is the latest acknowledged configuration, with the routes that its last
+// change added and removed.
 type configState struct {
 	mu       sync.Mutex
 	operator *platform.Operator
@@ -28,6 +26,8 @@
 	changeMu sync.Mutex // one change at a time
 }
 
+// setLatest records an acknowledged configuration and compares its routes with those of
+// the previous one.
 func (c *configState) setLatest(order *platform.Order) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,30 +53,32 @@
 	return c.latest.Config
 }
 
-// changeConfig sends one valid configuration on top of the newest.
+// changeConfig submits a valid configuration that is based on the latest.
 func (run *platformRun) changeConfig() *platform.Order {
 	run.config.changeMu.Lock()
 	defer run.config.changeMu.Unlock()
 	return run.changeConfigLocked()
 }
 
+// changeConfigLocked is changeConfig for callers that hold config.changeMu.
 func (run *platformRun) changeConfigLocked() *platform.Order {
 	latest := run.config.current()
-	next := run.drafts.Next(latest)
-	order := run.config.operator.Put(latest.Generation, next, next.Encode(), "", 30*time.Second)
+	next := run.drafts.NextValid(latest)
+	order := run.config.operator.PutConfig(latest.Generation, next, next.Encode(), "", 30*time.Second)
 	if order.Acked() {
 		run.config.setLatest(order)
 	}
 	return order
 }
 
-// submitConflictingConfigs has two operators build on the same version at once.
+// submitConflictingConfigs has two operators concurrently submit configurations that
+// are based on the same version.
 func (run *platformRun) submitConflictingConfigs() {
 	run.config.changeMu.Lock()
 	defer run.config.changeMu.Unlock()
 	latest := run.config.current()
 	orders := make([]*platform.Order, 2)
-	drafts := []*platform.Config{run.drafts.Next(latest), run.drafts.Next(latest)}
+	drafts := []*platform.Config{run.drafts.NextValid(latest), run.drafts.NextValid(latest)}
 	if drafts[0].Generation == drafts[1].Generation {
 		drafts[1].Generation++
 	}
@@ -86,7 +88,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			orders[index] = operator.Put(latest.Generation, drafts[index], drafts[index].Encode(), "", 30*time.Second)
+			orders[index] = operator.PutConfig(latest.Generation, drafts[index], drafts[index].Encode(), "", 30*time.Second)
 		}()
 	}
 	group.Wait()
@@ -97,12 +99,13 @@
 	}
 }
 
+// submitInvalidConfigs submits count invalid configurations, of all kinds in turn.
 func (run *platformRun) submitInvalidConfigs(count int, interval time.Duration) {
 	for index := range count {
 		run.config.changeMu.Lock()
 		latest := run.config.current()
 		config, raw, expectedFault := run.drafts.Invalid(latest, platform.InvalidKinds[index%len(platform.InvalidKinds)])
-		order := run.config.operator.Put(latest.Generation, config, raw, expectedFault, 10*time.Second)
+		order := run.config.operator.PutConfig(latest.Generation, config, raw, expectedFault, 10*time.Second)
 		if order.Acked() && config != nil {
 			run.config.setLatest(order)
 		}
@@ -111,6 +114,7 @@
 	}
 }
 
+// setRateFactor multiplies the rate of traffic by a factor, for bursts.
 func (run *platformRun) setRateFactor(factor float64) {
 	run.rngMu.Lock()
 	run.rateFactor = factor
@@ -123,12 +127,13 @@
 	return run.rateFactor * run.plan.RateFactor
 }
 
-// generateTraffic begins programs in every zone until its time is over.
+// generateTraffic starts programs of all classes in all zones, at random intervals,
+// until end.
 func (run *platformRun) generateTraffic(ctx context.Context, end time.Duration) {
 	var group sync.WaitGroup
 	for classIndex := range run.plan.Site.Classes {
 		class := &run.plan.Site.Classes[classIndex]
-		if class.PerS == 0 {
+		if class.ProgramsPerSecond == 0 {
 			continue
 		}
 		for zoneIndex, zone := range run.plan.Site.Zones {
@@ -137,11 +142,11 @@
 			go func() {
 				defer group.Done()
 				for {
-					run.clock.Sleep(time.Duration(rng.ExpFloat64() / (class.PerS * run.currentRateFactor()) * float64(time.Second)))
+					run.clock.Sleep(time.Duration(rng.ExpFloat64() / (class.ProgramsPerSecond * run.currentRateFactor()) * float64(time.Second)))
 					if ctx.Err() != nil || run.clock.Now() >= end {
 						return
 					}
-					run.startProgram(class, zone, rng.IntN(run.plan.Site.Clients), end, "")
+					run.startProgram(class, zone, rng.IntN(run.plan.Site.ClientsPerZone), end, "")
 				}
 			}()
 		}
@@ -149,39 +154,39 @@
 	group.Wait()
 }
 
-// startProgram starts one program; one that ought to end too late does not begin.
-func (run *platformRun) startProgram(class *platform.Class, zone string, client int, end time.Duration, previousTurn string) {
+// startProgram starts a program, unless it is expected to end too late.
+func (run *platformRun) startProgram(class *platform.RequestClass, zone string, client int, end time.Duration, previousTurn string) {
 	var plan *platform.ProgramPlan
-	run.player.Draw(func(g *platform.Generator) { plan = g.Program(class, zone, client) })
-	if run.clock.Now()+plan.Aim > end+run.plan.Site.Bounds.Finish {
+	run.player.WithGenerator(func(g *platform.ProgramGenerator) { plan = g.Program(class, zone, client) })
+	if run.clock.Now()+plan.TargetTime > end+run.plan.Site.Bounds.Finish {
 		return
 	}
 	run.programs.Add(1)
 	go func() {
 		defer run.programs.Done()
-		run.player.Program(plan, previousTurn)
+		run.player.RunProgram(plan, previousTurn)
 	}()
 }
 
-// probeNodes asks every ready node directly, on routes that were just added or
-// removed and on one that never was.
+// probeNodes sends requests directly to each ready node, on routes that were just added
+// or removed and on routes that never existed.
 func (run *platformRun) probeNodes(ctx context.Context) {
 	for ctx.Err() == nil {
 		run.config.mu.Lock()
 		routes := append(append([]platform.Route(nil), run.config.added...), run.config.removed...)
 		run.config.mu.Unlock()
 		routes = append(routes, platform.Route{Host: "never.example", Prefix: fmt.Sprintf("/never%d/", run.randomInt(1000)), Kind: platform.Idempotent})
-		for _, node := range run.entry.In() {
+		for _, node := range run.entry.ReadyNodes() {
 			route := routes[run.randomInt(len(routes))]
 			if route.Kind != platform.Idempotent {
 				continue
 			}
-			class := &platform.Class{Name: "probe", Kind: platform.Idempotent, Method: "GET", Aim: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond}
+			class := &platform.RequestClass{Name: "probe", Kind: platform.Idempotent, Method: "GET", TargetLatency: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond}
 			run.programs.Add(1)
 			go func() {
 				defer run.programs.Done()
-				run.player.Request(class, 0, func(try *platform.Try) {
-					try.Probe, try.Node, try.Host, try.Target, try.Client = true, platform.Probe(node), route.Host, route.Prefix+"probe", "probe"
+				run.player.SendWithRetries(class, 0, func(try *platform.Try) {
+					try.Probe, try.Node, try.Host, try.Target, try.Client = true, platform.ProbeTarget(node), route.Host, route.Prefix+"probe", "probe"
 				})
 			}()
 		}
@@ -189,39 +194,41 @@
 	}
 }
 
-// runClosingFault brings the fault at the end of a day about, right after a
-// configuration was acknowledged, and has programs continue from before it.
+// runClosingFault kills all machines right after a configuration was acknowledged, and
+// restarts them. Then it generates traffic again, with programs that continue turns
+// from before the fault.
 func (run *platformRun) runClosingFault(ctx context.Context) error {
 	run.changeConfig()
 	turns := run.answeredTurns()
 	start := run.clock.Now()
-	// The span stands in the record from the first kill on.
+	// The record shows the fault as ongoing from before the first kill.
 	closing := &platform.Closing{From: start, Back: 1 << 59}
-	run.ledger.Note(func(r *platform.Record) { r.Closing = closing })
+	run.ledger.Update(func(r *platform.Record) { r.Closing = closing })
 	if err := run.killAndRestartAll(time.Second, run.plan.ClosingFault == "wipe"); err != nil {
 		return err
 	}
 	restartedAt := run.clock.Now()
-	run.ledger.Note(func(*platform.Record) { closing.Back = restartedAt })
+	run.ledger.Update(func(*platform.Record) { closing.Back = restartedAt })
 	recoveredBy := restartedAt + run.plan.Site.Bounds.Recovery
 	end := recoveredBy + 6*time.Second
 	run.persistUntil.Store(int64(recoveredBy))
 	for _, turn := range turns {
-		run.startProgram(run.plan.Site.Class(turn.Class), turn.Zone, run.randomInt(run.plan.Site.Clients), end, turn.ID)
+		run.startProgram(run.plan.Site.Class(turn.Class), turn.Zone, run.randomInt(run.plan.Site.ClientsPerZone), end, turn.ID)
 	}
 	run.generateTraffic(ctx, end)
 	return nil
 }
 
-// answeredTurns gives some turns that were answered whole and are still kept.
+// answeredTurns returns up to six turns that were answered completely and have at least
+// half of their retention left.
 func (run *platformRun) answeredTurns() (turns []*platform.Try) {
-	for _, outcome := range run.ledger.Record().Outcomes {
+	for _, outcome := range run.ledger.Snapshot().Outcomes {
 		if outcome.Ending != platform.InTime && outcome.Ending != platform.Late {
 			continue
 		}
 		var last *platform.Try
-		for _, try := range run.ledger.Record().Tries {
-			if try.Program == outcome.Program && try.Retain > 0 && try.OK() {
+		for _, try := range run.ledger.Snapshot().Tries {
+			if try.Program == outcome.Program && try.Retain > 0 && try.Succeeded() {
 				last = try
 			}
 		}
@@ -235,7 +242,10 @@
 	return turns
 }
 
-// RunPlatform plays a plan, writes its report and gives the rules broken.
+// RunPlatform runs a plan, writes its report to out and returns the violations of the
+// platform's rules. It sets up the fleet, generates traffic with the planned events and
+// with probes, runs the closing fault, reads the configuration back, stops all
+// processes and checks the record.
 func RunPlatform(ctx context.Context, plan *PlatformPlan, out io.Writer) ([]platform.Breach, error) {
 	run := newPlatformRun(plan)
 	stopped := false
@@ -250,7 +260,7 @@
 		return nil, run.withLogTails(err)
 	}
 	readyAt := run.clock.Now()
-	run.logf("all %d nodes are ready", run.entry.Ready())
+	run.logf("all %d nodes are ready", run.entry.CountReady())
 	end := readyAt + plan.TrafficDuration
 	trafficCtx, stopTraffic := context.WithCancel(ctx)
 	defer stopTraffic()
@@ -287,17 +297,17 @@
 	stopTraffic()
 	run.programs.Wait()
 	extraResponses := run.clients.Close()
-	run.config.operator.ReadBack(plan.Site.Bounds.Contact, plan.Site.Bounds.Contact+20*time.Second)
-	run.instances.Settle()
-	run.ledger.Note(func(r *platform.Record) { r.Over = run.clock.Now() })
+	run.config.operator.ReadConfigRepeatedly(plan.Site.Bounds.Contact, plan.Site.Bounds.Contact+20*time.Second)
+	run.instances.ApplyDue()
+	run.ledger.Update(func(r *platform.Record) { r.Over = run.clock.Now() })
 	stop()
-	record := run.ledger.Record()
+	record := run.ledger.Snapshot()
 	breaches := record.Check()
 	for _, text := range extraResponses {
-		breaches = append(breaches, platform.Breach{Rule: "MIXED", Word: text + " where no request was waiting"})
+		breaches = append(breaches, platform.Breach{Rule: "MIXED", Detail: text + " with no request outstanding"})
 	}
 	for _, text := range run.unexpectedExits {
-		breaches = append(breaches, platform.Breach{Rule: "FAULT", Word: text})
+		breaches = append(breaches, platform.Breach{Rule: "FAULT", Detail: text})
 	}
 	record.Print(out, breaches)
 	if plan.RecordFile != "" {
@@ -310,17 +320,17 @@
 		for _, m := range run.machinesOf(class) {
 			cpuTime, peakMemory, count = cpuTime+m.cpuTime, max(peakMemory, m.peakMemory), count+1
 		}
-		_, _ = fmt.Fprintf(out, "%d %s: %.2f s of processor time, at most %d MB each\n", count, class, cpuTime.Seconds(), peakMemory>>20)
+		_, _ = fmt.Fprintf(out, "%d %s machines: %.2f s of processor time, at most %d MB of memory each\n", count, class, cpuTime.Seconds(), peakMemory>>20)
 	}
-	listCalls, rejectedCalls := run.instances.Calls()
+	listCalls, rejectedCalls := run.instances.CallCounts()
 	connections, promptTokens, cachedTokens := 0, 0, 0
 	for _, worker := range run.workers {
 		connections += worker.OpenedConns()
-		requested, cached := worker.Worker.Prompts()
+		requested, cached := worker.Worker.PromptTokens()
 		promptTokens, cachedTokens = promptTokens+requested, cachedTokens+cached
 	}
-	_, _ = fmt.Fprintf(out, "%d prompt tokens asked of model workers, %d of them kept there (%.0f%%)\n", promptTokens, cachedTokens, 100*float64(cachedTokens)/float64(max(1, promptTokens)))
-	_, _ = fmt.Fprintf(out, "%.1f s to form; list: %d calls, %d over the rate; %d connections to workers\n", readyAt.Seconds(), listCalls, rejectedCalls, connections)
+	_, _ = fmt.Fprintf(out, "%d prompt tokens sent to model workers, %d of them cached there (%.0f%%)\n", promptTokens, cachedTokens, 100*float64(cachedTokens)/float64(max(1, promptTokens)))
+	_, _ = fmt.Fprintf(out, "%.1f s to set up; worker list: %d calls, %d over the rate limit; %d connections to workers\n", readyAt.Seconds(), listCalls, rejectedCalls, connections)
 	select {
 	case err := <-errs:
 		return breaches, run.withLogTails(err)
@@ -329,12 +339,12 @@
 	}
 }
 
-// withLogTails adds the end of the logs to an error, for tests.
+// withLogTails adds the ends of all machines' logs to an error.
 func (run *platformRun) withLogTails(err error) error {
 	tails := ""
 	for _, m := range run.machinesOf("") {
-		log, _ := os.ReadFile(run.logPath(m))
-		tails += fmt.Sprintf("\n%s: %s", m.Name, log[max(0, len(log)-600):])
+		content, _ := os.ReadFile(run.logPath(m))
+		tails += fmt.Sprintf("\n%s: %s", m.Name, content[max(0, len(content)-600):])
 	}
 	return errors.Errorf("%v%s", err, tails)
 }
--- a/internal/simulate/tier_scenarios.go
+++ b/internal/simulate/tier_scenarios.go
@@ -1,6 +1,3 @@
-// The days: every trouble of the deployments' sheets, alone and mixed, and the
-// faults that end a day.
-
 package simulate
 
 import (
@@ -9,12 +6,12 @@
 	parties "fordseam/internal/standin/platform"
 )
 
-// at is a deed some seconds after traffic began, drawn by the seed up to a
-// second later.
-func delayed(seconds float64, deed func(t *Tier)) func(t *Tier) {
+// delayed returns a fault that starts some seconds after the traffic, plus up to a
+// second drawn from the seed.
+func delayed(delaySeconds float64, fault func(t *Tier)) func(t *Tier) {
 	return func(t *Tier) {
-		t.CallerHost.Clock().Sleep(time.Duration(seconds*float64(time.Second)) + t.World.Between(0, time.Second))
-		deed(t)
+		t.CallerHost.Clock().Sleep(time.Duration(delaySeconds*float64(time.Second)) + t.World.Between(0, time.Second))
+		fault(t)
 	}
 }
 
@@ -29,107 +26,109 @@
 
 func storageMachines(t *Tier) []*Machine { return t.Storage }
 
-// killed kills some machines of a class, at most as many of those with a disk
-// as may be lost.
-func killMachines(list func(t *Tier) []*Machine, share float64, power bool) func(t *Tier) {
+// killMachines returns a fault that kills a share of a role's machines for a moment, but
+// of storage machines at most as many as may be lost.
+func killMachines(machinesOf func(t *Tier) []*Machine, fraction float64, powerLoss bool) func(t *Tier) {
 	return func(t *Tier) {
-		count := max(1, int(share*float64(len(list(t)))))
-		if list(t)[0].Role == "storage" {
+		count := max(1, int(fraction*float64(len(machinesOf(t)))))
+		if machinesOf(t)[0].Role == "storage" {
 			count = min(count, t.TierShape.FaultTolerance)
 		}
-		t.forEachMachine(t.drawMachines(list(t), count), func(m *Machine) {
-			t.crashFor(m, "node_kill", t.World.Between(200*time.Millisecond, 2*second), power, false)
+		t.forEachMachine(t.drawMachines(machinesOf(t), count), func(m *Machine) {
+			t.crashFor(m, "node_kill", t.World.Between(200*time.Millisecond, 2*second), powerLoss, false)
 		})
 	}
 }
 
-func freezeMachine(list func(t *Tier) []*Machine) func(t *Tier) {
+func freezeMachine(machinesOf func(t *Tier) []*Machine) func(t *Tier) {
 	return func(t *Tier) {
-		t.forEachMachine(t.drawMachines(list(t), 1), func(m *Machine) { t.freezeFor(m, t.World.Between(second, 4*second)) })
+		t.forEachMachine(t.drawMachines(machinesOf(t), 1), func(m *Machine) { t.freezeFor(m, t.World.Between(second, 4*second)) })
 	}
 }
 
-func slowMachine(list func(t *Tier) []*Machine) func(t *Tier) {
+func slowMachine(machinesOf func(t *Tier) []*Machine) func(t *Tier) {
 	return func(t *Tier) {
-		t.forEachMachine(t.drawMachines(list(t), 1), func(m *Machine) { t.slowFor(m, 3*second) })
+		t.forEachMachine(t.drawMachines(machinesOf(t), 1), func(m *Machine) { t.slowFor(m, 3*second) })
 	}
 }
 
-func replaceMachine(list func(t *Tier) []*Machine) func(t *Tier) {
+func replaceMachine(machinesOf func(t *Tier) []*Machine) func(t *Tier) {
 	return func(t *Tier) {
-		t.forEachMachine(t.drawMachines(list(t), 1), func(m *Machine) { t.replaceLost(m, shortDowntime) })
+		t.forEachMachine(t.drawMachines(machinesOf(t), 1), func(m *Machine) { t.replaceLost(m, shortDowntime) })
 	}
 }
 
-// succeeded replaces a machine as planned work.
-func replaceAfterJoin(list func(t *Tier) []*Machine) func(t *Tier) {
+// replaceAfterJoin returns a fault that replaces a machine as planned work: its
+// replacement joins first.
+func replaceAfterJoin(machinesOf func(t *Tier) []*Machine) func(t *Tier) {
 	return func(t *Tier) {
-		t.forEachMachine(t.drawMachines(list(t), 1), func(m *Machine) { t.replaceAfterJoin(m, t.World.Between(second, 4*second)) })
+		t.forEachMachine(t.drawMachines(machinesOf(t), 1), func(m *Machine) { t.replaceAfterJoin(m, t.World.Between(second, 4*second)) })
 	}
 }
 
-// secondLosses lose storage machines in one way after another, each when the
-// last has caught up: one is retired and others lose their disks right then, two
-// are wiped apart, one is replaced as planned work.
+// consecutiveStorageLosses loses storage machines in several ways, each as soon as the
+// last machine has caught up: one is retired and others lose their disks at that
+// moment, two are wiped one after the other, and one is replaced as planned work.
 func consecutiveStorageLosses(t *Tier) {
 	clock, catchUp := t.CallerHost.Clock(), t.Site.Bounds.CatchUp
-	wiped := func(count int) {
+	wipeMachines := func(count int) {
 		t.forEachMachine(t.drawMachines(t.Storage, count), func(m *Machine) { t.crashFor(m, "node_kill", shortDowntime, true, true) })
 		clock.Sleep(catchUp)
 	}
 	t.joinMachine("storage")
 	clock.Sleep(2 * second)
 	t.forEachMachine(t.drawMachines(t.Storage, 1), func(m *Machine) { t.retireStorage(m) })
-	wiped(t.TierShape.FaultTolerance)
-	wiped(1)
-	wiped(1)
+	wipeMachines(t.TierShape.FaultTolerance)
+	wipeMachines(1)
+	wipeMachines(1)
 	replaceAfterJoin(storageMachines)(t)
 	clock.Sleep(catchUp)
 }
 
-func isolateMachines(list func(t *Tier) []*Machine, half bool) func(t *Tier) {
+func isolateMachines(machinesOf func(t *Tier) []*Machine, half bool) func(t *Tier) {
 	return func(t *Tier) {
 		count := 1
 		if half {
-			count = len(list(t)) / 2
+			count = len(machinesOf(t)) / 2
 		}
-		t.isolateFor(t.drawMachines(list(t), count), t.World.Between(second, 4*second))
+		t.isolateFor(t.drawMachines(machinesOf(t), count), t.World.Between(second, 4*second))
 	}
 }
 
-// halved cuts the machines that count into halves for some seconds.
+// partitionInHalves partitions the cores and storage machines into halves for some
+// seconds.
 func partitionInHalves(t *Tier) { t.partitionFor(t.World.Between(2*second, 5*second)) }
 
-// storesDown has more storage machines without power at once than may be lost;
-// all disks come back.
+// excessStorageOutage cuts the power of more storage machines than may be lost; all
+// come back with their disks.
 func excessStorageOutage(t *Tier) {
 	t.forEachMachine(t.drawMachines(t.Storage, t.TierShape.FaultTolerance+2), func(m *Machine) {
 		t.crashFor(m, "node_kill", t.World.Between(second, 4*second), true, false)
 	})
 }
 
-func rollingRestart(list func(t *Tier) []*Machine) func(t *Tier) {
+func rollingRestart(machinesOf func(t *Tier) []*Machine) func(t *Tier) {
 	return func(t *Tier) {
-		for _, m := range t.drawMachines(list(t), 3) {
+		for _, m := range t.drawMachines(machinesOf(t), 3) {
 			t.restartGracefully(m, "roll_term", 300*time.Millisecond)
 			t.CallerHost.Clock().Sleep(second)
 		}
 	}
 }
 
-func releaseWorkers(shape string) func(t *Tier) {
-	return func(t *Tier) { t.releaseWorkers(shape, 0.5, 800*time.Millisecond) }
+func releaseWorkers(service string) func(t *Tier) {
+	return func(t *Tier) { t.releaseWorkers(service, 0.5, 800*time.Millisecond) }
 }
 
-func loseAnswers(shape string, share float64) func(t *Tier) {
+func loseAnswers(service string, probability float64) func(t *Tier) {
 	return func(t *Tier) {
-		t.injectWorkerFaults(t.words.Services[shape], share, 6*second, parties.LostReset, parties.LostSilent)
+		t.injectWorkerFaults(t.words.Services[service], probability, 6*second, parties.FaultLostReset, parties.FaultLostSilent)
 	}
 }
 
-func loadBurst(times float64) func(t *Tier) {
+func loadBurst(factor float64) func(t *Tier) {
 	return func(t *Tier) {
-		t.loadMultiplier = times
+		t.loadMultiplier = factor
 		t.CallerHost.Clock().Sleep(3 * second)
 		t.loadMultiplier = 1
 	}
@@ -153,22 +152,23 @@
 	t.afterConfigAck(func(m *Machine) { t.crashFor(m, "after_ack_wipe", shortDowntime, true, true) }, t.TierShape.FaultTolerance)
 }
 
-func withRandomWorker(shape string, step func(t *Tier, s *tierWorker)) func(t *Tier) {
+func withRandomWorker(service string, step func(t *Tier, s *tierWorker)) func(t *Tier) {
 	return func(t *Tier) {
-		if list := t.activeWorkers(shape); len(list) > 0 {
-			step(t, list[t.rng.IntN(len(list))])
+		if workers := t.activeWorkers(service); len(workers) > 0 {
+			step(t, workers[t.rng.IntN(len(workers))])
 		}
 	}
 }
 
-// TierScenarios are all days that runs and campaigns draw on.
+// TierScenarios are all scenarios of the tier: the platform's faults alone and combined,
+// and final faults.
 var TierScenarios = []*TierScenario{
 	{Name: "quiet"},
 	{Name: "burst", Faults: []func(t *Tier){delayed(2, loadBurst(6))}},
 	{Name: "urgent burst", Faults: []func(t *Tier){delayed(2, func(t *Tier) {
 		class := &t.Site.Classes[0]
 		for range 20 * len(t.Site.Zones) {
-			t.startProgram(class, t.Site.Zones[t.rng.IntN(len(t.Site.Zones))], t.rng.IntN(t.Site.Clients), t.World.now+10*second, "")
+			t.startProgram(class, t.Site.Zones[t.rng.IntN(len(t.Site.Zones))], t.rng.IntN(t.Site.ClientsPerZone), t.World.now+10*second, "")
 		}
 	})}},
 	{Name: "release of model workers", Faults: []func(t *Tier){delayed(1, releaseWorkers("model"))}},
@@ -177,31 +177,31 @@
 	{Name: "answer_lost at model workers", Faults: []func(t *Tier){delayed(1, loseAnswers("model", 0.1))}},
 	{Name: "answers garbled, cut, late and extra", Faults: []func(t *Tier){
 		delayed(1, func(t *Tier) {
-			t.injectWorkerFaults(t.words.Services["app"], 0.15, 8*second, parties.Garbled, parties.Cut, parties.Extra, parties.LateExtra)
+			t.injectWorkerFaults(t.words.Services["app"], 0.15, 8*second, parties.FaultGarbled, parties.FaultCut, parties.FaultExtra, parties.FaultLateExtra)
 		}),
 		delayed(1, func(t *Tier) {
-			t.injectWorkerFaults(t.words.Services["model"], 0.1, 8*second, parties.Garbled, parties.Cut, parties.Extra, parties.LateExtra)
+			t.injectWorkerFaults(t.words.Services["model"], 0.1, 8*second, parties.FaultGarbled, parties.FaultCut, parties.FaultExtra, parties.FaultLateExtra)
 		})}},
-	{Name: "srv_slow", Faults: []func(t *Tier){delayed(1, func(t *Tier) { t.injectWorkerFaults(t.words.Services["app"], 0.5, 6*second, parties.Slow) })}},
+	{Name: "srv_slow", Faults: []func(t *Tier){delayed(1, func(t *Tier) { t.injectWorkerFaults(t.words.Services["app"], 0.5, 6*second, parties.FaultSlow) })}},
 	{Name: "srv_grey", Faults: []func(t *Tier){delayed(1, withRandomWorker("app", func(t *Tier, s *tierWorker) {
 		s.LyingHealth = true
-		t.injectWorkerFaults(s.ID, 0.6, 7*second, parties.LostSilent, parties.Slow, parties.Fail)
+		t.injectWorkerFaults(s.ID, 0.6, 7*second, parties.FaultLostSilent, parties.FaultSlow, parties.FaultError)
 	}))}},
 	{Name: "srv_lying_health", Faults: []func(t *Tier){
 		delayed(1, withRandomWorker("app", func(t *Tier, s *tierWorker) {
-			s.SetWell(false)
+			s.SetHealthy(false)
 			t.CallerHost.Clock().Sleep(6 * second)
-			s.SetWell(true)
+			s.SetHealthy(true)
 		})),
 		delayed(1, withRandomWorker("model", func(t *Tier, s *tierWorker) {
 			s.LyingHealth = true
-			s.SetWell(false)
-			t.injectWorkerFaults(s.ID, 0.5, 6*second, parties.LostReset, parties.Slow)
-			s.SetWell(true)
+			s.SetHealthy(false)
+			t.injectWorkerFaults(s.ID, 0.5, 6*second, parties.FaultLostReset, parties.FaultSlow)
+			s.SetHealthy(true)
 		}))}},
 	{Name: "srv_flap", Faults: []func(t *Tier){delayed(1, withRandomWorker("app", func(t *Tier, s *tierWorker) {
-		for place := range 8 {
-			s.SetWell(place%2 == 1)
+		for index := range 8 {
+			s.SetHealthy(index%2 == 1)
 			t.CallerHost.Clock().Sleep(700 * time.Millisecond)
 		}
 	}))}},
@@ -221,7 +221,7 @@
 			s.silentDropAfter = 0
 		}
 	})}},
-	{Name: "release with a short drain, connections slow to come up", AdjustSite: func(site *parties.Site) {
+	{Name: "release with a short drain, connections slow to come up", AdjustSite: func(site *parties.Deployment) {
 		site.Bounds.Drain = 150 * time.Millisecond
 	}, Faults: []func(t *Tier){func(t *Tier) { t.maxDialTime = 300 * time.Millisecond }, delayed(1, loadBurst(3)), delayed(5, loadBurst(3)), delayed(0, func(t *Tier) {
 		for range 5 {
@@ -289,7 +289,8 @@
 	{Name: "sessions wander, edges killed", Faults: []func(t *Tier){func(t *Tier) { t.rotateGateways = true }, delayed(1, killMachines(gatewayMachines, 0.34, false)), delayed(4, killMachines(gatewayMachines, 0.34, true)), delayed(7, killMachines(gatewayMachines, 0.34, false))}},
 	{Name: "sessions wander, stores wiped", LoadDuration: 18 * second, Faults: []func(t *Tier){func(t *Tier) { t.rotateGateways = true }, delayed(1, wipeStorageAfterAck), delayed(10, wipeStorageAfterAck), delayed(5, killMachines(gatewayMachines, 0.34, false))}},
 	{Name: "stores wiped in turn, owners killed", LoadDuration: 22 * second, Faults: []func(t *Tier){func(t *Tier) {
-		// The tightest that is to be borne: each is wiped as soon as the last has caught up.
+		// The closest losses that must be tolerated: each machine is wiped as soon as the
+		// last one has caught up.
 		t.rotateGateways = true
 		for _, m := range t.drawMachines(t.Storage, 3) {
 			t.crashFor(m, "node_kill", t.World.Between(100*time.Millisecond, shortDowntime), true, true)
@@ -299,21 +300,21 @@
 		}
 	}}},
 
-	{Name: "turns kept for a short time", AdjustSite: func(site *parties.Site) {
-		for place := range site.Classes {
-			if site.Classes[place].Retain > 0 {
-				site.Classes[place].Retain = 2 * second
+	{Name: "turns kept for a short time", AdjustSite: func(site *parties.Deployment) {
+		for index := range site.Classes {
+			if site.Classes[index].Retain > 0 {
+				site.Classes[index].Retain = 2 * second
 			}
 		}
 	}, Faults: []func(t *Tier){delayed(3, killMachines(gatewayMachines, 0.34, false))}},
-	{Name: "engines short of memory", AdjustSite: func(site *parties.Site) {
+	{Name: "engines short of memory", AdjustSite: func(site *parties.Deployment) {
 		engine := *site.Services[0].Engine
 		engine.CacheTokens = 16000
 		site.Services[0].Engine = &engine
 	}, Faults: []func(t *Tier){delayed(2, loadBurst(3))}},
-	{Name: "workers take few connections", AdjustSite: func(site *parties.Site) {
-		for place := range site.Services {
-			site.Services[place].MaxConns = 6
+	{Name: "workers take few connections", AdjustSite: func(site *parties.Deployment) {
+		for index := range site.Services {
+			site.Services[index].MaxConns = 6
 		}
 	}, Faults: []func(t *Tier){delayed(2, loadBurst(3)), delayed(4, func(t *Tier) { t.joinMachine("edge") })}},
 	{Name: "processors short, burst", Faults: []func(t *Tier){func(t *Tier) {
@@ -363,11 +364,11 @@
 	{Name: "hunt", LoadDuration: 16 * second, Faults: []func(t *Tier){randomFaults}, FinalFault: randomFinalFault},
 }
 
-// FindTierScenario finds one.
+// FindTierScenario returns the scenario with a name, or nil.
 func FindTierScenario(name string) *TierScenario {
-	for _, one := range TierScenarios {
-		if one.Name == name {
-			return one
+	for _, scenario := range TierScenarios {
+		if scenario.Name == name {
+			return scenario
 		}
 	}
 	return nil
--- a/internal/simulate/traffic_churn.go
+++ b/internal/simulate/traffic_churn.go
@@ -1,7 +1,3 @@
-// What control says while workers come and go and the operator changes the
-// configuration, by the size of the fleet. The workers are only entries of the
-// platform's list; nobody calls them.
-
 package simulate
 
 import (
@@ -17,21 +13,21 @@
 )
 
 const (
-	// churnCores is how many cores there are at any size, and churnStorage the
-	// share of storage machines, as the deployments have them when they grow.
+	// churnCores is the number of cores at any size, and churnStorage the share of
+	// storage machines. The deployments grow in this way.
 	churnCores   = 4
 	churnStorage = 0.3
-	// churnGap is how long one of a thousand workers stays the newest.
+	// churnInterval is the time between two replacements per thousand workers.
 	churnInterval = time.Second
-	// listShare is how much of the platform's rate the list is read at.
+	// listRateShare is the share of the platform's rate limit at which the list is read.
 	listRateShare = 0.8
-	// churnLead is how long a fleet is left alone before it is measured.
+	// churnWarmUp is how long a fleet runs before it is measured.
 	churnWarmUp = 10 * time.Second
 )
 
-// ChurnShape is a deployment of a size, ten workers for each of its machines.
+// ChurnShape returns a deployment with a number of machines and ten workers per machine.
 func ChurnShape(machines int) TierShape {
-	site := parties.Sites()["ljubljana"]
+	site := parties.Deployments()["ljubljana"]
 	site.Name = fmt.Sprintf("churn-%d", machines)
 	site.Cores = churnCores
 	site.Storage = max(4, int(churnStorage*float64(machines)))
@@ -41,96 +37,99 @@
 	return TierShape{Name: site.Name, Site: site, FaultTolerance: 1}
 }
 
-// ChurnRun is a fleet under such a load.
+// ChurnRun is a fleet whose workers are replaced continuously while the operator
+// changes the configuration. The workers are only entries in the platform's list;
+// nobody calls them.
 type ChurnRun struct {
 	*Tier
 	stopped bool
 }
 
-// NewChurnRun forms a fleet and begins to replace its workers.
+// NewChurnRun forms a fleet, begins to replace its workers and lets it run for
+// churnWarmUp.
 func NewChurnRun(seed uint64, machines int) (*ChurnRun, error) {
-	c := &ChurnRun{Tier: NewTier(seed, ChurnShape(machines), limitListRate)}
+	run := &ChurnRun{Tier: NewTier(seed, ChurnShape(machines), limitListRate)}
 	formed, done := false, false
-	c.CallerHost.Go(func() {
-		formed = c.applyFirstConfig()
+	run.CallerHost.Go(func() {
+		formed = run.applyFirstConfig()
 		done = true
 	})
-	if !c.World.Run(c.World.Now()+2*time.Minute, func() bool { return done }) || !formed {
-		c.World.Close()
-		return nil, fmt.Errorf("the fleet of %d did not form", machines)
+	if !run.World.Run(run.World.Now()+2*time.Minute, func() bool { return done }) || !formed {
+		run.World.Close()
+		return nil, fmt.Errorf("a fleet of %d machines did not form within 2 minutes", machines)
 	}
-	c.CallerHost.Go(c.replaceWorkers)
-	c.World.Run(c.World.Now()+churnWarmUp, nil)
-	return c, nil
+	run.CallerHost.Go(run.replaceWorkers)
+	run.World.Run(run.World.Now()+churnWarmUp, nil)
+	return run, nil
 }
 
-// paceList has cores read the list no faster than the platform lets them.
+// limitListRate makes cores read the list more slowly than the platform's rate limit.
 func limitListRate(t *Tier) {
-	start := t.Fleet.onBuilt
+	configured := t.Fleet.onBuilt
 	t.Fleet.onBuilt = func(m *Machine) {
-		start(m)
+		configured(m)
 		if m.core == nil {
 			return
 		}
 		read := t.listReader(m)
 		m.core.Lister = platform.NewLister(func(token string, limit time.Duration) (int, []byte, error) {
-			m.Host.Clock().Sleep(time.Duration(float64(time.Second) / (listRateShare * t.Site.ListPerS)))
+			m.Host.Clock().Sleep(time.Duration(float64(time.Second) / (listRateShare * t.Site.ListCallsPerSecond)))
 			return read(token, limit)
 		})
 	}
 }
 
-// replaceWorkers takes one worker after another off the list, as a release
-// does, and puts a new one on it.
+// replaceWorkers replaces one worker after another, as the release of a new version
+// does.
 func (c *ChurnRun) replaceWorkers() {
-	gap := churnInterval * 1000 / time.Duration(len(c.workers))
-	for place := 0; !c.stopped; place++ {
-		c.CallerHost.Clock().Sleep(gap)
-		leaving := c.workers[place]
+	interval := churnInterval * 1000 / time.Duration(len(c.workers))
+	for index := 0; !c.stopped; index++ {
+		c.CallerHost.Clock().Sleep(interval)
+		leaving := c.workers[index]
 		c.CallerHost.Go(func() { c.replaceWorker(leaving) })
 	}
 }
 
 func (c *ChurnRun) replaceWorker(leaving *tierWorker) {
-	c.startWorker(leaving.Shape, leaving.Zone, "")
+	c.startWorker(leaving.Spec, leaving.Zone, "")
 	draining := c.instanceEntry(leaving, parties.StateDraining)
-	c.instances.Change(leaving.ID, &draining, 0)
+	c.instances.ScheduleChange(leaving.ID, &draining, 0)
 	c.CallerHost.Clock().Sleep(c.Site.Bounds.Drain)
-	c.instances.Change(leaving.ID, nil, 0)
+	c.instances.ScheduleChange(leaving.ID, nil, 0)
 	leaving.terminate(c.Tier)
 }
 
-// AppliedChange is how one change of the configuration fared.
+// AppliedChange holds the times of one change of the configuration.
 type AppliedChange struct {
-	// Acked is how long the operator waited, InForce how long after that the
-	// last gateway went by it.
+	// AckTime is how long the operator waited for the acknowledgement.
+	// PropagationTime is how long after it the last gateway applied the change.
 	AckTime, PropagationTime time.Duration
 }
 
-// ApplyChange changes the configuration and waits until all gateways that live go by
-// it, or a limit is over.
+// ApplyChange changes the configuration and waits until all live gateways have applied
+// it. The limit holds for the acknowledgement and again for the propagation.
 func (c *ChurnRun) ApplyChange(limit time.Duration) (AppliedChange, error) {
 	var order *parties.Order
-	began, acked := c.World.Now(), time.Duration(0)
+	startedAt, ackedAt := c.World.Now(), time.Duration(0)
 	c.CallerHost.Go(func() {
 		order = c.changeConfig()
-		acked = c.World.Now()
+		ackedAt = c.World.Now()
 	})
-	c.World.Run(began+limit, func() bool { return acked > 0 })
+	c.World.Run(startedAt+limit, func() bool { return ackedAt > 0 })
 	if order == nil || !order.Acked() {
-		return AppliedChange{}, fmt.Errorf("the change was not acknowledged within %v", limit)
+		return AppliedChange{}, fmt.Errorf("the configuration change was not acknowledged within %v", limit)
 	}
 	version := order.Config.Generation
 	for c.gatewaysBehind(version) > 0 {
-		if c.World.Now() > acked+limit {
-			return AppliedChange{}, fmt.Errorf("%d gateways do not go by version %d after %v", c.gatewaysBehind(version), version, limit)
+		if c.World.Now() > ackedAt+limit {
+			return AppliedChange{}, fmt.Errorf("%d gateways have not applied version %d after %v", c.gatewaysBehind(version), version, limit)
 		}
 		c.World.Run(c.World.Now()+20*time.Millisecond, nil)
 	}
-	return AppliedChange{AckTime: acked - began, PropagationTime: c.World.Now() - acked}, nil
+	return AppliedChange{AckTime: ackedAt - startedAt, PropagationTime: c.World.Now() - ackedAt}, nil
 }
 
-// behind counts the living gateways that go by an older configuration.
+// gatewaysBehind counts the live gateways whose configuration is older than a version.
 func (c *ChurnRun) gatewaysBehind(version uint64) int {
 	return len(base.Filter(c.Gateways, func(m *Machine) bool {
 		if !m.Host.alive || m.gateway == nil {
@@ -141,45 +140,46 @@
 	}))
 }
 
-// MeasureChanges counts what is said over a span in which the configuration changes
-// once a period, and gives how the changes fared.
+// MeasureChanges counts the traffic over a span in which the configuration changes
+// once per period, and returns the times of the changes.
 func (c *ChurnRun) MeasureChanges(span, period time.Duration) (changes []AppliedChange, err error) {
 	c.Net.TrafficByPath, c.Net.TrafficByHost = map[string]*PathTraffic{}, map[string]*HostTraffic{}
 	for end := c.World.Now() + span; c.World.Now() < end; {
 		next := c.World.Now() + period
-		one, err := c.ApplyChange(30 * time.Second)
+		change, err := c.ApplyChange(30 * time.Second)
 		if err != nil {
 			return changes, err
 		}
-		changes = append(changes, one)
+		changes = append(changes, change)
 		c.World.Run(next, nil)
 	}
 	return changes, nil
 }
 
-// BusiestBytesPerSecond gives the bytes a second of the busiest machine of a role.
+// BusiestBytesPerSecond returns the traffic of a role's busiest machine over a span.
 func (c *ChurnRun) BusiestBytesPerSecond(role string, span time.Duration) float64 {
-	list := map[string][]*Machine{membership.RoleGateway: c.Gateways, membership.RoleCore: c.Cores, membership.RoleStorage: c.Storage}[role]
-	return c.Net.trafficOf(role, list, span).maxBytes
+	machines := map[string][]*Machine{membership.RoleGateway: c.Gateways, membership.RoleCore: c.Cores, membership.RoleStorage: c.Storage}[role]
+	return c.Net.trafficOf(role, machines, span).maxBytes
 }
 
-// WriteChurnTraffic measures a fleet of a size.
+// WriteChurnTraffic measures a fleet under churn and writes its traffic and how long
+// changes of the configuration took to reach all gateways.
 func WriteChurnTraffic(out io.Writer, seed uint64, machines int, span time.Duration) error {
-	c, err := NewChurnRun(seed, machines)
+	run, err := NewChurnRun(seed, machines)
 	if err != nil {
 		return err
 	}
-	defer c.World.Close()
-	began := c.World.Now()
-	changes, err := c.MeasureChanges(span, 2*time.Second)
+	defer run.World.Close()
+	startedAt := run.World.Now()
+	changes, err := run.MeasureChanges(span, 2*time.Second)
 	if err != nil {
 		return err
 	}
-	span = c.World.Now() - began
-	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %d workers that come and go, %v\n", machines, len(c.Gateways), len(c.Cores), len(c.Storage), len(c.workersByAddress), span)
-	c.Net.writeTraffic(out, c.Fleet, span)
+	span = run.World.Now() - startedAt
+	fmt.Fprintf(out, "%d nodes: %d gateways, %d cores, %d storage machines, %d workers under churn, %v\n", machines, len(run.Gateways), len(run.Cores), len(run.Storage), len(run.workersByAddress), span)
+	run.Net.writeTraffic(out, run.Fleet, span)
 	slices.SortFunc(changes, func(a, b AppliedChange) int { return int(a.PropagationTime - b.PropagationTime) })
-	middle, last := changes[len(changes)/2], changes[len(changes)-1]
-	fmt.Fprintf(out, "  %d changes of the configuration, in force everywhere after %v in the middle, %v at the longest\n", len(changes), middle.PropagationTime, last.PropagationTime)
+	median, longest := changes[len(changes)/2], changes[len(changes)-1]
+	fmt.Fprintf(out, "  %d configuration changes, applied by all gateways after a median of %v and at most %v\n", len(changes), median.PropagationTime, longest.PropagationTime)
 	return nil
 }
--- a/internal/simulate/traffic_churn_test.go
+++ b/internal/simulate/traffic_churn_test.go
@@ -1,4 +1,3 @@
-// A fleet of three hundred before three thousand workers that come and go.
 package simulate
 
 import (
@@ -10,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// TestAConfigurationReachesALargeFleetWhoseWorkersChange holds that a
-// configuration is in force everywhere long before its bound, and that the owner
-// of the feed answers a bounded number of followers, though no view of the fleet
-// shows its gateways: cores and storage machines fill them.
+// TestConfigChangesReachLargeFleetDuringWorkerChurn: at 300 machines and 3000 workers, a
+// configuration is in force everywhere long before its bound, and the leader of the feed
+// answers a bounded number of followers, although the partial views are filled with
+// cores and storage machines and show only few of the gateways.
 func TestConfigChangesReachLargeFleetDuringWorkerChurn(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
@@ -32,35 +31,35 @@
 	is.True(hidden > len(c.Gateways)/2)
 	const span = 10 * time.Second
 	before := c.CounterTotal("roster_changes")
-	began := c.World.Now()
+	startedAt := c.World.Now()
 	changes, err := c.MeasureChanges(span, time.Second)
 	is.NoErr(err)
-	took := c.World.Now() - began
+	took := c.World.Now() - startedAt
 	for _, change := range changes {
 		is.True(change.PropagationTime < c.Site.Bounds.Apply/4)
 	}
 	is.True(c.CounterTotal("roster_changes") > before)
-	owner := c.feedLeader()
-	asked := float64(c.Net.TrafficByHost[owner.Host.Name].RequestsReceived) / took.Seconds()
-	said := float64(c.Net.TrafficByHost[owner.Host.Name].Bytes) / took.Seconds()
-	t.Logf("%d changes in force: %v; the owner serves %.0f calls a second and says %.0f bytes", len(changes), changes, asked, said)
-	is.True(asked < 150)
-	is.True(said < maxLeaderBytesPerSecond)
+	leader := c.feedLeader()
+	callsPerSecond := float64(c.Net.TrafficByHost[leader.Host.Name].RequestsReceived) / took.Seconds()
+	bytesPerSecond := float64(c.Net.TrafficByHost[leader.Host.Name].Bytes) / took.Seconds()
+	t.Logf("%d changes applied: %v; the leader serves %.0f calls and sends and receives %.0f bytes per second", len(changes), changes, callsPerSecond, bytesPerSecond)
+	is.True(callsPerSecond < 150)
+	is.True(bytesPerSecond < maxLeaderBytesPerSecond)
 	is.True(len(c.Gateways) > 200)
 	for _, m := range c.Gateways {
 		is.Equal(m.gateway.Follower.GatewayCount(), len(c.Gateways))
 	}
 }
 
-// ownerBytes bounds what the owner of the feed says a second at 300 machines: most
-// of it are the changes of the roster to 90 replicas.
+// maxLeaderBytesPerSecond bounds the traffic of the feed's leader at 300 machines. Most of
+// it are changes of the workers' list that go to 90 replicas.
 const maxLeaderBytesPerSecond = 350e3
 
-// directMostGateways is about how many gateways a view shows of a small fleet.
+// fullViewGateways is about how many gateways a view shows in a small fleet.
 const fullViewGateways = 20
 
-// TestALargeFleetServesSoonAfterAllWasKilled: followers that all come back at
-// once with nothing do not hold each other up.
+// TestLargeFleetServesSoonAfterTotalOutage: followers that all restart at once without
+// any state do not delay each other.
 func TestLargeFleetServesSoonAfterTotalOutage(t *testing.T) {
 	t.Parallel()
 	is := is.NewRelaxed(t)
@@ -77,13 +76,13 @@
 	for _, m := range c.All() {
 		c.startMachine(m)
 	}
-	began := c.World.Now()
+	startedAt := c.World.Now()
 	unready := func() int {
 		return len(base.Filter(c.Gateways, func(m *Machine) bool { return m.gateway == nil || m.gateway.RoutesReady() != nil }))
 	}
 	half := c.runUntil(30*time.Second, func() bool { return unready() < len(c.Gateways)/2 })
 	c.runUntil(30*time.Second, func() bool { return unready() == 0 })
-	all := c.World.Now() - began
+	all := c.World.Now() - startedAt
 	t.Logf("half of the gateways serve after %v, all after %v", half, all)
 	is.True(half < 2*time.Second)
 	is.True(all < 4*time.Second)
--- a/internal/simulate/transfer_test.go
+++ b/internal/simulate/transfer_test.go
@@ -1,6 +1,3 @@
-// Contents larger than one message: lost parts, restarts of either side, disks
-// lost while the newest content is read, and changes that go on meanwhile.
-
 package simulate
 
 import (
@@ -15,7 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// largePlan is a configuration of some 2 MB, with changes far apart.
+// largeConfigPlan returns a plan with a configuration of about 2 MB, which is transferred
+// in parts, and a long interval between changes.
 func largeConfigPlan(t *testing.T, size string, changes int) ChangeStreamPlan {
 	plan := newPlan(t, size, changes)
 	plan.Padding, plan.Interval, plan.BytesPerSecond = 1500<<10, 500*time.Millisecond, 100<<20
@@ -27,21 +25,21 @@
 	runChangeStreams(t, largeConfigPlan(t, ChangeStreamSizes[0], 12), uint64(*seedCount))
 }
 
-// partTalk is what was said about parts to and from one machine.
+// partTraffic counts the parts that were sent to one machine.
 type partTraffic struct {
 	sent, lost, bytes int
 }
 
-// onParts stands between owners and disks where content goes in parts; fails
-// says whether a message, or its answer, is lost.
-func interceptParts(f *Fleet, fails func(m *Message, part *register.InstallPartRequest) (before, after bool)) {
+// interceptParts intercepts content that leaders send to disks in parts. loses tells
+// whether the message is lost before it arrives, or its reply after.
+func interceptParts(f *Fleet, loses func(m *Message, part *register.InstallPartRequest) (before, after bool)) {
 	f.Net.Intercept = func(m *Message) *http.Response {
 		var part register.InstallPartRequest
 		if !strings.HasSuffix(m.Path, "Disk/InstallPart") || proto.Unmarshal(m.Body, &part) != nil {
 			response, _ := m.Forward(m.Body)
 			return response
 		}
-		before, after := fails(m, &part)
+		before, after := loses(m, &part)
 		if before {
 			return nil
 		}
@@ -53,9 +51,9 @@
 	}
 }
 
-// A disk that comes back empty is filled though every third part or its answer
-// is lost and its process is killed in the middle; what was staged is not sent
-// again.
+// TestInterruptedTransferResumes: a disk that comes back empty gets its content although
+// every third part or its reply is lost and the disk loses its power meanwhile. Staged
+// parts are not sent again.
 func TestInterruptedTransferResumes(t *testing.T) {
 	t.Parallel()
 	plan := largeConfigPlan(t, "2/3/4", 3)
@@ -63,16 +61,16 @@
 	for seed := uint64(1); seed <= 3*uint64(*seedCount); seed++ {
 		is := is.New(t)
 		var filled *Machine
-		var talk partTraffic
+		var traffic partTraffic
 		killed := false
 		plan.Prepare = func(f *Fleet) {
 			interceptParts(f, func(m *Message, part *register.InstallPartRequest) (before, after bool) {
 				if filled == nil || m.To != filled.Host || len(part.Data) == 0 {
 					return false, false
 				}
-				talk.sent++
-				talk.bytes += len(part.Data)
-				if talk.sent == 4 && !killed {
+				traffic.sent++
+				traffic.bytes += len(part.Data)
+				if traffic.sent == 4 && !killed {
 					killed = true
 					f.PowerLoss(filled)
 					f.CallerHost.Go(func() {
@@ -80,11 +78,11 @@
 						f.Start(filled)
 					})
 				}
-				lost := talk.sent%3 == 0
+				lost := traffic.sent%3 == 0
 				if lost {
-					talk.lost++
+					traffic.lost++
 				}
-				return lost && talk.sent%2 == 0, lost && talk.sent%2 == 1
+				return lost && traffic.sent%2 == 0, lost && traffic.sent%2 == 1
 			})
 			f.CallerHost.Go(func() {
 				f.wipeAfterChanges(f.Storage[1])
@@ -92,16 +90,16 @@
 			})
 		}
 		report := RunChangeStream(seed, plan)
-		t.Logf("seed %d: %+v, killed %v, breaches %v", seed, talk, killed, report.Breaches)
+		t.Logf("seed %d: %+v, killed %v, breaches %v", seed, traffic, killed, report.Breaches)
 		is.Equal(len(report.Breaches), 0)
-		is.True(killed && talk.lost > 0)
-		// The copy may be taken anew once for each of the changes that came
-		// meanwhile, never for each loss.
-		is.True(talk.sent < 40)
+		is.True(killed && traffic.lost > 0)
+		// The transfer may restart once for each change that was made meanwhile, but not
+		// for each lost message.
+		is.True(traffic.sent < 40)
 	}
 }
 
-// wipeLater has a disk come back empty once some changes were made.
+// wipeAfterChanges wipes and restarts a machine once some changes were made.
 func (f *Fleet) wipeAfterChanges(m *Machine) {
 	for newestGatewayVersion(f) < 3 {
 		f.CallerHost.Clock().Sleep(20 * time.Millisecond)
@@ -111,7 +109,7 @@
 	f.Start(m)
 }
 
-// versionAt is the newest version that a gateway shows.
+// newestGatewayVersion returns the newest configuration version that a gateway has.
 func newestGatewayVersion(f *Fleet) (newest uint64) {
 	for _, m := range f.Gateways {
 		if follower := m.feedFollower(); follower != nil {
@@ -121,8 +119,9 @@
 	return newest
 }
 
-// The disk from which the newest content is read is lost in the middle, at every
-// take-over: another that has the same goes on, and nothing is lost.
+// TestDiskLostWhileNewestContentIsRead: at a takeover, the disk from which the newest
+// content is read loses its power in the middle. The read continues at another disk
+// with the same content, and nothing is lost.
 func TestDiskLostWhileNewestContentIsRead(t *testing.T) {
 	t.Parallel()
 	plan := largeConfigPlan(t, "2/3/4", 12)
@@ -137,12 +136,12 @@
 					if reads++; reads%9 == 3 && !down {
 						lost++
 						down = true
-						for _, one := range f.Storage {
-							if one.Host == m.To {
-								f.PowerLoss(one)
+						for _, machine := range f.Storage {
+							if machine.Host == m.To {
+								f.PowerLoss(machine)
 								f.CallerHost.Go(func() {
 									f.CallerHost.Clock().Sleep(time.Second)
-									f.Start(one)
+									f.Start(machine)
 									f.CallerHost.Clock().Sleep(4 * time.Second)
 									down = false
 								})
@@ -172,7 +171,7 @@
 	}
 }
 
-// A part that is damaged on its way is never installed.
+// TestDamagedPartIsResent: a part that is corrupted in transit is never installed.
 func TestDamagedPartIsResent(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -200,8 +199,8 @@
 	is.True(damaged > 0)
 }
 
-// ownersLostBesideALaggard kills the feed's owner whenever a disk that was cut
-// off is back.
+// killLeaderBesideLaggingDisk isolates a disk again and again, and kills the feed's leader
+// each time the disk, which lacks changes, is back.
 func (f *Fleet) killLeaderBesideLaggingDisk() {
 	clock := f.CallerHost.Clock()
 	for {
@@ -217,8 +216,8 @@
 	}
 }
 
-// The newest content is confirmed before an owner leads, also when a disk that
-// lacks it is among those that promise.
+// TestNewLeaderServesNewestContent: a leader has the newest content before it serves, also
+// when a disk that lacks it is among those that promised the epoch.
 func TestNewLeaderServesNewestContent(t *testing.T) {
 	t.Parallel()
 	plan := newPlan(t, "2/3/4", 60)
@@ -227,13 +226,14 @@
 	runChangeStreams(t, plan, 4*uint64(*seedCount))
 }
 
-// Mechanisms taken away from owners and disks, and what then shows.
+// TestDisabledChangeStreamMechanismsAreDetected disables mechanisms of leaders and disks.
+// The checks must then report a violation for some seed.
 func TestDisabledChangeStreamMechanismsAreDetected(t *testing.T) {
 	for _, row := range []struct {
 		mechanism string
 		plan      func() ChangeStreamPlan
-		take      func(f *Fleet)
-		word      string
+		disable   func(f *Fleet)
+		breach    string
 	}{
 		{"the promises of a majority", func() ChangeStreamPlan {
 			plan := newPlan(t, "2/3/4", 60)
@@ -250,7 +250,7 @@
 				if response == nil || reply.Ack == nil || !reply.Ack.Ok {
 					return response
 				}
-				return protoResponse(&register.PromiseReply{Ack: reply.Ack}) // as if it held nothing
+				return protoResponse(&register.PromiseReply{Ack: reply.Ack}) // as if the disk held nothing
 			}
 		}, "had been acknowledged"},
 		{"the confirmation of the epoch before a read", func() ChangeStreamPlan { return newPlan(t, "2/3/4", 150) }, interceptPath("Disk/Confirm", func(*Message) *http.Response {
@@ -260,7 +260,7 @@
 			f.Net.Intercept = func(m *Message) *http.Response {
 				var part register.InstallPartRequest
 				if strings.HasSuffix(m.Path, "Disk/InstallPart") && proto.Unmarshal(m.Body, &part) == nil && len(part.Data) > 0 {
-					// a disk that counts the first part as all
+					// The disk reports the content as complete after the first part.
 					response, _ := m.Forward(m.Body)
 					if response == nil {
 						return nil
@@ -274,18 +274,18 @@
 	} {
 		t.Run(row.mechanism, func(t *testing.T) {
 			t.Parallel()
-			const most = 8
-			for seed := uint64(1); seed <= most; seed++ {
+			const maxSeeds = 8
+			for seed := uint64(1); seed <= maxSeeds; seed++ {
 				plan := row.plan()
-				plan.Prepare = row.take
+				plan.Prepare = row.disable
 				for _, breach := range RunChangeStream(seed, plan).Breaches {
-					if strings.Contains(breach, row.word) {
+					if strings.Contains(breach, row.breach) {
 						t.Logf("without %s: seed %d: %s", row.mechanism, seed, breach)
 						return
 					}
 				}
 			}
-			t.Errorf("none of %d seeds was caught with %q", most, row.word)
+			t.Errorf("none of %d seeds reported a breach with %q", maxSeeds, row.breach)
 		})
 	}
 }
--- a/internal/standin/platform/change.go
+++ b/internal/standin/platform/change.go
@@ -13,93 +13,93 @@
 
 // Invalid kinds of documents.
 const (
-	Unreadable     = "unreadable"
-	WrongType      = "wrong type"
-	UnknownService = "unknown service"
-	SameRoute      = "same host and prefix"
-	NoWeight       = "weights sum to 0"
-	NoDeadline     = "deadline of 0"
-	OldGeneration  = "generation not above the current one"
+	Unreadable      = "unreadable"
+	WrongType       = "wrong type"
+	UnknownService  = "unknown service"
+	DuplicateRoute  = "same host and prefix"
+	ZeroWeights     = "weights sum to 0"
+	ZeroDeadline    = "deadline of 0"
+	StaleGeneration = "generation not above the current one"
 )
 
 // InvalidKinds lists them.
-var InvalidKinds = []string{Unreadable, WrongType, UnknownService, SameRoute, NoWeight, NoDeadline, OldGeneration}
+var InvalidKinds = []string{Unreadable, WrongType, UnknownService, DuplicateRoute, ZeroWeights, ZeroDeadline, StaleGeneration}
 
-// Drafts makes documents of one run.
-type Drafts struct {
-	Site  *Site
-	Words *Words
-	Rng   *rand.Rand
-	extra int
+// ConfigGenerator makes documents of one run.
+type ConfigGenerator struct {
+	Deployment *Deployment
+	Names      *Names
+	Rng        *rand.Rand
+	idleRoutes int
 }
 
-// First is the configuration sent before traffic starts.
-func (d *Drafts) First() *Config {
+// Initial is the configuration sent before traffic starts.
+func (d *ConfigGenerator) Initial() *Config {
 	c := &Config{Generation: 1 + uint64(d.Rng.IntN(5)), Limits: Limits{16384, 4194304, 3000, 15000}}
-	for _, shape := range d.Site.Services {
-		service := Service{Name: d.Words.Services[shape.Name], HealthPath: PathHealth, MaxConns: shape.MaxConns}
-		if shape.Engine != nil {
-			service.Engine = &Engine{Capacity: shape.Capacity, CacheTokens: shape.Engine.CacheTokens, Stride: shape.Engine.Stride, Models: []string{d.Words.Model}}
+	for _, spec := range d.Deployment.Services {
+		service := Service{Name: d.Names.Services[spec.Name], HealthPath: PathHealth, MaxConns: spec.MaxConns}
+		if spec.Engine != nil {
+			service.Engine = &Engine{Capacity: spec.Capacity, CacheTokens: spec.Engine.CacheTokens, Stride: spec.Engine.TokensPerEvent, Models: []string{d.Names.Model}}
 		}
 		c.Services = append(c.Services, service)
 	}
-	for place := range d.Site.Classes {
-		class := &d.Site.Classes[place]
-		c.Routes = append(c.Routes, d.route(class, d.Words.Hosts[class.Name], d.Words.Prefixes[class.Name]))
+	for index := range d.Deployment.Classes {
+		class := &d.Deployment.Classes[index]
+		c.Routes = append(c.Routes, d.newRoute(class, d.Names.Hosts[class.Name], d.Names.Prefixes[class.Name]))
 	}
 	for range 4 {
-		d.Add(c)
+		d.AddIdleRoute(c)
 	}
 	return c
 }
 
-func (d *Drafts) route(class *Class, host, prefix string) Route {
-	r := Route{Name: "r-" + drawWord(d.Rng), Host: host, Prefix: prefix, Kind: class.Kind, DeadlineMs: float64(class.Deadline.Milliseconds()),
-		TargetMs: float64(class.Aim.Milliseconds()), Urgency: class.Urgency, Service: d.Words.Services[class.Service], MaxTries: class.MaxTries}
+func (d *ConfigGenerator) newRoute(class *RequestClass, host, prefix string) Route {
+	r := Route{Name: "r-" + randomName(d.Rng), Host: host, Prefix: prefix, Kind: class.Kind, DeadlineMs: float64(class.Deadline.Milliseconds()),
+		TargetMs: float64(class.TargetLatency.Milliseconds()), Urgency: class.Urgency, Service: d.Names.Services[class.Service], MaxTries: class.MaxTries}
 	if class.Kind == Streaming {
-		r.Retained, r.RetainS = class.Retain > 0, max(class.Retain, class.Spending).Seconds()
-		r.Pinned, r.Resumable, r.GapTargetMs = true, class.Resumable, float64(class.Pause.Milliseconds())
+		r.Retained, r.RetainS = class.Retain > 0, max(class.Retain, class.SpendRetention).Seconds()
+		r.Pinned, r.Resumable, r.GapTargetMs = true, class.Resumable, float64(class.GapTarget.Milliseconds())
 	}
 	return r
 }
 
-// Add puts an idle route of a plain repeatable kind into a configuration.
-func (d *Drafts) Add(c *Config) {
-	d.extra++
-	plain := d.Site.Classes[0]
-	for _, class := range d.Site.Classes {
+// AddIdleRoute puts an idle route of a plain repeatable kind into a configuration.
+func (d *ConfigGenerator) AddIdleRoute(c *Config) {
+	d.idleRoutes++
+	idempotent := d.Deployment.Classes[0]
+	for _, class := range d.Deployment.Classes {
 		if class.Kind == Idempotent {
-			plain = class
+			idempotent = class
 		}
 	}
-	c.Routes = append(c.Routes, d.route(&plain, fmt.Sprintf("idle%d.example", d.Rng.IntN(3)), fmt.Sprintf("/%s-%d/", drawWord(d.Rng), d.extra)))
+	c.Routes = append(c.Routes, d.newRoute(&idempotent, fmt.Sprintf("idle%d.example", d.Rng.IntN(3)), fmt.Sprintf("/%s-%d/", randomName(d.Rng), d.idleRoutes)))
 }
 
 // idle lists the places of routes that carry no class's requests.
-func (d *Drafts) idle(c *Config) (places []int) {
-	for place, r := range c.Routes {
+func (d *ConfigGenerator) idleRouteIndexes(c *Config) (indexes []int) {
+	for index, r := range c.Routes {
 		used := false
-		for _, class := range d.Site.Classes {
-			used = used || r.Host == d.Words.Hosts[class.Name] && r.Prefix == d.Words.Prefixes[class.Name]
+		for _, class := range d.Deployment.Classes {
+			used = used || r.Host == d.Names.Hosts[class.Name] && r.Prefix == d.Names.Prefixes[class.Name]
 		}
 		if !used {
-			places = append(places, place)
+			indexes = append(indexes, index)
 		}
 	}
-	return places
+	return indexes
 }
 
-// Next is a valid change on top of a configuration: its generation climbs in
+// NextValid is a valid change on top of a configuration: its generation climbs in
 // uneven steps.
-func (d *Drafts) Next(base *Config) *Config {
+func (d *ConfigGenerator) NextValid(base *Config) *Config {
 	c := base.Clone()
 	c.Generation += 1 + uint64(d.Rng.IntN(4))
-	idle := d.idle(c)
-	switch what := d.Rng.IntN(4); {
-	case what == 0 && len(idle) > 2:
-		place := idle[d.Rng.IntN(len(idle))]
-		c.Routes = append(c.Routes[:place], c.Routes[place+1:]...)
-	case what == 1 && len(idle) > 0:
+	idle := d.idleRouteIndexes(c)
+	switch choice := d.Rng.IntN(4); {
+	case choice == 0 && len(idle) > 2:
+		index := idle[d.Rng.IntN(len(idle))]
+		c.Routes = append(c.Routes[:index], c.Routes[index+1:]...)
+	case choice == 1 && len(idle) > 0:
 		r := &c.Routes[idle[d.Rng.IntN(len(idle))]]
 		r.Shares = []Share{{r.Service, 90}, {c.Services[d.Rng.IntN(len(c.Services))].Name, 10}}
 		if r.Shares[0].Service == "" || r.Shares[0].Service == r.Shares[1].Service {
@@ -108,21 +108,21 @@
 			r.Service = ""
 		}
 		if r.Shares == nil && r.Service == "" {
-			r.Service = d.Words.Services["app"]
+			r.Service = d.Names.Services["app"]
 		}
-	case what == 2:
+	case choice == 2:
 		r := &c.Routes[d.Rng.IntN(len(c.Routes))]
 		r.DeadlineMs += 100
 	}
-	d.Add(c)
+	d.AddIdleRoute(c)
 	return c
 }
 
 // Invalid makes an invalid document on top of a configuration.
-func (d *Drafts) Invalid(base *Config, kind string) (c *Config, raw []byte, fault string) {
+func (d *ConfigGenerator) Invalid(base *Config, kind string) (c *Config, raw []byte, fault string) {
 	c = base.Clone()
 	c.Generation += 1 + uint64(d.Rng.IntN(4))
-	d.Add(c)
+	d.AddIdleRoute(c)
 	last := &c.Routes[len(c.Routes)-1]
 	switch kind {
 	case Unreadable:
@@ -132,16 +132,16 @@
 		raw = bytes.Replace(c.Encode(), []byte(`"route_table":[`), []byte(`"route_table":7,"was":[`), 1)
 		return nil, raw, kind
 	case UnknownService:
-		last.Service = "nobody" + drawWord(d.Rng)
-	case SameRoute:
-		again := *last
-		again.Name += "-again"
-		c.Routes = append(c.Routes, again)
-	case NoWeight:
+		last.Service = "nobody" + randomName(d.Rng)
+	case DuplicateRoute:
+		duplicate := *last
+		duplicate.Name += "-again"
+		c.Routes = append(c.Routes, duplicate)
+	case ZeroWeights:
 		last.Shares, last.Service = []Share{{last.Service, 0}}, ""
-	case NoDeadline:
+	case ZeroDeadline:
 		last.DeadlineMs = 0
-	case OldGeneration:
+	case StaleGeneration:
 		c.Generation = base.Generation
 	}
 	return c, c.Encode(), kind
--- a/internal/standin/platform/sockets/client.go
+++ b/internal/standin/platform/sockets/client.go
@@ -114,10 +114,10 @@
 	return surplus
 }
 
-// Carry makes an attempt: it sends the request, reads the response and records in t
+// Send makes an attempt: it sends the request, reads the response and records in t
 // what came of it. It uses an idle connection of the client if there is one and the
 // attempt does not require a new connection (Fresh); probes always use a new one.
-func (c *Clients) Carry(t *platform.Try) {
+func (c *Clients) Send(t *platform.Try) {
 	t.Sent = c.Clock.Now()
 	defer func() { t.Ended = c.Clock.Now() }()
 	keepAlive := int(base.Hash64(t.Client)%10) < c.KeepAliveTenths && !t.Probe
@@ -133,7 +133,7 @@
 			node, address = c.NodePicker.Pick(t.Zone, t.Client, t.Fresh)
 		}
 		t.Node = node
-		raw, err := net.DialTimeout("tcp", address, min(platform.ConnectPatience, t.Deadline))
+		raw, err := net.DialTimeout("tcp", address, min(platform.ConnectTimeout, t.Deadline))
 		if err != nil {
 			// Nothing was sent, so nothing was read.
 			t.Unread = true
@@ -193,11 +193,11 @@
 	t.Written = c.Clock.Now()
 	maxSilence := t.Deadline
 	if t.Kind == platform.Streaming {
-		maxSilence = platform.Silence(t.Aim, t.Pause)
+		maxSilence = platform.StreamSilenceLimit(t.Aim, t.Pause)
 	}
 	extendReadDeadline := func() { _ = conn.conn.SetReadDeadline(earlier(deadline, time.Now().Add(maxSilence))) }
 	if t.Kind == platform.Idempotent {
-		_ = conn.conn.SetReadDeadline(time.Now().Add(platform.ReadPatience(t.Deadline)))
+		_ = conn.conn.SetReadDeadline(time.Now().Add(platform.ReadTimeout(t.Deadline)))
 		if _, err := conn.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) && !peerReadAll(conn.conn) {
 			t.GaveUp, t.Unread = true, true
 			return false
--- a/internal/standin/platform/sockets/load_balancer.go
+++ b/internal/standin/platform/sockets/load_balancer.go
@@ -12,13 +12,13 @@
 // LoadBalancer runs the readiness checks of the platform's load balancer over HTTP:
 // it polls each node once a second.
 type LoadBalancer struct {
-	platform.Entry
+	platform.LoadBalancer
 	closed  chan struct{}
 	pollers sync.WaitGroup
 }
 
 // Start adds the nodes and starts to poll them.
-func (e *LoadBalancer) Start(nodes []*platform.EntryNode) {
+func (e *LoadBalancer) Start(nodes []*platform.EdgeNode) {
 	e.closed = make(chan struct{})
 	for _, node := range nodes {
 		e.Add(node)
@@ -26,8 +26,8 @@
 }
 
 // Add adds a node and starts to poll it.
-func (e *LoadBalancer) Add(node *platform.EntryNode) {
-	e.Entry.Add(node)
+func (e *LoadBalancer) Add(node *platform.EdgeNode) {
+	e.LoadBalancer.Add(node)
 	e.pollers.Add(1)
 	go e.poll(node)
 }
@@ -39,13 +39,13 @@
 }
 
 // poll requests a node's readiness each second until the load balancer is closed.
-func (e *LoadBalancer) poll(node *platform.EntryNode) {
+func (e *LoadBalancer) poll(node *platform.EdgeNode) {
 	defer e.pollers.Done()
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
 		status, _, err := fasthttp.GetTimeout(nil, "http://"+node.Readiness+platform.PathReadiness, time.Second)
-		e.Heard(node, err == nil && status == 200)
+		e.RecordProbe(node, err == nil && status == 200)
 		select {
 		case <-e.closed:
 			return
--- a/internal/standin/platform/sockets/operator.go
+++ b/internal/standin/platform/sockets/operator.go
@@ -24,7 +24,7 @@
 		for _, field := range header {
 			request.Header.Set(field[0], field[1])
 		}
-		err := fasthttp.DoTimeout(request, response, platform.OrderPatience(len(body)))
+		err := fasthttp.DoTimeout(request, response, platform.OrderTimeout(len(body)))
 		status, responseBody = response.StatusCode(), append([]byte(nil), response.Body()...)
 		location := string(response.Header.Peek("Location"))
 		fasthttp.ReleaseRequest(request)
@@ -32,7 +32,7 @@
 		if err != nil {
 			return 0, nil
 		}
-		if status != 307 || redirects >= platform.RedirectsMost {
+		if status != 307 || redirects >= platform.MaxRedirects {
 			return status, responseBody
 		}
 		if parsed, err := url.Parse(location); err != nil || parsed.Host == "" {
--- a/internal/standin/platform/sockets/sockets_test.go
+++ b/internal/standin/platform/sockets/sockets_test.go
@@ -29,25 +29,25 @@
 type harness struct {
 	is       *is.I
 	clock    base.Clock
-	ledger   *platform.Ledger
+	ledger   *platform.Recorder
 	server   *WorkerServer
 	clients  *Clients
 	tryCount int
 }
 
 var (
-	appShape   = platform.ServiceShape{Name: "app", Capacity: 2, Queue: 2, MaxConns: 8}
-	modelShape = platform.ServiceShape{Name: "model", Capacity: 8, Queue: 8, MaxConns: 20, Engine: &platform.EngineShape{Step: time.Millisecond,
-		PromptPerMs: 100, Chunk: 4096, CacheTokens: 1000, Stride: 2, EventBytes: 30}}
+	appShape   = platform.ServiceSpec{Name: "app", Capacity: 2, QueueSize: 2, MaxConns: 8}
+	modelShape = platform.ServiceSpec{Name: "model", Capacity: 8, QueueSize: 8, MaxConns: 20, Engine: &platform.EngineSpec{StepTime: time.Millisecond,
+		PromptTokensPerMs: 100, MaxPromptTokensPerStep: 4096, CacheTokens: 1000, TokensPerEvent: 2, EventBytes: 30}}
 )
 
 // newHarness starts a worker of the given shape. configure changes the worker,
 // configureServer its server, before it starts.
-func newHarness(t *testing.T, shape platform.ServiceShape, configure func(w *platform.Worker), configureServer ...func(s *WorkerServer)) *harness {
+func newHarness(t *testing.T, shape platform.ServiceSpec, configure func(w *platform.Worker), configureServer ...func(s *WorkerServer)) *harness {
 	clock := base.NewRealClock()
-	h := &harness{is: is.New(t), clock: clock, ledger: platform.NewLedger(platform.DefaultBounds(), 2, 3)}
-	worker := &platform.Worker{ID: "i-1", Service: "svc", Clock: clock, Ledger: h.ledger, Shape: shape, KeepIdle: 5 * time.Second, Draws: rand.New(rand.NewPCG(1, 1)),
-		Work: func(string) (time.Duration, int) { return 2 * time.Millisecond, 100 }}
+	h := &harness{is: is.New(t), clock: clock, ledger: platform.NewRecorder(platform.DefaultBounds(), 2, 3)}
+	worker := &platform.Worker{ID: "i-1", Service: "svc", Clock: clock, Recorder: h.ledger, Spec: shape, KeepAlive: 5 * time.Second, Rng: rand.New(rand.NewPCG(1, 1)),
+		Workload: func(string) (time.Duration, int) { return 2 * time.Millisecond, 100 }}
 	if configure != nil {
 		configure(worker)
 	}
@@ -68,8 +68,8 @@
 	id := fmt.Sprintf("%016x", h.tryCount)
 	t := &platform.Try{ID: id, Kind: kind, Host: "h", Method: "POST", Target: target, Body: []byte("what is asked"), Client: "c", Deadline: 3 * time.Second,
 		Aim: 100 * time.Millisecond, Header: append([][2]string{{platform.HeaderID, id}, {platform.HeaderDeadline, "3000"}}, header...)}
-	h.ledger.Note(func(r *platform.Record) { r.Tries = append(r.Tries, t) })
-	h.clients.Carry(t)
+	h.ledger.Update(func(r *platform.Record) { r.Tries = append(r.Tries, t) })
+	h.clients.Send(t)
 	return t
 }
 
@@ -77,7 +77,7 @@
 // which it waits up to 5 seconds.
 func (h *harness) waitForArrival(t *platform.Try, matches func(a *platform.Arrival) bool) *platform.Arrival {
 	for deadline := h.clock.Now() + 5*time.Second; h.clock.Now() < deadline; h.clock.Sleep(time.Millisecond) {
-		for _, a := range h.ledger.Record().Arrivals {
+		for _, a := range h.ledger.Snapshot().Arrivals {
 			if a.ID == t.ID && matches(a) {
 				return a
 			}
@@ -91,7 +91,7 @@
 	h := newHarness(t, appShape, nil)
 	for index := range 5 {
 		try := h.send(platform.NonIdempotent, fmt.Sprintf("/x/%d?a=b", index))
-		h.is.True(try.OK())
+		h.is.True(try.Succeeded())
 		h.is.Equal(try.Echo, try.ID)
 		a := h.waitForArrival(try, func(a *platform.Arrival) bool { return a.Whole })
 		h.is.Equal(a.Answer, try.Answer)
@@ -108,11 +108,11 @@
 	wrongInstance := h.send(platform.NonIdempotent, "/x", [2]string{platform.HeaderExpectInstance, "i-2"})
 	h.is.Equal(wrongInstance.Status, 421)
 	rightInstance := h.send(platform.NonIdempotent, "/x", [2]string{platform.HeaderExpectInstance, "i-1"})
-	h.is.True(rightInstance.OK())
+	h.is.True(rightInstance.Succeeded())
 	withoutID := &platform.Try{ID: "", Kind: platform.Idempotent, Host: "h", Method: "GET", Target: "/x", Client: "c", Deadline: time.Second}
-	h.clients.Carry(withoutID)
+	h.clients.Send(withoutID)
 	h.is.Equal(withoutID.Status, 400)
-	for _, a := range h.ledger.Record().Arrivals {
+	for _, a := range h.ledger.Snapshot().Arrivals {
 		h.is.Equal(a.Ran, a.ID == rightInstance.ID)
 	}
 }
@@ -120,7 +120,7 @@
 func TestFullQueueRefusesWithoutRunning(t *testing.T) {
 	shape := appShape
 	shape.MaxConns = 100
-	h := newHarness(t, shape, func(w *platform.Worker) { w.Work = func(string) (time.Duration, int) { return time.Second, 10 } })
+	h := newHarness(t, shape, func(w *platform.Worker) { w.Workload = func(string) (time.Duration, int) { return time.Second, 10 } })
 	var senders sync.WaitGroup
 	newTry := func(index int) *platform.Try {
 		id := fmt.Sprintf("%016x", index)
@@ -132,19 +132,19 @@
 		senders.Add(1)
 		go func() {
 			defer senders.Done()
-			h.clients.Carry(served[index])
+			h.clients.Send(served[index])
 		}()
 	}
 	for deadline := h.clock.Now() + 5*time.Second; h.server.Worker.Queued() < 2 && h.clock.Now() < deadline; h.clock.Sleep(time.Millisecond) {
 	}
 	refused := newTry(5) // two are running, two are queued
-	h.clients.Carry(refused)
+	h.clients.Send(refused)
 	senders.Wait()
 	h.is.True(refused.Status == 503 && refused.Complete)
 	for _, try := range served {
-		h.is.True(try.OK())
+		h.is.True(try.Succeeded())
 	}
-	for _, a := range h.ledger.Record().Arrivals {
+	for _, a := range h.ledger.Snapshot().Arrivals {
 		h.is.Equal(a.Ran, a.ID != refused.ID)
 	}
 	h.clients.Close()
@@ -182,11 +182,11 @@
 	h.is.Equal(healthy.StatusCode, 200)
 	h.is.Equal(healthy.Header.Get(platform.HeaderInstance), "i-1")
 	h.is.Equal(healthy.Header.Get(platform.HeaderLoad), "0,0,2")
-	h.server.Worker.SetWell(false)
+	h.server.Worker.SetHealthy(false)
 	h.is.Equal(getHealth().StatusCode, 503)
 	h.server.Worker.LyingHealth = true
 	h.is.Equal(getHealth().StatusCode, 200)
-	h.server.Worker.Leave()
+	h.server.Worker.Drain()
 	leaving := getHealth()
 	h.is.Equal(leaving.StatusCode, 503)
 	h.is.True(leaving.Close)
@@ -194,9 +194,9 @@
 
 func TestLeavingWorkerClosesConnectionAfterResponse(t *testing.T) {
 	h := newHarness(t, appShape, nil)
-	h.server.Worker.Leave()
-	h.is.True(h.send(platform.NonIdempotent, "/x").OK())
-	h.is.True(h.send(platform.NonIdempotent, "/x").OK())
+	h.server.Worker.Drain()
+	h.is.True(h.send(platform.NonIdempotent, "/x").Succeeded())
+	h.is.True(h.send(platform.NonIdempotent, "/x").Succeeded())
 	h.is.Equal(h.server.OpenedConns(), 2)
 }
 
@@ -205,15 +205,15 @@
 		fault platform.Fault
 		check func(h *harness, try *platform.Try)
 	}{
-		{platform.LostReset, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 0) }},
-		{platform.LostSilent, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 0); h.is.True(try.GaveUp) }},
-		{platform.Garbled, func(h *harness, try *platform.Try) { h.is.True(try.Garbage != "") }},
-		{platform.Cut, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 200); h.is.True(!try.Complete) }},
-		{platform.Fail, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 500); h.is.True(try.Seal != "") }},
-		{platform.Extra, func(h *harness, try *platform.Try) { h.is.True(try.OK()) }},
+		{platform.FaultLostReset, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 0) }},
+		{platform.FaultLostSilent, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 0); h.is.True(try.GaveUp) }},
+		{platform.FaultGarbled, func(h *harness, try *platform.Try) { h.is.True(try.Garbage != "") }},
+		{platform.FaultCut, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 200); h.is.True(!try.Complete) }},
+		{platform.FaultError, func(h *harness, try *platform.Try) { h.is.Equal(try.Status, 500); h.is.True(try.Seal != "") }},
+		{platform.FaultExtra, func(h *harness, try *platform.Try) { h.is.True(try.Succeeded()) }},
 	} {
 		t.Run(string(row.fault), func(t *testing.T) {
-			h := newHarness(t, appShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return row.fault } })
+			h := newHarness(t, appShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return row.fault } })
 			try := h.send(platform.NonIdempotent, "/x", [2]string{"X", "y"})
 			row.check(h, try)
 			h.waitForArrival(try, func(a *platform.Arrival) bool { return a.Ran })
@@ -224,7 +224,7 @@
 
 func TestSurplusResponsesAreDetected(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, appShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return platform.Extra } })
+	h := newHarness(t, appShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return platform.FaultExtra } })
 	first := h.send(platform.NonIdempotent, "/x")
 	for _, conn := range h.clients.idleConns["c"] {
 		select {
@@ -235,8 +235,8 @@
 	surplus := h.clients.Close()
 	is.True(first.Surplus != "" || len(surplus) == 1) // with the response, or while the connection was idle
 
-	h = newHarness(t, appShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return platform.LateExtra } })
-	is.True(h.send(platform.NonIdempotent, "/x").OK())
+	h = newHarness(t, appShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return platform.FaultLateExtra } })
+	is.True(h.send(platform.NonIdempotent, "/x").Succeeded())
 	second := h.send(platform.NonIdempotent, "/x")
 	is.True(second.Echo != "" && second.Echo != second.ID) // it got the response to another request
 	for _, conn := range h.clients.idleConns["c"] {
@@ -244,15 +244,15 @@
 	}
 	is.True(second.Surplus != "" || len(h.clients.Close()) == 1)
 	found := false
-	for _, breach := range h.ledger.Record().Check() {
-		found = found || breach.Rule == "MIXED" && strings.Contains(breach.Word, "got the answer of")
+	for _, breach := range h.ledger.Snapshot().Check() {
+		found = found || breach.Rule == "MIXED" && strings.Contains(breach.Detail, "got the answer of")
 	}
 	is.True(found) // a response to another request is a breach
 }
 
 func TestSilentlyDroppedConnectionIsReset(t *testing.T) {
 	h := newHarness(t, appShape, nil, func(s *WorkerServer) { s.SetSilentDropAfter(1) }) // any idle time is too long
-	h.is.True(h.send(platform.NonIdempotent, "/x").OK())
+	h.is.True(h.send(platform.NonIdempotent, "/x").Succeeded())
 	try := h.send(platform.NonIdempotent, "/x")
 	h.is.Equal(try.Status, 0)
 	h.is.True(try.Unread)
@@ -286,7 +286,7 @@
 		done := make(chan struct{})
 		clients := serveOneConn(t, func(conn *net.TCPConn) { serve(conn, done) })
 		try := &platform.Try{ID: "x", Kind: kind, Host: "h", Method: "POST", Target: "/x", Body: []byte("body"), Client: "c", Deadline: 1500 * time.Millisecond}
-		clients.Carry(try)
+		clients.Send(try)
 		close(done)
 		return try
 	}
@@ -319,7 +319,7 @@
 func TestModelWorkerStreamsEvents(t *testing.T) {
 	h := newHarness(t, modelShape, nil)
 	try := h.send(platform.Streaming, "/x", modelHeader(100, 9)...)
-	h.is.True(try.OK())
+	h.is.True(try.Succeeded())
 	a := h.waitForArrival(try, func(a *platform.Arrival) bool { return a.Whole })
 	h.is.Equal(len(try.Events), 5) // nine tokens, two per event
 	for index, event := range try.Events {
@@ -334,11 +334,11 @@
 	body, err := io.ReadAll(response.Body)
 	h.is.NoErr(err)
 	_ = response.Body.Close()
-	tree, err := platform.ParseTree(body)
+	tree, err := platform.ParseJSON(body)
 	h.is.NoErr(err)
 	h.is.Equal(tree.(map[string]any)["cache_total"], 1000.0)
 	h.clients.Close()
-	for _, breach := range h.ledger.Record().Check() {
+	for _, breach := range h.ledger.Snapshot().Check() {
 		h.is.Equal(breach.Rule, "ROUTE") // this test has no configuration
 	}
 }
@@ -357,11 +357,11 @@
 }
 
 func TestModelWorkerFaults(t *testing.T) {
-	for _, fault := range []platform.Fault{platform.LostReset, platform.Cut, platform.Garbled} {
+	for _, fault := range []platform.Fault{platform.FaultLostReset, platform.FaultCut, platform.FaultGarbled} {
 		t.Run(string(fault), func(t *testing.T) {
-			h := newHarness(t, modelShape, func(w *platform.Worker) { w.Next = func() platform.Fault { return fault } })
+			h := newHarness(t, modelShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return fault } })
 			try := h.send(platform.Streaming, "/x", modelHeader(10, 20)...)
-			h.is.True(!try.OK())
+			h.is.True(!try.Succeeded())
 			a := h.waitForArrival(try, func(a *platform.Arrival) bool { return a.Broke })
 			h.is.True(a.Ran && !a.Whole)
 			h.is.True(len(try.Events) <= len(a.Events))
@@ -371,8 +371,8 @@
 
 func TestInstanceListIsServed(t *testing.T) {
 	is := is.New(t)
-	list := &platform.Instances{Clock: base.NewRealClock(), PerS: 1000}
-	list.Change("i-1", &platform.Instance{ID: "i-1", Service: "svc", Address: "127.0.0.1:1", Zone: "z", State: platform.StateReady, Capacity: 6, Model: "m"}, 0)
+	list := &platform.Instances{Clock: base.NewRealClock(), CallsPerSecond: 1000}
+	list.ScheduleChange("i-1", &platform.Instance{ID: "i-1", Service: "svc", Address: "127.0.0.1:1", Zone: "z", State: platform.StateReady, Capacity: 6, Model: "m"}, 0)
 	server, err := ListenInstanceList(list, "127.0.0.1:0")
 	is.NoErr(err)
 	defer server.Close()
@@ -381,7 +381,7 @@
 	body, err := io.ReadAll(response.Body)
 	is.NoErr(err)
 	_ = response.Body.Close()
-	tree, err := platform.ParseTree(body)
+	tree, err := platform.ParseJSON(body)
 	is.NoErr(err)
 	instance := tree.(map[string]any)["instances"].([]any)[0].(map[string]any)
 	for name, value := range map[string]any{"id": "i-1", "backend": "svc", "address": "127.0.0.1:1", "zone": "z", "state": "ready", "capacity": 6.0, "phase": "both"} {
@@ -402,7 +402,7 @@
 
 // newOperator returns an operator that calls the given control addresses.
 func newOperator(addresses []string) *platform.Operator {
-	return &platform.Operator{Call: CallControl, Name: "op", Clock: base.NewRealClock(), Ledger: platform.NewLedger(platform.DefaultBounds(), 2, 3),
+	return &platform.Operator{Call: CallControl, Name: "op", Clock: base.NewRealClock(), Recorder: platform.NewRecorder(platform.DefaultBounds(), 2, 3),
 		Control: func() []string { return addresses }, Rng: rand.New(rand.NewPCG(1, 1))}
 }
 
@@ -437,12 +437,12 @@
 	leader, redirector = addresses[0], addresses[1]
 	operator := newOperator(addresses[2:])
 	config := &platform.Config{Generation: 7}
-	order := operator.Put(5, config, config.Encode(), "", 5*time.Second)
+	order := operator.PutConfig(5, config, config.Encode(), "", 5*time.Second)
 	is.Equal(order.Status, 200)
 	is.True(!order.Unclear) // a 503 guarantees that it was not accepted
 	is.Equal(calls["leader"], 2)
 	is.Equal(calls["hop"], 2)
-	is.Equal(len(operator.Ledger.Record().Orders), 1)
+	is.Equal(len(operator.Recorder.Snapshot().Orders), 1)
 }
 
 func TestOperatorRecordsUnclearOutcome(t *testing.T) {
@@ -459,12 +459,12 @@
 		w.WriteHeader(412)
 	})
 	config := &platform.Config{Generation: 7}
-	order := newOperator(addresses).Put(5, config, config.Encode(), "", 5*time.Second)
+	order := newOperator(addresses).PutConfig(5, config, config.Encode(), "", 5*time.Second)
 	is.Equal(order.Status, 412)
 	is.True(order.Unclear && !order.Refused())
-	order = newOperator(addresses).Put(5, config, config.Encode(), "", 5*time.Second)
+	order = newOperator(addresses).PutConfig(5, config, config.Encode(), "", 5*time.Second)
 	is.True(order.Refused())
-	order = newOperator([]string{"127.0.0.1:1"}).Put(5, config, config.Encode(), "", 300*time.Millisecond)
+	order = newOperator([]string{"127.0.0.1:1"}).PutConfig(5, config, config.Encode(), "", 300*time.Millisecond)
 	is.True(order.Unclear && order.Status == 0)
 }
 
@@ -498,7 +498,7 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	down := map[string]bool{}
-	node := func(name, zone string) *platform.EntryNode {
+	node := func(name, zone string) *platform.EdgeNode {
 		address := startControlNodes(t, func(w http.ResponseWriter, _ *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -506,16 +506,16 @@
 				w.WriteHeader(503)
 			}
 		})[0]
-		return &platform.EntryNode{Name: name, Zone: zone, Front: name, Readiness: address}
+		return &platform.EdgeNode{Name: name, Zone: zone, Front: name, Readiness: address}
 	}
 	balancer := &LoadBalancer{}
-	balancer.Start([]*platform.EntryNode{node("a1", "a"), node("a2", "a"), node("a3", "a"), node("b1", "b")})
+	balancer.Start([]*platform.EdgeNode{node("a1", "a"), node("a2", "a"), node("a3", "a"), node("b1", "b")})
 	defer balancer.Close()
 	clock := base.NewRealClock()
 	waitForReady := func(ready int) {
-		for deadline := clock.Now() + 10*time.Second; balancer.Ready() != ready && clock.Now() < deadline; clock.Sleep(10 * time.Millisecond) {
+		for deadline := clock.Now() + 10*time.Second; balancer.CountReady() != ready && clock.Now() < deadline; clock.Sleep(10 * time.Millisecond) {
 		}
-		is.Equal(balancer.Ready(), ready)
+		is.Equal(balancer.CountReady(), ready)
 	}
 	setDown := func(is bool, names ...string) {
 		mu.Lock()
--- a/internal/standin/platform/sockets/worker.go
+++ b/internal/standin/platform/sockets/worker.go
@@ -80,7 +80,7 @@
 // Close ends the worker and closes its connections at once, as a crash or the
 // platform's termination of the instance does.
 func (s *WorkerServer) Close() {
-	s.Worker.End()
+	s.Worker.Stop()
 	_ = s.listener.Close()
 	s.mu.Lock()
 	for conn := range s.conns {
@@ -101,9 +101,9 @@
 			return
 		}
 		s.mu.Lock()
-		maxConns := s.Worker.Shape.MaxConns
-		if queued := s.Worker.Queued(); queued > s.Worker.Shape.Queue/2 {
-			maxConns = max(s.Worker.Shape.Capacity, maxConns/2)
+		maxConns := s.Worker.Spec.MaxConns
+		if queued := s.Worker.Queued(); queued > s.Worker.Spec.QueueSize/2 {
+			maxConns = max(s.Worker.Spec.Capacity, maxConns/2)
 		}
 		if maxConns > 0 && len(s.conns) >= maxConns {
 			s.mu.Unlock()
@@ -160,8 +160,8 @@
 	writer := &responseWriter{conn: conn}
 	idleSince := time.Now()
 	for {
-		if s.Worker.KeepIdle > 0 {
-			_ = conn.SetReadDeadline(time.Now().Add(s.Worker.KeepIdle))
+		if s.Worker.KeepAlive > 0 {
+			_ = conn.SetReadDeadline(time.Now().Add(s.Worker.KeepAlive))
 		}
 		if _, err := peek.reader.Peek(1); err != nil {
 			return
@@ -183,15 +183,15 @@
 		closedSignal := s.Worker.Clock.NewSignal()
 		peek.startPeek(closedSignal)
 		writer.reset(s.DrawCloseAfterResponse != nil && s.DrawCloseAfterResponse())
-		s.Worker.Serve(&platform.Asked{Method: request.Method, Target: request.RequestURI, Host: request.Host, Header: request.Header.Get, Body: body, Gone: closedSignal}, writer)
+		s.Worker.Serve(&platform.Request{Method: request.Method, Target: request.RequestURI, Host: request.Host, Header: request.Header.Get, Body: body, ClientClosed: closedSignal}, writer)
 		if writer.closed || request.Close || writer.closeAfter {
 			_ = conn.Close()
 			<-peek.peeked
 			return
 		}
 		idleSince = time.Now()
-		if s.Worker.KeepIdle > 0 {
-			_ = conn.SetReadDeadline(time.Now().Add(s.Worker.KeepIdle))
+		if s.Worker.KeepAlive > 0 {
+			_ = conn.SetReadDeadline(time.Now().Add(s.Worker.KeepAlive))
 		}
 		<-peek.peeked
 		if peek.peekErr != nil {
@@ -225,7 +225,7 @@
 
 // Head writes the status line and header fields, after any delayed bytes. A negative
 // length means a chunked body.
-func (r *responseWriter) Head(status int, header [][2]string, length int) error {
+func (r *responseWriter) WriteHeader(status int, header [][2]string, length int) error {
 	var head strings.Builder
 	if len(r.delayedBytes) > 0 {
 		head.Write(r.delayedBytes)
@@ -262,7 +262,7 @@
 }
 
 // End ends the body.
-func (r *responseWriter) End() error {
+func (r *responseWriter) Finish() error {
 	r.responseCount++
 	if r.chunked {
 		return r.write([]byte("0\r\n\r\n"))
@@ -271,13 +271,13 @@
 }
 
 // Raw writes bytes as they are, without HTTP framing.
-func (r *responseWriter) Raw(bytes []byte) { _ = r.write(bytes) }
+func (r *responseWriter) WriteRaw(bytes []byte) { _ = r.write(bytes) }
 
 // Later keeps bytes to be written before the next response on the connection.
-func (r *responseWriter) Later(bytes []byte) { r.delayedBytes = bytes }
+func (r *responseWriter) WriteRawBeforeNext(bytes []byte) { r.delayedBytes = bytes }
 
 // Break closes the connection, with a reset if hard is set.
-func (r *responseWriter) Break(hard bool) {
+func (r *responseWriter) Abort(hard bool) {
 	r.closed = true
 	if hard {
 		resetConn(r.conn)
