--- a/internal/simulate/api_test.go
+++ b/internal/simulate/api_test.go
@@ -480,7 +480,7 @@
 		program, secret := client.createProgram(100, nil)
 		path := "/v1/programs/" + program + "/tools/loyalty"
 		for _, tool := range f.Tools {
-			tool.NextFault = func() standin.Fault { return standin.NoResponse } // the call runs and its answer is lost
+			tool.NextFault = func() standin.Fault { return standin.FaultNoResponse } // the call runs and its answer is lost
 		}
 		first := client.send(0, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
 		is.Equal(first.field("error", "request"), "may_have_run")
@@ -537,7 +537,7 @@
 				case "closing":
 					leaving.CloseConnections = true
 				case "refusal":
-					leaving.NextFault = func() standin.Fault { return standin.Unavailable }
+					leaving.NextFault = func() standin.Fault { return standin.FaultUnavailable }
 				}
 				knownAt := f.World.Now()
 				for num := 3; num < 30; num++ {
@@ -665,8 +665,8 @@
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":10,"legs":1`, 1)
 	for fault, want := range map[standin.Fault]string{
-		standin.Truncate: "cut may_have_run", standin.Malformed: "cut may_have_run", standin.NoFinishReason: "cut may_have_run", standin.IgnoreTokenLimit: "cut may_have_run",
-		standin.Hang: "cut may_have_run", standin.InternalError: "failed may_have_run", standin.NoResponse: "failed may_have_run", standin.Unavailable: "refused not_run",
+		standin.FaultCut: "cut may_have_run", standin.FaultMalformed: "cut may_have_run", standin.FaultNoFinishReason: "cut may_have_run", standin.FaultIgnoreTokenLimit: "cut may_have_run",
+		standin.FaultHang: "cut may_have_run", standin.FaultInternalError: "failed may_have_run", standin.FaultNoResponse: "failed may_have_run", standin.FaultUnavailable: "refused not_run",
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
--- a/internal/simulate/faults.go
+++ b/internal/simulate/faults.go
@@ -132,7 +132,7 @@
 }
 
 // workerFaults are the faults of model workers; setWorkerFaultRates draws from the first five.
-var workerFaults = []standin.Fault{standin.Truncate, standin.Malformed, standin.NoFinishReason, standin.TooManyRequests, standin.InternalError, standin.IgnoreTokenLimit, standin.NoResponse, standin.Unavailable}
+var workerFaults = []standin.Fault{standin.FaultCut, standin.FaultMalformed, standin.FaultNoFinishReason, standin.FaultTooManyRequests, standin.FaultInternalError, standin.FaultIgnoreTokenLimit, standin.FaultNoResponse, standin.FaultUnavailable}
 
 // setWorkerFaultRates makes model and tool workers fail requests at the given rates.
 func (f *Fleet) setWorkerFaultRates(modelRate, toolRate float64) {
@@ -147,7 +147,7 @@
 	for _, worker := range f.Tools {
 		worker.NextFault = func() standin.Fault {
 			if f.World.Chance(toolRate) {
-				return []standin.Fault{standin.NoResponse, standin.InternalError}[f.World.Int64N(2)]
+				return []standin.Fault{standin.FaultNoResponse, standin.FaultInternalError}[f.World.Int64N(2)]
 			}
 			return standin.NoFault
 		}
--- a/internal/standin/platform/sockets/client.go
+++ b/internal/standin/platform/sockets/client.go
@@ -20,9 +20,10 @@
 	"github.com/juju/errors"
 )
 
-// NodePicker chooses the node for a client's new connection.
+// NodePicker chooses the node for a client's new connection. A retry goes to another
+// node than the first attempt.
 type NodePicker interface {
-	Pick(zone, client string, again bool) (node, address string)
+	Pick(zone, client string, retry bool) (node, address string)
 }
 
 // Clients sends attempts of requests over TCP. A client either keeps its connection
--- a/internal/standin/platform/sockets/sockets_test.go
+++ b/internal/standin/platform/sockets/sockets_test.go
@@ -29,24 +29,24 @@
 type harness struct {
 	is       *is.I
 	clock    base.Clock
-	ledger   *platform.Recorder
+	recorder *platform.Recorder
 	server   *WorkerServer
 	clients  *Clients
 	tryCount int
 }
 
 var (
-	appShape   = platform.ServiceSpec{Name: "app", Capacity: 2, QueueSize: 2, MaxConns: 8}
-	modelShape = platform.ServiceSpec{Name: "model", Capacity: 8, QueueSize: 8, MaxConns: 20, Engine: &platform.EngineSpec{StepTime: time.Millisecond,
+	appSpec   = platform.ServiceSpec{Name: "app", Capacity: 2, QueueSize: 2, MaxConns: 8}
+	modelSpec = platform.ServiceSpec{Name: "model", Capacity: 8, QueueSize: 8, MaxConns: 20, Engine: &platform.EngineSpec{StepTime: time.Millisecond,
 		PromptTokensPerMs: 100, MaxPromptTokensPerStep: 4096, CacheTokens: 1000, TokensPerEvent: 2, EventBytes: 30}}
 )
 
-// newHarness starts a worker of the given shape. configure changes the worker,
+// newHarness starts a worker with the given spec. configure changes the worker,
 // configureServer its server, before it starts.
-func newHarness(t *testing.T, shape platform.ServiceSpec, configure func(w *platform.Worker), configureServer ...func(s *WorkerServer)) *harness {
+func newHarness(t *testing.T, spec platform.ServiceSpec, configure func(w *platform.Worker), configureServer ...func(s *WorkerServer)) *harness {
 	clock := base.NewRealClock()
-	h := &harness{is: is.New(t), clock: clock, ledger: platform.NewRecorder(platform.DefaultBounds(), 2, 3)}
-	worker := &platform.Worker{ID: "i-1", Service: "svc", Clock: clock, Recorder: h.ledger, Spec: shape, KeepAlive: 5 * time.Second, Rng: rand.New(rand.NewPCG(1, 1)),
+	h := &harness{is: is.New(t), clock: clock, recorder: platform.NewRecorder(platform.DefaultBounds(), 2, 3)}
+	worker := &platform.Worker{ID: "i-1", Service: "svc", Clock: clock, Recorder: h.recorder, Spec: spec, KeepAlive: 5 * time.Second, Rng: rand.New(rand.NewPCG(1, 1)),
 		Workload: func(string) (time.Duration, int) { return 2 * time.Millisecond, 100 }}
 	if configure != nil {
 		configure(worker)
@@ -68,7 +68,7 @@
 	id := fmt.Sprintf("%016x", h.tryCount)
 	t := &platform.Try{ID: id, Kind: kind, Host: "h", Method: "POST", Target: target, Body: []byte("what is asked"), Client: "c", Deadline: 3 * time.Second,
 		Aim: 100 * time.Millisecond, Header: append([][2]string{{platform.HeaderID, id}, {platform.HeaderDeadline, "3000"}}, header...)}
-	h.ledger.Update(func(r *platform.Record) { r.Tries = append(r.Tries, t) })
+	h.recorder.Update(func(r *platform.Record) { r.Tries = append(r.Tries, t) })
 	h.clients.Send(t)
 	return t
 }
@@ -77,7 +77,7 @@
 // which it waits up to 5 seconds.
 func (h *harness) waitForArrival(t *platform.Try, matches func(a *platform.Arrival) bool) *platform.Arrival {
 	for deadline := h.clock.Now() + 5*time.Second; h.clock.Now() < deadline; h.clock.Sleep(time.Millisecond) {
-		for _, a := range h.ledger.Snapshot().Arrivals {
+		for _, a := range h.recorder.Snapshot().Arrivals {
 			if a.ID == t.ID && matches(a) {
 				return a
 			}
@@ -88,7 +88,7 @@
 }
 
 func TestWorkerAnswersOnOneConnection(t *testing.T) {
-	h := newHarness(t, appShape, nil)
+	h := newHarness(t, appSpec, nil)
 	for index := range 5 {
 		try := h.send(platform.NonIdempotent, fmt.Sprintf("/x/%d?a=b", index))
 		h.is.True(try.Succeeded())
@@ -104,7 +104,7 @@
 }
 
 func TestRejectedRequestsDoNotRun(t *testing.T) {
-	h := newHarness(t, appShape, nil)
+	h := newHarness(t, appSpec, nil)
 	wrongInstance := h.send(platform.NonIdempotent, "/x", [2]string{platform.HeaderExpectInstance, "i-2"})
 	h.is.Equal(wrongInstance.Status, 421)
 	rightInstance := h.send(platform.NonIdempotent, "/x", [2]string{platform.HeaderExpectInstance, "i-1"})
@@ -112,15 +112,15 @@
 	withoutID := &platform.Try{ID: "", Kind: platform.Idempotent, Host: "h", Method: "GET", Target: "/x", Client: "c", Deadline: time.Second}
 	h.clients.Send(withoutID)
 	h.is.Equal(withoutID.Status, 400)
-	for _, a := range h.ledger.Snapshot().Arrivals {
+	for _, a := range h.recorder.Snapshot().Arrivals {
 		h.is.Equal(a.Ran, a.ID == rightInstance.ID)
 	}
 }
 
 func TestFullQueueRefusesWithoutRunning(t *testing.T) {
-	shape := appShape
-	shape.MaxConns = 100
-	h := newHarness(t, shape, func(w *platform.Worker) { w.Workload = func(string) (time.Duration, int) { return time.Second, 10 } })
+	spec := appSpec
+	spec.MaxConns = 100
+	h := newHarness(t, spec, func(w *platform.Worker) { w.Workload = func(string) (time.Duration, int) { return time.Second, 10 } })
 	var senders sync.WaitGroup
 	newTry := func(index int) *platform.Try {
 		id := fmt.Sprintf("%016x", index)
@@ -144,16 +144,16 @@
 	for _, try := range served {
 		h.is.True(try.Succeeded())
 	}
-	for _, a := range h.ledger.Snapshot().Arrivals {
+	for _, a := range h.recorder.Snapshot().Arrivals {
 		h.is.Equal(a.Ran, a.ID != refused.ID)
 	}
 	h.clients.Close()
 }
 
 func TestConnectionsOverTheLimitAreReset(t *testing.T) {
-	shape := appShape
-	shape.MaxConns = 2
-	h := newHarness(t, shape, nil)
+	spec := appSpec
+	spec.MaxConns = 2
+	h := newHarness(t, spec, nil)
 	var openConns []net.Conn
 	for range 2 {
 		conn, err := net.Dial("tcp", h.server.Worker.Address)
@@ -171,7 +171,7 @@
 }
 
 func TestHealthResponse(t *testing.T) {
-	h := newHarness(t, appShape, nil)
+	h := newHarness(t, appSpec, nil)
 	getHealth := func() *http.Response {
 		response, err := http.Get("http://" + h.server.Worker.Address + platform.PathHealth)
 		h.is.NoErr(err)
@@ -193,7 +193,7 @@
 }
 
 func TestLeavingWorkerClosesConnectionAfterResponse(t *testing.T) {
-	h := newHarness(t, appShape, nil)
+	h := newHarness(t, appSpec, nil)
 	h.server.Worker.Drain()
 	h.is.True(h.send(platform.NonIdempotent, "/x").Succeeded())
 	h.is.True(h.send(platform.NonIdempotent, "/x").Succeeded())
@@ -213,7 +213,7 @@
 		{platform.FaultExtra, func(h *harness, try *platform.Try) { h.is.True(try.Succeeded()) }},
 	} {
 		t.Run(string(row.fault), func(t *testing.T) {
-			h := newHarness(t, appShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return row.fault } })
+			h := newHarness(t, appSpec, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return row.fault } })
 			try := h.send(platform.NonIdempotent, "/x", [2]string{"X", "y"})
 			row.check(h, try)
 			h.waitForArrival(try, func(a *platform.Arrival) bool { return a.Ran })
@@ -224,7 +224,7 @@
 
 func TestSurplusResponsesAreDetected(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, appShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return platform.FaultExtra } })
+	h := newHarness(t, appSpec, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return platform.FaultExtra } })
 	first := h.send(platform.NonIdempotent, "/x")
 	for _, conn := range h.clients.idleConns["c"] {
 		select {
@@ -235,7 +235,7 @@
 	surplus := h.clients.Close()
 	is.True(first.Surplus != "" || len(surplus) == 1) // with the response, or while the connection was idle
 
-	h = newHarness(t, appShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return platform.FaultLateExtra } })
+	h = newHarness(t, appSpec, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return platform.FaultLateExtra } })
 	is.True(h.send(platform.NonIdempotent, "/x").Succeeded())
 	second := h.send(platform.NonIdempotent, "/x")
 	is.True(second.Echo != "" && second.Echo != second.ID) // it got the response to another request
@@ -244,14 +244,14 @@
 	}
 	is.True(second.Surplus != "" || len(h.clients.Close()) == 1)
 	found := false
-	for _, breach := range h.ledger.Snapshot().Check() {
-		found = found || breach.Rule == "MIXED" && strings.Contains(breach.Detail, "got the answer of")
+	for _, breach := range h.recorder.Snapshot().Check() {
+		found = found || breach.Rule == "MIXED" && strings.Contains(breach.Detail, "got the answer to")
 	}
 	is.True(found) // a response to another request is a breach
 }
 
 func TestSilentlyDroppedConnectionIsReset(t *testing.T) {
-	h := newHarness(t, appShape, nil, func(s *WorkerServer) { s.SetSilentDropAfter(1) }) // any idle time is too long
+	h := newHarness(t, appSpec, nil, func(s *WorkerServer) { s.SetSilentDropAfter(1) }) // any idle time is too long
 	h.is.True(h.send(platform.NonIdempotent, "/x").Succeeded())
 	try := h.send(platform.NonIdempotent, "/x")
 	h.is.Equal(try.Status, 0)
@@ -317,7 +317,7 @@
 }
 
 func TestModelWorkerStreamsEvents(t *testing.T) {
-	h := newHarness(t, modelShape, nil)
+	h := newHarness(t, modelSpec, nil)
 	try := h.send(platform.Streaming, "/x", modelHeader(100, 9)...)
 	h.is.True(try.Succeeded())
 	a := h.waitForArrival(try, func(a *platform.Arrival) bool { return a.Whole })
@@ -338,13 +338,13 @@
 	h.is.NoErr(err)
 	h.is.Equal(tree.(map[string]any)["cache_total"], 1000.0)
 	h.clients.Close()
-	for _, breach := range h.ledger.Snapshot().Check() {
+	for _, breach := range h.recorder.Snapshot().Check() {
 		h.is.Equal(breach.Rule, "ROUTE") // this test has no configuration
 	}
 }
 
 func TestModelWorkerStopsWhenClientDisconnects(t *testing.T) {
-	h := newHarness(t, modelShape, nil)
+	h := newHarness(t, modelSpec, nil)
 	conn, err := net.Dial("tcp", h.server.Worker.Address)
 	h.is.NoErr(err)
 	_, _ = fmt.Fprintf(conn, "POST /x HTTP/1.1\r\nHost: h\r\n%s: left\r\n%s: 10,900\r\nContent-Length: 0\r\n\r\n", platform.HeaderID, platform.HeaderTokens)
@@ -359,7 +359,7 @@
 func TestModelWorkerFaults(t *testing.T) {
 	for _, fault := range []platform.Fault{platform.FaultLostReset, platform.FaultCut, platform.FaultGarbled} {
 		t.Run(string(fault), func(t *testing.T) {
-			h := newHarness(t, modelShape, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return fault } })
+			h := newHarness(t, modelSpec, func(w *platform.Worker) { w.NextFault = func() platform.Fault { return fault } })
 			try := h.send(platform.Streaming, "/x", modelHeader(10, 20)...)
 			h.is.True(!try.Succeeded())
 			a := h.waitForArrival(try, func(a *platform.Arrival) bool { return a.Broke })
@@ -524,10 +524,10 @@
 			down[name] = is
 		}
 	}
-	pickAll := func(zone string, again bool) map[string]bool {
+	pickAll := func(zone string, retry bool) map[string]bool {
 		names := map[string]bool{}
 		for client := range 50 {
-			name, _ := balancer.Pick(zone, fmt.Sprint("c", client), again)
+			name, _ := balancer.Pick(zone, fmt.Sprint("c", client), retry)
 			names[name] = true
 		}
 		return names
--- a/internal/standin/platform/sockets/worker.go
+++ b/internal/standin/platform/sockets/worker.go
@@ -223,8 +223,8 @@
 	return err
 }
 
-// Head writes the status line and header fields, after any delayed bytes. A negative
-// length means a chunked body.
+// WriteHeader writes the status line and header fields, after any delayed bytes. A
+// negative length means a chunked body.
 func (r *responseWriter) WriteHeader(status int, header [][2]string, length int) error {
 	var head strings.Builder
 	if len(r.delayedBytes) > 0 {
@@ -261,7 +261,7 @@
 	return r.write(piece)
 }
 
-// End ends the body.
+// Finish ends the body.
 func (r *responseWriter) Finish() error {
 	r.responseCount++
 	if r.chunked {
@@ -270,13 +270,13 @@
 	return nil
 }
 
-// Raw writes bytes as they are, without HTTP framing.
+// WriteRaw writes bytes as they are, without HTTP framing.
 func (r *responseWriter) WriteRaw(bytes []byte) { _ = r.write(bytes) }
 
-// Later keeps bytes to be written before the next response on the connection.
+// WriteRawBeforeNext keeps bytes to be written before the next response.
 func (r *responseWriter) WriteRawBeforeNext(bytes []byte) { r.delayedBytes = bytes }
 
-// Break closes the connection, with a reset if hard is set.
+// Abort closes the connection, with a reset if hard is set.
 func (r *responseWriter) Abort(hard bool) {
 	r.closed = true
 	if hard {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -25,16 +25,16 @@
 type Fault string
 
 const (
-	NoFault          Fault = ""
-	Truncate         Fault = "cut"       // end the stream in the middle
-	Malformed        Fault = "malformed" // send an event in the middle that cannot be decoded
-	Hang             Fault = "hang"      // send nothing more for an hour in the middle
-	NoFinishReason   Fault = "no_finish" // leave out the event with the finish reason
-	Unavailable      Fault = "refuse"    // status 503, without running the request
-	TooManyRequests  Fault = "busy"      // status 429, without running the request
-	InternalError    Fault = "fail"      // status 500, after the request was counted as run
-	IgnoreTokenLimit Fault = "overrun"   // produce more tokens than max_tokens
-	NoResponse       Fault = "silent"    // run the request, but send no response
+	NoFault               Fault = ""
+	FaultCut              Fault = "cut"       // end the stream in the middle
+	FaultMalformed        Fault = "malformed" // send an event in the middle that cannot be decoded
+	FaultHang             Fault = "hang"      // send nothing more for an hour in the middle
+	FaultNoFinishReason   Fault = "no_finish" // leave out the event with the finish reason
+	FaultUnavailable      Fault = "refuse"    // status 503, without running the request
+	FaultTooManyRequests  Fault = "busy"      // status 429, without running the request
+	FaultInternalError    Fault = "fail"      // status 500, after the request was counted as run
+	FaultIgnoreTokenLimit Fault = "overrun"   // produce more tokens than max_tokens
+	FaultNoResponse       Fault = "silent"    // run the request, but send no response
 )
 
 // Model is a test double of a model server. Its answer depends on the prompt alone,
@@ -112,10 +112,10 @@
 		return
 	}
 	switch fault {
-	case Unavailable:
+	case FaultUnavailable:
 		writeStatus(503)
 		return
-	case TooManyRequests:
+	case FaultTooManyRequests:
 		writeStatus(429)
 		return
 	}
@@ -123,11 +123,11 @@
 	program, turn := parseTurnTag(lastMessage.Content)
 	cached := m.startRun(program, turn, request.Messages)
 	defer m.endRun()
-	if fault == InternalError {
+	if fault == FaultInternalError {
 		writeStatus(500)
 		return
 	}
-	if fault == NoResponse {
+	if fault == FaultNoResponse {
 		m.Clock.Sleep(time.Hour)
 		return
 	}
@@ -135,19 +135,19 @@
 	m.Clock.Sleep(m.PrefillPerMessage * time.Duration(len(request.Messages)-cached))
 	answer := ExpectedAnswer(request.Messages, m.PiecesPerAnswer)
 	finish := "stop"
-	if int64(len(answer)) > request.MaxTokens && fault != IgnoreTokenLimit {
+	if int64(len(answer)) > request.MaxTokens && fault != FaultIgnoreTokenLimit {
 		answer, finish = answer[:request.MaxTokens], "length"
 	}
 	for index, piece := range answer {
 		m.Clock.Sleep(m.currentInterval())
 		if index == len(answer)/2 {
 			switch fault {
-			case Truncate:
+			case FaultCut:
 				return
-			case Malformed:
+			case FaultMalformed:
 				_ = emit("data: {\"choices\":[{]}\n\n")
 				return
-			case Hang:
+			case FaultHang:
 				m.Clock.Sleep(time.Hour)
 				return
 			}
@@ -158,7 +158,7 @@
 			return
 		}
 	}
-	if fault != NoFinishReason {
+	if fault != FaultNoFinishReason {
 		finalChunk := map[string]any{"choices": []any{map[string]any{"delta": map[string]string{}, "finish_reason": finish}},
 			"usage": map[string]int{"completion_tokens": len(answer)}}
 		if emit("data: "+string(base.MustMarshal(finalChunk))+"\n\n") != nil {
@@ -285,7 +285,7 @@
 	if t.NextFault != nil {
 		fault = t.NextFault()
 	}
-	if fault == Unavailable {
+	if fault == FaultUnavailable {
 		return 503, []byte(`{"error":"leaving"}`), true
 	}
 	if t.OnRun != nil {
@@ -299,9 +299,9 @@
 	t.mu.Unlock()
 	t.Clock.Sleep(t.Delay)
 	switch fault {
-	case NoResponse, Truncate:
+	case FaultNoResponse, FaultCut:
 		return 0, nil, false
-	case InternalError:
+	case FaultInternalError:
 		return 500, []byte(`{"error":"failed"}`), true
 	}
 	return 200, base.MustMarshal(map[string]string{"done": key}), true
