--- a/internal/standin/observations.go
+++ b/internal/standin/observations.go
@@ -10,7 +10,7 @@
 const (
 	MaxSettingsDelay = 2 * time.Second  // from the acceptance of settings until every node serves them
 	MaxLeaveDelay    = 3 * time.Second  // from the notice that a worker leaves until it gets no new work
-	MaxRecoveryTime  = 12 * time.Second // from the end of a total outage until the fleet serves
+	MaxRecoveryTime  = 12 * time.Second // from a total outage until the fleet serves again
 )
 
 // acceptedChange is a change of settings that was acknowledged to an operator, and
@@ -31,6 +31,7 @@
 	leavingSince   map[string]time.Duration  // by worker
 }
 
+// newObservations returns empty observations.
 func newObservations() observations {
 	return observations{accepted: map[uint64]acceptedChange{}, refusedChanges: map[string]bool{}, servedVersions: map[string]uint64{}, leavingSince: map[string]time.Duration{}}
 }
--- a/internal/standin/tally.go
+++ b/internal/standin/tally.go
@@ -16,12 +16,12 @@
 	mu           sync.Mutex
 	Counts       map[string]int
 	Breaches     []string
-	RefusedTurns map[string]string
-	Budgets      map[string]int64
-	SlowestTurn  time.Duration
-	ToolKeys     map[string]bool
-	TurnTimes    []TurnTime
-	RefusalTimes []TurnTime
+	RefusedTurns map[string]string // error code by "program|turn"
+	Budgets      map[string]int64  // tokens, by root program
+	SlowestTurn  time.Duration     // of the completed turns
+	ToolKeys     map[string]bool   // "program/key" of each tool call made
+	TurnTimes    []TurnTime        // of the completed turns
+	RefusalTimes []TurnTime        // of the refused turns
 	// OnCount, if set, is called with the name of each count as it is raised.
 	OnCount      func(name string)
 	observations observations
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -62,9 +62,9 @@
 
 	mu             sync.Mutex
 	activeAnswers  int
-	runs           map[string]int
-	tokens         map[string]int64
-	prefixLastUsed map[string]int
+	runs           map[string]int   // by "program|turn"
+	tokens         map[string]int64 // by program
+	prefixLastUsed map[string]int   // value of useCounter at the latest use, by digest
 	useCounter     int
 	lastRunTime    time.Duration
 	prefixHits     int
