--- a/internal/simulate/mechanisms_test.go
+++ b/internal/simulate/mechanisms_test.go
@@ -99,7 +99,7 @@
 			_ = json.Unmarshal(reply.Result, &result)
 			result["granted"] = args.Tokens
 			return protoResponse(&register.ChangeReply{Result: base.MustMarshal(result)})
-		}), "put out"},
+		}), "tokens of a budget of"},
 		{"the memory of lost legs", "everything at once", "small", interceptChange("", func(m *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			reply, response := pass(request.Op, request.Args)
 			if request.Op == "session.refuse" && response != nil && len(reply.Result) > 0 {
@@ -127,8 +127,8 @@
 			raw, _ := proto.Marshal(&request)
 			response, _ := m.Forward(raw)
 			return response
-		}), "skipped, repeated or spliced"},
-		{"the end mark of an answer", "workers in trouble", "small", func(f *Fleet) { f.disabled.endMarker = true }, "was given as whole but reads"},
+		}), "pieces skipped, repeated or mixed in from another run"},
+		{"the end mark of an answer", "workers in trouble", "small", func(f *Fleet) { f.disabled.endMarker = true }, "was reported complete but reads"},
 		{"the stamp that a change is based on", "nothing but load", "small", interceptChange("settings.apply", func(_ *Message, request *register.ChangeRequest, pass func(string, []byte) (*register.ChangeReply, *http.Response)) *http.Response {
 			current, response := pass("settings.get", []byte("{}"))
 			var record struct {
@@ -154,10 +154,10 @@
 				return protoResponse(&feed.FollowReply{Place: request.Place})
 			}
 			return response
-		}), "serves by stamp"},
+		}), "serves settings of stamp"},
 		{"an owner's proof of its epoch", "a zone cut off", "kiondo", interceptPath("Disk/Confirm", func(*Message) *http.Response {
 			return protoResponse(&register.Ack{Ok: true})
-		}), "serves by stamp"},
+		}), "serves settings of stamp"},
 		{"the fence of a former owner's epoch", "cores frozen and woken", "small", func(f *Fleet) {
 			f.Net.Intercept = func(m *Message) *http.Response {
 				if !strings.Contains(m.Path, "register.Disk/") || strings.HasSuffix(m.Path, "Promise") {
