--- a/internal/standin/platform/check_requests.go
+++ b/internal/standin/platform/check_requests.go
@@ -19,7 +19,7 @@
 			c.report("MIXED", "%s got bytes that are not an HTTP response: %s", t.ID, t.Garbage)
 		}
 		if t.Echo != "" && t.Echo != t.ID {
-			c.report("MIXED", "%s got the answer of %s", t.ID, t.Echo)
+			c.report("MIXED", "%s got the answer to %s", t.ID, t.Echo)
 		}
 		if t.Status < 200 || t.Status > 299 {
 			continue
