--- a/cmd/fordseam-controller/client.go
+++ b/cmd/fordseam-controller/client.go
@@ -128,22 +128,22 @@
 
 // failureMessage returns the text of an error reply, with its code and the field
 // that it is about.
-func failureMessage(verdict *base.RequestError) string {
-	message := verdict.Message
-	if verdict.Field != "" && !strings.HasPrefix(message, verdict.Field) {
-		message = verdict.Field + ": " + message
+func failureMessage(requestErr *base.RequestError) string {
+	message := requestErr.Message
+	if requestErr.Field != "" && !strings.HasPrefix(message, requestErr.Field) {
+		message = requestErr.Field + ": " + message
 	}
-	if verdict.Code == "unknown" {
+	if requestErr.Code == "unknown" {
 		return "outcome unknown: " + message
 	}
-	return "refused (" + verdict.Code + "): " + message
+	return "refused (" + requestErr.Code + "): " + message
 }
 
-func exitCode(verdict *base.RequestError) int {
+func exitCode(requestErr *base.RequestError) int {
 	switch {
-	case verdict.Code == "unknown":
+	case requestErr.Code == "unknown":
 		return node.ExitUnknown
-	case verdict.Status == 400:
+	case requestErr.Status == 400:
 		return node.ExitUsage
 	}
 	return node.ExitFailed
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -100,7 +100,7 @@
 	tx.Put(programKey(p.ID), base.MustMarshal(p))
 }
 
-// UnknownProgram returns the verdict for a program that does not exist.
+// UnknownProgram returns the error for a program that does not exist.
 func UnknownProgram() *base.RequestError {
 	return base.Decline(404, "unknown_program", "the program does not exist")
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -137,18 +137,18 @@
 
 // Follower keeps a node's snapshot of the control state and its lease.
 type Follower struct {
-	clock           base.Clock
-	wire            base.HTTPClient
-	client          *register.Client
-	bounds          *base.AtomicPointer[base.Bounds]
-	counters        *base.Counters
-	snapshot        base.AtomicPointer[Snapshot]
-	onChange        func(*Snapshot)
-	confirmedBell   *base.Notifier
-	view            *membership.View
-	followers       followerTable
-	parent          string                 // the relay that answered last; used by Run only
-	publishedParent atomic.Pointer[string] // the value of parent, for other goroutines
+	clock                base.Clock
+	httpClient           base.HTTPClient
+	client               *register.Client
+	bounds               *base.AtomicPointer[base.Bounds]
+	counters             *base.Counters
+	snapshot             base.AtomicPointer[Snapshot]
+	onChange             func(*Snapshot)
+	confirmationNotifier *base.Notifier
+	view                 *membership.View
+	followers            followerTable
+	parent               string                 // the relay that answered last; used by Run only
+	publishedParent      atomic.Pointer[string] // the value of parent, for other goroutines
 
 	// AddNodeInfo, when set before Run, adds what this node reports about
 	// itself to each request.
@@ -167,8 +167,8 @@
 
 // NewFollower returns a follower that calls onChange with each new snapshot,
 // before the lease that came with it takes effect.
-func NewFollower(clock base.Clock, wire base.HTTPClient, view *membership.View, client *register.Client, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, onChange func(*Snapshot)) *Follower {
-	f := &Follower{clock: clock, wire: wire, view: view, client: client, bounds: bounds, counters: counters, onChange: onChange, confirmedBell: base.NewNotifier(clock)}
+func NewFollower(clock base.Clock, httpClient base.HTTPClient, view *membership.View, client *register.Client, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, onChange func(*Snapshot)) *Follower {
+	f := &Follower{clock: clock, httpClient: httpClient, view: view, client: client, bounds: bounds, counters: counters, onChange: onChange, confirmationNotifier: base.NewNotifier(clock)}
 	f.snapshot.Store(&Snapshot{Values: map[string][]byte{}})
 	return f
 }
@@ -246,7 +246,7 @@
 		tried[address] = true
 		attempts++
 		askedAt = f.clock.Now()
-		answer, err := NewFeedProtobufClient("http://"+address, f.wire).Follow(base.NewCtx(f.clock, f.bounds.Load().FollowTimeout()), request)
+		answer, err := NewFeedProtobufClient("http://"+address, f.httpClient).Follow(base.NewCtx(f.clock, f.bounds.Load().FollowTimeout()), request)
 		switch {
 		case err == nil && answer.Crowded:
 			addresses = prepend(addresses, answer.Relays...)
@@ -285,7 +285,7 @@
 	bounds := f.bounds.Load()
 	err = f.client.CallLeader(base.NewCtx(f.clock, bounds.Lease()), 0, bounds.FollowTimeout(), func(ctx *base.Ctx, addr string) (string, error) {
 		askedAt = f.clock.Now()
-		answer, err := NewFeedProtobufClient("http://"+addr, f.wire).Follow(ctx, request)
+		answer, err := NewFeedProtobufClient("http://"+addr, f.httpClient).Follow(ctx, request)
 		request.HoldMs = 0
 		if err != nil {
 			return "", err
@@ -352,11 +352,11 @@
 	f.leaseEnd.Store(int64(max(previousEnd, leaseEnd)))
 	f.confirmedPlusOne.Store(max(f.confirmedPlusOne.Load(), int64(askedAt)+1))
 	f.mu.Unlock()
-	f.confirmedBell.Notify()
+	f.confirmationNotifier.Notify()
 }
 
 // NextConfirmation returns a signal that fires at the next confirmation.
-func (f *Follower) NextConfirmation() base.Signal { return f.confirmedBell.Next() }
+func (f *Follower) NextConfirmation() base.Signal { return f.confirmationNotifier.Next() }
 
 // ConfirmedWithin reports whether the newest confirmation was requested less
 // than within ago.
@@ -388,7 +388,7 @@
 func (f *Follower) WaitForLease(ctx *base.Ctx) error {
 	deadline := f.clock.Now() + min(f.bounds.Load().LeaseWait(), ctx.Remaining())
 	for {
-		next := f.confirmedBell.Next()
+		next := f.confirmationNotifier.Next()
 		if f.HasLease() {
 			return nil
 		}
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -147,7 +147,7 @@
 	receivedAt := f.clock.Now()
 	firstConfirmed := f.lastConfirmed()
 	for {
-		next := f.confirmedBell.Next()
+		next := f.confirmationNotifier.Next()
 		confirmed, now := f.lastConfirmed(), f.clock.Now()
 		snapshot := f.Snapshot()
 		renewed := confirmed > firstConfirmed && now-receivedAt >= wait/2
--- a/internal/founding/founding.go
+++ b/internal/founding/founding.go
@@ -26,15 +26,15 @@
 
 // Bootstrapper is a seed's part in the bootstrap of a cluster.
 type Bootstrapper struct {
-	clock     base.Clock
-	wire      base.HTTPClient
-	view      *membership.View
-	bounds    *base.AtomicPointer[base.Bounds]
-	counters  *base.Counters
-	server    *register.Server
-	seeds     []string
-	seedIndex int
-	tolerate  int
+	clock      base.Clock
+	httpClient base.HTTPClient
+	view       *membership.View
+	bounds     *base.AtomicPointer[base.Bounds]
+	counters   *base.Counters
+	server     *register.Server
+	seeds      []string
+	seedIndex  int
+	tolerate   int
 
 	mu       sync.Mutex
 	acceptor consensus.Acceptor[*register.DiskSet]
@@ -43,8 +43,8 @@
 // New returns the bootstrapper of the process at an address. If that is not the
 // address of a seed, it neither proposes nor is asked to vote. The cluster is to
 // tolerate the loss of a number of machines at once.
-func New(clock base.Clock, wire base.HTTPClient, view *membership.View, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, server *register.Server, addr string, seeds []string, tolerate int) *Bootstrapper {
-	return &Bootstrapper{clock: clock, wire: wire, view: view, bounds: bounds, counters: counters, server: server,
+func New(clock base.Clock, httpClient base.HTTPClient, view *membership.View, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, server *register.Server, addr string, seeds []string, tolerate int) *Bootstrapper {
+	return &Bootstrapper{clock: clock, httpClient: httpClient, view: view, bounds: bounds, counters: counters, server: server,
 		seeds: seeds, seedIndex: slices.Index(seeds, addr), tolerate: tolerate}
 }
 
@@ -111,7 +111,7 @@
 
 // diskClient returns a client of the disk at an address.
 func (b *Bootstrapper) diskClient(addr string) register.Disk {
-	return register.NewDiskProtobufClient("http://"+addr, b.wire)
+	return register.NewDiskProtobufClient("http://"+addr, b.httpClient)
 }
 
 // formatDisks formats the disks at the addresses and returns a new set of those
@@ -187,7 +187,7 @@
 	return base.CallQuorum(b.clock, b.seeds, consensus.Majority(len(b.seeds)), b.bounds.Load().DiskTimeout()/2, func(ctx *base.Ctx, addr string) bool {
 		var seed Founding = b
 		if addr != b.seeds[b.seedIndex] {
-			seed = NewFoundingProtobufClient("http://"+addr, b.wire)
+			seed = NewFoundingProtobufClient("http://"+addr, b.httpClient)
 		}
 		vote, err := call(ctx, seed)
 		if err != nil {
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -56,9 +56,9 @@
 				"id": base.StringField(&parsed.ID, 128), "addr": base.StringField(&parsed.Addr, 64), "pool": base.StringField(&parsed.Pool, 128),
 				"zone": base.StringField(&parsed.Zone, 128), "incarnation": base.StringField(&parsed.Incarnation, 128), "capacity": base.NumberField(&capacity, 1, 4096, true),
 			})
-			if verdict := base.FindRequestError(err); verdict != nil {
-				verdict.Field = elementPath + "." + verdict.Field
-				return verdict
+			if requestErr := base.FindRequestError(err); requestErr != nil {
+				requestErr.Field = elementPath + "." + requestErr.Field
+				return requestErr
 			}
 			parsed.Capacity = int(capacity)
 			*dst = append(*dst, parsed)
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -41,14 +41,14 @@
 
 // ErrorResponse converts an error to the response that a caller gets.
 func ErrorResponse(err error) *Response {
-	verdict := base.ToRequestError(err)
-	status := verdict.Status
+	requestErr := base.ToRequestError(err)
+	status := requestErr.Status
 	if status == 0 {
 		status = 500
 	}
-	response := jsonResponse(status, map[string]any{"error": verdict})
-	if verdict.RetryAfter > 0 {
-		response.Header["Retry-After"] = strconv.Itoa(verdict.RetryAfter)
+	response := jsonResponse(status, map[string]any{"error": requestErr})
+	if requestErr.RetryAfter > 0 {
+		response.Header["Retry-After"] = strconv.Itoa(requestErr.RetryAfter)
 	}
 	return response
 }
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -21,13 +21,13 @@
 )
 
 // countingWire counts messages, and the bytes of requests and replies.
-type countingWire struct {
+type countingHTTPClient struct {
 	base.HTTPClient
 	bytes atomic.Int64
 	calls atomic.Int64
 }
 
-func (w *countingWire) Do(request *http.Request) (*http.Response, error) {
+func (w *countingHTTPClient) Do(request *http.Request) (*http.Response, error) {
 	w.calls.Add(1)
 	w.bytes.Add(request.ContentLength)
 	response, err := w.HTTPClient.Do(request)
@@ -53,13 +53,13 @@
 // benchCluster runs stores and clients on the real clock, over HTTP on loopback
 // addresses.
 type benchCluster struct {
-	tb     testing.TB
-	clock  base.Clock
-	wire   *countingWire
-	bounds *base.AtomicPointer[base.Bounds]
-	set    atomic.Pointer[register.DiskSet]
-	stores []*ledger.Store
-	addrs  []string
+	tb         testing.TB
+	clock      base.Clock
+	httpClient *countingHTTPClient
+	bounds     *base.AtomicPointer[base.Bounds]
+	set        atomic.Pointer[register.DiskSet]
+	stores     []*ledger.Store
+	addrs      []string
 }
 
 // processorTime returns the processor time that this process has used.
@@ -70,13 +70,13 @@
 }
 
 func newBenchCluster(b testing.TB) *benchCluster {
-	wire, err := conn.NewClient(func() {})
+	httpClient, err := conn.NewClient(func() {})
 	if err != nil {
 		b.Fatal(err)
 	}
-	cluster := &benchCluster{tb: b, clock: base.NewRealClock(), wire: &countingWire{HTTPClient: wire}, bounds: &base.AtomicPointer[base.Bounds]{}}
+	cluster := &benchCluster{tb: b, clock: base.NewRealClock(), httpClient: &countingHTTPClient{HTTPClient: httpClient}, bounds: &base.AtomicPointer[base.Bounds]{}}
 	cluster.bounds.Store(base.DefaultBounds())
-	b.Cleanup(wire.Close)
+	b.Cleanup(httpClient.Close)
 	return cluster
 }
 
@@ -93,7 +93,7 @@
 func (cluster *benchCluster) openStore(files disk.Files) {
 	i := len(cluster.stores)
 	addr := fmt.Sprintf("127.%d.%d.%d:21840", 220+os.Getpid()%30, 1+os.Getpid()/30%250, i+1)
-	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: cluster.clock, Wire: cluster.wire.HTTPClient, Files: files, Bounds: cluster.bounds, Counters: base.NewCounters(), FaultTolerance: 1,
+	store, err := ledger.OpenStore(ledger.StoreConfig{Clock: cluster.clock, HTTPClient: cluster.httpClient.HTTPClient, Files: files, Bounds: cluster.bounds, Counters: base.NewCounters(), FaultTolerance: 1,
 		LocalDisk: func() (string, *register.DiskSet) { return fmt.Sprintf("d%d", i), cluster.set.Load() }})
 	if err != nil {
 		cluster.tb.Fatal(err)
@@ -127,7 +127,7 @@
 }
 
 func (cluster *benchCluster) client() *ledger.Client {
-	return ledger.NewClient(cluster.clock, cluster.wire, cluster.set.Load, "z0", 1, cluster.bounds, base.NewCounters(), nil)
+	return ledger.NewClient(cluster.clock, cluster.httpClient, cluster.set.Load, "z0", 1, cluster.bounds, base.NewCounters(), nil)
 }
 
 // runTurn begins and finishes one turn of a program.
@@ -176,8 +176,8 @@
 		state, _ := store.Describe(context.Background(), nil)
 		logged += state.LogBytes
 	}
-	b.ReportMetric(float64(cluster.wire.bytes.Load())/float64(b.N), "wire-bytes/turn")
-	b.ReportMetric(float64(cluster.wire.calls.Load())/float64(b.N), "messages/turn")
+	b.ReportMetric(float64(cluster.httpClient.bytes.Load())/float64(b.N), "wire-bytes/turn")
+	b.ReportMetric(float64(cluster.httpClient.calls.Load())/float64(b.N), "messages/turn")
 	b.ReportMetric(float64(logged)/float64(b.N), "log-bytes/turn")
 }
 
--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -15,7 +15,7 @@
 // when one is slow. A store that was slow or unreachable is asked last for a while.
 type Client struct {
 	clock          base.Clock
-	wire           base.HTTPClient
+	httpClient     base.HTTPClient
 	toldSet        func() *register.DiskSet
 	zone           string
 	faultTolerance int
@@ -31,11 +31,11 @@
 // NewClient returns a client that calls set for the newest disk set that this node
 // was told of, and alive to skip nodes that membership considers dead. alive may
 // be nil.
-func NewClient(clock base.Clock, wire base.HTTPClient, set func() *register.DiskSet, zone string, faultTolerance int, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, alive func(addr string) bool) *Client {
+func NewClient(clock base.Clock, httpClient base.HTTPClient, set func() *register.DiskSet, zone string, faultTolerance int, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, alive func(addr string) bool) *Client {
 	if alive == nil {
 		alive = func(string) bool { return true }
 	}
-	return &Client{clock: clock, wire: wire, toldSet: set, zone: zone, faultTolerance: max(1, faultTolerance), bounds: bounds, counters: counters, alive: alive,
+	return &Client{clock: clock, httpClient: httpClient, toldSet: set, zone: zone, faultTolerance: max(1, faultTolerance), bounds: bounds, counters: counters, alive: alive,
 		suspectUntil: map[string]time.Duration{}}
 }
 
@@ -100,7 +100,7 @@
 }
 
 func (c *Client) storeClient(entry *register.DiskEntry) Ledger {
-	return NewLedgerProtobufClient("http://"+entry.Addr, c.wire)
+	return NewLedgerProtobufClient("http://"+entry.Addr, c.httpClient)
 }
 
 // replicas returns a program's replicas in the newest set, in the order in which
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -112,7 +112,7 @@
 	m.running = true
 	m.counters = base.NewCounters()
 	m.host.Go(func() {
-		opened, err := ledger.OpenStore(ledger.StoreConfig{Clock: m.host.Clock(), Wire: f.net.HTTPClient(m.host), Files: m.files, Bounds: f.bounds,
+		opened, err := ledger.OpenStore(ledger.StoreConfig{Clock: m.host.Clock(), HTTPClient: f.net.HTTPClient(m.host), Files: m.files, Bounds: f.bounds,
 			Counters: m.counters, FaultTolerance: f.faultTolerance, LocalDisk: func() (string, *register.DiskSet) { return m.diskID, m.set }})
 		f.is.NoErr(err)
 		m.store = opened
--- a/internal/ledger/pull.go
+++ b/internal/ledger/pull.go
@@ -102,7 +102,7 @@
 }
 
 func (s *Store) peerClient(entry *register.DiskEntry) Ledger {
-	return NewLedgerProtobufClient("http://"+entry.Addr, s.wire)
+	return NewLedgerProtobufClient("http://"+entry.Addr, s.httpClient)
 }
 
 // pullLoop adopts newer sets and pulls from other stores until the store is closed.
@@ -115,7 +115,7 @@
 // what it lacks.
 func (s *Store) pullLoop() {
 	for !s.isClosed() {
-		ring := s.setBell.Next()
+		nextSetChange := s.setNotifier.Next()
 		s.mu.Lock()
 		s.refreshIdentity()
 		set := s.currentSet()
@@ -126,7 +126,7 @@
 			}
 		}
 		s.mu.Unlock()
-		ring.Wait(s.retryInterval())
+		nextSetChange.Wait(s.retryInterval())
 	}
 }
 
@@ -163,9 +163,9 @@
 		s.completeStamp, s.damaged = set.Stamp, false
 		s.appendMarks()
 		s.counters.Add("ledger_whole", 1)
-		s.commitBell.Notify()
+		s.commitNotifier.Notify()
 	}
-	s.setBell.Notify()
+	s.setNotifier.Notify()
 }
 
 // knownSets returns all sets that this store or the peers it has pulled from know,
@@ -374,7 +374,7 @@
 func (s *Store) unlockAndThrottle() error {
 	if len(s.nextBatch.payload) < maxQueuedBytes/4 {
 		s.mu.Unlock()
-		s.commitBell.Notify()
+		s.commitNotifier.Notify()
 		return nil
 	}
 	if ack := s.unlockAndSync(&Ack{}); ack.Why != "" {
@@ -502,7 +502,7 @@
 		s.missing[key] = wanted
 	default:
 		s.mergePulled(&Record{Program: key.program, Turns: chain})
-		s.commitBell.Notify()
+		s.commitNotifier.Notify()
 		s.counters.Add("ledger_turns_copied", int64(len(chain)))
 	}
 }
--- a/internal/ledger/quorum_call.go
+++ b/internal/ledger/quorum_call.go
@@ -34,7 +34,7 @@
 // with a newer set.
 func callQuorum[R interface{ GetAck() *Ack }](c *Client, ctx *base.Ctx, call quorumCall[R]) (responses []storeResponse[R], setChanged bool) {
 	var mu sync.Mutex
-	bell := base.NewNotifier(c.clock)
+	replyNotifier := base.NewNotifier(c.clock)
 	set, stores, asked := call.set, call.stores, 0
 	received := []storeResponse[R]{}
 	outstanding := map[string]bool{}
@@ -65,12 +65,12 @@
 		received = append(received, response)
 		delete(outstanding, entry.Addr)
 		mu.Unlock()
-		bell.Notify()
+		replyNotifier.Notify()
 	}
 	hedge := c.bounds.Load().DiskHedgeDelay()
 	hedgeAt := c.clock.Now() + hedge
 	for {
-		ring := bell.Next()
+		nextReply := replyNotifier.Next()
 		mu.Lock()
 		responses = append([]storeResponse[R](nil), received...)
 		responded, accepted := len(responses), 0
@@ -110,7 +110,7 @@
 		if asked < len(stores) {
 			wait = min(wait, max(hedgeAt-c.clock.Now(), hedge/16))
 		}
-		ring.Wait(wait)
+		nextReply.Wait(wait)
 	}
 }
 
--- a/internal/ledger/refusal_test.go
+++ b/internal/ledger/refusal_test.go
@@ -61,11 +61,11 @@
 					err := requests[name](base.NewCtx(f.testHost.Clock(), deadline))
 					took := f.now() - began
 					t.Logf("%s: refused after %v: %v", name, took, err)
-					var verdict *base.RequestError
-					f.is.True(errors.As(err, &verdict))
-					f.is.Equal(verdict.Status, 503)
-					f.is.Equal(verdict.Execution, base.NotRun)
-					f.is.True(verdict.RetryAfter > 0)
+					var requestErr *base.RequestError
+					f.is.True(errors.As(err, &requestErr))
+					f.is.Equal(requestErr.Status, 503)
+					f.is.Equal(requestErr.Execution, base.NotRun)
+					f.is.True(requestErr.RetryAfter > 0)
 					f.is.True(took <= tc.limit+50*time.Millisecond)
 				}
 			})
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -61,7 +61,7 @@
 // disk set that this disk knows.
 type StoreConfig struct {
 	Clock          base.Clock
-	Wire           base.HTTPClient
+	HTTPClient     base.HTTPClient
 	Files          disk.Files
 	Bounds         *base.AtomicPointer[base.Bounds]
 	Counters       *base.Counters
@@ -82,7 +82,7 @@
 // until the state that it is based on is synced.
 type Store struct {
 	clock          base.Clock
-	wire           base.HTTPClient
+	httpClient     base.HTTPClient
 	bounds         *base.AtomicPointer[base.Bounds]
 	counters       *base.Counters
 	faultTolerance int
@@ -112,8 +112,8 @@
 	logBytes            int
 	nextBatch           *batch         // takes new records
 	writingBatch        *batch         // being written, or nil
-	commitBell          *base.Notifier // wakes the committer
-	setBell             *base.Notifier // wakes pullLoop
+	commitNotifier      *base.Notifier // wakes the committer
+	setNotifier         *base.Notifier // wakes pullLoop
 	full                bool           // the disk had too little free space when last checked
 	bytesSinceFreeCheck int            // bytes written since free space was last checked
 	logErr              error          // the failure that ended the committer
@@ -123,10 +123,10 @@
 
 // OpenStore reads the log and starts the committer.
 func OpenStore(config StoreConfig) (*Store, error) {
-	s := &Store{clock: config.Clock, wire: config.Wire, bounds: config.Bounds, counters: config.Counters, faultTolerance: max(1, config.FaultTolerance),
+	s := &Store{clock: config.Clock, httpClient: config.HTTPClient, bounds: config.Bounds, counters: config.Counters, faultTolerance: max(1, config.FaultTolerance),
 		localDisk: config.LocalDisk, files: config.Files, programs: map[string]*program{}, turns: map[string]*turn{}, missing: map[turnKey]missingTurn{},
 		byArrival: list.New(), openedAt: config.Clock.Now(), peers: map[string]*peerState{}, pulling: map[string]uint64{}, fetching: map[turnKey]bool{}, segments: map[uint64]*segmentContents{},
-		bytesSinceFreeCheck: minFreeBytes, commitBell: base.NewNotifier(config.Clock), setBell: base.NewNotifier(config.Clock), committerDone: config.Clock.NewSignal()}
+		bytesSinceFreeCheck: minFreeBytes, commitNotifier: base.NewNotifier(config.Clock), setNotifier: base.NewNotifier(config.Clock), committerDone: config.Clock.NewSignal()}
 	s.nextBatch = &batch{done: s.clock.NewSignal()}
 	log, damaged, err := disk.OpenSegmentLog(config.Files, minSegmentBytes, s.replayBatch)
 	if err != nil {
@@ -252,7 +252,7 @@
 func (s *Store) unlockAndSync(ack *Ack) *Ack {
 	pending := s.lastPending()
 	s.mu.Unlock()
-	s.commitBell.Notify()
+	s.commitNotifier.Notify()
 	if pending == nil {
 		return ack
 	}
@@ -271,7 +271,7 @@
 	defer s.committerDone.Fire()
 	for {
 		s.mu.Lock()
-		ring := s.commitBell.Next()
+		nextCommit := s.commitNotifier.Next()
 		dropping := s.rewriteOldest()
 		current := s.nextBatch
 		if len(current.payload) == 0 && !dropping {
@@ -280,7 +280,7 @@
 			if closed {
 				return
 			}
-			ring.Wait(-1)
+			nextCommit.Wait(-1)
 			continue
 		}
 		s.writingBatch, s.nextBatch = current, &batch{done: s.clock.NewSignal()}
@@ -396,7 +396,7 @@
 		}
 	}
 	if len(segment.programs) > 0 || len(segment.turns) > 0 {
-		s.commitBell.Notify()
+		s.commitNotifier.Notify()
 		return false
 	}
 	s.appendMarks()
@@ -408,8 +408,8 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.commitBell.Notify()
-	s.setBell.Notify()
+	s.commitNotifier.Notify()
+	s.setNotifier.Notify()
 }
 
 func (s *Store) isClosed() bool {
@@ -431,7 +431,7 @@
 			s.completeStamp = 1 // nothing was written before the first set
 		}
 		s.appendMarks()
-		s.setBell.Notify()
+		s.setNotifier.Notify()
 		return
 	}
 	s.adoptSet(set)
@@ -448,7 +448,7 @@
 	}
 	s.peers = map[string]*peerState{}
 	s.appendMarks()
-	s.setBell.Notify()
+	s.setNotifier.Notify()
 	s.counters.Add("ledger_sets", 1)
 }
 
@@ -501,7 +501,7 @@
 }
 
 // NotifySetChange tells the store that its disk may know a newer set.
-func (s *Store) NotifySetChange() { s.setBell.Notify() }
+func (s *Store) NotifySetChange() { s.setNotifier.Notify() }
 
 // Run pulls what the store lacks and expires old data until the store is closed.
 func (s *Store) Run() {
--- a/internal/line/execute.go
+++ b/internal/line/execute.go
@@ -173,11 +173,11 @@
 	service := matched.PickService(m.servicePicker(matched, call))
 	reply, err := m.Workers.Send(ctx, matched, service, call, body)
 	if err != nil {
-		verdict := base.ToRequestError(err)
+		requestErr := base.ToRequestError(err)
 		delivered := int64(0)
 		op.state = session.OpFailed
 		m.settle(s, op, delivered)
-		op.stream.fail(verdict)
+		op.stream.fail(requestErr)
 		return
 	}
 	defer reply.Close()
--- a/internal/line/forward.go
+++ b/internal/line/forward.go
@@ -17,15 +17,15 @@
 		return nil, base.Busy(503, "unreachable", 1, "the session's owner is not known to be alive")
 	}
 	m.Counters.Add("turns_forwarded", 1)
-	owner := NewOwnerProtobufClient("http://"+member.Addr, m.Wire)
+	owner := NewOwnerProtobufClient("http://"+member.Addr, m.HTTPClient)
 	wait := m.Bounds.Load().Recovery / 24
 	reply, err := owner.Forward(ctx.WithTimeout(wait*5/2), &ForwardRequest{From: m.nodeID(), Forwarded: true, Assignment: assignment, Call: callToProto(call, ctx)})
 	if err != nil {
-		verdict := base.ToRequestError(err)
-		if verdict.Code == "unreachable" || verdict.Code == "owner_lost" || verdict.Code == "reply_lost" {
+		requestErr := base.ToRequestError(err)
+		if requestErr.Code == "unreachable" || requestErr.Code == "owner_lost" || requestErr.Code == "reply_lost" {
 			m.View.Suspect(assignment.Owner)
 		}
-		return nil, verdict
+		return nil, requestErr
 	}
 	pull := func(abandon bool, position uint64, limit time.Duration) (*PullReply, error) {
 		return owner.Pull(base.NewCtx(m.Clock, limit), &PullRequest{Program: call.Program, Session: call.Session, Turn: call.ID, Place: position, HoldMs: wait.Milliseconds(), Leave: abandon, Assignment: assignment})
@@ -101,13 +101,13 @@
 	return m.pullReply(replyCtx, stream, 0, m.Bounds.Load().Recovery/24)
 }
 
-// pullError returns the verdict for a failed pull. That the pull was not sent proves
+// pullError returns the error for a failed pull. That the pull was not sent proves
 // nothing about the turn, which the owner already has, so the turn may have run. A
-// verdict that the owner itself sent is passed on.
+// request error that the owner itself sent is passed on.
 func pullError(err error) *base.RequestError {
-	verdict := base.ToRequestError(err)
+	requestErr := base.ToRequestError(err)
 	if base.WasNotSent(err) {
-		return base.Indeterminate(502, "owner_lost", "the session's owner was lost: %s", verdict.Message)
+		return base.Indeterminate(502, "owner_lost", "the session's owner was lost: %s", requestErr.Message)
 	}
-	return verdict
+	return requestErr
 }
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -145,19 +145,19 @@
 }
 
 // fakeWire calls the handlers of the test's nodes directly.
-type fakeWire struct {
+type fakeHTTPClient struct {
 	mu    sync.Mutex
 	nodes map[string]http.Handler
 }
 
 // disconnect makes a node unreachable.
-func (w *fakeWire) disconnect(addr string) {
+func (w *fakeHTTPClient) disconnect(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.nodes, addr)
 }
 
-func (w *fakeWire) Do(request *http.Request) (*http.Response, error) {
+func (w *fakeHTTPClient) Do(request *http.Request) (*http.Response, error) {
 	w.mu.Lock()
 	node := w.nodes[request.URL.Host]
 	w.mu.Unlock()
@@ -174,17 +174,17 @@
 
 // testCluster is a set of gateways with one fake ledger and the same fake workers.
 type testCluster struct {
-	is       *is.I
-	clock    base.Clock
-	wire     *fakeWire
-	ledger   *fakeLedger
-	workers  *fakeWorkers
-	bounds   *base.AtomicPointer[base.Bounds]
-	managers map[string]*Manager
+	is         *is.I
+	clock      base.Clock
+	httpClient *fakeHTTPClient
+	ledger     *fakeLedger
+	workers    *fakeWorkers
+	bounds     *base.AtomicPointer[base.Bounds]
+	managers   map[string]*Manager
 }
 
 func newTestCluster(t *testing.T) *testCluster {
-	c := &testCluster{is: is.New(t), clock: base.NewRealClock(), wire: &fakeWire{nodes: map[string]http.Handler{}}, ledger: newFakeLedger(), workers: newFakeWorkers(),
+	c := &testCluster{is: is.New(t), clock: base.NewRealClock(), httpClient: &fakeHTTPClient{nodes: map[string]http.Handler{}}, ledger: newFakeLedger(), workers: newFakeWorkers(),
 		bounds: &base.AtomicPointer[base.Bounds]{}, managers: map[string]*Manager{}}
 	c.bounds.Store(base.DefaultBounds())
 	return c
@@ -192,20 +192,20 @@
 
 func (c *testCluster) addNode(name string, seeds ...string) *Manager {
 	counters := base.NewCounters()
-	view := membership.NewView(c.clock, c.wire, c.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleGateway, Zone: "z"}, seeds, nil)
+	view := membership.NewView(c.clock, c.httpClient, c.bounds, counters, &membership.Member{Id: name + "/1", Addr: name, Role: membership.RoleGateway, Zone: "z"}, seeds, nil)
 	table := &route.Table{Version: 1, Services: map[string]*route.Service{"s": {Name: "s", Engine: &route.Engine{TokensPerEvent: 2}}},
 		Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Kind: route.KindStream, Timeout: 10 * time.Second, RetainTurns: true, Retention: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}},
 			{Name: "loose", Host: "h", Prefix: "/loose/", Kind: route.KindStream, Timeout: 10 * time.Second, Shares: []route.Share{{Service: "s", Weight: 1}}}}}
 	c.is.NoErr(table.BuildIndex())
 	routes := &base.AtomicPointer[route.Table]{}
 	routes.Store(table)
-	m := NewManager(Dependencies{Clock: c.clock, Wire: c.wire, View: view, Bounds: c.bounds, Counters: counters, Routes: routes, Ledger: c.ledger, Workers: c.workers})
+	m := NewManager(Dependencies{Clock: c.clock, HTTPClient: c.httpClient, View: view, Bounds: c.bounds, Counters: counters, Routes: routes, Ledger: c.ledger, Workers: c.workers})
 	mux := http.NewServeMux()
 	member := membership.NewMembershipServer(view)
 	mux.Handle(member.PathPrefix(), member)
 	owner := NewOwnerServer(m)
 	mux.Handle(owner.PathPrefix(), owner)
-	c.wire.nodes[name] = base.HandleMessages(c.clock, mux)
+	c.httpClient.nodes[name] = base.HandleMessages(c.clock, mux)
 	c.managers[name] = m
 	return m
 }
@@ -449,7 +449,7 @@
 // connect waits until two nodes know each other.
 func (c *testCluster) connect(a, b *Manager) {
 	for _, pair := range [][2]*Manager{{a, b}, {b, a}} {
-		client := membership.NewMembershipProtobufClient("http://"+pair[1].View.Self().Addr, c.wire)
+		client := membership.NewMembershipProtobufClient("http://"+pair[1].View.Self().Addr, c.httpClient)
 		_ = client
 		c.clock.Go(pair[0].View.Run)
 	}
@@ -479,7 +479,7 @@
 	c.is.Equal(got, "data: xt2\n\ndata: yt2\n\n")
 	c.is.Equal(c.ledger.sessions["ps1"].Owner, a.nodeID()) // the owner is unchanged
 	c.is.Equal(b.Counters.Snapshot()["turns_forwarded"], int64(1))
-	owner := NewOwnerProtobufClient("http://a:1", c.wire)
+	owner := NewOwnerProtobufClient("http://a:1", c.httpClient)
 	for _, bad := range []*ForwardRequest{
 		{From: "x", Assignment: c.ledger.sessions["ps1"], Call: &Call{Session: "s1"}},                                                              // no marker
 		{From: "x", Forwarded: true, Assignment: &Assignment{Run: "r", Owner: a.nodeID(), Epoch: 1}, Call: &Call{Session: "s1", DeadlineMs: 1000}}, // another Run
@@ -503,7 +503,7 @@
 	c.is.NoErr(err)
 	ctx := base.NewCtx(c.clock, 10*time.Second)
 	forward := &ForwardRequest{From: b.nodeID(), Forwarded: true, Assignment: c.ledger.sessions["ps1"], Call: callToProto(c.call("s1", "t2", "t1"), ctx)}
-	owner := NewOwnerProtobufClient("http://a:1", c.wire)
+	owner := NewOwnerProtobufClient("http://a:1", c.httpClient)
 	for range 2 {
 		reply, err := owner.Forward(ctx, forward)
 		c.is.NoErr(err)
@@ -517,7 +517,7 @@
 }
 
 // A pull that was not sent proves nothing about the turn, which the owner already has.
-// Only a verdict from the owner can say that the turn has not run.
+// Only an error that the owner itself sent can say that the turn has not run.
 func TestOnlyTheOwnersReplyProvesThatATurnHasNotRun(t *testing.T) {
 	is := is.New(t)
 	lost := pullError(&base.NotSent{Cause: io.EOF})
@@ -545,7 +545,7 @@
 	c.is.Equal(c.ledger.sessions["ps1"].Owner, b.nodeID())
 	c.is.Equal(c.ledger.sessions["ps1"].Epoch, uint64(2))
 	a.View.Close()
-	c.wire.disconnect("a:1")
+	c.httpClient.disconnect("a:1")
 	_, err = c.submitAndRead(b, c.call("s2", "u2", "u1"))
 	c.is.NoErr(err)
 	c.is.Equal(c.ledger.sessions["ps2"].Owner, b.nodeID())
@@ -578,7 +578,7 @@
 	c.is.Equal(a.undeliveredStreams(), 1)
 	close(c.workers.gates["t2"])
 	<-drained
-	c.wire.disconnect("a:1") // a stops right after the drain
+	c.httpClient.disconnect("a:1") // a stops right after the drain
 	body, err := io.ReadAll(NewReader(stream, c.clock, 5*time.Second))
 	c.is.NoErr(err)
 	c.is.Equal(string(body), "data: xt2\n\ndata: yt2\n\n")
--- a/internal/line/manager.go
+++ b/internal/line/manager.go
@@ -29,14 +29,14 @@
 
 // Dependencies are the services that a Manager uses.
 type Dependencies struct {
-	Clock    base.Clock
-	Wire     base.HTTPClient
-	View     *membership.View
-	Bounds   *base.AtomicPointer[base.Bounds]
-	Counters *base.Counters
-	Routes   *base.AtomicPointer[route.Table]
-	Ledger   Ledger
-	Workers  Workers
+	Clock      base.Clock
+	HTTPClient base.HTTPClient
+	View       *membership.View
+	Bounds     *base.AtomicPointer[base.Bounds]
+	Counters   *base.Counters
+	Routes     *base.AtomicPointer[route.Table]
+	Ledger     Ledger
+	Workers    Workers
 }
 
 // Manager is a gateway's session service for an operator's routes.
@@ -155,14 +155,14 @@
 			if err == nil {
 				return stream, nil
 			}
-			verdict := base.ToRequestError(err)
-			switch verdict.Code {
+			requestErr := base.ToRequestError(err)
+			switch requestErr.Code {
 			case "stale_assignment", "unreachable", "owner_lost", "handing_over":
 				if attempts > 2 {
 					return nil, m.retrySoon("owner_unreachable", "the session's owner could not be reached")
 				}
 				m.forgetAssignment(sessionKey(call), remote)
-				if verdict.Code == "stale_assignment" {
+				if requestErr.Code == "stale_assignment" {
 					remote = nil // claim asks the ledger for the current one
 				}
 			default:
--- a/internal/line/stream.go
+++ b/internal/line/stream.go
@@ -47,12 +47,12 @@
 func (s *Stream) add(pieces ...[]byte) { s.update(func() { s.pieces = append(s.pieces, pieces...) }) }
 func (s *Stream) finish()              { s.update(func() { s.done = true }) }
 
-// fail ends the stream without success: with a verdict when no head was set, or else as
+// fail ends the stream without success: with an error when no head was set, or else as
 // cut.
-func (s *Stream) fail(verdict *base.RequestError) {
+func (s *Stream) fail(requestErr *base.RequestError) {
 	s.update(func() {
 		if s.head == nil {
-			s.failure = verdict
+			s.failure = requestErr
 		}
 		s.cut = s.head != nil
 		s.done = true
@@ -77,7 +77,7 @@
 	return s.abandoned
 }
 
-// Head waits for the response's head, or returns the verdict when there is none.
+// Head waits for the response's head, or returns the error when there is none.
 func (s *Stream) Head(limit time.Duration, clock base.Clock) (*Head, error) {
 	end := clock.Now() + limit
 	for {
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -14,7 +14,7 @@
 // asks for the other's whole view.
 func (v *View) exchange(addr string, timeout time.Duration, askView bool) (id string, err error) {
 	message := v.buildMessage(v.idAtAddr(addr), askView, nil)
-	reply, err := NewMembershipProtobufClient("http://"+addr, v.wire).Shuffle(base.NewCtx(v.clock, timeout), message)
+	reply, err := NewMembershipProtobufClient("http://"+addr, v.httpClient).Shuffle(base.NewCtx(v.clock, timeout), message)
 	if err != nil {
 		v.recordAnswer(v.idAtAddr(addr), false)
 		if base.WasNotSent(err) {
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -61,7 +61,7 @@
 	}
 	v.lastQueued[key] = incarnationMark{member.Incarnation, v.clock.Now()}
 	v.pendingUpdates[member.Id] = &update{cloneMember(member), v.maxSends()}
-	v.changeBell.Notify()
+	v.changeNotifier.Notify()
 }
 
 // isolated reports whether no other member is alive. The caller holds the lock.
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -132,7 +132,7 @@
 	var mu sync.Mutex
 	negatives := 0
 	alive = base.CallQuorum(v.clock, helpers[:min(indirectProbers, len(helpers))], 1, v.bounds.Load().HeartbeatInterval()*11/4, func(ctx *base.Ctx, addr string) bool {
-		reply, err := NewMembershipProtobufClient("http://"+addr, v.wire).PingReq(ctx, &PingRequest{Addr: member.Addr, Id: member.Id})
+		reply, err := NewMembershipProtobufClient("http://"+addr, v.httpClient).PingReq(ctx, &PingRequest{Addr: member.Addr, Id: member.Id})
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil && !reply.Alive {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -56,13 +56,13 @@
 
 // View is one node's view of the fleet.
 type View struct {
-	clock      base.Clock
-	wire       base.HTTPClient
-	bounds     *base.AtomicPointer[base.Bounds]
-	counters   *base.Counters
-	seeds      []string
-	usages     UsageStore
-	changeBell *base.Notifier
+	clock          base.Clock
+	httpClient     base.HTTPClient
+	bounds         *base.AtomicPointer[base.Bounds]
+	counters       *base.Counters
+	seeds          []string
+	usages         UsageStore
+	changeNotifier *base.Notifier
 	// KnownCluster returns the cluster that this node belongs to, as its disk
 	// or the control state says, or "" while that is unknown. It is set before
 	// Run.
@@ -102,9 +102,9 @@
 // NewView returns the view of the node that self describes. The seeds are the
 // addresses at which it looks for the fleet. usages is nil on nodes that do not
 // use load reports.
-func NewView(clock base.Clock, wire base.HTTPClient, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, self *Member, seeds []string, usages UsageStore) *View {
+func NewView(clock base.Clock, httpClient base.HTTPClient, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, self *Member, seeds []string, usages UsageStore) *View {
 	self.Incarnation = max(self.Incarnation, 1)
-	return &View{clock: clock, wire: wire, bounds: bounds, counters: counters, self: self, seeds: seeds, changeBell: base.NewNotifier(clock),
+	return &View{clock: clock, httpClient: httpClient, bounds: bounds, counters: counters, self: self, seeds: seeds, changeNotifier: base.NewNotifier(clock),
 		usages: usages, known: map[string]*peer{}, pendingUpdates: map[string]*update{}, lastQueued: map[string]incarnationMark{}, tombstones: map[string]incarnationMark{}}
 }
 
@@ -144,7 +144,7 @@
 	beat := v.bounds.Load().HeartbeatInterval()
 	deadline := v.clock.Now() + beat*3/2 + time.Duration(v.clock.Int64N(int64(beat)))
 	for {
-		next := v.changeBell.Next()
+		next := v.changeNotifier.Next()
 		v.mu.Lock()
 		hasUpdates, isolated, hasUsages := len(v.pendingUpdates) > 0, v.isolated(), v.usages != nil && v.usages.HasUnsent(v.maxSends())
 		if !isolated {
@@ -180,7 +180,7 @@
 
 // NextChange returns a signal that fires when there is another update about a
 // member.
-func (v *View) NextChange() base.Signal { return v.changeBell.Next() }
+func (v *View) NextChange() base.Signal { return v.changeNotifier.Next() }
 
 // discardStaleUpdates drops pending updates after the process was suspended for
 // long, because they are out of date.
@@ -258,7 +258,7 @@
 	v.mu.Lock()
 	v.closed = true
 	v.mu.Unlock()
-	v.changeBell.Notify()
+	v.changeNotifier.Notify()
 }
 
 // Closed reports whether Close was called.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -178,7 +178,7 @@
 	})
 	g.Follower = follower
 	c.mount(feed.NewFeedServer(feed.NewService(env.Clock, nil, follower)))
-	g.Sessions = session.NewManager(session.Dependencies{Clock: env.Clock, Wire: env.HTTPClient, View: c.view, Bounds: bounds, Counters: env.Counters,
+	g.Sessions = session.NewManager(session.Dependencies{Clock: env.Clock, HTTPClient: env.HTTPClient, View: c.view, Bounds: bounds, Counters: env.Counters,
 		Register: client, Follower: follower, Picker: picker, Backends: env.Backends, Tree: settingsTree})
 	g.Front = &front.Handler{Clock: env.Clock, Bounds: bounds, Counters: env.Counters, Follower: follower, Settings: settingsTree,
 		Budget: &budget.Client{Register: client}, Sessions: g.Sessions, Tools: &toolcall.Client{Register: client},
@@ -187,7 +187,7 @@
 	g.Routes, g.routesChanged = &base.AtomicPointer[route.Table]{}, base.NewNotifier(env.Clock)
 	g.Relay = relay.New(relay.Config{Clock: env.Clock, Backends: env.Backends, Bounds: bounds, Counters: env.Counters, Names: env.Names, Zone: config.Zone, MaxConnsPerWorker: g.maxConnsPerWorker, MaxResponseBytes: maxResponseBytes})
 	ledgerClient := ledger.NewClient(env.Clock, env.HTTPClient, g.diskSet.Load, config.Zone, config.FaultTolerance, bounds, env.Counters, nil)
-	g.Lines = line.NewManager(line.Dependencies{Clock: env.Clock, Wire: env.HTTPClient, View: c.view, Bounds: bounds, Counters: env.Counters,
+	g.Lines = line.NewManager(line.Dependencies{Clock: env.Clock, HTTPClient: env.HTTPClient, View: c.view, Bounds: bounds, Counters: env.Counters,
 		Routes: g.Routes, Ledger: ledgerAdapter{ledgerClient}, Workers: relayAdapter{g}})
 	c.mount(line.NewOwnerServer(g.Lines))
 	return g
@@ -380,7 +380,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ledgerStore, err := ledger.OpenStore(ledger.StoreConfig{Clock: env.Clock, Wire: env.HTTPClient, Files: env.Files, Bounds: bounds, Counters: env.Counters,
+	ledgerStore, err := ledger.OpenStore(ledger.StoreConfig{Clock: env.Clock, HTTPClient: env.HTTPClient, Files: env.Files, Bounds: bounds, Counters: env.Counters,
 		FaultTolerance: config.FaultTolerance, LocalDisk: store.Identity})
 	if err != nil {
 		store.Close()
--- a/internal/register/census.go
+++ b/internal/register/census.go
@@ -25,7 +25,7 @@
 	suspects := srv.suspectedCores(present)
 	answered := map[string]bool{}
 	base.CallQuorum(srv.clock, present, 1, srv.bounds.Load().DiskTimeout()*6/10, func(ctx *base.Ctx, member *membership.Member) bool {
-		reply, err := NewRegisterProtobufClient("http://"+member.Addr, srv.wire).Census(ctx, &CensusRequest{Set: set, Suspects: suspects})
+		reply, err := NewRegisterProtobufClient("http://"+member.Addr, srv.httpClient).Census(ctx, &CensusRequest{Set: set, Suspects: suspects})
 		mu.Lock()
 		defer mu.Unlock()
 		answered[member.Id] = err == nil
--- a/internal/register/client.go
+++ b/internal/register/client.go
@@ -14,18 +14,18 @@
 // Operations may be executed twice, so a call whose reply was lost is repeated
 // until its context is over; only then is its outcome unknown.
 type Client struct {
-	clock  base.Clock
-	wire   base.HTTPClient
-	view   *membership.View
-	bounds *base.AtomicPointer[base.Bounds]
+	clock      base.Clock
+	httpClient base.HTTPClient
+	view       *membership.View
+	bounds     *base.AtomicPointer[base.Bounds]
 
 	mu          sync.Mutex
 	lastLeaders map[uint32]string // the core that last answered for a shard
 }
 
 // NewClient returns a client that finds cores in a membership view.
-func NewClient(clock base.Clock, wire base.HTTPClient, view *membership.View, bounds *base.AtomicPointer[base.Bounds]) *Client {
-	return &Client{clock: clock, wire: wire, view: view, bounds: bounds, lastLeaders: map[uint32]string{}}
+func NewClient(clock base.Clock, httpClient base.HTTPClient, view *membership.View, bounds *base.AtomicPointer[base.Bounds]) *Client {
+	return &Client{clock: clock, httpClient: httpClient, view: view, bounds: bounds, lastLeaders: map[uint32]string{}}
 }
 
 // LeaderCandidates lists the live cores that may lead a shard, the preferred one
@@ -54,7 +54,7 @@
 	request := &ChangeRequest{Group: group, Op: op, Args: base.MustMarshal(args)}
 	bounds := c.bounds.Load()
 	encoded, err := c.findLeader(ctx, ShardOf(group), bounds.CoreCallTimeout()/2, bounds.CoreHedgeDelay(), func(ctx *base.Ctx, addr string) coreReply {
-		reply, err := NewRegisterProtobufClient("http://"+addr, c.wire).Change(ctx, request)
+		reply, err := NewRegisterProtobufClient("http://"+addr, c.httpClient).Change(ctx, request)
 		if err != nil {
 			return coreReply{err: err}
 		}
--- a/internal/register/diskset.go
+++ b/internal/register/diskset.go
@@ -34,7 +34,7 @@
 // two have told theirs.
 func (srv *Server) queryDiskSet() {
 	base.CallQuorum(srv.clock, srv.view.Known(membership.RoleStorage), 2, srv.bounds.Load().DiskTimeout(), func(ctx *base.Ctx, member *membership.Member) bool {
-		state, err := NewDiskProtobufClient("http://"+member.Addr, srv.wire).Describe(ctx, &DescribeRequest{})
+		state, err := NewDiskProtobufClient("http://"+member.Addr, srv.httpClient).Describe(ctx, &DescribeRequest{})
 		if err != nil || state.Set == nil || len(state.Set.Disks) == 0 {
 			return false
 		}
--- a/internal/register/observe.go
+++ b/internal/register/observe.go
@@ -154,7 +154,7 @@
 // if its machine is present and not being retired.
 func (srv *Server) describeDisk(observed *observation, memberID, addr string, present bool, retiring map[string]bool, set *DiskSet) {
 	ctx := base.NewCtx(srv.clock, srv.bounds.Load().DiskTimeout())
-	disk := NewDiskProtobufClient("http://"+addr, srv.wire)
+	disk := NewDiskProtobufClient("http://"+addr, srv.httpClient)
 	state, err := disk.Describe(ctx, describeRequest(set))
 	if err == nil && state.Id == "" && present && !retiring[state.Node] {
 		if formatted, formatErr := disk.Format(ctx, &FormatRequest{}); formatErr == nil {
--- a/internal/register/server.go
+++ b/internal/register/server.go
@@ -34,14 +34,14 @@
 // Server is a core's part of the control state: it leads shards, executes
 // operations on them and replicates them to the disks.
 type Server struct {
-	clock    base.Clock
-	wire     base.HTTPClient
-	view     *membership.View
-	bounds   *base.AtomicPointer[base.Bounds]
-	counters *base.Counters
-	ops      map[string]Op
-	sweeps   []func(tx *Tx)
-	shards   [ShardCount]*shard
+	clock      base.Clock
+	httpClient base.HTTPClient
+	view       *membership.View
+	bounds     *base.AtomicPointer[base.Bounds]
+	counters   *base.Counters
+	ops        map[string]Op
+	sweeps     []func(tx *Tx)
+	shards     [ShardCount]*shard
 
 	// reconciler is set by EnableReconcile; nil if the disk set is changed by
 	// operators only.
@@ -67,8 +67,8 @@
 }
 
 // NewServer returns the server of a core; Run starts it.
-func NewServer(clock base.Clock, wire base.HTTPClient, view *membership.View, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters) *Server {
-	srv := &Server{clock: clock, wire: wire, view: view, bounds: bounds, counters: counters, ops: map[string]Op{}, slowDisks: map[string]time.Duration{}, repairs: map[string]int{}, repairEnded: clock.NewSignal()}
+func NewServer(clock base.Clock, httpClient base.HTTPClient, view *membership.View, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters) *Server {
+	srv := &Server{clock: clock, httpClient: httpClient, view: view, bounds: bounds, counters: counters, ops: map[string]Op{}, slowDisks: map[string]time.Duration{}, repairs: map[string]int{}, repairEnded: clock.NewSignal()}
 	srv.registerDiskSetOps()
 	srv.registerRetirementOps()
 	for num := range srv.shards {
@@ -79,7 +79,7 @@
 
 // diskClient returns a client of a disk.
 func (srv *Server) diskClient(entry *DiskEntry) Disk {
-	return NewDiskProtobufClient("http://"+entry.Addr, srv.wire)
+	return NewDiskProtobufClient("http://"+entry.Addr, srv.httpClient)
 }
 
 // claim returns the header of a message to one disk of a set.
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -47,7 +47,7 @@
 	fault            fault
 	running, waiting int
 	peakLoad         int
-	bell             *base.Notifier
+	slotFreed        *base.Notifier
 	ranIDs           []string // ids of the requests it ran
 	receivedIDs      []string // ids of the requests it was sent
 	lastRequest      *base.BackendRequest
@@ -79,7 +79,7 @@
 
 func (f *fleet) addWorker(id, zone string, slots int) *fakeWorker {
 	w := &fakeWorker{Worker: relay.Worker{ID: id, Addr: "addr-" + id, Service: "s", Zone: zone, Capacity: slots}, slots: slots, queue: 4 * slots,
-		workTime: func() time.Duration { return 100 * time.Millisecond }, bell: base.NewNotifier(f.clock), cachedTokens: map[string]int{}}
+		workTime: func() time.Duration { return 100 * time.Millisecond }, slotFreed: base.NewNotifier(f.clock), cachedTokens: map[string]int{}}
 	f.workers[w.Addr] = w
 	f.ordered = append(f.ordered, w)
 	return w
@@ -152,7 +152,7 @@
 	w.peakLoad = max(w.peakLoad, w.running+w.waiting+1)
 	w.waiting++
 	for w.running >= w.slots {
-		w.bell.Next().Wait(-1)
+		w.slotFreed.Next().Wait(-1)
 	}
 	w.waiting--
 	w.running++
@@ -162,7 +162,7 @@
 	}
 	f.clock.Sleep(w.workTime())
 	w.running--
-	w.bell.Notify()
+	w.slotFreed.Notify()
 	switch w.fault {
 	case losesReply:
 		return nil, errors.New("reset")
@@ -270,7 +270,7 @@
 	return &relay.Call{ID: fmt.Sprintf("id%d", callCount), Host: "h", Method: "POST", Target: "/p?q=1", Deadline: 5 * time.Second}
 }
 
-// dispatch sends a call to the plain service and returns its reply or verdict.
+// dispatch sends a call to the plain service and returns its reply or error.
 func (f *fleet) dispatch(r *relay.Relay, rt *route.Route, c *relay.Call) (*relay.Reply, *base.RequestError) {
 	reply, err := r.Dispatch(base.NewCtx(f.clock, time.Minute), rt, plainService, c, []byte("ask"))
 	if err != nil {
--- a/internal/relay/proof.go
+++ b/internal/relay/proof.go
@@ -30,7 +30,7 @@
 )
 
 // consequence is what follows from a proof: the outcome recorded for the worker,
-// and the verdict if no other worker takes the request.
+// and the error for the client if no other worker takes the request.
 type consequence struct {
 	outcome outcome
 	code    string
@@ -73,8 +73,8 @@
 	return proofNone
 }
 
-// verdict is the error for the client if no other worker takes the request.
-func (p notRunProof) verdict() *base.RequestError {
+// requestError returns the error for the client if no other worker takes the request.
+func (p notRunProof) requestError() *base.RequestError {
 	c := consequences[p]
 	return base.Decline(503, c.code, "%s", c.message)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -137,7 +137,7 @@
 }
 
 // Dispatch sends the request to a worker of the service and returns its reply, with
-// the whole body or a stream. An error is always a verdict.
+// the whole body or a stream. An error is always a *base.RequestError.
 func (r *Relay) Dispatch(ctx *base.Ctx, rt *route.Route, service *route.Service, call *Call, body []byte) (*Reply, error) {
 	now := r.Clock.Now()
 	timeout := min(ctx.Remaining(), rt.Timeout)
@@ -234,7 +234,7 @@
 	return configured != "" && strings.EqualFold(name, configured)
 }
 
-// send sends the request to one worker. Without a reply, the error is a verdict
+// send sends the request to one worker. Without a reply, the error is a request error
 // that says whether the worker may have run it.
 func (r *Relay) send(d *dispatch, chosen *workerState) (*Reply, error) {
 	sentAt := r.Clock.Now()
@@ -282,14 +282,14 @@
 }
 
 // handleCallError releases the worker after a call without response and returns
-// the verdict.
+// the request error.
 func (r *Relay) handleCallError(d *dispatch, chosen *workerState, err error) error {
 	if proof := proofFromError(err); proof != proofNone {
 		r.releaseWorker(d, chosen, consequences[proof].outcome)
 		if proof == proofUnreachable {
 			r.count("workers_unreached")
 		}
-		return proof.verdict()
+		return proof.requestError()
 	}
 	d.attempts++
 	r.releaseWorker(d, chosen, outcomeFailed)
@@ -306,7 +306,7 @@
 	_, _ = reply.firstAttempt.response.ReadBody(reply.dispatch.minSendTime(), r.MaxResponseBytes) // an error only costs the connection
 	r.count("workers_turned_away")
 	reply.end(consequences[proof].outcome)
-	return proof.verdict()
+	return proof.requestError()
 }
 
 // maxConns is the bound on connections to each worker of a service, 0 for none.
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -143,7 +143,7 @@
 	return r.closed
 }
 
-// streamError returns the verdict for a stream that broke off.
+// streamError returns the request error for a stream that broke off.
 func streamError(cause error) error {
 	if v := base.FindRequestError(cause); v != nil {
 		return v
--- a/internal/relay/resume_test.go
+++ b/internal/relay/resume_test.go
@@ -134,11 +134,11 @@
 
 // streamResult is what the client received.
 type streamResult struct {
-	events   []string
-	complete bool
-	verdict  *base.RequestError
-	seal     string
-	took     time.Duration
+	events     []string
+	complete   bool
+	requestErr *base.RequestError
+	seal       string
+	took       time.Duration
 }
 
 // run sends a call whose attempts take the steps of the plan.
@@ -159,7 +159,7 @@
 		ctx := base.NewCtx(f.clock, 5*time.Second)
 		reply, err := r.Dispatch(ctx, rt, plainService, newCall(), nil)
 		if err != nil {
-			got.verdict = base.ToRequestError(err)
+			got.requestErr = base.ToRequestError(err)
 			return
 		}
 		defer reply.Close()
@@ -167,7 +167,7 @@
 		for {
 			event, err := reply.Event(ctx.Remaining())
 			if err != nil {
-				got.complete, got.verdict = err == io.EOF, base.FindRequestError(err)
+				got.complete, got.requestErr = err == io.EOF, base.FindRequestError(err)
 				return
 			}
 			got.events = append(got.events, strings.TrimSpace(string(event.Data)))
@@ -208,7 +208,7 @@
 		if s.runs > max(1, rt.MaxAttempts) {
 			r.Fatalf("plan %v: %d workers ran it, at most %d may", s.plan, s.runs, rt.MaxAttempts)
 		}
-		if got.verdict != nil && got.verdict.Execution == base.NotRun && s.runs > 0 {
+		if got.requestErr != nil && got.requestErr.Execution == base.NotRun && s.runs > 0 {
 			r.Fatalf("plan %v: it was run, but is reported as not run", s.plan)
 		}
 		for _, asked := range s.calls {
--- a/internal/route/canonical.go
+++ b/internal/route/canonical.go
@@ -36,8 +36,8 @@
 	decoder := jx.DecodeBytes(document)
 	canonical, err := appendValue(make([]byte, 0, len(document)), decoder, nil)
 	if err != nil {
-		if verdict := base.FindRequestError(err); verdict != nil {
-			return nil, verdict
+		if requestErr := base.FindRequestError(err); requestErr != nil {
+			return nil, requestErr
 		}
 		return nil, base.DeclineField("body", "is not valid JSON: %v", err)
 	}
--- a/internal/route/canonical_test.go
+++ b/internal/route/canonical_test.go
@@ -81,10 +81,10 @@
 		`{"a":{"b":[` + strings.Repeat(`[`, 40) + `"\ud800"]}}`: "a.b" + strings.Repeat("[0]", 31),
 	} {
 		_, err := route.Canonicalize([]byte(document))
-		verdict := base.FindRequestError(err)
-		is.True(verdict != nil)
-		is.Equal(verdict.Status, 400)
-		is.Equal(verdict.Field, field)
+		requestErr := base.FindRequestError(err)
+		is.True(requestErr != nil)
+		is.Equal(requestErr.Status, 400)
+		is.Equal(requestErr.Field, field)
 	}
 }
 
@@ -113,7 +113,7 @@
 	f.Fuzz(func(t *testing.T, document []byte) {
 		canonical, err := route.Canonicalize(document)
 		if err != nil {
-			if verdict := base.FindRequestError(err); verdict == nil || verdict.Status != 400 || verdict.Field == "" {
+			if requestErr := base.FindRequestError(err); requestErr == nil || requestErr.Status != 400 || requestErr.Field == "" {
 				t.Fatalf("%q: declined without naming a field: %v", document, err)
 			}
 			return
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -119,9 +119,9 @@
 
 // RegisterOperations registers the operations on the configuration with a core's
 // register.
-func RegisterOperations(owner *register.Server) {
-	owner.Handle(operationRead, func(tx *register.Tx, _ []byte) (any, error) { return readCurrent(tx) })
-	owner.Handle(operationChange, func(tx *register.Tx, args []byte) (any, error) {
+func RegisterOperations(server *register.Server) {
+	server.Handle(operationRead, func(tx *register.Tx, _ []byte) (any, error) { return readCurrent(tx) })
+	server.Handle(operationChange, func(tx *register.Tx, args []byte) (any, error) {
 		change, digest, err := decodeChange(args)
 		if err != nil {
 			return nil, err
@@ -207,16 +207,16 @@
 
 // staleVersion is the error of a change that is refused for good.
 func staleVersion(current *Document, format string, args ...any) error {
-	verdict := base.Decline(412, codeStaleVersion, format, args...)
-	verdict.CurrentVersion = current.Version
-	return verdict
+	requestErr := base.Decline(412, codeStaleVersion, format, args...)
+	requestErr.CurrentVersion = current.Version
+	return requestErr
 }
 
 // outcomeUnknown is the error of a change that may or may not have been accepted.
 func outcomeUnknown(format string, args ...any) error {
-	verdict := base.Indeterminate(504, codeOutcomeUnknown, format, args...)
-	verdict.RetryAfter = retryAfterSeconds
-	return verdict
+	requestErr := base.Indeterminate(504, codeOutcomeUnknown, format, args...)
+	requestErr.RetryAfter = retryAfterSeconds
+	return requestErr
 }
 
 // SubmitChange submits a change. A refusal is final: the change was not accepted and
@@ -233,15 +233,15 @@
 
 // submitError passes refusals of applyChange through and converts every other failure
 // to a 5xx status.
-func submitError(verdict *base.RequestError) error {
-	definitive := verdict.Code == codeStaleVersion || verdict.Code == codeBadRequest && verdict.Field != ""
+func submitError(requestErr *base.RequestError) error {
+	definitive := requestErr.Code == codeStaleVersion || requestErr.Code == codeBadRequest && requestErr.Field != ""
 	switch {
-	case verdict.Execution != base.NotRun:
-		return outcomeUnknown("the outcome is unknown; submit the same document again: %s", verdict.Message)
-	case definitive, verdict.Status >= 500:
-		return verdict
+	case requestErr.Execution != base.NotRun:
+		return outcomeUnknown("the outcome is unknown; submit the same document again: %s", requestErr.Message)
+	case definitive, requestErr.Status >= 500:
+		return requestErr
 	}
-	return base.Busy(503, verdict.Code, retryAfterSeconds, "%s", verdict.Message)
+	return base.Busy(503, requestErr.Code, retryAfterSeconds, "%s", requestErr.Message)
 }
 
 // ReadDocument returns the configuration in force; its version is 0 if there is none.
@@ -256,6 +256,6 @@
 
 // readError converts a failed read to status 503 with a retry time; a read is never
 // refused.
-func readError(verdict *base.RequestError) error {
-	return base.Busy(503, verdict.Code, max(verdict.RetryAfter, retryAfterSeconds), "%s", verdict.Message)
+func readError(requestErr *base.RequestError) error {
+	return base.Busy(503, requestErr.Code, max(requestErr.RetryAfter, retryAfterSeconds), "%s", requestErr.Message)
 }
--- a/internal/route/history_test.go
+++ b/internal/route/history_test.go
@@ -142,16 +142,16 @@
 			changeFor(t, baseVersion+1, version, documentFor(version)),            // the same document on another base
 			changeFor(t, versionOf(299), versionOf(300)+7, documentFor(901)),      // on a version that is no longer in force
 		} {
-			verdict := base.ToRequestError(submit(t, kv, change))
-			is.True(verdict != nil)
-			is.Equal(verdict.Status, 412)
-			is.Equal(verdict.Execution, base.NotRun)
-			is.Equal(verdict.CurrentVersion, versionOf(300))
+			requestErr := base.ToRequestError(submit(t, kv, change))
+			is.True(requestErr != nil)
+			is.Equal(requestErr.Status, 412)
+			is.Equal(requestErr.Execution, base.NotRun)
+			is.Equal(requestErr.CurrentVersion, versionOf(300))
 		}
 	}
-	verdict := base.ToRequestError(submit(t, kv, changeFor(t, versionOf(300), versionOf(300), documentFor(versionOf(300)))))
-	is.Equal(verdict.Status, 400) // not greater than its base
-	is.Equal(verdict.Field, "version")
+	requestErr := base.ToRequestError(submit(t, kv, changeFor(t, versionOf(300), versionOf(300), documentFor(versionOf(300)))))
+	is.Equal(requestErr.Status, 400) // not greater than its base
+	is.Equal(requestErr.Field, "version")
 }
 
 // TestHistoryIsBoundedAndExpiredChangesAreUnknown checks the size of the history, and that
@@ -168,10 +168,10 @@
 	first := changes - countEntries(kv) + 1
 	is.NoErr(resubmit(t, kv, first))
 	for _, number := range []int{1, 65, first - 1} {
-		verdict := base.ToRequestError(resubmit(t, kv, number))
-		is.True(verdict != nil)
-		is.Equal(verdict.Execution, base.MayHaveRun)
-		is.True(verdict.Status >= 500 && verdict.RetryAfter > 0)
+		requestErr := base.ToRequestError(resubmit(t, kv, number))
+		is.True(requestErr != nil)
+		is.Equal(requestErr.Execution, base.MayHaveRun)
+		is.True(requestErr.Status >= 500 && requestErr.RetryAfter > 0)
 	}
 }
 
@@ -228,9 +228,9 @@
 		"block cut short":   {FeedKey: base.MustMarshal(Document{Format: 2, Version: 9}), historyPrefix + "0000000000000000": slices.Concat([]byte{blockFormat}, make([]byte, 20))},
 		"list of the first": {FeedKey: base.MustMarshal(Document{Version: 9}), legacyKey: []byte(`{`)},
 	} {
-		verdict := base.ToRequestError(submit(t, kv, changeFor(t, 0, 1, documentFor(1))))
-		if verdict == nil || verdict.Code != "unknown_format" || verdict.Status != 503 {
-			t.Errorf("%s: %v", name, verdict)
+		requestErr := base.ToRequestError(submit(t, kv, changeFor(t, 0, 1, documentFor(1))))
+		if requestErr == nil || requestErr.Code != "unknown_format" || requestErr.Status != 503 {
+			t.Errorf("%s: %v", name, requestErr)
 		}
 	}
 	_, _, err := decodeChange(base.MustMarshal(Change{Base: 1, Version: 2, Digest: base.Digest(nil)}))
@@ -256,10 +256,10 @@
 		{base.Indeterminate(503, "outcome_unknown", "x"), 504, base.MayHaveRun},
 		{base.Indeterminate(412, codeStaleVersion, "x"), 504, base.MayHaveRun},
 	} {
-		verdict := base.ToRequestError(submitError(row.given))
-		is.Equal(verdict.Status, row.status)
-		is.Equal(verdict.Execution, row.ran)
-		is.True(verdict.Status < 500 || verdict.RetryAfter > 0)
+		requestErr := base.ToRequestError(submitError(row.given))
+		is.Equal(requestErr.Status, row.status)
+		is.Equal(requestErr.Execution, row.ran)
+		is.True(requestErr.Status < 500 || requestErr.RetryAfter > 0)
 	}
 	is.Equal(base.ToRequestError(readError(base.Decline(400, "unknown_op", "x"))).Status, 503)
 }
--- a/internal/session/accept.go
+++ b/internal/session/accept.go
@@ -14,9 +14,9 @@
 func (m *Manager) submit(ctx *base.Ctx, s *ownedSession, req *Request) (*Reply, error) {
 	digest := base.Digest(append([]byte(req.Previous+"\n"+strconv.FormatInt(req.MaxTokens, 10)+"\n"), req.Messages...))
 	reply, err := m.accept(s, req, digest)
-	if verdict, ok := err.(*base.RequestError); ok && verdict.Code == "run_over" {
+	if requestErr, ok := err.(*base.RequestError); ok && requestErr.Code == "run_over" {
 		if req.Previous == "" {
-			return nil, verdict
+			return nil, requestErr
 		}
 		record := s.recordCopy()
 		_, err := m.takeRun(ctx, &SucceedRequest{Session: record.ID, Program: record.Program, Assignment: record.assignment(), Why: "after_" + strings.ToLower(string(record.Phase))})
@@ -58,7 +58,7 @@
 		return m.newReader(replayStream(m.clock, turn, run), req)
 	}
 	if op := s.operations[req.Turn]; op != nil {
-		retryable := (op.state == OpFailed || op.state == OpTimedOut) && op.verdict.Execution == base.MayHaveRun
+		retryable := (op.state == OpFailed || op.state == OpTimedOut) && op.requestErr.Execution == base.MayHaveRun
 		if op.digest != digest {
 			s.mu.Unlock()
 			return nil, turnIDReused()
@@ -71,7 +71,7 @@
 	}
 	if refusal := s.refusals[req.Turn]; refusal != nil {
 		s.mu.Unlock()
-		return nil, refusal.verdict
+		return nil, refusal.requestErr
 	}
 	if req.LastAttempt != "" {
 		s.mu.Unlock()
@@ -90,25 +90,25 @@
 		return nil, err
 	}
 	s.mu.Lock()
-	var verdict *base.RequestError
+	var requestErr *base.RequestError
 	if s.record.Phase != Ready {
-		verdict = base.Decline(503, "session_draining", "the session is closing and accepts no new turns")
+		requestErr = base.Decline(503, "session_draining", "the session is closing and accepts no new turns")
 	} else if len(s.queue) >= s.record.QueueSize {
-		verdict = base.Busy(429, "queue_full", 1, "the session's queue of %d turns is full", s.record.QueueSize)
+		requestErr = base.Busy(429, "queue_full", 1, "the session's queue of %d turns is full", s.record.QueueSize)
 	}
-	if verdict != nil {
+	if requestErr != nil {
 		if s.record.isUncertain(req.Turn) {
-			verdict = afterLostAttempt(verdict)
+			requestErr = afterLostAttempt(requestErr)
 		}
-		s.refusals[req.Turn] = &requestOutcome{verdict: verdict, recordedAt: m.clock.Now()}
+		s.refusals[req.Turn] = &requestOutcome{requestErr: requestErr, recordedAt: m.clock.Now()}
 		s.mu.Unlock()
 		m.counters.Add("turns_declined", 1)
-		if verdict.Execution == base.NotRun {
-			if verdict = m.recordRefusal(s, req.Turn, verdict); verdict.Execution != base.NotRun {
+		if requestErr.Execution == base.NotRun {
+			if requestErr = m.recordRefusal(s, req.Turn, requestErr); requestErr.Execution != base.NotRun {
 				s.forgetRefusal(req.Turn)
 			}
 		}
-		return nil, m.recordDecline(req, verdict)
+		return nil, m.recordDecline(req, requestErr)
 	}
 	op := &operation{id: req.Turn, digest: digest, request: req, state: OpQueued, stream: newStream(m.clock), cancelled: m.clock.NewSignal(),
 		deadline: m.clock.Now() + time.Duration(s.record.TimeoutMs)*time.Millisecond}
@@ -146,14 +146,14 @@
 		op.state = OpRunning
 		s.running = op
 		s.mu.Unlock()
-		state, verdict := m.runTurn(s, op)
-		if verdict != nil {
-			if verdict.Code == "stale_assignment" {
+		state, requestErr := m.runTurn(s, op)
+		if requestErr != nil {
+			if requestErr.Code == "stale_assignment" {
 				s.loseRun()
 				continue
 			}
 			m.counters.Add("turns_"+strings.ToLower(string(state)), 1)
-			m.endUnsuccessfully(s, op, state, verdict)
+			m.endUnsuccessfully(s, op, state, requestErr)
 		}
 	}
 }
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -22,9 +22,9 @@
 
 // planTurn looks up the turn's route in the current settings and builds its prompt.
 func (m *Manager) planTurn(s *ownedSession, op *operation) (*turnPlan, *base.RequestError) {
-	messages, verdict := s.prompt(op)
-	if verdict != nil {
-		return nil, verdict
+	messages, requestErr := s.prompt(op)
+	if requestErr != nil {
+		return nil, requestErr
 	}
 	tree := m.tree.Load()
 	if tree == nil {
@@ -57,9 +57,9 @@
 	if err := m.revalidate(base.NewCtx(m.clock, m.bounds.Load().Recovery), s); err != nil {
 		return OpFailed, base.ToRequestError(err)
 	}
-	plan, verdict := m.planTurn(s, op)
-	if verdict != nil {
-		return OpFailed, verdict
+	plan, requestErr := m.planTurn(s, op)
+	if requestErr != nil {
+		return OpFailed, requestErr
 	}
 	ran := base.NotRun
 	for attempt := 1; ; {
@@ -71,45 +71,45 @@
 			return OpTimedOut, &base.RequestError{Status: 504, Code: "timed_out", Message: "the turn exceeded its time limit", Execution: ran}
 		}
 		outcome := m.runAttempt(ctx, s, op, plan)
-		if outcome.verdict == nil {
+		if outcome.requestErr == nil {
 			return OpSucceeded, nil
 		}
-		if outcome.verdict.Code == "stale_assignment" {
-			return OpFailed, outcome.verdict
+		if outcome.requestErr.Code == "stale_assignment" {
+			return OpFailed, outcome.requestErr
 		}
-		if outcome.verdict.Execution != base.NotRun {
+		if outcome.requestErr.Execution != base.NotRun {
 			ran = base.MayHaveRun
 		} else if ran != base.NotRun {
-			outcome.verdict = afterLostAttempt(outcome.verdict)
+			outcome.requestErr = afterLostAttempt(outcome.requestErr)
 		}
 		if op.stream.pieceCount() > 0 {
-			outcome.verdict.Code = "cut"
-			return m.failureState(op, ctx), outcome.verdict
+			outcome.requestErr.Code = "cut"
+			return m.failureState(op, ctx), outcome.requestErr
 		}
 		if outcome.retry == noRetry {
-			return m.failureState(op, ctx), outcome.verdict
+			return m.failureState(op, ctx), outcome.requestErr
 		}
 		if outcome.retry == countedRetry {
 			if !m.takeRetry() {
 				m.counters.Add("legs_not_repeated", 1)
-				return m.failureState(op, ctx), outcome.verdict
+				return m.failureState(op, ctx), outcome.requestErr
 			}
 			attempt++
 			m.counters.Add("legs_repeated", 1)
 		}
 		if attempt > plan.maxAttempts {
-			return m.failureState(op, ctx), outcome.verdict
+			return m.failureState(op, ctx), outcome.requestErr
 		}
 	}
 }
 
-// afterLostAttempt returns the verdict on a turn that can have no other attempt
+// afterLostAttempt returns the error for a turn that can have no other attempt
 // after one whose outcome is unknown. It is never a refusal, whatever prevented the
 // other attempt, because the turn may have run.
 func afterLostAttempt(refused *base.RequestError) *base.RequestError {
-	verdict := base.Indeterminate(502, "worker_lost", "an earlier attempt of this turn was lost and no other can be made: %s", refused.Message)
-	verdict.RetryAfter = refused.RetryAfter
-	return verdict
+	requestErr := base.Indeterminate(502, "worker_lost", "an earlier attempt of this turn was lost and no other can be made: %s", refused.Message)
+	requestErr.RetryAfter = refused.RetryAfter
+	return requestErr
 }
 
 // Retries of attempts are a bounded share of all attempts on this node, so that
@@ -158,10 +158,10 @@
 	uncountedRetry                      // another attempt at another worker, not counted: this one did not run
 )
 
-// attemptOutcome is the result of one attempt; verdict is nil on success.
+// attemptOutcome is the result of one attempt; requestErr is nil on success.
 type attemptOutcome struct {
-	verdict *base.RequestError
-	retry   retryDecision
+	requestErr *base.RequestError
+	retry      retryDecision
 }
 
 // runAttempt makes one attempt at a worker. It reserves the tokens durably, checks the
@@ -190,12 +190,12 @@
 	reserveCtx := base.NewCtx(m.clock, max(ctx.Remaining(), m.bounds.Load().CoreCallTimeout()))
 	result, err := m.changeRegister(reserveCtx, record.Program, "session.reserve", changeArgs{Session: record.ID, Run: record.Run, Attempt: attemptID, AttemptNumber: attemptNumber, Tokens: plan.maxTokens})
 	if err != nil {
-		verdict := base.ToRequestError(err)
-		if verdict.Execution != base.NotRun {
+		requestErr := base.ToRequestError(err)
+		if requestErr.Execution != base.NotRun {
 			// The reservation may exist and then counts as spent; the request was not sent.
-			verdict = base.Busy(503, "budget_unconfirmed", 1, "the token reservation could not be confirmed in time")
+			requestErr = base.Busy(503, "budget_unconfirmed", 1, "the token reservation could not be confirmed in time")
 		}
-		return attemptOutcome{verdict, noRetry}
+		return attemptOutcome{requestErr, noRetry}
 	}
 	settle := func(used int64) {
 		result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recovery), record.Program, "session.settle",
@@ -242,15 +242,15 @@
 		settle(-1)
 		return attemptOutcome{staleAssignment(), noRetry}
 	}
-	output, verdict := m.receive(ctx, op, reply, result.GrantedTokens)
-	if verdict != nil {
+	output, requestErr := m.receive(ctx, op, reply, result.GrantedTokens)
+	if requestErr != nil {
 		plan.need.Tried[chosenWorker.ID] = true
 		settle(-1)
 		if op.cancelled.Fired() {
-			verdict = base.Indeterminate(409, "cancelled", "the turn was cancelled while it ran")
-			return attemptOutcome{verdict, noRetry}
+			requestErr = base.Indeterminate(409, "cancelled", "the turn was cancelled while it ran")
+			return attemptOutcome{requestErr, noRetry}
 		}
-		return attemptOutcome{verdict, countedRetry}
+		return attemptOutcome{requestErr, countedRetry}
 	}
 	s.mu.Lock()
 	s.lastWorker = chosenWorker.ID
@@ -323,14 +323,14 @@
 	result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().Recovery), record.Program, "session.finish",
 		changeArgs{Session: record.ID, Run: record.Run, Attempt: turn.Attempt, Tokens: turn.OutputTokens, Turn: turn})
 	if err != nil {
-		verdict := base.ToRequestError(err)
+		requestErr := base.ToRequestError(err)
 		s.mu.Lock()
 		s.uncertainAttempt = turn.Attempt
 		s.mu.Unlock()
-		if verdict.Code == "stale_assignment" {
-			return attemptOutcome{verdict, noRetry}
+		if requestErr.Code == "stale_assignment" {
+			return attemptOutcome{requestErr, noRetry}
 		}
-		return attemptOutcome{base.Indeterminate(502, "cut", "the answer could not be stored: %s", verdict.Message), noRetry}
+		return attemptOutcome{base.Indeterminate(502, "cut", "the answer could not be stored: %s", requestErr.Message), noRetry}
 	}
 	copied.Wait(m.bounds.Load().HeartbeatInterval() * 2)
 	s.updateRecord(result.Record)
@@ -353,7 +353,7 @@
 		m.counters.Add("offers_missed", 1)
 		return
 	}
-	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Offer(base.NewCtx(m.clock, m.bounds.Load().HeartbeatInterval()*2),
+	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.httpClient).Offer(base.NewCtx(m.clock, m.bounds.Load().HeartbeatInterval()*2),
 		&OfferRequest{Session: record.ID, Assignment: record.assignment(), Turns: turn.Number, Turn: base.MustMarshal(turn)})
 	if err != nil {
 		m.counters.Add("offers_missed", 1)
--- a/internal/session/forward.go
+++ b/internal/session/forward.go
@@ -16,14 +16,14 @@
 	}
 	m.counters.Add("visits_forwarded", 1)
 	timeout := m.bounds.Load().CoreCallTimeout() / 2
-	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Forward(ctx.WithTimeout(timeout), &ForwardRequest{
+	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.httpClient).Forward(ctx.WithTimeout(timeout), &ForwardRequest{
 		Visit: req.ID, From: m.nodeID(), Forwarded: true, Assignment: record.assignment(), Request: base.MustMarshal(req)})
 	if err != nil {
-		verdict := base.ToRequestError(err)
-		if verdict.Code == "unreachable" || verdict.Code == "owner_lost" {
+		requestErr := base.ToRequestError(err)
+		if requestErr.Code == "unreachable" || requestErr.Code == "owner_lost" {
 			m.view.Suspect(record.Owner)
 		}
-		return nil, verdict
+		return nil, requestErr
 	}
 	if reply.Stream != "" {
 		return &Reply{Status: 200, Stream: &Reader{manager: m, turn: req.Turn, attempt: reply.Leg, position: reply.Place,
@@ -52,8 +52,8 @@
 	}
 	if err != nil {
 		// The forwarding node tells its client "not run", so a late copy must not run.
-		if verdict := base.ToRequestError(err); verdict.Execution == base.NotRun && verdict.Code != "stale_assignment" && verdict.Code != "handing_over" {
-			err = m.recordDecline(&req, verdict)
+		if requestErr := base.ToRequestError(err); requestErr.Execution == base.NotRun && requestErr.Code != "stale_assignment" && requestErr.Code != "handing_over" {
+			err = m.recordDecline(&req, requestErr)
 		}
 		return nil, base.ToTwirpError(err)
 	}
@@ -70,18 +70,18 @@
 
 // withdraw asks an owner whose reply was lost to fence the request. The request
 // counts as not run only if the owner confirms that it will never run.
-func (m *Manager) withdraw(record *Record, req *Request, verdict *base.RequestError) error {
+func (m *Manager) withdraw(record *Record, req *Request, requestErr *base.RequestError) error {
 	uncertain := base.Indeterminate(504, "owner_silent", "the session's owner did not answer in time")
 	member, _ := m.view.Find(record.Owner)
 	if member == nil {
 		return uncertain
 	}
 	ctx := base.NewCtx(m.clock, m.bounds.Load().CoreCallTimeout()/2)
-	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Withdraw(ctx, &WithdrawRequest{Visit: req.ID, Session: req.Session, Turn: req.Turn, Run: record.Run})
+	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.httpClient).Withdraw(ctx, &WithdrawRequest{Visit: req.ID, Session: req.Session, Turn: req.Turn, Run: record.Run})
 	if err != nil || !reply.Fenced {
 		return uncertain
 	}
-	return base.Busy(503, "owner_silent", 1, "the session's owner did not answer in time and withdrew the request: %s", verdict.Message)
+	return base.Busy(503, "owner_silent", 1, "the session's owner did not answer in time and withdrew the request: %s", requestErr.Message)
 }
 
 // Withdraw fences a request that was not accepted: later copies of it are declined,
@@ -105,8 +105,8 @@
 // whether it could: not when the request was accepted or may have run. The caller
 // holds m.mu.
 func (m *Manager) fence(s *ownedSession, request *WithdrawRequest) bool {
-	withdrawn := &requestOutcome{verdict: base.Decline(503, "withdrawn", "the request was withdrawn"), recordedAt: m.clock.Now()}
-	if outcome := m.outcomes[request.Visit]; outcome != nil && (outcome.verdict == nil || outcome.verdict.Execution != base.NotRun) {
+	withdrawn := &requestOutcome{requestErr: base.Decline(503, "withdrawn", "the request was withdrawn"), recordedAt: m.clock.Now()}
+	if outcome := m.outcomes[request.Visit]; outcome != nil && (outcome.requestErr == nil || outcome.requestErr.Execution != base.NotRun) {
 		return false
 	}
 	if request.Turn != "" && !s.refuseUnknown(request.Turn, withdrawn) {
@@ -119,12 +119,12 @@
 }
 
 // beginRequest marks a request as seen. A copy of one that was declined gets the
-// same verdict again.
+// same error again.
 func (m *Manager) beginRequest(req *Request) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if outcome := m.outcomes[req.ID]; outcome != nil && outcome.verdict != nil {
-		return outcome.verdict
+	if outcome := m.outcomes[req.ID]; outcome != nil && outcome.requestErr != nil {
+		return outcome.requestErr
 	}
 	m.outcomes[req.ID] = &requestOutcome{recordedAt: m.clock.Now()}
 	return nil
@@ -137,15 +137,15 @@
 	m.outcomes[req.ID] = &requestOutcome{recordedAt: m.clock.Now(), accepted: true}
 }
 
-// recordDecline stores the verdict that a request was declined with and returns it.
-// When a copy of the request was accepted before, the verdict says instead that it
+// recordDecline stores the error that a request was declined with and returns it.
+// When a copy of the request was accepted before, the error says instead that it
 // may have run.
-func (m *Manager) recordDecline(req *Request, verdict *base.RequestError) error {
+func (m *Manager) recordDecline(req *Request, requestErr *base.RequestError) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if outcome := m.outcomes[req.ID]; outcome != nil && outcome.accepted {
-		return base.Indeterminate(verdict.Status, verdict.Code, "%s", verdict.Message)
+		return base.Indeterminate(requestErr.Status, requestErr.Code, "%s", requestErr.Message)
 	}
-	m.outcomes[req.ID] = &requestOutcome{verdict: verdict, recordedAt: m.clock.Now()}
-	return verdict
+	m.outcomes[req.ID] = &requestOutcome{requestErr: requestErr, recordedAt: m.clock.Now()}
+	return requestErr
 }
--- a/internal/session/manager.go
+++ b/internal/session/manager.go
@@ -85,17 +85,17 @@
 // Manager is a gateway's session service. It holds the sessions that this gateway
 // owns, the copies of those that it is the standby for, and a cache of records.
 type Manager struct {
-	clock    base.Clock
-	wire     base.HTTPClient
-	view     *membership.View
-	bounds   *base.AtomicPointer[base.Bounds]
-	counters *base.Counters
-	register *register.Client
-	follower *feed.Follower
-	picker   *worker.Picker
-	workers  *worker.Client
-	backends base.BackendClient
-	tree     *base.AtomicPointer[settings.Tree]
+	clock      base.Clock
+	httpClient base.HTTPClient
+	view       *membership.View
+	bounds     *base.AtomicPointer[base.Bounds]
+	counters   *base.Counters
+	register   *register.Client
+	follower   *feed.Follower
+	picker     *worker.Picker
+	workers    *worker.Client
+	backends   base.BackendClient
+	tree       *base.AtomicPointer[settings.Tree]
 
 	mu               sync.Mutex
 	owned            map[string]*ownedSession
@@ -111,31 +111,31 @@
 	stopping base.Signal
 }
 
-// requestOutcome is what became of a request here: declined with a verdict,
+// requestOutcome is what became of a request here: declined with an error,
 // accepted, or neither yet.
 type requestOutcome struct {
-	verdict    *base.RequestError
+	requestErr *base.RequestError
 	recordedAt time.Duration
 	accepted   bool
 }
 
 // Dependencies are the services that a Manager uses.
 type Dependencies struct {
-	Clock    base.Clock
-	Wire     base.HTTPClient
-	View     *membership.View
-	Bounds   *base.AtomicPointer[base.Bounds]
-	Counters *base.Counters
-	Register *register.Client
-	Follower *feed.Follower
-	Picker   *worker.Picker
-	Backends base.BackendClient
-	Tree     *base.AtomicPointer[settings.Tree]
+	Clock      base.Clock
+	HTTPClient base.HTTPClient
+	View       *membership.View
+	Bounds     *base.AtomicPointer[base.Bounds]
+	Counters   *base.Counters
+	Register   *register.Client
+	Follower   *feed.Follower
+	Picker     *worker.Picker
+	Backends   base.BackendClient
+	Tree       *base.AtomicPointer[settings.Tree]
 }
 
 // NewManager returns a Manager that owns no sessions yet.
 func NewManager(deps Dependencies) *Manager {
-	return &Manager{clock: deps.Clock, wire: deps.Wire, view: deps.View, bounds: deps.Bounds, counters: deps.Counters, register: deps.Register,
+	return &Manager{clock: deps.Clock, httpClient: deps.HTTPClient, view: deps.View, bounds: deps.Bounds, counters: deps.Counters, register: deps.Register,
 		follower: deps.Follower, picker: deps.Picker, workers: &worker.Client{Register: deps.Register}, backends: deps.Backends, tree: deps.Tree,
 		owned: map[string]*ownedSession{}, standbyCopies: map[string]*standbyCopy{}, recordCache: map[string]*Record{}, forwardedStreams: map[string]*Stream{},
 		outcomes: map[string]*requestOutcome{}, terminations: map[string]budget.Termination{}, retryCredit: maxRetryCredit, stopping: deps.Clock.NewSignal()}
@@ -263,22 +263,22 @@
 	d.unanswered = record
 }
 
-// finalOwnerCodes are an owner's verdicts on the turn itself. They hold whatever
-// became of earlier copies of the request.
+// finalOwnerCodes are the error codes of an owner that concern the turn itself. They
+// hold whatever became of earlier copies of the request.
 var finalOwnerCodes = map[string]bool{"queue_full": true, "session_draining": true, "turn_id_reused": true, "run_over": true, "leg_changed": true,
 	"turn_refused": true, "unknown_session": true, "unknown_turn": true, "session_over": true, "forbidden": true, "withdrawn": true}
 
 // finalError returns the error that a request ends with. When the reply to a copy
 // was lost, the request counts as not run only if its owner confirms that.
 func (m *Manager) finalError(req *Request, delivery *deliveryState, err error) error {
-	verdict := base.ToRequestError(err)
+	requestErr := base.ToRequestError(err)
 	switch {
-	case delivery.unanswered == nil || finalOwnerCodes[verdict.Code]:
-		return verdict
+	case delivery.unanswered == nil || finalOwnerCodes[requestErr.Code]:
+		return requestErr
 	case delivery.ownerChanged:
-		return base.Indeterminate(504, "owner_silent", "the session's owner was lost while it had the request: %s", verdict.Message)
+		return base.Indeterminate(504, "owner_silent", "the session's owner was lost while it had the request: %s", requestErr.Message)
 	}
-	return m.withdraw(delivery.unanswered, req, verdict)
+	return m.withdraw(delivery.unanswered, req, requestErr)
 }
 
 // Handle serves one request on the session's owner, here or on another node, and
@@ -307,12 +307,12 @@
 		if err == nil {
 			return m.withReopen(reply, req), nil
 		}
-		verdict := base.ToRequestError(err)
+		requestErr := base.ToRequestError(err)
 		ownerLost := false
-		switch verdict.Code {
+		switch requestErr.Code {
 		case "stale_assignment":
 			if refreshed && refreshedRun == record.Run {
-				return nil, m.finalError(req, delivery, verdict)
+				return nil, m.finalError(req, delivery, requestErr)
 			}
 			refresh, refreshedRun = true, record.Run
 		case "unreachable", "owner_lost":
@@ -325,7 +325,7 @@
 			_, alive := m.view.Find(record.Owner)
 			ownerLost = !alive
 		default:
-			return nil, m.finalError(req, delivery, verdict)
+			return nil, m.finalError(req, delivery, requestErr)
 		}
 		if ownerLost {
 			delivery.ownerChanged = delivery.unanswered != nil
@@ -334,10 +334,10 @@
 			}
 		}
 		if ctx.Expired() {
-			if verdict.Code != "handing_over" {
-				verdict = base.Busy(503, "owner_unreachable", 1, "the session's owner could not be reached in time")
+			if requestErr.Code != "handing_over" {
+				requestErr = base.Busy(503, "owner_unreachable", 1, "the session's owner could not be reached in time")
 			}
-			return nil, m.finalError(req, delivery, verdict)
+			return nil, m.finalError(req, delivery, requestErr)
 		}
 	}
 }
--- a/internal/session/owned.go
+++ b/internal/session/owned.go
@@ -9,18 +9,18 @@
 )
 
 // operation is a turn that the owner accepted. The session's mutex guards its state,
-// abort, verdict and endedAt.
+// abort, requestErr and endedAt.
 type operation struct {
-	id        string
-	digest    string
-	request   *Request
-	state     OperationState
-	stream    *Stream
-	deadline  time.Duration
-	cancelled base.Signal
-	abort     func()
-	verdict   *base.RequestError
-	endedAt   time.Duration
+	id         string
+	digest     string
+	request    *Request
+	state      OperationState
+	stream     *Stream
+	deadline   time.Duration
+	cancelled  base.Signal
+	abort      func()
+	requestErr *base.RequestError
+	endedAt    time.Duration
 }
 
 // ownedSession is the owner's memory of one Run: its queue, the operation states,
@@ -29,7 +29,7 @@
 // the queue.
 type ownedSession struct {
 	program    string
-	changed    *base.Notifier // rings when the session may have become idle
+	changed    *base.Notifier // notifies when the session may have become idle
 	handedOver base.Signal    // fires when the Run is lost or a drain is done with it
 	clock      base.Clock
 
@@ -108,7 +108,7 @@
 		return false
 	}
 	if existing := s.refusals[turn]; existing != nil {
-		return existing.verdict.Execution == base.NotRun
+		return existing.requestErr.Execution == base.NotRun
 	}
 	s.refusals[turn] = refusal
 	return true
@@ -290,7 +290,7 @@
 		if copied >= total {
 			break
 		}
-		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Offer(ctx, &OfferRequest{Session: record.ID,
+		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.httpClient).Offer(ctx, &OfferRequest{Session: record.ID,
 			Assignment: record.assignment(), Turns: copied + 1, Turn: turn})
 		if err != nil {
 			return
--- a/internal/session/status.go
+++ b/internal/session/status.go
@@ -120,7 +120,7 @@
 		return &Reply{Status: 200, Body: newTurnView(turn, true)}, nil
 	}
 	if op := s.operations[req.Turn]; op != nil {
-		return &Reply{Status: 200, Body: TurnView{Turn: op.id, State: op.state, Error: op.verdict}}, nil
+		return &Reply{Status: 200, Body: TurnView{Turn: op.id, State: op.state, Error: op.requestErr}}, nil
 	}
 	return nil, base.Decline(404, "unknown_turn", "turn %q does not exist in this session", req.Turn)
 }
--- a/internal/session/stream.go
+++ b/internal/session/stream.go
@@ -21,17 +21,17 @@
 }
 
 // failureFinal returns the last piece of a turn that did not succeed.
-func failureFinal(turn string, verdict *base.RequestError) *Final {
+func failureFinal(turn string, requestErr *base.RequestError) *Final {
 	outcome := "failed"
 	switch {
-	case verdict.Execution == base.NotRun:
+	case requestErr.Execution == base.NotRun:
 		outcome = "refused"
-	case verdict.Code == "cancelled" || verdict.Code == "timed_out":
-		outcome = verdict.Code
-	case verdict.Code == "cut":
+	case requestErr.Code == "cancelled" || requestErr.Code == "timed_out":
+		outcome = requestErr.Code
+	case requestErr.Code == "cut":
 		outcome = "cut"
 	}
-	return &Final{Outcome: outcome, Ran: verdict.Execution, Turn: turn, Error: verdict}
+	return &Final{Outcome: outcome, Ran: requestErr.Execution, Turn: turn, Error: requestErr}
 }
 
 // Stream holds the numbered pieces of one turn's answer. The owner keeps it, and
@@ -189,7 +189,7 @@
 	owner string
 }
 
-// EarlyFailure waits up to limit for the first pieces and returns the verdict of a turn
+// EarlyFailure waits up to limit for the first pieces and returns the error of a turn
 // that ended without success before any piece, so that it can be answered with a
 // plain status, or else nil. Next returns the pieces that were read here first.
 func (r *Reader) EarlyFailure(limit time.Duration) *base.RequestError {
@@ -227,9 +227,9 @@
 	}
 	if err != nil {
 		// The turn was accepted, so this node cannot know that it did not run.
-		verdict := base.Indeterminate(502, "cut", "the session's owner was lost before the answer was complete: %s", base.ToRequestError(err).Message)
+		requestErr := base.Indeterminate(502, "cut", "the session's owner was lost before the answer was complete: %s", base.ToRequestError(err).Message)
 		r.done = true
-		return []*Piece{{Place: r.position + 1, Data: base.MustMarshal(failureFinal(r.turn, verdict)), Final: true}}, r.attempt, true
+		return []*Piece{{Place: r.position + 1, Data: base.MustMarshal(failureFinal(r.turn, requestErr)), Final: true}}, r.attempt, true
 	}
 	for _, piece := range pulled {
 		r.position = piece.Place
@@ -292,17 +292,17 @@
 		return nil, base.Indeterminate(502, "owner_lost", "the session's owner is not known to be alive")
 	}
 	ctx := base.NewCtx(m.clock, 2*wait)
-	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Pull(ctx,
+	reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.httpClient).Pull(ctx,
 		&PullRequest{Stream: remote.id, Place: reader.position, HoldMs: wait.Milliseconds(), Run: remote.run})
 	if err != nil {
-		verdict := base.ToRequestError(err)
-		if verdict.Code == "reply_lost" {
+		requestErr := base.ToRequestError(err)
+		if requestErr.Code == "reply_lost" {
 			return nil, nil
 		}
-		if verdict.Code == "unreachable" {
+		if requestErr.Code == "unreachable" {
 			m.view.Suspect(remote.owner)
 		}
-		return nil, base.Indeterminate(502, "owner_lost", "%s", verdict.Message)
+		return nil, base.Indeterminate(502, "owner_lost", "%s", requestErr.Message)
 	}
 	if reply.Leg != "" {
 		reader.attempt = reply.Leg
--- a/internal/session/takeover.go
+++ b/internal/session/takeover.go
@@ -50,7 +50,7 @@
 	m.counters.Add("takeovers_asked", 1)
 	request := &SucceedRequest{Session: current.ID, Program: current.Program, Assignment: current.assignment(), Why: "owner_lost"}
 	if member, alive := m.view.Find(current.Standby); alive && member.Id != m.nodeID() && !member.Leaving {
-		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Succeed(ctx.WithTimeout(m.bounds.Load().CoreCallTimeout()), request)
+		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.httpClient).Succeed(ctx.WithTimeout(m.bounds.Load().CoreCallTimeout()), request)
 		if err == nil {
 			var next Record
 			if json.Unmarshal(reply.Record, &next) == nil {
@@ -183,7 +183,7 @@
 		}
 		tried[id] = true
 		ctx := base.NewCtx(m.clock, m.bounds.Load().CoreCallTimeout())
-		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.wire).Succeed(ctx, request)
+		reply, err := NewOwnerProtobufClient("http://"+member.Addr, m.httpClient).Succeed(ctx, request)
 		if err == nil {
 			var next Record
 			if json.Unmarshal(reply.Record, &next) == nil {
--- a/internal/session/termination.go
+++ b/internal/session/termination.go
@@ -49,36 +49,36 @@
 	}
 }
 
-// endUnsuccessfully ends an operation without success. The verdict says "not run"
+// endUnsuccessfully ends an operation without success. The error says "not run"
 // only of a turn that no earlier Run may have run and no later Run will.
-func (m *Manager) endUnsuccessfully(s *ownedSession, op *operation, state OperationState, verdict *base.RequestError) {
-	if verdict.Execution == base.NotRun && s.mayHaveRun(op.id) {
-		verdict = afterLostAttempt(verdict)
+func (m *Manager) endUnsuccessfully(s *ownedSession, op *operation, state OperationState, requestErr *base.RequestError) {
+	if requestErr.Execution == base.NotRun && s.mayHaveRun(op.id) {
+		requestErr = afterLostAttempt(requestErr)
 	}
-	if verdict.Execution == base.NotRun && verdict.Code != "turn_refused" {
-		verdict = m.recordRefusal(s, op.id, verdict)
+	if requestErr.Execution == base.NotRun && requestErr.Code != "turn_refused" {
+		requestErr = m.recordRefusal(s, op.id, requestErr)
 	}
 	s.mu.Lock()
 	if op.state.CanBecome(state) {
-		op.state, op.verdict, op.endedAt = state, verdict, s.clock.Now()
+		op.state, op.requestErr, op.endedAt = state, requestErr, s.clock.Now()
 	}
 	s.mu.Unlock()
-	op.stream.finish(failureFinal(op.id, verdict))
+	op.stream.finish(failureFinal(op.id, requestErr))
 	s.changed.Notify()
 }
 
 // recordRefusal records in the register that a turn was refused, so that no later
-// owner runs it, and returns the verdict for the client. When that cannot be recorded
-// soon, the verdict is that the outcome is unknown; the client may retry by the id.
-func (m *Manager) recordRefusal(s *ownedSession, turn string, verdict *base.RequestError) *base.RequestError {
+// owner runs it, and returns the error for the client. When that cannot be recorded
+// soon, the error says that the outcome is unknown; the client may retry by the id.
+func (m *Manager) recordRefusal(s *ownedSession, turn string, requestErr *base.RequestError) *base.RequestError {
 	record := s.recordCopy()
 	result, err := m.changeRegister(base.NewCtx(m.clock, m.bounds.Load().HeartbeatInterval()), record.Program, "session.refuse", changeArgs{Session: record.ID, Run: record.Run, RefusedTurn: turn})
 	if err == nil && result.Refused {
-		return verdict
+		return requestErr
 	}
 	m.counters.Add("refusals_unkept", 1)
-	uncertain := base.Indeterminate(503, "outcome_unknown", "the turn was refused, but that could not be recorded in time; retry with the same Turn-Id (%s)", verdict.Message)
-	uncertain.RetryAfter = max(1, verdict.RetryAfter)
+	uncertain := base.Indeterminate(503, "outcome_unknown", "the turn was refused, but that could not be recorded in time; retry with the same Turn-Id (%s)", requestErr.Message)
+	uncertain.RetryAfter = max(1, requestErr.RetryAfter)
 	return uncertain
 }
 
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// RegisterHandlers registers the operations on the worker list with a core's owner of
-// control state.
+// RegisterHandlers registers the operations on the worker list with a core's
+// register server.
 func RegisterHandlers(server *register.Server) {
 	server.Handle("worker.list", func(tx *register.Tx, _ []byte) (any, error) { return loadList(tx), nil })
 	server.AddSweep(expireNotices)
