--- a/internal/chaosday/generate.go
+++ b/internal/chaosday/generate.go
@@ -63,7 +63,7 @@
 		Share: g.uniformIn(template.share), Strength: g.uniformIn(template.strength), Duration: g.uniformIn(template.duration), Interval: g.uniformIn(template.interval),
 	}
 	if template.kind == "clock_step" {
-		event.Strength = math.Round(event.Strength) // the bench takes whole milliseconds
+		event.Strength = math.Round(event.Strength) // a clock step is a whole number of milliseconds
 	}
 	if template.perRequestClass {
 		event.RequestClass = g.site.RequestClass
--- a/internal/conn/transport.go
+++ b/internal/conn/transport.go
@@ -170,7 +170,7 @@
 	}
 	defer response.Body.Close()
 	// A node of an earlier version does not return the id.
-	if got := response.Header.Get(base.MessageIDHeader); got != "" && got != id {
+	if replyID := response.Header.Get(base.MessageIDHeader); replyID != "" && replyID != id {
 		c.discardConnection(response)
 		return nil, errWrongReply
 	}
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -17,13 +17,13 @@
 
 // Progress is what a shard's leader knows of a replica's copy of the shard.
 type Progress struct {
-	// Installed tells that the replica has content of this leader's epoch.
+	// Installed reports whether the replica has content of this leader's epoch.
 	Installed bool
 	// Acked is the newest change that the replica has acknowledged.
 	Acked uint64
 	// SetVersion is the version of the replica set under which it last did.
 	SetVersion uint64
-	// Unresponsive tells that the last message got no answer.
+	// Unresponsive reports whether the last message got no answer.
 	Unresponsive bool
 }
 
--- a/internal/consensus/set.go
+++ b/internal/consensus/set.go
@@ -8,7 +8,7 @@
 // Member is a replica in a replica set.
 type Member struct {
 	ID string
-	// Learner tells that the replica is still being filled and has no vote.
+	// Learner reports whether the replica is still being filled and has no vote.
 	Learner bool
 }
 
@@ -106,7 +106,7 @@
 	// NextVersion is the version of the set that is being adopted, 0 if there is
 	// none.
 	NextVersion uint64
-	// Settled tells that a majority of the current set has acknowledged every shard
+	// Settled reports whether a majority of the current set has acknowledged every shard
 	// under it.
 	Settled bool
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -66,12 +66,12 @@
 	}
 	s.recordReport(request)
 	wait := min(time.Duration(request.HoldMs)*time.Millisecond, ctx.Remaining()/2)
-	revision, whole, puts, leaderHint, err := s.server.Watch(ctx, request.Place, request.Begun, wait)
+	revision, full, puts, leaderHint, err := s.server.Watch(ctx, request.Place, request.Begun, wait)
 	if err != nil {
 		return nil, base.ToTwirpError(err)
 	}
 	visible := base.Filter(puts, func(put *register.Put) bool { return strings.HasPrefix(put.Key, KeyPrefix) })
-	reply := &FollowReply{Place: revision, Frame: whole, Puts: visible, Owner: leaderHint}
+	reply := &FollowReply{Place: revision, Frame: full, Puts: visible, Owner: leaderHint}
 	if request.From != "" {
 		reply.Gateways = gateways
 	}
@@ -95,7 +95,7 @@
 
 // Snapshot is the control state that a follower has. It is immutable and
 // replaced as a whole at each change. Initialized is false before the first
-// answer, which tells that state from one at revision 0.
+// answer, which distinguishes that state from one at revision 0.
 type Snapshot struct {
 	Initialized bool
 	Revision    uint64
@@ -122,7 +122,7 @@
 // follower that has this one need not get all of next.
 func (s *Snapshot) diff(next *Snapshot) (puts []*register.Put) {
 	for _, key := range base.SortedKeys(s.Values) {
-		if _, kept := next.Values[key]; !kept {
+		if _, present := next.Values[key]; !present {
 			puts = append(puts, &register.Put{Key: key, Gone: true})
 		}
 	}
--- a/internal/feed/followers.go
+++ b/internal/feed/followers.go
@@ -16,7 +16,7 @@
 	byID map[string]followerInfo
 }
 
-// followerInfo is what a follower's newest request said about it.
+// followerInfo is what a follower's newest request reported about it.
 type followerInfo struct {
 	gateways int64 // those that follow through it, itself included
 	zone     string
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -124,7 +124,7 @@
 }
 
 // since returns the puts after a revision; ok is false when some were dropped.
-// A change that begins before the revision is returned whole, which is
+// A change that begins before the revision is returned in full, which is
 // harmless: puts are applied in order, so the last one counts.
 func (l *changeLog) since(revision uint64) (puts []*register.Put, ok bool) {
 	for i, entry := range l.changes {
--- a/internal/ledger/chaos_test.go
+++ b/internal/ledger/chaos_test.go
@@ -149,7 +149,7 @@
 	ended        bool
 }
 
-// run continues the session on a gateway until it is told to stop. Now and then
+// run continues the session on a gateway until it is stopped. Now and then
 // another gateway takes the session over.
 func (r *sessionRunner) run(host *simulate.Host) {
 	fleet := r.fleet
--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -16,7 +16,7 @@
 type Client struct {
 	clock          base.Clock
 	httpClient     base.HTTPClient
-	toldSet        func() *register.DiskSet
+	knownSet       func() *register.DiskSet
 	zone           string
 	faultTolerance int
 	bounds         *base.AtomicPointer[base.Bounds]
@@ -29,20 +29,20 @@
 }
 
 // NewClient returns a client that calls set for the newest disk set that this node
-// was told of, and alive to skip nodes that membership considers dead. alive may
+// knows of, and alive to skip nodes that membership considers dead. alive may
 // be nil.
 func NewClient(clock base.Clock, httpClient base.HTTPClient, set func() *register.DiskSet, zone string, faultTolerance int, bounds *base.AtomicPointer[base.Bounds], counters *base.Counters, alive func(addr string) bool) *Client {
 	if alive == nil {
 		alive = func(string) bool { return true }
 	}
-	return &Client{clock: clock, httpClient: httpClient, toldSet: set, zone: zone, faultTolerance: max(1, faultTolerance), bounds: bounds, counters: counters, alive: alive,
+	return &Client{clock: clock, httpClient: httpClient, knownSet: set, zone: zone, faultTolerance: max(1, faultTolerance), bounds: bounds, counters: counters, alive: alive,
 		suspectUntil: map[string]time.Duration{}}
 }
 
-// newestSet returns the newest of the set that this node was told of and the sets
+// newestSet returns the newest of the set that this node knows of and the sets
 // that stores replied with.
 func (c *Client) newestSet() *register.DiskSet {
-	current := c.toldSet()
+	current := c.knownSet()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.learnedSet.GetStamp() > current.GetStamp() {
--- a/internal/ledger/pull.go
+++ b/internal/ledger/pull.go
@@ -19,7 +19,7 @@
 	maxFetchPrograms = 256
 )
 
-// peerState is what another store told of itself when this one pulled everything
+// peerState is what another store reported of itself when this one pulled everything
 // from it under the current stamp.
 type peerState struct {
 	completeStamp uint64
--- a/internal/ledger/quorum_call.go
+++ b/internal/ledger/quorum_call.go
@@ -35,7 +35,7 @@
 func callQuorum[R interface{ GetAck() *Ack }](c *Client, ctx *base.Ctx, call quorumCall[R]) (responses []storeResponse[R], setChanged bool) {
 	var mu sync.Mutex
 	replyNotifier := base.NewNotifier(c.clock)
-	set, stores, asked := call.set, call.stores, 0
+	set, stores, contacted := call.set, call.stores, 0
 	received := []storeResponse[R]{}
 	outstanding := map[string]bool{}
 	ask := func(entry *register.DiskEntry) {
@@ -89,16 +89,16 @@
 			wanted = len(stores)
 		}
 		if now := c.clock.Now(); now >= hedgeAt {
-			wanted, hedgeAt = max(wanted, asked+1), now+hedge
-			if asked < len(stores) {
+			wanted, hedgeAt = max(wanted, contacted+1), now+hedge
+			if contacted < len(stores) {
 				c.counters.Add("ledger_hedged", 1)
 			}
 			for _, addr := range base.SortedKeys(outstanding) {
 				defer c.markSuspect(addr)
 			}
 		}
-		targets := stores[asked:min(len(stores), max(asked, wanted))]
-		asked += len(targets)
+		targets := stores[contacted:min(len(stores), max(contacted, wanted))]
+		contacted += len(targets)
 		for _, entry := range targets {
 			outstanding[entry.Addr] = true
 		}
@@ -107,7 +107,7 @@
 			c.clock.Go(func() { ask(entry) })
 		}
 		wait := ctx.Remaining()
-		if asked < len(stores) {
+		if contacted < len(stores) {
 			wait = min(wait, max(hedgeAt-c.clock.Now(), hedge/16))
 		}
 		nextReply.Wait(wait)
--- a/internal/ledger/redundancy_time_test.go
+++ b/internal/ledger/redundancy_time_test.go
@@ -66,9 +66,9 @@
 					began := f.now()
 					c := f.newClient(1)
 					f.is.True(f.waitComplete(c))
-					took := f.now() - began
-					t.Logf("%d stores, %d wiped, sync %v: complete after %v with %d KB in the first", size.stores, size.tolerate, syncTime, took, f.machines[0].describe().Bytes>>10)
-					f.is.True(took < refillLimit)
+					elapsed := f.now() - began
+					t.Logf("%d stores, %d wiped, sync %v: complete after %v with %d KB in the first", size.stores, size.tolerate, syncTime, elapsed, f.machines[0].describe().Bytes>>10)
+					f.is.True(elapsed < refillLimit)
 				})
 			})
 		}
--- a/internal/ledger/refusal_test.go
+++ b/internal/ledger/refusal_test.go
@@ -59,14 +59,14 @@
 				for _, name := range base.SortedKeys(requests) {
 					began := f.now()
 					err := requests[name](base.NewCtx(f.testHost.Clock(), deadline))
-					took := f.now() - began
-					t.Logf("%s: refused after %v: %v", name, took, err)
+					elapsed := f.now() - began
+					t.Logf("%s: refused after %v: %v", name, elapsed, err)
 					var requestErr *base.RequestError
 					f.is.True(errors.As(err, &requestErr))
 					f.is.Equal(requestErr.Status, 503)
 					f.is.Equal(requestErr.Execution, base.NotRun)
 					f.is.True(requestErr.RetryAfter > 0)
-					f.is.True(took <= tc.limit+50*time.Millisecond)
+					f.is.True(elapsed <= tc.limit+50*time.Millisecond)
 				}
 			})
 		})
--- a/internal/ledger/retention_test.go
+++ b/internal/ledger/retention_test.go
@@ -22,21 +22,21 @@
 	f.sleep(50 * time.Millisecond)
 }
 
-// TestExpiredTurnsAreRemoved checks that turns and programs are gone some time after
+// TestExpiredTurnsAreRemoved checks that turns and programs are removed some time after
 // their retention.
 func TestExpiredTurnsAreRemoved(t *testing.T) {
 	runFleet(t, 5, 4, 1, func(f *fleet) {
 		c := f.newClient(1)
 		f.newSessions(c, 20, 3)
 		f.sleep(retention + 5*time.Second)
-		kept := f.newSession(c, "kept")
-		kept.runTurn()
+		retained := f.newSession(c, "kept")
+		retained.runTurn()
 		f.sleep(2*retention + time.Minute)
 		for _, m := range f.machines {
 			f.is.Equal(m.describe().Turns, int64(0))
 			f.is.Equal(m.describe().Programs, int64(0))
 		}
-		_, err := c.Chain(f.ctx(), "kept", kept.turns[0])
+		_, err := c.Chain(f.ctx(), "kept", retained.turns[0])
 		f.is.True(base.IsCode(err, "unknown_turn"))
 	})
 }
@@ -155,7 +155,7 @@
 func TestLogSizeIsBounded(t *testing.T) {
 	runFleet(t, 9, 3, 1, func(f *fleet) {
 		c := f.newClient(1)
-		kept := f.newSessions(c, 20, 3)
+		retained := f.newSessions(c, 20, 3)
 		body := []byte(strings.Repeat("b", 60000))
 		s := f.newSession(c, "big")
 		for turn := 0; turn < 1200; turn++ {
@@ -166,7 +166,7 @@
 				Epoch: begun.Epoch, Output: body, Retention: time.Second}))
 			f.sleep(120 * time.Millisecond)
 			if turn%300 == 299 {
-				for _, session := range kept {
+				for _, session := range retained {
 					session.runTurn()
 				}
 			}
@@ -178,7 +178,7 @@
 			f.start(m)
 		}
 		f.sleep(200 * time.Millisecond)
-		for _, session := range kept {
+		for _, session := range retained {
 			session.checkChain(c, session.program)
 		}
 		begun, err := s.begin("after")
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -31,9 +31,9 @@
 			return &BeginReply{Over: true, Ack: s.unlockAndSync(ack)}, nil
 		}
 	}
-	if why := s.declineReason(); why != "" {
+	if reason := s.declineReason(); reason != "" {
 		s.mu.Unlock()
-		return &BeginReply{Ack: &Ack{Why: why}}, nil
+		return &BeginReply{Ack: &Ack{Why: reason}}, nil
 	}
 	p := s.getOrCreateProgram(request.Program)
 	next, _ := p.assignment(claim.session).applyClaim(claim)
@@ -75,8 +75,8 @@
 }
 
 // decline sets the reason for which a request is declined.
-func (s *Store) decline(ack *Ack, why string) *Ack {
-	ack.Why = why
+func (s *Store) decline(ack *Ack, reason string) *Ack {
+	ack.Why = reason
 	return ack
 }
 
@@ -103,9 +103,9 @@
 			return &WriteReply{Ack: s.unlockAndSync(ack)}, nil
 		}
 	}
-	if why := s.declineReason(); why != "" {
+	if reason := s.declineReason(); reason != "" {
 		s.mu.Unlock()
-		return &WriteReply{Ack: &Ack{Why: why}}, nil
+		return &WriteReply{Ack: &Ack{Why: reason}}, nil
 	}
 	p := s.getOrCreateProgram(request.Program)
 	retainUntil := s.retainUntil(request.KeepMs)
@@ -172,7 +172,7 @@
 	return &ChainReply{Ack: ack, Turns: s.localChain(request.Turn)}, nil
 }
 
-// longestKept returns the copy of a turn with the longest retention, or nil.
+// longestRetained returns the copy of a turn with the longest retention, or nil.
 func (s *Store) longestRetained(id string) *turn {
 	longest := s.turns[id]
 	if longest == nil {
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -324,17 +324,17 @@
 	for element := s.byArrival.Front(); element != nil; {
 		p := element.Value.(*program)
 		element = element.Next()
-		kept := p.turns[:0]
+		retained := p.turns[:0]
 		for _, t := range p.turns {
 			if t.retainUntil > now {
-				kept = append(kept, t)
+				retained = append(retained, t)
 				continue
 			}
 			turns++
 			s.removeTurn(t)
 		}
-		clear(p.turns[len(kept):])
-		p.turns = kept
+		clear(p.turns[len(retained):])
+		p.turns = retained
 		if p.retainUntil > now || len(p.turns) > 0 {
 			continue
 		}
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -25,9 +25,9 @@
 	rewriteBatchBytes = 256 << 10
 	// minFreeBytes is the free space below which the store counts as full.
 	minFreeBytes = 1 << 20
-	// maxSetsKept is the number of sets above which those are dropped that are older
+	// maxRetainedSets is the number of sets above which those are dropped that are older
 	// than the one that the store is complete for.
-	maxSetsKept = 8
+	maxRetainedSets = 8
 )
 
 // batch is a group of records that are written and synced together.
@@ -443,7 +443,7 @@
 		return
 	}
 	s.sets = append(slices.Clone(s.sets), set)
-	for len(s.sets) > maxSetsKept && s.sets[1].Stamp <= s.completeStamp {
+	for len(s.sets) > maxRetainedSets && s.sets[1].Stamp <= s.completeStamp {
 		s.sets = s.sets[1:]
 	}
 	s.peers = map[string]*peerState{}
@@ -500,7 +500,7 @@
 	return nil
 }
 
-// NotifySetChange tells the store that its disk may know a newer set.
+// NotifySetChange notifies the store that its disk may know a newer set.
 func (s *Store) NotifySetChange() { s.setNotifier.Notify() }
 
 // Run pulls what the store lacks and expires old data until the store is closed.
--- a/internal/line/execute.go
+++ b/internal/line/execute.go
@@ -112,8 +112,8 @@
 		// or when it is a Run of this node that this node has dropped.
 		current := result.Assignment
 		member, alive := m.View.Find(current.Owner)
-		ownerGone := member == nil || !alive || member.Leaving || current.Owner == m.nodeID()
-		if !ownerGone || takeovers > 2 {
+		ownerUnavailable := member == nil || !alive || member.Leaving || current.Owner == m.nodeID()
+		if !ownerUnavailable || takeovers > 2 {
 			return result, nil
 		}
 		m.Counters.Add("runs_succeeded", 1)
@@ -138,7 +138,7 @@
 	return body, nil
 }
 
-// settle tells the ledger in the background how many tokens a turn delivered whose
+// settle reports to the ledger in the background how many tokens a turn delivered whose
 // answer is not stored there. Until then the turn counts with its maximum. It retries
 // for as long as the recovery bound.
 func (m *Manager) settle(s *ownedSession, op *operation, tokens int64) {
--- a/internal/line/interfaces.go
+++ b/internal/line/interfaces.go
@@ -21,7 +21,7 @@
 	Owner     string
 	Epoch     uint64
 	Previous  string
-	// Confirmed says that the ledger accepted this assignment before.
+	// Confirmed reports whether the ledger accepted this assignment before.
 	Confirmed bool
 	// Retain is how long the ledger's record of the program may be needed.
 	Retain time.Duration
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -281,8 +281,8 @@
 	c.workers.truncated["t1"] = true
 	_, err := c.submitAndRead(c.addNode("a"), c.call("s1", "t1", ""))
 	c.is.Equal(err, io.ErrUnexpectedEOF)
-	_, kept := c.ledger.completed["t1"]
-	c.is.True(!kept)
+	_, stored := c.ledger.completed["t1"]
+	c.is.True(!stored)
 }
 
 func TestTurnOfReplacedOwnerIsCut(t *testing.T) {
@@ -365,8 +365,8 @@
 	m.Drain(5 * time.Second)                    // returns only once the ledger has the settlement
 	c.is.Equal(m.pendingSettlements.Load(), int64(0))
 	c.is.Equal(c.ledger.settled["t1"], int64(4))
-	_, kept := c.ledger.completed["t1"]
-	c.is.True(!kept)
+	_, stored := c.ledger.completed["t1"]
+	c.is.True(!stored)
 	c.is.Equal(c.ledger.claims[0].MaxTokens, int64(10))
 	c.is.Equal(c.ledger.claims[0].Retain, time.Minute) // the longest of any route
 }
@@ -520,9 +520,9 @@
 // Only an error that the owner itself sent can say that the turn has not run.
 func TestOnlyTheOwnersReplyProvesThatATurnHasNotRun(t *testing.T) {
 	is := is.New(t)
-	lost := pullError(&base.NotSent{Cause: io.EOF})
-	is.Equal(lost.Execution, base.MayHaveRun)
-	is.Equal(lost.Status, 502)
+	notSentErr := pullError(&base.NotSent{Cause: io.EOF})
+	is.Equal(notSentErr.Execution, base.MayHaveRun)
+	is.Equal(notSentErr.Status, 502)
 	declined := pullError(base.ToTwirpError(base.BusyFor(503, "workers_full", time.Second, "no worker has room")))
 	is.Equal(declined.Execution, base.NotRun)
 	is.Equal(declined.RetryAfterMs, int64(1000))
--- a/internal/line/manager.go
+++ b/internal/line/manager.go
@@ -7,7 +7,7 @@
 // epoch) travel with every call between nodes. A turn that arrives at another gateway
 // is forwarded to the owner once, marked so that it is not forwarded again.
 // Termination only escalates. What must not be lost, the assignment, the budget and
-// the completed turns, is in the ledger before a client is told of it.
+// the completed turns, is in the ledger before a client learns of it.
 package line
 
 import (
--- a/internal/line/stream.go
+++ b/internal/line/stream.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// Abandon says that nobody reads the stream any more; a turn that is not done is
+// Abandon signals that nobody reads the stream any more; a turn that is not done is
 // cancelled.
 func (s *Stream) Abandon() {
 	s.mu.Lock()
@@ -136,7 +136,7 @@
 	stream   *Stream
 	clock    base.Clock
 	deadline time.Duration
-	place    int
+	position int
 	unread   []byte
 }
 
@@ -149,13 +149,13 @@
 // passed before its end.
 func (r *Reader) Read(buffer []byte) (int, error) {
 	for len(r.unread) == 0 {
-		pieces, done, cut := r.stream.PiecesFrom(r.place, max(0, r.deadline-r.clock.Now()), r.clock)
+		pieces, done, cut := r.stream.PiecesFrom(r.position, max(0, r.deadline-r.clock.Now()), r.clock)
 		switch {
 		case len(pieces) > 0:
 			for _, piece := range pieces {
 				r.unread = append(r.unread, piece...)
 			}
-			r.place += len(pieces)
+			r.position += len(pieces)
 		case done && !cut:
 			return 0, io.EOF
 		default:
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -34,7 +34,7 @@
 	sendsLeft int
 }
 
-// incarnationMark records up to which incarnation a member is gone, or an
+// incarnationMark records up to which incarnation a member is removed, or an
 // update about it was queued, and when.
 type incarnationMark struct {
 	incarnation uint64
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -81,7 +81,7 @@
 	lastQueued     map[string]incarnationMark // by member id and state
 	tombstones     map[string]incarnationMark // by member id
 	round          uint64
-	lastCompared   time.Duration // when another whole view was last asked for
+	lastCompared   time.Duration // when another complete view was last requested
 	// isolatedRounds counts the consecutive rounds without a live member.
 	isolatedRounds int
 	// partialUntil is until when the view counts as partial, because it had to
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -126,7 +126,7 @@
 }
 
 // Only a higher incarnation refutes a suspicion, and the suspected member is
-// told of it so that it can do so.
+// notified of it so that it can do so.
 func TestSuspicionIsRefuted(t *testing.T) {
 	is := is.New(t)
 	v := newView(t, "z")
--- a/internal/model/checker.go
+++ b/internal/model/checker.go
@@ -57,7 +57,7 @@
 	States int
 	Depth  int
 	Time   time.Duration
-	// Complete tells that every reachable state was visited: no limit and no
+	// Complete reports whether every reachable state was visited: no limit and no
 	// violation ended the search.
 	Complete bool
 	// Violation is the name of the violated invariant, "" if there is none, and
--- a/internal/model/lease.go
+++ b/internal/model/lease.go
@@ -80,7 +80,7 @@
 	confirmationAge uint16
 
 	request requestState
-	// toSource tells that the request goes to the source, not to the relay.
+	// toSource reports whether the request goes to the source, not to the relay.
 	toSource bool
 	// requestAge and arrivalAge are the ticks since the request was sent, and since
 	// it arrived.
--- a/internal/model/replication.go
+++ b/internal/model/replication.go
@@ -65,7 +65,7 @@
 // kept after the leader has abandoned it, since its messages may still arrive.
 type leaderAttempt struct {
 	started bool
-	// contentChosen tells that the leader has chosen its content from the promises.
+	// contentChosen reports whether the leader has chosen its content from the promises.
 	// base is the sequence number of the chosen content and tail that of the newest
 	// entry since.
 	contentChosen bool
--- a/internal/register/census.go
+++ b/internal/register/census.go
@@ -61,7 +61,7 @@
 }
 
 // suspectedCores lists the cores that are not present or did not answer the
-// last census. The other cores are told of them, so that they probe them
+// last census. The other cores are notified of them, so that they probe them
 // themselves and take over their shards sooner.
 func (srv *Server) suspectedCores(present []*membership.Member) []string {
 	srv.mu.Lock()
--- a/internal/register/client.go
+++ b/internal/register/client.go
@@ -69,7 +69,7 @@
 // CallLeader calls cores, following their hints and retrying, until the leader
 // of a shard answers for itself. Each call may take up to callTimeout, and no
 // other core is called at the same time. A core that does not answer in that
-// time is passed over until its heartbeat is heard again.
+// time is skipped until its next heartbeat arrives.
 func (c *Client) CallLeader(ctx *base.Ctx, shardNum uint32, callTimeout time.Duration, call func(ctx *base.Ctx, addr string) (hint string, err error)) error {
 	_, err := c.findLeader(ctx, shardNum, callTimeout, neverHedge, func(ctx *base.Ctx, addr string) coreReply {
 		hint, err := call(ctx, addr)
--- a/internal/register/diskset.go
+++ b/internal/register/diskset.go
@@ -31,7 +31,7 @@
 }
 
 // queryDiskSet learns the disk sets that the known storage machines hold, until
-// two have told theirs.
+// two have reported theirs.
 func (srv *Server) queryDiskSet() {
 	base.CallQuorum(srv.clock, srv.view.Known(membership.RoleStorage), 2, srv.bounds.Load().DiskTimeout(), func(ctx *base.Ctx, member *membership.Member) bool {
 		state, err := NewDiskProtobufClient("http://"+member.Addr, srv.httpClient).Describe(ctx, &DescribeRequest{})
@@ -56,7 +56,7 @@
 }
 
 // LearnDiskSet replaces the known disk set by a newer one of the same cluster, as
-// told by other cores and by disks. An older one, or one of another cluster, is
+// reported by other cores and by disks. An older one, or one of another cluster, is
 // ignored.
 func (srv *Server) LearnDiskSet(set *DiskSet) {
 	srv.mu.Lock()
--- a/internal/register/observe.go
+++ b/internal/register/observe.go
@@ -46,7 +46,7 @@
 
 // observe requests the state of the disks that are due and returns what is known
 // of all. While all is well a disk is due only every quarter of the recovery
-// bound, since the membership view tells of machines that start or fall silent.
+// bound, since the membership view reports machines that start or fall silent.
 // Unknown, silent and leaving machines, and all while a status is reported, are
 // due every half heartbeat interval.
 func (srv *Server) observe(records *feedRecords) *clusterView {
--- a/internal/register/plan.go
+++ b/internal/register/plan.go
@@ -31,7 +31,7 @@
 	targetVoters int
 	// status describes in words what is wrong or in progress.
 	status []string
-	// deferred tells that a change was left out because of the scope.
+	// deferred reports whether a change was left out because of the scope.
 	deferred bool
 	// dropped counts the voters that the change removes.
 	dropped int
@@ -150,12 +150,12 @@
 
 // pickDrop picks the first voter that fits for removal, if enough voters remain
 // without it.
-func (p *planner) pickDrop(fits func(entry *DiskEntry, condition diskCondition) bool) {
+func (p *planner) pickDrop(eligible func(entry *DiskEntry, condition diskCondition) bool) {
 	if !p.canDropVoter {
 		return
 	}
 	for _, entry := range voters(p.current) {
-		if !p.hasVoteChange() && fits(entry, p.view.conditions[entry.Id]) {
+		if !p.hasVoteChange() && eligible(entry, p.view.conditions[entry.Id]) {
 			p.drop = entry
 		}
 	}
--- a/internal/register/quorum.go
+++ b/internal/register/quorum.go
@@ -11,8 +11,8 @@
 
 // NoQuorum is what a core reports in its membership entry while it does not reach
 // a majority of the disks. Other cores are then preferred as leaders, because
-// such a core may be heard by all and still be unable to lead a shard. The report
-// only influences which core takes over a shard; epochs alone decide whether it
+// such a core may be alive in every view and still be unable to lead a shard. The
+// report only influences which core takes over a shard; epochs alone decide whether it
 // may.
 const NoQuorum = "no_quorum"
 
@@ -20,11 +20,11 @@
 // disks.
 type quorumContact struct {
 	mu sync.Mutex
-	// everReached tells that this process has reached a majority once.
+	// everReached reports whether this process has reached a majority once.
 	everReached  bool
 	failing      bool
 	failingSince time.Duration
-	// probing tells that probeQuorum is running.
+	// probing reports whether probeQuorum is running.
 	probing bool
 }
 
--- a/internal/register/reconfigure.go
+++ b/internal/register/reconfigure.go
@@ -271,7 +271,7 @@
 // reconfigureStep executes the next step of a change of the disk set. It first
 // waits until the records it read are committed, since a majority may not have
 // a proposal yet. progress is a mark that differs from the last one if the step
-// got further; more tells whether another step should follow soon.
+// got further; more reports whether another step should follow soon.
 func (srv *Server) reconfigureStep(s *shard) (progress string, more bool) {
 	records := srv.readRecords(s)
 	if records == nil || srv.waitCommitted(base.NewCtx(srv.clock, srv.bounds.Load().CoreCallTimeout()), s, records.epoch, records.targetSeq) != nil {
--- a/internal/register/search.go
+++ b/internal/register/search.go
@@ -33,7 +33,7 @@
 	// failures counts for each core the calls that brought the search no further.
 	failures map[string]int
 	lastErr  error
-	// mayHaveRun tells that a call that failed may have been executed.
+	// mayHaveRun reports whether a call that failed may have been executed.
 	mayHaveRun bool
 	attempts   int
 
@@ -160,7 +160,7 @@
 	s.client.view.Probe(core)
 }
 
-// handleReply records what a reply tells and reports whether it ends the search.
+// handleReply records what a reply reveals and reports whether it ends the search.
 func (s *leaderSearch) handleReply(reply coreReply) (done bool, err error) {
 	if reply.err == nil {
 		if reply.hint == "" {
--- a/internal/register/server.go
+++ b/internal/register/server.go
@@ -55,7 +55,7 @@
 	slowDisks map[string]time.Duration
 	// setLookup is the running lookup of a disk set, if any.
 	setLookup base.Signal
-	// reconfiguring tells that driveReconfiguration's task is running.
+	// reconfiguring reports whether driveReconfiguration's task is running.
 	reconfiguring bool
 	// silentCores are the cores that did not answer the last census.
 	silentCores []string
--- a/internal/register/shard.go
+++ b/internal/register/shard.go
@@ -48,7 +48,7 @@
 	mu           sync.Mutex
 	phase        phase
 	epoch        uint64 // this core's epoch; 0 if it neither leads nor takes over
-	highestEpoch uint64 // the highest epoch that this core has used or heard of
+	highestEpoch uint64 // the highest epoch that this core has used or seen
 	// kv is the shard's content, with the changes that are not committed yet.
 	kv *treemap.Map
 	// timeMs was the shard's own time at timeSetAt.
@@ -58,7 +58,7 @@
 	// the disks has.
 	lastSeq   uint64
 	committed uint64
-	// majorityInstalled tells that a majority of the disks has installed the
+	// majorityInstalled reports whether a majority of the disks has installed the
 	// content under this epoch.
 	majorityInstalled bool
 	// entries are the last changes, which disks or followers may still need.
@@ -70,7 +70,7 @@
 	// partsAccepted counts the parts of snapshots that disks have accepted.
 	partsAccepted int
 	// nextConfirm is the round that the next calls of confirmEpoch wait for;
-	// confirming tells that runConfirmRounds is running.
+	// confirming reports whether runConfirmRounds is running.
 	nextConfirm *confirmRound
 	confirming  bool
 }
--- a/internal/register/tail_test.go
+++ b/internal/register/tail_test.go
@@ -110,7 +110,7 @@
 
 // What a disk acknowledged under a former set does not count under the next
 // one. The disk may have promised a higher epoch since, to a leader that the
-// new disks of the set have not heard of. The model checker found that such a
+// new disks of the set do not know of. The model checker found that such a
 // change could be acknowledged and then lost.
 func TestOnlyAcknowledgementsUnderTheSetCount(t *testing.T) {
 	is := is.New(t)
--- a/internal/register/takeover.go
+++ b/internal/register/takeover.go
@@ -79,7 +79,7 @@
 	srv.clock.Go(func() {
 		err := srv.takeOver(s)
 		if base.IsCode(err, "older_epoch") {
-			err = srv.takeOver(s) // the disks have told their epoch
+			err = srv.takeOver(s) // the disks have reported their epoch
 		}
 		if err != nil {
 			srv.counters.Add("slot_takes_failed", 1)
--- a/internal/register/transfer.go
+++ b/internal/register/transfer.go
@@ -33,7 +33,7 @@
 // So every disk that accepts changes as fast as they come catches up.
 type transfer struct {
 	*snapshotCopy
-	// offsetKnown is set once the disk has told how much of the copy it has.
+	// offsetKnown is set once the disk has reported how much of the copy it has.
 	offsetKnown bool
 	offset      uint64
 	// restarts counts the earlier copies after which too many changes came.
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -48,8 +48,8 @@
 // attempts and time for a whole second attempt are left, it goes on to another
 // worker. Any other request waits, because a worker's silence does not prove that
 // it did not run the request.
-func (r *Relay) attemptTimeout(d *dispatch, chosen *workerState, left time.Duration) time.Duration {
-	full := left + min(left/replyMarginDivisor, maxReplyMargin)
+func (r *Relay) attemptTimeout(d *dispatch, chosen *workerState, remaining time.Duration) time.Duration {
+	full := remaining + min(remaining/replyMarginDivisor, maxReplyMargin)
 	if !d.mayRetry(1) {
 		return full
 	}
@@ -61,7 +61,7 @@
 	}
 	expected := time.Duration(float64(p.requestTime.value)*chosen.durationFactor()) + chosen.expectedWait(p, r.Clock.Now())
 	silenceLimit := max(silenceFactor*expected, d.route.LatencyTarget)
-	if silenceLimit > left/2 {
+	if silenceLimit > remaining/2 {
 		return full // too little time would be left for a second attempt
 	}
 	return silenceLimit
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -27,7 +27,7 @@
 	}
 	interval := time.Duration(float64(100*time.Millisecond) * float64(nodes) / (load * 6 * float64(workers)))
 	f.run(func() {
-		left := nodes
+		remaining := nodes
 		for i := range nodes {
 			r := f.relay(zones[i%4])
 			if draws > 0 {
@@ -51,10 +51,10 @@
 				for inFlight > 0 {
 					f.clock.Sleep(100 * time.Millisecond)
 				}
-				left--
+				remaining--
 			})
 		}
-		for left > 0 {
+		for remaining > 0 {
 			f.clock.Sleep(100 * time.Millisecond)
 		}
 	})
@@ -123,13 +123,13 @@
 			f.clock.Go(func() {
 				start := f.clock.Now()
 				_, v := f.dispatch(nodes[i%3], rt, newCall())
-				took := f.clock.Now() - start
+				elapsed := f.clock.Now() - start
 				if v == nil {
 					served[rt.Urgency]++
-					slowest = max(slowest, took)
+					slowest = max(slowest, elapsed)
 				} else {
 					f.Equal(v.Execution, base.NotRun)
-					f.True(took <= rt.LatencyTarget/4)
+					f.True(elapsed <= rt.LatencyTarget/4)
 					declined[rt.Urgency]++
 				}
 				inFlight--
@@ -215,14 +215,14 @@
 		f.Equal(f.runTurn(other, c), last.ID)
 		// Many sessions at once that share one part spread over the workers.
 		on := map[string]int{}
-		left := 60
-		for session := range left {
+		remaining := 60
+		for session := range remaining {
 			f.clock.Go(func() {
 				on[f.runTurn(r, modelCall(0, shared, relay.PromptPart{ID: fmt.Sprintf("many%d", session), Tokens: 1000}))]++
-				left--
+				remaining--
 			})
 		}
-		for left > 0 {
+		for remaining > 0 {
 			f.clock.Sleep(10 * time.Millisecond)
 		}
 		f.True(len(on) >= 6)
--- a/internal/relay/feedback.go
+++ b/internal/relay/feedback.go
@@ -42,12 +42,12 @@
 		return
 	}
 	p := r.pool(s.Service)
-	took := now - a.sentAt
+	elapsed := now - a.sentAt
 	if d.prefillBacklog == 0 {
-		p.prefill.add(float64(d.uncachedTokens), float64(took))
+		p.prefill.add(float64(d.uncachedTokens), float64(elapsed))
 	}
 	firstEvent, perToken := p.prefill.estimate()
-	delay := max(0, took-(d.prefillBacklog+firstEvent+time.Duration(d.uncachedTokens)*perToken))
+	delay := max(0, elapsed-(d.prefillBacklog+firstEvent+time.Duration(d.uncachedTokens)*perToken))
 	previous := time.Duration(float64(s.firstEventDelay) * decay(now-s.firstEventDelayAt, 4*d.route.LatencyTarget))
 	s.firstEventDelay, s.firstEventDelayAt = previous+(delay-previous)/4, now
 }
@@ -62,11 +62,11 @@
 		if engine := d.service.Engine; engine != nil {
 			s.cache.extendLast(d.call.Model, d.call.PromptParts, a.events*max(1, engine.TokensPerEvent))
 		}
-		took := r.Clock.Now() - a.sentAt
+		elapsed := r.Clock.Now() - a.sentAt
 		if !s.loadReported || s.load(p, r.Clock.Now()) <= s.slots() {
-			p.requestTime.add(took)
+			p.requestTime.add(elapsed)
 			if p.requestTime.value > 0 {
-				ratio := min(4, max(0.25, float64(took)/float64(p.requestTime.value)))
+				ratio := min(4, max(0.25, float64(elapsed)/float64(p.requestTime.value)))
 				s.durationRatio = s.durationFactor() + (ratio-s.durationFactor())/meanWindow
 			}
 		}
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -58,9 +58,9 @@
 		}
 	}
 	_, shortestWait, anyCandidate := r.choose(d, p)
-	left := min(d.queueDeadline(), d.deadline-d.minSendTime()) - now
-	hopeless := shortestWait > d.maxWait(p, now)+left
-	if left <= 0 || hopeless || (!anyCandidate && len(d.tried) > 0) || !p.enqueue(d, r.Clock) {
+	remaining := min(d.queueDeadline(), d.deadline-d.minSendTime()) - now
+	hopeless := shortestWait > d.maxWait(p, now)+remaining
+	if remaining <= 0 || hopeless || (!anyCandidate && len(d.tried) > 0) || !p.enqueue(d, r.Clock) {
 		err := r.declineBusy(d)
 		r.mu.Unlock()
 		return nil, err
@@ -68,7 +68,7 @@
 	w := p.queue[slices.IndexFunc(p.queue, func(w *waiter) bool { return w.dispatch == d })]
 	r.mu.Unlock()
 	r.count("offers_waited")
-	return r.waitForWorker(d, p, w, now+left)
+	return r.waitForWorker(d, p, w, now+remaining)
 }
 
 // mustQueue reports whether a queued request precedes this one.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -238,13 +238,13 @@
 // that says whether the worker may have run it.
 func (r *Relay) send(d *dispatch, chosen *workerState) (*Reply, error) {
 	sentAt := r.Clock.Now()
-	left := d.deadline - sentAt
+	remaining := d.deadline - sentAt
 	request := &base.BackendRequest{Method: d.call.Method, Path: d.call.Target, Host: d.call.Host, Body: d.body, Incarnation: chosen.ID,
 		EchoedHeader: base.HeaderLine{Name: r.Names.ID, Value: d.call.ID}, MaxConns: r.maxConns(d.service), ConnectTimeout: d.route.LatencyTarget / 3,
 		ConfirmSend: func() bool { return chosen.serving.Load() && d.deadline-r.Clock.Now() >= d.minSendTime() }}
-	request.HeaderLines = append(d.headerLines[:len(d.headerLines):len(d.headerLines)], base.HeaderLine{Name: r.Names.Deadline, Value: strconv.FormatInt(left.Milliseconds(), 10)},
+	request.HeaderLines = append(d.headerLines[:len(d.headerLines):len(d.headerLines)], base.HeaderLine{Name: r.Names.Deadline, Value: strconv.FormatInt(remaining.Milliseconds(), 10)},
 		base.HeaderLine{Name: r.Names.ExpectWorker, Value: chosen.ID})
-	timeout := r.attemptTimeout(d, chosen, left)
+	timeout := r.attemptTimeout(d, chosen, remaining)
 	response, err := r.Backends.Call(d.ctx.WithTimeout(timeout), chosen.Addr, request)
 	if err != nil {
 		return nil, r.handleCallError(d, chosen, err)
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -60,8 +60,8 @@
 // mayResume reports whether the stream may be resumed at another worker.
 func (r *Reply) mayResume() bool {
 	d := r.dispatch
-	left := d.deadline - r.relay.Clock.Now()
-	return d.mayRetry(0) && r.relay.Names.LastEventID != "" && !r.position.unresumable && left >= d.minSendTime()
+	remaining := d.deadline - r.relay.Clock.Now()
+	return d.mayRetry(0) && r.relay.Names.LastEventID != "" && !r.position.unresumable && remaining >= d.minSendTime()
 }
 
 // eventDeadline returns until when to wait for an event. A stream that may be
--- a/internal/relay/resume_test.go
+++ b/internal/relay/resume_test.go
@@ -50,14 +50,14 @@
 func (s *streamBackends) DropIdle(string) {}
 
 func (s *streamBackends) Call(ctx *base.Ctx, _ string, request *base.BackendRequest) (base.BackendReply, error) {
-	does := plannedCall{behaviour: streamsToEnd}
+	planned := plannedCall{behaviour: streamsToEnd}
 	if len(s.calls) < len(s.plan) {
-		does = s.plan[len(s.calls)]
+		planned = s.plan[len(s.calls)]
 	}
 	s.calls = append(s.calls, request)
 	s.fleet.clock.Sleep(time.Millisecond)
 	reply := &streamReply{fleet: s.fleet, status: 200, seal: fmt.Sprint("seal-", len(s.calls)), end: io.EOF}
-	switch does.behaviour {
+	switch planned.behaviour {
 	case rejectsUnrun:
 		reply.status, reply.rejected = 503, true
 		return reply, nil
@@ -67,24 +67,24 @@
 	}
 	s.runs++
 	from := 0
-	if after, err := strconv.Atoi(valueOf(request, "Last-Event")); err == nil && does.behaviour != restarts {
+	if after, err := strconv.Atoi(valueOf(request, "Last-Event")); err == nil && planned.behaviour != restarts {
 		from = (after-s.firstID)/s.idStep + 1
 	}
 	to := s.events
-	if does.behaviour == cutsOff || does.behaviour == cutsWithinEvent || does.behaviour == fallsSilent {
-		to = min(to, from+does.after)
+	if planned.behaviour == cutsOff || planned.behaviour == cutsWithinEvent || planned.behaviour == fallsSilent {
+		to = min(to, from+planned.after)
 		reply.end = io.ErrUnexpectedEOF
-		if does.behaviour == fallsSilent {
+		if planned.behaviour == fallsSilent {
 			reply.end = nil
 		}
 	}
 	for event := from; event < to; event++ {
-		if does.behaviour == skipsEvent && event == from && from > 1 && from < to-1 {
+		if planned.behaviour == skipsEvent && event == from && from > 1 && from < to-1 {
 			continue // only after two events the expected id is known, and the last event is not
 		}
 		reply.lines = append(reply.lines, fmt.Sprintf("id: %d\n", s.firstID+event*s.idStep), fmt.Sprintf("data: event %d\n", event), "\n")
 	}
-	if does.behaviour == cutsWithinEvent {
+	if planned.behaviour == cutsWithinEvent {
 		reply.lines = append(reply.lines, fmt.Sprintf("id: %d\n", s.firstID+to*s.idStep), "data: ev")
 	}
 	return reply, nil
@@ -138,7 +138,7 @@
 	complete   bool
 	requestErr *base.RequestError
 	seal       string
-	took       time.Duration
+	elapsed    time.Duration
 }
 
 // run sends a call whose attempts take the steps of the plan.
@@ -155,7 +155,7 @@
 	var got streamResult
 	f.run(func() {
 		start := f.clock.Now()
-		defer func() { got.took = f.clock.Now() - start }()
+		defer func() { got.elapsed = f.clock.Now() - start }()
 		ctx := base.NewCtx(f.clock, 5*time.Second)
 		reply, err := r.Dispatch(ctx, rt, plainService, newCall(), nil)
 		if err != nil {
@@ -211,9 +211,9 @@
 		if got.requestErr != nil && got.requestErr.Execution == base.NotRun && s.runs > 0 {
 			r.Fatalf("plan %v: it was run, but is reported as not run", s.plan)
 		}
-		for _, asked := range s.calls {
-			if left, _ := strconv.Atoi(valueOf(asked, "Time-Left")); left > 5000 {
-				r.Fatalf("a worker was given %d ms, more than the client's deadline", left)
+		for _, call := range s.calls {
+			if remaining, _ := strconv.Atoi(valueOf(call, "Time-Left")); remaining > 5000 {
+				r.Fatalf("a worker was given %d ms, more than the client's deadline", remaining)
 			}
 		}
 		if got.complete && s.runs > 1 {
@@ -239,8 +239,8 @@
 func TestSilentStreamIsResumedInTime(t *testing.T) {
 	s := &streamBackends{events: 5, idStep: 1, firstID: 1, plan: []plannedCall{{fallsSilent, 2}}}
 	got := s.run(t, resumableRoute(2))
-	if !got.complete || got.took > 2*time.Second {
-		t.Errorf("complete %v after %v", got.complete, got.took)
+	if !got.complete || got.elapsed > 2*time.Second {
+		t.Errorf("complete %v after %v", got.complete, got.elapsed)
 	}
 	s = &streamBackends{events: 5, idStep: 1, firstID: 1, plan: []plannedCall{{fallsSilent, 2}}}
 	once := resumableRoute(2)
--- a/internal/relay/roster.go
+++ b/internal/relay/roster.go
@@ -88,14 +88,14 @@
 			next = append(next, current.worker)
 		}
 	}
-	kept := len(next)
-	if kept < len(r.entries) {
+	retainedCount := len(next)
+	if retainedCount < len(r.entries) {
 		for id, current := range r.entries {
-			if _, ok := slices.BinarySearchFunc(next[:kept], id, compareID); !ok && current.valid {
+			if _, ok := slices.BinarySearchFunc(next[:retainedCount], id, compareID); !ok && current.valid {
 				next = append(next, current.worker)
 			}
 		}
-		if len(next) > kept {
+		if len(next) > retainedCount {
 			slices.SortFunc(next, func(a, b Worker) int { return strings.Compare(a.ID, b.ID) })
 		}
 	}
--- a/internal/route/history.go
+++ b/internal/route/history.go
@@ -124,7 +124,7 @@
 	Walk(prefix, after string, visit func(key string, value []byte) bool)
 }
 
-// changeStatus is what the history tells about a change.
+// changeStatus is what the history records about a change.
 type changeStatus int
 
 const (
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -365,7 +365,7 @@
 }
 
 // ProgramTermination returns the termination that was requested of a program, as far
-// as the feed has told this node.
+// as this node knows from the feed.
 func (m *Manager) ProgramTermination(program string) budget.Termination {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/session/forward.go
+++ b/internal/session/forward.go
@@ -51,7 +51,7 @@
 		reply, err = m.serve(ctx, record, &req)
 	}
 	if err != nil {
-		// The forwarding node tells its client "not run", so a late copy must not run.
+		// The forwarding node reports "not run" to its client, so a late copy must not run.
 		if requestErr := base.ToRequestError(err); requestErr.Execution == base.NotRun && requestErr.Code != "stale_assignment" && requestErr.Code != "handing_over" {
 			err = m.recordDecline(&req, requestErr)
 		}
--- a/internal/session/termination.go
+++ b/internal/session/termination.go
@@ -19,7 +19,7 @@
 	return s.readTurn(req)
 }
 
-// cancelOperation answers a queued turn as not run at once. A running one is told to
+// cancelOperation answers a queued turn as not run at once. A running one is asked to
 // stop, and its attempt gives the answer.
 func (m *Manager) cancelOperation(s *ownedSession, op *operation) {
 	op.cancelled.Fire()
--- a/internal/workerconn/fuzz_test.go
+++ b/internal/workerconn/fuzz_test.go
@@ -23,8 +23,8 @@
 const fuzzMaxBody = 1 << 16
 
 // readReply reads raw as the response to a request with the id r1. used is how
-// many bytes of raw were consumed, and kept whether the connection was pooled.
-func readReply(raw []byte) (status int, body []byte, used int, kept bool, err error) {
+// many bytes of raw were consumed, and pooled whether the connection was returned to the pool.
+func readReply(raw []byte) (status int, body []byte, used int, pooled bool, err error) {
 	reader := bytes.NewReader(raw)
 	p := newPool(time.Second, base.NewCounters())
 	entry := &workerConns{open: 1}
@@ -61,9 +61,9 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		status, body, used, kept, err := readReply(raw)
+		status, body, used, pooled, err := readReply(raw)
 		if err != nil {
-			if kept {
+			if pooled {
 				t.Fatalf("a connection was pooled after the error %v", err)
 			}
 			return
@@ -71,10 +71,10 @@
 		if len(body) > fuzzMaxBody {
 			t.Fatalf("%d bytes of body were read, more than the limit", len(body))
 		}
-		if kept && used != len(raw) {
+		if pooled && used != len(raw) {
 			t.Fatal("a connection was pooled with bytes after the response")
 		}
-		if _, _, _, kept, _ := readReply(append(bytes.Clone(raw[:used]), 'x')); kept {
+		if _, _, _, pooled, _ := readReply(append(bytes.Clone(raw[:used]), 'x')); pooled {
 			t.Fatal("a connection was pooled with one byte after the response")
 		}
 		for cut := used - 1; cut >= max(0, used-200); cut-- {
--- a/internal/workerconn/generated_test.go
+++ b/internal/workerconn/generated_test.go
@@ -23,7 +23,7 @@
 type behaviour int
 
 const (
-	answersWhole behaviour = iota
+	answersWithLength behaviour = iota
 	answersInChunks
 	answersAndWillClose
 	answersAndCloses
@@ -44,7 +44,7 @@
 )
 
 // endsConnection reports whether the connection must not be reused afterwards.
-func (b behaviour) endsConnection() bool { return b != answersWhole && b != answersInChunks }
+func (b behaviour) endsConnection() bool { return b != answersWithLength && b != answersInChunks }
 
 // shortTimeout is the timeout of reads that are expected to get nothing.
 const shortTimeout = 5 * time.Millisecond
@@ -96,32 +96,32 @@
 			return
 		}
 		id := request.Header.Get(idHeader)
-		asked, _ := strconv.Atoi(request.Header.Get(behaviourHeader))
-		does := behaviour(asked)
+		behaviourCode, _ := strconv.Atoi(request.Header.Get(behaviourHeader))
+		planned := behaviour(behaviourCode)
 		w.mu.Lock()
 		w.received[id]++
-		switch got := request.Header.Get(incarnationHeader); {
+		switch requestIncarnation := request.Header.Get(incarnationHeader); {
 		case unusable:
 			w.violations = append(w.violations, id+" came on a connection that should have been closed")
-		case incarnation != "" && incarnation != got:
+		case incarnation != "" && incarnation != requestIncarnation:
 			w.violations = append(w.violations, id+" came on a connection to another incarnation")
 		default:
-			incarnation = got
+			incarnation = requestIncarnation
 		}
 		w.mu.Unlock()
-		unusable = does.endsConnection()
-		if does == resetsUnread {
+		unusable = planned.endsConnection()
+		if planned == resetsUnread {
 			_ = c.SetLinger(0)
 			return
 		}
-		if _, err := io.Copy(io.Discard, request.Body); err != nil || !w.answer(c, does, id) {
+		if _, err := io.Copy(io.Discard, request.Body); err != nil || !w.answer(c, planned, id) {
 			return
 		}
 	}
 }
 
 // answer reports whether the worker reads another request afterwards.
-func (w *checkingWorker) answer(c *net.TCPConn, does behaviour, id string) bool {
+func (w *checkingWorker) answer(c *net.TCPConn, planned behaviour, id string) bool {
 	head := "HTTP/1.1 200 OK\r\n" + idHeader + ": " + id + "\r\n"
 	full := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(id), id)
 	chunks := fmt.Sprintf("%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", head, len(id), id)
@@ -130,8 +130,8 @@
 		_, err := io.WriteString(c, text)
 		return err == nil
 	}
-	switch does {
-	case answersWhole:
+	switch planned {
+	case answersWithLength:
 		return write(full)
 	case answersInChunks:
 		return write(chunks + "0\r\n\r\n")
@@ -178,7 +178,7 @@
 	behaviourGen := rapid.Custom(func(t *rapid.T) behaviour {
 		// Connections are only reused after complete responses, so half are.
 		if rapid.Bool().Draw(t, "whole") {
-			return answersWhole
+			return answersWithLength
 		}
 		return behaviour(rapid.IntRange(0, int(behaviourCount)-1).Draw(t, "behaviour"))
 	})
@@ -195,13 +195,13 @@
 	var group sync.WaitGroup
 	for lane, steps := range plan.lanes {
 		group.Go(func() {
-			for step, does := range steps {
+			for step, planned := range steps {
 				incarnation := fmt.Sprintf("w%d", (lane+step/3)%2)
 				if step%5 == 4 {
 					client.DropIdle(incarnation)
 				}
 				id := fmt.Sprintf("%d-%d-%d", run, lane, step)
-				if problem := checkedCall(worker, client, id, incarnation, does, plan.largeBodies); problem != "" {
+				if problem := checkedCall(worker, client, id, incarnation, planned, plan.largeBodies); problem != "" {
 					problems <- problem
 				}
 			}
@@ -219,32 +219,32 @@
 
 // checkedCall sends one request and compares the result with what the worker
 // received.
-func checkedCall(worker *checkingWorker, client *Client, id, incarnation string, does behaviour, largeBody bool) string {
+func checkedCall(worker *checkingWorker, client *Client, id, incarnation string, planned behaviour, largeBody bool) string {
 	timeout := 20 * time.Second
-	if does == readsAndHangs {
+	if planned == readsAndHangs {
 		timeout = shortTimeout
 	}
-	body, err := callWorker(worker, client, id, incarnation, does, largeBody, timeout)
+	body, err := callWorker(worker, client, id, incarnation, planned, largeBody, timeout)
 	worker.mu.Lock()
 	received := worker.received[id]
 	worker.mu.Unlock()
 	switch {
 	case received > 1:
-		return fmt.Sprintf("%s (%d) was received %d times", id, does, received)
+		return fmt.Sprintf("%s (%d) was received %d times", id, planned, received)
 	case err == nil && body != id:
-		return fmt.Sprintf("%s (%d) got %q", id, does, body)
+		return fmt.Sprintf("%s (%d) got %q", id, planned, body)
 	case err == nil && received == 0:
-		return fmt.Sprintf("%s (%d) was answered but never received", id, does)
+		return fmt.Sprintf("%s (%d) was answered but never received", id, planned)
 	case base.WasNotSent(err) && received > 0:
-		return fmt.Sprintf("%s (%d) was received, but reported as not sent", id, does)
+		return fmt.Sprintf("%s (%d) was received, but reported as not sent", id, planned)
 	}
 	return ""
 }
 
 // callWorker sends a request that asks for a behaviour and returns the body read.
-func callWorker(worker *checkingWorker, client *Client, id, incarnation string, does behaviour, largeBody bool, timeout time.Duration) (string, error) {
+func callWorker(worker *checkingWorker, client *Client, id, incarnation string, planned behaviour, largeBody bool, timeout time.Duration) (string, error) {
 	request := &base.BackendRequest{Method: http.MethodPost, Path: "/x", Incarnation: incarnation, Body: []byte("ask"),
-		HeaderLines:  []base.HeaderLine{{Name: idHeader, Value: id}, {Name: incarnationHeader, Value: incarnation}, {Name: behaviourHeader, Value: strconv.Itoa(int(does))}},
+		HeaderLines:  []base.HeaderLine{{Name: idHeader, Value: id}, {Name: incarnationHeader, Value: incarnation}, {Name: behaviourHeader, Value: strconv.Itoa(int(planned))}},
 		EchoedHeader: base.HeaderLine{Name: idHeader, Value: id}}
 	if largeBody {
 		request.Body = make([]byte, 2*maxInlineBody)
@@ -254,7 +254,7 @@
 		return "", err
 	}
 	defer reply.Close()
-	if does == streamsUntilClosed {
+	if planned == streamsUntilClosed {
 		_, err := reply.ReadLine(shortTimeout)
 		return id, err // read no further
 	}
--- a/internal/workerconn/pool_test.go
+++ b/internal/workerconn/pool_test.go
@@ -332,7 +332,7 @@
 	for _, tt := range []struct {
 		name, head string
 		idle       time.Duration
-		kept       bool
+		pooled     bool
 	}{
 		{"before the announced timeout", "Keep-Alive: timeout=10\r\n", 7 * time.Second, true},
 		{"within the margin before the announced timeout", "Keep-Alive: timeout=10\r\n", 9 * time.Second, false},
@@ -348,7 +348,7 @@
 			p.mustCall()
 			p.clock.offset.Add(int64(tt.idle))
 			p.mustCall()
-			p.Equal(p.connections() == 1, tt.kept)
+			p.Equal(p.connections() == 1, tt.pooled)
 		})
 	}
 }
@@ -393,7 +393,7 @@
 		"Cookie: b=2; a=1", "Content-Type: text/odd", "user-agent: me", "Content-Length: 3", "", "ask"}, "\r\n"))
 }
 
-func TestLongBodyIsSentWhole(t *testing.T) {
+func TestLongBodyIsSentCompletely(t *testing.T) {
 	long := bytes.Repeat([]byte("0123456789abcdef"), 1<<15)
 	p := newPoolTest(t, func(c net.Conn, request *http.Request, _ int) bool {
 		body, _ := io.ReadAll(request.Body)
