--- a/internal/fleet/chaos.go
+++ b/internal/fleet/chaos.go
@@ -34,7 +34,7 @@
 
 func newChaosRun(f *Fleet, workers *Workers, tally *standin.Tally, out io.Writer) *chaosRun {
 	for _, model := range workers.Models {
-		model.Given = tally.Given
+		model.OnRun = tally.RecordWorkStarted
 	}
 	return &chaosRun{fleet: f, workers: workers, tally: tally, out: out, clock: workers.Clock}
 }
@@ -103,7 +103,7 @@
 		}); err != nil {
 			return err
 		}
-		run.tally.Leaves(old.ID, run.clock.Now())
+		run.tally.RecordWorkerLeaving(old.ID, run.clock.Now())
 		run.clock.Sleep(3500 * time.Millisecond)
 		_ = run.workers.servers[old.ID].Close()
 	}
@@ -236,7 +236,7 @@
 	if model == "stand-in" {
 		model = ""
 	}
-	run.tally.Stands(current.Version, model)
+	run.tally.RecordStoredSettings(current.Version, model)
 	return nil
 }
 
@@ -256,10 +256,10 @@
 		_ = json.Unmarshal(responseBody, &reply)
 		switch {
 		case err == nil && status == 200 && reply.Outcome == "taken":
-			run.tally.Taken(changeID, version, reply.Stamp, run.clock.Now())
+			run.tally.RecordChangeAccepted(changeID, version, reply.Stamp, run.clock.Now())
 			return reply.Stamp
 		case err == nil && (status == 200 || status == 409):
-			run.tally.ChangeRefused(changeID)
+			run.tally.RecordChangeRefused(changeID)
 			return max(version, reply.Stamp, reply.Error.CurrentVersion)
 		}
 		run.tally.Count("settings_unknown")
@@ -282,7 +282,7 @@
 			if CallJSON("GET", process.PublicAddr, "/v1/platform/settings", nil, &current) != nil {
 				continue
 			}
-			run.tally.Showed(process.Name, current.Stamp, "", requestedAt)
+			run.tally.RecordServedSettings(process.Name, current.Stamp, "", requestedAt)
 		}
 		run.clock.Sleep(50 * time.Millisecond)
 	}
@@ -299,7 +299,7 @@
 	}
 	outage := run.clock.Now() - start
 	_, _ = fmt.Fprintf(run.out, "         all gateways are ready %.2fs after all machines were killed\n", outage.Seconds())
-	run.tally.Back(outage)
+	run.tally.RecordRecovery(outage)
 	if err := run.recordCurrentSettings(); err != nil {
 		return err
 	}
--- a/internal/fleet/platform.go
+++ b/internal/fleet/platform.go
@@ -72,8 +72,8 @@
 	names           *platform.Names
 	drafts          *platform.ConfigGenerator
 	instances       *platform.Instances
-	listServer      *sockets.ListServer
-	entry           *sockets.VirtualEntry
+	listServer      *sockets.InstanceListServer
+	entry           *sockets.LoadBalancer
 	clients         *sockets.Clients
 	player          *platform.ProgramRunner
 	ports           platformPorts
@@ -103,8 +103,8 @@
 	run.drafts = &platform.ConfigGenerator{Deployment: plan.Site, Names: run.names, Rng: rand.New(rand.NewPCG(plan.Seed, 3))}
 	run.networkIndex = os.Getpid()*7 + int(plan.Seed%1000)
 	run.instances = &platform.Instances{Clock: run.clock, Recorder: run.ledger, Lag: plan.Site.Bounds.ListMaxLag / 2, CallsPerSecond: plan.Site.ListCallsPerSecond}
-	run.entry = &sockets.VirtualEntry{}
-	run.clients = &sockets.Clients{Clock: run.clock, Entry: run.entry, KeepShare: 5}
+	run.entry = &sockets.LoadBalancer{}
+	run.clients = &sockets.Clients{Clock: run.clock, NodePicker: run.entry, KeepAliveTenths: 5}
 	run.player = platform.NewProgramRunner(run.clock, run.clients, run.ledger, plan.Site, run.names, plan.Seed)
 	run.player.RetryUntil = func() time.Duration { return time.Duration(run.persistUntil.Load()) }
 	return run
@@ -340,7 +340,7 @@
 // configuration, and waits until all nodes that serve clients are ready.
 func (run *platformRun) setUp() error {
 	var err error
-	if run.listServer, err = sockets.ListenInstances(run.instances, run.nextLoopbackAddr()+":0"); err != nil {
+	if run.listServer, err = sockets.ListenInstanceList(run.instances, run.nextLoopbackAddr()+":0"); err != nil {
 		return err
 	}
 	run.addInitialMachines()
@@ -356,7 +356,7 @@
 	for _, m := range run.machinesOf(platform.ClassEdge) {
 		nodes = append(nodes, run.newEntryNode(m))
 	}
-	run.entry.Open(nodes)
+	run.entry.Start(nodes)
 	run.config.operator = run.newOperator("first")
 	config := run.drafts.Initial()
 	order := run.config.operator.PutConfig(0, config, config.Encode(), "", run.plan.SetUpTimeout)
--- a/internal/simulate/api_test.go
+++ b/internal/simulate/api_test.go
@@ -18,7 +18,7 @@
 // apiClient sends single requests to the gateways as a caller.
 type apiClient struct {
 	fleet       *Fleet
-	sendRequest standin.Asker
+	sendRequest standin.RequestFunc
 }
 
 // apiResponse is a response with all events of its stream.
@@ -113,7 +113,7 @@
 }
 
 func turnBody(program, turn string) map[string]any {
-	return map[string]any{"messages": []standin.Message{{Role: "user", Content: "question " + standin.Tag(program, turn)}}, "max_output_tokens": 8}
+	return map[string]any{"messages": []standin.Message{{Role: "user", Content: "question " + standin.TurnTag(program, turn)}}, "max_output_tokens": 8}
 }
 
 func (t *apiClient) sendTurn(gateway int, path, key, program, id, previous string) apiResponse {
@@ -149,7 +149,7 @@
 func (f *Fleet) modelWorkerRuns(program, turn string) int {
 	total := 0
 	for _, model := range f.Models {
-		runs, _, _, _ := model.Record()
+		runs, _, _, _ := model.Stats()
 		total += runs[program+"|"+turn]
 	}
 	return total
@@ -158,7 +158,7 @@
 func (f *Fleet) toolWorkerRuns(key string) int {
 	total := 0
 	for _, tool := range f.Tools {
-		total += tool.Runs()[key]
+		total += tool.RunsByKey()[key]
 	}
 	return total
 }
@@ -422,7 +422,7 @@
 		is.True(completed >= 3 && overBudget >= 1)
 		produced := int64(0)
 		for _, model := range f.Models {
-			_, tokens, _, _ := model.Record()
+			_, tokens, _, _ := model.Stats()
 			for _, n := range tokens {
 				produced += n
 			}
@@ -480,12 +480,12 @@
 		program, secret := client.createProgram(100, nil)
 		path := "/v1/programs/" + program + "/tools/loyalty"
 		for _, tool := range f.Tools {
-			tool.Next = func() standin.Trouble { return standin.Silent } // the call runs and its answer is lost
+			tool.NextFault = func() standin.Fault { return standin.FaultNoResponse } // the call runs and its answer is lost
 		}
 		first := client.send(0, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
 		is.Equal(first.field("error", "request"), "may_have_run")
 		for _, tool := range f.Tools {
-			tool.Next = nil
+			tool.NextFault = nil
 		}
 		again := client.send(1, "POST", path, secret, `{"points":1}`, "idempotency-key", "k1")
 		is.Equal(again.field("error", "request"), "may_have_run")
@@ -526,7 +526,7 @@
 					previous = id
 				}
 				leaving := f.Models[0]
-				if f.Models[1].Latest() > leaving.Latest() {
+				if f.Models[1].LastRunTime() > leaving.LastRunTime() {
 					leaving = f.Models[1]
 				}
 				switch variant {
@@ -535,9 +535,9 @@
 				case "list":
 					is.Equal(client.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{leaving.ID}}).Status, 200)
 				case "closing":
-					leaving.Closing = true
+					leaving.CloseConnections = true
 				case "refusal":
-					leaving.Next = func() standin.Trouble { return standin.Refuse }
+					leaving.NextFault = func() standin.Fault { return standin.FaultUnavailable }
 				}
 				knownAt := f.World.Now()
 				for num := 3; num < 30; num++ {
@@ -546,12 +546,12 @@
 					is.Equal(verdict, "success")
 					previous = id
 					if (variant == "refusal" || variant == "closing") && num == 5 {
-						leaving.Next, leaving.Closing = nil, false // it would accept requests again
+						leaving.NextFault, leaving.CloseConnections = nil, false // it would accept requests again
 						knownAt = f.World.Now()
 					}
 				}
 				is.True(f.World.Now() > knownAt+3*time.Second)
-				is.True(leaving.Latest() <= knownAt+3*time.Second)
+				is.True(leaving.LastRunTime() <= knownAt+3*time.Second)
 				if variant != "list" {
 					returned := client.send(1, "POST", "/v1/platform/workers/"+leaving.ID+"/usage", "", `{"number":9,"incarnation":"two","leaving":false}`)
 					is.Equal(returned.Status, 200)
@@ -664,14 +664,14 @@
 func TestWorkerFaultsAreNeverReportedAsSuccess(t *testing.T) {
 	shape := SmallShape()
 	shape.Settings = strings.Replace(DefaultSettings, `"operation_timeout_s":30`, `"operation_timeout_s":10,"legs":1`, 1)
-	for fault, want := range map[standin.Trouble]string{
-		standin.Cut: "cut may_have_run", standin.Malformed: "cut may_have_run", standin.NoFinish: "cut may_have_run", standin.Overrun: "cut may_have_run",
-		standin.Hang: "cut may_have_run", standin.Fail: "failed may_have_run", standin.Silent: "failed may_have_run", standin.Refuse: "refused not_run",
+	for fault, want := range map[standin.Fault]string{
+		standin.FaultCut: "cut may_have_run", standin.FaultMalformed: "cut may_have_run", standin.FaultNoFinishReason: "cut may_have_run", standin.FaultIgnoreTokenLimit: "cut may_have_run",
+		standin.FaultHang: "cut may_have_run", standin.FaultInternalError: "failed may_have_run", standin.FaultNoResponse: "failed may_have_run", standin.FaultUnavailable: "refused not_run",
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			runScript(t, shape, func(is *is.I, f *Fleet, client *apiClient) {
 				for _, model := range f.Models {
-					model.Next = func() standin.Trouble { return fault }
+					model.NextFault = func() standin.Fault { return fault }
 				}
 				program, secret := client.createProgram(100, nil)
 				path, key := client.openSession(0, program, secret, nil)
@@ -703,10 +703,10 @@
 		f.CallerHost.Go(func() { running = client.sendTurn(1, path, key, program, "a", "") })
 		client.sleep(700 * time.Millisecond)
 		busy := f.Models[0]
-		if f.Models[1].Busy() > 0 {
+		if f.Models[1].ActiveAnswers() > 0 {
 			busy = f.Models[1]
 		}
-		is.Equal(busy.Busy(), 1)
+		is.Equal(busy.ActiveAnswers(), 1)
 		is.Equal(client.send(2, "PATCH", "/v1/platform/workers", "", map[string]any{"stamp": 2, "remove": []string{busy.ID}}).Status, 200)
 		is.Equal(client.send(2, "POST", "/v1/platform/workers/"+busy.ID+"/usage", "", `{"number":5,"leaving":true}`).Status, 200)
 		for running.Status == 0 {
@@ -716,7 +716,7 @@
 		is.Equal(verdict, "success")
 		verdict, _, _ = client.sendTurn(1, path, key, program, "b", "a").finalResult()
 		is.Equal(verdict, "success")
-		_, _, runs, _ := busy.Record()
+		_, _, runs, _ := busy.Stats()
 		is.Equal(runs, 1) // the next turn went to the other worker
 	})
 }
@@ -730,7 +730,7 @@
 		path, key := client.openSession(0, program, secret, nil)
 		client.sendTurn(0, path, key, program, "a", "")
 		lastUsed, other := f.Models[0], f.Models[1]
-		if other.Latest() > lastUsed.Latest() {
+		if other.LastRunTime() > lastUsed.LastRunTime() {
 			lastUsed, other = other, lastUsed
 		}
 		for _, m := range f.Cores {
@@ -748,6 +748,6 @@
 		}
 		verdict, _, _ := delayedTurn.finalResult()
 		is.Equal(verdict, "success")
-		is.True(lastUsed.Latest() < removedAt && other.Latest() > removedAt)
+		is.True(lastUsed.LastRunTime() < removedAt && other.LastRunTime() > removedAt)
 	})
 }
--- a/internal/simulate/backends.go
+++ b/internal/simulate/backends.go
@@ -102,7 +102,7 @@
 	body := append([]byte(nil), request.Body...)
 	target.Go(func() {
 		if model := b.models[target.Name]; model != nil {
-			reply.closesConn = model.Closing
+			reply.closesConn = model.CloseConnections
 			model.Serve(body, func(status int) { reply.status, reply.started = status, true; reply.changed.Notify() }, func(line string) error {
 				if reply.closed {
 					return io.ErrClosedPipe
@@ -135,9 +135,9 @@
 // RequestSender returns a function that sends callers' requests from a host to the
 // simulated gateways. A request fails once its gateway has died or has sent nothing
 // for 40 s.
-func (f *Fleet) RequestSender(host *Host) standin.Asker {
+func (f *Fleet) RequestSender(host *Host) standin.RequestFunc {
 	clock := host.Clock()
-	return func(gatewayIndex int, method, path string, header map[string]string, body []byte) (*standin.Answer, error) {
+	return func(gatewayIndex int, method, path string, header map[string]string, body []byte) (*standin.Response, error) {
 		gateway := f.Gateways[gatewayIndex%len(f.Gateways)]
 		clock.Sleep(f.Net.delay())
 		if !gateway.Host.alive || gateway.gateway == nil || gateway.stopping {
@@ -176,7 +176,7 @@
 			}
 			next.Wait(pollInterval)
 		}
-		answer := &standin.Answer{Status: response.Status, Header: response.Header, Body: response.Body}
+		answer := &standin.Response{Status: response.Status, Header: response.Header, Body: response.Body}
 		if response.Stream == nil {
 			return answer, nil
 		}
--- a/internal/whatif/simulate.go
+++ b/internal/whatif/simulate.go
@@ -96,7 +96,7 @@
 	startedCallers, syncsBefore, messagesBefore := 0, fleet.SyncTotal(), fleet.Net.MessageCount
 	report := &Report{Seed: s.Seed, IdleMessagesPerSecond: idleRate, Conversations: map[string]int{}, Refusals: map[string]int{}}
 	eventTimes := map[string][]time.Duration{}
-	fleet.Tally.Seen = func(name string) { eventTimes[name] = append(eventTimes[name], fleet.World.Now()-start) }
+	fleet.Tally.OnCount = func(name string) { eventTimes[name] = append(eventTimes[name], fleet.World.Now()-start) }
 	activeCallers, allStarted := 0, false
 	fleet.CallerHost.Go(func() {
 		for now := time.Duration(0); now < s.Load.Duration; now = fleet.World.Now() - start {
@@ -136,12 +136,12 @@
 // activeCallers until its conversation has ended.
 func (s *Scenario) startCaller(fleet *simulate.Fleet, number int, activeCallers *int) {
 	world := fleet.World
-	caller := &standin.Caller{Name: fmt.Sprintf("c%d", number), Clock: fleet.CallerHost.Clock(), Ask: fleet.RequestSender(fleet.CallerHost), Gateways: len(fleet.Gateways), Home: int(world.Int64N(int64(len(fleet.Gateways)))),
-		Group: s.Deployment.Group, Site: s.Deployment.Site, Route: s.Deployment.Route, ToolRoute: s.Deployment.ToolRoute, Pieces: s.Deployment.AnswerTokens,
-		Patience: s.Load.Patience, Tally: fleet.Tally}
-	caller.Hasty = world.Chance(s.Load.HastyShare)
+	caller := &standin.Caller{Name: fmt.Sprintf("c%d", number), Clock: fleet.CallerHost.Clock(), Send: fleet.RequestSender(fleet.CallerHost), Gateways: len(fleet.Gateways), Gateway: int(world.Int64N(int64(len(fleet.Gateways)))),
+		Group: s.Deployment.Group, Site: s.Deployment.Site, Route: s.Deployment.Route, ToolRoute: s.Deployment.ToolRoute, PiecesPerTurn: s.Deployment.AnswerTokens,
+		TurnTimeout: s.Load.Patience, Tally: fleet.Tally}
+	caller.IgnoreRetryAfter = world.Chance(s.Load.HastyShare)
 	if s.Load.SystemPrompts > 1 {
-		caller.Prompt = fmt.Sprintf("You help callers with matter %d", world.Int64N(int64(s.Load.SystemPrompts)))
+		caller.SystemPrompt = fmt.Sprintf("You help callers with matter %d", world.Int64N(int64(s.Load.SystemPrompts)))
 	}
 	if world.Chance(s.Load.UrgentShare) {
 		caller.Urgency = "urgent"
@@ -150,11 +150,11 @@
 	if world.Chance(s.Load.LongConversationShare) {
 		turnCount = s.Load.TurnCounts[1]
 	}
-	caller.Between = func(int) { caller.Clock.Sleep(world.Between(0, 2*s.Load.ThinkTime)) }
+	caller.AfterTurn = func(int) { caller.Clock.Sleep(world.Between(0, 2*s.Load.ThinkTime)) }
 	*activeCallers++
 	fleet.CallerHost.Go(func() {
 		if caller.Start(s.Load.TokenBudget) {
-			caller.Converse(turnCount, s.Load.ToolCalls)
+			caller.RunConversation(turnCount, s.Load.ToolCalls)
 		}
 		*activeCallers--
 	})
@@ -255,10 +255,10 @@
 		inPhase := func(at time.Duration) bool { return at >= step.At && at < end }
 		phase := Phase{FromSeconds: step.At.Seconds(), CallersPerSecond: step.CallersPerSecond}
 		durationsInPhase := func(turns []standin.TurnTime) []time.Duration {
-			selected := base.Filter(turns, func(turn standin.TurnTime) bool { return inPhase(turn.At - start) })
-			return base.Map(selected, func(turn standin.TurnTime) time.Duration { return turn.Took })
+			selected := base.Filter(turns, func(turn standin.TurnTime) bool { return inPhase(turn.Start - start) })
+			return base.Map(selected, func(turn standin.TurnTime) time.Duration { return turn.Duration })
 		}
-		completed, refused := durationsInPhase(fleet.Tally.Turns), durationsInPhase(fleet.Tally.Refusals)
+		completed, refused := durationsInPhase(fleet.Tally.TurnTimes), durationsInPhase(fleet.Tally.RefusalTimes)
 		phase.CompletedTurns, phase.RefusedTurns = len(completed), len(refused)
 		phase.MedianTurnMs, phase.P99TurnMs = medianAndP99Ms(completed)
 		phase.RefusalMs[0], phase.RefusalMs[1] = medianAndP99Ms(refused)
@@ -269,13 +269,13 @@
 	if r.Takeovers > 0 {
 		r.MeanTakeoverMs = float64(fleet.CounterTotal("takeover_ms")) / float64(r.Takeovers)
 	}
-	r.LongestTurnMs = milliseconds(fleet.Tally.Slowest)
+	r.LongestTurnMs = milliseconds(fleet.Tally.SlowestTurn)
 	runs, prefixHits, usedTokens, budgetTokens := 0, 0, int64(0), int64(0)
 	promptMessages, cachedMessages := 0, 0
 	for _, model := range fleet.Models {
-		_, tokens, count, reused := model.Record()
+		_, tokens, count, reused := model.Stats()
 		runs, prefixHits = runs+count, prefixHits+reused
-		messages, cached := model.Reuse()
+		messages, cached := model.CacheUse()
 		promptMessages, cachedMessages = promptMessages+messages, cachedMessages+cached
 		for _, n := range tokens {
 			usedTokens += n
