--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -124,7 +124,7 @@
 }
 
 // since returns the puts after a revision; ok is false when some were dropped.
-// A change that begins before the revision is returned whole, which is
+// A change that begins before the revision is returned in full, which is
 // harmless: puts are applied in order, so the last one counts.
 func (l *changeLog) since(revision uint64) (puts []*register.Put, ok bool) {
 	for i, entry := range l.changes {
@@ -147,7 +147,7 @@
 	receivedAt := f.clock.Now()
 	firstConfirmed := f.lastConfirmed()
 	for {
-		next := f.confirmedBell.Next()
+		next := f.confirmationNotifier.Next()
 		confirmed, now := f.lastConfirmed(), f.clock.Now()
 		snapshot := f.Snapshot()
 		renewed := confirmed > firstConfirmed && now-receivedAt >= wait/2
--- a/internal/line/stream.go
+++ b/internal/line/stream.go
@@ -47,19 +47,19 @@
 func (s *Stream) add(pieces ...[]byte) { s.update(func() { s.pieces = append(s.pieces, pieces...) }) }
 func (s *Stream) finish()              { s.update(func() { s.done = true }) }
 
-// fail ends the stream without success: with a verdict when no head was set, or else as
+// fail ends the stream without success: with an error when no head was set, or else as
 // cut.
-func (s *Stream) fail(verdict *base.RequestError) {
+func (s *Stream) fail(requestErr *base.RequestError) {
 	s.update(func() {
 		if s.head == nil {
-			s.failure = verdict
+			s.failure = requestErr
 		}
 		s.cut = s.head != nil
 		s.done = true
 	})
 }
 
-// Abandon says that nobody reads the stream any more; a turn that is not done is
+// Abandon signals that nobody reads the stream any more; a turn that is not done is
 // cancelled.
 func (s *Stream) Abandon() {
 	s.mu.Lock()
@@ -77,7 +77,7 @@
 	return s.abandoned
 }
 
-// Head waits for the response's head, or returns the verdict when there is none.
+// Head waits for the response's head, or returns the error when there is none.
 func (s *Stream) Head(limit time.Duration, clock base.Clock) (*Head, error) {
 	end := clock.Now() + limit
 	for {
@@ -136,7 +136,7 @@
 	stream   *Stream
 	clock    base.Clock
 	deadline time.Duration
-	place    int
+	position int
 	unread   []byte
 }
 
@@ -149,13 +149,13 @@
 // passed before its end.
 func (r *Reader) Read(buffer []byte) (int, error) {
 	for len(r.unread) == 0 {
-		pieces, done, cut := r.stream.PiecesFrom(r.place, max(0, r.deadline-r.clock.Now()), r.clock)
+		pieces, done, cut := r.stream.PiecesFrom(r.position, max(0, r.deadline-r.clock.Now()), r.clock)
 		switch {
 		case len(pieces) > 0:
 			for _, piece := range pieces {
 				r.unread = append(r.unread, piece...)
 			}
-			r.place += len(pieces)
+			r.position += len(pieces)
 		case done && !cut:
 			return 0, io.EOF
 		default:
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -34,7 +34,7 @@
 	sendsLeft int
 }
 
-// incarnationMark records up to which incarnation a member is gone, or an
+// incarnationMark records up to which incarnation a member is removed, or an
 // update about it was queued, and when.
 type incarnationMark struct {
 	incarnation uint64
@@ -61,7 +61,7 @@
 	}
 	v.lastQueued[key] = incarnationMark{member.Incarnation, v.clock.Now()}
 	v.pendingUpdates[member.Id] = &update{cloneMember(member), v.maxSends()}
-	v.changeBell.Notify()
+	v.changeNotifier.Notify()
 }
 
 // isolated reports whether no other member is alive. The caller holds the lock.
--- a/internal/register/census.go
+++ b/internal/register/census.go
@@ -25,7 +25,7 @@
 	suspects := srv.suspectedCores(present)
 	answered := map[string]bool{}
 	base.CallQuorum(srv.clock, present, 1, srv.bounds.Load().DiskTimeout()*6/10, func(ctx *base.Ctx, member *membership.Member) bool {
-		reply, err := NewRegisterProtobufClient("http://"+member.Addr, srv.wire).Census(ctx, &CensusRequest{Set: set, Suspects: suspects})
+		reply, err := NewRegisterProtobufClient("http://"+member.Addr, srv.httpClient).Census(ctx, &CensusRequest{Set: set, Suspects: suspects})
 		mu.Lock()
 		defer mu.Unlock()
 		answered[member.Id] = err == nil
@@ -61,7 +61,7 @@
 }
 
 // suspectedCores lists the cores that are not present or did not answer the
-// last census. The other cores are told of them, so that they probe them
+// last census. The other cores are notified of them, so that they probe them
 // themselves and take over their shards sooner.
 func (srv *Server) suspectedCores(present []*membership.Member) []string {
 	srv.mu.Lock()
--- a/internal/register/observe.go
+++ b/internal/register/observe.go
@@ -46,7 +46,7 @@
 
 // observe requests the state of the disks that are due and returns what is known
 // of all. While all is well a disk is due only every quarter of the recovery
-// bound, since the membership view tells of machines that start or fall silent.
+// bound, since the membership view reports machines that start or fall silent.
 // Unknown, silent and leaving machines, and all while a status is reported, are
 // due every half heartbeat interval.
 func (srv *Server) observe(records *feedRecords) *clusterView {
@@ -154,7 +154,7 @@
 // if its machine is present and not being retired.
 func (srv *Server) describeDisk(observed *observation, memberID, addr string, present bool, retiring map[string]bool, set *DiskSet) {
 	ctx := base.NewCtx(srv.clock, srv.bounds.Load().DiskTimeout())
-	disk := NewDiskProtobufClient("http://"+addr, srv.wire)
+	disk := NewDiskProtobufClient("http://"+addr, srv.httpClient)
 	state, err := disk.Describe(ctx, describeRequest(set))
 	if err == nil && state.Id == "" && present && !retiring[state.Node] {
 		if formatted, formatErr := disk.Format(ctx, &FormatRequest{}); formatErr == nil {
