--- a/internal/access/guard.go
+++ b/internal/access/guard.go
@@ -192,14 +192,14 @@
 		return nil
 	}
 	count.refused.Add(1)
-	var v *base.RequestError
+	var requestErr *base.RequestError
 	if decision.unknownTeam {
-		v = base.Decline(403, "unknown_team", "the request belongs to no known team, and settings %d allow only teams to call models", state.current.Version)
+		requestErr = base.Decline(403, "unknown_team", "the request belongs to no known team, and settings %d allow only teams to call models", state.current.Version)
 	} else {
-		v = base.Decline(403, "model_not_allowed", "team %q may not call model %q under settings %d", decision.Team, decision.Model, state.current.Version)
+		requestErr = base.Decline(403, "model_not_allowed", "team %q may not call model %q under settings %d", decision.Team, decision.Model, state.current.Version)
 	}
-	v.Team, v.Model, v.CurrentVersion = decision.Team, decision.Model, state.current.Version
-	return v
+	requestErr.Team, requestErr.Model, requestErr.CurrentVersion = decision.Team, decision.Model, state.current.Version
+	return requestErr
 }
 
 // maxNamedPairs is how many pairs of team and model have counters of their own.
--- a/internal/access/pending.go
+++ b/internal/access/pending.go
@@ -61,9 +61,9 @@
 		return nil
 	}
 	if current := decodePending(tx.Get(PendingKey)); current != nil {
-		v := base.Busy(409, "access_changing", 1, "settings %d change what teams may call and have not taken effect yet", current.Target)
-		v.CurrentVersion = inForce
-		return v
+		requestErr := base.Busy(409, "access_changing", 1, "settings %d change what teams may call and have not taken effect yet", current.Target)
+		requestErr.CurrentVersion = inForce
+		return requestErr
 	}
 	pending := Pending{InForce: inForce, Target: target, LeaseMs: tx.Bounds.Lease().Milliseconds()}
 	if oldDigest != "" {
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -259,8 +259,8 @@
 			request.HoldMs = 0 // another attempt must not wait: the lease is running out
 			f.counters.Add("feed_relays_failed", 1)
 			f.dropParent(address)
-			if v := base.ToRequestError(err); v != nil && (v.Code == "unreachable" || v.Code == "reply_lost") {
-				replyLost = replyLost || v.Code == "reply_lost"
+			if requestErr := base.ToRequestError(err); requestErr != nil && (requestErr.Code == "unreachable" || requestErr.Code == "reply_lost") {
+				replyLost = replyLost || requestErr.Code == "reply_lost"
 				if member != nil {
 					f.view.Suspect(member.Id)
 				}
--- a/internal/front/tool.go
+++ b/internal/front/tool.go
@@ -88,7 +88,7 @@
 		if err == nil {
 			return toolResponse(answer, false), nil
 		}
-		if v := base.ToRequestError(err); v.Execution == base.NotRun || attempt >= t.route.MaxAttempts || t.ctx.Expired() {
+		if requestErr := base.ToRequestError(err); requestErr.Execution == base.NotRun || attempt >= t.route.MaxAttempts || t.ctx.Expired() {
 			return nil, err
 		}
 		t.handler.Counters.Add("tool_legs_repeated", 1)
@@ -103,7 +103,7 @@
 	for {
 		outcome, err := h.Tools.Claim(t.ctx, t.claim)
 		if err != nil {
-			if v := base.ToRequestError(err); v.Execution != base.NotRun {
+			if requestErr := base.ToRequestError(err); requestErr.Execution != base.NotRun {
 				// The claim may have been recorded for this attempt, but the attempt
 				// was not sent and is given up, so the call did not run.
 				h.Clock.Go(func() { _ = h.Tools.Finish(base.NewCtx(h.Clock, h.Bounds.Load().Recovery), t.claim, nil) })
--- a/internal/register/search.go
+++ b/internal/register/search.go
@@ -168,9 +168,9 @@
 		}
 		return reply.hint == "", nil
 	}
-	failure := base.ToRequestError(reply.err)
-	s.lastErr = failure
-	switch failure.Code {
+	requestErr := base.ToRequestError(reply.err)
+	s.lastErr = requestErr
+	switch requestErr.Code {
 	case "unreachable":
 		s.failures[reply.core]++
 		s.client.view.Suspect(reply.core)
@@ -180,11 +180,11 @@
 		s.client.view.Suspect(reply.core)
 	case "no_majority":
 		s.failures[reply.core]++
-		s.mayHaveRun = s.mayHaveRun || failure.Execution != base.NotRun
+		s.mayHaveRun = s.mayHaveRun || requestErr.Execution != base.NotRun
 	case "slot_moved", "slot_not_ready", "no_disks":
-		s.mayHaveRun = s.mayHaveRun || failure.Execution != base.NotRun
+		s.mayHaveRun = s.mayHaveRun || requestErr.Execution != base.NotRun
 	default:
-		return true, failure
+		return true, requestErr
 	}
 	return false, nil
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -162,7 +162,7 @@
 			return reply, nil
 		}
 		d.tried = append(d.tried, chosen)
-		if v := base.FindRequestError(err); v == nil || v.Execution != base.NotRun {
+		if requestErr := base.FindRequestError(err); requestErr == nil || requestErr.Execution != base.NotRun {
 			d.mayHaveRun = true
 			if !d.mayRetry(0) {
 				return nil, err
@@ -180,8 +180,8 @@
 // finalError turns a refusal that says "not run" into one that does not, if an
 // earlier worker may have run the request.
 func (d *dispatch) finalError(err error) error {
-	if v := base.FindRequestError(err); d.mayHaveRun && v != nil && v.Execution == base.NotRun {
-		return base.Indeterminate(502, "worker_lost", "a worker's answer was lost, and then: %s", v.Message)
+	if requestErr := base.FindRequestError(err); d.mayHaveRun && requestErr != nil && requestErr.Execution == base.NotRun {
+		return base.Indeterminate(502, "worker_lost", "a worker's answer was lost, and then: %s", requestErr.Message)
 	}
 	return err
 }
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -113,7 +113,7 @@
 			return r.switchTo(next)
 		}
 		last = &attempt{worker: chosen}
-		if v := base.FindRequestError(err); !d.mayRetry(0) || v == nil {
+		if requestErr := base.FindRequestError(err); !d.mayRetry(0) || requestErr == nil {
 			return streamErr
 		}
 	}
@@ -145,8 +145,8 @@
 
 // streamError returns the request error for a stream that broke off.
 func streamError(cause error) error {
-	if v := base.FindRequestError(cause); v != nil {
-		return v
+	if requestErr := base.FindRequestError(cause); requestErr != nil {
+		return requestErr
 	}
 	return errStreamCut
 }
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -98,14 +98,14 @@
 		if logged.Outcome.Outcome == "taken" {
 			return logged.Outcome, nil
 		}
-		v := base.Decline(409, "change_refused", "change %q was refused and can no longer be applied", request.ID)
-		v.CurrentVersion = current.Version
-		return nil, v
+		requestErr := base.Decline(409, "change_refused", "change %q was refused and can no longer be applied", request.ID)
+		requestErr.CurrentVersion = current.Version
+		return nil, requestErr
 	}
 	if request.BasedOn != current.Version {
-		v := base.Decline(409, "stale_stamp", "the change is based on stamp %d, but the settings are at stamp %d", request.BasedOn, current.Version)
-		v.CurrentVersion = current.Version
-		return nil, v
+		requestErr := base.Decline(409, "stale_stamp", "the change is based on stamp %d, but the settings are at stamp %d", request.BasedOn, current.Version)
+		requestErr.CurrentVersion = current.Version
+		return nil, requestErr
 	}
 	tree, violations := Parse(request.Document)
 	if len(violations) > 0 {
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -98,9 +98,9 @@
 // checkStamp declines a change whose stamp is not newer than the current list's.
 func checkStamp(current List, stamp uint64) error {
 	if stamp <= current.Stamp {
-		v := base.Decline(409, "stale_stamp", "the list is at stamp %d, the request carries stamp %d", current.Stamp, stamp)
-		v.CurrentVersion = current.Stamp
-		return v
+		requestErr := base.Decline(409, "stale_stamp", "the list is at stamp %d, the request carries stamp %d", current.Stamp, stamp)
+		requestErr.CurrentVersion = current.Stamp
+		return requestErr
 	}
 	return nil
 }
